--- a/badgercart/capture/codec.py
+++ b/badgercart/capture/codec.py
@@ -27,8 +27,10 @@
     Cancel,
     Company,
     Diverted,
+    Effect,
     Event,
     Fail,
+    Group,
     ListKind,
     Log,
     Outcome,
@@ -39,6 +41,7 @@
     ProbeResult,
     Refuse,
     Request,
+    RequestClass,
     Result,
     Resume,
     Retuned,
@@ -223,17 +226,122 @@
 # Settings.
 
 
+class _StoredClass(msgspec.Struct):
+    """A `RequestClass` by the names that stand in files."""
+
+    aim: float
+    deadline: float
+    worth: float
+    effect: Effect
+    group: Group = Group.ALL
+    window: float = 0.0
+    late_value: float = 0.0
+    in_order: bool = False
+
+
+class _StoredSettings(msgspec.Struct):
+    """`Settings` by the names that stand in files."""
+
+    classes: tuple[_StoredClass, ...]
+    zone: int = 0
+    group_size: int = 1
+    me: int = 0
+    quotas: tuple[float, ...] = ()
+    over_quota_worth: float = 1.0
+    warm_keys: bool = False
+    ask_for_list: bool = False
+    ask_within: float = 10000.0
+    tick: float = 1.0
+    may_cancel: bool = False
+    max_attempts: int = 1
+    max_retry_after: float = 0.0
+    full_may_have_run: bool = False
+    key_rest: float = 0.0
+    cold_from: float = 1.0
+    ramp_time: float = 0.0
+    tip_multiple: float = 1.0
+    overload_for: float = 1000.0
+
+
 def encode_settings(settings: Settings) -> dict[str, Any]:
-    """Plain data, by the names of the class."""
-    plain: dict[str, Any] = msgspec.to_builtins(settings)
+    """Plain data, by the stored names."""
+    classes = tuple(
+        _StoredClass(
+            aim=cls.aim,
+            deadline=cls.deadline,
+            worth=cls.worth,
+            effect=cls.effect,
+            group=cls.group,
+            window=cls.window,
+            late_value=cls.late_value,
+            in_order=cls.in_order,
+        )
+        for cls in settings.classes
+    )
+    stored = _StoredSettings(
+        classes=classes,
+        zone=settings.zone,
+        group_size=settings.group_size,
+        me=settings.me,
+        quotas=settings.quotas,
+        over_quota_worth=settings.over_quota_worth,
+        warm_keys=settings.warm_keys,
+        ask_for_list=settings.ask_for_list,
+        ask_within=settings.ask_within,
+        tick=settings.tick,
+        may_cancel=settings.may_cancel,
+        max_attempts=settings.max_attempts,
+        max_retry_after=settings.max_retry_after,
+        full_may_have_run=settings.full_may_have_run,
+        key_rest=settings.key_rest,
+        cold_from=settings.cold_from,
+        ramp_time=settings.ramp_time,
+        tip_multiple=settings.tip_multiple,
+        overload_for=settings.overload_for,
+    )
+    plain: dict[str, Any] = msgspec.to_builtins(stored)
     return plain
 
 
 def decode_settings(plain: dict[str, Any]) -> Settings:
     """Raises CodecError."""
     try:
-        return msgspec.convert(plain, Settings)
-    except msgspec.MsgspecError as error:
+        stored = msgspec.convert(plain, _StoredSettings)
+        classes = tuple(
+            RequestClass(
+                aim=cls.aim,
+                deadline=cls.deadline,
+                worth=cls.worth,
+                effect=cls.effect,
+                group=cls.group,
+                window=cls.window,
+                late_value=cls.late_value,
+                in_order=cls.in_order,
+            )
+            for cls in stored.classes
+        )
+        return Settings(
+            classes=classes,
+            zone=stored.zone,
+            group_size=stored.group_size,
+            me=stored.me,
+            quotas=stored.quotas,
+            over_quota_worth=stored.over_quota_worth,
+            warm_keys=stored.warm_keys,
+            ask_for_list=stored.ask_for_list,
+            ask_within=stored.ask_within,
+            tick=stored.tick,
+            may_cancel=stored.may_cancel,
+            max_attempts=stored.max_attempts,
+            max_retry_after=stored.max_retry_after,
+            full_may_have_run=stored.full_may_have_run,
+            key_rest=stored.key_rest,
+            cold_from=stored.cold_from,
+            ramp_time=stored.ramp_time,
+            tip_multiple=stored.tip_multiple,
+            overload_for=stored.overload_for,
+        )
+    except (msgspec.MsgspecError, ValueError) as error:
         raise CodecError(f"no settings: {error}") from None
 
 
--- a/badgercart/capture/commands.py
+++ b/badgercart/capture/commands.py
@@ -122,6 +122,7 @@
 def replay(files: tuple[str, ...], force: bool) -> None:
     """Decide everything anew; exit 0 only where all decisions are the same."""
     from badgercart.capture.replay import missing, replay_all
+    from badgercart.capture.words import show
 
     paths, bad, events, notes, others = found(files), 0, 0, 0, []
     for told in track(
@@ -138,9 +139,9 @@
             click.echo(f"{told.name}: {fault}")
         if (other := told.difference) is not None:
             click.echo(f"{told.name}: event {other.record} at {other.now:.3f} ms is decided otherwise")
-            click.echo(f"  {other.event}\n  now:  {other.actions}")
+            click.echo(f"  {show(other.event)}\n  now:  {show(other.actions)}")
             if other.then is not None:
-                click.echo(f"  then: {other.then}")
+                click.echo(f"  then: {show(other.then)}")
         bad += not told.identical
     for words in missing(paths):
         click.echo(words)
--- a/badgercart/capture/edit.py
+++ b/badgercart/capture/edit.py
@@ -10,6 +10,7 @@
 from badgercart.capture.codec import CodecError, decode_actions, freeze
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import decide, events, start
+from badgercart.capture.words import show
 
 HEADS = ("settings", "seed", "module", "state")
 
@@ -58,11 +59,11 @@
             return
         if (left.now, left.event) != (right.now, right.event) and not told_event:
             told_event = True
-            here, there = (f"{item.now:.3f} ms {item.event}" for item in (left, right))
+            here, there = (f"{item.now:.3f} ms {show(item.event)}" for item in (left, right))
             yield f"event {number}: {here} in {first}, {there} in {second}"
         if (left.then, left.running) != (right.then, right.running) and not told_decision:
             told_decision = True
-            one_did, other_did = (decode_actions(i.then) if i.then else None for i in (left, right))
+            one_did, other_did = (show(decode_actions(i.then)) if i.then else None for i in (left, right))
             yield f"event {number}: decided otherwise: {one_did} in {first}, {other_did} in {second}"
         if told_event and told_decision:
             return
--- a/badgercart/capture/explain.py
+++ b/badgercart/capture/explain.py
@@ -12,6 +12,7 @@
 
 from badgercart.capture.format import Segment, read_index
 from badgercart.capture.replay import events, start
+from badgercart.capture.words import RESULTS
 from cottonhall.interface import (
     Action,
     Began,
@@ -22,7 +23,6 @@
     Outcome,
     Refuse,
     Request,
-    Result,
     Resume,
     Send,
     Timer,
@@ -113,14 +113,24 @@
     return event.token if isinstance(event, Timer) else 0
 
 
+_EVENT_WORDS: dict[type, str] = {
+    Whole: "whole",
+    Began: "began",
+    Resume: "resume",
+    Withdrawn: "withdrawn",
+    Timer: "timer",
+}
+_ACTION_WORDS: dict[type, str] = {Fail: "fail", Cancel: "cancel"}
+
+
 def _told(event: Event) -> str:
     if isinstance(event, Outcome):
         parked = ", parked" if event.parked else ""
-        words = f"attempt {event.attempt} at {event.server:x}: {Result(event.result).name} after"
+        words = f"attempt {event.attempt} at {event.server:x}: {RESULTS[event.result]} after"
         return f"{words} {event.elapsed:.1f} ms{parked}" + (", the request is over" if event.over else "")
     if isinstance(event, Diverted):
-        return f"attempt {event.attempt}: {Result(event.result).name}; its carrier went on to {event.to:x}"
-    return type(event).__name__.lower()
+        return f"attempt {event.attempt}: {RESULTS[event.result]}; its carrier went on to {event.to:x}"
+    return _EVENT_WORDS[type(event)]
 
 
 def _done(action: Action) -> str:
@@ -131,7 +141,7 @@
         return f"refuse; come back after {action.wait:.0f} ms" if action.wait else "refuse"
     if isinstance(action, Wake):
         return f"wait {action.delay:.0f} ms"
-    return type(action).__name__.lower()
+    return _ACTION_WORDS[type(action)]
 
 
 def may_hold(data: bytes, request_id: int) -> bool:
--- a/badgercart/capture/streams.py
+++ b/badgercart/capture/streams.py
@@ -10,7 +10,7 @@
 
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
 from typing import Any
 
 import msgspec
@@ -29,7 +29,7 @@
     """How one kind of machine is captured and played back."""
 
     kind: str
-    methods: tuple[str, ...]
+    methods: dict[str, Callable[..., Any]]  # by its name in notes
     save: Callable[[Any], Any]  # its state as plain data
     load: Callable[[Any], Any]
     plain: Callable[[Any], Any] = lambda value: value  # an argument or a result as plain data
@@ -46,9 +46,14 @@
 
 def _save_account(account: Account) -> Any:
     rule = account.rule.model_dump()
-    names = [field.name for field in fields(Proxy)]
-    plain = [[getattr(proxy, name) for name in names] for proxy in account.proxies.values()]
-    return rule, [[list(value) if isinstance(value, deque) else value for value in row] for row in plain]
+    return rule, [_save_proxy(proxy) for proxy in account.proxies.values()]
+
+
+def _save_proxy(proxy: Proxy) -> list[Any]:
+    return [
+        proxy.name, proxy.answered, proxy.refused, proxy.unseen, proxy.first, proxy.fallback, proxy.lost,
+        proxy.old, proxy.drained, list(proxy.uses), proxy.refused_until,
+    ]  # fmt: skip
 
 
 def _load_account(state: Any) -> Account:
@@ -64,14 +69,14 @@
 FORMS: dict[type, Form] = {
     Freshness: Form(
         "freshness",
-        ("proof", "state", "next_change"),
+        {"proof": Freshness.proof, "state": Freshness.state, "next_change": Freshness.next_change},
         lambda machine: ((machine.rule.doubtful_after, machine.rule.stale_after), machine.proved),
         _load_freshness,
         lambda value: getattr(value, "value", value),
     ),
     Account: Form(
         "account",
-        ("proxy", "standing", "used_old"),
+        {"proxy": Account.proxy, "standing": Account.standing, "used_old": Account.used_old},
         _save_account,
         _load_account,
         lambda value: value.name if isinstance(value, Proxy) else getattr(value, "value", value),
@@ -115,12 +120,12 @@
         return call
 
     known = [getattr(machine, "rule", None), False]  # its settings, and whether a call is on
-    for method in form.methods:
-        setattr(machine, method, wrapped(method, getattr(machine, method)))
+    for method, function in form.methods.items():
+        setattr(machine, function.__name__, wrapped(method, getattr(machine, function.__name__)))
 
     def undo() -> None:
-        for method in form.methods:
-            delattr(machine, method)
+        for function in form.methods.values():
+            delattr(machine, function.__name__)
 
     return undo
 
@@ -145,7 +150,8 @@
             if name not in self.machines:
                 return ""  # what follows a gap without a state can't be judged
             machine = self.machines[name][1]
-            got = form.plain(getattr(machine, method)(*(form.back(machine, method, arg) for arg in args)))
+            play = getattr(machine, form.methods[method].__name__)
+            got = form.plain(play(*(form.back(machine, method, arg) for arg in args)))
         except (msgspec.MsgspecError, ValueError, TypeError, LookupError, AttributeError) as error:
             raise CodecError(f"no note: {type(error).__name__}: {error}") from None
         if got != result:
--- a/badgercart/learning/snapshot.py
+++ b/badgercart/learning/snapshot.py
@@ -49,9 +49,9 @@
 class ClassPart(msgspec.Struct, frozen=True):
     """What is known of a class."""
 
-    usual: Time
-    offered: Count
-    beyond: Count  # offered beyond a tenant's share
+    usual: Time = msgspec.field(name="usual")
+    offered: Count = msgspec.field(name="offered")
+    beyond: Count = msgspec.field(name="beyond")  # offered beyond a tenant's share
 
 
 class ServerPart(msgspec.Struct, frozen=True, array_like=True):
@@ -68,19 +68,19 @@
 class Snapshot(msgspec.Struct, frozen=True):
     """All of a file."""
 
-    node: Label
-    fleet: str  # what tells this fleet from another: zones and kinds
-    saved_ms: Annotated[float, Meta(ge=0, le=1e15)]  # Unix
-    classes: dict[str, ClassPart]
-    kinds: dict[str, Pace]
-    least: Time
-    mean: Time
-    answers: Count
-    best_rate: Count
-    carried: Count
-    keys_total: Count
-    keys: dict[int, Count]
-    servers: list[ServerPart]
+    node: Label = msgspec.field(name="node")
+    fleet: str = msgspec.field(name="fleet")  # what tells this fleet from another: zones and kinds
+    saved_ms: Annotated[float, Meta(ge=0, le=1e15)] = msgspec.field(name="saved_ms")  # Unix
+    classes: dict[str, ClassPart] = msgspec.field(name="classes")
+    kinds: dict[str, Pace] = msgspec.field(name="kinds")
+    least: Time = msgspec.field(name="least")
+    mean: Time = msgspec.field(name="mean")
+    answers: Count = msgspec.field(name="answers")
+    best_rate: Count = msgspec.field(name="best_rate")
+    carried: Count = msgspec.field(name="carried")
+    keys_total: Count = msgspec.field(name="keys_total")
+    keys: dict[int, Count] = msgspec.field(name="keys")
+    servers: list[ServerPart] = msgspec.field(name="servers")
 
 
 _DECODER: msgspec.msgpack.Decoder[Snapshot] = msgspec.msgpack.Decoder(Snapshot)
--- a/badgercart/upgrade/handover.py
+++ b/badgercart/upgrade/handover.py
@@ -24,7 +24,6 @@
 OLDEST = 10_000.0  # ms
 MAX_BYTES = 4 << 20
 MAX_SERVERS = 500  # of a larger fleet a node knows little of each, and a write would hold it up
-NUMBERS = ("least", "mean", "answers", "best_rate", "carried", "keys_total")
 
 
 def encode(memory: Memory, config: Config, now: float, unix_offset: float) -> bytes:
@@ -39,7 +38,14 @@
             name: [memory.usual[i], memory.offered[i], memory.offered[half + i]] for i, name in names.items()
         },
         "kinds": {kinds[kind]: pace for kind, pace in memory.kinds.items() if kind in kinds},
-        "numbers": {name: getattr(memory, name) for name in NUMBERS},
+        "numbers": {
+            "least": memory.least,
+            "mean": memory.mean,
+            "answers": memory.answers,
+            "best_rate": memory.best_rate,
+            "carried": memory.carried,
+            "keys_total": memory.keys_total,
+        },
         "keys": {str(key): count for key, count in memory.keys.items()},
         "servers": {
             str(server): [
@@ -76,13 +82,19 @@
         own = float(started) - unix_offset if started else 0.0
         fails, strikes = tuple(float(f) for f, _ in each), tuple(float(s) for _, s in each)
         servers[int(server)] = Known(own, float(slow), float(recent), fails, strikes)
+    numbers: Mapping[str, float] = told["numbers"]
     return Memory(
         usual=[float(usual) for usual, _, _ in by_class],
         offered=[float(within) for _, within, _ in by_class] + [float(beyond) for _, _, beyond in by_class],
         kinds={config.kinds[name]: float(v) for name, v in told["kinds"].items() if name in config.kinds},
         keys={int(key): float(count) for key, count in told["keys"].items()},
         servers=servers,
-        **{name: float(told["numbers"][name]) for name in NUMBERS},
+        least=float(numbers["least"]),
+        mean=float(numbers["mean"]),
+        answers=float(numbers["answers"]),
+        best_rate=float(numbers["best_rate"]),
+        carried=float(numbers["carried"]),
+        keys_total=float(numbers["keys_total"]),
     )
 
 
--- /dev/null
+++ b/tests/learning/test_golden.py
@@ -0,0 +1,90 @@
+"""A file of what was learned, written by an earlier text, is read to the same values and written the same.
+
+`version-1.learned` (see `test_memory.py`) pins reading a real day's file; this pins each field at its place.
+"""
+
+from __future__ import annotations
+
+import json
+from dataclasses import replace
+from pathlib import Path
+
+from click.testing import CliRunner
+
+from badgercart.learning.commands import learned
+from badgercart.learning.snapshot import decode, encode, give, take
+from cottonhall.interface import Effect, Known, RequestClass
+from cottonhall.memory import Memory
+from tests.net import config
+
+GOLDEN = Path(__file__).parent / "golden"
+BASE = config(("127.0.0.1", 1))
+CLASSES = (RequestClass(580.0, 1400.0, 2.0, Effect.SAFE), RequestClass(750.0, 1900.0, 8.0, Effect.SAFE))
+CONFIG = replace(
+    BASE,
+    name="n-1",
+    settings=replace(BASE.settings, classes=CLASSES),
+    classes={b"find": 0, b"book": 1},
+    kinds={"k0": 0, "k1": 1},
+    zones={"east": 0, "west": 1},
+)
+SAVED, OFFSET = 1.75e12, 1.7e12
+
+
+def memory() -> Memory:
+    """Each number another one."""
+    return Memory(
+        [33.5, 44.25],
+        [10.0, 11.0, 0.5, 0.25],
+        {0: 1.5, 1: 0.75},
+        21.0,
+        22.5,
+        60.0,
+        0.125,
+        0.0625,
+        {7: 3.0, 2**63: 1.5},
+        5.5,
+        {
+            11: Known(5000.0, 4.0, 3.0, (0.75, 0.125), (2.0, 0.0)),
+            2**62: Known(0.0, 1.0, 0.5, (0.0, 0.25), (0.0, 1.0)),
+        },
+    )
+
+
+def written() -> bytes:
+    return encode(take(memory(), CONFIG, SAVED, OFFSET))
+
+
+def test_it_is_written_with_the_same_bytes() -> None:
+    assert written() == (GOLDEN / "learned.bin").read_bytes()
+
+
+def test_it_is_read_to_the_same_values() -> None:
+    kept = decode((GOLDEN / "learned.bin").read_bytes())
+    assert (kept.node, kept.fleet, kept.saved_ms) == ("n-1", "east,west/k0,k1", 1.75e12)
+    assert give(kept, CONFIG, OFFSET) == memory()
+
+
+def test_the_command_shows_it_under_the_same_names() -> None:
+    shown = CliRunner().invoke(learned, ["show", str(GOLDEN / "learned.bin"), "--json"])
+    assert json.loads(shown.output) == {
+        "node": "n-1",
+        "fleet": "east,west/k0,k1",
+        "saved_ms": 1.75e12,
+        "classes": {
+            "find": {"usual": 33.5, "offered": 10.0, "beyond": 0.5},
+            "book": {"usual": 44.25, "offered": 11.0, "beyond": 0.25},
+        },
+        "kinds": {"k0": 1.5, "k1": 0.75},
+        "least": 21.0,
+        "mean": 22.5,
+        "answers": 60.0,
+        "best_rate": 0.125,
+        "carried": 0.0625,
+        "keys_total": 5.5,
+        "keys": {"7": 3.0, "9223372036854775808": 1.5},
+        "servers": [
+            [11, 1.700000005e12, 4.0, 3.0, [0.75, 0.125], [2.0, 0.0]],
+            [4611686018427387904, 0.0, 1.0, 0.5, [0.0, 0.25], [0.0, 1.0]],
+        ],
+    }
