--- a/badgercart/peers/part.py
+++ b/badgercart/peers/part.py
@@ -23,6 +23,7 @@
     from badgercart.peers.view import Belief
 
 MAX_TOLD = 512  # changes that `peers why` looks back on
+STATUS_WORDS = ("alive", "suspect", "dead", "left")  # by a status's number: as the page and the log have it
 
 
 def place_of(settings: PeersSettings, host: str) -> tuple[str, str]:
@@ -135,7 +136,7 @@
     def on_changed(self, belief: Belief) -> None:
         claim, stamp = belief.claim, self.stamp()
         fields = {
-            "peer": claim.name, "status": claim.status.name.lower(), "word": belief.word,
+            "peer": claim.name, "status": STATUS_WORDS[claim.status], "word": belief.word,
             "accuser": claim.by, "incarnation": claim.incarnation,
         }  # fmt: skip
         self.told.append(fields | stamp)
@@ -195,7 +196,7 @@
         members = [
             {
                 "name": belief.claim.name,
-                "status": belief.status.name.lower(),
+                "status": STATUS_WORDS[belief.status],
                 "address": f"{belief.claim.address[0]}:{belief.claim.address[1]}",
                 "zone": belief.claim.zone,
                 "region": belief.claim.region,
