--- /dev/null
+++ b/tests/operator/test_golden.py
@@ -0,0 +1,66 @@
+"""The metrics page's names, types, meanings and labels, against a file of an earlier state."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from badgercart.core.roster import Member
+from badgercart.operator.file import load
+from badgercart.operator.site import Site
+from cottonhall.interface import ServerEntry, State
+from tests.operator.test_file import GOOD, ROOT
+
+GOLDEN = Path(__file__).parent / "golden"
+LISTENING = 'listen = "127.0.0.1:0"\n'
+DISPATCH = (ROOT / "deploy" / "dispatch.graphql").read_text()
+PARTS = {
+    "fronts": f"[fronts.processor]\n{LISTENING}[fronts.graphql]\n{LISTENING}schema = 'dispatch.graphql'\n"
+    "[[fronts.graphql.field]]\nname = 'Query.cabLookup'\nclass = 'find'\n"
+    "[[fronts.graphql.field]]\nname = 'Mutation.rideAssign'\nclass = 'book'\n",
+    "peers-zones": "[node]\nname = 'n0'\nzone = 'a'\n[peers]\nlisten = '127.0.0.1:7946'\ngroup = 'g'\n"
+    "secret = 'sixteen characters'\n[zones]\nserves = 1.0\n",
+    "kept": "[capture]\nfolder = '{folder}'\n[learning]\nfolder = '{folder}'\n",
+    "store": "[distribution]\nname = 's'\nlisten = '127.0.0.1:7401'\ngroup = 'g'\n"
+    "secret = 'sixteen characters'\nfolder = '{folder}'\n[[distribution.store]]\nname = 's'\n"
+    "address = '127.0.0.1:7401'\nvoter = true\n",
+    "etcd": "[members.etcd]\nendpoints = ['127.0.0.1:2379']\nprefix = '/x/'\n",
+    "distribution": "[members.distribution]\ngroup = 'g'\nsecret = 'sixteen characters'\n"
+    "stores = ['127.0.0.1:7401']\nservice = 'x'\n",
+}
+LISTS = ("etcd", "distribution")  # in place of the servers in the file
+
+
+def names(page: bytes) -> str:
+    """The page with no figures in it."""
+    lines = page.decode().splitlines()
+    return "".join(
+        (line if line.startswith("#") else line.rpartition(" ")[0]) + "\n"
+        for line in lines
+        if "_created" not in line
+    )
+
+
+@pytest.mark.parametrize("part", PARTS)
+def test_the_metrics_page_names_what_it_named(tmp_path: Path, part: str) -> None:
+    text = GOOD
+    if part in LISTS:
+        start, end = GOOD.index("[[members.server]]"), GOOD.index("[fronts.http]")
+        text = GOOD[:start] + GOOD[end:]
+    (tmp_path / "dispatch.graphql").write_text(DISPATCH)
+    (tmp_path / "site.toml").write_text(
+        text + PARTS[part].format(folder=tmp_path) + f"[metrics]\n{LISTENING}"
+    )
+
+    async def page() -> bytes:
+        site = Site(load(str(tmp_path / "site.toml"), {}), asyncio.get_running_loop())
+        for state in State:
+            entry = ServerEntry(int(state), 0, 0, 0, state, 1.0, 0.0)
+            site.roster.listed[int(state)] = Member(entry, ("127.0.0.1", 1), f"s{state}")
+        told: bytes = site.parts["metrics"].figures.page()  # type: ignore[attr-defined]
+        site.close()
+        return told
+
+    assert names(asyncio.run(page())) == (GOLDEN / f"metrics-{part}.txt").read_text()
