--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -7,7 +7,7 @@
 import platform
 import subprocess
 from collections.abc import Sequence
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
@@ -62,28 +62,47 @@
 
 def text(run: Run) -> str:
     """As JSON with a series a line, so that runs can be held against each other."""
-    raw = asdict(run)
-    lines = ",\n".join("  " + json.dumps(rounded(series)) for series in raw.pop("series"))
-    head = json.dumps(raw, indent=1)[:-2]
+    lines = ",\n".join("  " + json.dumps(kept(series)) for series in run.series)
+    head = json.dumps(
+        {"subject": run.subject, "command": run.command, "revision": run.revision, "machine": run.machine},
+        indent=1,
+    )[:-2]
     return f'{head},\n "series": [\n{lines}\n ]\n}}\n'
 
 
-def rounded(series: dict[str, Any]) -> dict[str, Any]:
-    """Four digits: more would be noise."""
-    points = [[x, float(f"{y:.4g}")] for x, y in series["points"]]
-    return {key: points if key == "points" else value for key, value in series.items()}
+def kept(series: Series) -> dict[str, Any]:
+    """A series as it is kept, with four digits: more would be noise."""
+    return {
+        "name": series.name,
+        "unit": series.unit,
+        "over": series.over,
+        "statistic": series.statistic,
+        "points": [[x, float(f"{y:.4g}")] for x, y in series.points],
+        "fixed": series.fixed,
+    }
+
+
+def series_of(raw: dict[str, Any]) -> Series:
+    """A series as it was kept. KeyError, TypeError, IndexError or ValueError where it is none."""
+    only(raw, "name", "unit", "over", "statistic", "points", "fixed")
+    points = [(point[0], point[1]) for point in raw["points"]]
+    return Series(raw["name"], raw["unit"], raw["over"], raw["statistic"], points, raw.get("fixed", {}))
+
+
+def only(raw: dict[str, Any], *known: str) -> None:
+    """ValueError where something else stands there, too."""
+    if unknown := raw.keys() - set(known):
+        raise ValueError(f"unknown: {', '.join(sorted(unknown))}")
 
 
 def read(path: Path) -> Run:
     """ValueError where a file is no run."""
     try:
         raw = json.loads(path.read_text())
-        series = [
-            Series(**{**one, "points": [(point[0], point[1]) for point in one["points"]]})
-            for one in raw.pop("series")
-        ]
-        return Run(series=series, **raw)
-    except (TypeError, KeyError, ValueError) as error:
+        only(raw, "subject", "command", "revision", "machine", "series")
+        series = [series_of(one) for one in raw["series"]]
+        return Run(raw["subject"], raw["command"], raw["revision"], raw["machine"], series)
+    except (AttributeError, TypeError, KeyError, IndexError, ValueError) as error:
         raise ValueError(f"{path.name} is no run: {error}") from None
 
 
--- /dev/null
+++ b/tests/trial/test_golden.py
@@ -0,0 +1,65 @@
+"""The tables in which a trial is kept: their columns, types and rows, against files of an earlier state."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+from lab.trial import records
+from lab.trial.processes import NodeProcess
+from lab.trial.switch import Place
+from lab.trial.world import Asked, Shape, World
+from standins.server import DispatchServer, Seen
+from standins.traffic import ASSIGN, LOOKUP, Arrival, Result
+
+GOLDEN = Path(__file__).parent / "golden"
+TABLES = ("requests.parquet", "attempts.parquet", "events.parquet")
+
+
+def world(folder: Path) -> World:
+    """A trial of two nodes with all kinds of answers and events in it, that was never played."""
+    it = World(Shape(nodes=2, servers=1), folder)
+    it.block.close()
+    it.began = 100.0
+    for number in (0, 1):
+        name = f"n{number}"
+        it.nodes[name] = NodeProcess(name, folder / f"{name}.toml")
+        it.switch.places[name] = Place((f"127.2.0.{number}", 7946), (f"127.2.128.{number}", 7946))
+    for at, (status, took) in enumerate(((200, 12.5), (429, 1.0), (503, 1.25), (500, 9.0), (0, 2400.0))):
+        kind = (LOOKUP, ASSIGN)[at % 2]
+        arrival = Arrival(0.5 * at, kind, "fovarosi", f"r{at}", "ride-1")
+        it.asked.append(Asked(f"n{at % 2}", 100.25 + at, Result(arrival, status, took, "")))
+    server = DispatchServer("s-1", {})
+    server.seen.append(Seen("r0", "k0", "/", 100.5, "127.2.128.0"))
+    server.seen.append(Seen("r1", "", "/", 101.5, "127.9.9.9"))
+    it.servers["s-1"] = server
+    told = [
+        {"event": "http.listening", "message": "up", "host": "127.0.0.1", "port": 1},
+        {"event": "peers.changed", "message": "x", "hlc": "1790000000123.4", "peer": "n1", "status": "dead"},
+        {"event": "said", "text": "not JSON"},
+        {"event": "peers.level", "message": "y", "hlc": "1790000000124.0", "standing": "whole", "live": 2},
+    ]
+    it.nodes["n0"].events = [{**event, "node": "n0", "life": 1} for event in told]
+    it.nodes["n1"].events = [{**told[3], "node": "n1", "life": 2}]
+    return it
+
+
+def rows(folder: Path) -> str:
+    return "".join(
+        f"{name}\n" + "".join(json.dumps(row) + "\n" for row in records.read(folder, name)) for name in TABLES
+    )
+
+
+def test_the_columns_and_their_types_are_as_before() -> None:
+    told = "".join(f"{name}\n{schema}\n" for name, schema in records.SCHEMAS.items())
+    assert told == (GOLDEN / "columns.txt").read_text()
+
+
+def test_a_trial_is_kept_in_the_rows_of_before(tmp_path: Path) -> None:
+    records.write(world(tmp_path), tmp_path / "kept", {"name": "t", "requests": 5})
+    assert rows(tmp_path / "kept") == (GOLDEN / "rows.txt").read_text()
+    assert (tmp_path / "kept" / "summary.json").read_text() == '{\n "name": "t",\n "requests": 5\n}'
+
+
+def test_the_tables_of_a_trial_that_was_kept_before_are_read() -> None:
+    assert rows(GOLDEN) == (GOLDEN / "rows.txt").read_text()
