--- a/tests/trial/test_golden.py
+++ b/tests/trial/test_golden.py
@@ -4,6 +4,7 @@
 
 import json
 from pathlib import Path
+from typing import Any
 
 from lab.trial import records
 from lab.trial.processes import NodeProcess
@@ -33,7 +34,7 @@
     server.seen.append(Seen("r0", "k0", "/", 100.5, "127.2.128.0"))
     server.seen.append(Seen("r1", "", "/", 101.5, "127.9.9.9"))
     it.servers["s-1"] = server
-    told = [
+    told: list[dict[str, Any]] = [
         {"event": "http.listening", "message": "up", "host": "127.0.0.1", "port": 1},
         {"event": "peers.changed", "message": "x", "hlc": "1790000000123.4", "peer": "n1", "status": "dead"},
         {"event": "said", "text": "not JSON"},
