--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -303,8 +303,18 @@
 def row(told: Status | str) -> dict[str, Any]:
     if isinstance(told, str):
         return {"error": told}
-    age = round(told.age, 1) if told.age < float("inf") else None
-    return {name: getattr(told, name) for name in COLUMNS[:-1]} | {"age_ms": age}
+    return {
+        "name": told.name,
+        "role": told.role,
+        "leader": told.leader,
+        "term": told.term,
+        "committed": told.committed,
+        "last": told.last,
+        "followers": told.followers,
+        "topics": told.topics,
+        "entries": told.entries,
+        "age_ms": round(told.age, 1) if told.age < float("inf") else None,
+    }
 
 
 @distribution.command()
--- a/badgercart/distribution/follower.py
+++ b/badgercart/distribution/follower.py
@@ -17,6 +17,7 @@
 from badgercart.distribution.effects import Close, Dial, Effect, Happened, Send, Take
 from badgercart.distribution.messages import (
     HEAD,
+    LABELS,
     MAX_FRAME,
     MAX_TOPICS,
     WHOLE,
@@ -196,7 +197,7 @@
                 return self.beat(now, message)
             if isinstance(message, No):
                 return self.no(now, message)
-            raise Left("unasked", f"a {type(message).__name__} is nothing that a follower is told")
+            raise Left("unasked", f"a {LABELS[type(message)]} is nothing that a follower is told")
         except Left as left:
             return self.leave(now, left.kind, str(left))
 
@@ -253,7 +254,7 @@
 
     def greet(self, message: Message) -> list[Effect]:
         if not isinstance(message, Hello):
-            raise Left("unasked", f"a {type(message).__name__} before any greeting")
+            raise Left("unasked", f"a {LABELS[type(message)]} before any greeting")
         if not message.store:
             raise Left("no-store", f"{message.name} is no store")
         self.greeted = True
--- a/badgercart/distribution/messages.py
+++ b/badgercart/distribution/messages.py
@@ -221,6 +221,25 @@
     | Status
 )
 
+# What people read of a message that came out of turn; these words don't follow the names of the types.
+LABELS: dict[type[Message], str] = {
+    Hello: "Hello",
+    VoteRequest: "VoteRequest",
+    Vote: "Vote",
+    Append: "Append",
+    Appended: "Appended",
+    State: "State",
+    Subscribe: "Subscribe",
+    Whole: "Whole",
+    Delta: "Delta",
+    Beat: "Beat",
+    No: "No",
+    Propose: "Propose",
+    Proposed: "Proposed",
+    StatusRequest: "StatusRequest",
+    Status: "Status",
+}
+
 _encode = msgspec.msgpack.Encoder().encode
 _decode: Callable[[bytes], Message] = msgspec.msgpack.Decoder(Message).decode
 
--- a/badgercart/distribution/part.py
+++ b/badgercart/distribution/part.py
@@ -33,7 +33,7 @@
     from badgercart.distribution.driver import FollowerDriver, StoreDriver
     from badgercart.distribution.effects import Take
     from badgercart.distribution.follower import Follower
-    from badgercart.distribution.messages import Entry
+    from badgercart.distribution.messages import Entry, Status
 
 LONG_LIST = 1000  # servers
 AGED = {State.FRESH: LIST_FRESH, State.DOUBTFUL: LIST_DOUBTFUL, State.STALE: LIST_STALE}
@@ -277,8 +277,16 @@
         meters = host.meters
         meters.gauge("badgercart_store_age_seconds", "Time since it knew that it had all.", self.age)
         meters.gauge("badgercart_store_leading", "1 while it leads.", lambda: float(self.leading()))
-        meters.gauge("badgercart_store_followers", "Nodes that it tells.", lambda: self.status("followers"))
-        meters.gauge("badgercart_store_committed", "Changes in force.", lambda: self.status("committed"))
+        meters.gauge(
+            "badgercart_store_followers",
+            "Nodes that it tells.",
+            lambda: self.status(lambda status: status.followers),
+        )
+        meters.gauge(
+            "badgercart_store_committed",
+            "Changes in force.",
+            lambda: self.status(lambda status: status.committed),
+        )
         meters.counter(
             "badgercart_store_refused",
             "Frames and connections refused, by kind.",
@@ -287,13 +295,13 @@
         )
 
     def age(self) -> float:
-        return self.status("age") / 1000 if self.driver else float("inf")
+        return self.status(lambda status: status.age) / 1000 if self.driver else float("inf")
 
     def leading(self) -> bool:
         return self.driver is not None and self.driver.store.leading
 
-    def status(self, name: str) -> float:
-        return float(getattr(self.driver.status(), name)) if self.driver else 0.0
+    def status(self, figure: Callable[[Status], float]) -> float:
+        return float(figure(self.driver.status())) if self.driver else 0.0
 
     async def start(self) -> None:
         host, settings = self.host, self.settings
--- a/badgercart/distribution/store.py
+++ b/badgercart/distribution/store.py
@@ -24,6 +24,7 @@
 
 from badgercart.distribution.effects import Close, Effect, Happened, Keep, KeepAll, Recovered, Send
 from badgercart.distribution.messages import (
+    LABELS,
     MAX_ENTRIES,
     MAX_FRAME,
     Append,
@@ -277,7 +278,7 @@
         if isinstance(message, Hello):
             self.on_hello(source, message)
         elif not source.name:
-            self.close(source, "stray", f"{type(message).__name__} came before Hello")
+            self.close(source, "stray", f"{LABELS[type(message)]} came before Hello")
         elif source.store:
             source.owes = None
             self.on_store(source, message)
@@ -286,7 +287,7 @@
         elif isinstance(message, Propose):
             self.on_propose(source, message)
         else:
-            self.close(source, "stray", f"{type(message).__name__} is not for a follower to say")
+            self.close(source, "stray", f"{LABELS[type(message)]} is not for a follower to say")
         return self.done()
 
     def room(self, now: float, connection: int) -> list[Effect]:
@@ -398,7 +399,7 @@
         elif isinstance(message, Appended):
             self.on_appended(source, message)
         else:
-            self.close(source, "stray", f"{type(message).__name__} is not for a store to say")
+            self.close(source, "stray", f"{LABELS[type(message)]} is not for a store to say")
 
     # The log.
 
