--- a/badgercart/capture/settings.py
+++ b/badgercart/capture/settings.py
@@ -7,7 +7,7 @@
 from badgercart.operator.model import Name, Table
 
 
-class CaptureSettings(Table):
+class CaptureSettings(Table, title="CaptureSettings"):
     """a capture of all that the policy is told, in a ring of segments"""
 
     folder: Name = Field(description="where the segments are written; it must be there")
--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -57,7 +57,7 @@
 T = TypeVar("T")
 
 
-class StoreFile(Table):
+class StoreFile(Table, title="StoreFile"):
     """the file of a process that is a store alone"""
 
     distribution: StoreSettings = Field(description="the store")
--- a/badgercart/distribution/settings.py
+++ b/badgercart/distribution/settings.py
@@ -14,7 +14,7 @@
 SERVERS = "servers/"  # what the topic of a service's servers begins with
 
 
-class MembersSettings(Table):
+class MembersSettings(Table, title="MembersSettings"):
     """the server list from stores that tell changes"""
 
     group: Name = Field(max_length=64, description="the group's name; stores of other groups are strangers")
@@ -55,7 +55,7 @@
     )
 
 
-class StoreEntry(Table):
+class StoreEntry(Table, title="StoreEntry"):
     """a store of the group"""
 
     name: Name = Field(max_length=64, description="its name")
@@ -63,7 +63,7 @@
     voter: bool = Field(False, description="whether it votes and keeps changes before they are in force")
 
 
-class StoreSettings(Table):
+class StoreSettings(Table, title="StoreSettings"):
     """a store that tells changes to nodes"""
 
     listen: Address = Field(description="the host:port for nodes, operators and other stores")
--- a/badgercart/fronts/graphql/settings.py
+++ b/badgercart/fronts/graphql/settings.py
@@ -11,7 +11,7 @@
 MOST = 1 << 20
 
 
-class Limits(Table):
+class Limits(Table, title="Limits"):
     """what a document may cost; each limit is checked before the document is validated or planned"""
 
     document: int = Field(16384, ge=1, le=MOST, description="its size (bytes)")
@@ -24,7 +24,7 @@
     variables: int = Field(65536, ge=1, le=MOST, description="the size of the variables (bytes)")
 
 
-class FieldMap(Table):
+class FieldMap(Table, title="FieldMap"):
     """a root field"""
 
     name: Name = Field(description="Query.name or Mutation.name")
@@ -33,7 +33,7 @@
     key: Name | None = Field(None, description="the argument that holds its idempotency key")
 
 
-class GraphqlSettings(Table):
+class GraphqlSettings(Table, title="GraphqlSettings"):
     """a listener for GraphQL clients, in front of GraphQL dispatch servers"""
 
     listen: Address = Field(description="the host:port to listen on")
--- a/badgercart/fronts/http/part.py
+++ b/badgercart/fronts/http/part.py
@@ -17,7 +17,7 @@
     from badgercart.fronts.http.front import HttpFront
 
 
-class HttpSettings(Table):
+class HttpSettings(Table, title="HttpSettings"):
     """a listener for HTTP/1.1 clients"""
 
     listen: Address = Field(description="the host:port to listen on")
--- a/badgercart/fronts/processor/settings.py
+++ b/badgercart/fronts/processor/settings.py
@@ -11,7 +11,7 @@
 Streams = Annotated[int, Field(ge=1, le=100_000)]
 
 
-class Tls(Table):
+class Tls(Table, title="Tls"):
     """TLS on the listener, from PEM files that are read anew on SIGHUP"""
 
     cert: Name = Field(description="the file with the certificate and its chain")
@@ -23,7 +23,7 @@
     )
 
 
-class HeaderNames(Table):
+class HeaderNames(Table, title="HeaderNames"):
     """which headers describe a request; of several the first that is there counts"""
 
     request_id: Headers = Field(("request-id", "x-request-id"), description="the request's id")
@@ -41,7 +41,7 @@
     )
 
 
-class OldAnswers(Table):
+class OldAnswers(Table, title="OldAnswers"):
     """what happens to a proxy that uses answers beyond their age"""
 
     window_ms: float = Field(
@@ -54,7 +54,7 @@
     )
 
 
-class ProcessorSettings(Table):
+class ProcessorSettings(Table, title="ProcessorSettings"):
     """a listener for proxies that ask by Envoy's external processing protocol"""
 
     listen: Address = Field(description="the host:port to listen on")
--- a/badgercart/learning/settings.py
+++ b/badgercart/learning/settings.py
@@ -7,7 +7,7 @@
 from badgercart.operator.model import Name, Table
 
 
-class LearningSettings(Table):
+class LearningSettings(Table, title="LearningSettings"):
     """what was learned of servers and classes, kept in a folder that lasts"""
 
     folder: Name = Field(description="where it is kept; each node needs one of its own")
--- a/badgercart/membership/etcd/settings.py
+++ b/badgercart/membership/etcd/settings.py
@@ -9,7 +9,7 @@
 from badgercart.operator.model import LONG, Addresses, Name, Table
 
 
-class EtcdTls(Table):
+class EtcdTls(Table, title="EtcdTls"):
     """TLS to etcd, from PEM files that are read with each connection"""
 
     ca: Name = Field(description="the file with the authorities of etcd's certificates")
@@ -17,7 +17,7 @@
     key: Name | None = Field(None, description="the file with its private key")
 
 
-class EtcdSettings(Table):
+class EtcdSettings(Table, title="EtcdSettings"):
     """the server list from etcd v3, one key an entry under a prefix"""
 
     endpoints: Addresses = Field(description="the host:port of each member; the next is asked when one fails")
--- a/badgercart/membership/part.py
+++ b/badgercart/membership/part.py
@@ -15,7 +15,7 @@
 from badgercart.operator.part import Checked, Declaration, Host, Kind
 
 
-class Server(Table):
+class Server(Table, title="Server"):
     """a server that is listed here, for trials and small installations"""
 
     name: Name = Field(description="its instance id")
--- a/badgercart/metrics/part.py
+++ b/badgercart/metrics/part.py
@@ -19,7 +19,7 @@
 MAX_CONNECTIONS = 16  # of those who scrape: one more makes the longest idle one go
 
 
-class MetricsSettings(Table):
+class MetricsSettings(Table, title="MetricsSettings"):
     """a listener that shows figures by Prometheus's text format, at /metrics"""
 
     listen: Address = Field(description="the host:port to listen on")
--- a/badgercart/operator/base.py
+++ b/badgercart/operator/base.py
@@ -16,7 +16,7 @@
 from cottonhall.interface import Effect, Group, RequestClass, Settings
 
 
-class Node(Table):
+class Node(Table, title="Node"):
     """what this node is"""
 
     name: Name = Field("badgercart", description="its name in the log")
@@ -42,7 +42,7 @@
     )
 
 
-class Fleet(Table):
+class Fleet(Table, title="Fleet"):
     """what all servers have in common"""
 
     zones: Names = Field((), description="the zones' names")
@@ -71,7 +71,7 @@
     )
 
 
-class Retry(Table):
+class Retry(Table, title="Retry"):
     """sending again and sending away"""
 
     max_attempts: int = Field(4, ge=1, le=16, description="attempts for a request at the most")
@@ -84,7 +84,7 @@
     )
 
 
-class Class(Table):
+class Class(Table, title="Class"):
     """a class of requests"""
 
     name: Name = Field(description="the first part of its requests' paths")
@@ -103,7 +103,7 @@
     late_value: float = Field(0.0, ge=0, le=1, description="the part of its worth left after the aim")
 
 
-class Tenant(Table):
+class Tenant(Table, title="Tenant"):
     """a tenant and its share"""
 
     name: Name = Field(description="the name in the header Tenant")
--- a/badgercart/operator/logs.py
+++ b/badgercart/operator/logs.py
@@ -32,7 +32,7 @@
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-class Log(Table):
+class Log(Table, title="Log"):
     """what is logged, to standard error; SIGHUP takes its level anew"""
 
     level: Literal["debug", "info", "warning", "error"] = Field(
--- a/badgercart/operator/model.py
+++ b/badgercart/operator/model.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Annotated, Any, TypeVar
+from typing import Annotated, Any, ClassVar, TypeVar
 
 from pydantic import (
     AfterValidator,
@@ -14,14 +14,18 @@
     BeforeValidator,
     ConfigDict,
     Field,
+    GetJsonSchemaHandler,
     PlainSerializer,
     Strict,
     WithJsonSchema,
 )
+from pydantic.json_schema import JsonSchemaValue
+from pydantic_core import CoreSchema
 
 from badgercart.config import Address as Pair
 from badgercart.config import parse_address
 
+SCHEMA_NAME = "x-schema-name"  # the mark of a definition that carries its literal name
 LONG = 3_600_000.0  # ms; nothing that is set here lasts longer than an hour
 TOKEN = r"^[A-Za-z0-9!#$%&'*+\-.^_`|~]+$"  # RFC 9110, section 5.6.2
 
@@ -34,6 +38,21 @@
     model_config = ConfigDict(
         extra="forbid", frozen=True, strict=True, allow_inf_nan=False, hide_input_in_errors=True
     )
+    schema_name: ClassVar[str] = ""  # its key in the JSON Schema, where that is not its title
+
+    def __init_subclass__(cls, schema_name: str = "", **config: Any) -> None:
+        """Keep the literal names of a table, so that its class may be called otherwise."""
+        super().__init_subclass__(**config)
+        cls.schema_name = schema_name
+
+    @classmethod
+    def __get_pydantic_json_schema__(
+        cls, core_schema: CoreSchema, handler: GetJsonSchemaHandler
+    ) -> JsonSchemaValue:
+        """Mark a table that has a literal name in the schema with it; `render` takes the mark away."""
+        found = handler.resolve_ref_schema(handler(core_schema))
+        found[SCHEMA_NAME] = cls.schema_name or cls.model_config.get("title", cls.__name__)
+        return found
 
 
 def _name(value: Any) -> Any:
--- a/badgercart/operator/render.py
+++ b/badgercart/operator/render.py
@@ -18,6 +18,7 @@
 from badgercart.operator.faults import Path, below, choices_of, dotted, fields_of, many
 from badgercart.operator.file import describe, root_model
 from badgercart.operator.locate import lines_of
+from badgercart.operator.model import SCHEMA_NAME
 from badgercart.operator.registry import declarations, load_events
 
 SCHEMA = "https://json-schema.org/draft/2020-12/schema"
@@ -25,7 +26,25 @@
 
 def json_schema() -> dict[str, Any]:
     """JSON Schema of an operator's file."""
-    return {"$schema": SCHEMA} | root_model(declarations()).model_json_schema(by_alias=True)
+    made = root_model(declarations()).model_json_schema(by_alias=True)
+    made.pop(SCHEMA_NAME)
+    names = {key: told.pop(SCHEMA_NAME) for key, told in made["$defs"].items()}
+    made["$defs"] = {names[key]: made["$defs"][key] for key in sorted(names, key=names.__getitem__)}
+    whole: dict[str, Any] = _renamed(made, names)
+    return {"$schema": SCHEMA} | whole
+
+
+def _renamed(value: Any, names: Mapping[str, str]) -> Any:
+    """A schema whose references follow the literal names of its definitions."""
+    if isinstance(value, list):
+        return [_renamed(item, names) for item in value]
+    if not isinstance(value, dict):
+        return value
+    found = {key: _renamed(item, names) for key, item in value.items()}
+    if "$ref" in found:
+        ahead, _, key = found["$ref"].rpartition("/")
+        found["$ref"] = f"{ahead}/{names[key]}"
+    return found
 
 
 def effective(path: str, environ: Mapping[str, str]) -> list[tuple[str, Any, str]]:
--- a/badgercart/operator/site.py
+++ b/badgercart/operator/site.py
@@ -25,6 +25,9 @@
 ACCEPT_FOR = 600.0  # ms after SIGTERM during which clients may still come
 GRACE = 300.0  # ms beyond the deadline of a drain, after which a part that hangs is closed as it stands
 
+# A server's state as a label of `badgercart_servers`.
+STATE_LABELS = {State.READY: "ready", State.GONE: "gone", State.DRAINING: "draining"}
+
 
 class PartError(Exception):
     """A part that does not start: its name, and why."""
@@ -84,7 +87,7 @@
         meters.gauge(
             "badgercart_servers",
             "Servers of the list, by state.",
-            lambda: Counter(member.entry.state.name.lower() for member in listed.values()),
+            lambda: Counter(STATE_LABELS[member.entry.state] for member in listed.values()),
             "state",
         )
         meters.gauge("badgercart_list_version", "The version of the list.", lambda: self.roster.version)
--- a/badgercart/peers/settings.py
+++ b/badgercart/peers/settings.py
@@ -26,7 +26,7 @@
 Network = Annotated[Name, AfterValidator(_network)]
 
 
-class Place(Table):
+class Place(Table, title="Place", schema_name="badgercart__peers__settings__Place"):
     """where the peers of a network are"""
 
     network: Network = Field(description="the network, as 10.1.0.0/16")
@@ -34,7 +34,7 @@
     region: Name = Field("", description="their region")
 
 
-class PeersSettings(Table):
+class PeersSettings(Table, title="PeersSettings"):
     """nodes that know each other"""
 
     listen: Address = Field(description="the host:port for datagrams and connections between nodes")
--- a/badgercart/zones/eyes.py
+++ b/badgercart/zones/eyes.py
@@ -36,6 +36,10 @@
     DARK = 2
 
 
+# By these words verdicts stand in pages and in the log.
+VERDICT_WORDS = {Verdict.UNKNOWN: "unknown", Verdict.FINE: "fine", Verdict.DARK: "dark"}
+
+
 @dataclass(slots=True)
 class Eye:
     """One zone as this node sees it. What is out counts from the zone's last answer on."""
--- a/badgercart/zones/keeper.py
+++ b/badgercart/zones/keeper.py
@@ -33,7 +33,7 @@
 from badgercart.zones.council import Effect as CouncilEffect
 from badgercart.zones.council import Post as CouncilPost
 from badgercart.zones.evidence import SLOW_FROM, Claim, Evidence, Seen
-from badgercart.zones.eyes import FORGET, Eyes, Verdict
+from badgercart.zones.eyes import FORGET, VERDICT_WORDS, Eyes, Verdict
 from badgercart.zones.gates import Gate, Pace
 from badgercart.zones.geography import MAX_ZONES, Geography
 from badgercart.zones.plan import PARTS, Limits, Plan, Situation, unpacked, work_out
@@ -453,7 +453,7 @@
             {
                 "zone": name,
                 "region": self.geography.regions[zone],
-                "seen": self.verdicts[zone].name.lower() if self.verdicts else "unknown",
+                "seen": VERDICT_WORDS[self.verdicts[zone]] if self.verdicts else "unknown",
                 "gate": self.gates[zone].state.value,
                 "open": round(self.gates[zone].factor, 3),
                 "capacity": round(self.capacity[zone], 2),
@@ -485,9 +485,8 @@
         if told.order is not None:
             name = self.geography.zones[told.order.zone]
             return plain | {"order": f"{told.order.what} {name}", "by": told.order.by}
-        for key in ("epoch", "lapsed", "outdone"):
-            if getattr(told, key):
-                plain[key] = getattr(told, key)
+        epochs = {"epoch": told.epoch, "lapsed": told.lapsed, "outdone": told.outdone}
+        plain |= {key: epoch for key, epoch in epochs.items() if epoch}
         return plain | ({"proposer": told.proposer, "plan": told.digest} if told.epoch else {})
 
     def if_gone(self) -> dict[str, Any]:
--- a/badgercart/zones/part.py
+++ b/badgercart/zones/part.py
@@ -15,6 +15,7 @@
 from badgercart.fronts.http.requests import Page
 from badgercart.operator.part import Declaration, Host, Kind, ReloadError
 from badgercart.zones import events
+from badgercart.zones.eyes import VERDICT_WORDS
 from badgercart.zones.settings import ZonesSettings, check
 from cottonhall.interface import Planned, Result, State
 
@@ -238,7 +239,7 @@
                 events.LAPSED(epoch=told.lapsed, why=told.why, **stamp())
         for zone, verdict in enumerate(keeper.verdicts):
             if zone >= len(self.verdicts) or verdict is not self.verdicts[zone]:
-                events.SEEN(zone=names[zone], verdict=verdict.name.lower(), **stamp())
+                events.SEEN(zone=names[zone], verdict=VERDICT_WORDS[verdict], **stamp())
         self.verdicts = keeper.verdicts
         for zone, gate in enumerate(keeper.gates):
             if gate.state is not self.states[zone]:
--- a/badgercart/zones/settings.py
+++ b/badgercart/zones/settings.py
@@ -20,14 +20,14 @@
 Part = Annotated[float, Field(ge=0, le=1)]
 
 
-class Region(Table):
+class Region(Table, title="Region"):
     """zones that lie together"""
 
     name: Name = Field(description="its name")
     zones: Names = Field(min_length=1, description="its zones; one that is in none is a region of its own")
 
 
-class Distance(Table):
+class Distance(Table, title="Distance"):
     """what it costs to go from one zone to another, and back"""
 
     from_: Name = Field(alias="from", description="one zone")
@@ -35,14 +35,14 @@
     cost: float = Field(gt=0, le=1e6, description="any measure, the same for all: nearer ones come first")
 
 
-class Place(Table):
+class Place(Table, title="Place", schema_name="badgercart__zones__settings__Place"):
     """where the servers of a network are, where the list does not say"""
 
     network: Network = Field(description="the network, as 10.1.0.0/16")
     zone: Name = Field(description="their zone")
 
 
-class ZonesSettings(Table):
+class ZonesSettings(Table, title="ZonesSettings"):
     """zones and regions that fail over by one plan"""
 
     mode: Literal["majority", "shared"] = Field(
