--- a/badgercart/operator/site.py
+++ b/badgercart/operator/site.py
@@ -30,6 +30,9 @@
     State.DRAINING: "draining",
 }  # a label
 
+# A server's state as a label of `badgercart_servers`.
+STATE_LABELS = {State.READY: "ready", State.GONE: "gone", State.DRAINING: "draining"}
+
 
 class PartError(Exception):
     """A part that does not start: its name, and why."""
