--- a/badgercart/core/join.py
+++ b/badgercart/core/join.py
@@ -32,17 +32,23 @@
     Action,
     Began,
     Cancel,
+    Company,
     Diverted,
     Event,
     Fail,
     Log,
     Outcome,
     Overdue,
+    PeerMessage,
+    Planned,
+    ProbeResult,
     Refuse,
     Request,
     Result,
     Resume,
+    Retuned,
     Send,
+    ServerList,
     Settings,
     Subscribe,
     Timer,
@@ -51,6 +57,25 @@
     Withdrawn,
 )
 
+# What operators read in `policy.failed` as the kind of the event that it was.
+KINDS: dict[type[Event], str] = {
+    ServerList: "ServerList",
+    Request: "Request",
+    Whole: "Whole",
+    Began: "Began",
+    Outcome: "Outcome",
+    Diverted: "Diverted",
+    Resume: "Resume",
+    ProbeResult: "ProbeResult",
+    Timer: "Timer",
+    PeerMessage: "PeerMessage",
+    Withdrawn: "Withdrawn",
+    Retuned: "Retuned",
+    Company: "Company",
+    Planned: "Planned",
+    Overdue: "Overdue",
+}
+
 # Told of each event and of what was decided by it, before that is done; None: the policy raised.
 Tap = Callable[[float, Event, list[Action] | None], None]
 
@@ -126,7 +151,7 @@
                         self.tap(now, event, None)
                     self.spoilt = event
                     # One request must not take the node down with it; it still is owed an answer.
-                    POLICY_FAILED(True, kind=type(event).__name__, request=getattr(event, "id", 0))
+                    POLICY_FAILED(True, kind=KINDS[type(event)], request=getattr(event, "id", 0))
                     if isinstance(event, Request | Outcome | Diverted | Resume):
                         self.give_up(event.id)
                     elif isinstance(event, Timer):
--- a/badgercart/core/roster.py
+++ b/badgercart/core/roster.py
@@ -11,6 +11,14 @@
 from badgercart.core.join import Join
 from cottonhall.interface import ListKind, ServerEntry, ServerList, State
 
+# As operators read them in `list.taken`.
+KINDS = {
+    ListKind.DELTA: "delta",
+    ListKind.FULL: "full",
+    ListKind.CACHED: "cached",
+    ListKind.FAILED: "failed",
+}
+STATES = {State.READY: "ready", State.GONE: "gone", State.DRAINING: "draining"}
 MAX_LEFT = 1024  # servers remembered after they left: old answers may name them still
 
 
@@ -87,11 +95,11 @@
         for member in told.members:
             self.note(member, now)
         if told.members or told.kind is not ListKind.DELTA:
-            changed = ", ".join(f"{m.name} {m.entry.state.name.lower()}" for m in told.members[:4])
+            changed = ", ".join(f"{m.name} {STATES[m.entry.state]}" for m in told.members[:4])
             more = f" and {len(told.members) - 4} more" if len(told.members) > 4 else ""
             LIST_TAKEN(
                 version=told.version,
-                kind=told.kind.name.lower(),
+                kind=KINDS[told.kind],
                 changed=changed + more,
                 listed=len(self.listed),
             )
--- a/badgercart/fronts/processor/account.py
+++ b/badgercart/fronts/processor/account.py
@@ -40,8 +40,18 @@
     refused_until: float = 0.0
 
     def row(self, standing: Standing) -> dict[str, object]:
-        names = ("answered", "unseen", "first", "fallback", "lost", "old", "drained", "refused")
-        return {"standing": standing.value} | {name: getattr(self, name) for name in names}
+        """The proxy's line of the page that operators ask for."""
+        return {
+            "standing": standing.value,
+            "answered": self.answered,
+            "unseen": self.unseen,
+            "first": self.first,
+            "fallback": self.fallback,
+            "lost": self.lost,
+            "old": self.old,
+            "drained": self.drained,
+            "refused": self.refused,
+        }
 
 
 class Account:
--- /dev/null
+++ b/tests/carriers/test_golden.py
@@ -0,0 +1,69 @@
+"""The bytes that servers get for each form of request, from the client's bytes on, against golden files."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+
+import pytest
+
+from badgercart.carriers.pool.exchange import Exchange
+from tests.fronts.test_golden import POST, Stand, head
+from tests.golden import differences
+
+GOLDEN = Path(__file__).parent / "golden"
+
+FORWARDED: dict[str, bytes] = {
+    "GET": head(),
+    "GET with a query": head("GET /find/cab7?x=1&y=%20 HTTP/1.1"),
+    "absolute form": head("GET http://host:81/find/cab7?x=1 HTTP/1.1"),
+    "HTTP/1.0": head("GET /find/cab7 HTTP/1.0"),
+    "headers of its own": head("GET /find/cab7 HTTP/1.1", "X-Trace:  a b \t", "x-trace: c", "Empty:"),
+    "hints": head("GET /find/cab7 HTTP/1.1", "Work-Hint: 1500", "Client-Retry: 1"),
+    "headers of one connection": head(
+        "GET /find/cab7 HTTP/1.1", "Connection: close", "Keep-Alive: 5", "Proxy-Connection: close", "TE: x",
+        "Trailer: X", "Expect: other", "Upgrade: h2c",
+    ),
+    "POST without a body": head(POST),
+    "POST with a body": head(POST, "Content-Length: 5") + b"a\r\nbc",
+    "POST in chunks": head(POST, "Transfer-Encoding: chunked")
+    + b"2\r\nab\r\n1;x=y\r\nc\r\n0\r\nT: u\r\n\r\n",
+    "POST with a key": head("POST /book/7 HTTP/1.1", "Idempotency-Key: k1"),
+}  # fmt: skip
+
+
+def forwarded() -> dict[str, bytes]:
+    pieces = {}
+    for name, data in FORWARDED.items():
+        (request,) = Stand().hear(data).taker.taken
+        pieces[name] = Exchange().ask(request.message, 750.9)
+    for left in (-5.0, 0.2, 1.0, 999.999, 123_456.7):
+        (request,) = Stand().hear(head()).taker.taken
+        pieces[f"{left} ms left"] = Exchange().ask(request.message, left)
+    return pieces
+
+
+def long_bodies() -> dict[str, bytes]:
+    """Bodies that go on as they come: in the client's framing, in pieces that the node chooses."""
+    pieces = {}
+    size = 70_000
+    for name, line in {"length": f"Content-Length: {size}", "chunks": "Transfer-Encoding: chunked"}.items():
+        start = bytes(size - 3)
+        start = b"%x\r\n%b\r\n" % (len(start), start) if name == "chunks" else start
+        end = b"3\r\nend\r\n0\r\n\r\n" if name == "chunks" else b"end"
+        stand = Stand().hear(head(POST, line) + start)
+        (request,) = stand.taker.taken
+        exchange = Exchange()
+        sent = [exchange.ask(request.message, 750.0), exchange.upload_bytes()]
+        stand.hear(end)
+        sent += [exchange.upload_bytes(), exchange.upload_bytes()]
+        pieces[name] = b"|".join(sent).replace(bytes(size - 3), b"<zeros>")
+    return pieces
+
+
+GROUPS: dict[str, Callable[[], dict[str, bytes]]] = {"forwarded": forwarded, "long-bodies": long_bodies}
+
+
+@pytest.mark.parametrize("group", GROUPS)
+def test_servers_get_the_same_bytes(group: str) -> None:
+    assert not differences(GOLDEN / f"{group}.txt", GROUPS[group]())
--- /dev/null
+++ b/tests/graphql/test_golden.py
@@ -0,0 +1,142 @@
+"""Whole answers to GraphQL clients, and what their servers get, against golden files.
+
+Of the time that a server is given, and of the time after which a client may come back, only the places are
+compared.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import re
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from standins import graphql as dispatch
+from standins import http1
+from tests.golden import differences
+from tests.graphql.test_front import ASSIGN, LOOKUP, NEW, desk
+from tests.net import WAIT, Peer, run
+
+GOLDEN = Path(__file__).parent / "golden"
+OLD = "application/json"
+NOT_STARTED = {"errors": [{"message": "full", "extensions": {"code": "QUEUE_FULL"}}]}
+
+
+async def serve(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    """A dispatch server's own answer, but for a pickup that it has no room for."""
+    body = peer.bodies.pop()  # type: ignore[attr-defined]
+    full = b"nowhere" in body
+    status, answer = (200, json.dumps(NOT_STARTED).encode()) if full else dispatch.answer("s-1", body)
+    writer.write(http1.answer(status, {}, answer))
+
+
+class Keeping(Peer):
+    """A server that keeps each request's bytes."""
+
+    def __init__(self) -> None:
+        super().__init__(serve)
+        self.bodies: list[bytes] = []
+        self.got: list[bytes] = []
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        try:
+            while True:
+                head = await reader.readuntil(b"\r\n\r\n")
+                size = re.search(rb"Content-Length: (\d+)", head)
+                assert size is not None
+                body = await reader.readexactly(int(size[1]))
+                self.got.append(re.sub(rb"Request-Timeout: \d+m", b"Request-Timeout: <ms>", head) + body)
+                self.bodies.append(body)
+                await self.script(self, head, writer)
+        except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
+            pass
+        finally:
+            writer.close()
+
+
+def post(body: Any, accept: str | None = NEW, media: str = OLD, **more: str) -> bytes:
+    data = body if isinstance(body, bytes) else json.dumps(body).encode()
+    lines = {"host": "x", "content-type": media, "request-id": "r1", "request-timeout": "8000m"}
+    lines |= {"accept": accept} if accept is not None else {}
+    lines |= {name.replace("_", "-"): value for name, value in more.items()}
+    return http1.request("POST", "/graphql", lines, data)
+
+
+def get(target: str, method: str = "GET") -> bytes:
+    return http1.request(method, target, {"host": "x", "accept": NEW, "request-id": "r1"})
+
+
+MIXED = (
+    'query { kind: __typename b: cabLookup(pickup: "opera") { pickup } '
+    'a: cabLookup(pickup: "nowhere") { pickup } }'
+)
+ASKED: dict[str, bytes] = {
+    "lookup": post({"query": LOOKUP}),
+    "lookup in the older type": post({"query": LOOKUP}, OLD),
+    "lookup with no word on types": post({"query": LOOKUP}, None),
+    "assignment": post({"query": ASSIGN}),
+    "assignment under the request's key": post(
+        {"query": 'mutation { rideAssign(ride: "r2") { id } }'}, idempotency_key="k9"
+    ),
+    "assignment without a key": post({"query": 'mutation { rideAssign(ride: "r2") { id } }'}),
+    "one part refused": post({"query": MIXED}),
+    "introspection": post({"query": "{ __schema { queryType { name } } }"}),
+    "no such field": post({"query": "{ nothing }"}),
+    "no document": post({"query": "{"}),
+    "no document in the older type": post({"query": "{"}, OLD),
+    "no JSON": post(b"{"),
+    "a batch": post([{"query": LOOKUP}]),
+    "no query": post({}),
+    "variables that are none": post({"query": LOOKUP, "variables": []}),
+    "another type": post({"query": LOOKUP}, "text/html"),
+    "another body": post({"query": LOOKUP}, NEW, "text/plain"),
+    "another charset": post({"query": LOOKUP}, NEW, f"{OLD}; charset=utf-16"),
+    "lookup by GET": get("/graphql?query=%7B%20cabLookup(pickup%3A%20%22x%22)%20%7B%20pickup%20%7D%20%7D"),
+    "assignment by GET": get("/graphql?query=mutation%20%7B%20rideAssign(ride%3A%221%22%2Ckey%3A%22k%22)%20"
+                             "%7B%20id%20%7D%20%7D"),
+    "DELETE": get("/graphql", "DELETE"),
+    "another path": get("/other"),
+}  # fmt: skip
+
+
+def play() -> tuple[dict[str, bytes], dict[str, bytes]]:
+    """Answers, and requests to the server, of each request on a connection of its own."""
+    answers: dict[str, bytes] = {}
+    forwarded: dict[str, bytes] = {}
+
+    async def whole() -> None:
+        server = Keeping()
+        await server.start()
+        async with desk(server) as front:
+            for name, data in ASKED.items():
+                client = await front.client()
+                _, head, body = await client.ask(data)
+                if b"retryAfter" in body:  # the policy's advice, which is drawn
+                    head = re.sub(rb"Content-Length: \d+", b"Content-Length: <bytes>", head)
+                    body = re.sub(rb'"retryAfter": [\d.]+', b'"retryAfter": <s>', body)
+                answers[name] = head + body
+                client.writer.close()
+                async with asyncio.timeout(WAIT):
+                    while front.join.out:
+                        await asyncio.sleep(0)
+                if server.got:
+                    forwarded[name] = b"|".join(sorted(server.got))
+                    server.got.clear()
+
+    run(whole())
+    return answers, forwarded
+
+
+GROUPS: dict[str, Callable[[], dict[str, bytes]]] = {
+    "answers": lambda: play()[0],
+    "forwarded": lambda: play()[1],
+}
+
+
+@pytest.mark.parametrize("group", GROUPS)
+def test_clients_and_servers_get_the_same_bytes(group: str) -> None:
+    assert not differences(GOLDEN / f"{group}.txt", GROUPS[group]())
--- /dev/null
+++ b/tests/processor/test_golden.py
@@ -0,0 +1,64 @@
+"""What the processor writes to proxies and operators, against golden files.
+
+A route holds a map, whose entries Protocol Buffers write in any order: its message is compared, in the
+library's deterministic form. All other replies are compared as the bytes that they are.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from pathlib import Path
+
+import pytest
+from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
+
+from badgercart.fronts.processor.account import Account, Standing
+from badgercart.fronts.processor.machine import Immediate, Pass, Route, Skip
+from badgercart.fronts.processor.messages import write
+from badgercart.fronts.processor.settings import OldAnswers
+from tests.golden import differences
+
+GOLDEN = Path(__file__).parent / "golden"
+
+
+def routes() -> dict[str, bytes]:
+    pieces = {}
+    for endpoints in (("10.0.0.1:80",), ("10.0.0.1:80", "10.0.0.2:80", "[::1]:9")):
+        for age, limit in ((500.0, 1200.9), (0.0, 70_000.0)):
+            data = write(Route(endpoints, age, limit), False)
+            message = ext_proc.ProcessingResponse.FromString(data)
+            pieces[f"{len(endpoints)}, {age}, {limit}"] = message.SerializeToString(deterministic=True)
+    return pieces
+
+
+def replies() -> dict[str, bytes]:
+    pieces = {}
+    for whole in (False, True):
+        for wait in (0.0, 0.4, 250.4, 1000.0, 1000.1):
+            pieces[f"refused, {wait}, {whole}"] = write(Immediate(503, wait, "refused: not run"), whole)
+    pieces["405"] = write(Immediate(405, 0.0, "the class wants GET", b"GET"), False)
+    pieces["no words"] = write(Immediate(500), False)
+    pieces["let through"] = write(Pass(), False)
+    pieces["let through as another"] = write(Pass(502), False)
+    for kind in ("request_body", "response_body", "request_trailers", "response_trailers"):
+        pieces[f"skip {kind}"] = write(Skip(kind), False)
+    return pieces
+
+
+def rows() -> dict[str, bytes]:
+    """The page of proxies: each count under its name."""
+    account = Account(OldAnswers(window_ms=1000.0, no_fallbacks_after=3, refuse_after=5, refuse_for_ms=200.0))
+    proxy = account.proxy("north")
+    proxy.answered, proxy.unseen, proxy.first, proxy.fallback, proxy.lost = 1, 2, 3, 4, 5
+    proxy.old, proxy.drained, proxy.refused = 6, 7, 8
+    standings = {"good": Standing.GOOD, "none": Standing.NO_FALLBACKS, "refused": Standing.REFUSED}
+    return {name: json.dumps(proxy.row(standing)).encode() for name, standing in standings.items()}
+
+
+GROUPS: dict[str, Callable[[], dict[str, bytes]]] = {"routes": routes, "replies": replies, "rows": rows}
+
+
+@pytest.mark.parametrize("group", GROUPS)
+def test_proxies_and_operators_get_the_same_bytes(group: str) -> None:
+    assert not differences(GOLDEN / f"{group}.txt", GROUPS[group]())
