--- a/badgercart/__main__.py
+++ b/badgercart/__main__.py
@@ -30,8 +30,12 @@
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a node that can read its file anew
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # until there is a node that can read its file anew
+    logging.basicConfig(
+        stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
+    )
     logging.getLogger().handlers[0].addFilter(Sparse())
     if len(sys.argv) > 1 or "_BADGERCART_COMPLETE" in os.environ:
         try:  # the platform's node has no use for it, nor for its libraries
--- a/badgercart/bans/bans.py
+++ b/badgercart/bans/bans.py
@@ -1,4 +1,5 @@
-"""Keeps the servers taken out in force: over calls, lists, the file, and a process beside this one."""
+"""Keeps the servers taken out in force: over calls, lists, the file, and a process beside this
+one."""
 
 from __future__ import annotations
 
@@ -65,7 +66,9 @@
         if self.store.changed() and (state := self.read()) is not None:
             self.adopt(state)
         if self.ledger.new_names:
-            self.ledger.new_names = False  # also where it fails: with the next change it is tried again
+            self.ledger.new_names = (
+                False  # also where it fails: with the next change it is tried again
+            )
             self.change(lambda: self.ledger.state)
 
     def disable(self, name: str) -> str:
--- a/badgercart/bans/ledger.py
+++ b/badgercart/bans/ledger.py
@@ -1,6 +1,7 @@
 """Which servers operators have taken out, and what that makes of a line of the server list. No I/O.
 
-Times are Unix time in ms: the set outlives the process. `State` is what is kept, `Ledger` what decides by it.
+Times are Unix time in ms: the set outlives the process. `State` is what is kept, `Ledger` what
+decides by it.
 """
 
 from __future__ import annotations
@@ -29,7 +30,9 @@
 
     bans: dict[str, float] = field(default_factory=dict)  # since when
     freed: dict[str, Freed] = field(default_factory=dict)
-    names: dict[str, None] = field(default_factory=dict)  # that were ever listed, the longest known first
+    names: dict[str, None] = field(
+        default_factory=dict
+    )  # that were ever listed, the longest known first
 
 
 class Ledger:
@@ -78,7 +81,9 @@
     def disabled(self, name: str, now: float) -> State:
         """What is to be kept once a server is taken out. Repeated, it changes nothing."""
         bans = {name: now} | self.state.bans
-        return State(bans, {n: f for n, f in self.state.freed.items() if n != name}, self.state.names)
+        return State(
+            bans, {n: f for n, f in self.state.freed.items() if n != name}, self.state.names
+        )
 
     def enabled(self, name: str, now: float) -> State:
         """What is to be kept once a server is called back: one call ends the ban."""
--- a/badgercart/bans/store.py
+++ b/badgercart/bans/store.py
@@ -1,7 +1,7 @@
 """The file in which servers taken out are kept: one version at a time, whole or not at all.
 
-It is sealed (`core/sealed.py`), and changed under a lock of its own file, so that two processes don't undo
-what the other wrote.
+It is sealed (`core/sealed.py`), and changed under a lock of its own file, so that two processes
+don't undo what the other wrote.
 """
 
 from __future__ import annotations
--- a/badgercart/capture/anonymise.py
+++ b/badgercart/capture/anonymise.py
@@ -1,10 +1,12 @@
-"""A capture under other names, to be handed on: a night like it, which replays to its own decisions.
-
-Numbers of keys and servers are hashes of names, and whoever can guess a name can find it. They also place
-keys on servers, so that they can't be replaced and the decisions stay. So the night is decided anew under
-new numbers, from a keyed hash whose key is thrown away; outcomes follow their requests, as `whatif` says.
-Tenants change places with their shares. Node, seed and the time of day are left out; times count from the
-first event. Zones, kinds and cells are numbers by their place in a file, and stay.
+"""A capture under other names, to be handed on: a night like it, which replays to its own
+decisions.
+
+Numbers of keys and servers are hashes of names, and whoever can guess a name can find it. They also
+place keys on servers, so that they can't be replaced and the decisions stay. So the night is
+decided anew under new numbers, from a keyed hash whose key is thrown away; outcomes follow their
+requests, as `whatif` says. Tenants change places with their shares. Node, seed and the time of day
+are left out; times count from the first event. Zones, kinds and cells are numbers by their place in
+a file, and stay.
 """
 
 from __future__ import annotations
@@ -16,7 +18,13 @@
 from pathlib import Path
 
 from badgercart.capture.build import Builder
-from badgercart.capture.codec import CodecError, decode_settings, encode_settings, freeze, module_digest
+from badgercart.capture.codec import (
+    CodecError,
+    decode_settings,
+    encode_settings,
+    freeze,
+    module_digest,
+)
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import Decided, events, start
 from badgercart.capture.whatif import Night, plain, sends
@@ -44,7 +52,9 @@
 
 def fleet(policy: Policy) -> ServerList:
     """The list that a segment's state begins with."""
-    entries = [server.entry for server in policy.servers.values() if server.entry.state is not State.GONE]
+    entries = [
+        server.entry for server in policy.servers.values() if server.entry.state is not State.GONE
+    ]
     return ServerList(ListKind.FULL, 0, entries)
 
 
@@ -59,7 +69,8 @@
 
 
 def anonymise(source: Path, output: Path, secret: bytes | None = None) -> tuple[int, int]:
-    """Write a segment under other names; gives its events, and the requests that came under way in it.
+    """Write a segment under other names; gives its events, and the requests that came under way in
+    it.
 
     Raises FormatError, CodecError and OSError."""
     segment = Segment(source.read_bytes())
--- a/badgercart/capture/build.py
+++ b/badgercart/capture/build.py
@@ -1,4 +1,5 @@
-"""Builds a whole segment in memory, for what is made out of captures rather than by a node. No I/O."""
+"""Builds a whole segment in memory, for what is made out of captures rather than by a node. No
+I/O."""
 
 from __future__ import annotations
 
--- a/badgercart/capture/codec.py
+++ b/badgercart/capture/codec.py
@@ -1,8 +1,9 @@
 """Events and actions as bytes, and back; and a policy's state at the head of a segment. No I/O.
 
-Why msgspec: it writes MessagePack in one pass of C, which keeps the tap cheap, and any reader of MessagePack
-can read a capture. State is pickled, since no other form keeps a policy's graph of shared objects
-exactly; it is read back with a list of the only names that may stand in it, so that a capture can't run code.
+Why msgspec: it writes MessagePack in one pass of C, which keeps the tap cheap, and any reader of
+MessagePack can read a capture. State is pickled, since no other form keeps a policy's graph of
+shared objects exactly; it is read back with a list of the only names that may stand in it, so that
+a capture can't run code.
 """
 
 from __future__ import annotations
@@ -88,7 +89,8 @@
 
 
 def plain_event(now: float, event: Event) -> tuple[int, float, tuple[Any, ...]]:
-    """`(number, now, (field, ...))`, the fields in the order of the class. Nothing in it can change later."""
+    """`(number, now, (field, ...))`, the fields in the order of the class. Nothing in it can change
+    later."""
     kind = type(event)
     fields = _FIELDS[kind](event)
     if kind is ServerList:
@@ -155,12 +157,20 @@
     return Retuned(decode_settings(settings), frozenset(live), frozenset(fresh), frozenset(tenants))
 
 
-def _company(size: int, me: int, may_live: int, parts: list[float], hearsay: list[list[Any]]) -> Company:
-    return Company(size, me, may_live, tuple(parts), tuple((server, level) for server, level in hearsay))
+def _company(
+    size: int, me: int, may_live: int, parts: list[float], hearsay: list[list[Any]]
+) -> Company:
+    return Company(
+        size, me, may_live, tuple(parts), tuple((server, level) for server, level in hearsay)
+    )
 
 
 def _planned(
-    shares: list[list[float]], spill: list[float], lost: list[int], bound: list[int], strain: list[float]
+    shares: list[list[float]],
+    spill: list[float],
+    lost: list[int],
+    bound: list[int],
+    strain: list[float],
 ) -> Planned:
     rows = tuple(map(tuple, shares))
     return Planned(rows, tuple(spill), frozenset(lost), frozenset(bound), tuple(strain))
@@ -177,8 +187,8 @@
 }
 
 
-_BATCH: msgspec.msgpack.Decoder[list[tuple[int, float, list[Any], msgspec.Raw]]] = msgspec.msgpack.Decoder(
-    list[tuple[int, float, list[Any], msgspec.Raw]]
+_BATCH: msgspec.msgpack.Decoder[list[tuple[int, float, list[Any], msgspec.Raw]]] = (
+    msgspec.msgpack.Decoder(list[tuple[int, float, list[Any], msgspec.Raw]])
 )
 
 
@@ -198,7 +208,8 @@
 
 
 def decode_batch(data: bytes) -> Iterator[tuple[float, Event, bytes]]:
-    """Each event with its time and what was decided by it, as `encode_actions` has it. Raises CodecError."""
+    """Each event with its time and what was decided by it, as `encode_actions` has it. Raises
+    CodecError."""
     try:
         for number, now, fields, actions in _BATCH.decode(data):
             yield now, _event(number, fields), bytes(actions)
@@ -347,7 +358,8 @@
 
 @cache
 def module_digest() -> dict[str, str]:
-    """The texts of the policy's files, by their SHA-256: decisions can only be the same by the same text."""
+    """The texts of the policy's files, by their SHA-256: decisions can only be the same by the same
+    text."""
     files = [Path(str(module.__file__)) for module in (cottonhall.rules, cottonhall.fleet)]
     return {path.name: hashlib.sha256(path.read_bytes()).hexdigest() for path in files}
 
@@ -367,7 +379,10 @@
 
 class _Careful(pickle.Unpickler):
     def find_class(self, module: str, name: str) -> Any:
-        if module in ("cottonhall.rules", "cottonhall.fleet", "cottonhall.interface") and "." not in name:
+        if (
+            module in ("cottonhall.rules", "cottonhall.fleet", "cottonhall.interface")
+            and "." not in name
+        ):
             found = super().find_class(module, name)
             if isinstance(found, type) and found.__module__ == module:
                 return found
@@ -377,8 +392,8 @@
 
 
 def freeze(policy: Policy) -> bytes:
-    """The whole state. The policy goes on from the same copy that a reader gets: the order of a set comes
-    of its history, and a replay must meet the same."""
+    """The whole state. The policy goes on from the same copy that a reader gets: the order of a set
+    comes of its history, and a replay must meet the same."""
     state = pickle.dumps(policy, protocol=5)
     policy.__dict__.update(thaw(state).__dict__)
     return state
--- a/badgercart/capture/commands.py
+++ b/badgercart/capture/commands.py
@@ -1,4 +1,5 @@
-"""`badgercart capture`: what a capture holds, whether it is whole, and what the policy decides by it now."""
+"""`badgercart capture`: what a capture holds, whether it is whole, and what the policy decides by
+it now."""
 
 from __future__ import annotations
 
@@ -55,7 +56,9 @@
             if record.kind is Kind.GAP:
                 lost += int.from_bytes(record.payload)
             notes += record.kind is Kind.NOTE
-        began = datetime.fromtimestamp(segment.head["wall_ms"] / 1000, UTC).isoformat(timespec="seconds")
+        began = datetime.fromtimestamp(segment.head["wall_ms"] / 1000, UTC).isoformat(
+            timespec="seconds"
+        )
         rows.append(
             {
                 "segment": path.name, "format": segment.version, "node": segment.head["node"], "began": began,
@@ -73,7 +76,8 @@
 @capture.command()
 @FILES
 def verify(files: tuple[str, ...]) -> None:
-    """Whether every record is as it was written; exit 1 if one is not, or a segment is cut off or missing."""
+    """Whether every record is as it was written; exit 1 if one is not, or a segment is cut off or
+    missing."""
     from badgercart.capture.format import Ending, FormatError, Segment
     from badgercart.capture.replay import missing
 
@@ -90,7 +94,9 @@
             bad += 1
             continue
         ending = Ending(segment.ending)
-        words = "whole" if ending is Ending.WHOLE else f"{ending.name.lower()} at byte {segment.good}"
+        words = (
+            "whole" if ending is Ending.WHOLE else f"{ending.name.lower()} at byte {segment.good}"
+        )
         click.echo(f"{path}: {count} records, {words}")
         bad += ending is not Ending.WHOLE
     raise click.exceptions.Exit(Exit.FAILED if bad else Exit.DONE)
@@ -98,7 +104,9 @@
 
 @capture.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("-o", "--output", required=True, type=click.Path(), help="Where the mended segment goes.")
+@click.option(
+    "-o", "--output", required=True, type=click.Path(), help="Where the mended segment goes."
+)
 def repair(file: str, output: str) -> None:
     """Keep what is whole of a segment that was cut off or damaged, and close it."""
     from badgercart.capture.format import FormatError, Kind, Segment
@@ -111,13 +119,17 @@
     index = next((record.offset for record in records if record.kind is Kind.INDEX), 0)
     end = b"" if records and records[-1].kind is Kind.END else segment.close(index)
     Path(output).write_bytes(segment.data[: segment.good] + end)
-    click.echo(f"{output}: {len(records)} records kept, {len(segment.data) - segment.good} bytes left out")
+    click.echo(
+        f"{output}: {len(records)} records kept, {len(segment.data) - segment.good} bytes left out"
+    )
 
 
 @capture.command()
 @FILES
 @click.option(
-    "--force", is_flag=True, help="Where the policy's text is another one than it was then, say what changes."
+    "--force",
+    is_flag=True,
+    help="Where the policy's text is another one than it was then, say what changes.",
 )
 def replay(files: tuple[str, ...], force: bool) -> None:
     """Decide everything anew; exit 0 only where all decisions are the same."""
@@ -126,7 +138,11 @@
 
     paths, bad, events, notes, others = found(files), 0, 0, 0, []
     for told in track(
-        replay_all(paths), "replaying", total=len(paths), console=Console(stderr=True), disable=quiet()
+        replay_all(paths),
+        "replaying",
+        total=len(paths),
+        console=Console(stderr=True),
+        disable=quiet(),
     ):
         if told.other_module:
             if not force:
@@ -138,7 +154,9 @@
         for fault in told.faults:
             click.echo(f"{told.name}: {fault}")
         if (other := told.difference) is not None:
-            click.echo(f"{told.name}: event {other.record} at {other.now:.3f} ms is decided otherwise")
+            click.echo(
+                f"{told.name}: event {other.record} at {other.now:.3f} ms is decided otherwise"
+            )
             click.echo(f"  {show(other.event)}\n  now:  {show(other.actions)}")
             if other.then is not None:
                 click.echo(f"  then: {show(other.then)}")
@@ -146,7 +164,9 @@
     for words in missing(paths):
         click.echo(words)
     more = f", {notes} notes of other machines" if notes else ""
-    click.echo(f"{events} events{more}, {len(paths)} segments: {'differing' if bad else 'identical'}")
+    click.echo(
+        f"{events} events{more}, {len(paths)} segments: {'differing' if bad else 'identical'}"
+    )
     if others and bad:
         show_change([path for path in paths if path.name in others])
     raise click.exceptions.Exit(Exit.FAILED if bad else Exit.DONE)
@@ -204,7 +224,9 @@
 
 @capture.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--from", "begin", type=float, default=0.0, help="ms on the node's clock, as in `info`.")
+@click.option(
+    "--from", "begin", type=float, default=0.0, help="ms on the node's clock, as in `info`."
+)
 @click.option("--to", "end", type=float, default=float("inf"), help="ms on the node's clock.")
 @click.option("-o", "--output", required=True, type=click.Path(), help="Where the stretch goes.")
 def cut(file: str, begin: float, end: float, output: str) -> None:
@@ -222,9 +244,12 @@
 
 @capture.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("-o", "--output", required=True, type=click.Path(), help="Where the new capture goes.")
+@click.option(
+    "-o", "--output", required=True, type=click.Path(), help="Where the new capture goes."
+)
 def anonymise(file: str, output: str) -> None:
-    """A segment under other names, decided anew: a night like it that gives no key, server or tenant away."""
+    """A segment under other names, decided anew: a night like it that gives no key, server or
+    tenant away."""
     from badgercart.capture.anonymise import anonymise as rename
     from badgercart.capture.codec import CodecError
     from badgercart.capture.format import FormatError
--- a/badgercart/capture/edit.py
+++ b/badgercart/capture/edit.py
@@ -16,10 +16,11 @@
 
 
 def cut(source: Path, output: Path, begin: float, end: float) -> int:
-    """Write the events of [begin, end) (ms on the node's clock) as a segment of their own; gives their count.
+    """Write the events of [begin, end) (ms on the node's clock) as a segment of their own; gives
+    their count.
 
-    Its head has the policy's state at `begin`, which takes deciding all before it: CodecError where that
-    comes out otherwise than it was captured. Raises FormatError and OSError too."""
+    Its head has the policy's state at `begin`, which takes deciding all before it: CodecError where
+    that comes out otherwise than it was captured. Raises FormatError and OSError too."""
     segment = Segment(source.read_bytes())
     policy = start(segment)
     built: Builder | None = None
@@ -63,7 +64,9 @@
             yield f"event {number}: {here} in {first}, {there} in {second}"
         if (left.then, left.running) != (right.then, right.running) and not told_decision:
             told_decision = True
-            one_did, other_did = (show(decode_actions(i.then)) if i.then else None for i in (left, right))
+            one_did, other_did = (
+                show(decode_actions(i.then)) if i.then else None for i in (left, right)
+            )
             yield f"event {number}: decided otherwise: {one_did} in {first}, {other_did} in {second}"
         if told_event and told_decision:
             return
--- a/badgercart/capture/events.py
+++ b/badgercart/capture/events.py
@@ -7,7 +7,10 @@
 from badgercart.core.events import event
 
 WRITING = event(
-    "capture.writing", logging.INFO, "capturing to %(folder)s", "What the policy is told is kept there."
+    "capture.writing",
+    logging.INFO,
+    "capturing to %(folder)s",
+    "What the policy is told is kept there.",
 )
 OFF = event(
     "capture.off",
--- a/badgercart/capture/explain.py
+++ b/badgercart/capture/explain.py
@@ -1,7 +1,7 @@
 """Why one request went as it did: its segment is decided anew by a policy that also says why.
 
-The policy's own code runs, in a subclass whose methods call it and take notes of one request; a node's policy
-is never of this class, so that nobody pays for what nobody asks.
+The policy's own code runs, in a subclass whose methods call it and take notes of one request; a
+node's policy is never of this class, so that nobody pays for what nobody asks.
 """
 
 from __future__ import annotations
@@ -59,7 +59,9 @@
             group, beyond = group + len(settings.classes), ", beyond its tenant's share"
         low, width = self.bands[group]
         score = low + width * draw
-        self.say(f"taken: class {request.cls}, tenant {request.tenant}{beyond}, key {request.key:x}")
+        self.say(
+            f"taken: class {request.cls}, tenant {request.tenant}{beyond}, key {request.key:x}"
+        )
         self.say(f"score {score:.2f}, of {low:.2f} to {low + width:.2f} for its class and share")
         self.measure_overload()  # as the parent will
         flying = f"{self.in_flight:.1f} attempts in flight of {self.need:.1f} needed"
@@ -77,7 +79,8 @@
         for server_id, words in looked.items():
             self.say(f"  {server_id:x}: {words}")
         self.say(
-            f"attempt {job.tries}: " + (f"server {server.entry.id:x}" if server else "no server will do")
+            f"attempt {job.tries}: "
+            + (f"server {server.entry.id:x}" if server else "no server will do")
         )
         return server
 
@@ -99,7 +102,9 @@
     def allowed(self, job: Any, server: Any, until: float = 0.0) -> bool:
         fit = super().allowed(job, server, until)
         if not fit and (looked := self.notes.looked) is not None:
-            looked[server.entry.id] = "not allowed: the request may have run where its class forbids a repeat"
+            looked[server.entry.id] = (
+                "not allowed: the request may have run where its class forbids a repeat"
+            )
         return fit
 
     def say(self, words: str) -> None:
@@ -127,9 +132,13 @@
     if isinstance(event, Outcome):
         parked = ", parked" if event.parked else ""
         words = f"attempt {event.attempt} at {event.server:x}: {RESULTS[event.result]} after"
-        return f"{words} {event.elapsed:.1f} ms{parked}" + (", the request is over" if event.over else "")
+        return f"{words} {event.elapsed:.1f} ms{parked}" + (
+            ", the request is over" if event.over else ""
+        )
     if isinstance(event, Diverted):
-        return f"attempt {event.attempt}: {RESULTS[event.result]}; its carrier went on to {event.to:x}"
+        return (
+            f"attempt {event.attempt}: {RESULTS[event.result]}; its carrier went on to {event.to:x}"
+        )
     return _EVENT_WORDS[type(event)]
 
 
@@ -153,7 +162,8 @@
 def explain(path: Path, request_id: int) -> list[str]:
     """The life of a request, line by line; empty where this segment does not have it.
 
-    Raises FormatError, CodecError and OSError. One that began in an earlier segment is told from there on."""
+    Raises FormatError, CodecError and OSError. One that began in an earlier segment is told from
+    there on."""
     segment = Segment(path.read_bytes())
     # Deciding is dear: a segment that does not have the request is only searched.
     if not may_hold(segment.data, request_id):
@@ -176,7 +186,9 @@
         except Exception as error:  # as it did then
             actions = []
             if mine:
-                notes.lines.append(f"{now:.3f} ms  the policy failed: {type(error).__name__}: {error}")
+                notes.lines.append(
+                    f"{now:.3f} ms  the policy failed: {type(error).__name__}: {error}"
+                )
         for action in actions:
             about = action.token if isinstance(action, Wake) else getattr(action, "id", 0)
             if isinstance(action, Send | Refuse | Fail | Cancel | Wake) and about == request_id:
--- a/badgercart/capture/format.py
+++ b/badgercart/capture/format.py
@@ -4,10 +4,10 @@
     head    = length u32 | crc32 u32 | MessagePack map
     record  = length u32 | crc32 u32 | kind u8 | payload      (length and crc32 cover kind and payload)
 
-All numbers are big-endian; crc32 is zlib's. Kinds: 5 BATCH (MessagePack [event, ...]), 6 NOTE (MessagePack:
-what another deciding machine was told), 2 INDEX (MessagePack map), 3 GAP (count u64), 4 END (offset of the
-index u64: the segment is whole). Format 1, which is read still, has 1 EVENT (decisions' running crc32 u32,
-then the event), a list in INDEX, and an empty END.
+All numbers are big-endian; crc32 is zlib's. Kinds: 5 BATCH (MessagePack [event, ...]), 6 NOTE
+(MessagePack: what another deciding machine was told), 2 INDEX (MessagePack map), 3 GAP (count u64),
+4 END (offset of the index u64: the segment is whole). Format 1, which is read still, has 1 EVENT
+(decisions' running crc32 u32, then the event), a list in INDEX, and an empty END.
 """
 
 from __future__ import annotations
@@ -98,7 +98,8 @@
 
 
 def read_index(tail: bytes, data_from: int) -> Index | None:
-    """The index by the last bytes of a file, from offset `data_from` on; None where it is not there."""
+    """The index by the last bytes of a file, from offset `data_from` on; None where it is not
+    there."""
     if len(tail) < END_SIZE:
         return None
     length, crc = FRAME.unpack_from(tail, len(tail) - END_SIZE)
@@ -119,7 +120,8 @@
 
 
 class Segment:
-    """Reads one segment. After `records`, `ending` holds, and `good`: the bytes that can be used."""
+    """Reads one segment. After `records`, `ending` holds, and `good`: the bytes that can be
+    used."""
 
     def __init__(self, data: bytes) -> None:
         """Raises FormatError."""
@@ -130,7 +132,9 @@
             raise FormatError("the head is cut off")
         _, self.version = PREFIX.unpack_from(data)
         if self.version not in READABLE:
-            raise FormatError(f"format {self.version} is not read here, only {READABLE[0]} to {READABLE[-1]}")
+            raise FormatError(
+                f"format {self.version} is not read here, only {READABLE[0]} to {READABLE[-1]}"
+            )
         try:
             length, crc = FRAME.unpack_from(data, PREFIX.size)
         except struct.error:
@@ -169,5 +173,6 @@
             at = end
 
     def close(self, index: int) -> bytes:
-        """What the last record of a segment of this version is; for format 2 the offset of its index."""
+        """What the last record of a segment of this version is; for format 2 the offset of its
+        index."""
         return record(Kind.END, b"") if self.version == 1 else end_record(index)
--- a/badgercart/capture/replay.py
+++ b/badgercart/capture/replay.py
@@ -30,7 +30,8 @@
 
 
 def segments(paths: Iterable[str]) -> list[Path]:
-    """The segments that files and folders hold, in the order of their names: that of their writing."""
+    """The segments that files and folders hold, in the order of their names: that of their
+    writing."""
     found: list[Path] = []
     for text in paths:
         path = Path(text)
@@ -108,8 +109,8 @@
 def start(segment: Segment) -> Policy:
     """The policy as it was at the segment's head. Raises CodecError.
 
-    Where its text is another one now, it is made anew at the node's start, and later on given what it did not
-    have then as a new policy has it."""
+    Where its text is another one now, it is made anew at the node's start, and later on given what
+    it did not have then as a new policy has it."""
     if segment.head["module"] == module_digest():
         return thaw(segment.head["state"])
     fresh = Policy(decode_settings(segment.head["settings"]), segment.head["seed"])
--- a/badgercart/capture/report.py
+++ b/badgercart/capture/report.py
@@ -153,11 +153,19 @@
         "x": [r.x for r in rows], "cut / 100": [r.cut / 100 for r in rows],
         "share of attempts that fail": [r.errors for r in rows],
     })  # fmt: skip
-    offered = {f"class {c} (worth {course.worths[c]:g}), taken": [r.taken[c] for r in rows] for c in classes}
+    offered = {
+        f"class {c} (worth {course.worths[c]:g}), taken": [r.taken[c] for r in rows]
+        for c in classes
+    }
     lines(1, "Requests", "a second", offered)
-    lines(2, "Turned away", "a second", {f"class {c}": [r.refused[c] for r in rows] for c in classes})
+    lines(
+        2, "Turned away", "a second", {f"class {c}": [r.refused[c] for r in rows] for c in classes}
+    )
     ends = sorted({result for r in rows for result in r.results})
-    attempts: dict[str, list[Any]] = {"in flight": [r.flying for r in rows], "need": [r.need for r in rows]}
+    attempts: dict[str, list[Any]] = {
+        "in flight": [r.flying for r in rows],
+        "need": [r.need for r in rows],
+    }
     attempts |= {Result(e).name.lower(): [r.results[e] for r in rows] for e in ends}
     lines(3, "Attempts: in flight, need, ends", "count, a second", attempts)
     lines(4, "Servers", "count", {
@@ -178,7 +186,12 @@
     seconds = (course.rows[-1].at - course.rows[0].at) / 1000
     worst = sorted(course.servers.items(), key=lambda item: (-item[1].failed, item[0]))[:WORST]
     servers: list[tuple[object, ...]] = [
-        (f"{number:x}", told.attempts, told.failed, f"{told.took / told.served:.0f}" if told.served else "-")
+        (
+            f"{number:x}",
+            told.attempts,
+            told.failed,
+            f"{told.took / told.served:.0f}" if told.served else "-",
+        )
         for number, told in worst
     ]
     taken = sum(sum(row.taken.values()) for row in course.rows)
--- a/badgercart/capture/settings.py
+++ b/badgercart/capture/settings.py
@@ -23,7 +23,12 @@
         le=1 << 40,
         description="what all may hold (bytes); the oldest go first",
     )
-    keep_s: float = Field(3600.0, ge=1, le=30 * 86400, description="the age at which a segment goes (s)")
+    keep_s: float = Field(
+        3600.0, ge=1, le=30 * 86400, description="the age at which a segment goes (s)"
+    )
     buffer_bytes: int = Field(
-        4 << 20, ge=1 << 12, le=1 << 28, description="what may wait for a slow disk (bytes); more is a gap"
+        4 << 20,
+        ge=1 << 12,
+        le=1 << 28,
+        description="what may wait for a slow disk (bytes); more is a gap",
     )
--- a/badgercart/capture/streams.py
+++ b/badgercart/capture/streams.py
@@ -1,9 +1,10 @@
-"""Other deciding machines on the same tap: what each was told, what it answered, and its replay. No I/O.
+"""Other deciding machines on the same tap: what each was told, what it answered, and its replay. No
+I/O.
 
-A machine joins by being named here and by its part handing it to `Host.machines`. While a capture runs, the
-named methods of that one object are wrapped; otherwise they are the class's own and cost nothing. A note is
-MessagePack `[name, kind, method, [argument, ...], result]`; the method "" gives the whole state, as a segment
-begins with it.
+A machine joins by being named here and by its part handing it to `Host.machines`. While a capture
+runs, the named methods of that one object are wrapped; otherwise they are the class's own and cost
+nothing. A note is MessagePack `[name, kind, method, [argument, ...], result]`; the method "" gives
+the whole state, as a segment begins with it.
 """
 
 from __future__ import annotations
@@ -98,7 +99,8 @@
 
 
 def watch(name: str, machine: Any, told: Callable[[bytes], None]) -> Callable[[], None]:
-    """Have every call of the named methods told as a note; gives what undoes it. KeyError: no such form."""
+    """Have every call of the named methods told as a note; gives what undoes it. KeyError: no such
+    form."""
     form = FORMS[type(machine)]
 
     def wrapped(method: str, plain: Callable[..., Any]) -> Callable[..., Any]:
@@ -155,5 +157,7 @@
         except (msgspec.MsgspecError, ValueError, TypeError, LookupError, AttributeError) as error:
             raise CodecError(f"no note: {type(error).__name__}: {error}") from None
         if got != result:
-            return f"{name}: {method}({', '.join(map(str, args))}) gives {got!r} now, {result!r} then"
+            return (
+                f"{name}: {method}({', '.join(map(str, args))}) gives {got!r} now, {result!r} then"
+            )
         return ""
--- a/badgercart/capture/whatif.py
+++ b/badgercart/capture/whatif.py
@@ -1,10 +1,11 @@
 """The captured night with another policy, and under other names. No I/O.
 
-A capture holds what came of the decisions that were taken then. Where others are taken now, the night is
-carried on by stated assumptions (`Night`): a request that is sent elsewhere ends there as it did then, as
-soon and with the same result; one that was turned away then and is sent now is served after the usual time
-of its class; one that is turned away now has no attempts. So what is told of a whole night is an estimate;
-what is told of one decision is exact up to the first that differs.
+A capture holds what came of the decisions that were taken then. Where others are taken now, the
+night is carried on by stated assumptions (`Night`): a request that is sent elsewhere ends there as
+it did then, as soon and with the same result; one that was turned away then and is sent now is
+served after the usual time of its class; one that is turned away now has no attempts. So what is
+told of a whole night is an estimate; what is told of one decision is exact up to the first that
+differs.
 """
 
 from __future__ import annotations
@@ -59,7 +60,9 @@
     def __init__(self, policy: Policy, told: Step) -> None:
         self.policy, self.told = policy, told
         self.fates: dict[int, Fate] = {}
-        self.due: list[tuple[float, int, Event]] = []  # ends of attempts that there were none of then
+        self.due: list[
+            tuple[float, int, Event]
+        ] = []  # ends of attempts that there were none of then
         self.numbers = itertools.count()
         self.now = 0.0
 
@@ -85,7 +88,9 @@
         if isinstance(event, Resume | Withdrawn | Timer) and fate is not None and fate.over:
             return
         self.give(item.now, event)
-        if (isinstance(event, Began) or (isinstance(event, Outcome) and event.over)) and fate is not None:
+        if (
+            isinstance(event, Began) or (isinstance(event, Outcome) and event.over)
+        ) and fate is not None:
             fate.over = True
 
     def catch_up(self, now: float) -> None:
@@ -102,9 +107,14 @@
                 fate.sent.append(action.server)
                 if len(fate.sent) > fate.then:  # there was no such attempt then
                     took = min(self.policy.usual[fate.cls], action.limit)
-                    end = Outcome(action.id, action.server, True, Result.OK, len(fate.sent) - 1, took)
+                    end = Outcome(
+                        action.id, action.server, True, Result.OK, len(fate.sent) - 1, took
+                    )
                     heapq.heappush(self.due, (now + took, next(self.numbers), end))
-            elif isinstance(action, Refuse | Fail) and (fate := self.fates.get(action.id)) is not None:
+            elif (
+                isinstance(action, Refuse | Fail)
+                and (fate := self.fates.get(action.id)) is not None
+            ):
                 fate.over = True
             elif isinstance(action, Wake) and action.token in self.fates:
                 # Held for its turn: then there may have been no timer that rings for it now.
@@ -113,7 +123,8 @@
 
 
 def sends(items: Iterable[Decided]) -> dict[int, list[int]]:
-    """The servers of each request's attempts then: by the actions, or in format 1 by the outcomes."""
+    """The servers of each request's attempts then: by the actions, or in format 1 by the
+    outcomes."""
     found: dict[int, list[int]] = {}
     for item in items:
         event = item.event
@@ -133,7 +144,9 @@
     """What another policy changes, over all that was played."""
 
     events: int = 0
-    differing: int = 0  # requests that are turned away instead of sent, or the other way, or sent elsewhere
+    differing: int = (
+        0  # requests that are turned away instead of sent, or the other way, or sent elsewhere
+    )
     elsewhere: int = 0
     refused_now: Counter[int] = field(default_factory=Counter)  # by class
     sent_now: Counter[int] = field(default_factory=Counter)
@@ -151,7 +164,9 @@
     def told(now: float, event: Event, actions: list[Action] | None) -> None:
         if not isinstance(event, Request):
             return
-        place = next((a.server for a in actions or () if isinstance(a, Send) and a.id == event.id), 0)
+        place = next(
+            (a.server for a in actions or () if isinstance(a, Send) and a.id == event.id), 0
+        )
         held = any(isinstance(a, Wake) and a.token == event.id for a in actions or ())
         before = then.get(event.id, [0])[0]
         if place == before or held:
@@ -180,7 +195,8 @@
 
 
 def plain(event: Event, names: Callable[[str, int], int]) -> Event:
-    """An event under other names: `names(kind, number)` gives the new number of a key, server or tenant."""
+    """An event under other names: `names(kind, number)` gives the new number of a key, server or
+    tenant."""
     changes: dict[str, Any] = {}
     if isinstance(event, Request):
         changes = {"key": names("key", event.key), "tenant": names("tenant", event.tenant)}
@@ -191,5 +207,7 @@
         if isinstance(event, Diverted):
             changes["to"] = names("server", event.to)
     elif hasattr(event, "servers"):
-        changes = {"servers": [replace(line, id=names("server", line.id)) for line in event.servers]}
+        changes = {
+            "servers": [replace(line, id=names("server", line.id)) for line in event.servers]
+        }
     return replace(event, **changes)
--- a/badgercart/capture/words.py
+++ b/badgercart/capture/words.py
@@ -1,5 +1,5 @@
-"""Events and actions as operators read them in messages. The names are literals: no rename in the code may
-change what a message says. No I/O."""
+"""Events and actions as operators read them in messages. The names are literals: no rename in the
+code may change what a message says. No I/O."""
 
 from __future__ import annotations
 
@@ -120,7 +120,9 @@
 
 
 def _tuple(value: tuple[Any, ...]) -> str:
-    return f"({show(value[0])},)" if len(value) == 1 else _sequence("(", [show(v) for v in value], ")")
+    return (
+        f"({show(value[0])},)" if len(value) == 1 else _sequence("(", [show(v) for v in value], ")")
+    )
 
 
 def _frozenset(value: frozenset[Any]) -> str:
--- a/badgercart/capture/writer.py
+++ b/badgercart/capture/writer.py
@@ -1,4 +1,5 @@
-"""Writes segments: the tap fills a bounded buffer, a thread carries it to the disk, nobody waits for it."""
+"""Writes segments: the tap fills a bounded buffer, a thread carries it to the disk, nobody waits
+for it."""
 
 from __future__ import annotations
 
@@ -32,7 +33,8 @@
 
 
 class Disk:
-    """The thread: appends chunks to their segments in order, and keeps the ring. `failed`: why it stopped."""
+    """The thread: appends chunks to their segments in order, and keeps the ring. `failed`: why it
+    stopped."""
 
     def __init__(self, folder: Path, settings: CaptureSettings) -> None:
         self.folder, self.settings = folder, settings
@@ -92,7 +94,8 @@
                 path.unlink()
             else:
                 kept.append((path, stat.st_size))
-        # A segment ends with the batch and the index that take it over its size: the next may be as large.
+        # A segment ends with the batch and the index that take it over its size: the next may be as
+        # large.
         largest = max([self.settings.segment_bytes + head, *(size for _, size in kept)])
         room, total = self.settings.keep_bytes - largest, sum(size for _, size in kept)
         for path, size in kept:
@@ -136,7 +139,9 @@
         self.chunk = min(CHUNK, settings.buffer_bytes // 4, settings.segment_bytes)
         self.out: list[bytes] = []
         self.out_size = 0
-        self.snapshots: list[Callable[[], bytes]] = []  # of other machines, at the head of each segment
+        self.snapshots: list[
+            Callable[[], bytes]
+        ] = []  # of other machines, at the head of each segment
         self.begin(freeze(policy))
 
     @property
@@ -172,7 +177,8 @@
             self.add(record(Kind.NOTE, snapshot()))
 
     def begin_anew(self) -> None:
-        """The policy was given something before its first event: the first segment begins with that."""
+        """The policy was given something before its first event: the first segment begins with
+        that."""
         if not self.total and not self.number:
             self.out, self.out_size, self.number = [], 0, -1
             self.begin(freeze(self.policy))
@@ -223,7 +229,8 @@
             self.on_failure(OSError(f"{type(error).__name__}: {error}"))
 
     def encode(self) -> None:
-        """Turn a batch into bytes, or count it as lost; begin a new segment where this one is long enough."""
+        """Turn a batch into bytes, or count it as lost; begin a new segment where this one is long
+        enough."""
         if self.disk.failed is not None:
             failed, self.disk.failed = self.disk.failed, None
             self.pending.clear()
--- a/badgercart/carriers/pool/attempts.py
+++ b/badgercart/carriers/pool/attempts.py
@@ -1,4 +1,5 @@
-"""The life of one attempt, and how long servers keep idle connections. No I/O: tables and arithmetic."""
+"""The life of one attempt, and how long servers keep idle connections. No I/O: tables and
+arithmetic."""
 
 from __future__ import annotations
 
@@ -7,8 +8,9 @@
 
 from cottonhall.interface import Result
 
-# A server may close what stands idle sooner than it says, unseen until the next request is reset. Where two
-# in a row that were idle for longer than SHORT_IDLE are, the limit comes down; it grows back step by step.
+# A server may close what stands idle sooner than it says, unseen until the next request is reset.
+# Where two in a row that were idle for longer than SHORT_IDLE are, the limit comes down; it grows
+# back step by step.
 IDLE_MARGIN = 2000.0  # ms before the server's own limit: its close must not cross a request of ours
 SHORT_IDLE, IDLE_GROWTH = 100.0, 1.1  # ms
 
@@ -22,7 +24,8 @@
     STREAMING = 3  # the answer has begun to go on
 
 
-# How an attempt may end from where it is. One that was not sent never ran, and one that was may have.
+# How an attempt may end from where it is. One that was not sent never ran, and one that was may
+# have.
 ENDS: dict[At, tuple[Result, ...]] = {
     At.DIALLING: (Result.UNREACHABLE, Result.CANCELLED, Result.NOT_SENT),
     At.SENT: (Result.OK, Result.ERROR, Result.FULL, Result.RESET, Result.TIMEOUT, Result.CANCELLED),
@@ -39,9 +42,12 @@
 
 
 def hindrance(wanted: bool, fit: bool, left: float) -> Result | None:
-    """Why an attempt that has not begun may not be written now, as the end that it has; None: it may.
+    """Why an attempt that has not begun may not be written now, as the end that it has; None: it
+    may.
 
-    `wanted`: its request still waits; `fit`: its server may get something new; `left`: ms of its time."""
+    `wanted`: its request still waits; `fit`: its server may get something new; `left`: ms of its
+    time.
+    """
     if not wanted:
         return Result.NOT_SENT
     return None if fit and left > 0 else Result.UNREACHABLE
--- a/badgercart/carriers/pool/exchange.py
+++ b/badgercart/carriers/pool/exchange.py
@@ -20,9 +20,8 @@
 MAX_BULK = 64 << 20  # bytes of one that does
 MAX_HEAD = 16384  # bytes of status line and headers, those of interim answers included
 MAX_ANSWER = MAX_HEAD + 2 * MAX_BODY  # bytes of a whole answer, the framing of its body included
-MAX_FRAMING = (
-    32  # bytes of framing for each byte of a long body: chunks of one byte have 5, and extensions more
-)
+# bytes of framing for each byte of a long body: chunks of one byte have 5, and extensions more
+MAX_FRAMING = 32
 MAX_INTERIM = 8  # answers 1xx ahead of the final one
 OWS = b" \t"  # may stand behind a field's value, and is no part of it (RFC 9110, section 5.5)
 
@@ -53,7 +52,8 @@
 
 
 def over_framed(got: int) -> int:
-    """Bytes of a message, with so much of its body, beyond which its framing is no framing any more."""
+    """Bytes of a message, with so much of its body, beyond which its framing is no framing any
+    more."""
     return 2 * MAX_HEAD + (1 + MAX_FRAMING) * got
 
 
@@ -88,8 +88,8 @@
 class Exchange:
     """The machine. The parser refers back to it: `close` parts the two.
 
-    An answer is held until it is whole. Where it may go on as it comes, `opening` says that it is time:
-    then `begin` gives its head, and `pass_on` what has come of its body since."""
+    An answer is held until it is whole. Where it may go on as it comes, `opening` says that it is
+    time: then `begin` gives its head, and `pass_on` what has come of its body since."""
 
     __slots__ = (
         "__weakref__", "begun", "body", "chunked", "coding", "complete", "content_type", "got", "hold",
@@ -117,7 +117,8 @@
         self.upload: Upload | None = None
 
     def ask(self, message: Message, left: float) -> bytes:
-        """The bytes of a request whose attempt has so many ms left; of one that comes in, its head."""
+        """The bytes of a request whose attempt has so many ms left; of one that comes in, its
+        head."""
         if State.ASKED not in MOVES[self.state]:
             raise illegal(self.state, State.ASKED)
         self.state = State.ASKED
@@ -160,8 +161,14 @@
         return None
 
     def ended(self) -> Found | None:
-        """The server has ended its side: the end of an answer that has no other; None where it is none."""
-        if self.state is not State.ASKED or not self.whole_head or self.chunked or self.length is not None:
+        """The server has ended its side: the end of an answer that has no other; None where it is
+        none."""
+        if (
+            self.state is not State.ASKED
+            or not self.whole_head
+            or self.chunked
+            or self.length is not None
+        ):
             return None
         return self.done(False)
 
@@ -175,15 +182,24 @@
 
     @property
     def opening(self) -> bool:
-        """Whether the answer goes on as it comes from here: it has begun, and can't be held whole."""
+        """Whether the answer goes on as it comes from here: it has begun, and can't be held
+        whole."""
         if not self.streams or self.begun or not self.body or self.state is not State.ASKED:
             return False
-        return len(self.body) > self.hold() or (self.length is not None and self.length > self.hold())
+        return len(self.body) > self.hold() or (
+            self.length is not None and self.length > self.hold()
+        )
 
     @property
     def may_open(self) -> bool:
         """Whether it could, though it need not."""
-        return self.streams and self.whole_head and not self.begun and bool(self.body) and self.length is None
+        return (
+            self.streams
+            and self.whole_head
+            and not self.begun
+            and bool(self.body)
+            and self.length is None
+        )
 
     def begin(self) -> Opening:
         assert self.parser is not None
@@ -205,7 +221,8 @@
         self.state = State.OVER  # which any state may move to
 
     def unlink(self) -> None:
-        """Part parser and machine, which refer to each other: both would wait for the cyclic collector."""
+        """Part parser and machine, which refer to each other: both would wait for the cyclic
+        collector."""
         self.parser = None
 
     # What the parser finds.
@@ -226,7 +243,9 @@
         if lower == b"content-length":
             self.length = int(value)
             if self.length > (MAX_BULK if self.streams else MAX_BODY):
-                raise ValueError("a length over the limit")  # before the body comes, which may never end
+                raise ValueError(
+                    "a length over the limit"
+                )  # before the body comes, which may never end
         elif lower == b"transfer-encoding":
             # The parser takes it for chunked with spaces behind it, not with a tab.
             self.coding, self.chunked = True, raw.rstrip(b" ").lower() == b"chunked"
--- a/badgercart/carriers/pool/pool.py
+++ b/badgercart/carriers/pool/pool.py
@@ -1,4 +1,5 @@
-"""Drives the way to the servers: pooled connections, attempts on them, and how each attempt ended."""
+"""Drives the way to the servers: pooled connections, attempts on them, and how each attempt
+ended."""
 
 from __future__ import annotations
 
@@ -25,8 +26,9 @@
 
 LAST_LOOK = 0.001  # s, one turn of the loop, between an attempt's time and its end
 SWEEP = 1.0  # s between looks for connections that have been idle for too long
-# ms that a connection rests between an answer and the next request. A second answer may come some ms behind
-# the first, and would pass for the next one's: answers do not say whose they are. Seen: 1.2 to 3.5 ms.
+# ms that a connection rests between an answer and the next request. A second answer may come some
+# ms behind the first, and would pass for the next one's: answers do not say whose they are. Seen:
+# 1.2 to 3.5 ms.
 REST = 10.0
 HOLD_TIME = 0.1  # s after its first byte that an answer of unknown length is held
 SILENCE = 10_000.0  # ms without a byte after which a server's answer, or its reading, is given up
@@ -53,7 +55,8 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server at its address. The version counts changes after which old connections are not used."""
+    """A server at its address. The version counts changes after which old connections are not
+    used."""
 
     id: int
     address: Address
@@ -87,7 +90,8 @@
         self.moved = 0.0  # ms, when something last went on, of what goes on as it comes
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
+        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with
+        # TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
         self.poll = select.poll()
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -99,8 +103,8 @@
         if self in self.server.idle:
             self.server.idle.remove(self)
         if (attempt := self.attempt) is not None:
-            # Where the request has been given to the transport, what its buffer held is no proof that the
-            # server did not get it: the attempt may have run.
+            # Where the request has been given to the transport, what its buffer held is no proof
+            # that the server did not get it: the attempt may have run.
             self.pool.idle_limit.reused(self.idled, self.exchange.size > 0)
             self.leave(whole=False)
             self.pool.end(attempt, BROKEN[attempt.at])
@@ -119,7 +123,9 @@
         attempt.at = At.SENT if message.upload is None else At.SENDING
         self.exchange.hold = self.pool.hold
         left = attempt.deadline - now_ms()
-        self.transport.write(self.exchange.ask(message, left if math.isfinite(left) else attempt.limit))
+        self.transport.write(
+            self.exchange.ask(message, left if math.isfinite(left) else attempt.limit)
+        )
         if message.upload is not None:
             self.moved = now_ms()
             self.transport.set_write_buffer_limits(high=self.pool.room.window)
@@ -136,7 +142,12 @@
 
     def send_on(self) -> None:
         attempt = self.attempt
-        if attempt is None or attempt.at is not At.SENDING or self.full or self.transport.is_closing():
+        if (
+            attempt is None
+            or attempt.at is not At.SENDING
+            or self.full
+            or self.transport.is_closing()
+        ):
             return
         upload = attempt.message.upload
         assert upload is not None
@@ -163,7 +174,9 @@
         attempt.at = At.STREAMING
         pool.disarm(attempt)
         opening, elapsed = self.exchange.begin(), now_ms() - attempt.started
-        self.sink = pool.on_begin(attempt.request_id, attempt.number, self.server.id, elapsed, opening)
+        self.sink = pool.on_begin(
+            attempt.request_id, attempt.number, self.server.id, elapsed, opening
+        )
         if self.sink is None:  # nobody waits for it any more
             pool.drop(attempt, Result.CANCELLED)
             return
@@ -273,7 +286,8 @@
     ) -> None: ...  # fmt: skip
 
 
-# Request, number of the attempt, server, ms until now, the answer's head; where it goes, None: nowhere.
+# Request, number of the attempt, server, ms until now, the answer's head; where it goes, None:
+# nowhere.
 OnBegin = Callable[[int, int, int, float, Opening], Sink | None]
 
 
@@ -282,7 +296,9 @@
     return True
 
 
-def held_only(request_id: int, number: int, server_id: int, elapsed: float, opening: Opening) -> Sink | None:
+def held_only(
+    request_id: int, number: int, server_id: int, elapsed: float, opening: Opening
+) -> Sink | None:
     """For fronts whose messages ask for no answer as it comes."""
     return None
 
@@ -417,7 +433,9 @@
         if attempt.timer is None and math.isinf(attempt.deadline):
             attempt.started = now_ms()
             attempt.deadline = attempt.started + attempt.limit
-            attempt.timer = self.loop.call_later(max(0.0, attempt.limit) / 1000, self.expire, attempt)
+            attempt.timer = self.loop.call_later(
+                max(0.0, attempt.limit) / 1000, self.expire, attempt
+            )
 
     def disarm(self, attempt: Attempt) -> None:
         for timer in (attempt.timer, attempt.opener):
@@ -437,7 +455,9 @@
         connection = ServerConnection(self, server)
         try:
             async with asyncio.timeout(self.dial_timeout / 1000):
-                await self.loop.create_connection(lambda: connection, *server.address, local_addr=self.local)
+                await self.loop.create_connection(
+                    lambda: connection, *server.address, local_addr=self.local
+                )
         except (OSError, UnicodeError):  # no connection in time, or an address that is none
             connection.exchange.unlink()
             self.end(attempt, Result.UNREACHABLE)
@@ -448,8 +468,8 @@
         finally:
             self.dials -= 1
         attempt.dial = None
-        # Counted from here, not from connection_made: a dial that is cancelled just as it comes up is
-        # closed by uvloop without connection_lost, and would count against the limit for ever.
+        # Counted from here, not from connection_made: a dial that is cancelled just as it comes up
+        # is closed by uvloop without connection_lost, and would count against the limit for ever.
         if not connection.transport.is_closing():
             self.connections.add(connection)
         self.put_on(attempt, connection)
@@ -480,7 +500,8 @@
         return True
 
     def park(self, connection: ServerConnection) -> None:
-        """Keep a connection for the next attempt, if its server still is the one it was opened to."""
+        """Keep a connection for the next attempt, if its server still is the one it was opened
+        to."""
         server = connection.server
         if connection.version != server.version or server.state is not State.READY:
             connection.transport.close()
@@ -496,8 +517,8 @@
             attempt = connection.attempt
             if attempt is None or attempt.at not in (At.SENDING, At.STREAMING):
                 continue
-            # A request may come in slowly: that is its client's affair, and only a server that does not read
-            # is given up.
+            # A request may come in slowly: that is its client's affair, and only a server that does
+            # not read is given up.
             waits = connection.full if attempt.at is At.SENDING else True
             if waits and now - connection.moved > (UNREAD if connection.paused else SILENCE):
                 self.drop(attempt, OVERDUE[attempt.at])
@@ -507,8 +528,9 @@
                 server.idle.pop(0).transport.close()
 
     def expire(self, attempt: Attempt) -> None:
-        # The loop runs timers before it reads: after a stall the answer may lie in the socket unread, and a
-        # server that did its work would pass for a silent one. So it reads once more first.
+        # The loop runs timers before it reads: after a stall the answer may lie in the socket
+        # unread, and a server that did its work would pass for a silent one. So it reads once more
+        # first.
         if not attempt.overdue:
             attempt.overdue = True
             attempt.timer = self.loop.call_later(LAST_LOOK, self.expire, attempt)
@@ -525,8 +547,8 @@
             self.drop(attempt, Result.CANCELLED)
 
     def forgo(self, request_id: int, number: int) -> None:
-        """Nobody waits for it: what has not been written of it never is. A server begins a request with its
-        last byte, so one whose last byte is still here never runs."""
+        """Nobody waits for it: what has not been written of it never is. A server begins a request
+        with its last byte, so one whose last byte is still here never runs."""
         attempt = self.attempts.get((request_id, number))
         if attempt is None:
             return
@@ -559,4 +581,6 @@
         if upload is not None:
             upload.on_data = upload.on_lost = nothing
         server = attempt.server.id
-        self.on_end(attempt.request_id, attempt.number, server, result, elapsed, answer, spent=spent)
+        self.on_end(
+            attempt.request_id, attempt.number, server, result, elapsed, answer, spent=spent
+        )
--- a/badgercart/config.py
+++ b/badgercart/config.py
@@ -38,18 +38,23 @@
     dial_timeout: float  # ms
     idle_timeout: float  # ms after which a server closes a connection that carries nothing
     drain_grace: float = 500.0  # ms after which nothing new goes to a draining server
-    default_tenant: bytes | None = None  # whom requests without a tenant count for; None: they are bad
+    default_tenant: bytes | None = (
+        None  # whom requests without a tenant count for; None: they are bad
+    )
     console: Address | None = None  # where operators call; None: nowhere
     inherited: int | None = None  # the descriptor of the listening socket that the platform holds
     memory_mb: float = 192.0  # that the process may take
     folder: Path | None = None  # shared by the processes of this node
-    source: str | None = None  # the address that connections set out from; None: the system's choice
+    source: str | None = (
+        None  # the address that connections set out from; None: the system's choice
+    )
     key_secret: bytes = b""  # by which requests' keys are hashed; the same at all nodes
 
     raw: dict[str, Any] = field(default_factory=dict, compare=False)  # the file
 
     def tenant(self, name: bytes | None) -> int | None:
-        """The number of a tenant; None where there is none of this name, 0 where there are no tenants."""
+        """The number of a tenant; None where there is none of this name, 0 where there are no
+        tenants."""
         return self.tenants.get(name or self.default_tenant or b"") if self.tenants else 0
 
     @property
@@ -72,7 +77,8 @@
 
 
 def held_to(told: int) -> int:
-    """Descriptors that the process may hold: what it is told, or what the system lets it, if that is less."""
+    """Descriptors that the process may hold: what it is told, or what the system lets it, if that
+    is less."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return told if soft == resource.RLIM_INFINITY else min(told, soft)
 
@@ -96,7 +102,10 @@
         allowed = settings["Allowed"]
         for fault in faults(raw, raw):
             raise ValueError(fault)
-        console, descriptor = environ.get("ROUTER_CONSOLE") or raw.get("console"), environ.get(INHERITED)
+        console, descriptor = (
+            environ.get("ROUTER_CONSOLE") or raw.get("console"),
+            environ.get(INHERITED),
+        )
         return Config(
             name=str(environ.get("ROUTER_NAME") or raw["name"]),
             listen=parse_address(environ.get("ROUTER_LISTEN") or raw["listen"]),
@@ -122,12 +131,20 @@
         raise ConfigError(f"{path}: {error.strerror}") from None
     except KeyError as error:
         raise ConfigError(f"{path}: {error} is missing") from None
-    except (TypeError, ValueError, AttributeError, OverflowError, RecursionError, WireError) as error:
+    except (
+        TypeError,
+        ValueError,
+        AttributeError,
+        OverflowError,
+        RecursionError,
+        WireError,
+    ) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
 def reread(environ: Mapping[str, str], old: Config) -> Config:
-    """The file as it is now, held against the one in force. Its discovery wins over ROUTER_DISCOVERY."""
+    """The file as it is now, held against the one in force. Its discovery wins over
+    ROUTER_DISCOVERY."""
     new = read_config({k: v for k, v in environ.items() if k != "ROUTER_DISCOVERY"})
     for fault in faults(new.raw, old.raw):
         raise ConfigError(f"{environ['ROUTER_CONFIG']}: {fault}")
--- a/badgercart/console/calls.py
+++ b/badgercart/console/calls.py
@@ -1,7 +1,7 @@
 """One call to the console as a machine without I/O: bytes in, the whole answer out.
 
-A call is HTTP/1.1 and has its connection to itself. Source: RFC 9112 for its form; what there is to call
-stands in `ROUTES`.
+A call is HTTP/1.1 and has its connection to itself. Source: RFC 9112 for its form; what there is to
+call stands in `ROUTES`.
 """
 
 from __future__ import annotations
@@ -72,9 +72,13 @@
         except UnicodeDecodeError:
             return Reply(HTTPStatus.BAD_REQUEST, "the server's id is no UTF-8")
         if len(raw) > MAX_ID or not name.isprintable():
-            return Reply(HTTPStatus.BAD_REQUEST, f"a server's id has up to {MAX_ID} printable bytes")
+            return Reply(
+                HTTPStatus.BAD_REQUEST, f"a server's id has up to {MAX_ID} printable bytes"
+            )
         return act(desk, name)
-    return Reply(HTTPStatus.NOT_FOUND, "there is /-/ready, /-/servers/ID/disable and /-/servers/ID/enable")
+    return Reply(
+        HTTPStatus.NOT_FOUND, "there is /-/ready, /-/servers/ID/disable and /-/servers/ID/enable"
+    )
 
 
 class Call:
@@ -96,7 +100,9 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.whole:
-                return self.answer(Reply(HTTPStatus.BAD_REQUEST, f"this is no HTTP/1.1 call: {error}"))
+                return self.answer(
+                    Reply(HTTPStatus.BAD_REQUEST, f"this is no HTTP/1.1 call: {error}")
+                )
         if self.whole:
             return self.answer(respond(self.desk, self.parser.get_method(), self.target))
         if self.size > MAX_CALL:
@@ -110,7 +116,8 @@
         return reply.write()
 
     def close(self) -> None:
-        """Part from the parser: the two refer to each other, and would wait for the cyclic collector."""
+        """Part from the parser: the two refer to each other, and would wait for the cyclic
+        collector."""
         self.parser = None
 
     # What the parser finds.
--- a/badgercart/console/door.py
+++ b/badgercart/console/door.py
@@ -49,7 +49,8 @@
         for caller in [*self.callers]:
             caller.abort()
 
-    # The loop's own server accepts before it is asked who may stay, and ends for good without descriptors.
+    # The loop's own server accepts before it is asked who may stay, and ends for good without
+    # descriptors.
 
     def resume(self) -> None:
         if self.socket is not None:
@@ -105,8 +106,8 @@
     def data_received(self, data: bytes) -> None:
         if (answer := self.call.received(data)) is not None and self.transport is not None:
             self.transport.write(answer)
-            # Not a plain close: bytes that come unread behind the call would reset the answer. The caller
-            # ends the connection, or the door's time does.
+            # Not a plain close: bytes that come unread behind the call would reset the answer. The
+            # caller ends the connection, or the door's time does.
             self.transport.write_eof()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/badgercart/core/clock.py
+++ b/badgercart/core/clock.py
@@ -4,7 +4,8 @@
 
 from time import monotonic
 
-# ms kept back from the time of a client, or of the process: answers must be out in time from a late loop.
+# ms kept back from the time of a client, or of the process: answers must be out in time from a late
+# loop.
 MARGIN = 30.0
 
 
--- a/badgercart/core/events.py
+++ b/badgercart/core/events.py
@@ -1,8 +1,8 @@
 """What the program says of itself: each event once in a table, with its level and meaning.
 
-An event is logged through the standard library, whose record carries its name and fields: the platform's node
-shows the words, `serve` has structlog write the fields. Both go through `Sparse`, so that nothing that peers
-bring about can fill a log.
+An event is logged through the standard library, whose record carries its name and fields: the
+platform's node shows the words, `serve` has structlog write the fields. Both go through `Sparse`,
+so that nothing that peers bring about can fill a log.
 """
 
 from __future__ import annotations
@@ -44,7 +44,8 @@
 
 
 class Sparse(logging.Filter):
-    """Lets a warning, which peers can bring about, through once in a while: they must not fill the log."""
+    """Lets a warning, which peers can bring about, through once in a while: they must not fill the
+    log."""
 
     EVERY = 10.0  # s
 
@@ -106,4 +107,6 @@
     "configuration read%(what)s",
     "SIGHUP: what can change without a restart is in force.",
 )
-STOPPED = event("node.stopped", logging.INFO, "stopped", "All that was held is answered; the process ends.")
+STOPPED = event(
+    "node.stopped", logging.INFO, "stopped", "All that was held is answered; the process ends."
+)
--- a/badgercart/core/join.py
+++ b/badgercart/core/join.py
@@ -1,4 +1,5 @@
-"""The join: turns what fronts, carriers and membership tell into events, and actions into what is done.
+"""The join: turns what fronts, carriers and membership tell into events, and actions into what is
+done.
 
 It decides nothing. Actions are carried out in the order in which the module gives them; events that
 arise meanwhile wait for their turn.
@@ -196,8 +197,8 @@
             self.events.append(Withdrawn(request_id))
 
     def forgo(self, request_id: int, held: Held) -> None:
-        """A request is over: what has not gone out for it by now never does, whether or not work may be
-        cancelled."""
+        """A request is over: what has not gone out for it by now never does, whether or not work
+        may be cancelled."""
         for number in range(held.sends):
             if (carrier := self.out.get((request_id, number))) is not None:
                 carrier.forgo(request_id, number)
@@ -229,7 +230,8 @@
         return self.last_id
 
     def leave(self, by: float) -> None:
-        """The process ends then (ms): what comes has no more time, and what is held is ended ahead of it."""
+        """The process ends then (ms): what comes has no more time, and what is held is ended ahead
+        of it."""
         self.leave_by = by - MARGIN
         self.timers.call_later(max(self.leave_by - self.clock(), 0.0) / 1000, self.end_all)
 
@@ -245,7 +247,9 @@
         """Take on a request. The front may be told its answer before this returns."""
         if intake.whole:
             intake.due = min(intake.due, self.leave_by)
-        self.held[request_id] = Held(front, carrier, intake, self.clock() if self.observers else 0.0)
+        self.held[request_id] = Held(
+            front, carrier, intake, self.clock() if self.observers else 0.0
+        )
         event = Request(
             id=request_id,
             cls=intake.cls,
@@ -279,8 +283,8 @@
     # From carriers.
 
     def wanted(self, request_id: int) -> bool:
-        """Whether a request still waits, asked before an attempt for it is written. Its client may have left
-        with that unread: who has is withdrawn here."""
+        """Whether a request still waits, asked before an attempt for it is written. Its client may
+        have left with that unread: who has is withdrawn here."""
         if (held := self.held.get(request_id)) is None:
             return False
         if held.front.gone():
@@ -308,17 +312,26 @@
             watcher.ended(server_id, result, elapsed)
         final = result is Result.OK
         if answer is not None and 400 <= answer.status < 500 and answer.status != 429:
-            # The request is at fault, wherever it goes: it must neither go round the servers nor count
-            # against them, or one bad client would have them all taken for broken. 429 would be a refusal.
+            # The request is at fault, wherever it goes: it must neither go round the servers nor
+            # count against them, or one bad client would have them all taken for broken. 429 would
+            # be a refusal.
             final, result = True, Result.CANCELLED
         if final and answer is not None and (held := self.held.pop(request_id, None)):
             if self.observers:
-                self.over(request_id, held, Final.SERVED if answer.status < 400 else Final.FAULTY, server_id)
+                self.over(
+                    request_id,
+                    held,
+                    Final.SERVED if answer.status < 400 else Final.FAULTY,
+                    server_id,
+                )
         else:
             held = None
         over = request_id not in self.held
-        told = Outcome(request_id, server_id, over, result, number, elapsed, parked=parked, spent=spent)
-        # Before the answer, which may bring the client's next request: to that, the attempt must not be out.
+        told = Outcome(
+            request_id, server_id, over, result, number, elapsed, parked=parked, spent=spent
+        )
+        # Before the answer, which may bring the client's next request: to that, the attempt must
+        # not be out.
         self.events.append(told)
         if held is not None and answer is not None:
             held.front.answered(answer)
@@ -327,10 +340,13 @@
     def began(
         self, request_id: int, number: int, server_id: int, elapsed: float, opening: Opening
     ) -> Sink | None:
-        """An attempt's answer begins: where it goes, as it comes; None where nobody waits for it any more.
+        """An attempt's answer begins: where it goes, as it comes; None where nobody waits for it
+        any more.
 
         It is the request's final answer. The attempt ends by `ended`, as any other."""
-        if (request_id, number) not in self.out or (held := self.held.pop(request_id, None)) is None:
+        if (request_id, number) not in self.out or (
+            held := self.held.pop(request_id, None)
+        ) is None:
             return None
         if self.observers:
             self.over(request_id, held, Final.SERVED, server_id)
--- a/badgercart/core/meters.py
+++ b/badgercart/core/meters.py
@@ -1,4 +1,5 @@
-"""The port by which subsystems offer figures: a name, a meaning, and a function that reads the present value.
+"""The port by which subsystems offer figures: a name, a meaning, and a function that reads the
+present value.
 
 Whoever shows them asks when it wants to know, so that a figure costs nothing in between.
 """
@@ -39,7 +40,9 @@
             return {key: float(value) for key, value in told.items()}
         ranked = sorted(told.items(), key=lambda item: (-item[1], item[0]))
         kept = {key: float(value) for key, value in ranked[: MAX_LABELS - 1]}
-        kept[OTHER] = kept.get(OTHER, 0.0) + float(sum(value for _, value in ranked[MAX_LABELS - 1 :]))
+        kept[OTHER] = kept.get(OTHER, 0.0) + float(
+            sum(value for _, value in ranked[MAX_LABELS - 1 :])
+        )
         return kept
 
 
@@ -50,7 +53,12 @@
         self.meters: dict[str, Meter] = {}
 
     def add(
-        self, kind: Kind, name: str, about: str, read: Callable[[], Reading], label: str | None = None
+        self,
+        kind: Kind,
+        name: str,
+        about: str,
+        read: Callable[[], Reading],
+        label: str | None = None,
     ) -> None:
         """ValueError where the name is taken, or none."""
         if not _NAME.fullmatch(name):
@@ -59,8 +67,12 @@
             raise ValueError(f"there are two figures {name}")
         self.meters[name] = Meter(name, about, kind, read, label)
 
-    def counter(self, name: str, about: str, read: Callable[[], Reading], label: str | None = None) -> None:
+    def counter(
+        self, name: str, about: str, read: Callable[[], Reading], label: str | None = None
+    ) -> None:
         self.add(Kind.COUNTER, name, about, read, label)
 
-    def gauge(self, name: str, about: str, read: Callable[[], Reading], label: str | None = None) -> None:
+    def gauge(
+        self, name: str, about: str, read: Callable[[], Reading], label: str | None = None
+    ) -> None:
         self.add(Kind.GAUGE, name, about, read, label)
--- a/badgercart/core/ports.py
+++ b/badgercart/core/ports.py
@@ -1,9 +1,9 @@
 """What the join asks of fronts and carriers, and what it hands to each.
 
 A *front* owes an answer: it hands a request to the join with `Join.take` and is told exactly one of
-answered, refused or failed, unless it withdrew the request before. A *carrier* carries out an attempt that
-the policy has decided and reports its end, once, with `Join.ended`. Both may come from the same object: a
-calling proxy asks for a decision and carries it out itself.
+answered, refused or failed, unless it withdrew the request before. A *carrier* carries out an
+attempt that the policy has decided and reports its end, once, with `Join.ended`. Both may come from
+the same object: a calling proxy asks for a decision and carries it out itself.
 """
 
 from __future__ import annotations
@@ -42,7 +42,8 @@
     def over(
         self, request_id: int, intake: Intake, final: Final, took: float, server: int, sends: int
     ) -> None:
-        """A request is over after `took` ms and so many sends; `server` gave the answer, 0: none did."""
+        """A request is over after `took` ms and so many sends; `server` gave the answer, 0: none
+        did."""
 
 
 class Watcher(Protocol):
@@ -56,7 +57,8 @@
 
 
 class Front(Protocol):
-    """Whoever owes the answer to one request. Each of the first three calls is the final one for it."""
+    """Whoever owes the answer to one request. Each of the first three calls is the final one for
+    it."""
 
     def answered(self, answer: Answer) -> None:
         """A server has answered: pass it on."""
@@ -65,10 +67,12 @@
         """Not run, trying again does no harm; after `wait` ms, or when it likes where that is 0."""
 
     def failed(self, broken: bool) -> None:
-        """Nothing is promised: the request may have run, or, where `broken`, the node itself failed."""
+        """Nothing is promised: the request may have run, or, where `broken`, the node itself
+        failed."""
 
     def gone(self) -> bool:
-        """Whether its client has left, and that is seen only now: asked before each attempt is written."""
+        """Whether its client has left, and that is seen only now: asked before each attempt is
+        written."""
 
 
 class StreamingFront(Front, Protocol):
@@ -79,11 +83,13 @@
 
 
 class Carrier(Protocol):
-    """Whoever carries out attempts. Every `send` ends in exactly one `Join.ended` with the same numbers.
+    """Whoever carries out attempts. Every `send` ends in exactly one `Join.ended` with the same
+    numbers.
 
-    A carrier that can't send again by itself reports an end as parked, and calls `Join.resume` when its own
-    side asks for the next attempt or wants to know how the request ends. One that goes on to a fallback by
-    itself says so with `Join.diverted`; the next attempt then is out as if it had been sent."""
+    A carrier that can't send again by itself reports an end as parked, and calls `Join.resume` when
+    its own side asks for the next attempt or wants to know how the request ends. One that goes on
+    to a fallback by itself says so with `Join.diverted`; the next attempt then is out as if it had
+    been sent."""
 
     def send(self, order: Order) -> None: ...
 
@@ -91,7 +97,8 @@
         """Stop waiting for an attempt; its end is reported as any other."""
 
     def forgo(self, request_id: int, number: int) -> None:
-        """Its request is over: an attempt whose last byte has not gone out never goes out, and ends so."""
+        """Its request is over: an attempt whose last byte has not gone out never goes out, and ends
+        so."""
 
 
 class Handle(Protocol):
@@ -116,7 +123,9 @@
     server_id: int
     limit: float  # ms until the attempt has timed out, from now or from when its request is whole
     work: Any  # as the front handed it in
-    fallbacks: tuple[int, ...] = ()  # servers that the carrier may turn to by itself, the first one first
+    fallbacks: tuple[
+        int, ...
+    ] = ()  # servers that the carrier may turn to by itself, the first one first
 
 
 @dataclass(slots=True)
--- a/badgercart/core/reading.py
+++ b/badgercart/core/reading.py
@@ -1,6 +1,8 @@
-"""The one buffer that connections read into: what is read at once has a bound, however much has come.
+"""The one buffer that connections read into: what is read at once has a bound, however much has
+come.
 
-A loop asks for the buffer and fills it in one step, so that all connections of a loop can share it."""
+A loop asks for the buffer and fills it in one step, so that all connections of a loop can share it.
+"""
 
 from __future__ import annotations
 
--- a/badgercart/core/requests.py
+++ b/badgercart/core/requests.py
@@ -1,4 +1,5 @@
-"""What a request is, by the platform's protocol: class, tenant and key, whichever front it comes through.
+"""What a request is, by the platform's protocol: class, tenant and key, whichever front it comes
+through.
 
 Source: the protocol's page, section "Clients to nodes".
 """
@@ -13,7 +14,8 @@
 
 
 class BadDescription(Exception):
-    """A request that can't be taken: why, the HTTP status that says so, and the method that would do."""
+    """A request that can't be taken: why, the HTTP status that says so, and the method that would
+    do."""
 
     def __init__(self, status: int, why: str, allow: bytes = b"") -> None:
         super().__init__(why)
@@ -47,7 +49,12 @@
         self.effects = [cls.effect for cls in config.settings.classes]
 
     def read(
-        self, method: bytes, target: bytes, name: bytes | None, tenant: bytes | None, key: bytes | None
+        self,
+        method: bytes,
+        target: bytes,
+        name: bytes | None,
+        tenant: bytes | None,
+        key: bytes | None,
     ) -> Found:
         """Raises BadDescription: 400, 404 or 405."""
         parts = target.partition(b"?")[0].split(b"/")
--- a/badgercart/core/room.py
+++ b/badgercart/core/room.py
@@ -1,7 +1,7 @@
 """How much of what passes through may be held at a time. No I/O: counts and divisions.
 
-Half of the room is for messages that are held whole, so that another attempt stays possible; half is for the
-windows of those that go on as they come.
+Half of the room is for messages that are held whole, so that another attempt stays possible; half
+is for the windows of those that go on as they come.
 """
 
 from __future__ import annotations
@@ -20,7 +20,8 @@
 
 
 class Room:
-    """The room of one process. Windows shrink with the number of streams, holds with what is held."""
+    """The room of one process. Windows shrink with the number of streams, holds with what is
+    held."""
 
     def __init__(self, total: int) -> None:
         self.total = total
--- a/badgercart/core/roster.py
+++ b/badgercart/core/roster.py
@@ -24,7 +24,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """A server of the list: what the policy is told of it, and what only carriers and people need."""
+    """A server of the list: what the policy is told of it, and what only carriers and people
+    need."""
 
     entry: ServerEntry
     address: Address
@@ -67,9 +68,11 @@
         self.ids: dict[Address, int] = {}  # the last server that was listed at an address
 
     def take(self, raw: Mapping[str, Any], kind: ListKind | None = None) -> int:
-        """Take over a list or its changes, and give its version; ValueError where the reader gives it.
+        """Take over a list or its changes, and give its version; ValueError where the reader gives
+        it.
 
-        ValueError, too, where the policy broke over it: carriers have it then, and it is to come again."""
+        ValueError, too, where the policy broke over it: carriers have it then, and it is to come
+        again."""
         return self.take_read(self.reader.read(raw, kind))
 
     def take_read(self, told: MemberList) -> int:
@@ -106,7 +109,9 @@
         self.told = True
         self.version = told.version
         if not self.suspended:
-            self.join.tell(ServerList(told.kind, told.version, [member.entry for member in told.members]))
+            self.join.tell(
+                ServerList(told.kind, told.version, [member.entry for member in told.members])
+            )
         elif told.kind is not ListKind.DELTA or told.members:
             self.tell_suspended()
 
@@ -117,8 +122,8 @@
     def suspend(self, suspended: bool) -> None:
         """Have nothing new sent by this list, or go on with it.
 
-        The policy is told that all drain: it keeps what it learned of them, refuses what it may refuse, and
-        fails the rest. Connections and attempts that are out stay as they are."""
+        The policy is told that all drain: it keeps what it learned of them, refuses what it may
+        refuse, and fails the rest. Connections and attempts that are out stay as they are."""
         if suspended == self.suspended:
             return
         self.suspended = suspended
@@ -146,7 +151,11 @@
                     self.drop(next(iter(self.left)))
         else:
             old = self.listed.get(server_id) or self.left.get(server_id)
-            if old is not None and old.address != member.address and self.ids.get(old.address) == server_id:
+            if (
+                old is not None
+                and old.address != member.address
+                and self.ids.get(old.address) == server_id
+            ):
                 del self.ids[old.address]
             self.left.pop(server_id, None)
             self.listed[server_id] = member
--- a/badgercart/core/sealed.py
+++ b/badgercart/core/sealed.py
@@ -1,4 +1,5 @@
-"""Small files that are taken whole or not at all: a checksum, a line of JSON, and replaced by rename."""
+"""Small files that are taken whole or not at all: a checksum, a line of JSON, and replaced by
+rename."""
 
 from __future__ import annotations
 
@@ -39,7 +40,8 @@
 
 
 def put(path: Path, data: bytes, sync: bool = False) -> None:
-    """Replace a file whole, on the disk where it is to be synced. Raises OSError; then the old one stays.
+    """Replace a file whole, on the disk where it is to be synced. Raises OSError; then the old one
+    stays.
 
     The part has a name of its own: two processes may write at once, and the last one there wins."""
     part = path.with_name(f"{path.name}.{os.getpid()}")
--- a/badgercart/core/streams.py
+++ b/badgercart/core/streams.py
@@ -1,7 +1,8 @@
-"""What passes through as it comes: a request's body on its way in, an answer on its way out. No I/O.
+"""What passes through as it comes: a request's body on its way in, an answer on its way out. No
+I/O.
 
-Whoever has bytes asks whether there is room for more; whoever makes room says so. Neither waits for the
-other.
+Whoever has bytes asks whether there is room for more; whoever makes room says so. Neither waits for
+the other.
 """
 
 from __future__ import annotations
@@ -25,7 +26,8 @@
     """Where such an answer goes. After `done` or `broken` nothing more is told."""
 
     def part(self, data: bytes) -> bool:
-        """Bytes of the body; whether there is room for more, else `on_room` is called when there is."""
+        """Bytes of the body; whether there is room for more, else `on_room` is called when there
+        is."""
 
     def done(self) -> None:
         """That was all of it."""
@@ -45,7 +47,8 @@
     """The body of a request that goes on as it comes. It can be read once."""
 
     def __init__(self, length: int | None, window: Callable[[], int]) -> None:
-        """`length` of the whole body, None where it comes in chunks; `window`: bytes that may wait here."""
+        """`length` of the whole body, None where it comes in chunks; `window`: bytes that may wait
+        here."""
         self.length = length
         self.window = window
         self.parts: deque[bytes] = deque()
--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -1,4 +1,5 @@
-"""`badgercart distribution`: put changes into topics, look at them and at the stores, run a store alone.
+"""`badgercart distribution`: put changes into topics, look at them and at the stores, run a store
+alone.
 
 Exit status: 0 done; 1 it could not be done, or nobody leads; 2 a wrong command line, file or entry.
 """
@@ -72,12 +73,16 @@
     found: list[tuple[Place, str]]
     try:
         file = StoreFile.model_validate(read.raw)
-        found = [(("distribution", *place), words) for place, words in store_faults(file.distribution)]
+        found = [
+            (("distribution", *place), words) for place, words in store_faults(file.distribution)
+        ]
     except ValidationError as error:
         found = list(of_model(error, StoreFile))
     if found:
         lines = lines_of(read.text)
-        raise FileError(path, [problem(place, words, lines, read.origins) for place, words in found])
+        raise FileError(
+            path, [problem(place, words, lines, read.origins) for place, words in found]
+        )
     return file
 
 
@@ -101,9 +106,13 @@
     except FileError as error:
         raise CommandError(str(error), Exit.USAGE) from None
     if isinstance(store := parts.get("distribution-store"), StoreSettings):
-        return Group(store.group, store.secret, {entry.name: entry.address for entry in store.store})
+        return Group(
+            store.group, store.secret, {entry.name: entry.address for entry in store.store}
+        )
     if isinstance(node := parts.get("distribution"), MembersSettings):
-        return Group(node.group, node.secret, {f"{host}:{port}": (host, port) for host, port in node.stores})
+        return Group(
+            node.group, node.secret, {f"{host}:{port}": (host, port) for host, port in node.stores}
+        )
     raise CommandError(f"{path}: has neither [members.distribution] nor [distribution]", Exit.USAGE)
 
 
@@ -119,7 +128,8 @@
 
 
 def first(group: Group, ask: Callable[[Client], Awaitable[T | str]]) -> T:
-    """What the first store says that has an answer; a text is why it has none. Raises CommandError."""
+    """What the first store says that has an answer; a text is why it has none. Raises
+    CommandError."""
 
     async def run() -> T:
         said = []
@@ -146,7 +156,8 @@
 
 
 def entries_of(text: bytes, topic: str) -> tuple[Entry, ...]:
-    """A list of lines, or an object of values by key, null for those that are to go. Raises ValueError."""
+    """A list of lines, or an object of values by key, null for those that are to go. Raises
+    ValueError."""
     try:
         raw = json.loads(text, parse_constant=no_constant)
     except RecursionError:
@@ -181,14 +192,20 @@
 @FILE
 @TOPIC
 @click.option(
-    "--file", "entries_file", required=True, type=click.File("rb"), help="Lines, or values by key, as JSON."
+    "--file",
+    "entries_file",
+    required=True,
+    type=click.File("rb"),
+    help="Lines, or values by key, as JSON.",
+)
+@click.option(
+    "--expected", default=-1, type=click.IntRange(-1), help="Only if the topic has this number."
 )
-@click.option("--expected", default=-1, type=click.IntRange(-1), help="Only if the topic has this number.")
 def put(file: str, topic: str, entries_file: Any, expected: int) -> None:
     """Put entries into TOPIC: all of them at once, in force everywhere or nowhere.
 
-    `servers/SERVICE` takes lines of the platform's list, a JSON list, or an object of lines by instanceId;
-    null takes one out. Other entries of the topic stay as they are."""
+    `servers/SERVICE` takes lines of the platform's list, a JSON list, or an object of lines by
+    instanceId; null takes one out. Other entries of the topic stay as they are."""
     group = group_of(file)
     try:
         data = entries_file.read(MAX_FILE + 1)
@@ -291,13 +308,27 @@
         click.echo(json.dumps({name: row(s) for name, s in told.items()}))
     else:
         columns = ("store", *COLUMNS, "error")
-        rows = [(name, *(str(row(s).get(c, "")) for c in (*COLUMNS, "error"))) for name, s in told.items()]
+        rows = [
+            (name, *(str(row(s).get(c, "")) for c in (*COLUMNS, "error")))
+            for name, s in told.items()
+        ]
         show_table(columns, rows)
     if not leaders:
         raise CommandError("no store that answers leads: nothing can be put")
 
 
-COLUMNS = ("name", "role", "leader", "term", "committed", "last", "followers", "topics", "entries", "age_ms")
+COLUMNS = (
+    "name",
+    "role",
+    "leader",
+    "term",
+    "committed",
+    "last",
+    "followers",
+    "topics",
+    "entries",
+    "age_ms",
+)
 
 
 def row(told: Status | str) -> dict[str, Any]:
@@ -330,7 +361,8 @@
         raise CommandError(str(error), Exit.USAGE) from None
     if alone is None:
         raise CommandError(
-            f"{file}: has more than [distribution] and [log]: an installation is run by `serve`", Exit.USAGE
+            f"{file}: has more than [distribution] and [log]: an installation is run by `serve`",
+            Exit.USAGE,
         )
     if only_check:
         click.echo(f"{file}: good")
@@ -358,13 +390,17 @@
     try:
         driver = store_driver(settings, folder, loop, now_ms, failed)
     except (OSError, JournalError) as error:
-        raise CommandError(f"the store {settings.name} does not start: {error}", Exit.USAGE) from None
+        raise CommandError(
+            f"the store {settings.name} does not start: {error}", Exit.USAGE
+        ) from None
     try:
         await driver.start()
         say_listening(settings, driver)
         await stop.wait()
     except OSError as error:
-        raise CommandError(f"the store {settings.name} does not start: {error}", Exit.USAGE) from None
+        raise CommandError(
+            f"the store {settings.name} does not start: {error}", Exit.USAGE
+        ) from None
     finally:
         driver.close()
     if failures:
--- a/badgercart/distribution/driver.py
+++ b/badgercart/distribution/driver.py
@@ -1,4 +1,5 @@
-"""Carries stores' and followers' messages over TCP: frames behind lengths, one timer, bounded buffers."""
+"""Carries stores' and followers' messages over TCP: frames behind lengths, one timer, bounded
+buffers."""
 
 from __future__ import annotations
 
@@ -16,11 +17,21 @@
 from badgercart.distribution.effects import Close, Dial, Effect, Happened, Keep, KeepAll, Send, Take
 from badgercart.distribution.follower import Follower
 from badgercart.distribution.journal import Disk, JournalError
-from badgercart.distribution.messages import MAX_FRAME, Codec, Hello, Message, Refused, Status, StatusRequest
+from badgercart.distribution.messages import (
+    MAX_FRAME,
+    Codec,
+    Hello,
+    Message,
+    Refused,
+    Status,
+    StatusRequest,
+)
 from badgercart.distribution.store import Store
 
 LENGTH = struct.Struct("!I")
-HIGH = 256 << 10  # bytes that wait to be written to a connection, above which nothing more is told to it
+HIGH = (
+    256 << 10
+)  # bytes that wait to be written to a connection, above which nothing more is told to it
 MOST = 4 << 20  # bytes that may wait at all: a connection with more is ended
 STALL = 10.0  # s in which those have to go, and sent bytes to be acknowledged
 FLUSH = 1.0  # s for the last words to a connection that is ended
@@ -54,7 +65,9 @@
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(HIGH)
         self.source = "{}:{}".format(*(transport.get_extra_info("peername") or ("?", "?"))[:2])
-        if (sock := transport.get_extra_info("socket")) is not None and hasattr(socket, "TCP_USER_TIMEOUT"):
+        if (sock := transport.get_extra_info("socket")) is not None and hasattr(
+            socket, "TCP_USER_TIMEOUT"
+        ):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(STALL * 1000))
         self.driver.made(self)
 
@@ -91,7 +104,11 @@
 
     def pause_writing(self) -> None:
         self.slow = self.driver.loop.call_later(
-            STALL, self.driver.refuse, self, "slow", f"over {HIGH} bytes are not read in {STALL:.0f} s"
+            STALL,
+            self.driver.refuse,
+            self,
+            "slow",
+            f"over {HIGH} bytes are not read in {STALL:.0f} s",
         )
         self.driver.stalled(self)
 
@@ -122,15 +139,22 @@
 
 
 class Driver:
-    """One machine on connections. Effects are carried out in their order, also those that come meanwhile."""
+    """One machine on connections. Effects are carried out in their order, also those that come
+    meanwhile."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, clock: Callable[[], float], machine: Machine, codec: Codec
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Callable[[], float],
+        machine: Machine,
+        codec: Codec,
     ) -> None:
         self.loop, self.clock, self.codec = loop, clock, codec
         self.machine = machine
         self.links: dict[int, Link] = {}
-        self.refused: Counter[str] = Counter()  # frames and connections that were not taken, by kind
+        self.refused: Counter[str] = (
+            Counter()
+        )  # frames and connections that were not taken, by kind
         self.bytes_in = self.bytes_out = 0
         self.encoded: tuple[Message | None, bytes] = None, b""  # the last
         self.timer: asyncio.TimerHandle | None = None
@@ -199,7 +223,8 @@
         self.run(self.machine.received(self.clock(), link.number, message))
 
     def refuse(self, link: Link, kind: str, words: str) -> None:
-        """Strangers, spoilt frames, and who does not read: the connection ends, nothing else changes."""
+        """Strangers, spoilt frames, and who does not read: the connection ends, nothing else
+        changes."""
         if link.ended:
             return
         self.refused[kind] += 1
@@ -424,7 +449,9 @@
         link = Link(self, effect.connection)
         local = None if self.source is None else (self.source, 0)
         try:
-            await self.loop.create_connection(lambda: link, *self.stores[effect.store], local_addr=local)
+            await self.loop.create_connection(
+                lambda: link, *self.stores[effect.store], local_addr=local
+            )
         except OSError:
             self.run(self.follower.closed(self.clock(), effect.connection))
 
--- a/badgercart/distribution/effects.py
+++ b/badgercart/distribution/effects.py
@@ -43,7 +43,9 @@
 class Keep:
     """Have this on disk before anything that follows: what a store promised or said that it has.
 
-    `behind`: changes behind this place that were kept before are void, and these stand in their place."""
+    `behind`: changes behind this place that were kept before are void, and these stand in their
+    place.
+    """
 
     term: int
     voted: str  # for whom in this term; empty: nobody
@@ -63,7 +65,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Dial:
-    """Connect to the store of this number in the settings; the answer is `connected` or `closed`."""
+    """Connect to the store of this number in the settings; the answer is `connected` or
+    `closed`."""
 
     store: int
     connection: int
--- a/badgercart/distribution/follower.py
+++ b/badgercart/distribution/follower.py
@@ -1,9 +1,9 @@
 """A node's side as a machine: events with their time in, effects out. No I/O.
 
-It has one connection at a time, to one of the stores in an order drawn for this node alone. What it holds of
-a topic changes only by a whole whose digest is right, or by the very next change; whatever else comes is
-refused, said, and closed as a gap or by turning to another store. Times are ms on a clock that only goes
-forward; the driver calls `tick` when `due` says so.
+It has one connection at a time, to one of the stores in an order drawn for this node alone. What it
+holds of a topic changes only by a whole whose digest is right, or by the very next change; whatever
+else comes is refused, said, and closed as a gap or by turning to another store. Times are ms on a
+clock that only goes forward; the driver calls `tick` when `due` says so.
 """
 
 from __future__ import annotations
@@ -46,7 +46,9 @@
     dial: float = 1000.0  # for a connection to come up
     answer: float = 5000.0  # for the next word on what was asked for
     window: float = 2000.0  # a lost store is replaced at a moment drawn from all of this
-    longest: float = 30_000.0  # the window after many tries without a proof, each twice the one before
+    longest: float = (
+        30_000.0  # the window after many tries without a proof, each twice the one before
+    )
     lag: float = 3000.0  # a store that knew of no leader for so long is left, within the window
 
 
@@ -105,7 +107,9 @@
         self.staged_size = 0
         self.waits: set[str] = set()  # topics that an answer is owed for
         self.doubted: set[str] = set()  # topics of which ours may be wrong
-        self.unusable: set[str] = set()  # topics told whole again on this connection for what they held
+        self.unusable: set[str] = (
+            set()
+        )  # topics told whole again on this connection for what they held
         self.unknown: set[str] = set()  # topics of which it was said that nobody has them
         self.freshness = Freshness(rule or Rule())
         self.connection = 0  # the one that counts; whatever comes of others is passed over
@@ -137,7 +141,8 @@
         return self.freshness.age(now)
 
     def succeed(self, old: Follower) -> None:
-        """Go on from what another held, whose connections are closed. For one that has not begun."""
+        """Go on from what another held, whose connections are closed. For one that has not
+        begun."""
         for topic, held in old.topics.items():
             if topic in self.topics:
                 self.topics[topic], self.sizes[topic] = held, old.sizes[topic]
@@ -162,16 +167,23 @@
         if now >= self.since + self.timing.silence:
             return self.leave(now, "silent", f"no word for {self.timing.silence:.0f} ms")
         if now >= self.move_at:
-            # It still tells what it hears, so it was kept until now; the next one is called at once.
-            told = self.leave(now, "lags", f"it knew of no leader for over {self.timing.lag:.0f} ms")
+            # It still tells what it hears, so it was kept until now; the next one is called at
+            # once.
+            told = self.leave(
+                now, "lags", f"it knew of no leader for over {self.timing.lag:.0f} ms"
+            )
             return [*told, *self.dial(now)]
-        return self.leave(now, "no-answer", f"nothing on {min(self.waits)} for {self.timing.answer:.0f} ms")
+        return self.leave(
+            now, "no-answer", f"nothing on {min(self.waits)} for {self.timing.answer:.0f} ms"
+        )
 
     def connected(self, now: float, connection: int) -> list[Effect]:
         if connection != self.connection or self.up:
             return []
         self.up, self.since, self.progress = True, now, now
-        self.waits = {topic for topic, held in self.topics.items() if not held.number} | self.doubted
+        self.waits = {
+            topic for topic, held in self.topics.items() if not held.number
+        } | self.doubted
         return [Send(connection, Hello(self.name, False)), Send(connection, self.subscription())]
 
     def closed(self, now: float, connection: int) -> list[Effect]:
@@ -183,7 +195,8 @@
         if connection != self.connection or not self.up:
             return []
         if now >= self.since + self.timing.silence:
-            # This process stood still, or the link did: what lay in a buffer meanwhile would pass for new.
+            # This process stood still, or the link did: what lay in a buffer meanwhile would pass
+            # for new.
             return self.leave(now, "silent", f"no word for {now - self.since:.0f} ms")
         self.since = now
         try:
@@ -202,7 +215,8 @@
             return self.leave(now, left.kind, str(left))
 
     def ask_whole(self, now: float, topic: str) -> list[Effect]:
-        """What was taken of this topic can't be used: have all of it told again, once on one connection.
+        """What was taken of this topic can't be used: have all of it told again, once on one
+        connection.
 
         Where that is no better, its next change has it told again. Nothing is proven meanwhile."""
         self.doubted.add(topic)
@@ -223,7 +237,8 @@
         return [Dial(self.store, self.connection)]
 
     def leave(self, now: float, kind: str, words: str, end: bool = True) -> list[Effect]:
-        """Turn to the next store, at a moment drawn from the whole window: 8,600 do not come together."""
+        """Turn to the next store, at a moment drawn from the whole window: 8,600 do not come
+        together."""
         connection, self.connection = self.connection, 0
         self.up = self.greeted = False
         self.again = 0
@@ -271,7 +286,9 @@
             if topic in self.waits:
                 return []
             return self.resubscribe(now, topic, "unusable", f"change {message.number} may mend it")
-        if message.number != held.number + 1 and (topic in self.waits or message.number <= held.number):
+        if message.number != held.number + 1 and (
+            topic in self.waits or message.number <= held.number
+        ):
             if topic in self.waits or self.again:
                 return []  # written before the store read that we ask anew, or told twice for that
             raise Left("older", f"{topic} as of {message.number}, which is {held.number} here")
@@ -280,10 +297,15 @@
             return self.resubscribe(now, topic, "gap", words)
         if held.digest_with(message.entries) != message.digest:
             self.doubted.add(topic)
-            return self.resubscribe(now, topic, "digest", f"change {message.number} has a wrong digest")
+            return self.resubscribe(
+                now, topic, "digest", f"change {message.number} has a wrong digest"
+            )
         size = self.size_after(topic, message.entries)
         if self.size - self.sizes[topic] + size > self.most_bytes:
-            raise Left("oversized", f"with change {message.number} of {topic}, over {self.most_bytes} bytes")
+            raise Left(
+                "oversized",
+                f"with change {message.number} of {topic}, over {self.most_bytes} bytes",
+            )
         self.drop(topic)
         held.change(message.entries)
         self.in_force(now, topic, size)
@@ -292,7 +314,9 @@
     def whole(self, now: float, message: Whole) -> list[Effect]:
         topic, held = message.topic, self.held(message.topic)
         if message.number < held.number:
-            raise Left("older", f"{topic} whole as of {message.number}, which is {held.number} here")
+            raise Left(
+                "older", f"{topic} whole as of {message.number}, which is {held.number} here"
+            )
         if message.part == 1 and 0 < message.parts <= MAX_PARTS and message.number > 0:
             self.drop(topic)
             self.waits.add(topic)
@@ -300,7 +324,8 @@
         staged = self.staged.get(topic)
         if (
             staged is None
-            or (staged.number, staged.digest, staged.parts) != (message.number, message.digest, message.parts)
+            or (staged.number, staged.digest, staged.parts)
+            != (message.number, message.digest, message.parts)
             or staged.part != message.part
             or any(entry.value is None for entry in message.entries)
         ):
@@ -320,11 +345,19 @@
         fresh = Topic(staged.number, staged.entries)
         if fresh.digest != staged.digest:
             self.doubted.add(topic)
-            return self.resubscribe(now, topic, "digest", f"the whole of {staged.number} has a wrong digest")
+            return self.resubscribe(
+                now, topic, "digest", f"the whole of {staged.number} has a wrong digest"
+            )
         if self.size - self.sizes[topic] + staged.size > self.most_bytes:
             raise Left("oversized", f"with {topic} whole, over {self.most_bytes} bytes")
-        if fresh.number == held.number and fresh.digest != held.digest and topic not in self.doubted:
-            self.faults["other"] += 1  # another history: what more than half of the stores keep counts
+        if (
+            fresh.number == held.number
+            and fresh.digest != held.digest
+            and topic not in self.doubted
+        ):
+            self.faults["other"] += (
+                1  # another history: what more than half of the stores keep counts
+            )
         self.topics[topic] = fresh
         self.doubted.discard(topic)
         self.in_force(now, topic, staged.size)
@@ -345,7 +378,9 @@
 
     def no(self, now: float, message: No) -> list[Effect]:
         if message.kind != "unknown-topic":
-            raise Left(message.kind if message.kind in ("behind", "too-many") else "refused", message.words)
+            raise Left(
+                message.kind if message.kind in ("behind", "too-many") else "refused", message.words
+            )
         held = self.held(message.about)
         if held.number:
             raise Left("behind", f"it knows no {message.about}, which is {held.number} here")
--- a/badgercart/distribution/journal.py
+++ b/badgercart/distribution/journal.py
@@ -1,12 +1,12 @@
 """What a store keeps on disk: a snapshot of all topics, and a journal of what was kept since.
 
-A record is its length, the CRC32 of its body, the CRC32 of these eight bytes, and its body in MessagePack.
-One `Keep` is one record, written and synced before `keep` returns. A crash can spoil the last record alone,
-which nobody was told of: it is cut off. A spoilt record with a whole one behind it is none that a crash made:
-then nothing is started.
+A record is its length, the CRC32 of its body, the CRC32 of these eight bytes, and its body in
+MessagePack. One `Keep` is one record, written and synced before `keep` returns. A crash can spoil
+the last record alone, which nobody was told of: it is cut off. A spoilt record with a whole one
+behind it is none that a crash made: then nothing is started.
 
-A snapshot is written beside, synced and renamed; the journal behind it has its generation in its name and is
-there before. So at each moment one snapshot and its journal are whole.
+A snapshot is written beside, synced and renamed; the journal behind it has its generation in its
+name and is there before. So at each moment one snapshot and its journal are whole.
 """
 
 from __future__ import annotations
@@ -31,7 +31,8 @@
 
 
 class JournalError(Exception):
-    """What is on disk can't be trusted, or the disk has failed: the store must not start, or go on."""
+    """What is on disk can't be trusted, or the disk has failed: the store must not start, or go
+    on."""
 
 
 class Disk(Protocol):
@@ -90,7 +91,9 @@
 def _head_at(data: bytes, place: int) -> int | None:
     """The length of the body of a record that begins there; None: none does."""
     head = data[place : place + 8]
-    if len(data) - place < HEAD or zlib.crc32(head) != int.from_bytes(data[place + 8 : place + HEAD]):
+    if len(data) - place < HEAD or zlib.crc32(head) != int.from_bytes(
+        data[place + 8 : place + HEAD]
+    ):
         return None
     return int.from_bytes(head[:4])
 
@@ -105,7 +108,8 @@
 
 
 def records(data: bytes, name: str) -> tuple[list[bytes], int]:
-    """Bodies of whole records, and the bytes that they take; what a crash left behind them is not counted.
+    """Bodies of whole records, and the bytes that they take; what a crash left behind them is not
+    counted.
 
     Raises JournalError where a record behind a spoilt one is whole."""
     bodies: list[bytes] = []
@@ -115,7 +119,11 @@
         if body is None:
             length = _head_at(data, place)
             # Where the head is whole we know where the next begins; else it may begin anywhere.
-            after = range(place + 1, len(data)) if length is None else range(place + HEAD + length, len(data))
+            after = (
+                range(place + 1, len(data))
+                if length is None
+                else range(place + HEAD + length, len(data))
+            )
             whole = next((at for at in after if _body_at(data, at) is not None), None)
             if whole is not None:
                 raise JournalError(
@@ -141,7 +149,9 @@
             del changes[each.behind - start.index :]
             for change in each.changes:
                 if change.index != start.index + len(changes) + 1:
-                    raise JournalError(f"{name}: record {number} has a gap before place {change.index}")
+                    raise JournalError(
+                        f"{name}: record {number} has a gap before place {change.index}"
+                    )
                 changes.append(change)
         last = start.index + len(changes)
         if each.term < term or not committed <= each.committed <= last:
@@ -150,7 +160,9 @@
                 f"to term {each.term} and place {each.committed} of {last}"
             )
         term, voted, committed = each.term, each.voted, each.committed
-    return Recovered(term, voted, committed, start.index, start.index_term, start.topics, tuple(changes))
+    return Recovered(
+        term, voted, committed, start.index, start.index_term, start.topics, tuple(changes)
+    )
 
 
 class Journal:
@@ -221,10 +233,14 @@
         except msgspec.MsgspecError as error:
             raise JournalError(f"{SNAPSHOT}: {error}") from None
         if told.version != VERSION:
-            raise JournalError(f"{SNAPSHOT}: it is of version {told.version}, this program's is {VERSION}")
+            raise JournalError(
+                f"{SNAPSHOT}: it is of version {told.version}, this program's is {VERSION}"
+            )
         topics: dict[str, Topic] = {}
         for name, (number, digest, entries) in told.topics.items():
-            topic = topics[name] = Topic(number, (Entry(key, value) for key, value in entries.items()))
+            topic = topics[name] = Topic(
+                number, (Entry(key, value) for key, value in entries.items())
+            )
             if topic.digest != digest:
                 raise JournalError(f"{SNAPSHOT}: {name!r} has another digest than it should have")
         if told.index + len(told.changes) < told.committed or told.committed < told.index:
@@ -238,7 +254,9 @@
         try:
             first = _first(bodies[0])
             if first.version != VERSION:
-                raise JournalError(f"{name}: it is of version {first.version}, this program's is {VERSION}")
+                raise JournalError(
+                    f"{name}: it is of version {first.version}, this program's is {VERSION}"
+                )
             if first.generation != self.generation:
                 raise JournalError(f"{name}: it says that it is generation {first.generation}")
             return [_kept(body) for body in bodies[1:]]
@@ -255,8 +273,8 @@
     # Writing.
 
     def keep(self, effect: Keep | KeepAll) -> None:
-        """On disk when it returns. Raises OSError, and JournalError from then on: how much was kept is not
-        known, and a new process has to look."""
+        """On disk when it returns. Raises OSError, and JournalError from then on: how much was kept
+        is not known, and a new process has to look."""
         if isinstance(effect, KeepAll):
             self.compact(effect.state)
             return
@@ -277,7 +295,10 @@
     def compact(self, state: Recovered) -> None:
         """Keep this in the place of all that was kept before. Raises as `keep`."""
         self.check()
-        topics = {name: (topic.number, topic.digest, topic.entries) for name, topic in state.topics.items()}
+        topics = {
+            name: (topic.number, topic.digest, topic.entries)
+            for name, topic in state.topics.items()
+        }
         told = _Snapshot(
             VERSION,
             self.generation + 1,
@@ -291,7 +312,9 @@
         )
         old, before = self.handle, self.generation
         try:
-            fresh = os.open(self.folder / FRESH, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+            fresh = os.open(
+                self.folder / FRESH, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600
+            )
             try:
                 takes = self.write(fresh, _encode(told))
                 os.fsync(fresh)
@@ -318,7 +341,9 @@
 
     def check(self) -> None:
         if self.failed or self.handle < 0:
-            raise JournalError(f"{self.folder}: nothing is kept any more: {self.failed or 'not recovered'}")
+            raise JournalError(
+                f"{self.folder}: nothing is kept any more: {self.failed or 'not recovered'}"
+            )
 
     @staticmethod
     def write(handle: int, body: bytes) -> int:
--- a/badgercart/distribution/messages.py
+++ b/badgercart/distribution/messages.py
@@ -1,8 +1,9 @@
-"""What stores and followers say to each other: versioned, bounded, keyed by the group's secret. No I/O.
+"""What stores and followers say to each other: versioned, bounded, keyed by the group's secret. No
+I/O.
 
-A frame is `bd`, the protocol's version, a keyed hash of all that follows, and MessagePack. Whatever is not
-of this group, this version and this size is refused before any of it is read, and changes nothing. On TCP a
-frame stands behind its length (4 bytes, big-endian).
+A frame is `bd`, the protocol's version, a keyed hash of all that follows, and MessagePack. Whatever
+is not of this group, this version and this size is refused before any of it is read, and changes
+nothing. On TCP a frame stands behind its length (4 bytes, big-endian).
 """
 
 from __future__ import annotations
@@ -62,7 +63,8 @@
 
 
 class VoteRequest(msgspec.Struct, tag="vq", array_like=True, frozen=True):
-    """Let me lead this term; my log ends there. `only_asking`: would you? (no term is begun by that)"""
+    """Let me lead this term; my log ends there. `only_asking`: would you? (no term is begun by
+    that)"""
 
     term: int
     last_term: int
@@ -77,7 +79,8 @@
 
 
 class Append(msgspec.Struct, tag="a", array_like=True, frozen=True):
-    """The leader's log behind `after`, which the receiver has committed; nothing new is a sign of life.
+    """The leader's log behind `after`, which the receiver has committed; nothing new is a sign of
+    life.
 
     What the receiver has said that it has as told may be committed by this very message."""
 
@@ -85,7 +88,9 @@
     after: int
     changes: tuple[Change, ...]
     committed: int  # the last place that more than half of the voters keep
-    age: float = 0.0  # ms since the leader last knew that more than half of the voters had it as leader
+    age: float = (
+        0.0  # ms since the leader last knew that more than half of the voters had it as leader
+    )
 
 
 class Appended(msgspec.Struct, tag="d", array_like=True, frozen=True):
@@ -107,14 +112,17 @@
     index_term: int
     part: int
     parts: int
-    topics: tuple[tuple[str, int, int, tuple[Entry, ...]], ...]  # topic, number, digest, some of its entries
+    topics: tuple[
+        tuple[str, int, int, tuple[Entry, ...]], ...
+    ]  # topic, number, digest, some of its entries
 
 
 # Between stores and followers.
 
 
 class Subscribe(msgspec.Struct, tag="f", array_like=True, frozen=True):
-    """Tell me these topics, from the number and digest that I have; 0, 0: nothing; WHOLE, 0: all anew.
+    """Tell me these topics, from the number and digest that I have; 0, 0: nothing; WHOLE, 0: all
+    anew.
 
     Replaces what was asked for before."""
 
@@ -122,7 +130,8 @@
 
 
 class Whole(msgspec.Struct, tag="w", array_like=True, frozen=True):
-    """A part of a whole topic. In order; in force with the last part, and only if the digest is right."""
+    """A part of a whole topic. In order; in force with the last part, and only if the digest is
+    right."""
 
     topic: str
     number: int
@@ -144,8 +153,8 @@
 class Beat(msgspec.Struct, tag="b", array_like=True, frozen=True):
     """All that was asked for is told as of `age` ms ago.
 
-    That is when this store last knew of a leader that more than half of the voters have; inf: it has not
-    since it began."""
+    That is when this store last knew of a leader that more than half of the voters have; inf: it
+    has not since it began."""
 
     age: float
 
@@ -153,7 +162,9 @@
 class No(msgspec.Struct, tag="n", array_like=True, frozen=True):
     """Something asked for can't be had: why.
 
-    `unknown-topic`; `behind`: I know less of it than you; `too-many`: I can't take another follower."""
+    `unknown-topic`; `behind`: I know less of it than you; `too-many`: I can't take another
+    follower.
+    """
 
     kind: str
     about: str  # the topic, if it is about one
@@ -164,7 +175,8 @@
 
 
 class Propose(msgspec.Struct, tag="p", array_like=True, frozen=True):
-    """Put these into a topic. `expected`: only if the topic's number is this; -1: whatever it is."""
+    """Put these into a topic. `expected`: only if the topic's number is this; -1: whatever it
+    is."""
 
     serial: int  # by which the answer is known
     topic: str
@@ -175,8 +187,10 @@
 class Proposed(msgspec.Struct, tag="q", array_like=True, frozen=True):
     """In force as this number of its topic; or not, for this `error`.
 
-    `not-leading` (`words`: who leads, if known), `conflict` (another number than expected), `too-many`,
-    `oversized`, `unknown`: the term ended before it was decided, so that it may be in force or not."""
+    `not-leading` (`words`: who leads, if known), `conflict` (another number than expected),
+    `too-many`, `oversized`, `unknown`: the term ended before it was decided, so that it may be in
+    force or not.
+    """
 
     serial: int
     number: int
@@ -221,7 +235,8 @@
     | Status
 )
 
-# What people read of a message that came out of turn; these words don't follow the names of the types.
+# What people read of a message that came out of turn; these words don't follow the names of the
+# types.
 LABELS: dict[type[Message], str] = {
     Hello: "Hello",
     VoteRequest: "VoteRequest",
@@ -266,11 +281,14 @@
         raise Refused("oversized", f"a change of {len(entries)} entries is over {MAX_ENTRIES}")
     for name in (*names, *(entry.key for entry in entries)):
         if not 0 < len(name) <= NAME or not name.isprintable():
-            raise Refused("malformed", f"{name[:40]!r} is no name: 1 to {NAME} printable characters")
+            raise Refused(
+                "malformed", f"{name[:40]!r} is no name: 1 to {NAME} printable characters"
+            )
     for entry in entries:
         if entry.value is not None and len(entry.value) > MAX_VALUE:
             raise Refused(
-                "oversized", f"the value of {entry.key!r} has {len(entry.value)} bytes of {MAX_VALUE}"
+                "oversized",
+                f"the value of {entry.key!r} has {len(entry.value)} bytes of {MAX_VALUE}",
             )
 
 
--- a/badgercart/distribution/part.py
+++ b/badgercart/distribution/part.py
@@ -40,8 +40,11 @@
 KEPT = ("group", "service")  # settings that take a restart
 
 
-def members_of(reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, Member]) -> list[Member]:
-    """The lines of a topic of servers. A key that is gone has left. ValueError where any line is none."""
+def members_of(
+    reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, Member]
+) -> list[Member]:
+    """The lines of a topic of servers. A key that is gone has left. ValueError where any line is
+    none."""
     members = []
     for key, value in {entry.key: entry.value for entry in entries}.items():
         if value is None:
@@ -96,7 +99,14 @@
         follower = Follower(config.name, (self.topic,), len(settings.stores), timing, rng, rule)
         codec = Codec(settings.group, settings.secret.encode())
         return FollowerDriver(
-            self.host.loop, join.clock, follower, codec, settings.stores, self.take, self.look, config.source
+            self.host.loop,
+            join.clock,
+            follower,
+            codec,
+            settings.stores,
+            self.take,
+            self.look,
+            config.source,
         )
 
     @property
@@ -133,7 +143,9 @@
             lambda: self.refused + self.driver.refused,
             "kind",
         )
-        meters.counter("badgercart_distribution_dials", "Calls to stores.", lambda: self.follower.dials)
+        meters.counter(
+            "badgercart_distribution_dials", "Calls to stores.", lambda: self.follower.dials
+        )
 
     # Life.
 
@@ -143,7 +155,9 @@
         self.driver.start()
 
     def prepare(self, settings: MembersSettings) -> Callable[[], None]:
-        return lambda: self.move(settings.model_copy(update={k: getattr(self.settings, k) for k in KEPT}))
+        return lambda: self.move(
+            settings.model_copy(update={k: getattr(self.settings, k) for k in KEPT})
+        )
 
     def move(self, settings: MembersSettings) -> None:
         """Other stores, secrets and times: the list stays in force, its age runs on."""
@@ -183,7 +197,8 @@
             self.driver.run(self.follower.ask_whole(self.host.join.clock(), told.topic))
             return
         if told.whole and len(members) >= LONG_LIST:
-            gc.freeze()  # the collector would stop the loop for long to look at all of them again and again
+            # the collector would stop the loop for long to look at all of them again and again
+            gc.freeze()
 
     def look(self) -> None:
         """Say a change of the list's state, and wake up for the next one."""
@@ -244,7 +259,9 @@
     except BaseException:
         journal.close()
         raise
-    timing = Timing(settings.heartbeat_ms, settings.election_ms, settings.beat_ms, settings.patience_ms)
+    timing = Timing(
+        settings.heartbeat_ms, settings.election_ms, settings.beat_ms, settings.patience_ms
+    )
     names = tuple(entry.name for entry in settings.store)
     voters = tuple(entry.name for entry in settings.store if entry.voter)
     rng = random.Random()  # elections: no two stores may draw alike
@@ -275,7 +292,9 @@
         self.host, self.settings = host, settings
         self.driver: StoreDriver | None = None
         meters = host.meters
-        meters.gauge("badgercart_store_age_seconds", "Time since it knew that it had all.", self.age)
+        meters.gauge(
+            "badgercart_store_age_seconds", "Time since it knew that it had all.", self.age
+        )
         meters.gauge("badgercart_store_leading", "1 while it leads.", lambda: float(self.leading()))
         meters.gauge(
             "badgercart_store_followers",
@@ -305,7 +324,9 @@
 
     async def start(self) -> None:
         host, settings = self.host, self.settings
-        self.driver = store_driver(settings, host.folder, host.loop, host.join.clock, lambda error: None)
+        self.driver = store_driver(
+            settings, host.folder, host.loop, host.join.clock, lambda error: None
+        )
         await self.driver.start()
         say_listening(settings, self.driver)
 
--- a/badgercart/distribution/settings.py
+++ b/badgercart/distribution/settings.py
@@ -17,9 +17,13 @@
 class MembersSettings(Table, title="MembersSettings"):
     """the server list from stores that tell changes"""
 
-    group: Name = Field(max_length=64, description="the group's name; stores of other groups are strangers")
+    group: Name = Field(
+        max_length=64, description="the group's name; stores of other groups are strangers"
+    )
     secret: Name = Field(
-        min_length=16, max_length=256, description="the group's secret, by which its messages are known"
+        min_length=16,
+        max_length=256,
+        description="the group's secret, by which its messages are known",
     )
     stores: Addresses = Field(
         max_length=256,
@@ -60,7 +64,9 @@
 
     name: Name = Field(max_length=64, description="its name")
     address: Address = Field(description="the host:port where others reach it")
-    voter: bool = Field(False, description="whether it votes and keeps changes before they are in force")
+    voter: bool = Field(
+        False, description="whether it votes and keeps changes before they are in force"
+    )
 
 
 class StoreSettings(Table, title="StoreSettings"):
@@ -80,7 +86,9 @@
         le=60_000,
         description="the least silence of a leader before another is chosen (ms); twice that at most",
     )
-    beat_ms: float = Field(500.0, ge=10, le=60_000, description="the time between two words to a node (ms)")
+    beat_ms: float = Field(
+        500.0, ge=10, le=60_000, description="the time between two words to a node (ms)"
+    )
     patience_ms: float = Field(
         5000.0, ge=10, le=60_000, description="the time for a store's answer or a first word (ms)"
     )
@@ -108,7 +116,10 @@
 def store_faults(settings: StoreSettings) -> Iterator[tuple[Path, str]]:
     """What only several settings together can get wrong."""
     if settings.election_ms < 3 * settings.heartbeat_ms:
-        yield ("election_ms",), "is not three times heartbeat_ms: leaders would be lost for one late word"
+        yield (
+            ("election_ms",),
+            "is not three times heartbeat_ms: leaders would be lost for one late word",
+        )
     if not settings.store:
         yield ("store",), "is missing: [[distribution.store]] for each store of the group"
         return
--- a/badgercart/distribution/store.py
+++ b/badgercart/distribution/store.py
@@ -1,7 +1,8 @@
 """One store: its part in the replicated log, and what it tells its followers. No I/O.
 
-Raft (Ongaro, Ousterhout, 2014) with pre-votes and a lease: terms, votes, a log of changes, and a place up to
-which it is in force (*committed*). What holds, and what keeps it so, stands in docs/design/distribution.md;
+Raft (Ongaro, Ousterhout, 2014) with pre-votes and a lease: terms, votes, a log of changes, and a
+place up to which it is in force (*committed*). What holds, and what keeps it so, stands in
+docs/design/distribution.md;
 in short:
 
 - One vote a term, on disk before it is said: a term has one leader at most.
@@ -52,7 +53,9 @@
     """Times in ms."""
 
     heartbeat: float = 100.0  # between a leader's signs of life
-    election: float = 1000.0  # the least silence of a leader before another is elected; twice that at most
+    election: float = (
+        1000.0  # the least silence of a leader before another is elected; twice that at most
+    )
     beat: float = 1000.0  # between two beats to a follower
     patience: float = 5000.0  # with a connection that owes a Hello or an answer
 
@@ -91,7 +94,9 @@
     """All topics as the leader tells them, until they are whole."""
 
     told: State  # its last part
-    topics: dict[str, tuple[int, int, Topic]] = field(default_factory=dict)  # number, digest, entries so far
+    topics: dict[str, tuple[int, int, Topic]] = field(
+        default_factory=dict
+    )  # number, digest, entries so far
     entries: int = 0
 
     def follows(self, told: State) -> bool:
@@ -150,16 +155,22 @@
         most_followers: int = 1024,
         bounds: Bounds | None = None,
     ) -> None:
-        """`voters` are among `stores`, and `name` too. What was recovered is the store's from now on."""
+        """`voters` are among `stores`, and `name` too. What was recovered is the store's from now
+        on."""
         if not set(voters) | {name} <= set(stores) or not voters:
-            raise ValueError(f"{name!r} and the voters {voters} have to be among the stores {stores}")
+            raise ValueError(
+                f"{name!r} and the voters {voters} have to be among the stores {stores}"
+            )
         self.name, self.voters, self.stores = name, voters, stores
         self.timing, self.random = timing, rng
         self.bounds = Bounds() if bounds is None else bounds
         self.now = 0.0
         # On disk.
         self.term, self.voted = recovered.term, recovered.voted
-        self.base, self.base_term = recovered.index, recovered.index_term  # the log begins behind this place
+        self.base, self.base_term = (
+            recovered.index,
+            recovered.index_term,
+        )  # the log begins behind this place
         self.log: list[Change] = list(recovered.changes)
         self.log_bytes = 0  # of its part that is in force
         # Not on disk.
@@ -173,10 +184,14 @@
         self.peers: dict[str, Connection] = {}  # stores that have said Hello
         self.votes: set[str] = set()
         self.stage: Stage | None = None
-        self.waiting: dict[int, list[tuple[int, int, str]]] = {}  # connection, serial, topic; by place
+        self.waiting: dict[
+            int, list[tuple[int, int, str]]
+        ] = {}  # connection, serial, topic; by place
         self.waiting_count = 0
         self.tail_bytes = self.tail_entries = 0  # of what is not in force, as leader
-        self.backed: dict[str, float] = {}  # when what each store answered last was sent, in this term
+        self.backed: dict[
+            str, float
+        ] = {}  # when what each store answered last was sent, in this term
         self.ahead: dict[str, Ahead] = {}
         self.first = 0  # the place of our own term's first change, as leader
         self.known = float("-inf")  # when we last had all that was in force
@@ -213,8 +228,11 @@
         return min(self.election_at, self.heartbeat_at, self.beat_at)
 
     def age(self, now: float) -> float:
-        """ms since this store last knew that it had all that was in force; inf: it has not since it began."""
-        sure = self.leading and self.committed >= self.first  # before that we don't know what was in force
+        """ms since this store last knew that it had all that was in force; inf: it has not since it
+        began."""
+        sure = (
+            self.leading and self.committed >= self.first
+        )  # before that we don't know what was in force
         return max(0.0, now - (max(self.known, self.confirmed()) if sure else self.known))
 
     def state(self) -> Recovered:
@@ -226,12 +244,15 @@
     def state_with(self, topics: dict[str, Topic]) -> Recovered:
         behind = tuple(self.log[self.committed - self.base :])
         term = self.term_at(self.committed)
-        return Recovered(self.term, self.voted, self.committed, self.committed, term, topics, behind)
+        return Recovered(
+            self.term, self.voted, self.committed, self.committed, term, topics, behind
+        )
 
     # Calls.
 
     def start(self, now: float) -> list[Effect]:
-        """Begin. A vote that was given before may be a leader's whose lease runs: none for that long."""
+        """Begin. A vote that was given before may be a leader's whose lease runs: none for that
+        long."""
         self.now = self.heard = now
         self.beat_at = now + self.timing.beat
         if self.voters == (self.name,):
@@ -331,16 +352,21 @@
         if source.name:
             self.close(source, "stray", "it said Hello twice")
         elif source.expected and (not hello.store or hello.name != source.expected):
-            self.close(source, "stray", f"{hello.name!r} answers where {source.expected!r} was dialled")
+            self.close(
+                source, "stray", f"{hello.name!r} answers where {source.expected!r} was dialled"
+            )
         elif hello.store and (hello.name == self.name or hello.name not in self.stores):
-            self.close(source, "stray", f"{hello.name!r} is not another of the stores {self.stores}")
+            self.close(
+                source, "stray", f"{hello.name!r} is not another of the stores {self.stores}"
+            )
         else:
             source.name, source.store = hello.name, hello.store
             if hello.store:
                 self.join(source)
 
     def join(self, source: Connection) -> None:
-        """Another store is in reach. One that was here by that name is so no more: it has begun anew."""
+        """Another store is in reach. One that was here by that name is so no more: it has begun
+        anew."""
         if (old := self.peers.get(source.name)) is not None:
             self.close(old, "replaced", f"{source.name!r} has a newer connection")
         self.peers[source.name] = source
@@ -446,7 +472,8 @@
         return 2 * count > len(self.voters)
 
     def wait(self) -> None:
-        """For a leader, by the least silence and a random part more; who has no vote waits for ever."""
+        """For a leader, by the least silence and a random part more; who has no vote waits for
+        ever."""
         span = self.timing.election * (1 + self.random.random())
         self.election_at = self.now + span if self.name in self.voters else math.inf
 
@@ -472,7 +499,10 @@
         for waiting in self.waiting.values():
             for connection, serial, _ in waiting:
                 if (source := self.connections.get(connection)) is not None:
-                    self.send(source, Proposed(serial, 0, "unknown", "the term ended before it was decided"))
+                    self.send(
+                        source,
+                        Proposed(serial, 0, "unknown", "the term ended before it was decided"),
+                    )
         self.waiting.clear()
         self.ahead.clear()
         self.waiting_count = self.tail_bytes = self.tail_entries = 0
@@ -593,7 +623,8 @@
             ahead.entries.update((entry.key, entry.value) for entry in change.entries)
 
     def advance(self) -> None:
-        """The last place that more than half of the voters keep, if it is of our own term, is in force."""
+        """The last place that more than half of the voters keep, if it is of our own term, is in
+        force."""
         places = [
             self.last if v == self.name else self.peers[v].match if v in self.peers else 0
             for v in self.voters
@@ -659,8 +690,12 @@
         self.ask_of(peer, message)
 
     def tell_whole(self, peer: Connection, sign: bool) -> None:
-        """All topics, a part with each answer; to some stores at one time, since each has its copy."""
-        if peer.state is None and sum(p.state is not None for p in self.peers.values()) < self.bounds.stages:
+        """All topics, a part with each answer; to some stores at one time, since each has its
+        copy."""
+        if (
+            peer.state is None
+            and sum(p.state is not None for p in self.peers.values()) < self.bounds.stages
+        ):
             peer.state = self.parts()
         if peer.state is not None and (part := next(peer.state, None)) is not None:
             self.order(peer, part)
@@ -753,7 +788,10 @@
             )
         bounds = self.bounds
         if self.waiting_count >= bounds.waiting or self.tail_bytes + takes > bounds.waiting_bytes:
-            return "too-many", f"{self.waiting_count} proposals of {self.tail_bytes} bytes wait to be decided"
+            return (
+                "too-many",
+                f"{self.waiting_count} proposals of {self.tail_bytes} bytes wait to be decided",
+            )
         ahead = self.ahead.get(asked.topic)
         number = self.number(asked.topic) if ahead is None else ahead.number
         if asked.expected not in (-1, number):
@@ -777,7 +815,8 @@
     # Being led.
 
     def led_by(self, source: Connection, term: int) -> bool:
-        """Whether a leader's message is of this term or a later one; who leads an earlier one is told so."""
+        """Whether a leader's message is of this term or a later one; who leads an earlier one is
+        told so."""
         if term < self.term:
             self.send(source, Appended(self.term, 0, self.committed, True))
             return False
@@ -815,8 +854,12 @@
             if change.index <= self.last and self.term_at(change.index) == change.term:
                 continue
             if change.index <= self.committed:
-                self.effects.append(Happened("store-fork", {"store": source.name, "index": change.index}))
-                self.close(source, "fork", f"place {change.index} is in force here with another change")
+                self.effects.append(
+                    Happened("store-fork", {"store": source.name, "index": change.index})
+                )
+                self.close(
+                    source, "fork", f"place {change.index} is in force here with another change"
+                )
                 return
             self.keep(change.index - 1, changes[at:])
             break
@@ -847,7 +890,9 @@
             told.part == told.parts and (fault := stage.fault(self.topics))
         ):
             self.stage = None
-            self.effects.append(Happened("store-state-refused", {"store": source.name, "why": fault}))
+            self.effects.append(
+                Happened("store-state-refused", {"store": source.name, "why": fault})
+            )
             self.close(source, "spoilt", fault)
             return
         if told.part == told.parts:
@@ -857,7 +902,8 @@
         self.answer(source, False)
 
     def install(self, told: State, topics: dict[str, Topic]) -> None:
-        """All topics are as of a later place. What we have behind that place stays, if it is the leader's."""
+        """All topics are as of a later place. What we have behind that place stays, if it is the
+        leader's."""
         tail: list[Change] = []
         if told.index <= self.last and self.term_at(told.index) == told.index_term:
             tail = self.log[told.index - self.base :]
--- a/badgercart/distribution/telling.py
+++ b/badgercart/distribution/telling.py
@@ -1,8 +1,9 @@
-"""What a store tells its followers: changes in force, to those alone that asked for the topic. No I/O.
+"""What a store tells its followers: changes in force, to those alone that asked for the topic. No
+I/O.
 
-A follower that is behind by little gets the changes that it lacks (a bounded history), else the topic whole.
-No more is built for a connection than BURST bytes a call: what is left over waits for the next, and what
-changes meanwhile is told from what the follower was sent last.
+A follower that is behind by little gets the changes that it lacks (a bounded history), else the
+topic whole. No more is built for a connection than BURST bytes a call: what is left over waits for
+the next, and what changes meanwhile is told from what the follower was sent last.
 """
 
 from __future__ import annotations
@@ -25,7 +26,9 @@
 )
 from badgercart.distribution.topic import EACH, Topic
 
-BURST = 256 << 10  # bytes built for one connection in one call; the message that passes it is the last
+BURST = (
+    256 << 10
+)  # bytes built for one connection in one call; the message that passes it is the last
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,9 +60,15 @@
     """One subscribed connection."""
 
     connection: int
-    told: dict[str, int] = field(default_factory=dict)  # the number last sent, or that it had; by topic
-    ahead: dict[str, int] = field(default_factory=dict)  # digests of topics that it knew more of than we did
-    todo: dict[str, None] = field(default_factory=dict)  # topics that it is to be told, first come first
+    told: dict[str, int] = field(
+        default_factory=dict
+    )  # the number last sent, or that it had; by topic
+    ahead: dict[str, int] = field(
+        default_factory=dict
+    )  # digests of topics that it knew more of than we did
+    todo: dict[str, None] = field(
+        default_factory=dict
+    )  # topics that it is to be told, first come first
     whole: deque[Whole] = field(default_factory=deque)  # parts that are left of the topic under way
     stalled: bool = False
     complete: float = float("-inf")  # when it had last been sent all
@@ -74,7 +83,9 @@
         self.followers: dict[int, Follower] = {}
         self.index: dict[str, dict[int, None]] = {}  # connections that asked for a topic
         self.subscriptions = 0
-        self.busy: dict[int, None] = {}  # connections that have something to be told and room for it
+        self.busy: dict[
+            int, None
+        ] = {}  # connections that have something to be told and room for it
         self.deltas: dict[str, deque[Delta]] = {}
         self.order: OrderedDict[tuple[str, int], int] = OrderedDict()  # of all deltas: their bytes
         self.history_bytes = 0
@@ -116,8 +127,12 @@
         return effects
 
     def caught_up(self, follower: Follower, name: str, topic: Topic) -> None:
-        """A follower knew more of a topic than we did: it is told whole where its number was another's."""
-        if topic.number == follower.told[name] and follower.ahead.pop(name, topic.digest) != topic.digest:
+        """A follower knew more of a topic than we did: it is told whole where its number was
+        another's."""
+        if (
+            topic.number == follower.told[name]
+            and follower.ahead.pop(name, topic.digest) != topic.digest
+        ):
             follower.told[name] = WHOLE
             self.want(follower, name)
 
@@ -136,7 +151,9 @@
         self.history_bytes += takes
         if len(past) > self.bounds.history_each:
             self.forget(delta.topic, past[0].number)
-        while len(self.order) > self.bounds.history or self.history_bytes > self.bounds.history_bytes:
+        while (
+            len(self.order) > self.bounds.history or self.history_bytes > self.bounds.history_bytes
+        ):
             self.forget(*next(iter(self.order)))
 
     def forget(self, name: str, number: int) -> None:
@@ -174,7 +191,9 @@
         elif len(asked.topics) > MAX_TOPICS:
             over = f"{len(asked.topics)} topics are more than {MAX_TOPICS}"
         elif self.subscriptions - had + len(asked.topics) > self.bounds.subscriptions:
-            over = f"this store's followers would ask for more than {self.bounds.subscriptions} topics"
+            over = (
+                f"this store's followers would ask for more than {self.bounds.subscriptions} topics"
+            )
         if over:
             return [Send(connection, No("too-many", "", over)), Close(connection, "too-many", over)]
         self.closed(connection)
@@ -198,7 +217,9 @@
             elif number < mine:
                 self.want(follower, name)
             elif digest != topic.digest:
-                follower.told[name] = WHOLE  # its number is ours, what it has is not: no change mends that
+                follower.told[name] = (
+                    WHOLE  # its number is ours, what it has is not: no change mends that
+                )
                 self.want(follower, name)
         return effects + self.pump(now, follower)
 
@@ -241,7 +262,9 @@
         """Up to BURST bytes of what a follower is to be told."""
         effects: list[Effect] = []
         connection = follower.connection
-        while self.spent.get(connection, 0) < BURST and (message := self.next(follower)) is not None:
+        while (
+            self.spent.get(connection, 0) < BURST and (message := self.next(follower)) is not None
+        ):
             effects.append(Send(connection, message))
             self.spend(connection, size(message.entries))
         if follower.todo and not follower.stalled:
@@ -277,7 +300,8 @@
         return message
 
     def beats(self, now: float, known: float) -> list[Effect]:
-        """To each follower how old what it was told is; `known`: when we had all that was in force."""
+        """To each follower how old what it was told is; `known`: when we had all that was in
+        force."""
         effects: list[Effect] = []
         for follower in self.followers.values():
             if follower.stalled:
@@ -285,5 +309,7 @@
             if not follower.todo:
                 follower.complete = now
             if follower.complete > float("-inf"):
-                effects.append(Send(follower.connection, Beat(max(0.0, now - min(known, follower.complete)))))
+                effects.append(
+                    Send(follower.connection, Beat(max(0.0, now - min(known, follower.complete))))
+                )
         return effects
--- a/badgercart/distribution/topic.py
+++ b/badgercart/distribution/topic.py
@@ -1,8 +1,9 @@
-"""One topic: its entries, the number of its last change, and a digest that costs no look at all of them.
+"""One topic: its entries, the number of its last change, and a digest that costs no look at all of
+them.
 
-The digest is the sum, modulo 2**64, of a hash of each key with its value: the same at all who have the same,
-by whatever way they came to it. The group's keyed hash on each frame keeps strangers out; the digest finds
-mistakes.
+The digest is the sum, modulo 2**64, of a hash of each key with its value: the same at all who have
+the same, by whatever way they came to it. The group's keyed hash on each frame keeps strangers out;
+the digest finds mistakes.
 """
 
 from __future__ import annotations
@@ -27,7 +28,8 @@
 
 
 class Topic:
-    """Entries by key, as of one number. It grows by its entries alone: who keeps many bounds them."""
+    """Entries by key, as of one number. It grows by its entries alone: who keeps many bounds
+    them."""
 
     __slots__ = ("digest", "entries", "number")
 
--- a/badgercart/fronts/graphql/documents.py
+++ b/badgercart/fronts/graphql/documents.py
@@ -1,6 +1,8 @@
-"""Documents and plans that were made before, bounded in bytes; persisted documents by their hash. No I/O.
+"""Documents and plans that were made before, bounded in bytes; persisted documents by their hash.
+No I/O.
 
-Source: Apollo's "Automatic persisted queries" for `extensions.persistedQuery` (version 1, sha256Hash).
+Source: Apollo's "Automatic persisted queries" for `extensions.persistedQuery` (version 1,
+sha256Hash).
 """
 
 from __future__ import annotations
@@ -68,7 +70,8 @@
 
 
 class Documents:
-    """From what a client asked to a plan. `allowed`, text by hash, is all that is taken where it is given."""
+    """From what a client asked to a plan. `allowed`, text by hash, is all that is taken where it is
+    given."""
 
     def __init__(
         self,
@@ -85,7 +88,9 @@
         self.documents = Cache(cache * 3 // 4)
         self.persisted = Cache(cache // 4)
 
-    def plan(self, asked: Asked, client_key: str) -> tuple[Plan, OperationDefinitionNode, DocumentNode]:
+    def plan(
+        self, asked: Asked, client_key: str
+    ) -> tuple[Plan, OperationDefinitionNode, DocumentNode]:
         """Raises Rejected."""
         text = self.text(asked)
         known = self.sound(text)
@@ -94,14 +99,20 @@
         try:
             operation = choose(document, asked.operation)
         except BadOperation as bad:
-            raise Rejected([formatted(e, "OPERATION_RESOLUTION_FAILURE") for e in bad.errors]) from None
+            raise Rejected(
+                [formatted(e, "OPERATION_RESOLUTION_FAILURE") for e in bad.errors]
+            ) from None
         if len(json.dumps(asked.variables)) > self.limits.variables:
-            raise Rejected([error(f"the variables are over {self.limits.variables} bytes", "LIMIT_EXCEEDED")])
+            raise Rejected(
+                [error(f"the variables are over {self.limits.variables} bytes", "LIMIT_EXCEEDED")]
+            )
         memo = known.memos.setdefault(asked.operation, Memo())
         try:
             plan = self.planner.plan(document, operation, asked.variables, client_key, memo)
         except BadOperation as bad:
-            raise Rejected([formatted(e, "BAD_USER_INPUT") for e in bad.errors[:MAX_ERRORS]]) from None
+            raise Rejected(
+                [formatted(e, "BAD_USER_INPUT") for e in bad.errors[:MAX_ERRORS]]
+            ) from None
         if not self.introspection and any(root.name != "__typename" for root in plan.local):
             raise Rejected([error("introspection is switched off", "INTROSPECTION_DISABLED")])
         return plan, operation, document
@@ -116,7 +127,9 @@
         if self.allowed is not None:
             wanted = digest or (sha256(text.encode()).hexdigest() if text else "")
             if wanted not in self.allowed or (text is not None and text != self.allowed[wanted]):
-                raise Rejected([error("this document is not on the list", "PERSISTED_QUERY_NOT_ALLOWED")])
+                raise Rejected(
+                    [error("this document is not on the list", "PERSISTED_QUERY_NOT_ALLOWED")]
+                )
             return self.allowed[wanted]
         if digest is None:
             if text is None:
@@ -161,5 +174,7 @@
 def formatted(problem: GraphQLError, code: str) -> dict[str, Any]:
     told: dict[str, Any] = {"message": problem.message, "extensions": {"code": code}}
     if problem.locations:
-        told["locations"] = [{"line": place.line, "column": place.column} for place in problem.locations]
+        told["locations"] = [
+            {"line": place.line, "column": place.column} for place in problem.locations
+        ]
     return told
--- a/badgercart/fronts/graphql/execution.py
+++ b/badgercart/fronts/graphql/execution.py
@@ -1,8 +1,8 @@
 """Carries out one plan: its parts become requests to the core, and their ends one response.
 
-Parts of a query go side by side, those of a mutation one after the other. A part that is refused or fails is
-an error in its place; a mutation whose client has gone, or whose response holds no data any more, begins no
-further part.
+Parts of a query go side by side, those of a mutation one after the other. A part that is refused or
+fails is an error in its place; a mutation whose client has gone, or whose response holds no data
+any more, begins no further part.
 """
 
 from __future__ import annotations
@@ -70,7 +70,8 @@
         return self.execution.gone()
 
     def usable(self) -> bool:
-        """Whether the last reply holds some data: what came with errors is still worth more than none."""
+        """Whether the last reply holds some data: what came with errors is still worth more than
+        none."""
         return self.reply is not None and self.reply.data is not None
 
     def end(self, reply: Reply | None = None, instead: dict[str, Any] | None = None) -> None:
@@ -84,7 +85,8 @@
 
 
 class Execution:
-    """One operation. `on_end` gets the response and, if all of it was refused, the shortest wait (ms)."""
+    """One operation. `on_end` gets the response and, if all of it was refused, the shortest wait
+    (ms)."""
 
     def __init__(
         self,
@@ -97,7 +99,13 @@
         gone: Callable[[], bool],
     ) -> None:
         """`gone`: whether the client has left, and that is seen only now."""
-        self.plan, self.join, self.carrier, self.on_end, self.gone = plan, join, carrier, on_end, gone
+        self.plan, self.join, self.carrier, self.on_end, self.gone = (
+            plan,
+            join,
+            carrier,
+            on_end,
+            gone,
+        )
         self.calls = [PartCall(self, number, order) for number, order in enumerate(orders)]
         self.outcomes: list[Outcome | None] = [None] * len(orders)
         self.local = local
@@ -120,7 +128,12 @@
         if self.starting:
             return
         self.starting = True
-        while not self.over and self.begun < len(self.calls) and not self.waiting() and not self.void():
+        while (
+            not self.over
+            and self.begun < len(self.calls)
+            and not self.waiting()
+            and not self.void()
+        ):
             self.begin()
         self.starting = False
 
@@ -166,7 +179,9 @@
             ends.append(self.local)
         told = response(self.plan, ends)
         if refused and not self.plan.local:
-            told = {"errors": told["errors"]}  # nothing was begun: the request as a whole is refused
+            told = {
+                "errors": told["errors"]
+            }  # nothing was begun: the request as a whole is refused
         self.on_end(told, min(self.waits) if refused else None)
 
     def withdraw(self) -> None:
--- a/badgercart/fronts/graphql/front.py
+++ b/badgercart/fronts/graphql/front.py
@@ -71,7 +71,9 @@
         call: PartCall = order.work
         self.calls[order.request_id, order.number] = call
         self.pool.send(
-            Attempt(order.request_id, order.number, order.server_id, order.limit, call.order.message)
+            Attempt(
+                order.request_id, order.number, order.server_id, order.limit, call.order.message
+            )
         )
 
     def cancel(self, request_id: int, number: int) -> None:
@@ -124,7 +126,12 @@
             allowed = json.loads((folder / settings.allow_list).read_bytes())
         self.planner = Planner(self.schema, settings.by_field)
         self.documents = Documents(
-            self.schema, self.planner, settings.limits, settings.cache_bytes, settings.introspection, allowed
+            self.schema,
+            self.planner,
+            settings.limits,
+            settings.cache_bytes,
+            settings.introspection,
+            allowed,
         )
         self.classes = {name.decode(): number for name, number in config.classes.items()}
         self.effects = [cls.effect for cls in config.settings.classes]
@@ -154,7 +161,8 @@
     # From the listener.
 
     def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
-        """What HTTP itself says of a request. The rest is read in its turn, and answered in words."""
+        """What HTTP itself says of a request. The rest is read in its turn, and answered in
+        words."""
         if url.partition(b"?")[0] != self.settings.path.encode():
             raise BadRequest(404, f"GraphQL is served at {self.settings.path}")
         if method not in (b"GET", b"POST"):
@@ -243,7 +251,9 @@
                 message=self.message(plan, number, request),
                 cls=self.classes[part.cls],
                 tenant=request.tenant,
-                key=stable_id(part.affinity.encode(), self.config.key_secret) if part.affinity else 0,
+                key=stable_id(part.affinity.encode(), self.config.key_secret)
+                if part.affinity
+                else 0,
                 due=due,
                 name=b"%b.%d" % (request.name, number),
             )
@@ -270,9 +280,13 @@
         lines.append(b"Content-Length: %d\r\n" % len(body))
         return Message(b"".join(lines), body)
 
-    def local(self, plan: Plan, operation: OperationDefinitionNode, document: Any, asked: Asked) -> Outcome:
+    def local(
+        self, plan: Plan, operation: OperationDefinitionNode, document: Any, asked: Asked
+    ) -> Outcome:
         """`__typename` and introspection: they concern no server."""
-        fragments = {d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)}
+        fragments = {
+            d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)
+        }
         part, needed = self.planner.document(operation, plan.local, fragments)
         variables = {name: asked.variables[name] for name in needed if name in asked.variables}
         done = execute_sync(self.schema, parse(print_ast(part)), variable_values=variables)
--- a/badgercart/fronts/graphql/limits.py
+++ b/badgercart/fronts/graphql/limits.py
@@ -1,7 +1,8 @@
 """What a document may cost: counted on its text and its syntax tree, before validation. No I/O.
 
-Every count is linear in the document, and none recurses: fragments are counted once and added up along the
-order in which they use each other, so that a document of 16 KiB can't be made to cost more than itself.
+Every count is linear in the document, and none recurses: fragments are counted once and added up
+along the order in which they use each other, so that a document of 16 KiB can't be made to cost
+more than itself.
 """
 
 from __future__ import annotations
@@ -88,7 +89,9 @@
 
 def check(document: DocumentNode, limits: Limits) -> None:
     """Raises TooCostly where any operation is over a limit, or fragments go in a circle."""
-    fragments = {d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)}
+    fragments = {
+        d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)
+    }
     costs: dict[str, Cost] = {}
     for name in _in_order(fragments):
         costs[name] = _cost(fragments[name], costs)
@@ -145,18 +148,27 @@
     return found
 
 
-def _cost(definition: OperationDefinitionNode | FragmentDefinitionNode, fragments: dict[str, Cost]) -> Cost:
+def _cost(
+    definition: OperationDefinitionNode | FragmentDefinitionNode, fragments: dict[str, Cost]
+) -> Cost:
     """Without recursion: each selection is looked at once, with the depth at which it stands."""
     cost = Cost(directives=_directives(definition.directives))
     if isinstance(definition, OperationDefinitionNode):
-        cost.directives += sum(_directives(v.directives) for v in definition.variable_definitions or ())
-    waiting: list[tuple[SelectionNode, int]] = [(node, 1) for node in definition.selection_set.selections]
+        cost.directives += sum(
+            _directives(v.directives) for v in definition.variable_definitions or ()
+        )
+    waiting: list[tuple[SelectionNode, int]] = [
+        (node, 1) for node in definition.selection_set.selections
+    ]
     while waiting:
         node, depth = waiting.pop()
         cost.directives += _directives(node.directives)
         if isinstance(node, FragmentSpreadNode):
             spread = fragments.get(node.name.value, Cost())
-            cost.add(Cost(spread.depth + depth - 1, spread.aliases, spread.directives, spread.fields), False)
+            cost.add(
+                Cost(spread.depth + depth - 1, spread.aliases, spread.directives, spread.fields),
+                False,
+            )
             cost.roots += spread.roots if depth == 1 else 0
             continue
         below = depth
--- a/badgercart/fronts/graphql/mapping.py
+++ b/badgercart/fronts/graphql/mapping.py
@@ -40,9 +40,13 @@
         if effect is None:
             found.append((name, "class", f"there is no class {mapped.cls!r}"))
         elif is_mutation and effect is Effect.SAFE:
-            found.append((name, "class", f"{mapped.cls!r} is safe to repeat, and a mutation is not"))
+            found.append(
+                (name, "class", f"{mapped.cls!r} is safe to repeat, and a mutation is not")
+            )
         elif not is_mutation and effect is not Effect.SAFE:
-            found.append((name, "class", f"{mapped.cls!r} is not safe to repeat: a query may be sent again"))
+            found.append(
+                (name, "class", f"{mapped.cls!r} is not safe to repeat: a query may be sent again")
+            )
         arguments = kind.fields[field_name].args
         for key, argument in (("affinity", mapped.affinity), ("key", mapped.key)):
             if argument is not None and argument not in arguments:
@@ -51,7 +55,11 @@
         open_ones = [field for field in kind.fields if f"{type_name}.{field}" not in fields]
         if open_ones:
             found.append(
-                ("", "", f"no class is given for {', '.join(f'{type_name}.{f}' for f in open_ones)}")
+                (
+                    "",
+                    "",
+                    f"no class is given for {', '.join(f'{type_name}.{f}' for f in open_ones)}",
+                )
             )
     if schema.subscription_type is not None:
         found.append(("", "", "subscriptions are not served here; the schema has some"))
--- a/badgercart/fronts/graphql/merge.py
+++ b/badgercart/fronts/graphql/merge.py
@@ -1,8 +1,9 @@
 """The parts' results into one response. No I/O.
 
-Data comes in the order of the selection whatever the order of the answers; an error has the path of its field
-and the place of that field in the client's document; a part that has no result is an error at each of its
-fields, and null, or null for all data where the schema says that the field is never null.
+Data comes in the order of the selection whatever the order of the answers; an error has the path of
+its field and the place of that field in the client's document; a part that has no result is an
+error at each of its fields, and null, or null for all data where the schema says that the field is
+never null.
 
 Source: GraphQL specification, sections 6.4.4 (handling execution errors) and 7.1 (response format).
 """
@@ -22,7 +23,8 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What came of a part: a server's data and errors, or the one error that stands in its place."""
+    """What came of a part: a server's data and errors, or the one error that stands in its
+    place."""
 
     roots: list[Root]
     part: Part | None = None  # as it was sent; None where it was answered here
@@ -47,7 +49,11 @@
             value = outcome.data.get(root.response_key) if outcome.data is not None else None
             nothing = nothing or (value is None and root.non_null)
             found[root.response_key] = value
-    data = None if nothing else {root.response_key: found.get(root.response_key) for root in plan.roots}
+    data = (
+        None
+        if nothing
+        else {root.response_key: found.get(root.response_key) for root in plan.roots}
+    )
     order = {root.response_key: number for number, root in enumerate(plan.roots)}
     errors.sort(key=lambda error: order.get(str((error.get("path") or [""])[0]), len(order)))
     return {"errors": errors, "data": data} if errors else {"data": data}
@@ -64,7 +70,8 @@
 
 
 def relocated(error: Mapping[str, Any], outcome: Outcome) -> dict[str, Any]:
-    """A server's error with its places in the client's document, which is not the one that the server saw."""
+    """A server's error with its places in the client's document, which is not the one that the
+    server saw."""
     kept: dict[str, Any] = {"message": str(error.get("message", "error"))}
     if isinstance(error.get("extensions"), dict):
         kept["extensions"] = error["extensions"]
--- a/badgercart/fronts/graphql/outcomes.py
+++ b/badgercart/fronts/graphql/outcomes.py
@@ -1,8 +1,8 @@
 """What a dispatch server's GraphQL reply means for its attempt. No I/O.
 
-An error inside a successful HTTP reply counts as what it is. Codes are those of `errors[].extensions.code`
-that servers commonly give (Apollo Server's "Built-in error codes", and the platform's own words for work that
-was turned away). What is not listed may have run.
+An error inside a successful HTTP reply counts as what it is. Codes are those of
+`errors[].extensions.code` that servers commonly give (Apollo Server's "Built-in error codes", and
+the platform's own words for work that was turned away). What is not listed may have run.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from badgercart.core.results import result_of
 from cottonhall.interface import Result
 
-# The request itself is at fault: wherever it goes the answer is the same, and no server is the worse for it.
+# The request itself is at fault: wherever it goes the answer is the same, and no server is the
+# worse for it.
 FAULT = frozenset(
     ("BAD_USER_INPUT", "GRAPHQL_PARSE_FAILED", "GRAPHQL_VALIDATION_FAILED", "UNAUTHENTICATED", "FORBIDDEN",
      "NOT_FOUND", "CONFLICT", "OPERATION_RESOLUTION_FAILURE", "PERSISTED_QUERY_NOT_FOUND")
@@ -46,7 +47,9 @@
     data, errors = parsed.get("data"), parsed.get("errors")
     wrong_data = data is not None and (not isinstance(data, dict) or set(data) != keys)
     wrong_errors = errors is not None and (
-        not isinstance(errors, list) or not errors or not all(isinstance(error, dict) for error in errors)
+        not isinstance(errors, list)
+        or not errors
+        or not all(isinstance(error, dict) for error in errors)
     )
     if wrong_data or wrong_errors or ("data" not in parsed and not errors):
         # Keys that were not asked for, or missing ones: another request's, or no GraphQL at all.
--- a/badgercart/fronts/graphql/part.py
+++ b/badgercart/fronts/graphql/part.py
@@ -21,7 +21,9 @@
     """GraphQL clients and servers; its schema and map take a restart."""
 
     def __init__(self, host: Host, settings: GraphqlSettings) -> None:
-        from badgercart.fronts.graphql.front import GraphqlFront  # heavy: only where it is switched on
+        from badgercart.fronts.graphql.front import (
+            GraphqlFront,
+        )  # heavy: only where it is switched on
 
         self.front: GraphqlFront = GraphqlFront(
             host.config,
--- a/badgercart/fronts/graphql/planner.py
+++ b/badgercart/fronts/graphql/planner.py
@@ -1,11 +1,12 @@
 """One operation and its variables into parts. No I/O.
 
-A part is a valid document of its own with only the fields, fragments and variables that it needs. Root fields
-of a query that are of one class and about one thing go together; each root field of a mutation is a part, and
-they go one after the other as the specification says. `__typename` and introspection are no parts: they are
-answered here.
+A part is a valid document of its own with only the fields, fragments and variables that it needs.
+Root fields of a query that are of one class and about one thing go together; each root field of a
+mutation is a part, and they go one after the other as the specification says. `__typename` and
+introspection are no parts: they are answered here.
 
-Source: GraphQL specification, sections 6.3 (executing selection sets, CollectFields), 6.2.2 (mutation).
+Source: GraphQL specification, sections 6.3 (executing selection sets, CollectFields), 6.2.2
+(mutation).
 """
 
 from __future__ import annotations
@@ -62,7 +63,8 @@
 
 @dataclass(slots=True)
 class Root:
-    """A root field under its response key: all nodes that ask for it, merged as section 5.3.2 allows."""
+    """A root field under its response key: all nodes that ask for it, merged as section 5.3.2
+    allows."""
 
     response_key: str
     nodes: list[FieldNode]
@@ -115,7 +117,9 @@
     if not operations:
         raise BadOperation([GraphQLError("the document holds no operation")])
     if len(operations) > 1:
-        raise BadOperation([GraphQLError("operationName must say which of the operations is meant")])
+        raise BadOperation(
+            [GraphQLError("operationName must say which of the operations is meant")]
+        )
     return operations[0]
 
 
@@ -128,9 +132,13 @@
 
     Only what the variables decide is looked at for each request."""
 
-    chosen_by: tuple[str, ...] | None = None  # variables that @skip and @include at the root depend on
+    chosen_by: tuple[str, ...] | None = (
+        None  # variables that @skip and @include at the root depend on
+    )
     roots: dict[tuple[Any, ...], list[Root]] = field(default_factory=dict)  # by the values of these
-    documents: dict[tuple[Any, ...], tuple[DocumentNode, str, list[str]]] = field(default_factory=dict)
+    documents: dict[tuple[Any, ...], tuple[DocumentNode, str, list[str]]] = field(
+        default_factory=dict
+    )
 
 
 class Planner:
@@ -148,17 +156,22 @@
         client_key: str = "",
         memo: Memo | None = None,
     ) -> Plan:
-        """A valid document's operation. `client_key` is the request's own idempotency key, if it has one.
+        """A valid document's operation. `client_key` is the request's own idempotency key, if it
+        has one.
 
         Raises BadOperation for variables that do not fit."""
         if operation.operation is OperationType.SUBSCRIPTION:
             raise BadOperation([GraphQLError("subscriptions are not served here", operation)])
-        values = get_variable_values(self.schema, operation.variable_definitions or (), dict(variables))
+        values = get_variable_values(
+            self.schema, operation.variable_definitions or (), dict(variables)
+        )
         if isinstance(values, list):
             raise BadOperation(values)
         root_type = self.schema.get_root_type(operation.operation)
         assert root_type is not None  # the document is valid
-        fragments = {d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)}
+        fragments = {
+            d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)
+        }
         memo = memo or Memo()
         if memo.chosen_by is None:
             memo.chosen_by = self.chosen_by(operation, fragments)
--- a/badgercart/fronts/graphql/requests.py
+++ b/badgercart/fronts/graphql/requests.py
@@ -1,7 +1,7 @@
 """GraphQL over HTTP: what a request says, and how its answer is worded. No I/O.
 
-Source: the GraphQL-over-HTTP specification, sections "Request" (GET, POST, JSON encoding), "Response" (media
-types, status codes).
+Source: the GraphQL-over-HTTP specification, sections "Request" (GET, POST, JSON encoding),
+"Response" (media types, status codes).
 """
 
 from __future__ import annotations
@@ -39,7 +39,8 @@
 def media_type(accept: str | None) -> str:
     """Which of the two an answer is in; 406 where neither is wanted.
 
-    Without a word, or where anything will do, the older one: so do clients from before the newer one."""
+    Without a word, or where anything will do, the older one: so do clients from before the newer
+    one."""
     if accept is None or not accept.strip():
         return PLAIN_JSON
     best, chosen = 0.0, ""
@@ -75,7 +76,9 @@
         raise HttpError(400, f"the parameters can't be read: {error}") from None
     for name, value in pairs:
         found.setdefault(name, value)
-    body: dict[str, Any] = {name: found[name] for name in ("query", "operationName") if name in found}
+    body: dict[str, Any] = {
+        name: found[name] for name in ("query", "operationName") if name in found
+    }
     for name in ("variables", "extensions"):
         if found.get(name):
             body[name] = _json(found[name].encode("utf-8", "surrogatepass"), name)
@@ -135,7 +138,8 @@
 
 @lru_cache(maxsize=256)  # the same few reasons over and over
 def bad_request(status: int, why: str) -> tuple[bytes, bytes]:
-    """Media type and body for a request that can't be taken as HTTP: what it accepts is not known."""
+    """Media type and body for a request that can't be taken as HTTP: what it accepts is not
+    known."""
     code = "INTERNAL_SERVER_ERROR" if status == 500 else "BAD_REQUEST"
     return PLAIN_JSON.encode(), json.dumps({"errors": [error(why[:MAX_WHY], code)]}).encode()
 
@@ -143,8 +147,8 @@
 def status_of(media: str, response: dict[str, Any], refused: bool = False) -> int:
     """The status that goes with a response that no HTTP error took the place of.
 
-    In the newer media type a response without data has failed as a request; in the older one all well-formed
-    responses are 200."""
+    In the newer media type a response without data has failed as a request; in the older one all
+    well-formed responses are 200."""
     if media == PLAIN_JSON or "data" in response:
         return 200
     return 503 if refused else 400
--- a/badgercart/fronts/graphql/settings.py
+++ b/badgercart/fronts/graphql/settings.py
@@ -12,15 +12,19 @@
 
 
 class Limits(Table, title="Limits"):
-    """what a document may cost; each limit is checked before the document is validated or planned"""
+    """what a document may cost; each limit is checked before the document is validated or planned"""  # noqa: E501 - shown to operators as one line
 
     document: int = Field(16384, ge=1, le=MOST, description="its size (bytes)")
     tokens: int = Field(2000, ge=1, le=MOST, description="its tokens")
     depth: int = Field(15, ge=1, le=MOST, description="levels of selections, through fragments")
     aliases: int = Field(30, ge=1, le=MOST, description="aliases of one operation")
-    root_fields: int = Field(20, ge=1, le=MOST, description="root fields of one operation, through fragments")
+    root_fields: int = Field(
+        20, ge=1, le=MOST, description="root fields of one operation, through fragments"
+    )
     directives: int = Field(50, ge=1, le=MOST, description="directives of one operation")
-    fields: int = Field(1000, ge=1, le=MOST, description="fields of one operation, through fragments")
+    fields: int = Field(
+        1000, ge=1, le=MOST, description="fields of one operation, through fragments"
+    )
     variables: int = Field(65536, ge=1, le=MOST, description="the size of the variables (bytes)")
 
 
@@ -37,7 +41,9 @@
     """a listener for GraphQL clients, in front of GraphQL dispatch servers"""
 
     listen: Address = Field(description="the host:port to listen on")
-    schema_file: Name = Field(alias="schema", description="the file with the schema's definition (SDL)")
+    schema_file: Name = Field(
+        alias="schema", description="the file with the schema's definition (SDL)"
+    )
     path: Annotated[Name, Field(pattern="^/")] = Field(
         "/graphql", description="the path of requests, here and at the servers"
     )
--- a/badgercart/fronts/http/clients.py
+++ b/badgercart/fronts/http/clients.py
@@ -1,4 +1,5 @@
-"""Drives clients' connections over asyncio: the listener, its limits, and what has waited for too long."""
+"""Drives clients' connections over asyncio: the listener, its limits, and what has waited for too
+long."""
 
 from __future__ import annotations
 
@@ -29,7 +30,9 @@
     no_words,
 )
 
-REQUEST_TIME = 3.0  # s for a request's head, the first from the connection's start; a body has what it needs
+REQUEST_TIME = (
+    3.0  # s for a request's head, the first from the connection's start; a body has what it needs
+)
 KEEP_ALIVE = 10.0  # s that a connection may stand idle between requests
 LINGER = 1.0  # s to discard what still comes after an answer that ends the connection
 SWEEP = 0.2  # s between looks for connections whose time is up
@@ -86,7 +89,9 @@
         self.listen = address
         self.read = read
         self.words = words
-        self.turned_away: Counter[int] = Counter()  # requests that could not be taken, by their status
+        self.turned_away: Counter[int] = (
+            Counter()
+        )  # requests that could not be taken, by their status
         self.handler = handler
         self.limit = limit
         self.connections: set[ClientConnection] = set()  # also those that are about to close
@@ -110,11 +115,14 @@
         self.socket: socket.socket | None = None
         self.opened = True  # whether it may accept
         self.accepting = False
-        self.evicted: ClientConnection | None = None  # the last that had to make room, until it is gone
+        self.evicted: ClientConnection | None = (
+            None  # the last that had to make room, until it is gone
+        )
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self, inherited: socket.socket | None = None, opened: bool = True) -> None:
-        """Serve on a socket that listens already, or on the address. Until it is opened, clients wait."""
+        """Serve on a socket that listens already, or on the address. Until it is opened, clients
+        wait."""
         if inherited is None:
             host, port = self.listen
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -164,7 +172,8 @@
         self.stop()
 
     def emptied(self) -> bool:
-        """Take over all that waits in the backlog, as far as there is room; whether nothing is left."""
+        """Take over all that waits in the backlog, as far as there is room; whether nothing is
+        left."""
         while self.socket is not None and len(self.connections) < self.limit:
             had = len(self.connections)
             if self.accept():
@@ -174,10 +183,12 @@
         return self.socket is None
 
     async def hand_over(self, until: float) -> None:
-        """Leave new connections to another process, then see clients answered, until then (ms) at most.
+        """Leave new connections to another process, then see clients answered, until then (ms) at
+        most.
 
-        A client that is answered is told that the connection closes. One that asks nothing keeps it for a
-        while: each close can cross a request, and the longer it stood idle the less likely that is."""
+        A client that is answered is told that the connection closes. One that asks nothing keeps it
+        for a while: each close can cross a request, and the longer it stood idle the less likely
+        that is."""
         self.stop()
         begun = self.loop.time()
         while self.connections and now_ms() < until:
@@ -194,8 +205,8 @@
             if timer is not None:
                 timer.cancel()
 
-    # The loop's own server accepts without a limit and ends for good where descriptors have run out, so the
-    # listening socket is read here: at the limit, clients wait in its backlog.
+    # The loop's own server accepts without a limit and ends for good where descriptors have run
+    # out, so the listening socket is read here: at the limit, clients wait in its backlog.
 
     def pause(self) -> None:
         if self.accepting and self.socket is not None:
@@ -210,8 +221,8 @@
     def accept(self) -> bool:
         """Take over connections that wait; whether none is left."""
         assert self.socket is not None
-        # One waits, or the loop would not have called. A close takes effect in the loop's next turn, which
-        # comes back here.
+        # One waits, or the loop would not have called. A close takes effect in the loop's next
+        # turn, which comes back here.
         if len(self.connections) >= self.limit and not self.make_room():
             self.pause()
             self.loop.call_later(GREETING, self.resume)
@@ -240,7 +251,8 @@
             self.connections.discard(client)
 
     def make_room(self) -> bool:
-        """Close a connection that no request needs: one that says nothing before one that did its work."""
+        """Close a connection that no request needs: one that says nothing before one that did its
+        work."""
         if self.evicted in self.connections:
             return True  # it is on its way out
         client = makes_room(self.waits, self.silent_since, self.spared, self.loop.time())
@@ -255,17 +267,20 @@
         return max(client.machine.heard, self.waits[client.machine.state][client])
 
     def spared(self, client: ClientConnection) -> bool:
-        """Whether it is closing anyway, has yet to read an answer, or has sent what is not read yet."""
+        """Whether it is closing anyway, has yet to read an answer, or has sent what is not read
+        yet."""
         transport = client.transport
         return transport.is_closing() or transport.get_write_buffer_size() > 0 or self.asks(client)
 
     def asks(self, client: ClientConnection) -> bool:
-        """Whether something has come that the loop reads in its next turn, and that an end now would lose."""
+        """Whether something has come that the loop reads in its next turn, and that an end now
+        would lose."""
         return client not in self.unheard and client.unread()
 
     @property
     def crowd(self) -> int:
-        """Some clients ask once and keep their connection: where so many stand idle, no more are kept."""
+        """Some clients ask once and keep their connection: where so many stand idle, no more are
+        kept."""
         return self.limit // 3
 
     def rest(self, client: ClientConnection) -> None:
@@ -284,7 +299,9 @@
         """Requests that were read, and whose turn has not come."""
         for client in self.connections:
             if hasattr(client, "machine"):  # else nothing has been read
-                yield from (item for item, _ in client.machine.waiting if isinstance(item, ClientRequest))
+                yield from (
+                    item for item, _ in client.machine.waiting if isinstance(item, ClientRequest)
+                )
 
     def lost(self, client: ClientConnection) -> None:
         self.connections.discard(client)
@@ -294,7 +311,8 @@
         self.resume()
 
     def close_idle(self) -> None:
-        """What a new client is about to send is still heard, and so is what has come and was not read yet."""
+        """What a new client is about to send is still heard, and so is what has come and was not
+        read yet."""
         for client in [*self.overdue(self.silent, self.loop.time() - GREETING), *self.idle]:
             if not self.asks(client):
                 client.transport.close()
@@ -307,11 +325,16 @@
         for client in self.overdue(self.arriving, now - REQUEST_TIME):
             if not self.asks(client):
                 client.machine.overdue(now)
-        # A client that does not read its answer has longer than one that has it, but must not stay for ever.
+        # A client that does not read its answer has longer than one that has it, but must not stay
+        # for ever.
         for client in self.overdue(self.uploading, now - REQUEST_TIME):
             if not self.asks(client):
                 client.transport.abort()  # its request is withdrawn
-        told = [c for c in self.overdue(self.ending, now - LINGER) if not c.transport.get_write_buffer_size()]
+        told = [
+            c
+            for c in self.overdue(self.ending, now - LINGER)
+            if not c.transport.get_write_buffer_size()
+        ]
         for client in (*told, *self.overdue(self.ending, now - KEEP_ALIVE)):
             client.transport.abort()
         for client in (
@@ -341,7 +364,8 @@
     # From the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
+        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with
+        # TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
         listener = self.listener
         self.machine = Connection(self, listener.loop.time(), listener.open_ids, listener.waits)
@@ -355,7 +379,8 @@
         self.withdraw(upload)
 
     def eof_received(self) -> None:
-        """A client that ends its side has left, by the protocol. The close that follows may take its time."""
+        """A client that ends its side has left, by the protocol. The close that follows may take
+        its time."""
         upload = self.machine.upload
         self.machine.left(self.listener.loop.time())
         self.withdraw(upload)
@@ -367,7 +392,9 @@
         if self.request_id:
             request_id, self.request_id = self.request_id, 0
             self.listener.handler.withdraw(request_id)
-        if upload is not None:  # also where the attempt must not be cancelled: it can only wait for ever
+        if (
+            upload is not None
+        ):  # also where the attempt must not be cancelled: it can only wait for ever
             upload.abandon()
 
     def get_buffer(self, sizehint: int) -> memoryview:
@@ -405,7 +432,9 @@
 
     def answered(self, answer: Answer) -> None:
         self.request_id = 0
-        self.machine.answer(self.listener.loop.time(), answer.status, answer.body, answer.content_type, b"")
+        self.machine.answer(
+            self.listener.loop.time(), answer.status, answer.body, answer.content_type, b""
+        )
 
     def began(self, opening: Opening) -> Sink:
         self.request_id = 0
@@ -439,7 +468,9 @@
         content_type, body = self.listener.words(status, why)
         self.answer(status, body, content_type)
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"", extra: bytes = b"") -> None:
+    def answer(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", extra: bytes = b""
+    ) -> None:
         """Write the final answer to the request under way."""
         self.request_id = 0
         self.machine.answer(self.listener.loop.time(), status, body, content_type, extra)
@@ -471,7 +502,9 @@
     def now(self) -> float:
         return self.listener.loop.time()
 
-    def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest | Page:
+    def read(
+        self, method: bytes, url: bytes, headers: Headers, body: bytes
+    ) -> ClientRequest | Page:
         if (page := self.listener.handler.pages.get(url)) is not None:
             if method != b"GET":
                 raise BadRequest(405, "a page is asked for by GET", b"Allow: GET\r\n")
--- a/badgercart/fronts/http/connection.py
+++ b/badgercart/fronts/http/connection.py
@@ -1,7 +1,8 @@
-"""One client's connection as a machine without I/O: bytes, answers and times in, bytes and requests out.
+"""One client's connection as a machine without I/O: bytes, answers and times in, bytes and requests
+out.
 
-Requests on a connection are answered one after the other. The machine reads no clock, opens nothing and
-waits for nothing; what it wants done it asks of its `Side`. Its legal moves stand in `MOVES`.
+Requests on a connection are answered one after the other. The machine reads no clock, opens nothing
+and waits for nothing; what it wants done it asks of its `Side`. Its legal moves stand in `MOVES`.
 """
 
 from __future__ import annotations
@@ -50,7 +51,9 @@
 MOVES: dict[State, frozenset[State]] = {
     State.SILENT: frozenset((State.ARRIVING, State.HELD, State.ENDING, State.CLOSED)),
     State.ARRIVING: frozenset((State.HELD, State.IDLE, State.ENDING, State.CLOSED)),
-    State.HELD: frozenset((State.ARRIVING, State.IDLE, State.ENDING, State.CLOSED, State.UPLOADING)),
+    State.HELD: frozenset(
+        (State.ARRIVING, State.IDLE, State.ENDING, State.CLOSED, State.UPLOADING)
+    ),
     State.UPLOADING: frozenset((State.HELD, State.ENDING, State.CLOSED)),
     State.IDLE: frozenset((State.ARRIVING, State.HELD, State.ENDING, State.CLOSED)),
     State.ENDING: frozenset((State.CLOSED,)),
@@ -59,7 +62,8 @@
 
 
 class Side(Protocol):
-    """What a connection asks of its surroundings. None of these calls comes back into it but `take`."""
+    """What a connection asks of its surroundings. None of these calls comes back into it but
+    `take`."""
 
     @property
     def keeps(self) -> bool:
@@ -84,8 +88,11 @@
 
     def now(self) -> float: ...
 
-    def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest | Page:
-        """A request into what is taken: whole, or with the rest of it to come. Raises BadRequest."""
+    def read(
+        self, method: bytes, url: bytes, headers: Headers, body: bytes
+    ) -> ClientRequest | Page:
+        """A request into what is taken: whole, or with the rest of it to come. Raises
+        BadRequest."""
 
     def whole(self, request: ClientRequest) -> None:
         """The rest of it has come."""
@@ -125,7 +132,8 @@
     )  # fmt: skip
 
     def __init__(self, side: Side, now: float, names: set[bytes], waits: Waits) -> None:
-        """Shared by all connections of a listener: the names of open requests, and who waits for what."""
+        """Shared by all connections of a listener: the names of open requests, and who waits for
+        what."""
         self.side = side
         self.names = names
         self.waits = waits
@@ -133,7 +141,8 @@
         self.state = State.SILENT
         waits[State.SILENT][side] = now
         self.parser = httptools.HttpRequestParser(self)
-        # What has come in whole and waits for its turn, and whether to keep the connection after it.
+        # What has come in whole and waits for its turn, and whether to keep the connection after
+        # it.
         self.waiting: deque[tuple[Item, bool]] = deque()
         self.backlog = b""  # read and not parsed, while enough requests wait
         self.request: ClientRequest | None = None  # that is being served
@@ -149,7 +158,9 @@
         self.headers = Headers()
         self.body = bytearray()
         self.size = 0  # bytes of the request that comes in
-        self.upload: Upload | None = None  # the body of the one that comes in, where it goes on as it comes
+        self.upload: Upload | None = (
+            None  # the body of the one that comes in, where it goes on as it comes
+        )
         self.incoming: ClientRequest | None = None  # that one
         self.stalled = False  # it waits for room
         self.chunks = False  # whether the answer under way goes out in chunks
@@ -160,7 +171,9 @@
         self.now = self.heard = now
         if self.ended:
             return
-        if self.headers.whole and self.state in self.waits:  # a body has the longer the more of it comes
+        if (
+            self.headers.whole and self.state in self.waits
+        ):  # a body has the longer the more of it comes
             self.since = min(now, self.since + len(data) / SLOWEST)
             self.waits[self.state][self.side] = self.since
         if self.backlog:
@@ -171,7 +184,11 @@
 
     def room_again(self) -> None:
         """The body that comes in has room to go on."""
-        if not self.stalled or self.state is State.CLOSED or (self.upload is not None and self.upload.full):
+        if (
+            not self.stalled
+            or self.state is State.CLOSED
+            or (self.upload is not None and self.upload.full)
+        ):
             return
         self.stalled = False
         self.now = self.since = self.side.now()
@@ -187,7 +204,9 @@
         self.refuse(408, "the request did not come in whole in time")
         self.next()
 
-    def answer(self, now: float, status: int, body: bytes, content_type: bytes, extra: bytes) -> None:
+    def answer(
+        self, now: float, status: int, body: bytes, content_type: bytes, extra: bytes
+    ) -> None:
         """The final answer to the request under way, if its client is still there."""
         if self.state is State.CLOSED:
             return
@@ -205,7 +224,8 @@
         self.next()
 
     def left(self, now: float) -> None:
-        """Its client has left: nothing of it is owed an answer any more. What is written may still go out."""
+        """Its client has left: nothing of it is owed an answer any more. What is written may still
+        go out."""
         self.owe_nothing(now)
         self.busy = False
         if self.state not in (State.ENDING, State.CLOSED):
@@ -214,7 +234,9 @@
     def lost(self, now: float) -> None:
         """The connection is gone, and all that waited on it with it."""
         self.owe_nothing(now)
-        del self.parser  # it refers back to this connection: both would wait for the cyclic collector
+        del (
+            self.parser
+        )  # it refers back to this connection: both would wait for the cyclic collector
         self.move(State.CLOSED)
         del self.side  # it refers back, too
 
@@ -233,7 +255,9 @@
         if state is self.state:
             return
         if state not in MOVES[self.state]:
-            raise RuntimeError(f"a client's connection can't go from {self.state.name} to {state.name}")
+            raise RuntimeError(
+                f"a client's connection can't go from {self.state.name} to {state.name}"
+            )
         if (wait := self.waits.get(self.state)) is not None:
             del wait[self.side]
         self.state = state
@@ -267,7 +291,8 @@
     # Requests in.
 
     def parse(self, data: bytes) -> None:
-        """Parse until enough requests wait; the rest is kept until they are answered, and reading rests."""
+        """Parse until enough requests wait; the rest is kept until they are answered, and reading
+        rests."""
         at = 0
         while at < len(data) and not self.ended:
             if self.stalled or len(self.waiting) >= MAX_WAITING:
@@ -278,7 +303,8 @@
             try:
                 self.parser.feed_data(part)
             except httptools.HttpParserUpgrade:
-                # No upgrade is offered: the request is served as any other, and the last on its connection.
+                # No upgrade is offered: the request is served as any other, and the last on its
+                # connection.
                 self.ended = True
                 if self.waiting:
                     self.waiting[-1] = (self.waiting[-1][0], False)
@@ -288,7 +314,8 @@
                     self.refuse(cause.status, cause.why, cause.extra)
                 else:
                     self.refuse(400, f"this is no HTTP/1.1 request: {error}")
-                del cause  # it holds this frame, and this frame it: both would wait for the cyclic collector
+                # it holds this frame, and this frame it: both would wait for the cyclic collector
+                del cause
             else:
                 if self.size > MAX_HEAD:
                     self.check_size()
@@ -312,7 +339,8 @@
             self.side.resume()
 
     def refuse(self, status: int, why: str, extra: bytes = b"") -> None:
-        """Answer what came before, then this, and close: where the next request begins can't be trusted."""
+        """Answer what came before, then this, and close: where the next request begins can't be
+        trusted."""
         self.ended = True
         if self.incoming is not None:
             if self.incoming is self.request:  # it can't become whole, and so was never taken
@@ -359,7 +387,9 @@
         if version not in ("1.0", "1.1"):
             raise BadRequest(505, "only HTTP/1.0 and HTTP/1.1 are spoken here")
         # The parser passes over codings that it does not know, and HTTP/1.0 has none.
-        if headers.coding is not None and (headers.coding.lower() != b"chunked" or version == "1.0"):
+        if headers.coding is not None and (
+            headers.coding.lower() != b"chunked" or version == "1.0"
+        ):
             raise BadRequest(400, "Transfer-Encoding can only be chunked, and only in HTTP/1.1")
         headers.old = version == "1.0"
         if headers.length and headers.length > self.most:
@@ -435,7 +465,9 @@
 
     def next(self) -> None:
         """Begin with the next request that has come in whole."""
-        if self.advancing:  # an answer given at once comes back here: a loop, or many would nest too deep
+        if (
+            self.advancing
+        ):  # an answer given at once comes back here: a loop, or many would nest too deep
             return
         self.advancing = True
         while not self.busy and not self.full:
@@ -489,8 +521,8 @@
     def keeps(self) -> bool:
         """Whether the connection goes on after the answer under way.
 
-        A node that stops still owes an answer to what it has read: the connection ends with the last. What is
-        left of a request that is answered already is not read."""
+        A node that stops still owes an answer to what it has read: the connection ends with the
+        last. What is left of a request that is answered already is not read."""
         keep = self.keep and (bool(self.waiting or self.backlog) or self.side.keeps)
         return keep and self.upload is None
 
@@ -533,7 +565,8 @@
         self.next()
 
     def end(self) -> None:
-        """After the last answer: a plain close with bytes unread would reset the connection under it."""
+        """After the last answer: a plain close with bytes unread would reset the connection under
+        it."""
         self.ended = True
         self.drop_waiting()
         self.read_on()
--- a/badgercart/fronts/http/crowd.py
+++ b/badgercart/fronts/http/crowd.py
@@ -1,8 +1,9 @@
 """Who makes room where a new client comes and the limit of connections is reached. No I/O.
 
-A client at work is never asked to. Of the others those go first that no request needs: who never spoke, then
-who has its last answer, then who stood idle for long; then whoever fell silent within a request, the
-longest silent first, since a slow client goes on writing and one that only holds its place does not.
+A client at work is never asked to. Of the others those go first that no request needs: who never
+spoke, then who has its last answer, then who stood idle for long; then whoever fell silent within a
+request, the longest silent first, since a slow client goes on writing and one that only holds its
+place does not.
 """
 
 from __future__ import annotations
@@ -12,7 +13,9 @@
 
 from badgercart.fronts.http.connection import State
 
-GREETING = 0.05  # s in which a new client is sure to be heard, before it may have to make room for others
+GREETING = (
+    0.05  # s in which a new client is sure to be heard, before it may have to make room for others
+)
 HASTE = 0.3  # s of silence in the middle of a request after which its client may have to make room
 SETTLED = 2.0  # s of standing idle after which its client has hardly any use for a connection
 
@@ -41,7 +44,8 @@
         found, longest = None, now - least
         for client in waits[state]:
             since = silent_since(client)
-            # Of those that are as long silent the first one: a loop's clock may stand still for many of them.
+            # Of those that are as long silent the first one: a loop's clock may stand still for
+            # many of them.
             if (since < longest or (found is None and since <= longest)) and not spared(client):
                 found, longest = client, since
         if found is not None:
