--- a/badgercart/fronts/http/front.py
+++ b/badgercart/fronts/http/front.py
@@ -23,7 +23,8 @@
 
 
 class HttpFront:
-    """A listener for HTTP clients and the connections to the servers, within one limit of descriptors."""
+    """A listener for HTTP clients and the connections to the servers, within one limit of
+    descriptors."""
 
     def __init__(
         self,
@@ -84,13 +85,15 @@
         self.join.withdraw(request_id)
 
     def start(self, inherited: socket.socket | None = None, opened: bool = True) -> None:
-        """Serve on a socket that listens already, or on the configured address; once opened, if not now."""
+        """Serve on a socket that listens already, or on the configured address; once opened, if not
+        now."""
         self.listener.start(inherited, opened)
         host, port = self.listener.address
         LISTENING(name=self.config.name, host=host, port=port)
 
     def retune(self, config: Config) -> None:
-        """Go by another configuration: requests that have come in whole keep what was read of them."""
+        """Go by another configuration: requests that have come in whole keep what was read of
+        them."""
         self.config = config
         self.listener.read = platform_requests(config, streams=True)
         self.pool.retune(config.dial_timeout, config.idle_timeout)
@@ -109,7 +112,8 @@
         await self.listener.drain(until)
 
     async def hand_over(self, until: float) -> None:
-        """Leave new connections to another process, and answer on those that are here, until then (ms)."""
+        """Leave new connections to another process, and answer on those that are here, until then
+        (ms)."""
         self.stopping = True
         HANDING_OVER(held=len(self.join.held), connections=len(self.listener.connections))
         await self.listener.hand_over(until)
--- a/badgercart/fronts/http/part.py
+++ b/badgercart/fronts/http/part.py
@@ -26,7 +26,9 @@
 def register(meters: Meters, name: str, listener: Listener) -> None:
     """The figures of a listener for clients."""
     meters.gauge(
-        f"badgercart_{name}_connections", "Connections of clients.", lambda: len(listener.connections)
+        f"badgercart_{name}_connections",
+        "Connections of clients.",
+        lambda: len(listener.connections),
     )
     meters.counter(
         f"badgercart_{name}_turned_away",
--- a/badgercart/fronts/http/requests.py
+++ b/badgercart/fronts/http/requests.py
@@ -84,7 +84,9 @@
         self.size = self.length = 0
         self.got = 0  # bytes of the body
         self.expects = self.whole = False
-        self.upload: Upload | None = None  # what the rest of the body comes by, where it is not whole
+        self.upload: Upload | None = (
+            None  # what the rest of the body comes by, where it is not whole
+        )
         self.old = False  # of HTTP/1.0, which knows no chunks
         self.fault = ""  # what is wrong with them, the first of it
         self.request_id: bytes | None = None
@@ -134,7 +136,9 @@
         self.coding = value
 
     def read_hint(self, value: bytes) -> None:
-        self.hint = int(value) / 1000 if _DIGITS.fullmatch(value) else 0.0  # a guess may be left out
+        self.hint = (
+            int(value) / 1000 if _DIGITS.fullmatch(value) else 0.0
+        )  # a guess may be left out
 
     def read_repeat(self, value: bytes) -> None:
         self.repeat = value == b"1"
@@ -160,7 +164,8 @@
 
 
 def platform_requests(config: Config, streams: bool = False) -> Read:
-    """Reads requests of the platform's protocol; whether long answers to them go on as they come."""
+    """Reads requests of the platform's protocol; whether long answers to them go on as they
+    come."""
     classifier = Classifier(config)
 
     def read(method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
--- a/badgercart/fronts/processor/account.py
+++ b/badgercart/fronts/processor/account.py
@@ -1,9 +1,9 @@
 """Who uses answers beyond their age: an account for each proxy, and what follows from it. No I/O.
 
-A proxy that asks anew for every request only ever sends to a server that its answer names. Where the response
-phase tells of another one, the proxy used an answer that it held. The rule, with the operator's figures:
-within a window, from the third such use on it is answered without fallbacks; from the tenth on it is refused
-for a while, after which the count begins anew.
+A proxy that asks anew for every request only ever sends to a server that its answer names. Where
+the response phase tells of another one, the proxy used an answer that it held. The rule, with the
+operator's figures: within a window, from the third such use on it is answered without fallbacks;
+from the tenth on it is refused for a while, after which the count begins anew.
 """
 
 from __future__ import annotations
@@ -65,7 +65,8 @@
         found = self.proxies.pop(name, None) or Proxy(name)
         self.proxies[name] = found
         if len(self.proxies) > MAX_PROXIES:
-            # Never one that is refused while another is there: asking under ever new names must not help it.
+            # Never one that is refused while another is there: asking under ever new names must not
+            # help it.
             spared = (n for n, p in self.proxies.items() if not p.refused_until and p is not found)
             del self.proxies[next(spared, next(iter(self.proxies)))]
         return found
@@ -78,7 +79,11 @@
             proxy.uses.clear()
         while proxy.uses and proxy.uses[0] <= now - self.rule.window_ms:
             proxy.uses.popleft()
-        return Standing.NO_FALLBACKS if len(proxy.uses) >= self.rule.no_fallbacks_after else Standing.GOOD
+        return (
+            Standing.NO_FALLBACKS
+            if len(proxy.uses) >= self.rule.no_fallbacks_after
+            else Standing.GOOD
+        )
 
     def used_old(self, proxy: Proxy, drained: bool, now: float) -> Standing:
         """Count a use of an old answer, and give the standing that follows."""
--- a/badgercart/fronts/processor/commands.py
+++ b/badgercart/fronts/processor/commands.py
@@ -9,7 +9,17 @@
 from badgercart.operator.console import show_table
 from badgercart.operator.exits import CommandError
 
-COLUMNS = ("standing", "answered", "unseen", "first", "fallback", "lost", "old", "drained", "refused")
+COLUMNS = (
+    "standing",
+    "answered",
+    "unseen",
+    "first",
+    "fallback",
+    "lost",
+    "old",
+    "drained",
+    "refused",
+)
 
 
 @click.group()
@@ -34,6 +44,8 @@
     if as_json:
         click.echo(json.dumps(told))
         return
-    rows = [(name, *(str(row[column]) for column in COLUMNS)) for name, row in told["proxies"].items()]
+    rows = [
+        (name, *(str(row[column]) for column in COLUMNS)) for name, row in told["proxies"].items()
+    ]
     show_table(("proxy", *COLUMNS), rows)
     click.echo(f"{told['open']} calls open")
--- a/badgercart/fronts/processor/description.py
+++ b/badgercart/fronts/processor/description.py
@@ -79,7 +79,9 @@
             key=found.key,
             timeout=self.time_left(headers, found.cls),
             attempt=self.attempt_number(headers),
-            hint=int(hint) / 1000 if hint and _MS.fullmatch(hint) else 0.0,  # a guess may be left out
+            hint=int(hint) / 1000
+            if hint and _MS.fullmatch(hint)
+            else 0.0,  # a guess may be left out
             repeat=_first(headers, names.retry) == b"1",
         )
 
--- a/badgercart/fronts/processor/machine.py
+++ b/badgercart/fronts/processor/machine.py
@@ -1,9 +1,9 @@
 """The life of a stream, and of a request over one or more streams. No I/O: events in, replies out.
 
-A stream describes one attempt: the proxy sends request headers, is told where to go or that it must not go,
-and sends the response headers of what came of it. A *call* is one request of a client, by its id: usually one
-stream, more where the proxy comes back for a further attempt. Toward the join a call is both front and
-carrier: it is owed the decision, and the proxy carries it out.
+A stream describes one attempt: the proxy sends request headers, is told where to go or that it must
+not go, and sends the response headers of what came of it. A *call* is one request of a client, by
+its id: usually one stream, more where the proxy comes back for a further attempt. Toward the join a
+call is both front and carrier: it is owed the decision, and the proxy carries it out.
 
     call:  WAITING  the policy has not decided yet
            OUT      the proxy was told where to go; an attempt is out
@@ -102,7 +102,9 @@
         self.at = At.FRESH
         self.call: Call | None = None
         self.guarded = False  # told where to go, with what may not be refused once it may have run
-        self.verdict: Immediate | None = None  # how its request ended before its response headers came
+        self.verdict: Immediate | None = (
+            None  # how its request ended before its response headers came
+        )
 
     def decide(self, reply: Reply) -> None:
         """The answer to its request headers."""
@@ -125,7 +127,9 @@
         "stream", "timer", "told", "verdict",
     )  # fmt: skip
 
-    def __init__(self, calls: Calls, described: Described, stream: Stream, proxy: Proxy, now: float) -> None:
+    def __init__(
+        self, calls: Calls, described: Described, stream: Stream, proxy: Proxy, now: float
+    ) -> None:
         self.calls = calls
         self.described = described
         self.proxy = proxy
@@ -157,7 +161,8 @@
         return False
 
     def conclude(self, verdict: Immediate) -> None:
-        """The final answer: to the stream that waits for it, else kept for the stream's response headers."""
+        """The final answer: to the stream that waits for it, else kept for the stream's response
+        headers."""
         self.verdict = verdict
         self.proxy.refused += verdict.status == 503
         stream = self.stream
@@ -178,11 +183,13 @@
             self.calls.end_attempt(self, Result.CANCELLED)
 
     def forgo(self, request_id: int, number: int) -> None:
-        """The proxy has the attempt as soon as it is decided, and knows itself that its client left."""
+        """The proxy has the attempt as soon as it is decided, and knows itself that its client
+        left."""
 
 
 class Calls:
-    """All calls and streams of one processor. `now` is given with each event, in ms of the join's clock."""
+    """All calls and streams of one processor. `now` is given with each event, in ms of the join's
+    clock."""
 
     def __init__(
         self,
@@ -198,12 +205,17 @@
         self.account = Account(settings.old_answers)
         self.refusable = [cls.refusable for cls in join.policy.settings.classes]
         self.open: dict[bytes, Call] = {}
-        self.finals: OrderedDict[bytes, tuple[float, Immediate | None]] = OrderedDict()  # until when, which
+        self.finals: OrderedDict[bytes, tuple[float, Immediate | None]] = (
+            OrderedDict()
+        )  # until when, which
 
     # What comes on streams.
 
-    def request(self, stream: Stream, described: Described, now: float, subset: tuple[str, ...] = ()) -> None:
-        """Request headers that can be used, and the only endpoints that will do, if the proxy names any."""
+    def request(
+        self, stream: Stream, described: Described, now: float, subset: tuple[str, ...] = ()
+    ) -> None:
+        """Request headers that can be used, and the only endpoints that will do, if the proxy names
+        any."""
         if stream.at is not At.FRESH:
             raise Illegal(f"request headers {stream.at.value}")
         stream.at = At.ASKED
@@ -258,10 +270,12 @@
         stream.decide(Immediate(error.status, why=str(error), allow=error.allow))
 
     def again(self, call: Call, stream: Stream, now: float) -> None:
-        """The proxy comes back with a further attempt: first the end of the one before, then a decision."""
+        """The proxy comes back with a further attempt: first the end of the one before, then a
+        decision."""
         old = call.stream
         if call.step is Step.WAITING:
-            # It never was told where to go, so nothing ended; the decision goes to the newer stream.
+            # It never was told where to go, so nothing ended; the decision goes to the newer
+            # stream.
             self.adopt(call, stream)
             if old is not None:
                 old.call = None
@@ -359,8 +373,11 @@
         assert call.order is not None
         end = read_end(phase)
         tried = self.tried(call, phase, served, now)
-        if end.by_proxy and (phase.status < 400 or 400 <= phase.status < 500 and phase.status != 429):
-            # A cached answer, a login page, a rule of the proxy's own: its answer, and none of ours.
+        if end.by_proxy and (
+            phase.status < 400 or 400 <= phase.status < 500 and phase.status != 429
+        ):
+            # A cached answer, a login page, a rule of the proxy's own: its answer, and none of
+            # ours.
             self.leave(call, Result.NOT_SENT if not end.may_have_run else Result.CANCELLED)
             return Pass()
         if tried is not None:
@@ -374,7 +391,9 @@
         may_have_run = end.may_have_run or call.order.number > 0
         if self.settings.later_attempts:
             return Pass(
-                502 if phase.status in (429, 503) and not harmless(may_have_run, call.refusable) else 0
+                502
+                if phase.status in (429, 503) and not harmless(may_have_run, call.refusable)
+                else 0
             )
         self.join.resume(call.number, resend=False)
         return self.final(stream, phase)
@@ -389,8 +408,8 @@
     def tried(self, call: Call, phase: Phase, served: str | None, now: float) -> Result | None:
         """Tell of the servers that the proxy went on to by itself.
 
-        Where the list does not have the one that it ended at, nothing more can be told of the request: how
-        the attempt ended where it was sent first."""
+        Where the list does not have the one that it ended at, nothing more can be told of the
+        request: how the attempt ended where it was sent first."""
         assert call.order is not None
         order, proxy = call.order, call.proxy
         if served == call.endpoint:
@@ -398,21 +417,32 @@
             return None
         member = self.member(served or phase.upstream)
         # Without a word, or with the proxy's own name for the way there, it went where it was told.
-        at = order.server_id if member is None and served is None else member.entry.id if member else 0
+        at = (
+            order.server_id
+            if member is None and served is None
+            else member.entry.id
+            if member
+            else 0
+        )
         if at == order.server_id:
             proxy.first += 1
             return None
         gone = at not in self.roster.listed
         if at in order.fallbacks:
             proxy.fallback += 1
-            first = Result.UNREACHABLE if phase.flags is not None and phase.flags >> 5 & 1 else Result.ERROR
+            first = (
+                Result.UNREACHABLE
+                if phase.flags is not None and phase.flags >> 5 & 1
+                else Result.ERROR
+            )
             if gone:
                 return first
             for server_id in order.fallbacks[: order.fallbacks.index(at) + 1]:
                 if server_id in self.roster.listed:
                     self.divert(call, first, server_id)
             return None
-        # Neither: the proxy used an answer of another time. What it was told for this request went nowhere.
+        # Neither: the proxy used an answer of another time. What it was told for this request went
+        # nowhere.
         leaving = self.roster.leaving.get(at)
         drained = leaving is not None and now - leaving > self.drain_grace
         before = self.account.standing(proxy, now)
@@ -453,7 +483,9 @@
             call.timer = self.join.timers.call_later(max(0.0, wait) / 1000, self.given_up, call)
         self.seen(call)
         call.step = Step.PARKED
-        self.join.ended(call.number, order.number, order.server_id, result, now - call.sent, answer, parked)
+        self.join.ended(
+            call.number, order.number, order.server_id, result, now - call.sent, answer, parked
+        )
 
     def expire(self, call: Call) -> None:
         """The attempt's time and the proxy's own are over, and no response phase came."""
@@ -476,7 +508,9 @@
         self.over(call, None)
         self.join.withdraw(call.number)
         if out and order is not None:
-            self.join.ended(call.number, order.number, order.server_id, result, self.join.clock() - call.sent)
+            self.join.ended(
+                call.number, order.number, order.server_id, result, self.join.clock() - call.sent
+            )
 
     def over(self, call: Call, final: Immediate | None) -> None:
         """Forget a call, but for how it ended while its client may still be there."""
@@ -505,7 +539,8 @@
         """The account of each proxy."""
         now = self.join.clock()
         return {
-            name: proxy.row(self.account.standing(proxy, now)) for name, proxy in self.account.proxies.items()
+            name: proxy.row(self.account.standing(proxy, now))
+            for name, proxy in self.account.proxies.items()
         }
 
 
--- a/badgercart/fronts/processor/messages.py
+++ b/badgercart/fronts/processor/messages.py
@@ -1,7 +1,7 @@
 """Envoy's messages: what is read of them, and how replies are worded. No I/O.
 
-Sources: `envoy/service/ext_proc/v3/external_processor.proto`; the Endpoint Picker Protocol (proposal 004 of
-the Gateway API inference extension) for the names under `envoy.lb`.
+Sources: `envoy/service/ext_proc/v3/external_processor.proto`; the Endpoint Picker Protocol
+(proposal 004 of the Gateway API inference extension) for the names under `envoy.lb`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,15 @@
 from google.protobuf import struct_pb2
 from google.protobuf.message import DecodeError
 
-from badgercart.fronts.processor.machine import Illegal, Immediate, Pass, Reply, Route, Skip, retry_after
+from badgercart.fronts.processor.machine import (
+    Illegal,
+    Immediate,
+    Pass,
+    Reply,
+    Route,
+    Skip,
+    retry_after,
+)
 from badgercart.fronts.processor.outcomes import Phase
 
 DESTINATION = "x-gateway-destination-endpoint"
@@ -77,7 +85,8 @@
 
 
 def response_phase(message: Any, most: int) -> tuple[Phase, str | None]:
-    """What response headers tell, and the endpoint that served; Illegal where they can't be read."""
+    """What response headers tell, and the endpoint that served; Illegal where they can't be
+    read."""
     headers = message.response_headers.headers
     if len(headers.headers) > most:
         raise Illegal(f"over {most} headers")
@@ -100,7 +109,9 @@
         served = fields[NAMESPACE].fields[SERVED].string_value or served
     attributes = _attributes(message)
     flags = attributes.get("response.flags")
-    number = int(flags.number_value) if flags is not None and flags.HasField("number_value") else None
+    number = (
+        int(flags.number_value) if flags is not None and flags.HasField("number_value") else None
+    )
     count_of = attributes.get("upstream.request_attempt_count")
     if count_of is not None and 1 <= count_of.number_value < 1000:
         attempts = int(count_of.number_value)
@@ -117,7 +128,9 @@
 
 def _attributes(message: Any) -> dict[str, Any]:
     found: dict[str, Any] = {}
-    for name in message.attributes:  # by the filter's name; the names of attributes differ among filters
+    for (
+        name
+    ) in message.attributes:  # by the filter's name; the names of attributes differ among filters
         found.update(message.attributes[name].fields)
     return found
 
@@ -156,8 +169,8 @@
     return bytes((number << 3 | 2,)) + length + data
 
 
-# A route is put together of serialized parts: its headers are few and most of them are the same again and
-# again, and to build them as objects each time costs more than the decision.
+# A route is put together of serialized parts: its headers are few and most of them are the same
+# again and again, and to build them as objects each time costs more than the decision.
 
 
 @lru_cache(maxsize=4096)
--- a/badgercart/fronts/processor/outcomes.py
+++ b/badgercart/fronts/processor/outcomes.py
@@ -1,12 +1,12 @@
 """What a response phase proves of an attempt: its outcome, and so whether it may have run. No I/O.
 
-A proxy's response comes from the server, or the proxy made it itself. Envoy tells which by the attributes
-`response.code_details` and `response.flags` (a bit mask); where neither is sent, only the status speaks. What
-is not listed here counts as may have run.
+A proxy's response comes from the server, or the proxy made it itself. Envoy tells which by the
+attributes `response.code_details` and `response.flags` (a bit mask); where neither is sent, only
+the status speaks. What is not listed here counts as may have run.
 
-Sources: Envoy's "Attributes" (names), "Response Code Details" and "Access logging, %RESPONSE_FLAGS%" (what
-each means), `envoy/stream_info/stream_info.h` (the numbers of the bits); the platform's protocol for answers
-of servers.
+Sources: Envoy's "Attributes" (names), "Response Code Details" and "Access logging,
+%RESPONSE_FLAGS%" (what each means), `envoy/stream_info/stream_info.h` (the numbers of the bits);
+the platform's protocol for answers of servers.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
     why: str
 
 
-# Never ran, by the flag alone, where the proxy made no other attempt. NOT_SENT is the proxy's own doing and
-# is not counted against the server; UNREACHABLE is.
+# Never ran, by the flag alone, where the proxy made no other attempt. NOT_SENT is the proxy's own
+# doing and is not counted against the server; UNREACHABLE is.
 FLAGS = (
     Flag(0, "LH", Result.NOT_SENT, "the proxy's health check failed"),
     Flag(1, "UH", Result.NOT_SENT, "no healthy server in the proxy's cluster"),
@@ -88,7 +88,8 @@
     "downstream_remote_disconnect": Result.CANCELLED,
     "downstream_local_disconnect": Result.CANCELLED,
 }
-# What speaks for the outcome where several do: the first of these; proofs that it never ran count last.
+# What speaks for the outcome where several do: the first of these; proofs that it never ran count
+# last.
 _DOUBT = (
     Result.TIMEOUT,
     Result.RESET,
@@ -129,13 +130,16 @@
         return End(_whole(phase), False)
     if phase.status < 400:
         # No failure, so flags are those of an earlier try; only who answered is open.
-        own = (phase.flags or 0) >> CACHED & 1 or DETAILS.get(phase.details or "") is Result.NOT_SENT
+        own = (phase.flags or 0) >> CACHED & 1 or DETAILS.get(
+            phase.details or ""
+        ) is Result.NOT_SENT
         return End(Result.NOT_SENT, True) if own else End(_whole(phase), False)
     found = _by_flags(phase.flags)
     if found is None and phase.details:
         found = _by_details(phase.details)
     if found is None:
-        # Nothing says that the proxy made it: the status speaks, as for an answer that came to the node.
+        # Nothing says that the proxy made it: the status speaks, as for an answer that came to the
+        # node.
         return End(_whole(phase), False)
     if found in NEVER_RAN and phase.attempts > 1:
         found = Result.ERROR  # an earlier attempt of the proxy's own may have run
--- a/badgercart/fronts/processor/part.py
+++ b/badgercart/fronts/processor/part.py
@@ -17,15 +17,21 @@
     """Proxies that ask; SIGHUP reads the PEM files of its certificate anew."""
 
     def __init__(self, host: Host, settings: ProcessorSettings) -> None:
-        from badgercart.fronts.processor.server import Processor  # heavy: only where it is switched on
+        from badgercart.fronts.processor.server import (
+            Processor,
+        )  # heavy: only where it is switched on
 
         self.front: Processor = Processor(host.config, settings, host.join, host.roster, host.loop)
         host.machines["processor.account"] = self.front.calls.account
 
         front, meters = self.front, host.meters
-        meters.gauge("badgercart_processor_streams", "Streams that are open.", lambda: len(front.connections))
         meters.gauge(
-            "badgercart_processor_calls", "Requests of proxies that are open.", lambda: len(front.calls.open)
+            "badgercart_processor_streams", "Streams that are open.", lambda: len(front.connections)
+        )
+        meters.gauge(
+            "badgercart_processor_calls",
+            "Requests of proxies that are open.",
+            lambda: len(front.calls.open),
         )
         meters.counter(
             "badgercart_processor_old_answers",
--- a/badgercart/fronts/processor/server.py
+++ b/badgercart/fronts/processor/server.py
@@ -25,7 +25,9 @@
 OPERATORS = "badgercart.processor.v1.Operators"
 SWEEP = 0.5  # s between looks for streams that wait for their proxy for too long
 WRITE_TIME = 5.0  # s for a proxy to take what was written to it
-LINGER = 30.0  # s beyond its attempt's time that a stream may stay open without its response headers
+LINGER = (
+    30.0  # s beyond its attempt's time that a stream may stay open without its response headers
+)
 ACCEPT_FOR = 0.6  # s after SIGTERM during which new streams are accepted
 DRAIN_LOOK = 0.02  # s between looks whether all calls are over
 MAX_NAME = 128  # characters of a proxy's name
@@ -48,13 +50,16 @@
         (tls.client_ca, client_ca, b"BEGIN CERTIFICATE"),
     ):
         # Half of a file that is being written would leave the listener with no certificate at all.
-        if data is not None and (mark not in data or data.count(b"-----BEGIN") != data.count(b"-----END")):
+        if data is not None and (
+            mark not in data or data.count(b"-----BEGIN") != data.count(b"-----END")
+        ):
             raise TlsError(f"{path}: holds no whole PEM of the kind {mark.decode()}")
     return grpc.ssl_server_certificate_configuration([(key, cert)], client_ca)
 
 
 class Connection:
-    """One stream as it is driven: what is to be written, and until when its proxy may take its time."""
+    """One stream as it is driven: what is to be written, and until when its proxy may take its
+    time."""
 
     def __init__(self, proxy: str) -> None:
         self.out: deque[Reply] = deque()
@@ -71,7 +76,8 @@
 
 
 class Processor:
-    """Takes streams, at most as many as the settings allow, and answers each message in its turn."""
+    """Takes streams, at most as many as the settings allow, and answers each message in its
+    turn."""
 
     def __init__(
         self,
@@ -93,7 +99,8 @@
         self.server = grpc.aio.server(
             options=(
                 ("grpc.max_concurrent_streams", settings.max_connection_streams),
-                # Streams that come faster than they are taken wait, or a burst within the limits is cut off.
+                # Streams that come faster than they are taken wait, or a burst within the limits is
+                # cut off.
                 ("grpc.server.max_pending_requests", settings.max_streams),
                 ("grpc.server.max_pending_requests_hard_limit", 2 * settings.max_streams),
                 ("grpc.max_receive_message_length", settings.max_message_bytes),
@@ -173,7 +180,9 @@
 
     def name(self, context: Any) -> str:
         """Who calls: its certificate's name, what it calls itself, or its address."""
-        names = context.auth_context().get("x509_common_name") if self.certificate is not None else None
+        names = (
+            context.auth_context().get("x509_common_name") if self.certificate is not None else None
+        )
         if names:
             return bytes(names[0]).decode("utf-8", "replace")[:MAX_NAME]
         for key, value in context.invocation_metadata() or ():
@@ -198,7 +207,9 @@
             self.end(connection)
             if not connection.swept:
                 raise
-            await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "nothing came, or nothing was read")
+            await context.abort(
+                grpc.StatusCode.DEADLINE_EXCEEDED, "nothing came, or nothing was read"
+            )
         finally:
             self.end(connection)
 
@@ -219,7 +230,9 @@
                     # The policy holds the request for its turn. Meanwhile its proxy may give up.
                     reading = reading or asyncio.ensure_future(context.read())
                     connection.ready = self.loop.create_future()
-                    await asyncio.wait((reading, connection.ready), return_when=asyncio.FIRST_COMPLETED)
+                    await asyncio.wait(
+                        (reading, connection.ready), return_when=asyncio.FIRST_COMPLETED
+                    )
                     connection.ready = None
                 if not out:
                     data, reading = await (reading or context.read()), None
@@ -228,9 +241,12 @@
                     self.receive(connection, data)
                 connection.until = self.loop.time() + WRITE_TIME
                 while out:
-                    await context.write(messages.write(out.popleft(), self.settings.whole_retry_after))
+                    await context.write(
+                        messages.write(out.popleft(), self.settings.whole_retry_after)
+                    )
                 if stream.at is At.ENDED:
-                    # All that was asked for has come: the end of the stream says so, and a proxy goes on.
+                    # All that was asked for has come: the end of the stream says so, and a proxy
+                    # goes on.
                     return
                 connection.until = self.loop.time() + self.deadline + LINGER
         finally:
--- a/badgercart/fronts/processor/settings.py
+++ b/badgercart/fronts/processor/settings.py
@@ -29,11 +29,15 @@
     request_id: Headers = Field(("request-id", "x-request-id"), description="the request's id")
     tenant: Headers = Field(("tenant",), description="the tenant")
     idempotency_key: Headers = Field(("idempotency-key",), description="the idempotency key")
-    timeout: Headers = Field(("request-timeout",), description="the time that is left, as 480m or 1500u")
+    timeout: Headers = Field(
+        ("request-timeout",), description="the time that is left, as 480m or 1500u"
+    )
     timeout_ms: Headers = Field(
         ("x-envoy-expected-rq-timeout-ms",), description="the time that is left, in ms"
     )
-    attempt: Headers = Field(("x-envoy-attempt-count",), description="the number of the attempt, from 1")
+    attempt: Headers = Field(
+        ("x-envoy-attempt-count",), description="the number of the attempt, from 1"
+    )
     work_hint: Headers = Field(("work-hint",), description="a guess at the work, in microseconds")
     retry: Headers = Field(("client-retry",), description="a 1 for a client's retry")
     proxy: Headers = Field(
@@ -47,7 +51,9 @@
     window_ms: float = Field(
         60000.0, ge=1000, le=LONG, description="the time over which uses are counted (ms)"
     )
-    no_fallbacks_after: int = Field(3, ge=1, le=100_000, description="uses after which it gets no fallbacks")
+    no_fallbacks_after: int = Field(
+        3, ge=1, le=100_000, description="uses after which it gets no fallbacks"
+    )
     refuse_after: int = Field(10, ge=1, le=100_000, description="uses after which it is refused")
     refuse_for_ms: float = Field(
         10000.0, ge=100, le=LONG, description="the time for which it then is refused (ms)"
@@ -71,9 +77,14 @@
         le=1 << 22,
         description="the size of one message (bytes); a larger one ends its stream",
     )
-    max_headers: int = Field(128, ge=8, le=1000, description="headers in one message; more are answered 431")
+    max_headers: int = Field(
+        128, ge=8, le=1000, description="headers in one message; more are answered 431"
+    )
     first_message_ms: float = Field(
-        60000.0, ge=100, le=LONG, description="the time for a stream to ask (ms), after which it is ended"
+        60000.0,
+        ge=100,
+        le=LONG,
+        description="the time for a stream to ask (ms), after which it is ended",
     )
     answer_age_ms: float = Field(
         300.0,
@@ -85,10 +96,14 @@
         1, ge=0, le=8, description="servers named behind the first where the class allows it"
     )
     later_attempts: bool = Field(
-        False, description="whether proxies ask again here for a further attempt, as an upstream filter does"
+        False,
+        description="whether proxies ask again here for a further attempt, as an upstream filter does",
     )
     later_wait_ms: float = Field(
-        250.0, ge=1, le=LONG, description="the time for which a request waits to be asked again (ms)"
+        250.0,
+        ge=1,
+        le=LONG,
+        description="the time for which a request waits to be asked again (ms)",
     )
     late_ms: float = Field(
         50.0,
--- a/badgercart/learning/ageing.py
+++ b/badgercart/learning/ageing.py
@@ -1,8 +1,8 @@
 """How what was learned fades towards what is assumed of the unknown. No I/O.
 
-value(t) = prior + (value - prior) * 2 ** (-t / half), so that ageing in two steps is ageing in one, and after
-endless time nothing is left but the prior. What is learned anew within seconds is worth little once it is
-old: minutes at most.
+value(t) = prior + (value - prior) * 2 ** (-t / half), so that ageing in two steps is ageing in one,
+and after endless time nothing is left but the prior. What is learned anew within seconds is worth
+little once it is old: minutes at most.
 """
 
 from __future__ import annotations
@@ -15,10 +15,12 @@
 
 SECOND, MINUTE = 1000.0, 60_000.0
 HALF = {  # ms after which half of it is left
-    "usual": 10 * MINUTE,  # learned anew of some fifty answers: what is old costs more than it saves
+    "usual": 10
+    * MINUTE,  # learned anew of some fifty answers: what is old costs more than it saves
     "kinds": 10 * MINUTE,  # the same; and servers that were slow are in it
     "offered": MINUTE,  # which classes come
-    "answers": 10 * MINUTE,  # the trust in the quickest mean time; the time itself can't fade to a prior
+    "answers": 10
+    * MINUTE,  # the trust in the quickest mean time; the time itself can't fade to a prior
     "rates": MINUTE,  # the best that was carried
     "keys": 5 * SECOND,  # as the policy halves them itself
     "slow": MINUTE,  # what slows one server
@@ -45,7 +47,9 @@
     rates, offered, keys = left("rates", age), left("offered", age), left("keys", age)
     priors = [cls.aim / 4 for cls in settings.classes]
     return Memory(
-        usual=[towards(prior, value, usual) for prior, value in zip(priors, memory.usual, strict=False)],
+        usual=[
+            towards(prior, value, usual) for prior, value in zip(priors, memory.usual, strict=False)
+        ],
         offered=[count * offered for count in memory.offered],
         kinds={kind: towards(1.0, pace, kinds) for kind, pace in memory.kinds.items()},
         least=memory.least,
--- a/badgercart/learning/commands.py
+++ b/badgercart/learning/commands.py
@@ -80,7 +80,9 @@
 
 @learned.command()
 @FILE
-@click.option("-o", "--output", required=True, type=click.Path(dir_okay=False), help="Where it goes.")
+@click.option(
+    "-o", "--output", required=True, type=click.Path(dir_okay=False), help="Where it goes."
+)
 @click.option("--to", "form", type=click.Choice(("json", "file")), default="json", show_default=True,
               help="JSON to read or change, or a file of the current version.")  # fmt: skip
 def convert(file: str, output: str, form: str) -> None:
@@ -95,6 +97,8 @@
         kept = decode(encode(msgspec.json.decode(data, type=Snapshot))) if told else read(file)
     except (msgspec.MsgspecError, SnapshotError) as error:
         raise CommandError(f"{file}: {error}") from None
-    text = msgspec.json.format(msgspec.json.encode(kept), indent=1) if form == "json" else encode(kept)
+    text = (
+        msgspec.json.format(msgspec.json.encode(kept), indent=1) if form == "json" else encode(kept)
+    )
     Path(output).write_bytes(text)
     click.echo(f"{output}: written")
--- a/badgercart/learning/part.py
+++ b/badgercart/learning/part.py
@@ -1,4 +1,5 @@
-"""What was learned as a part of an installation: given back at the start, saved in a while and at the end."""
+"""What was learned as a part of an installation: given back at the start, saved in a while and at
+the end."""
 
 from __future__ import annotations
 
@@ -22,12 +23,14 @@
 
 
 def give_way() -> None:
-    """On the saving thread: let the loop have the interpreter now, not after its switch interval of 5 ms."""
+    """On the saving thread: let the loop have the interpreter now, not after its switch interval of
+    5 ms."""
     time.sleep(0.0002)
 
 
 class LearningPart:
-    """Nothing that is wrong with the folder costs a request: it is said, and the node runs as without it."""
+    """Nothing that is wrong with the folder costs a request: it is said, and the node runs as
+    without it."""
 
     def __init__(self, host: Host, settings: LearningSettings) -> None:
         from badgercart.learning.store import Folder, Lock
@@ -45,8 +48,12 @@
             OFF(cause=f"{self.folder}: {error.strerror or error}")
             return
         self.restore()
-        host.meters.counter("badgercart_learning_saves", "Saves of what was learned.", lambda: self.saves)
-        host.meters.counter("badgercart_learning_failures", "Saves that failed.", lambda: self.failures)
+        host.meters.counter(
+            "badgercart_learning_saves", "Saves of what was learned.", lambda: self.saves
+        )
+        host.meters.counter(
+            "badgercart_learning_failures", "Saves that failed.", lambda: self.failures
+        )
 
     def restore(self) -> None:
         """Before anything is told to the policy."""
--- a/badgercart/learning/settings.py
+++ b/badgercart/learning/settings.py
@@ -20,5 +20,8 @@
         description="the size of the file; a larger one is not written (bytes)",
     )
     oldest_s: float = Field(
-        86400.0, ge=1, le=30 * 86400, description="the age beyond which a file is not used at all (s)"
+        86400.0,
+        ge=1,
+        le=30 * 86400,
+        description="the age beyond which a file is not used at all (s)",
     )
--- a/badgercart/learning/snapshot.py
+++ b/badgercart/learning/snapshot.py
@@ -1,11 +1,13 @@
-"""The content of a file of what was learned: by names and wall time, checked to the last number. No I/O.
+"""The content of a file of what was learned: by names and wall time, checked to the last number. No
+I/O.
 
     file = magic "BLRN" | version u16 | length u32 | crc32 u32 | MessagePack map      (big-endian; crc32 is
     zlib's)
 
-Why msgspec: a typed, bounded decoding of MessagePack in one pass, so that nothing read from a disk can reach
-the policy unchecked. Classes, kinds and zones stand by their names, since their numbers are places in a file
-that may have changed; a server's start is Unix time, since the node's clock begins anew with the machine.
+Why msgspec: a typed, bounded decoding of MessagePack in one pass, so that nothing read from a disk
+can reach the policy unchecked. Classes, kinds and zones stand by their names, since their numbers
+are places in a file that may have changed; a server's start is Unix time, since the node's clock
+begins anew with the machine.
 """
 
 from __future__ import annotations
@@ -84,7 +86,9 @@
 
 
 _DECODER: msgspec.msgpack.Decoder[Snapshot] = msgspec.msgpack.Decoder(Snapshot)
-MIGRATIONS: dict[int, Callable[[bytes], bytes]] = {}  # by version: its content as that of the next one
+MIGRATIONS: dict[
+    int, Callable[[bytes], bytes]
+] = {}  # by version: its content as that of the next one
 
 
 def fleet_of(config: Config) -> str:
@@ -99,8 +103,8 @@
     unix_offset: float,
     pause: Callable[[], object] = lambda: None,
 ) -> Snapshot:
-    """`unix_offset`: Unix time less the node's clock, ms. `pause` is called now and then, for others'
-    turn."""
+    """`unix_offset`: Unix time less the node's clock, ms. `pause` is called now and then, for
+    others' turn."""
     count = len(memory.usual)
     names = [name.decode() for name in config.classes]
     kinds = {number: name for name, number in config.kinds.items()}
@@ -186,5 +190,7 @@
         raise SnapshotError(str(error)) from None
     for server in snapshot.servers:
         if not len(server.fails) == len(server.strikes) == len(snapshot.classes):
-            raise SnapshotError(f"server {server.number:x} is not of {len(snapshot.classes)} classes")
+            raise SnapshotError(
+                f"server {server.number:x} is not of {len(snapshot.classes)} classes"
+            )
     return snapshot
--- a/badgercart/learning/store.py
+++ b/badgercart/learning/store.py
@@ -1,8 +1,9 @@
-"""Keeps a file whole on a disk that may fail at any call: the old or the new, never anything between.
+"""Keeps a file whole on a disk that may fail at any call: the old or the new, never anything
+between.
 
-A save writes a temporary file and syncs it, moves the file before it aside, renames, and syncs the folder.
-So at every moment the newest whole file stands under one of two names, and a reader takes the first that is
-whole.
+A save writes a temporary file and syncs it, moves the file before it aside, renames, and syncs the
+folder. So at every moment the newest whole file stands under one of two names, and a reader takes
+the first that is whole.
 """
 
 from __future__ import annotations
--- a/badgercart/membership/catalog.py
+++ b/badgercart/membership/catalog.py
@@ -1,4 +1,5 @@
-"""The server list: the first whole list, then a watch, opened anew whenever it ends or falls silent."""
+"""The server list: the first whole list, then a watch, opened anew whenever it ends or falls
+silent."""
 
 from __future__ import annotations
 
@@ -18,9 +19,9 @@
 from badgercart.membership.tries import PATIENCE, Pace, Tries
 
 PATH = "/catalog/members"
-# A line is due every 2 s, if only an empty one, and a change counts as told 6 s after the last one, though it
-# never arrived. A watch that has said nothing for so long, in s, is opened anew, with half of that time left
-# for it: two calls may hang.
+# A line is due every 2 s, if only an empty one, and a change counts as told 6 s after the last one,
+# though it never arrived. A watch that has said nothing for so long, in s, is opened anew, with
+# half of that time left for it: two calls may hang.
 SILENCE = 3.0
 RATE = 64_000  # bytes a second that a list comes in with at least
 
@@ -52,7 +53,8 @@
         self.complete = True
 
     async def more(self, reader: asyncio.StreamReader, until: float | None = None) -> None:
-        """Read on, until a moment of the loop's clock at the latest. Raises TimeoutError, DiscoveryError."""
+        """Read on, until a moment of the loop's clock at the latest. Raises TimeoutError,
+        DiscoveryError."""
         async with asyncio.timeout_at(until):
             chunk = await reader.read(65536)
         if not chunk:
@@ -81,7 +83,8 @@
 
 
 class Discovery:
-    """Keeps the list fresh. `on_list` gets each one, raw, and raises ValueError at what it can't take."""
+    """Keeps the list fresh. `on_list` gets each one, raw, and raises ValueError at what it can't
+    take."""
 
     def __init__(
         self,
@@ -98,7 +101,9 @@
         self.tries = Tries(rng)
         self.version: int | None = None  # of the list in force; None: the whole list is wanted
         self.failing = False
-        self.calls: list[Call] = []  # that are out, the first first; one that was heard is out alone
+        self.calls: list[
+            Call
+        ] = []  # that are out, the first first; one that was heard is out alone
         self.due = -math.inf  # when the next is opened, on the loop's clock
         self.beside = 0.0  # s from the last call's start, if nothing comes of it
         self.woken = asyncio.Event()  # something above has changed
@@ -114,7 +119,8 @@
         self.drop(self.calls)
 
     def move(self, address: Address, anew: bool = False) -> None:
-        """Leave the old watch at once. Another service counts its versions anew: fetch the whole list."""
+        """Leave the old watch at once. Another service counts its versions anew: fetch the whole
+        list."""
         if address == self.address and not anew:
             return  # asked again and again, it must not begin again and again
         self.close()
@@ -143,7 +149,8 @@
         if self.calls:
             self.note(f"no answer in {self.beside:.1f} s")
         if len(self.calls) >= MOST_CALLS:
-            # The first is the next to be answered where calls are worked through in turn, if it is not lost.
+            # The first is the next to be answered where calls are worked through in turn, if it is
+            # not lost.
             self.drop([self.calls[now - self.calls[0].credit < PATIENCE]])
         call = Call(self.version is None, now)
         self.calls.append(call)
@@ -170,7 +177,8 @@
         except (OSError, DiscoveryError, httptools.HttpParserError) as error:
             self.note(str(error) or type(error).__name__)
         except Exception:
-            # Whatever it was: a watch that dies of it would leave the node with its old list for ever.
+            # Whatever it was: a watch that dies of it would leave the node with its old list for
+            # ever.
             CATALOG_BROKEN(True)
             self.version = None
         if call not in self.calls:
@@ -213,7 +221,8 @@
         self.take(call, lambda: [read(call.body.taken())])
 
     async def follow(self, call: Call, reader: asyncio.StreamReader) -> None:
-        """Changes, as they come. Raises when the watch ends or is silent: bytes alone are no life."""
+        """Changes, as they come. Raises when the watch ends or is silent: bytes alone are no
+        life."""
         loop, body, texts = asyncio.get_running_loop(), call.body, Texts()
         alive = part = loop.time()  # when a line last came whole; since when a list has not
         came = 0  # bytes before that list
@@ -240,7 +249,8 @@
         raise DiscoveryError("the watch ended")
 
     def take(self, call: Call, lists: Callable[[], list[dict[str, Any] | None]]) -> int:
-        """Take over lists as they are read; how many came, signs of life too. Raises DiscoveryError."""
+        """Take over lists as they are read; how many came, signs of life too. Raises
+        DiscoveryError."""
         try:
             found = lists()
             for told in found:
--- a/badgercart/membership/entries.py
+++ b/badgercart/membership/entries.py
@@ -20,12 +20,15 @@
 
 
 class ListReader:
-    """Reads lists with the names of one configuration. Unix times become times of the node's clock."""
+    """Reads lists with the names of one configuration. Unix times become times of the node's
+    clock."""
 
     def __init__(self, config: Config) -> None:
         self.rename(config)
         self.unix_offset = time.time() * 1000 - now_ms()
-        self.place: Callable[[str], int] | None = None  # the zone of a host that the list gives none
+        self.place: Callable[[str], int] | None = (
+            None  # the zone of a host that the list gives none
+        )
 
     def rename(self, config: Config) -> None:
         """Go by the names and numbers of another configuration."""
@@ -46,7 +49,9 @@
         name, started = str(line["instanceId"]), float(line.get("startedAtMs", 0))
         size = float(line.get("weight", 1.0))
         if not (math.isfinite(started) and math.isfinite(size) and size >= 0):
-            raise ValueError(f"{name}: weight {size}, started at {started}")  # JSON readers let NaN through
+            raise ValueError(
+                f"{name}: weight {size}, started at {started}"
+            )  # JSON readers let NaN through
         address = parse_address(line["hostPort"])
         zone = self.zones.get(line.get("zone", ""), -1)
         if zone < 0 and self.place is not None:
--- a/badgercart/membership/etcd/client.py
+++ b/badgercart/membership/etcd/client.py
@@ -24,7 +24,8 @@
 SAVE_EVERY = 5.0  # s between writes of the known file
 DELETE = kv_pb2.Event.DELETE
 MAX_MESSAGE = 64 << 20  # bytes of one answer
-# A network that goes silent under a connection is noticed within these times even where nothing is asked.
+# A network that goes silent under a connection is noticed within these times even where nothing is
+# asked.
 KEEPALIVE = (("grpc.keepalive_time_ms", 2000), ("grpc.keepalive_timeout_ms", 1000))
 
 
@@ -44,7 +45,10 @@
     code, text = error.code(), error.details() or ""
     if "compacted" in text:
         return machine.Failure.COMPACTED
-    if code in (grpc.StatusCode.UNAUTHENTICATED, grpc.StatusCode.PERMISSION_DENIED) or "user" in text:
+    if (
+        code in (grpc.StatusCode.UNAUTHENTICATED, grpc.StatusCode.PERMISSION_DENIED)
+        or "user" in text
+    ):
         return machine.Failure.DENIED
     if code in (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.DEADLINE_EXCEEDED):
         return machine.Failure.UNREACHABLE
@@ -91,7 +95,8 @@
 
 
 class EtcdSource:
-    """Keeps a roster's list and its age. `on_list` takes whole lists and changes, `on_state` their age."""
+    """Keeps a roster's list and its age. `on_list` takes whole lists and changes, `on_state` their
+    age."""
 
     def __init__(
         self,
@@ -129,7 +134,8 @@
                 job.cancel()
 
     def move(self, settings: EtcdSettings) -> None:
-        """Other endpoints or credentials: the list stays in force, its age runs on, all is asked anew."""
+        """Other endpoints or credentials: the list stays in force, its age runs on, all is asked
+        anew."""
         if settings == self.settings:
             return
         if self.task is not None:
@@ -157,7 +163,8 @@
             except LeaveStream as left:
                 delay = self.wait(left.wait)
             except Exception:
-                # Whatever it was: a follower that dies of it would leave the node with its list for ever.
+                # Whatever it was: a follower that dies of it would leave the node with its list for
+                # ever.
                 events.BROKEN(True)
                 self.follower.forget()
                 delay = self.obey_wait(self.follower.failed(machine.Failure.OTHER))
@@ -196,7 +203,9 @@
                     raise Ended(machine.Failure.OTHER, "nothing more was asked for")
                 orders = following
         except grpc.RpcError as error:
-            raise Ended(failure_of(error), f"{error.code().name.lower()}: {error.details()}") from None
+            raise Ended(
+                failure_of(error), f"{error.code().name.lower()}: {error.details()}"
+            ) from None
         except OSError as error:
             raise Ended(machine.Failure.DENIED, str(error)) from None
         finally:
@@ -236,7 +245,10 @@
             self.asked, self.lists = self.clock(), self.lists + 1
         prefix = self.settings.prefix.encode()
         request = rpc_pb2.RangeRequest(
-            key=order.start, range_end=prefix_end(prefix), revision=order.revision, limit=order.limit
+            key=order.start,
+            range_end=prefix_end(prefix),
+            revision=order.revision,
+            limit=order.limit,
         )
         stub = rpc_pb2_grpc.KVStub(channel)
         answer = await stub.Range(request, metadata=metadata, timeout=self.settings.call_ms / 1000)
@@ -245,7 +257,9 @@
         page = machine.Page(header_of(answer.header), pairs, answer.more)
         return self.follower.page(page, self.clock())
 
-    async def watch(self, order: machine.Watch, channel: Any, metadata: list[tuple[str, str]]) -> None:
+    async def watch(
+        self, order: machine.Watch, channel: Any, metadata: list[tuple[str, str]]
+    ) -> None:
         prefix = self.settings.prefix.encode()
         call = rpc_pb2_grpc.WatchStub(channel).Watch(metadata=metadata)
         create = rpc_pb2.WatchCreateRequest(
@@ -282,15 +296,15 @@
     async def ask_progress(self, call: Any) -> None:
         """Ask over and over whether all has been told; silence ends the connection."""
         request = rpc_pb2.WatchRequest(progress_request=rpc_pb2.WatchProgressRequest())
-        # Silence is counted in steps that were waited through. A stall of our own, as over thousands of
-        # changes in one response, counts as one: else the watch would be left just as they are read, and
-        # left again each time that they are sent anew.
+        # Silence is counted in steps that were waited through. A stall of our own, as over
+        # thousands of changes in one response, counts as one: else the watch would be left just as
+        # they are read, and left again each time that they are sent anew.
         step = min(self.settings.progress_ms, self.settings.silence_ms / 4)
         heard, quiet, ask_at = self.heard, 0.0, 0.0
         while True:
             if self.clock() >= ask_at:
-                # One that is not answered (etcd passes them over while a watch lags behind) stands: what is
-                # answered later proves the list as of the first of them.
+                # One that is not answered (etcd passes them over while a watch lags behind) stands:
+                # what is answered later proves the list as of the first of them.
                 self.asked = self.asked or self.clock()
                 await call.write(request)
                 ask_at = self.clock() + self.settings.progress_ms
@@ -313,7 +327,9 @@
         else:
             events = [
                 machine.Pair(
-                    event.kv.key, None if event.type == DELETE else event.kv.value, event.kv.mod_revision
+                    event.kv.key,
+                    None if event.type == DELETE else event.kv.value,
+                    event.kv.mod_revision,
                 )
                 for event in answer.events
             ]
@@ -356,7 +372,9 @@
             self.timer = None
         due = self.freshness.next_change(now)
         if due is not None:
-            self.timer = asyncio.get_running_loop().call_later(max(0.0, due - now) / 1000 + 0.001, self.look)
+            self.timer = asyncio.get_running_loop().call_later(
+                max(0.0, due - now) / 1000 + 0.001, self.look
+            )
 
     # The list as it was last held, for a start while etcd is away.
 
--- a/badgercart/membership/etcd/commands.py
+++ b/badgercart/membership/etcd/commands.py
@@ -1,6 +1,7 @@
 """`badgercart members`: list and change the entries in etcd.
 
-Exit status: 0 done, and with --from-node no difference; 1 could not be done, or a difference; 2 bad input.
+Exit status: 0 done, and with --from-node no difference; 1 could not be done, or a difference; 2 bad
+input.
 """
 
 from __future__ import annotations
@@ -105,7 +106,9 @@
 
 @members.command()
 @click.argument("entry")
-@click.option("--ttl", type=click.IntRange(1), metavar="S", help="Bind it to a lease of so many seconds.")
+@click.option(
+    "--ttl", type=click.IntRange(1), metavar="S", help="Bind it to a lease of so many seconds."
+)
 @DRY_RUN
 @click.pass_obj
 def put(access: Access, entry: str, ttl: int | None, dry_run: bool) -> None:
--- a/badgercart/membership/etcd/follower.py
+++ b/badgercart/membership/etcd/follower.py
@@ -1,4 +1,5 @@
-"""Follows one prefix of etcd: list, then watch from the next revision. No I/O: answers in, orders out.
+"""Follows one prefix of etcd: list, then watch from the next revision. No I/O: answers in, orders
+out.
 
     IDLE     nothing is asked           begin() lists, or watches where a revision is held
     LISTING  pages of one revision      the last page hands the list over whole and begins the watch
@@ -14,8 +15,8 @@
 - A response in fragments counts with its last one; what a stream cut off in between is asked for again.
 - A key whose value is no entry is reported. It keeps its last good entry, or is left out if it never had one.
 
-Sources: etcd's "API guarantees" and the comments of `rpc.proto` on RangeRequest, WatchCreateRequest and
-WatchResponse; client-go's Reflector for the shape.
+Sources: etcd's "API guarantees" and the comments of `rpc.proto` on RangeRequest, WatchCreateRequest
+and WatchResponse; client-go's Reflector for the shape.
 """
 
 from __future__ import annotations
@@ -138,7 +139,10 @@
     """`read` turns an entry's JSON into a member, or raises ValueError."""
 
     def __init__(
-        self, settings: EtcdSettings, read: Callable[[dict[str, object]], Member], rng: random.Random
+        self,
+        settings: EtcdSettings,
+        read: Callable[[dict[str, object]], Member],
+        rng: random.Random,
     ) -> None:
         self.settings = settings
         self.prefix = settings.prefix.encode()
@@ -152,7 +156,9 @@
         self.members: dict[bytes, Member] = {}  # by key, as etcd has them
         self.values: dict[bytes, bytes] = {}  # the same entries as they are written
         self.given: dict[int, Member] = {}  # by id, as handed over
-        self.missing: set[int] = set()  # of those, the ones that etcd has no more and the guard keeps
+        self.missing: set[int] = (
+            set()
+        )  # of those, the ones that etcd has no more and the guard keeps
         self.owners: dict[int, bytes] = {}  # which key holds an id
         self.touched: set[int] = set()  # ids that changed since the last hand-over
         self.override = False
@@ -189,7 +195,9 @@
 
     def again(self, next_member: bool) -> list[Order]:
         self.phase = Phase.IDLE
-        delay = min(self.settings.retry_first_ms * 2.0 ** min(self.tries, 16), self.settings.retry_most_ms)
+        delay = min(
+            self.settings.retry_first_ms * 2.0 ** min(self.tries, 16), self.settings.retry_most_ms
+        )
         self.tries += 1
         # Nodes that lost etcd together must not come back together.
         return [Wait(delay * (0.5 + self.random.random()), next_member)]
@@ -203,14 +211,19 @@
         if not self.building:
             if header.cluster == self.cluster and header.revision < self.high:
                 return [
-                    Report(f"a list of revision {header.revision} is older than {self.high}: not taken"),
+                    Report(
+                        f"a list of revision {header.revision} is older than {self.high}: not taken"
+                    ),
                     *self.again(next_member=True),
                 ]
             self.build_at, self.build_cluster = header.revision, header.cluster
         for pair in page.pairs:
             self.building[pair.key] = pair
         if len(self.building) > MAX_ENTRIES:
-            return [Report(f"over {MAX_ENTRIES} entries under the prefix"), *self.again(next_member=False)]
+            return [
+                Report(f"over {MAX_ENTRIES} entries under the prefix"),
+                *self.again(next_member=False),
+            ]
         if page.more and page.pairs:
             return [List(page.pairs[-1].key + b"\0", self.build_at, self.settings.page)]
         return self.listed(now)
@@ -218,7 +231,9 @@
     def listed(self, now: float) -> list[Order]:
         orders: list[Order] = []
         if self.cluster is not None and self.cluster != self.build_cluster:
-            orders.append(Report("another cluster answers (a restored backup?): its whole list is taken"))
+            orders.append(
+                Report("another cluster answers (a restored backup?): its whole list is taken")
+            )
         building, self.building = self.building, {}
         for key in [key for key in self.members if key not in building]:
             self.delete(key)
@@ -245,10 +260,15 @@
             if change.compacted:
                 self.revision = 0
                 return [
-                    Report(f"history up to {change.compacted} is compacted away: the whole list is fetched"),
+                    Report(
+                        f"history up to {change.compacted} is compacted away: the whole list is fetched"
+                    ),
                     *self.again(next_member=False),
                 ]
-            return [Report(f"the watch was cancelled: {change.reason}"), *self.again(next_member=True)]
+            return [
+                Report(f"the watch was cancelled: {change.reason}"),
+                *self.again(next_member=True),
+            ]
         self.pieces += [event for event in change.events if event.revision > self.revision]
         if change.fragment:
             if len(self.pieces) > MAX_ENTRIES:
@@ -298,7 +318,14 @@
                 raise ValueError("an entry that is gone is deleted, not written")
             if self.owners.get(member.entry.id, pair.key) != pair.key:
                 raise ValueError(f"{member.name} stands under another key already")
-        except (KeyError, TypeError, AttributeError, ValueError, OverflowError, RecursionError) as error:
+        except (
+            KeyError,
+            TypeError,
+            AttributeError,
+            ValueError,
+            OverflowError,
+            RecursionError,
+        ) as error:
             text = f"{error} is missing" if isinstance(error, KeyError) else str(error)
             known = self.bad.get(pair.key)
             if len(self.bad) < MAX_REPORTS:
@@ -358,7 +385,10 @@
                 changed.append(replace(gone, entry=replace(gone.entry, state=State.GONE)))
             self.missing.clear()
         if whole:
-            return [*orders, Deliver(MemberList(ListKind.FULL, self.revision, list(self.given.values())))]
+            return [
+                *orders,
+                Deliver(MemberList(ListKind.FULL, self.revision, list(self.given.values()))),
+            ]
         if changed:
             orders.append(Deliver(MemberList(ListKind.DELTA, self.revision, changed)))
         return orders
--- a/badgercart/membership/etcd/guard.py
+++ b/badgercart/membership/etcd/guard.py
@@ -1,9 +1,10 @@
-"""Holds back a list that lost most of its servers at once: sooner a mistake than a fleet that left. No I/O.
+"""Holds back a list that lost most of its servers at once: sooner a mistake than a fleet that left.
+No I/O.
 
-The rule: where fewer than `share` of the most servers that were listed within the last `MEMORY` ms would be
-left, and they were `LEAST` or more, those that are missing stay as they were. Drains and additions count at
-once, and so does everything while the operator's override is there: the key `<prefix>.shrink-allowed`,
-whatever its value. The hold ends when enough servers are listed again.
+The rule: where fewer than `share` of the most servers that were listed within the last `MEMORY` ms
+would be left, and they were `LEAST` or more, those that are missing stay as they were. Drains and
+additions count at once, and so does everything while the operator's override is there: the key
+`<prefix>.shrink-allowed`, whatever its value. The hold ends when enough servers are listed again.
 """
 
 from __future__ import annotations
--- a/badgercart/membership/etcd/members.py
+++ b/badgercart/membership/etcd/members.py
@@ -40,7 +40,9 @@
     except ValueError as error:
         raise CommandError(f"hostPort: {error}", Exit.USAGE) from None
     if raw.setdefault("lifecycle", "active") not in LIFECYCLES:
-        raise CommandError(f"lifecycle: {raw['lifecycle']!r} is none of {', '.join(LIFECYCLES)}", Exit.USAGE)
+        raise CommandError(
+            f"lifecycle: {raw['lifecycle']!r} is none of {', '.join(LIFECYCLES)}", Exit.USAGE
+        )
     weight = raw.setdefault("weight", 1.0)
     if isinstance(weight, bool) or not isinstance(weight, int | float) or not 0 <= weight <= 1e6:
         raise CommandError(f"weight: {weight!r} is not within 0 to 1e6", Exit.USAGE)
@@ -81,7 +83,10 @@
         start, revision, found = self.prefix, 0, []
         while True:
             request = rpc_pb2.RangeRequest(
-                key=start, range_end=prefix_end(self.prefix), revision=revision, limit=self.settings.page
+                key=start,
+                range_end=prefix_end(self.prefix),
+                revision=revision,
+                limit=self.settings.page,
             )
             page = await self.kv.Range(request, metadata=self.metadata, timeout=PATIENCE)
             found += page.kvs
@@ -102,7 +107,9 @@
     async def list_entries(self, as_json: bool, node: str | None) -> int:
         lines = [line_of(kv, self.prefix) for kv in await self.entries()]
         if node is not None:
-            return self.compare([line for line in lines if "fault" not in line], page_of(node, "/_members"))
+            return self.compare(
+                [line for line in lines if "fault" not in line], page_of(node, "/_members")
+            )
         if as_json:
             print("\n".join(map(json.dumps, lines)))
         else:
@@ -111,10 +118,16 @@
 
     def compare(self, lines: list[dict[str, Any]], told: dict[str, Any]) -> int:
         here = {line["instanceId"]: (line["hostPort"], line["lifecycle"]) for line in lines}
-        there = {line["instanceId"]: (line["hostPort"], line["lifecycle"]) for line in told["instances"]}
-        differing = [name for name in sorted(here.keys() | there.keys()) if here.get(name) != there.get(name)]
+        there = {
+            line["instanceId"]: (line["hostPort"], line["lifecycle"]) for line in told["instances"]
+        }
+        differing = [
+            name for name in sorted(here.keys() | there.keys()) if here.get(name) != there.get(name)
+        ]
         for name in differing:
-            shown = [" ".join(side[name]) if name in side else "not listed" for side in (here, there)]
+            shown = [
+                " ".join(side[name]) if name in side else "not listed" for side in (here, there)
+            ]
             print(f"{name}: etcd {shown[0]}; the node {shown[1]}")
         print(f"{len(differing)} of {len(here)} entries differ; the node's list is {told['state']}")
         return 1 if differing else 0
@@ -157,7 +170,10 @@
         request = rpc_pb2.TxnRequest(success=[rpc_pb2.RequestOp(request_put=put)])
         if unchanged is not None:
             request.compare.add(
-                target=rpc_pb2.Compare.MOD, result=rpc_pb2.Compare.EQUAL, key=put.key, mod_revision=unchanged
+                target=rpc_pb2.Compare.MOD,
+                result=rpc_pb2.Compare.EQUAL,
+                key=put.key,
+                mod_revision=unchanged,
             )
         if not (await self.kv.Txn(request, metadata=self.metadata, timeout=PATIENCE)).succeeded:
             raise CommandError(f"{name} was changed by another meanwhile; nothing was written")
@@ -170,10 +186,14 @@
         if self.dry_run:
             return 0
         gone = [
-            rpc_pb2.RequestOp(request_delete_range=rpc_pb2.DeleteRangeRequest(key=self.prefix + n.encode()))
+            rpc_pb2.RequestOp(
+                request_delete_range=rpc_pb2.DeleteRangeRequest(key=self.prefix + n.encode())
+            )
             for n in dict.fromkeys(names)
         ]
-        await self.kv.Txn(rpc_pb2.TxnRequest(success=gone), metadata=self.metadata, timeout=PATIENCE)
+        await self.kv.Txn(
+            rpc_pb2.TxnRequest(success=gone), metadata=self.metadata, timeout=PATIENCE
+        )
         return 0
 
     async def allow_shrink(self, on: bool) -> int:
--- a/badgercart/membership/etcd/part.py
+++ b/badgercart/membership/etcd/part.py
@@ -25,7 +25,9 @@
     """The list from etcd, with its age; SIGHUP takes all of its settings anew."""
 
     def __init__(self, host: Host, settings: EtcdSettings) -> None:
-        from badgercart.membership.etcd.client import EtcdSource  # heavy: only where it is switched on
+        from badgercart.membership.etcd.client import (
+            EtcdSource,
+        )  # heavy: only where it is switched on
 
         self.roster = host.roster
         self.source: EtcdSource = EtcdSource(
@@ -50,7 +52,8 @@
     def take(self, told: MemberList) -> None:
         self.roster.apply(told)
         if told.kind is ListKind.FULL and len(told.members) >= LONG_LIST:
-            gc.freeze()  # the collector would stop the loop for long to look at all of them again and again
+            # the collector would stop the loop for long to look at all of them again and again
+            gc.freeze()
 
     def aged(self, state: State) -> None:
         """The age of the list has passed a limit, or is as it should be again."""
--- a/badgercart/membership/etcd/settings.py
+++ b/badgercart/membership/etcd/settings.py
@@ -13,14 +13,18 @@
     """TLS to etcd, from PEM files that are read with each connection"""
 
     ca: Name = Field(description="the file with the authorities of etcd's certificates")
-    cert: Name | None = Field(None, description="the file with this node's certificate, where etcd wants one")
+    cert: Name | None = Field(
+        None, description="the file with this node's certificate, where etcd wants one"
+    )
     key: Name | None = Field(None, description="the file with its private key")
 
 
 class EtcdSettings(Table, title="EtcdSettings"):
     """the server list from etcd v3, one key an entry under a prefix"""
 
-    endpoints: Addresses = Field(description="the host:port of each member; the next is asked when one fails")
+    endpoints: Addresses = Field(
+        description="the host:port of each member; the next is asked when one fails"
+    )
     prefix: Name = Field("/badgercart/servers/", description="what the entries' keys begin with")
     user: Name | None = Field(None, description="the user, where etcd wants one")
     password_file: Name | None = Field(
@@ -29,7 +33,10 @@
     tls: EtcdTls | None = None
     page: int = Field(1000, ge=1, le=10_000, description="entries in one page of the list")
     progress_ms: float = Field(
-        1000.0, ge=10, le=LONG, description="the time between questions whether the watch is whole (ms)"
+        1000.0,
+        ge=10,
+        le=LONG,
+        description="the time between questions whether the watch is whole (ms)",
     )
     silence_ms: float = Field(
         2500.0,
@@ -46,7 +53,9 @@
         le=LONG,
         description="the time before the first new try (ms), doubled with each, with jitter",
     )
-    retry_most_ms: float = Field(2000.0, ge=1, le=LONG, description="the longest time before a new try (ms)")
+    retry_most_ms: float = Field(
+        2000.0, ge=1, le=LONG, description="the longest time before a new try (ms)"
+    )
     doubtful_after_ms: float = Field(
         3000.0, ge=10, le=LONG, description="the age from which on the log says so (ms)"
     )
@@ -61,5 +70,6 @@
         description="a list left with less of its servers within a minute is held back; 0 switches it off",
     )
     known_file: Name | None = Field(
-        None, description="where the list is kept, every 5 s at most, for a start while etcd is away"
+        None,
+        description="where the list is kept, every 5 s at most, for a start while etcd is away",
     )
--- a/badgercart/membership/freshness.py
+++ b/badgercart/membership/freshness.py
@@ -1,9 +1,10 @@
 """How old a server list may be, and what follows from it. No I/O.
 
-A *proof* says that the list was whole at some time: the time at which the question was asked that an answer
-answered, never the time at which the answer came, for answers may lie in a buffer. From the last proof on
-the list ages: *fresh*, then *doubtful* (operators are told), then *stale* (nothing new is sent, or the node
-goes on, as the operator's file says). One proof makes it fresh again; without any it is stale from the start.
+A *proof* says that the list was whole at some time: the time at which the question was asked that
+an answer answered, never the time at which the answer came, for answers may lie in a buffer. From
+the last proof on the list ages: *fresh*, then *doubtful* (operators are told), then *stale*
+(nothing new is sent, or the node goes on, as the operator's file says). One proof makes it fresh
+again; without any it is stale from the start.
 """
 
 from __future__ import annotations
--- a/badgercart/membership/part.py
+++ b/badgercart/membership/part.py
@@ -1,4 +1,5 @@
-"""The server list as parts of an installation: the platform's catalog, and servers written in the file."""
+"""The server list as parts of an installation: the platform's catalog, and servers written in the
+file."""
 
 from __future__ import annotations
 
--- a/badgercart/membership/texts.py
+++ b/badgercart/membership/texts.py
@@ -1,7 +1,8 @@
 """Takes the lists of a watch out of its bytes. No I/O.
 
-A list is a JSON object on a line of its own, or an indented one over several; an empty line between two is a
-sign of life. JSON has no line ends within its texts, so that brackets can be counted line by line.
+A list is a JSON object on a line of its own, or an indented one over several; an empty line between
+two is a sign of life. JSON has no line ends within its texts, so that brackets can be counted line
+by line.
 """
 
 from __future__ import annotations
@@ -78,7 +79,9 @@
                     if depth(line) <= 0:
                         raise
         elif not line or (line.startswith(b"{") and b'"generation"' in line):
-            raise Cut("another line within a list that is not whole")  # the rest of that one never came
+            raise Cut(
+                "another line within a list that is not whole"
+            )  # the rest of that one never came
         self.lines.append(line)
         self.size += len(line)
         self.open += depth(line)
--- a/badgercart/membership/tries.py
+++ b/badgercart/membership/tries.py
@@ -1,9 +1,10 @@
 """When discovery is called again, and when beside a call that says nothing. No I/O; times in s.
 
-What a watch misses counts as told 6 s after it fell silent, and any change 6 s after discovery had it and
-could be reached, however many calls fail meanwhile. So the time is shared over tries, from start to start: a
-call that says nothing is not waited for, the next is opened beside it, and whichever speaks first stays. A
-slow service may answer the first one still. The worst sums stand in `docs/design/ends.md`.
+What a watch misses counts as told 6 s after it fell silent, and any change 6 s after discovery had
+it and could be reached, however many calls fail meanwhile. So the time is shared over tries, from
+start to start: a call that says nothing is not waited for, the next is opened beside it, and
+whichever speaks first stays. A slow service may answer the first one still. The worst sums stand in
+`docs/design/ends.md`.
 """
 
 from __future__ import annotations
@@ -13,7 +14,8 @@
 
 RETRY_FIRST = 0.05  # s before the next try behind a watch that lived
 EARLY = 2  # calls that are soon followed by another, before the service is spared
-# Calls open at once: the second makes room for another, or the first if it has said nothing for long.
+# Calls open at once: the second makes room for another, or the first if it has said nothing for
+# long.
 MOST = 3
 PATIENCE = 10.0  # s for a first call that says nothing
 
@@ -22,7 +24,8 @@
 class Pace:
     """How patient calls are, and how soon they are made again."""
 
-    # s for a list that has begun, and from a call that says nothing to the next beside it, or a quarter more.
+    # s for a list that has begun, and from a call that says nothing to the next beside it, or a
+    # quarter more.
     call: float
     rest: float  # the latter once two have said nothing
     retry: float  # s behind a call that failed, at most half as much again
@@ -36,8 +39,9 @@
     def agent(cls, grace: float) -> Pace:
         """An agent of the node's own, which answers at once. Whatever it has counts as told.
 
-        When it comes back, what it has must be heard within the grace (ms) in which a server that drains may
-        still be sent something: one call that hangs and one pause take four fifths of that."""
+        When it comes back, what it has must be heard within the grace (ms) in which a server that
+        drains may still be sent something: one call that hangs and one pause take four fifths of
+        that."""
         return cls(call=grace / 2 / 1000, rest=grace / 2 / 1000, retry=grace / 5 / 1000)
 
 
--- a/badgercart/metrics/figures.py
+++ b/badgercart/metrics/figures.py
@@ -1,4 +1,5 @@
-"""What the metrics listener shows: registered figures, and the ends of requests by class and outcome.
+"""What the metrics listener shows: registered figures, and the ends of requests by class and
+outcome.
 
 Why prometheus-client: the text format and its escapes are its business. Its default registry
 and its own HTTP server are not used: the one is global, the other takes a thread for every caller.
@@ -12,7 +13,12 @@
 from collections.abc import Iterator, Sequence
 
 from prometheus_client import CollectorRegistry
-from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily, Metric
+from prometheus_client.core import (
+    CounterMetricFamily,
+    GaugeMetricFamily,
+    HistogramMetricFamily,
+    Metric,
+)
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
 from badgercart.core.meters import Kind, Meters
@@ -26,7 +32,8 @@
 
 
 def buckets(classes: Sequence[RequestClass]) -> tuple[float, ...]:
-    """Upper bounds in s: shares of each class's aim, and its deadline; at most MAX_BUCKETS, spread evenly."""
+    """Upper bounds in s: shares of each class's aim, and its deadline; at most MAX_BUCKETS, spread
+    evenly."""
     found = {cls.deadline / 1000 for cls in classes}
     found |= {cls.aim * share / 1000 for cls in classes for share in SHARES}
     bounds = sorted({float(f"{bound:.3g}") for bound in found})
@@ -52,8 +59,9 @@
 
 
 class Ends:
-    """Requests by class and outcome, and the times of those served. Counted in plain lists: the library's own
-    counters take a lock and 4 µs for each request, and all of this happens on one thread."""
+    """Requests by class and outcome, and the times of those served. Counted in plain lists: the
+    library's own counters take a lock and 4 µs for each request, and all of this happens on one
+    thread."""
 
     def __init__(self, names: Sequence[str], classes: Sequence[RequestClass]) -> None:
         self.names = names
@@ -73,7 +81,9 @@
             "From when a request was taken to its answer, of those served, by class.",
             labels=["class"],
         )
-        bounds = [str(float(bound)) if bound < math.inf else "+Inf" for bound in (*self.bounds, math.inf)]
+        bounds = [
+            str(float(bound)) if bound < math.inf else "+Inf" for bound in (*self.bounds, math.inf)
+        ]
         for number, name in enumerate(self.names):
             for final, count in self.counts[number].items():
                 ends.add_metric([name, str(final)], count)
@@ -86,7 +96,9 @@
 class Figures:
     """An observer of the join, and the page of all figures."""
 
-    def __init__(self, names: Sequence[str], classes: Sequence[RequestClass], meters: Meters) -> None:
+    def __init__(
+        self, names: Sequence[str], classes: Sequence[RequestClass], meters: Meters
+    ) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
         self.ends = Ends(names, classes)
         self.registry.register(Registered(meters))
--- a/badgercart/metrics/part.py
+++ b/badgercart/metrics/part.py
@@ -26,7 +26,8 @@
 
 
 class MetricsPart:
-    """Pages only: no request is taken here. It ends with the last front, so that a drain can be watched."""
+    """Pages only: no request is taken here. It ends with the last front, so that a drain can be
+    watched."""
 
     def __init__(self, host: Host, settings: MetricsSettings) -> None:
         from badgercart.fronts.http.clients import Listener
@@ -39,7 +40,9 @@
         self.pages: Mapping[bytes, Page] = {PATH: Page(self.figures.page, CONTENT_TYPE)}
         self.stopping = False
         self.healthy = True
-        self.listener = Listener(host.loop, settings.listen, self, MAX_CONNECTIONS, self.read, problem)
+        self.listener = Listener(
+            host.loop, settings.listen, self, MAX_CONNECTIONS, self.read, problem
+        )
 
     def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
         raise BadRequest(404, f"figures are at {PATH.decode()}")
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -1,4 +1,5 @@
-"""The platform's node: HTTP front, catalog and console on one join; start, reload, drain, hand over."""
+"""The platform's node: HTTP front, catalog and console on one join; start, reload, drain, hand
+over."""
 
 from __future__ import annotations
 
@@ -27,16 +28,20 @@
 from badgercart.upgrade.lives import Lives
 from cottonhall.interface import ListKind
 
-LIST_PATIENCE = 2.5  # s that a successor waits for discovery, after which it serves by the list that it has
+LIST_PATIENCE = (
+    2.5  # s that a successor waits for discovery, after which it serves by the list that it has
+)
 HANDOVER_FROM = 2.0  # s from its start until a process has learned what is worth keeping
-# ms: SIGKILL comes no sooner than the longest deadline and 0.7 s, but no deadline counts for more than this.
+# ms: SIGKILL comes no sooner than the longest deadline and 0.7 s, but no deadline counts for more
+# than this.
 KILLED_AFTER = 3000.0
 SHARE = 0.5  # of the limits, for each of two processes that live together
 
 
 class Node:
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
-        """ConfigError where the inherited descriptor is none, OSError where the folder can't be used."""
+        """ConfigError where the inherited descriptor is none, OSError where the folder can't be
+        used."""
         self.config = config
         self.loop = loop
         self.join = Join(config.settings, config.seed, loop)
@@ -68,7 +73,8 @@
                 LIST_KNOWN_MALFORMED(error=error)
 
     def take_list(self, raw: dict[str, Any], kind: ListKind | None = None) -> int:
-        """Take over a list or its changes; ValueError, and nothing taken, if any line of it is bad."""
+        """Take over a list or its changes; ValueError, and nothing taken, if any line of it is
+        bad."""
         version = self.roster.take(raw, kind)
         if kind is None:
             self.listener.open()
@@ -93,7 +99,8 @@
 
     @staticmethod
     def pace(config: Config) -> Pace:
-        """The settings say whether lists are pushed to an agent of our own, or asked for at one service."""
+        """The settings say whether lists are pushed to an agent of our own, or asked for at one
+        service."""
         return Pace.shared() if config.settings.ask_for_list else Pace.agent(config.drain_grace)
 
     def unready(self) -> str:
@@ -133,7 +140,8 @@
         self.reader.rename(self.config)
         CONFIG_READ(
             what=f": discovery at {new.discovery[0]}:{new.discovery[1]}, {len(new.classes)} classes, "
-            f"{new.settings.max_attempts} attempts" + (f"; takes a restart: {restart}" if restart else "")
+            f"{new.settings.max_attempts} attempts"
+            + (f"; takes a restart: {restart}" if restart else "")
         )
         self.discovery.pace = self.pace(self.config)
         renamed = (old.zones, old.kinds) != (self.config.zones, self.config.kinds)
--- a/badgercart/operator/base.py
+++ b/badgercart/operator/base.py
@@ -1,4 +1,5 @@
-"""The tables that every installation has: the node, the fleet, sending again, classes and tenants."""
+"""The tables that every installation has: the node, the fleet, sending again, classes and
+tenants."""
 
 from __future__ import annotations
 
@@ -24,11 +25,14 @@
     seed: Name | None = Field(
         None, description="the seed of its random numbers, hexadecimal; new if not given"
     )
-    sockets: int = Field(1024, ge=64, le=1_000_000, description="descriptors that the process may hold")
+    sockets: int = Field(
+        1024, ge=64, le=1_000_000, description="descriptors that the process may hold"
+    )
     number: int = Field(0, ge=0, le=65535, description="its number among the nodes, from 0")
     nodes: int = Field(1, ge=1, le=65536, description="how many nodes share the fleet")
     source: Name | None = Field(
-        None, description="the address that its connections set out from, where the machine has several"
+        None,
+        description="the address that its connections set out from, where the machine has several",
     )
     key_secret: Name | None = Field(
         None,
@@ -38,7 +42,8 @@
         "then no key can be found in a capture by guessing",
     )
     default_tenant: Name | None = Field(
-        None, description="the tenant that requests without the header count for; none: they are turned away"
+        None,
+        description="the tenant that requests without the header count for; none: they are turned away",
     )
 
 
@@ -50,9 +55,14 @@
     cold_from: float = Field(
         1.0, ge=0.01, le=1, description="the share of its capacity with which a server starts"
     )
-    ramp_ms: float = Field(0.0, ge=0, le=LONG, description="the time in which a started server is warm (ms)")
+    ramp_ms: float = Field(
+        0.0, ge=0, le=LONG, description="the time in which a started server is warm (ms)"
+    )
     drain_grace_ms: float = Field(
-        500.0, ge=50, le=LONG, description="the time after which nothing new goes to a draining server (ms)"
+        500.0,
+        ge=50,
+        le=LONG,
+        description="the time after which nothing new goes to a draining server (ms)",
     )
     warm_keys: bool = Field(
         False, description="whether a server that met a key lately serves it with less work"
@@ -76,9 +86,14 @@
 
     max_attempts: int = Field(4, ge=1, le=16, description="attempts for a request at the most")
     max_retry_after_ms: float = Field(
-        600.0, ge=0, le=LONG, description="the longest time for which a refused client is sent away (ms)"
+        600.0,
+        ge=0,
+        le=LONG,
+        description="the longest time for which a refused client is sent away (ms)",
+    )
+    cancel: bool = Field(
+        True, description="whether attempts that are no longer wanted are given up"
     )
-    cancel: bool = Field(True, description="whether attempts that are no longer wanted are given up")
     over_share_worth: float = Field(
         0.05, ge=0, le=1, description="the part of its worth left beyond a tenant's share"
     )
@@ -91,7 +106,9 @@
     aim_ms: float = Field(
         ge=1, le=LONG, description="the time within which an answer has its whole worth (ms)"
     )
-    deadline_ms: float = Field(ge=1, le=LONG, description="the time after which clients give up (ms)")
+    deadline_ms: float = Field(
+        ge=1, le=LONG, description="the time after which clients give up (ms)"
+    )
     worth: float = Field(ge=0, le=1e6, description="what one is worth beside the others")
     effect: Literal["safe", "keyed", "unsafe"] = Field(description="what repeating one does")
     group: Literal["all", "zone", "cell"] = Field(
@@ -100,7 +117,9 @@
     window_ms: float = Field(
         0.0, ge=0, le=LONG, description="keyed: the time for which repeats are dropped (ms)"
     )
-    late_value: float = Field(0.0, ge=0, le=1, description="the part of its worth left after the aim")
+    late_value: float = Field(
+        0.0, ge=0, le=1, description="the part of its worth left after the aim"
+    )
 
 
 class Tenant(Table, title="Tenant"):
@@ -117,13 +136,18 @@
     fleet: Fleet = Fleet()
     retry: Retry = Retry()
     log: Log = Log()
-    class_: Annotated[tuple[Class, ...], Listed] = Field(alias="class", description="a class of requests")
+    class_: Annotated[tuple[Class, ...], Listed] = Field(
+        alias="class", description="a class of requests"
+    )
     tenant: Annotated[tuple[Tenant, ...], Listed] = Field((), description="a tenant and its share")
 
 
 def check(base: Base) -> Iterator[tuple[Path, str]]:
     """What only several settings together can get wrong: where, and what."""
-    names = {"class": [cls.name for cls in base.class_], "tenant": [tenant.name for tenant in base.tenant]}
+    names = {
+        "class": [cls.name for cls in base.class_],
+        "tenant": [tenant.name for tenant in base.tenant],
+    }
     if not base.class_:
         yield ("class",), "is missing: a class of requests"
     for table, items in names.items():
--- a/badgercart/operator/cli.py
+++ b/badgercart/operator/cli.py
@@ -1,7 +1,8 @@
 """The command line: `serve`, `check`, `config`, and the groups that parts bring.
 
-Why click: its groups find commands only when they are called, so that no subsystem's library is imported for
-another's command, and completion comes with it. Typer is click with another face, and rich as a must.
+Why click: its groups find commands only when they are called, so that no subsystem's library is
+imported for another's command, and completion comes with it. Typer is click with another face, and
+rich as a must.
 """
 
 from __future__ import annotations
@@ -111,15 +112,20 @@
         click.echo(str(error), err=True)
         raise click.exceptions.Exit(Exit.USAGE) from None
     if as_json:
-        click.echo(json.dumps({key: {"value": value, "from": origin} for key, value, origin in rows}))
+        click.echo(
+            json.dumps({key: {"value": value, "from": origin} for key, value, origin in rows})
+        )
     else:
-        show_table(("setting", "value", "from"), [(k, json.dumps(v), origin) for k, v, origin in rows])
+        show_table(
+            ("setting", "value", "from"), [(k, json.dumps(v), origin) for k, v, origin in rows]
+        )
 
 
 @config.command()
 @click.argument("name")
 def default(name: str) -> None:
-    """A commented table with every default, to begin from: NAME is `node`, `fleet`, `class`, or a part."""
+    """A commented table with every default, to begin from: NAME is `node`, `fleet`, `class`, or a
+    part."""
     try:
         click.echo(render.default_table(name))
     except LookupError as error:
@@ -128,7 +134,9 @@
 
 @config.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--check", "only_check", is_flag=True, help="Change nothing; exit 1 if a page is out of date.")
+@click.option(
+    "--check", "only_check", is_flag=True, help="Change nothing; exit 1 if a page is out of date."
+)
 def pages(folder: str, only_check: bool) -> None:
     """Write the tables of the operators' pages in FOLDER anew from the program itself."""
     stale = []
--- a/badgercart/operator/console.py
+++ b/badgercart/operator/console.py
@@ -1,4 +1,5 @@
-"""What commands show: a table where there is a terminal, aligned text where there is none, JSON if asked."""
+"""What commands show: a table where there is a terminal, aligned text where there is none, JSON if
+asked."""
 
 from __future__ import annotations
 
@@ -13,7 +14,9 @@
     """Columns of text, two blanks apart."""
     lines = [columns, *rows]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
-    shown = ["  ".join(c.ljust(w) for c, w in zip(line, widths, strict=True)).rstrip() for line in lines]
+    shown = [
+        "  ".join(c.ljust(w) for c, w in zip(line, widths, strict=True)).rstrip() for line in lines
+    ]
     return "\n".join(shown)
 
 
--- a/badgercart/operator/document.py
+++ b/badgercart/operator/document.py
@@ -1,7 +1,8 @@
 """Reads an operator's file and the variables that override single settings of it.
 
-`BADGERCART__FRONTS__HTTP__LISTEN` sets `fronts.http.listen`, `BADGERCART__CLASS__0__WORTH` the `worth` of the
-first class. A value is read as TOML; what is no TOML value counts as the text itself.
+`BADGERCART__FRONTS__HTTP__LISTEN` sets `fronts.http.listen`, `BADGERCART__CLASS__0__WORTH` the
+`worth` of the first class. A value is read as TOML; what is no TOML value counts as the text
+itself.
 """
 
 from __future__ import annotations
@@ -44,7 +45,9 @@
     problems = []
     for name in sorted(environ):
         if name.startswith(PREFIX):
-            target = tuple(int(p) if p.isdecimal() else p for p in name[len(PREFIX) :].lower().split("__"))
+            target = tuple(
+                int(p) if p.isdecimal() else p for p in name[len(PREFIX) :].lower().split("__")
+            )
             try:
                 _put(document.raw, target, _value(environ[name]))
             except LookupError as error:
@@ -75,7 +78,11 @@
         else:
             raise LookupError("is no table")
     last = target[-1]
-    there = isinstance(raw, dict) if isinstance(last, str) else isinstance(raw, list) and last < len(raw)
+    there = (
+        isinstance(raw, dict)
+        if isinstance(last, str)
+        else isinstance(raw, list) and last < len(raw)
+    )
     if not there or last == "":
         raise LookupError("there is no such setting")
     raw[last] = value
--- a/badgercart/operator/faults.py
+++ b/badgercart/operator/faults.py
@@ -1,4 +1,5 @@
-"""What is wrong with an operator's file: each fault with its line, its key and words that name it. No I/O."""
+"""What is wrong with an operator's file: each fault with its line, its key and words that name it.
+No I/O."""
 
 from __future__ import annotations
 
@@ -43,7 +44,9 @@
     return out
 
 
-def problem(path: Path, words: str, lines: Mapping[Path, int], origins: Mapping[Path, str]) -> Problem:
+def problem(
+    path: Path, words: str, lines: Mapping[Path, int], origins: Mapping[Path, str]
+) -> Problem:
     """A fault at the nearest place above it that has a line, or by the variable that set it."""
     if (variable := origins.get(path)) is not None:
         return Problem(0, dotted(path), f"{words} (set by {variable})")
@@ -59,10 +62,13 @@
 
 
 def below(annotation: Any) -> type[BaseModel] | None:
-    """The model of the tables that a field holds: one, one that may be missing, or an array of them."""
+    """The model of the tables that a field holds: one, one that may be missing, or an array of
+    them."""
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return annotation
-    if get_origin(annotation) in (Union, types.UnionType, tuple) or hasattr(annotation, "__metadata__"):
+    if get_origin(annotation) in (Union, types.UnionType, tuple) or hasattr(
+        annotation, "__metadata__"
+    ):
         for argument in get_args(annotation):
             if (found := below(argument)) is not None:
                 return found
@@ -91,8 +97,12 @@
 
 
 def _bounds(info: FieldInfo) -> str:
-    low = next((m.ge if isinstance(m, Ge) else m.gt for m in info.metadata if isinstance(m, Ge | Gt)), "")
-    high = next((m.le if isinstance(m, Le) else m.lt for m in info.metadata if isinstance(m, Le | Lt)), "")
+    low = next(
+        (m.ge if isinstance(m, Ge) else m.gt for m in info.metadata if isinstance(m, Ge | Gt)), ""
+    )
+    high = next(
+        (m.le if isinstance(m, Le) else m.lt for m in info.metadata if isinstance(m, Le | Lt)), ""
+    )
     show = [f"{bound:g}" if isinstance(bound, float) else str(bound) for bound in (low, high)]
     if isinstance(high, int) and not isinstance(high, bool) and info.annotation is float:
         show[1] = f"{high:g}"
@@ -127,7 +137,9 @@
             known = ", ".join(sorted(fields_of(_holder(model, path))))
             yield path, f"is not known here; known are {known}"
         elif kind == "missing":
-            words = (info.description if info is not None else None) or (holder.__doc__ or "").strip()
+            words = (info.description if info is not None else None) or (
+                holder.__doc__ or ""
+            ).strip()
             if info is not None and below(info.annotation) is not None:
                 yield path, f"is missing: {words}"
             else:
--- a/badgercart/operator/file.py
+++ b/badgercart/operator/file.py
@@ -1,4 +1,5 @@
-"""An operator's file: the model of all of it, its checks, and the installation that a good one describes."""
+"""An operator's file: the model of all of it, its checks, and the installation that a good one
+describes."""
 
 from __future__ import annotations
 
@@ -94,7 +95,9 @@
         file = Checked(root, folder, on)
         for part in known:
             if part.name in on:
-                found += [(part.key + place, words) for place, words in part.check(on[part.name], file)]
+                found += [
+                    (part.key + place, words) for place, words in part.check(on[part.name], file)
+                ]
     if found:
         raise _error(read, found)
     return Installation(config_of(root), on, folder, root, known), root
@@ -102,7 +105,9 @@
 
 def _error(read: document.Document, found: list[tuple[Path, str]]) -> FileError:
     lines = lines_of(read.text)
-    return FileError(read.path, [problem(place, words, lines, read.origins) for place, words in found])
+    return FileError(
+        read.path, [problem(place, words, lines, read.origins) for place, words in found]
+    )
 
 
 def _whole(known: tuple[Declaration, ...], on: Mapping[str, Any]) -> Iterator[tuple[Path, str]]:
@@ -131,7 +136,9 @@
 def _missing(known: tuple[Declaration, ...], on: Mapping[str, Any]) -> Iterator[tuple[Path, str]]:
     """Parts whose libraries are not installed."""
     for part in known:
-        absent = [name for name in part.libraries if find_spec(name) is None] if part.name in on else []
+        absent = (
+            [name for name in part.libraries if find_spec(name) is None] if part.name in on else []
+        )
         if absent:
             words = f"needs {', '.join(absent)}, which is not installed"
             yield part.key, f"{words}: pip install 'badgercart[{part.extra}]'"
--- a/badgercart/operator/locate.py
+++ b/badgercart/operator/locate.py
@@ -1,7 +1,8 @@
-"""Where the keys of a TOML text stand: line numbers by path, which the standard reader does not keep.
+"""Where the keys of a TOML text stand: line numbers by path, which the standard reader does not
+keep.
 
-Why tree-sitter: its grammar of TOML gives every node its place, in one pass of C; tomlkit keeps the layout
-but no line numbers, and takes time that grows with the square of a file's tables.
+Why tree-sitter: its grammar of TOML gives every node its place, in one pass of C; tomlkit keeps the
+layout but no line numbers, and takes time that grows with the square of a file's tables.
 """
 
 from __future__ import annotations
@@ -36,7 +37,8 @@
 
 
 def lines_of(text: str) -> dict[Path, int]:
-    """The line, from 1, of every table header and of every key outside inline tables, of a valid text."""
+    """The line, from 1, of every table header and of every key outside inline tables, of a valid
+    text."""
     found: dict[Path, int] = {}
     counts: dict[Path, int] = {}  # tables of an array so far
 
--- a/badgercart/operator/logs.py
+++ b/badgercart/operator/logs.py
@@ -1,8 +1,10 @@
-"""The log of `serve`: events as JSON lines, or for people on a terminal, by a thread that nobody waits for.
+"""The log of `serve`: events as JSON lines, or for people on a terminal, by a thread that nobody
+waits for.
 
-Why structlog: processors that turn a record of the standard library, as every module and library writes them,
-into fields, and renderers for both forms. The queue and its writer are ours: the library's own, and the
-standard's, hold up whoever logs, or the end of the process, where the sink stands still.
+Why structlog: processors that turn a record of the standard library, as every module and library
+writes them, into fields, and renderers for both forms. The queue and its writer are ours: the
+library's own, and the standard's, hold up whoever logs, or the end of the process, where the sink
+stands still.
 """
 
 from __future__ import annotations
@@ -29,7 +31,12 @@
 from badgercart.operator.model import Table
 
 PATIENCE = 1.0  # s for what is written at the end of the process
-LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
+LEVELS = {
+    "debug": logging.DEBUG,
+    "info": logging.INFO,
+    "warning": logging.WARNING,
+    "error": logging.ERROR,
+}
 
 
 class Log(Table, title="Log"):
@@ -42,7 +49,10 @@
         "auto", description="JSON lines, or for people; auto: for people on a terminal"
     )
     queue_lines: int = Field(
-        10_000, ge=10, le=1_000_000, description="lines that wait for a slow reader; more are dropped"
+        10_000,
+        ge=10,
+        le=1_000_000,
+        description="lines that wait for a slow reader; more are dropped",
     )
 
 
@@ -88,7 +98,8 @@
 
 
 class Sink(logging.Handler):
-    """Hands records to a thread that formats and writes them. Where it can't follow, lines are dropped."""
+    """Hands records to a thread that formats and writes them. Where it can't follow, lines are
+    dropped."""
 
     def __init__(self, node: str, settings: Log, fd: int = 2) -> None:
         super().__init__()
@@ -124,7 +135,9 @@
     @staticmethod
     def dropped_line(count: int) -> logging.LogRecord:
         event = LINES_DROPPED
-        record = logging.LogRecord("badgercart", event.level, "", 0, event.words, ({"count": count},), None)
+        record = logging.LogRecord(
+            "badgercart", event.level, "", 0, event.words, ({"count": count},), None
+        )
         record.event = event.name
         return record
 
@@ -140,7 +153,8 @@
             data = data[os.write(self.fd, data) :]
 
     def close(self) -> None:
-        """Write what waits, for a second at most: a sink that stands still must not keep the process."""
+        """Write what waits, for a second at most: a sink that stands still must not keep the
+        process."""
         try:
             self.waiting.put_nowait(None)
         except queue.Full:
--- a/badgercart/operator/pages.py
+++ b/badgercart/operator/pages.py
@@ -1,7 +1,8 @@
-"""Reports for people: one HTML page without outside references, with matplotlib's figures as SVG in it.
+"""Reports for people: one HTML page without outside references, with matplotlib's figures as SVG in
+it.
 
-Why matplotlib: it draws SVG that every browser shows as it is, with nothing to load, and PNG by the same
-calls.
+Why matplotlib: it draws SVG that every browser shows as it is, with nothing to load, and PNG by the
+same calls.
 """
 
 from __future__ import annotations
@@ -41,13 +42,17 @@
     return f"<h2>{html.escape(text)}</h2>"
 
 
-def table(head: Sequence[str], rows: Iterable[Sequence[object]], marked: frozenset[int] = frozenset()) -> str:
+def table(
+    head: Sequence[str], rows: Iterable[Sequence[object]], marked: frozenset[int] = frozenset()
+) -> str:
     """A table; `marked`: the numbers of rows that are to stand out."""
     lines = ["".join(f"<th>{html.escape(name)}</th>" for name in head)]
     lines += ["".join(f"<td>{html.escape(str(cell))}</td>" for cell in row) for row in rows]
     styles = ("", *(' class="marked"' if at in marked else "" for at in range(len(lines) - 1)))
     return (
-        "<table>" + "".join(f"<tr{s}>{line}</tr>" for s, line in zip(styles, lines, strict=True)) + "</table>"
+        "<table>"
+        + "".join(f"<tr{s}>{line}</tr>" for s, line in zip(styles, lines, strict=True))
+        + "</table>"
     )
 
 
--- a/badgercart/operator/part.py
+++ b/badgercart/operator/part.py
@@ -1,7 +1,9 @@
-"""What a part of an installation is: one front, one source of the server list, or a service beside them.
+"""What a part of an installation is: one front, one source of the server list, or a service beside
+them.
 
-A subsystem plugs in with one package and one line in `registry`. Its `part.py` holds `PARTS`, Declarations,
-and imports no library but pydantic until `build` is called: what is switched off costs nothing.
+A subsystem plugs in with one package and one line in `registry`. Its `part.py` holds `PARTS`,
+Declarations, and imports no library but pydantic until `build` is called: what is switched off
+costs nothing.
 """
 
 from __future__ import annotations
@@ -29,18 +31,21 @@
 class Part(Protocol):
     """One running part. Calls come in this order: start, any number of prepares, drain, close.
 
-    `close` may come at any time after `start` was called, also where that failed or was cancelled."""
+    `close` may come at any time after `start` was called, also where that failed or was cancelled.
+    """
 
     async def start(self) -> None:
         """Raises OSError where an address or a file can't be had."""
 
     def prepare(self, settings: Any) -> Callable[[], None] | None:
-        """Check new settings and give what puts them in force, which must not fail; None: nothing to do.
+        """Check new settings and give what puts them in force, which must not fail; None: nothing
+        to do.
 
         Raises ReloadError, and then no part's settings change."""
 
     async def drain(self, until: float) -> None:
-        """Take what still comes, answer all that is held, until this time (ms on `clock.now_ms`) at most."""
+        """Take what still comes, answer all that is held, until this time (ms on `clock.now_ms`) at
+        most."""
 
     def close(self) -> None:
         """Let go of everything at once."""
@@ -66,8 +71,12 @@
     others: int = 0  # parts that have none of those
     pages: dict[bytes, Page] = field(default_factory=dict)  # for operators, by path
     meters: Meters = field(default_factory=Meters)  # figures for operators
-    machines: dict[str, object] = field(default_factory=dict)  # that decide beside the policy, by name
-    services: dict[str, object] = field(default_factory=dict)  # what parts offer to those that need them
+    machines: dict[str, object] = field(
+        default_factory=dict
+    )  # that decide beside the policy, by name
+    services: dict[str, object] = field(
+        default_factory=dict
+    )  # what parts offer to those that need them
     list_state: Callable[[], str] = lambda: "of no known age"
 
 
@@ -101,7 +110,9 @@
     extra: str | None = None  # of pyproject.toml, with its libraries
     libraries: tuple[str, ...] = ()  # the modules that must be there for it
     sockets: bool = False  # whether it takes a share of the descriptors
-    check: Check = no_check  # what only several settings together can get wrong, by paths from its key
+    check: Check = (
+        no_check  # what only several settings together can get wrong, by paths from its key
+    )
     reloads: tuple[str, ...] = ()  # settings that SIGHUP puts in force; ("*",): all
     commands: str | None = None  # `module:name` of a click group, found only when it is called
 
--- a/badgercart/operator/render.py
+++ b/badgercart/operator/render.py
@@ -154,7 +154,9 @@
             inner.append((f"{ahead}{name}.", lower))
             continue
         value = _default(info)
-        shown = "required" if info.is_required() else "none" if value is None else f"`{_toml(value)}`"
+        shown = (
+            "required" if info.is_required() else "none" if value is None else f"`{_toml(value)}`"
+        )
         cells = (f"`{ahead}{name}`", _kind(name, info), shown, _range(info), info.description or "")
         yield "| " + " | ".join(cells) + " |"
     for deeper, lower in inner:
@@ -171,7 +173,8 @@
 
 
 def _tables() -> Iterator[tuple[str, type[BaseModel], bool]]:
-    """Every table that an operator may begin from: its header, its model, whether it is an array."""
+    """Every table that an operator may begin from: its header, its model, whether it is an
+    array."""
     root = root_model(declarations())
     parts = {".".join(part.key) for part in declarations()}
     groups = {key.partition(".")[0] for key in parts if "." in key}
@@ -240,7 +243,8 @@
 
 
 def page(text: str) -> str:
-    """A page with its tables made anew between their marks. LookupError names a mark that means nothing."""
+    """A page with its tables made anew between their marks. LookupError names a mark that means
+    nothing."""
 
     def fresh(match: re.Match[str]) -> str:
         kind, name = match[1], match[2]
--- a/badgercart/operator/run.py
+++ b/badgercart/operator/run.py
@@ -31,7 +31,9 @@
     CONFIG_READ(what="")
 
 
-async def run(path: str, what: Installation, started: Callable[[Site], None] = lambda site: None) -> None:
+async def run(
+    path: str, what: Installation, started: Callable[[Site], None] = lambda site: None
+) -> None:
     """Serve until SIGTERM or SIGINT, which may also come during the start. Raises PartError."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/badgercart/operator/site.py
+++ b/badgercart/operator/site.py
@@ -1,4 +1,5 @@
-"""One running installation: a join and the parts on it, started, reloaded, drained and closed in order."""
+"""One running installation: a join and the parts on it, started, reloaded, drained and closed in
+order."""
 
 from __future__ import annotations
 
@@ -23,7 +24,9 @@
 from cottonhall.interface import State
 
 ACCEPT_FOR = 600.0  # ms after SIGTERM during which clients may still come
-GRACE = 300.0  # ms beyond the deadline of a drain, after which a part that hangs is closed as it stands
+GRACE = (
+    300.0  # ms beyond the deadline of a drain, after which a part that hangs is closed as it stands
+)
 STATE_LABELS = {
     State.READY: "ready",
     State.GONE: "gone",
@@ -79,15 +82,21 @@
         """What every installation can be asked for."""
         join, policy, listed = self.join, self.join.policy, self.roster.listed
         meters.gauge(
-            "badgercart_cut", "The score below which requests are refused, 0 to 100.", lambda: policy.cut
+            "badgercart_cut",
+            "The score below which requests are refused, 0 to 100.",
+            lambda: policy.cut,
         )
         meters.gauge(
-            "badgercart_overload", "The overload x that the cut rises with, 0 to 1.", lambda: policy.x
+            "badgercart_overload",
+            "The overload x that the cut rises with, 0 to 1.",
+            lambda: policy.x,
         )
         meters.gauge("badgercart_held", "Requests that are owed an answer.", lambda: len(join.held))
         meters.gauge("badgercart_attempts_out", "Attempts that are out.", lambda: len(join.out))
         meters.gauge(
-            "badgercart_need", "Attempts that a busy fleet needs out to be kept busy.", lambda: policy.need
+            "badgercart_need",
+            "Attempts that a busy fleet needs out to be kept busy.",
+            lambda: policy.need,
         )
         meters.gauge(
             "badgercart_servers",
@@ -95,7 +104,9 @@
             lambda: Counter(STATE_LABELS[member.entry.state] for member in listed.values()),
             "state",
         )
-        meters.gauge("badgercart_list_version", "The version of the list.", lambda: self.roster.version)
+        meters.gauge(
+            "badgercart_list_version", "The version of the list.", lambda: self.roster.version
+        )
         meters.gauge(
             "badgercart_list_suspended",
             "1 while the list is too old to send anything by it.",
@@ -109,11 +120,16 @@
             {"instanceId": m.name, "hostPort": m.endpoint, "lifecycle": names[m.entry.state]}
             for m in self.roster.listed.values()
         ]
-        told = {"generation": self.roster.version, "state": self.host.list_state(), "instances": lines}
+        told = {
+            "generation": self.roster.version,
+            "state": self.host.list_state(),
+            "instances": lines,
+        }
         return json.dumps(told).encode()
 
     async def start(self) -> None:
-        """Start the parts in order. Raises PartError; what was started is closed again, also if cancelled."""
+        """Start the parts in order. Raises PartError; what was started is closed again, also if
+        cancelled."""
         try:
             for part in (part for step in self.steps for part in step):
                 try:
@@ -127,8 +143,8 @@
     def reload(self, fresh: Installation) -> list[str]:
         """Put new settings in force, of all parts or, if one of them can't take its own, of none.
 
-        None, because a file that is half in force is one that nobody wrote. Gives what is wrong; empty: done.
-        What takes a restart is logged and passed over."""
+        None, because a file that is half in force is one that nobody wrote. Gives what is wrong;
+        empty: done. What takes a restart is logged and passed over."""
         commits: list[Callable[[], None]] = []
         faults = []
         for name, part in self.parts.items():
@@ -153,7 +169,9 @@
         old = self.what
         if old.base is not None and fresh.base is not None:
             for name in Base.model_fields.keys() - {"log"}:  # those that are no part's
-                yield from differing(getattr(old.base, name), getattr(fresh.base, name), (name.rstrip("_"),))
+                yield from differing(
+                    getattr(old.base, name), getattr(fresh.base, name), (name.rstrip("_"),)
+                )
         for part in self.what.known:
             was, now = old.parts.get(part.name), fresh.parts.get(part.name)
             if (was is None) != (now is None):
@@ -179,7 +197,9 @@
         STOPPED()
 
     async def drain_step(self, step: list[Declaration], until: float) -> None:
-        tasks = {asyncio.ensure_future(self.parts[part.name].drain(until)): part.name for part in step}
+        tasks = {
+            asyncio.ensure_future(self.parts[part.name].drain(until)): part.name for part in step
+        }
         patience = max(0.0, until + GRACE - now_ms()) / 1000
         done, hanging = await asyncio.wait(tasks, timeout=patience)
         for task in done:
@@ -192,7 +212,8 @@
             await asyncio.wait(hanging, timeout=GRACE / 1000)
 
     def close(self) -> None:
-        """Let go of all parts, the last started first; one that fails does not keep the others open."""
+        """Let go of all parts, the last started first; one that fails does not keep the others
+        open."""
         for name, part in reversed(self.parts.items()):
             try:
                 part.close()
--- a/badgercart/peers/board.py
+++ b/badgercart/peers/board.py
@@ -1,7 +1,7 @@
 """What others want carried to every node: the latest post of each author on each topic. No I/O.
 
-A post has a number that only grows; the higher one wins, so that posts merge in any order to the same board.
-Membership carries posts and reads none of them.
+A post has a number that only grows; the higher one wins, so that posts merge in any order to the
+same board. Membership carries posts and reads none of them.
 """
 
 from __future__ import annotations
@@ -26,7 +26,8 @@
         self.turned_away = 0
 
     def follow(self, topic: str, urgent: bool = False, direct: bool = False) -> None:
-        """Carry a topic's posts. What nobody here follows is not carried: versions differ in topics."""
+        """Carry a topic's posts. What nobody here follows is not carried: versions differ in
+        topics."""
         self.topics.add(topic)
         if urgent:
             self.urgent.add(topic)
--- a/badgercart/peers/commands.py
+++ b/badgercart/peers/commands.py
@@ -32,9 +32,23 @@
 
 def show(told: dict[str, Any]) -> None:
     back = ", stands back for another process of its name" if told["stands_back"] else ""
-    click.echo(f"{told['name']}: {told['live']} of {told['may_live']} in reach, {told['level']}{back}")
-    columns = ("name", "status", "zone", "region", "address", "incarnation", "since_s", "word", "accuser")
-    show_table(columns, [tuple(str(member[name]) for name in columns) for member in told["members"]])
+    click.echo(
+        f"{told['name']}: {told['live']} of {told['may_live']} in reach, {told['level']}{back}"
+    )
+    columns = (
+        "name",
+        "status",
+        "zone",
+        "region",
+        "address",
+        "incarnation",
+        "since_s",
+        "word",
+        "accuser",
+    )
+    show_table(
+        columns, [tuple(str(member[name]) for name in columns) for member in told["members"]]
+    )
 
 
 @click.group()
@@ -56,8 +70,12 @@
 
 @peers.command()
 @NODE
-@click.option("--every", default=1.0, show_default=True, type=click.FloatRange(0.1, 3600), help="Seconds.")
-@click.option("--times", default=0, type=click.IntRange(0), help="Looks to take [until interrupted].")
+@click.option(
+    "--every", default=1.0, show_default=True, type=click.FloatRange(0.1, 3600), help="Seconds."
+)
+@click.option(
+    "--times", default=0, type=click.IntRange(0), help="Looks to take [until interrupted]."
+)
 def watch(node: str, every: float, times: int) -> None:
     """Each change of what the node believes, as it comes."""
     last, looks = "", 0
@@ -126,7 +144,9 @@
     codec = Codec(settings.group, settings.secret.encode())
     data = codec.encode(packet)
     async with asyncio.timeout(PATIENCE):
-        reader, writer = await asyncio.open_connection(*settings.listen, local_addr=(settings.listen[0], 0))
+        reader, writer = await asyncio.open_connection(
+            *settings.listen, local_addr=(settings.listen[0], 0)
+        )
         try:
             writer.write(LENGTH.pack(len(data)) + data)
             (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
@@ -146,7 +166,9 @@
         raise CommandError(
             f"{node} knows no {name}; known are {', '.join(m['name'] for m in told['members'])}"
         )
-    click.echo(f"{name}: {member['status']} for {member['since_s']} s, by the word of {member['word']}")
+    click.echo(
+        f"{name}: {member['status']} for {member['since_s']} s, by the word of {member['word']}"
+    )
     for change in told["changes"]:
         if change["peer"] == name:
             click.echo(worded(change))
--- a/badgercart/peers/driver.py
+++ b/badgercart/peers/driver.py
@@ -1,4 +1,5 @@
-"""Carries the machine's packets: one socket for datagrams, one listener for push-pulls, one timer."""
+"""Carries the machine's packets: one socket for datagrams, one listener for push-pulls, one
+timer."""
 
 from __future__ import annotations
 
@@ -154,7 +155,9 @@
     def datagram(self, data: bytes, source: Address) -> None:
         self.received += 1
         self.bytes_in += len(data)
-        if (packet := self.read(data, source, MTU)) is not None and not isinstance(packet.body, Sync | Leave):
+        if (packet := self.read(data, source, MTU)) is not None and not isinstance(
+            packet.body, Sync | Leave
+        ):
             self.run(self.machine.receive(self.clock(), packet, source))
 
     def read(self, data: bytes, source: Address, most: int) -> Packet | None:
@@ -210,7 +213,8 @@
             return
         self.serving += 1
         try:
-            # Cancelled it is as the process ends: what asyncio calls when it is done would log that.
+            # Cancelled it is as the process ends: what asyncio calls when it is done would log
+            # that.
             with contextlib.suppress(
                 OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.CancelledError
             ):
--- a/badgercart/peers/events.py
+++ b/badgercart/peers/events.py
@@ -1,4 +1,5 @@
-"""What is said in the log of nodes that know each other. Each bears its hybrid time, for a timeline."""
+"""What is said in the log of nodes that know each other. Each bears its hybrid time, for a
+timeline."""
 
 from __future__ import annotations
 
--- a/badgercart/peers/hybrid.py
+++ b/badgercart/peers/hybrid.py
@@ -1,4 +1,5 @@
-"""Hybrid logical clocks (Kulkarni et al. 2014): one order of all nodes' events that respects cause."""
+"""Hybrid logical clocks (Kulkarni et al. 2014): one order of all nodes' events that respects
+cause."""
 
 from __future__ import annotations
 
--- a/badgercart/peers/machine.py
+++ b/badgercart/peers/machine.py
@@ -1,8 +1,8 @@
 """The membership of a group as a machine: events with their time in, effects out. No I/O.
 
-SWIM's probes, suspicion and dissemination with Lifeguard's mends, push-pull for joins and for healing, and
-what tells a restart from two processes of one name. Times are ms on a clock of the node's own; the driver
-calls `tick` when `due` says so.
+SWIM's probes, suspicion and dissemination with Lifeguard's mends, push-pull for joins and for
+healing, and what tells a restart from two processes of one name. Times are ms on a clock of the
+node's own; the driver calls `tick` when `due` says so.
 """
 
 from __future__ import annotations
@@ -56,7 +56,9 @@
     suspicion: float = 4.0  # periods of the shortest suspicion, for each power of ten of members
     longest: float = 6.0  # times the shortest: a suspicion that nobody confirms
     sync_every: float = 30_000.0  # between push-pulls with a random member
-    retry_every: float = 2000.0  # between tries to reach a dead member, or a seed while nobody is in reach
+    retry_every: float = (
+        2000.0  # between tries to reach a dead member, or a seed while nobody is in reach
+    )
     remember: float = 600_000.0  # a dead member may live for so long, and is tried again
     expect: float = (
         60_000.0  # for so long from its start on a node goes by how many it was told that there are
@@ -151,7 +153,9 @@
         self.suspicions: dict[str, Suspicion] = {}
         self.ring: list[str] = []  # whom to probe, in a shuffled order
         self.probe: Probe | None = None
-        self.relayed: dict[int, tuple[Address, int]] = {}  # probes for others: who asked, by which number
+        self.relayed: dict[
+            int, tuple[Address, int]
+        ] = {}  # probes for others: who asked, by which number
         self.windows: dict[tuple[str, int], Window] = {}
         self.rivals: dict[int, int] = {}  # by process: the incarnation that it was first heard at
         self.stands_back = False
@@ -187,7 +191,8 @@
         return self.done()
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due. A tick that comes far too late means that the node stood still, not the others."""
+        """Do what is due. A tick that comes far too late means that the node stood still, not the
+        others."""
         late = now - self.due
         if late > self.pause_limit:
             self.woke(now, late)
@@ -203,7 +208,9 @@
 
     def woke(self, now: float, gap: float) -> None:
         """Its own silence is no proof against anybody: every wait begins again where it stopped."""
-        self.timers = [(at + gap, count, what, argument) for at, count, what, argument in self.timers]
+        self.timers = [
+            (at + gap, count, what, argument) for at, count, what, argument in self.timers
+        ]
         heapq.heapify(self.timers)
         for suspicion in self.suspicions.values():
             suspicion.since += gap
@@ -221,17 +228,22 @@
 
     def standing(self) -> Standing:
         """What the node can count on now."""
-        # At first no more than the file's word tells how many there are; in time what was seen does.
+        # At first no more than the file's word tells how many there are; in time what was seen
+        # does.
         expected = self.expected if self.now - self.began < self.timing.expect else 1
         nobody = self.stands_back or self.unsure or self.leaving
         return standing(self.view, self.me.name, self.now, self.timing.remember, expected, nobody)
 
     def live(self) -> list[Belief]:
         """Others that are alive or only suspected."""
-        return [b for b in self.view.of(Status.ALIVE, Status.SUSPECT) if b.claim.name != self.me.name]
+        return [
+            b for b in self.view.of(Status.ALIVE, Status.SUSPECT) if b.claim.name != self.me.name
+        ]
 
     def some(self, count: int, without: str = "") -> list[Belief]:
-        return self.view.draw(count, self.random, (self.me.name, without) if without else (self.me.name,))
+        return self.view.draw(
+            count, self.random, (self.me.name, without) if without else (self.me.name,)
+        )
 
     # Claims.
 
@@ -266,7 +278,8 @@
             self.on_return(claim)
 
     def on_return(self, claim: Claim) -> None:
-        """One of the dead lives: what was cut off is back, and knows more than gossip is sure to bring."""
+        """One of the dead lives: what was cut off is back, and knows more than gossip is sure to
+        bring."""
         if not self.healing:
             self.healing = True
             self.after(self.random.random() * self.timing.retry_every, self.heal, claim.address)
@@ -317,7 +330,9 @@
         members = len(self.view.reach) + (self.me.name not in self.view.places)
         least = shortest(members, self.timing.period, self.timing.suspicion)
         wanted = min(CONFIRMATIONS, max(0, members - 2))
-        suspicion = Suspicion(claim.incarnation, self.now, least, least * self.timing.longest, wanted)
+        suspicion = Suspicion(
+            claim.incarnation, self.now, least, least * self.timing.longest, wanted
+        )
         suspicion.confirm(claim.by)
         self.suspicions[claim.name] = suspicion
         self.after(suspicion.until - self.now, self.suspicion_over, claim.name)
@@ -345,7 +360,9 @@
 
     # Packets out.
 
-    def packet(self, body: Body, claims: tuple[Claim, ...] = (), posts: tuple[Any, ...] = ()) -> Packet:
+    def packet(
+        self, body: Body, claims: tuple[Claim, ...] = (), posts: tuple[Any, ...] = ()
+    ) -> Packet:
         self.serial += 1
         me, stamp = self.me, self.clock.tick()
         return Packet(me.name, me.boot, me.incarnation, self.serial, stamp, body, claims, posts)
@@ -353,7 +370,8 @@
     def send(
         self, address: Address, body: Body, about: Claim | None = None, posts: tuple[Any, ...] = ()
     ) -> None:
-        """A datagram with what it has room for of the queue; `about` goes first (Lifeguard's buddies)."""
+        """A datagram with what it has room for of the queue; `about` goes first (Lifeguard's
+        buddies)."""
         room, first = ROOM - sum(map(size_of_post, posts)), []
         if about is not None:
             room -= size_of(about)
@@ -386,14 +404,16 @@
                 self.send(belief.claim.address, Gossip())
 
     def sync_some(self, _: Any) -> None:
-        # As memberlist has it: else the push-pulls of a large group would grow with it, each larger, too.
+        # As memberlist has it: else the push-pulls of a large group would grow with it, each
+        # larger, too.
         scale = max(1.0, math.log2(max(len(self.view.beliefs), 1) / 32) + 1)
         self.after(self.timing.sync_every * scale, self.sync_some)
         for belief in self.some(1):
             self.sync_with(belief.claim.address)
 
     def retry(self, _: Any) -> None:
-        """Try one of the dead again, and a seed that is not in reach; forget those dead for long."""
+        """Try one of the dead again, and a seed that is not in reach; forget those dead for
+        long."""
         self.after(self.timing.retry_every * (0.5 + self.random.random()), self.retry)
         gone = [self.view.beliefs[name] for name in self.view.gone]
         over = [b.claim.name for b in gone if self.now - b.since >= self.timing.remember]
@@ -403,7 +423,8 @@
         if over:
             self.board.forget(over)
         dead = [b for b in gone if b.status is Status.DEAD and b.claim.name not in over]
-        # Groups that formed apart know nothing of each other: a seed that is not with us may be with them.
+        # Groups that formed apart know nothing of each other: a seed that is not with us may be
+        # with them.
         if targets := [seed for seed in self.seeds if seed not in self.view.addresses]:
             self.sync_with(self.random.choice(targets))
         elif self.unsure:
@@ -425,7 +446,11 @@
         self.after(self.health.scaled(self.timing.period), self.probe_next)
         while (name := self.next_in_ring()) is not None:
             belief = self.view.beliefs.get(name)
-            if belief is None or belief.status not in (Status.ALIVE, Status.SUSPECT) or name == self.me.name:
+            if (
+                belief is None
+                or belief.status not in (Status.ALIVE, Status.SUSPECT)
+                or name == self.me.name
+            ):
                 continue
             self.probe = Probe(name, self.next_number())
             about = belief.claim if belief.status is Status.SUSPECT else None
@@ -434,7 +459,8 @@
             return
 
     def next_in_ring(self) -> str | None:
-        """Every member once in a round, in an order that is drawn anew for each (SWIM, section 4.3)."""
+        """Every member once in a round, in an order that is drawn anew for each (SWIM, section
+        4.3)."""
         if not self.ring:
             self.ring = [belief.claim.name for belief in self.live()]
             self.random.shuffle(self.ring)
@@ -494,7 +520,8 @@
         return self.done()
 
     def current(self, packet: Packet, source: Address) -> bool:
-        """Whether the sender speaks by its last incarnation; one that does not is told so, and no more."""
+        """Whether the sender speaks by its last incarnation; one that does not is told so, and no
+        more."""
         if packet.sender == self.me.name:
             self.on_own_name(replace(self.me, incarnation=packet.incarnation, boot=packet.boot))
             return False
@@ -544,7 +571,9 @@
         elif (asked := self.relayed.pop(body.number, None)) is not None:
             self.send(asked[0], Ack(asked[1]))
 
-    def answer_sync(self, now: float, packet: Packet, source: Address) -> tuple[Packet, list[Effect]]:
+    def answer_sync(
+        self, now: float, packet: Packet, source: Address
+    ) -> tuple[Packet, list[Effect]]:
         """The other side of a push-pull: what goes back, and what follows."""
         told = self.receive(now, packet, source)
         return self.everything(), told
--- a/badgercart/peers/member.py
+++ b/badgercart/peers/member.py
@@ -1,6 +1,7 @@
 """One member of a group and all its uses: reports out, company for the policy. No I/O.
 
-The same in a node and in the lab's model. Effects are the machine's; posts that are news come by `heard`.
+The same in a node and in the lab's model. Effects are the machine's; posts that are news come by
+`heard`.
 """
 
 from __future__ import annotations
@@ -15,7 +16,8 @@
 from cottonhall.rules import Policy
 
 STALE = 4  # reports that a node may miss before it counts as one that wants its even part
-PASSED_ON = 64  # reports that a node passes on between two of its own: of more nodes each reports less often
+# reports that a node passes on between two of its own: of more nodes each reports less often
+PASSED_ON = 64
 FADES = 10_000.0  # ms in which another's word of a failing server fades
 
 
@@ -63,8 +65,9 @@
         urgent: bool = False,
         direct: bool = False,
     ) -> None:
-        """Have a subsystem told of the posts on a topic of its own: when, by whom, what. `urgent`: they are
-        passed on as they come, not with the next round. `direct`: only who is told by `say` is told."""
+        """Have a subsystem told of the posts on a topic of its own: when, by whom, what. `urgent`:
+        they are passed on as they come, not with the next round. `direct`: only who is told by
+        `say` is told."""
         self.machine.board.follow(topic, urgent, direct)
         self.listeners[topic] = hear
 
@@ -113,7 +116,9 @@
         self.shares.keep(names)
         self.hearsay.keep(names)
         parts = (
-            self.shares.parts(self.name, standing, now, STALE * self.every) if "shares" in self.does else ()
+            self.shares.parts(self.name, standing, now, STALE * self.every)
+            if "shares" in self.does
+            else ()
         )
         hearsay = self.hearsay.levels(names, now) if "hearsay" in self.does else ()
         event = company(self.name, standing, parts, hearsay)
--- a/badgercart/peers/part.py
+++ b/badgercart/peers/part.py
@@ -23,7 +23,12 @@
     from badgercart.peers.view import Belief
 
 MAX_TOLD = 512  # changes that `peers why` looks back on
-STATUS_WORDS = ("alive", "suspect", "dead", "left")  # by a status's number: as the page and the log have it
+STATUS_WORDS = (
+    "alive",
+    "suspect",
+    "dead",
+    "left",
+)  # by a status's number: as the page and the log have it
 
 
 def place_of(settings: PeersSettings, host: str) -> tuple[str, str]:
@@ -51,7 +56,9 @@
         address = settings.advertise or settings.listen
         zone, region = place_of(settings, address[0])
         if not zone:
-            zone = next((name for name, at in config.zones.items() if at == config.settings.zone), "")
+            zone = next(
+                (name for name, at in config.zones.items() if at == config.settings.zone), ""
+            )
         # Later processes have larger numbers; the low bits tell those of one millisecond apart.
         boot = int(time.time() * 1000) << 10 | secrets.randbits(10)
         me = Claim(config.name, 0, Status.ALIVE, address, boot, zone, region)
@@ -61,7 +68,9 @@
         self.machine = Machine(me, settings.timing(), settings.seeds, rng, offset, expected)
         codec = Codec(settings.group, settings.secret.encode())
         allowed = Allowed(settings.allow)
-        self.driver = Driver(host.loop, clock, self.machine, codec, settings.listen, allowed, self.act)
+        self.driver = Driver(
+            host.loop, clock, self.machine, codec, settings.listen, allowed, self.act
+        )
         self.member = Member(self.machine, config.settings.quotas, settings.share_ms, settings.uses)
         does = self.member.does
         self.standing: dict[str, Any] = {}  # as it was said last
@@ -79,13 +88,23 @@
 
     def register(self) -> None:
         meters, driver, machine = self.host.meters, self.driver, self.machine
-        meters.gauge("badgercart_peers_live", "Nodes in reach.", lambda: len(machine.standing().live))
-        meters.gauge("badgercart_peers_may_live", "Nodes that may live.", lambda: machine.standing().may_live)
-        meters.gauge("badgercart_peers_unwell", "Local health, 0 is well.", lambda: machine.health.score)
+        meters.gauge(
+            "badgercart_peers_live", "Nodes in reach.", lambda: len(machine.standing().live)
+        )
+        meters.gauge(
+            "badgercart_peers_may_live", "Nodes that may live.", lambda: machine.standing().may_live
+        )
+        meters.gauge(
+            "badgercart_peers_unwell", "Local health, 0 is well.", lambda: machine.health.score
+        )
         meters.gauge("badgercart_peers_queue", "News to be passed on.", lambda: len(machine.queue))
-        meters.counter("badgercart_peers_bytes_out", "Bytes sent to peers.", lambda: driver.bytes_out)
+        meters.counter(
+            "badgercart_peers_bytes_out", "Bytes sent to peers.", lambda: driver.bytes_out
+        )
         meters.counter("badgercart_peers_bytes_in", "Bytes from peers.", lambda: driver.bytes_in)
-        meters.counter("badgercart_peers_refused", "Packets refused.", lambda: driver.refused.total())
+        meters.counter(
+            "badgercart_peers_refused", "Packets refused.", lambda: driver.refused.total()
+        )
 
     async def start(self) -> None:
         await self.driver.start()
@@ -122,7 +141,9 @@
                 self.on_post(effect)
             elif isinstance(effect, Conflict):
                 does = "stands back" if effect.stands_back else "goes on"
-                events.CONFLICT(name=self.machine.me.name, does=does, boot=effect.boot, **self.stamp())
+                events.CONFLICT(
+                    name=self.machine.me.name, does=does, boot=effect.boot, **self.stamp()
+                )
             elif isinstance(effect, Paused):
                 events.PAUSED(gap_ms=round(effect.gap), **self.stamp())
         if stands:
@@ -181,7 +202,11 @@
     def tell(self) -> None:
         """Have the policy know its company, where that has changed."""
         standing = self.machine.standing()
-        told = {"standing": str(standing.level), "live": len(standing.live), "may_live": standing.may_live}
+        told = {
+            "standing": str(standing.level),
+            "live": len(standing.live),
+            "may_live": standing.may_live,
+        }
         if told != self.standing:
             self.standing = told
             events.LEVEL(**told, **self.stamp())
--- a/badgercart/peers/queue.py
+++ b/badgercart/peers/queue.py
@@ -1,4 +1,5 @@
-"""What still has to be passed on: the least passed on first, so often as the group's size asks. No I/O."""
+"""What still has to be passed on: the least passed on first, so often as the group's size asks. No
+I/O."""
 
 from __future__ import annotations
 
@@ -50,8 +51,8 @@
     def take(self, room: int, members: int) -> list[Any]:
         """What fits into so many bytes; each counts as passed on once more.
 
-        Its cost goes by what fits, not by what waits: after `MISFITS` that are too large for what is left
-        of the room, the rest of it stays empty."""
+        Its cost goes by what fits, not by what waits: after `MISFITS` that are too large for what
+        is left of the room, the rest of it stays empty."""
         limit, taken, misfits, at = most_times(members), [], 0, len(self.waiting)
         while at and misfits < MISFITS:
             at -= 1
--- a/badgercart/peers/settings.py
+++ b/badgercart/peers/settings.py
@@ -39,9 +39,13 @@
 
     listen: Address = Field(description="the host:port for datagrams and connections between nodes")
     advertise: Address | None = Field(None, description="where others reach it, if not at `listen`")
-    group: Name = Field(max_length=64, description="the group's name; nodes of other groups are strangers")
+    group: Name = Field(
+        max_length=64, description="the group's name; nodes of other groups are strangers"
+    )
     secret: Name = Field(
-        min_length=16, max_length=256, description="the group's secret, by which its messages are known"
+        min_length=16,
+        max_length=256,
+        description="the group's secret, by which its messages are known",
     )
     seeds: Annotated[tuple[Address, ...], Listed, Strict(False)] = Field(
         (), max_length=64, description="members that a new one turns to"
@@ -52,14 +56,23 @@
     place: Annotated[tuple[Place, ...], Listed] = Field(
         (), max_length=256, description="zones and regions by network; the first that fits counts"
     )
-    period_ms: float = Field(1000.0, ge=50, le=60_000, description="the time between two probes (ms)")
+    period_ms: float = Field(
+        1000.0, ge=50, le=60_000, description="the time between two probes (ms)"
+    )
     patience_ms: float = Field(
         500.0, ge=10, le=60_000, description="the time for an answer before others are asked (ms)"
     )
-    gossip_ms: float = Field(200.0, ge=10, le=60_000, description="the time between two rounds of news (ms)")
-    sync_s: float = Field(30.0, ge=1, le=3600, description="the time between two whole exchanges (s)")
+    gossip_ms: float = Field(
+        200.0, ge=10, le=60_000, description="the time between two rounds of news (ms)"
+    )
+    sync_s: float = Field(
+        30.0, ge=1, le=3600, description="the time between two whole exchanges (s)"
+    )
     retry_ms: float = Field(
-        2000.0, ge=50, le=3_600_000, description="the time between tries to reach one of the dead (ms)"
+        2000.0,
+        ge=50,
+        le=3_600_000,
+        description="the time between tries to reach one of the dead (ms)",
     )
     remember_s: float = Field(
         600.0, ge=1, le=86_400, description="the time for which a silent member may live (s)"
@@ -70,7 +83,9 @@
         le=86_400,
         description="the time from its start for which a node counts on as many as `node.nodes` says (s)",
     )
-    share_ms: float = Field(500.0, ge=50, le=60_000, description="the time between two reports of use (ms)")
+    share_ms: float = Field(
+        500.0, ge=50, le=60_000, description="the time between two reports of use (ms)"
+    )
     uses: Names = Field(
         ("shares", "drains", "hearsay"), description="what is done with it: shares, drains, hearsay"
     )
--- a/badgercart/peers/suspicion.py
+++ b/badgercart/peers/suspicion.py
@@ -1,4 +1,5 @@
-"""How long a suspect has to refute: the longer the fewer accuse it (Lifeguard, section IV-B). No I/O."""
+"""How long a suspect has to refute: the longer the fewer accuse it (Lifeguard, section IV-B). No
+I/O."""
 
 from __future__ import annotations
 
--- a/badgercart/peers/uses.py
+++ b/badgercart/peers/uses.py
@@ -1,7 +1,8 @@
 """What nodes do with what they know of each other, as plain inputs for policy and roster. No I/O.
 
-`Shares`: tenants' use as counters that only grow, and the part of each quota that is ours. `Rumours`: drains
-that another node heard first. `Hearsay`: servers that others find failing. `company` puts them together.
+`Shares`: tenants' use as counters that only grow, and the part of each quota that is ours.
+`Rumours`: drains that another node heard first. `Hearsay`: servers that others find failing.
+`company` puts them together.
 """
 
 from __future__ import annotations
@@ -20,8 +21,11 @@
 MAX_TENANTS = 64  # of whose use a post has room for
 MAX_RUMOURS = 1024  # drains that are known by rumour or told to others
 A_POST = 16  # drains, or failing servers, in one post
-DRAINS = tuple(f"drains.{number}" for number in range(8))  # topics: so many posts a node has out at a time
-TOLD_FOR = 60_000.0  # ms for which a node tells of a drain: lists are later than that only if they are lost
+DRAINS = tuple(
+    f"drains.{number}" for number in range(8)
+)  # topics: so many posts a node has out at a time
+# ms for which a node tells of a drain: lists are later than that only if they are lost
+TOLD_FOR = 60_000.0
 RUMOURED = 0.34  # of the listed servers at most are kept out by rumours alone
 HEADROOM = 1.2  # of its rate is what a node asks for: traffic grows before it is told
 LOOK_BACK = 2000.0  # ms that a rate is taken over: of fewer requests most is chance
@@ -38,8 +42,12 @@
 
 
 _use: Callable[[bytes], Use] = msgspec.msgpack.Decoder(Use).decode
-_drains: Callable[[bytes], list[tuple[int, int]]] = msgspec.msgpack.Decoder(list[tuple[int, int]]).decode
-_failing: Callable[[bytes], list[tuple[int, float]]] = msgspec.msgpack.Decoder(list[tuple[int, float]]).decode
+_drains: Callable[[bytes], list[tuple[int, int]]] = msgspec.msgpack.Decoder(
+    list[tuple[int, int]]
+).decode
+_failing: Callable[[bytes], list[tuple[int, float]]] = msgspec.msgpack.Decoder(
+    list[tuple[int, float]]
+).decode
 
 
 @dataclass(slots=True)
@@ -48,7 +56,9 @@
 
     boot: int
     came: float  # ms on our clock
-    posts: deque[tuple[float, list[int]]] = field(default_factory=deque)  # when on its clock, counts
+    posts: deque[tuple[float, list[int]]] = field(
+        default_factory=deque
+    )  # when on its clock, counts
 
     def take(self, told: Use, now: float) -> None:
         """Counts only grow within a process: what does not is no later word."""
@@ -56,11 +66,15 @@
             self.posts.clear()
         elif self.posts:
             at, counts = self.posts[-1]
-            if told.at <= at or any(new < old for new, old in zip(told.counts, counts, strict=True)):
+            if told.at <= at or any(
+                new < old for new, old in zip(told.counts, counts, strict=True)
+            ):
                 return
         self.boot, self.came = told.boot, now
         self.posts.append((told.at, told.counts))
-        while len(self.posts) > 2 and (self.posts[0][0] < told.at - LOOK_BACK or len(self.posts) > MAX_POSTS):
+        while len(self.posts) > 2 and (
+            self.posts[0][0] < told.at - LOOK_BACK or len(self.posts) > MAX_POSTS
+        ):
             self.posts.popleft()
 
     def rate(self, tenant: int) -> float | None:
@@ -75,7 +89,11 @@
     """Max-min fair parts of `total`: nobody gets more than it wants while another lacks.
 
     What is left over is shared out evenly, so that they add up to `total`."""
-    parts, left, open_ = [0.0] * len(wants), total, sorted(range(len(wants)), key=lambda i: wants[i])
+    parts, left, open_ = (
+        [0.0] * len(wants),
+        total,
+        sorted(range(len(wants)), key=lambda i: wants[i]),
+    )
     for place, i in enumerate(open_):
         parts[i] = min(wants[i], left / (len(open_) - place))
         left -= parts[i]
@@ -83,11 +101,12 @@
 
 
 class Shares:
-    """The part of each tenant's quota that this node may use, so that all parts together are the quota.
+    """The part of each tenant's quota that this node may use, so that all parts together are the
+    quota.
 
-    A part that a node does not want is lent to those who do. A majority takes over the parts of the dead; the
-    others keep to an even part of all that may live and lend nothing, so that a group in pieces uses less
-    than half a quota too much, however it is cut."""
+    A part that a node does not want is lent to those who do. A majority takes over the parts of the
+    dead; the others keep to an even part of all that may live and lend nothing, so that a group in
+    pieces uses less than half a quota too much, however it is cut."""
 
     def __init__(self, quotas: Sequence[float], boot: int) -> None:
         self.quotas = list(quotas)[:MAX_TENANTS]  # a second
@@ -125,20 +144,26 @@
         self.heard = {name: heard for name, heard in self.heard.items() if name in wanted}
 
     def parts(self, me: str, standing: Standing, now: float, stale: float) -> tuple[float, ...]:
-        """Of each quota, 0 to 1; what the policy is told. What a node said `stale` ms ago is old."""
+        """Of each quota, 0 to 1; what the policy is told. What a node said `stale` ms ago is
+        old."""
         if not standing.majority:
             return (1 / standing.may_live,) * len(self.quotas)
         found = []
         for tenant, quota in enumerate(self.quotas):
             nodes = len(standing.live)
-            wants = [self.wants(name, name == me, tenant, nodes, now, stale) for name in standing.live]
+            wants = [
+                self.wants(name, name == me, tenant, nodes, now, stale) for name in standing.live
+            ]
             whole = quota / 1000  # a ms
             part = levelled(whole, wants)[standing.live.index(me)] if whole else 0.0
             found.append(min(max(part / whole if whole else 1 / len(wants), LEAST), 1.0))
         return tuple(found)
 
-    def wants(self, name: str, ours: bool, tenant: int, nodes: int, now: float, stale: float) -> float:
-        """What a node asks for, a ms: one that has not been heard lately, no less than its even part."""
+    def wants(
+        self, name: str, ours: bool, tenant: int, nodes: int, now: float, stale: float
+    ) -> float:
+        """What a node asks for, a ms: one that has not been heard lately, no less than its even
+        part."""
         even = self.quotas[tenant] / 1000 / nodes
         heard = self.ours if ours else self.heard.get(name)
         rate = heard.rate(tenant) if heard is not None else None
@@ -162,7 +187,8 @@
 class Rumours:
     """Drains that others heard first. A rumour takes a server out and never brings one back.
 
-    It ends when our own list is as late as the one that it is from: that has the drain or a later word."""
+    It ends when our own list is as late as the one that it is from: that has the drain or a later
+    word."""
 
     def __init__(self) -> None:
         self.known: dict[int, Drain] = {}
@@ -193,7 +219,8 @@
     # Others', for us.
 
     def take(self, said: bytes, version: int, listed: dict[int, Member]) -> list[Member]:
-        """Take over another's drains; gives the lines that are otherwise now, for `Roster.renew`."""
+        """Take over another's drains; gives the lines that are otherwise now, for
+        `Roster.renew`."""
         try:
             drains = [Drain(*told) for told in _drains(said)]
         except msgspec.MsgspecError:
@@ -237,8 +264,8 @@
 
 
 class Hearsay:
-    """How failing others find a server: the least of the two that find it worst, so that one liar counts for
-    nothing, and old word fades."""
+    """How failing others find a server: the least of the two that find it worst, so that one liar
+    counts for nothing, and old word fades."""
 
     def __init__(self, fades: float) -> None:
         self.fades = fades  # ms
@@ -255,7 +282,10 @@
         except msgspec.MsgspecError:
             self.turned_away += 1
             return
-        self.said[author] = now, {server: level for server, level in told[:A_POST] if 0 <= level <= 1}
+        self.said[author] = (
+            now,
+            {server: level for server, level in told[:A_POST] if 0 <= level <= 1},
+        )
 
     def levels(self, authors: Iterable[str], now: float) -> tuple[tuple[int, float], ...]:
         found: dict[int, list[float]] = {}
@@ -276,7 +306,8 @@
 def company(
     me: str, standing: Standing, parts: tuple[float, ...], hearsay: tuple[tuple[int, float], ...]
 ) -> Company:
-    """What the policy is told. Without a majority the node takes itself for one of all that may live."""
+    """What the policy is told. Without a majority the node takes itself for one of all that may
+    live."""
     live = standing.live
     if not standing.majority:
         return Company(standing.may_live, live.index(me), standing.may_live, parts, hearsay)
--- a/badgercart/peers/view.py
+++ b/badgercart/peers/view.py
@@ -40,7 +40,8 @@
 
     @property
     def rank(self) -> tuple[int, int, int, Address, str, str]:
-        """Claims of one member are in one total order, so that the largest wins whatever came first.
+        """Claims of one member are in one total order, so that the largest wins whatever came
+        first.
 
         Incarnation and status as SWIM has them; the rest only makes equal ones comparable."""
         return (self.incarnation, int(self.status), self.boot, self.address, self.zone, self.region)
@@ -115,7 +116,8 @@
                 self.gone[name] = None
 
     def draw(self, count: int, rng: random.Random, without: tuple[str, ...] = ()) -> list[Belief]:
-        """So many of those in reach by chance, or all there are; the cost goes by how many are drawn."""
+        """So many of those in reach by chance, or all there are; the cost goes by how many are
+        drawn."""
         drawn = rng.sample(self.reach, min(count + len(without), len(self.reach)))
         self.looked += len(drawn)
         return [self.beliefs[name] for name in drawn if name not in without][:count]
--- a/badgercart/peers/vouching.py
+++ b/badgercart/peers/vouching.py
@@ -1,4 +1,5 @@
-"""How much of its group a node can vouch for, against the largest group that it has seen. No I/O."""
+"""How much of its group a node can vouch for, against the largest group that it has seen. No
+I/O."""
 
 from __future__ import annotations
 
@@ -42,12 +43,13 @@
 def standing(
     view: View, me: str, now: float, remember: float, expected: int = 1, stands_back: bool = False
 ) -> Standing:
-    """Where the node stands. `remember` (ms): for so long one that was seen may live though it is silent.
+    """Where the node stands. `remember` (ms): for so long one that was seen may live though it is
+    silent.
 
-    The largest group is the union of all that were seen in that time and did not leave by their own word,
-    not what gossip says at the moment: a half that buried the other must not take itself for the whole.
-    `expected` is how many there should be where too little has been seen yet. One that stands back, since
-    another process has its name, counts on nobody."""
+    The largest group is the union of all that were seen in that time and did not leave by their own
+    word, not what gossip says at the moment: a half that buried the other must not take itself for
+    the whole. `expected` is how many there should be where too little has been seen yet. One that
+    stands back, since another process has its name, counts on nobody."""
     live = sorted({me} | {belief.claim.name for belief in view.of(Status.ALIVE, Status.SUSPECT)})
     sure = len({me} | {belief.claim.name for belief in view.of(Status.ALIVE)})
     buried = sum(1 for belief in view.of(Status.DEAD) if now - belief.since < remember)
--- a/badgercart/peers/wire.py
+++ b/badgercart/peers/wire.py
@@ -1,7 +1,7 @@
 """Messages between nodes: versioned, within one MTU, keyed by the group's secret. No I/O.
 
-A packet is `bc`, the protocol's version, a keyed hash of all that follows, and MessagePack. Whatever is not
-of this group, this version and this size is refused before any of it is read.
+A packet is `bc`, the protocol's version, a keyed hash of all that follows, and MessagePack.
+Whatever is not of this group, this version and this size is refused before any of it is read.
 """
 
 from __future__ import annotations
@@ -21,7 +21,9 @@
 TAG = 16  # bytes of the keyed hash
 HEAD = len(MAGIC) + 1 + TAG
 MTU = 1400  # bytes of a datagram: with its headers below the 1,500 of Ethernet
-MAX_SYNC = 1 << 20  # bytes of one side of a push-pull: 4,096 members of 100 bytes, and what is on the board
+MAX_SYNC = (
+    1 << 20
+)  # bytes of one side of a push-pull: 4,096 members of 100 bytes, and what is on the board
 MAX_CLAIMS = 4096
 NAME = 64  # characters of a name
 
@@ -128,7 +130,12 @@
     for text in (name, host, zone, region, by):
         if len(text) > NAME or not text.isprintable():
             raise Refused("malformed", "a claim's text is too long or not printable")
-    if not name or not 0 < port < 65536 or not 0 <= incarnation < 1 << 53 or not 0 <= boot < 1 << 63:
+    if (
+        not name
+        or not 0 < port < 65536
+        or not 0 <= incarnation < 1 << 53
+        or not 0 <= boot < 1 << 63
+    ):
         raise Refused("malformed", f"a claim of {name!r} has a number out of bounds")
     try:
         return Claim(name, incarnation, Status(status), (host, port), boot, zone, region, by)
@@ -189,7 +196,8 @@
 
 
 class Window:
-    """Which serials of one process were taken: once each, in any order within 64 (RFC 4303, 3.4.3)."""
+    """Which serials of one process were taken: once each, in any order within 64 (RFC 4303,
+    3.4.3)."""
 
     __slots__ = ("highest", "seen")
 
--- a/badgercart/retune/checks.py
+++ b/badgercart/retune/checks.py
@@ -1,4 +1,5 @@
-"""Holds a configuration against the one in force: what that has must be there, and of its kind. No I/O."""
+"""Holds a configuration against the one in force: what that has must be there, and of its kind. No
+I/O."""
 
 from __future__ import annotations
 
@@ -72,7 +73,9 @@
             yield from named(items, before.get(name, []), f"settings.{name}", most)
 
 
-def lacks(new: Mapping[str, Any], old: Mapping[str, Any], path: str, free: frozenset[str]) -> Iterator[str]:
+def lacks(
+    new: Mapping[str, Any], old: Mapping[str, Any], path: str, free: frozenset[str]
+) -> Iterator[str]:
     for key, was in old.items():
         if key in free:
             continue
@@ -86,7 +89,8 @@
 
 
 def named(items: Sequence[Any], old: Sequence[Any], path: str, most: int) -> Iterator[str]:
-    """A list whose items have names: each has all that the old ones have in common, and its name alone."""
+    """A list whose items have names: each has all that the old ones have in common, and its name
+    alone."""
     if len(items) > most:
         yield f"{path} has over {most} items"
         return
--- a/badgercart/retune/numbers.py
+++ b/badgercart/retune/numbers.py
@@ -13,8 +13,8 @@
 ) -> tuple[dict[Name, int], list[int]]:
     """Numbers for names, in their order, and those of them that begin anew.
 
-    A name that was there keeps its number. A new one gets the least that no name has and nobody is busy with:
-    so there are never more numbers than names and busy numbers together."""
+    A name that was there keeps its number. A new one gets the least that no name has and nobody is
+    busy with: so there are never more numbers than names and busy numbers together."""
     names = list(names)
     kept = {name: old[name] for name in names if name in old}
     taken, free, fresh = set(kept.values()), 0, []
--- a/badgercart/retune/retune.py
+++ b/badgercart/retune/retune.py
@@ -1,4 +1,5 @@
-"""One configuration in place of another: what the node goes on with, and what the policy is told. No I/O."""
+"""One configuration in place of another: what the node goes on with, and what the policy is told.
+No I/O."""
 
 from __future__ import annotations
 
@@ -34,8 +35,9 @@
 def retuned(old: Config, new: Config, busy: Busy) -> tuple[Config, Retuned]:
     """The new configuration in the numbers of the old one, and the event for the policy.
 
-    Under the number of a class that vanished its old terms stand until another class takes it over. One whose
-    terms change while requests of it are read and not taken is another from then on: those keep theirs."""
+    Under the number of a class that vanished its old terms stand until another class takes it over.
+    One whose terms change while requests of it are read and not taken is another from then on:
+    those keep theirs."""
     wanted, before = new.settings, old.settings
     same = {
         name: number
@@ -55,7 +57,9 @@
     quotas = [0.0] * (1 + max(tenants.values(), default=-1))
     for tenant, number in tenants.items():
         quotas[number] = wanted.quotas[new.tenants[tenant]]
-    zone = next((zones[name] for name, number in new.zones.items() if number == wanted.zone), wanted.zone)
+    zone = next(
+        (zones[name] for name, number in new.zones.items() if number == wanted.zone), wanted.zone
+    )
     settings: Settings = replace(wanted, classes=tuple(terms), quotas=tuple(quotas), zone=zone)
     # What takes a restart stays as it was.
     config = replace(
--- a/badgercart/upgrade/handover.py
+++ b/badgercart/upgrade/handover.py
@@ -1,7 +1,8 @@
-"""What one process of a node learned, for the next: one file, written while it serves, read at the start.
+"""What one process of a node learned, for the next: one file, written while it serves, read at the
+start.
 
-Names stand in it in place of numbers, and Unix times in place of the node's clock: neither need be the same
-at the next process. What is older than `OLDEST` is of a process that is long dead.
+Names stand in it in place of numbers, and Unix times in place of the node's clock: neither need be
+the same at the next process. What is older than `OLDEST` is of a process that is long dead.
 """
 
 from __future__ import annotations
@@ -35,7 +36,8 @@
         "format": FORMAT,
         "at": now,
         "classes": {
-            name: [memory.usual[i], memory.offered[i], memory.offered[half + i]] for i, name in names.items()
+            name: [memory.usual[i], memory.offered[i], memory.offered[half + i]]
+            for i, name in names.items()
         },
         "kinds": {kinds[kind]: pace for kind, pace in memory.kinds.items() if kind in kinds},
         "numbers": {
@@ -61,7 +63,8 @@
 
 
 def decode(data: bytes, config: Config, now: float, unix_offset: float) -> Memory:
-    """Raises Unusable; nothing is taken in part. A class that is new here is assumed, as at any start."""
+    """Raises Unusable; nothing is taken in part. A class that is new here is assumed, as at any
+    start."""
     told = unseal(data, FORMAT)
     try:
         if not -OLDEST < now - told["at"] < OLDEST:
@@ -75,7 +78,9 @@
     names = {number: name.decode("latin-1") for name, number in config.classes.items()}
     terms = config.settings.classes
     classes: Mapping[str, Sequence[float]] = told["classes"]
-    by_class = [classes.get(names.get(i, ""), (cls.aim / 4, 0.0, 0.0)) for i, cls in enumerate(terms)]
+    by_class = [
+        classes.get(names.get(i, ""), (cls.aim / 4, 0.0, 0.0)) for i, cls in enumerate(terms)
+    ]
     servers = {}
     for server, (started, slow, recent, health) in told["servers"].items():
         each = [health.get(names.get(i, ""), (0.0, 0.0)) for i in range(len(terms))]
@@ -85,8 +90,13 @@
     numbers: Mapping[str, float] = told["numbers"]
     return Memory(
         usual=[float(usual) for usual, _, _ in by_class],
-        offered=[float(within) for _, within, _ in by_class] + [float(beyond) for _, _, beyond in by_class],
-        kinds={config.kinds[name]: float(v) for name, v in told["kinds"].items() if name in config.kinds},
+        offered=[float(within) for _, within, _ in by_class]
+        + [float(beyond) for _, _, beyond in by_class],
+        kinds={
+            config.kinds[name]: float(v)
+            for name, v in told["kinds"].items()
+            if name in config.kinds
+        },
         keys={int(key): float(count) for key, count in told["keys"].items()},
         servers=servers,
         least=float(numbers["least"]),
--- a/badgercart/upgrade/inherited.py
+++ b/badgercart/upgrade/inherited.py
@@ -10,7 +10,8 @@
 def inherited_socket(descriptor: int) -> socket.socket:
     """Raises ConfigError where the descriptor is no listening stream socket.
 
-    It is neither bound nor told to listen here, nor ever shut down: the other process serves on it."""
+    It is neither bound nor told to listen here, nor ever shut down: the other process serves on it.
+    """
     try:
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
--- a/badgercart/upgrade/lives.py
+++ b/badgercart/upgrade/lives.py
@@ -1,6 +1,7 @@
 """Which processes of this node live: each holds a lock in the shared folder until it ends.
 
-The kernel lets a lock go with its process, however that ended: a file that can be locked is of a dead one.
+The kernel lets a lock go with its process, however that ended: a file that can be locked is of a
+dead one.
 """
 
 from __future__ import annotations
@@ -20,14 +21,15 @@
     """This process's own lock, and what others there are."""
 
     def __init__(self, folder: Path, timers: Timers, on_change: Callable[[bool], None]) -> None:
-        """`on_change` is told whether the process is alone, whenever that changes. OSError where the folder
-        can't be used."""
+        """`on_change` is told whether the process is alone, whenever that changes. OSError where
+        the folder can't be used."""
         self.folder = folder
         self.timers = timers
         self.on_change = on_change
         self.closed = False
         self.path = folder / f"{PREFIX}{os.getpid()}{SUFFIX}"
-        # Locked under another name first: no one else may see it unlocked, and take it for a dead one's.
+        # Locked under another name first: no one else may see it unlocked, and take it for a dead
+        # one's.
         part = self.path.with_suffix(".born")
         self.file = part.open("wb")
         fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -53,7 +53,9 @@
     if not told["plan"]:
         return f"{by}: no plan, near only, by its own eyes"
     lease = f", for {told['lease_ms'] / 1000:.1f} s more" if told["epoch"] else ""
-    which = f"plan {told['epoch']} of {told['proposer']}{lease}" if told["epoch"] else "its own plan"
+    which = (
+        f"plan {told['epoch']} of {told['proposer']}{lease}" if told["epoch"] else "its own plan"
+    )
     return f"{by}: {which}{': ' + told['why'] if told['why'] else ''}"
 
 
@@ -125,7 +127,12 @@
     geography = site.parts["zones"].geography(config.zones, config.classes, config.tenants)
     now = int(time.time() * 1000)
     word = Order(config.zones[zone], what, now, now + int(for_s * 1000), by[:64])
-    post = (ORDERS, f"operator {zone}"[:64], now, msgspec.msgpack.encode((geography.digest, [word])))
+    post = (
+        ORDERS,
+        f"operator {zone}"[:64],
+        now,
+        msgspec.msgpack.encode((geography.digest, [word])),
+    )
     answer = exchange(site, Packet("operator", now, 0, 1, (now, 0), Sync(), (), (post,)))
     return post in answer.posts
 
@@ -135,7 +142,12 @@
     @FILE
     @click.argument("zone")
     @click.option(
-        "--for", "for_s", default=600.0, show_default=True, type=click.FloatRange(1, 86_400), help="Seconds."
+        "--for",
+        "for_s",
+        default=600.0,
+        show_default=True,
+        type=click.FloatRange(1, 86_400),
+        help="Seconds.",
     )
     @click.option("--by", default="", help="Who says so [the user's name].")
     def command(file: str, zone: str, for_s: float, by: str) -> None:
--- a/badgercart/zones/council.py
+++ b/badgercart/zones/council.py
@@ -1,23 +1,24 @@
 """One plan at a time, by a majority and under a lease. No I/O.
 
-A plan has an epoch; a ballot is an epoch, the plan's digest and a round. Whoever proposes has every node
-told of the plan and of a round, and each node that takes it says so to the proposer; once more than half of
-the electorate has, the proposer names them in a commit. Each round renews the lease. What holds, and what
+A plan has an epoch; a ballot is an epoch, the plan's digest and a round. Whoever proposes has every
+node told of the plan and of a round, and each node that takes it says so to the proposer; once more
+than half of the electorate has, the proposer names them in a commit. Each round renews the lease.
+What holds, and what
 keeps it so:
 
 - Two plans of one epoch are never in force: a node takes one plan of an epoch at most, more than half must
-  have taken it, and two such halves share a node. A process that begins takes none until a lease has
-  passed: what its predecessor took is void by then.
+have taken it, and two such halves share a node. A process that begins takes none until a lease has
+passed: what its predecessor took is void by then.
 - Nobody acts by a plan that is past its lease: the lease runs on each node's own clock from when it took the
-  round, which is before the proposer counted it, and only a commit that names this very process starts it.
-  What arrives late, from a queue or by a node that slept, starts none.
+round, which is before the proposer counted it, and only a commit that names this very process
+starts it. What arrives late, from a queue or by a node that slept, starts none.
 - Epochs go by the wall's clock where that is ahead of all that was heard of, and their last bits are those of
   the process: a majority that was restarted remembers none, and must not use one again.
 - A proposer that falls silent is followed by the next by name, each waiting its turn; epochs only grow, so
   one that wakes finds its own outdone, and counts no ballot that it began a lease ago.
 
-Weighed: a log that is replicated (nothing here has to be remembered once it is outdone); one plan by
-whoever is first in name, without a majority (two halves would each have one).
+Weighed: a log that is replicated (nothing here has to be remembered once it is outdone); one plan
+by whoever is first in name, without a majority (two halves would each have one).
 """
 
 from __future__ import annotations
@@ -166,7 +167,12 @@
     """One node's part. Every call gives what to do."""
 
     def __init__(
-        self, name: str, boot: int, terms: Terms, read: Callable[[bytes], Plan], wall: Callable[[], float]
+        self,
+        name: str,
+        boot: int,
+        terms: Terms,
+        read: Callable[[bytes], Plan],
+        wall: Callable[[], float],
     ) -> None:
         """`read` makes a plan of bytes, or raises PlanError; `wall` gives Unix ms."""
         self.name, self.boot, self.terms, self.read, self.wall = name, boot, terms, read, wall
@@ -205,12 +211,14 @@
         return effects
 
     def give_up(self, now: float, mine: Proposal) -> Outdone:
-        """Leave it to others, and wait for our turn anew: two that went on at once would never end it."""
+        """Leave it to others, and wait for our turn anew: two that went on at once would never end
+        it."""
         self.mine, self.heard = None, now
         return Outdone(mine.ballot.epoch)
 
     def turn(self, now: float, rank: int) -> bool:
-        """Whether the node of that rank among those in reach may propose, since nobody else does."""
+        """Whether the node of that rank among those in reach may propose, since nobody else
+        does."""
         if self.mine is not None:
             return False
         return self.awake(now) and now - self.heard >= self.terms.patience * (1 + rank)
@@ -225,8 +233,9 @@
         """A new epoch; what was ours before stays in force until it is outdone."""
         if not self.awake(now):
             return []
-        # By the clock, since a majority that has begun anew remembers no epoch; and one that no other process
-        # has, since two that have heard of the same ones would name the same next one.
+        # By the clock, since a majority that has begun anew remembers no epoch; and one that no
+        # other process has, since two that have heard of the same ones would name the same next
+        # one.
         own = int.from_bytes(self.mark, "big") % MS
         self.highest = max(self.highest // MS + 1, int(self.wall())) * MS + own
         moved = self.mine.moved if self.mine is not None else now
@@ -339,7 +348,8 @@
             del self.plans[old]
 
     def on_round(self, now: float, author: str, ballot: Ballot) -> list[Effect]:
-        """Take a round, unless it is outdone; whoever asks by an old epoch is told the one that outdid it."""
+        """Take a round, unless it is outdone; whoever asks by an old epoch is told the one that
+        outdid it."""
         if self.began is None or not self.awake(now):
             self.highest = max(self.highest, ballot.epoch)
             return []
@@ -364,7 +374,9 @@
         """One plan of an epoch at most, by one proposer, and its rounds only forward."""
         voted = self.voted
         if voted is None:
-            return ballot.epoch >= self.highest  # one that has begun anew has heard of later ones since
+            return (
+                ballot.epoch >= self.highest
+            )  # one that has begun anew has heard of later ones since
         if ballot.epoch > voted.epoch:
             return True
         return ballot.plan == voted.plan and author == self.voted_for and ballot.round > voted.round
@@ -379,7 +391,11 @@
         if ballot.epoch > self.highest:
             self.highest = ballot.epoch
         mine = self.mine
-        if mine is not None and ballot.epoch >= mine.ballot.epoch and ballot.plan != mine.ballot.plan:
+        if (
+            mine is not None
+            and ballot.epoch >= mine.ballot.epoch
+            and ballot.plan != mine.ballot.plan
+        ):
             return [self.give_up(now, mine)]  # another has taken this epoch or a later one
         return self.count(now, author, ballot, boot)
 
--- a/badgercart/zones/evidence.py
+++ b/badgercart/zones/evidence.py
@@ -1,7 +1,9 @@
-"""What all nodes have seen, put together: a zone that nobody reaches is down, a link that some miss is cut.
+"""What all nodes have seen, put together: a zone that nobody reaches is down, a link that some miss
+is cut.
 
-Each claim has its owner and its time; a later one takes its place, an old one counts for nothing. One node's
-word decides about its own zone's way at most, and only where it is that zone's only node. No I/O.
+Each claim has its owner and its time; a later one takes its place, an old one counts for nothing.
+One node's word decides about its own zone's way at most, and only where it is that zone's only
+node. No I/O.
 """
 
 from __future__ import annotations
@@ -16,7 +18,9 @@
 from badgercart.zones.geography import Geography
 
 LIE = 4.0  # of an even part of all capacity: no node's demand counts for more
-SLOW_FROM = 2.5  # times its quickest from which a zone counts as slow: near capacity queues double it
+SLOW_FROM = (
+    2.5  # times its quickest from which a zone counts as slow: near capacity queues double it
+)
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True):
@@ -107,9 +111,13 @@
         enough = min(2, len(heard))  # one node's word is about its own way there
         down = frozenset(z for _, z in dark if accused[z] >= enough) - fine
         parted = frozenset((i, z) for i, z in dark if z not in down)
-        accusers = sorted({n for n, t in heard for z in down if t.claim.verdicts[z] == Verdict.DARK})
+        accusers = sorted(
+            {n for n, t in heard for z in down if t.claim.verdicts[z] == Verdict.DARK}
+        )
         words = [f"{geography.zones[z]} is dark" for z in sorted(down)]
-        words += [f"{geography.zones[i]} does not reach {geography.zones[z]}" for i, z in sorted(parted)]
+        words += [
+            f"{geography.zones[i]} does not reach {geography.zones[z]}" for i, z in sorted(parted)
+        ]
         why = ", ".join(words) + (f", say {' '.join(accusers[:6])}" if accusers else "")
         return Seen(
             down, fine, frozenset(z for z in zones if (z, z) in reached), parted,
@@ -118,7 +126,9 @@
             self.demand(heard, capacity), why,
         )  # fmt: skip
 
-    def median(self, heard: list[tuple[str, Heard]], zone: int, of: Callable[[Claim], list[int]]) -> float:
+    def median(
+        self, heard: list[tuple[str, Heard]], zone: int, of: Callable[[Claim], list[int]]
+    ) -> float:
         """Of those that send there."""
         told = [of(h.claim)[zone] / 100 for _, h in heard if h.claim.slow[zone]]
         return statistics.median(told) if told else 1.0
@@ -126,7 +136,8 @@
     def demand(
         self, heard: list[tuple[str, Heard]], capacity: Sequence[float]
     ) -> tuple[tuple[float, ...], ...]:
-        """Slots that each zone's requests keep busy, by row; no node's word counts for more than `LIE`."""
+        """Slots that each zone's requests keep busy, by row; no node's word counts for more than
+        `LIE`."""
         zones, rows = len(self.geography.zones), self.geography.rows
         most = LIE * sum(capacity) / max(1, len(heard))
         total = [[0.0] * rows for _ in range(zones)]
--- a/badgercart/zones/eyes.py
+++ b/badgercart/zones/eyes.py
@@ -1,10 +1,11 @@
-"""What one node sees of each zone by its own attempts and probes: does anything answer there? No I/O.
-
-A zone is dark when its silence can't be chance any more. By a law without memory the chance that attempts
-which have been out for a_1, a_2, … ms are all unanswered, where answers take m on average, is
-exp(-sum(a) / m): so the sum is the proof, whatever the rate of traffic is (as the phi of Hayashibara et al.
-2004, over many attempts). One server that hangs is the policy's matter: any answer of the zone takes the
-proof away.
+"""What one node sees of each zone by its own attempts and probes: does anything answer there? No
+I/O.
+
+A zone is dark when its silence can't be chance any more. By a law without memory the chance that
+attempts which have been out for a_1, a_2, … ms are all unanswered, where answers take m on average,
+is exp(-sum(a) / m): so the sum is the proof, whatever the rate of traffic is (as the phi of
+Hayashibara et al. 2004, over many attempts). One server that hangs is the policy's matter: any
+answer of the zone takes the proof away.
 """
 
 from __future__ import annotations
@@ -16,7 +17,10 @@
 
 DARK_FROM = 12.0  # proof: a chance of 6 in a million
 NO_LINK = 2.5  # proof of an attempt or a probe that met nobody at all
-UNMET = {Result.UNREACHABLE: NO_LINK, Result.RESET: NO_LINK / 2}  # the least that such an end proves
+UNMET = {
+    Result.UNREACHABLE: NO_LINK,
+    Result.RESET: NO_LINK / 2,
+}  # the least that such an end proves
 DOUBT = 100.0  # ms after which a zone that has left something unanswered is asked
 ATTEMPTS = 3  # that a proof rests on at least, and on two servers where there are two
 BACK = 3  # probes answered in a row that end the dark
@@ -24,7 +28,9 @@
 PACED_FOR = 3000.0  # ms for which an attempt tells how quick a zone is
 FORGET = 100_000.0  # ms in which the quickest time doubles: a zone may have slower work for good
 PACE = 40.0  # answers that the pace reaches back over: of fewer a third more is chance
-STEADY = 200.0  # answers that the mean over all zones reaches back over: its least must not be chance
+STEADY = (
+    200.0  # answers that the mean over all zones reaches back over: its least must not be chance
+)
 SAMPLE = 30.0  # attempts that shares and times reach back over
 ANSWERS = frozenset({Result.OK, Result.ERROR, Result.FULL})
 MAX_SERVERS = 16  # that a proof is told apart by
@@ -51,7 +57,9 @@
     servers: set[int] = field(default_factory=set)
     answered: float = -KNOWN_FOR  # when last
     mean: float = 0.0  # ms of its answers
-    pace: float = 0.0  # the same with those that took too long: else only the quick ones would count
+    pace: float = (
+        0.0  # the same with those that took too long: else only the quick ones would count
+    )
     least: float = 0.0  # the quickest that this was, forgotten in time
     answers: float = 0.0  # how many it rests on, up to PACE
     timed_at: float = -KNOWN_FOR  # when the last of them came
@@ -61,8 +69,8 @@
 
     @property
     def slow(self) -> float:
-        """The time of its answers over the quickest that it was: a zone is its own measure, as a node that
-        stays near sees no other."""
+        """The time of its answers over the quickest that it was: a zone is its own measure, as a
+        node that stays near sees no other."""
         return self.pace / self.least if self.least else 1.0
 
     def known(self, now: float) -> bool:
@@ -151,8 +159,8 @@
         return Verdict.FINE if now - eye.answered < KNOWN_FOR else Verdict.UNKNOWN
 
     def wants_probe(self, now: float, zone: int, every: float) -> bool:
-        """Whether nobody else will tell how the zone is: it is dark, has not answered for so long (ms), or
-        has left something unanswered."""
+        """Whether nobody else will tell how the zone is: it is dark, has not answered for so long
+        (ms), or has left something unanswered."""
         eye = self.zones[zone]
         silent = now - eye.answered
         return eye.dark or silent > every or (eye.proof > 0 and silent > DOUBT)
--- a/badgercart/zones/gates.py
+++ b/badgercart/zones/gates.py
@@ -1,4 +1,5 @@
-"""Which part of a zone's capacity counts now: none while it is down, little as it comes back, then all.
+"""Which part of a zone's capacity counts now: none while it is down, little as it comes back, then
+all.
 
 A zone that fails again soon waits longer each time. No I/O."""
 
@@ -53,7 +54,9 @@
     def shut(self, now: float) -> None:
         if self.state is not State.SHUT:
             again = now - self.opened < self.pace.forgive
-            self.hold = min(2 * self.hold, self.pace.longest) if again and self.hold else self.pace.hold
+            self.hold = (
+                min(2 * self.hold, self.pace.longest) if again and self.hold else self.pace.hold
+            )
             self.state, self.factor = State.SHUT, 0.0
         self.well_since = None
 
--- a/badgercart/zones/geography.py
+++ b/badgercart/zones/geography.py
@@ -1,4 +1,5 @@
-"""The map: zones, their regions, the cost from one to another, and what must stay in its region. No I/O."""
+"""The map: zones, their regions, the cost from one to another, and what must stay in its region. No
+I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +7,10 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-WITHIN, ACROSS = 1.0, 10.0  # costs between two zones of one region, and of two, where the file says nothing
+WITHIN, ACROSS = (
+    1.0,
+    10.0,
+)  # costs between two zones of one region, and of two, where the file says nothing
 MAX_ZONES = 64
 
 
@@ -54,7 +58,8 @@
     bound_classes: frozenset[int] = frozenset(),
     bound_tenants: frozenset[int] = frozenset(),
 ) -> Geography:
-    """A map from names. A zone of no region is in a region of its own; a distance holds both ways."""
+    """A map from names. A zone of no region is in a region of its own; a distance holds both
+    ways."""
     home = [regions.get(zone, zone) for zone in zones]
 
     def between(one: int, other: int) -> float:
--- a/badgercart/zones/keeper.py
+++ b/badgercart/zones/keeper.py
@@ -1,9 +1,10 @@
-"""One node's zones: eyes, evidence, gates, plan and council together, and the policy's plain input. No I/O.
+"""One node's zones: eyes, evidence, gates, plan and council together, and the policy's plain input.
+No I/O.
 
-By a plan in force a node sends what the plan says, and what finds no server there may spill over into the
-room that the plan has left, its own part of it. Without one it serves near, by its own eyes, and spills over
-no more than its part of the blind allowance, which every plan leaves free. A zone that it sees dark itself it
-leaves at once, by the same spill.
+By a plan in force a node sends what the plan says, and what finds no server there may spill over
+into the room that the plan has left, its own part of it. Without one it serves near, by its own
+eyes, and spills over no more than its part of the blind allowance, which every plan leaves free. A
+zone that it sees dark itself it leaves at once, by the same spill.
 """
 
 from __future__ import annotations
@@ -81,7 +82,8 @@
 
 
 class Order(msgspec.Struct, array_like=True, frozen=True):
-    """An operator's word about a zone: `drain` (nothing goes there), `pin` (it stays open) or `release`."""
+    """An operator's word about a zone: `drain` (nothing goes there), `pin` (it stays open) or
+    `release`."""
 
     zone: int
     what: str
@@ -90,7 +92,9 @@
     by: str
 
 
-_orders: Callable[[bytes], tuple[int, list[Order]]] = msgspec.msgpack.Decoder(tuple[int, list[Order]]).decode
+_orders: Callable[[bytes], tuple[int, list[Order]]] = msgspec.msgpack.Decoder(
+    tuple[int, list[Order]]
+).decode
 
 
 @dataclass(slots=True, frozen=True)
@@ -108,7 +112,8 @@
 
 
 class Keeper:
-    """Told of attempts and requests; `look` every `LOOK` ms. `out` collects what peers have to be told."""
+    """Told of attempts and requests; `look` every `LOOK` ms. `out` collects what peers have to be
+    told."""
 
     def __init__(
         self, member: Member, geography: Geography, zone: int, worths: Sequence[float], ways: Ways
@@ -197,7 +202,11 @@
 
     def probes(self, now: float) -> list[int]:
         """Zones that want a probe now; `probed` tells what came of each."""
-        there = (z for z in range(len(self.eyes.zones)) if self.fleet.servers[z] and z not in self.probing)
+        there = (
+            z
+            for z in range(len(self.eyes.zones))
+            if self.fleet.servers[z] and z not in self.probing
+        )
         wanted = [zone for zone in there if self.eyes.wants_probe(now, zone, self.ways.probe_after)]
         self.probing |= set(wanted)
         return wanted
@@ -256,7 +265,8 @@
         self.evidence.keep(standing.live)
         whole = [warm + cold for warm, cold in zip(fleet.warm, fleet.cold, strict=True)]
         self.seen = seen = self.evidence.seen(now, self.ways.old * self.scale, whole)
-        # The policy gives a cold server what a warm one of its age's part would have: no more than the load.
+        # The policy gives a cold server what a warm one of its age's part would have: no more than
+        # the load.
         load = min(sum(map(sum, seen.demand)) / max(sum(whole), 1e-9), 1.0)
         self.capacity = tuple(w + c * load for w, c in zip(fleet.warm, fleet.cold, strict=True))
         self.watch_gates(now, seen)
@@ -270,13 +280,16 @@
         return self.direct(len(standing.live), standing.may_live)
 
     def home(self, zone: int, seen: Seen) -> float:
-        """Slots that a zone has for its own nodes: all that they reach, unless an operator drains it."""
+        """Slots that a zone has for its own nodes: all that they reach, unless an operator drains
+        it."""
         order = self.orders.get(zone)
         if order is not None and order.what == DRAIN:
             return 0.0
         gate, capacity = self.gates[zone], self.capacity[zone]
         return capacity * (
-            max(gate.factor, strength(seen.slow[zone], seen.good[zone])) if zone in seen.own else gate.factor
+            max(gate.factor, strength(seen.slow[zone], seen.good[zone]))
+            if zone in seen.own
+            else gate.factor
         )
 
     @property
@@ -287,7 +300,9 @@
     def claim(self, now: float) -> None:
         """Say what we see: at once where a verdict changes, else now and then."""
         eyes = self.eyes
-        verdicts = tuple(eyes.verdict(now, zone, count) for zone, count in enumerate(self.fleet.servers))
+        verdicts = tuple(
+            eyes.verdict(now, zone, count) for zone, count in enumerate(self.fleet.servers)
+        )
         due = now - self.claimed >= self.ways.tell * self.scale
         if not due and verdicts == self.verdicts:
             return
@@ -308,9 +323,9 @@
         self.out += self.member.say(now, EYES, said)
 
     def weigh(self, passed: float) -> None:
-        """How many slots our requests of the last while kept busy. All in all by what answers took at their
-        quickest, since what is usual now may be that of a slow zone; the classes beside each other as
-        usual."""
+        """How many slots our requests of the last while kept busy. All in all by what answers took
+        at their quickest, since what is usual now may be that of a slow zone; the classes beside
+        each other as usual."""
         grown = self.least * (1 + min(passed, FORGET) / FORGET)
         self.least = min(grown or self.eyes.mean, self.eyes.mean)
         usual, classes = self.fleet.usual, self.geography.classes
@@ -331,9 +346,12 @@
     # Planning.
 
     def steer(self, now: float, standing: Standing) -> None:
-        """Ask for a plan of what is, where that is ours to do: `question`, which `answer` takes up."""
+        """Ask for a plan of what is, where that is ours to do: `question`, which `answer` takes
+        up."""
         ways, council = self.ways, self.council
-        self.budget = min(self.budget + (now - self.budget_at) * ways.per_minute / 60_000, ways.per_minute)
+        self.budget = min(
+            self.budget + (now - self.budget_at) * ways.per_minute / 60_000, ways.per_minute
+        )
         self.budget_at = now
         if ways.mode is Mode.MAJORITY:
             self.electorate = max(standing.may_live, ways.electorate)
@@ -343,7 +361,9 @@
                 return
         before = self.proposed
         urgent = before is not None and self.closes(before)
-        if self.question is None and (urgent or before is None or now - self.considered >= ways.settle / 4):
+        if self.question is None and (
+            urgent or before is None or now - self.considered >= ways.settle / 4
+        ):
             self.considered, self.question = now, self.situation
 
     @property
@@ -365,7 +385,9 @@
             return
         if before is not None:
             urgent = self.closes(before)
-            if not self.worth_it(before, plan) or (now - self.planned_at < self.ways.settle and not urgent):
+            if not self.worth_it(before, plan) or (
+                now - self.planned_at < self.ways.settle and not urgent
+            ):
                 return
             if self.budget < 1 and not set(plan.lost) > set(before.lost):
                 self.short = True  # what is in force stays: it gives less to those that come and go
@@ -382,14 +404,21 @@
     def closes(self, before: Plan) -> bool:
         """Whether a zone or a link has gone that the plan still counts on."""
         assert self.situation is not None
-        if any(not home and zone not in before.lost for zone, home in enumerate(self.situation.home)):
+        if any(
+            not home and zone not in before.lost for zone, home in enumerate(self.situation.home)
+        ):
             return True
         for zone, capacity in enumerate(self.situation.capacity):
             if not capacity and any(
-                row[zone] for source, rows in enumerate(before.parts) if source != zone for row in rows
+                row[zone]
+                for source, rows in enumerate(before.parts)
+                if source != zone
+                for row in rows
             ):
                 return True
-        return any(row[zone] for source, zone in self.situation.parted for row in before.parts[source])
+        return any(
+            row[zone] for source, zone in self.situation.parted for row in before.parts[source]
+        )
 
     def worth_it(self, before: Plan, after: Plan) -> bool:
         if before.lost != after.lost or self.closes(before):
@@ -413,7 +442,9 @@
     def direct(self, live: int, may_live: int) -> Planned | None:
         """What the policy has to be told; None where it knows."""
         plan, zones = self.plan, range(len(self.geography.zones))
-        service = max(self.eyes.mean, 1.0) if self.least else 100.0  # ms that an attempt keeps a slot
+        service = (
+            max(self.eyes.mean, 1.0) if self.least else 100.0
+        )  # ms that an attempt keeps a slot
         lost = {zone for zone in zones if self.verdicts[zone] is Verdict.DARK}
         lost |= {zone for zone, order in self.orders.items() if order.what == DRAIN}
         if plan is not None:
@@ -435,7 +466,8 @@
         return event
 
     def strain(self) -> tuple[float, ...]:
-        """By zone: how much of its part it is spared, since it is slow to us and the plan may not know yet.
+        """By zone: how much of its part it is spared, since it is slow to us and the plan may not
+        know yet.
 
         In fifths, so that the policy hears of changes only."""
         found = []
@@ -490,8 +522,8 @@
         return plain | ({"proposer": told.proposer, "plan": told.digest} if told.epoch else {})
 
     def if_gone(self) -> dict[str, Any]:
-        """What would happen if a zone went now, by the live evidence: how full the others would be, and what
-        part of all requests would be refused."""
+        """What would happen if a zone went now, by the live evidence: how full the others would be,
+        and what part of all requests would be refused."""
         found: dict[str, Any] = {}
         if self.situation is None:
             return found
@@ -507,7 +539,9 @@
             loads, refused = loads_of(self.work_out(gone), now.demand)
             full = {
                 other: round(load / capacity, 3)
-                for other, load, capacity in zip(self.geography.zones, loads, gone.home, strict=True)
+                for other, load, capacity in zip(
+                    self.geography.zones, loads, gone.home, strict=True
+                )
                 if capacity
             }
             found[name] = {"full": full, "refused": round(refused / total, 3) if total else 0.0}
@@ -538,7 +572,8 @@
 
 
 def loads_of(plan: Plan, demand: Sequence[Sequence[float]]) -> tuple[list[float], float]:
-    """How many slots a plan fills in each zone by such a demand, and how many requests' slots it refuses."""
+    """How many slots a plan fills in each zone by such a demand, and how many requests' slots it
+    refuses."""
     loads, refused = [0.0] * len(demand), 0.0
     for rows, asked in zip(plan.parts, demand, strict=True):
         for parts, amount in zip(rows, asked, strict=True):
@@ -555,6 +590,11 @@
 
 def same(one: Planned, other: Planned) -> bool:
     """Whether two inputs differ by a little in their rates of spilling at most."""
-    if (one.shares, one.lost, one.bound, one.strain) != (other.shares, other.lost, other.bound, other.strain):
+    if (one.shares, one.lost, one.bound, one.strain) != (
+        other.shares,
+        other.lost,
+        other.bound,
+        other.strain,
+    ):
         return False
     return all(abs(a - b) <= ALIKE * max(a, b) for a, b in zip(one.spill, other.spill, strict=True))
--- a/badgercart/zones/part.py
+++ b/badgercart/zones/part.py
@@ -1,5 +1,5 @@
-"""Zones that fail over by one plan, as a part of an installation: the keeper on the node's clock and
-sockets."""
+"""Zones that fail over by one plan, as a part of an installation: the keeper on the node's clock
+and sockets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
     from badgercart.peers.part import PeersPart
     from badgercart.zones.keeper import Fleet
 
-LARGE = 4000  # numbers in a plan from which it is worked out beside the loop: it takes about 5 ms then
+LARGE = (
+    4000  # numbers in a plan from which it is worked out beside the loop: it takes about 5 ms then
+)
 
 
 class ZonesPart:
@@ -53,7 +55,9 @@
         host.join.watchers += (self,)
         host.join.observers += (self,)
         host.pages[b"/_zones"] = Page(self.page)
-        host.pages[b"/_zones/if"] = Page(self.if_gone)  # by itself: it works out a plan for each zone
+        host.pages[b"/_zones/if"] = Page(
+            self.if_gone
+        )  # by itself: it works out a plan for each zone
         self.register()
 
     def place(self, settings: ZonesSettings) -> None:
@@ -61,7 +65,9 @@
         import netaddr
 
         zones = self.host.config.zones
-        networks = [(netaddr.IPNetwork(told.network), zones[told.zone]) for told in settings.network]
+        networks = [
+            (netaddr.IPNetwork(told.network), zones[told.zone]) for told in settings.network
+        ]
 
         def zone_of(address: str) -> int:
             try:
@@ -83,7 +89,9 @@
             "badgercart_zones_share", "Of this node's requests, what goes to a zone by its plan.",
             lambda: dict(zip(names, self.shares(), strict=True)), "zone",
         )  # fmt: skip
-        meters.counter("badgercart_zones_plans", "Plans that were in force here.", lambda: keeper.plans)
+        meters.counter(
+            "badgercart_zones_plans", "Plans that were in force here.", lambda: keeper.plans
+        )
 
     @property
     def epoch(self) -> int:
@@ -231,8 +239,12 @@
                             **stamp())  # fmt: skip
             elif told.order is not None:
                 order = told.order
-                until = datetime.fromtimestamp(order.until / 1000, UTC).isoformat(timespec="seconds")
-                events.ORDERED(by=order.by, what=order.what, zone=names[order.zone], until=until, **stamp())
+                until = datetime.fromtimestamp(order.until / 1000, UTC).isoformat(
+                    timespec="seconds"
+                )
+                events.ORDERED(
+                    by=order.by, what=order.what, zone=names[order.zone], until=until, **stamp()
+                )
             elif told.outdone:
                 events.OUTDONE(epoch=told.outdone, **stamp())
             else:
@@ -244,7 +256,9 @@
         for zone, gate in enumerate(keeper.gates):
             if gate.state is not self.states[zone]:
                 self.states[zone] = gate.state
-                events.GATE(zone=names[zone], state=gate.state.value, hold_s=gate.hold / 1000, **stamp())
+                events.GATE(
+                    zone=names[zone], state=gate.state.value, hold_s=gate.hold / 1000, **stamp()
+                )
         if keeper.short and not self.short:
             events.SHORT(**stamp())
         self.short = keeper.short
