--- a/badgercart/zones/plan.py
+++ b/badgercart/zones/plan.py
@@ -1,10 +1,12 @@
-"""The plan: which part of each zone's traffic goes to which zone. A pure function of the evidence. No I/O.
-
-Water-filling by worth and by nearness: classes in the order of their worth, and each first at home up to the
-head-room, then to the nearest zones that have room below theirs, then at home up to the full, then to others
-up to the full; what is left stays at home, where the measured cut refuses it; where home is gone others take
-it up to all that they can do, and the rest is refused. So what can't be carried is refused as the lowest
-worth, before it crosses zones. How near it comes to a linear programme, and what either costs, says
+"""The plan: which part of each zone's traffic goes to which zone. A pure function of the evidence.
+No I/O.
+
+Water-filling by worth and by nearness: classes in the order of their worth, and each first at home
+up to the head-room, then to the nearest zones that have room below theirs, then at home up to the
+full, then to others up to the full; what is left stays at home, where the measured cut refuses it;
+where home is gone others take it up to all that they can do, and the rest is refused. So what can't
+be carried is refused as the lowest worth, before it crosses zones. How near it comes to a linear
+programme, and what either costs, says
 `benchmarks/zones.py`.
 """
 
@@ -19,7 +21,8 @@
 
 from badgercart.zones.geography import Geography
 
-PARTS = 240  # that a row is dealt out in: a plan is whole numbers, the same bit by bit wherever it is read
+# that a row is dealt out in: a plan is whole numbers, the same bit by bit wherever it is read
+PARTS = 240
 ROUNDS = 4  # of dealing what is over at one distance
 LEAST = 1e-6  # slots that a row without traffic counts for: it has to go somewhere when it comes
 MAX_BODY = 64 * 1024  # bytes of a plan, unpacked
@@ -35,7 +38,9 @@
 
     head: float = 0.8  # by what is near, while others have room
     full: float = 0.9  # in all; the rest is left to those who go by no plan
-    most: float = 1.0  # where else what has no home would be refused: a measured cut knows better than a plan
+    most: float = (
+        1.0  # where else what has no home would be refused: a measured cut knows better than a plan
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -64,7 +69,9 @@
 
     def body(self) -> bytes:
         rows = [
-            [[zone, part] for zone, part in enumerate(row) if part] for rows in self.parts for row in rows
+            [[zone, part] for zone, part in enumerate(row) if part]
+            for rows in self.parts
+            for row in rows
         ]
         return msgspec.msgpack.encode((self.map, rows, self.room, self.lost, self.why))
 
@@ -115,7 +122,11 @@
 
 
 def work_out(
-    geography: Geography, situation: Situation, worths: Sequence[float], limits: Limits, why: str = ""
+    geography: Geography,
+    situation: Situation,
+    worths: Sequence[float],
+    limits: Limits,
+    why: str = "",
 ) -> Plan:
     """The plan for a situation; `worths` are those of the classes."""
     filling = Filling(geography, situation, limits)
@@ -187,8 +198,9 @@
         return fits
 
     def stays(self, source: int, left: float) -> float:
-        """What stays at home of what fits nowhere: the measured cut refuses what is too much. Only where
-        others' requests, of more worth, take the place is it refused ahead, as much as they take."""
+        """What stays at home of what fits nowhere: the measured cut refuses what is too much. Only
+        where others' requests, of more worth, take the place is it refused ahead, as much as they
+        take."""
         over = self.load[source] + left - self.limits.most * self.situation.home[source]
         return left - min(left, max(over, 0.0), self.visitors[source])
 
@@ -203,17 +215,25 @@
         for zone in self.zones:
             if zone == source or self.geography.cost[source][zone] != distance:
                 continue
-            if self.geography.may(row, source, zone) and (source, zone) not in self.situation.parted:
+            if (
+                self.geography.may(row, source, zone)
+                and (source, zone) not in self.situation.parted
+            ):
                 yield zone
 
     def deal(self, row: int, left: list[float], distance: float, limit: float) -> None:
-        """Deal out what is left to zones at one distance, by their room, and to none more than it has."""
+        """Deal out what is left to zones at one distance, by their room, and to none more than it
+        has."""
         for _ in range(ROUNDS):
             asks: dict[int, list[tuple[int, float]]] = {}
             for source in self.zones:
-                if left[source] <= LEAST / 100 or (limit > self.limits.full and self.has_home(source)):
+                if left[source] <= LEAST / 100 or (
+                    limit > self.limits.full and self.has_home(source)
+                ):
                     continue  # up to all that others can do goes only what has no home
-                rooms = [(zone, self.room(zone, limit)) for zone in self.reach(row, distance, source)]
+                rooms = [
+                    (zone, self.room(zone, limit)) for zone in self.reach(row, distance, source)
+                ]
                 total = sum(room for _, room in rooms)
                 for zone, room in rooms:
                     if room > 0:
--- a/badgercart/zones/probe.py
+++ b/badgercart/zones/probe.py
@@ -16,7 +16,9 @@
             local = (source, 0) if source is not None else None
             reader, writer = await asyncio.open_connection(*address, local_addr=local)
             host = f"{address[0]}:{address[1]}"
-            writer.write(f"GET {path} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n\r\n".encode())
+            writer.write(
+                f"GET {path} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n\r\n".encode()
+            )
             found = (await reader.readexactly(5)) == b"HTTP/"
             writer.transport.abort()
             return found
--- a/badgercart/zones/settings.py
+++ b/badgercart/zones/settings.py
@@ -24,7 +24,9 @@
     """zones that lie together"""
 
     name: Name = Field(description="its name")
-    zones: Names = Field(min_length=1, description="its zones; one that is in none is a region of its own")
+    zones: Names = Field(
+        min_length=1, description="its zones; one that is in none is a region of its own"
+    )
 
 
 class Distance(Table, title="Distance"):
@@ -32,7 +34,9 @@
 
     from_: Name = Field(alias="from", description="one zone")
     to: Name = Field(description="the other")
-    cost: float = Field(gt=0, le=1e6, description="any measure, the same for all: nearer ones come first")
+    cost: float = Field(
+        gt=0, le=1e6, description="any measure, the same for all: nearer ones come first"
+    )
 
 
 class Place(Table, title="Place", schema_name="badgercart__zones__settings__Place"):
@@ -49,7 +53,9 @@
         "majority",
         description="one plan by more than half of the nodes, or each its own by shared evidence",
     )
-    region: Annotated[tuple[Region, ...], Listed] = Field((), max_length=MAX_ZONES, description="regions")
+    region: Annotated[tuple[Region, ...], Listed] = Field(
+        (), max_length=MAX_ZONES, description="regions"
+    )
     distance: Annotated[tuple[Distance, ...], Listed] = Field(
         (),
         max_length=MAX_ZONES * MAX_ZONES,
@@ -58,8 +64,12 @@
     network: Annotated[tuple[Place, ...], Listed] = Field(
         (), max_length=1024, description="zones of servers by network; the first that fits counts"
     )
-    bound_classes: Names = Field((), description="classes whose requests must not leave their region")
-    bound_tenants: Names = Field((), description="tenants whose requests must not leave their region")
+    bound_classes: Names = Field(
+        (), description="classes whose requests must not leave their region"
+    )
+    bound_tenants: Names = Field(
+        (), description="tenants whose requests must not leave their region"
+    )
     serves: float = Field(
         1.0,
         gt=0,
@@ -73,19 +83,24 @@
         description="the part of its capacity that a zone is filled to while others have room",
     )
     blind: Part = Field(
-        0.1, description="the part of a zone's capacity left to all nodes together that have no plan"
+        0.1,
+        description="the part of a zone's capacity left to all nodes together that have no plan",
     )
     lease_ms: float = Field(
         4000.0, ge=200, le=LONG, description="for how long a plan holds once a node took it (ms)"
     )
-    renew_ms: float = Field(1000.0, ge=50, le=LONG, description="the time between two renewals (ms)")
+    renew_ms: float = Field(
+        1000.0, ge=50, le=LONG, description="the time between two renewals (ms)"
+    )
     patience_ms: float = Field(
         2000.0,
         ge=100,
         le=LONG,
         description="the silence of a proposer after which the next one steps in (ms)",
     )
-    tell_ms: float = Field(500.0, ge=50, le=LONG, description="the time between two reports of evidence (ms)")
+    tell_ms: float = Field(
+        500.0, ge=50, le=LONG, description="the time between two reports of evidence (ms)"
+    )
     hold_ms: float = Field(
         3000.0,
         ge=0,
@@ -153,7 +168,10 @@
             if zone not in zones:
                 yield ("region", at, "zones", place), f"{zone!r} is none of fleet.zones"
             elif zone in seen:
-                yield ("region", at, "zones", place), f"{zone!r} is in the region {seen[zone]!r} already"
+                yield (
+                    ("region", at, "zones", place),
+                    f"{zone!r} is in the region {seen[zone]!r} already",
+                )
             seen[zone] = region.name
     names = [region.name for region in settings.region]
     for at, name in enumerate(names):
@@ -182,6 +200,12 @@
     if settings.head > 1 - settings.blind:
         yield ("head",), "is more than blind leaves: head and blind together are 1 at most"
     if 2 * settings.renew_ms >= settings.lease_ms:
-        yield ("renew_ms",), "is not below half of lease_ms: one renewal that is lost would end the plan"
+        yield (
+            ("renew_ms",),
+            "is not below half of lease_ms: one renewal that is lost would end the plan",
+        )
     if settings.patience_ms <= settings.renew_ms:
-        yield ("patience_ms",), "is not above renew_ms: a proposer that does its work would be stepped over"
+        yield (
+            ("patience_ms",),
+            "is not above renew_ms: a proposer that does its work would be stepped over",
+        )
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -31,7 +31,10 @@
             chosen.page.write_text(page.renewed(text, worked_out))
         elif chosen.check:
             if differing := page.differing(chosen.page.read_text(), worked_out):
-                print(f"{chosen.page.name} differs from the runs in: {', '.join(differing)}", file=sys.stderr)
+                print(
+                    f"{chosen.page.name} differs from the runs in: {', '.join(differing)}",
+                    file=sys.stderr,
+                )
                 print("python -m benchmarks.capacity --write renews it", file=sys.stderr)
                 return 1
         else:
--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -1,6 +1,7 @@
 """What the system has to carry in about two years, and what is assumed beside it. No I/O.
 
-Source of `Target`: the operators' table of issue 41, part B. Whatever the operators did not say stands in
+Source of `Target`: the operators' table of issue 41, part B. Whatever the operators did not say
+stands in
 `ASSUMED`, each with its reason, and marks every figure that it enters as guessed.
 """
 
--- a/benchmarks/graphql.py
+++ b/benchmarks/graphql.py
@@ -23,7 +23,16 @@
 from standins.demo import FRONTS, NodeProcess
 from standins.fleet import Fleet, operators_file
 from standins.graphql import SCHEMA_FILE
-from standins.traffic import ASSIGN, Arrival, Result, arrivals, exchange, play, result_of, served_share
+from standins.traffic import (
+    ASSIGN,
+    Arrival,
+    Result,
+    arrivals,
+    exchange,
+    play,
+    result_of,
+    served_share,
+)
 
 LOOKUP = "query L($p: String!) { cabLookup(pickup: $p) { pickup cabs { id minutes } } }"
 BOOK = "mutation A($r: ID!, $k: String) { rideAssign(ride: $r, key: $k) { id server } }"
@@ -95,7 +104,9 @@
                         if way == "plain HTTP":
                             result = await traffic.ask(node.fronts["http"], arrival, c)
                         else:
-                            result = await asked(node.fronts["graphql"], arrival, c, way == "uncached")
+                            result = await asked(
+                                node.fronts["graphql"], arrival, c, way == "uncached"
+                            )
                         served += result.status == 200
                     return served
 
@@ -110,7 +121,9 @@
         print(f"{way}: {rate:.0f} served a second of one core, {rate / base:.2f} of plain HTTP's")
 
 
-async def asked(address: str, arrival: Arrival, connections: http1.Connections, fresh: bool) -> Result:
+async def asked(
+    address: str, arrival: Arrival, connections: http1.Connections, fresh: bool
+) -> Result:
     global LOOKUP, BOOK
     if fresh:  # another document each time: a comment is enough
         kept = LOOKUP, BOOK
--- a/cottonhall/benchlink.py
+++ b/cottonhall/benchlink.py
@@ -17,7 +17,9 @@
     nodes: dict[int, Policy] = {}
     while head := source.read(BATCH_HEAD.size):
         if len(head) < BATCH_HEAD.size:
-            raise WireError(f"batch header: the input ends after {len(head)} of {BATCH_HEAD.size} bytes")
+            raise WireError(
+                f"batch header: the input ends after {len(head)} of {BATCH_HEAD.size} bytes"
+            )
         number, length, _, _ = BATCH_HEAD.unpack(head)
         if length < BATCH_HEAD.size:
             raise WireError(f"batch {number}: a length of {length} is shorter than its header")
--- a/cottonhall/fleet.py
+++ b/cottonhall/fleet.py
@@ -1,7 +1,8 @@
-"""What the policy keeps of the ready servers, so that one changed line costs no look at all of them. No I/O.
+"""What the policy keeps of the ready servers, so that one changed line costs no look at all of
+them. No I/O.
 
-`Ring` holds the places of servers among hashes; `Sizes` the sizes of one kind of machine. Both give what a
-whole look would give.
+`Ring` holds the places of servers among hashes; `Sizes` the sizes of one kind of machine. Both give
+what a whole look would give.
 """
 
 from __future__ import annotations
@@ -16,7 +17,8 @@
 
 
 class Ring:
-    """Points in the order of their hashes, in blocks: adding one moves one block, not the whole ring."""
+    """Points in the order of their hashes, in blocks: adding one moves one block, not the whole
+    ring."""
 
     def __init__(self) -> None:
         self.blocks: list[list[Point]] = []
@@ -63,7 +65,8 @@
         return self.firsts[at + 1 if at + 1 < len(self.firsts) else 0][1]
 
     def first(self, spot: int, among: Set[int]) -> int | None:
-        """The first of these servers behind a hash, within the next two blocks; None where there is none."""
+        """The first of these servers behind a hash, within the next two blocks; None where there is
+        none."""
         at = max(bisect_right(self.firsts, (spot, 0)) - 1, 0)
         block = self.blocks[at]
         for place in range(bisect_right(block, (spot, 0)), len(block)):
@@ -126,8 +129,11 @@
     def largest(self) -> float:
         return self.order[-1][0] if self.order else 0.0
 
-    def moved(self, scale: tuple[float, float], level: Callable[[float], int], most: int) -> list[int]:
-        """The servers whose level, by their size on a scale, is another than when it was looked at last.
+    def moved(
+        self, scale: tuple[float, float], level: Callable[[float], int], most: int
+    ) -> list[int]:
+        """The servers whose level, by their size on a scale, is another than when it was looked at
+        last.
 
         A level is at most `most` and grows with the size. New servers are not among them."""
         if scale == self.scale:
--- a/cottonhall/interface.py
+++ b/cottonhall/interface.py
@@ -1,8 +1,8 @@
 """What the decision module is told and what it answers: settings, events and actions.
 
-``Policy(settings, seed).handle(now, event)`` takes one event and returns a list of actions, which the
-caller carries out in that order. All times are milliseconds on one clock that only goes forward; nothing
-is said about where it starts.
+``Policy(settings, seed).handle(now, event)`` takes one event and returns a list of actions, which
+the caller carries out in that order. All times are milliseconds on one clock that only goes
+forward; nothing is said about where it starts.
 """
 
 from __future__ import annotations
@@ -58,7 +58,9 @@
 
 
 NEVER_RAN = frozenset({Result.FULL, Result.UNREACHABLE, Result.NOT_SENT})  # these results prove it
-MAY_RUN_ON = frozenset({Result.TIMEOUT, Result.RESET, Result.CANCELLED})  # the attempt may be at work still
+MAY_RUN_ON = frozenset(
+    {Result.TIMEOUT, Result.RESET, Result.CANCELLED}
+)  # the attempt may be at work still
 
 
 def _need(ok: bool, name: str, value: object) -> None:
@@ -75,9 +77,13 @@
     worth: float
     effect: Effect
     group: Group = Group.ALL
-    window: float = 0.0  # keyed: how long repeats are dropped, from the first send that may have run
+    window: float = (
+        0.0  # keyed: how long repeats are dropped, from the first send that may have run
+    )
     late_value: float = 0.0  # share of the worth left after the aim
-    in_order: bool = False  # requests of such classes that share a key run one at a time, as they came
+    in_order: bool = (
+        False  # requests of such classes that share a key run one at a time, as they came
+    )
 
     def __post_init__(self) -> None:
         _need(self.aim > 0, "classes[].aim", self.aim)
@@ -90,8 +96,11 @@
 
     @property
     def refusable(self) -> bool:
-        """Whether a client may be told that trying again does no harm even if the request may have run."""
-        return self.effect is Effect.SAFE or (self.effect is Effect.KEYED and self.group is Group.ALL)
+        """Whether a client may be told that trying again does no harm even if the request may have
+        run."""
+        return self.effect is Effect.SAFE or (
+            self.effect is Effect.KEYED and self.group is Group.ALL
+        )
 
 
 @dataclass(slots=True, frozen=True)
@@ -112,7 +121,9 @@
     max_attempts: int = 1
     max_retry_after: float = 0.0  # 0: clients are told nothing
     full_may_have_run: bool = False  # servers answer 'full' also to work that they had begun
-    key_rest: float = 0.0  # in order: how long a key rests after an attempt that may be running still
+    key_rest: float = (
+        0.0  # in order: how long a key rests after an attempt that may be running still
+    )
     cold_from: float = 1.0  # a server starts with this share of its capacity or more
     ramp_time: float = 0.0
     tip_multiple: float = 1.0  # sent more than this multiple of its capacity by all nodes together
@@ -197,7 +208,8 @@
 
 @dataclass(slots=True)
 class Began:
-    """The answer goes on to the client as it comes: no other attempt, and no deadline runs any longer."""
+    """The answer goes on to the client as it comes: no other attempt, and no deadline runs any
+    longer."""
 
     id: int
     attempt: int
@@ -214,13 +226,16 @@
     attempt: int
     elapsed: float
     report: tuple[float, ...] = ()
-    parked: bool = False  # nothing is decided until a Resume: who would carry it out has yet to come back
+    parked: bool = (
+        False  # nothing is decided until a Resume: who would carry it out has yet to come back
+    )
     spent: bool = False  # what it would take to send the request again is gone
 
 
 @dataclass(slots=True)
 class Diverted:
-    """An attempt ended, and its carrier went on to another server by itself, as the next attempt."""
+    """An attempt ended, and its carrier went on to another server by itself, as the next
+    attempt."""
 
     id: int
     attempt: int
@@ -279,7 +294,9 @@
 
     settings: Settings
     live: frozenset[int]  # classes that requests may still come with; the others only end
-    fresh: frozenset[int] = frozenset()  # classes that begin anew, also where another had their number
+    fresh: frozenset[int] = (
+        frozenset()
+    )  # classes that begin anew, also where another had their number
     tenants: frozenset[int] = frozenset()  # the same of tenants
 
 
@@ -291,7 +308,9 @@
     me: int  # this node's number among them
     may_live: int  # these, and those that may only be cut off
     parts: tuple[float, ...] = ()  # of each tenant's quota, ours; empty: one of `may_live`
-    hearsay: tuple[tuple[int, float], ...] = ()  # servers that others find failing, and how much, 0 to 1
+    hearsay: tuple[
+        tuple[int, float], ...
+    ] = ()  # servers that others find failing, and how much, 0 to 1
 
     def __post_init__(self) -> None:
         _need(self.size >= 1, "size", self.size)
@@ -302,19 +321,24 @@
 
 @dataclass(slots=True)
 class Planned:
-    """Where requests go, zone by zone, in place of our own zone first. Without shares: as without a plan."""
+    """Where requests go, zone by zone, in place of our own zone first. Without shares: as without a
+    plan."""
 
-    # By class, then once more by class for `bound` tenants; in each by zone: the part of these requests that
-    # goes there. What the parts leave of 1 is refused.
+    # By class, then once more by class for `bound` tenants; in each by zone: the part of these
+    # requests that goes there. What the parts leave of 1 is refused.
     shares: tuple[tuple[float, ...], ...] = ()
     spill: tuple[float, ...] = ()  # by zone: attempts a ms that may go there beside their part
     lost: frozenset[int] = frozenset()  # zones where nothing goes
     bound: frozenset[int] = frozenset()  # tenants
-    strain: tuple[float, ...] = ()  # by zone: the part of its part that is spared it where others have room
+    strain: tuple[
+        float, ...
+    ] = ()  # by zone: the part of its part that is spared it where others have room
 
     def __post_init__(self) -> None:
         for row in self.shares:
-            _need(len(row) == len(self.spill) and min(row) >= 0 and sum(row) <= 1.001, "shares", row)
+            _need(
+                len(row) == len(self.spill) and min(row) >= 0 and sum(row) <= 1.001, "shares", row
+            )
         _need(all(rate >= 0 for rate in self.spill), "spill", self.spill)
 
 
--- a/cottonhall/memory.py
+++ b/cottonhall/memory.py
@@ -1,8 +1,9 @@
-"""What a policy has learned, as plain data: taken out of one, and given to one that begins. No I/O, no clock.
+"""What a policy has learned, as plain data: taken out of one, and given to one that begins. No I/O,
+no clock.
 
-Left out, since it is void or wrong after a restart: attempts that are out and the counts of them (in flight,
-x, the cut: they are of this moment), shares of errors (they are of the last seconds' attempts), tokens of
-cold servers and tenants' buckets (given back they could be spent twice).
+Left out, since it is void or wrong after a restart: attempts that are out and the counts of them
+(in flight, x, the cut: they are of this moment), shares of errors (they are of the last seconds'
+attempts), tokens of cold servers and tenants' buckets (given back they could be spent twice).
 """
 
 from __future__ import annotations
@@ -19,7 +20,9 @@
 
     usual: list[float] = field(default_factory=list)  # answer times
     offered: list[float] = field(default_factory=list)  # requests lately, then those beyond a share
-    kinds: dict[int, float] = field(default_factory=dict)  # answer time over the usual, by kind of machine
+    kinds: dict[int, float] = field(
+        default_factory=dict
+    )  # answer time over the usual, by kind of machine
     least: float = 0.0  # the quickest mean answer time; 0: none yet
     mean: float = 0.0
     answers: float = 0.0  # how many answers these rest on
--- a/cottonhall/rules.py
+++ b/cottonhall/rules.py
@@ -1,7 +1,7 @@
 """Every decision of the balancer. Its types, events and actions are in cottonhall/interface.py.
 
-A request is scored by worth on arrival. Under measured overload x those scored below 100 * x**3 are refused;
-the rest go to a random idle-looking server of a small draw, else to the lighter of two.
+A request is scored by worth on arrival. Under measured overload x those scored below 100 * x**3 are
+refused; the rest go to a random idle-looking server of a small draw, else to the lighter of two.
 """
 
 from __future__ import annotations
@@ -20,42 +20,68 @@
 )  # fmt: skip
 
 UPKEEP = 50.0  # ms between refreshes of shares and overload; far below any aim
-AIM = (
-    400.0  # ms: where a class wants its answers sooner, jams come and go sooner, and overload is seen sooner
-)
+# ms: where a class wants its answers sooner, jams come and go sooner, and overload is seen sooner
+AIM = 400.0
 SHARE_HALF = 5000.0  # ms after which counts of offered work and keys are halved
-ERRORS_FROM, ERRORS_FULL = 0.1, 0.4  # share of failed attempts where overload begins, and where it is 1
-IN_FLIGHT_FROM, IN_FLIGHT_FULL = 1.0, 1.5  # overload begins and is 1 at these multiples of a fleet's need
+ERRORS_FROM, ERRORS_FULL = (
+    0.1,
+    0.4,
+)  # share of failed attempts where overload begins, and where it is 1
+IN_FLIGHT_FROM, IN_FLIGHT_FULL = (
+    1.0,
+    1.5,
+)  # overload begins and is 1 at these multiples of a fleet's need
 CROWDED = IN_FLIGHT_FULL  # one server with that multiple of its part is by itself in full overload
-BURST_FROM, BURST_FULL = 3.0, 6.0  # the same of attempts open now, for what comes all at once behind a pause
-IDLE_FADE, IDLE_NEED = 20.0, 8.0  # what was seen fades so much faster in a full cut on idle servers, if any
+BURST_FROM, BURST_FULL = (
+    3.0,
+    6.0,
+)  # the same of attempts open now, for what comes all at once behind a pause
+IDLE_FADE, IDLE_NEED = (
+    20.0,
+    8.0,
+)  # what was seen fades so much faster in a full cut on idle servers, if any
 ERROR_TIME, REACH = 4000.0, 33.0  # the error share looks back over so many ms and so many attempts
 STALE = 100.0  # refusals after which what was seen before them has faded: they add nothing to it
 PRIOR = 4.0  # attempts taken as good beside those seen: a few that fail by chance are no overload
-RATE_TIME, BEST_TIME = 2000.0, 20000.0  # ms to average the rate of timely answers, and to forget its best
+RATE_TIME, BEST_TIME = (
+    2000.0,
+    20000.0,
+)  # ms to average the rate of timely answers, and to forget its best
 SAMPLE = 60.0  # their mean time reaches back over this many, or over RATE_TIME if that is more
 LEAST_TIME = 100000.0  # ms in which the quickest mean time would double: it can follow slower work
 QUICK = 1.3  # answers are quick while their mean time is under this multiple of the quickest
 MARGIN = 1.5  # how far over the best seen may be tried, while next to nothing fails
 SETTLE = 4000.0  # ms to average in-flight over, divided by the need
 DRAW = 6  # servers looked at for an idle one
-IDLE = 1.15  # a server of usual pace counts as idle while what it had and holds of ours weighs under this
+# a server of usual pace counts as idle while what it had and holds of ours weighs under this
+IDLE = 1.15
 SPREAD = 2.0  # servers that share a key, for each mean server's worth of traffic that it draws
 SUSPECT_AT = 0.4  # recent failures of a server, over twice those of all, above which it rests
 RING_POINTS = 16  # places of a server on the key ring: evens out the shares
 REST = 2000.0  # ms a suspect rests before one trial
-MAX_RESTING = 0.34  # never rest more servers than this part of our stretch: then the trouble is shared
+MAX_RESTING = (
+    0.34  # never rest more servers than this part of our stretch: then the trouble is shared
+)
 SPARSE = 0.2  # requests a server below which a node's own hold tells too little of the whole fleet
-NODES = 6  # nodes that then share a stretch: fewer know more of its servers, but its keys are colder
+NODES = (
+    6  # nodes that then share a stretch: fewer know more of its servers, but its keys are colder
+)
 FEW = 8  # servers in a stretch at least: enough to tell good from bad
 STALL = 4.0  # an attempt open for this multiple of the usual time marks its server as stalled
-POINTS_AT_ONCE = 2048  # points that are placed on the ring with a list; of more, SLICE go with each event
+POINTS_AT_ONCE = (
+    2048  # points that are placed on the ring with a list; of more, SLICE go with each event
+)
 SLICE = 256
-SCARCE = 64  # groups above which our stretch is looked through for points, and not the sizes of all servers
+# groups above which our stretch is looked through for points, and not the sizes of all servers
+SCARCE = 64
 HEARSAY = 0.3  # what others find failing counts for no more: less than one rests at
-BUDGET = 0.8  # of what makes a cold server fall, what all nodes send: sizes are rough, and its keys are cold
-KEPT = 0.25  # of a node's part in the time in which a server falls, what may wait for draws; one at least
-SUBSCRIBE = 1 << 60  # token of the timer that asks for the list; the others' are ids of held requests
+# of what makes a cold server fall, what all nodes send: sizes are rough, and its keys are cold
+BUDGET = 0.8
+# of a node's part in the time in which a server falls, what may wait for draws; one at least
+KEPT = 0.25
+SUBSCRIBE = (
+    1 << 60
+)  # token of the timer that asks for the list; the others' are ids of held requests
 MASK = (1 << 64) - 1
 
 
@@ -83,8 +109,12 @@
     tokens: float  # while cold: attempts it may get; a random start keeps nodes out of step
     tokens_at: float
     health: list[Health]  # by class
-    open: dict[tuple[int, int], tuple[Job, float]] = field(default_factory=dict)  # until when not overdue
-    uploads: dict[tuple[int, int], Job] = field(default_factory=dict)  # attempts on requests not yet whole
+    open: dict[tuple[int, int], tuple[Job, float]] = field(
+        default_factory=dict
+    )  # until when not overdue
+    uploads: dict[tuple[int, int], Job] = field(
+        default_factory=dict
+    )  # attempts on requests not yet whole
     recent: float = 0.0  # our recent attempts, decayed
     slow: float = 1.0  # its answers' time over the usual for their class and its kind
 
@@ -109,13 +139,16 @@
     turn: Turn | None = None
     tries: int = 0
     out: set[int] = field(default_factory=set)  # numbers of its attempts without an outcome
-    maybe_ran: dict[int, tuple[float, ServerEntry]] = field(default_factory=dict)  # sends that may have run
+    maybe_ran: dict[int, tuple[float, ServerEntry]] = field(
+        default_factory=dict
+    )  # sends that may have run
     used: list[int] = field(default_factory=list)  # servers tried
     parked: int = 0  # the result that waits for a Resume; 0: none
 
 
 class Policy:
-    """One node's decisions. Shares nothing with other instances; random numbers come from the seed."""
+    """One node's decisions. Shares nothing with other instances; random numbers come from the
+    seed."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.random = random.Random(seed)
@@ -131,30 +164,51 @@
         self.ours: list[int] = []  # its servers
         self.ring = Ring()  # places of its servers
         self.points: dict[int, int] = {}  # how many each of them has there
-        self.unplaced: OrderedDict[int, None] = OrderedDict()  # those that have too few or too many yet
+        self.unplaced: OrderedDict[int, None] = (
+            OrderedDict()
+        )  # those that have too few or too many yet
         self.rested: set[int] = set()  # servers that rest or did, until they prove themselves
         self.touched: set[int] = set()  # servers of which `recent` or `slow` may be no new one's
         self.known: dict[int, Known] = {}  # what was learned of servers before this start
         self.jobs: dict[int, Job] = {}
         self.streams: dict[tuple[int, int], Job] = {}  # attempts whose answers go on as they come
         self.usual: list[float] = []  # learned answer time by class
-        self.offered: list[float] = []  # recent requests, like worths: by class, then by class beyond quota
+        self.offered: list[
+            float
+        ] = []  # recent requests, like worths: by class, then by class beyond quota
         self.bands: list[tuple[float, float]] = []
-        self.buckets: dict[int, tuple[float, float]] = {}  # by tenant: requests in it, as of that much leaked
+        self.buckets: dict[
+            int, tuple[float, float]
+        ] = {}  # by tenant: requests in it, as of that much leaked
         self.key_counts: dict[int, float] = {}
         self.keys_total = self.total_recent = 1e-9  # recent requests with a key, recent attempts
-        self.failed = self.seen = self.no_link = 0.0  # recent attempts, decayed; share without a connection
+        self.failed = self.seen = self.no_link = (
+            0.0  # recent attempts, decayed; share without a connection
+        )
         self.errors = 0.0  # their share that failed
-        self.flying, self.in_flight, self.need = 0, 0.0, 1.0  # open attempts: now, averaged, when busy
+        self.flying, self.in_flight, self.need = (
+            0,
+            0.0,
+            1.0,
+        )  # open attempts: now, averaged, when busy
         self.sent, self.sending = 0, 0.0  # attempts since upkeep, and a ms on average
-        self.met, self.age = 0, 0.0  # timely answers since upkeep; ms of traffic seen, up to RATE_TIME
+        self.met, self.age = (
+            0,
+            0.0,
+        )  # timely answers since upkeep; ms of traffic seen, up to RATE_TIME
         self.rate = self.best_rate = 0.0  # timely answers a ms: now and at best
-        self.mean = self.least = self.answers = 0.0  # their time on average over so many, and at best
+        self.mean = self.least = self.answers = (
+            0.0  # their time on average over so many, and at best
+        )
         self.carried = 0.0  # timely answers a ms and server, at best
         self.x, self.cut, self.shedding = 0.0, 0.0, False
-        self.upkeep_at = self.halved_at = self.now = self.leaked = 0.0  # the last: ms that buckets leaked
+        self.upkeep_at = self.halved_at = self.now = self.leaked = (
+            0.0  # the last: ms that buckets leaked
+        )
         self.kinds: dict[int, float] = {}  # answer time over the usual, by kind of machine
-        self.works: dict[int, float] = {}  # the time that a warm one takes for an answer, by kind of machine
+        self.works: dict[
+            int, float
+        ] = {}  # the time that a warm one takes for an answer, by kind of machine
         self.warm = self.slots = self.strongest = self.mean_strength = 1.0
         self.ask_backoff = settings.ask_within / 40
         self.turns: dict[int, Turn] = {}  # by key
@@ -164,13 +218,21 @@
         self.zones: dict[int, list[int]] = {}  # with a plan: the servers of our stretch, by zone
         self.inside: dict[int, set[int]] = {}  # the same, to look one up
         self.zones_old = True  # whether they have to be sorted anew
-        self.focus: dict[int, float] = {}  # how much of what we send goes to a zone, over its even part
-        self.spilt: dict[int, tuple[float, float]] = {}  # attempts that may spill into a zone, as of when
-        self.settle_terms(Retuned(settings, every := frozenset(range(len(settings.classes))), every))
+        self.focus: dict[
+            int, float
+        ] = {}  # how much of what we send goes to a zone, over its even part
+        self.spilt: dict[
+            int, tuple[float, float]
+        ] = {}  # attempts that may spill into a zone, as of when
+        self.settle_terms(
+            Retuned(settings, every := frozenset(range(len(settings.classes))), every)
+        )
 
     def settle_terms(self, event: Retuned) -> None:
         """Put settings in force: what was learned of a class that stays is kept."""
-        kept = [t for t in self.buckets if t < len(event.settings.quotas) and t not in event.tenants]
+        kept = [
+            t for t in self.buckets if t < len(event.settings.quotas) and t not in event.tenants
+        ]
         self.buckets = {t: (used, self.leaked) for t in kept if (used := self.used_by(t)) > 0}
         self.settings = settings = event.settings
         had, n, classes = len(self.usual), len(settings.classes), settings.classes
@@ -179,7 +241,9 @@
         beyond = self.offered[had:]
         for values in (self.offered, beyond):
             values[had:] = [1e-9] * (n - had)
-        for i in event.fresh | (frozenset(range(n)) - event.live):  # one that vanished draws no band
+        for i in event.fresh | (
+            frozenset(range(n)) - event.live
+        ):  # one that vanished draws no band
             self.offered[i] = beyond[i] = 1e-9
         self.offered += beyond
         self.usual += [0.0] * (n - had)
@@ -198,11 +262,15 @@
         size, quotas = self.settings.group_size, self.settings.quotas
         self.group = group = self.company or Company(size, self.settings.me, size)
         same = len(group.parts) == len(quotas)  # else they are of other settings
-        self.divisors = [1 / part for part in group.parts] if same else [group.may_live] * len(quotas)
+        self.divisors = (
+            [1 / part for part in group.parts] if same else [group.may_live] * len(quotas)
+        )
 
     def on_company(self, event: Company) -> None:
         self.company = event
-        self.buckets = {t: (used, self.leaked) for t in self.buckets if (used := self.used_by(t)) > 0}
+        self.buckets = {
+            t: (used, self.leaked) for t in self.buckets if (used := self.used_by(t)) > 0
+        }
         self.settle_company()
         for server_id, level in event.hearsay:
             if (server := self.servers.get(server_id)) is not None:
@@ -280,9 +348,13 @@
         settings, group, tenant = self.settings, request.cls, request.tenant
         if not 0 <= group < len(settings.classes):
             raise LookupError(f"a request names class {group}, which the settings do not have")
-        if settings.quotas:  # a bucket 1 s deep that leaks the quota; our traffic stands for all nodes'
+        if (
+            settings.quotas
+        ):  # a bucket 1 s deep that leaks the quota; our traffic stands for all nodes'
             if not 0 <= tenant < len(settings.quotas):
-                raise LookupError(f"a request names tenant {tenant}, which the settings do not have")
+                raise LookupError(
+                    f"a request names tenant {tenant}, which the settings do not have"
+                )
             if (used := self.used_by(tenant)) > settings.quotas[tenant] / self.divisors[tenant]:
                 group += len(settings.classes)
             else:
@@ -297,8 +369,8 @@
         score = self.bands[group][0] + self.bands[group][1] * self.random.random()
         burst = (self.flying / self.need - BURST_FROM) / (BURST_FULL - BURST_FROM)
         if score < self.cut or (burst > 0 and score < 100.0 * min(burst, 1.0) ** 3):
-            # What is refused tells nothing: unless it ages what was seen, a cut that stops nearly all is fed
-            # by its own silence, since good and bad attempts fade alike.
+            # What is refused tells nothing: unless it ages what was seen, a cut that stops nearly
+            # all is fed by its own silence, since good and bad attempts fade alike.
             self.failed -= self.failed / STALE
             self.seen -= self.seen / STALE
             self.out.append(Refuse(request.id, self.refuse_wait(score)))
@@ -310,7 +382,8 @@
         self.attempt(job)
 
     def used_by(self, tenant: int) -> float:
-        """What is in a tenant's bucket. It leaks when it is looked at: upkeep must not cost all tenants."""
+        """What is in a tenant's bucket. It leaks when it is looked at: upkeep must not cost all
+        tenants."""
         count, at = self.buckets.get(tenant, (0.0, 0.0))
         gone = self.settings.quotas[tenant] * ((self.leaked - at) / 1000 / self.divisors[tenant])
         return max(0.0, count - gone)
@@ -324,7 +397,9 @@
             self.keys_total /= 2
             self.key_counts = {k: c / 2 for k, c in self.key_counts.items() if c > 0.5}
             self.total_recent /= 2
-            self.turns = {k: t for k, t in self.turns.items() if t.line or t.out or t.rest_until > self.now}
+            self.turns = {
+                k: t for k, t in self.turns.items() if t.line or t.out or t.rest_until > self.now
+            }
             self.touched &= self.servers.keys()
             for server in (self.servers[server_id] for server_id in self.touched):
                 server.recent /= 2
@@ -336,7 +411,8 @@
         self.set_cut(passed)
 
     def set_bands(self) -> None:
-        """Scores: groups in order of worth, as wide as their share of offered worth; equals share a band."""
+        """Scores: groups in order of worth, as wide as their share of offered worth; equals share a
+        band."""
         offered = [(w, w * count) for w, count in zip(self.worths, self.offered, strict=True)]
         total = sum(value for _, value in offered) or 1.0
         for i, worth in enumerate(self.worths):
@@ -353,7 +429,8 @@
         self.in_flight += (self.flying - self.in_flight) * part
         self.sending += (self.sent / max(passed, 1.0) - self.sending) * part
         self.sent = 0
-        # Nothing comes then that could tell of a better time; of few attempts that none is out is chance.
+        # Nothing comes then that could tell of a better time; of few attempts that none is out is
+        # chance.
         idle = self.x >= 1.0 and self.flying < self.need / 4 and self.need >= IDLE_NEED
         fade = passed / (ERROR_TIME * self.pace) * (IDLE_FADE if idle else 1.0)
         keep = 1 - min(0.5, fade)  # so that a full stop is not for ever
@@ -364,21 +441,26 @@
         if self.shedding != (self.cut > (1.0 if self.shedding else 25.0)):
             self.shedding = not self.shedding
             state = f"errors {self.errors:.2f}, in flight {self.in_flight:.1f} of {self.need:.1f}"
-            self.out.append(Log(f"shedding {'on' if self.shedding else 'off'}: x {self.x:.2f}, {state}"))
+            self.out.append(
+                Log(f"shedding {'on' if self.shedding else 'off'}: x {self.x:.2f}, {state}")
+            )
 
     def measure_overload(self) -> None:
         x = (self.errors - ERRORS_FROM) / (ERRORS_FULL - ERRORS_FROM)
-        # Behind a burst less is out than on average: a cut that went on would empty the fleet, and let in at
-        # once what fills it again.
+        # Behind a burst less is out than on average: a cut that went on would empty the fleet, and
+        # let in at once what fills it again.
         held = min(self.in_flight, self.flying)
         x = max(x, (held / self.need - IN_FLIGHT_FROM) / (IN_FLIGHT_FULL - IN_FLIGHT_FROM))
         self.x = min(max(x, 0.0), 1.0)
         self.cut = 100.0 * self.x**3
 
     def learn_need(self, passed: float) -> None:
-        """What a busy fleet needs in flight: its best rate of timely answers times their quickest time."""
+        """What a busy fleet needs in flight: its best rate of timely answers times their quickest
+        time."""
         calm = self.errors < ERRORS_FROM / 2
-        self.age = min(self.age + passed, RATE_TIME * self.pace)  # a young node has no more to average over
+        self.age = min(
+            self.age + passed, RATE_TIME * self.pace
+        )  # a young node has no more to average over
         self.rate += (self.met / max(passed, 1.0) - self.rate) * passed / self.age
         self.best_rate = max(self.best_rate * (1 - passed / (BEST_TIME * self.pace)), self.rate)
         carried = self.rate / max(len(self.ready), 1)  # whatever rests: it must not be overrated
@@ -386,26 +468,43 @@
         self.met = 0
         if self.answers >= SAMPLE / 5:
             self.least = min((self.least or self.mean) * (1 + passed / LEAST_TIME), self.mean)
-            # Growing traffic is sent before it is answered; few answers would show slowness too late. What is
-            # in flight tells no growth: it grows too when answers slow down, before the first one shows it.
-            if calm and self.mean < QUICK * self.least and self.rate * RATE_TIME * self.pace > SAMPLE / 2:
+            # Growing traffic is sent before it is answered; few answers would show slowness too
+            # late. What is in flight tells no growth: it grows too when answers slow down, before
+            # the first one shows it.
+            if (
+                calm
+                and self.mean < QUICK * self.least
+                and self.rate * RATE_TIME * self.pace > SAMPLE / 2
+            ):
                 self.best_rate = max(self.best_rate, self.sending)
         margin = 1.0 + (MARGIN - 1.0) * max(0.0, 1.0 - self.errors / ERRORS_FROM)
         self.need = max(self.slots * self.warm, margin * self.best_rate * self.least)
-        self.need = max(self.need, 1.0) if self.answers < SAMPLE / 5 else self.need  # little seen yet
+        self.need = (
+            max(self.need, 1.0) if self.answers < SAMPLE / 5 else self.need
+        )  # little seen yet
 
     def refuse_wait(self, score: float) -> float:
-        """The lower the score the longer the wait; jitter keeps retries from coming due together."""
-        return self.settings.max_retry_after * (1.0 - score / 100.0) * (0.9 + 0.1 * self.random.random())
+        """The lower the score the longer the wait; jitter keeps retries from coming due
+        together."""
+        return (
+            self.settings.max_retry_after
+            * (1.0 - score / 100.0)
+            * (0.9 + 0.1 * self.random.random())
+        )
 
     # Picking a server.
 
     def attempt(self, job: Job) -> None:
-        """Send the request to a server, hold it for its turn, or end it if none can serve it in time."""
+        """Send the request to a server, hold it for its turn, or end it if none can serve it in
+        time."""
         request, cls = job.request, job.terms
         usual, turn = self.usual[request.cls], job.turn
         # An answer after the aim may be worth nothing: then nothing is gained by waiting longer.
-        end = request.due if cls.late_value or not request.whole else min(request.due, job.since + cls.aim)
+        end = (
+            request.due
+            if cls.late_value or not request.whole
+            else min(request.due, job.since + cls.aim)
+        )
         limit = end - self.now if request.whole else cls.deadline if cls.late_value else cls.aim
         # A line that can't be served in time is refused at its end, not held until its deadline.
         ahead = turn.line.index(job) if turn else 0
@@ -459,7 +558,8 @@
             self.attempt(job)
 
     def on_began(self, event: Began) -> None:
-        """It is served, for all that the policy learns and counts; what still comes can only break."""
+        """It is served, for all that the policy learns and counts; what still comes can only
+        break."""
         server, job = self.take_back(event.server, event.id, event.attempt)
         if server is None or job is None:
             return
@@ -477,12 +577,15 @@
             self.suspect(server, job.request.cls, outcome.result, 1.0)
 
     def fallbacks(self, job: Job, end: float) -> tuple[int, ...]:
-        """Where a carrier may go on to by itself, at any time until the attempt's end; cold servers never."""
+        """Where a carrier may go on to by itself, at any time until the attempt's end; cold servers
+        never."""
         most = min(job.request.fallbacks, self.settings.max_attempts - job.tries)
         if self.random.random() < max(self.x, self.no_link):
             return ()  # as for sending again: it feeds a jam
         found: list[int] = []
-        start = int(self.random.random() * len(self.ready))  # their order is that of hashes: any part will do
+        start = int(
+            self.random.random() * len(self.ready)
+        )  # their order is that of hashes: any part will do
         for server_id in (self.ready[at] for at in range(start - len(self.ready), start)):
             if len(found) >= most:
                 break
@@ -504,14 +607,19 @@
         if zone is None:
             return None
         lost, strain = zone in self.plan.lost, self.plan.strain[zone] if self.plan.strain else 0.0
-        # What failed once is tried elsewhere first: a zone that has just gone is not known to be gone yet.
+        # What failed once is tried elsewhere first: a zone that has just gone is not known to be
+        # gone yet.
         spared = lost or job.tries > 0 or (strain > 0 and self.random.random() < strain)
         server = self.choose_in(zone, job) if not spared else None
         if server is not None:
             return server
         # Beyond its part a zone takes what the plan has room for, those with larger parts first.
         for other in sorted(self.zones, key=lambda z: -row[z] if z < len(row) else 0.0):
-            if other == zone or not self.may_spill(other) or (found := self.choose_in(other, job)) is None:
+            if (
+                other == zone
+                or not self.may_spill(other)
+                or (found := self.choose_in(other, job)) is None
+            ):
                 continue
             left, at = self.spilt[other]
             self.spilt[other] = left - 1, at
@@ -519,7 +627,9 @@
         return self.choose_in(zone, job) if spared and not lost else None
 
     def choose_in(self, zone: int, job: Job) -> Server | None:
-        return self.choose(job, self.draw_in(zone, job.request.key), max(self.focus.get(zone, 0.0), 1.0))
+        return self.choose(
+            job, self.draw_in(zone, job.request.key), max(self.focus.get(zone, 0.0), 1.0)
+        )
 
     def planned(self, request: Request) -> tuple[float, ...]:
         """The parts of requests like this one, by zone. None where the plan is of other classes."""
@@ -538,7 +648,8 @@
         return None
 
     def may_spill(self, zone: int) -> bool:
-        """Whether an attempt may go there beside its part: a bucket of 0.3 s, filled at the plan's rate."""
+        """Whether an attempt may go there beside its part: a bucket of 0.3 s, filled at the plan's
+        rate."""
         assert self.plan is not None
         rate = self.plan.spill[zone] if zone < len(self.plan.spill) else 0.0
         left, at = self.spilt.get(zone, (1.0, self.now))
@@ -568,7 +679,11 @@
         for server_id in draw:
             server = self.servers[server_id]
             health = server.health[job.request.cls]
-            fit = self.usable(server, health) and self.allowed(job, server) and server_id not in job.used
+            fit = (
+                self.usable(server, health)
+                and self.allowed(job, server)
+                and server_id not in job.used
+            )
             if server is lighter or not fit:  # two draws mean two servers, also in a small fleet
                 continue
             able = max(self.strength(server) * self.cold_share(server), 1e-6)
@@ -577,7 +692,8 @@
             seen += 1
             if load < 1 + IDLE or lighter is None or (seen <= most and load < least):
                 lighter, least = server, load
-            # In a stretch a node knows enough to look on for an idle one; in a whole fleet past full ones.
+            # In a stretch a node knows enough to look on for an idle one; in a whole fleet past
+            # full ones.
             most = DRAW if whole and self.crowded(lighter, focus) else 2
             if load < 1 + IDLE or seen >= (most if whole else DRAW):
                 break
@@ -586,20 +702,25 @@
         return lighter
 
     def crowded(self, server: Server, focus: float) -> bool:
-        """Whether it holds so much over its part of the need that a fleet of its like would be overloaded."""
+        """Whether it holds so much over its part of the need that a fleet of its like would be
+        overloaded."""
         part = self.need / self.warm * focus * self.strength(server)  # a list may give no sizes
         return len(server.open) * self.mean_strength >= CROWDED * part
 
     def draw(self, key: int) -> Iterator[int]:
         """Server ids in the order to look at them."""
         if key and self.settings.warm_keys and self.ring.blocks:
-            # Where servers remember keys, the key's own places come first; one that draws much has more.
+            # Where servers remember keys, the key's own places come first; one that draws much has
+            # more.
             places = 1 + int(self.key_counts.get(key, 0.0) / self.keys_total * self.span * SPREAD)
             first = int(self.random.random() * places)
             own = self.place(key, first), self.place(key, (first + 1) % max(places, 2))
-            yield from (i for i in own if i in self.placed)  # of one that left, points may be there yet
+            yield from (
+                i for i in own if i in self.placed
+            )  # of one that left, points may be there yet
         drawn = [self.ours[int(self.random.random() * self.span)] for _ in range(DRAW) if self.ours]
-        # Our zone's come first, of them likelier the stronger. If none fits: the stretch, then the fleet.
+        # Our zone's come first, of them likelier the stronger. If none fits: the stretch, then the
+        # fleet.
         far = {i: self.servers[i].entry.zone != self.settings.zone for i in drawn}
         chance = {i: self.random.random() > self.strength(self.servers[i]) for i in drawn}
         yield from sorted(drawn, key=lambda i: (far[i], chance[i]))
@@ -611,7 +732,8 @@
         return self.ring.after(mix(key + number * 0x632BE59BD9B4E019 & MASK))
 
     def strength(self, server: Server) -> float:
-        """What a server can do by listed size and by the learned pace of its kind; the strongest: 1."""
+        """What a server can do by listed size and by the learned pace of its kind; the strongest:
+        1."""
         return server.entry.size / self.kinds.get(server.entry.kind, 1.0) / self.strongest
 
     def usable(self, server: Server, health: Health) -> bool:
@@ -631,11 +753,13 @@
     def cold_token(self, server: Server) -> bool:
         """Whether a cold server may get an attempt now.
 
-        All nodes together keep to BUDGET of what the settings allow it, each to an even part of that: less
-        than one attempt mostly. What has come together undrawn is kept a while: draws of one are rare."""
+        All nodes together keep to BUDGET of what the settings allow it, each to an even part of
+        that: less than one attempt mostly. What has come together undrawn is kept a while: draws of
+        one are rare."""
         entry, settings, nodes = server.entry, self.settings, self.group.may_live
         size = entry.size if 0.5 <= entry.size <= 8 else 1.0  # 1 serves one at once
-        # Known from settings and list but for the work: that is learned of warm servers of its kind.
+        # Known from settings and list but for the work: that is learned of warm servers of its
+        # kind.
         warm = max(size / (self.works.get(entry.kind) or max(self.usual)), self.carried)
         rate = BUDGET * settings.tip_multiple * self.cold_share(server) * warm / nodes
         if not self.in_stretch(entry.id):
@@ -643,12 +767,14 @@
         earned = rate * len(self.ready) / self.span * (self.now - server.tokens_at)
         server.tokens = min(server.tokens + earned, max(1.0, KEPT * rate * settings.overload_for))
         server.tokens_at = self.now
-        # A fleet that begins cold has no warm peers to serve meanwhile: one on credit, if all have a slot.
+        # A fleet that begins cold has no warm peers to serve meanwhile: one on credit, if all have
+        # a slot.
         begins = len(self.cold) > 0.9 * len(self.ready) and (len(server.open) + 1) * nodes <= size
         return server.tokens >= (-1.0 if begins else 0.0)
 
     def allowed(self, job: Job, server: Server, until: float = 0.0) -> bool:
-        """Whether the class lets the request go to this server, given where it may have run already."""
+        """Whether the class lets the request go to this server, given where it may have run
+        already."""
         cls, among = job.terms, job.request.among
         if among is not None and server.entry.id not in among:
             return False
@@ -663,7 +789,9 @@
 
     # Outcomes, further attempts and final answers.
 
-    def take_back(self, server_id: int, request_id: int, number: int) -> tuple[Server | None, Job | None]:
+    def take_back(
+        self, server_id: int, request_id: int, number: int
+    ) -> tuple[Server | None, Job | None]:
         """An attempt is no longer out: its server and its job, None where they are not known."""
         if (server := self.servers.get(server_id)) is None:
             return None, None
@@ -696,8 +824,12 @@
 
     def go_on(self, job: Job, result: int) -> None:
         """Send a request again whose attempt ended so, or end it."""
-        if result in (Result.TIMEOUT, Result.NOT_SENT) or self.random.random() < max(self.x, self.no_link):
-            self.end(job)  # its time is over; and resending feeds a jam, also of connections being made
+        if result in (Result.TIMEOUT, Result.NOT_SENT) or self.random.random() < max(
+            self.x, self.no_link
+        ):
+            self.end(
+                job
+            )  # its time is over; and resending feeds a jam, also of connections being made
         else:
             self.attempt(job)
 
@@ -712,7 +844,8 @@
             self.end(job)
 
     def on_diverted(self, event: Diverted) -> None:
-        """A carrier went on by itself: its first attempt ended, and the next is out where it went."""
+        """A carrier went on by itself: its first attempt ended, and the next is out where it
+        went."""
         target = self.servers.get(event.to)
         server, job = self.take_back(event.server, event.id, event.attempt)
         if server is None or job is None:
@@ -742,7 +875,8 @@
             return
         bad, health = result != Result.OK, server.health[cls]
         self.no_link += 0.1 * ((result == Result.UNREACHABLE) - self.no_link)
-        # What loads no server is no overload: no connection, an error or a reset sooner than the work takes.
+        # What loads no server is no overload: no connection, an error or a reset sooner than the
+        # work takes.
         weight = float(result != Result.UNREACHABLE)
         if result in (Result.ERROR, Result.RESET):
             weight = min(1.0, 0.5 * outcome.elapsed / self.usual[cls])
@@ -753,9 +887,12 @@
             kind = server.entry.kind
             work = self.works.get(kind) or max(self.usual)
             self.works[kind] = work + 0.1 * (outcome.elapsed * self.cold_share(server) - work)
-            self.usual[cls] += (0.02 if self.x < 0.2 else 0.002) * (outcome.elapsed - self.usual[cls])
+            self.usual[cls] += (0.02 if self.x < 0.2 else 0.002) * (
+                outcome.elapsed - self.usual[cls]
+            )
         if not bad or result == Result.TIMEOUT:
-            # How slow against its class, then its kind: few samples of one server, many of its kind.
+            # How slow against its class, then its kind: few samples of one server, many of its
+            # kind.
             ratio = min(outcome.elapsed / self.usual[cls], 8.0)
             pace = self.kinds.get(server.entry.kind, 1.0)
             self.kinds[server.entry.kind] = pace + 0.005 * (ratio - pace)
@@ -775,8 +912,9 @@
 
     def suspect(self, server: Server, cls: int, result: int, weight: float) -> None:
         """A failure: the server rests, for this class or for all, if it stands out."""
-        # It may fail one class only; silence tells of all. 'full' is load, but one that says nothing else, as
-        # before its drain is listed, would draw traffic by being quick; as no proof it costs the request.
+        # It may fail one class only; silence tells of all. 'full' is load, but one that says
+        # nothing else, as before its drain is listed, would draw traffic by being quick; as no
+        # proof it costs the request.
         gain, others = (0.3, 0.3) if result not in (Result.ERROR, Result.FULL) else (0.5, 0.1)
         if result == Result.FULL and Result.FULL in self.never_ran:
             gain, others = 0.1, 0.03
@@ -793,14 +931,18 @@
                     health.rest_until, health.strikes = self.now + rest, health.strikes + 1
 
     def end(self, job: Job) -> None:
-        """The final answer without an open attempt: refused where that does no harm, else failed."""
+        """The final answer without an open attempt: refused where that does no harm, else
+        failed."""
         cls = job.terms
         wait, number = self.refuse_wait(job.score), job.request.id
-        self.out.append(Refuse(number, wait) if cls.refusable or not job.maybe_ran else Fail(number))
+        self.out.append(
+            Refuse(number, wait) if cls.refusable or not job.maybe_ran else Fail(number)
+        )
         self.finish(number)
 
     def repeatable(self, group: int) -> bool:
-        """Whether a request that may have run, no one knows where, may be sent or refused all the same."""
+        """Whether a request that may have run, no one knows where, may be sent or refused all the
+        same."""
         cls = self.settings.classes[group]
         return cls.refusable and (cls.effect is Effect.SAFE or cls.deadline < cls.window)
 
@@ -816,7 +958,8 @@
 
     def on_list(self, event: ServerList) -> None:
         if self.settings.ask_for_list and event.kind in (ListKind.CACHED, ListKind.FAILED):
-            # Calls of many nodes would meet: the first is spread out, later ones back off with jitter.
+            # Calls of many nodes would meet: the first is spread out, later ones back off with
+            # jitter.
             self.out.append(Wake(self.ask_backoff * (0.2 + 0.8 * self.random.random()), SUBSCRIBE))
             self.ask_backoff = min(2 * self.ask_backoff, self.settings.ask_within / 4)
         if event.kind is ListKind.FAILED:
@@ -841,7 +984,9 @@
         new: dict[int, list[tuple[float, int]]] = {}
         for server_id in self.noted:
             server, before = self.servers.get(server_id), self.placed.pop(server_id, None)
-            after = server.entry if server is not None and server.entry.state is State.READY else None
+            after = (
+                server.entry if server is not None and server.entry.state is State.READY else None
+            )
             if after is not None:
                 self.placed[server_id] = after
             if before == after:
@@ -865,9 +1010,14 @@
         for kind, sizes in new.items():
             self.sizes.setdefault(kind, Sizes()).add(sizes)
         if len(went) + len(came) > 64:
-            kept = [pair for pair in zip(self.marks, self.ready, strict=True) if pair[1] not in went]
+            kept = [
+                pair for pair in zip(self.marks, self.ready, strict=True) if pair[1] not in went
+            ]
             pairs = sorted([*kept, *((mix(server_id), server_id) for server_id in came)])
-            self.marks, self.ready = [mark for mark, _ in pairs], [server_id for _, server_id in pairs]
+            self.marks, self.ready = (
+                [mark for mark, _ in pairs],
+                [server_id for _, server_id in pairs],
+            )
             return
         for server_id in went:
             at = self.ready.index(server_id, bisect_left(self.marks, mix(server_id)))
@@ -878,8 +1028,9 @@
             self.ready.insert(at, server_id)
 
     def measure_fleet(self) -> None:
-        # Groups of a few nodes share a stretch of the fleet where each holds little: of few servers a node
-        # knows what they hold, and they accept only so many connections. A group places keys alike.
+        # Groups of a few nodes share a stretch of the fleet where each holds little: of few servers
+        # a node knows what they hold, and they accept only so many connections. A group places keys
+        # alike.
         count = len(self.ready)
         sparse = self.need < SPARSE * count
         groups = max(1, min(self.group.size // NODES, count // FEW)) if sparse else 1
@@ -945,7 +1096,9 @@
         resting = [server for i in self.rested if i in self.placed and (server := self.servers[i])]
         out = sum(self.resting_share(server) for server in resting if server.entry.zone not in lost)
         out += sum(len(self.zones.get(zone, ())) for zone in lost) * len(self.ready) / self.span
-        self.warm = max(len(self.ready) - len(self.cold) + share - out, 1.0)  # cold ones by what they can do
+        self.warm = max(
+            len(self.ready) - len(self.cold) + share - out, 1.0
+        )  # cold ones by what they can do
 
     def resting_share(self, server: Server) -> float:
         """What part of its work a server is kept from, over the classes, until it proves itself."""
@@ -953,7 +1106,8 @@
         return self.cold_share(server) * resting / len(server.health)
 
     def mark_points(self, pace: dict[int, float], changed: set[int]) -> None:
-        """Find the servers that have too few or too many points on the ring, and place a few at once."""
+        """Find the servers that have too few or too many points on the ring, and place a few at
+        once."""
         most, ours = (RING_POINTS, []) if self.groups <= SCARCE else (0, self.ours)
         moved = [*changed, *(i for i in ours if self.points.get(i) != self.points_due(i))]
         for kind, paced in pace.items():
@@ -973,10 +1127,13 @@
         return int(RING_POINTS * self.strength(self.servers[server_id])) + 1
 
     def place_points(self, most: int) -> None:
-        """Give servers on the waiting list their points, until so many were placed or taken away."""
+        """Give servers on the waiting list their points, until so many were placed or taken
+        away."""
         fresh: list[tuple[int, int]] = []
         while self.unplaced and most > 0:
-            server_id, _ = self.unplaced.popitem(last=False)  # of a plain dict the first is found ever later
+            server_id, _ = self.unplaced.popitem(
+                last=False
+            )  # of a plain dict the first is found ever later
             wanted, have = 0, self.points.pop(server_id, 0)
             if self.in_stretch(server_id):
                 wanted = self.points[server_id] = self.points_due(server_id)
@@ -1000,7 +1157,9 @@
         old = self.servers.get(entry.id)
         if old is None and entry.state is State.GONE:
             return
-        if old is None or old.entry.started != entry.started:  # new, or restarted: what we knew is void
+        if (
+            old is None or old.entry.started != entry.started
+        ):  # new, or restarted: what we knew is void
             health = [Health() for _ in self.usual]
             self.servers[entry.id] = Server(entry, -self.random.random(), self.now, health)
             if self.ready:  # as much as its peers': else it would draw more than they do
@@ -1015,8 +1174,11 @@
         self.forget(self.servers[entry.id])
 
     def remember(self, server: Server, known: Known) -> None:
-        """Take over what was learned of a server before our own start, unless it has started anew since."""
-        if abs(known.started - server.entry.started) >= 1.0 or len(known.fails) != len(server.health):
+        """Take over what was learned of a server before our own start, unless it has started anew
+        since."""
+        if abs(known.started - server.entry.started) >= 1.0 or len(known.fails) != len(
+            server.health
+        ):
             return
         self.touched.add(server.entry.id)
         server.slow, server.recent = known.slow, known.recent
--- a/cottonhall/wire.py
+++ b/cottonhall/wire.py
@@ -1,4 +1,5 @@
-"""The simulator's wire, to and from the interface. Big-endian, fixed-size records, one tail a frame."""
+"""The simulator's wire, to and from the interface. Big-endian, fixed-size records, one tail a
+frame."""
 
 from __future__ import annotations
 
@@ -168,22 +169,32 @@
             if code == 11:
                 number_of_list, start, entries = _CENSUS.unpack_from(frame, at)
                 data = self._tail(frame, tail, start, entries * ENTRY.size, number, at)
-                self._lists[number_of_list] = [self._entry(row, number) for row in ENTRY.iter_unpack(data)]
+                self._lists[number_of_list] = [
+                    self._entry(row, number) for row in ENTRY.iter_unpack(data)
+                ]
                 continue
             if instance < 0:
                 raise WireError(f"batch {number}, byte {at}: event {code} before any Select")
             events.append((instance, self._event(code, frame, at, tail, number)))
         return number, now, events
 
-    def _event(self, code: int, frame: bytes, at: int, tail: int, number: int) -> Event | Born | Killed:
+    def _event(
+        self, code: int, frame: bytes, at: int, tail: int, number: int
+    ) -> Event | Born | Killed:
         if code == 3:
             job, cls, tenant, key, due, hint, flags = _REQUEST.unpack_from(frame, at)
             return Request(job, cls, due, key, tenant, hint if flags & 1 else 0.0, bool(flags & 2))
         if code == 5:
-            job, server, over, result, attempt, elapsed, n, *report = _OUTCOME.unpack_from(frame, at)
+            job, server, over, result, attempt, elapsed, n, *report = _OUTCOME.unpack_from(
+                frame, at
+            )
             if result not in _RESULTS or n > 4:
-                raise WireError(f"batch {number}, byte {at}: unknown outcome {result} or report of {n}")
-            return Outcome(job, server, over != 0, result, attempt, elapsed, tuple(report[:n]) if n else ())
+                raise WireError(
+                    f"batch {number}, byte {at}: unknown outcome {result} or report of {n}"
+                )
+            return Outcome(
+                job, server, over != 0, result, attempt, elapsed, tuple(report[:n]) if n else ()
+            )
         if code == 7:
             return Timer(_TIMER.unpack_from(frame, at)[0])
         if code == 6:
@@ -191,7 +202,9 @@
         if code == 8:
             server, result, elapsed, n, *report = _PROBED.unpack_from(frame, at)
             if result not in _RESULTS or n > 4:
-                raise WireError(f"batch {number}, byte {at}: unknown outcome {result} or report of {n}")
+                raise WireError(
+                    f"batch {number}, byte {at}: unknown outcome {result} or report of {n}"
+                )
             return ProbeResult(server, result, elapsed, tuple(report[:n]))
         if code == 2:
             kind, version, number_of_list = _LIST.unpack_from(frame, at)
@@ -221,7 +234,9 @@
     @staticmethod
     def _tail(frame: bytes, tail: int, start: int, length: int, number: int, at: int) -> bytes:
         if tail + start + length > len(frame):
-            raise WireError(f"batch {number}, byte {at}: tail reference {start}+{length} is out of range")
+            raise WireError(
+                f"batch {number}, byte {at}: tail reference {start}+{length} is out of range"
+            )
         return frame[tail + start : tail + start + length]
 
     @staticmethod
