--- a/lab/group.py
+++ b/lab/group.py
@@ -1,7 +1,9 @@
-"""A group of membership machines in virtual time: loss, delay, duplication, reordering, cuts and pauses.
+"""A group of membership machines in virtual time: loss, delay, duplication, reordering, cuts and
+pauses.
 
-The machines are those that run in a node; the network between them is a table of directed links. Figures that
-need hundreds of nodes come from here, as do the tests of orders that real processes would not meet twice.
+The machines are those that run in a node; the network between them is a table of directed links.
+Figures that need hundreds of nodes come from here, as do the tests of orders that real processes
+would not meet twice.
 """
 
 from __future__ import annotations
@@ -94,7 +96,13 @@
         self.boots += 1
         address = (f"127.{number >> 8}.{number & 255}.1", 7946)
         me = Claim(
-            name, 0, Status.ALIVE, address, int(wall + self.now) * 1024 + self.boots, f"z{number % 3}", "r"
+            name,
+            0,
+            Status.ALIVE,
+            address,
+            int(wall + self.now) * 1024 + self.boots,
+            f"z{number % 3}",
+            "r",
         )
         seeds = [("127.0.0.1", 7946), ("127.0.1.1", 7946)] if join else []
         rng = random.Random(f"{self.seed} {name} {self.boots}")
@@ -184,7 +192,9 @@
             return
         source = self.machines[name].me.address
         for _ in range(2 if self.random.random() < self.links.twice else 1):
-            self.at(self.now + self.way() + self.slow.get(to, 0.0), self.deliver, to, packet, source)
+            self.at(
+                self.now + self.way() + self.slow.get(to, 0.0), self.deliver, to, packet, source
+            )
 
     def deliver(self, to: str, packet: Packet, source: Address) -> None:
         if not self.up[to]:
@@ -217,7 +227,8 @@
         self.at(self.now + self.way(), self.deliver, name, answer, self.machines[to].me.address)
 
     def run(self, until: float, stop: Callable[[], bool] | None = None) -> float:
-        """Let time pass to `until` ms, or until `stop` holds, which is looked at now and then; the time."""
+        """Let time pass to `until` ms, or until `stop` holds, which is looked at now and then; the
+        time."""
         look = 0.0
         while self.queue and self.queue[0][0] <= until:
             at, _, what, arguments = heapq.heappop(self.queue)
@@ -239,7 +250,8 @@
         """Whether all that run take each other, and nobody else, for alive."""
         names = [name for name, up in self.up.items() if up and name not in self.paused]
         running = set(names)
-        # Who disagreed at the last look mostly still does; a look at all views costs members times members.
+        # Who disagreed at the last look mostly still does; a look at all views costs members times
+        # members.
         first = names.index(self.doubter) if self.doubter in running else 0
         for name in names[first:] + names[:first]:
             self.asked_views += 1
--- a/lab/peers/base.py
+++ b/lab/peers/base.py
@@ -1,7 +1,8 @@
-"""What peers share: the life of a request at a node, sending again within a budget, and the four rules.
+"""What peers share: the life of a request at a node, sending again within a budget, and the four
+rules.
 
-A peer keeps the rules as ours does, since a proxy that breaks them is no peer: nothing goes to a server that
-leaves, and what may have run is sent again only where its class lets it.
+A peer keeps the rules as ours does, since a proxy that breaks them is no peer: nothing goes to a
+server that leaves, and what may have run is sent again only where its class lets it.
 """
 
 from __future__ import annotations
@@ -90,7 +91,9 @@
     tries: int = 0
     used: list[int] = field(default_factory=list)
     maybe_ran: list[tuple[float, ServerEntry]] = field(default_factory=list)
-    out: dict[int, tuple[float, Host]] = field(default_factory=dict)  # attempts: when they were sent, where
+    out: dict[int, tuple[float, Host]] = field(
+        default_factory=dict
+    )  # attempts: when they were sent, where
 
 
 class Peer:
--- a/lab/trial/processes.py
+++ b/lab/trial/processes.py
@@ -1,4 +1,5 @@
-"""Node processes of a trial: started, killed, frozen and woken by name; what they log is kept as it comes."""
+"""Node processes of a trial: started, killed, frozen and woken by name; what they log is kept as it
+comes."""
 
 from __future__ import annotations
 
--- a/lab/trial/timeline.py
+++ b/lab/trial/timeline.py
@@ -1,4 +1,5 @@
-"""All nodes' events in one order that respects cause: why did one node think another dead? No I/O."""
+"""All nodes' events in one order that respects cause: why did one node think another dead? No
+I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +19,12 @@
 def concerns(row: Row, name: str) -> bool:
     """Whether an event is about a node or a server of that name."""
     fields = json.loads(row["fields"])
-    return name in (fields.get("peer"), fields.get("name"), fields.get("server"), fields.get("author"))
+    return name in (
+        fields.get("peer"),
+        fields.get("name"),
+        fields.get("server"),
+        fields.get("author"),
+    )
 
 
 def lines(rows: Iterable[Row], node: str = "", about: str = "") -> Iterator[str]:
--- a/standins/catalog.py
+++ b/standins/catalog.py
@@ -19,7 +19,9 @@
         self.entries = {entry["instanceId"]: entry for entry in entries}
         self.generation = 1
         self.watches: set[asyncio.StreamWriter] = set()
-        self.told: dict[tuple[str, str], float] = {}  # (instance, lifecycle): when it was written first
+        self.told: dict[
+            tuple[str, str], float
+        ] = {}  # (instance, lifecycle): when it was written first
         self.silent = False
         self.host, self.port = "127.0.0.1", 0
 
@@ -54,7 +56,9 @@
             self.told[entry["instanceId"], entry["lifecycle"]] = time.monotonic()
 
     def line(self, entries: list[dict[str, Any]], reset: bool) -> bytes:
-        return json.dumps({"generation": self.generation, "reset": reset, "instances": entries}).encode()
+        return json.dumps(
+            {"generation": self.generation, "reset": reset, "instances": entries}
+        ).encode()
 
     def write(self, writer: asyncio.StreamWriter, line: bytes) -> None:
         if not self.silent:
--- a/standins/graphql.py
+++ b/standins/graphql.py
@@ -1,4 +1,5 @@
-"""The GraphQL side of a dispatch server: the dispatch schema, with results of this server's own making."""
+"""The GraphQL side of a dispatch server: the dispatch schema, with results of this server's own
+making."""
 
 from __future__ import annotations
 
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,9 +1,10 @@
-"""An Envoy-like proxy: takes HTTP requests, asks an external processor, and sends them where it says.
+"""An Envoy-like proxy: takes HTTP requests, asks an external processor, and sends them where it
+says.
 
-It keeps the headers that the answer sets (route time-out, retries), goes on to a named fallback where a
-connection can't be had or the server turns the request away, and tells the processor how it ended with the
-attributes that Envoy sends. On command it holds answers back, with or without regard to their age, or uses
-old ones.
+It keeps the headers that the answer sets (route time-out, retries), goes on to a named fallback
+where a connection can't be had or the server turns the request away, and tells the processor how it
+ended with the attributes that Envoy sends. On command it holds answers back, with or without regard
+to their age, or uses old ones.
 """
 
 from __future__ import annotations
@@ -53,7 +54,9 @@
         self.before_send = before_send
         self.stuck: str | None = None  # an old answer that is used for everything
         self.connections = http1.Connections()
-        self.sent: list[tuple[str, str, float]] = []  # request id, server, when its first byte was written
+        self.sent: list[
+            tuple[str, str, float]
+        ] = []  # request id, server, when its first byte was written
         self.asked_again = 0
         self.port = 0
 
@@ -81,12 +84,17 @@
             writer.close()
 
     async def handle(self, request: http1.Message) -> bytes:
-        """The whole way of one request; 500 where the processor can't be asked (it fails closed)."""
+        """The whole way of one request; 500 where the processor can't be asked (it fails
+        closed)."""
         described = {":method": request.start[0], ":path": request.start[1], ":scheme": "http"}
         described |= {":authority": request.headers.get("host", "")} | request.headers
         try:
             return await self.through(request, described)
-        except (grpc.RpcError, TimeoutError, asyncio.InvalidStateError):  # the last: it ended meanwhile
+        except (
+            grpc.RpcError,
+            TimeoutError,
+            asyncio.InvalidStateError,
+        ):  # the last: it ended meanwhile
             return http1.answer(500)
 
     async def through(self, request: http1.Message, described: dict[str, str]) -> bytes:
@@ -136,7 +144,10 @@
             async with asyncio.timeout(min(CONNECT_TIME, max(0.0, end - time.monotonic()))):
                 reader, writer = await self.connections.open(endpoint)
         except (OSError, TimeoutError):
-            sent.flags, sent.details = UF, "upstream_reset_before_response_started{connection_failure}"
+            sent.flags, sent.details = (
+                UF,
+                "upstream_reset_before_response_started{connection_failure}",
+            )
             return
         self.sent.append((name, endpoint, time.monotonic()))
         try:
