--- a/badgercart/__init__.py
+++ b/badgercart/__init__.py
@@ -1,1 +1,1 @@
-"""badgercart: a load-balancing HTTP proxy on real sockets, round the decisions of cottonhall."""
+"""badgercart: a load-balancing HTTP proxy."""
--- a/badgercart/__main__.py
+++ b/badgercart/__main__.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from badgercart.config import Config, ConfigError, read_config
-from badgercart.core.events import Sparse
+from badgercart.core.log_events import Sparse
 from badgercart.node import Node
 
 
@@ -39,7 +39,7 @@
     logging.getLogger().handlers[0].addFilter(Sparse())
     if len(sys.argv) > 1 or "_BADGERCART_COMPLETE" in os.environ:
         try:  # the platform's node has no use for it, nor for its libraries
-            from badgercart.operator.cli import main as command_line
+            from badgercart.app.cli import main as command_line
         except ModuleNotFoundError as error:
             print(f"badgercart: {error}: pip install 'badgercart[operator]'", file=sys.stderr)
             return 2
--- a/badgercart/console/desk.py
+++ b/badgercart/admin/handlers.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from badgercart.bans.bans import Bans
-from badgercart.console.calls import Reply
+from badgercart.admin.requests import Reply
+from badgercart.ejection.ejections import Bans
 
 
 class NodeDesk:
--- a/badgercart/console/door.py
+++ b/badgercart/admin/listener.py
@@ -6,9 +6,9 @@
 import socket
 from typing import cast
 
+from badgercart.admin.log_events import OPEN
+from badgercart.admin.requests import Call, Desk
 from badgercart.config import Address
-from badgercart.console.calls import Call, Desk
-from badgercart.console.events import OPEN
 from badgercart.core.descriptors import CONSOLE
 
 MAX_CALLERS = CONSOLE - 1  # connections at a time; their descriptors are kept back for them
--- a/badgercart/operator/asking.py
+++ b/badgercart/app/asking.py
@@ -6,8 +6,8 @@
 import json
 from typing import Any
 
+from badgercart.app.exits import CommandError
 from badgercart.config import parse_address
-from badgercart.operator.exits import CommandError
 
 PATIENCE = 5.0  # s
 
--- a/badgercart/operator/base.py
+++ b/badgercart/app/base.py
@@ -10,11 +10,11 @@
 
 from pydantic import Field
 
+from badgercart.app.faults import Path
+from badgercart.app.logs import Log
+from badgercart.app.model import LONG, Listed, Name, Names, Table
 from badgercart.config import Config, held_to
-from badgercart.operator.faults import Path
-from badgercart.operator.logs import Log
-from badgercart.operator.model import LONG, Listed, Name, Names, Table
-from cottonhall.interface import Effect, Group, RequestClass, Settings
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 
 
 class Node(Table, title="Node"):
--- a/badgercart/operator/cli.py
+++ b/badgercart/app/cli.py
@@ -17,14 +17,14 @@
 import uvloop
 from click.shell_completion import get_completion_class
 
-from badgercart.operator import logs, render
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError, Exit
-from badgercart.operator.faults import FileError
-from badgercart.operator.file import Installation, load
-from badgercart.operator.registry import declarations
-from badgercart.operator.run import run
-from badgercart.operator.site import PartError
+from badgercart.app import logs, render
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError, Exit
+from badgercart.app.faults import FileError
+from badgercart.app.file import Installation, load
+from badgercart.app.registry import declarations
+from badgercart.app.run import run
+from badgercart.app.site import PartError
 
 NAME = "badgercart"
 COMPLETE = "_BADGERCART_COMPLETE"  # the variable by which a shell asks for completions
--- a/badgercart/operator/part.py
+++ b/badgercart/app/component.py
@@ -14,14 +14,14 @@
 from enum import Enum
 from typing import Any, Protocol
 
+from badgercart.app.base import Base
+from badgercart.app.faults import Path
 from badgercart.config import Config
-from badgercart.core.join import Join
-from badgercart.core.meters import Meters
-from badgercart.core.roster import Roster
-from badgercart.fronts.http.requests import Page
-from badgercart.membership.entries import ListReader
-from badgercart.operator.base import Base
-from badgercart.operator.faults import Path
+from badgercart.core.endpoint_table import Roster
+from badgercart.core.metric_registry import Meters
+from badgercart.core.request_pipeline import Join
+from badgercart.discovery.entries import ListReader
+from badgercart.frontends.http.requests import Page
 
 
 class ReloadError(Exception):
--- a/badgercart/operator/document.py
+++ b/badgercart/app/document.py
@@ -13,7 +13,7 @@
 from pathlib import Path as FilePath
 from typing import Any
 
-from badgercart.operator.faults import FileError, Path, Problem, dotted
+from badgercart.app.faults import FileError, Path, Problem, dotted
 
 MAX_FILE = 1 << 20  # bytes
 PREFIX = "BADGERCART__"
--- a/badgercart/operator/file.py
+++ b/badgercart/app/file.py
@@ -13,14 +13,14 @@
 
 from pydantic import Field, ValidationError, create_model
 
+from badgercart.app import document
+from badgercart.app.base import Base, check, config_of
+from badgercart.app.component import Checked, Declaration, Kind, OrderError, in_order
+from badgercart.app.faults import FileError, Path, below, many, of_model, problem
+from badgercart.app.locate import lines_of
+from badgercart.app.model import Table
+from badgercart.app.registry import declarations
 from badgercart.config import Config
-from badgercart.operator import document
-from badgercart.operator.base import Base, check, config_of
-from badgercart.operator.faults import FileError, Path, below, many, of_model, problem
-from badgercart.operator.locate import lines_of
-from badgercart.operator.model import Table
-from badgercart.operator.part import Checked, Declaration, Kind, OrderError, in_order
-from badgercart.operator.registry import declarations
 
 GROUPS = {"fronts": "who may ask", "members": "where the server list comes from: one of these"}
 
--- a/badgercart/operator/locate.py
+++ b/badgercart/app/locate.py
@@ -12,7 +12,7 @@
 import tree_sitter_toml
 from tree_sitter import Language, Node, Parser
 
-from badgercart.operator.faults import Path
+from badgercart.app.faults import Path
 
 LANGUAGE = Language(tree_sitter_toml.language())
 
--- a/badgercart/operator/logs.py
+++ b/badgercart/app/logs.py
@@ -22,13 +22,13 @@
 from pydantic import Field
 from structlog.typing import EventDict
 
+from badgercart.app.log_events import LIBRARY, LINES_DROPPED, REQUEST_OVER
+from badgercart.app.model import Table
 from badgercart.config import Config
-from badgercart.core.events import Sparse
-from badgercart.core.join import Join
+from badgercart.core.endpoint_table import Roster
+from badgercart.core.log_events import Sparse
 from badgercart.core.ports import Final, Intake
-from badgercart.core.roster import Roster
-from badgercart.operator.events import LIBRARY, LINES_DROPPED, REQUEST_OVER
-from badgercart.operator.model import Table
+from badgercart.core.request_pipeline import Join
 
 PATIENCE = 1.0  # s for what is written at the end of the process
 LEVELS = {
--- a/badgercart/operator/registry.py
+++ b/badgercart/app/registry.py
@@ -6,29 +6,29 @@
 from importlib import import_module
 from importlib.util import find_spec
 
-from badgercart.operator.part import Declaration
+from badgercart.app.component import Declaration
 
 PARTS = (
-    "badgercart.capture.part",
-    "badgercart.learning.part",
-    "badgercart.metrics.part",
-    "badgercart.peers.part",
-    "badgercart.zones.part",
-    "badgercart.membership.part",
-    "badgercart.membership.etcd.part",
-    "badgercart.distribution.part",
-    "badgercart.fronts.http.part",
-    "badgercart.fronts.processor.part",
-    "badgercart.fronts.graphql.part",
+    "badgercart.capture.component",
+    "badgercart.statistics.component",
+    "badgercart.metrics.component",
+    "badgercart.cluster.component",
+    "badgercart.zones.component",
+    "badgercart.discovery.component",
+    "badgercart.discovery.etcd.component",
+    "badgercart.distribution.component",
+    "badgercart.frontends.http.component",
+    "badgercart.frontends.processor.component",
+    "badgercart.frontends.graphql.component",
 )
 
 
 def load_events(modules: tuple[str, ...] = PARTS) -> None:
     """Fill the table of log events: those beside each part, the pool's and the operator's."""
     packages = [module.rpartition(".")[0] for module in modules]
-    for package in (*packages, "badgercart.carriers.pool", "badgercart.operator"):
-        if find_spec(f"{package}.events") is not None:
-            import_module(f"{package}.events")
+    for package in (*packages, "badgercart.upstream", "badgercart.app"):
+        if find_spec(f"{package}.log_events") is not None:
+            import_module(f"{package}.log_events")
 
 
 @cache
--- a/badgercart/operator/render.py
+++ b/badgercart/app/render.py
@@ -13,13 +13,13 @@
 from pydantic.fields import FieldInfo
 from pydantic_core import PydanticUndefined
 
-from badgercart.core.events import TABLE
-from badgercart.operator import document
-from badgercart.operator.faults import Path, below, choices_of, dotted, fields_of, many
-from badgercart.operator.file import describe, root_model
-from badgercart.operator.locate import lines_of
-from badgercart.operator.model import SCHEMA_NAME
-from badgercart.operator.registry import declarations, load_events
+from badgercart.app import document
+from badgercart.app.faults import Path, below, choices_of, dotted, fields_of, many
+from badgercart.app.file import describe, root_model
+from badgercart.app.locate import lines_of
+from badgercart.app.model import SCHEMA_NAME
+from badgercart.app.registry import declarations, load_events
+from badgercart.core.log_events import TABLE
 
 SCHEMA = "https://json-schema.org/draft/2020-12/schema"
 
--- a/badgercart/operator/run.py
+++ b/badgercart/app/run.py
@@ -7,12 +7,12 @@
 import signal
 from collections.abc import Callable
 
-from badgercart.core.events import CONFIG_KEPT, CONFIG_READ
-from badgercart.operator import logs
-from badgercart.operator.events import STOPPED_EARLY
-from badgercart.operator.faults import FileError
-from badgercart.operator.file import Installation, load
-from badgercart.operator.site import Site
+from badgercart.app import logs
+from badgercart.app.faults import FileError
+from badgercart.app.file import Installation, load
+from badgercart.app.log_events import STOPPED_EARLY
+from badgercart.app.site import Site
+from badgercart.core.log_events import CONFIG_KEPT, CONFIG_READ
 
 
 def reload(site: Site, path: str, requests: logs.RequestLog) -> None:
--- a/badgercart/operator/site.py
+++ b/badgercart/app/site.py
@@ -9,19 +9,19 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
+from badgercart.app import log_events as events
+from badgercart.app.base import Base
+from badgercart.app.component import Declaration, Host, Part, ReloadError, in_order
+from badgercart.app.faults import Path, dotted
+from badgercart.app.file import Installation
 from badgercart.core.clock import now_ms
-from badgercart.core.events import STOPPED
-from badgercart.core.join import Join
-from badgercart.core.meters import Meters
-from badgercart.core.roster import Roster
-from badgercart.fronts.http.requests import Page
-from badgercart.membership.entries import ListReader
-from badgercart.operator import events
-from badgercart.operator.base import Base
-from badgercart.operator.faults import Path, dotted
-from badgercart.operator.file import Installation
-from badgercart.operator.part import Declaration, Host, Part, ReloadError, in_order
-from cottonhall.interface import State
+from badgercart.core.endpoint_table import Roster
+from badgercart.core.log_events import STOPPED
+from badgercart.core.metric_registry import Meters
+from badgercart.core.request_pipeline import Join
+from badgercart.discovery.entries import ListReader
+from badgercart.frontends.http.requests import Page
+from badgercart.policy.endpoint import State
 
 ACCEPT_FOR = 600.0  # ms after SIGTERM during which clients may still come
 GRACE = (
--- a/badgercart/capture/anonymise.py
+++ b/badgercart/capture/anonymise.py
@@ -28,8 +28,10 @@
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import Decided, events, start
 from badgercart.capture.whatif import Night, plain, sends
-from cottonhall.interface import ListKind, Request, ServerEntry, ServerList, Settings, State
-from cottonhall.rules import Policy
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, Request, ServerList
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Settings
 
 BEGIN = 1000.0  # ms on the clock of the new capture, at its first event
 
--- a/badgercart/capture/build.py
+++ b/badgercart/capture/build.py
@@ -7,7 +7,8 @@
 
 from badgercart.capture.codec import Told, encode_batch, plain_actions, plain_event
 from badgercart.capture.format import VERSION, Index, Kind, closing, head, record
-from cottonhall.interface import Action, Event
+from badgercart.policy.actions import Action
+from badgercart.policy.events import Event
 
 BATCH = 64  # events that are encoded in one go
 
--- a/badgercart/capture/codec.py
+++ b/badgercart/capture/codec.py
@@ -20,44 +20,42 @@
 
 import msgspec
 
-import cottonhall.fleet
-import cottonhall.rules
-from cottonhall.interface import (
+import badgercart.policy.hash_ring
+import badgercart.policy.policy
+from badgercart.policy.actions import (
     Action,
-    Began,
     Cancel,
+    Fail,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    Subscribe,
+    Wake,
+)
+from badgercart.policy.endpoint import Known, ServerEntry, State
+from badgercart.policy.events import (
+    Began,
     Company,
     Diverted,
-    Effect,
     Event,
-    Fail,
-    Group,
     ListKind,
-    Log,
     Outcome,
     Overdue,
     PeerMessage,
     Planned,
-    Probe,
     ProbeResult,
-    Refuse,
     Request,
-    RequestClass,
     Result,
     Resume,
     Retuned,
-    Send,
-    ServerEntry,
     ServerList,
-    Settings,
-    State,
-    Subscribe,
     Timer,
-    Wake,
     Whole,
     Withdrawn,
 )
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 
 # The numbers stand in files: a new one is added at the end, none is ever used again.
 EVENTS: tuple[type, ...] = (
@@ -360,7 +358,10 @@
 def module_digest() -> dict[str, str]:
     """The texts of the policy's files, by their SHA-256: decisions can only be the same by the same
     text."""
-    files = [Path(str(module.__file__)) for module in (cottonhall.rules, cottonhall.fleet)]
+    files = [
+        Path(str(module.__file__))
+        for module in (badgercart.policy.policy, badgercart.policy.hash_ring)
+    ]
     return {path.name: hashlib.sha256(path.read_bytes()).hexdigest() for path in files}
 
 
@@ -377,15 +378,68 @@
 }
 
 
+_STATE_MODULES = (
+    "badgercart.policy.policy",
+    "badgercart.policy.hash_ring",
+    "badgercart.policy.settings",
+    "badgercart.policy.endpoint",
+    "badgercart.policy.events",
+    "badgercart.policy.actions",
+)
+
+# Where states written before the package `badgercart.policy` name their classes.
+_EARLIER_CLASSES: dict[tuple[str, str], type] = {
+    ("cottonhall.rules", "Policy"): Policy,
+    ("cottonhall.rules", "Server"): badgercart.policy.policy.Server,
+    ("cottonhall.rules", "Health"): badgercart.policy.policy.Health,
+    ("cottonhall.rules", "Job"): badgercart.policy.policy.Job,
+    ("cottonhall.rules", "Turn"): badgercart.policy.policy.Turn,
+    ("cottonhall.fleet", "Ring"): badgercart.policy.hash_ring.Ring,
+    ("cottonhall.fleet", "Sizes"): badgercart.policy.hash_ring.Sizes,
+    ("cottonhall.fleet", "Level"): badgercart.policy.hash_ring.Level,
+    ("cottonhall.interface", "Effect"): Effect,
+    ("cottonhall.interface", "Group"): Group,
+    ("cottonhall.interface", "RequestClass"): RequestClass,
+    ("cottonhall.interface", "Settings"): Settings,
+    ("cottonhall.interface", "State"): State,
+    ("cottonhall.interface", "ServerEntry"): ServerEntry,
+    ("cottonhall.interface", "Known"): Known,
+    ("cottonhall.interface", "Result"): Result,
+    ("cottonhall.interface", "ListKind"): ListKind,
+    ("cottonhall.interface", "ServerList"): ServerList,
+    ("cottonhall.interface", "Request"): Request,
+    ("cottonhall.interface", "Whole"): Whole,
+    ("cottonhall.interface", "Began"): Began,
+    ("cottonhall.interface", "Outcome"): Outcome,
+    ("cottonhall.interface", "Diverted"): Diverted,
+    ("cottonhall.interface", "Resume"): Resume,
+    ("cottonhall.interface", "ProbeResult"): ProbeResult,
+    ("cottonhall.interface", "Timer"): Timer,
+    ("cottonhall.interface", "PeerMessage"): PeerMessage,
+    ("cottonhall.interface", "Withdrawn"): Withdrawn,
+    ("cottonhall.interface", "Overdue"): Overdue,
+    ("cottonhall.interface", "Retuned"): Retuned,
+    ("cottonhall.interface", "Company"): Company,
+    ("cottonhall.interface", "Planned"): Planned,
+    ("cottonhall.interface", "Send"): Send,
+    ("cottonhall.interface", "Refuse"): Refuse,
+    ("cottonhall.interface", "Fail"): Fail,
+    ("cottonhall.interface", "Cancel"): Cancel,
+    ("cottonhall.interface", "Wake"): Wake,
+    ("cottonhall.interface", "Probe"): Probe,
+    ("cottonhall.interface", "Subscribe"): Subscribe,
+    ("cottonhall.interface", "Log"): Log,
+}
+
+
 class _Careful(pickle.Unpickler):
     def find_class(self, module: str, name: str) -> Any:
-        if (
-            module in ("cottonhall.rules", "cottonhall.fleet", "cottonhall.interface")
-            and "." not in name
-        ):
+        if module in _STATE_MODULES and "." not in name:
             found = super().find_class(module, name)
             if isinstance(found, type) and found.__module__ == module:
                 return found
+        elif (module, name) in _EARLIER_CLASSES:
+            return _EARLIER_CLASSES[module, name]
         elif (module, name) in _ALLOWED:
             return super().find_class(module, name)
         raise CodecError(f"a state can't hold {module}.{name}")
--- a/badgercart/capture/commands.py
+++ b/badgercart/capture/commands.py
@@ -12,8 +12,8 @@
 from rich.console import Console
 from rich.progress import track
 
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError, Exit
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError, Exit
 
 FILES = click.argument("files", nargs=-1, required=True, metavar="FILE|FOLDER...")
 JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object a segment.")
--- a/badgercart/capture/part.py
+++ b/badgercart/capture/component.py
@@ -8,10 +8,10 @@
 from pathlib import Path as FilePath
 from typing import TYPE_CHECKING
 
-from badgercart.capture.events import GAP, OFF, WRITING
+from badgercart.app.component import Checked, Declaration, Host, Kind
+from badgercart.app.faults import Path
+from badgercart.capture.log_events import GAP, OFF, WRITING
 from badgercart.capture.settings import CaptureSettings
-from badgercart.operator.faults import Path
-from badgercart.operator.part import Checked, Declaration, Host, Kind
 
 if TYPE_CHECKING:
     from badgercart.capture.writer import Capture
--- a/badgercart/capture/explain.py
+++ b/badgercart/capture/explain.py
@@ -13,24 +13,19 @@
 from badgercart.capture.format import Segment, read_index
 from badgercart.capture.replay import events, start
 from badgercart.capture.words import RESULTS
-from cottonhall.interface import (
-    Action,
+from badgercart.policy.actions import Action, Cancel, Fail, Refuse, Send, Wake
+from badgercart.policy.events import (
     Began,
-    Cancel,
     Diverted,
     Event,
-    Fail,
     Outcome,
-    Refuse,
     Request,
     Resume,
-    Send,
     Timer,
-    Wake,
     Whole,
     Withdrawn,
 )
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
 
 
 @dataclass(slots=True)
--- a/badgercart/capture/replay.py
+++ b/badgercart/capture/replay.py
@@ -21,8 +21,9 @@
 )
 from badgercart.capture.format import Ending, FormatError, Kind, Record, Segment
 from badgercart.capture.streams import Streams
-from cottonhall.interface import Action, Event
-from cottonhall.rules import Policy
+from badgercart.policy.actions import Action
+from badgercart.policy.events import Event
+from badgercart.policy.policy import Policy
 
 SUFFIX = ".bcap"
 U32 = 4  # bytes of the running checksum ahead of an event of format 1
--- a/badgercart/capture/report.py
+++ b/badgercart/capture/report.py
@@ -10,22 +10,13 @@
 from pathlib import Path
 from typing import Any
 
+from badgercart.app import pages
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import decide, events, start
-from badgercart.operator import pages
-from cottonhall.interface import (
-    Action,
-    Event,
-    Fail,
-    Outcome,
-    Refuse,
-    Request,
-    Result,
-    Send,
-    ServerList,
-    State,
-)
-from cottonhall.rules import Policy
+from badgercart.policy.actions import Action, Fail, Refuse, Send
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import Event, Outcome, Request, Result, ServerList
+from badgercart.policy.policy import Policy
 
 STEP = 1000.0  # ms of the night in a point of the plots
 MAX_ROWS = 86_400  # points; a longer capture is told to be cut
--- a/badgercart/capture/settings.py
+++ b/badgercart/capture/settings.py
@@ -4,7 +4,7 @@
 
 from pydantic import Field
 
-from badgercart.operator.model import Name, Table
+from badgercart.app.model import Name, Table
 
 
 class CaptureSettings(Table, title="CaptureSettings"):
--- a/badgercart/capture/streams.py
+++ b/badgercart/capture/streams.py
@@ -17,9 +17,9 @@
 import msgspec
 
 from badgercart.capture.codec import CodecError
-from badgercart.fronts.processor.account import Account, Proxy
-from badgercart.fronts.processor.settings import OldAnswers
-from badgercart.membership.freshness import Freshness, Rule
+from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.frontends.processor.account import Account, Proxy
+from badgercart.frontends.processor.settings import OldAnswers
 
 _encode = msgspec.msgpack.Encoder().encode
 STATE = ""
--- a/badgercart/capture/whatif.py
+++ b/badgercart/capture/whatif.py
@@ -19,23 +19,19 @@
 
 from badgercart.capture.codec import decode_actions
 from badgercart.capture.replay import Decided, decide
-from cottonhall.interface import (
-    Action,
+from badgercart.policy.actions import Action, Fail, Refuse, Send, Wake
+from badgercart.policy.events import (
     Began,
     Diverted,
     Event,
-    Fail,
     Outcome,
-    Refuse,
     Request,
     Result,
     Resume,
-    Send,
     Timer,
-    Wake,
     Withdrawn,
 )
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
 
 FIRST = 10  # differences that are shown
 MAX_OPEN = 1 << 20  # requests under way that are followed; the oldest goes
--- a/badgercart/capture/words.py
+++ b/badgercart/capture/words.py
@@ -8,39 +8,28 @@
 from enum import Enum
 from typing import Any
 
-from cottonhall.interface import (
+from badgercart.policy.actions import Cancel, Fail, Log, Probe, Refuse, Send, Subscribe, Wake
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import (
     Began,
-    Cancel,
     Company,
     Diverted,
-    Effect,
-    Fail,
-    Group,
     ListKind,
-    Log,
     Outcome,
     Overdue,
     PeerMessage,
     Planned,
-    Probe,
     ProbeResult,
-    Refuse,
     Request,
-    RequestClass,
     Result,
     Resume,
     Retuned,
-    Send,
-    ServerEntry,
     ServerList,
-    Settings,
-    State,
-    Subscribe,
     Timer,
-    Wake,
     Whole,
     Withdrawn,
 )
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 
 # The name of each type in messages, and those of its fields in the order of the class.
 _SHOWN: dict[type, tuple[str, tuple[str, ...]]] = {
--- a/badgercart/capture/writer.py
+++ b/badgercart/capture/writer.py
@@ -22,8 +22,9 @@
 from badgercart.capture.format import VERSION, Index, Kind, closing, head, record
 from badgercart.capture.replay import SUFFIX
 from badgercart.capture.settings import CaptureSettings
-from cottonhall.interface import Action, Event, Request
-from cottonhall.rules import Policy
+from badgercart.policy.actions import Action
+from badgercart.policy.events import Event, Request
+from badgercart.policy.policy import Policy
 
 PATIENCE = 2.0  # s for what is written at the end of the process
 MARK_EVERY = 4096  # events between marks of the index
--- a/badgercart/carriers/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Whoever carries out a decided attempt and reports how it ended."""
--- a/badgercart/peers/wire.py
+++ b/badgercart/cluster/codec.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from badgercart.peers.hybrid import Stamp
-from badgercart.peers.view import Claim, Status
+from badgercart.cluster.hybrid_logical_clock import Stamp
+from badgercart.cluster.membership_table import Claim, Status
 
 VERSION = 1
 MAGIC = b"bc"
--- a/badgercart/peers/commands.py
+++ b/badgercart/cluster/commands.py
@@ -12,15 +12,15 @@
 
 import click
 
-from badgercart.operator.asking import PATIENCE, page_of
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError, Exit
-from badgercart.peers.driver import LENGTH
-from badgercart.peers.settings import PeersSettings
-from badgercart.peers.wire import MAX_SYNC, Codec, Leave, Packet, Refused
+from badgercart.app.asking import PATIENCE, page_of
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError, Exit
+from badgercart.cluster.codec import MAX_SYNC, Codec, Leave, Packet, Refused
+from badgercart.cluster.driver import LENGTH
+from badgercart.cluster.settings import PeersSettings
 
 if TYPE_CHECKING:
-    from badgercart.operator.file import Installation
+    from badgercart.app.file import Installation
 
 NODE = click.argument("node", metavar="HOST:PORT")
 
@@ -115,8 +115,8 @@
 
 def loaded(file: str, part: str) -> Installation:
     """What a file says that has such a part. Raises CommandError."""
-    from badgercart.operator.faults import FileError
-    from badgercart.operator.file import load
+    from badgercart.app.faults import FileError
+    from badgercart.app.file import load
 
     try:
         what = load(file)
--- a/badgercart/peers/part.py
+++ b/badgercart/cluster/component.py
@@ -11,16 +11,16 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
+from badgercart.app.component import Declaration, Host, Kind
+from badgercart.cluster import log_events as events
+from badgercart.cluster.settings import PeersSettings, check
+from badgercart.core.endpoint_table import Member as Line
 from badgercart.core.ports import Final, Intake
-from badgercart.core.roster import Member as Line
-from badgercart.fronts.http.requests import Page
-from badgercart.operator.part import Declaration, Host, Kind
-from badgercart.peers import events
-from badgercart.peers.settings import PeersSettings, check
+from badgercart.frontends.http.requests import Page
 
 if TYPE_CHECKING:
-    from badgercart.peers.machine import Effect, Posted
-    from badgercart.peers.view import Belief
+    from badgercart.cluster.membership_table import Belief
+    from badgercart.cluster.swim import Effect, Posted
 
 MAX_TOLD = 512  # changes that `peers why` looks back on
 STATUS_WORDS = (
@@ -45,11 +45,11 @@
     """One member of a group, and the policy's company."""
 
     def __init__(self, host: Host, settings: PeersSettings) -> None:
-        from badgercart.peers.driver import Allowed, Driver
-        from badgercart.peers.machine import Machine
-        from badgercart.peers.member import Member
-        from badgercart.peers.view import Claim, Status
-        from badgercart.peers.wire import Codec
+        from badgercart.cluster.codec import Codec
+        from badgercart.cluster.driver import Allowed, Driver
+        from badgercart.cluster.member import Member
+        from badgercart.cluster.membership_table import Claim, Status
+        from badgercart.cluster.swim import Machine
 
         self.host, self.settings = host, settings
         config, clock = host.config, host.join.clock
@@ -130,7 +130,7 @@
     # What the machine says.
 
     def act(self, effects: list[Effect]) -> None:
-        from badgercart.peers.machine import Changed, Conflict, Paused, Posted
+        from badgercart.cluster.swim import Changed, Conflict, Paused, Posted
 
         stands = False  # otherwise than before, perhaps: reports of use wait for the next round
         for effect in effects:
@@ -260,6 +260,6 @@
         extra="peers",
         libraries=("msgspec", "netaddr"),
         check=check,
-        commands="badgercart.peers.commands:peers",
+        commands="badgercart.cluster.commands:peers",
     ),
 )
--- a/badgercart/peers/driver.py
+++ b/badgercart/cluster/driver.py
@@ -12,10 +12,10 @@
 
 import netaddr
 
+from badgercart.cluster.codec import MAX_SYNC, MTU, Codec, Leave, Packet, Refused, Sync
+from badgercart.cluster.log_events import REFUSED
+from badgercart.cluster.swim import Effect, Machine, SendTo, SyncWith
 from badgercart.config import Address
-from badgercart.peers.events import REFUSED
-from badgercart.peers.machine import Effect, Machine, SendTo, SyncWith
-from badgercart.peers.wire import MAX_SYNC, MTU, Codec, Leave, Packet, Refused, Sync
 
 AT_ONCE = 32  # datagrams that are read before the loop turns to requests again
 RATE = 4000  # datagrams a second that are looked at: a flood costs a bounded part of the core
--- a/badgercart/peers/board.py
+++ b/badgercart/cluster/gossip_registers.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from badgercart.peers.wire import Posted
+from badgercart.cluster.codec import Posted
 
 MAX_POSTS = 16_384
 MAX_POST = 512  # bytes of what one says: with its head it fits a datagram beside some claims
--- a/badgercart/peers/events.py
+++ b/badgercart/cluster/log_events.py
@@ -5,7 +5,7 @@
 
 import logging
 
-from badgercart.core.events import event
+from badgercart.core.log_events import event
 
 LISTENING = event(
     "peers.listening",
--- a/badgercart/peers/member.py
+++ b/badgercart/cluster/member.py
@@ -8,12 +8,12 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from badgercart.core.roster import Member as Line
-from badgercart.peers.machine import Effect, Machine, Posted
-from badgercart.peers.queue import most_times
-from badgercart.peers.uses import DRAINS, FAILING, USE, Hearsay, Rumours, Shares, company
-from cottonhall.interface import Company
-from cottonhall.rules import Policy
+from badgercart.cluster.broadcast_queue import most_times
+from badgercart.cluster.swim import Effect, Machine, Posted
+from badgercart.cluster.uses import DRAINS, FAILING, USE, Hearsay, Rumours, Shares, company
+from badgercart.core.endpoint_table import Member as Line
+from badgercart.policy.events import Company
+from badgercart.policy.policy import Policy
 
 STALE = 4  # reports that a node may miss before it counts as one that wants its even part
 # reports that a node passes on between two of its own: of more nodes each reports less often
--- a/badgercart/peers/vouching.py
+++ b/badgercart/cluster/quorum.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from badgercart.peers.view import Status, View
+from badgercart.cluster.membership_table import Status, View
 
 
 class Level(StrEnum):
--- a/badgercart/peers/settings.py
+++ b/badgercart/cluster/settings.py
@@ -7,10 +7,10 @@
 
 from pydantic import AfterValidator, Field, Strict
 
-from badgercart.operator.faults import Path
-from badgercart.operator.model import Address, Listed, Name, Names, Table
-from badgercart.operator.part import Checked
-from badgercart.peers.machine import Timing
+from badgercart.app.component import Checked
+from badgercart.app.faults import Path
+from badgercart.app.model import Address, Listed, Name, Names, Table
+from badgercart.cluster.swim import Timing
 
 
 def _network(value: str) -> str:
--- a/badgercart/peers/machine.py
+++ b/badgercart/cluster/swim.py
@@ -14,14 +14,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from badgercart.config import Address
-from badgercart.peers.board import Board
-from badgercart.peers.hybrid import HybridClock, Stamp
-from badgercart.peers.queue import Queue
-from badgercart.peers.suspicion import CONFIRMATIONS, Health, Suspicion, shortest
-from badgercart.peers.view import MAX_MEMBERS, Belief, Claim, Status, View, refuting
-from badgercart.peers.vouching import Standing, standing
-from badgercart.peers.wire import (
+from badgercart.cluster.broadcast_queue import Queue
+from badgercart.cluster.codec import (
     MTU,
     Ack,
     Behind,
@@ -36,6 +30,12 @@
     size_of,
     size_of_post,
 )
+from badgercart.cluster.gossip_registers import Board
+from badgercart.cluster.hybrid_logical_clock import HybridClock, Stamp
+from badgercart.cluster.membership_table import MAX_MEMBERS, Belief, Claim, Status, View, refuting
+from badgercart.cluster.quorum import Standing, standing
+from badgercart.cluster.suspicion import CONFIRMATIONS, Health, Suspicion, shortest
+from badgercart.config import Address
 
 ROOM = MTU - 200  # bytes for what a packet carries beside its head and body
 MAX_QUEUE = 4 * MAX_MEMBERS  # items that wait to be passed on
--- a/badgercart/peers/uses.py
+++ b/badgercart/cluster/uses.py
@@ -13,9 +13,10 @@
 
 import msgspec
 
-from badgercart.core.roster import Member
-from badgercart.peers.vouching import Standing
-from cottonhall.interface import Company, State
+from badgercart.cluster.quorum import Standing
+from badgercart.core.endpoint_table import Member
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import Company
 
 USE, FAILING = "use", "failing"  # topics
 MAX_TENANTS = 64  # of whose use a post has room for
--- a/badgercart/config.py
+++ b/badgercart/config.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from badgercart.core.descriptors import Descriptors, TooFewError
-from badgercart.retune.checks import faults, load
-from cottonhall.interface import Settings
-from cottonhall.wire import WireError, read_settings
+from badgercart.policy.settings import Settings
+from badgercart.reload.checks import faults, load
+from badgercart.simulator.codec import WireError, read_settings
 
 Address = tuple[str, int]
 INHERITED = "ROUTER_INHERITED_FD"
--- a/badgercart/core/roster.py
+++ b/badgercart/core/endpoint_table.py
@@ -7,9 +7,10 @@
 from typing import Any, Protocol
 
 from badgercart.config import Address
-from badgercart.core.events import LIST_TAKEN
-from badgercart.core.join import Join
-from cottonhall.interface import ListKind, ServerEntry, ServerList, State
+from badgercart.core.log_events import LIST_TAKEN
+from badgercart.core.request_pipeline import Join
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, ServerList
 
 # As operators read them in `list.taken`.
 KINDS = {
--- a/badgercart/core/ports.py
+++ b/badgercart/core/ports.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 from badgercart.core.streams import Opening, Sink
-from cottonhall.interface import Result
+from badgercart.policy.events import Result
 
 
 @dataclass(slots=True)
--- a/badgercart/core/join.py
+++ b/badgercart/core/request_pipeline.py
@@ -14,7 +14,7 @@
 from typing import Any, cast
 
 from badgercart.core.clock import MARGIN, now_ms
-from badgercart.core.events import POLICY_FAILED, POLICY_SAID
+from badgercart.core.log_events import POLICY_FAILED, POLICY_SAID
 from badgercart.core.ports import (
     Answer,
     Carrier,
@@ -28,35 +28,28 @@
     Watcher,
 )
 from badgercart.core.streams import Opening, Sink
-from cottonhall import Policy
-from cottonhall.interface import (
-    Action,
+from badgercart.policy import Policy
+from badgercart.policy.actions import Action, Cancel, Fail, Log, Refuse, Send, Subscribe, Wake
+from badgercart.policy.events import (
     Began,
-    Cancel,
     Company,
     Diverted,
     Event,
-    Fail,
-    Log,
     Outcome,
     Overdue,
     PeerMessage,
     Planned,
     ProbeResult,
-    Refuse,
     Request,
     Result,
     Resume,
     Retuned,
-    Send,
     ServerList,
-    Settings,
-    Subscribe,
     Timer,
-    Wake,
     Whole,
     Withdrawn,
 )
+from badgercart.policy.settings import Settings
 
 # What operators read in `policy.failed` as the kind of the event that it was.
 KINDS: dict[type[Event], str] = {
--- a/badgercart/core/requests.py
+++ b/badgercart/core/requests.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 from badgercart.config import Config
-from badgercart.core.names import stable_id
-from cottonhall.interface import Effect
+from badgercart.core.identifiers import stable_id
+from badgercart.policy.settings import Effect
 
 
 class BadDescription(Exception):
--- a/badgercart/core/results.py
+++ b/badgercart/core/results.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from cottonhall.interface import Result
+from badgercart.policy.events import Result
 
 
 def result_of(status: int, not_started: bool) -> Result:
--- a/badgercart/membership/catalog.py
+++ b/badgercart/discovery/catalog.py
@@ -13,10 +13,10 @@
 import httptools
 
 from badgercart.config import Address
-from badgercart.membership.events import CATALOG_BROKEN, CATALOG_FAILED
-from badgercart.membership.texts import MOST, Texts, read
-from badgercart.membership.tries import MOST as MOST_CALLS
-from badgercart.membership.tries import PATIENCE, Pace, Tries
+from badgercart.discovery.backoff import MOST as MOST_CALLS
+from badgercart.discovery.backoff import PATIENCE, Pace, Tries
+from badgercart.discovery.list_framing import MOST, Texts, read
+from badgercart.discovery.log_events import CATALOG_BROKEN, CATALOG_FAILED
 
 PATH = "/catalog/members"
 # A line is due every 2 s, if only an empty one, and a change counts as told 6 s after the last one,
--- a/badgercart/membership/part.py
+++ b/badgercart/discovery/component.py
@@ -9,11 +9,11 @@
 
 from pydantic import Field
 
+from badgercart.app.component import Checked, Declaration, Host, Kind
+from badgercart.app.faults import Path
+from badgercart.app.model import Address, Listed, Name, Table
 from badgercart.config import Address as Pair
-from badgercart.membership.catalog import Discovery
-from badgercart.operator.faults import Path
-from badgercart.operator.model import Address, Listed, Name, Table
-from badgercart.operator.part import Checked, Declaration, Host, Kind
+from badgercart.discovery.catalog import Discovery
 
 
 class Server(Table, title="Server"):
--- a/badgercart/membership/entries.py
+++ b/badgercart/discovery/entries.py
@@ -12,9 +12,10 @@
 
 from badgercart.config import Config, parse_address
 from badgercart.core.clock import now_ms
-from badgercart.core.names import stable_id
-from badgercart.core.roster import Member, MemberList
-from cottonhall.interface import ListKind, ServerEntry, State
+from badgercart.core.endpoint_table import Member, MemberList
+from badgercart.core.identifiers import stable_id
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind
 
 STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
 
--- a/badgercart/membership/etcd/client.py
+++ b/badgercart/discovery/etcd/client.py
@@ -14,12 +14,12 @@
 import grpc.aio
 from aetcd.rpc import kv_pb2, rpc_pb2, rpc_pb2_grpc
 
-from badgercart.core.roster import Member, MemberList
-from badgercart.membership.etcd import events
-from badgercart.membership.etcd import follower as machine
-from badgercart.membership.etcd.settings import EtcdSettings
-from badgercart.membership.events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
-from badgercart.membership.freshness import Freshness, Rule, State
+from badgercart.core.endpoint_table import Member, MemberList
+from badgercart.discovery.etcd import follower as machine
+from badgercart.discovery.etcd import log_events as events
+from badgercart.discovery.etcd.settings import EtcdSettings
+from badgercart.discovery.freshness import Freshness, Rule, State
+from badgercart.discovery.log_events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
 
 SAVE_EVERY = 5.0  # s between writes of the known file
 DELETE = kv_pb2.Event.DELETE
--- a/badgercart/membership/etcd/commands.py
+++ b/badgercart/discovery/etcd/commands.py
@@ -13,12 +13,12 @@
 
 import click
 
+from badgercart.app.exits import CommandError, Exit
 from badgercart.config import parse_address
-from badgercart.membership.etcd.settings import EtcdSettings, EtcdTls
-from badgercart.operator.exits import CommandError, Exit
+from badgercart.discovery.etcd.settings import EtcdSettings, EtcdTls
 
 if TYPE_CHECKING:
-    from badgercart.membership.etcd.members import Members
+    from badgercart.discovery.etcd.members import Members
 
 PATIENCE = 5000.0  # ms for each call
 
@@ -34,7 +34,7 @@
 
     def run(self, act: Callable[[Members], Awaitable[int]], dry_run: bool = False) -> None:
         """Do one thing and exit with its status."""
-        from badgercart.membership.etcd.members import Members  # heavy
+        from badgercart.discovery.etcd.members import Members  # heavy
 
         try:
             status = asyncio.run(Members(self.settings, dry_run).run(act))
--- a/badgercart/membership/etcd/part.py
+++ b/badgercart/discovery/etcd/component.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
 
-from badgercart.core.events import LIST_KNOWN_MALFORMED
-from badgercart.core.roster import MemberList
-from badgercart.membership.etcd.settings import EtcdSettings
-from badgercart.membership.freshness import State
-from badgercart.operator.faults import Path
-from badgercart.operator.part import Checked, Declaration, Host, Kind
-from cottonhall.interface import ListKind
+from badgercart.app.component import Checked, Declaration, Host, Kind
+from badgercart.app.faults import Path
+from badgercart.core.endpoint_table import MemberList
+from badgercart.core.log_events import LIST_KNOWN_MALFORMED
+from badgercart.discovery.etcd.settings import EtcdSettings
+from badgercart.discovery.freshness import State
+from badgercart.policy.events import ListKind
 
 if TYPE_CHECKING:
-    from badgercart.membership.etcd.client import EtcdSource
+    from badgercart.discovery.etcd.client import EtcdSource
 
 LONG_LIST = 1000  # servers
 
@@ -25,7 +25,7 @@
     """The list from etcd, with its age; SIGHUP takes all of its settings anew."""
 
     def __init__(self, host: Host, settings: EtcdSettings) -> None:
-        from badgercart.membership.etcd.client import (
+        from badgercart.discovery.etcd.client import (
             EtcdSource,
         )  # heavy: only where it is switched on
 
@@ -100,6 +100,6 @@
         reloads=("*",),
         extra="etcd",
         libraries=("grpc", "aetcd"),
-        commands="badgercart.membership.etcd.commands:members",
+        commands="badgercart.discovery.etcd.commands:members",
     ),
 )
--- a/badgercart/membership/etcd/follower.py
+++ b/badgercart/discovery/etcd/follower.py
@@ -27,10 +27,11 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from badgercart.core.roster import Member, MemberList
-from badgercart.membership.etcd.guard import OVERRIDE, Guard
-from badgercart.membership.etcd.settings import EtcdSettings
-from cottonhall.interface import ListKind, State
+from badgercart.core.endpoint_table import Member, MemberList
+from badgercart.discovery.etcd.guard import OVERRIDE, Guard
+from badgercart.discovery.etcd.settings import EtcdSettings
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import ListKind
 
 MAX_ENTRY = 64 << 10  # bytes of one value
 MAX_ENTRIES = 100_000
--- a/badgercart/membership/etcd/members.py
+++ b/badgercart/discovery/etcd/members.py
@@ -11,13 +11,13 @@
 import grpc.aio
 from aetcd.rpc import kv_pb2, rpc_pb2, rpc_pb2_grpc
 
+from badgercart.app.asking import page_of
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError, Exit
 from badgercart.config import parse_address
-from badgercart.membership.etcd.client import authenticate, open_channel, prefix_end
-from badgercart.membership.etcd.guard import OVERRIDE
-from badgercart.membership.etcd.settings import EtcdSettings
-from badgercart.operator.asking import page_of
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError, Exit
+from badgercart.discovery.etcd.client import authenticate, open_channel, prefix_end
+from badgercart.discovery.etcd.guard import OVERRIDE
+from badgercart.discovery.etcd.settings import EtcdSettings
 
 PATIENCE = 5.0  # s for each call
 COLUMNS = ("instanceId", "hostPort", "zone", "machineType", "lifecycle", "weight", "lease")
--- a/badgercart/membership/etcd/settings.py
+++ b/badgercart/discovery/etcd/settings.py
@@ -6,7 +6,7 @@
 
 from pydantic import Field
 
-from badgercart.operator.model import LONG, Addresses, Name, Table
+from badgercart.app.model import LONG, Addresses, Name, Table
 
 
 class EtcdTls(Table, title="EtcdTls"):
--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -18,8 +18,20 @@
 import click
 from pydantic import Field, ValidationError
 
+from badgercart.app import document, logs
+from badgercart.app.asking import PATIENCE
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError, Exit
+from badgercart.app.faults import FileError, of_model, problem
+from badgercart.app.faults import Path as Place
+from badgercart.app.file import load
+from badgercart.app.locate import lines_of
+from badgercart.app.logs import Log
+from badgercart.app.model import Table
 from badgercart.config import Address, Config
 from badgercart.core.clock import now_ms
+from badgercart.discovery.entries import ListReader
+from badgercart.distribution.component import members_of, say_listening, store_driver
 from badgercart.distribution.driver import Client
 from badgercart.distribution.messages import (
     MAX_VALUE,
@@ -36,20 +48,8 @@
     Whole,
     check,
 )
-from badgercart.distribution.part import members_of, say_listening, store_driver
 from badgercart.distribution.settings import SERVERS, MembersSettings, StoreSettings, store_faults
 from badgercart.distribution.topic import Topic
-from badgercart.membership.entries import ListReader
-from badgercart.operator import document, logs
-from badgercart.operator.asking import PATIENCE
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError, Exit
-from badgercart.operator.faults import FileError, of_model, problem
-from badgercart.operator.faults import Path as Place
-from badgercart.operator.file import load
-from badgercart.operator.locate import lines_of
-from badgercart.operator.logs import Log
-from badgercart.operator.model import Table
 
 MAX_FILE = 64 << 20  # bytes of entries
 FILE = click.argument("file", metavar="FILE.toml")
--- a/badgercart/distribution/part.py
+++ b/badgercart/distribution/component.py
@@ -12,8 +12,12 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from badgercart.core.names import stable_id
-from badgercart.core.roster import Member, MemberList
+from badgercart.app.component import Declaration, Host, Kind
+from badgercart.core.endpoint_table import Member, MemberList
+from badgercart.core.identifiers import stable_id
+from badgercart.discovery.entries import ListReader
+from badgercart.discovery.freshness import Rule, State
+from badgercart.discovery.log_events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
 from badgercart.distribution.settings import (
     SERVERS,
     MembersSettings,
@@ -21,13 +25,9 @@
     check_members,
     check_store,
 )
-from badgercart.fronts.http.requests import Page
-from badgercart.membership.entries import ListReader
-from badgercart.membership.events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
-from badgercart.membership.freshness import Rule, State
-from badgercart.operator.part import Declaration, Host, Kind
-from cottonhall.interface import ListKind
-from cottonhall.interface import State as ServerState
+from badgercart.frontends.http.requests import Page
+from badgercart.policy.endpoint import State as ServerState
+from badgercart.policy.events import ListKind
 
 if TYPE_CHECKING:
     from badgercart.distribution.driver import FollowerDriver, StoreDriver
@@ -185,7 +185,7 @@
 
     def take(self, told: Take) -> None:
         """Have a change in force, or have the topic told whole again where that can't be."""
-        from badgercart.distribution import events
+        from badgercart.distribution import log_events as events
 
         roster = self.host.roster
         try:
@@ -272,7 +272,7 @@
 
 
 def say_listening(settings: StoreSettings, driver: StoreDriver) -> None:
-    from badgercart.distribution import events
+    from badgercart.distribution import log_events as events
 
     (host, port), store = driver.listen, driver.store
     events.LISTENING(
--- a/badgercart/distribution/driver.py
+++ b/badgercart/distribution/driver.py
@@ -13,7 +13,7 @@
 from typing import Protocol, cast
 
 from badgercart.config import Address
-from badgercart.distribution import events
+from badgercart.distribution import log_events as events
 from badgercart.distribution.effects import Close, Dial, Effect, Happened, Keep, KeepAll, Send, Take
 from badgercart.distribution.follower import Follower
 from badgercart.distribution.journal import Disk, JournalError
--- a/badgercart/distribution/follower.py
+++ b/badgercart/distribution/follower.py
@@ -14,6 +14,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from badgercart.discovery.freshness import Freshness, Rule
 from badgercart.distribution.effects import Close, Dial, Effect, Happened, Send, Take
 from badgercart.distribution.messages import (
     HEAD,
@@ -31,7 +32,6 @@
     Whole,
 )
 from badgercart.distribution.topic import EACH, Topic
-from badgercart.membership.freshness import Freshness, Rule
 
 MAX_BYTES = 96 << 20  # of keys and values that a follower holds in force and in parts, each
 MAX_PARTS = 4096  # of one whole topic
--- a/badgercart/distribution/events.py
+++ b/badgercart/distribution/log_events.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from badgercart.core.events import TABLE, event
+from badgercart.core.log_events import TABLE, event
 from badgercart.distribution.effects import Happened
 
 LISTENING = event(
--- a/badgercart/distribution/settings.py
+++ b/badgercart/distribution/settings.py
@@ -7,9 +7,9 @@
 
 from pydantic import Field
 
-from badgercart.operator.faults import Path
-from badgercart.operator.model import LONG, Address, Addresses, Listed, Name, Table
-from badgercart.operator.part import Checked
+from badgercart.app.component import Checked
+from badgercart.app.faults import Path
+from badgercart.app.model import LONG, Address, Addresses, Listed, Name, Table
 
 SERVERS = "servers/"  # what the topic of a service's servers begins with
 
--- a/badgercart/distribution/store.py
+++ b/badgercart/distribution/store.py
@@ -41,7 +41,7 @@
     Vote,
     VoteRequest,
 )
-from badgercart.distribution.telling import Bounds, Teller, size
+from badgercart.distribution.publisher import Bounds, Teller, size
 from badgercart.distribution.topic import PART, Topic
 
 FRAMING = 64  # bytes of one change or topic beside its name and entries, at most
--- a/badgercart/bans/bans.py
+++ b/badgercart/ejection/ejections.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from badgercart.bans.events import BANNED, FILE_FAILED, FILE_SPOILT, FREED, TAKEN_OVER
-from badgercart.bans.ledger import MAX_BANS, Ledger, State
-from badgercart.bans.store import Store
+from badgercart.core.checksummed_file import Unusable
+from badgercart.core.endpoint_table import Roster
 from badgercart.core.ports import Timers
-from badgercart.core.roster import Roster
-from badgercart.core.sealed import Unusable
+from badgercart.ejection.ledger import MAX_BANS, Ledger, State
+from badgercart.ejection.log_events import BANNED, FILE_FAILED, FILE_SPOILT, FREED, TAKEN_OVER
+from badgercart.ejection.store import Store
 
 LOOK = 0.1  # s between looks at the file: well inside the grace for drains
 
--- a/badgercart/bans/ledger.py
+++ b/badgercart/ejection/ledger.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from badgercart.core.roster import Member
-from cottonhall.interface import State as Listed
+from badgercart.core.endpoint_table import Member
+from badgercart.policy.endpoint import State as Listed
 
 MAX_NAMES = 4096  # servers that were ever listed, as far back as is remembered
 MAX_BANS = 1024  # servers that are out at a time
--- a/badgercart/bans/store.py
+++ b/badgercart/ejection/store.py
@@ -14,8 +14,8 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from badgercart.bans.ledger import MAX_BANS, MAX_NAMES, Freed, State
-from badgercart.core.sealed import Unusable, put, seal, unseal
+from badgercart.core.checksummed_file import Unusable, put, seal, unseal
+from badgercart.ejection.ledger import MAX_BANS, MAX_NAMES, Freed, State
 
 FORMAT = 1
 MAX_BYTES = 4 << 20
--- a/badgercart/fronts/graphql/part.py
+++ b/badgercart/frontends/graphql/component.py
@@ -7,21 +7,21 @@
 from pathlib import Path as FilePath
 from typing import TYPE_CHECKING
 
-from badgercart.fronts.graphql.settings import GraphqlSettings
-from badgercart.fronts.http.part import register
-from badgercart.operator.faults import Path
-from badgercart.operator.part import Checked, Declaration, Host, Kind
-from cottonhall.interface import Effect
+from badgercart.app.component import Checked, Declaration, Host, Kind
+from badgercart.app.faults import Path
+from badgercart.frontends.graphql.settings import GraphqlSettings
+from badgercart.frontends.http.component import register
+from badgercart.policy.settings import Effect
 
 if TYPE_CHECKING:
-    from badgercart.fronts.graphql.front import GraphqlFront
+    from badgercart.frontends.graphql.frontend import GraphqlFront
 
 
 class GraphqlPart:
     """GraphQL clients and servers; its schema and map take a restart."""
 
     def __init__(self, host: Host, settings: GraphqlSettings) -> None:
-        from badgercart.fronts.graphql.front import (
+        from badgercart.frontends.graphql.frontend import (
             GraphqlFront,
         )  # heavy: only where it is switched on
 
@@ -54,7 +54,7 @@
 
 def check(settings: GraphqlSettings, file: Checked) -> Iterator[tuple[Path, str]]:
     """The map against the schema."""
-    from badgercart.fronts.graphql.mapping import faults, read_schema
+    from badgercart.frontends.graphql.mapping import faults, read_schema
 
     folder = FilePath(file.folder)
     try:
--- a/badgercart/fronts/graphql/documents.py
+++ b/badgercart/frontends/graphql/documents.py
@@ -16,10 +16,10 @@
 
 from graphql import DocumentNode, GraphQLError, GraphQLSchema, OperationDefinitionNode, validate
 
-from badgercart.fronts.graphql.limits import BadDocument, TooCostly, read_document
-from badgercart.fronts.graphql.planner import BadOperation, Memo, Plan, Planner, choose
-from badgercart.fronts.graphql.requests import Asked, error
-from badgercart.fronts.graphql.settings import Limits
+from badgercart.frontends.graphql.limits import BadDocument, TooCostly, read_document
+from badgercart.frontends.graphql.planner import BadOperation, Memo, Plan, Planner, choose
+from badgercart.frontends.graphql.requests import Asked, error
+from badgercart.frontends.graphql.settings import Limits
 
 MAX_ERRORS = 10  # of validation that are told
 PLAN_COST = 40  # times a document's text: about what its tree and its plans hold
--- a/badgercart/fronts/graphql/execution.py
+++ b/badgercart/frontends/graphql/execution.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgercart.carriers.pool.exchange import Message
-from badgercart.core.join import Join
 from badgercart.core.ports import Answer, Carrier, Intake
-from badgercart.fronts.graphql.merge import Outcome, response
-from badgercart.fronts.graphql.outcomes import Reply
-from badgercart.fronts.graphql.planner import Part, Plan
-from badgercart.fronts.graphql.requests import error
+from badgercart.core.request_pipeline import Join
+from badgercart.frontends.graphql.merge import Outcome, response
+from badgercart.frontends.graphql.outcomes import Reply
+from badgercart.frontends.graphql.planner import Part, Plan
+from badgercart.frontends.graphql.requests import error
+from badgercart.upstream.exchange import Message
 
 
 @dataclass(slots=True)
--- a/badgercart/fronts/graphql/front.py
+++ b/badgercart/frontends/graphql/frontend.py
@@ -11,25 +11,23 @@
 
 from graphql import FragmentDefinitionNode, OperationDefinitionNode, execute_sync, parse, print_ast
 
-from badgercart.carriers.pool.exchange import Message
-from badgercart.carriers.pool.pool import ServerPool
 from badgercart.config import Config
 from badgercart.core.clock import MARGIN, now_ms
 from badgercart.core.descriptors import Descriptors
-from badgercart.core.join import Join
-from badgercart.core.names import stable_id
+from badgercart.core.endpoint_table import Roster
+from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import Answer
 from badgercart.core.ports import Order as Attempt
+from badgercart.core.request_pipeline import Join
 from badgercart.core.requests import unknown_tenant
-from badgercart.core.roster import Roster
-from badgercart.fronts.graphql.documents import Documents, Rejected
-from badgercart.fronts.graphql.events import LISTENING, PLAN_FAILED
-from badgercart.fronts.graphql.execution import Execution, Order, PartCall
-from badgercart.fronts.graphql.mapping import read_schema
-from badgercart.fronts.graphql.merge import Outcome
-from badgercart.fronts.graphql.outcomes import read_reply
-from badgercart.fronts.graphql.planner import Plan, Planner
-from badgercart.fronts.graphql.requests import (
+from badgercart.frontends.graphql.documents import Documents, Rejected
+from badgercart.frontends.graphql.execution import Execution, Order, PartCall
+from badgercart.frontends.graphql.log_events import LISTENING, PLAN_FAILED
+from badgercart.frontends.graphql.mapping import read_schema
+from badgercart.frontends.graphql.merge import Outcome
+from badgercart.frontends.graphql.outcomes import read_reply
+from badgercart.frontends.graphql.planner import Plan, Planner
+from badgercart.frontends.graphql.requests import (
     RESPONSE_JSON,
     Asked,
     HttpError,
@@ -40,10 +38,13 @@
     read_post,
     status_of,
 )
-from badgercart.fronts.graphql.settings import GraphqlSettings
-from badgercart.fronts.http.clients import ClientConnection, Listener
-from badgercart.fronts.http.requests import BadRequest, ClientRequest, Headers, Page
-from cottonhall.interface import Effect, Result
+from badgercart.frontends.graphql.settings import GraphqlSettings
+from badgercart.frontends.http.clients import ClientConnection, Listener
+from badgercart.frontends.http.requests import BadRequest, ClientRequest, Headers, Page
+from badgercart.policy.events import Result
+from badgercart.policy.settings import Effect
+from badgercart.upstream.connection_pool import ServerPool
+from badgercart.upstream.exchange import Message
 
 MAX_KEY = 256  # bytes of a client's idempotency key
 
--- a/badgercart/fronts/graphql/limits.py
+++ b/badgercart/frontends/graphql/limits.py
@@ -24,7 +24,7 @@
     parse,
 )
 
-from badgercart.fronts.graphql.settings import Limits
+from badgercart.frontends.graphql.settings import Limits
 
 MAX_NESTING = 200  # of braces, brackets and parentheses: the parser recurses with them
 _OPEN = {TokenKind.BRACE_L, TokenKind.BRACKET_L, TokenKind.PAREN_L}
--- a/badgercart/fronts/graphql/mapping.py
+++ b/badgercart/frontends/graphql/mapping.py
@@ -6,8 +6,8 @@
 
 from graphql import GraphQLError, GraphQLObjectType, GraphQLSchema, build_schema
 
-from badgercart.fronts.graphql.settings import FieldMap
-from cottonhall.interface import Effect
+from badgercart.frontends.graphql.settings import FieldMap
+from badgercart.policy.settings import Effect
 
 
 def read_schema(text: str) -> GraphQLSchema:
--- a/badgercart/fronts/graphql/merge.py
+++ b/badgercart/frontends/graphql/merge.py
@@ -16,7 +16,7 @@
 
 from graphql import get_location
 
-from badgercart.fronts.graphql.planner import Part, Plan, Root
+from badgercart.frontends.graphql.planner import Part, Plan, Root
 
 MAX_ERRORS = 100  # of one part that are passed on
 
--- a/badgercart/fronts/graphql/outcomes.py
+++ b/badgercart/frontends/graphql/outcomes.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from badgercart.core.results import result_of
-from cottonhall.interface import Result
+from badgercart.policy.events import Result
 
 # The request itself is at fault: wherever it goes the answer is the same, and no server is the
 # worse for it.
--- a/badgercart/fronts/graphql/planner.py
+++ b/badgercart/frontends/graphql/planner.py
@@ -48,7 +48,7 @@
     get_variable_values,
 )
 
-from badgercart.fronts.graphql.settings import FieldMap
+from badgercart.frontends.graphql.settings import FieldMap
 
 LOCAL = frozenset(("__typename", "__schema", "__type"))
 
--- a/badgercart/fronts/graphql/settings.py
+++ b/badgercart/frontends/graphql/settings.py
@@ -6,7 +6,7 @@
 
 from pydantic import Field
 
-from badgercart.operator.model import Address, Listed, Name, Table
+from badgercart.app.model import Address, Listed, Name, Table
 
 MOST = 1 << 20
 
--- a/badgercart/fronts/http/clients.py
+++ b/badgercart/frontends/http/clients.py
@@ -12,15 +12,15 @@
 from typing import Protocol, cast
 
 from badgercart.config import Address
-from badgercart.core import reading
+from badgercart.core import read_buffer as reading
 from badgercart.core.clock import now_ms
+from badgercart.core.memory_budget import HOLD, Room
 from badgercart.core.ports import Answer
-from badgercart.core.room import HOLD, Room
 from badgercart.core.streams import Opening, Sink, Upload, nothing
-from badgercart.fronts.http.connection import Connection, State
-from badgercart.fronts.http.crowd import GREETING, makes_room
-from badgercart.fronts.http.events import ACCEPT_FAILED
-from badgercart.fronts.http.requests import (
+from badgercart.frontends.http.connection import Connection, State
+from badgercart.frontends.http.connection_eviction import GREETING, makes_room
+from badgercart.frontends.http.log_events import ACCEPT_FAILED
+from badgercart.frontends.http.requests import (
     BadRequest,
     ClientRequest,
     Headers,
--- a/badgercart/fronts/http/part.py
+++ b/badgercart/frontends/http/component.py
@@ -8,13 +8,13 @@
 
 from pydantic import Field
 
-from badgercart.core.meters import Meters
-from badgercart.operator.model import Address, Table
-from badgercart.operator.part import Declaration, Host, Kind
+from badgercart.app.component import Declaration, Host, Kind
+from badgercart.app.model import Address, Table
+from badgercart.core.metric_registry import Meters
 
 if TYPE_CHECKING:
-    from badgercart.fronts.http.clients import Listener
-    from badgercart.fronts.http.front import HttpFront
+    from badgercart.frontends.http.clients import Listener
+    from badgercart.frontends.http.frontend import HttpFront
 
 
 class HttpSettings(Table, title="HttpSettings"):
@@ -42,8 +42,8 @@
     """Clients by the platform's protocol, and operators' pages on the same listener."""
 
     def __init__(self, host: Host, settings: HttpSettings) -> None:
-        from badgercart.fronts.http.front import HttpFront
-        from badgercart.fronts.http.requests import problem
+        from badgercart.frontends.http.frontend import HttpFront
+        from badgercart.frontends.http.requests import problem
 
         config = replace(host.config, listen=settings.listen)
         self.front: HttpFront = HttpFront(
--- a/badgercart/fronts/http/connection.py
+++ b/badgercart/frontends/http/connection.py
@@ -15,9 +15,8 @@
 
 import httptools
 
-from badgercart.carriers.pool.exchange import MAX_BODY, MAX_BULK, MAX_HEAD, OWS, over_framed
 from badgercart.core.streams import Opening, Upload
-from badgercart.fronts.http.requests import (
+from badgercart.frontends.http.requests import (
     MAX_REQUEST,
     OWN,
     PHRASES,
@@ -29,6 +28,7 @@
     Item,
     Page,
 )
+from badgercart.upstream.exchange import MAX_BODY, MAX_BULK, MAX_HEAD, OWS, over_framed
 
 MAX_WAITING = 8  # requests sent ahead on one connection, after which it is read no further
 SLICE = 4096  # bytes parsed at a time: what is read at once may hold hundreds of requests
--- a/badgercart/fronts/http/crowd.py
+++ b/badgercart/frontends/http/connection_eviction.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TypeVar
 
-from badgercart.fronts.http.connection import State
+from badgercart.frontends.http.connection import State
 
 GREETING = (
     0.05  # s in which a new client is sure to be heard, before it may have to make room for others
--- a/badgercart/fronts/http/front.py
+++ b/badgercart/frontends/http/frontend.py
@@ -7,17 +7,23 @@
 import socket
 from collections.abc import Mapping
 
-from badgercart.carriers.pool.pool import ServerPool
 from badgercart.config import Config
 from badgercart.core.clock import MARGIN
 from badgercart.core.descriptors import Descriptors
-from badgercart.core.join import Join
+from badgercart.core.endpoint_table import Roster
+from badgercart.core.memory_budget import Room, room_of
 from badgercart.core.ports import Intake
-from badgercart.core.room import Room, room_of
-from badgercart.core.roster import Roster
-from badgercart.fronts.http.clients import ClientConnection, Listener
-from badgercart.fronts.http.events import HANDING_OVER, LISTENING, STOPPING
-from badgercart.fronts.http.requests import ClientRequest, Page, Words, no_words, platform_requests
+from badgercart.core.request_pipeline import Join
+from badgercart.frontends.http.clients import ClientConnection, Listener
+from badgercart.frontends.http.log_events import HANDING_OVER, LISTENING, STOPPING
+from badgercart.frontends.http.requests import (
+    ClientRequest,
+    Page,
+    Words,
+    no_words,
+    platform_requests,
+)
+from badgercart.upstream.connection_pool import ServerPool
 
 LEAST = 8  # descriptors on either side, beside another process
 
--- a/badgercart/fronts/http/requests.py
+++ b/badgercart/frontends/http/requests.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from badgercart.carriers.pool.exchange import MAX_BODY, MAX_HEAD, Message
 from badgercart.config import Config
 from badgercart.core.clock import now_ms
 from badgercart.core.requests import BadDescription, Classifier
 from badgercart.core.streams import Upload
+from badgercart.upstream.exchange import MAX_BODY, MAX_HEAD, Message
 
 MAX_REQUEST = MAX_HEAD + 2 * MAX_BODY  # bytes of a whole request, the framing of its body included
 MAX_WHY = 200  # characters of a reason that go into an answer
--- a/badgercart/fronts/processor/account.py
+++ b/badgercart/frontends/processor/account.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from badgercart.fronts.processor.settings import OldAnswers
+from badgercart.frontends.processor.settings import OldAnswers
 
 MAX_PROXIES = 256  # the one that was silent for the longest makes room
 
--- a/badgercart/fronts/processor/commands.py
+++ b/badgercart/frontends/processor/commands.py
@@ -6,8 +6,8 @@
 
 import click
 
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError
 
 COLUMNS = (
     "standing",
@@ -35,7 +35,7 @@
 @click.option("--key", metavar="PEM", help="And its key.")
 def proxies(address: str, as_json: bool, ca: str | None, cert: str | None, key: str | None) -> None:
     """The account of each calling proxy."""
-    from badgercart.fronts.processor.ask import AskError, ask  # heavy
+    from badgercart.frontends.processor.ask import AskError, ask  # heavy
 
     try:
         told = ask(address, ca, cert, key)
--- a/badgercart/fronts/processor/part.py
+++ b/badgercart/frontends/processor/component.py
@@ -5,19 +5,19 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
 
-from badgercart.fronts.processor.settings import ProcessorSettings
-from badgercart.operator.faults import Path
-from badgercart.operator.part import Checked, Declaration, Host, Kind, ReloadError
+from badgercart.app.component import Checked, Declaration, Host, Kind, ReloadError
+from badgercart.app.faults import Path
+from badgercart.frontends.processor.settings import ProcessorSettings
 
 if TYPE_CHECKING:
-    from badgercart.fronts.processor.server import Processor
+    from badgercart.frontends.processor.server import Processor
 
 
 class ProcessorPart:
     """Proxies that ask; SIGHUP reads the PEM files of its certificate anew."""
 
     def __init__(self, host: Host, settings: ProcessorSettings) -> None:
-        from badgercart.fronts.processor.server import (
+        from badgercart.frontends.processor.server import (
             Processor,
         )  # heavy: only where it is switched on
 
@@ -44,7 +44,7 @@
         await self.front.start()
 
     def prepare(self, settings: ProcessorSettings) -> Callable[[], None] | None:
-        from badgercart.fronts.processor.server import TlsError, read_tls
+        from badgercart.frontends.processor.server import TlsError, read_tls
 
         tls = self.front.settings.tls
         if tls is None:
@@ -81,6 +81,6 @@
         check=check,
         extra="processor",
         libraries=("grpc", "envoy"),
-        commands="badgercart.fronts.processor.commands:processor",
+        commands="badgercart.frontends.processor.commands:processor",
     ),
 )
--- a/badgercart/fronts/processor/description.py
+++ b/badgercart/frontends/processor/description.py
@@ -12,7 +12,7 @@
 
 from badgercart.config import Config
 from badgercart.core.requests import BadDescription, Classifier
-from badgercart.fronts.processor.settings import ProcessorSettings
+from badgercart.frontends.processor.settings import ProcessorSettings
 
 MAX_VALUE = 8192  # bytes of one header's value that is read
 MAX_TIMEOUT = 600_000.0  # ms; nobody waits for longer
--- a/badgercart/fronts/processor/machine.py
+++ b/badgercart/frontends/processor/machine.py
@@ -30,16 +30,16 @@
 
 from badgercart.config import parse_address
 from badgercart.core.clock import MARGIN
-from badgercart.core.join import Join
+from badgercart.core.endpoint_table import Member, Roster
 from badgercart.core.ports import Answer, Handle, Intake, Order
+from badgercart.core.request_pipeline import Join
 from badgercart.core.requests import BadDescription
-from badgercart.core.roster import Member, Roster
-from badgercart.fronts.processor.account import Account, Proxy, Standing
-from badgercart.fronts.processor.description import Described
-from badgercart.fronts.processor.events import OLD_ANSWERS
-from badgercart.fronts.processor.outcomes import Phase, harmless, read_end
-from badgercart.fronts.processor.settings import ProcessorSettings
-from cottonhall.interface import Result
+from badgercart.frontends.processor.account import Account, Proxy, Standing
+from badgercart.frontends.processor.description import Described
+from badgercart.frontends.processor.log_events import OLD_ANSWERS
+from badgercart.frontends.processor.outcomes import Phase, harmless, read_end
+from badgercart.frontends.processor.settings import ProcessorSettings
+from badgercart.policy.events import Result
 
 # Replies.
 
--- a/badgercart/fronts/processor/messages.py
+++ b/badgercart/frontends/processor/messages.py
@@ -17,7 +17,7 @@
 from google.protobuf import struct_pb2
 from google.protobuf.message import DecodeError
 
-from badgercart.fronts.processor.machine import (
+from badgercart.frontends.processor.machine import (
     Illegal,
     Immediate,
     Pass,
@@ -26,7 +26,7 @@
     Skip,
     retry_after,
 )
-from badgercart.fronts.processor.outcomes import Phase
+from badgercart.frontends.processor.outcomes import Phase
 
 DESTINATION = "x-gateway-destination-endpoint"
 SERVED = "x-gateway-destination-endpoint-served"
--- a/badgercart/fronts/processor/outcomes.py
+++ b/badgercart/frontends/processor/outcomes.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from badgercart.core.results import result_of
-from cottonhall.interface import NEVER_RAN, Result
+from badgercart.policy.events import NEVER_RAN, Result
 
 VIA_UPSTREAM = "via_upstream"
 
--- a/badgercart/fronts/processor/server.py
+++ b/badgercart/frontends/processor/server.py
@@ -13,13 +13,14 @@
 
 from badgercart.config import Address, Config
 from badgercart.core.clock import now_ms
-from badgercart.core.join import Join
+from badgercart.core.endpoint_table import Roster
+from badgercart.core.request_pipeline import Join
 from badgercart.core.requests import BadDescription
-from badgercart.core.roster import Roster
-from badgercart.fronts.processor import events, messages
-from badgercart.fronts.processor.description import Describer
-from badgercart.fronts.processor.machine import At, Calls, Illegal, Reply, Stream
-from badgercart.fronts.processor.settings import ProcessorSettings, Tls
+from badgercart.frontends.processor import log_events as events
+from badgercart.frontends.processor import messages
+from badgercart.frontends.processor.description import Describer
+from badgercart.frontends.processor.machine import At, Calls, Illegal, Reply, Stream
+from badgercart.frontends.processor.settings import ProcessorSettings, Tls
 
 SERVICE = "envoy.service.ext_proc.v3.ExternalProcessor"
 OPERATORS = "badgercart.processor.v1.Operators"
--- a/badgercart/fronts/processor/settings.py
+++ b/badgercart/frontends/processor/settings.py
@@ -6,7 +6,7 @@
 
 from pydantic import Field
 
-from badgercart.operator.model import LONG, Address, Headers, Name, Table
+from badgercart.app.model import LONG, Address, Headers, Name, Table
 
 Streams = Annotated[int, Field(ge=1, le=100_000)]
 
--- a/badgercart/upgrade/events.py
+++ b/badgercart/hot_restart/log_events.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from badgercart.core.events import event
+from badgercart.core.log_events import event
 
 BESIDE = event(
     "upgrade.beside",
--- a/badgercart/upgrade/handover.py
+++ b/badgercart/hot_restart/state_transfer.py
@@ -13,12 +13,12 @@
 from typing import Any
 
 from badgercart.config import Config
+from badgercart.core.checksummed_file import Unusable, put, seal, unseal
 from badgercart.core.ports import Timers
-from badgercart.core.sealed import Unusable, put, seal, unseal
-from badgercart.upgrade.events import LEARNED, LEARNED_SPOILT, LEARNED_UNKEPT
-from cottonhall.interface import Known
-from cottonhall.memory import Memory, adopt, recall
-from cottonhall.rules import Policy
+from badgercart.hot_restart.log_events import LEARNED, LEARNED_SPOILT, LEARNED_UNKEPT
+from badgercart.policy.endpoint import Known
+from badgercart.policy.policy import Policy
+from badgercart.policy.statistics import Memory, adopt, recall
 
 FORMAT = 1
 EVERY = 1.0  # s between writes
--- a/badgercart/metrics/part.py
+++ b/badgercart/metrics/component.py
@@ -7,13 +7,13 @@
 
 from pydantic import Field
 
-from badgercart.fronts.http.requests import BadRequest, ClientRequest, Headers, Page, problem
-from badgercart.metrics.events import LISTENING
-from badgercart.operator.model import Address, Table
-from badgercart.operator.part import Declaration, Host, Kind
+from badgercart.app.component import Declaration, Host, Kind
+from badgercart.app.model import Address, Table
+from badgercart.frontends.http.requests import BadRequest, ClientRequest, Headers, Page, problem
+from badgercart.metrics.log_events import LISTENING
 
 if TYPE_CHECKING:
-    from badgercart.fronts.http.clients import ClientConnection
+    from badgercart.frontends.http.clients import ClientConnection
 
 PATH = b"/metrics"
 MAX_CONNECTIONS = 16  # of those who scrape: one more makes the longest idle one go
@@ -30,7 +30,7 @@
     watched."""
 
     def __init__(self, host: Host, settings: MetricsSettings) -> None:
-        from badgercart.fronts.http.clients import Listener
+        from badgercart.frontends.http.clients import Listener
         from badgercart.metrics.figures import CONTENT_TYPE, Figures
 
         config = host.config
--- a/badgercart/metrics/figures.py
+++ b/badgercart/metrics/figures.py
@@ -21,9 +21,9 @@
 )
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
-from badgercart.core.meters import Kind, Meters
+from badgercart.core.metric_registry import Kind, Meters
 from badgercart.core.ports import Final, Intake
-from cottonhall.interface import RequestClass
+from badgercart.policy.settings import RequestClass
 
 CONTENT_TYPE = CONTENT_TYPE_LATEST.encode()
 MAX_BUCKETS = 20
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -8,25 +8,25 @@
 from collections.abc import Mapping
 from typing import Any
 
-from badgercart.bans.bans import Bans
+from badgercart.admin.handlers import NodeDesk
+from badgercart.admin.listener import Door
 from badgercart.config import Config, ConfigError, reread
-from badgercart.console.desk import NodeDesk
-from badgercart.console.door import Door
 from badgercart.core.clock import now_ms
-from badgercart.core.events import CONFIG_KEPT, CONFIG_READ, LIST_KNOWN_MALFORMED, STOPPED
-from badgercart.core.join import Join
-from badgercart.core.roster import Roster
-from badgercart.fronts.http.clients import ACCEPT_FOR
-from badgercart.fronts.http.front import HttpFront
-from badgercart.membership.catalog import Discovery
-from badgercart.membership.entries import ListReader
-from badgercart.membership.tries import Pace
-from badgercart.retune.retune import Busy, retuned, wants_restart
-from badgercart.upgrade.events import ALONE, BESIDE
-from badgercart.upgrade.handover import Handover
-from badgercart.upgrade.inherited import inherited_socket
-from badgercart.upgrade.lives import Lives
-from cottonhall.interface import ListKind
+from badgercart.core.endpoint_table import Roster
+from badgercart.core.log_events import CONFIG_KEPT, CONFIG_READ, LIST_KNOWN_MALFORMED, STOPPED
+from badgercart.core.request_pipeline import Join
+from badgercart.discovery.backoff import Pace
+from badgercart.discovery.catalog import Discovery
+from badgercart.discovery.entries import ListReader
+from badgercart.ejection.ejections import Bans
+from badgercart.frontends.http.clients import ACCEPT_FOR
+from badgercart.frontends.http.frontend import HttpFront
+from badgercart.hot_restart.inherited_socket import inherited_socket
+from badgercart.hot_restart.log_events import ALONE, BESIDE
+from badgercart.hot_restart.process_lock import Lives
+from badgercart.hot_restart.state_transfer import Handover
+from badgercart.policy.events import ListKind
+from badgercart.reload.reconfiguration import Busy, retuned, wants_restart
 
 LIST_PATIENCE = (
     2.5  # s that a successor waits for discovery, after which it serves by the list that it has
--- a/cottonhall/rules.py
+++ b/badgercart/policy/policy.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer. Its types, events and actions are in cottonhall/interface.py.
+"""Every decision of the balancer. Settings, events and actions are in the modules of these names.
 
 A request is scored by worth on arrival. Under measured overload x those scored below 100 * x**3 are
 refused; the rest go to a random idle-looking server of a small draw, else to the lighter of two.
@@ -12,12 +12,30 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 
-from cottonhall.fleet import Level, Ring, Sizes
-from cottonhall.interface import (
-    MAY_RUN_ON, NEVER_RAN, Action, Began, Cancel, Company, Diverted, Effect, Event, Fail, Group, Known,
-    ListKind, Log, Outcome, Overdue, Planned, Refuse, Request, RequestClass, Result, Resume, Retuned, Send,
-    ServerEntry, ServerList, Settings, State, Subscribe, Timer, Wake, Whole, Withdrawn,
-)  # fmt: skip
+from badgercart.policy.hash_ring import Level, Ring, Sizes
+from badgercart.policy.actions import Action, Cancel, Fail, Log, Refuse, Send, Subscribe, Wake
+from badgercart.policy.endpoint import Known, ServerEntry, State
+from badgercart.policy.events import (
+    MAY_RUN_ON,
+    NEVER_RAN,
+    Began,
+    Company,
+    Diverted,
+    Event,
+    ListKind,
+    Outcome,
+    Overdue,
+    Planned,
+    Request,
+    Result,
+    Resume,
+    Retuned,
+    ServerList,
+    Timer,
+    Whole,
+    Withdrawn,
+)
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 
 UPKEEP = 50.0  # ms between refreshes of shares and overload; far below any aim
 # ms: where a class wants its answers sooner, jams come and go sooner, and overload is seen sooner
--- a/cottonhall/memory.py
+++ b/badgercart/policy/statistics.py
@@ -10,8 +10,8 @@
 
 from dataclasses import dataclass, field
 
-from cottonhall.interface import Known
-from cottonhall.rules import SAMPLE, Policy
+from badgercart.policy.endpoint import Known
+from badgercart.policy.policy import SAMPLE, Policy
 
 
 @dataclass(slots=True)
--- a/badgercart/retune/retune.py
+++ b/badgercart/reload/reconfiguration.py
@@ -7,8 +7,9 @@
 from dataclasses import dataclass, replace
 
 from badgercart.config import Config
-from badgercart.retune.numbers import renumbered
-from cottonhall.interface import RequestClass, Retuned, Settings
+from badgercart.policy.events import Retuned
+from badgercart.policy.settings import RequestClass, Settings
+from badgercart.reload.numbers import renumbered
 
 
 @dataclass(slots=True, frozen=True)
--- /dev/null
+++ b/badgercart/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The policy on the protocol of the fleet's simulator."""
--- a/cottonhall/wire.py
+++ b/badgercart/simulator/codec.py
@@ -7,34 +7,32 @@
 import struct
 from typing import Any
 
-from cottonhall.interface import (
+from badgercart.policy.actions import (
     Action,
-    Began,
     Cancel,
-    Effect,
-    Event,
     Fail,
-    Group,
-    ListKind,
     Log,
+    Probe,
+    Refuse,
+    Send,
+    Subscribe,
+    Wake,
+)
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import (
+    Began,
+    Event,
+    ListKind,
     Outcome,
     PeerMessage,
-    Probe,
     ProbeResult,
-    Refuse,
     Request,
-    RequestClass,
     Result,
-    Send,
-    ServerEntry,
     ServerList,
-    Settings,
-    State,
-    Subscribe,
     Timer,
-    Wake,
     Withdrawn,
 )
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 
 EVENT_SIZE = 48
 ACTION_SIZE = 24
--- a/cottonhall/benchlink.py
+++ b/badgercart/simulator/server.py
@@ -7,8 +7,8 @@
 import traceback
 from typing import BinaryIO
 
-from cottonhall.rules import Policy
-from cottonhall.wire import BATCH_HEAD, Born, Decoder, Encoder, Killed, WireError
+from badgercart.policy.policy import Policy
+from badgercart.simulator.codec import BATCH_HEAD, Born, Decoder, Encoder, Killed, WireError
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
@@ -53,10 +53,6 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"cottonhall: {error}", file=sys.stderr)
+        print(f"badgercart.simulator: {error}", file=sys.stderr)
         return 2
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/badgercart/learning/ageing.py
+++ b/badgercart/statistics/ageing.py
@@ -10,8 +10,8 @@
 import math
 from dataclasses import replace
 
-from cottonhall.interface import Settings
-from cottonhall.memory import Memory
+from badgercart.policy.settings import Settings
+from badgercart.policy.statistics import Memory
 
 SECOND, MINUTE = 1000.0, 60_000.0
 HALF = {  # ms after which half of it is left
--- a/badgercart/learning/commands.py
+++ b/badgercart/statistics/commands.py
@@ -8,18 +8,18 @@
 
 import click
 
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError
 
 if TYPE_CHECKING:
-    from badgercart.learning.snapshot import Snapshot
+    from badgercart.statistics.snapshot import Snapshot
 
 FILE = click.argument("file", type=click.Path(exists=True), metavar="FILE|FOLDER")
 
 
 def read(path: str) -> Snapshot:
-    from badgercart.learning.snapshot import MAX_BYTES, SnapshotError, decode
-    from badgercart.learning.store import CURRENT
+    from badgercart.statistics.snapshot import MAX_BYTES, SnapshotError, decode
+    from badgercart.statistics.store import CURRENT
 
     file = Path(path) / CURRENT if Path(path).is_dir() else Path(path)
     try:
@@ -43,7 +43,7 @@
     """A table of servers: slowness, failures, and how much of it still counts."""
     import msgspec
 
-    from badgercart.learning.ageing import left, towards
+    from badgercart.statistics.ageing import left, towards
 
     kept = read(file)
     if as_json:
@@ -89,7 +89,7 @@
     """A file as JSON, or JSON and files of older versions as a file."""
     import msgspec
 
-    from badgercart.learning.snapshot import Snapshot, SnapshotError, decode, encode
+    from badgercart.statistics.snapshot import Snapshot, SnapshotError, decode, encode
 
     data = Path(file).read_bytes() if Path(file).is_file() else b""
     try:
--- a/badgercart/learning/part.py
+++ b/badgercart/statistics/component.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from badgercart.learning.events import FAILED, OFF, RESTORED, UNUSED
-from badgercart.learning.settings import LearningSettings
-from badgercart.operator.part import Declaration, Host, Kind
+from badgercart.app.component import Declaration, Host, Kind
+from badgercart.statistics.log_events import FAILED, OFF, RESTORED, UNUSED
+from badgercart.statistics.settings import LearningSettings
 
 if TYPE_CHECKING:
-    from badgercart.learning.store import Folder, Lock
-    from cottonhall.memory import Memory
+    from badgercart.policy.statistics import Memory
+    from badgercart.statistics.store import Folder, Lock
 
 FUTURE = 5000.0  # ms by which a file may be younger than now: clocks are set
 PATIENCE = 2.0  # s for the last save
@@ -33,7 +33,7 @@
     without it."""
 
     def __init__(self, host: Host, settings: LearningSettings) -> None:
-        from badgercart.learning.store import Folder, Lock
+        from badgercart.statistics.store import Folder, Lock
 
         self.host, self.settings = host, settings
         self.folder = Path(host.folder) / settings.folder
@@ -57,8 +57,8 @@
 
     def restore(self) -> None:
         """Before anything is told to the policy."""
-        from badgercart.learning import ageing, snapshot, store
-        from cottonhall.memory import adopt
+        from badgercart.policy.statistics import adopt
+        from badgercart.statistics import ageing, snapshot, store
 
         loaded = store.load(self.files)
         for fault in loaded.faults:
@@ -95,7 +95,7 @@
 
     async def save(self) -> None:
         """The copy is made here, all else on a thread: the loop waits for no disk."""
-        from cottonhall.memory import recall
+        from badgercart.policy.statistics import recall
 
         memory = recall(self.host.join.policy, self.settings.keys)
         try:
@@ -107,7 +107,7 @@
             self.saves += 1
 
     def write(self, memory: Memory) -> None:
-        from badgercart.learning import snapshot, store
+        from badgercart.statistics import snapshot, store
 
         offset = self.host.reader.unix_offset
         now = time.time() * 1000
@@ -155,6 +155,6 @@
         extra="learning",
         libraries=("msgspec",),
         reloads=("every_s", "keys", "most_bytes", "oldest_s"),
-        commands="badgercart.learning.commands:learned",
+        commands="badgercart.statistics.commands:learned",
     ),
 )
--- a/badgercart/learning/snapshot.py
+++ b/badgercart/statistics/snapshot.py
@@ -21,8 +21,8 @@
 from msgspec import Meta
 
 from badgercart.config import Config
-from cottonhall.interface import Known
-from cottonhall.memory import Memory
+from badgercart.policy.endpoint import Known
+from badgercart.policy.statistics import Memory
 
 MAGIC = b"BLRN"
 VERSION = 1
--- a/badgercart/learning/store.py
+++ b/badgercart/statistics/store.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from badgercart.learning.snapshot import MAX_BYTES, Newer, Snapshot, SnapshotError, decode
+from badgercart.statistics.snapshot import MAX_BYTES, Newer, Snapshot, SnapshotError, decode
 
 CURRENT, BEFORE, FRESH, LOCK = "learned", "learned.before", "learned.new", "learned.lock"
 PIECE = 1 << 16  # bytes of one write
--- a/badgercart/carriers/pool/attempts.py
+++ b/badgercart/upstream/attempts.py
@@ -6,7 +6,7 @@
 import math
 from enum import IntEnum
 
-from cottonhall.interface import Result
+from badgercart.policy.events import Result
 
 # A server may close what stands idle sooner than it says, unseen until the next request is reset.
 # Where two in a row that were idle for longer than SHORT_IDLE are, the limit comes down; it grows
--- a/badgercart/carriers/pool/pool.py
+++ b/badgercart/upstream/connection_pool.py
@@ -11,18 +11,19 @@
 from functools import partial
 from typing import Protocol, cast
 
-from badgercart.carriers.pool.attempts import BROKEN, OVERDUE, At, IdleLimit, check_end, hindrance
-from badgercart.carriers.pool.events import MALFORMED_ANSWER, NO_DESCRIPTORS
-from badgercart.carriers.pool.exchange import Done, Exchange, Found, Malformed, Message
 from badgercart.config import Address
-from badgercart.core import reading
+from badgercart.core import read_buffer as reading
 from badgercart.core.clock import now_ms
+from badgercart.core.endpoint_table import Member
+from badgercart.core.memory_budget import Room, room_of
 from badgercart.core.ports import Answer, Order
 from badgercart.core.results import result_of
-from badgercart.core.room import Room, room_of
-from badgercart.core.roster import Member
 from badgercart.core.streams import Opening, Sink, nothing
-from cottonhall.interface import Result, State
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import Result
+from badgercart.upstream.attempts import BROKEN, OVERDUE, At, IdleLimit, check_end, hindrance
+from badgercart.upstream.exchange import Done, Exchange, Found, Malformed, Message
+from badgercart.upstream.log_events import MALFORMED_ANSWER, NO_DESCRIPTORS
 
 LAST_LOOK = 0.001  # s, one turn of the loop, between an attempt's time and its end
 SWEEP = 1.0  # s between looks for connections that have been idle for too long
--- a/badgercart/carriers/pool/exchange.py
+++ b/badgercart/upstream/exchange.py
@@ -12,8 +12,8 @@
 
 import httptools
 
+from badgercart.core.memory_budget import HOLD
 from badgercart.core.ports import Answer
-from badgercart.core.room import HOLD
 from badgercart.core.streams import Opening, Upload
 
 MAX_BODY = 65536  # bytes of a body where nothing passes through as it comes
--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -12,13 +12,13 @@
 
 import click
 
-from badgercart.operator.asking import page_of
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError, Exit
-from badgercart.peers.commands import exchange, loaded
+from badgercart.app.asking import page_of
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError, Exit
+from badgercart.cluster.commands import exchange, loaded
 
 if TYPE_CHECKING:
-    from badgercart.operator.file import Installation
+    from badgercart.app.file import Installation
 
 NODE = click.argument("node", metavar="HOST:PORT")
 FILE = click.argument("file", metavar="FILE.toml")
@@ -120,8 +120,8 @@
     """As one that has the group's secret: a post that the node passes on; whether it has it now."""
     import msgspec
 
-    from badgercart.peers.wire import Packet, Sync
-    from badgercart.zones.keeper import ORDERS, Order
+    from badgercart.cluster.codec import Packet, Sync
+    from badgercart.zones.failover_controller import ORDERS, Order
 
     config = site.config
     geography = site.parts["zones"].geography(config.zones, config.classes, config.tenants)
--- a/badgercart/zones/part.py
+++ b/badgercart/zones/component.py
@@ -10,18 +10,19 @@
 from datetime import UTC, datetime
 from typing import TYPE_CHECKING, Any, cast
 
+from badgercart.app.component import Declaration, Host, Kind, ReloadError
+from badgercart.core.endpoint_table import Member as Line
 from badgercart.core.ports import Final, Intake
-from badgercart.core.roster import Member as Line
-from badgercart.fronts.http.requests import Page
-from badgercart.operator.part import Declaration, Host, Kind, ReloadError
-from badgercart.zones import events
-from badgercart.zones.eyes import VERDICT_WORDS
+from badgercart.frontends.http.requests import Page
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import Planned, Result
+from badgercart.zones import log_events as events
+from badgercart.zones.failure_detector import VERDICT_WORDS
 from badgercart.zones.settings import ZonesSettings, check
-from cottonhall.interface import Planned, Result, State
 
 if TYPE_CHECKING:
-    from badgercart.peers.part import PeersPart
-    from badgercart.zones.keeper import Fleet
+    from badgercart.cluster.component import PeersPart
+    from badgercart.zones.failover_controller import Fleet
 
 LARGE = (
     4000  # numbers in a plan from which it is worked out beside the loop: it takes about 5 ms then
@@ -32,7 +33,7 @@
     """One node's keeper."""
 
     def __init__(self, host: Host, settings: ZonesSettings) -> None:
-        from badgercart.zones.keeper import Fleet, Keeper
+        from badgercart.zones.failover_controller import Fleet, Keeper
 
         self.host, self.settings, config = host, settings, host.config
         self.peers = cast("PeersPart", host.services["peers"])
@@ -157,7 +158,7 @@
     # The look.
 
     def look(self) -> None:
-        from badgercart.zones.keeper import LOOK
+        from badgercart.zones.failover_controller import LOOK
 
         self.timer = self.host.loop.call_later(LOOK / 1000, self.look)
         keeper, now = self.keeper, self.host.join.clock()
--- a/badgercart/zones/keeper.py
+++ b/badgercart/zones/failover_controller.py
@@ -16,10 +16,13 @@
 
 import msgspec
 
-from badgercart.peers.machine import Effect as PeersEffect
-from badgercart.peers.member import Member
-from badgercart.peers.vouching import Standing
-from badgercart.zones.council import (
+from badgercart.cluster.member import Member
+from badgercart.cluster.quorum import Standing
+from badgercart.cluster.swim import Effect as PeersEffect
+from badgercart.policy.events import Planned, Result
+from badgercart.zones.circuit_breaker import Gate, Pace
+from badgercart.zones.failure_detector import FORGET, VERDICT_WORDS, Eyes, Verdict
+from badgercart.zones.plan_consensus import (
     ASK,
     CHUNKS,
     COMMITS,
@@ -31,14 +34,11 @@
     Terms,
     Why,
 )
-from badgercart.zones.council import Effect as CouncilEffect
-from badgercart.zones.council import Post as CouncilPost
-from badgercart.zones.evidence import SLOW_FROM, Claim, Evidence, Seen
-from badgercart.zones.eyes import FORGET, VERDICT_WORDS, Eyes, Verdict
-from badgercart.zones.gates import Gate, Pace
-from badgercart.zones.geography import MAX_ZONES, Geography
-from badgercart.zones.plan import PARTS, Limits, Plan, Situation, unpacked, work_out
-from cottonhall.interface import Planned, Result
+from badgercart.zones.plan_consensus import Effect as CouncilEffect
+from badgercart.zones.plan_consensus import Post as CouncilPost
+from badgercart.zones.topology import MAX_ZONES, Geography
+from badgercart.zones.traffic_plan import PARTS, Limits, Plan, Situation, unpacked, work_out
+from badgercart.zones.zone_reports import SLOW_FROM, Claim, Evidence, Seen
 
 EYES, ORDERS = "zones.eyes", "zones.orders"  # topics
 DRAIN, PIN, RELEASE = WORDS = ("drain", "pin", "release")
--- a/badgercart/zones/eyes.py
+++ b/badgercart/zones/failure_detector.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from cottonhall.interface import Result
+from badgercart.policy.events import Result
 
 DARK_FROM = 12.0  # proof: a chance of 6 in a million
 NO_LINK = 2.5  # proof of an attempt or a probe that met nobody at all
--- a/badgercart/zones/council.py
+++ b/badgercart/zones/plan_consensus.py
@@ -30,7 +30,7 @@
 
 import msgspec
 
-from badgercart.zones.plan import Plan, PlanError, packed
+from badgercart.zones.traffic_plan import Plan, PlanError, packed
 
 CHUNK = 440  # bytes of a plan in one post
 MAX_CHUNKS = 32
--- a/badgercart/zones/settings.py
+++ b/badgercart/zones/settings.py
@@ -7,15 +7,15 @@
 
 from pydantic import Field
 
-from badgercart.operator.faults import Path
-from badgercart.operator.model import LONG, Listed, Name, Names, Table
-from badgercart.operator.part import Checked
-from badgercart.peers.settings import Network
-from badgercart.zones.council import Terms
-from badgercart.zones.gates import Pace
-from badgercart.zones.geography import MAX_ZONES, Geography, geography
-from badgercart.zones.keeper import Mode, Ways
-from badgercart.zones.plan import Limits
+from badgercart.app.component import Checked
+from badgercart.app.faults import Path
+from badgercart.app.model import LONG, Listed, Name, Names, Table
+from badgercart.cluster.settings import Network
+from badgercart.zones.circuit_breaker import Pace
+from badgercart.zones.failover_controller import Mode, Ways
+from badgercart.zones.plan_consensus import Terms
+from badgercart.zones.topology import MAX_ZONES, Geography, geography
+from badgercart.zones.traffic_plan import Limits
 
 Part = Annotated[float, Field(ge=0, le=1)]
 
--- a/badgercart/zones/sight.py
+++ b/badgercart/zones/sight.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from badgercart.zones.geography import Geography
-from badgercart.zones.keeper import Fleet
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
+from badgercart.zones.failover_controller import Fleet
+from badgercart.zones.topology import Geography
 
 A_LOOK = 1000  # servers that are looked at for one look's time: of more it is taken less often
 
--- a/badgercart/zones/plan.py
+++ b/badgercart/zones/traffic_plan.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from badgercart.zones.geography import Geography
+from badgercart.zones.topology import Geography
 
 # that a row is dealt out in: a plan is whole numbers, the same bit by bit wherever it is read
 PARTS = 240
--- a/badgercart/zones/evidence.py
+++ b/badgercart/zones/zone_reports.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from badgercart.zones.eyes import Verdict
-from badgercart.zones.geography import Geography
+from badgercart.zones.failure_detector import Verdict
+from badgercart.zones.topology import Geography
 
 LIE = 4.0  # of an even part of all capacity: no node's demand counts for more
 SLOW_FROM = (
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -7,20 +7,20 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from badgercart.membership.etcd.follower import MAX_ENTRIES
-from badgercart.membership.texts import MOST as MOST_LIST
-from badgercart.operator.document import MAX_FILE
-from badgercart.peers.member import PASSED_ON
-from badgercart.peers.queue import most_times
-from badgercart.peers.uses import MAX_TENANTS as MOST_SHARED
-from badgercart.peers.view import MAX_MEMBERS
-from badgercart.peers.wire import MAX_SYNC
-from badgercart.retune.checks import MAX_CLASSES, MAX_TENANTS
-from badgercart.zones.council import COMMITS, VOTERS, Terms
-from badgercart.zones.keeper import LOOK
+from badgercart.app.document import MAX_FILE
+from badgercart.cluster.broadcast_queue import most_times
+from badgercart.cluster.codec import MAX_SYNC
+from badgercart.cluster.member import PASSED_ON
+from badgercart.cluster.membership_table import MAX_MEMBERS
+from badgercart.cluster.uses import MAX_TENANTS as MOST_SHARED
+from badgercart.discovery.etcd.follower import MAX_ENTRIES
+from badgercart.discovery.list_framing import MOST as MOST_LIST
+from badgercart.policy.policy import FEW, NODES
+from badgercart.reload.checks import MAX_CLASSES, MAX_TENANTS
+from badgercart.zones.failover_controller import LOOK
+from badgercart.zones.plan_consensus import COMMITS, VOTERS, Terms
 from benchmarks.capacity.laws import Law, Runs, break_share
 from benchmarks.capacity.target import ASSUMED, BUDGETS, TARGET, Budget, Target
-from cottonhall.rules import FEW, NODES
 
 REPORTED = 10  # tenants in the reports of `benchmarks.scale.peers`
 APART = 0.5  # s between changes in `benchmarks.scale.processes`
@@ -208,7 +208,7 @@
         Need("messages in", "the whole file for each change, the mean of a day", "B/s",
              lambda t: t.config_changes * file(t.tenants), BUDGETS["bytes"], TOLD, (file,)),
         Need("limit", "bytes of an operator's file, all tenants", "bytes", lambda t: theirs(t.tenants),
-             limit(MAX_FILE, "bytes", "badgercart.operator.document.MAX_FILE"), TOLD, (theirs,)),
+             limit(MAX_FILE, "bytes", "badgercart.app.document.MAX_FILE"), TOLD, (theirs,)),
         Need("memory", "the peak as a file is read, all tenants", "MB", lambda t: peak(t.tenants) / 1e6,
              BUDGETS["memory"], TOLD, (peak,), plain=True),
     )  # fmt: skip
@@ -257,7 +257,7 @@
         Need("time", "a whole exchange holds the loop, ten tenants", "ms", lambda t: exchange(t.nodes),
              BUDGETS["standstill"], Mechanism.CELLS, (exchange,), plain=True),
         Need("limit", "bytes of a whole exchange, 64 tenants", "bytes", lambda t: size(t.nodes),
-             limit(MAX_SYNC, "bytes", "badgercart.peers.wire.MAX_SYNC"), Mechanism.SHARES, (size,)),
+             limit(MAX_SYNC, "bytes", "badgercart.cluster.codec.MAX_SYNC"), Mechanism.SHARES, (size,)),
     )  # fmt: skip
 
 
@@ -326,7 +326,7 @@
     )
     SHARES, LEARNED = Mechanism.SHARES, Mechanism.LEARNED
     told = ("lines of a restart", "lines of a failure")
-    members = limit(MAX_MEMBERS, "members", "badgercart.peers.view.MAX_MEMBERS")
+    members = limit(MAX_MEMBERS, "members", "badgercart.cluster.membership_table.MAX_MEMBERS")
 
     return [
         Role(
@@ -355,9 +355,9 @@
                      TOLD,
                      (kept_tenants,), plain=True),
                 Need("limit", "services that a node tells apart", "services", lambda t: t.services,
-                     limit(1, "service", "cottonhall.rules.Policy: one list of servers"), FLEETS),
+                     limit(1, "service", "badgercart.policy.policy.Policy: one list of servers"), FLEETS),
                 Need("limit", "routes, where each is a class", "routes", lambda t: t.routes,
-                     limit(MAX_CLASSES, "classes", "badgercart.retune.checks.MAX_CLASSES"), FLEETS),
+                     limit(MAX_CLASSES, "classes", "badgercart.reload.checks.MAX_CLASSES"), FLEETS),
                 Need("messages out", "requests that open a connection, every node serves every service",
                      "of requests", opened, BUDGETS["new connections"], FLEETS, assumed=("idle",)),
                 Need("state", "connections to servers, every node serves every service", "connections",
@@ -378,9 +378,9 @@
                 Need("messages in", "the whole list at a start, at 17 KB a second", "s",
                      lambda t: size(t.servers) / BUDGETS["bytes"].value, BUDGETS["ready"], TOLD, (size,)),
                 Need("limit", "bytes of a whole list", "bytes", lambda t: size(t.servers),
-                     limit(MOST_LIST, "bytes", "badgercart.membership.texts.MOST"), TOLD, (size,)),
+                     limit(MOST_LIST, "bytes", "badgercart.discovery.list_framing.MOST"), TOLD, (size,)),
                 Need("limit", "entries, where etcd tells them", "entries", lambda t: t.servers,
-                     limit(MAX_ENTRIES, "entries", "badgercart.membership.etcd.follower.MAX_ENTRIES"), TOLD),
+                     limit(MAX_ENTRIES, "entries", "badgercart.discovery.etcd.follower.MAX_ENTRIES"), TOLD),
                 *list_needs(runs),
             ),
             (TOLD,),
@@ -392,7 +392,7 @@
             (
                 Need("time", "a change is in force everywhere", "s", nothing, BUDGETS["in force"], TOLD),
                 Need("limit", "tenants that a reload takes", "tenants", lambda t: t.tenants,
-                     limit(MAX_TENANTS, "tenants", "badgercart.retune.checks.MAX_TENANTS"), TOLD),
+                     limit(MAX_TENANTS, "tenants", "badgercart.reload.checks.MAX_TENANTS"), TOLD),
                 *config_needs(runs),
             ),
             (TOLD,),
@@ -416,10 +416,10 @@
             "nodes x tenants counters at each node",
             (
                 Need("limit", "tenants in a report", "tenants", lambda t: t.tenants,
-                     limit(MOST_SHARED, "tenants", "badgercart.peers.uses.MAX_TENANTS"), SHARES),
+                     limit(MOST_SHARED, "tenants", "badgercart.cluster.uses.MAX_TENANTS"), SHARES),
                 Need("time", "for which one request of a mean tenant uses up a node's even part", "s",
                      lambda t: t.nodes * t.tenants / t.requests,
-                     limit(1, "s", "cottonhall.rules.Policy.on_request: a bucket 1 s deep"), SHARES),
+                     limit(1, "s", "badgercart.policy.policy.Policy.on_request: a bucket 1 s deep"), SHARES),
                 Need("time", "between two reports of use", "s", lambda t: reports_every(t.nodes),
                      BUDGETS["report"], SHARES, note="worked out by `Member.every`"),
                 Need("time", "a node's parts of all tenants hold the loop as they change", "ms",
@@ -455,7 +455,8 @@
                      lambda t: commit(t.nodes) * 1000 / Terms().renew, BUDGETS["bytes"], COUNCIL, (commit,)),
                 Need("limit", "voters that a commit names: more than half of the nodes", "nodes",
                      lambda t: t.nodes / 2,
-                     limit(VOTERS * len(COMMITS), "voters", "badgercart.zones.council.COMMITS"), COUNCIL),
+                     limit(VOTERS * len(COMMITS), "voters", "badgercart.zones.plan_consensus.COMMITS"),
+                     COUNCIL),
                 Need("memory", "claims", "MB", lambda t: claims(t.nodes) / 1e6, BUDGETS["memory"], COUNCIL,
                      (claims,), plain=True),
             ),
--- a/benchmarks/capacity/storms.py
+++ b/benchmarks/capacity/storms.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from badgercart.membership.tries import RETRY_FIRST, Pace
-from badgercart.zones.plan import Limits
+from badgercart.discovery.backoff import RETRY_FIRST, Pace
+from badgercart.zones.traffic_plan import Limits
 from benchmarks.capacity.laws import Law, Runs
 from benchmarks.capacity.rows import Tag, changed_line, line_bytes, reload, subset
 from benchmarks.capacity.target import ASSUMED, BUDGETS, TARGET, Budget
--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -22,18 +22,11 @@
 from badgercart.capture.replay import replay, segments
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.writer import Capture
-from badgercart.core.join import Join
 from badgercart.core.ports import Answer, Intake, Order
-from cottonhall.interface import (
-    Effect,
-    ListKind,
-    RequestClass,
-    Result,
-    ServerEntry,
-    ServerList,
-    Settings,
-    State,
-)
+from badgercart.core.request_pipeline import Join
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, Result, ServerList
+from badgercart.policy.settings import Effect, RequestClass, Settings
 
 CLASS = RequestClass(580.0, 1400.0, 2.0, Effect.SAFE)
 GAP = 3.0  # ms between requests
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -22,22 +22,15 @@
 from aetcd.rpc import rpc_pb2, rpc_pb2_grpc
 
 from badgercart.core.clock import now_ms
-from badgercart.core.join import Join
-from badgercart.core.roster import MemberList, Roster
-from badgercart.membership.entries import ListReader
-from badgercart.membership.etcd.client import EtcdSource, prefix_end
-from badgercart.membership.etcd.settings import EtcdSettings
-from cottonhall import Policy, Settings
-from cottonhall.interface import (
-    Effect,
-    ListKind,
-    Request,
-    RequestClass,
-    ServerEntry,
-    ServerList,
-    State,
-    Timer,
-)
+from badgercart.core.endpoint_table import MemberList, Roster
+from badgercart.core.request_pipeline import Join
+from badgercart.discovery.entries import ListReader
+from badgercart.discovery.etcd.client import EtcdSource, prefix_end
+from badgercart.discovery.etcd.settings import EtcdSettings
+from badgercart.policy import Policy, Settings
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, Request, ServerList, Timer
+from badgercart.policy.settings import Effect, RequestClass
 from tests.net import config
 
 PREFIX = "/badgercart/servers/"
@@ -218,8 +211,8 @@
 async def catch_up(entries: int) -> None:
     """The cost of a change from a watch response to the policy, beside reading the response
     alone."""
-    from badgercart.membership.etcd.follower import Change, Deliver, Header, Page, Pair
-    from badgercart.membership.etcd.follower import Follower as Machine
+    from badgercart.discovery.etcd.follower import Change, Deliver, Header, Page, Pair
+    from badgercart.discovery.etcd.follower import Follower as Machine
 
     follower = Follower(1)
     machine = Machine(
--- a/benchmarks/graphql.py
+++ b/benchmarks/graphql.py
@@ -16,8 +16,8 @@
 import tracemalloc
 from pathlib import Path
 
-from badgercart.fronts.graphql.limits import BadDocument, TooCostly, read_document
-from badgercart.fronts.graphql.settings import Limits
+from badgercart.frontends.graphql.limits import BadDocument, TooCostly, read_document
+from badgercart.frontends.graphql.settings import Limits
 from benchmarks.same_service import Day
 from standins import http1
 from standins.demo import FRONTS, NodeProcess
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -16,20 +16,14 @@
 from pathlib import Path
 
 from badgercart.config import Config
-from badgercart.learning import snapshot, store
-from badgercart.learning.ageing import aged
-from badgercart.learning.part import give_way
-from cottonhall.interface import (
-    Effect,
-    ListKind,
-    RequestClass,
-    ServerEntry,
-    ServerList,
-    Settings,
-    State,
-)
-from cottonhall.memory import Memory, adopt, recall
-from cottonhall.rules import Policy
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, ServerList
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Effect, RequestClass, Settings
+from badgercart.policy.statistics import Memory, adopt, recall
+from badgercart.statistics import snapshot, store
+from badgercart.statistics.ageing import aged
+from badgercart.statistics.component import give_way
 
 CLASSES = tuple(RequestClass(500.0 + n, 1500.0, 1.0, Effect.SAFE) for n in range(2))
 SETTINGS = Settings(classes=CLASSES, warm_keys=True)
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -13,21 +13,12 @@
 import statistics
 import time
 
-from badgercart.peers.view import Status
-from cottonhall import Policy, Settings
-from cottonhall.interface import (
-    Company,
-    Effect,
-    ListKind,
-    Outcome,
-    Request,
-    RequestClass,
-    Result,
-    Send,
-    ServerEntry,
-    ServerList,
-    State,
-)
+from badgercart.cluster.membership_table import Status
+from badgercart.policy import Policy, Settings
+from badgercart.policy.actions import Send
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import Company, ListKind, Outcome, Request, Result, ServerList
+from badgercart.policy.settings import Effect, RequestClass
 from lab.group import Group
 
 SIZES = (3, 10, 40, 100, 300, 1000)
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -24,14 +24,14 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 from envoy.service.ext_proc.v3 import external_processor_pb2_grpc as ext_proc_grpc
 
+from badgercart.app.file import Installation, load
+from badgercart.app.run import run
+from badgercart.app.site import Site
 from badgercart.core.clock import now_ms
-from badgercart.core.join import Join
-from badgercart.fronts.processor.part import ProcessorPart
-from badgercart.membership.entries import ListReader
-from badgercart.membership.part import Server as Listed
-from badgercart.operator.file import Installation, load
-from badgercart.operator.run import run
-from badgercart.operator.site import Site
+from badgercart.core.request_pipeline import Join
+from badgercart.discovery.component import Server as Listed
+from badgercart.discovery.entries import ListReader
+from badgercart.frontends.processor.component import ProcessorPart
 from standins.fleet import operators_file
 from standins.scripted_proxy import (
     DESTINATION,
@@ -272,9 +272,9 @@
 
         def forgo(self, request_id: int, number: int) -> None: ...
 
+    from badgercart.core.endpoint_table import Roster
     from badgercart.core.ports import Answer, Intake
-    from badgercart.core.roster import Roster
-    from cottonhall.interface import Result
+    from badgercart.policy.events import Result
 
     class NoTimers:
         def call_later(self, delay: float, callback: Any, *args: Any) -> Any: ...
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from badgercart.learning import snapshot, store
+from badgercart.statistics import snapshot, store
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
 from standins.traffic import Arrival, arrivals, play, served_share
--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -19,16 +19,16 @@
 from pathlib import Path
 from typing import Any
 
+from badgercart.app import file as operators
 from badgercart.config import Config, read_config, reread
-from badgercart.operator import file as operators
-from badgercart.retune import checks
-from badgercart.retune.retune import Busy, retuned
+from badgercart.policy import Policy
+from badgercart.policy.events import ListKind, ServerList
+from badgercart.reload import checks
+from badgercart.reload.reconfiguration import Busy, retuned
+from badgercart.simulator.codec import read_settings
 from benchmarks.scale.fit import Point, doublings
 from benchmarks.scale.policy import TENANTS, Found, entry, in_a_child, resident
 from benchmarks.scale.report import Series
-from cottonhall import Policy
-from cottonhall.interface import ListKind, ServerList
-from cottonhall.wire import read_settings
 
 ROUTES = 43_000  # the target
 PATIENCE = 10.0  # s
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -21,19 +21,30 @@
 
 import msgspec
 
-from badgercart.learning.snapshot import ServerPart
-from badgercart.peers.wire import Codec, Gossip, Packet
-from badgercart.zones.council import COMMITS, VOTE, VOTERS, Ballot, Council, Post, Terms, _Vote
-from badgercart.zones.evidence import Claim, Evidence
-from badgercart.zones.eyes import Verdict
-from badgercart.zones.geography import Geography, geography
-from badgercart.zones.plan import Limits, Plan, packed, unpacked, work_out
+from badgercart.cluster.codec import Codec, Gossip, Packet
+from badgercart.policy import Policy, Settings
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, ServerList
+from badgercart.policy.settings import Effect, RequestClass
+from badgercart.policy.statistics import recall
+from badgercart.statistics.snapshot import ServerPart
+from badgercart.zones.failure_detector import Verdict
+from badgercart.zones.plan_consensus import (
+    COMMITS,
+    VOTE,
+    VOTERS,
+    Ballot,
+    Council,
+    Post,
+    Terms,
+    _Vote,
+)
+from badgercart.zones.topology import Geography, geography
+from badgercart.zones.traffic_plan import Limits, Plan, packed, unpacked, work_out
+from badgercart.zones.zone_reports import Claim, Evidence
 from benchmarks.scale.fit import doublings
 from benchmarks.scale.report import Series
 from benchmarks.zones import drawn
-from cottonhall import Policy, Settings
-from cottonhall.interface import Effect, ListKind, RequestClass, ServerEntry, ServerList, State
-from cottonhall.memory import recall
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
 
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -17,15 +17,15 @@
 from typing import Any, cast
 
 from badgercart.config import Config
-from badgercart.core.join import Join
-from badgercart.core.roster import Roster
-from badgercart.membership.entries import ListReader
-from badgercart.membership.texts import MOST, Texts, read
+from badgercart.core.endpoint_table import Roster
+from badgercart.core.request_pipeline import Join
+from badgercart.discovery.entries import ListReader
+from badgercart.discovery.list_framing import MOST, Texts, read
+from badgercart.policy.events import Event, ServerList
 from benchmarks.scale.configuration import config
 from benchmarks.scale.fit import Point, doublings
 from benchmarks.scale.policy import SERVERS, Found, in_a_child, resident
 from benchmarks.scale.report import Series
-from cottonhall.interface import Event, ServerList
 
 LINES = 200
 WHOLE_LISTS = 3  # whole lists at a size; the median counts
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -23,13 +23,13 @@
 from dataclasses import dataclass, replace
 from multiprocessing import get_context
 
+from badgercart.cluster.broadcast_queue import Queue
+from badgercart.cluster.codec import MAX_SYNC, MTU, Codec, Gossip, Packet, Sync
+from badgercart.cluster.member import Member
+from badgercart.cluster.membership_table import Claim, Status
+from badgercart.cluster.swim import Effect, Machine, Posted, Timing
+from badgercart.cluster.uses import USE, Shares
 from badgercart.config import Address
-from badgercart.peers.machine import Effect, Machine, Posted, Timing
-from badgercart.peers.member import Member
-from badgercart.peers.queue import Queue
-from badgercart.peers.uses import USE, Shares
-from badgercart.peers.view import Claim, Status
-from badgercart.peers.wire import MAX_SYNC, MTU, Codec, Gossip, Packet, Sync
 from benchmarks.scale.fit import doublings
 from benchmarks.scale.report import Series
 from lab.group import WALL, Group
--- a/benchmarks/scale/policy.py
+++ b/benchmarks/scale/policy.py
@@ -19,25 +19,23 @@
 from itertools import count
 from pathlib import Path
 
-from benchmarks.scale.fit import Point, doublings
-from benchmarks.scale.report import ROOT, Series
-from cottonhall import Policy, Settings
-from cottonhall.interface import (
+from badgercart.policy import Policy, Settings
+from badgercart.policy.actions import Send
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import (
     Company,
-    Effect,
     ListKind,
     Outcome,
     Planned,
     Request,
-    RequestClass,
     Result,
     Retuned,
-    Send,
-    ServerEntry,
     ServerList,
-    State,
     Timer,
 )
+from badgercart.policy.settings import Effect, RequestClass
+from benchmarks.scale.fit import Point, doublings
+from benchmarks.scale.report import ROOT, Series
 
 SERVERS, NODES, TENANTS, CLASSES = 170_000, 8_600, 290_000, 64  # the target
 ZONES = 11
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -15,7 +15,7 @@
 import time
 from pathlib import Path
 
-from badgercart.peers.commands import ask
+from badgercart.cluster.commands import ask
 from lab.trial.checkers import broken
 from lab.trial.world import Shape, World
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -18,24 +18,14 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from badgercart.zones.geography import Geography, geography
-from badgercart.zones.keeper import loads_of
-from badgercart.zones.plan import PARTS, Limits, Situation, work_out
-from cottonhall import Policy
-from cottonhall.interface import (
-    Effect,
-    ListKind,
-    Outcome,
-    Planned,
-    Request,
-    RequestClass,
-    Result,
-    Send,
-    ServerEntry,
-    ServerList,
-    Settings,
-    State,
-)
+from badgercart.policy import Policy
+from badgercart.policy.actions import Send
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, Outcome, Planned, Request, Result, ServerList
+from badgercart.policy.settings import Effect, RequestClass, Settings
+from badgercart.zones.failover_controller import loads_of
+from badgercart.zones.topology import Geography, geography
+from badgercart.zones.traffic_plan import PARTS, Limits, Situation, work_out
 from lab.model import play
 from lab.settings import Cell, Day, load
 from lab.stats import paired, verdict
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -11,9 +11,9 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError, Exit
-from badgercart.operator.faults import FileError
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError, Exit
+from badgercart.app.faults import FileError
 from lab.peers import NAMES, OURS
 from lab.settings import Cell, Day, cells
 from lab.settings import load as load_day
--- a/lab/companions.py
+++ b/lab/companions.py
@@ -1,4 +1,4 @@
-"""Nodes of a day that know each other: the machines of `badgercart.peers` on the model's clock."""
+"""Nodes of a day that know each other: the machines of `badgercart.cluster` on the model's clock."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from badgercart.cluster.codec import Packet
+from badgercart.cluster.member import Member
+from badgercart.cluster.membership_table import Claim, Status
+from badgercart.cluster.swim import Effect, Machine, Posted, SendTo, SyncWith, Timing
 from badgercart.config import Address
-from badgercart.core.join import Join
 from badgercart.core.ports import Final, Intake
-from badgercart.peers.machine import Effect, Machine, Posted, SendTo, SyncWith, Timing
-from badgercart.peers.member import Member
-from badgercart.peers.view import Claim, Status
-from badgercart.peers.wire import Packet
-from badgercart.zones.geography import geography
-from badgercart.zones.keeper import LOOK, Keeper, Mode, Ways
+from badgercart.core.request_pipeline import Join
+from badgercart.policy.events import Result
+from badgercart.zones.failover_controller import LOOK, Keeper, Mode, Ways
 from badgercart.zones.sight import fleet_of, looks_apart
-from cottonhall.interface import Result
+from badgercart.zones.topology import geography
 from lab.chance import Stream
 from lab.clock import Clock
 from lab.servers import Server
--- a/lab/group.py
+++ b/lab/group.py
@@ -15,8 +15,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from badgercart.config import Address
-from badgercart.peers.machine import (
+from badgercart.cluster.codec import Codec, Packet
+from badgercart.cluster.membership_table import Claim, Status
+from badgercart.cluster.quorum import Level
+from badgercart.cluster.swim import (
     Changed,
     Conflict,
     Effect,
@@ -27,9 +29,7 @@
     SyncWith,
     Timing,
 )
-from badgercart.peers.view import Claim, Status
-from badgercart.peers.vouching import Level
-from badgercart.peers.wire import Codec, Packet
+from badgercart.config import Address
 
 LOOK = 20.0  # ms between looks at whether to go on
 WALL = 1_700_000_000_000.0  # Unix ms as a day begins
--- a/lab/model.py
+++ b/lab/model.py
@@ -10,12 +10,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgercart.core.join import Join
+from badgercart.cluster.swim import Timing
 from badgercart.core.ports import Answer, Intake
-from badgercart.learning.ageing import aged
-from badgercart.peers.machine import Timing
-from cottonhall.interface import ListKind, ServerEntry, ServerList, State
-from cottonhall.memory import Memory, adopt, recall
+from badgercart.core.request_pipeline import Join
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, ServerList
+from badgercart.policy.statistics import Memory, adopt, recall
+from badgercart.statistics.ageing import aged
 from lab.arrivals import Plan, plan
 from lab.chance import generator, jitter, uniform
 from lab.clock import Clock
--- a/lab/peers/__init__.py
+++ b/lab/peers/__init__.py
@@ -9,8 +9,8 @@
 
 from typing import Any, cast
 
-from badgercart.core.join import Join
-from cottonhall.rules import Policy
+from badgercart.core.request_pipeline import Join
+from badgercart.policy.policy import Policy
 from lab.peers.base import Peer
 from lab.peers.limits import LIMITS, RetryBudget
 from lab.peers.pickers import PICKERS
--- a/lab/peers/base.py
+++ b/lab/peers/base.py
@@ -12,28 +12,20 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from cottonhall.interface import (
+from badgercart.policy.actions import Action, Cancel, Fail, Probe, Refuse, Send
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import (
     NEVER_RAN,
-    Action,
-    Cancel,
-    Effect,
     Event,
-    Fail,
-    Group,
     ListKind,
     Outcome,
-    Probe,
     ProbeResult,
-    Refuse,
     Request,
     Result,
-    Send,
-    ServerEntry,
     ServerList,
-    Settings,
-    State,
     Withdrawn,
 )
+from badgercart.policy.settings import Effect, Group, Settings
 
 
 @dataclass(slots=True, eq=False)
@@ -97,7 +89,7 @@
 
 
 class Peer:
-    """One node's policy, in the place of `cottonhall.Policy`."""
+    """One node's policy, in the place of `badgercart.policy.Policy`."""
 
     x = cut = 0.0  # it has no such cut
 
--- a/lab/ramp.py
+++ b/lab/ramp.py
@@ -17,24 +17,11 @@
 from dataclasses import dataclass, field, replace
 from itertools import accumulate
 
-from cottonhall.interface import (
-    Action,
-    Effect,
-    Event,
-    ListKind,
-    Outcome,
-    Request,
-    RequestClass,
-    Result,
-    Send,
-    ServerEntry,
-    ServerList,
-    Settings,
-    State,
-    Timer,
-    Wake,
-)
-from cottonhall.rules import Policy
+from badgercart.policy.actions import Action, Send, Wake
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import Event, ListKind, Outcome, Request, Result, ServerList, Timer
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Effect, RequestClass, Settings
 from lab.clock import Clock
 
 WAY = 0.5  # ms from a node to a server, and back
--- a/lab/report.py
+++ b/lab/report.py
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from badgercart.operator import pages
+from badgercart.app import pages
 from lab.measure import ENDS, US, histogram
 from lab.peers import OURS
 from lab.settings import Cell, Day
--- a/lab/servers.py
+++ b/lab/servers.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cottonhall.interface import Result
+from badgercart.policy.events import Result
 from lab.chance import Stream
 from lab.clock import Clock
 from lab.settings import Day, Kind
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -11,11 +11,11 @@
 
 from pydantic import Field, ValidationError
 
-from badgercart.operator import document
-from badgercart.operator.faults import FileError, Path, of_model, problem
-from badgercart.operator.locate import lines_of
-from badgercart.operator.model import Listed, Name, Names, Table
-from cottonhall.interface import Effect, Group, RequestClass, Settings
+from badgercart.app import document
+from badgercart.app.faults import FileError, Path, of_model, problem
+from badgercart.app.locate import lines_of
+from badgercart.app.model import Listed, Name, Names, Table
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 
 HOUR = 3_600_000.0  # ms
 Share = Annotated[float, Field(ge=0, le=1)]
--- a/lab/sweep.py
+++ b/lab/sweep.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-import cottonhall.fleet
-import cottonhall.rules
+import badgercart.policy.hash_ring
+import badgercart.policy.policy
 from lab import __version__
 from lab.model import play
 from lab.peers import OURS
@@ -32,7 +32,10 @@
 @cache
 def policy_text() -> str:
     """What tells our policy from itself before a change."""
-    files = [Path(str(module.__file__)) for module in (cottonhall.rules, cottonhall.fleet)]
+    files = [
+        Path(str(module.__file__))
+        for module in (badgercart.policy.policy, badgercart.policy.hash_ring)
+    ]
     return hashlib.sha256(b"".join(path.read_bytes() for path in files)).hexdigest()
 
 
--- a/lab/trial/script.py
+++ b/lab/trial/script.py
@@ -11,10 +11,10 @@
 
 from pydantic import Field, ValidationError
 
-from badgercart.operator import document
-from badgercart.operator.faults import FileError, of_model, problem
-from badgercart.operator.locate import lines_of
-from badgercart.operator.model import Listed, Name, Names, Table
+from badgercart.app import document
+from badgercart.app.faults import FileError, of_model, problem
+from badgercart.app.locate import lines_of
+from badgercart.app.model import Listed, Name, Names, Table
 from lab.settings import BEFALLS_NODES, ZONED, Share
 from lab.trial.world import LIST, Shape, World
 
--- a/lab/troubles.py
+++ b/lab/troubles.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from cottonhall.interface import ListKind
+from badgercart.policy.events import ListKind
 from lab.chance import generator
 from lab.servers import Server
 from lab.settings import Trouble
--- a/lab/wire.py
+++ b/lab/wire.py
@@ -8,9 +8,10 @@
 from functools import partial
 from typing import Any
 
-from badgercart.core.join import Join
 from badgercart.core.ports import Answer, Order
-from cottonhall.interface import Probe, ProbeResult, Result
+from badgercart.core.request_pipeline import Join
+from badgercart.policy.actions import Probe
+from badgercart.policy.events import ProbeResult, Result
 from lab.chance import Stream
 from lab.clock import Clock
 from lab.servers import Server, Work
--- a/tests/console/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.console.calls import MAX_CALL, Call, Reply
+from badgercart.admin.requests import MAX_CALL, Call, Reply
 
 
 class Desk:
--- a/tests/console/test_door.py
+++ b/tests/admin/test_door.py
@@ -5,8 +5,8 @@
 import asyncio
 from pathlib import Path
 
-from badgercart.console.door import MAX_CALLERS
-from cottonhall.interface import State
+from badgercart.admin.listener import MAX_CALLERS
+from badgercart.policy.endpoint import State
 from tests.net import Client, Peer, Stand, request, run, running
 
 
--- a/tests/console/test_golden.py
+++ b/tests/admin/test_golden.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from badgercart.bans.bans import Bans
-from badgercart.console.calls import Call
-from badgercart.console.desk import NodeDesk
-from badgercart.core.join import Join
-from badgercart.core.roster import Member, MemberList, Roster
-from cottonhall.interface import ServerEntry, State
+from badgercart.admin.handlers import NodeDesk
+from badgercart.admin.requests import Call
+from badgercart.core.endpoint_table import Member, MemberList, Roster
+from badgercart.core.request_pipeline import Join
+from badgercart.ejection.ejections import Bans
+from badgercart.policy.endpoint import ServerEntry, State
+from tests.admin.test_calls import CASES
 from tests.clockwork import Clockwork
-from tests.console.test_calls import CASES
 from tests.golden import differences
 from tests.net import config
 
--- a/tests/operator/test_adding.py
+++ b/tests/app/test_adding.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from badgercart.operator.faults import FileError
-from badgercart.operator.file import load
-from badgercart.operator.registry import declarations
-from badgercart.operator.site import Site
+from badgercart.app.faults import FileError
+from badgercart.app.file import load
+from badgercart.app.registry import declarations
+from badgercart.app.site import Site
 from tests.net import WAIT, Peer, run
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "ADDING.md"
--- a/tests/operator/test_file.py
+++ b/tests/app/test_file.py
@@ -11,10 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from badgercart.app.file import FileError, load
+from badgercart.app.locate import lines_of
 from badgercart.distribution.commands import store_file
-from badgercart.operator.file import FileError, load
-from badgercart.operator.locate import lines_of
-from cottonhall.interface import Effect, Group
+from badgercart.policy.settings import Effect, Group
 
 ROOT = Path(__file__).parent.parent.parent
 GOOD = """\
--- a/tests/operator/test_golden.py
+++ b/tests/app/test_golden.py
@@ -14,11 +14,11 @@
 import pytest
 
 import badgercart
-from badgercart.core.events import TABLE
-from badgercart.operator.cli import main
-from badgercart.operator.render import _tables as tables
-from badgercart.operator.render import settings_table
-from tests.operator.test_file import GOOD, ROOT
+from badgercart.app.cli import main
+from badgercart.app.render import _tables as tables
+from badgercart.app.render import settings_table
+from badgercart.core.log_events import TABLE
+from tests.app.test_file import GOOD, ROOT
 
 GOLDEN = Path(__file__).parent / "golden"
 EXAMPLES = ("distribution", "etcd", "graphql", "peers", "processor", "zones")
@@ -83,7 +83,7 @@
 
 def test_every_log_event_has_the_name_level_and_words_that_it_had() -> None:
     for module in pkgutil.walk_packages(badgercart.__path__, "badgercart."):
-        if module.name.endswith(".events"):
+        if module.name.endswith(".log_events"):
             importlib.import_module(module.name)
     told = [
         f"{e.name} {logging.getLevelName(e.level)} {e.words}\n    {e.meaning}\n"
--- a/tests/operator/test_golden_metrics.py
+++ b/tests/app/test_golden_metrics.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from badgercart.core.roster import Member
-from badgercart.operator.file import load
-from badgercart.operator.site import Site
-from cottonhall.interface import ServerEntry, State
-from tests.operator.test_file import GOOD, ROOT
+from badgercart.app.file import load
+from badgercart.app.site import Site
+from badgercart.core.endpoint_table import Member
+from badgercart.policy.endpoint import ServerEntry, State
+from tests.app.test_file import GOOD, ROOT
 
 GOLDEN = Path(__file__).parent / "golden"
 LISTENING = 'listen = "127.0.0.1:0"\n'
--- a/tests/operator/test_hostile.py
+++ b/tests/app/test_hostile.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from badgercart.operator import render
-from badgercart.operator.cli import main
-from badgercart.operator.document import MAX_FILE
-from badgercart.operator.faults import FileError
-from badgercart.operator.file import load
-from tests.operator.test_file import GOOD, ROOT, faults
+from badgercart.app import render
+from badgercart.app.cli import main
+from badgercart.app.document import MAX_FILE
+from badgercart.app.faults import FileError
+from badgercart.app.file import load
+from tests.app.test_file import GOOD, ROOT, faults
 
 PARTS = ("http", "processor", "graphql", "etcd", "metrics")
 
--- a/tests/operator/test_logs.py
+++ b/tests/app/test_logs.py
@@ -19,11 +19,11 @@
 
 import pytest
 
-from badgercart.core import events
-from badgercart.operator import logs, registry
-from badgercart.operator.events import LINES_DROPPED
+from badgercart.app import logs, registry
+from badgercart.app.log_events import LINES_DROPPED
+from badgercart.core import log_events as events
+from tests.app.test_file import GOOD, ROOT
 from tests.net import WAIT
-from tests.operator.test_file import GOOD, ROOT
 
 log = logging.getLogger("badgercart.tests")
 
--- a/tests/operator/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -9,13 +9,13 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from badgercart.core.meters import MAX_LABELS, OTHER, Kind, Meter, Meters
-from badgercart.fronts.http.part import HttpSettings
+from badgercart.app.file import Installation
+from badgercart.app.site import Site
+from badgercart.core.metric_registry import MAX_LABELS, OTHER, Kind, Meter, Meters
+from badgercart.frontends.http.component import HttpSettings
+from badgercart.metrics.component import MetricsSettings
 from badgercart.metrics.figures import MAX_BUCKETS, buckets
-from badgercart.metrics.part import MetricsSettings
-from badgercart.operator.file import Installation
-from badgercart.operator.site import Site
-from cottonhall.interface import Effect, RequestClass
+from badgercart.policy.settings import Effect, RequestClass
 from tests.net import Client, Peer, config, field, listed, request, run
 
 
--- a/tests/operator/test_site.py
+++ b/tests/app/test_site.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from badgercart.operator import site as site_module
-from badgercart.operator.faults import FileError
-from badgercart.operator.file import Installation, load
-from badgercart.operator.model import Table
-from badgercart.operator.part import Declaration, Host, Kind, OrderError, ReloadError, in_order
-from badgercart.operator.run import run as serve
-from badgercart.operator.site import PartError, Site
+from badgercart.app import site as site_module
+from badgercart.app.component import Declaration, Host, Kind, OrderError, ReloadError, in_order
+from badgercart.app.faults import FileError
+from badgercart.app.file import Installation, load
+from badgercart.app.model import Table
+from badgercart.app.run import run as serve
+from badgercart.app.site import PartError, Site
 from tests.net import WAIT, config, run
 
 
--- a/tests/benchmarks/test_control.py
+++ b/tests/benchmarks/test_control.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from badgercart.zones.council import COMMITS, VOTERS
+from badgercart.zones.plan_consensus import COMMITS, VOTERS
 from benchmarks.scale import control
 
 
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from badgercart.retune import checks
+from badgercart.policy.endpoint import ServerEntry
+from badgercart.reload import checks
 from benchmarks.scale import configuration, lists, policy, report
 from benchmarks.scale.__main__ import main
-from cottonhall.interface import ServerEntry
 
 
 @pytest.fixture(autouse=True)
--- a/tests/bulk/test_room.py
+++ b/tests/bulk/test_room.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.core.room import HOLD, LEAST_HOLD, LEAST_WINDOW, WINDOW, Room, room_of
+from badgercart.core.memory_budget import HOLD, LEAST_HOLD, LEAST_WINDOW, WINDOW, Room, room_of
 from badgercart.core.streams import Upload
 
 
--- a/tests/bulk/test_streams.py
+++ b/tests/bulk/test_streams.py
@@ -9,10 +9,11 @@
 
 import pytest
 
-from badgercart.carriers.pool import pool as pool_module
-from badgercart.core.room import HOLD, Room
-from badgercart.fronts.http import clients
-from cottonhall.interface import Began, Outcome, Result, Settings, Whole
+from badgercart.core.memory_budget import HOLD, Room
+from badgercart.frontends.http import clients
+from badgercart.policy.events import Began, Outcome, Result, Whole
+from badgercart.policy.settings import Settings
+from badgercart.upstream import connection_pool as pool_module
 from tests.net import WAIT, Client, Peer, Stand, config, field, request, run, running
 
 LONG = random.Random(5).randbytes(5 * HOLD + 321)
--- a/tests/capture/golden_parts.py
+++ b/tests/capture/golden_parts.py
@@ -24,45 +24,43 @@
 )
 from badgercart.capture.format import VERSION, Index, Kind, closing, head, record
 from badgercart.capture.streams import snapshot, watch
-from badgercart.fronts.processor.account import Account
-from badgercart.fronts.processor.settings import OldAnswers
-from badgercart.membership.freshness import Freshness, Rule
-from cottonhall.interface import (
+from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.frontends.processor.account import Account
+from badgercart.frontends.processor.settings import OldAnswers
+from badgercart.policy.actions import (
     Action,
-    Began,
     Cancel,
+    Fail,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    Subscribe,
+    Wake,
+)
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import (
+    Began,
     Company,
     Diverted,
-    Effect,
     Event,
-    Fail,
-    Group,
     ListKind,
-    Log,
     Outcome,
     Overdue,
     PeerMessage,
     Planned,
-    Probe,
     ProbeResult,
-    Refuse,
     Request,
-    RequestClass,
     Result,
     Resume,
     Retuned,
-    Send,
-    ServerEntry,
     ServerList,
-    Settings,
-    State,
-    Subscribe,
     Timer,
-    Wake,
     Whole,
     Withdrawn,
 )
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 
 CLASSES = (
     RequestClass(580.0, 1400.0, 2.0, Effect.SAFE),
--- a/tests/capture/support.py
+++ b/tests/capture/support.py
@@ -10,19 +10,11 @@
 
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.writer import Capture
-from badgercart.core.join import Join
 from badgercart.core.ports import Answer, Intake, Order
-from cottonhall.interface import (
-    Effect,
-    Group,
-    ListKind,
-    RequestClass,
-    Result,
-    ServerEntry,
-    ServerList,
-    Settings,
-    State,
-)
+from badgercart.core.request_pipeline import Join
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, Result, ServerList
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 from tests.clockwork import Clockwork
 
 CLASSES = (
--- a/tests/capture/test_edit.py
+++ b/tests/capture/test_edit.py
@@ -6,10 +6,10 @@
 
 import pytest
 
+from badgercart.app.cli import main
 from badgercart.capture.edit import cut, differences
 from badgercart.capture.format import Ending
 from badgercart.capture.replay import replay, segments
-from badgercart.operator.cli import main
 from tests.capture.support import captured
 
 
--- a/tests/capture/test_explain.py
+++ b/tests/capture/test_explain.py
@@ -6,12 +6,13 @@
 
 import pytest
 
+from badgercart.app.cli import main
 from badgercart.capture import explain as module
 from badgercart.capture.explain import Telling, explain
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import decide, events, replay, segments, start
-from badgercart.operator.cli import main
-from cottonhall.interface import Fail, Refuse, Request, Send
+from badgercart.policy.actions import Fail, Refuse, Send
+from badgercart.policy.events import Request
 from tests.capture.support import captured
 
 
--- a/tests/capture/test_golden.py
+++ b/tests/capture/test_golden.py
@@ -18,7 +18,7 @@
 from badgercart.capture.replay import Decided, events, replay, start
 from badgercart.capture.streams import Streams
 from badgercart.capture.words import show
-from cottonhall.interface import ProbeResult, Request
+from badgercart.policy.events import ProbeResult, Request
 from tests.capture.golden_parts import (
     ACTIONS,
     ENTRIES,
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -15,16 +15,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import cottonhall.fleet
-import cottonhall.rules
+import badgercart.policy.hash_ring
+import badgercart.policy.policy
+from badgercart.app.cli import main
 from badgercart.capture import codec, format, writer
 from badgercart.capture.codec import CodecError, decode_event, freeze, thaw
 from badgercart.capture.format import Ending, FormatError, Kind, Segment
 from badgercart.capture.replay import decide, events, replay, replay_all, segments, start
 from badgercart.capture.settings import CaptureSettings
-from badgercart.operator.cli import main
-from cottonhall.interface import Settings
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Settings
 from tests.capture.support import CLASSES, Saturday, captured
 
 
@@ -250,7 +250,7 @@
     first."""
     known = {"random.Random", "hash"}
     used: set[str] = set()
-    for module in (cottonhall.rules, cottonhall.fleet):
+    for module in (badgercart.policy.policy, badgercart.policy.hash_ring):
         tree = ast.parse(Path(str(module.__file__)).read_text())
         for node in ast.walk(tree):
             if isinstance(node, ast.Import | ast.ImportFrom):
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -11,16 +11,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from badgercart.app.cli import main
 from badgercart.capture.codec import CodecError
 from badgercart.capture.format import Ending, Segment, read_index
 from badgercart.capture.replay import events, replay, replay_all, segments
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.streams import Streams, snapshot, watch
 from badgercart.capture.writer import Capture
-from badgercart.fronts.processor.account import Account
-from badgercart.fronts.processor.settings import OldAnswers
-from badgercart.membership.freshness import Freshness, Rule
-from badgercart.operator.cli import main
+from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.frontends.processor.account import Account
+from badgercart.frontends.processor.settings import OldAnswers
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
 from standins.traffic import arrivals, play
--- a/tests/capture/test_whatif.py
+++ b/tests/capture/test_whatif.py
@@ -7,15 +7,15 @@
 
 import pytest
 
+from badgercart.app.cli import main
 from badgercart.capture import codec
 from badgercart.capture.anonymise import anonymise
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import events, replay, start
 from badgercart.capture.whatif import Change, what_if
-from badgercart.operator.cli import main
-from cottonhall import rules
-from cottonhall.interface import Outcome, Request, Result, ServerList
-from cottonhall.rules import Policy
+from badgercart.policy import policy as rules
+from badgercart.policy.events import Outcome, Request, Result, ServerList
+from badgercart.policy.policy import Policy
 
 DAY = Path(__file__).parent / "rainy-saturday.bcap"
 
--- a/tests/peers/test_driver.py
+++ b/tests/cluster/test_driver.py
@@ -6,10 +6,10 @@
 import random
 from typing import Any
 
-from badgercart.peers.driver import Allowed, Driver
-from badgercart.peers.machine import Machine, Timing
-from badgercart.peers.view import Claim, Status
-from badgercart.peers.wire import Codec
+from badgercart.cluster.codec import Codec
+from badgercart.cluster.driver import Allowed, Driver
+from badgercart.cluster.membership_table import Claim, Status
+from badgercart.cluster.swim import Machine, Timing
 
 
 def test_a_connection_that_waits_as_the_process_ends_is_no_fault() -> None:
--- a/tests/peers/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -16,15 +16,9 @@
 import msgspec
 import pytest
 
-from badgercart.config import Address
-from badgercart.core.roster import Member as Line
-from badgercart.operator.file import load
-from badgercart.operator.site import Site
-from badgercart.peers.hybrid import HybridClock
-from badgercart.peers.machine import Effect, Machine, SendTo, SyncWith, Timing
-from badgercart.peers.uses import Hearsay, Rumours, Shares
-from badgercart.peers.view import Claim, Status
-from badgercart.peers.wire import (
+from badgercart.app.file import load
+from badgercart.app.site import Site
+from badgercart.cluster.codec import (
     Ack,
     Behind,
     Body,
@@ -37,7 +31,13 @@
     PingReq,
     Sync,
 )
-from cottonhall.interface import ServerEntry, State
+from badgercart.cluster.hybrid_logical_clock import HybridClock
+from badgercart.cluster.membership_table import Claim, Status
+from badgercart.cluster.swim import Effect, Machine, SendTo, SyncWith, Timing
+from badgercart.cluster.uses import Hearsay, Rumours, Shares
+from badgercart.config import Address
+from badgercart.core.endpoint_table import Member as Line
+from badgercart.policy.endpoint import ServerEntry, State
 
 GOLDEN = Path(__file__).parent / "golden"
 CODEC = Codec("budapest", b"a secret of sixteen or more")
--- a/tests/peers/test_group.py
+++ b/tests/cluster/test_group.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from badgercart.peers.machine import MAX_RELAYED, MAX_RIVALS, MAX_WINDOWS, SendTo, Timing
-from badgercart.peers.view import Status
-from badgercart.peers.vouching import Level
-from badgercart.peers.wire import MTU, Ack, Behind, Gossip, Ping, PingReq
+from badgercart.cluster.codec import MTU, Ack, Behind, Gossip, Ping, PingReq
+from badgercart.cluster.membership_table import Status
+from badgercart.cluster.quorum import Level
+from badgercart.cluster.swim import MAX_RELAYED, MAX_RIVALS, MAX_WINDOWS, SendTo, Timing
 from lab.group import WALL, Group, Links
 
 BOUND = 60_000.0  # ms in which a group of these sizes must agree
--- a/tests/peers/test_merging.py
+++ b/tests/cluster/test_merging.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.peers.board import MAX_POST, Board
-from badgercart.peers.driver import MAX_SOURCES, Allowed
-from badgercart.peers.hybrid import MAX_AHEAD, HybridClock
-from badgercart.peers.queue import Queue, most_times
-from badgercart.peers.view import Claim, Status, View
-from badgercart.peers.wire import MTU, Codec, Packet, Ping, Refused, Window
+from badgercart.cluster.broadcast_queue import Queue, most_times
+from badgercart.cluster.codec import MTU, Codec, Packet, Ping, Refused, Window
+from badgercart.cluster.driver import MAX_SOURCES, Allowed
+from badgercart.cluster.gossip_registers import MAX_POST, Board
+from badgercart.cluster.hybrid_logical_clock import MAX_AHEAD, HybridClock
+from badgercart.cluster.membership_table import Claim, Status, View
 
 names = st.sampled_from(["a", "b", "c"])
 addresses = st.sampled_from([("h", 1), ("h", 2)])
--- a/tests/peers/test_slopes.py
+++ b/tests/cluster/test_slopes.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from badgercart.peers.machine import Machine
-from badgercart.peers.queue import MISFITS, Queue
-from badgercart.peers.view import Belief, Claim, Status, View
-from badgercart.peers.wire import Gossip
+from badgercart.cluster.broadcast_queue import MISFITS, Queue
+from badgercart.cluster.codec import Gossip
+from badgercart.cluster.membership_table import Belief, Claim, Status, View
+from badgercart.cluster.swim import Machine
 from benchmarks.scale.peers import Hollow, rates
 from lab.group import Group
 
--- a/tests/peers/test_uses.py
+++ b/tests/cluster/test_uses.py
@@ -9,14 +9,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from badgercart.cluster.member import Member as Group
+from badgercart.cluster.membership_table import Claim, Status
+from badgercart.cluster.quorum import Level, Standing, level_of
+from badgercart.cluster.swim import Machine, Posted, Timing
+from badgercart.cluster.uses import A_POST, Hearsay, Rumours, Shares, Use, company, levelled
 from badgercart.config import Address
-from badgercart.core.roster import Member
-from badgercart.peers.machine import Machine, Posted, Timing
-from badgercart.peers.member import Member as Group
-from badgercart.peers.uses import A_POST, Hearsay, Rumours, Shares, Use, company, levelled
-from badgercart.peers.view import Claim, Status
-from badgercart.peers.vouching import Level, Standing, level_of
-from cottonhall.interface import ServerEntry, State
+from badgercart.core.endpoint_table import Member
+from badgercart.policy.endpoint import ServerEntry, State
 
 HOST: Address = ("127.0.0.1", 80)
 STALE_MS = 2000.0
--- a/tests/core/test_golden.py
+++ b/tests/core/test_golden.py
@@ -10,9 +10,10 @@
 
 import pytest
 
-from badgercart.core.join import Join
-from badgercart.core.roster import Member, MemberList, Roster
-from cottonhall.interface import (
+from badgercart.core.endpoint_table import Member, MemberList, Roster
+from badgercart.core.request_pipeline import Join
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import (
     Began,
     Company,
     Diverted,
@@ -27,9 +28,7 @@
     Result,
     Resume,
     Retuned,
-    ServerEntry,
     ServerList,
-    State,
     Timer,
     Whole,
     Withdrawn,
--- a/tests/core/test_join.py
+++ b/tests/core/test_join.py
@@ -9,10 +9,11 @@
 import pytest
 
 from badgercart.core.clock import MARGIN
-from badgercart.core.join import Join
-from badgercart.core.names import stable_id
+from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import Intake, Order
-from cottonhall.interface import Action, Outcome, Refuse, Request, Result, Send, Withdrawn
+from badgercart.core.request_pipeline import Join
+from badgercart.policy.actions import Action, Refuse, Send
+from badgercart.policy.events import Outcome, Request, Result, Withdrawn
 from tests.clockwork import Clockwork
 from tests.net import (
     OK,
--- a/tests/membership/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from badgercart.core.names import stable_id
-from badgercart.membership import catalog
-from cottonhall.interface import State
+from badgercart.core.identifiers import stable_id
+from badgercart.discovery import catalog
+from badgercart.policy.endpoint import State
 from tests.net import (
     WAIT,
     Peer,
--- a/tests/membership/test_texts.py
+++ b/tests/discovery/test_texts.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.membership import texts
-from badgercart.membership.texts import Cut, Texts
+from badgercart.discovery import list_framing as texts
+from badgercart.discovery.list_framing import Cut, Texts
 
 words = st.text(
     st.characters(codec="utf-8", exclude_categories=("Cs",)), max_size=8
--- a/tests/distribution/group.py
+++ b/tests/distribution/group.py
@@ -29,8 +29,8 @@
     Subscribe,
     Whole,
 )
+from badgercart.distribution.publisher import Bounds
 from badgercart.distribution.store import Store, Timing
-from badgercart.distribution.telling import Bounds
 from badgercart.distribution.topic import Topic
 
 CODEC = Codec("a group", b"its secret")
--- a/tests/distribution/test_golden.py
+++ b/tests/distribution/test_golden.py
@@ -19,8 +19,9 @@
 import pytest
 from click.testing import CliRunner
 
-from badgercart.core.events import TABLE
-from badgercart.distribution import commands, events
+from badgercart.core.log_events import TABLE
+from badgercart.distribution import commands
+from badgercart.distribution import log_events as events
 from badgercart.distribution.driver import LENGTH, StoreDriver
 from badgercart.distribution.effects import Keep, KeepAll, Recovered
 from badgercart.distribution.journal import Journal
--- a/tests/distribution/test_group.py
+++ b/tests/distribution/test_group.py
@@ -17,8 +17,8 @@
     Vote,
     VoteRequest,
 )
+from badgercart.distribution.publisher import Bounds
 from badgercart.distribution.store import Store, Timing
-from badgercart.distribution.telling import Bounds
 from tests.distribution.group import Group, Hollow
 from tests.distribution.orders import alone, change
 
--- a/tests/distribution/test_part.py
+++ b/tests/distribution/test_part.py
@@ -16,21 +16,21 @@
 
 import pytest
 
+from badgercart.app.cli import main as command_line
+from badgercart.app.faults import FileError
+from badgercart.app.file import Installation, load
+from badgercart.app.site import Site
 from badgercart.config import Address
 from badgercart.core.clock import now_ms
+from badgercart.discovery.freshness import State
 from badgercart.distribution.commands import entries_of, store_file
+from badgercart.distribution.component import MembersPart, store_driver
 from badgercart.distribution.driver import Client as Caller
 from badgercart.distribution.driver import StoreDriver
 from badgercart.distribution.messages import Codec, Entry, Propose, Proposed
-from badgercart.distribution.part import MembersPart, store_driver
 from badgercart.distribution.settings import MembersSettings, StoreEntry, StoreSettings
-from badgercart.fronts.http.part import HttpSettings
-from badgercart.membership.freshness import State
-from badgercart.metrics.part import MetricsSettings
-from badgercart.operator.cli import main as command_line
-from badgercart.operator.faults import FileError
-from badgercart.operator.file import Installation, load
-from badgercart.operator.site import Site
+from badgercart.frontends.http.component import HttpSettings
+from badgercart.metrics.component import MetricsSettings
 from tests.distribution.test_driver import free_ports
 from tests.net import WAIT, Client, Peer, config, request, run
 
@@ -698,13 +698,13 @@
 
 def test_an_installation_without_it_imports_no_library_of_it(tmp_path: Path) -> None:
     code = (
-        "import sys; from badgercart.operator.file import load; "
+        "import sys; from badgercart.app.file import load; "
         f"load({str(ROOT / 'deploy' / 'etcd.toml')!r}); "
         "print(sorted(m for m in sys.modules if m.startswith('badgercart.distribution.')))"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == str(
-        ["badgercart.distribution.part", "badgercart.distribution.settings"]
+        ["badgercart.distribution.component", "badgercart.distribution.settings"]
     )
 
 
--- a/tests/distribution/test_properties.py
+++ b/tests/distribution/test_properties.py
@@ -14,8 +14,8 @@
 from hypothesis import strategies as st
 
 from badgercart.distribution.messages import Entry
+from badgercart.distribution.publisher import Bounds
 from badgercart.distribution.store import Store
-from badgercart.distribution.telling import Bounds
 from tests.distribution.broken import draw
 from tests.distribution.group import Group, Hollow, MemoryDisk
 
--- a/tests/distribution/test_telling.py
+++ b/tests/distribution/test_telling.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from badgercart.distribution import publisher as telling
 from badgercart.distribution import store as module
-from badgercart.distribution import telling
 from badgercart.distribution.effects import Close, Effect, Happened, Recovered, Send
 from badgercart.distribution.messages import (
     MAX_ENTRIES,
@@ -31,8 +31,8 @@
     VoteRequest,
     Whole,
 )
+from badgercart.distribution.publisher import Bounds
 from badgercart.distribution.store import Store, Timing
-from badgercart.distribution.telling import Bounds
 from badgercart.distribution.topic import Topic
 from tests.distribution.group import Group
 from tests.distribution.orders import alone, change
--- a/tests/bans/test_golden.py
+++ b/tests/ejection/test_golden.py
@@ -4,8 +4,8 @@
 
 from pathlib import Path
 
-from badgercart.bans.ledger import Freed, State
-from badgercart.bans.store import Store, decode, encode
+from badgercart.ejection.ledger import Freed, State
+from badgercart.ejection.store import Store, decode, encode
 
 GOLDEN = Path(__file__).parent / "golden"
 NAMES = ("s-1", "s-2", "s-3", "sérver")
--- a/tests/bans/test_ledger.py
+++ b/tests/ejection/test_ledger.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.bans import ledger as module
-from badgercart.bans.ledger import Freed, Ledger
-from badgercart.core.roster import Member
-from cottonhall.interface import ServerEntry, State
+from badgercart.core.endpoint_table import Member
+from badgercart.ejection import ledger as module
+from badgercart.ejection.ledger import Freed, Ledger
+from badgercart.policy.endpoint import ServerEntry, State
 
 OFFSET = 1_000_000.0  # ms from the node's clock to Unix time
 
--- a/tests/bans/test_store.py
+++ b/tests/ejection/test_store.py
@@ -14,9 +14,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.bans.ledger import MAX_BANS, Freed, Ledger, State
-from badgercart.bans.store import Store, decode, encode
-from badgercart.core.sealed import Unusable, checksum
+from badgercart.core.checksummed_file import Unusable, checksum
+from badgercart.ejection.ledger import MAX_BANS, Freed, Ledger, State
+from badgercart.ejection.store import Store, decode, encode
 
 STATE = State({"s-1": 5.0}, {"s-2": Freed(1.0, 2.0)}, {"s-1": None, "s-2": None, "s-3": None})
 
@@ -70,8 +70,8 @@
 WRITER = textwrap.dedent("""
     import sys
     from pathlib import Path
-    from badgercart.bans.ledger import Ledger
-    from badgercart.bans.store import Store
+    from badgercart.ejection.ledger import Ledger
+    from badgercart.ejection.store import Store
     store = Store(Path(sys.argv[1]))
     for number in range(int(sys.argv[3])):
         while True:  # two that come again at once may keep it from each other beyond a call's wait
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cottonhall.interface import ServerList
+from badgercart.policy.events import ServerList
 from tests.ends.test_leaving import Gate
 from tests.net import CLASSES, OK, WAIT, Client, Peer, Stand, config, request, run, running
 
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -15,10 +15,10 @@
 import pytest
 import uvloop
 
-from badgercart.carriers.pool import pool as pools
-from badgercart.console.door import MAX_CALLERS
+from badgercart.admin.listener import MAX_CALLERS
 from badgercart.core.descriptors import DISCOVERY, FILES, LISTENERS, PROGRAM, Descriptors
-from badgercart.membership.tries import MOST as MOST_CALLS
+from badgercart.discovery.backoff import MOST as MOST_CALLS
+from badgercart.upstream import connection_pool as pools
 from tests.net import WAIT, Agent, Client, Peer, request, run, running
 from tests.test_process import COMMAND, Process, raw_config
 
--- a/tests/ends/test_drain.py
+++ b/tests/ends/test_drain.py
@@ -10,10 +10,11 @@
 import pytest
 
 from badgercart import node as platform
-from badgercart.fronts.http import clients, crowd
-from badgercart.fronts.http.clients import Listener
-from badgercart.fronts.http.connection import State
-from cottonhall.interface import Request
+from badgercart.frontends.http import clients
+from badgercart.frontends.http import connection_eviction as crowd
+from badgercart.frontends.http.clients import Listener
+from badgercart.frontends.http.connection import State
+from badgercart.policy.events import Request
 from tests.ends.test_leaving import Gate
 from tests.net import WAIT, Client, Peer, Stand, held_back, request, run, running, stay_silent
 
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -15,12 +15,13 @@
 
 import pytest
 
-from badgercart.carriers.pool import pool as pools
-from badgercart.carriers.pool.pool import ServerConnection, ServerPool
-from badgercart.core.room import HOLD, WINDOW
-from badgercart.fronts.http.connection import MAX_WAITING
-from cottonhall import rules
-from cottonhall.interface import Event, Outcome, Request, Settings, Timer
+from badgercart.core.memory_budget import HOLD, WINDOW
+from badgercart.frontends.http.connection import MAX_WAITING
+from badgercart.policy import policy as rules
+from badgercart.policy.events import Event, Outcome, Request, Timer
+from badgercart.policy.settings import Settings
+from badgercart.upstream import connection_pool as pools
+from badgercart.upstream.connection_pool import ServerConnection, ServerPool
 from tests.net import CLASSES, OK, WAIT, Client, Peer, Stand, config, request, run, running
 
 MANY = 100
--- a/tests/ends/test_leaving.py
+++ b/tests/ends/test_leaving.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from badgercart.carriers.pool.attempts import hindrance
-from badgercart.carriers.pool.pool import Attempt, ServerPool
-from cottonhall.interface import Result, Withdrawn
+from badgercart.policy.events import Result, Withdrawn
+from badgercart.upstream.attempts import hindrance
+from badgercart.upstream.connection_pool import Attempt, ServerPool
 from tests.net import CLASSES, WAIT, Peer, config, held_back, request, run, running
 
 
--- a/tests/ends/test_orders.py
+++ b/tests/ends/test_orders.py
@@ -18,22 +18,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.carriers.pool import pool as module
-from badgercart.carriers.pool.exchange import Message
-from badgercart.carriers.pool.pool import ServerPool
-from badgercart.core.join import Join
+from badgercart.core.endpoint_table import Member, MemberList, Roster
 from badgercart.core.ports import Answer, Intake
-from badgercart.core.roster import Member, MemberList, Roster
-from cottonhall.interface import (
-    Effect,
-    Group,
-    ListKind,
-    RequestClass,
-    Retuned,
-    ServerEntry,
-    Settings,
-    State,
-)
+from badgercart.core.request_pipeline import Join
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, Retuned
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
+from badgercart.upstream import connection_pool as module
+from badgercart.upstream.connection_pool import ServerPool
+from badgercart.upstream.exchange import Message
 from tests.ends.virtual import Dial, Loop, Way
 
 CLASSES = (
--- a/tests/ends/test_ready.py
+++ b/tests/ends/test_ready.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from badgercart.membership.catalog import Discovery
-from badgercart.membership.tries import MOST, PATIENCE, Pace
+from badgercart.discovery.backoff import MOST, PATIENCE, Pace
+from badgercart.discovery.catalog import Discovery
 from tests.ends.discovery import InTurn, Service
 from tests.ends.test_told import entry, on_a_clock
 from tests.ends.virtual import Loop
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_suspects.py
@@ -16,10 +16,11 @@
 import uvloop
 
 from badgercart import node as platform
-from badgercart.core.names import stable_id
-from badgercart.fronts.http import clients
-from badgercart.membership.catalog import Discovery, Pace
-from cottonhall.interface import ServerList, State
+from badgercart.core.identifiers import stable_id
+from badgercart.discovery.catalog import Discovery, Pace
+from badgercart.frontends.http import clients
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import ServerList
 from tests.ends.test_leaving import Gate
 from tests.ends.test_watch import HEAD, Scripted, hang, says
 from tests.ends.virtual import Loop
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -19,14 +19,15 @@
 import pytest
 
 from badgercart.core import descriptors
-from badgercart.core.join import Join
-from badgercart.core.names import stable_id
+from badgercart.core.endpoint_table import Roster
+from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import Intake, Order
-from badgercart.core.roster import Roster
-from badgercart.membership.catalog import SILENCE, Discovery
-from badgercart.membership.entries import ListReader
-from badgercart.membership.tries import MOST, RETRY_FIRST, Pace, Tries
-from cottonhall.interface import ListKind, Result, State
+from badgercart.core.request_pipeline import Join
+from badgercart.discovery.backoff import MOST, RETRY_FIRST, Pace, Tries
+from badgercart.discovery.catalog import SILENCE, Discovery
+from badgercart.discovery.entries import ListReader
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import ListKind, Result
 from tests.ends.discovery import Service
 from tests.ends.virtual import Loop
 from tests.net import Nobody, config
--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from badgercart.core.names import stable_id
-from badgercart.membership import catalog
-from badgercart.membership.catalog import SILENCE
-from badgercart.membership.tries import RETRY_FIRST, Pace
-from cottonhall.interface import State
+from badgercart.core.identifiers import stable_id
+from badgercart.discovery import catalog
+from badgercart.discovery.backoff import RETRY_FIRST, Pace
+from badgercart.discovery.catalog import SILENCE
+from badgercart.policy.endpoint import State
 from tests.net import WAIT, Agent, Peer, request, run, running
 
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
--- a/tests/ends/virtual.py
+++ b/tests/ends/virtual.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from badgercart.carriers.pool.pool import ServerConnection
+from badgercart.upstream.connection_pool import ServerConnection
 
 
 class Still(selectors.BaseSelector):
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -16,11 +16,11 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
+from badgercart.app.file import Installation
+from badgercart.app.site import Site
 from badgercart.core.ports import Answer, Intake, Order
-from badgercart.membership.freshness import State
-from badgercart.operator.file import Installation
-from badgercart.operator.site import Site
-from cottonhall.interface import Result
+from badgercart.discovery.freshness import State
+from badgercart.policy.events import Result
 from standins.etcd import Etcd
 from tests.etcd.test_following import PREFIX
 from tests.etcd.test_following import settings as etcd_settings
--- a/tests/etcd/test_follower.py
+++ b/tests/etcd/test_follower.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.core.roster import MemberList
-from badgercart.membership.entries import ListReader
-from badgercart.membership.etcd.follower import (
+from badgercart.core.endpoint_table import MemberList
+from badgercart.discovery.entries import ListReader
+from badgercart.discovery.etcd.follower import (
     Change,
     Deliver,
     Failure,
@@ -27,11 +27,11 @@
     Wait,
     Watch,
 )
-from badgercart.membership.etcd.guard import LEAST, MEMORY, OVERRIDE, Guard
-from badgercart.membership.etcd.settings import EtcdSettings
-from badgercart.membership.freshness import Freshness, Rule, State
-from cottonhall.interface import ListKind
-from cottonhall.interface import State as ServerState
+from badgercart.discovery.etcd.guard import LEAST, MEMORY, OVERRIDE, Guard
+from badgercart.discovery.etcd.settings import EtcdSettings
+from badgercart.discovery.freshness import Freshness, Rule, State
+from badgercart.policy.endpoint import State as ServerState
+from badgercart.policy.events import ListKind
 from tests.net import config
 
 PREFIX = "/s/"
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -15,15 +15,15 @@
 import pytest
 from aetcd.rpc import rpc_pb2
 
-from badgercart.core.names import stable_id
-from badgercart.fronts.http.part import HttpSettings
-from badgercart.membership.etcd import client
-from badgercart.membership.etcd.settings import EtcdSettings, EtcdTls
-from badgercart.membership.freshness import State
-from badgercart.operator.cli import main as command_line
-from badgercart.operator.file import Installation
-from badgercart.operator.site import Site
-from cottonhall.interface import State as ServerState
+from badgercart.app.cli import main as command_line
+from badgercart.app.file import Installation
+from badgercart.app.site import Site
+from badgercart.core.identifiers import stable_id
+from badgercart.discovery.etcd import client
+from badgercart.discovery.etcd.settings import EtcdSettings, EtcdTls
+from badgercart.discovery.freshness import State
+from badgercart.frontends.http.component import HttpSettings
+from badgercart.policy.endpoint import State as ServerState
 from standins.demo import NodeProcess
 from standins.etcd import Etcd
 from standins.fleet import operators_file
--- a/tests/fronts/test_connection.py
+++ b/tests/frontends/test_connection.py
@@ -13,11 +13,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from badgercart.core.names import stable_id
+from badgercart.core.identifiers import stable_id
 from badgercart.core.requests import BadDescription, Classifier
-from badgercart.fronts.graphql.requests import bad_request
-from badgercart.fronts.http.connection import MAX_WAITING, MOVES, Connection, State
-from badgercart.fronts.http.requests import (
+from badgercart.frontends.graphql.requests import bad_request
+from badgercart.frontends.http.connection import MAX_WAITING, MOVES, Connection, State
+from badgercart.frontends.http.requests import (
     BadRequest,
     ClientRequest,
     Headers,
--- a/tests/fronts/test_crowd.py
+++ b/tests/frontends/test_crowd.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.fronts.http.connection import State
-from badgercart.fronts.http.crowd import GREETING, HASTE, ORDER, makes_room
+from badgercart.frontends.http.connection import State
+from badgercart.frontends.http.connection_eviction import GREETING, HASTE, ORDER, makes_room
 
 NOW = 100.0
 
--- a/tests/fronts/test_golden.py
+++ b/tests/frontends/test_golden.py
@@ -9,12 +9,12 @@
 
 import pytest
 
+from badgercart.core.memory_budget import Room
 from badgercart.core.ports import Answer
-from badgercart.core.room import Room
 from badgercart.core.streams import Opening
-from badgercart.fronts.graphql.requests import bad_request
-from badgercart.fronts.http.clients import ClientConnection, Listener
-from badgercart.fronts.http.requests import (
+from badgercart.frontends.graphql.requests import bad_request
+from badgercart.frontends.http.clients import ClientConnection, Listener
+from badgercart.frontends.http.requests import (
     ClientRequest,
     Page,
     Words,
--- a/tests/fronts/test_http.py
+++ b/tests/frontends/test_http.py
@@ -14,11 +14,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.carriers.pool import pool
-from badgercart.core.names import stable_id
-from badgercart.fronts.http import clients, crowd
-from badgercart.fronts.http import connection as machine
-from cottonhall.interface import Request, ServerList, Withdrawn
+from badgercart.core.identifiers import stable_id
+from badgercart.frontends.http import clients
+from badgercart.frontends.http import connection as machine
+from badgercart.frontends.http import connection_eviction as crowd
+from badgercart.policy.events import Request, ServerList, Withdrawn
+from badgercart.upstream import connection_pool as pool
 from tests.net import (
     WAIT,
     Peer,
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -14,11 +14,12 @@
 
 import pytest
 
-from badgercart.fronts.graphql.documents import Cache
-from badgercart.fronts.graphql.settings import GraphqlSettings
-from badgercart.operator.file import Installation
-from badgercart.operator.site import Site
-from cottonhall.interface import Effect, Outcome, Request, RequestClass, Result, Withdrawn
+from badgercart.app.file import Installation
+from badgercart.app.site import Site
+from badgercart.frontends.graphql.documents import Cache
+from badgercart.frontends.graphql.settings import GraphqlSettings
+from badgercart.policy.events import Outcome, Request, Result, Withdrawn
+from badgercart.policy.settings import Effect, RequestClass
 from standins import graphql as dispatch
 from standins import http1
 from tests.net import WAIT, Client, Peer, config, field, hang_up, listed, run, stay_silent
--- a/tests/graphql/test_limits.py
+++ b/tests/graphql/test_limits.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.fronts.graphql.limits import BadDocument, TooCostly, read_document
-from badgercart.fronts.graphql.outcomes import FAULT, TIMED_OUT, TURNED_AWAY, read_reply
-from badgercart.fronts.graphql.settings import Limits
-from cottonhall.interface import Result
+from badgercart.frontends.graphql.limits import BadDocument, TooCostly, read_document
+from badgercart.frontends.graphql.outcomes import FAULT, TIMED_OUT, TURNED_AWAY, read_reply
+from badgercart.frontends.graphql.settings import Limits
+from badgercart.policy.events import Result
 
 WIDE = Limits(document=1 << 20, tokens=100_000)
 
--- a/tests/graphql/test_mapping.py
+++ b/tests/graphql/test_mapping.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from badgercart.operator.file import FileError, load
+from badgercart.app.file import FileError, load
 from standins.fleet import operators_file
 from standins.graphql import SCHEMA_FILE
 
--- a/tests/graphql/test_planner.py
+++ b/tests/graphql/test_planner.py
@@ -22,9 +22,9 @@
     validate,
 )
 
-from badgercart.fronts.graphql.merge import Outcome, response
-from badgercart.fronts.graphql.planner import BadOperation, Memo, Plan, Planner, choose
-from badgercart.fronts.graphql.settings import FieldMap
+from badgercart.frontends.graphql.merge import Outcome, response
+from badgercart.frontends.graphql.planner import BadOperation, Memo, Plan, Planner, choose
+from badgercart.frontends.graphql.settings import FieldMap
 
 RUNS = int(os.environ.get("BADGERCART_RUNS", "0"))
 
--- a/tests/upgrade/test_golden.py
+++ b/tests/hot_restart/test_golden.py
@@ -4,8 +4,8 @@
 
 from pathlib import Path
 
-from badgercart.upgrade.handover import decode, encode
-from tests.learning.test_golden import CONFIG, memory
+from badgercart.hot_restart.state_transfer import decode, encode
+from tests.statistics.test_golden import CONFIG, memory
 
 FILE = Path(__file__).parent / "golden" / "handover.txt"
 NOW, OFFSET = 1_000_000.0, 777.0
--- a/tests/upgrade/test_handover.py
+++ b/tests/hot_restart/test_handover.py
@@ -10,19 +10,13 @@
 from hypothesis import strategies as st
 
 from badgercart.config import Config
-from badgercart.core.sealed import Unusable
-from badgercart.upgrade.handover import OLDEST, Handover, decode, encode
-from cottonhall.interface import (
-    Effect,
-    ListKind,
-    Request,
-    RequestClass,
-    ServerEntry,
-    ServerList,
-    State,
-)
-from cottonhall.memory import Memory, recall
-from cottonhall.rules import Policy
+from badgercart.core.checksummed_file import Unusable
+from badgercart.hot_restart.state_transfer import OLDEST, Handover, decode, encode
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, Request, ServerList
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Effect, RequestClass
+from badgercart.policy.statistics import Memory, recall
 from tests.net import config
 
 NOW, OFFSET = 1_000_000.0, 777.0
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.operator.faults import FileError
+from badgercart.app.faults import FileError
 from lab.__main__ import main
 from lab.measure import Measure
 from lab.peers import NAMES, make
@@ -174,7 +174,7 @@
 
 
 def test_a_name_that_is_no_peer_is_told() -> None:
-    from badgercart.core.join import Join
+    from badgercart.core.request_pipeline import Join
     from lab.clock import Clock
 
     clock = Clock()
@@ -210,7 +210,7 @@
 def test_least_request_keeps_to_weights() -> None:
     import random
 
-    from cottonhall.interface import ServerEntry, State
+    from badgercart.policy.endpoint import ServerEntry, State
     from lab.peers.base import Host
 
     picker = WeightedLeastRequest(random.Random(1))
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from badgercart.core.ports import Answer
-from cottonhall.interface import Result
+from badgercart.policy.events import Result
 from lab.arrivals import plan
 from lab.chance import draw, generator, uniform
 from lab.clock import Clock
--- a/tests/net.py
+++ b/tests/net.py
@@ -12,15 +12,16 @@
 
 import uvloop
 
-from badgercart.carriers.pool.exchange import Message
 from badgercart.config import Config
-from badgercart.core.join import Held
-from badgercart.core.names import stable_id
+from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import Answer, Intake, Order
-from badgercart.fronts.http.clients import ClientConnection
-from badgercart.membership.part import Server
+from badgercart.core.request_pipeline import Held
+from badgercart.discovery.component import Server
+from badgercart.frontends.http.clients import ClientConnection
 from badgercart.node import Node
-from cottonhall.interface import Effect, Outcome, RequestClass, Settings
+from badgercart.policy.events import Outcome
+from badgercart.policy.settings import Effect, RequestClass, Settings
+from badgercart.upstream.exchange import Message
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 CLASSES = {"find": Effect.SAFE, "book": Effect.KEYED, "pay": Effect.UNSAFE}
--- a/tests/policy/support.py
+++ b/tests/policy/support.py
@@ -7,32 +7,22 @@
 import random
 from dataclasses import replace
 
-from cottonhall.interface import (
+from badgercart.policy.actions import Cancel, Fail, Log, Refuse, Send, Subscribe, Wake
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import (
     Began,
-    Cancel,
-    Effect,
-    Fail,
-    Group,
     ListKind,
-    Log,
     Outcome,
-    Refuse,
     Request,
-    RequestClass,
     Result,
     Retuned,
-    Send,
-    ServerEntry,
     ServerList,
-    Settings,
-    State,
-    Subscribe,
     Timer,
-    Wake,
     Whole,
     Withdrawn,
 )
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 
 START = 50_000.0
 SAFE = RequestClass(aim=400.0, deadline=1000.0, worth=10.0, effect=Effect.SAFE)
--- a/tests/policy/test_benchlink.py
+++ b/tests/policy/test_benchlink.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from cottonhall import benchlink
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
+from badgercart.simulator import server as benchlink
 from tests.policy.test_wire import EVENTS
 
 EMPTY = bytes.fromhex("00000001 00000014 40c06e2000000000 00000000")
@@ -17,7 +17,7 @@
 
 def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
-        [sys.executable, "-B", "-m", "cottonhall.benchlink"],
+        [sys.executable, "-B", "-m", "badgercart.simulator"],
         input=data,
         capture_output=True,
         check=False,
--- a/tests/policy/test_carriers.py
+++ b/tests/policy/test_carriers.py
@@ -7,26 +7,20 @@
 
 import pytest
 
-from cottonhall.interface import (
+from badgercart.policy.actions import Fail, Refuse, Send
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import (
     Diverted,
-    Effect,
-    Fail,
-    Group,
     ListKind,
     Outcome,
-    Refuse,
     Request,
-    RequestClass,
     Result,
     Resume,
-    Send,
-    ServerEntry,
     ServerList,
-    Settings,
-    State,
     Withdrawn,
 )
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 
 NOW = 50_000.0
 SAFE = RequestClass(400.0, 1000.0, 1.0, Effect.SAFE)
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from cottonhall import rules
-from cottonhall.interface import ListKind, Result, Send, ServerList
-from cottonhall.rules import BUDGET, Policy
+from badgercart.policy import policy as rules
+from badgercart.policy.actions import Send
+from badgercart.policy.events import ListKind, Result, ServerList
+from badgercart.policy.policy import BUDGET, Policy
 from lab.ramp import Ramp, closest, play
 from tests.policy.support import SAFE, Stage, server, settings
 
--- a/tests/policy/test_company.py
+++ b/tests/policy/test_company.py
@@ -8,8 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhall.interface import Company, Result, Send
-from cottonhall.rules import HEARSAY, SUSPECT_AT, Policy
+from badgercart.policy.actions import Send
+from badgercart.policy.events import Company, Result
+from badgercart.policy.policy import HEARSAY, SUSPECT_AT, Policy
 from tests.policy.support import Stage, server
 from tests.policy.support import settings as terms
 
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -6,19 +6,10 @@
 
 import pytest
 
-from cottonhall.interface import (
-    ListKind,
-    Log,
-    Outcome,
-    Refuse,
-    Request,
-    Result,
-    Send,
-    State,
-    Subscribe,
-    Wake,
-)
-from cottonhall.rules import ERRORS_FROM, ERRORS_FULL, PRIOR, Policy
+from badgercart.policy.actions import Log, Refuse, Send, Subscribe, Wake
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import ListKind, Outcome, Request, Result
+from badgercart.policy.policy import ERRORS_FROM, ERRORS_FULL, PRIOR, Policy
 from tests.policy.support import KEYED, SAFE, START, UNSAFE, Stage, server, settings
 
 
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -11,22 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhall.fleet import BLOCK, Ring, Sizes
-from cottonhall.interface import (
-    Effect,
-    ListKind,
-    Outcome,
-    Request,
-    RequestClass,
-    Result,
-    Send,
-    ServerEntry,
-    ServerList,
-    Settings,
-    State,
-    Timer,
-)
-from cottonhall.rules import (
+from badgercart.policy.actions import Send
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind, Outcome, Request, Result, ServerList, Timer
+from badgercart.policy.hash_ring import BLOCK, Ring, Sizes
+from badgercart.policy.policy import (
     BURST_FROM,
     BURST_FULL,
     FEW,
@@ -37,6 +26,7 @@
     Policy,
     mix,
 )
+from badgercart.policy.settings import Effect, RequestClass, Settings
 
 CLASSES = (
     RequestClass(400.0, 1000.0, 1.0, Effect.SAFE),
--- a/tests/policy/test_planned.py
+++ b/tests/policy/test_planned.py
@@ -10,7 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhall.interface import Effect, Group, Planned, RequestClass, Result, Send, State
+from badgercart.policy.actions import Send
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import Planned, Result
+from badgercart.policy.settings import Effect, Group, RequestClass
 from tests.policy.support import Stage, server
 from tests.policy.support import settings as terms
 
--- a/tests/policy/test_six_rules.py
+++ b/tests/policy/test_six_rules.py
@@ -9,18 +9,11 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from badgercart.retune.numbers import renumbered
-from cottonhall.interface import (
-    Effect,
-    Group,
-    ListKind,
-    RequestClass,
-    Result,
-    ServerList,
-    State,
-    Subscribe,
-    Withdrawn,
-)
+from badgercart.policy.actions import Subscribe
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import ListKind, Result, ServerList, Withdrawn
+from badgercart.policy.settings import Effect, Group, RequestClass
+from badgercart.reload.numbers import renumbered
 from tests.policy.support import KEYED, SAFE, UNSAFE, Stage, server, settings
 
 ZONED = replace(KEYED, group=Group.ZONE, window=300.0)
--- a/tests/policy/test_slopes.py
+++ b/tests/policy/test_slopes.py
@@ -18,27 +18,23 @@
 
 import pytest
 
-import cottonhall.rules
-from benchmarks.scale.fit import Point, fit
-from cottonhall.interface import (
+import badgercart.policy.policy
+from badgercart.policy.actions import Send
+from badgercart.policy.endpoint import Known, ServerEntry, State
+from badgercart.policy.events import (
     Company,
-    Effect,
     Event,
-    Known,
     ListKind,
     Outcome,
     Request,
-    RequestClass,
     Result,
     Retuned,
-    Send,
-    ServerEntry,
     ServerList,
-    Settings,
-    State,
     Withdrawn,
 )
-from cottonhall.rules import SHARE_HALF, UPKEEP, Policy, mix
+from badgercart.policy.policy import SHARE_HALF, UPKEEP, Policy, mix
+from badgercart.policy.settings import Effect, RequestClass, Settings
+from benchmarks.scale.fit import Point, fit
 
 SERVERS = (200, 400, 800, 1600, 3200)
 FLAT = 0.15  # exponent: what a search by halves may add over these sizes; a look at all would be 1
@@ -269,7 +265,7 @@
     rng, placed = random.Random(5), 0
     servers, nodes = 800, 600
     policy = fleet(servers, nodes=nodes, warm_keys=True)
-    assert policy.groups > cottonhall.rules.SCARCE
+    assert policy.groups > badgercart.policy.policy.SCARCE
     now = 1.0
     for turn in range(60):
         now = serve(policy, now + rng.choice((0.0, 6000.0)), 5, 1 + 10 * turn)
@@ -282,7 +278,7 @@
         while policy.unplaced:
             policy.place_points(1 << 30)
         strength = {i: policy.strength(policy.servers[i]) for i in policy.ours}
-        due = {i: int(cottonhall.rules.RING_POINTS * strength[i]) + 1 for i in policy.ours}
+        due = {i: int(badgercart.policy.policy.RING_POINTS * strength[i]) + 1 for i in policy.ours}
         ring = sorted(
             (mix(i * 1000003 + point), i) for i, count in due.items() for point in range(count)
         )
@@ -311,7 +307,7 @@
     while policy.unplaced:
         policy.place_points(1 << 30)
     strength = {i: policy.strength(policy.servers[i]) for i in policy.ready}
-    due = {i: int(cottonhall.rules.RING_POINTS * strength[i]) + 1 for i in policy.ready}
+    due = {i: int(badgercart.policy.policy.RING_POINTS * strength[i]) + 1 for i in policy.ready}
     assert policy.groups == 1 and policy.points == due
 
 
@@ -348,7 +344,7 @@
         state = policy.random.getstate()
         drawn = list(policy.draw(0))[-size:]
         policy.random.setstate(state)
-        for _ in range(2 * min(cottonhall.rules.DRAW, 6)):
+        for _ in range(2 * min(badgercart.policy.policy.DRAW, 6)):
             policy.random.random()
         at = policy.ready.index(drawn[0])
         assert drawn == policy.ready[at:] + policy.ready[:at]
@@ -467,9 +463,9 @@
         told = [entry(number, State.DRAINING) for number in range(70)]
         told += [entry(servers + number) for number in range(70)]
         monkeypatch.setattr(policy, "mark_points", lambda pace, changed: None)
-        monkeypatch.setattr(cottonhall.rules, "mix", counted)
+        monkeypatch.setattr(badgercart.policy.policy, "mix", counted)
         policy.handle(2.0, ServerList(ListKind.DELTA, 2, told))
-        monkeypatch.setattr(cottonhall.rules, "mix", mix)
+        monkeypatch.setattr(badgercart.policy.policy, "mix", mix)
         assert policy.ready == sorted(policy.ready, key=mix) and len(policy.ready) == servers
         assert policy.marks == [mix(server_id) for server_id in policy.ready]
         return calls
--- a/tests/policy/test_wire.py
+++ b/tests/policy/test_wire.py
@@ -7,25 +7,11 @@
 
 import pytest
 
-from cottonhall.interface import (
-    Cancel,
-    Effect,
-    Fail,
-    ListKind,
-    Log,
-    Outcome,
-    Probe,
-    Refuse,
-    Request,
-    Send,
-    ServerList,
-    State,
-    Subscribe,
-    Timer,
-    Wake,
-    Withdrawn,
-)
-from cottonhall.wire import Born, Decoder, Encoder, Killed, WireError, read_settings
+from badgercart.policy.actions import Cancel, Fail, Log, Probe, Refuse, Send, Subscribe, Wake
+from badgercart.policy.endpoint import State
+from badgercart.policy.events import ListKind, Outcome, Request, ServerList, Timer, Withdrawn
+from badgercart.policy.settings import Effect
+from badgercart.simulator.codec import Born, Decoder, Encoder, Killed, WireError, read_settings
 
 EVENTS = bytes.fromhex(
     "0000000c 00000104 40c06e2000000000 00000005"
--- a/tests/processor/test_account.py
+++ b/tests/processor/test_account.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from badgercart.fronts.processor.account import MAX_PROXIES, Account, Standing
-from badgercart.fronts.processor.settings import OldAnswers
+from badgercart.frontends.processor.account import MAX_PROXIES, Account, Standing
+from badgercart.frontends.processor.settings import OldAnswers
 
 RULE = OldAnswers(window_ms=1000.0, no_fallbacks_after=3, refuse_after=5, refuse_for_ms=200.0)
 
--- a/tests/processor/test_description.py
+++ b/tests/processor/test_description.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.core.names import stable_id
+from badgercart.core.identifiers import stable_id
 from badgercart.core.requests import BadDescription
-from badgercart.fronts.processor.description import MAX_TIMEOUT, Described, Describer
-from badgercart.fronts.processor.settings import HeaderNames, ProcessorSettings
+from badgercart.frontends.processor.description import MAX_TIMEOUT, Described, Describer
+from badgercart.frontends.processor.settings import HeaderNames, ProcessorSettings
 from tests.net import config
 
 GOOD = [
--- a/tests/processor/test_drains.py
+++ b/tests/processor/test_drains.py
@@ -12,7 +12,7 @@
 import asyncio
 import time
 
-from badgercart.fronts.processor.settings import OldAnswers
+from badgercart.frontends.processor.settings import OldAnswers
 from standins import http1
 from standins.proxy import Proxy
 from standins.server import DispatchServer
--- a/tests/processor/test_failures.py
+++ b/tests/processor/test_failures.py
@@ -20,11 +20,12 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 
-from badgercart.fronts.processor import server as processor_server
-from badgercart.fronts.processor.ask import ask
-from badgercart.fronts.processor.server import TlsError, read_tls
-from badgercart.fronts.processor.settings import Tls
-from cottonhall.interface import Outcome, Request, RequestClass, Result
+from badgercart.frontends.processor import server as processor_server
+from badgercart.frontends.processor.ask import ask
+from badgercart.frontends.processor.server import TlsError, read_tls
+from badgercart.frontends.processor.settings import Tls
+from badgercart.policy.events import Outcome, Request, Result
+from badgercart.policy.settings import RequestClass
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
 from standins.scripted_proxy import ScriptedProxy, request_message, told_headers
--- a/tests/processor/test_golden.py
+++ b/tests/processor/test_golden.py
@@ -13,10 +13,10 @@
 import pytest
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 
-from badgercart.fronts.processor.account import Account, Standing
-from badgercart.fronts.processor.machine import Immediate, Pass, Route, Skip
-from badgercart.fronts.processor.messages import write
-from badgercart.fronts.processor.settings import OldAnswers
+from badgercart.frontends.processor.account import Account, Standing
+from badgercart.frontends.processor.machine import Immediate, Pass, Route, Skip
+from badgercart.frontends.processor.messages import write
+from badgercart.frontends.processor.settings import OldAnswers
 from tests.golden import differences
 
 GOLDEN = Path(__file__).parent / "golden"
--- a/tests/processor/test_interleavings.py
+++ b/tests/processor/test_interleavings.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from badgercart.core.join import Join
-from badgercart.core.roster import Member, MemberList, Roster
-from badgercart.fronts.processor import machine
-from badgercart.fronts.processor.description import Described
-from badgercart.fronts.processor.machine import (
+from badgercart.core.endpoint_table import Member, MemberList, Roster
+from badgercart.core.request_pipeline import Join
+from badgercart.frontends.processor import machine
+from badgercart.frontends.processor.description import Described
+from badgercart.frontends.processor.machine import (
     At,
     Call,
     Calls,
@@ -27,9 +27,11 @@
     Route,
     Stream,
 )
-from badgercart.fronts.processor.outcomes import Phase
-from badgercart.fronts.processor.settings import OldAnswers, ProcessorSettings
-from cottonhall.interface import Effect, Group, ListKind, RequestClass, ServerEntry, Settings, State
+from badgercart.frontends.processor.outcomes import Phase
+from badgercart.frontends.processor.settings import OldAnswers, ProcessorSettings
+from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.events import ListKind
+from badgercart.policy.settings import Effect, Group, RequestClass, Settings
 from tests.clockwork import Clockwork
 
 CLASSES = (
