--- a/tests/processor/test_outcomes.py
+++ b/tests/processor/test_outcomes.py
@@ -6,8 +6,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.fronts.processor.outcomes import DETAILS, FLAGS, VIA_UPSTREAM, Flag, Phase, read_end
-from cottonhall.interface import NEVER_RAN, Result
+from badgercart.frontends.processor.outcomes import (
+    DETAILS,
+    FLAGS,
+    VIA_UPSTREAM,
+    Flag,
+    Phase,
+    read_end,
+)
+from badgercart.policy.events import NEVER_RAN, Result
 
 # The flags that prove that a request never reached a server, by Envoy's own words for them.
 PROOF = set("LH UH UF UO NR FI RL UAEX RLSE IH RFCF NFCF NC OM DF DO UDO".split())
--- a/tests/processor/test_streams.py
+++ b/tests/processor/test_streams.py
@@ -8,7 +8,7 @@
 import pytest
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 
-from cottonhall.interface import Diverted, Outcome, Request, Result, Resume, Timer, Withdrawn
+from badgercart.policy.events import Diverted, Outcome, Request, Result, Resume, Timer, Withdrawn
 from standins.scripted_proxy import request_message, response_message, told_headers
 from tests.net import run
 from tests.processors import SERVERS, described, entry, site_with_processor
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -9,11 +9,12 @@
 from dataclasses import replace
 from typing import Any
 
-from badgercart.core.join import Join
-from badgercart.fronts.processor.settings import ProcessorSettings
-from badgercart.operator.file import Installation
-from badgercart.operator.site import Site
-from cottonhall.interface import Effect, Event, RequestClass
+from badgercart.app.file import Installation
+from badgercart.app.site import Site
+from badgercart.core.request_pipeline import Join
+from badgercart.frontends.processor.settings import ProcessorSettings
+from badgercart.policy.events import Event
+from badgercart.policy.settings import Effect, RequestClass
 from standins.scripted_proxy import ScriptedProxy
 from tests.net import CLASSES, WAIT, config, listed
 
--- a/tests/retune/test_checks.py
+++ b/tests/reload/test_checks.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.retune.checks import FREE, MAX_CLASSES, faults, load
-from badgercart.retune.numbers import renumbered
+from badgercart.reload.checks import FREE, MAX_CLASSES, faults, load
+from badgercart.reload.numbers import renumbered
 from tests.test_process import raw_config
 
 
--- a/tests/retune/test_reload.py
+++ b/tests/reload/test_reload.py
@@ -13,9 +13,9 @@
 import uvloop
 
 from badgercart.config import Config
-from badgercart.retune.retune import Busy, retuned
-from cottonhall import Policy
-from cottonhall.interface import Request
+from badgercart.policy import Policy
+from badgercart.policy.events import Request
+from badgercart.reload.reconfiguration import Busy, retuned
 from tests.net import WAIT, Agent, Client, Peer, config, hang_up, held_back, request
 from tests.test_process import Process, raw_config, started
 
--- a/tests/learning/test_golden.py
+++ b/tests/statistics/test_golden.py
@@ -13,10 +13,11 @@
 
 from click.testing import CliRunner
 
-from badgercart.learning.commands import learned
-from badgercart.learning.snapshot import decode, encode, give, take
-from cottonhall.interface import Effect, Known, RequestClass
-from cottonhall.memory import Memory
+from badgercart.policy.endpoint import Known
+from badgercart.policy.settings import Effect, RequestClass
+from badgercart.policy.statistics import Memory
+from badgercart.statistics.commands import learned
+from badgercart.statistics.snapshot import decode, encode, give, take
 from tests.net import config
 
 GOLDEN = Path(__file__).parent / "golden"
--- a/tests/learning/test_memory.py
+++ b/tests/statistics/test_memory.py
@@ -20,9 +20,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.learning import store
-from badgercart.learning.ageing import aged
-from badgercart.learning.snapshot import (
+from badgercart.app.cli import main
+from badgercart.policy.actions import Send
+from badgercart.policy.endpoint import Known, ServerEntry, State
+from badgercart.policy.events import ListKind, Request, ServerList
+from badgercart.policy.policy import Policy
+from badgercart.policy.statistics import Memory, adopt, recall
+from badgercart.statistics import store
+from badgercart.statistics.ageing import aged
+from badgercart.statistics.snapshot import (
     MAGIC,
     PREFIX,
     VERSION,
@@ -33,10 +39,6 @@
     give,
     take,
 )
-from badgercart.operator.cli import main
-from cottonhall.interface import Known, ListKind, Request, Send, ServerEntry, ServerList, State
-from cottonhall.memory import Memory, adopt, recall
-from cottonhall.rules import Policy
 from tests.capture.support import SETTINGS, Saturday
 from tests.net import config
 
@@ -411,8 +413,8 @@
 KILLED = """
 import os, signal, sys
 from pathlib import Path
-from badgercart.learning import store
-from tests.learning.test_memory import snapshots
+from badgercart.statistics import store
+from tests.statistics.test_memory import snapshots
 left = int(sys.argv[2])
 class Killing(store.Folder):
     pass
@@ -455,7 +457,7 @@
 def test_a_folder_is_one_process_s(tmp_path: Path) -> None:
     lock = store.Lock(tmp_path)
     code = (
-        "from badgercart.learning.store import Lock; from pathlib import Path; "
+        "from badgercart.statistics.store import Lock; from pathlib import Path; "
         f"Lock(Path({str(tmp_path)!r}))"
     )
     other = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
--- a/tests/learning/test_part.py
+++ b/tests/statistics/test_part.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from badgercart.learning import snapshot, store
+from badgercart.statistics import snapshot, store
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
 from standins.traffic import arrivals, play
--- a/tests/trial/support.py
+++ b/tests/trial/support.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from badgercart.operator.cli import main
+from badgercart.app.cli import main
 from lab.trial.checkers import broken
 from lab.trial.world import Shape, World
 
--- a/tests/trial/test_peers.py
+++ b/tests/trial/test_peers.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from badgercart.operator.cli import main
-from badgercart.peers.commands import ask
+from badgercart.app.cli import main
+from badgercart.cluster.commands import ask
 from lab.trial.world import Shape, World
 from tests.trial.support import saying, trial
 
--- a/tests/trial/test_script.py
+++ b/tests/trial/test_script.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from badgercart.operator.faults import FileError
+from badgercart.app.faults import FileError
 from lab.__main__ import main
 from lab.model import play
 from lab.settings import Cell
--- a/tests/trial/test_zones.py
+++ b/tests/trial/test_zones.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from badgercart.operator.cli import main
+from badgercart.app.cli import main
 from badgercart.zones.commands import ask
 from lab.trial.world import Shape, World
 from tests.trial.support import saying
--- a/tests/carriers/test_exchange.py
+++ b/tests/upstream/test_exchange.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.carriers.pool.attempts import ENDS, OVERDUE, At, check_end
-from badgercart.carriers.pool.exchange import Done, Exchange, Malformed, Message, State, Unasked
-from cottonhall.interface import Result
+from badgercart.policy.events import Result
+from badgercart.upstream.attempts import ENDS, OVERDUE, At, check_end
+from badgercart.upstream.exchange import Done, Exchange, Malformed, Message, State, Unasked
 
 ANSWERS = {
     b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone": (200, b"done", True),
--- a/tests/carriers/test_golden.py
+++ b/tests/upstream/test_golden.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from badgercart.carriers.pool.exchange import Exchange
-from tests.fronts.test_golden import POST, Stand, head
+from badgercart.upstream.exchange import Exchange
+from tests.frontends.test_golden import POST, Stand, head
 from tests.golden import differences
 
 GOLDEN = Path(__file__).parent / "golden"
--- a/tests/carriers/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -11,10 +11,11 @@
 
 import pytest
 
-from badgercart.carriers.pool import pool
-from badgercart.carriers.pool.pool import ServerConnection
-from badgercart.core.names import stable_id
-from cottonhall.interface import Request, Result, Send, ServerList
+from badgercart.core.identifiers import stable_id
+from badgercart.policy.actions import Send
+from badgercart.policy.events import Request, Result, ServerList
+from badgercart.upstream import connection_pool as pool
+from badgercart.upstream.connection_pool import ServerConnection
 from tests.net import (
     OK,
     WAIT,
--- a/tests/zones/support.py
+++ b/tests/zones/support.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from badgercart.zones.council import Ballot, Council, Effect, InForce, Post, Terms
-from badgercart.zones.geography import geography
-from badgercart.zones.plan import Limits, Plan, Situation, unpacked, work_out
+from badgercart.zones.plan_consensus import Ballot, Council, Effect, InForce, Post, Terms
+from badgercart.zones.topology import geography
+from badgercart.zones.traffic_plan import Limits, Plan, Situation, unpacked, work_out
 
 MAP = geography("abc", {}, {}, 1)
 TERMS = Terms(lease=4000.0, margin=100.0, renew=1000.0, patience=2000.0)
--- a/tests/zones/test_council.py
+++ b/tests/zones/test_council.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
-from badgercart.zones import council as module
-from badgercart.zones.council import (
+from badgercart.zones import plan_consensus as module
+from badgercart.zones.plan_consensus import (
     CHUNKS,
     COMMITS,
     MAX_EPOCH,
@@ -25,7 +25,7 @@
     Post,
     mark,
 )  # fmt: skip
-from badgercart.zones.plan import unpacked
+from badgercart.zones.traffic_plan import unpacked
 from tests.zones.support import MAP, TERMS, Broken, Hall, plan, play
 
 RUNS = int(os.environ.get("BADGERCART_RUNS", "60"))
--- a/tests/zones/test_golden.py
+++ b/tests/zones/test_golden.py
@@ -18,17 +18,17 @@
 import msgspec
 import pytest
 
-from badgercart.operator.cli import main
+from badgercart.app.cli import main
 from badgercart.zones import commands
-from badgercart.zones.council import ASK, ROUND, VOTE, Council, InForce, Post
-from badgercart.zones.evidence import Claim, Evidence
-from badgercart.zones.eyes import Verdict
-from badgercart.zones.keeper import ORDERS, Keeper, Order
-from badgercart.zones.plan import Limits, Plan, Situation, packed, unpacked, work_out
+from badgercart.zones.failover_controller import ORDERS, Keeper, Order
+from badgercart.zones.failure_detector import Verdict
+from badgercart.zones.plan_consensus import ASK, ROUND, VOTE, Council, InForce, Post
+from badgercart.zones.traffic_plan import Limits, Plan, Situation, packed, unpacked, work_out
+from badgercart.zones.zone_reports import Claim, Evidence
 from lab.model import World
 from lab.settings import Cell
+from tests.app.test_file import ROOT
 from tests.lab.support import day
-from tests.operator.test_file import ROOT
 from tests.zones.support import MAP, TERMS, plan
 
 GOLDEN = Path(__file__).parent / "golden"
--- a/tests/zones/test_keeper.py
+++ b/tests/zones/test_keeper.py
@@ -6,8 +6,8 @@
 import msgspec
 import pytest
 
-from badgercart.zones.keeper import DRAIN, ORDERS, PIN, RELEASE, Keeper, Order
-from cottonhall.interface import Planned
+from badgercart.policy.events import Planned
+from badgercart.zones.failover_controller import DRAIN, ORDERS, PIN, RELEASE, Keeper, Order
 from lab.model import World
 from lab.settings import Cell
 from tests.lab.support import day
--- a/tests/zones/test_plan.py
+++ b/tests/zones/test_plan.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.zones.geography import Geography, geography
-from badgercart.zones.keeper import loads_of
-from badgercart.zones.plan import (
+from badgercart.zones.failover_controller import loads_of
+from badgercart.zones.topology import Geography, geography
+from badgercart.zones.traffic_plan import (
     PARTS,
     Limits,
     Plan,
--- a/tests/zones/test_seeing.py
+++ b/tests/zones/test_seeing.py
@@ -9,11 +9,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.zones.evidence import Claim, Evidence
-from badgercart.zones.eyes import BACK, KNOWN_FOR, MAX_SERVERS, Eyes, Verdict
-from badgercart.zones.gates import Gate, Pace, State
-from badgercart.zones.geography import Geography, geography
-from cottonhall.interface import Result
+from badgercart.policy.events import Result
+from badgercart.zones.circuit_breaker import Gate, Pace, State
+from badgercart.zones.failure_detector import BACK, KNOWN_FOR, MAX_SERVERS, Eyes, Verdict
+from badgercart.zones.topology import Geography, geography
+from badgercart.zones.zone_reports import Claim, Evidence
 
 FINE, DARK, UNKNOWN = Verdict.FINE, Verdict.DARK, Verdict.UNKNOWN
 
--- a/tests/zones/test_settings.py
+++ b/tests/zones/test_settings.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from badgercart.operator.faults import FileError
-from badgercart.operator.file import load
+from badgercart.app.faults import FileError
+from badgercart.app.file import load
 from badgercart.zones.settings import ZonesSettings
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "zones.toml"
