--- a/badgercart/admin/handlers.py
+++ b/badgercart/admin/handlers.py
@@ -28,7 +28,7 @@
 
     def change(self, name: str, done: str, act: Callable[[str], str]) -> Reply:
         if not self.bans.ledger.known(name):
-            if not self.bans.roster.told:
+            if not self.bans.roster.has_update:
                 return Reply(HTTPStatus.SERVICE_UNAVAILABLE, "no server list has come yet")
             return Reply(HTTPStatus.NOT_FOUND, f"no server {name} was ever listed")
         if why := act(name):
--- a/badgercart/app/base.py
+++ b/badgercart/app/base.py
@@ -14,7 +14,7 @@
 from badgercart.app.logs import Log
 from badgercart.app.model import LONG, Listed, Name, Names, Table
 from badgercart.config import Config, held_to
-from badgercart.policy.settings import Effect, Group, RequestClass, Settings
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 
 class Node(Table, title="Node"):
@@ -185,28 +185,28 @@
     settings = Settings(
         classes=tuple(
             RequestClass(
-                aim=cls.aim_ms,
-                deadline=cls.deadline_ms,
-                worth=cls.worth,
-                effect=Effect(cls.effect),
-                group=Group(cls.group),
-                window=cls.window_ms,
-                late_value=cls.late_value,
+                latency_objective_ms=cls.aim_ms,
+                deadline_ms=cls.deadline_ms,
+                priority_weight=cls.worth,
+                idempotency=Idempotency(cls.effect),
+                deduplication_scope=DeduplicationScope(cls.group),
+                deduplication_window_ms=cls.window_ms,
+                late_value_share=cls.late_value,
             )
             for cls in base.class_
         ),
         zone=fleet.zones.index(node.zone) if node.zone is not None else 0,
-        group_size=node.nodes,
-        me=node.number,
-        quotas=tuple(tenant.quota_per_s for tenant in base.tenant),
-        over_quota_worth=retry.over_share_worth,
-        warm_keys=fleet.warm_keys,
+        cluster_size=node.nodes,
+        node_index=node.number,
+        quotas_per_s=tuple(tenant.quota_per_s for tenant in base.tenant),
+        over_quota_weight=retry.over_share_worth,
+        key_affinity=fleet.warm_keys,
         may_cancel=retry.cancel,
         max_attempts=retry.max_attempts,
-        max_retry_after=retry.max_retry_after_ms,
-        full_may_have_run=fleet.full_may_have_run,
-        cold_from=fleet.cold_from,
-        ramp_time=fleet.ramp_ms,
+        max_retry_after_ms=retry.max_retry_after_ms,
+        full_possibly_executed=fleet.full_may_have_run,
+        slow_start_min_capacity=fleet.cold_from,
+        slow_start_duration_ms=fleet.ramp_ms,
     )
     known: dict[str, Any] = {}
     return Config(
--- a/badgercart/app/component.py
+++ b/badgercart/app/component.py
@@ -17,9 +17,9 @@
 from badgercart.app.base import Base
 from badgercart.app.faults import Path
 from badgercart.config import Config
-from badgercart.core.endpoint_table import Roster
-from badgercart.core.metric_registry import Meters
-from badgercart.core.request_pipeline import Join
+from badgercart.core.endpoint_table import EndpointTable
+from badgercart.core.metric_registry import MetricRegistry
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.entries import ListReader
 from badgercart.frontends.http.requests import Page
 
@@ -28,7 +28,7 @@
     """New settings that a part can't take: what is wrong, in one line."""
 
 
-class Part(Protocol):
+class Component(Protocol):
     """One running part. Calls come in this order: start, any number of prepares, drain, close.
 
     `close` may come at any time after `start` was called, also where that failed or was cancelled.
@@ -51,26 +51,26 @@
         """Let go of everything at once."""
 
 
-class Kind(Enum):
-    FRONT = "front"  # owes answers; at least one must be on
-    MEMBERS = "members"  # tells the server list; exactly one must be on
+class ComponentKind(Enum):
+    FRONTEND = "front"  # owes answers; at least one must be on
+    DISCOVERY = "members"  # tells the server list; exactly one must be on
     SERVICE = "service"  # any number
 
 
 @dataclass(slots=True)
-class Host:
+class ComponentHost:
     """What an installation hands to its parts."""
 
     config: Config
-    join: Join
-    roster: Roster
+    pipeline: RequestPipeline
+    endpoint_table: EndpointTable
     reader: ListReader
     loop: asyncio.AbstractEventLoop
     folder: str  # of the operator's file: what it names relative to itself
     share: float  # of the clients' and servers' descriptors, for each part that has such
     others: int = 0  # parts that have none of those
     pages: dict[bytes, Page] = field(default_factory=dict)  # for operators, by path
-    meters: Meters = field(default_factory=Meters)  # figures for operators
+    metrics: MetricRegistry = field(default_factory=MetricRegistry)  # figures for operators
     machines: dict[str, object] = field(
         default_factory=dict
     )  # that decide beside the policy, by name
@@ -97,15 +97,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Declaration:
+class ComponentDeclaration:
     """How a part plugs in."""
 
     name: str
     key: tuple[str, ...]  # where its settings stand in the file: `("fronts", "http")`
-    kind: Kind
+    kind: ComponentKind
     settings: Any  # the type of what stands there, for pydantic
     about: str
-    build: Callable[[Host, Any], Part]  # imports its libraries; may raise OSError
+    build: Callable[[ComponentHost, Any], Component]  # imports its libraries; may raise OSError
     needs: tuple[str, ...] = ()  # parts, or kinds of parts, that start before it and end after it
     extra: str | None = None  # of pyproject.toml, with its libraries
     libraries: tuple[str, ...] = ()  # the modules that must be there for it
@@ -121,7 +121,7 @@
     """Parts that can't be put in order: which, and why."""
 
 
-def in_order(parts: Iterable[Declaration]) -> list[list[Declaration]]:
+def start_order(parts: Iterable[ComponentDeclaration]) -> list[list[ComponentDeclaration]]:
     """Steps of parts that may start together. They end in the reverse order. Raises OrderError."""
     left = {part.name: part for part in parts}
     providers: dict[str, set[str]] = {name: {name} for name in left}
@@ -134,7 +134,7 @@
             if need not in providers:
                 raise OrderError(f"{part.name} needs {need}, which is not switched on")
             waits[part.name] |= providers[need] - {part.name}
-    steps: list[list[Declaration]] = []
+    steps: list[list[ComponentDeclaration]] = []
     done: set[str] = set()
     while left:
         step = [part for name, part in left.items() if waits[name] <= done]
--- a/badgercart/app/file.py
+++ b/badgercart/app/file.py
@@ -15,7 +15,13 @@
 
 from badgercart.app import document
 from badgercart.app.base import Base, check, config_of
-from badgercart.app.component import Checked, Declaration, Kind, OrderError, in_order
+from badgercart.app.component import (
+    Checked,
+    ComponentDeclaration,
+    ComponentKind,
+    OrderError,
+    start_order,
+)
 from badgercart.app.faults import FileError, Path, below, many, of_model, problem
 from badgercart.app.locate import lines_of
 from badgercart.app.model import Table
@@ -33,15 +39,15 @@
     parts: dict[str, Any]  # settings of the parts that are on, by name
     folder: str = "."  # the file's: what it names relative to itself
     base: Base | None = None  # the tables behind the configuration; None where there was no file
-    known: tuple[Declaration, ...] = field(default_factory=declarations)
+    known: tuple[ComponentDeclaration, ...] = field(default_factory=declarations)
 
-    def declared(self) -> list[Declaration]:
+    def declared(self) -> list[ComponentDeclaration]:
         """Those that are on."""
         return [part for part in self.known if part.name in self.parts]
 
 
 @cache
-def root_model(known: tuple[Declaration, ...]) -> type[Base]:
+def root_model(known: tuple[ComponentDeclaration, ...]) -> type[Base]:
     """The model of a whole file: the tables that are always there, and those of the parts."""
     groups: dict[str, dict[str, Any]] = {}
     fields: dict[str, Any] = {}
@@ -60,7 +66,7 @@
     return root
 
 
-def settings_at(root: Base, part: Declaration) -> Any:
+def settings_at(root: Base, part: ComponentDeclaration) -> Any:
     """What a file says of a part; None where it is switched off."""
     value: Any = root
     for key in part.key:
@@ -71,14 +77,14 @@
 def load(
     path: str,
     environ: Mapping[str, str] | None = None,
-    known: tuple[Declaration, ...] | None = None,
+    known: tuple[ComponentDeclaration, ...] | None = None,
 ) -> Installation:
     """Read and check a file. FileError names all that is wrong with it."""
     return describe(document.read(path, os.environ if environ is None else environ), known)[0]
 
 
 def describe(
-    read: document.Document, known: tuple[Declaration, ...] | None = None
+    read: document.Document, known: tuple[ComponentDeclaration, ...] | None = None
 ) -> tuple[Installation, Base]:
     """The installation and the model behind it. FileError names all that is wrong."""
     known = declarations() if known is None else known
@@ -110,30 +116,34 @@
     )
 
 
-def _whole(known: tuple[Declaration, ...], on: Mapping[str, Any]) -> Iterator[tuple[Path, str]]:
+def _whole(
+    known: tuple[ComponentDeclaration, ...], on: Mapping[str, Any]
+) -> Iterator[tuple[Path, str]]:
     """Whether the parts that are on make an installation."""
-    kinds = {kind: [part for part in known if part.kind is kind] for kind in Kind}
-    if not any(part.name in on for part in kinds[Kind.FRONT]):
-        names = ", ".join(part.key[-1] for part in kinds[Kind.FRONT])
+    kinds = {kind: [part for part in known if part.kind is kind] for kind in ComponentKind}
+    if not any(part.name in on for part in kinds[ComponentKind.FRONTEND]):
+        names = ", ".join(part.key[-1] for part in kinds[ComponentKind.FRONTEND])
         yield ("fronts",), f"nobody may ask: switch on one of {names}"
-    sources = [part for part in kinds[Kind.MEMBERS] if part.name in on]
+    sources = [part for part in kinds[ComponentKind.DISCOVERY] if part.name in on]
     if len(sources) != 1:
-        words = ", ".join(_worded(part) for part in kinds[Kind.MEMBERS])
+        words = ", ".join(_worded(part) for part in kinds[ComponentKind.DISCOVERY])
         yield ("members",), f"the server list comes from one of {words}, not {len(sources)}"
     try:
-        in_order(part for part in known if part.name in on)
+        start_order(part for part in known if part.name in on)
     except OrderError as error:
         yield (), str(error)
 
 
-def _worded(part: Declaration) -> str:
+def _worded(part: ComponentDeclaration) -> str:
     key = ".".join(part.key)
     if many(part.settings):
         return f"[[{key}]]"
     return f"[{key}]" if below(part.settings) is not None else key
 
 
-def _missing(known: tuple[Declaration, ...], on: Mapping[str, Any]) -> Iterator[tuple[Path, str]]:
+def _missing(
+    known: tuple[ComponentDeclaration, ...], on: Mapping[str, Any]
+) -> Iterator[tuple[Path, str]]:
     """Parts whose libraries are not installed."""
     for part in known:
         absent = (
--- a/badgercart/app/logs.py
+++ b/badgercart/app/logs.py
@@ -25,10 +25,10 @@
 from badgercart.app.log_events import LIBRARY, LINES_DROPPED, REQUEST_OVER
 from badgercart.app.model import Table
 from badgercart.config import Config
-from badgercart.core.endpoint_table import Roster
+from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.log_events import Sparse
-from badgercart.core.ports import Final, Intake
-from badgercart.core.request_pipeline import Join
+from badgercart.core.ports import IncomingRequest, RequestOutcome
+from badgercart.core.request_pipeline import RequestPipeline
 
 PATIENCE = 1.0  # s for what is written at the end of the process
 LEVELS = {
@@ -167,20 +167,26 @@
 class RequestLog:
     """An observer of the join: a line for each request."""
 
-    def __init__(self, config: Config, roster: Roster) -> None:
+    def __init__(self, config: Config, roster: EndpointTable) -> None:
         self.classes = [name.decode() for name in config.classes]
         self.tenants = [name.decode() for name in config.tenants]
         self.roster = roster
 
-    def over(
-        self, request_id: int, intake: Intake, final: Final, took: float, server: int, sends: int
+    def request_finished(
+        self,
+        request_id: int,
+        intake: IncomingRequest,
+        final: RequestOutcome,
+        took: float,
+        server: int,
+        sends: int,
     ) -> None:
         member = self.roster.listed.get(server)
         REQUEST_OVER(
-            request_id=intake.name.decode("latin-1") or str(request_id),
+            request_id=intake.request_name.decode("latin-1") or str(request_id),
             number=request_id,
             outcome=final.value,
-            **{"class": self.classes[intake.cls]},
+            **{"class": self.classes[intake.class_index]},
             tenant=self.tenants[intake.tenant] if self.tenants else "",
             server=member.name if member is not None else "",
             attempts=sends,
@@ -200,7 +206,7 @@
     return sink
 
 
-def watch(join: Join, settings: Log, requests: RequestLog) -> None:
+def watch(join: RequestPipeline, settings: Log, requests: RequestLog) -> None:
     """Have each request logged where the level asks for it; elsewhere it costs nothing."""
     others = tuple(observer for observer in join.observers if observer is not requests)
     join.observers = (*others, requests) if settings.level == "debug" else others
--- a/badgercart/app/registry.py
+++ b/badgercart/app/registry.py
@@ -6,9 +6,9 @@
 from importlib import import_module
 from importlib.util import find_spec
 
-from badgercart.app.component import Declaration
+from badgercart.app.component import ComponentDeclaration
 
-PARTS = (
+COMPONENT_MODULES = (
     "badgercart.capture.component",
     "badgercart.statistics.component",
     "badgercart.metrics.component",
@@ -23,7 +23,7 @@
 )
 
 
-def load_events(modules: tuple[str, ...] = PARTS) -> None:
+def load_events(modules: tuple[str, ...] = COMPONENT_MODULES) -> None:
     """Fill the table of log events: those beside each part, the pool's and the operator's."""
     packages = [module.rpartition(".")[0] for module in modules]
     for package in (*packages, "badgercart.upstream", "badgercart.app"):
@@ -32,9 +32,9 @@
 
 
 @cache
-def declarations(modules: tuple[str, ...] = PARTS) -> tuple[Declaration, ...]:
+def declarations(modules: tuple[str, ...] = COMPONENT_MODULES) -> tuple[ComponentDeclaration, ...]:
     """What each module declares, in the order of the lines."""
-    found: list[Declaration] = []
+    found: list[ComponentDeclaration] = []
     for module in modules:
-        found += import_module(module).PARTS
+        found += import_module(module).COMPONENTS
     return tuple(found)
--- a/badgercart/app/site.py
+++ b/badgercart/app/site.py
@@ -11,30 +11,40 @@
 
 from badgercart.app import log_events as events
 from badgercart.app.base import Base
-from badgercart.app.component import Declaration, Host, Part, ReloadError, in_order
+from badgercart.app.component import (
+    Component,
+    ComponentDeclaration,
+    ComponentHost,
+    ReloadError,
+    start_order,
+)
 from badgercart.app.faults import Path, dotted
 from badgercart.app.file import Installation
 from badgercart.core.clock import now_ms
-from badgercart.core.endpoint_table import Roster
+from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.log_events import STOPPED
-from badgercart.core.metric_registry import Meters
-from badgercart.core.request_pipeline import Join
+from badgercart.core.metric_registry import MetricRegistry
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.entries import ListReader
 from badgercart.frontends.http.requests import Page
-from badgercart.policy.endpoint import State
+from badgercart.policy.endpoint import EndpointState
 
 ACCEPT_FOR = 600.0  # ms after SIGTERM during which clients may still come
 GRACE = (
     300.0  # ms beyond the deadline of a drain, after which a part that hangs is closed as it stands
 )
 STATE_LABELS = {
-    State.READY: "ready",
-    State.GONE: "gone",
-    State.DRAINING: "draining",
+    EndpointState.READY: "ready",
+    EndpointState.GONE: "gone",
+    EndpointState.DRAINING: "draining",
 }  # a label
 
 # A server's state as a label of `badgercart_servers`.
-STATE_LABELS = {State.READY: "ready", State.GONE: "gone", State.DRAINING: "draining"}
+STATE_LABELS = {
+    EndpointState.READY: "ready",
+    EndpointState.GONE: "gone",
+    EndpointState.DRAINING: "draining",
+}
 
 
 class PartError(Exception):
@@ -52,12 +62,12 @@
         """Raises PartError."""
         config = what.config
         self.what = what
-        self.join = Join(config.settings, config.seed, loop)
+        self.join = RequestPipeline(config.settings, config.seed, loop)
         reader = ListReader(config)
-        self.roster = Roster(reader, self.join)
+        self.roster = EndpointTable(reader, self.join)
         declared = what.declared()
         holders = sum(part.sockets for part in declared)
-        self.host = Host(
+        self.host = ComponentHost(
             config,
             self.join,
             self.roster,
@@ -68,9 +78,9 @@
             len(declared) - holders,
         )
         self.host.pages[b"/_members"] = Page(self.members_page)
-        self.register(self.host.meters)
-        self.steps = in_order(declared)
-        self.parts: dict[str, Part] = {}
+        self.register(self.host.metrics)
+        self.steps = start_order(declared)
+        self.parts: dict[str, Component] = {}
         for part in (part for step in self.steps for part in step):
             try:
                 self.parts[part.name] = part.build(self.host, what.parts[part.name])
@@ -78,7 +88,7 @@
                 self.close()
                 raise PartError(part.name, error) from error
 
-    def register(self, meters: Meters) -> None:
+    def register(self, meters: MetricRegistry) -> None:
         """What every installation can be asked for."""
         join, policy, listed = self.join, self.join.policy, self.roster.listed
         meters.gauge(
@@ -91,8 +101,12 @@
             "The overload x that the cut rises with, 0 to 1.",
             lambda: policy.x,
         )
-        meters.gauge("badgercart_held", "Requests that are owed an answer.", lambda: len(join.held))
-        meters.gauge("badgercart_attempts_out", "Attempts that are out.", lambda: len(join.out))
+        meters.gauge(
+            "badgercart_held", "Requests that are owed an answer.", lambda: len(join.in_flight)
+        )
+        meters.gauge(
+            "badgercart_attempts_out", "Attempts that are out.", lambda: len(join.open_attempts)
+        )
         meters.gauge(
             "badgercart_need",
             "Attempts that a busy fleet needs out to be kept busy.",
@@ -115,9 +129,9 @@
 
     def members_page(self) -> bytes:
         """What this node believes of the list, for `members list --from-node`."""
-        names = {State.READY: "active", State.DRAINING: "leaving"}
+        names = {EndpointState.READY: "active", EndpointState.DRAINING: "leaving"}
         lines = [
-            {"instanceId": m.name, "hostPort": m.endpoint, "lifecycle": names[m.entry.state]}
+            {"instanceId": m.name, "hostPort": m.address_text, "lifecycle": names[m.entry.state]}
             for m in self.roster.listed.values()
         ]
         told = {
@@ -190,13 +204,13 @@
     async def drain(self) -> None:
         """Answer all that is held, on every part, then end. One deadline holds for all of them."""
         until = now_ms() + ACCEPT_FOR + self.what.config.longest
-        self.join.leave(until)
+        self.join.begin_shutdown(until)
         for step in reversed(self.steps):
             await self.drain_step(step, until)
         self.close()
         STOPPED()
 
-    async def drain_step(self, step: list[Declaration], until: float) -> None:
+    async def drain_step(self, step: list[ComponentDeclaration], until: float) -> None:
         tasks = {
             asyncio.ensure_future(self.parts[part.name].drain(until)): part.name for part in step
         }
--- a/badgercart/capture/anonymise.py
+++ b/badgercart/capture/anonymise.py
@@ -28,8 +28,8 @@
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import Decided, events, start
 from badgercart.capture.whatif import Night, plain, sends
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind, Request, ServerList
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import EndpointUpdate, Request, UpdateKind
 from badgercart.policy.policy import Policy
 from badgercart.policy.settings import Settings
 
@@ -52,12 +52,14 @@
         return int.from_bytes(hashlib.blake2b(data, digest_size=8, key=self.secret).digest()) or 1
 
 
-def fleet(policy: Policy) -> ServerList:
+def fleet(policy: Policy) -> EndpointUpdate:
     """The list that a segment's state begins with."""
     entries = [
-        server.entry for server in policy.servers.values() if server.entry.state is not State.GONE
+        server.entry
+        for server in policy.servers.values()
+        if server.entry.state is not EndpointState.GONE
     ]
-    return ServerList(ListKind.FULL, 0, entries)
+    return EndpointUpdate(UpdateKind.SNAPSHOT, 0, entries)
 
 
 def items_of(segment: Segment, state: Policy) -> list[Decided]:
@@ -77,11 +79,11 @@
     Raises FormatError, CodecError and OSError."""
     segment = Segment(source.read_bytes())
     settings = decode_settings(segment.head["settings"])
-    names = Names(secret or secrets.token_bytes(32), len(settings.quotas))
-    quotas = [0.0] * len(settings.quotas)
-    for number, quota in enumerate(settings.quotas):
+    names = Names(secret or secrets.token_bytes(32), len(settings.quotas_per_s))
+    quotas = [0.0] * len(settings.quotas_per_s)
+    for number, quota in enumerate(settings.quotas_per_s):
         quotas[names("tenant", number)] = quota
-    settings = replace(settings, quotas=tuple(quotas))
+    settings = replace(settings, quotas_per_s=tuple(quotas))
     items = items_of(segment, start(segment))
     shift = items[0].now - BEGIN
     seed = names("seed", segment.head["seed"] + 1)
@@ -96,16 +98,16 @@
     for item in items:
         event = plain(item.event, names)
         if isinstance(event, Request):
-            event.due -= shift
-        elif isinstance(event, ServerList):
-            event.servers = [began_at(line, shift) for line in event.servers]
+            event.deadline -= shift
+        elif isinstance(event, EndpointUpdate):
+            event.endpoints = [began_at(line, shift) for line in event.endpoints]
         fresh.append(Decided(item.now - shift, event, item.then))
     return fresh
 
 
-def began_at(line: ServerEntry, shift: float) -> ServerEntry:
+def began_at(line: Endpoint, shift: float) -> Endpoint:
     """A start that lies before the new clock's zero counts as long ago only where it was."""
-    return replace(line, started=line.started - shift) if line.started else line
+    return replace(line, started_ms=line.started_ms - shift) if line.started_ms else line
 
 
 def render(settings: Settings, seed: int, items: list[Decided]) -> tuple[int, int, bytes]:
--- a/badgercart/capture/codec.py
+++ b/badgercart/capture/codec.py
@@ -1,17 +1,13 @@
 """Events and actions as bytes, and back; and a policy's state at the head of a segment. No I/O.
 
-Why msgspec: it writes MessagePack in one pass of C, which keeps the tap cheap, and any reader of
-MessagePack can read a capture. State is pickled, since no other form keeps a policy's graph of
-shared objects exactly; it is read back with a list of the only names that may stand in it, so that
-a capture can't run code.
+Why msgspec: it writes MessagePack in one pass of C, which keeps the tap cheap, and any reader of MessagePack
+can read a capture. A policy's state: `policy_state.py`.
 """
 
 from __future__ import annotations
 
 import dataclasses
 import hashlib
-import io
-import pickle
 from collections.abc import Callable, Iterator, Sequence
 from functools import cache
 from operator import attrgetter
@@ -22,47 +18,61 @@
 
 import badgercart.policy.hash_ring
 import badgercart.policy.policy
+from badgercart.capture import policy_state
 from badgercart.policy.actions import (
     Action,
-    Cancel,
+    CancelAttempt,
     Fail,
+    HealthCheck,
     Log,
-    Probe,
-    Refuse,
     Send,
+    SetTimer,
+    Shed,
     Subscribe,
-    Wake,
 )
-from badgercart.policy.endpoint import Known, ServerEntry, State
+from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import (
-    Began,
-    Company,
-    Diverted,
+    AttemptEnded,
+    AttemptRerouted,
+    AttemptResult,
+    ClusterView,
+    DeadlineExceeded,
+    EndpointUpdate,
     Event,
-    ListKind,
-    Outcome,
-    Overdue,
+    HealthCheckResult,
     PeerMessage,
-    Planned,
-    ProbeResult,
     Request,
-    Result,
-    Resume,
-    Retuned,
-    ServerList,
-    Timer,
-    Whole,
-    Withdrawn,
+    RequestCancelled,
+    RequestCompleted,
+    ResponseStarted,
+    RetryDecisionDue,
+    SettingsChanged,
+    TimerFired,
+    TrafficPlan,
+    UpdateKind,
 )
 from badgercart.policy.policy import Policy
-from badgercart.policy.settings import Effect, Group, RequestClass, Settings
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 # The numbers stand in files: a new one is added at the end, none is ever used again.
 EVENTS: tuple[type, ...] = (
-    ServerList, Request, Began, Outcome, Diverted, Resume, ProbeResult, Timer, PeerMessage, Withdrawn,
-    Whole, Retuned, Company, Planned, Overdue,
-)  # fmt: skip
-ACTIONS: tuple[type, ...] = (Send, Refuse, Fail, Cancel, Wake, Probe, Subscribe, Log)
+    EndpointUpdate,
+    Request,
+    ResponseStarted,
+    AttemptEnded,
+    AttemptRerouted,
+    RetryDecisionDue,
+    HealthCheckResult,
+    TimerFired,
+    PeerMessage,
+    RequestCancelled,
+    RequestCompleted,
+    SettingsChanged,
+    ClusterView,
+    TrafficPlan,
+    DeadlineExceeded,
+)
+ACTIONS: tuple[type, ...] = (Send, Shed, Fail, CancelAttempt, SetTimer, HealthCheck, Subscribe, Log)
 _EVENT_NUMBERS = {kind: number for number, kind in enumerate(EVENTS)}
 _ACTION_NUMBERS = {kind: number for number, kind in enumerate(ACTIONS)}
 _encode = msgspec.msgpack.Encoder().encode
@@ -76,10 +86,10 @@
     return lambda item: tuple(getattr(item, name) for name in names)
 
 
-_FIELDS = {kind: _getter(kind) for kind in (*EVENTS, *ACTIONS, ServerEntry)}
+_FIELDS = {kind: _getter(kind) for kind in (*EVENTS, *ACTIONS, Endpoint)}
 
 
-_AMONG = [field.name for field in dataclasses.fields(Request)].index("among")
+_AMONG = [field.name for field in dataclasses.fields(Request)].index("reachable_endpoints")
 
 
 class CodecError(Exception):
@@ -87,23 +97,28 @@
 
 
 def plain_event(now: float, event: Event) -> tuple[int, float, tuple[Any, ...]]:
-    """`(number, now, (field, ...))`, the fields in the order of the class. Nothing in it can change
-    later."""
+    """`(number, now, (field, ...))`, the fields in the order of the class. Nothing in it can change later."""
     kind = type(event)
     fields = _FIELDS[kind](event)
-    if kind is ServerList:
-        fields = (*fields[:-1], [_FIELDS[ServerEntry](entry) for entry in fields[-1]])
-    elif kind is Request and event.among is not None:  # type: ignore[union-attr]
+    if kind is EndpointUpdate:
+        fields = (*fields[:-1], [_FIELDS[Endpoint](entry) for entry in fields[-1]])
+    elif kind is Request and event.reachable_endpoints is not None:  # type: ignore[union-attr]
         fields = (*fields[:_AMONG], sorted(fields[_AMONG]), *fields[_AMONG + 1 :])
-    elif isinstance(event, Retuned):
+    elif isinstance(event, SettingsChanged):
         fields = (
             encode_settings(event.settings),
-            sorted(event.live),
-            sorted(event.fresh),
-            sorted(event.tenants),
+            sorted(event.live_classes),
+            sorted(event.reset_classes),
+            sorted(event.reset_tenants),
+        )
+    elif isinstance(event, TrafficPlan):
+        fields = (
+            event.shares,
+            event.spillover_rates,
+            sorted(event.lost_zones),
+            sorted(event.planned_tenants),
+            event.zone_strain,
         )
-    elif isinstance(event, Planned):
-        fields = (event.shares, event.spill, sorted(event.lost), sorted(event.bound), event.strain)
     return _EVENT_NUMBERS[kind], now, fields
 
 
@@ -123,42 +138,46 @@
 encode_batch: Callable[[list[Told]], bytes] = _encode
 
 
-def _server_list(kind: int, version: int, servers: list[list[Any]]) -> ServerList:
+def _server_list(kind: int, version: int, servers: list[list[Any]]) -> EndpointUpdate:
     entries = [
-        ServerEntry(at, zone, machine, cell, State(state), size, started)
+        Endpoint(at, zone, machine, cell, EndpointState(state), size, started)
         for at, zone, machine, cell, state, size, started in servers
     ]
-    return ServerList(ListKind(kind), version, entries)
+    return EndpointUpdate(UpdateKind(kind), version, entries)
 
 
 def _request(*fields: Any) -> Request:
     event = Request(*fields)
-    event.among = frozenset(event.among) if event.among is not None else None
+    event.reachable_endpoints = (
+        frozenset(event.reachable_endpoints) if event.reachable_endpoints is not None else None
+    )
     return event
 
 
-def _outcome(*fields: Any) -> Outcome:
-    event = Outcome(*fields)
-    event.result, event.report = Result(event.result), tuple(event.report)
+def _outcome(*fields: Any) -> AttemptEnded:
+    event = AttemptEnded(*fields)
+    event.result, event.report = AttemptResult(event.result), tuple(event.report)
     return event
 
 
-def _diverted(*fields: Any) -> Diverted:
-    event = Diverted(*fields)
-    event.result = Result(event.result)
+def _diverted(*fields: Any) -> AttemptRerouted:
+    event = AttemptRerouted(*fields)
+    event.result = AttemptResult(event.result)
     return event
 
 
 def _retuned(
     settings: dict[str, Any], live: list[int], fresh: list[int], tenants: Sequence[int] = ()
-) -> Retuned:
-    return Retuned(decode_settings(settings), frozenset(live), frozenset(fresh), frozenset(tenants))
+) -> SettingsChanged:
+    return SettingsChanged(
+        decode_settings(settings), frozenset(live), frozenset(fresh), frozenset(tenants)
+    )
 
 
 def _company(
     size: int, me: int, may_live: int, parts: list[float], hearsay: list[list[Any]]
-) -> Company:
-    return Company(
+) -> ClusterView:
+    return ClusterView(
         size, me, may_live, tuple(parts), tuple((server, level) for server, level in hearsay)
     )
 
@@ -169,19 +188,19 @@
     lost: list[int],
     bound: list[int],
     strain: list[float],
-) -> Planned:
+) -> TrafficPlan:
     rows = tuple(map(tuple, shares))
-    return Planned(rows, tuple(spill), frozenset(lost), frozenset(bound), tuple(strain))
+    return TrafficPlan(rows, tuple(spill), frozenset(lost), frozenset(bound), tuple(strain))
 
 
 _READ: dict[type, Callable[..., Any]] = {
-    ServerList: _server_list,
+    EndpointUpdate: _server_list,
     Request: _request,
-    Outcome: _outcome,
-    Diverted: _diverted,
-    Retuned: _retuned,
-    Company: _company,
-    Planned: _planned,
+    AttemptEnded: _outcome,
+    AttemptRerouted: _diverted,
+    SettingsChanged: _retuned,
+    ClusterView: _company,
+    TrafficPlan: _planned,
 }
 
 
@@ -206,8 +225,7 @@
 
 
 def decode_batch(data: bytes) -> Iterator[tuple[float, Event, bytes]]:
-    """Each event with its time and what was decided by it, as `encode_actions` has it. Raises
-    CodecError."""
+    """Each event with its time and what was decided by it, as `encode_actions` has it. Raises CodecError."""
     try:
         for number, now, fields, actions in _BATCH.decode(data):
             yield now, _event(number, fields), bytes(actions)
@@ -241,8 +259,8 @@
     aim: float
     deadline: float
     worth: float
-    effect: Effect
-    group: Group = Group.ALL
+    effect: Idempotency
+    group: DeduplicationScope = DeduplicationScope.ALL
     window: float = 0.0
     late_value: float = 0.0
     in_order: bool = False
@@ -276,37 +294,37 @@
     """Plain data, by the stored names."""
     classes = tuple(
         _StoredClass(
-            aim=cls.aim,
-            deadline=cls.deadline,
-            worth=cls.worth,
-            effect=cls.effect,
-            group=cls.group,
-            window=cls.window,
-            late_value=cls.late_value,
-            in_order=cls.in_order,
+            aim=cls.latency_objective_ms,
+            deadline=cls.deadline_ms,
+            worth=cls.priority_weight,
+            effect=cls.idempotency,
+            group=cls.deduplication_scope,
+            window=cls.deduplication_window_ms,
+            late_value=cls.late_value_share,
+            in_order=cls.serialized_by_key,
         )
         for cls in settings.classes
     )
     stored = _StoredSettings(
         classes=classes,
         zone=settings.zone,
-        group_size=settings.group_size,
-        me=settings.me,
-        quotas=settings.quotas,
-        over_quota_worth=settings.over_quota_worth,
-        warm_keys=settings.warm_keys,
-        ask_for_list=settings.ask_for_list,
-        ask_within=settings.ask_within,
-        tick=settings.tick,
+        group_size=settings.cluster_size,
+        me=settings.node_index,
+        quotas=settings.quotas_per_s,
+        over_quota_worth=settings.over_quota_weight,
+        warm_keys=settings.key_affinity,
+        ask_for_list=settings.polls_endpoints,
+        ask_within=settings.poll_interval_ms,
+        tick=settings.tick_ms,
         may_cancel=settings.may_cancel,
         max_attempts=settings.max_attempts,
-        max_retry_after=settings.max_retry_after,
-        full_may_have_run=settings.full_may_have_run,
-        key_rest=settings.key_rest,
-        cold_from=settings.cold_from,
-        ramp_time=settings.ramp_time,
-        tip_multiple=settings.tip_multiple,
-        overload_for=settings.overload_for,
+        max_retry_after=settings.max_retry_after_ms,
+        full_may_have_run=settings.full_possibly_executed,
+        key_rest=settings.key_cooldown_ms,
+        cold_from=settings.slow_start_min_capacity,
+        ramp_time=settings.slow_start_duration_ms,
+        tip_multiple=settings.collapse_load_factor,
+        overload_for=settings.collapse_window_ms,
     )
     plain: dict[str, Any] = msgspec.to_builtins(stored)
     return plain
@@ -318,37 +336,37 @@
         stored = msgspec.convert(plain, _StoredSettings)
         classes = tuple(
             RequestClass(
-                aim=cls.aim,
-                deadline=cls.deadline,
-                worth=cls.worth,
-                effect=cls.effect,
-                group=cls.group,
-                window=cls.window,
-                late_value=cls.late_value,
-                in_order=cls.in_order,
+                latency_objective_ms=cls.aim,
+                deadline_ms=cls.deadline,
+                priority_weight=cls.worth,
+                idempotency=cls.effect,
+                deduplication_scope=cls.group,
+                deduplication_window_ms=cls.window,
+                late_value_share=cls.late_value,
+                serialized_by_key=cls.in_order,
             )
             for cls in stored.classes
         )
         return Settings(
             classes=classes,
             zone=stored.zone,
-            group_size=stored.group_size,
-            me=stored.me,
-            quotas=stored.quotas,
-            over_quota_worth=stored.over_quota_worth,
-            warm_keys=stored.warm_keys,
-            ask_for_list=stored.ask_for_list,
-            ask_within=stored.ask_within,
-            tick=stored.tick,
+            cluster_size=stored.group_size,
+            node_index=stored.me,
+            quotas_per_s=stored.quotas,
+            over_quota_weight=stored.over_quota_worth,
+            key_affinity=stored.warm_keys,
+            polls_endpoints=stored.ask_for_list,
+            poll_interval_ms=stored.ask_within,
+            tick_ms=stored.tick,
             may_cancel=stored.may_cancel,
             max_attempts=stored.max_attempts,
-            max_retry_after=stored.max_retry_after,
-            full_may_have_run=stored.full_may_have_run,
-            key_rest=stored.key_rest,
-            cold_from=stored.cold_from,
-            ramp_time=stored.ramp_time,
-            tip_multiple=stored.tip_multiple,
-            overload_for=stored.overload_for,
+            max_retry_after_ms=stored.max_retry_after,
+            full_possibly_executed=stored.full_may_have_run,
+            key_cooldown_ms=stored.key_rest,
+            slow_start_min_capacity=stored.cold_from,
+            slow_start_duration_ms=stored.ramp_time,
+            collapse_load_factor=stored.tip_multiple,
+            collapse_window_ms=stored.overload_for,
         )
     except (msgspec.MsgspecError, ValueError) as error:
         raise CodecError(f"no settings: {error}") from None
@@ -356,8 +374,7 @@
 
 @cache
 def module_digest() -> dict[str, str]:
-    """The texts of the policy's files, by their SHA-256: decisions can only be the same by the same
-    text."""
+    """The texts of the policy's files, by their SHA-256: decisions can only be the same by the same text."""
     files = [
         Path(str(module.__file__))
         for module in (badgercart.policy.policy, badgercart.policy.hash_ring)
@@ -365,90 +382,10 @@
     return {path.name: hashlib.sha256(path.read_bytes()).hexdigest() for path in files}
 
 
-# A policy's state.
-
-_ALLOWED = {
-    ("builtins", "set"),
-    ("builtins", "frozenset"),
-    ("collections", "deque"),
-    ("collections", "OrderedDict"),
-    ("random", "Random"),
-    ("copyreg", "_reconstructor"),
-    ("builtins", "object"),
-}
-
-
-_STATE_MODULES = (
-    "badgercart.policy.policy",
-    "badgercart.policy.hash_ring",
-    "badgercart.policy.settings",
-    "badgercart.policy.endpoint",
-    "badgercart.policy.events",
-    "badgercart.policy.actions",
-)
-
-# Where states written before the package `badgercart.policy` name their classes.
-_EARLIER_CLASSES: dict[tuple[str, str], type] = {
-    ("cottonhall.rules", "Policy"): Policy,
-    ("cottonhall.rules", "Server"): badgercart.policy.policy.Server,
-    ("cottonhall.rules", "Health"): badgercart.policy.policy.Health,
-    ("cottonhall.rules", "Job"): badgercart.policy.policy.Job,
-    ("cottonhall.rules", "Turn"): badgercart.policy.policy.Turn,
-    ("cottonhall.fleet", "Ring"): badgercart.policy.hash_ring.Ring,
-    ("cottonhall.fleet", "Sizes"): badgercart.policy.hash_ring.Sizes,
-    ("cottonhall.fleet", "Level"): badgercart.policy.hash_ring.Level,
-    ("cottonhall.interface", "Effect"): Effect,
-    ("cottonhall.interface", "Group"): Group,
-    ("cottonhall.interface", "RequestClass"): RequestClass,
-    ("cottonhall.interface", "Settings"): Settings,
-    ("cottonhall.interface", "State"): State,
-    ("cottonhall.interface", "ServerEntry"): ServerEntry,
-    ("cottonhall.interface", "Known"): Known,
-    ("cottonhall.interface", "Result"): Result,
-    ("cottonhall.interface", "ListKind"): ListKind,
-    ("cottonhall.interface", "ServerList"): ServerList,
-    ("cottonhall.interface", "Request"): Request,
-    ("cottonhall.interface", "Whole"): Whole,
-    ("cottonhall.interface", "Began"): Began,
-    ("cottonhall.interface", "Outcome"): Outcome,
-    ("cottonhall.interface", "Diverted"): Diverted,
-    ("cottonhall.interface", "Resume"): Resume,
-    ("cottonhall.interface", "ProbeResult"): ProbeResult,
-    ("cottonhall.interface", "Timer"): Timer,
-    ("cottonhall.interface", "PeerMessage"): PeerMessage,
-    ("cottonhall.interface", "Withdrawn"): Withdrawn,
-    ("cottonhall.interface", "Overdue"): Overdue,
-    ("cottonhall.interface", "Retuned"): Retuned,
-    ("cottonhall.interface", "Company"): Company,
-    ("cottonhall.interface", "Planned"): Planned,
-    ("cottonhall.interface", "Send"): Send,
-    ("cottonhall.interface", "Refuse"): Refuse,
-    ("cottonhall.interface", "Fail"): Fail,
-    ("cottonhall.interface", "Cancel"): Cancel,
-    ("cottonhall.interface", "Wake"): Wake,
-    ("cottonhall.interface", "Probe"): Probe,
-    ("cottonhall.interface", "Subscribe"): Subscribe,
-    ("cottonhall.interface", "Log"): Log,
-}
-
-
-class _Careful(pickle.Unpickler):
-    def find_class(self, module: str, name: str) -> Any:
-        if module in _STATE_MODULES and "." not in name:
-            found = super().find_class(module, name)
-            if isinstance(found, type) and found.__module__ == module:
-                return found
-        elif (module, name) in _EARLIER_CLASSES:
-            return _EARLIER_CLASSES[module, name]
-        elif (module, name) in _ALLOWED:
-            return super().find_class(module, name)
-        raise CodecError(f"a state can't hold {module}.{name}")
-
-
 def freeze(policy: Policy) -> bytes:
-    """The whole state. The policy goes on from the same copy that a reader gets: the order of a set
-    comes of its history, and a replay must meet the same."""
-    state = pickle.dumps(policy, protocol=5)
+    """The whole state. The policy goes on from the same copy that a reader gets: the order of a set comes
+    of its history, and a replay must meet the same."""
+    state = policy_state.dump(policy)
     policy.__dict__.update(thaw(state).__dict__)
     return state
 
@@ -456,11 +393,6 @@
 def thaw(state: bytes) -> Policy:
     """Raises CodecError."""
     try:
-        policy = _Careful(io.BytesIO(state)).load()
-    except CodecError:
-        raise
-    except Exception as error:  # a broken pickle raises nearly anything
-        raise CodecError(f"no state: {type(error).__name__}: {error}") from None
-    if not isinstance(policy, Policy):
-        raise CodecError("the state is no policy's")
-    return policy
+        return policy_state.load(state)
+    except policy_state.StateError as error:
+        raise CodecError(str(error)) from None
--- a/badgercart/capture/component.py
+++ b/badgercart/capture/component.py
@@ -8,7 +8,7 @@
 from pathlib import Path as FilePath
 from typing import TYPE_CHECKING
 
-from badgercart.app.component import Checked, Declaration, Host, Kind
+from badgercart.app.component import Checked, ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.faults import Path
 from badgercart.capture.log_events import GAP, OFF, WRITING
 from badgercart.capture.settings import CaptureSettings
@@ -19,10 +19,10 @@
 FLUSH = 0.2  # s between looks for what has gathered
 
 
-class CapturePart:
+class CaptureComponent:
     """Taps the join from before anything is told to the policy until all is drained."""
 
-    def __init__(self, host: Host, settings: CaptureSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: CaptureSettings) -> None:
         from badgercart.capture.writer import Capture
 
         self.host, self.folder = host, FilePath(host.folder) / settings.folder
@@ -30,15 +30,21 @@
             raise NotADirectoryError(f"{self.folder} is no folder")
         config = host.config
         self.capture: Capture = Capture(
-            settings, self.folder, config.name, host.join.policy, config.seed, self.gap, self.failed
+            settings,
+            self.folder,
+            config.name,
+            host.pipeline.policy,
+            config.seed,
+            self.gap,
+            self.failed,
         )
-        host.join.tap = self.capture.tap
+        host.pipeline.decision_log = self.capture.tap
         self.timer: asyncio.TimerHandle | None = None
         self.undo: list[Callable[[], None]] = []
-        host.meters.counter(
+        host.metrics.counter(
             "badgercart_capture_events", "Events that were captured.", lambda: self.capture.total
         )
-        host.meters.gauge(
+        host.metrics.gauge(
             "badgercart_capture_waiting_bytes",
             "Bytes that wait for the disk.",
             lambda: self.capture.disk.waiting + self.capture.out_size,
@@ -71,7 +77,7 @@
         self.leave()
 
     def leave(self) -> None:
-        self.host.join.tap = None
+        self.host.pipeline.decision_log = None
         while self.undo:
             self.undo.pop()()
 
@@ -85,7 +91,7 @@
     def close(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        if self.host.join.tap is not None:
+        if self.host.pipeline.decision_log is not None:
             self.leave()
             self.capture.close()
 
@@ -95,14 +101,14 @@
         yield ("keep_bytes",), "holds no two segments"
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="capture",
         key=("capture",),
-        kind=Kind.SERVICE,
+        kind=ComponentKind.SERVICE,
         settings=CaptureSettings,
         about="a capture of all that the policy is told, in a ring of segments",
-        build=CapturePart,
+        build=CaptureComponent,
         check=check,
         extra="capture",
         libraries=("msgspec",),
--- a/badgercart/capture/explain.py
+++ b/badgercart/capture/explain.py
@@ -13,17 +13,17 @@
 from badgercart.capture.format import Segment, read_index
 from badgercart.capture.replay import events, start
 from badgercart.capture.words import RESULTS
-from badgercart.policy.actions import Action, Cancel, Fail, Refuse, Send, Wake
+from badgercart.policy.actions import Action, CancelAttempt, Fail, Send, SetTimer, Shed
 from badgercart.policy.events import (
-    Began,
-    Diverted,
+    AttemptEnded,
+    AttemptRerouted,
     Event,
-    Outcome,
     Request,
-    Resume,
-    Timer,
-    Whole,
-    Withdrawn,
+    RequestCancelled,
+    RequestCompleted,
+    ResponseStarted,
+    RetryDecisionDue,
+    TimerFired,
 )
 from badgercart.policy.policy import Policy
 
@@ -47,15 +47,19 @@
         state = self.random.getstate()  # looked at, and put back: the parent draws the same
         draw = self.random.random()
         self.random.setstate(state)
-        settings, group, beyond = self.settings, request.cls, ""
+        settings, group, beyond = self.settings, request.class_index, ""
         tenant = request.tenant
-        quota = settings.quotas[tenant] / self.divisors[tenant] if settings.quotas else float("inf")
-        if settings.quotas and self.used_by(tenant) > quota:
+        quota = (
+            settings.quotas_per_s[tenant] / self.divisors[tenant]
+            if settings.quotas_per_s
+            else float("inf")
+        )
+        if settings.quotas_per_s and self.used_by(tenant) > quota:
             group, beyond = group + len(settings.classes), ", beyond its tenant's share"
         low, width = self.bands[group]
         score = low + width * draw
         self.say(
-            f"taken: class {request.cls}, tenant {request.tenant}{beyond}, key {request.key:x}"
+            f"taken: class {request.class_index}, tenant {request.tenant}{beyond}, key {request.key:x}"
         )
         self.say(f"score {score:.2f}, of {low:.2f} to {low + width:.2f} for its class and share")
         self.measure_overload()  # as the parent will
@@ -108,31 +112,41 @@
 
 def _of(event: Event) -> int:
     """The request that an event is about; 0: none."""
-    if isinstance(event, Request | Whole | Began | Outcome | Diverted | Resume | Withdrawn):
+    if isinstance(
+        event,
+        Request
+        | RequestCompleted
+        | ResponseStarted
+        | AttemptEnded
+        | AttemptRerouted
+        | RetryDecisionDue
+        | RequestCancelled,
+    ):
         return event.id
-    return event.token if isinstance(event, Timer) else 0
+    return event.token if isinstance(event, TimerFired) else 0
 
 
 _EVENT_WORDS: dict[type, str] = {
-    Whole: "whole",
-    Began: "began",
-    Resume: "resume",
-    Withdrawn: "withdrawn",
-    Timer: "timer",
+    RequestCompleted: "whole",
+    ResponseStarted: "began",
+    RetryDecisionDue: "resume",
+    RequestCancelled: "withdrawn",
+    TimerFired: "timer",
 }
-_ACTION_WORDS: dict[type, str] = {Fail: "fail", Cancel: "cancel"}
+_ACTION_WORDS: dict[type, str] = {Fail: "fail", CancelAttempt: "cancel"}
 
 
 def _told(event: Event) -> str:
-    if isinstance(event, Outcome):
+    if isinstance(event, AttemptEnded):
         parked = ", parked" if event.parked else ""
-        words = f"attempt {event.attempt} at {event.server:x}: {RESULTS[event.result]} after"
-        return f"{words} {event.elapsed:.1f} ms{parked}" + (
-            ", the request is over" if event.over else ""
+        words = f"attempt {event.attempt} at {event.endpoint_id:x}: {RESULTS[event.result]} after"
+        return f"{words} {event.elapsed_ms:.1f} ms{parked}" + (
+            ", the request is over" if event.completed else ""
         )
-    if isinstance(event, Diverted):
+    if isinstance(event, AttemptRerouted):
+        result = RESULTS[event.result]
         return (
-            f"attempt {event.attempt}: {RESULTS[event.result]}; its carrier went on to {event.to:x}"
+            f"attempt {event.attempt}: {result}; its carrier went on to {event.next_endpoint_id:x}"
         )
     return _EVENT_WORDS[type(event)]
 
@@ -140,11 +154,15 @@
 def _done(action: Action) -> str:
     if isinstance(action, Send):
         more = f", fallbacks {[f'{i:x}' for i in action.fallbacks]}" if action.fallbacks else ""
-        return f"send to {action.server:x}, {action.limit:.0f} ms at most{more}"
-    if isinstance(action, Refuse):
-        return f"refuse; come back after {action.wait:.0f} ms" if action.wait else "refuse"
-    if isinstance(action, Wake):
-        return f"wait {action.delay:.0f} ms"
+        return f"send to {action.endpoint_id:x}, {action.timeout_ms:.0f} ms at most{more}"
+    if isinstance(action, Shed):
+        return (
+            f"refuse; come back after {action.retry_after_ms:.0f} ms"
+            if action.retry_after_ms
+            else "refuse"
+        )
+    if isinstance(action, SetTimer):
+        return f"wait {action.delay_ms:.0f} ms"
     return _ACTION_WORDS[type(action)]
 
 
@@ -185,7 +203,10 @@
                     f"{now:.3f} ms  the policy failed: {type(error).__name__}: {error}"
                 )
         for action in actions:
-            about = action.token if isinstance(action, Wake) else getattr(action, "id", 0)
-            if isinstance(action, Send | Refuse | Fail | Cancel | Wake) and about == request_id:
+            about = action.token if isinstance(action, SetTimer) else getattr(action, "id", 0)
+            if (
+                isinstance(action, Send | Shed | Fail | CancelAttempt | SetTimer)
+                and about == request_id
+            ):
                 notes.lines.append(f"{now:.3f} ms  {_done(action)}")
     return notes.lines
--- a/badgercart/capture/report.py
+++ b/badgercart/capture/report.py
@@ -13,9 +13,9 @@
 from badgercart.app import pages
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import decide, events, start
-from badgercart.policy.actions import Action, Fail, Refuse, Send
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import Event, Outcome, Request, Result, ServerList
+from badgercart.policy.actions import Action, Fail, Send, Shed
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import AttemptEnded, AttemptResult, EndpointUpdate, Event, Request
 from badgercart.policy.policy import Policy
 
 STEP = 1000.0  # ms of the night in a point of the plots
@@ -58,7 +58,7 @@
         self.rows: list[Row] = []
         self.servers: dict[int, ServerSum] = {}
         self.classes: dict[int, int] = {}  # of requests under way
-        self.states: dict[int, State] = {}
+        self.states: dict[int, EndpointState] = {}
         self.finals: Counter[str] = Counter()
         self.worths: tuple[float, ...] = ()
         self.events = 0
@@ -70,7 +70,7 @@
         segment = Segment(path.read_bytes())
         policy = start(segment)
         self.node = segment.head["node"]
-        self.worths = tuple(cls.worth for cls in policy.settings.classes)
+        self.worths = tuple(cls.priority_weight for cls in policy.settings.classes)
         for server in policy.servers.values():
             self.states.setdefault(server.entry.id, server.entry.state)
         for item in events(segment):
@@ -80,27 +80,29 @@
         self.events += 1
         row = self.row(policy, now)
         if isinstance(event, Request):
-            row.taken[event.cls] += 1
-            self.classes[event.id] = event.cls
-        elif isinstance(event, Outcome):
+            row.taken[event.class_index] += 1
+            self.classes[event.id] = event.class_index
+        elif isinstance(event, AttemptEnded):
             row.results[event.result] += 1
-            told = self.servers.setdefault(event.server, ServerSum())
+            told = self.servers.setdefault(event.endpoint_id, ServerSum())
             told.attempts += 1
-            if event.result == Result.OK:
+            if event.result == AttemptResult.OK:
                 told.served += 1
-                told.took += event.elapsed
-            elif event.result != Result.CANCELLED:
+                told.took += event.elapsed_ms
+            elif event.result != AttemptResult.CANCELLED:
                 told.failed += 1
-            if event.over and self.classes.pop(event.id, None) is not None:
-                self.finals["served" if event.result == Result.OK else "ended otherwise"] += 1
-        elif isinstance(event, ServerList):
-            self.states.update((line.id, line.state) for line in event.servers)
+            if event.completed and self.classes.pop(event.id, None) is not None:
+                self.finals[
+                    "served" if event.result == AttemptResult.OK else "ended otherwise"
+                ] += 1
+        elif isinstance(event, EndpointUpdate):
+            self.states.update((line.id, line.state) for line in event.endpoints)
         for action in actions:
             if isinstance(action, Send):
                 row.sent += 1
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Shed | Fail):
                 row.refused[self.classes.pop(action.id, -1)] += 1
-                self.finals["refused" if isinstance(action, Refuse) else "failed"] += 1
+                self.finals["refused" if isinstance(action, Shed) else "failed"] += 1
 
     def row(self, policy: Policy, now: float) -> Row:
         at = now - now % STEP
@@ -113,7 +115,7 @@
         states = Counter(self.states.values())
         row = Row(
             at, x=policy.x, cut=policy.cut, errors=policy.errors, flying=policy.flying, need=policy.need,
-            ready=states[State.READY], draining=states[State.DRAINING],
+            ready=states[EndpointState.READY], draining=states[EndpointState.DRAINING],
             resting=sum(
                 any(h.rest_until > now for h in s.health) for s in policy.servers.values()
             ),
@@ -157,7 +159,7 @@
         "in flight": [r.flying for r in rows],
         "need": [r.need for r in rows],
     }
-    attempts |= {Result(e).name.lower(): [r.results[e] for r in rows] for e in ends}
+    attempts |= {AttemptResult(e).name.lower(): [r.results[e] for r in rows] for e in ends}
     lines(3, "Attempts: in flight, need, ends", "count, a second", attempts)
     lines(4, "Servers", "count", {
         "ready": [r.ready for r in rows], "draining": [r.draining for r in rows],
--- a/badgercart/capture/whatif.py
+++ b/badgercart/capture/whatif.py
@@ -19,17 +19,18 @@
 
 from badgercart.capture.codec import decode_actions
 from badgercart.capture.replay import Decided, decide
-from badgercart.policy.actions import Action, Fail, Refuse, Send, Wake
+from badgercart.policy.actions import Action, Fail, Send, SetTimer, Shed
 from badgercart.policy.events import (
-    Began,
-    Diverted,
+    AttemptEnded,
+    AttemptRerouted,
+    AttemptResult,
+    EndpointUpdate,
     Event,
-    Outcome,
     Request,
-    Result,
-    Resume,
-    Timer,
-    Withdrawn,
+    RequestCancelled,
+    ResponseStarted,
+    RetryDecisionDue,
+    TimerFired,
 )
 from badgercart.policy.policy import Policy
 
@@ -69,23 +70,28 @@
         if isinstance(event, Request):
             while len(self.fates) >= MAX_OPEN:
                 del self.fates[next(iter(self.fates))]
-            self.fates[event.id] = Fate(event.cls, len(then.get(event.id, ())))
+            self.fates[event.id] = Fate(event.class_index, len(then.get(event.id, ())))
             self.give(item.now, event)
             return
         fate = self.fates.get(getattr(event, "id", 0))
-        if isinstance(event, Outcome | Diverted | Began) and fate is not None:
+        if isinstance(event, AttemptEnded | AttemptRerouted | ResponseStarted) and fate is not None:
             if event.attempt >= len(fate.sent):
                 return  # there was no such attempt now
-            event = replace(event, server=fate.sent[event.attempt])
-            if isinstance(event, Diverted):
-                fate.sent.append(event.to)
-        if isinstance(event, Timer):
+            event = replace(event, endpoint_id=fate.sent[event.attempt])
+            if isinstance(event, AttemptRerouted):
+                fate.sent.append(event.next_endpoint_id)
+        if isinstance(event, TimerFired):
             fate = self.fates.get(event.token)
-        if isinstance(event, Resume | Withdrawn | Timer) and fate is not None and fate.over:
+        if (
+            isinstance(event, RetryDecisionDue | RequestCancelled | TimerFired)
+            and fate is not None
+            and fate.over
+        ):
             return
         self.give(item.now, event)
         if (
-            isinstance(event, Began) or (isinstance(event, Outcome) and event.over)
+            isinstance(event, ResponseStarted)
+            or (isinstance(event, AttemptEnded) and event.completed)
         ) and fate is not None:
             fate.over = True
 
@@ -100,22 +106,26 @@
         self.told(now, event, actions)
         for action in actions or ():
             if isinstance(action, Send) and (fate := self.fates.get(action.id)) is not None:
-                fate.sent.append(action.server)
+                fate.sent.append(action.endpoint_id)
                 if len(fate.sent) > fate.then:  # there was no such attempt then
-                    took = min(self.policy.usual[fate.cls], action.limit)
-                    end = Outcome(
-                        action.id, action.server, True, Result.OK, len(fate.sent) - 1, took
+                    took = min(self.policy.usual[fate.cls], action.timeout_ms)
+                    end = AttemptEnded(
+                        action.id,
+                        action.endpoint_id,
+                        True,
+                        AttemptResult.OK,
+                        len(fate.sent) - 1,
+                        took,
                     )
                     heapq.heappush(self.due, (now + took, next(self.numbers), end))
             elif (
-                isinstance(action, Refuse | Fail)
-                and (fate := self.fates.get(action.id)) is not None
+                isinstance(action, Shed | Fail) and (fate := self.fates.get(action.id)) is not None
             ):
                 fate.over = True
-            elif isinstance(action, Wake) and action.token in self.fates:
+            elif isinstance(action, SetTimer) and action.token in self.fates:
                 # Held for its turn: then there may have been no timer that rings for it now.
-                ring = now + action.delay
-                heapq.heappush(self.due, (ring, next(self.numbers), Timer(action.token)))
+                ring = now + action.delay_ms
+                heapq.heappush(self.due, (ring, next(self.numbers), TimerFired(action.token)))
 
 
 def sends(items: Iterable[Decided]) -> dict[int, list[int]]:
@@ -127,11 +137,11 @@
         if item.then:
             for action in decode_actions(item.then) or ():
                 if isinstance(action, Send):
-                    found.setdefault(action.id, []).append(action.server)
-            if isinstance(event, Diverted):
-                found.setdefault(event.id, []).append(event.to)
-        elif isinstance(event, Outcome | Diverted):
-            found.setdefault(event.id, []).append(event.server)
+                    found.setdefault(action.id, []).append(action.endpoint_id)
+            if isinstance(event, AttemptRerouted):
+                found.setdefault(event.id, []).append(event.next_endpoint_id)
+        elif isinstance(event, AttemptEnded | AttemptRerouted):
+            found.setdefault(event.id, []).append(event.endpoint_id)
     return found
 
 
@@ -153,7 +163,7 @@
 
 def what_if(policy: Policy, items: Iterable[Decided], change: Change) -> None:
     """Play a segment with a policy of another text, and add what changes."""
-    worths = [cls.worth for cls in policy.settings.classes]
+    worths = [cls.priority_weight for cls in policy.settings.classes]
     known = list(items)
     then = sends(known)
 
@@ -161,27 +171,29 @@
         if not isinstance(event, Request):
             return
         place = next(
-            (a.server for a in actions or () if isinstance(a, Send) and a.id == event.id), 0
+            (a.endpoint_id for a in actions or () if isinstance(a, Send) and a.id == event.id), 0
         )
-        held = any(isinstance(a, Wake) and a.token == event.id for a in actions or ())
+        held = any(isinstance(a, SetTimer) and a.token == event.id for a in actions or ())
         before = then.get(event.id, [0])[0]
         if place == before or held:
             return
         change.differing += 1
-        worth = worths[event.cls]
+        worth = worths[event.class_index]
         if place and before:
             change.elsewhere += 1
             words = f"sent to {place:x}, then to {before:x}"
         elif place:
-            change.sent_now[event.cls] += 1
+            change.sent_now[event.class_index] += 1
             change.gained += worth
             words = f"sent to {place:x}, then turned away"
         else:
-            change.refused_now[event.cls] += 1
+            change.refused_now[event.class_index] += 1
             change.lost += worth
             words = f"turned away, then sent to {before:x}"
         if len(change.first) < FIRST:
-            change.first.append(f"{now:.3f} ms  request {event.id}, class {event.cls}: {words}")
+            change.first.append(
+                f"{now:.3f} ms  request {event.id}, class {event.class_index}: {words}"
+            )
 
     night = Night(policy, told)
     for item in known:
@@ -196,14 +208,16 @@
     changes: dict[str, Any] = {}
     if isinstance(event, Request):
         changes = {"key": names("key", event.key), "tenant": names("tenant", event.tenant)}
-        if event.among is not None:
-            changes["among"] = frozenset(names("server", i) for i in event.among)
-    elif isinstance(event, Outcome | Diverted):
-        changes = {"server": names("server", event.server)}
-        if isinstance(event, Diverted):
-            changes["to"] = names("server", event.to)
-    elif hasattr(event, "servers"):
+        if event.reachable_endpoints is not None:
+            changes["reachable_endpoints"] = frozenset(
+                names("server", i) for i in event.reachable_endpoints
+            )
+    elif isinstance(event, AttemptEnded | AttemptRerouted):
+        changes = {"endpoint_id": names("server", event.endpoint_id)}
+        if isinstance(event, AttemptRerouted):
+            changes["next_endpoint_id"] = names("server", event.next_endpoint_id)
+    elif isinstance(event, EndpointUpdate):
         changes = {
-            "servers": [replace(line, id=names("server", line.id)) for line in event.servers]
+            "endpoints": [replace(line, id=names("server", line.id)) for line in event.endpoints]
         }
     return replace(event, **changes)
--- a/badgercart/cluster/codec.py
+++ b/badgercart/cluster/codec.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from badgercart.cluster.hybrid_logical_clock import Stamp
-from badgercart.cluster.membership_table import Claim, Status
+from badgercart.cluster.membership_table import MembershipRecord, Status
 
 VERSION = 1
 MAGIC = b"bc"
@@ -109,7 +109,7 @@
     serial: int
     stamp: Stamp
     body: Body
-    claims: tuple[Claim, ...] = ()
+    claims: tuple[MembershipRecord, ...] = ()
     posts: tuple[Posted, ...] = field(default=())
 
 
@@ -117,14 +117,14 @@
 _decode: Callable[[bytes], _Packet] = msgspec.msgpack.Decoder(_Packet).decode
 
 
-def plain(claim: Claim) -> Plain:
+def plain(claim: MembershipRecord) -> Plain:
     return (
         claim.name, claim.incarnation, int(claim.status), *claim.address, claim.boot, claim.zone,
         claim.region, claim.by,
     )  # fmt: skip
 
 
-def claim_of(told: Plain) -> Claim:
+def claim_of(told: Plain) -> MembershipRecord:
     """Refused where no member can be so."""
     name, incarnation, status, host, port, boot, zone, region, by = told
     for text in (name, host, zone, region, by):
@@ -138,7 +138,9 @@
     ):
         raise Refused("malformed", f"a claim of {name!r} has a number out of bounds")
     try:
-        return Claim(name, incarnation, Status(status), (host, port), boot, zone, region, by)
+        return MembershipRecord(
+            name, incarnation, Status(status), (host, port), boot, zone, region, by
+        )
     except ValueError:
         raise Refused("malformed", f"a claim of {name!r} has the status {status}") from None
 
@@ -186,7 +188,7 @@
         )  # fmt: skip
 
 
-def size_of(claim: Claim) -> int:
+def size_of(claim: MembershipRecord) -> int:
     """Bytes of a claim in a packet."""
     return len(_encode(plain(claim)))
 
--- a/badgercart/cluster/component.py
+++ b/badgercart/cluster/component.py
@@ -11,15 +11,15 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from badgercart.app.component import Declaration, Host, Kind
+from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.cluster import log_events as events
 from badgercart.cluster.settings import PeersSettings, check
-from badgercart.core.endpoint_table import Member as Line
-from badgercart.core.ports import Final, Intake
+from badgercart.core.endpoint_table import DiscoveredEndpoint as Line
+from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.frontends.http.requests import Page
 
 if TYPE_CHECKING:
-    from badgercart.cluster.membership_table import Belief
+    from badgercart.cluster.membership_table import MemberState
     from badgercart.cluster.swim import Effect, Posted
 
 MAX_TOLD = 512  # changes that `peers why` looks back on
@@ -41,18 +41,18 @@
     return "", ""
 
 
-class PeersPart:
+class ClusterComponent:
     """One member of a group, and the policy's company."""
 
-    def __init__(self, host: Host, settings: PeersSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: PeersSettings) -> None:
         from badgercart.cluster.codec import Codec
         from badgercart.cluster.driver import Allowed, Driver
         from badgercart.cluster.member import Member
-        from badgercart.cluster.membership_table import Claim, Status
-        from badgercart.cluster.swim import Machine
+        from badgercart.cluster.membership_table import MembershipRecord, Status
+        from badgercart.cluster.swim import SwimProtocol
 
         self.host, self.settings = host, settings
-        config, clock = host.config, host.join.clock
+        config, clock = host.config, host.pipeline.clock
         address = settings.advertise or settings.listen
         zone, region = place_of(settings, address[0])
         if not zone:
@@ -61,17 +61,19 @@
             )
         # Later processes have larger numbers; the low bits tell those of one millisecond apart.
         boot = int(time.time() * 1000) << 10 | secrets.randbits(10)
-        me = Claim(config.name, 0, Status.ALIVE, address, boot, zone, region)
+        me = MembershipRecord(config.name, 0, Status.ALIVE, address, boot, zone, region)
         offset = time.time() * 1000 - clock()
         rng = random.Random(f"{config.seed} peers")
-        expected = config.settings.group_size
-        self.machine = Machine(me, settings.timing(), settings.seeds, rng, offset, expected)
+        expected = config.settings.cluster_size
+        self.machine = SwimProtocol(me, settings.timing(), settings.seeds, rng, offset, expected)
         codec = Codec(settings.group, settings.secret.encode())
         allowed = Allowed(settings.allow)
         self.driver = Driver(
             host.loop, clock, self.machine, codec, settings.listen, allowed, self.act
         )
-        self.member = Member(self.machine, config.settings.quotas, settings.share_ms, settings.uses)
+        self.member = Member(
+            self.machine, config.settings.quotas_per_s, settings.share_ms, settings.uses
+        )
         does = self.member.does
         self.standing: dict[str, Any] = {}  # as it was said last
         self.told: deque[dict[str, Any]] = deque(maxlen=MAX_TOLD)
@@ -80,14 +82,14 @@
         host.pages[b"/_peers"] = Page(self.page)
         host.services["peers"] = self
         if "drains" in does:
-            host.roster.amend = self.member.rumours.amend
-            host.roster.on_change.append(self.on_line)
+            host.endpoint_table.override = self.member.rumours.amend
+            host.endpoint_table.on_change.append(self.on_line)
         if "shares" in does:
-            host.join.observers += (self,)
+            host.pipeline.observers += (self,)
         self.register()
 
     def register(self) -> None:
-        meters, driver, machine = self.host.meters, self.driver, self.machine
+        meters, driver, machine = self.host.metrics, self.driver, self.machine
         meters.gauge(
             "badgercart_peers_live", "Nodes in reach.", lambda: len(machine.standing().live)
         )
@@ -119,7 +121,7 @@
         """All that was held is answered: the others may take over what was ours at once."""
         if self.timer is not None:
             self.timer.cancel()
-        self.driver.run(self.machine.leave(self.host.join.clock()))
+        self.driver.run(self.machine.leave(self.host.pipeline.clock()))
         await asyncio.sleep(self.settings.gossip_ms / 1000)  # those whom it told pass it on
 
     def close(self) -> None:
@@ -154,7 +156,7 @@
         time, count = self.machine.stamp()
         return {"hlc": f"{time}.{count}"}
 
-    def on_changed(self, belief: Belief) -> None:
+    def on_changed(self, belief: MemberState) -> None:
         claim, stamp = belief.claim, self.stamp()
         fields = {
             "peer": claim.name, "status": STATUS_WORDS[claim.status], "word": belief.word,
@@ -164,12 +166,12 @@
         events.CHANGED(**fields, **stamp)
 
     def on_post(self, post: Posted) -> None:
-        roster = self.host.roster
-        lines = self.member.heard(self.host.join.clock(), post, roster.version, roster.listed)
+        roster = self.host.endpoint_table
+        lines = self.member.heard(self.host.pipeline.clock(), post, roster.version, roster.listed)
         for line in lines:
             events.DRAINED(server=line.name, author=post.author, **self.stamp())
         if lines:
-            roster.renew(lines)
+            roster.reapply(lines)
 
     # What is told to others.
 
@@ -181,20 +183,26 @@
     def tell_drains(self) -> None:
         """By now the roster knows by which version these lines hold."""
         lines, self.lines = self.lines, []
-        version = self.host.roster.version
-        self.driver.run(self.member.drains(self.host.join.clock(), version, lines))
+        version = self.host.endpoint_table.version
+        self.driver.run(self.member.drains(self.host.pipeline.clock(), version, lines))
         if over := self.member.rumours.over(version):
-            self.host.roster.renew(over)
-
-    def over(
-        self, request_id: int, intake: Intake, final: Final, took: float, server: int, sends: int
+            self.host.endpoint_table.reapply(over)
+
+    def request_finished(
+        self,
+        request_id: int,
+        intake: IncomingRequest,
+        final: RequestOutcome,
+        took: float,
+        server: int,
+        sends: int,
     ) -> None:
         self.member.shares.count(intake.tenant)
 
     def tick(self) -> None:
         """One round of reports, and of what follows from the others'."""
         self.timer = self.host.loop.call_later(self.member.every / 1000, self.tick)
-        self.driver.run(self.member.report(self.host.join.clock(), self.host.join.policy))
+        self.driver.run(self.member.report(self.host.pipeline.clock(), self.host.pipeline.policy))
         if "drains" in self.member.does:
             self.tell_drains()
         self.tell()
@@ -210,14 +218,14 @@
         if told != self.standing:
             self.standing = told
             events.LEVEL(**told, **self.stamp())
-        if (event := self.member.company(self.host.join.clock())) is not None:
-            events.POSTED(size=event.size, may_live=event.may_live)
-            self.host.join.tell(event)
+        if (event := self.member.company(self.host.pipeline.clock())) is not None:
+            events.POSTED(size=event.size, may_live=event.possibly_alive)
+            self.host.pipeline.dispatch(event)
 
     # For operators.
 
     def page(self) -> bytes:
-        now, machine, standing = self.host.join.clock(), self.machine, self.machine.standing()
+        now, machine, standing = self.host.pipeline.clock(), self.machine, self.machine.standing()
         members = [
             {
                 "name": belief.claim.name,
@@ -240,7 +248,7 @@
             "unwell": machine.health.score,
             "stands_back": machine.stands_back,
             "members": members,
-            "parts": list(self.member.told.parts) if self.member.told else [],
+            "parts": list(self.member.told.quota_shares) if self.member.told else [],
             "drained_by_rumour": len(self.member.rumours.known),
             "refused": dict(self.driver.refused),
             "bytes_out": self.driver.bytes_out,
@@ -249,14 +257,14 @@
         return json.dumps(told).encode()
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="peers",
         key=("peers",),
-        kind=Kind.SERVICE,
+        kind=ComponentKind.SERVICE,
         settings=PeersSettings,
         about="nodes that know each other",
-        build=PeersPart,
+        build=ClusterComponent,
         extra="peers",
         libraries=("msgspec", "netaddr"),
         check=check,
--- a/badgercart/cluster/driver.py
+++ b/badgercart/cluster/driver.py
@@ -14,7 +14,7 @@
 
 from badgercart.cluster.codec import MAX_SYNC, MTU, Codec, Leave, Packet, Refused, Sync
 from badgercart.cluster.log_events import REFUSED
-from badgercart.cluster.swim import Effect, Machine, SendTo, SyncWith
+from badgercart.cluster.swim import Effect, SendTo, SwimProtocol, SyncWith
 from badgercart.config import Address
 
 AT_ONCE = 32  # datagrams that are read before the loop turns to requests again
@@ -53,7 +53,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], float],
-        machine: Machine,
+        machine: SwimProtocol,
         codec: Codec,
         listen: Address,
         allowed: Allowed,
--- a/badgercart/cluster/gossip_registers.py
+++ b/badgercart/cluster/gossip_registers.py
@@ -14,7 +14,7 @@
 MAX_POST = 512  # bytes of what one says: with its head it fits a datagram beside some claims
 
 
-class Board:
+class GossipRegisters:
     """The latest posts by topic and author."""
 
     def __init__(self, most: int = MAX_POSTS) -> None:
--- a/badgercart/cluster/member.py
+++ b/badgercart/cluster/member.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from badgercart.cluster.broadcast_queue import most_times
-from badgercart.cluster.swim import Effect, Machine, Posted
+from badgercart.cluster.swim import Effect, Posted, SwimProtocol
 from badgercart.cluster.uses import DRAINS, FAILING, USE, Hearsay, Rumours, Shares, company
-from badgercart.core.endpoint_table import Member as Line
-from badgercart.policy.events import Company
+from badgercart.core.endpoint_table import DiscoveredEndpoint as Line
+from badgercart.policy.events import ClusterView
 from badgercart.policy.policy import Policy
 
 STALE = 4  # reports that a node may miss before it counts as one that wants its even part
@@ -25,7 +25,7 @@
     """A machine, and the uses that are switched on."""
 
     def __init__(
-        self, machine: Machine, quotas: Sequence[float], share_ms: float, uses: Iterable[str]
+        self, machine: SwimProtocol, quotas: Sequence[float], share_ms: float, uses: Iterable[str]
     ) -> None:
         self.machine, self.does = machine, frozenset(uses)
         self.name = machine.me.name
@@ -34,7 +34,7 @@
         self.rumours, self.hearsay = Rumours(), Hearsay(FADES)
         self.number = 0  # of our posts
         self.out: dict[str, bytes] = {}  # what we have posted, by topic
-        self.told: Company | None = None
+        self.told: ClusterView | None = None
         self.listeners: dict[str, Callable[[float, str, bytes], None]] = {}  # of other subsystems
         for topic in (USE, *DRAINS, FAILING):
             machine.board.follow(topic)
@@ -109,7 +109,7 @@
             return self.rumours.take(post.said, version, listed)
         return []
 
-    def company(self, now: float) -> Company | None:
+    def company(self, now: float) -> ClusterView | None:
         """What the policy has to be told; None where it knows."""
         standing = self.machine.standing()
         names = [name for name in standing.live if name != self.name]
--- a/badgercart/cluster/membership_table.py
+++ b/badgercart/cluster/membership_table.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Claim:
+class MembershipRecord:
     """What somebody says of a member."""
 
     name: str
@@ -48,10 +48,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Belief:
+class MemberState:
     """A claim that is held, since when (ms on the node's clock), and by whose word."""
 
-    claim: Claim
+    claim: MembershipRecord
     since: float
     word: str
 
@@ -60,11 +60,11 @@
         return self.claim.status
 
 
-class View:
+class MembershipTable:
     """All beliefs by name, the node's own among them."""
 
     def __init__(self, most: int = MAX_MEMBERS) -> None:
-        self.beliefs: dict[str, Belief] = {}
+        self.beliefs: dict[str, MemberState] = {}
         self.most = most
         self.turned_away = 0  # claims of new names beyond the bound
         self.reach: list[str] = []  # names of those alive or only suspected, in no order
@@ -73,7 +73,9 @@
         self.gone: dict[str, None] = {}  # names of those dead or left
         self.looked = 0  # beliefs looked at, over all questions
 
-    def merge(self, claim: Claim, now: float, word: str) -> tuple[Belief | None, Belief] | None:
+    def merge(
+        self, claim: MembershipRecord, now: float, word: str
+    ) -> tuple[MemberState | None, MemberState] | None:
         """Take over a claim if it wins: what was believed before, and is now; None: no change."""
         before = self.beliefs.get(claim.name)
         if before is not None and claim.rank <= before.claim.rank:
@@ -83,7 +85,7 @@
             return None
         same = before is not None and before.status is claim.status
         since = before.since if before is not None and same else now
-        belief = Belief(claim, since, word)
+        belief = MemberState(claim, since, word)
         self.beliefs[claim.name] = belief
         self.place(before, belief)
         return before, belief
@@ -91,7 +93,7 @@
     def forget(self, name: str) -> None:
         self.place(self.beliefs.pop(name, None), None)
 
-    def place(self, before: Belief | None, now: Belief | None) -> None:
+    def place(self, before: MemberState | None, now: MemberState | None) -> None:
         """Keep who is in reach and who is gone in step with a belief that has changed."""
         if before is not None:
             name = before.claim.name
@@ -115,22 +117,24 @@
             else:
                 self.gone[name] = None
 
-    def draw(self, count: int, rng: random.Random, without: tuple[str, ...] = ()) -> list[Belief]:
+    def draw(
+        self, count: int, rng: random.Random, without: tuple[str, ...] = ()
+    ) -> list[MemberState]:
         """So many of those in reach by chance, or all there are; the cost goes by how many are
         drawn."""
         drawn = rng.sample(self.reach, min(count + len(without), len(self.reach)))
         self.looked += len(drawn)
         return [self.beliefs[name] for name in drawn if name not in without][:count]
 
-    def of(self, *statuses: Status) -> Iterator[Belief]:
+    def of(self, *statuses: Status) -> Iterator[MemberState]:
         """By a look at all; where only some are wanted, there are `reach`, `gone` and `draw`."""
         self.looked += len(self.beliefs)
         return (belief for belief in self.beliefs.values() if belief.status in statuses)
 
-    def claims(self) -> list[Claim]:
+    def claims(self) -> list[MembershipRecord]:
         return [belief.claim for belief in self.beliefs.values()]
 
 
-def refuting(claim: Claim, against: int) -> Claim:
+def refuting(claim: MembershipRecord, against: int) -> MembershipRecord:
     """The claim of a live member that outdoes what is said of it at incarnation `against`."""
     return replace(claim, status=Status.ALIVE, incarnation=max(claim.incarnation, against) + 1)
--- a/badgercart/cluster/quorum.py
+++ b/badgercart/cluster/quorum.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from badgercart.cluster.membership_table import Status, View
+from badgercart.cluster.membership_table import MembershipTable, Status
 
 
 class Level(StrEnum):
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
+class QuorumState:
     """What a node can count on at a moment."""
 
     level: Level
@@ -41,8 +41,13 @@
 
 
 def standing(
-    view: View, me: str, now: float, remember: float, expected: int = 1, stands_back: bool = False
-) -> Standing:
+    view: MembershipTable,
+    me: str,
+    now: float,
+    remember: float,
+    expected: int = 1,
+    stands_back: bool = False,
+) -> QuorumState:
     """Where the node stands. `remember` (ms): for so long one that was seen may live though it is
     silent.
 
@@ -56,5 +61,5 @@
     left = sum(1 for belief in view.of(Status.LEFT) if belief.claim.name != me)
     largest = max(len(live) + buried, expected - left)
     if stands_back:
-        return Standing(Level.ALONE, (me,), largest)
-    return Standing(level_of(sure, largest), tuple(live), largest)
+        return QuorumState(Level.ALONE, (me,), largest)
+    return QuorumState(level_of(sure, largest), tuple(live), largest)
--- a/badgercart/cluster/swim.py
+++ b/badgercart/cluster/swim.py
@@ -30,10 +30,17 @@
     size_of,
     size_of_post,
 )
-from badgercart.cluster.gossip_registers import Board
+from badgercart.cluster.gossip_registers import GossipRegisters
 from badgercart.cluster.hybrid_logical_clock import HybridClock, Stamp
-from badgercart.cluster.membership_table import MAX_MEMBERS, Belief, Claim, Status, View, refuting
-from badgercart.cluster.quorum import Standing, standing
+from badgercart.cluster.membership_table import (
+    MAX_MEMBERS,
+    MembershipRecord,
+    MembershipTable,
+    MemberState,
+    Status,
+    refuting,
+)
+from badgercart.cluster.quorum import QuorumState, standing
 from badgercart.cluster.suspicion import CONFIRMATIONS, Health, Suspicion, shortest
 from badgercart.config import Address
 
@@ -88,8 +95,8 @@
 class Changed:
     """A belief has changed."""
 
-    before: Belief | None
-    now: Belief
+    before: MemberState | None
+    now: MemberState
 
 
 @dataclass(slots=True, frozen=True)
@@ -131,12 +138,12 @@
     answered: bool = False
 
 
-class Machine:
+class SwimProtocol:
     """One member. Every call gives what to do; `due` is when the next `tick` is wanted."""
 
     def __init__(
         self,
-        me: Claim,
+        me: MembershipRecord,
         timing: Timing,
         seeds: Iterable[Address],
         rng: random.Random,
@@ -148,7 +155,7 @@
         self.now = self.began = 0.0
         self.offset = wall_offset
         self.clock = HybridClock(lambda: self.now + self.offset)
-        self.view, self.board, self.queue = View(), Board(), Queue(MAX_QUEUE)
+        self.view, self.board, self.queue = MembershipTable(), GossipRegisters(), Queue(MAX_QUEUE)
         self.health = Health()
         self.suspicions: dict[str, Suspicion] = {}
         self.ring: list[str] = []  # whom to probe, in a shuffled order
@@ -226,7 +233,7 @@
 
     # What is known.
 
-    def standing(self) -> Standing:
+    def standing(self) -> QuorumState:
         """What the node can count on now."""
         # At first no more than the file's word tells how many there are; in time what was seen
         # does.
@@ -234,20 +241,20 @@
         nobody = self.stands_back or self.unsure or self.leaving
         return standing(self.view, self.me.name, self.now, self.timing.remember, expected, nobody)
 
-    def live(self) -> list[Belief]:
+    def live(self) -> list[MemberState]:
         """Others that are alive or only suspected."""
         return [
             b for b in self.view.of(Status.ALIVE, Status.SUSPECT) if b.claim.name != self.me.name
         ]
 
-    def some(self, count: int, without: str = "") -> list[Belief]:
+    def some(self, count: int, without: str = "") -> list[MemberState]:
         return self.view.draw(
             count, self.random, (self.me.name, without) if without else (self.me.name,)
         )
 
     # Claims.
 
-    def merge(self, claim: Claim, word: str) -> None:
+    def merge(self, claim: MembershipRecord, word: str) -> None:
         """Take over a claim, and pass on what is news."""
         if claim.name == self.me.name and claim.rank != self.me.rank:
             self.on_own_name(claim)
@@ -277,7 +284,7 @@
         if before is not None and before.status is Status.DEAD and claim.status is Status.ALIVE:
             self.on_return(claim)
 
-    def on_return(self, claim: Claim) -> None:
+    def on_return(self, claim: MembershipRecord) -> None:
         """One of the dead lives: what was cut off is back, and knows more than gossip is sure to
         bring."""
         if not self.healing:
@@ -288,10 +295,10 @@
         self.healing = False
         self.sync_with(address)
 
-    def pass_on(self, claim: Claim) -> None:
+    def pass_on(self, claim: MembershipRecord) -> None:
         self.queue.put(("claim", claim.name, claim.by), claim, size_of(claim))
 
-    def on_own_name(self, claim: Claim) -> None:
+    def on_own_name(self, claim: MembershipRecord) -> None:
         """What others say of us: refuted, unless a process has our name with better right."""
         if claim.rank <= self.me.rank:
             return  # what we were before a restart, or said ourselves
@@ -307,7 +314,7 @@
         self.view.merge(self.me, self.now, self.me.name)
         self.pass_on(self.me)
 
-    def on_rival(self, claim: Claim) -> None:
+    def on_rival(self, claim: MembershipRecord) -> None:
         """Another process has our name: what we were before a restart, or one that answers us."""
         if claim.status in (Status.DEAD, Status.LEFT):
             if self.rivals.pop(claim.boot, None) is not None:
@@ -326,7 +333,7 @@
                 self.pass_on(self.me)
             self.stands_back = back
 
-    def begin_suspicion(self, claim: Claim) -> None:
+    def begin_suspicion(self, claim: MembershipRecord) -> None:
         members = len(self.view.reach) + (self.me.name not in self.view.places)
         least = shortest(members, self.timing.period, self.timing.suspicion)
         wanted = min(CONFIRMATIONS, max(0, members - 2))
@@ -361,14 +368,18 @@
     # Packets out.
 
     def packet(
-        self, body: Body, claims: tuple[Claim, ...] = (), posts: tuple[Any, ...] = ()
+        self, body: Body, claims: tuple[MembershipRecord, ...] = (), posts: tuple[Any, ...] = ()
     ) -> Packet:
         self.serial += 1
         me, stamp = self.me, self.clock.tick()
         return Packet(me.name, me.boot, me.incarnation, self.serial, stamp, body, claims, posts)
 
     def send(
-        self, address: Address, body: Body, about: Claim | None = None, posts: tuple[Any, ...] = ()
+        self,
+        address: Address,
+        body: Body,
+        about: MembershipRecord | None = None,
+        posts: tuple[Any, ...] = (),
     ) -> None:
         """A datagram with what it has room for of the queue; `about` goes first (Lifeguard's
         buddies)."""
@@ -377,8 +388,8 @@
             room -= size_of(about)
             first.append(about)
         items = self.queue.take(room, len(self.view.beliefs))
-        claims = first + [item for item in items if isinstance(item, Claim)]
-        posts += tuple(item for item in items if not isinstance(item, Claim))
+        claims = first + [item for item in items if isinstance(item, MembershipRecord)]
+        posts += tuple(item for item in items if not isinstance(item, MembershipRecord))
         self.effects.append(SendTo(address, self.packet(body, tuple(claims), posts)))
 
     def everything(self) -> Packet:
--- a/badgercart/cluster/uses.py
+++ b/badgercart/cluster/uses.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from badgercart.cluster.quorum import Standing
-from badgercart.core.endpoint_table import Member
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import Company
+from badgercart.cluster.quorum import QuorumState
+from badgercart.core.endpoint_table import DiscoveredEndpoint
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import ClusterView
 
 USE, FAILING = "use", "failing"  # topics
 MAX_TENANTS = 64  # of whose use a post has room for
@@ -144,7 +144,7 @@
         wanted = set(names)
         self.heard = {name: heard for name, heard in self.heard.items() if name in wanted}
 
-    def parts(self, me: str, standing: Standing, now: float, stale: float) -> tuple[float, ...]:
+    def parts(self, me: str, standing: QuorumState, now: float, stale: float) -> tuple[float, ...]:
         """Of each quota, 0 to 1; what the policy is told. What a node said `stale` ms ago is
         old."""
         if not standing.majority:
@@ -193,19 +193,21 @@
 
     def __init__(self) -> None:
         self.known: dict[int, Drain] = {}
-        self.raw: dict[int, Member] = {}  # the lines that our own list has of those kept out
+        self.raw: dict[
+            int, DiscoveredEndpoint
+        ] = {}  # the lines that our own list has of those kept out
         self.told: dict[int, tuple[float, Drain]] = {}  # what we tell others: since when
         self.turned_away = 0
 
     # Ours, for others.
 
-    def note(self, member: Member, version: int, now: float) -> None:
+    def note(self, member: DiscoveredEndpoint, version: int, now: float) -> None:
         """A line of our own list."""
         server = member.entry.id
         if server in self.raw:
             return  # the rumour's own doing
         self.told.pop(server, None)
-        if member.entry.state is not State.READY:
+        if member.entry.state is not EndpointState.READY:
             if len(self.told) >= MAX_RUMOURS:
                 self.told.pop(next(iter(self.told)))
             self.told[server] = now, Drain(server, version)
@@ -219,7 +221,9 @@
 
     # Others', for us.
 
-    def take(self, said: bytes, version: int, listed: dict[int, Member]) -> list[Member]:
+    def take(
+        self, said: bytes, version: int, listed: dict[int, DiscoveredEndpoint]
+    ) -> list[DiscoveredEndpoint]:
         """Take over another's drains; gives the lines that are otherwise now, for
         `Roster.renew`."""
         try:
@@ -233,7 +237,7 @@
             before = self.known.get(drain.server)
             if drain.version <= version or (before is not None and before.version >= drain.version):
                 continue
-            if member is None or member.entry.state is not State.READY:
+            if member is None or member.entry.state is not EndpointState.READY:
                 continue
             if len(self.known) >= min(MAX_RUMOURS, max(1, int(RUMOURED * len(listed)))):
                 self.turned_away += 1
@@ -242,19 +246,19 @@
             renewed.append(member)
         return renewed
 
-    def amend(self, member: Member, version: int) -> Member:
+    def amend(self, member: DiscoveredEndpoint, version: int) -> DiscoveredEndpoint:
         """What is told of a server in place of its line in a list of that version."""
         server, entry = member.entry.id, member.entry
         rumour = self.known.get(server)
-        if rumour is None or version >= rumour.version or entry.state is not State.READY:
+        if rumour is None or version >= rumour.version or entry.state is not EndpointState.READY:
             if rumour is not None and version >= rumour.version:
                 del self.known[server]
             self.raw.pop(server, None)
             return member
         self.raw[server] = member
-        return replace(member, entry=replace(entry, state=State.DRAINING))
+        return replace(member, entry=replace(entry, state=EndpointState.DRAINING))
 
-    def over(self, version: int) -> list[Member]:
+    def over(self, version: int) -> list[DiscoveredEndpoint]:
         """Rumours that our own list has caught up with: its lines hold again."""
         for server in [s for s, rumour in self.known.items() if rumour.version <= version]:
             del self.known[server]
@@ -305,11 +309,11 @@
 
 
 def company(
-    me: str, standing: Standing, parts: tuple[float, ...], hearsay: tuple[tuple[int, float], ...]
-) -> Company:
+    me: str, standing: QuorumState, parts: tuple[float, ...], hearsay: tuple[tuple[int, float], ...]
+) -> ClusterView:
     """What the policy is told. Without a majority the node takes itself for one of all that may
     live."""
     live = standing.live
     if not standing.majority:
-        return Company(standing.may_live, live.index(me), standing.may_live, parts, hearsay)
-    return Company(len(live), live.index(me), standing.may_live, parts, hearsay)
+        return ClusterView(standing.may_live, live.index(me), standing.may_live, parts, hearsay)
+    return ClusterView(len(live), live.index(me), standing.may_live, parts, hearsay)
--- a/badgercart/config.py
+++ b/badgercart/config.py
@@ -60,7 +60,7 @@
     @property
     def longest(self) -> float:
         """The longest that any client waits, in ms."""
-        return max(cls.deadline for cls in self.settings.classes)
+        return max(cls.deadline_ms for cls in self.settings.classes)
 
 
 def parse_address(text: str) -> Address:
--- a/badgercart/core/checksummed_file.py
+++ b/badgercart/core/checksummed_file.py
@@ -10,28 +10,28 @@
 from typing import Any
 
 
-class Unusable(Exception):
+class CorruptFileError(Exception):
     """What is in the file can't be taken: why."""
 
 
-def seal(told: dict[str, Any]) -> bytes:
+def encode_checksummed(told: dict[str, Any]) -> bytes:
     """The first line is the checksum of the second, which is JSON."""
     line = json.dumps(told, separators=(",", ":")).encode()
     return b"%b\n%b\n" % (checksum(line), line)
 
 
-def unseal(data: bytes, version: int) -> dict[str, Any]:
+def decode_checksummed(data: bytes, version: int) -> dict[str, Any]:
     """What was sealed, of that `format`. Raises Unusable; nothing is taken in part."""
     first, _, rest = data.partition(b"\n")
     line = rest.removesuffix(b"\n")
     if not rest.endswith(b"\n") or first != checksum(line):
-        raise Unusable("it is cut off or was changed: its checksum does not fit")
+        raise CorruptFileError("it is cut off or was changed: its checksum does not fit")
     try:
         told: dict[str, Any] = json.loads(line)
         if told["format"] != version:
-            raise Unusable(f"it is of format {told['format']!r}, not {version}")
+            raise CorruptFileError(f"it is of format {told['format']!r}, not {version}")
     except (KeyError, TypeError, ValueError, RecursionError) as error:
-        raise Unusable(f"{type(error).__name__}: {error}") from None
+        raise CorruptFileError(f"{type(error).__name__}: {error}") from None
     return told
 
 
@@ -39,7 +39,7 @@
     return blake2b(line, digest_size=16).hexdigest().encode()
 
 
-def put(path: Path, data: bytes, sync: bool = False) -> None:
+def replace_file(path: Path, data: bytes, sync: bool = False) -> None:
     """Replace a file whole, on the disk where it is to be synced. Raises OSError; then the old one
     stays.
 
--- a/badgercart/core/log_events.py
+++ b/badgercart/core/log_events.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Event:
+class LogEvent:
     """One kind of event. Called with its fields, it is logged."""
 
     name: str  # `subsystem.fact`
@@ -32,14 +32,14 @@
             log.log(self.level, self.words, *told, exc_info=exc_info, extra={"event": self.name})
 
 
-TABLE: dict[str, Event] = {}  # all that there are, by name
+TABLE: dict[str, LogEvent] = {}  # all that there are, by name
 
 
-def event(name: str, level: int, words: str, meaning: str) -> Event:
+def event(name: str, level: int, words: str, meaning: str) -> LogEvent:
     """Add one to the table. ValueError where its name is taken."""
     if name in TABLE:
         raise ValueError(f"there are two events {name}")
-    TABLE[name] = made = Event(name, level, words, meaning)
+    TABLE[name] = made = LogEvent(name, level, words, meaning)
     return made
 
 
--- a/badgercart/core/memory_budget.py
+++ b/badgercart/core/memory_budget.py
@@ -14,12 +14,12 @@
 LEAST_ROOM = 4 << 20
 
 
-def room_of(memory_mb: float) -> int:
+def budget_bytes(memory_mb: float) -> int:
     """Bytes that may be held by a process that may take so much memory."""
     return max(LEAST_ROOM, (int(memory_mb * 1_000_000) - PROGRAM) // 2)
 
 
-class Room:
+class MemoryBudget:
     """The room of one process. Windows shrink with the number of streams, holds with what is
     held."""
 
--- a/badgercart/core/metric_registry.py
+++ b/badgercart/core/metric_registry.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Meter:
+class Metric:
     name: str  # with its unit: `badgercart_list_age_seconds`
     about: str
     kind: Kind
@@ -46,11 +46,11 @@
         return kept
 
 
-class Meters:
+class MetricRegistry:
     """All figures of one installation."""
 
     def __init__(self) -> None:
-        self.meters: dict[str, Meter] = {}
+        self.metrics: dict[str, Metric] = {}
 
     def add(
         self,
@@ -63,9 +63,9 @@
         """ValueError where the name is taken, or none."""
         if not _NAME.fullmatch(name):
             raise ValueError(f"{name!r} is no name of a figure")
-        if name in self.meters:
+        if name in self.metrics:
             raise ValueError(f"there are two figures {name}")
-        self.meters[name] = Meter(name, about, kind, read, label)
+        self.metrics[name] = Metric(name, about, kind, read, label)
 
     def counter(
         self, name: str, about: str, read: Callable[[], Reading], label: str | None = None
--- a/badgercart/core/ports.py
+++ b/badgercart/core/ports.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 from badgercart.core.streams import Opening, Sink
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 
 
 @dataclass(slots=True)
@@ -26,63 +26,69 @@
     content_type: bytes = b""
 
 
-class Final(StrEnum):
+class RequestOutcome(StrEnum):
     """How a request ended for its client."""
 
     SERVED = "served"
-    FAULTY = "faulty"  # a server found it at fault: its 4xx was passed on
-    REFUSED = "refused"  # not run
+    CLIENT_ERROR = "faulty"  # a server found it at fault: its 4xx was passed on
+    SHED = "refused"  # not run
     FAILED = "failed"  # may have run
-    WITHDRAWN = "withdrawn"  # its client went away
+    CANCELLED = "withdrawn"  # its client went away
 
 
-class Observer(Protocol):
+class RequestObserver(Protocol):
     """Whoever watches requests come to their end. It must be quick, and change nothing."""
 
-    def over(
-        self, request_id: int, intake: Intake, final: Final, took: float, server: int, sends: int
+    def request_finished(
+        self,
+        request_id: int,
+        intake: IncomingRequest,
+        final: RequestOutcome,
+        took: float,
+        server: int,
+        sends: int,
     ) -> None:
         """A request is over after `took` ms and so many sends; `server` gave the answer, 0: none
         did."""
 
 
-class Watcher(Protocol):
+class AttemptObserver(Protocol):
     """Whoever watches attempts at servers. It must be quick, and change nothing."""
 
-    def sent(self, server_id: int) -> None:
+    def attempt_sent(self, server_id: int) -> None:
         """An attempt goes out."""
 
-    def ended(self, server_id: int, result: Result, elapsed: float) -> None:
+    def attempt_ended(self, server_id: int, result: AttemptResult, elapsed: float) -> None:
         """An attempt has ended, `elapsed` ms after it was sent."""
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """Whoever owes the answer to one request. Each of the first three calls is the final one for
     it."""
 
-    def answered(self, answer: Answer) -> None:
+    def on_answer(self, answer: Answer) -> None:
         """A server has answered: pass it on."""
 
-    def refused(self, wait: float) -> None:
+    def on_shed(self, wait: float) -> None:
         """Not run, trying again does no harm; after `wait` ms, or when it likes where that is 0."""
 
-    def failed(self, broken: bool) -> None:
+    def on_failure(self, broken: bool) -> None:
         """Nothing is promised: the request may have run, or, where `broken`, the node itself
         failed."""
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         """Whether its client has left, and that is seen only now: asked before each attempt is
         written."""
 
 
-class StreamingFront(Front, Protocol):
+class StreamingFrontend(Frontend, Protocol):
     """One whose work may ask for answers that go on as they come."""
 
-    def began(self, opening: Opening) -> Sink:
+    def on_response_started(self, opening: Opening) -> Sink:
         """The final answer begins: where it goes."""
 
 
-class Carrier(Protocol):
+class UpstreamTransport(Protocol):
     """Whoever carries out attempts. Every `send` ends in exactly one `Join.ended` with the same
     numbers.
 
@@ -91,17 +97,17 @@
     to a fallback by itself says so with `Join.diverted`; the next attempt then is out as if it had
     been sent."""
 
-    def send(self, order: Order) -> None: ...
+    def send(self, order: AttemptRequest) -> None: ...
 
     def cancel(self, request_id: int, number: int) -> None:
         """Stop waiting for an attempt; its end is reported as any other."""
 
-    def forgo(self, request_id: int, number: int) -> None:
+    def abandon_attempt(self, request_id: int, number: int) -> None:
         """Its request is over: an attempt whose last byte has not gone out never goes out, and ends
         so."""
 
 
-class Handle(Protocol):
+class TimerHandle(Protocol):
     """A timer that is set."""
 
     def cancel(self) -> object: ...
@@ -110,38 +116,44 @@
 class Timers(Protocol):
     """What rings later: an event loop, or a test's own."""
 
-    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Handle:
+    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> TimerHandle:
         """Call after `delay` s."""
 
 
 @dataclass(slots=True)
-class Order:
+class AttemptRequest:
     """An attempt as the policy decided it."""
 
     request_id: int
-    number: int  # of the request's attempts, from 0
-    server_id: int
-    limit: float  # ms until the attempt has timed out, from now or from when its request is whole
-    work: Any  # as the front handed it in
+    attempt: int  # of the request's attempts, from 0
+    endpoint_id: int
+    timeout_ms: (
+        float  # ms until the attempt has timed out, from now or from when its request is whole
+    )
+    payload: Any  # as the front handed it in
     fallbacks: tuple[
         int, ...
     ] = ()  # servers that the carrier may turn to by itself, the first one first
 
 
 @dataclass(slots=True)
-class Intake:
+class IncomingRequest:
     """A checked request as a front hands it in. Times are ms on `clock.now_ms`."""
 
-    cls: int
+    class_index: int
     tenant: int
     key: int  # 0: none
-    due: float  # the last moment for an answer to set out; infinite while the request is not whole
-    work: Any  # what the carrier needs to carry it out
-    hint: float = 0.0  # the client's guess at the work in ms, 0: none
-    repeat: bool = False  # marked as the client's retry
-    fallbacks: int = 0  # how many servers beside the first the carrier can turn to by itself
-    resumed: bool = False  # earlier attempts, of which this node knows nothing, may have run
-    among: frozenset[int] | None = None  # the only servers that the carrier can reach
-    name: bytes = b""  # its Request-Id, for people
-    whole: bool = True  # else `Join.whole` follows
-    patience: float = 0.0  # ms from then on in which an answer may set out
+    deadline: (
+        float  # the last moment for an answer to set out; infinite while the request is not whole
+    )
+    payload: Any  # what the carrier needs to carry it out
+    expected_work_ms: float = 0.0  # the client's guess at the work in ms, 0: none
+    is_client_retry: bool = False  # marked as the client's retry
+    max_fallbacks: int = 0  # how many servers beside the first the carrier can turn to by itself
+    possibly_executed: bool = (
+        False  # earlier attempts, of which this node knows nothing, may have run
+    )
+    reachable_endpoints: frozenset[int] | None = None  # the only servers that the carrier can reach
+    request_name: bytes = b""  # its Request-Id, for people
+    complete: bool = True  # else `Join.whole` follows
+    response_window_ms: float = 0.0  # ms from then on in which an answer may set out
--- a/badgercart/core/requests.py
+++ b/badgercart/core/requests.py
@@ -10,10 +10,10 @@
 
 from badgercart.config import Config
 from badgercart.core.identifiers import stable_id
-from badgercart.policy.settings import Effect
+from badgercart.policy.settings import Idempotency
 
 
-class BadDescription(Exception):
+class InvalidRequestError(Exception):
     """A request that can't be taken: why, the HTTP status that says so, and the method that would
     do."""
 
@@ -24,11 +24,11 @@
 
 
 @dataclass(slots=True)
-class Found:
+class ClassifiedRequest:
     """What a description says of its request."""
 
-    name: bytes  # its Request-Id
-    cls: int
+    request_name: bytes  # its Request-Id
+    class_index: int
     tenant: int
     key: int
 
@@ -46,7 +46,7 @@
     def __init__(self, config: Config) -> None:
         self.classes = config.classes
         self.tenant, self.secret = config.tenant, config.key_secret
-        self.effects = [cls.effect for cls in config.settings.classes]
+        self.effects = [cls.idempotency for cls in config.settings.classes]
 
     def read(
         self,
@@ -55,26 +55,28 @@
         name: bytes | None,
         tenant: bytes | None,
         key: bytes | None,
-    ) -> Found:
+    ) -> ClassifiedRequest:
         """Raises BadDescription: 400, 404 or 405."""
         parts = target.partition(b"?")[0].split(b"/")
         if parts[0] or len(parts) < 2:
-            raise BadDescription(400, "no path from the root")
+            raise InvalidRequestError(400, "no path from the root")
         cls = self.classes.get(parts[1])
         if cls is None:
-            raise BadDescription(404, "no such class")
+            raise InvalidRequestError(404, "no such class")
         effect = self.effects[cls]
-        wanted = b"GET" if effect is Effect.SAFE else b"POST"
+        wanted = b"GET" if effect is Idempotency.IDEMPOTENT else b"POST"
         if method != wanted:
-            raise BadDescription(405, f"the class wants {wanted.decode()}", wanted)
+            raise InvalidRequestError(405, f"the class wants {wanted.decode()}", wanted)
         if not name:
-            raise BadDescription(400, "no Request-Id")
+            raise InvalidRequestError(400, "no Request-Id")
         number = self.tenant(tenant)
         if number is None:
-            raise BadDescription(400, unknown_tenant(tenant))
-        if effect is Effect.KEYED and key is None:
-            raise BadDescription(400, "the class is keyed: it wants an Idempotency-Key")
-        if effect is Effect.UNSAFE and key is not None:  # a repeat could not be told by it
-            raise BadDescription(400, "the class is not keyed: it takes no Idempotency-Key")
+            raise InvalidRequestError(400, unknown_tenant(tenant))
+        if effect is Idempotency.KEYED and key is None:
+            raise InvalidRequestError(400, "the class is keyed: it wants an Idempotency-Key")
+        if (
+            effect is Idempotency.NON_IDEMPOTENT and key is not None
+        ):  # a repeat could not be told by it
+            raise InvalidRequestError(400, "the class is not keyed: it takes no Idempotency-Key")
         place = stable_id(parts[-1], self.secret) if len(parts) > 2 and parts[-1] else 0
-        return Found(name, cls, number, place)
+        return ClassifiedRequest(name, cls, number, place)
--- a/badgercart/core/results.py
+++ b/badgercart/core/results.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 
 
-def result_of(status: int, not_started: bool) -> Result:
+def result_of(status: int, not_started: bool) -> AttemptResult:
     """The outcome by status and the header Not-Started, whoever carried the attempt out."""
     if status == 200:
-        return Result.OK
-    return Result.FULL if status in (503, 504) and not_started else Result.ERROR
+        return AttemptResult.OK
+    return AttemptResult.FULL if status in (503, 504) and not_started else AttemptResult.ERROR
--- a/badgercart/discovery/component.py
+++ b/badgercart/discovery/component.py
@@ -9,7 +9,7 @@
 
 from pydantic import Field
 
-from badgercart.app.component import Checked, Declaration, Host, Kind
+from badgercart.app.component import Checked, ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.faults import Path
 from badgercart.app.model import Address, Listed, Name, Table
 from badgercart.config import Address as Pair
@@ -40,12 +40,12 @@
         }
 
 
-class CatalogPart:
+class CatalogComponent:
     """Follows the platform's catalog; SIGHUP moves it to another address."""
 
-    def __init__(self, host: Host, address: Pair) -> None:
+    def __init__(self, host: ComponentHost, address: Pair) -> None:
         self.discovery = Discovery(
-            address, host.roster.take, random.Random(host.config.seed), host.config.source
+            address, host.endpoint_table.accept, random.Random(host.config.seed), host.config.source
         )
 
     async def start(self) -> None:
@@ -61,16 +61,18 @@
         self.discovery.close()
 
 
-class ListedPart:
+class ListedComponent:
     """Servers as the file lists them; SIGHUP takes them anew."""
 
-    def __init__(self, host: Host, servers: tuple[Server, ...]) -> None:
+    def __init__(self, host: ComponentHost, servers: tuple[Server, ...]) -> None:
         self.host, self.servers, self.version = host, servers, 0
 
     def take(self, servers: tuple[Server, ...]) -> None:
         self.servers, self.version = servers, self.version + 1
         lines = [server.line() for server in servers]
-        self.host.roster.take({"generation": self.version, "reset": True, "instances": lines})
+        self.host.endpoint_table.accept(
+            {"generation": self.version, "reset": True, "instances": lines}
+        )
 
     async def start(self) -> None:
         self.take(self.servers)
@@ -99,23 +101,23 @@
         seen.add(server.name)
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="catalog",
         key=("members", "catalog"),
-        kind=Kind.MEMBERS,
+        kind=ComponentKind.DISCOVERY,
         settings=Address,
         about="the host:port of the platform's discovery",
-        build=CatalogPart,
+        build=CatalogComponent,
         reloads=("*",),
     ),
-    Declaration(
+    ComponentDeclaration(
         name="server",
         key=("members", "server"),
-        kind=Kind.MEMBERS,
+        kind=ComponentKind.DISCOVERY,
         settings=Annotated[tuple[Server, ...], Listed],
         about="a server that is listed here, for trials and small installations",
-        build=ListedPart,
+        build=ListedComponent,
         check=check_servers,
         reloads=("*",),
     ),
--- a/badgercart/discovery/entries.py
+++ b/badgercart/discovery/entries.py
@@ -12,12 +12,16 @@
 
 from badgercart.config import Config, parse_address
 from badgercart.core.clock import now_ms
-from badgercart.core.endpoint_table import Member, MemberList
+from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate
 from badgercart.core.identifiers import stable_id
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import UpdateKind
 
-STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
+STATES = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
+}
 
 
 class ListReader:
@@ -35,18 +39,18 @@
         """Go by the names and numbers of another configuration."""
         self.zones, self.kinds = config.zones, config.kinds
 
-    def read(self, raw: Mapping[str, Any], kind: ListKind | None = None) -> MemberList:
+    def read(self, raw: Mapping[str, Any], kind: UpdateKind | None = None) -> DiscoveryUpdate:
         """ValueError if any line is bad: a list is taken whole or not at all."""
         try:
             version = int(raw["generation"])
             members = [self.read_member(line) for line in raw["instances"]]
             if kind is None:
-                kind = ListKind.FULL if raw["reset"] else ListKind.DELTA
+                kind = UpdateKind.SNAPSHOT if raw["reset"] else UpdateKind.DELTA
         except (KeyError, TypeError, AttributeError, OverflowError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
-        return MemberList(kind, version, members)
+        return DiscoveryUpdate(kind, version, members)
 
-    def read_member(self, line: Mapping[str, Any]) -> Member:
+    def read_member(self, line: Mapping[str, Any]) -> DiscoveredEndpoint:
         name, started = str(line["instanceId"]), float(line.get("startedAtMs", 0))
         size = float(line.get("weight", 1.0))
         if not (math.isfinite(started) and math.isfinite(size) and size >= 0):
@@ -57,13 +61,13 @@
         zone = self.zones.get(line.get("zone", ""), -1)
         if zone < 0 and self.place is not None:
             zone = self.place(address[0])
-        entry = ServerEntry(
+        entry = Endpoint(
             id=stable_id(name.encode()),
             zone=zone,
             kind=self.kinds.get(line.get("machineType", ""), -1),
             cell=int(line.get("cell", 0)),
             state=STATES[line["lifecycle"]],
             size=size,
-            started=started - self.unix_offset if started else 0.0,
+            started_ms=started - self.unix_offset if started else 0.0,
         )
-        return Member(entry, address, name)
+        return DiscoveredEndpoint(entry, address, name)
--- a/badgercart/discovery/etcd/client.py
+++ b/badgercart/discovery/etcd/client.py
@@ -14,7 +14,7 @@
 import grpc.aio
 from aetcd.rpc import kv_pb2, rpc_pb2, rpc_pb2_grpc
 
-from badgercart.core.endpoint_table import Member, MemberList
+from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate
 from badgercart.discovery.etcd import follower as machine
 from badgercart.discovery.etcd import log_events as events
 from badgercart.discovery.etcd.settings import EtcdSettings
@@ -101,8 +101,8 @@
     def __init__(
         self,
         settings: EtcdSettings,
-        read: Callable[[dict[str, Any]], Member],
-        on_list: Callable[[MemberList], None],
+        read: Callable[[dict[str, Any]], DiscoveredEndpoint],
+        on_list: Callable[[DiscoveryUpdate], None],
         on_state: Callable[[State], None],
         clock: Callable[[], float],
         rng: random.Random,
--- a/badgercart/discovery/etcd/component.py
+++ b/badgercart/discovery/etcd/component.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
 
-from badgercart.app.component import Checked, Declaration, Host, Kind
+from badgercart.app.component import Checked, ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.faults import Path
-from badgercart.core.endpoint_table import MemberList
+from badgercart.core.endpoint_table import DiscoveryUpdate
 from badgercart.core.log_events import LIST_KNOWN_MALFORMED
 from badgercart.discovery.etcd.settings import EtcdSettings
 from badgercart.discovery.freshness import State
-from badgercart.policy.events import ListKind
+from badgercart.policy.events import UpdateKind
 
 if TYPE_CHECKING:
     from badgercart.discovery.etcd.client import EtcdSource
@@ -21,37 +21,37 @@
 LONG_LIST = 1000  # servers
 
 
-class EtcdPart:
+class EtcdComponent:
     """The list from etcd, with its age; SIGHUP takes all of its settings anew."""
 
-    def __init__(self, host: Host, settings: EtcdSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: EtcdSettings) -> None:
         from badgercart.discovery.etcd.client import (
             EtcdSource,
         )  # heavy: only where it is switched on
 
-        self.roster = host.roster
+        self.roster = host.endpoint_table
         self.source: EtcdSource = EtcdSource(
             settings,
             host.reader.read_member,
             self.take,
             self.aged,
-            host.join.clock,
+            host.pipeline.clock,
             random.Random(host.config.seed),
         )
         host.machines["etcd.freshness"] = self.source.freshness
         host.list_state = lambda: self.source.state.value
-        host.meters.gauge(
+        host.metrics.gauge(
             "badgercart_list_age_seconds",
             "Time since the list was whole for sure.",
-            lambda: self.source.freshness.age(host.join.clock()) / 1000,
+            lambda: self.source.freshness.age(host.pipeline.clock()) / 1000,
         )
-        host.meters.counter(
+        host.metrics.counter(
             "badgercart_etcd_lists", "Whole lists fetched from etcd.", lambda: self.source.lists
         )
 
-    def take(self, told: MemberList) -> None:
+    def take(self, told: DiscoveryUpdate) -> None:
         self.roster.apply(told)
-        if told.kind is ListKind.FULL and len(told.members) >= LONG_LIST:
+        if told.kind is UpdateKind.SNAPSHOT and len(told.endpoints) >= LONG_LIST:
             # the collector would stop the loop for long to look at all of them again and again
             gc.freeze()
 
@@ -63,7 +63,7 @@
         self.source.start()
         if (known := self.source.known()) is not None:
             try:
-                self.roster.take(known, ListKind.CACHED)
+                self.roster.accept(known, UpdateKind.CACHED)
             except ValueError as error:
                 LIST_KNOWN_MALFORMED(error=error)
 
@@ -88,14 +88,14 @@
         yield ("tls", "cert"), "cert and key go together"
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="etcd",
         key=("members", "etcd"),
-        kind=Kind.MEMBERS,
+        kind=ComponentKind.DISCOVERY,
         settings=EtcdSettings,
         about="the server list from etcd v3, one key an entry under a prefix",
-        build=EtcdPart,
+        build=EtcdComponent,
         check=check,
         reloads=("*",),
         extra="etcd",
--- a/badgercart/discovery/etcd/follower.py
+++ b/badgercart/discovery/etcd/follower.py
@@ -27,11 +27,11 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from badgercart.core.endpoint_table import Member, MemberList
+from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate
 from badgercart.discovery.etcd.guard import OVERRIDE, Guard
 from badgercart.discovery.etcd.settings import EtcdSettings
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import ListKind
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import UpdateKind
 
 MAX_ENTRY = 64 << 10  # bytes of one value
 MAX_ENTRIES = 100_000
@@ -114,7 +114,7 @@
 class Deliver:
     """Hand over, whole: the list or its changes at a revision."""
 
-    told: MemberList
+    told: DiscoveryUpdate
 
 
 @dataclass(slots=True)
@@ -142,7 +142,7 @@
     def __init__(
         self,
         settings: EtcdSettings,
-        read: Callable[[dict[str, object]], Member],
+        read: Callable[[dict[str, object]], DiscoveredEndpoint],
         rng: random.Random,
     ) -> None:
         self.settings = settings
@@ -154,9 +154,9 @@
         self.cluster: int | None = None
         self.revision = 0  # of the state that is held; 0: the whole list is wanted
         self.high = 0  # the highest revision of this cluster that was held
-        self.members: dict[bytes, Member] = {}  # by key, as etcd has them
+        self.members: dict[bytes, DiscoveredEndpoint] = {}  # by key, as etcd has them
         self.values: dict[bytes, bytes] = {}  # the same entries as they are written
-        self.given: dict[int, Member] = {}  # by id, as handed over
+        self.given: dict[int, DiscoveredEndpoint] = {}  # by id, as handed over
         self.missing: set[int] = (
             set()
         )  # of those, the ones that etcd has no more and the guard keeps
@@ -315,7 +315,7 @@
             if not isinstance(raw, dict):
                 raise ValueError("no JSON object")
             member = self.read(raw)
-            if member.entry.state is State.GONE:
+            if member.entry.state is EndpointState.GONE:
                 raise ValueError("an entry that is gone is deleted, not written")
             if self.owners.get(member.entry.id, pair.key) != pair.key:
                 raise ValueError(f"{member.name} stands under another key already")
@@ -369,7 +369,7 @@
                     else "the list is followed again as it is"
                 )
             )
-        changed: list[Member] = []
+        changed: list[DiscoveredEndpoint] = []
         for server in self.touched:
             member = self.members.get(self.owners.get(server, b""))
             if member is None:
@@ -383,13 +383,15 @@
         if allowed:
             for server in self.missing:
                 gone = self.given.pop(server)
-                changed.append(replace(gone, entry=replace(gone.entry, state=State.GONE)))
+                changed.append(replace(gone, entry=replace(gone.entry, state=EndpointState.GONE)))
             self.missing.clear()
         if whole:
             return [
                 *orders,
-                Deliver(MemberList(ListKind.FULL, self.revision, list(self.given.values()))),
+                Deliver(
+                    DiscoveryUpdate(UpdateKind.SNAPSHOT, self.revision, list(self.given.values()))
+                ),
             ]
         if changed:
-            orders.append(Deliver(MemberList(ListKind.DELTA, self.revision, changed)))
+            orders.append(Deliver(DiscoveryUpdate(UpdateKind.DELTA, self.revision, changed)))
         return orders
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from badgercart.app.component import Declaration, Host, Kind
-from badgercart.core.endpoint_table import Member, MemberList
+from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
+from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate
 from badgercart.core.identifiers import stable_id
 from badgercart.discovery.entries import ListReader
 from badgercart.discovery.freshness import Rule, State
@@ -26,8 +26,8 @@
     check_store,
 )
 from badgercart.frontends.http.requests import Page
-from badgercart.policy.endpoint import State as ServerState
-from badgercart.policy.events import ListKind
+from badgercart.policy.endpoint import EndpointState as ServerState
+from badgercart.policy.events import UpdateKind
 
 if TYPE_CHECKING:
     from badgercart.distribution.driver import FollowerDriver, StoreDriver
@@ -41,8 +41,8 @@
 
 
 def members_of(
-    reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, Member]
-) -> list[Member]:
+    reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, DiscoveredEndpoint]
+) -> list[DiscoveredEndpoint]:
     """The lines of a topic of servers. A key that is gone has left. ValueError where any line is
     none."""
     members = []
@@ -63,10 +63,10 @@
     return members
 
 
-class MembersPart:
+class DistributedDiscoveryComponent:
     """The list of one service from the stores, with its age; SIGHUP takes all settings but KEPT."""
 
-    def __init__(self, host: Host, settings: MembersSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: MembersSettings) -> None:
         self.host, self.settings = host, settings
         self.topic = SERVERS + settings.service
         self.state = State.STALE
@@ -84,7 +84,7 @@
         from badgercart.distribution.follower import Follower, Timing
         from badgercart.distribution.messages import Codec
 
-        config, join = self.host.config, self.host.join
+        config, join = self.host.config, self.host.pipeline
         timing = Timing(
             silence=settings.silence_ms,
             dial=settings.dial_ms,
@@ -114,7 +114,7 @@
         return self.driver.follower
 
     def register(self) -> None:
-        meters, clock = self.host.meters, self.host.join.clock
+        meters, clock = self.host.metrics, self.host.pipeline.clock
         meters.gauge(
             "badgercart_list_age_seconds",
             "Time since the list was whole for sure.",
@@ -187,14 +187,14 @@
         """Have a change in force, or have the topic told whole again where that can't be."""
         from badgercart.distribution import log_events as events
 
-        roster = self.host.roster
+        roster = self.host.endpoint_table
         try:
             members = members_of(self.host.reader, told.entries, roster.listed)
-            kind = ListKind.FULL if told.whole else ListKind.DELTA
-            roster.take_read(MemberList(kind, told.number, members))
+            kind = UpdateKind.SNAPSHOT if told.whole else UpdateKind.DELTA
+            roster.accept_update(DiscoveryUpdate(kind, told.number, members))
         except ValueError as error:
             events.UNUSABLE(topic=told.topic, number=told.number, error=error)
-            self.driver.run(self.follower.ask_whole(self.host.join.clock(), told.topic))
+            self.driver.run(self.follower.ask_whole(self.host.pipeline.clock(), told.topic))
             return
         if told.whole and len(members) >= LONG_LIST:
             # the collector would stop the loop for long to look at all of them again and again
@@ -202,11 +202,11 @@
 
     def look(self) -> None:
         """Say a change of the list's state, and wake up for the next one."""
-        now, freshness = self.host.join.clock(), self.follower.freshness
+        now, freshness = self.host.pipeline.clock(), self.follower.freshness
         state = freshness.state(now)
         if state is not self.state:
             age = f"{freshness.age(now) / 1000:.1f}"
-            AGED[state](age=age, was=self.state.value, version=self.host.roster.version)
+            AGED[state](age=age, was=self.state.value, version=self.host.endpoint_table.version)
             self.state = state
             self.aged()
         if self.timer is not None:
@@ -217,12 +217,14 @@
             self.timer = self.host.loop.call_later(max(0.0, due - now) / 1000 + 0.001, self.look)
 
     def aged(self) -> None:
-        self.host.roster.suspend(self.state is State.STALE and self.settings.when_stale == "refuse")
+        self.host.endpoint_table.suspend(
+            self.state is State.STALE and self.settings.when_stale == "refuse"
+        )
 
     # For operators.
 
     def page(self) -> bytes:
-        follower, age = self.follower, self.follower.age(self.host.join.clock())
+        follower, age = self.follower, self.follower.age(self.host.pipeline.clock())
         host, port = self.settings.stores[max(0, follower.store)]
         told = {
             "name": self.host.config.name,
@@ -285,13 +287,13 @@
     )
 
 
-class StorePart:
+class StoreComponent:
     """One store, in a process that may do other things."""
 
-    def __init__(self, host: Host, settings: StoreSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: StoreSettings) -> None:
         self.host, self.settings = host, settings
         self.driver: StoreDriver | None = None
-        meters = host.meters
+        meters = host.metrics
         meters.gauge(
             "badgercart_store_age_seconds", "Time since it knew that it had all.", self.age
         )
@@ -325,7 +327,7 @@
     async def start(self) -> None:
         host, settings = self.host, self.settings
         self.driver = store_driver(
-            settings, host.folder, host.loop, host.join.clock, lambda error: None
+            settings, host.folder, host.loop, host.pipeline.clock, lambda error: None
         )
         await self.driver.start()
         say_listening(settings, self.driver)
@@ -341,27 +343,27 @@
             self.driver.close()
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="distribution",
         key=("members", "distribution"),
-        kind=Kind.MEMBERS,
+        kind=ComponentKind.DISCOVERY,
         settings=MembersSettings,
         about="the server list from stores that tell changes",
-        build=MembersPart,
+        build=DistributedDiscoveryComponent,
         check=check_members,
         reloads=("*",),
         extra="distribution",
         libraries=("msgspec",),
         commands="badgercart.distribution.commands:distribution",
     ),
-    Declaration(
+    ComponentDeclaration(
         name="distribution-store",
         key=("distribution",),
-        kind=Kind.SERVICE,
+        kind=ComponentKind.SERVICE,
         settings=StoreSettings,
         about="a store that tells changes to nodes",
-        build=StorePart,
+        build=StoreComponent,
         check=check_store,
         extra="distribution",
         libraries=("msgspec",),
--- a/badgercart/ejection/ejections.py
+++ b/badgercart/ejection/ejections.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from badgercart.core.checksummed_file import Unusable
-from badgercart.core.endpoint_table import Roster
+from badgercart.core.checksummed_file import CorruptFileError
+from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.ports import Timers
 from badgercart.ejection.ledger import MAX_BANS, Ledger, State
 from badgercart.ejection.log_events import BANNED, FILE_FAILED, FILE_SPOILT, FREED, TAKEN_OVER
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        roster: Roster,
+        roster: EndpointTable,
         folder: Path,
         timers: Timers,
         unix_offset: float,
@@ -42,7 +42,7 @@
             self.ledger.adopt(state)
             if state.bans:
                 TAKEN_OVER(servers=", ".join(state.bans))
-        roster.amend = self.ledger.amend
+        roster.override = self.ledger.amend
 
     def start(self) -> None:
         self.look()
@@ -54,7 +54,7 @@
         """What the file has, if it can be used."""
         try:
             return self.store.read()
-        except (Unusable, OSError) as error:
+        except (CorruptFileError, OSError) as error:
             FILE_SPOILT(path=self.store.path, error=error)
             return None
 
@@ -102,4 +102,4 @@
         for name in old.keys() - state.bans.keys():
             FREED(server=name)
         if lines:
-            self.roster.renew(lines)
+            self.roster.reapply(lines)
--- a/badgercart/ejection/ledger.py
+++ b/badgercart/ejection/ledger.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from badgercart.core.endpoint_table import Member
-from badgercart.policy.endpoint import State as Listed
+from badgercart.core.endpoint_table import DiscoveredEndpoint
+from badgercart.policy.endpoint import EndpointState as Listed
 
 MAX_NAMES = 4096  # servers that were ever listed, as far back as is remembered
 MAX_BANS = 1024  # servers that are out at a time
@@ -42,13 +42,13 @@
         """`unix_offset`: ms from the node's clock, by which lines are told, to Unix time."""
         self.unix_offset = unix_offset
         self.state = State()
-        self.lines: dict[str, Member] = {}  # raw
+        self.lines: dict[str, DiscoveredEndpoint] = {}  # raw
         self.new_names = False  # some came that are not kept yet
 
     def known(self, name: str) -> bool:
         return name in self.state.names or name in self.lines
 
-    def amend(self, member: Member, version: int = 0) -> Member:
+    def amend(self, member: DiscoveredEndpoint, version: int = 0) -> DiscoveredEndpoint:
         """What the node is told of a server in place of this line of the list."""
         name, entry = member.name, member.entry
         if entry.state is Listed.GONE:
@@ -64,9 +64,9 @@
                 return replace(member, entry=replace(entry, state=Listed.DRAINING))
             return member
         if (back := self.state.freed.get(name)) is not None:
-            if entry.started and entry.started + self.unix_offset >= back.banned:
+            if entry.started_ms and entry.started_ms + self.unix_offset >= back.banned:
                 return member  # the list knows of the start that came meanwhile
-            return replace(member, entry=replace(entry, started=back.freed - self.unix_offset))
+            return replace(member, entry=replace(entry, started_ms=back.freed - self.unix_offset))
         return member
 
     def bound(self) -> None:
@@ -92,7 +92,7 @@
         freed = self.state.freed if since is None else self.state.freed | {name: Freed(since, now)}
         return State(bans, freed, self.state.names)
 
-    def adopt(self, state: State) -> list[Member]:
+    def adopt(self, state: State) -> list[DiscoveredEndpoint]:
         """Put another state in force. The raw lines of the servers for which something changes."""
         old, names = self.state, self.state.names
         self.state = State(dict(state.bans), dict(state.freed), dict(state.names))
--- a/badgercart/ejection/store.py
+++ b/badgercart/ejection/store.py
@@ -14,7 +14,12 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from badgercart.core.checksummed_file import Unusable, put, seal, unseal
+from badgercart.core.checksummed_file import (
+    CorruptFileError,
+    decode_checksummed,
+    encode_checksummed,
+    replace_file,
+)
 from badgercart.ejection.ledger import MAX_BANS, MAX_NAMES, Freed, State
 
 FORMAT = 1
@@ -29,20 +34,20 @@
         "freed": {name: [back.banned, back.freed] for name, back in state.freed.items()},
         "names": [*state.names],
     }
-    return seal(told)
+    return encode_checksummed(told)
 
 
 def decode(data: bytes) -> State:
     """Raises Unusable; nothing is taken in part."""
-    told = unseal(data, FORMAT)
+    told = decode_checksummed(data, FORMAT)
     try:
         bans = {str(name): moment(since) for name, since in told["bans"].items()}
         freed = {str(name): Freed(moment(b), moment(f)) for name, (b, f) in told["freed"].items()}
         names = dict.fromkeys(str(name) for name in told["names"])
     except (KeyError, TypeError, ValueError, AttributeError, RecursionError) as error:
-        raise Unusable(f"{type(error).__name__}: {error}") from None
+        raise CorruptFileError(f"{type(error).__name__}: {error}") from None
     if len(bans) > MAX_BANS or len(names) > MAX_NAMES + MAX_BANS:
-        raise Unusable("it names too many servers")
+        raise CorruptFileError("it names too many servers")
     return State(bans, freed, names)
 
 
@@ -80,12 +85,12 @@
         except FileNotFoundError:
             return None
         if len(data) > MAX_BYTES:
-            raise Unusable(f"it is over {MAX_BYTES} bytes")
+            raise CorruptFileError(f"it is over {MAX_BYTES} bytes")
         return decode(data)
 
     def write(self, state: State) -> None:
         """Whole, and there before this returns. Raises OSError; then the old file stays."""
-        put(self.path, encode(state), sync=True)
+        replace_file(self.path, encode(state), sync=True)
         self.seen = self.stamp()
 
     @contextmanager
--- a/badgercart/frontends/graphql/component.py
+++ b/badgercart/frontends/graphql/component.py
@@ -7,20 +7,20 @@
 from pathlib import Path as FilePath
 from typing import TYPE_CHECKING
 
-from badgercart.app.component import Checked, Declaration, Host, Kind
+from badgercart.app.component import Checked, ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.faults import Path
 from badgercart.frontends.graphql.settings import GraphqlSettings
 from badgercart.frontends.http.component import register
-from badgercart.policy.settings import Effect
+from badgercart.policy.settings import Idempotency
 
 if TYPE_CHECKING:
     from badgercart.frontends.graphql.frontend import GraphqlFront
 
 
-class GraphqlPart:
+class GraphqlComponent:
     """GraphQL clients and servers; its schema and map take a restart."""
 
-    def __init__(self, host: Host, settings: GraphqlSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: GraphqlSettings) -> None:
         from badgercart.frontends.graphql.frontend import (
             GraphqlFront,
         )  # heavy: only where it is switched on
@@ -28,15 +28,15 @@
         self.front: GraphqlFront = GraphqlFront(
             host.config,
             settings,
-            host.join,
-            host.roster,
+            host.pipeline,
+            host.endpoint_table,
             host.loop,
             host.share,
             host.others,
             FilePath(host.folder),
         )
 
-        register(host.meters, "graphql", self.front.listener)
+        register(host.metrics, "graphql", self.front.listener)
 
     async def start(self) -> None:
         self.front.start()
@@ -72,20 +72,20 @@
     places = {item.name: at for at, item in enumerate(settings.field)}
     if len(places) < len(settings.field):
         yield ("field",), "names a field twice"
-    effects = {cls.name: Effect(cls.effect) for cls in file.base.class_}
+    effects = {cls.name: Idempotency(cls.effect) for cls in file.base.class_}
     for name, key, words in faults(schema, settings.by_field, effects):
         place: Path = ("field", places[name]) if name else ("field",)
         yield (*place, key) if key else place, words
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="graphql",
         key=("fronts", "graphql"),
-        kind=Kind.FRONT,
+        kind=ComponentKind.FRONTEND,
         settings=GraphqlSettings,
         about="a listener for GraphQL clients, in front of GraphQL dispatch servers",
-        build=GraphqlPart,
+        build=GraphqlComponent,
         needs=("members",),
         sockets=True,
         check=check,
--- a/badgercart/frontends/graphql/execution.py
+++ b/badgercart/frontends/graphql/execution.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgercart.core.ports import Answer, Carrier, Intake
-from badgercart.core.request_pipeline import Join
+from badgercart.core.ports import Answer, IncomingRequest, UpstreamTransport
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.frontends.graphql.merge import Outcome, response
 from badgercart.frontends.graphql.outcomes import Reply
 from badgercart.frontends.graphql.planner import Part, Plan
@@ -43,7 +43,7 @@
         self.reply: Reply | None = None  # the last one
         self.done = False
 
-    def answered(self, answer: Answer) -> None:
+    def on_answer(self, answer: Answer) -> None:
         reply = self.reply
         assert reply is not None  # the carrier has read it
         if reply.data is None and not reply.errors:
@@ -51,7 +51,7 @@
         else:
             self.end(reply)
 
-    def refused(self, wait: float) -> None:
+    def on_shed(self, wait: float) -> None:
         if self.usable():
             self.end(self.reply)
             return
@@ -59,14 +59,14 @@
         more = {"retryAfter": round(wait / 1000, 3)} if wait else {}
         self.end(instead=error("refused: trying again does no harm", "REFUSED", **more))
 
-    def failed(self, broken: bool) -> None:
+    def on_failure(self, broken: bool) -> None:
         if self.usable():
             self.end(self.reply)
             return
         code = "INTERNAL_SERVER_ERROR" if broken else "FAILED"
         self.end(instead=error("failed: it may have run", code))
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         return self.execution.gone()
 
     def usable(self) -> bool:
@@ -93,8 +93,8 @@
         plan: Plan,
         orders: list[Order],
         local: Outcome | None,
-        join: Join,
-        carrier: Carrier,
+        join: RequestPipeline,
+        carrier: UpstreamTransport,
         on_end: Callable[[dict[str, Any], float | None], None],
         gone: Callable[[], bool],
     ) -> None:
@@ -152,10 +152,12 @@
     def begin(self) -> None:
         call = self.calls[self.begun]
         self.begun += 1
-        call.request_id = self.join.number()
+        call.request_id = self.join.next_request_id()
         order = call.order
-        intake = Intake(order.cls, order.tenant, order.key, order.due, call, name=order.name)
-        self.join.take(call.request_id, intake, call, self.carrier)
+        intake = IncomingRequest(
+            order.cls, order.tenant, order.key, order.due, call, request_name=order.name
+        )
+        self.join.accept(call.request_id, intake, call, self.carrier)
 
     def ended(self, number: int, outcome: Outcome) -> None:
         self.outcomes[number] = outcome
@@ -190,4 +192,4 @@
         for call in self.calls[: self.begun]:
             if not call.done:
                 call.done = True
-                self.join.withdraw(call.request_id)
+                self.join.cancel_request(call.request_id)
--- a/badgercart/frontends/graphql/frontend.py
+++ b/badgercart/frontends/graphql/frontend.py
@@ -14,11 +14,11 @@
 from badgercart.config import Config
 from badgercart.core.clock import MARGIN, now_ms
 from badgercart.core.descriptors import Descriptors
-from badgercart.core.endpoint_table import Roster
+from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import Answer
-from badgercart.core.ports import Order as Attempt
-from badgercart.core.request_pipeline import Join
+from badgercart.core.ports import AttemptRequest as Attempt
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.core.requests import unknown_tenant
 from badgercart.frontends.graphql.documents import Documents, Rejected
 from badgercart.frontends.graphql.execution import Execution, Order, PartCall
@@ -41,8 +41,8 @@
 from badgercart.frontends.graphql.settings import GraphqlSettings
 from badgercart.frontends.http.clients import ClientConnection, Listener
 from badgercart.frontends.http.requests import BadRequest, ClientRequest, Headers, Page
-from badgercart.policy.events import Result
-from badgercart.policy.settings import Effect
+from badgercart.policy.events import AttemptResult
+from badgercart.policy.settings import Idempotency
 from badgercart.upstream.connection_pool import ServerPool
 from badgercart.upstream.exchange import Message
 
@@ -63,32 +63,36 @@
 class GraphqlCarrier:
     """The server pool, with replies read as GraphQL: an error inside a 200 is what it is."""
 
-    def __init__(self, join: Join) -> None:
+    def __init__(self, join: RequestPipeline) -> None:
         self.join = join
         self.calls: dict[tuple[int, int], PartCall] = {}
         self.pool: ServerPool
 
     def send(self, order: Attempt) -> None:
-        call: PartCall = order.work
-        self.calls[order.request_id, order.number] = call
+        call: PartCall = order.payload
+        self.calls[order.request_id, order.attempt] = call
         self.pool.send(
             Attempt(
-                order.request_id, order.number, order.server_id, order.limit, call.order.message
+                order.request_id,
+                order.attempt,
+                order.endpoint_id,
+                order.timeout_ms,
+                call.order.message,
             )
         )
 
     def cancel(self, request_id: int, number: int) -> None:
         self.pool.cancel(request_id, number)
 
-    def forgo(self, request_id: int, number: int) -> None:
-        self.pool.forgo(request_id, number)
+    def abandon_attempt(self, request_id: int, number: int) -> None:
+        self.pool.abandon_attempt(request_id, number)
 
     def ended(
         self,
         request_id: int,
         number: int,
         server_id: int,
-        result: Result,
+        result: AttemptResult,
         elapsed: float,
         answer: Answer | None = None,
         *,
@@ -96,14 +100,16 @@
     ) -> None:
         call = self.calls.pop((request_id, number), None)
         if answer is None or call is None:
-            self.join.ended(request_id, number, server_id, result, elapsed)
+            self.join.attempt_ended(request_id, number, server_id, result, elapsed)
             return
-        reply = read_reply(answer.status, result is Result.FULL, answer.body, call.keys)
+        reply = read_reply(answer.status, result is AttemptResult.FULL, answer.body, call.keys)
         if reply.data is not None or reply.final or call.reply is None:
             call.reply = reply
         # To the join: served, the request's own fault, or neither.
-        status = 200 if reply.result is Result.OK else 400 if reply.final else 500
-        self.join.ended(request_id, number, server_id, reply.result, elapsed, Answer(status))
+        status = 200 if reply.result is AttemptResult.OK else 400 if reply.final else 500
+        self.join.attempt_ended(
+            request_id, number, server_id, reply.result, elapsed, Answer(status)
+        )
 
 
 class GraphqlFront:
@@ -113,8 +119,8 @@
         self,
         config: Config,
         settings: GraphqlSettings,
-        join: Join,
-        roster: Roster,
+        join: RequestPipeline,
+        roster: EndpointTable,
         loop: asyncio.AbstractEventLoop,
         share: float = 1.0,  # of the descriptors that clients and servers have
         parts: int = 0,  # others in the process, which have descriptors of their own
@@ -135,7 +141,7 @@
             allowed,
         )
         self.classes = {name.decode(): number for name, number in config.classes.items()}
-        self.effects = [cls.effect for cls in config.settings.classes]
+        self.effects = [cls.idempotency for cls in config.settings.classes]
         self.deadline = config.longest
         self.stopping = False
         self.pages: Mapping[bytes, Page] = {}
@@ -150,14 +156,14 @@
             servers,
             self.carrier.ended,
             source=config.source,
-            wanted=join.wanted,
+            wanted=join.is_awaited,
         )
         roster.on_change.append(self.pool.update)
         self.listener = Listener(loop, settings.listen, self, clients, self.read, bad_request)
 
     @property
     def healthy(self) -> bool:
-        return self.roster.told and not self.roster.suspended
+        return self.roster.has_update and not self.roster.suspended
 
     # From the listener.
 
@@ -221,9 +227,9 @@
         except Exception:
             # One request must not take the node down with it.
             PLAN_FAILED(True, request=request.name.decode("latin-1"))
-            client.failed(broken=True)
+            client.on_failure(broken=True)
             return
-        client.request_id = number = self.join.number()
+        client.request_id = number = self.join.next_request_id()
 
         def on_end(told: dict[str, Any], wait: float | None) -> None:
             self.open.pop(number, None)
@@ -232,7 +238,9 @@
             client.answer(status, json.dumps(told).encode(), media.encode(), after)
 
         local = self.local(plan, operation, document, asked) if plan.local else None
-        execution = Execution(plan, orders, local, self.join, self.carrier, on_end, client.gone)
+        execution = Execution(
+            plan, orders, local, self.join, self.carrier, on_end, client.client_is_gone
+        )
         self.open[number] = execution
         execution.start()
 
@@ -269,7 +277,7 @@
             b"Accept: application/graphql-response+json, application/json\r\n",
             b"Request-Id: %b.%d\r\n" % (request.name, number),
         ]
-        if self.effects[self.classes[part.cls]] is Effect.KEYED:
+        if self.effects[self.classes[part.cls]] is Idempotency.KEYED:
             if not part.key:
                 words = f"{part.roots[0].response_key} needs an idempotency key"
                 raise Rejected([error(words, "BAD_USER_INPUT")])
--- a/badgercart/frontends/graphql/mapping.py
+++ b/badgercart/frontends/graphql/mapping.py
@@ -7,7 +7,7 @@
 from graphql import GraphQLError, GraphQLObjectType, GraphQLSchema, build_schema
 
 from badgercart.frontends.graphql.settings import FieldMap
-from badgercart.policy.settings import Effect
+from badgercart.policy.settings import Idempotency
 
 
 def read_schema(text: str) -> GraphQLSchema:
@@ -19,7 +19,7 @@
 
 
 def faults(
-    schema: GraphQLSchema, fields: Mapping[str, FieldMap], effects: Mapping[str, Effect]
+    schema: GraphQLSchema, fields: Mapping[str, FieldMap], effects: Mapping[str, Idempotency]
 ) -> list[tuple[str, str, str]]:
     """Each fault of a map: the field, the key that is wrong (empty: all of it), and the words."""
     found: list[tuple[str, str, str]] = []
@@ -39,11 +39,11 @@
         effect = effects.get(mapped.cls)
         if effect is None:
             found.append((name, "class", f"there is no class {mapped.cls!r}"))
-        elif is_mutation and effect is Effect.SAFE:
+        elif is_mutation and effect is Idempotency.IDEMPOTENT:
             found.append(
                 (name, "class", f"{mapped.cls!r} is safe to repeat, and a mutation is not")
             )
-        elif not is_mutation and effect is not Effect.SAFE:
+        elif not is_mutation and effect is not Idempotency.IDEMPOTENT:
             found.append(
                 (name, "class", f"{mapped.cls!r} is not safe to repeat: a query may be sent again")
             )
--- a/badgercart/frontends/graphql/outcomes.py
+++ b/badgercart/frontends/graphql/outcomes.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from badgercart.core.results import result_of
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 
 # The request itself is at fault: wherever it goes the answer is the same, and no server is the
 # worse for it.
@@ -29,7 +29,7 @@
 class Reply:
     """A reply as it was understood."""
 
-    result: Result
+    result: AttemptResult
     final: bool  # the client gets it whatever the result: the request is at fault, or it was served
     data: dict[str, Any] | None
     errors: list[dict[str, Any]]
@@ -38,12 +38,12 @@
 def read_reply(status: int, not_started: bool, body: bytes, keys: set[str]) -> Reply:
     """A reply to a part that asked for these response keys."""
     whole = result_of(status, not_started)
-    if whole is Result.FULL:
-        return Reply(Result.FULL, False, None, [])
+    if whole is AttemptResult.FULL:
+        return Reply(AttemptResult.FULL, False, None, [])
     parsed = _object(body)
     if parsed is None:
         fault = 400 <= status < 500 and status != 429
-        return Reply(Result.CANCELLED if fault else Result.ERROR, fault, None, [])
+        return Reply(AttemptResult.CANCELLED if fault else AttemptResult.ERROR, fault, None, [])
     data, errors = parsed.get("data"), parsed.get("errors")
     wrong_data = data is not None and (not isinstance(data, dict) or set(data) != keys)
     wrong_errors = errors is not None and (
@@ -53,19 +53,19 @@
     )
     if wrong_data or wrong_errors or ("data" not in parsed and not errors):
         # Keys that were not asked for, or missing ones: another request's, or no GraphQL at all.
-        return Reply(Result.ERROR, False, None, [])
+        return Reply(AttemptResult.ERROR, False, None, [])
     errors = errors or []
     if not errors:
         served = status == 200 and data is not None
-        return Reply(Result.OK if served else Result.ERROR, served, data, [])
+        return Reply(AttemptResult.OK if served else AttemptResult.ERROR, served, data, [])
     codes = {_code(error) for error in errors}
     if codes <= FAULT:
-        return Reply(Result.CANCELLED, True, data, errors)
+        return Reply(AttemptResult.CANCELLED, True, data, errors)
     if codes <= TURNED_AWAY and data is None:
-        return Reply(Result.FULL, False, None, errors)
+        return Reply(AttemptResult.FULL, False, None, errors)
     if codes & TIMED_OUT:
-        return Reply(Result.TIMEOUT, False, data, errors)
-    return Reply(Result.ERROR, False, data, errors)
+        return Reply(AttemptResult.TIMEOUT, False, data, errors)
+    return Reply(AttemptResult.ERROR, False, data, errors)
 
 
 def _code(error: dict[str, Any]) -> str:
--- a/badgercart/frontends/http/clients.py
+++ b/badgercart/frontends/http/clients.py
@@ -14,7 +14,7 @@
 from badgercart.config import Address
 from badgercart.core import read_buffer as reading
 from badgercart.core.clock import now_ms
-from badgercart.core.memory_budget import HOLD, Room
+from badgercart.core.memory_budget import HOLD, MemoryBudget
 from badgercart.core.ports import Answer
 from badgercart.core.streams import Opening, Sink, Upload, nothing
 from badgercart.frontends.http.connection import Connection, State
@@ -82,7 +82,7 @@
         limit: int,
         read: Read,
         words: Words = no_words,
-        room: Room | None = None,  # for what goes on as it comes; None: nothing does
+        room: MemoryBudget | None = None,  # for what goes on as it comes; None: nothing does
     ) -> None:
         self.room = room
         self.loop = loop
@@ -427,16 +427,16 @@
 
     # From the join.
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         return self.transport.is_closing() or self.left()
 
-    def answered(self, answer: Answer) -> None:
+    def on_answer(self, answer: Answer) -> None:
         self.request_id = 0
         self.machine.answer(
             self.listener.loop.time(), answer.status, answer.body, answer.content_type, b""
         )
 
-    def began(self, opening: Opening) -> Sink:
+    def on_response_started(self, opening: Opening) -> Sink:
         self.request_id = 0
         self.transport.set_write_buffer_limits(high=self.window())
         self.machine.begin_answer(self.listener.loop.time(), opening)
@@ -458,12 +458,12 @@
         self.on_room = self.on_lost = nothing
         self.transport.abort()
 
-    def refused(self, wait: float) -> None:
+    def on_shed(self, wait: float) -> None:
         content_type, body = self.listener.words(503, "not run; trying again does no harm")
         after = b"Retry-After: %.3f\r\n" % (wait / 1000) if wait else b""
         self.answer(503, body, content_type, after)
 
-    def failed(self, broken: bool) -> None:
+    def on_failure(self, broken: bool) -> None:
         status, why = (500, "the node failed") if broken else (502, "failed; it may have run")
         content_type, body = self.listener.words(status, why)
         self.answer(status, body, content_type)
--- a/badgercart/frontends/http/component.py
+++ b/badgercart/frontends/http/component.py
@@ -8,9 +8,9 @@
 
 from pydantic import Field
 
-from badgercart.app.component import Declaration, Host, Kind
+from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.model import Address, Table
-from badgercart.core.metric_registry import Meters
+from badgercart.core.metric_registry import MetricRegistry
 
 if TYPE_CHECKING:
     from badgercart.frontends.http.clients import Listener
@@ -23,7 +23,7 @@
     listen: Address = Field(description="the host:port to listen on")
 
 
-def register(meters: Meters, name: str, listener: Listener) -> None:
+def register(meters: MetricRegistry, name: str, listener: Listener) -> None:
     """The figures of a listener for clients."""
     meters.gauge(
         f"badgercart_{name}_connections",
@@ -38,18 +38,25 @@
     )
 
 
-class HttpPart:
+class HttpComponent:
     """Clients by the platform's protocol, and operators' pages on the same listener."""
 
-    def __init__(self, host: Host, settings: HttpSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: HttpSettings) -> None:
         from badgercart.frontends.http.frontend import HttpFront
         from badgercart.frontends.http.requests import problem
 
         config = replace(host.config, listen=settings.listen)
         self.front: HttpFront = HttpFront(
-            config, host.join, host.roster, host.loop, host.share, host.others, host.pages, problem
+            config,
+            host.pipeline,
+            host.endpoint_table,
+            host.loop,
+            host.share,
+            host.others,
+            host.pages,
+            problem,
         )
-        register(host.meters, "http", self.front.listener)
+        register(host.metrics, "http", self.front.listener)
 
     async def start(self) -> None:
         self.front.start()
@@ -65,14 +72,14 @@
         self.front.close()
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="http",
         key=("fronts", "http"),
-        kind=Kind.FRONT,
+        kind=ComponentKind.FRONTEND,
         settings=HttpSettings,
         about="a listener for HTTP/1.1 clients",
-        build=HttpPart,
+        build=HttpComponent,
         needs=("members",),
         sockets=True,
     ),
--- a/badgercart/frontends/http/frontend.py
+++ b/badgercart/frontends/http/frontend.py
@@ -10,10 +10,10 @@
 from badgercart.config import Config
 from badgercart.core.clock import MARGIN
 from badgercart.core.descriptors import Descriptors
-from badgercart.core.endpoint_table import Roster
-from badgercart.core.memory_budget import Room, room_of
-from badgercart.core.ports import Intake
-from badgercart.core.request_pipeline import Join
+from badgercart.core.endpoint_table import EndpointTable
+from badgercart.core.memory_budget import MemoryBudget, budget_bytes
+from badgercart.core.ports import IncomingRequest
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.frontends.http.clients import ClientConnection, Listener
 from badgercart.frontends.http.log_events import HANDING_OVER, LISTENING, STOPPING
 from badgercart.frontends.http.requests import (
@@ -35,8 +35,8 @@
     def __init__(
         self,
         config: Config,
-        join: Join,
-        roster: Roster,
+        join: RequestPipeline,
+        roster: EndpointTable,
         loop: asyncio.AbstractEventLoop,
         share: float = 1.0,  # of the descriptors that clients and servers have
         parts: int = 0,  # others in the process, which have descriptors of their own
@@ -49,10 +49,10 @@
         self.stopping = False
         ledger = Descriptors.of(config.sockets, config.console is not None, parts)
         self.room = clients, servers = ledger.split(share)
-        self.bulk = Room(room_of(config.memory_mb))
+        self.bulk = MemoryBudget(budget_bytes(config.memory_mb))
         self.pool = ServerPool(
-            loop, config.dial_timeout, config.idle_timeout, servers, join.ended,
-            join.began, self.bulk, config.source, join.wanted,
+            loop, config.dial_timeout, config.idle_timeout, servers, join.attempt_ended,
+            join.response_started, self.bulk, config.source, join.is_awaited,
         )  # fmt: skip
         roster.on_change.append(self.pool.update)
         read = platform_requests(config, streams=True)
@@ -61,34 +61,34 @@
 
     @property
     def healthy(self) -> bool:
-        return self.roster.told and not self.roster.suspended
+        return self.roster.has_update and not self.roster.suspended
 
     def take(self, client: ClientConnection, request: ClientRequest) -> None:
-        client.request_id = self.join.number()
+        client.request_id = self.join.next_request_id()
         upload = request.message.upload
         whole = upload is None or upload.whole
-        intake = Intake(
-            cls=request.cls,
+        intake = IncomingRequest(
+            class_index=request.cls,
             tenant=request.tenant,
             key=request.key,
-            due=self.due(request) if whole else math.inf,
-            work=request.message,
-            hint=request.hint,
-            repeat=request.repeat,
-            name=request.name,
-            whole=whole,
-            patience=request.timeout - MARGIN,
+            deadline=self.due(request) if whole else math.inf,
+            payload=request.message,
+            expected_work_ms=request.hint,
+            is_client_retry=request.repeat,
+            request_name=request.name,
+            complete=whole,
+            response_window_ms=request.timeout - MARGIN,
         )
-        self.join.take(client.request_id, intake, client, self.pool)
+        self.join.accept(client.request_id, intake, client, self.pool)
 
     def due(self, request: ClientRequest) -> float:
         return request.sent + request.timeout - MARGIN
 
     def whole(self, client: ClientConnection, request: ClientRequest) -> None:
-        self.join.whole(client.request_id, self.due(request))
+        self.join.request_completed(client.request_id, self.due(request))
 
     def withdraw(self, request_id: int) -> None:
-        self.join.withdraw(request_id)
+        self.join.cancel_request(request_id)
 
     def start(self, inherited: socket.socket | None = None, opened: bool = True) -> None:
         """Serve on a socket that listens already, or on the configured address; once opened, if not
@@ -107,21 +107,21 @@
     def keep_to(self, part: float) -> None:
         """Hold only this part of the descriptors, from now on."""
         clients, servers = (max(int(room * part), min(LEAST, room)) for room in self.room)
-        self.bulk.total = int(room_of(self.config.memory_mb) * part)
+        self.bulk.total = int(budget_bytes(self.config.memory_mb) * part)
         self.listener.keep_to(clients)
         self.pool.keep_to(servers)
 
     async def drain(self, until: float) -> None:
         """Take what still comes and answer all that is held, until then (ms) at most."""
         self.stopping = True
-        STOPPING(held=len(self.join.held))
+        STOPPING(held=len(self.join.in_flight))
         await self.listener.drain(until)
 
     async def hand_over(self, until: float) -> None:
         """Leave new connections to another process, and answer on those that are here, until then
         (ms)."""
         self.stopping = True
-        HANDING_OVER(held=len(self.join.held), connections=len(self.listener.connections))
+        HANDING_OVER(held=len(self.join.in_flight), connections=len(self.listener.connections))
         await self.listener.hand_over(until)
 
     def close(self) -> None:
--- a/badgercart/frontends/http/requests.py
+++ b/badgercart/frontends/http/requests.py
@@ -16,7 +16,7 @@
 
 from badgercart.config import Config
 from badgercart.core.clock import now_ms
-from badgercart.core.requests import BadDescription, Classifier
+from badgercart.core.requests import Classifier, InvalidRequestError
 from badgercart.core.streams import Upload
 from badgercart.upstream.exchange import MAX_BODY, MAX_HEAD, Message
 
@@ -180,7 +180,7 @@
             url = origin_form(url)
         try:
             found = classifier.read(method, url, headers.request_id, headers.tenant, headers.key)
-        except BadDescription as error:
+        except InvalidRequestError as error:
             allow = b"Allow: %b\r\n" % error.allow if error.allow else b""
             raise BadRequest(error.status, str(error), allow) from None
         if upload is not None and upload.length is None:
@@ -191,8 +191,8 @@
         head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.lines))
         return ClientRequest(
             message=Message(head, body if upload is None else b"", upload, streams),
-            name=found.name,
-            cls=found.cls,
+            name=found.request_name,
+            cls=found.class_index,
             tenant=found.tenant,
             key=found.key,
             sent=now_ms(),
--- a/badgercart/frontends/processor/component.py
+++ b/badgercart/frontends/processor/component.py
@@ -5,7 +5,13 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
 
-from badgercart.app.component import Checked, Declaration, Host, Kind, ReloadError
+from badgercart.app.component import (
+    Checked,
+    ComponentDeclaration,
+    ComponentHost,
+    ComponentKind,
+    ReloadError,
+)
 from badgercart.app.faults import Path
 from badgercart.frontends.processor.settings import ProcessorSettings
 
@@ -13,18 +19,20 @@
     from badgercart.frontends.processor.server import Processor
 
 
-class ProcessorPart:
+class ProcessorComponent:
     """Proxies that ask; SIGHUP reads the PEM files of its certificate anew."""
 
-    def __init__(self, host: Host, settings: ProcessorSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: ProcessorSettings) -> None:
         from badgercart.frontends.processor.server import (
             Processor,
         )  # heavy: only where it is switched on
 
-        self.front: Processor = Processor(host.config, settings, host.join, host.roster, host.loop)
+        self.front: Processor = Processor(
+            host.config, settings, host.pipeline, host.endpoint_table, host.loop
+        )
         host.machines["processor.account"] = self.front.calls.account
 
-        front, meters = self.front, host.meters
+        front, meters = self.front, host.metrics
         meters.gauge(
             "badgercart_processor_streams", "Streams that are open.", lambda: len(front.connections)
         )
@@ -69,14 +77,14 @@
         yield ("old_answers", "refuse_after"), "is below no_fallbacks_after"
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="processor",
         key=("fronts", "processor"),
-        kind=Kind.FRONT,
+        kind=ComponentKind.FRONTEND,
         settings=ProcessorSettings,
         about="a listener for proxies that ask by Envoy's external processing protocol",
-        build=ProcessorPart,
+        build=ProcessorComponent,
         needs=("members",),
         check=check,
         extra="processor",
--- a/badgercart/frontends/processor/description.py
+++ b/badgercart/frontends/processor/description.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from badgercart.config import Config
-from badgercart.core.requests import BadDescription, Classifier
+from badgercart.core.requests import Classifier, InvalidRequestError
 from badgercart.frontends.processor.settings import ProcessorSettings
 
 MAX_VALUE = 8192  # bytes of one header's value that is read
@@ -39,7 +39,7 @@
 
     def __init__(self, config: Config, settings: ProcessorSettings) -> None:
         self.classifier = Classifier(config)
-        self.deadlines = [cls.deadline for cls in config.settings.classes]
+        self.deadlines = [cls.deadline_ms for cls in config.settings.classes]
         self.most = settings.max_headers
         self.names = names = settings.headers
         fields = (names.request_id, names.tenant, names.idempotency_key, names.timeout, names.timeout_ms,
@@ -52,17 +52,17 @@
 
         Raises BadDescription with the status and the words that say what was wrong."""
         if count > self.most:
-            raise BadDescription(431, f"over {self.most} headers")
+            raise InvalidRequestError(431, f"over {self.most} headers")
         headers: dict[str, bytes] = {}
         for name, value in wanted:
             if name in headers:
-                raise BadDescription(400, f"{name} stands there twice")
+                raise InvalidRequestError(400, f"{name} stands there twice")
             if len(value) > MAX_VALUE:
-                raise BadDescription(431, f"{name} is over {MAX_VALUE} bytes")
+                raise InvalidRequestError(431, f"{name} is over {MAX_VALUE} bytes")
             headers[name] = value
         method, target = headers.get(":method"), headers.get(":path")
         if method is None or target is None:
-            raise BadDescription(400, "no :method or no :path")
+            raise InvalidRequestError(400, "no :method or no :path")
         names = self.names
         found = self.classifier.read(
             method,
@@ -73,11 +73,11 @@
         )
         hint = _first(headers, names.work_hint)
         return Described(
-            name=found.name,
-            cls=found.cls,
+            name=found.request_name,
+            cls=found.class_index,
             tenant=found.tenant,
             key=found.key,
-            timeout=self.time_left(headers, found.cls),
+            timeout=self.time_left(headers, found.class_index),
             attempt=self.attempt_number(headers),
             hint=int(hint) / 1000
             if hint and _MS.fullmatch(hint)
@@ -90,11 +90,13 @@
         if (value := _first(headers, self.names.timeout)) is not None:
             match = _TIMEOUT.fullmatch(value)
             if match is None:
-                raise BadDescription(400, "the time-out is no number with a unit (480m or 1500u)")
+                raise InvalidRequestError(
+                    400, "the time-out is no number with a unit (480m or 1500u)"
+                )
             return min(float(match[1]) / (1 if match[2] == b"m" else 1000), MAX_TIMEOUT)
         if (value := _first(headers, self.names.timeout_ms)) is not None:
             if not _MS.fullmatch(value):
-                raise BadDescription(400, "the expected time-out is no number of milliseconds")
+                raise InvalidRequestError(400, "the expected time-out is no number of milliseconds")
             if int(value):  # 0 switches the proxy's time-out off
                 return min(float(value), MAX_TIMEOUT)
         return self.deadlines[cls]
@@ -104,7 +106,7 @@
         if value is None:
             return 1
         if not _MS.fullmatch(value) or int(value) < 1:
-            raise BadDescription(400, "the attempt count is no number from 1")
+            raise InvalidRequestError(400, "the attempt count is no number from 1")
         return int(value)
 
 
--- a/badgercart/frontends/processor/machine.py
+++ b/badgercart/frontends/processor/machine.py
@@ -30,16 +30,16 @@
 
 from badgercart.config import parse_address
 from badgercart.core.clock import MARGIN
-from badgercart.core.endpoint_table import Member, Roster
-from badgercart.core.ports import Answer, Handle, Intake, Order
-from badgercart.core.request_pipeline import Join
-from badgercart.core.requests import BadDescription
+from badgercart.core.endpoint_table import DiscoveredEndpoint, EndpointTable
+from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest, TimerHandle
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.core.requests import InvalidRequestError
 from badgercart.frontends.processor.account import Account, Proxy, Standing
 from badgercart.frontends.processor.description import Described
 from badgercart.frontends.processor.log_events import OLD_ANSWERS
 from badgercart.frontends.processor.outcomes import Phase, harmless, read_end
 from badgercart.frontends.processor.settings import ProcessorSettings
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 
 # Replies.
 
@@ -137,26 +137,26 @@
         self.number = 0  # the join's
         self.due = now + described.timeout - MARGIN
         self.refusable = calls.refusable[described.cls]
-        self.order: Order | None = None
+        self.order: AttemptRequest | None = None
         self.sent = 0.0
         self.endpoint = ""  # the first that the proxy was told
         self.step = Step.WAITING
-        self.timer: Handle | None = None
+        self.timer: TimerHandle | None = None
         self.told = False  # an answer is out of which nothing has been seen
         self.verdict: Immediate | None = None
 
     # As the join's front.
 
-    def answered(self, answer: Answer) -> None:
+    def on_answer(self, answer: Answer) -> None:
         self.calls.over(self, Immediate(409, why="already answered"))
 
-    def refused(self, wait: float) -> None:
+    def on_shed(self, wait: float) -> None:
         self.conclude(Immediate(503, wait, "refused: trying again does no harm"))
 
-    def failed(self, broken: bool) -> None:
+    def on_failure(self, broken: bool) -> None:
         self.conclude(Immediate(500, why="broken") if broken else Immediate(502, why="failed"))
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         """It is the proxy that knows of its clients, and ends their streams."""
         return False
 
@@ -174,15 +174,15 @@
 
     # As the join's carrier.
 
-    def send(self, order: Order) -> None:
+    def send(self, order: AttemptRequest) -> None:
         self.calls.route(self, order)
 
     def cancel(self, request_id: int, number: int) -> None:
         """There is no way to call a proxy back: the attempt may run on, and nobody waits for it."""
-        if self.order is not None and self.order.number == number:
-            self.calls.end_attempt(self, Result.CANCELLED)
+        if self.order is not None and self.order.attempt == number:
+            self.calls.end_attempt(self, AttemptResult.CANCELLED)
 
-    def forgo(self, request_id: int, number: int) -> None:
+    def abandon_attempt(self, request_id: int, number: int) -> None:
         """The proxy has the attempt as soon as it is decided, and knows itself that its client
         left."""
 
@@ -194,8 +194,8 @@
     def __init__(
         self,
         settings: ProcessorSettings,
-        join: Join,
-        roster: Roster,
+        join: RequestPipeline,
+        roster: EndpointTable,
         drain_grace: float = 500.0,  # ms
     ) -> None:
         self.settings = settings
@@ -203,7 +203,7 @@
         self.join = join
         self.roster = roster
         self.account = Account(settings.old_answers)
-        self.refusable = [cls.refusable for cls in join.policy.settings.classes]
+        self.refusable = [cls.client_may_retry for cls in join.policy.settings.classes]
         self.open: dict[bytes, Call] = {}
         self.finals: OrderedDict[bytes, tuple[float, Immediate | None]] = (
             OrderedDict()
@@ -243,27 +243,27 @@
         call = Call(self, described, stream, proxy, now)
         self.open[described.name] = call
         stream.call = call
-        call.number = self.join.number()
-        intake = Intake(
-            cls=described.cls,
+        call.number = self.join.next_request_id()
+        intake = IncomingRequest(
+            class_index=described.cls,
             tenant=described.tenant,
             key=described.key,
-            due=call.due,
-            work=call,
-            hint=described.hint,
-            repeat=described.repeat,
-            fallbacks=self.settings.fallbacks if standing is Standing.GOOD else 0,
-            resumed=resumed,
-            among=self.among(subset) if subset else None,
-            name=described.name,
+            deadline=call.due,
+            payload=call,
+            expected_work_ms=described.hint,
+            is_client_retry=described.repeat,
+            max_fallbacks=self.settings.fallbacks if standing is Standing.GOOD else 0,
+            possibly_executed=resumed,
+            reachable_endpoints=self.among(subset) if subset else None,
+            request_name=described.name,
         )
-        self.join.take(call.number, intake, call, call)
+        self.join.accept(call.number, intake, call, call)
 
     def among(self, subset: tuple[str, ...]) -> frozenset[int]:
         found = map(self.member, subset)
         return frozenset(member.entry.id for member in found if member is not None)
 
-    def bad_request(self, stream: Stream, error: BadDescription) -> None:
+    def bad_request(self, stream: Stream, error: InvalidRequestError) -> None:
         """Request headers that can't be used: no server hears of them."""
         if stream.at is not At.FRESH:
             raise Illegal(f"request headers {stream.at.value}")
@@ -283,7 +283,7 @@
             return
         if call.step is Step.OUT:
             # No word of how it ended: it may have run.
-            self.end_attempt(call, Result.RESET, parked=True)
+            self.end_attempt(call, AttemptResult.RESET, parked=True)
         if old is not None:
             old.call = None
         if call.step is Step.OVER:  # the end was the request's own
@@ -292,7 +292,7 @@
         self.adopt(call, stream)
         self.stop_timer(call)
         call.step = Step.WAITING
-        self.join.resume(call.number, resend=True)
+        self.join.retry_decision_due(call.number, resend=True)
 
     def adopt(self, call: Call, stream: Stream) -> None:
         call.stream, stream.call = stream, call
@@ -333,7 +333,7 @@
         elif call.step is Step.OUT and at is At.TOLD:
             call.proxy.lost += 1
             if self.settings.later_attempts:
-                self.end_attempt(call, Result.CANCELLED, parked=True)
+                self.end_attempt(call, AttemptResult.CANCELLED, parked=True)
             else:
                 self.leave(call)
 
@@ -343,25 +343,25 @@
 
     # Attempts.
 
-    def route(self, call: Call, order: Order) -> None:
+    def route(self, call: Call, order: AttemptRequest) -> None:
         """The policy has decided on a server."""
         now = self.join.clock()
-        members = [self.roster.listed.get(i) for i in (order.server_id, *order.fallbacks)]
+        members = [self.roster.listed.get(i) for i in (order.endpoint_id, *order.fallbacks)]
         call.order, call.sent = order, now
         call.step = Step.OUT
         stream = call.stream
         if stream is None or stream.at is not At.ASKED or members[0] is None:
             # Nobody is there to carry it out, or the list lost the server in this very turn.
-            self.end_attempt(call, Result.NOT_SENT)
+            self.end_attempt(call, AttemptResult.NOT_SENT)
             return
         call.told = True
         call.proxy.answered += 1
         call.proxy.unseen += 1
-        late = max(0.0, order.limit) + self.settings.late_ms
+        late = max(0.0, order.timeout_ms) + self.settings.late_ms
         call.timer = self.join.timers.call_later(late / 1000, self.expire, call)
-        limit = max(1.0, order.limit)
+        limit = max(1.0, order.timeout_ms)
         age = min(self.settings.answer_age_ms, self.drain_grace, limit)
-        endpoints = tuple([member.endpoint for member in members if member is not None])
+        endpoints = tuple([member.address_text for member in members if member is not None])
         call.endpoint = endpoints[0]
         stream.guarded = not call.refusable
         stream.decide(Route(endpoints, age, limit))
@@ -378,7 +378,9 @@
         ):
             # A cached answer, a login page, a rule of the proxy's own: its answer, and none of
             # ours.
-            self.leave(call, Result.NOT_SENT if not end.may_have_run else Result.CANCELLED)
+            self.leave(
+                call, AttemptResult.NOT_SENT if not end.may_have_run else AttemptResult.CANCELLED
+            )
             return Pass()
         if tried is not None:
             self.leave(call, tried)
@@ -388,14 +390,14 @@
         self.end_attempt(call, end.result, answer, parked=True)
         if call.step is Step.OVER:
             return Pass()
-        may_have_run = end.may_have_run or call.order.number > 0
+        may_have_run = end.may_have_run or call.order.attempt > 0
         if self.settings.later_attempts:
             return Pass(
                 502
                 if phase.status in (429, 503) and not harmless(may_have_run, call.refusable)
                 else 0
             )
-        self.join.resume(call.number, resend=False)
+        self.join.retry_decision_due(call.number, resend=False)
         return self.final(stream, phase)
 
     def final(self, stream: Stream, phase: Phase) -> Reply:
@@ -405,7 +407,9 @@
             return verdict
         return Pass(502 if phase.status in (429, 503) else 0)
 
-    def tried(self, call: Call, phase: Phase, served: str | None, now: float) -> Result | None:
+    def tried(
+        self, call: Call, phase: Phase, served: str | None, now: float
+    ) -> AttemptResult | None:
         """Tell of the servers that the proxy went on to by itself.
 
         Where the list does not have the one that it ended at, nothing more can be told of the
@@ -418,22 +422,22 @@
         member = self.member(served or phase.upstream)
         # Without a word, or with the proxy's own name for the way there, it went where it was told.
         at = (
-            order.server_id
+            order.endpoint_id
             if member is None and served is None
             else member.entry.id
             if member
             else 0
         )
-        if at == order.server_id:
+        if at == order.endpoint_id:
             proxy.first += 1
             return None
         gone = at not in self.roster.listed
         if at in order.fallbacks:
             proxy.fallback += 1
             first = (
-                Result.UNREACHABLE
+                AttemptResult.UNREACHABLE
                 if phase.flags is not None and phase.flags >> 5 & 1
-                else Result.ERROR
+                else AttemptResult.ERROR
             )
             if gone:
                 return first
@@ -443,35 +447,37 @@
             return None
         # Neither: the proxy used an answer of another time. What it was told for this request went
         # nowhere.
-        leaving = self.roster.leaving.get(at)
+        leaving = self.roster.draining_since.get(at)
         drained = leaving is not None and now - leaving > self.drain_grace
         before = self.account.standing(proxy, now)
         after = self.account.used_old(proxy, drained, now)
         if before is not after:
             OLD_ANSWERS(proxy=proxy.name, standing=after.value, was=before.value)
         if gone:
-            return Result.NOT_SENT
-        self.divert(call, Result.NOT_SENT, at)
+            return AttemptResult.NOT_SENT
+        self.divert(call, AttemptResult.NOT_SENT, at)
         return None
 
-    def divert(self, call: Call, result: Result, to: int) -> None:
+    def divert(self, call: Call, result: AttemptResult, to: int) -> None:
         assert call.order is not None
         order, number = call.order, call.number
         elapsed = self.join.clock() - call.sent
-        self.join.diverted(number, order.number, order.server_id, result, elapsed, to)
+        self.join.attempt_rerouted(number, order.attempt, order.endpoint_id, result, elapsed, to)
         rest = tuple(i for i in order.fallbacks if i != to)
-        call.order = Order(number, order.number + 1, to, order.limit, order.work, rest)
+        call.order = AttemptRequest(
+            number, order.attempt + 1, to, order.timeout_ms, order.payload, rest
+        )
 
-    def member(self, text: str | None) -> Member | None:
+    def member(self, text: str | None) -> DiscoveredEndpoint | None:
         if text is None:
             return None
         try:
-            return self.roster.at(parse_address(text))
+            return self.roster.find_by_address(parse_address(text))
         except ValueError:
             return None
 
     def end_attempt(
-        self, call: Call, result: Result, answer: Answer | None = None, parked: bool = False
+        self, call: Call, result: AttemptResult, answer: Answer | None = None, parked: bool = False
     ) -> None:
         """Tell the join how the attempt that is out ended."""
         if call.step is not Step.OUT or call.order is None:
@@ -483,15 +489,15 @@
             call.timer = self.join.timers.call_later(max(0.0, wait) / 1000, self.given_up, call)
         self.seen(call)
         call.step = Step.PARKED
-        self.join.ended(
-            call.number, order.number, order.server_id, result, now - call.sent, answer, parked
+        self.join.attempt_ended(
+            call.number, order.attempt, order.endpoint_id, result, now - call.sent, answer, parked
         )
 
     def expire(self, call: Call) -> None:
         """The attempt's time and the proxy's own are over, and no response phase came."""
         call.timer = None
         if call.step is Step.OUT:
-            self.end_attempt(call, Result.TIMEOUT)
+            self.end_attempt(call, AttemptResult.TIMEOUT)
 
     def given_up(self, call: Call) -> None:
         """The proxy has not come back."""
@@ -499,17 +505,17 @@
         if call.step is Step.PARKED:
             self.leave(call)
 
-    def leave(self, call: Call, result: Result = Result.CANCELLED) -> None:
+    def leave(self, call: Call, result: AttemptResult = AttemptResult.CANCELLED) -> None:
         """Nothing more is owed: the policy hears it once, and no load counts for it."""
         if call.step is Step.OVER:
             return
         out, order = call.step is Step.OUT, call.order
         self.seen(call)
         self.over(call, None)
-        self.join.withdraw(call.number)
+        self.join.cancel_request(call.number)
         if out and order is not None:
-            self.join.ended(
-                call.number, order.number, order.server_id, result, self.join.clock() - call.sent
+            self.join.attempt_ended(
+                call.number, order.attempt, order.endpoint_id, result, self.join.clock() - call.sent
             )
 
     def over(self, call: Call, final: Immediate | None) -> None:
--- a/badgercart/frontends/processor/server.py
+++ b/badgercart/frontends/processor/server.py
@@ -13,9 +13,9 @@
 
 from badgercart.config import Address, Config
 from badgercart.core.clock import now_ms
-from badgercart.core.endpoint_table import Roster
-from badgercart.core.request_pipeline import Join
-from badgercart.core.requests import BadDescription
+from badgercart.core.endpoint_table import EndpointTable
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.core.requests import InvalidRequestError
 from badgercart.frontends.processor import log_events as events
 from badgercart.frontends.processor import messages
 from badgercart.frontends.processor.description import Describer
@@ -84,8 +84,8 @@
         self,
         config: Config,
         settings: ProcessorSettings,
-        join: Join,
-        roster: Roster,
+        join: RequestPipeline,
+        roster: EndpointTable,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.settings = settings
@@ -265,7 +265,7 @@
                 headers = message.request_headers.headers
                 wanted = messages.pairs(headers, self.describer.wanted)
                 described = self.describer.read(wanted, len(headers.headers))
-            except BadDescription as error:
+            except InvalidRequestError as error:
                 self.calls.bad_request(stream, error)
             else:
                 self.calls.request(stream, described, now, messages.subset(message))
--- a/badgercart/hot_restart/state_transfer.py
+++ b/badgercart/hot_restart/state_transfer.py
@@ -13,12 +13,17 @@
 from typing import Any
 
 from badgercart.config import Config
-from badgercart.core.checksummed_file import Unusable, put, seal, unseal
+from badgercart.core.checksummed_file import (
+    CorruptFileError,
+    decode_checksummed,
+    encode_checksummed,
+    replace_file,
+)
 from badgercart.core.ports import Timers
 from badgercart.hot_restart.log_events import LEARNED, LEARNED_SPOILT, LEARNED_UNKEPT
-from badgercart.policy.endpoint import Known
+from badgercart.policy.endpoint import EndpointStatistics
 from badgercart.policy.policy import Policy
-from badgercart.policy.statistics import Memory, adopt, recall
+from badgercart.policy.statistics import PolicyStatistics, export_statistics, import_statistics
 
 FORMAT = 1
 EVERY = 1.0  # s between writes
@@ -27,7 +32,7 @@
 MAX_SERVERS = 500  # of a larger fleet a node knows little of each, and a write would hold it up
 
 
-def encode(memory: Memory, config: Config, now: float, unix_offset: float) -> bytes:
+def encode(memory: PolicyStatistics, config: Config, now: float, unix_offset: float) -> bytes:
     """`now` in Unix ms; `unix_offset` from the node's clock to it."""
     names = {number: name.decode("latin-1") for name, number in config.classes.items()}
     half = len(memory.usual)
@@ -51,44 +56,48 @@
         "keys": {str(key): count for key, count in memory.keys.items()},
         "servers": {
             str(server): [
-                known.started + unix_offset if known.started else 0.0,
-                known.slow,
-                known.recent,
-                {name: [known.fails[i], known.strikes[i]] for i, name in names.items()},
+                known.started_ms + unix_offset if known.started_ms else 0.0,
+                known.relative_latency,
+                known.recent_attempts,
+                {
+                    name: [known.failure_rates[i], known.consecutive_ejections[i]]
+                    for i, name in names.items()
+                },
             ]
             for server, known in list(memory.servers.items())[:MAX_SERVERS]
         },
     }
-    return seal(told)
+    return encode_checksummed(told)
 
 
-def decode(data: bytes, config: Config, now: float, unix_offset: float) -> Memory:
+def decode(data: bytes, config: Config, now: float, unix_offset: float) -> PolicyStatistics:
     """Raises Unusable; nothing is taken in part. A class that is new here is assumed, as at any
     start."""
-    told = unseal(data, FORMAT)
+    told = decode_checksummed(data, FORMAT)
     try:
         if not -OLDEST < now - told["at"] < OLDEST:
-            raise Unusable("it is too old")
+            raise CorruptFileError("it is too old")
         return read(told, config, unix_offset)
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-        raise Unusable(f"{type(error).__name__}: {error}") from None
+        raise CorruptFileError(f"{type(error).__name__}: {error}") from None
 
 
-def read(told: Mapping[str, Any], config: Config, unix_offset: float) -> Memory:
+def read(told: Mapping[str, Any], config: Config, unix_offset: float) -> PolicyStatistics:
     names = {number: name.decode("latin-1") for name, number in config.classes.items()}
     terms = config.settings.classes
     classes: Mapping[str, Sequence[float]] = told["classes"]
     by_class = [
-        classes.get(names.get(i, ""), (cls.aim / 4, 0.0, 0.0)) for i, cls in enumerate(terms)
+        classes.get(names.get(i, ""), (cls.latency_objective_ms / 4, 0.0, 0.0))
+        for i, cls in enumerate(terms)
     ]
     servers = {}
     for server, (started, slow, recent, health) in told["servers"].items():
         each = [health.get(names.get(i, ""), (0.0, 0.0)) for i in range(len(terms))]
         own = float(started) - unix_offset if started else 0.0
         fails, strikes = tuple(float(f) for f, _ in each), tuple(float(s) for _, s in each)
-        servers[int(server)] = Known(own, float(slow), float(recent), fails, strikes)
+        servers[int(server)] = EndpointStatistics(own, float(slow), float(recent), fails, strikes)
     numbers: Mapping[str, float] = told["numbers"]
-    return Memory(
+    return PolicyStatistics(
         usual=[float(usual) for usual, _, _ in by_class],
         offered=[float(within) for _, within, _ in by_class]
         + [float(beyond) for _, _, beyond in by_class],
@@ -125,10 +134,10 @@
             return  # the first process of its machine
         try:
             memory = decode(data, config, time.time() * 1000, self.unix_offset)
-        except Unusable as error:
+        except CorruptFileError as error:
             LEARNED_SPOILT(path=self.path, error=error)
             return
-        adopt(policy, memory)
+        import_statistics(policy, memory)
         LEARNED(servers=len(memory.servers))
 
     def keep(self, policy: Policy, config: Callable[[], Config], timers: Timers) -> None:
@@ -136,9 +145,9 @@
         if self.closed:
             return
         timers.call_later(EVERY, self.keep, policy, config, timers)
-        data = encode(recall(policy), config(), time.time() * 1000, self.unix_offset)
+        data = encode(export_statistics(policy), config(), time.time() * 1000, self.unix_offset)
         try:
-            put(self.path, data)
+            replace_file(self.path, data)
         except OSError as error:
             LEARNED_UNKEPT(path=self.path, error=error)
 
--- a/badgercart/metrics/component.py
+++ b/badgercart/metrics/component.py
@@ -7,7 +7,7 @@
 
 from pydantic import Field
 
-from badgercart.app.component import Declaration, Host, Kind
+from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.model import Address, Table
 from badgercart.frontends.http.requests import BadRequest, ClientRequest, Headers, Page, problem
 from badgercart.metrics.log_events import LISTENING
@@ -25,18 +25,18 @@
     listen: Address = Field(description="the host:port to listen on")
 
 
-class MetricsPart:
+class MetricsComponent:
     """Pages only: no request is taken here. It ends with the last front, so that a drain can be
     watched."""
 
-    def __init__(self, host: Host, settings: MetricsSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: MetricsSettings) -> None:
         from badgercart.frontends.http.clients import Listener
         from badgercart.metrics.figures import CONTENT_TYPE, Figures
 
         config = host.config
         names = [name.decode() for name in config.classes]
-        self.figures = Figures(names, config.settings.classes, host.meters)
-        host.join.observers += (self.figures,)
+        self.figures = Figures(names, config.settings.classes, host.metrics)
+        host.pipeline.observers += (self.figures,)
         self.pages: Mapping[bytes, Page] = {PATH: Page(self.figures.page, CONTENT_TYPE)}
         self.stopping = False
         self.healthy = True
@@ -70,14 +70,14 @@
         self.listener.close()
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="metrics",
         key=("metrics",),
-        kind=Kind.SERVICE,
+        kind=ComponentKind.SERVICE,
         settings=MetricsSettings,
         about="a listener that shows figures by Prometheus's text format, at /metrics",
-        build=MetricsPart,
+        build=MetricsComponent,
         extra="operator",
         libraries=("prometheus_client",),
     ),
