--- a/badgercart/metrics/figures.py
+++ b/badgercart/metrics/figures.py
@@ -21,8 +21,8 @@
 )
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
-from badgercart.core.metric_registry import Kind, Meters
-from badgercart.core.ports import Final, Intake
+from badgercart.core.metric_registry import Kind, MetricRegistry
+from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.policy.settings import RequestClass
 
 CONTENT_TYPE = CONTENT_TYPE_LATEST.encode()
@@ -34,8 +34,8 @@
 def buckets(classes: Sequence[RequestClass]) -> tuple[float, ...]:
     """Upper bounds in s: shares of each class's aim, and its deadline; at most MAX_BUCKETS, spread
     evenly."""
-    found = {cls.deadline / 1000 for cls in classes}
-    found |= {cls.aim * share / 1000 for cls in classes for share in SHARES}
+    found = {cls.deadline_ms / 1000 for cls in classes}
+    found |= {cls.latency_objective_ms * share / 1000 for cls in classes for share in SHARES}
     bounds = sorted({float(f"{bound:.3g}") for bound in found})
     if len(bounds) > MAX_BUCKETS:
         last = len(bounds) - 1
@@ -46,11 +46,11 @@
 class Registered:
     """Asks each registered figure once a scrape."""
 
-    def __init__(self, meters: Meters) -> None:
+    def __init__(self, meters: MetricRegistry) -> None:
         self.meters = meters
 
     def collect(self) -> Iterator[Metric]:
-        for meter in self.meters.meters.values():
+        for meter in self.meters.metrics.values():
             labels = [meter.label] if meter.label else []
             family = FAMILIES[meter.kind](meter.name, meter.about, labels=labels)
             for value, reading in meter.values().items():
@@ -66,7 +66,7 @@
     def __init__(self, names: Sequence[str], classes: Sequence[RequestClass]) -> None:
         self.names = names
         self.bounds = buckets(classes)
-        self.counts = [dict.fromkeys(Final, 0) for _ in names]
+        self.counts = [dict.fromkeys(RequestOutcome, 0) for _ in names]
         self.cells = [[0] * (len(self.bounds) + 1) for _ in names]
         self.sums = [0.0] * len(names)
 
@@ -97,19 +97,25 @@
     """An observer of the join, and the page of all figures."""
 
     def __init__(
-        self, names: Sequence[str], classes: Sequence[RequestClass], meters: Meters
+        self, names: Sequence[str], classes: Sequence[RequestClass], meters: MetricRegistry
     ) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
         self.ends = Ends(names, classes)
         self.registry.register(Registered(meters))
         self.registry.register(self.ends)
 
-    def over(
-        self, request_id: int, intake: Intake, final: Final, took: float, server: int, sends: int
+    def request_finished(
+        self,
+        request_id: int,
+        intake: IncomingRequest,
+        final: RequestOutcome,
+        took: float,
+        server: int,
+        sends: int,
     ) -> None:
-        ends, cls, seconds = self.ends, intake.cls, took / 1000
+        ends, cls, seconds = self.ends, intake.class_index, took / 1000
         ends.counts[cls][final] += 1
-        if final is Final.SERVED:
+        if final is RequestOutcome.SERVED:
             ends.cells[cls][bisect_left(ends.bounds, seconds)] += 1
             ends.sums[cls] += seconds
 
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -12,9 +12,9 @@
 from badgercart.admin.listener import Door
 from badgercart.config import Config, ConfigError, reread
 from badgercart.core.clock import now_ms
-from badgercart.core.endpoint_table import Roster
+from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.log_events import CONFIG_KEPT, CONFIG_READ, LIST_KNOWN_MALFORMED, STOPPED
-from badgercart.core.request_pipeline import Join
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.backoff import Pace
 from badgercart.discovery.catalog import Discovery
 from badgercart.discovery.entries import ListReader
@@ -25,7 +25,7 @@
 from badgercart.hot_restart.log_events import ALONE, BESIDE
 from badgercart.hot_restart.process_lock import Lives
 from badgercart.hot_restart.state_transfer import Handover
-from badgercart.policy.events import ListKind
+from badgercart.policy.events import UpdateKind
 from badgercart.reload.reconfiguration import Busy, retuned, wants_restart
 
 LIST_PATIENCE = (
@@ -44,9 +44,9 @@
         used."""
         self.config = config
         self.loop = loop
-        self.join = Join(config.settings, config.seed, loop)
+        self.join = RequestPipeline(config.settings, config.seed, loop)
         self.reader = ListReader(config)
-        self.roster = Roster(self.reader, self.join)
+        self.roster = EndpointTable(self.reader, self.join)
         self.inherited = None if config.inherited is None else inherited_socket(config.inherited)
         self.bans: Bans | None = None
         self.door: Door | None = None
@@ -68,14 +68,14 @@
         )
         if config.known.get("instances"):
             try:
-                self.discovery.version = self.take_list(config.known, ListKind.CACHED)
+                self.discovery.version = self.take_list(config.known, UpdateKind.CACHED)
             except ValueError as error:
                 LIST_KNOWN_MALFORMED(error=error)
 
-    def take_list(self, raw: dict[str, Any], kind: ListKind | None = None) -> int:
+    def take_list(self, raw: dict[str, Any], kind: UpdateKind | None = None) -> int:
         """Take over a list or its changes; ValueError, and nothing taken, if any line of it is
         bad."""
-        version = self.roster.take(raw, kind)
+        version = self.roster.accept(raw, kind)
         if kind is None:
             self.listener.open()
         return version
@@ -101,7 +101,7 @@
     def pace(config: Config) -> Pace:
         """The settings say whether lists are pushed to an agent of our own, or asked for at one
         service."""
-        return Pace.shared() if config.settings.ask_for_list else Pace.agent(config.drain_grace)
+        return Pace.shared() if config.settings.polls_endpoints else Pace.agent(config.drain_grace)
 
     def unready(self) -> str:
         """Why the node can't serve; empty where it can."""
@@ -135,7 +135,7 @@
         )
         restart = ", ".join(wants_restart(old, new))
         self.config, event = retuned(old, new, busy)
-        self.join.tell(event)
+        self.join.dispatch(event)
         self.front.retune(self.config)
         self.reader.rename(self.config)
         CONFIG_READ(
@@ -152,7 +152,7 @@
         if self.handover is not None:
             self.handover.close()  # from now on the next process knows better
         until = now_ms() + ACCEPT_FOR * 1000 + min(self.config.longest, KILLED_AFTER)
-        self.join.leave(until)
+        self.join.begin_shutdown(until)
         if self.inherited is not None:
             await self.front.hand_over(until)
         else:
--- a/badgercart/policy/actions.py
+++ b/badgercart/policy/actions.py
@@ -8,17 +8,17 @@
 @dataclass(slots=True)
 class Send:
     id: int
-    server: int
-    limit: float  # time-out of this attempt, from now or from when its request is whole
+    endpoint_id: int
+    timeout_ms: float  # time-out of this attempt, from now or from when its request is whole
     fallbacks: tuple[int, ...] = ()  # where it may go on to by itself, the first one first
 
 
 @dataclass(slots=True)
-class Refuse:
+class Shed:
     """Final answer: not run, trying again does no harm."""
 
     id: int
-    wait: float  # how long the client should stay away; 0: no advice
+    retry_after_ms: float  # how long the client should stay away; 0: no advice
 
 
 @dataclass(slots=True)
@@ -29,20 +29,20 @@
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Wake:
-    delay: float
+class SetTimer:
+    delay_ms: float
     token: int
 
 
 @dataclass(slots=True)
-class Probe:
-    server: int
+class HealthCheck:
+    endpoint_id: int
 
 
 @dataclass(slots=True)
@@ -55,4 +55,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Wake | Probe | Subscribe | Log
+Action = Send | Shed | Fail | CancelAttempt | SetTimer | HealthCheck | Subscribe | Log
--- a/badgercart/policy/endpoint.py
+++ b/badgercart/policy/endpoint.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 
 
-class State(IntEnum):
+class EndpointState(IntEnum):
     """What the list says of a server."""
 
     READY = 0
@@ -15,24 +15,24 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ServerEntry:
+class Endpoint:
     """One line of the server list."""
 
     id: int
     zone: int
     kind: int
     cell: int
-    state: State
+    state: EndpointState
     size: float  # compared with other servers' only
-    started: float  # 0: long ago
+    started_ms: float  # 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
-class Known:
+class EndpointStatistics:
     """What was learned of a server before a restart; by class where it is several."""
 
-    started: float  # as `ServerEntry.started`: of another start all else is void
-    slow: float  # its answers' time over the usual
-    recent: float  # attempts lately
-    fails: tuple[float, ...]
-    strikes: tuple[float, ...]
+    started_ms: float  # as `ServerEntry.started`: of another start all else is void
+    relative_latency: float  # its answers' time over the usual
+    recent_attempts: float  # attempts lately
+    failure_rates: tuple[float, ...]
+    consecutive_ejections: tuple[float, ...]
--- a/badgercart/policy/events.py
+++ b/badgercart/policy/events.py
@@ -9,20 +9,20 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from badgercart.policy.endpoint import ServerEntry
-from badgercart.policy.settings import Settings, _need
+from badgercart.policy.endpoint import Endpoint
+from badgercart.policy.settings import Settings, require
 
 
-class ListKind(IntEnum):
+class UpdateKind(IntEnum):
     """How a server list came."""
 
     DELTA = 0  # changed entries only
-    FULL = 1  # the whole list; who is missing is gone
+    SNAPSHOT = 1  # the whole list; who is missing is gone
     CACHED = 2  # the whole list as it was held before a restart
     FAILED = 3  # a call failed or the subscription broke; the old list stays in force
 
 
-class Result(IntEnum):
+class AttemptResult(IntEnum):
     """How an attempt ended."""
 
     OK = 1
@@ -35,100 +35,108 @@
     NOT_SENT = 8
 
 
-NEVER_RAN = frozenset({Result.FULL, Result.UNREACHABLE, Result.NOT_SENT})  # these results prove it
+NOT_EXECUTED = frozenset(
+    {AttemptResult.FULL, AttemptResult.UNREACHABLE, AttemptResult.NOT_SENT}
+)  # these results prove it
 
-MAY_RUN_ON = frozenset(
-    {Result.TIMEOUT, Result.RESET, Result.CANCELLED}
+POSSIBLY_STILL_EXECUTING = frozenset(
+    {AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED}
 )  # the attempt may be at work still
 
 
 @dataclass(slots=True)
-class ServerList:
-    kind: ListKind
+class EndpointUpdate:
+    kind: UpdateKind
     version: int
-    servers: list[ServerEntry]
+    endpoints: list[Endpoint]
 
 
 @dataclass(slots=True)
 class Request:
     id: int
-    cls: int
-    due: float  # clock time at which the client gives up on this try
+    class_index: int
+    deadline: float  # clock time at which the client gives up on this try
     key: int = 0  # 0: none
     tenant: int = 0
-    hint: float = 0.0  # expected work, 0: unknown
-    repeat: bool = False  # marked by the client as its retry
-    fallbacks: int = 0  # further servers that whoever carries it out may turn to by itself
-    resumed: bool = False  # earlier attempts, of which this node knows nothing, may have run
-    among: frozenset[int] | None = None  # the only servers that whoever carries it out can reach
-    whole: bool = True  # else its times count from the `Whole` that follows, and `due` is infinite
+    expected_work_ms: float = 0.0  # expected work, 0: unknown
+    is_client_retry: bool = False  # marked by the client as its retry
+    max_fallbacks: int = 0  # further servers that whoever carries it out may turn to by itself
+    possibly_executed: bool = (
+        False  # earlier attempts, of which this node knows nothing, may have run
+    )
+    reachable_endpoints: frozenset[int] | None = (
+        None  # the only servers that whoever carries it out can reach
+    )
+    complete: bool = (
+        True  # else its times count from the `Whole` that follows, and `due` is infinite
+    )
 
 
 @dataclass(slots=True)
-class Whole:
+class RequestCompleted:
     """A request has come in whole: its times count from now on."""
 
     id: int
-    due: float
+    deadline: float
 
 
 @dataclass(slots=True)
-class Began:
+class ResponseStarted:
     """The answer goes on to the client as it comes: no other attempt, and no deadline runs any
     longer."""
 
     id: int
     attempt: int
-    server: int
-    elapsed: float
+    endpoint_id: int
+    elapsed_ms: float
 
 
 @dataclass(slots=True)
-class Outcome:
+class AttemptEnded:
     id: int
-    server: int
-    over: bool  # the request is over, by this outcome or before it
+    endpoint_id: int
+    completed: bool  # the request is over, by this outcome or before it
     result: int
     attempt: int
-    elapsed: float
+    elapsed_ms: float
     report: tuple[float, ...] = ()
     parked: bool = (
         False  # nothing is decided until a Resume: who would carry it out has yet to come back
     )
-    spent: bool = False  # what it would take to send the request again is gone
+    body_consumed: bool = False  # what it would take to send the request again is gone
 
 
 @dataclass(slots=True)
-class Diverted:
+class AttemptRerouted:
     """An attempt ended, and its carrier went on to another server by itself, as the next
     attempt."""
 
     id: int
     attempt: int
-    server: int
+    endpoint_id: int
     result: int
-    elapsed: float
-    to: int
+    elapsed_ms: float
+    next_endpoint_id: int
 
 
 @dataclass(slots=True)
-class Resume:
+class RetryDecisionDue:
     """A request whose last outcome was parked: decide now, by sending again or only how it ends."""
 
     id: int
-    resend: bool
+    may_retry: bool
 
 
 @dataclass(slots=True)
-class ProbeResult:
-    server: int
+class HealthCheckResult:
+    endpoint_id: int
     result: int
-    elapsed: float
+    elapsed_ms: float
     report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
-class Timer:
+class TimerFired:
     token: int
 
 
@@ -139,89 +147,93 @@
 
 
 @dataclass(slots=True)
-class Withdrawn:
+class RequestCancelled:
     """The client has left; nothing more is owed."""
 
     id: int
 
 
 @dataclass(slots=True)
-class Overdue:
+class DeadlineExceeded:
     """No time is left for a request: it is to be ended now."""
 
     id: int
 
 
 @dataclass(slots=True)
-class Retuned:
+class SettingsChanged:
     """Other settings from now on; requests that are there keep the terms of their class.
 
     A class has the number that it had, and tenants, zones and kinds theirs."""
 
     settings: Settings
-    live: frozenset[int]  # classes that requests may still come with; the others only end
-    fresh: frozenset[int] = (
+    live_classes: frozenset[int]  # classes that requests may still come with; the others only end
+    reset_classes: frozenset[int] = (
         frozenset()
     )  # classes that begin anew, also where another had their number
-    tenants: frozenset[int] = frozenset()  # the same of tenants
+    reset_tenants: frozenset[int] = frozenset()  # the same of tenants
 
 
 @dataclass(slots=True)
-class Company:
+class ClusterView:
     """Which nodes share the fleet from now on, in place of the settings' `group_size` and `me`."""
 
     size: int  # nodes that are taken to share it, this one among them
-    me: int  # this node's number among them
-    may_live: int  # these, and those that may only be cut off
-    parts: tuple[float, ...] = ()  # of each tenant's quota, ours; empty: one of `may_live`
-    hearsay: tuple[
+    node_index: int  # this node's number among them
+    possibly_alive: int  # these, and those that may only be cut off
+    quota_shares: tuple[float, ...] = ()  # of each tenant's quota, ours; empty: one of `may_live`
+    failure_reports: tuple[
         tuple[int, float], ...
     ] = ()  # servers that others find failing, and how much, 0 to 1
 
     def __post_init__(self) -> None:
-        _need(self.size >= 1, "size", self.size)
-        _need(0 <= self.me < self.size, "me", self.me)
-        _need(self.may_live >= self.size, "may_live", self.may_live)
-        _need(all(0 < part <= 1 for part in self.parts), "parts", self.parts)
+        require(self.size >= 1, "size", self.size)
+        require(0 <= self.node_index < self.size, "me", self.node_index)
+        require(self.possibly_alive >= self.size, "may_live", self.possibly_alive)
+        require(all(0 < part <= 1 for part in self.quota_shares), "parts", self.quota_shares)
 
 
 @dataclass(slots=True)
-class Planned:
+class TrafficPlan:
     """Where requests go, zone by zone, in place of our own zone first. Without shares: as without a
     plan."""
 
     # By class, then once more by class for `bound` tenants; in each by zone: the part of these
     # requests that goes there. What the parts leave of 1 is refused.
     shares: tuple[tuple[float, ...], ...] = ()
-    spill: tuple[float, ...] = ()  # by zone: attempts a ms that may go there beside their part
-    lost: frozenset[int] = frozenset()  # zones where nothing goes
-    bound: frozenset[int] = frozenset()  # tenants
-    strain: tuple[
+    spillover_rates: tuple[
+        float, ...
+    ] = ()  # by zone: attempts a ms that may go there beside their part
+    lost_zones: frozenset[int] = frozenset()  # zones where nothing goes
+    planned_tenants: frozenset[int] = frozenset()  # tenants
+    zone_strain: tuple[
         float, ...
     ] = ()  # by zone: the part of its part that is spared it where others have room
 
     def __post_init__(self) -> None:
         for row in self.shares:
-            _need(
-                len(row) == len(self.spill) and min(row) >= 0 and sum(row) <= 1.001, "shares", row
+            require(
+                len(row) == len(self.spillover_rates) and min(row) >= 0 and sum(row) <= 1.001,
+                "shares",
+                row,
             )
-        _need(all(rate >= 0 for rate in self.spill), "spill", self.spill)
+        require(all(rate >= 0 for rate in self.spillover_rates), "spill", self.spillover_rates)
 
 
 Event = (
-    ServerList
+    EndpointUpdate
     | Request
-    | Whole
-    | Began
-    | Outcome
-    | Diverted
-    | Resume
-    | ProbeResult
-    | Timer
+    | RequestCompleted
+    | ResponseStarted
+    | AttemptEnded
+    | AttemptRerouted
+    | RetryDecisionDue
+    | HealthCheckResult
+    | TimerFired
     | PeerMessage
-    | Withdrawn
-    | Retuned
-    | Company
-    | Planned
-    | Overdue
+    | RequestCancelled
+    | SettingsChanged
+    | ClusterView
+    | TrafficPlan
+    | DeadlineExceeded
 )
--- a/badgercart/policy/policy.py
+++ b/badgercart/policy/policy.py
@@ -13,29 +13,38 @@
 from dataclasses import dataclass, field, replace
 
 from badgercart.policy.hash_ring import Level, Ring, Sizes
-from badgercart.policy.actions import Action, Cancel, Fail, Log, Refuse, Send, Subscribe, Wake
-from badgercart.policy.endpoint import Known, ServerEntry, State
+from badgercart.policy.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    Log,
+    Shed,
+    Send,
+    Subscribe,
+    SetTimer,
+)
+from badgercart.policy.endpoint import EndpointStatistics, Endpoint, EndpointState
 from badgercart.policy.events import (
-    MAY_RUN_ON,
-    NEVER_RAN,
-    Began,
-    Company,
-    Diverted,
+    POSSIBLY_STILL_EXECUTING,
+    NOT_EXECUTED,
+    ResponseStarted,
+    ClusterView,
+    AttemptRerouted,
     Event,
-    ListKind,
-    Outcome,
-    Overdue,
-    Planned,
+    UpdateKind,
+    AttemptEnded,
+    DeadlineExceeded,
+    TrafficPlan,
     Request,
-    Result,
-    Resume,
-    Retuned,
-    ServerList,
-    Timer,
-    Whole,
-    Withdrawn,
+    AttemptResult,
+    RetryDecisionDue,
+    SettingsChanged,
+    EndpointUpdate,
+    TimerFired,
+    RequestCompleted,
+    RequestCancelled,
 )
-from badgercart.policy.settings import Effect, Group, RequestClass, Settings
+from badgercart.policy.settings import Idempotency, DeduplicationScope, RequestClass, Settings
 
 UPKEEP = 50.0  # ms between refreshes of shares and overload; far below any aim
 # ms: where a class wants its answers sooner, jams come and go sooner, and overload is seen sooner
@@ -123,7 +132,7 @@
 class Server:
     """What this node knows of a server: the list's line and what its own attempts showed."""
 
-    entry: ServerEntry
+    entry: Endpoint
     tokens: float  # while cold: attempts it may get; a random start keeps nodes out of step
     tokens_at: float
     health: list[Health]  # by class
@@ -157,7 +166,7 @@
     turn: Turn | None = None
     tries: int = 0
     out: set[int] = field(default_factory=set)  # numbers of its attempts without an outcome
-    maybe_ran: dict[int, tuple[float, ServerEntry]] = field(
+    maybe_ran: dict[int, tuple[float, Endpoint]] = field(
         default_factory=dict
     )  # sends that may have run
     used: list[int] = field(default_factory=list)  # servers tried
@@ -175,7 +184,7 @@
         self.marks: list[int] = []  # these hashes
         self.cold: set[int] = set()  # of the ready ones, those that may be cold
         self.sizes: dict[int, Sizes] = {}  # of the ready ones, by kind
-        self.placed: dict[int, ServerEntry] = {}  # their entries as all of these have them
+        self.placed: dict[int, Endpoint] = {}  # their entries as all of these have them
         self.noted: set[int] = set()  # servers that a list has named since
         self.groups = 1  # stretches that the fleet is in
         self.start, self.span = 0, 1  # our stretch of the fleet
@@ -187,7 +196,9 @@
         )  # those that have too few or too many yet
         self.rested: set[int] = set()  # servers that rest or did, until they prove themselves
         self.touched: set[int] = set()  # servers of which `recent` or `slow` may be no new one's
-        self.known: dict[int, Known] = {}  # what was learned of servers before this start
+        self.known: dict[
+            int, EndpointStatistics
+        ] = {}  # what was learned of servers before this start
         self.jobs: dict[int, Job] = {}
         self.streams: dict[tuple[int, int], Job] = {}  # attempts whose answers go on as they come
         self.usual: list[float] = []  # learned answer time by class
@@ -228,11 +239,11 @@
             int, float
         ] = {}  # the time that a warm one takes for an answer, by kind of machine
         self.warm = self.slots = self.strongest = self.mean_strength = 1.0
-        self.ask_backoff = settings.ask_within / 40
+        self.ask_backoff = settings.poll_interval_ms / 40
         self.turns: dict[int, Turn] = {}  # by key
         self.moved: list[Turn] = []  # where the next may have its turn
-        self.company: Company | None = None  # None: as the settings say
-        self.plan: Planned | None = None  # None: our own zone first, and any other
+        self.company: ClusterView | None = None  # None: as the settings say
+        self.plan: TrafficPlan | None = None  # None: our own zone first, and any other
         self.zones: dict[int, list[int]] = {}  # with a plan: the servers of our stretch, by zone
         self.inside: dict[int, set[int]] = {}  # the same, to look one up
         self.zones_old = True  # whether they have to be sorted anew
@@ -243,66 +254,74 @@
             int, tuple[float, float]
         ] = {}  # attempts that may spill into a zone, as of when
         self.settle_terms(
-            Retuned(settings, every := frozenset(range(len(settings.classes))), every)
+            SettingsChanged(settings, every := frozenset(range(len(settings.classes))), every)
         )
 
-    def settle_terms(self, event: Retuned) -> None:
+    def settle_terms(self, event: SettingsChanged) -> None:
         """Put settings in force: what was learned of a class that stays is kept."""
         kept = [
-            t for t in self.buckets if t < len(event.settings.quotas) and t not in event.tenants
+            t
+            for t in self.buckets
+            if t < len(event.settings.quotas_per_s) and t not in event.reset_tenants
         ]
         self.buckets = {t: (used, self.leaked) for t in kept if (used := self.used_by(t)) > 0}
         self.settings = settings = event.settings
         had, n, classes = len(self.usual), len(settings.classes), settings.classes
-        self.pace = min(1.0, min(classes[i].aim for i in event.live) / AIM)
-        self.worths = [c.worth * w for w in (1.0, settings.over_quota_worth) for c in classes]
+        self.pace = min(1.0, min(classes[i].latency_objective_ms for i in event.live_classes) / AIM)
+        self.worths = [
+            c.priority_weight * w for w in (1.0, settings.over_quota_weight) for c in classes
+        ]
         beyond = self.offered[had:]
         for values in (self.offered, beyond):
             values[had:] = [1e-9] * (n - had)
-        for i in event.fresh | (
-            frozenset(range(n)) - event.live
+        for i in event.reset_classes | (
+            frozenset(range(n)) - event.live_classes
         ):  # one that vanished draws no band
             self.offered[i] = beyond[i] = 1e-9
         self.offered += beyond
         self.usual += [0.0] * (n - had)
-        for i in event.fresh:
-            self.usual[i] = classes[i].aim / 4
+        for i in event.reset_classes:
+            self.usual[i] = classes[i].latency_objective_ms / 4
         self.bands = (self.bands + [(0.0, 100.0)] * (2 * n))[: 2 * n]
-        for server in self.servers.values() if n > had or event.fresh else ():
+        for server in self.servers.values() if n > had or event.reset_classes else ():
             server.health += [Health() for _ in range(n - had)]
-            for i in event.fresh:
+            for i in event.reset_classes:
                 server.health[i] = Health()
-        self.never_ran = NEVER_RAN - {Result.FULL} if settings.full_may_have_run else NEVER_RAN
+        self.never_ran = (
+            NOT_EXECUTED - {AttemptResult.FULL} if settings.full_possibly_executed else NOT_EXECUTED
+        )
         self.settle_company()
 
     def settle_company(self) -> None:
         """Go by who shares the fleet: as told, else as the settings say."""
-        size, quotas = self.settings.group_size, self.settings.quotas
-        self.group = group = self.company or Company(size, self.settings.me, size)
-        same = len(group.parts) == len(quotas)  # else they are of other settings
+        size, quotas = self.settings.cluster_size, self.settings.quotas_per_s
+        self.group = group = self.company or ClusterView(size, self.settings.node_index, size)
+        same = len(group.quota_shares) == len(quotas)  # else they are of other settings
         self.divisors = (
-            [1 / part for part in group.parts] if same else [group.may_live] * len(quotas)
+            [1 / part for part in group.quota_shares]
+            if same
+            else [group.possibly_alive] * len(quotas)
         )
 
-    def on_company(self, event: Company) -> None:
+    def on_company(self, event: ClusterView) -> None:
         self.company = event
         self.buckets = {
             t: (used, self.leaked) for t in self.buckets if (used := self.used_by(t)) > 0
         }
         self.settle_company()
-        for server_id, level in event.hearsay:
+        for server_id, level in event.failure_reports:
             if (server := self.servers.get(server_id)) is not None:
                 for health in server.health:
                     health.fails = max(health.fails, min(level, HEARSAY))
         self.measure_fleet()
 
-    def on_planned(self, event: Planned) -> None:
+    def on_planned(self, event: TrafficPlan) -> None:
         before, self.plan = self.plan, event if event.shares else None
         if before is not self.plan:
             self.zones_old = self.zones_old or before is None
             self.measure_fleet()
 
-    def on_retuned(self, event: Retuned) -> None:
+    def on_retuned(self, event: SettingsChanged) -> None:
         self.settle_terms(event)
         self.set_bands()
         self.measure_fleet()
@@ -313,7 +332,9 @@
         for server in (self.servers[server_id] for server_id in self.touched & self.servers.keys()):
             jobs += [*(job for job, _ in server.open.values()), *server.uploads.values()]
         requests = [job.request for job in (*jobs, *self.streams.values())]
-        return {request.cls for request in requests}, {request.tenant for request in requests}
+        return {request.class_index for request in requests}, {
+            request.tenant for request in requests
+        }
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.now = now
@@ -322,30 +343,30 @@
             self.place_points(SLICE)
         if isinstance(event, Request):
             self.on_request(event)
-        elif isinstance(event, Outcome):
+        elif isinstance(event, AttemptEnded):
             self.on_outcome(event)
-        elif isinstance(event, ServerList):
+        elif isinstance(event, EndpointUpdate):
             self.on_list(event)
-        elif isinstance(event, Withdrawn):
+        elif isinstance(event, RequestCancelled):
             self.finish(event.id)
-        elif isinstance(event, Diverted):
+        elif isinstance(event, AttemptRerouted):
             self.on_diverted(event)
-        elif isinstance(event, Resume):
+        elif isinstance(event, RetryDecisionDue):
             self.on_resume(event)
-        elif isinstance(event, Whole):
+        elif isinstance(event, RequestCompleted):
             self.on_whole(event)
-        elif isinstance(event, Began):
+        elif isinstance(event, ResponseStarted):
             self.on_began(event)
-        elif isinstance(event, Retuned):
+        elif isinstance(event, SettingsChanged):
             self.on_retuned(event)
-        elif isinstance(event, Company):
+        elif isinstance(event, ClusterView):
             self.on_company(event)
-        elif isinstance(event, Planned):
+        elif isinstance(event, TrafficPlan):
             self.on_planned(event)
-        elif isinstance(event, Overdue):
+        elif isinstance(event, DeadlineExceeded):
             if (late := self.jobs.get(event.id)) is not None:
                 self.end(late)
-        elif isinstance(event, Timer):
+        elif isinstance(event, TimerFired):
             if event.token == SUBSCRIBE:
                 self.out.append(Subscribe())
             elif (held := self.jobs.get(event.token)) is not None and not held.tries:
@@ -363,25 +384,27 @@
             self.upkeep()  # which measures it, too
         else:
             self.measure_overload()
-        settings, group, tenant = self.settings, request.cls, request.tenant
+        settings, group, tenant = self.settings, request.class_index, request.tenant
         if not 0 <= group < len(settings.classes):
             raise LookupError(f"a request names class {group}, which the settings do not have")
         if (
-            settings.quotas
+            settings.quotas_per_s
         ):  # a bucket 1 s deep that leaks the quota; our traffic stands for all nodes'
-            if not 0 <= tenant < len(settings.quotas):
+            if not 0 <= tenant < len(settings.quotas_per_s):
                 raise LookupError(
                     f"a request names tenant {tenant}, which the settings do not have"
                 )
-            if (used := self.used_by(tenant)) > settings.quotas[tenant] / self.divisors[tenant]:
+            if (used := self.used_by(tenant)) > settings.quotas_per_s[tenant] / self.divisors[
+                tenant
+            ]:
                 group += len(settings.classes)
             else:
                 self.buckets[tenant] = used + 1, self.leaked
         self.offered[group] += 1
-        if request.key and settings.warm_keys:
+        if request.key and settings.key_affinity:
             self.key_counts[request.key] = self.key_counts.get(request.key, 0.0) + 1
             self.keys_total += 1
-        if request.resumed and not self.repeatable(request.cls):
+        if request.possibly_executed and not self.repeatable(request.class_index):
             self.out.append(Fail(request.id))  # it may have run, and nothing tells where and when
             return
         score = self.bands[group][0] + self.bands[group][1] * self.random.random()
@@ -391,10 +414,12 @@
             # all is fed by its own silence, since good and bad attempts fade alike.
             self.failed -= self.failed / STALE
             self.seen -= self.seen / STALE
-            self.out.append(Refuse(request.id, self.refuse_wait(score)))
+            self.out.append(Shed(request.id, self.refuse_wait(score)))
             return
-        job = self.jobs[request.id] = Job(request, settings.classes[request.cls], self.now, score)
-        if request.key and job.terms.in_order:
+        job = self.jobs[request.id] = Job(
+            request, settings.classes[request.class_index], self.now, score
+        )
+        if request.key and job.terms.serialized_by_key:
             job.turn = self.turns.setdefault(request.key, Turn())
             job.turn.line.append(job)
         self.attempt(job)
@@ -403,7 +428,9 @@
         """What is in a tenant's bucket. It leaks when it is looked at: upkeep must not cost all
         tenants."""
         count, at = self.buckets.get(tenant, (0.0, 0.0))
-        gone = self.settings.quotas[tenant] * ((self.leaked - at) / 1000 / self.divisors[tenant])
+        gone = self.settings.quotas_per_s[tenant] * (
+            (self.leaked - at) / 1000 / self.divisors[tenant]
+        )
         return max(0.0, count - gone)
 
     def upkeep(self) -> None:
@@ -505,7 +532,7 @@
         """The lower the score the longer the wait; jitter keeps retries from coming due
         together."""
         return (
-            self.settings.max_retry_after
+            self.settings.max_retry_after_ms
             * (1.0 - score / 100.0)
             * (0.9 + 0.1 * self.random.random())
         )
@@ -516,28 +543,36 @@
         """Send the request to a server, hold it for its turn, or end it if none can serve it in
         time."""
         request, cls = job.request, job.terms
-        usual, turn = self.usual[request.cls], job.turn
+        usual, turn = self.usual[request.class_index], job.turn
         # An answer after the aim may be worth nothing: then nothing is gained by waiting longer.
         end = (
-            request.due
-            if cls.late_value or not request.whole
-            else min(request.due, job.since + cls.aim)
+            request.deadline
+            if cls.late_value_share or not request.complete
+            else min(request.deadline, job.since + cls.latency_objective_ms)
+        )
+        limit = (
+            end - self.now
+            if request.complete
+            else cls.deadline_ms
+            if cls.late_value_share
+            else cls.latency_objective_ms
         )
-        limit = end - self.now if request.whole else cls.deadline if cls.late_value else cls.aim
         # A line that can't be served in time is refused at its end, not held until its deadline.
         ahead = turn.line.index(job) if turn else 0
-        latest = end - max((0.5 + ahead) * usual, request.hint, 2 * self.settings.tick)
+        latest = end - max(
+            (0.5 + ahead) * usual, request.expected_work_ms, 2 * self.settings.tick_ms
+        )
         timely = job.tries < self.settings.max_attempts and latest > self.now
         if timely and turn and not job.tries and (ahead or turn.out or turn.rest_until > self.now):
             until = latest if ahead or turn.out else min(latest, turn.rest_until)
-            if request.whole or until < latest:
-                self.out.append(Wake(until - self.now, request.id))
+            if request.complete or until < latest:
+                self.out.append(SetTimer(until - self.now, request.id))
             return
         if not timely or (server := self.pick(job)) is None:
             self.end(job)
             return
         self.launch(job, server)
-        fallbacks = self.fallbacks(job, end) if request.fallbacks else ()
+        fallbacks = self.fallbacks(job, end) if request.max_fallbacks else ()
         self.out.append(Send(request.id, server.entry.id, limit, fallbacks))
 
     def launch(self, job: Job, server: Server) -> None:
@@ -545,7 +580,7 @@
         job.out.add(job.tries)
         job.maybe_ran[job.tries] = (self.now, server.entry)
         job.used.append(server.entry.id)
-        if job.request.whole:
+        if job.request.complete:
             self.begin(job, job.tries, server)
         else:
             server.uploads[job.request.id, job.tries] = job
@@ -558,16 +593,19 @@
 
     def begin(self, job: Job, number: int, server: Server) -> None:
         """From here on the server is at work on it."""
-        server.open[(job.request.id, number)] = job, self.now + STALL * self.usual[job.request.cls]
+        server.open[(job.request.id, number)] = (
+            job,
+            self.now + STALL * self.usual[job.request.class_index],
+        )
         self.flying += 1
         self.sent += 1
 
-    def on_whole(self, event: Whole) -> None:
+    def on_whole(self, event: RequestCompleted) -> None:
         job = self.jobs.get(event.id)
-        if job is None or job.request.whole:
+        if job is None or job.request.complete:
             return
         request, job.since = job.request, self.now
-        request.whole, request.due = True, event.due
+        request.complete, request.deadline = True, event.deadline
         for number in sorted(job.out):
             server = self.servers[job.used[number]]
             del server.uploads[request.id, number]
@@ -575,29 +613,31 @@
         if not job.tries:
             self.attempt(job)
 
-    def on_began(self, event: Began) -> None:
+    def on_began(self, event: ResponseStarted) -> None:
         """It is served, for all that the policy learns and counts; what still comes can only
         break."""
-        server, job = self.take_back(event.server, event.id, event.attempt)
+        server, job = self.take_back(event.endpoint_id, event.id, event.attempt)
         if server is None or job is None:
             return
         self.forget(server)
-        outcome = Outcome(event.id, event.server, True, Result.OK, event.attempt, event.elapsed)
+        outcome = AttemptEnded(
+            event.id, event.endpoint_id, True, AttemptResult.OK, event.attempt, event.elapsed_ms
+        )
         self.streams[event.id, event.attempt] = job
         job.out.discard(event.attempt)
         self.learn(server, outcome, job)
         self.finish(event.id)
 
-    def on_stream_end(self, outcome: Outcome, job: Job) -> None:
+    def on_stream_end(self, outcome: AttemptEnded, job: Job) -> None:
         self.note_end(job, outcome)
-        server = self.servers.get(outcome.server)
-        if server is not None and outcome.result not in (Result.OK, Result.CANCELLED):
-            self.suspect(server, job.request.cls, outcome.result, 1.0)
+        server = self.servers.get(outcome.endpoint_id)
+        if server is not None and outcome.result not in (AttemptResult.OK, AttemptResult.CANCELLED):
+            self.suspect(server, job.request.class_index, outcome.result, 1.0)
 
     def fallbacks(self, job: Job, end: float) -> tuple[int, ...]:
         """Where a carrier may go on to by itself, at any time until the attempt's end; cold servers
         never."""
-        most = min(job.request.fallbacks, self.settings.max_attempts - job.tries)
+        most = min(job.request.max_fallbacks, self.settings.max_attempts - job.tries)
         if self.random.random() < max(self.x, self.no_link):
             return ()  # as for sending again: it feeds a jam
         found: list[int] = []
@@ -608,7 +648,7 @@
             if len(found) >= most:
                 break
             server = self.servers[server_id]
-            health = server.health[job.request.cls]
+            health = server.health[job.request.class_index]
             if health.rest_until or server_id in job.used or self.cold_share(server) < 1.0:
                 continue
             if self.plan is not None and self.focus.get(server.entry.zone, 0.0) <= 0:
@@ -624,7 +664,10 @@
         zone = self.zone_by(row)
         if zone is None:
             return None
-        lost, strain = zone in self.plan.lost, self.plan.strain[zone] if self.plan.strain else 0.0
+        lost, strain = (
+            zone in self.plan.lost_zones,
+            self.plan.zone_strain[zone] if self.plan.zone_strain else 0.0,
+        )
         # What failed once is tried elsewhere first: a zone that has just gone is not known to be
         # gone yet.
         spared = lost or job.tries > 0 or (strain > 0 and self.random.random() < strain)
@@ -652,9 +695,9 @@
     def planned(self, request: Request) -> tuple[float, ...]:
         """The parts of requests like this one, by zone. None where the plan is of other classes."""
         assert self.plan is not None
-        bound = len(self.settings.classes) * (request.tenant in self.plan.bound)
+        bound = len(self.settings.classes) * (request.tenant in self.plan.planned_tenants)
         rows = self.plan.shares
-        return rows[min(request.cls + bound, len(rows) - 1)]
+        return rows[min(request.class_index + bound, len(rows) - 1)]
 
     def zone_by(self, row: tuple[float, ...]) -> int | None:
         """A zone by these parts; None: what they leave is refused."""
@@ -669,7 +712,7 @@
         """Whether an attempt may go there beside its part: a bucket of 0.3 s, filled at the plan's
         rate."""
         assert self.plan is not None
-        rate = self.plan.spill[zone] if zone < len(self.plan.spill) else 0.0
+        rate = self.plan.spillover_rates[zone] if zone < len(self.plan.spillover_rates) else 0.0
         left, at = self.spilt.get(zone, (1.0, self.now))
         left = min(left + rate * (self.now - at), max(rate * 300, 1.0))
         self.spilt[zone] = left, self.now
@@ -678,7 +721,7 @@
     def draw_in(self, zone: int, key: int) -> Iterator[int]:
         """Server ids of a zone in the order to look at them."""
         there = self.zones.get(zone, [])
-        warm = key and self.settings.warm_keys and self.ring.blocks and there
+        warm = key and self.settings.key_affinity and self.ring.blocks and there
         if warm and (first := self.ring.first(mix(key), self.inside[zone])) is not None:
             yield first
         drawn = [there[int(self.random.random() * len(there))] for _ in range(DRAW) if there]
@@ -696,7 +739,7 @@
         mean = self.total_recent / self.span * focus
         for server_id in draw:
             server = self.servers[server_id]
-            health = server.health[job.request.cls]
+            health = server.health[job.request.class_index]
             fit = (
                 self.usable(server, health)
                 and self.allowed(job, server)
@@ -727,7 +770,7 @@
 
     def draw(self, key: int) -> Iterator[int]:
         """Server ids in the order to look at them."""
-        if key and self.settings.warm_keys and self.ring.blocks:
+        if key and self.settings.key_affinity and self.ring.blocks:
             # Where servers remember keys, the key's own places come first; one that draws much has
             # more.
             places = 1 + int(self.key_counts.get(key, 0.0) / self.keys_total * self.span * SPREAD)
@@ -763,10 +806,13 @@
 
     def cold_share(self, server: Server) -> float:
         """What share of its work a server can surely do by its age."""
-        settings, age = self.settings, max(0.0, self.now - server.entry.started)
-        if not server.entry.started or age >= settings.ramp_time:
+        settings, age = self.settings, max(0.0, self.now - server.entry.started_ms)
+        if not server.entry.started_ms or age >= settings.slow_start_duration_ms:
             return 1.0
-        return settings.cold_from + (1.0 - settings.cold_from) * age / settings.ramp_time
+        return (
+            settings.slow_start_min_capacity
+            + (1.0 - settings.slow_start_min_capacity) * age / settings.slow_start_duration_ms
+        )
 
     def cold_token(self, server: Server) -> bool:
         """Whether a cold server may get an attempt now.
@@ -774,16 +820,18 @@
         All nodes together keep to BUDGET of what the settings allow it, each to an even part of
         that: less than one attempt mostly. What has come together undrawn is kept a while: draws of
         one are rare."""
-        entry, settings, nodes = server.entry, self.settings, self.group.may_live
+        entry, settings, nodes = server.entry, self.settings, self.group.possibly_alive
         size = entry.size if 0.5 <= entry.size <= 8 else 1.0  # 1 serves one at once
         # Known from settings and list but for the work: that is learned of warm servers of its
         # kind.
         warm = max(size / (self.works.get(entry.kind) or max(self.usual)), self.carried)
-        rate = BUDGET * settings.tip_multiple * self.cold_share(server) * warm / nodes
+        rate = BUDGET * settings.collapse_load_factor * self.cold_share(server) * warm / nodes
         if not self.in_stretch(entry.id):
             rate = 0.0  # it is left to those in whose stretch it is, who share its budget
         earned = rate * len(self.ready) / self.span * (self.now - server.tokens_at)
-        server.tokens = min(server.tokens + earned, max(1.0, KEPT * rate * settings.overload_for))
+        server.tokens = min(
+            server.tokens + earned, max(1.0, KEPT * rate * settings.collapse_window_ms)
+        )
         server.tokens_at = self.now
         # A fleet that begins cold has no warm peers to serve meanwhile: one on credit, if all have
         # a slot.
@@ -793,15 +841,21 @@
     def allowed(self, job: Job, server: Server, until: float = 0.0) -> bool:
         """Whether the class lets the request go to this server, given where it may have run
         already."""
-        cls, among = job.terms, job.request.among
+        cls, among = job.terms, job.request.reachable_endpoints
         if among is not None and server.entry.id not in among:
             return False
-        if not job.maybe_ran or cls.effect is not Effect.KEYED:
-            return not job.maybe_ran or cls.effect is Effect.SAFE
+        if not job.maybe_ran or cls.idempotency is not Idempotency.KEYED:
+            return not job.maybe_ran or cls.idempotency is Idempotency.IDEMPOTENT
         return all(
-            max(self.now, until) - sent < cls.window - self.settings.tick
-            and (cls.group is not Group.ZONE or entry.zone == server.entry.zone)
-            and (cls.group is not Group.CELL or entry.cell == server.entry.cell)
+            max(self.now, until) - sent < cls.deduplication_window_ms - self.settings.tick_ms
+            and (
+                cls.deduplication_scope is not DeduplicationScope.ZONE
+                or entry.zone == server.entry.zone
+            )
+            and (
+                cls.deduplication_scope is not DeduplicationScope.CELL
+                or entry.cell == server.entry.cell
+            )
             for sent, entry in job.maybe_ran.values()
         )
 
@@ -819,30 +873,30 @@
             return server, job
         return server, server.uploads.pop((request_id, number), None)
 
-    def on_outcome(self, outcome: Outcome) -> None:
+    def on_outcome(self, outcome: AttemptEnded) -> None:
         if (over := self.streams.pop((outcome.id, outcome.attempt), None)) is not None:
             self.on_stream_end(outcome, over)
             return
-        server, job = self.take_back(outcome.server, outcome.id, outcome.attempt)
+        server, job = self.take_back(outcome.endpoint_id, outcome.id, outcome.attempt)
         if server is None or job is None:
-            if outcome.over:  # a carrier may have gone on to a server that is forgotten by now
+            if outcome.completed:  # a carrier may have gone on to a server that is forgotten by now
                 self.finish(outcome.id)
             return  # told twice
         self.forget(server)
         self.note_end(job, outcome)
         self.learn(server, outcome, job)
-        if outcome.over or outcome.id not in self.jobs:
+        if outcome.completed or outcome.id not in self.jobs:
             self.finish(outcome.id)
         elif outcome.parked:
             job.parked = outcome.result
-        elif outcome.spent:
+        elif outcome.body_consumed:
             self.end(job)
         else:
             self.go_on(job, outcome.result)
 
     def go_on(self, job: Job, result: int) -> None:
         """Send a request again whose attempt ended so, or end it."""
-        if result in (Result.TIMEOUT, Result.NOT_SENT) or self.random.random() < max(
+        if result in (AttemptResult.TIMEOUT, AttemptResult.NOT_SENT) or self.random.random() < max(
             self.x, self.no_link
         ):
             self.end(
@@ -851,77 +905,81 @@
         else:
             self.attempt(job)
 
-    def on_resume(self, event: Resume) -> None:
+    def on_resume(self, event: RetryDecisionDue) -> None:
         job = self.jobs.get(event.id)
         if job is None or not job.parked:
             return
         result, job.parked = job.parked, 0
-        if event.resend:
+        if event.may_retry:
             self.go_on(job, result)
         else:
             self.end(job)
 
-    def on_diverted(self, event: Diverted) -> None:
+    def on_diverted(self, event: AttemptRerouted) -> None:
         """A carrier went on by itself: its first attempt ended, and the next is out where it
         went."""
-        target = self.servers.get(event.to)
-        server, job = self.take_back(event.server, event.id, event.attempt)
+        target = self.servers.get(event.next_endpoint_id)
+        server, job = self.take_back(event.endpoint_id, event.id, event.attempt)
         if server is None or job is None:
             return
         self.forget(server)
-        outcome = Outcome(event.id, event.server, False, event.result, event.attempt, event.elapsed)
+        outcome = AttemptEnded(
+            event.id, event.endpoint_id, False, event.result, event.attempt, event.elapsed_ms
+        )
         self.note_end(job, outcome)
         self.learn(server, outcome, job)
         if target is not None and event.id in self.jobs:
             self.launch(job, target)
 
-    def note_end(self, job: Job, outcome: Outcome) -> None:
+    def note_end(self, job: Job, outcome: AttemptEnded) -> None:
         """What an attempt's end tells of whether its request ran, and whose turn is next."""
         job.out.discard(outcome.attempt)
         if outcome.result in self.never_ran:
             job.maybe_ran.pop(outcome.attempt, None)
         if job.turn is not None:
             job.turn.out -= 1
-            if outcome.result in MAY_RUN_ON:
-                job.turn.rest_until = self.now + self.settings.key_rest
+            if outcome.result in POSSIBLY_STILL_EXECUTING:
+                job.turn.rest_until = self.now + self.settings.key_cooldown_ms
             self.moved.append(job.turn)
 
-    def learn(self, server: Server, outcome: Outcome, job: Job) -> None:
+    def learn(self, server: Server, outcome: AttemptEnded, job: Job) -> None:
         """What an outcome tells of its server and of the fleet."""
-        result, cls = outcome.result, job.request.cls
-        if result in (Result.CANCELLED, Result.NOT_SENT):
+        result, cls = outcome.result, job.request.class_index
+        if result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
             return
-        bad, health = result != Result.OK, server.health[cls]
-        self.no_link += 0.1 * ((result == Result.UNREACHABLE) - self.no_link)
+        bad, health = result != AttemptResult.OK, server.health[cls]
+        self.no_link += 0.1 * ((result == AttemptResult.UNREACHABLE) - self.no_link)
         # What loads no server is no overload: no connection, an error or a reset sooner than the
         # work takes.
-        weight = float(result != Result.UNREACHABLE)
-        if result in (Result.ERROR, Result.RESET):
-            weight = min(1.0, 0.5 * outcome.elapsed / self.usual[cls])
+        weight = float(result != AttemptResult.UNREACHABLE)
+        if result in (AttemptResult.ERROR, AttemptResult.RESET):
+            weight = min(1.0, 0.5 * outcome.elapsed_ms / self.usual[cls])
         self.seen += 1.0 - self.seen / REACH
         self.failed += weight * bad - self.failed / REACH
         self.errors = self.failed / (self.seen + PRIOR)
         if not bad:
             kind = server.entry.kind
             work = self.works.get(kind) or max(self.usual)
-            self.works[kind] = work + 0.1 * (outcome.elapsed * self.cold_share(server) - work)
+            self.works[kind] = work + 0.1 * (outcome.elapsed_ms * self.cold_share(server) - work)
             self.usual[cls] += (0.02 if self.x < 0.2 else 0.002) * (
-                outcome.elapsed - self.usual[cls]
+                outcome.elapsed_ms - self.usual[cls]
             )
-        if not bad or result == Result.TIMEOUT:
+        if not bad or result == AttemptResult.TIMEOUT:
             # How slow against its class, then its kind: few samples of one server, many of its
             # kind.
-            ratio = min(outcome.elapsed / self.usual[cls], 8.0)
+            ratio = min(outcome.elapsed_ms / self.usual[cls], 8.0)
             pace = self.kinds.get(server.entry.kind, 1.0)
             self.kinds[server.entry.kind] = pace + 0.005 * (ratio - pace)
             server.slow += 0.4 * (ratio / pace - server.slow)
         wanted = job.terms
-        if not bad and (wanted.late_value or self.now - job.since <= wanted.aim):
+        if not bad and (
+            wanted.late_value_share or self.now - job.since <= wanted.latency_objective_ms
+        ):
             self.met += 1
             self.answers = min(self.answers + 1, max(SAMPLE, self.rate * RATE_TIME * self.pace))
-            self.mean += (outcome.elapsed - self.mean) / self.answers
+            self.mean += (outcome.elapsed_ms - self.mean) / self.answers
         if bad:
-            self.suspect(server, cls, result, weight if result == Result.RESET else 1.0)
+            self.suspect(server, cls, result, weight if result == AttemptResult.RESET else 1.0)
         else:
             health.fails *= 0.7
             health.rest_until, health.strikes = 0.0, health.strikes // 2
@@ -933,8 +991,10 @@
         # It may fail one class only; silence tells of all. 'full' is load, but one that says
         # nothing else, as before its drain is listed, would draw traffic by being quick; as no
         # proof it costs the request.
-        gain, others = (0.3, 0.3) if result not in (Result.ERROR, Result.FULL) else (0.5, 0.1)
-        if result == Result.FULL and Result.FULL in self.never_ran:
+        gain, others = (
+            (0.3, 0.3) if result not in (AttemptResult.ERROR, AttemptResult.FULL) else (0.5, 0.1)
+        )
+        if result == AttemptResult.FULL and AttemptResult.FULL in self.never_ran:
             gain, others = 0.1, 0.03
         # A reset at once is the connection's: the process that died refuses the next one.
         gain, others = gain * weight, others * weight
@@ -954,7 +1014,7 @@
         cls = job.terms
         wait, number = self.refuse_wait(job.score), job.request.id
         self.out.append(
-            Refuse(number, wait) if cls.refusable or not job.maybe_ran else Fail(number)
+            Shed(number, wait) if cls.client_may_retry or not job.maybe_ran else Fail(number)
         )
         self.finish(number)
 
@@ -962,35 +1022,40 @@
         """Whether a request that may have run, no one knows where, may be sent or refused all the
         same."""
         cls = self.settings.classes[group]
-        return cls.refusable and (cls.effect is Effect.SAFE or cls.deadline < cls.window)
+        return cls.client_may_retry and (
+            cls.idempotency is Idempotency.IDEMPOTENT
+            or cls.deadline_ms < cls.deduplication_window_ms
+        )
 
     def finish(self, job_id: int) -> None:
         job = self.jobs.pop(job_id, None)
         if job is not None and self.settings.may_cancel:
-            self.out.extend(Cancel(job_id, number) for number in sorted(job.out))
+            self.out.extend(CancelAttempt(job_id, number) for number in sorted(job.out))
         if job is not None and job.turn is not None:
             job.turn.line.remove(job)
             self.moved.append(job.turn)
 
     # The server list.
 
-    def on_list(self, event: ServerList) -> None:
-        if self.settings.ask_for_list and event.kind in (ListKind.CACHED, ListKind.FAILED):
+    def on_list(self, event: EndpointUpdate) -> None:
+        if self.settings.polls_endpoints and event.kind in (UpdateKind.CACHED, UpdateKind.FAILED):
             # Calls of many nodes would meet: the first is spread out, later ones back off with
             # jitter.
-            self.out.append(Wake(self.ask_backoff * (0.2 + 0.8 * self.random.random()), SUBSCRIBE))
-            self.ask_backoff = min(2 * self.ask_backoff, self.settings.ask_within / 4)
-        if event.kind is ListKind.FAILED:
+            self.out.append(
+                SetTimer(self.ask_backoff * (0.2 + 0.8 * self.random.random()), SUBSCRIBE)
+            )
+            self.ask_backoff = min(2 * self.ask_backoff, self.settings.poll_interval_ms / 4)
+        if event.kind is UpdateKind.FAILED:
             return
-        if event.kind is not ListKind.CACHED:
-            self.ask_backoff = self.settings.ask_within / 20
-        if event.kind is not ListKind.DELTA:
-            listed = {entry.id for entry in event.servers}
+        if event.kind is not UpdateKind.CACHED:
+            self.ask_backoff = self.settings.poll_interval_ms / 20
+        if event.kind is not UpdateKind.DELTA:
+            listed = {entry.id for entry in event.endpoints}
             for server_id in [i for i in self.ready if i not in listed]:
-                self.note(replace(self.servers[server_id].entry, state=State.GONE))
-        for entry in event.servers:
+                self.note(replace(self.servers[server_id].entry, state=EndpointState.GONE))
+        for entry in event.endpoints:
             self.note(entry)
-        if event.kind is ListKind.FULL:
+        if event.kind is UpdateKind.SNAPSHOT:
             self.known.clear()  # whoever comes later comes to what has not been aged
         self.settle()
         self.measure_fleet()
@@ -1003,7 +1068,9 @@
         for server_id in self.noted:
             server, before = self.servers.get(server_id), self.placed.pop(server_id, None)
             after = (
-                server.entry if server is not None and server.entry.state is State.READY else None
+                server.entry
+                if server is not None and server.entry.state is EndpointState.READY
+                else None
             )
             if after is not None:
                 self.placed[server_id] = after
@@ -1019,7 +1086,7 @@
                     went.add(server_id)
             if after is not None:
                 new.setdefault(after.kind, []).append((after.size, server_id))
-                if after.started:
+                if after.started_ms:
                     self.cold.add(server_id)
                 if before is None:
                     came.append(server_id)
@@ -1052,7 +1119,7 @@
         count = len(self.ready)
         sparse = self.need < SPARSE * count
         groups = max(1, min(self.group.size // NODES, count // FEW)) if sparse else 1
-        group = self.group.me * groups // self.group.size
+        group = self.group.node_index * groups // self.group.size
         self.start = group * count // groups
         self.span = max(1, (group + 1) * count // groups - self.start)
         self.ours = self.ready if groups == 1 else self.ready[self.start : self.start + self.span]
@@ -1098,7 +1165,7 @@
                 self.zones.setdefault(zone, []).append(server_id)
                 self.inside.setdefault(zone, set()).add(server_id)
 
-    def weigh_zones(self, plan: Planned) -> None:
+    def weigh_zones(self, plan: TrafficPlan) -> None:
         """How much more or less than an even part of what we send goes to each zone."""
         own, total = plan.shares[: len(self.settings.classes)], sum(map(len, self.zones.values()))
         for zone, there in self.zones.items():
@@ -1110,7 +1177,7 @@
         self.cold = {i for i in self.cold if self.cold_share(self.servers[i]) < 1.0}
         share = sum(self.cold_share(self.servers[i]) for i in self.cold)
         # What rests is out, too: a need that counted it would fill the others until they thrash.
-        lost = self.plan.lost if self.plan is not None else frozenset()
+        lost = self.plan.lost_zones if self.plan is not None else frozenset()
         resting = [server for i in self.rested if i in self.placed and (server := self.servers[i])]
         out = sum(self.resting_share(server) for server in resting if server.entry.zone not in lost)
         out += sum(len(self.zones.get(zone, ())) for zone in lost) * len(self.ready) / self.span
@@ -1166,17 +1233,17 @@
 
     def forget(self, server: Server) -> None:
         """Ids are ever new: a server that is gone leaves with the outcome of its last attempt."""
-        if server.entry.state is State.GONE and not server.open and not server.uploads:
+        if server.entry.state is EndpointState.GONE and not server.open and not server.uploads:
             self.servers.pop(server.entry.id, None)
             self.rested.discard(server.entry.id)
 
-    def note(self, entry: ServerEntry) -> None:
+    def note(self, entry: Endpoint) -> None:
         """Take over one line of the list."""
         old = self.servers.get(entry.id)
-        if old is None and entry.state is State.GONE:
+        if old is None and entry.state is EndpointState.GONE:
             return
         if (
-            old is None or old.entry.started != entry.started
+            old is None or old.entry.started_ms != entry.started_ms
         ):  # new, or restarted: what we knew is void
             health = [Health() for _ in self.usual]
             self.servers[entry.id] = Server(entry, -self.random.random(), self.now, health)
@@ -1191,17 +1258,19 @@
         self.servers[entry.id].entry = entry
         self.forget(self.servers[entry.id])
 
-    def remember(self, server: Server, known: Known) -> None:
+    def remember(self, server: Server, known: EndpointStatistics) -> None:
         """Take over what was learned of a server before our own start, unless it has started anew
         since."""
-        if abs(known.started - server.entry.started) >= 1.0 or len(known.fails) != len(
-            server.health
-        ):
+        if abs(known.started_ms - server.entry.started_ms) >= 1.0 or len(
+            known.failure_rates
+        ) != len(server.health):
             return
         self.touched.add(server.entry.id)
-        server.slow, server.recent = known.slow, known.recent
-        self.total_recent += known.recent
-        for health, fails, strikes in zip(server.health, known.fails, known.strikes, strict=True):
+        server.slow, server.recent = known.relative_latency, known.recent_attempts
+        self.total_recent += known.recent_attempts
+        for health, fails, strikes in zip(
+            server.health, known.failure_rates, known.consecutive_ejections, strict=True
+        ):
             health.fails, health.strikes = fails, round(strikes)
             if fails > SUSPECT_AT and len(self.rested) < MAX_RESTING * max(len(self.noted), FEW):
                 health.rest_until = self.now or 1e-9  # one attempt at a time until it proves itself
--- a/badgercart/policy/statistics.py
+++ b/badgercart/policy/statistics.py
@@ -10,12 +10,12 @@
 
 from dataclasses import dataclass, field
 
-from badgercart.policy.endpoint import Known
+from badgercart.policy.endpoint import EndpointStatistics
 from badgercart.policy.policy import SAMPLE, Policy
 
 
 @dataclass(slots=True)
-class Memory:
+class PolicyStatistics:
     """Times in ms; lists by class, in the order of the settings."""
 
     usual: list[float] = field(default_factory=list)  # answer times
@@ -30,18 +30,20 @@
     carried: float = 0.0  # the same for each warm server
     keys: dict[int, float] = field(default_factory=dict)  # requests lately, by key
     keys_total: float = 0.0
-    servers: dict[int, Known] = field(default_factory=dict)
+    servers: dict[int, EndpointStatistics] = field(default_factory=dict)
 
 
-def recall(policy: Policy, keys: bool = True) -> Memory:
+def export_statistics(policy: Policy, keys: bool = True) -> PolicyStatistics:
     """What a policy knows now. Only ready servers are worth remembering."""
     servers = {}
     for server_id in policy.ready:
         server = policy.servers[server_id]
         fails = tuple([health.fails for health in server.health])
         strikes = tuple([float(health.strikes) for health in server.health])
-        servers[server_id] = Known(server.entry.started, server.slow, server.recent, fails, strikes)
-    return Memory(
+        servers[server_id] = EndpointStatistics(
+            server.entry.started_ms, server.slow, server.recent, fails, strikes
+        )
+    return PolicyStatistics(
         list(policy.usual),
         list(policy.offered),
         dict(policy.kinds),
@@ -56,7 +58,7 @@
     )
 
 
-def adopt(policy: Policy, memory: Memory) -> None:
+def import_statistics(policy: Policy, memory: PolicyStatistics) -> None:
     """Give it to a policy that has been told nothing yet. ValueError where it is of other classes.
 
     A server gets its own back when a list names it with the same start."""
--- a/badgercart/reload/reconfiguration.py
+++ b/badgercart/reload/reconfiguration.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 
 from badgercart.config import Config
-from badgercart.policy.events import Retuned
+from badgercart.policy.events import SettingsChanged
 from badgercart.policy.settings import RequestClass, Settings
 from badgercart.reload.numbers import renumbered
 
@@ -33,7 +33,7 @@
 )
 
 
-def retuned(old: Config, new: Config, busy: Busy) -> tuple[Config, Retuned]:
+def retuned(old: Config, new: Config, busy: Busy) -> tuple[Config, SettingsChanged]:
     """The new configuration in the numbers of the old one, and the event for the policy.
 
     Under the number of a class that vanished its old terms stand until another class takes it over.
@@ -57,11 +57,13 @@
         terms[number] = wanted.classes[new.classes[name]]
     quotas = [0.0] * (1 + max(tenants.values(), default=-1))
     for tenant, number in tenants.items():
-        quotas[number] = wanted.quotas[new.tenants[tenant]]
+        quotas[number] = wanted.quotas_per_s[new.tenants[tenant]]
     zone = next(
         (zones[name] for name, number in new.zones.items() if number == wanted.zone), wanted.zone
     )
-    settings: Settings = replace(wanted, classes=tuple(terms), quotas=tuple(quotas), zone=zone)
+    settings: Settings = replace(
+        wanted, classes=tuple(terms), quotas_per_s=tuple(quotas), zone=zone
+    )
     # What takes a restart stays as it was.
     config = replace(
         new,
@@ -76,7 +78,9 @@
         zones=zones,
         kinds=kinds,
     )
-    return config, Retuned(settings, frozenset(classes.values()), frozenset(fresh), frozenset(came))
+    return config, SettingsChanged(
+        settings, frozenset(classes.values()), frozenset(fresh), frozenset(came)
+    )
 
 
 def wants_restart(old: Config, new: Config) -> Iterator[str]:
--- a/badgercart/simulator/codec.py
+++ b/badgercart/simulator/codec.py
@@ -9,30 +9,30 @@
 
 from badgercart.policy.actions import (
     Action,
-    Cancel,
+    CancelAttempt,
     Fail,
+    HealthCheck,
     Log,
-    Probe,
-    Refuse,
     Send,
+    SetTimer,
+    Shed,
     Subscribe,
-    Wake,
 )
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import (
-    Began,
+    AttemptEnded,
+    AttemptResult,
+    EndpointUpdate,
     Event,
-    ListKind,
-    Outcome,
+    HealthCheckResult,
     PeerMessage,
-    ProbeResult,
     Request,
-    Result,
-    ServerList,
-    Timer,
-    Withdrawn,
+    RequestCancelled,
+    ResponseStarted,
+    TimerFired,
+    UpdateKind,
 )
-from badgercart.policy.settings import Effect, Group, RequestClass, Settings
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 EVENT_SIZE = 48
 ACTION_SIZE = 24
@@ -62,11 +62,15 @@
 _PROBE = struct.Struct(">BI19x")
 _TEXT = struct.Struct(">BII15x")
 
-_STATES = {state.value: state for state in State}
-_LIST_KINDS = {kind.value: kind for kind in ListKind}
-_RESULTS = {result.value for result in Result}
-_EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
-_GROUPS = {group.value: group for group in Group}
+_STATES = {state.value: state for state in EndpointState}
+_LIST_KINDS = {kind.value: kind for kind in UpdateKind}
+_RESULTS = {result.value for result in AttemptResult}
+_EFFECTS = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.KEYED,
+    "single_shot": Idempotency.NON_IDEMPOTENT,
+}
+_GROUPS = {group.value: group for group in DeduplicationScope}
 
 
 class WireError(Exception):
@@ -111,35 +115,35 @@
     return Settings(
         classes=tuple(
             RequestClass(
-                aim=float(c["Aim"]),
-                deadline=float(c["Deadline"]),
-                worth=float(c["Worth"]),
-                effect=_EFFECTS[c["Idempotency"]],
-                group=_GROUPS[c.get("Group", "all")],
-                window=float(c.get("Window", 0.0)),
-                late_value=float(c.get("LateValue", 0.0)),
-                in_order=bool(c.get("SerialByKey", False)),
+                latency_objective_ms=float(c["Aim"]),
+                deadline_ms=float(c["Deadline"]),
+                priority_weight=float(c["Worth"]),
+                idempotency=_EFFECTS[c["Idempotency"]],
+                deduplication_scope=_GROUPS[c.get("Group", "all")],
+                deduplication_window_ms=float(c.get("Window", 0.0)),
+                late_value_share=float(c.get("LateValue", 0.0)),
+                serialized_by_key=bool(c.get("SerialByKey", False)),
             )
             for c in raw["Classes"]
         ),
         zone=int(raw.get("MyZone", 0)),
-        group_size=int(raw.get("GroupSize", 1)),
-        me=int(raw.get("Me", 0)),
-        quotas=tuple(float(t["QuotaPerS"]) for t in raw.get("Customers", ())),
-        over_quota_worth=float(raw.get("OverShareWorth", 1.0)),
-        warm_keys=bool(raw.get("Domain", {}).get("WarmKeys", False)),
-        ask_for_list=discovery == "ask",
-        ask_within=float(rules.get("AskWithin", 10000.0)),
-        tick=float(raw["Tick"]),
+        cluster_size=int(raw.get("GroupSize", 1)),
+        node_index=int(raw.get("Me", 0)),
+        quotas_per_s=tuple(float(t["QuotaPerS"]) for t in raw.get("Customers", ())),
+        over_quota_weight=float(raw.get("OverShareWorth", 1.0)),
+        key_affinity=bool(raw.get("Domain", {}).get("WarmKeys", False)),
+        polls_endpoints=discovery == "ask",
+        poll_interval_ms=float(rules.get("AskWithin", 10000.0)),
+        tick_ms=float(raw["Tick"]),
         may_cancel=bool(allowed.get("MayCancel", False)),
         max_attempts=int(allowed["MaxAttempts"]),
-        max_retry_after=float(allowed["MaxRetryAfter"]) if allowed.get("RetryAfter") else 0.0,
-        full_may_have_run=bool(rules.get("ShedAfterStart", False)),
-        key_rest=float(rules.get("KeyRest", 0.0)),
-        cold_from=float(rules["ColdFrom"]),
-        ramp_time=float(rules["RampTime"]),
-        tip_multiple=float(rules.get("TipMultiple", 1.0)),
-        overload_for=float(rules.get("OverloadFor", 1000.0)),
+        max_retry_after_ms=float(allowed["MaxRetryAfter"]) if allowed.get("RetryAfter") else 0.0,
+        full_possibly_executed=bool(rules.get("ShedAfterStart", False)),
+        key_cooldown_ms=float(rules.get("KeyRest", 0.0)),
+        slow_start_min_capacity=float(rules["ColdFrom"]),
+        slow_start_duration_ms=float(rules["RampTime"]),
+        collapse_load_factor=float(rules.get("TipMultiple", 1.0)),
+        collapse_window_ms=float(rules.get("OverloadFor", 1000.0)),
     )
 
 
@@ -147,7 +151,7 @@
     """Reads batches. It keeps the numbered server lists, which later batches may refer to."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, list[ServerEntry]] = {}
+        self._lists: dict[int, list[Endpoint]] = {}
 
     def batch(self, frame: bytes) -> tuple[int, float, list[tuple[int, Event | Born | Killed]]]:
         """Number, clock, and the events with the instance that each is for."""
@@ -190,29 +194,29 @@
                 raise WireError(
                     f"batch {number}, byte {at}: unknown outcome {result} or report of {n}"
                 )
-            return Outcome(
+            return AttemptEnded(
                 job, server, over != 0, result, attempt, elapsed, tuple(report[:n]) if n else ()
             )
         if code == 7:
-            return Timer(_TIMER.unpack_from(frame, at)[0])
+            return TimerFired(_TIMER.unpack_from(frame, at)[0])
         if code == 6:
-            return Withdrawn(_WITHDRAWN.unpack_from(frame, at)[0])
+            return RequestCancelled(_WITHDRAWN.unpack_from(frame, at)[0])
         if code == 8:
             server, result, elapsed, n, *report = _PROBED.unpack_from(frame, at)
             if result not in _RESULTS or n > 4:
                 raise WireError(
                     f"batch {number}, byte {at}: unknown outcome {result} or report of {n}"
                 )
-            return ProbeResult(server, result, elapsed, tuple(report[:n]))
+            return HealthCheckResult(server, result, elapsed, tuple(report[:n]))
         if code == 2:
             kind, version, number_of_list = _LIST.unpack_from(frame, at)
             if kind not in _LIST_KINDS:
                 raise WireError(f"batch {number}, byte {at}: unknown list form {kind}")
-            if kind == ListKind.FAILED:
-                return ServerList(ListKind.FAILED, version, [])
+            if kind == UpdateKind.FAILED:
+                return EndpointUpdate(UpdateKind.FAILED, version, [])
             if number_of_list not in self._lists:
                 raise WireError(f"batch {number}, byte {at}: list {number_of_list} was never given")
-            return ServerList(_LIST_KINDS[kind], version, self._lists[number_of_list])
+            return EndpointUpdate(_LIST_KINDS[kind], version, self._lists[number_of_list])
         if code == 1:
             seed, start, length = _BORN.unpack_from(frame, at)
             text = self._tail(frame, tail, start, length, number, at)
@@ -221,7 +225,7 @@
             except WireError as error:
                 raise WireError(f"batch {number}, byte {at}: {error}") from None
         if code == 4:
-            return Began(*_BEGAN.unpack_from(frame, at))
+            return ResponseStarted(*_BEGAN.unpack_from(frame, at))
         if code == 9:
             sender, start, length = _MESSAGE.unpack_from(frame, at)
             return PeerMessage(sender, self._tail(frame, tail, start, length, number, at))
@@ -238,11 +242,11 @@
         return frame[tail + start : tail + start + length]
 
     @staticmethod
-    def _entry(row: tuple[Any, ...], number: int) -> ServerEntry:
+    def _entry(row: tuple[Any, ...], number: int) -> Endpoint:
         server, zone, kind, cell, state, size, started = row
         if state not in _STATES:
             raise WireError(f"batch {number}: server {server} has unknown phase {state}")
-        return ServerEntry(server, zone, kind, cell, _STATES[state], size, started)
+        return Endpoint(server, zone, kind, cell, _STATES[state], size, started)
 
 
 class Encoder:
@@ -262,17 +266,17 @@
         for action in actions:
             kind = type(action)
             if kind is Send:
-                put(_SEND.pack(8, action.id, action.server, action.limit))  # type: ignore[union-attr]
-            elif kind is Wake:
-                put(_WAKE.pack(7, action.delay, action.token))  # type: ignore[union-attr]
-            elif isinstance(action, Refuse):
-                put(_REFUSE.pack(4, action.id, action.wait))
+                put(_SEND.pack(8, action.id, action.endpoint_id, action.timeout_ms))  # type: ignore[union-attr]
+            elif kind is SetTimer:
+                put(_WAKE.pack(7, action.delay_ms, action.token))  # type: ignore[union-attr]
+            elif isinstance(action, Shed):
+                put(_REFUSE.pack(4, action.id, action.retry_after_ms))
             elif isinstance(action, Fail):
                 put(_FAIL.pack(6, action.id))
-            elif isinstance(action, Cancel):
+            elif isinstance(action, CancelAttempt):
                 put(_CANCEL.pack(3, action.id, action.attempt))
-            elif isinstance(action, Probe):
-                put(_PROBE.pack(11, action.server))
+            elif isinstance(action, HealthCheck):
+                put(_PROBE.pack(11, action.endpoint_id))
             elif isinstance(action, Subscribe):
                 put(_SUBSCRIBE.pack(9, 1))
             elif isinstance(action, Log):
--- a/badgercart/statistics/ageing.py
+++ b/badgercart/statistics/ageing.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from badgercart.policy.settings import Settings
-from badgercart.policy.statistics import Memory
+from badgercart.policy.statistics import PolicyStatistics
 
 SECOND, MINUTE = 1000.0, 60_000.0
 HALF = {  # ms after which half of it is left
@@ -40,13 +40,13 @@
     return prior + (value - prior) * part
 
 
-def aged(memory: Memory, age: float, settings: Settings) -> Memory:
+def aged(memory: PolicyStatistics, age: float, settings: Settings) -> PolicyStatistics:
     """What is left of it after `age` ms (under 0 counts as 0)."""
     usual, kinds, slow = left("usual", age), left("kinds", age), left("slow", age)
     recent, fails, strikes = left("recent", age), left("fails", age), left("strikes", age)
     rates, offered, keys = left("rates", age), left("offered", age), left("keys", age)
-    priors = [cls.aim / 4 for cls in settings.classes]
-    return Memory(
+    priors = [cls.latency_objective_ms / 4 for cls in settings.classes]
+    return PolicyStatistics(
         usual=[
             towards(prior, value, usual) for prior, value in zip(priors, memory.usual, strict=False)
         ],
@@ -62,10 +62,12 @@
         servers={
             number: replace(
                 known,
-                slow=towards(1.0, known.slow, slow),
-                recent=known.recent * recent,
-                fails=tuple(value * fails for value in known.fails),
-                strikes=tuple(value * strikes for value in known.strikes),
+                relative_latency=towards(1.0, known.relative_latency, slow),
+                recent_attempts=known.recent_attempts * recent,
+                failure_rates=tuple(value * fails for value in known.failure_rates),
+                consecutive_ejections=tuple(
+                    value * strikes for value in known.consecutive_ejections
+                ),
             )
             for number, known in memory.servers.items()
         },
--- a/badgercart/statistics/component.py
+++ b/badgercart/statistics/component.py
@@ -10,12 +10,12 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from badgercart.app.component import Declaration, Host, Kind
+from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.statistics.log_events import FAILED, OFF, RESTORED, UNUSED
 from badgercart.statistics.settings import LearningSettings
 
 if TYPE_CHECKING:
-    from badgercart.policy.statistics import Memory
+    from badgercart.policy.statistics import PolicyStatistics
     from badgercart.statistics.store import Folder, Lock
 
 FUTURE = 5000.0  # ms by which a file may be younger than now: clocks are set
@@ -28,11 +28,11 @@
     time.sleep(0.0002)
 
 
-class LearningPart:
+class StatisticsComponent:
     """Nothing that is wrong with the folder costs a request: it is said, and the node runs as
     without it."""
 
-    def __init__(self, host: Host, settings: LearningSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: LearningSettings) -> None:
         from badgercart.statistics.store import Folder, Lock
 
         self.host, self.settings = host, settings
@@ -48,16 +48,16 @@
             OFF(cause=f"{self.folder}: {error.strerror or error}")
             return
         self.restore()
-        host.meters.counter(
+        host.metrics.counter(
             "badgercart_learning_saves", "Saves of what was learned.", lambda: self.saves
         )
-        host.meters.counter(
+        host.metrics.counter(
             "badgercart_learning_failures", "Saves that failed.", lambda: self.failures
         )
 
     def restore(self) -> None:
         """Before anything is told to the policy."""
-        from badgercart.policy.statistics import adopt
+        from badgercart.policy.statistics import import_statistics
         from badgercart.statistics import ageing, snapshot, store
 
         loaded = store.load(self.files)
@@ -75,7 +75,9 @@
             if age > self.settings.oldest_s * 1000:
                 raise snapshot.SnapshotError(f"it is {age / 1000:.0f} s old")
             memory = snapshot.give(kept, self.host.config, self.host.reader.unix_offset)
-            adopt(self.host.join.policy, ageing.aged(memory, age, self.host.config.settings))
+            import_statistics(
+                self.host.pipeline.policy, ageing.aged(memory, age, self.host.config.settings)
+            )
         except (snapshot.SnapshotError, ValueError) as error:
             UNUSED(cause=str(error))
         else:
@@ -95,9 +97,9 @@
 
     async def save(self) -> None:
         """The copy is made here, all else on a thread: the loop waits for no disk."""
-        from badgercart.policy.statistics import recall
+        from badgercart.policy.statistics import export_statistics
 
-        memory = recall(self.host.join.policy, self.settings.keys)
+        memory = export_statistics(self.host.pipeline.policy, self.settings.keys)
         try:
             await asyncio.to_thread(self.write, memory)
         except (OSError, ValueError) as error:
@@ -106,7 +108,7 @@
         else:
             self.saves += 1
 
-    def write(self, memory: Memory) -> None:
+    def write(self, memory: PolicyStatistics) -> None:
         from badgercart.statistics import snapshot, store
 
         offset = self.host.reader.unix_offset
@@ -144,14 +146,14 @@
         self.release()
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="learning",
         key=("learning",),
-        kind=Kind.SERVICE,
+        kind=ComponentKind.SERVICE,
         settings=LearningSettings,
         about="what was learned, kept over a restart",
-        build=LearningPart,
+        build=StatisticsComponent,
         extra="learning",
         libraries=("msgspec",),
         reloads=("every_s", "keys", "most_bytes", "oldest_s"),
--- a/badgercart/statistics/snapshot.py
+++ b/badgercart/statistics/snapshot.py
@@ -21,8 +21,8 @@
 from msgspec import Meta
 
 from badgercart.config import Config
-from badgercart.policy.endpoint import Known
-from badgercart.policy.statistics import Memory
+from badgercart.policy.endpoint import EndpointStatistics
+from badgercart.policy.statistics import PolicyStatistics
 
 MAGIC = b"BLRN"
 VERSION = 1
@@ -97,7 +97,7 @@
 
 
 def take(
-    memory: Memory,
+    memory: PolicyStatistics,
     config: Config,
     saved_ms: float,
     unix_offset: float,
@@ -116,9 +116,13 @@
     for place, (number, known) in enumerate(memory.servers.items()):
         if place % SLICE == 0:
             pause()
-        started = round(known.started + unix_offset) if known.started else 0.0
-        fails, strikes = list(known.fails), list(known.strikes)
-        servers.append(ServerPart(number, started, known.slow, known.recent, fails, strikes))
+        started = round(known.started_ms + unix_offset) if known.started_ms else 0.0
+        fails, strikes = list(known.failure_rates), list(known.consecutive_ejections)
+        servers.append(
+            ServerPart(
+                number, started, known.relative_latency, known.recent_attempts, fails, strikes
+            )
+        )
     return Snapshot(
         config.name, fleet_of(config), saved_ms, classes,
         {kinds[number]: pace for number, pace in memory.kinds.items() if number in kinds},
@@ -127,7 +131,7 @@
     )  # fmt: skip
 
 
-def give(snapshot: Snapshot, config: Config, unix_offset: float) -> Memory:
+def give(snapshot: Snapshot, config: Config, unix_offset: float) -> PolicyStatistics:
     """The memory that a snapshot holds, for a node of this configuration. Raises SnapshotError.
 
     A class that it does not know has its prior; one that is no more is left out."""
@@ -136,7 +140,7 @@
     names = [name.decode() for name in config.classes]
     places = {name: at for at, name in enumerate(snapshot.classes)}
     parts = [
-        snapshot.classes.get(name, ClassPart(cls.aim / 4, 0.0, 0.0))
+        snapshot.classes.get(name, ClassPart(cls.latency_objective_ms / 4, 0.0, 0.0))
         for name, cls in zip(names, config.settings.classes, strict=True)
     ]
 
@@ -144,13 +148,13 @@
         return tuple(values[places[name]] if name in places else 0.0 for name in names)
 
     servers = {
-        part.number: Known(
+        part.number: EndpointStatistics(
             part.started_ms - unix_offset if part.started_ms else 0.0, part.slow, part.recent,
             by_class(part.fails), by_class(part.strikes),
         )
         for part in snapshot.servers
     }  # fmt: skip
-    return Memory(
+    return PolicyStatistics(
         [part.usual for part in parts],
         [part.offered for part in parts] + [part.beyond for part in parts],
         {config.kinds[name]: pace for name, pace in snapshot.kinds.items() if name in config.kinds},
--- a/badgercart/upstream/attempts.py
+++ b/badgercart/upstream/attempts.py
@@ -6,7 +6,7 @@
 import math
 from enum import IntEnum
 
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 
 # A server may close what stands idle sooner than it says, unseen until the next request is reset.
 # Where two in a row that were idle for longer than SHORT_IDLE are, the limit comes down; it grows
@@ -26,22 +26,45 @@
 
 # How an attempt may end from where it is. One that was not sent never ran, and one that was may
 # have.
-ENDS: dict[At, tuple[Result, ...]] = {
-    At.DIALLING: (Result.UNREACHABLE, Result.CANCELLED, Result.NOT_SENT),
-    At.SENT: (Result.OK, Result.ERROR, Result.FULL, Result.RESET, Result.TIMEOUT, Result.CANCELLED),
-    At.SENDING: (Result.OK, Result.ERROR, Result.FULL, Result.UNREACHABLE, Result.CANCELLED),
-    At.STREAMING: (Result.OK, Result.ERROR, Result.RESET, Result.TIMEOUT, Result.CANCELLED),
+ENDS: dict[At, tuple[AttemptResult, ...]] = {
+    At.DIALLING: (AttemptResult.UNREACHABLE, AttemptResult.CANCELLED, AttemptResult.NOT_SENT),
+    At.SENT: (
+        AttemptResult.OK,
+        AttemptResult.ERROR,
+        AttemptResult.FULL,
+        AttemptResult.RESET,
+        AttemptResult.TIMEOUT,
+        AttemptResult.CANCELLED,
+    ),
+    At.SENDING: (
+        AttemptResult.OK,
+        AttemptResult.ERROR,
+        AttemptResult.FULL,
+        AttemptResult.UNREACHABLE,
+        AttemptResult.CANCELLED,
+    ),
+    At.STREAMING: (
+        AttemptResult.OK,
+        AttemptResult.ERROR,
+        AttemptResult.RESET,
+        AttemptResult.TIMEOUT,
+        AttemptResult.CANCELLED,
+    ),
 }
 OVERDUE = {
-    At.DIALLING: Result.UNREACHABLE,
-    At.SENT: Result.TIMEOUT,
-    At.SENDING: Result.UNREACHABLE,
-    At.STREAMING: Result.TIMEOUT,
+    At.DIALLING: AttemptResult.UNREACHABLE,
+    At.SENT: AttemptResult.TIMEOUT,
+    At.SENDING: AttemptResult.UNREACHABLE,
+    At.STREAMING: AttemptResult.TIMEOUT,
+}
+BROKEN = {
+    At.SENT: AttemptResult.RESET,
+    At.SENDING: AttemptResult.UNREACHABLE,
+    At.STREAMING: AttemptResult.RESET,
 }
-BROKEN = {At.SENT: Result.RESET, At.SENDING: Result.UNREACHABLE, At.STREAMING: Result.RESET}
 
 
-def hindrance(wanted: bool, fit: bool, left: float) -> Result | None:
+def hindrance(wanted: bool, fit: bool, left: float) -> AttemptResult | None:
     """Why an attempt that has not begun may not be written now, as the end that it has; None: it
     may.
 
@@ -49,11 +72,11 @@
     time.
     """
     if not wanted:
-        return Result.NOT_SENT
-    return None if fit and left > 0 else Result.UNREACHABLE
+        return AttemptResult.NOT_SENT
+    return None if fit and left > 0 else AttemptResult.UNREACHABLE
 
 
-def check_end(at: At, result: Result) -> None:
+def check_end(at: At, result: AttemptResult) -> None:
     """RuntimeError where an attempt can't end so from there."""
     if result not in ENDS[at]:
         raise RuntimeError(f"an attempt that is {at.name} can't end as {result.name}")
--- a/badgercart/upstream/connection_pool.py
+++ b/badgercart/upstream/connection_pool.py
@@ -14,13 +14,13 @@
 from badgercart.config import Address
 from badgercart.core import read_buffer as reading
 from badgercart.core.clock import now_ms
-from badgercart.core.endpoint_table import Member
-from badgercart.core.memory_budget import Room, room_of
-from badgercart.core.ports import Answer, Order
+from badgercart.core.endpoint_table import DiscoveredEndpoint
+from badgercart.core.memory_budget import MemoryBudget, budget_bytes
+from badgercart.core.ports import Answer, AttemptRequest
 from badgercart.core.results import result_of
 from badgercart.core.streams import Opening, Sink, nothing
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import Result
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import AttemptResult
 from badgercart.upstream.attempts import BROKEN, OVERDUE, At, IdleLimit, check_end, hindrance
 from badgercart.upstream.exchange import Done, Exchange, Found, Malformed, Message
 from badgercart.upstream.log_events import MALFORMED_ANSWER, NO_DESCRIPTORS
@@ -61,7 +61,7 @@
 
     id: int
     address: Address
-    state: State
+    state: EndpointState
     started: float
     version: int = 0
     out: int = 0  # attempts
@@ -179,7 +179,7 @@
             attempt.request_id, attempt.number, self.server.id, elapsed, opening
         )
         if self.sink is None:  # nobody waits for it any more
-            pool.drop(attempt, Result.CANCELLED)
+            pool.drop(attempt, AttemptResult.CANCELLED)
             return
         pool.room.streams += 1
         self.sink.watch(self.on_room, self.on_lost)
@@ -205,7 +205,7 @@
         self.sink = None
         self.pool.room.streams -= 1
         if self.attempt is not None:
-            self.pool.drop(self.attempt, Result.CANCELLED)
+            self.pool.drop(self.attempt, AttemptResult.CANCELLED)
 
     def leave(self, whole: bool) -> Attempt | None:
         """Part from the attempt, which is over: nothing more goes on."""
@@ -266,7 +266,7 @@
         elif attempt is not None and isinstance(found, Malformed):
             self.transport.abort()
             MALFORMED_ANSWER(server=self.server.endpoint, request=attempt.request_id, why=found.why)
-            self.pool.end(attempt, Result.ERROR)
+            self.pool.end(attempt, AttemptResult.ERROR)
         else:  # nothing was asked
             self.transport.abort()
 
@@ -279,7 +279,7 @@
         request_id: int,
         number: int,
         server_id: int,
-        result: Result,
+        result: AttemptResult,
         elapsed: float,
         answer: Answer | None = None,
         *,
@@ -315,7 +315,7 @@
         max_connections: int,
         on_end: OnEnd,
         on_begin: OnBegin = held_only,
-        room: Room | None = None,
+        room: MemoryBudget | None = None,
         source: str | None = None,  # the address that connections set out from
         wanted: Callable[[int], bool] = any_request,
     ) -> None:
@@ -327,20 +327,20 @@
         self.max_connections = max_connections
         self.on_end = on_end
         self.on_begin = on_begin
-        self.room = room or Room(room_of(0))
+        self.room = room or MemoryBudget(budget_bytes(0))
         self.servers: dict[int, Server] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.connections: set[ServerConnection] = set()
         self.dials = 0
         self.loop.call_later(SWEEP, self.sweep)
 
-    def update(self, member: Member) -> None:
+    def update(self, member: DiscoveredEndpoint) -> None:
         """Take over a line of the server list."""
         entry, address = member.entry, member.address
-        server_id, state, started = entry.id, entry.state, entry.started
+        server_id, state, started = entry.id, entry.state, entry.started_ms
         server = self.servers.get(server_id)
         if server is None:
-            if state is not State.GONE:
+            if state is not EndpointState.GONE:
                 self.servers[server_id] = Server(server_id, address, state, started)
         elif (server.address, server.state, server.started) != (address, state, started):
             # Connections from before a restart are dead, and a server that drains gets nothing new.
@@ -353,22 +353,26 @@
 
     def forget(self, server: Server) -> None:
         """Ids are ever new: a server that is gone leaves with its last attempt."""
-        if server.state is State.GONE and not server.out and self.servers.get(server.id) is server:
+        if (
+            server.state is EndpointState.GONE
+            and not server.out
+            and self.servers.get(server.id) is server
+        ):
             del self.servers[server.id]
 
-    def send(self, order: Order) -> None:
-        server = self.servers[order.server_id]
-        now, limit = now_ms(), order.limit
+    def send(self, order: AttemptRequest) -> None:
+        server = self.servers[order.endpoint_id]
+        now, limit = now_ms(), order.timeout_ms
         attempt = Attempt(
-            order.request_id, order.number, server, server.version, order.work, now, now + limit
+            order.request_id, order.attempt, server, server.version, order.payload, now, now + limit
         )
-        self.attempts[order.request_id, order.number] = attempt
+        self.attempts[order.request_id, order.attempt] = attempt
         server.out += 1
-        upload = order.work.upload
+        upload = order.payload.upload
         if upload is not None and not upload.whole:
             attempt.limit, attempt.deadline = limit, math.inf
             upload.on_data = partial(self.came_in, attempt)
-            upload.on_lost = partial(self.drop, attempt, Result.CANCELLED)
+            upload.on_lost = partial(self.drop, attempt, AttemptResult.CANCELLED)
         else:
             attempt.timer = self.loop.call_later(max(0.0, limit) / 1000, self.expire, attempt)
         at = len(server.idle)
@@ -407,14 +411,14 @@
 
         Meanwhile its request may have ended, its time passed, or its server begun to drain."""
         server = attempt.server
-        fit = attempt.version == server.version and server.state is State.READY
+        fit = attempt.version == server.version and server.state is EndpointState.READY
         fit = fit and not connection.transport.is_closing()
         left = attempt.deadline - now_ms()
         why = hindrance(self.wanted(attempt.request_id), fit, left)
         if why is None:
             connection.start(attempt)
             return
-        if why is Result.NOT_SENT and fit:  # nothing is wrong with it
+        if why is AttemptResult.NOT_SENT and fit:  # nothing is wrong with it
             self.park(connection)
         else:
             connection.transport.abort()
@@ -450,7 +454,7 @@
             await asyncio.sleep(0)  # it holds its descriptor until then
         if self.open >= self.max_connections:
             NO_DESCRIPTORS(server=server.endpoint, request=attempt.request_id)
-            self.end(attempt, Result.UNREACHABLE)
+            self.end(attempt, AttemptResult.UNREACHABLE)
             return
         self.dials += 1
         connection = ServerConnection(self, server)
@@ -461,7 +465,7 @@
                 )
         except (OSError, UnicodeError):  # no connection in time, or an address that is none
             connection.exchange.unlink()
-            self.end(attempt, Result.UNREACHABLE)
+            self.end(attempt, AttemptResult.UNREACHABLE)
             return
         except asyncio.CancelledError:
             connection.exchange.unlink()
@@ -504,7 +508,7 @@
         """Keep a connection for the next attempt, if its server still is the one it was opened
         to."""
         server = connection.server
-        if connection.version != server.version or server.state is not State.READY:
+        if connection.version != server.version or server.state is not EndpointState.READY:
             connection.transport.close()
             return
         connection.idle_since = now_ms()
@@ -545,20 +549,20 @@
     def cancel(self, request_id: int, number: int) -> None:
         attempt = self.attempts.get((request_id, number))
         if attempt is not None:
-            self.drop(attempt, Result.CANCELLED)
+            self.drop(attempt, AttemptResult.CANCELLED)
 
-    def forgo(self, request_id: int, number: int) -> None:
+    def abandon_attempt(self, request_id: int, number: int) -> None:
         """Nobody waits for it: what has not been written of it never is. A server begins a request
         with its last byte, so one whose last byte is still here never runs."""
         attempt = self.attempts.get((request_id, number))
         if attempt is None:
             return
         if attempt.at is At.DIALLING:
-            self.drop(attempt, Result.NOT_SENT)
+            self.drop(attempt, AttemptResult.NOT_SENT)
         elif attempt.connection is not None and not attempt.connection.all_sent():
-            self.drop(attempt, Result.CANCELLED)
+            self.drop(attempt, AttemptResult.CANCELLED)
 
-    def drop(self, attempt: Attempt, result: Result) -> None:
+    def drop(self, attempt: Attempt, result: AttemptResult) -> None:
         """Stop waiting: the connection is of no more use, an answer may still come on it."""
         if attempt.dial is not None:
             attempt.dial.cancel()
@@ -568,7 +572,7 @@
             attempt.connection.transport.abort()
         self.end(attempt, result)
 
-    def end(self, attempt: Attempt, result: Result, answer: Answer | None = None) -> None:
+    def end(self, attempt: Attempt, result: AttemptResult, answer: Answer | None = None) -> None:
         if self.attempts.pop((attempt.request_id, attempt.number), None) is None:
             return
         check_end(attempt.at, result)
--- a/badgercart/zones/circuit_breaker.py
+++ b/badgercart/zones/circuit_breaker.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Gate:
+class ZoneCircuitBreaker:
     """One zone's."""
 
     pace: Pace
--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -121,12 +121,12 @@
     import msgspec
 
     from badgercart.cluster.codec import Packet, Sync
-    from badgercart.zones.failover_controller import ORDERS, Order
+    from badgercart.zones.failover_controller import ORDERS, OperatorOverride
 
     config = site.config
     geography = site.parts["zones"].geography(config.zones, config.classes, config.tenants)
     now = int(time.time() * 1000)
-    word = Order(config.zones[zone], what, now, now + int(for_s * 1000), by[:64])
+    word = OperatorOverride(config.zones[zone], what, now, now + int(for_s * 1000), by[:64])
     post = (
         ORDERS,
         f"operator {zone}"[:64],
--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -10,18 +10,18 @@
 from datetime import UTC, datetime
 from typing import TYPE_CHECKING, Any, cast
 
-from badgercart.app.component import Declaration, Host, Kind, ReloadError
-from badgercart.core.endpoint_table import Member as Line
-from badgercart.core.ports import Final, Intake
+from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind, ReloadError
+from badgercart.core.endpoint_table import DiscoveredEndpoint as Line
+from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.frontends.http.requests import Page
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import Planned, Result
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import AttemptResult, TrafficPlan
 from badgercart.zones import log_events as events
 from badgercart.zones.failure_detector import VERDICT_WORDS
 from badgercart.zones.settings import ZonesSettings, check
 
 if TYPE_CHECKING:
-    from badgercart.cluster.component import PeersPart
+    from badgercart.cluster.component import ClusterComponent
     from badgercart.zones.failover_controller import Fleet
 
 LARGE = (
@@ -29,18 +29,20 @@
 )
 
 
-class ZonesPart:
+class ZonesComponent:
     """One node's keeper."""
 
-    def __init__(self, host: Host, settings: ZonesSettings) -> None:
-        from badgercart.zones.failover_controller import Fleet, Keeper
+    def __init__(self, host: ComponentHost, settings: ZonesSettings) -> None:
+        from badgercart.zones.failover_controller import FailoverController, Fleet
 
         self.host, self.settings, config = host, settings, host.config
-        self.peers = cast("PeersPart", host.services["peers"])
-        worths = [cls.worth for cls in config.settings.classes]
+        self.peers = cast("ClusterComponent", host.services["peers"])
+        worths = [cls.priority_weight for cls in config.settings.classes]
         geography = settings.geography(config.zones, config.classes, config.tenants)
-        ways = settings.ways(config.settings.group_size)
-        self.keeper = Keeper(self.peers.member, geography, config.settings.zone, worths, ways)
+        ways = settings.ways(config.settings.cluster_size)
+        self.keeper = FailoverController(
+            self.peers.member, geography, config.settings.zone, worths, ways
+        )
         self.keeper.wake = self.wake
         nothing = (0.0,) * len(config.zones)
         self.fleet = Fleet(nothing, nothing, (0,) * len(config.zones), ())
@@ -53,8 +55,8 @@
         self.verdicts: tuple[Any, ...] = ()
         self.states = [gate.state for gate in self.keeper.gates]
         self.place(settings)
-        host.join.watchers += (self,)
-        host.join.observers += (self,)
+        host.pipeline.attempt_observers += (self,)
+        host.pipeline.observers += (self,)
         host.pages[b"/_zones"] = Page(self.page)
         host.pages[b"/_zones/if"] = Page(
             self.if_gone
@@ -80,7 +82,7 @@
         self.host.reader.place = zone_of if networks else None
 
     def register(self) -> None:
-        meters, keeper, names = self.host.meters, self.keeper, list(self.host.config.zones)
+        meters, keeper, names = self.host.metrics, self.keeper, list(self.host.config.zones)
         meters.gauge("badgercart_zones_epoch", "The plan in force; 0: none.", lambda: self.epoch)
         meters.gauge(
             "badgercart_zones_open", "Of its capacity, what counts of a zone.",
@@ -122,7 +124,7 @@
 
         def commit() -> None:
             self.place(settings)
-            self.keeper.relocate(self.host.join.clock(), geography, config.settings.zone)
+            self.keeper.relocate(self.host.pipeline.clock(), geography, config.settings.zone)
             self.states = [gate.state for gate in self.keeper.gates]
 
         return commit
@@ -140,20 +142,26 @@
     # What the join tells.
 
     def zone_of(self, server_id: int) -> int:
-        roster = self.host.roster
-        member = roster.listed.get(server_id) or roster.left.get(server_id)
+        roster = self.host.endpoint_table
+        member = roster.listed.get(server_id) or roster.removed.get(server_id)
         return member.entry.zone if member is not None else -1
 
-    def sent(self, server_id: int) -> None:
-        self.keeper.sent(self.host.join.clock(), self.zone_of(server_id), server_id)
+    def attempt_sent(self, server_id: int) -> None:
+        self.keeper.sent(self.host.pipeline.clock(), self.zone_of(server_id), server_id)
 
-    def ended(self, server_id: int, result: Result, elapsed: float) -> None:
-        self.keeper.ended(self.host.join.clock(), self.zone_of(server_id), result, elapsed)
+    def attempt_ended(self, server_id: int, result: AttemptResult, elapsed: float) -> None:
+        self.keeper.ended(self.host.pipeline.clock(), self.zone_of(server_id), result, elapsed)
 
-    def over(
-        self, request_id: int, intake: Intake, final: Final, took: float, server: int, sends: int
+    def request_finished(
+        self,
+        request_id: int,
+        intake: IncomingRequest,
+        final: RequestOutcome,
+        took: float,
+        server: int,
+        sends: int,
     ) -> None:
-        self.keeper.asked(intake.cls, intake.tenant)
+        self.keeper.asked(intake.class_index, intake.tenant)
 
     # The look.
 
@@ -161,7 +169,7 @@
         from badgercart.zones.failover_controller import LOOK
 
         self.timer = self.host.loop.call_later(LOOK / 1000, self.look)
-        keeper, now = self.keeper, self.host.join.clock()
+        keeper, now = self.keeper, self.host.pipeline.clock()
         self.direct(keeper.look(now, self.fleet_now()))
         if keeper.question is not None and not keeper.answering:
             keeper.answering = True
@@ -179,15 +187,15 @@
         """The servers by zone; of a long list not at each look."""
         from badgercart.zones.sight import fleet_of, looks_apart
 
-        policy = self.host.join.policy
+        policy = self.host.pipeline.policy
         if self.looks % looks_apart(policy) == 0:
             self.fleet = fleet_of(policy, self.keeper.geography, self.settings.serves)
         self.looks += 1
         return self.fleet
 
-    def direct(self, event: Planned | None) -> None:
+    def direct(self, event: TrafficPlan | None) -> None:
         if event is not None:
-            self.host.join.tell(event)
+            self.host.pipeline.dispatch(event)
 
     def spawn(self, what: Any) -> None:
         task = self.host.loop.create_task(what)
@@ -198,21 +206,21 @@
         question = self.keeper.question
         assert question is not None
         plan = await self.host.loop.run_in_executor(None, self.keeper.work_out, question)
-        self.keeper.answer(self.host.join.clock(), plan)
+        self.keeper.answer(self.host.pipeline.clock(), plan)
         self.wake()
 
     async def probe(self, zone: int) -> None:
         """Ask one server of a zone, drawn anew each time."""
         from badgercart.zones.probe import answers
 
-        there = [m for m in self.host.roster.listed.values() if fit(m, zone)]
+        there = [m for m in self.host.endpoint_table.listed.values() if fit(m, zone)]
         found, server_id = False, 0
         if there:
             member = self.random.choice(there)
             server_id, settings = member.entry.id, self.settings
             source = self.host.config.source
             found = await answers(member.address, settings.probe_path, settings.probe_ms, source)
-        self.keeper.probed(self.host.join.clock(), zone, server_id, found)
+        self.keeper.probed(self.host.pipeline.clock(), zone, server_id, found)
 
     def wake(self) -> None:
         """There is something for the others: once this event is over, all of it at once."""
@@ -236,7 +244,7 @@
         for told in keeper.news():
             if told.epoch:
                 events.PLAN(epoch=told.epoch, proposer=told.proposer, why=told.why or "all is well",
-                            plan=told.digest, until_ms=round(keeper.lease_left(self.host.join.clock())),
+                            plan=told.digest, until_ms=round(keeper.lease_left(self.host.pipeline.clock())),
                             **stamp())  # fmt: skip
             elif told.order is not None:
                 order = told.order
@@ -268,7 +276,7 @@
             self.maps = keeper.evidence.other_map
 
     def page(self) -> bytes:
-        return json.dumps(self.keeper.page(self.host.join.clock())).encode()
+        return json.dumps(self.keeper.page(self.host.pipeline.clock())).encode()
 
     def if_gone(self) -> bytes:
         return json.dumps(self.keeper.if_gone()).encode()
@@ -276,17 +284,17 @@
 
 def fit(member: Line, zone: int) -> bool:
     """Whether a server may be asked for its zone."""
-    return member.entry.zone == zone and member.entry.state is State.READY
+    return member.entry.zone == zone and member.entry.state is EndpointState.READY
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="zones",
         key=("zones",),
-        kind=Kind.SERVICE,
+        kind=ComponentKind.SERVICE,
         settings=ZonesSettings,
         about="zones and regions that fail over by one plan",
-        build=ZonesPart,
+        build=ZonesComponent,
         needs=("peers",),
         extra="peers",
         libraries=("msgspec", "netaddr"),
--- a/badgercart/zones/failover_controller.py
+++ b/badgercart/zones/failover_controller.py
@@ -17,28 +17,28 @@
 import msgspec
 
 from badgercart.cluster.member import Member
-from badgercart.cluster.quorum import Standing
+from badgercart.cluster.quorum import QuorumState
 from badgercart.cluster.swim import Effect as PeersEffect
-from badgercart.policy.events import Planned, Result
-from badgercart.zones.circuit_breaker import Gate, Pace
-from badgercart.zones.failure_detector import FORGET, VERDICT_WORDS, Eyes, Verdict
+from badgercart.policy.events import AttemptResult, TrafficPlan
+from badgercart.zones.circuit_breaker import Pace, ZoneCircuitBreaker
+from badgercart.zones.failure_detector import FORGET, VERDICT_WORDS, Verdict, ZoneFailureDetector
 from badgercart.zones.plan_consensus import (
     ASK,
     CHUNKS,
     COMMITS,
     ROUND,
     VOTE,
-    Council,
     InForce,
     Lapsed,
-    Terms,
+    LeaseSettings,
+    PlanConsensus,
     Why,
 )
 from badgercart.zones.plan_consensus import Effect as CouncilEffect
-from badgercart.zones.plan_consensus import Post as CouncilPost
+from badgercart.zones.plan_consensus import RegisterUpdate as CouncilPost
 from badgercart.zones.topology import MAX_ZONES, Geography
-from badgercart.zones.traffic_plan import PARTS, Limits, Plan, Situation, unpacked, work_out
-from badgercart.zones.zone_reports import SLOW_FROM, Claim, Evidence, Seen
+from badgercart.zones.traffic_plan import PARTS, Limits, Plan, Situation, compute_plan, unpacked
+from badgercart.zones.zone_reports import SLOW_FROM, Evidence, Seen, ZoneReport
 
 EYES, ORDERS = "zones.eyes", "zones.orders"  # topics
 DRAIN, PIN, RELEASE = WORDS = ("drain", "pin", "release")
@@ -55,12 +55,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ways:
+class FailoverSettings:
     """How plans are made and kept. Times in ms."""
 
     mode: Mode = Mode.MAJORITY
     limits: Limits = field(default_factory=Limits)
-    terms: Terms = field(default_factory=Terms)
+    terms: LeaseSettings = field(default_factory=LeaseSettings)
     pace: Pace = field(default_factory=Pace)
     tell: float = 500.0  # between two claims; at once where a verdict changes
     old: float = 2500.0  # a claim that came so long ago counts for nothing
@@ -81,7 +81,7 @@
     usual: tuple[float, ...]  # by class: ms of an answer
 
 
-class Order(msgspec.Struct, array_like=True, frozen=True):
+class OperatorOverride(msgspec.Struct, array_like=True, frozen=True):
     """An operator's word about a zone: `drain` (nothing goes there), `pin` (it stays open) or
     `release`."""
 
@@ -92,8 +92,8 @@
     by: str
 
 
-_orders: Callable[[bytes], tuple[int, list[Order]]] = msgspec.msgpack.Decoder(
-    tuple[int, list[Order]]
+_orders: Callable[[bytes], tuple[int, list[OperatorOverride]]] = msgspec.msgpack.Decoder(
+    tuple[int, list[OperatorOverride]]
 ).decode
 
 
@@ -108,20 +108,25 @@
     digest: str = ""
     lapsed: int = 0  # the epoch of one that is not any more
     outdone: int = 0  # the epoch of a proposal of ours that came to nothing
-    order: Order | None = None  # of an operator
+    order: OperatorOverride | None = None  # of an operator
 
 
-class Keeper:
+class FailoverController:
     """Told of attempts and requests; `look` every `LOOK` ms. `out` collects what peers have to be
     told."""
 
     def __init__(
-        self, member: Member, geography: Geography, zone: int, worths: Sequence[float], ways: Ways
+        self,
+        member: Member,
+        geography: Geography,
+        zone: int,
+        worths: Sequence[float],
+        ways: FailoverSettings,
     ) -> None:
         self.member, self.geography, self.zone = member, geography, zone
         self.worths, self.ways, self.name = tuple(worths), ways, member.name
         self.wall = member.machine.clock.wall
-        self.council = Council(
+        self.council = PlanConsensus(
             self.name, member.machine.me.boot, ways.terms,
             lambda data: unpacked(data, self.geography), self.wall,
         )  # fmt: skip
@@ -146,13 +151,13 @@
         self.budget = ways.per_minute
         self.budget_at = 0.0
         self.short = False  # of plans this minute
-        self.orders: dict[int, Order] = {}  # by zone, whoever took them
+        self.orders: dict[int, OperatorOverride] = {}  # by zone, whoever took them
         self.told: list[Told] = []
         self.unsaid: list[Told] = []
         self.plans = 0  # that were in force here
         self.answering = False  # whether somebody works out the plan of the question
         self.wake: Callable[[], None] = lambda: None  # called when `out` has something
-        self.event: Planned | None = None  # as the policy was told last
+        self.event: TrafficPlan | None = None  # as the policy was told last
         self.listen()
 
     def listen(self) -> None:
@@ -167,8 +172,8 @@
     def settle_map(self, geography: Geography) -> None:
         zones = len(geography.zones)
         self.geography = geography
-        self.eyes, self.evidence = Eyes(zones), Evidence(geography)
-        self.gates = [Gate(self.ways.pace) for _ in range(zones)]
+        self.eyes, self.evidence = ZoneFailureDetector(zones), Evidence(geography)
+        self.gates = [ZoneCircuitBreaker(self.ways.pace) for _ in range(zones)]
 
     def relocate(self, now: float, geography: Geography, zone: int) -> None:
         """Another map from now on: what rests on the old one is void."""
@@ -186,7 +191,7 @@
         if 0 <= zone < len(self.eyes.zones):
             self.eyes.sent(now, zone, server)
 
-    def ended(self, now: float, zone: int, result: Result, took: float) -> None:
+    def ended(self, now: float, zone: int, result: AttemptResult, took: float) -> None:
         if 0 <= zone < len(self.eyes.zones):
             self.eyes.ended(now, zone, result, took)
 
@@ -255,7 +260,7 @@
 
     # The look.
 
-    def look(self, now: float, fleet: Fleet) -> Planned | None:
+    def look(self, now: float, fleet: Fleet) -> TrafficPlan | None:
         """Everything that time brings; what the policy has to be told, None where it knows."""
         self.fleet = fleet
         self.expire()
@@ -312,7 +317,7 @@
             self.weigh(passed)
             self.counts, self.counted = [0] * len(self.counts), now
         said = msgspec.msgpack.encode(
-            Claim(
+            ZoneReport(
                 self.geography.digest, list(map(int, verdicts)),
                 [round(100 * eye.slow) if eye.known(now) else 0 for eye in eyes.zones],
                 [round(100 * eye.good) for eye in eyes.zones],
@@ -345,7 +350,7 @@
 
     # Planning.
 
-    def steer(self, now: float, standing: Standing) -> None:
+    def steer(self, now: float, standing: QuorumState) -> None:
         """Ask for a plan of what is, where that is ours to do: `question`, which `answer` takes
         up."""
         ways, council = self.ways, self.council
@@ -376,7 +381,7 @@
     def work_out(self, question: Situation) -> Plan:
         """The plan of a situation: a pure function, for another thread where it takes long."""
         why = self.seen.why if self.seen is not None else ""
-        return work_out(self.geography, question, self.worths, self.ways.limits, why)
+        return compute_plan(self.geography, question, self.worths, self.ways.limits, why)
 
     def answer(self, now: float, plan: Plan) -> None:
         """The plan that was asked for: propose it, where it is worth an epoch."""
@@ -439,7 +444,7 @@
             return self.own
         return self.council.current.plan if self.council.current is not None else None
 
-    def direct(self, live: int, may_live: int) -> Planned | None:
+    def direct(self, live: int, may_live: int) -> TrafficPlan | None:
         """What the policy has to be told; None where it knows."""
         plan, zones = self.plan, range(len(self.geography.zones))
         service = (
@@ -456,7 +461,7 @@
             shares = (home,) * self.geography.rows
             blind = self.ways.blind / max(may_live, 1) / service
             spill = [blind * capacity for capacity in self.capacity]
-        event = Planned(
+        event = TrafficPlan(
             shares, tuple(0.0 if zone in lost else round(rate, 6) for zone, rate in enumerate(spill)),
             frozenset(lost), self.geography.bound_tenants, self.strain(),
         )  # fmt: skip
@@ -558,7 +563,7 @@
                 if 0 <= order.zone < len(self.geography.zones) and order.what in WORDS:
                     self.obey(order)
 
-    def obey(self, order: Order) -> None:
+    def obey(self, order: OperatorOverride) -> None:
         before = self.orders.get(order.zone)
         if before is None or (order.at, order.by) > (before.at, before.by):
             self.orders[order.zone] = order
@@ -588,13 +593,16 @@
     return min(1.0, good / (slow if slow >= SLOW_FROM else 1.0))
 
 
-def same(one: Planned, other: Planned) -> bool:
+def same(one: TrafficPlan, other: TrafficPlan) -> bool:
     """Whether two inputs differ by a little in their rates of spilling at most."""
-    if (one.shares, one.lost, one.bound, one.strain) != (
+    if (one.shares, one.lost_zones, one.planned_tenants, one.zone_strain) != (
         other.shares,
-        other.lost,
-        other.bound,
-        other.strain,
+        other.lost_zones,
+        other.planned_tenants,
+        other.zone_strain,
     ):
         return False
-    return all(abs(a - b) <= ALIKE * max(a, b) for a, b in zip(one.spill, other.spill, strict=True))
+    return all(
+        abs(a - b) <= ALIKE * max(a, b)
+        for a, b in zip(one.spillover_rates, other.spillover_rates, strict=True)
+    )
--- a/badgercart/zones/failure_detector.py
+++ b/badgercart/zones/failure_detector.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 
 DARK_FROM = 12.0  # proof: a chance of 6 in a million
 NO_LINK = 2.5  # proof of an attempt or a probe that met nobody at all
 UNMET = {
-    Result.UNREACHABLE: NO_LINK,
-    Result.RESET: NO_LINK / 2,
+    AttemptResult.UNREACHABLE: NO_LINK,
+    AttemptResult.RESET: NO_LINK / 2,
 }  # the least that such an end proves
 DOUBT = 100.0  # ms after which a zone that has left something unanswered is asked
 ATTEMPTS = 3  # that a proof rests on at least, and on two servers where there are two
@@ -32,7 +32,7 @@
     200.0  # answers that the mean over all zones reaches back over: its least must not be chance
 )
 SAMPLE = 30.0  # attempts that shares and times reach back over
-ANSWERS = frozenset({Result.OK, Result.ERROR, Result.FULL})
+ANSWERS = frozenset({AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL})
 MAX_SERVERS = 16  # that a proof is told apart by
 
 
@@ -92,7 +92,7 @@
         self.dark, self.streak = False, 0
 
 
-class Eyes:
+class ZoneFailureDetector:
     """All zones. Times in ms."""
 
     def __init__(self, zones: int) -> None:
@@ -108,21 +108,21 @@
         if len(eye.servers) < MAX_SERVERS:
             eye.servers.add(server)
 
-    def ended(self, now: float, zone: int, result: Result, took: float) -> None:
+    def ended(self, now: float, zone: int, result: AttemptResult, took: float) -> None:
         """An attempt has ended, `took` ms after it was sent."""
         eye = self.zones[zone]
         if result in ANSWERS:
-            eye.good += ((result != Result.ERROR) - eye.good) / SAMPLE
-            if result == Result.OK:
+            eye.good += ((result != AttemptResult.ERROR) - eye.good) / SAMPLE
+            if result == AttemptResult.OK:
                 eye.mean += (took - eye.mean) / SAMPLE if eye.mean else took
                 self.answers = min(self.answers + 1, STEADY)
                 self.mean += (took - self.mean) / self.answers
                 eye.timed(took, now)
             eye.reset(now)
             return
-        if result == Result.TIMEOUT:
+        if result == AttemptResult.TIMEOUT:
             eye.timed(took, now)
-        if now - took < eye.answered or result == Result.NOT_SENT:
+        if now - took < eye.answered or result == AttemptResult.NOT_SENT:
             return  # sent before the last answer: it is counted no longer
         eye.out = max(eye.out - 1, 0)
         eye.sent = max(eye.sent - (now - took), 0.0) if eye.out else 0.0
--- a/badgercart/zones/plan_consensus.py
+++ b/badgercart/zones/plan_consensus.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class LeaseSettings:
     """Times in ms."""
 
     lease: float = 4000.0  # from when a node took a round
@@ -106,7 +106,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Post:
+class RegisterUpdate:
     """Have every node told, at once; to one only where `to` names it."""
 
     topic: str
@@ -138,7 +138,7 @@
     epoch: int
 
 
-Effect = Post | InForce | Lapsed | Outdone
+Effect = RegisterUpdate | InForce | Lapsed | Outdone
 
 
 @dataclass(slots=True)
@@ -163,14 +163,14 @@
     moved: float = 0.0  # when a round was won last
 
 
-class Council:
+class PlanConsensus:
     """One node's part. Every call gives what to do."""
 
     def __init__(
         self,
         name: str,
         boot: int,
-        terms: Terms,
+        terms: LeaseSettings,
         read: Callable[[bytes], Plan],
         wall: Callable[[], float],
     ) -> None:
@@ -252,14 +252,14 @@
             self.mine = None
             raise PlanError(f"takes {len(pieces)} posts, {MAX_CHUNKS} at most")
         return [
-            Post(topic, _encode(_Chunk(plan.digest, len(pieces), piece)), to)
+            RegisterUpdate(topic, _encode(_Chunk(plan.digest, len(pieces), piece)), to)
             for topic, piece in zip(CHUNKS, pieces, strict=False)
         ]
 
     def open(self, now: float, mine: Proposal, electorate: int) -> list[Effect]:
         """Tell of a round, and take it ourselves."""
         self.electorate = electorate
-        effects: list[Effect] = [Post(ROUND, _encode(mine.ballot))]
+        effects: list[Effect] = [RegisterUpdate(ROUND, _encode(mine.ballot))]
         self.take(now, self.name, mine.ballot)
         return effects + self.count(now, self.name, mine.ballot, self.boot)
 
@@ -284,7 +284,7 @@
         mine.told = len(marks)
         pieces = [marks[at : at + VOTERS] for at in range(0, len(marks), VOTERS)][: len(COMMITS)]
         effects: list[Effect] = [
-            Post(topic, _encode(_Commit(mine.ballot, b"".join(piece))))
+            RegisterUpdate(topic, _encode(_Commit(mine.ballot, b"".join(piece))))
             for topic, piece in zip(COMMITS, pieces, strict=False)
         ]
         return effects + self.enforce(mine.ballot, self.name)
@@ -357,18 +357,20 @@
             voted = self.voted
             if voted is None or ballot == voted:
                 return []
-            return [Post(VOTE, _encode(_Vote(voted, self.boot)), author)]
+            return [RegisterUpdate(VOTE, _encode(_Vote(voted, self.boot)), author)]
         self.heard, self.highest = now, max(self.highest, ballot.epoch)
         if ballot.digest not in self.plans:
             again = self.asked is not None and self.asked[1].plan == ballot.plan
             self.asked = author, ballot
-            return [Post(ASK, ballot.digest, author)] if again else []  # a piece of it was lost
+            return (
+                [RegisterUpdate(ASK, ballot.digest, author)] if again else []
+            )  # a piece of it was lost
         self.asked = None
         self.take(now, author, ballot)
         effects: list[Effect] = []
         if self.mine is not None and self.mine.ballot.epoch < ballot.epoch:
             effects.append(self.give_up(now, self.mine))
-        return [*effects, Post(VOTE, _encode(_Vote(ballot, self.boot)), author)]
+        return [*effects, RegisterUpdate(VOTE, _encode(_Vote(ballot, self.boot)), author)]
 
     def acceptable(self, author: str, ballot: Ballot) -> bool:
         """One plan of an epoch at most, by one proposer, and its rounds only forward."""
--- a/badgercart/zones/settings.py
+++ b/badgercart/zones/settings.py
@@ -12,8 +12,8 @@
 from badgercart.app.model import LONG, Listed, Name, Names, Table
 from badgercart.cluster.settings import Network
 from badgercart.zones.circuit_breaker import Pace
-from badgercart.zones.failover_controller import Mode, Ways
-from badgercart.zones.plan_consensus import Terms
+from badgercart.zones.failover_controller import FailoverSettings, Mode
+from badgercart.zones.plan_consensus import LeaseSettings
 from badgercart.zones.topology import MAX_ZONES, Geography, geography
 from badgercart.zones.traffic_plan import Limits
 
@@ -123,11 +123,11 @@
     )
     probe_ms: float = Field(500.0, ge=10, le=60_000, description="the time for such an answer (ms)")
 
-    def ways(self, electorate: int) -> Ways:
-        return Ways(
+    def ways(self, electorate: int) -> FailoverSettings:
+        return FailoverSettings(
             Mode(self.mode),
             Limits(self.head, 1 - self.blind),
-            Terms(
+            LeaseSettings(
                 lease=self.lease_ms, margin=min(100.0, self.lease_ms / 10), renew=self.renew_ms,
                 patience=self.patience_ms,
             ),
--- a/badgercart/zones/traffic_plan.py
+++ b/badgercart/zones/traffic_plan.py
@@ -121,7 +121,7 @@
     return Plan(digest, parts, tuple(room), tuple(lost), why)
 
 
-def work_out(
+def compute_plan(
     geography: Geography,
     situation: Situation,
     worths: Sequence[float],
--- a/badgercart/zones/zone_reports.py
+++ b/badgercart/zones/zone_reports.py
@@ -23,7 +23,7 @@
 )
 
 
-class Claim(msgspec.Struct, array_like=True, frozen=True):
+class ZoneReport(msgspec.Struct, array_like=True, frozen=True):
     """What a node says. Lists by zone, demand by row of the geography."""
 
     map: int  # digest of the geography that it is by
@@ -33,12 +33,12 @@
     demand: list[int]  # thousandths of a server's slot that its requests keep busy
 
 
-_claim: Callable[[bytes], Claim] = msgspec.msgpack.Decoder(Claim).decode
+_claim: Callable[[bytes], ZoneReport] = msgspec.msgpack.Decoder(ZoneReport).decode
 
 
 @dataclass(slots=True, frozen=True)
 class Heard:
-    claim: Claim
+    claim: ZoneReport
     zone: int
     came: float  # ms on our clock
 
@@ -127,7 +127,7 @@
         )  # fmt: skip
 
     def median(
-        self, heard: list[tuple[str, Heard]], zone: int, of: Callable[[Claim], list[int]]
+        self, heard: list[tuple[str, Heard]], zone: int, of: Callable[[ZoneReport], list[int]]
     ) -> float:
         """Of those that send there."""
         told = [of(h.claim)[zone] / 100 for _, h in heard if h.claim.slow[zone]]
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -18,7 +18,7 @@
 from badgercart.policy.policy import FEW, NODES
 from badgercart.reload.checks import MAX_CLASSES, MAX_TENANTS
 from badgercart.zones.failover_controller import LOOK
-from badgercart.zones.plan_consensus import COMMITS, VOTERS, Terms
+from badgercart.zones.plan_consensus import COMMITS, VOTERS, LeaseSettings
 from benchmarks.capacity.laws import Law, Runs, break_share
 from benchmarks.capacity.target import ASSUMED, BUDGETS, TARGET, Budget, Target
 
@@ -448,11 +448,14 @@
                 Need("processor", "looks at all claims, ten a second", "of a core",
                      lambda t: look(t.nodes) / LOOK, BUDGETS["core"], COUNCIL, (look,)),
                 Need("messages in", "votes of a round, at the proposer", "B/s",
-                     lambda t: votes(t.nodes) * 1000 / Terms().renew, BUDGETS["bytes"], COUNCIL, (votes,)),
+                     lambda t: votes(t.nodes) * 1000 / LeaseSettings().renew, BUDGETS["bytes"],
+                     COUNCIL, (votes,)),
                 Need("processor", "votes of a round, at the proposer", "of a core",
-                     lambda t: counted(t.nodes) / Terms().renew, BUDGETS["core"], COUNCIL, (counted,)),
+                     lambda t: counted(t.nodes) / LeaseSettings().renew, BUDGETS["core"],
+                     COUNCIL, (counted,)),
                 Need("messages in", "the commit of a round, at each node", "B/s",
-                     lambda t: commit(t.nodes) * 1000 / Terms().renew, BUDGETS["bytes"], COUNCIL, (commit,)),
+                     lambda t: commit(t.nodes) * 1000 / LeaseSettings().renew, BUDGETS["bytes"],
+                     COUNCIL, (commit,)),
                 Need("limit", "voters that a commit names: more than half of the nodes", "nodes",
                      lambda t: t.nodes / 2,
                      limit(VOTERS * len(COMMITS), "voters", "badgercart.zones.plan_consensus.COMMITS"),
--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -22,13 +22,13 @@
 from badgercart.capture.replay import replay, segments
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.writer import Capture
-from badgercart.core.ports import Answer, Intake, Order
-from badgercart.core.request_pipeline import Join
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind, Result, ServerList
-from badgercart.policy.settings import Effect, RequestClass, Settings
+from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import AttemptResult, EndpointUpdate, UpdateKind
+from badgercart.policy.settings import Idempotency, RequestClass, Settings
 
-CLASS = RequestClass(580.0, 1400.0, 2.0, Effect.SAFE)
+CLASS = RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT)
 GAP = 3.0  # ms between requests
 TOOK = 40.0  # ms of an answer
 
@@ -43,8 +43,8 @@
 
     def __init__(self, folder: Path | None) -> None:
         self.now = 0.0
-        self.order: Order | None = None
-        self.join = Join(
+        self.order: AttemptRequest | None = None
+        self.join = RequestPipeline(
             Settings(classes=(CLASS,), max_attempts=2), 1, NoTimers(), lambda: self.now
         )
         self.capture: Capture | None = None
@@ -53,9 +53,9 @@
             self.capture = Capture(
                 settings, folder, "n", self.join.policy, 1, self.lost, self.broken
             )
-            self.join.tap = self.capture.tap
-        entries = [ServerEntry(n, 0, 0, 0, State.READY, 2.0, 0.0) for n in range(1, 11)]
-        self.join.tell(ServerList(ListKind.FULL, 1, entries))
+            self.join.decision_log = self.capture.tap
+        entries = [Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for n in range(1, 11)]
+        self.join.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
 
     def lost(self, count: int) -> None:
         print(f"{count} events were lost: the disk is too slow for this benchmark")
@@ -63,21 +63,21 @@
     def broken(self, error: OSError) -> None:
         raise RuntimeError(str(error))
 
-    def send(self, order: Order) -> None:
+    def send(self, order: AttemptRequest) -> None:
         self.order = order
 
     def cancel(self, request_id: int, number: int) -> None: ...
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         return False
 
-    def answered(self, answer: Answer) -> None: ...
+    def on_answer(self, answer: Answer) -> None: ...
 
-    def forgo(self, request_id: int, number: int) -> None: ...
+    def abandon_attempt(self, request_id: int, number: int) -> None: ...
 
-    def refused(self, wait: float) -> None: ...
+    def on_shed(self, wait: float) -> None: ...
 
-    def failed(self, broken: bool) -> None: ...
+    def on_failure(self, broken: bool) -> None: ...
 
     def play(self, requests: int) -> float:
         """Processor time of all threads (s)."""
@@ -85,12 +85,17 @@
         for number in range(requests):
             self.now += GAP
             self.order = None
-            intake = Intake(0, 0, number % 500 + 1, self.now + 1300.0, None)
-            self.join.take(self.join.number(), intake, self, self)
+            intake = IncomingRequest(0, 0, number % 500 + 1, self.now + 1300.0, None)
+            self.join.accept(self.join.next_request_id(), intake, self, self)
             if (order := self.order) is not None:
                 answer = Answer(200)
-                self.join.ended(
-                    order.request_id, order.number, order.server_id, Result.OK, TOOK, answer
+                self.join.attempt_ended(
+                    order.request_id,
+                    order.attempt,
+                    order.endpoint_id,
+                    AttemptResult.OK,
+                    TOOK,
+                    answer,
                 )
             while self.capture is not None and self.capture.disk.waiting > 1 << 20:
                 time.sleep(0.01)  # no node sends so many requests: the writer keeps up
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -22,22 +22,22 @@
 from aetcd.rpc import rpc_pb2, rpc_pb2_grpc
 
 from badgercart.core.clock import now_ms
-from badgercart.core.endpoint_table import MemberList, Roster
-from badgercart.core.request_pipeline import Join
+from badgercart.core.endpoint_table import DiscoveryUpdate, EndpointTable
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.entries import ListReader
 from badgercart.discovery.etcd.client import EtcdSource, prefix_end
 from badgercart.discovery.etcd.settings import EtcdSettings
 from badgercart.policy import Policy, Settings
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind, Request, ServerList, Timer
-from badgercart.policy.settings import Effect, RequestClass
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import EndpointUpdate, Request, TimerFired, UpdateKind
+from badgercart.policy.settings import Idempotency, RequestClass
 from tests.net import config
 
 PREFIX = "/badgercart/servers/"
 FLEETS = (10, 100, 1000, 10000)
 CLASSES = (
-    RequestClass(580.0, 1400.0, 2.0, Effect.SAFE),
-    RequestClass(750.0, 1900.0, 8.0, Effect.KEYED, window=6000.0),
+    RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT),
+    RequestClass(750.0, 1900.0, 8.0, Idempotency.KEYED, deduplication_window_ms=6000.0),
 )
 
 
@@ -106,9 +106,11 @@
 
     def __init__(self, port: int) -> None:
         base = config(1)
-        self.join = Join(Settings(classes=CLASSES, warm_keys=True), 1, asyncio.get_running_loop())
+        self.join = RequestPipeline(
+            Settings(classes=CLASSES, key_affinity=True), 1, asyncio.get_running_loop()
+        )
         reader = ListReader(base)
-        self.roster = Roster(reader, self.join)
+        self.roster = EndpointTable(reader, self.join)
         self.delays: list[float] = []
         self.changes = 0
 
@@ -124,7 +126,7 @@
             settings, read, self.took, lambda state: None, now_ms, random.Random(1)
         )
 
-    def took(self, told: MemberList) -> None:
+    def took(self, told: DiscoveryUpdate) -> None:
         self.roster.apply(told)
         now = time.monotonic()
         self.delays += [(now - sent) * 1000 for sent in self.pending]
@@ -226,7 +228,7 @@
         if isinstance(order, Deliver):
             follower.roster.apply(order.told)
     while follower.join.policy.unplaced:  # the long list goes on the ring in slices
-        follower.join.tell(Timer(0))
+        follower.join.dispatch(TimerFired(0))
     answers = []
     for number in range(1000):
         answer = rpc_pb2.WatchResponse(
@@ -258,29 +260,30 @@
     """One changed line, a whole list and a request, as the fleet grows."""
     first: dict[str, float] = {}
     for count in FLEETS:
-        made = Policy(Settings(classes=CLASSES, warm_keys=True), 1)
+        made = Policy(Settings(classes=CLASSES, key_affinity=True), 1)
         entries = [
-            ServerEntry(n + 1, 0, n % 2, 0, State.READY, 1.0 + n % 3, 0.0) for n in range(count)
+            Endpoint(n + 1, 0, n % 2, 0, EndpointState.READY, 1.0 + n % 3, 0.0)
+            for n in range(count)
         ]
         start = time.perf_counter()
-        made.handle(0.0, ServerList(ListKind.FULL, 1, entries))
+        made.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
         whole = time.perf_counter() - start
         slices: list[float] = []
         while made.unplaced:
             start = time.perf_counter()
-            made.handle(0.0, Timer(0))
+            made.handle(0.0, TimerFired(0))
             slices.append(time.perf_counter() - start)
         rng, changes = random.Random(1), 400
         lines = []
         for number in range(changes):
             old = entries[rng.randrange(count)]
-            state = State.DRAINING if number % 2 else State.READY
-            lines.append(ServerEntry(old.id, 0, old.kind, 0, state, old.size, 0.0))
+            state = EndpointState.DRAINING if number % 2 else EndpointState.READY
+            lines.append(Endpoint(old.id, 0, old.kind, 0, state, old.size, 0.0))
         start = time.perf_counter()
         for line in lines:
-            made.handle(1.0, ServerList(ListKind.DELTA, 2, [line]))
+            made.handle(1.0, EndpointUpdate(UpdateKind.DELTA, 2, [line]))
         change = (time.perf_counter() - start) / changes
-        made.handle(2.0, ServerList(ListKind.FULL, 3, entries))
+        made.handle(2.0, EndpointUpdate(UpdateKind.SNAPSHOT, 3, entries))
         best = float("inf")
         for turn in range(5):
             start = time.perf_counter()
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -16,17 +16,17 @@
 from pathlib import Path
 
 from badgercart.config import Config
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind, ServerList
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import EndpointUpdate, UpdateKind
 from badgercart.policy.policy import Policy
-from badgercart.policy.settings import Effect, RequestClass, Settings
-from badgercart.policy.statistics import Memory, adopt, recall
+from badgercart.policy.settings import Idempotency, RequestClass, Settings
+from badgercart.policy.statistics import PolicyStatistics, export_statistics, import_statistics
 from badgercart.statistics import snapshot, store
 from badgercart.statistics.ageing import aged
 from badgercart.statistics.component import give_way
 
-CLASSES = tuple(RequestClass(500.0 + n, 1500.0, 1.0, Effect.SAFE) for n in range(2))
-SETTINGS = Settings(classes=CLASSES, warm_keys=True)
+CLASSES = tuple(RequestClass(500.0 + n, 1500.0, 1.0, Idempotency.IDEMPOTENT) for n in range(2))
+SETTINGS = Settings(classes=CLASSES, key_affinity=True)
 CONFIG = Config(
     "n", ("127.0.0.1", 0), ("127.0.0.1", 0), 1, 1024, {}, SETTINGS, {b"a": 0, b"b": 1}, {}, {"k": 0},
     {"z": 0}, 200.0, 15000.0,
@@ -35,8 +35,8 @@
 
 def policy_of(servers: int, keys: int) -> Policy:
     policy = Policy(SETTINGS, 1)
-    entries = [ServerEntry(n, 0, 0, 0, State.READY, 2.0, 0.0) for n in range(1, servers + 1)]
-    policy.handle(1.0, ServerList(ListKind.FULL, 1, entries))
+    entries = [Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for n in range(1, servers + 1)]
+    policy.handle(1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     for number, server in enumerate(policy.servers.values()):
         server.slow, server.health[0].fails = 1.0 + number % 7, (number % 10) / 10
     policy.key_counts = {n * 0x9E3779B97F4A7C15 % 2**63 + 1: 1.5 for n in range(keys)}
@@ -67,7 +67,7 @@
     gc.freeze()  # as a node does after its start
     size = 0
 
-    def write(memory: Memory) -> None:
+    def write(memory: PolicyStatistics) -> None:
         nonlocal size
 
         data = snapshot.encode(snapshot.take(memory, CONFIG, time.time() * 1000, 0.0, give_way))
@@ -79,14 +79,14 @@
     idle = pulse.take()
     begun = time.perf_counter()
     for _ in range(5):
-        await asyncio.to_thread(write, recall(policy))
+        await asyncio.to_thread(write, export_statistics(policy))
     saved = (time.perf_counter() - begun) / 5 * 1000
     stall = pulse.take()
     pulse.timer.cancel()
     begun = time.perf_counter()
     kept = store.load(files).snapshot
     assert kept is not None
-    adopt(Policy(SETTINGS, 2), aged(snapshot.give(kept, CONFIG, 0.0), 1000.0, SETTINGS))
+    import_statistics(Policy(SETTINGS, 2), aged(snapshot.give(kept, CONFIG, 0.0), 1000.0, SETTINGS))
     loaded = (time.perf_counter() - begun) * 1000
     return f"{servers:>7}{keys:>9}{saved:>10.1f}{loaded:>10.1f}{size:>10}{stall:>10.1f}{idle:>8.1f}"
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -16,9 +16,16 @@
 from badgercart.cluster.membership_table import Status
 from badgercart.policy import Policy, Settings
 from badgercart.policy.actions import Send
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import Company, ListKind, Outcome, Request, Result, ServerList
-from badgercart.policy.settings import Effect, RequestClass
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClusterView,
+    EndpointUpdate,
+    Request,
+    UpdateKind,
+)
+from badgercart.policy.settings import Idempotency, RequestClass
 from lab.group import Group
 
 SIZES = (3, 10, 40, 100, 300, 1000)
@@ -84,19 +91,29 @@
 
 def decisions(company: bool) -> float:
     """us a decision of a policy that hears of its company ten times a second, or of none."""
-    classes = (RequestClass(aim=400.0, deadline=1000.0, worth=1.0, effect=Effect.SAFE),)
-    policy = Policy(Settings(classes=classes, group_size=10, quotas=(1e6,)), 1)
-    entries = [ServerEntry(i + 1, 0, 0, 0, State.READY, 2.0, 0.0) for i in range(20)]
-    policy.handle(1.0, ServerList(ListKind.FULL, 1, entries))
+    classes = (
+        RequestClass(
+            latency_objective_ms=400.0,
+            deadline_ms=1000.0,
+            priority_weight=1.0,
+            idempotency=Idempotency.IDEMPOTENT,
+        ),
+    )
+    policy = Policy(Settings(classes=classes, cluster_size=10, quotas_per_s=(1e6,)), 1)
+    entries = [Endpoint(i + 1, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for i in range(20)]
+    policy.handle(1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     now, told, begun = 1.0, 0.0, time.perf_counter()
     for number in range(1, 20_001):
         now += 1.0
         if company and now - told >= 100.0:
             told = now
-            policy.handle(now, Company(10, 3, 10, (0.1 + (number % 7) / 100,), ((1, 0.2),)))
+            policy.handle(now, ClusterView(10, 3, 10, (0.1 + (number % 7) / 100,), ((1, 0.2),)))
         for action in policy.handle(now, Request(number, 0, now + 1000)):
             if isinstance(action, Send):
-                policy.handle(now + 0.5, Outcome(number, action.server, True, Result.OK, 0, 20.0))
+                policy.handle(
+                    now + 0.5,
+                    AttemptEnded(number, action.endpoint_id, True, AttemptResult.OK, 0, 20.0),
+                )
     return (time.perf_counter() - begun) / 20_000 * 1e6
 
 
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -28,10 +28,10 @@
 from badgercart.app.run import run
 from badgercart.app.site import Site
 from badgercart.core.clock import now_ms
-from badgercart.core.request_pipeline import Join
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.component import Server as Listed
 from badgercart.discovery.entries import ListReader
-from badgercart.frontends.processor.component import ProcessorPart
+from badgercart.frontends.processor.component import ProcessorComponent
 from standins.fleet import operators_file
 from standins.scripted_proxy import (
     DESTINATION,
@@ -95,7 +95,7 @@
 
     def started(site: Site) -> None:
         part = site.parts["processor"]
-        assert isinstance(part, ProcessorPart)
+        assert isinstance(part, ProcessorComponent)
         print(part.front.address[1], flush=True)
 
     await run("", installation(servers), started)
@@ -259,22 +259,22 @@
     """The cost of a decision alone, in the join and the policy, as the fleet grows."""
 
     class Nobody:
-        def gone(self) -> bool:
+        def client_is_gone(self) -> bool:
             return False
 
-        def answered(self, answer: Any) -> None: ...
-        def refused(self, wait: float) -> None: ...
-        def failed(self, broken: bool) -> None: ...
+        def on_answer(self, answer: Any) -> None: ...
+        def on_shed(self, wait: float) -> None: ...
+        def on_failure(self, broken: bool) -> None: ...
         def send(self, order: Any) -> None:
             self.order = order
 
         def cancel(self, request_id: int, number: int) -> None: ...
 
-        def forgo(self, request_id: int, number: int) -> None: ...
+        def abandon_attempt(self, request_id: int, number: int) -> None: ...
 
-    from badgercart.core.endpoint_table import Roster
-    from badgercart.core.ports import Answer, Intake
-    from badgercart.policy.events import Result
+    from badgercart.core.endpoint_table import EndpointTable
+    from badgercart.core.ports import Answer, IncomingRequest
+    from badgercart.policy.events import AttemptResult
 
     class NoTimers:
         def call_later(self, delay: float, callback: Any, *args: Any) -> Any: ...
@@ -282,9 +282,9 @@
     found: dict[int, float] = {}
     for count in FLEETS:
         what = installation(count)
-        join = Join(what.config.settings, 1, NoTimers())
-        roster = Roster(ListReader(what.config), join)
-        roster.take(
+        join = RequestPipeline(what.config.settings, 1, NoTimers())
+        roster = EndpointTable(ListReader(what.config), join)
+        roster.accept(
             {
                 "generation": 1,
                 "reset": True,
@@ -296,13 +296,15 @@
         for _ in range(5):
             start = time.perf_counter()
             for number in range(2000):
-                now, request_id = now_ms(), join.number()
-                intake = Intake(
-                    number % 2, 0, number * 7919 % 500 + 1, now + 1000.0, None, fallbacks=1
+                now, request_id = now_ms(), join.next_request_id()
+                intake = IncomingRequest(
+                    number % 2, 0, number * 7919 % 500 + 1, now + 1000.0, None, max_fallbacks=1
                 )
-                join.take(request_id, intake, nobody, nobody)
+                join.accept(request_id, intake, nobody, nobody)
                 order = nobody.order
-                join.ended(request_id, 0, order.server_id, Result.OK, 50.0, Answer(200))
+                join.attempt_ended(
+                    request_id, 0, order.endpoint_id, AttemptResult.OK, 50.0, Answer(200)
+                )
             best = min(best, (time.perf_counter() - start) / 2000)
         found[count] = best * 1e6
     base = found[FLEETS[0]]
--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -22,7 +22,7 @@
 from badgercart.app import file as operators
 from badgercart.config import Config, read_config, reread
 from badgercart.policy import Policy
-from badgercart.policy.events import ListKind, ServerList
+from badgercart.policy.events import EndpointUpdate, UpdateKind
 from badgercart.reload import checks
 from badgercart.reload.reconfiguration import Busy, retuned
 from badgercart.simulator.codec import read_settings
@@ -146,7 +146,9 @@
     if "reload: policy" in sizes.given_up:
         return
     policy = Policy(old.settings, 1)
-    policy.handle(1.0, ServerList(ListKind.FULL, 1, [entry(number) for number in range(FLEET)]))
+    policy.handle(
+        1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, [entry(number) for number in range(FLEET)])
+    )
     sizes.spend("reload: policy", size, lambda: policy.handle(2.0, event))
 
 
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -23,10 +23,10 @@
 
 from badgercart.cluster.codec import Codec, Gossip, Packet
 from badgercart.policy import Policy, Settings
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind, ServerList
-from badgercart.policy.settings import Effect, RequestClass
-from badgercart.policy.statistics import recall
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import EndpointUpdate, UpdateKind
+from badgercart.policy.settings import Idempotency, RequestClass
+from badgercart.policy.statistics import export_statistics
 from badgercart.statistics.snapshot import ServerPart
 from badgercart.zones.failure_detector import Verdict
 from badgercart.zones.plan_consensus import (
@@ -34,14 +34,14 @@
     VOTE,
     VOTERS,
     Ballot,
-    Council,
-    Post,
-    Terms,
+    LeaseSettings,
+    PlanConsensus,
+    RegisterUpdate,
     _Vote,
 )
 from badgercart.zones.topology import Geography, geography
-from badgercart.zones.traffic_plan import Limits, Plan, packed, unpacked, work_out
-from badgercart.zones.zone_reports import Claim, Evidence
+from badgercart.zones.traffic_plan import Limits, Plan, compute_plan, packed, unpacked
+from badgercart.zones.zone_reports import Evidence, ZoneReport
 from benchmarks.scale.fit import doublings
 from benchmarks.scale.report import Series
 from benchmarks.zones import drawn
@@ -84,7 +84,7 @@
 def claim(map_: Geography, rng: random.Random) -> bytes:
     zones = len(map_.zones)
     return msgspec.msgpack.encode(
-        Claim(
+        ZoneReport(
             map_.digest, [int(Verdict.FINE)] * zones, [rng.randrange(80, 130) for _ in range(zones)],
             [rng.randrange(95, 101) for _ in range(zones)], [rng.randrange(5000) for _ in range(map_.rows)],
         )
@@ -120,8 +120,10 @@
     """One round of a proposer of so many nodes: ms for all votes, bytes of these, and of the
     commit."""
     _, situation = drawn(len(map_.zones), 3, CLASSES, 1)
-    plan = work_out(map_, situation, [1.0] * CLASSES, Limits())
-    council = Council("node-0", 1, Terms(), lambda data: unpacked(data, map_), lambda: 1.7e12)
+    plan = compute_plan(map_, situation, [1.0] * CLASSES, Limits())
+    council = PlanConsensus(
+        "node-0", 1, LeaseSettings(), lambda data: unpacked(data, map_), lambda: 1.7e12
+    )
     council.tick(0.0)
     council.propose(5000.0, plan, nodes)
     assert council.mine is not None
@@ -132,7 +134,11 @@
     for number, vote in enumerate(votes, 1):
         effects += council.hear(5001.0, f"node-{number}", VOTE, vote)
     spent = 1000 * (time.thread_time() - began)
-    posts = [effect for effect in effects if isinstance(effect, Post) and effect.topic in COMMITS]
+    posts = [
+        effect
+        for effect in effects
+        if isinstance(effect, RegisterUpdate) and effect.topic in COMMITS
+    ]
     commit = sum(datagram(post.topic, post.said) for post in posts)
     return spent, sum(datagram(VOTE, vote) for vote in votes), commit
 
@@ -144,7 +150,7 @@
     worths = [1.0 + number for number in range(CLASSES)]
 
     def plan() -> Plan:
-        return work_out(map_, situation, worths, Limits())
+        return compute_plan(map_, situation, worths, Limits())
 
     return (
         timed(plan),
@@ -187,13 +193,17 @@
 
 def learned(servers: int) -> tuple[float, float]:
     """ms for which a save of what was learned holds the loop, and bytes of the file."""
-    classes = tuple(RequestClass(580.0, 1400.0, 2.0, Effect.SAFE) for _ in range(CLASSES))
+    classes = tuple(
+        RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT) for _ in range(CLASSES)
+    )
     policy = Policy(Settings(classes=classes), 1)
-    entries = [ServerEntry(n + 1, n % ZONES, 0, 0, State.READY, 1.0, 0.0) for n in range(servers)]
-    policy.handle(0.0, ServerList(ListKind.FULL, 1, entries))
-    held = timed(lambda: recall(policy))
-    servers_of = [ServerPart(n, 0.0, k.slow, k.recent, [0.01] * CLASSES, [0.0] * CLASSES)
-                  for n, k in recall(policy).servers.items()]  # fmt: skip
+    entries = [
+        Endpoint(n + 1, n % ZONES, 0, 0, EndpointState.READY, 1.0, 0.0) for n in range(servers)
+    ]
+    policy.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
+    held = timed(lambda: export_statistics(policy))
+    servers_of = [ServerPart(n, 0.0, k.relative_latency, k.recent_attempts, [0.01] * CLASSES, [0.0] * CLASSES)
+                  for n, k in export_statistics(policy).servers.items()]  # fmt: skip
     return held, float(len(msgspec.msgpack.encode(servers_of)))
 
 
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -17,11 +17,11 @@
 from typing import Any, cast
 
 from badgercart.config import Config
-from badgercart.core.endpoint_table import Roster
-from badgercart.core.request_pipeline import Join
+from badgercart.core.endpoint_table import EndpointTable
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.entries import ListReader
 from badgercart.discovery.list_framing import MOST, Texts, read
-from badgercart.policy.events import Event, ServerList
+from badgercart.policy.events import EndpointUpdate, Event
 from benchmarks.scale.configuration import config
 from benchmarks.scale.fit import Point, doublings
 from benchmarks.scale.policy import SERVERS, Found, in_a_child, resident
@@ -52,7 +52,7 @@
 class Ear:
     """Stands in for the join: it hears of a list and has no policy."""
 
-    spoilt: Event | None = None
+    failed_event: Event | None = None
 
     def __init__(self) -> None:
         self.heard = 0
@@ -60,8 +60,8 @@
     def clock(self) -> float:
         return 1000.0
 
-    def tell(self, event: Event) -> None:
-        assert isinstance(event, ServerList)
+    def dispatch(self, event: Event) -> None:
+        assert isinstance(event, EndpointUpdate)
         self.heard += 1
 
 
@@ -82,7 +82,7 @@
     reader, costs = ListReader(named()), dict[str, list[float]]()
     for _ in range(WHOLE_LISTS):
         ear = Ear()
-        roster = Roster(reader, cast(Join, ear))
+        roster = EndpointTable(reader, cast(RequestPipeline, ear))
         parsed, raw = spent(lambda: read(whole))
         checked, told = spent(lambda raw=raw: reader.read(raw))  # type: ignore[misc]
         taken, _ = spent(lambda roster=roster, told=told: roster.apply(told))  # type: ignore[misc]
@@ -106,7 +106,7 @@
         def follow(change: bytes = change) -> None:
             for raw in texts.feed(change):
                 assert raw is not None
-                roster.take(raw)
+                roster.accept(raw)
 
         lines.append(spent(follow)[0])
     found.spread("changed line", size, lines)
@@ -116,8 +116,8 @@
 def grown(servers: int) -> int:
     """Bytes that a roster of this size takes in this process."""
     before = resident()
-    roster = Roster(ListReader(named()), cast(Join, Ear()))
-    roster.take(json.loads(text(1, [line(number) for number in range(servers)], True)))
+    roster = EndpointTable(ListReader(named()), cast(RequestPipeline, Ear()))
+    roster.accept(json.loads(text(1, [line(number) for number in range(servers)], True)))
     return resident() - before
 
 
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -26,8 +26,8 @@
 from badgercart.cluster.broadcast_queue import Queue
 from badgercart.cluster.codec import MAX_SYNC, MTU, Codec, Gossip, Packet, Sync
 from badgercart.cluster.member import Member
-from badgercart.cluster.membership_table import Claim, Status
-from badgercart.cluster.swim import Effect, Machine, Posted, Timing
+from badgercart.cluster.membership_table import MembershipRecord, Status
+from badgercart.cluster.swim import Effect, Posted, SwimProtocol, Timing
 from badgercart.cluster.uses import USE, Shares
 from badgercart.config import Address
 from benchmarks.scale.fit import doublings
@@ -108,7 +108,7 @@
 
     # A node's steps, each as bytes in and bytes out.
 
-    def ring(self, name: str, machine: Machine) -> None:
+    def ring(self, name: str, machine: SwimProtocol) -> None:
         if self.machines[name] is not machine or not self.up[name] or machine.due > self.now:
             return
         with self.metered():
@@ -277,7 +277,7 @@
     wire."""
     codec = Codec("lab", b"a secret of the lab alone")
     claims = [
-        Claim(
+        MembershipRecord(
             f"node-{n}",
             0,
             Status.ALIVE,
@@ -288,8 +288,8 @@
         )
         for n in range(members)
     ]
-    me = Claim("me", 0, Status.ALIVE, ("10.9.9.9", 7946), 1)
-    machine = Machine(me, Timing(), [], random.Random(1), WALL, members)
+    me = MembershipRecord("me", 0, Status.ALIVE, ("10.9.9.9", 7946), 1)
+    machine = SwimProtocol(me, Timing(), [], random.Random(1), WALL, members)
     member = Member(machine, [100.0] * tenants, SHARE_MS, ("shares",))
     data = codec.encode(Packet(claims[0].name, claims[0].boot, 0, 1, (0, 0), Sync(), tuple(claims)))
     machine.receive(1.0, codec.decode(data, MAX_SYNC), claims[0].address)
@@ -343,7 +343,7 @@
     return statistics.median(found)
 
 
-def _use(claim: Claim, serial: int, tenants: int) -> Packet:
+def _use(claim: MembershipRecord, serial: int, tenants: int) -> Packet:
     said = Shares([100.0] * tenants, claim.boot)
     said.counts = [serial * 1000 + tenant for tenant in range(tenants)]
     post = (USE, claim.name, serial, said.report(1000.0 * serial))
--- a/benchmarks/scale/policy.py
+++ b/benchmarks/scale/policy.py
@@ -21,19 +21,19 @@
 
 from badgercart.policy import Policy, Settings
 from badgercart.policy.actions import Send
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import (
-    Company,
-    ListKind,
-    Outcome,
-    Planned,
+    AttemptEnded,
+    AttemptResult,
+    ClusterView,
+    EndpointUpdate,
     Request,
-    Result,
-    Retuned,
-    ServerList,
-    Timer,
+    SettingsChanged,
+    TimerFired,
+    TrafficPlan,
+    UpdateKind,
 )
-from badgercart.policy.settings import Effect, RequestClass
+from badgercart.policy.settings import Idempotency, RequestClass
 from benchmarks.scale.fit import Point, doublings
 from benchmarks.scale.report import ROOT, Series
 
@@ -46,17 +46,26 @@
 
 
 def settings(classes: int = 1, tenants: int = 0, nodes: int = 1) -> Settings:
-    terms = [RequestClass(400.0, 1000.0, 1.0 + number, Effect.SAFE) for number in range(classes)]
+    terms = [
+        RequestClass(400.0, 1000.0, 1.0 + number, Idempotency.IDEMPOTENT)
+        for number in range(classes)
+    ]
     return Settings(
-        classes=tuple(terms), group_size=nodes, me=nodes // 2, quotas=(50.0,) * tenants, over_quota_worth=0.5,
-        max_attempts=3, cold_from=0.3, ramp_time=8000.0,
-    )  # fmt: skip
+        classes=tuple(terms),
+        cluster_size=nodes,
+        node_index=nodes // 2,
+        quotas_per_s=(50.0,) * tenants,
+        over_quota_weight=0.5,
+        max_attempts=3,
+        slow_start_min_capacity=0.3,
+        slow_start_duration_ms=8000.0,
+    )
 
 
-def entry(number: int, state: State = State.READY) -> ServerEntry:
+def entry(number: int, state: EndpointState = EndpointState.READY) -> Endpoint:
     """Three kinds, two sizes, eleven zones: ids scatter as those of names do."""
     server = number * 0x9E3779B97F4A7C15 % (1 << 62) + 1
-    return ServerEntry(server, number % ZONES, number % 3, number % 4, state, 1.0 + number % 2, 0.0)
+    return Endpoint(server, number % ZONES, number % 3, number % 4, state, 1.0 + number % 2, 0.0)
 
 
 class Stage:
@@ -78,19 +87,19 @@
         return (time.thread_time_ns() - begun) / 1000, list(actions)
 
     def whole_list(self) -> float:
-        return self.give(ServerList(ListKind.FULL, 1, self.entries))[0]
+        return self.give(EndpointUpdate(UpdateKind.SNAPSHOT, 1, self.entries))[0]
 
     def place(self) -> float:
         """Have all points placed, by events that ask for nothing."""
         total = 0.0
         while self.policy.unplaced:
-            total += self.give(Timer(0))[0]
+            total += self.give(TimerFired(0))[0]
         return total
 
     def decisions(self, most: int = DECISIONS) -> list[float]:
         """Requests a ms apart, each served by the first server; what the requests alone cost."""
         costs = []
-        classes, tenants = len(self.settings.classes), max(1, len(self.settings.quotas))
+        classes, tenants = len(self.settings.classes), max(1, len(self.settings.quotas_per_s))
         for number in (next(self.numbers) for _ in range(most)):
             self.now += GAP
             cls, tenant = self.random.randrange(classes), self.random.randrange(tenants)
@@ -99,7 +108,9 @@
             for action in actions:
                 if isinstance(action, Send):
                     self.now += GAP / 4
-                    self.give(Outcome(number, action.server, True, Result.OK, 0, 20.0))
+                    self.give(
+                        AttemptEnded(number, action.endpoint_id, True, AttemptResult.OK, 0, 20.0)
+                    )
         return costs
 
     def lines(self, most: int = LINES) -> list[float]:
@@ -109,23 +120,27 @@
             self.now += 20.0
             if turn % 2 == 0:
                 number = self.random.randrange(self.servers)
-            state = State.READY if turn % 2 else State.DRAINING
-            costs.append(self.give(ServerList(ListKind.DELTA, 2 + turn, [entry(number, state)]))[0])
+            state = EndpointState.READY if turn % 2 else EndpointState.DRAINING
+            costs.append(
+                self.give(EndpointUpdate(UpdateKind.DELTA, 2 + turn, [entry(number, state)]))[0]
+            )
         return costs
 
     def rack(self) -> float:
         """Up to 40 servers drain with one list."""
-        told = [entry(number, State.DRAINING) for number in range(min(40, self.servers // 2))]
-        return self.give(ServerList(ListKind.DELTA, 1, told))[0]
+        told = [
+            entry(number, EndpointState.DRAINING) for number in range(min(40, self.servers // 2))
+        ]
+        return self.give(EndpointUpdate(UpdateKind.DELTA, 1, told))[0]
 
     def retuned(self) -> float:
         every = frozenset(range(len(self.settings.classes)))
-        return self.give(Retuned(self.settings, every))[0]
+        return self.give(SettingsChanged(self.settings, every))[0]
 
     def planned(self) -> float:
         """An even plan over the zones."""
         even = (1 / ZONES,) * ZONES
-        return self.give(Planned((even,) * 2 * len(self.settings.classes), (0.01,) * ZONES))[0]
+        return self.give(TrafficPlan((even,) * 2 * len(self.settings.classes), (0.01,) * ZONES))[0]
 
     def busy(self) -> float:
         """What a reload asks: who still has requests."""
@@ -136,13 +151,15 @@
     def peers(self) -> float:
         """The company is told again, without tenants' parts."""
         return self.give(
-            Company(self.settings.group_size, self.settings.me, self.settings.group_size)
+            ClusterView(
+                self.settings.cluster_size, self.settings.node_index, self.settings.cluster_size
+            )
         )[0]
 
     def company(self) -> float:
         """Each tenant's part is told anew."""
-        parts = tuple([self.random.uniform(0.01, 0.2) for _ in self.settings.quotas])
-        return self.give(Company(10, 3, 10, parts))[0]
+        parts = tuple([self.random.uniform(0.01, 0.2) for _ in self.settings.quotas_per_s])
+        return self.give(ClusterView(10, 3, 10, parts))[0]
 
 
 class Found:
@@ -201,7 +218,7 @@
         found.spread("changed line, planned", size, stage.lines(40))
         found.spread("decision, planned", size, stage.decisions(1000))
         print(
-            f"policy: {size} servers, {stage.settings.group_size} nodes",
+            f"policy: {size} servers, {stage.settings.cluster_size} nodes",
             file=sys.stderr,
             flush=True,
         )
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -20,12 +20,19 @@
 
 from badgercart.policy import Policy
 from badgercart.policy.actions import Send
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind, Outcome, Planned, Request, Result, ServerList
-from badgercart.policy.settings import Effect, RequestClass, Settings
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointUpdate,
+    Request,
+    TrafficPlan,
+    UpdateKind,
+)
+from badgercart.policy.settings import Idempotency, RequestClass, Settings
 from badgercart.zones.failover_controller import loads_of
 from badgercart.zones.topology import Geography, geography
-from badgercart.zones.traffic_plan import PARTS, Limits, Situation, work_out
+from badgercart.zones.traffic_plan import PARTS, Limits, Situation, compute_plan
 from lab.model import play
 from lab.settings import Cell, Day, load
 from lab.stats import paired, verdict
@@ -65,7 +72,7 @@
 
 def value(map_: Geography, now: Situation, worths: list[float]) -> float:
     """Worth that the water-filled plan carries within what each zone can do."""
-    plan = work_out(map_, now, worths, Limits())
+    plan = compute_plan(map_, now, worths, Limits())
     loads, _ = loads_of(plan, now.demand)
     over = {
         z: load / c
@@ -117,7 +124,7 @@
         for seed in range(5):
             map_, now = drawn(zones, regions, classes, seed)
             begun = time.perf_counter()
-            work_out(map_, now, worths, Limits())
+            compute_plan(map_, now, worths, Limits())
             times.append((time.perf_counter() - begun) * 1000)
             if with_programme:
                 best, took = programme(map_, now, worths)
@@ -133,12 +140,19 @@
 # Decisions.
 
 
-def decisions(plan: Planned | None, servers: int = 60) -> float:
+def decisions(plan: TrafficPlan | None, servers: int = 60) -> float:
     """us a request of a policy that has a plan, or none."""
-    classes = (RequestClass(aim=400.0, deadline=1000.0, worth=1.0, effect=Effect.SAFE),)
-    policy = Policy(Settings(classes=classes, group_size=10, warm_keys=True), 1)
-    entries = [ServerEntry(i + 1, i % 3, 0, 0, State.READY, 2.0, 0.0) for i in range(servers)]
-    policy.handle(1.0, ServerList(ListKind.FULL, 1, entries))
+    classes = (
+        RequestClass(
+            latency_objective_ms=400.0,
+            deadline_ms=1000.0,
+            priority_weight=1.0,
+            idempotency=Idempotency.IDEMPOTENT,
+        ),
+    )
+    policy = Policy(Settings(classes=classes, cluster_size=10, key_affinity=True), 1)
+    entries = [Endpoint(i + 1, i % 3, 0, 0, EndpointState.READY, 2.0, 0.0) for i in range(servers)]
+    policy.handle(1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     if plan is not None:
         policy.handle(1.0, plan)
     now, begun = 1.0, time.perf_counter()
@@ -146,12 +160,15 @@
         now += 1.0
         for action in policy.handle(now, Request(number, 0, now + 1000, key=number % 500 + 1)):
             if isinstance(action, Send):
-                policy.handle(now + 0.5, Outcome(number, action.server, True, Result.OK, 0, 20.0))
+                policy.handle(
+                    now + 0.5,
+                    AttemptEnded(number, action.endpoint_id, True, AttemptResult.OK, 0, 20.0),
+                )
     return (time.perf_counter() - begun) / 30_000 * 1e6
 
 
 def cost() -> None:
-    plan = Planned(((0.8, 0.2, 0.0),) * 2, (0.1, 0.1, 0.1))
+    plan = TrafficPlan(((0.8, 0.2, 0.0),) * 2, (0.1, 0.1, 0.1))
     pairs = [(decisions(None), decisions(plan)) for _ in range(5)]
     ratio = statistics.median(with_ / without for without, with_ in pairs)
     print(
--- a/lab/companions.py
+++ b/lab/companions.py
@@ -8,13 +8,13 @@
 
 from badgercart.cluster.codec import Packet
 from badgercart.cluster.member import Member
-from badgercart.cluster.membership_table import Claim, Status
-from badgercart.cluster.swim import Effect, Machine, Posted, SendTo, SyncWith, Timing
+from badgercart.cluster.membership_table import MembershipRecord, Status
+from badgercart.cluster.swim import Effect, Posted, SendTo, SwimProtocol, SyncWith, Timing
 from badgercart.config import Address
-from badgercart.core.ports import Final, Intake
-from badgercart.core.request_pipeline import Join
-from badgercart.policy.events import Result
-from badgercart.zones.failover_controller import LOOK, Keeper, Mode, Ways
+from badgercart.core.ports import IncomingRequest, RequestOutcome
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.policy.events import AttemptResult
+from badgercart.zones.failover_controller import LOOK, FailoverController, FailoverSettings, Mode
 from badgercart.zones.sight import fleet_of, looks_apart
 from badgercart.zones.topology import geography
 from lab.chance import Stream
@@ -36,28 +36,34 @@
 
     number: int
     zone: int
-    join: Join
+    join: RequestPipeline
     member: Member
-    keeper: Keeper | None = None
+    keeper: FailoverController | None = None
     zones: dict[int, int] = field(default_factory=dict)  # by server
     looks: int = 0
     up: bool = True
     frozen: float = 0.0  # until when it stands still
 
-    def over(
-        self, request_id: int, intake: Intake, final: Final, took: float, server: int, sends: int
+    def request_finished(
+        self,
+        request_id: int,
+        intake: IncomingRequest,
+        final: RequestOutcome,
+        took: float,
+        server: int,
+        sends: int,
     ) -> None:
         self.member.shares.count(intake.tenant)
         if self.keeper is not None:
-            self.keeper.asked(intake.cls, intake.tenant)
+            self.keeper.asked(intake.class_index, intake.tenant)
 
     # What the join tells of attempts.
 
-    def sent(self, server_id: int) -> None:
+    def attempt_sent(self, server_id: int) -> None:
         if self.keeper is not None:
             self.keeper.sent(self.join.clock(), self.zones[server_id], server_id)
 
-    def ended(self, server_id: int, result: Result, elapsed: float) -> None:
+    def attempt_ended(self, server_id: int, result: AttemptResult, elapsed: float) -> None:
         if self.keeper is not None:
             self.keeper.ended(self.join.clock(), self.zones[server_id], result, elapsed)
 
@@ -79,31 +85,33 @@
         self.there: dict[int, Companion] = {}  # by node: its life now
         self.boots = 0
 
-    def start(self, number: int, zone: int, join: Join) -> None:
+    def start(self, number: int, zone: int, join: RequestPipeline) -> None:
         """A node comes up, with nothing that it knew."""
         self.boots += 1
-        me = Claim(f"n{number}", 0, Status.ALIVE, address(number), self.boots, f"z{zone}")
+        me = MembershipRecord(
+            f"n{number}", 0, Status.ALIVE, address(number), self.boots, f"z{zone}"
+        )
         rng = random.Random(f"{self.seed} companion {number} {self.boots}")
         seeds = [address(seed) for seed in range(3)]
-        machine = Machine(me, self.timing, seeds, rng, 0.0, self.expected)
-        member = Member(machine, join.policy.settings.quotas, SHARE_MS, USES)
+        machine = SwimProtocol(me, self.timing, seeds, rng, 0.0, self.expected)
+        member = Member(machine, join.policy.settings.quotas_per_s, SHARE_MS, USES)
         one = self.there[number] = Companion(number, zone, join, member)
         join.observers += (one,)
         if self.net.day.fleet.zones != "off":
             one.keeper = self.keeper(member, zone, join)
             one.zones = {server_id: server.zone for server_id, server in self.servers.items()}
-            join.watchers += (one,)
+            join.attempt_observers += (one,)
             self.clock.after(LOOK * rng.random(), self.look, one)
         self.run(one, machine.start(self.clock.now))
         self.clock.after(SHARE_MS * rng.random(), self.round, one)
 
-    def keeper(self, member: Member, zone: int, join: Join) -> Keeper:
+    def keeper(self, member: Member, zone: int, join: RequestPipeline) -> FailoverController:
         day = self.net.day
         names = [f"z{number}" for number in range(day.net.zones)]
         regions = {name: f"r{day.region(number)}" for number, name in enumerate(names)}
         map_ = geography(names, regions, {}, len(day.class_))
-        ways = Ways(Mode(day.fleet.zones), electorate=day.fleet.said or day.fleet.nodes)
-        return Keeper(member, map_, zone, [cls.worth for cls in day.class_], ways)
+        ways = FailoverSettings(Mode(day.fleet.zones), electorate=day.fleet.said or day.fleet.nodes)
+        return FailoverController(member, map_, zone, [cls.worth for cls in day.class_], ways)
 
     def look(self, one: Companion) -> None:
         """The keeper's look; plans are worked out here and now."""
@@ -115,7 +123,7 @@
         one.looks += 1
         fleet = fleet_of(policy, keeper.geography, self.serves) if fresh else keeper.fleet
         if (event := keeper.look(now, fleet)) is not None:
-            one.join.tell(event)
+            one.join.dispatch(event)
         if keeper.question is not None:
             keeper.answer(now, keeper.work_out(keeper.question))
         for zone in keeper.probes(now):
@@ -132,7 +140,7 @@
         )
         return sum(kind.share * kind.cores for kind in kinds) / weights
 
-    def probe(self, one: Companion, keeper: Keeper, zone: int) -> None:
+    def probe(self, one: Companion, keeper: FailoverController, zone: int) -> None:
         """Ask one of a zone's servers whether it is there."""
         there = [i for i in one.join.policy.ready if one.zones[i] == zone]
         server_id = there[int(self.chance() * len(there))]
@@ -143,7 +151,7 @@
         self.clock.after(took, self.probed, one, keeper, zone, server_id, answers)
 
     def probed(
-        self, one: Companion, keeper: Keeper, zone: int, server_id: int, answers: bool
+        self, one: Companion, keeper: FailoverController, zone: int, server_id: int, answers: bool
     ) -> None:
         if self.lives(one):
             keeper.probed(self.clock.now, zone, server_id, answers)
@@ -171,7 +179,7 @@
             elif isinstance(effect, Posted):
                 one.member.heard(self.clock.now, effect)
         if (event := one.member.company(self.clock.now)) is not None:
-            one.join.tell(event)
+            one.join.dispatch(event)
         if one.keeper is not None and one.keeper.out:
             effects, one.keeper.out = one.keeper.out, []
             self.run(one, effects)
--- a/lab/group.py
+++ b/lab/group.py
@@ -16,16 +16,16 @@
 from typing import Any
 
 from badgercart.cluster.codec import Codec, Packet
-from badgercart.cluster.membership_table import Claim, Status
+from badgercart.cluster.membership_table import MembershipRecord, Status
 from badgercart.cluster.quorum import Level
 from badgercart.cluster.swim import (
     Changed,
     Conflict,
     Effect,
-    Machine,
     Paused,
     Posted,
     SendTo,
+    SwimProtocol,
     SyncWith,
     Timing,
 )
@@ -72,7 +72,7 @@
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.count = self.boots = 0
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, SwimProtocol] = {}
         self.up: dict[str, bool] = {}
         self.paused: dict[str, list[tuple[Packet, Address, bool]]] = {}
         self.slow: dict[str, float] = {}  # ms by which a node is late with everything
@@ -91,11 +91,11 @@
 
     # Nodes.
 
-    def add(self, name: str, number: int, join: bool = True, wall: float = WALL) -> Machine:
+    def add(self, name: str, number: int, join: bool = True, wall: float = WALL) -> SwimProtocol:
         """A process under a name, also one that had it before."""
         self.boots += 1
         address = (f"127.{number >> 8}.{number & 255}.1", 7946)
-        me = Claim(
+        me = MembershipRecord(
             name,
             0,
             Status.ALIVE,
@@ -106,7 +106,7 @@
         )
         seeds = [("127.0.0.1", 7946), ("127.0.1.1", 7946)] if join else []
         rng = random.Random(f"{self.seed} {name} {self.boots}")
-        machine = Machine(me, self.timing, seeds, rng, wall, self.expected)
+        machine = SwimProtocol(me, self.timing, seeds, rng, wall, self.expected)
         for topic in self.topics:
             machine.board.follow(topic)
         self.machines[name], self.up[name], self.addresses[address] = machine, True, name
@@ -117,7 +117,7 @@
     def kill(self, name: str) -> None:
         self.up[name] = False
 
-    def restart(self, name: str, wall: float = WALL) -> Machine:
+    def restart(self, name: str, wall: float = WALL) -> SwimProtocol:
         """The same name on the same address, with nothing that it knew."""
         number = list(self.machines).index(name)
         return self.add(name, number, True, wall)
@@ -154,7 +154,7 @@
         machine = self.machines[name]
         self.at(max(machine.due, self.now) + self.slow.get(name, 0.0), self.ring, name, machine)
 
-    def ring(self, name: str, machine: Machine) -> None:
+    def ring(self, name: str, machine: SwimProtocol) -> None:
         if self.machines[name] is not machine or not self.up[name] or name in self.paused:
             return
         if machine.due <= self.now:
@@ -216,7 +216,7 @@
             return
         self.at(self.now + self.way(), self.asked, name, self.machines[name], to, packet)
 
-    def asked(self, name: str, asking: Machine, to: str, packet: Packet) -> None:
+    def asked(self, name: str, asking: SwimProtocol, to: str, packet: Packet) -> None:
         if not self.up[to] or to in self.paused or self.machines[name] is not asking:
             return
         answer, effects = self.machines[to].answer_sync(self.now, packet, asking.me.address)
--- a/lab/load/calibrate.py
+++ b/lab/load/calibrate.py
@@ -93,7 +93,7 @@
             f'worth = {cls.worth}\neffect = "{cls.effect}"\nlate_value = {cls.late_value}',
             f'group = "{cls.group}"\nwindow_ms = {cls.window_ms}' if cls.effect == "keyed" else "",
         ]
-    for tenant, quota in zip(day.tenant, settings.quotas, strict=True):
+    for tenant, quota in zip(day.tenant, settings.quotas_per_s, strict=True):
         lines.append(f'[[tenant]]\nname = "{tenant.name}"\nquota_per_s = {quota:.3f}')
     return "\n".join(
         [*lines, f'[members]\ncatalog = "{catalog}"', '[fronts.http]\nlisten = "127.0.0.1:0"\n']
--- a/lab/model.py
+++ b/lab/model.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from badgercart.cluster.swim import Timing
-from badgercart.core.ports import Answer, Intake
-from badgercart.core.request_pipeline import Join
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind, ServerList
-from badgercart.policy.statistics import Memory, adopt, recall
+from badgercart.core.ports import Answer, IncomingRequest
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import EndpointUpdate, UpdateKind
+from badgercart.policy.statistics import PolicyStatistics, export_statistics, import_statistics
 from badgercart.statistics.ageing import aged
 from lab.arrivals import Plan, plan
 from lab.chance import generator, jitter, uniform
@@ -55,7 +55,7 @@
 
     def __init__(self, world: World, node: Node, ask: Ask) -> None:
         self.world, self.node, self.ask = world, node, ask
-        self.id = node.join.number()
+        self.id = node.join.next_request_id()
         self.left = False
         self.answers = 0
 
@@ -66,19 +66,19 @@
             self.world.watch.answered_twice(self.ask.number)
         return self.answers == 1 and not self.left
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         return False
 
-    def answered(self, answer: Answer) -> None:
+    def on_answer(self, answer: Answer) -> None:
         if self.final():
             self.world.served(self)
 
-    def refused(self, wait: float) -> None:
+    def on_shed(self, wait: float) -> None:
         self.world.watch.refuse(self.ask.number, self.ask.cls, self.ask.tries)
         if self.final():
             self.world.turned_away(self, "refused", wait)
 
-    def failed(self, broken: bool) -> None:
+    def on_failure(self, broken: bool) -> None:
         if broken:
             self.world.broken += 1
         if self.final():
@@ -98,8 +98,8 @@
         self.version = 0
         self.starts = 0
         self.held: dict[int, Try] = {}
-        self.memory: Memory | None = None  # what it learned before it died
-        self.join: Join
+        self.memory: PolicyStatistics | None = None  # what it learned before it died
+        self.join: RequestPipeline
         self.wire: Wire
 
     def start(self) -> None:
@@ -107,12 +107,12 @@
         world = self.world
         seed = int(generator(world.cell.seed, "policy", self.number, self.starts).integers(1 << 62))
         self.starts += 1
-        self.join = Join(
+        self.join = RequestPipeline(
             world.day.policy_settings(self.number), seed, world.clock, world.clock.time
         )
         if self.memory is not None:
             age, settings = world.day.node.learned_age_s * 1000, self.join.policy.settings
-            adopt(self.join.policy, aged(self.memory, age, settings))
+            import_statistics(self.join.policy, aged(self.memory, age, settings))
         make(world.cell.policy, world.day, self.join, seed)
         if world.companions is not None:
             world.companions.start(self.number, self.zone, self.join)
@@ -121,7 +121,7 @@
         self.wire.sent = self.sent
         self.up = True
         self.told_leaving.clear()
-        self.tell(ListKind.FULL, world.servers)
+        self.tell(UpdateKind.SNAPSHOT, world.servers)
 
     def stop(self) -> None:
         """It dies: clients see their connections break."""
@@ -129,7 +129,7 @@
         if self.world.companions is not None:
             self.world.companions.stop(self.number)
         if self.world.day.node.learned_age_s >= 0 and self.world.cell.policy == OURS:
-            self.memory = recall(self.join.policy)
+            self.memory = export_statistics(self.join.policy)
         self.wire.close()
         held, self.held = self.held, {}
         for tried in held.values():
@@ -137,7 +137,7 @@
                 self.world.turned_away(tried, "failed", 0.0)
 
     def tell(
-        self, kind: ListKind, servers: list[Server], without: frozenset[int] = frozenset()
+        self, kind: UpdateKind, servers: list[Server], without: frozenset[int] = frozenset()
     ) -> None:
         """The list or its changes reach this node."""
         if not self.up or self.listless:
@@ -151,11 +151,11 @@
                 continue
             line = self.world.entry(server)
             lines.append(line)
-            if line.state is State.READY:
+            if line.state is EndpointState.READY:
                 self.told_leaving.pop(server.number, None)
             else:
                 self.told_leaving.setdefault(server.number, self.world.clock.now)
-        self.join.tell(ServerList(kind, self.version, lines))
+        self.join.dispatch(EndpointUpdate(kind, self.version, lines))
 
     def freeze(self, ms: float) -> None:
         """It stands still for so long."""
@@ -173,7 +173,7 @@
     def sent(self, server: Server, order: Any) -> None:
         self.world.measure.attempts += 1
         leaving = self.told_leaving.get(server.number)
-        self.world.watch.send(server, leaving, order.work.work)
+        self.world.watch.send(server, leaving, order.payload.work)
 
     def take(self, ask: Ask) -> None:
         world, cls = self.world, self.world.day.class_[ask.cls]
@@ -182,13 +182,13 @@
         now = world.clock.now
         due = ask.born + cls.deadline_ms
         world.clock.at(due, world.give_up, tried)
-        intake = Intake(
+        intake = IncomingRequest(
             ask.cls, ask.tenant, world.keys[ask.key], due - MARGIN - world.day.clients.ms, ask,
-            repeat=ask.tries > 1,
+            is_client_retry=ask.tries > 1,
         )  # fmt: skip
         if world.impatient and world.leaving() < world.impatient:
             world.clock.at(now + world.leaving() * (due - now), world.leave, tried)
-        self.join.take(tried.id, intake, tried, self.wire)
+        self.join.accept(tried.id, intake, tried, self.wire)
 
 
 class World:
@@ -232,10 +232,16 @@
 
     # Servers, as the list tells of them.
 
-    def entry(self, server: Server) -> ServerEntry:
+    def entry(self, server: Server) -> Endpoint:
         kind = server.kind
-        state = State.GONE if server.down else State.DRAINING if server.leaving else State.READY
-        return ServerEntry(
+        state = (
+            EndpointState.GONE
+            if server.down
+            else EndpointState.DRAINING
+            if server.leaving
+            else EndpointState.READY
+        )
+        return Endpoint(
             self.ids[server.number], server.zone, server.kind_number, server.cell, state,
             kind.listed_weight or kind.cores * kind.speed, server.started,
         )  # fmt: skip
@@ -244,7 +250,9 @@
         """Servers are otherwise now: nodes hear of it in a while."""
         spread = self.day.lists.spread_ms
         for node in self.nodes:
-            self.clock.after(notice + spread * self.choosing(), node.tell, ListKind.DELTA, servers)
+            self.clock.after(
+                notice + spread * self.choosing(), node.tell, UpdateKind.DELTA, servers
+            )
 
     # Clients.
 
@@ -305,7 +313,7 @@
         """The client loses its patience."""
         if not tried.answers and not tried.left and tried.node.held.pop(tried.id, None) is not None:
             tried.left = True
-            tried.node.join.withdraw(tried.id)
+            tried.node.join.cancel_request(tried.id)
             self.end(tried.ask, "left")
 
     def give_up(self, tried: Try) -> None:
@@ -315,7 +323,7 @@
         tried.left = True
         if self.clock.now >= tried.node.frozen:  # who stands still owes nothing
             self.watch.lost(tried.ask.number)
-        tried.node.join.withdraw(tried.id)
+        tried.node.join.cancel_request(tried.id)
         self.end(tried.ask, "lost")
 
     def end(self, ask: Ask, how: str, way: float = 0.0) -> None:
--- a/lab/peers/__init__.py
+++ b/lab/peers/__init__.py
@@ -9,7 +9,7 @@
 
 from typing import Any, cast
 
-from badgercart.core.request_pipeline import Join
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.policy import Policy
 from lab.peers.base import Peer
 from lab.peers.limits import LIMITS, RetryBudget
@@ -23,7 +23,7 @@
 )
 
 
-def make(name: str, day: Day, join: Join, seed: int) -> None:
+def make(name: str, day: Day, join: RequestPipeline, seed: int) -> None:
     """Put the named policy into a join; LookupError where there is none of that name."""
     if name == OURS:
         return
--- a/lab/peers/base.py
+++ b/lab/peers/base.py
@@ -12,27 +12,27 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from badgercart.policy.actions import Action, Cancel, Fail, Probe, Refuse, Send
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.actions import Action, CancelAttempt, Fail, HealthCheck, Send, Shed
+from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import (
-    NEVER_RAN,
+    NOT_EXECUTED,
+    AttemptEnded,
+    AttemptResult,
+    EndpointUpdate,
     Event,
-    ListKind,
-    Outcome,
-    ProbeResult,
+    HealthCheckResult,
     Request,
-    Result,
-    ServerList,
-    Withdrawn,
+    RequestCancelled,
+    UpdateKind,
 )
-from badgercart.policy.settings import Effect, Group, Settings
+from badgercart.policy.settings import DeduplicationScope, Idempotency, Settings
 
 
 @dataclass(slots=True, eq=False)
 class Host:
     """A server as a peer sees it."""
 
-    entry: ServerEntry
+    entry: Endpoint
     out: int = 0
     ready: bool = True
     cost: float = 0.0  # of pickers that keep one: ms
@@ -82,7 +82,7 @@
     request: Request
     tries: int = 0
     used: list[int] = field(default_factory=list)
-    maybe_ran: list[tuple[float, ServerEntry]] = field(default_factory=list)
+    maybe_ran: list[tuple[float, Endpoint]] = field(default_factory=list)
     out: dict[int, tuple[float, Host]] = field(
         default_factory=dict
     )  # attempts: when they were sent, where
@@ -115,32 +115,35 @@
         self.now, self.done = now, []
         if isinstance(event, Request):
             self.on_request(event)
-        elif isinstance(event, Outcome):
+        elif isinstance(event, AttemptEnded):
             self.on_outcome(event)
-        elif isinstance(event, ServerList):
+        elif isinstance(event, EndpointUpdate):
             self.on_list(event)
-        elif isinstance(event, Withdrawn):
+        elif isinstance(event, RequestCancelled):
             self.finish(event.id)
-        elif isinstance(event, ProbeResult) and (host := self.hosts.get(event.server)) is not None:
+        elif (
+            isinstance(event, HealthCheckResult)
+            and (host := self.hosts.get(event.endpoint_id)) is not None
+        ):
             self.picker.probed(host, now, event.report)
         return self.done
 
     def on_request(self, request: Request) -> None:
         self.budget.request(self.now)
         if self.limit is not None and not self.limit.allows(len(self.flying)):
-            self.done.append(Refuse(request.id, 0.0))
+            self.done.append(Shed(request.id, 0.0))
             return
         job = self.jobs[request.id] = Job(request)
         self.attempt(job)
 
     def attempt(self, job: Job) -> None:
         request = job.request
-        host = self.picker.pick(self.now, job.used) if request.due > self.now else None
+        host = self.picker.pick(self.now, job.used) if request.deadline > self.now else None
         if host is None or not self.allowed(job, host):
             self.end(job)
             return
-        self.done.append(Send(request.id, host.entry.id, request.due - self.now))
-        self.done += [Probe(server) for server in self.picker.probes(self.now)]
+        self.done.append(Send(request.id, host.entry.id, request.deadline - self.now))
+        self.done += [HealthCheck(server) for server in self.picker.probes(self.now)]
         job.out[job.tries] = self.now, host
         job.used.append(host.entry.id)
         job.maybe_ran.append((self.now, host.entry))
@@ -150,34 +153,40 @@
 
     def allowed(self, job: Job, host: Host) -> bool:
         """Whether its class lets a request go there, given where it may have run."""
-        cls = self.settings.classes[job.request.cls]
-        if not job.maybe_ran or cls.effect is Effect.SAFE:
+        cls = self.settings.classes[job.request.class_index]
+        if not job.maybe_ran or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if cls.effect is Effect.UNSAFE:
+        if cls.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
         return all(
-            self.now - sent < cls.window - self.settings.tick
-            and (cls.group is not Group.ZONE or entry.zone == host.entry.zone)
-            and (cls.group is not Group.CELL or entry.cell == host.entry.cell)
+            self.now - sent < cls.deduplication_window_ms - self.settings.tick_ms
+            and (
+                cls.deduplication_scope is not DeduplicationScope.ZONE
+                or entry.zone == host.entry.zone
+            )
+            and (
+                cls.deduplication_scope is not DeduplicationScope.CELL
+                or entry.cell == host.entry.cell
+            )
             for sent, entry in job.maybe_ran
         )
 
-    def on_outcome(self, event: Outcome) -> None:
+    def on_outcome(self, event: AttemptEnded) -> None:
         job, host = self.flying.pop((event.id, event.attempt), (None, None))
         if job is None or host is None:
             return
         host.out -= 1
         job.out.pop(event.attempt, None)
-        if event.result in NEVER_RAN:
-            job.maybe_ran = [ran for ran in job.maybe_ran if ran[1].id != event.server]
-        self.picker.ended(host, self.now, event.elapsed, event.result)
-        if self.limit is not None and event.result != Result.CANCELLED:
-            dropped = event.result != Result.OK
-            self.limit.ended(self.now, event.elapsed, dropped, len(self.flying) + 1)
-        if event.over or event.id not in self.jobs:
+        if event.result in NOT_EXECUTED:
+            job.maybe_ran = [ran for ran in job.maybe_ran if ran[1].id != event.endpoint_id]
+        self.picker.ended(host, self.now, event.elapsed_ms, event.result)
+        if self.limit is not None and event.result != AttemptResult.CANCELLED:
+            dropped = event.result != AttemptResult.OK
+            self.limit.ended(self.now, event.elapsed_ms, dropped, len(self.flying) + 1)
+        if event.completed or event.id not in self.jobs:
             self.finish(event.id)
         elif (
-            event.result != Result.TIMEOUT
+            event.result != AttemptResult.TIMEOUT
             and job.tries < self.settings.max_attempts
             and self.budget.take(self.now)
         ):
@@ -186,23 +195,23 @@
             self.end(job)
 
     def end(self, job: Job) -> None:
-        cls, number = self.settings.classes[job.request.cls], job.request.id
-        refusable = cls.refusable or not job.maybe_ran
-        self.done.append(Refuse(number, 0.0) if refusable else Fail(number))
+        cls, number = self.settings.classes[job.request.class_index], job.request.id
+        refusable = cls.client_may_retry or not job.maybe_ran
+        self.done.append(Shed(number, 0.0) if refusable else Fail(number))
         self.finish(number)
 
     def finish(self, number: int) -> None:
         job = self.jobs.pop(number, None)
         if job is not None and self.settings.may_cancel:
-            self.done += [Cancel(number, attempt) for attempt in sorted(job.out)]
+            self.done += [CancelAttempt(number, attempt) for attempt in sorted(job.out)]
 
-    def on_list(self, event: ServerList) -> None:
-        if event.kind is ListKind.FAILED:
+    def on_list(self, event: EndpointUpdate) -> None:
+        if event.kind is UpdateKind.FAILED:
             return
-        if event.kind is not ListKind.DELTA:
+        if event.kind is not UpdateKind.DELTA:
             for host in self.hosts.values():
                 host.ready = False
-        for entry in event.servers:
+        for entry in event.endpoints:
             host = self.hosts.setdefault(entry.id, Host(entry))
-            host.entry, host.ready = entry, entry.state is State.READY
+            host.entry, host.ready = entry, entry.state is EndpointState.READY
         self.picker.hosts([host for host in self.hosts.values() if host.ready])
