--- a/lab/ramp.py
+++ b/lab/ramp.py
@@ -17,11 +17,19 @@
 from dataclasses import dataclass, field, replace
 from itertools import accumulate
 
-from badgercart.policy.actions import Action, Send, Wake
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import Event, ListKind, Outcome, Request, Result, ServerList, Timer
+from badgercart.policy.actions import Action, Send, SetTimer
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointUpdate,
+    Event,
+    Request,
+    TimerFired,
+    UpdateKind,
+)
 from badgercart.policy.policy import Policy
-from badgercart.policy.settings import Effect, RequestClass, Settings
+from badgercart.policy.settings import Idempotency, RequestClass, Settings
 from lab.clock import Clock
 
 WAY = 0.5  # ms from a node to a server, and back
@@ -72,16 +80,21 @@
 
     @property
     def settings(self) -> Settings:
-        safe = RequestClass(aim=600.0, deadline=1400.0, worth=2.0, effect=Effect.SAFE)
+        safe = RequestClass(
+            latency_objective_ms=600.0,
+            deadline_ms=1400.0,
+            priority_weight=2.0,
+            idempotency=Idempotency.IDEMPOTENT,
+        )
         return Settings(
             classes=(safe,),
-            tick=5.0,
+            tick_ms=5.0,
             max_attempts=4,
-            group_size=self.nodes,
-            cold_from=self.cold_from,
-            ramp_time=self.ramp_ms,
-            tip_multiple=self.multiple,
-            overload_for=self.window_ms,
+            cluster_size=self.nodes,
+            slow_start_min_capacity=self.cold_from,
+            slow_start_duration_ms=self.ramp_ms,
+            collapse_load_factor=self.multiple,
+            collapse_window_ms=self.window_ms,
         )
 
 
@@ -89,7 +102,7 @@
 class ModelServer:
     """Cores, a short queue, a ramp; and the times of all that reached it."""
 
-    entry: ServerEntry
+    entry: Endpoint
     free: list[float] = field(default_factory=list)  # when each core is, as a heap
     got: list[float] = field(default_factory=list)
     told: list[bool] = field(default_factory=list)  # of each, whether its node knew of the start
@@ -105,8 +118,8 @@
         if waits >= ramp.queue:
             return None
         self.free = [at for at in self.free if at > now]
-        cold = bool(self.entry.started)
-        speed = ramp.share(now - self.entry.started) if cold else 1.0 / (1.0 - ramp.warm_gain)
+        cold = bool(self.entry.started_ms)
+        speed = ramp.share(now - self.entry.started_ms) if cold else 1.0 / (1.0 - ramp.warm_gain)
         busy = sorted(self.free)
         begin = now if len(busy) < ramp.cores else busy[len(busy) - ramp.cores]
         self.free.append(begin + work / speed)
@@ -131,7 +144,8 @@
         self.ramp, self.clock, self.random = ramp, Clock(), random.Random(ramp.seed)
         self.clock.now = 10_000.0
         self.nodes = [
-            make(replace(ramp.settings, me=me), ramp.seed * 1000 + me) for me in range(ramp.nodes)
+            make(replace(ramp.settings, node_index=me), ramp.seed * 1000 + me)
+            for me in range(ramp.nodes)
         ]
         listed = ramp.servers - (ramp.cold if ramp.how == "join" else 0)
         self.servers = {
@@ -144,8 +158,8 @@
         weights = [ramp.uneven if me % 8 == 3 else 1.0 for me in range(ramp.nodes)]
         self.weights = [*accumulate(weights)]
 
-    def entry(self, number: int, started: float) -> ServerEntry:
-        return ServerEntry(number, 0, 0, 0, State.READY, float(self.ramp.cores), started)
+    def entry(self, number: int, started: float) -> Endpoint:
+        return Endpoint(number, 0, 0, 0, EndpointState.READY, float(self.ramp.cores), started)
 
     def give(self, node: int, event: Event) -> None:
         for action in self.nodes[node].handle(self.clock.now, event):
@@ -154,30 +168,30 @@
     def carry_out(self, node: int, action: Action) -> None:
         if isinstance(action, Send):
             self.clock.after(WAY, self.reach, node, action, self.clock.now)
-        elif isinstance(action, Wake):
-            self.clock.after(action.delay, self.give, node, Timer(action.token))
+        elif isinstance(action, SetTimer):
+            self.clock.after(action.delay_ms, self.give, node, TimerFired(action.token))
 
     def reach(self, node: int, send: Send, since: float) -> None:
         work = self.random.expovariate(1.0 / self.ramp.work_ms)
         told = node in self.heard
-        done = self.servers[send.server].take(self.ramp, self.clock.now, work, told)
+        done = self.servers[send.endpoint_id].take(self.ramp, self.clock.now, work, told)
         number = self.tries[send.id] = self.tries.get(send.id, -1) + 1
-        end = min(self.clock.now if done is None else done, since + send.limit)
+        end = min(self.clock.now if done is None else done, since + send.timeout_ms)
         result = (
-            Result.FULL
+            AttemptResult.FULL
             if done is None
-            else Result.OK
-            if done <= since + send.limit
-            else Result.TIMEOUT
+            else AttemptResult.OK
+            if done <= since + send.timeout_ms
+            else AttemptResult.TIMEOUT
         )
         self.clock.at(end + WAY, self.tell, node, send, result, number, since)
 
-    def tell(self, node: int, send: Send, result: Result, number: int, since: float) -> None:
-        if result is Result.OK and since > self.began:
+    def tell(self, node: int, send: Send, result: AttemptResult, number: int, since: float) -> None:
+        if result is AttemptResult.OK and since > self.began:
             self.answered += 1
-        over = result is Result.OK
+        over = result is AttemptResult.OK
         elapsed = self.clock.now - since
-        self.give(node, Outcome(send.id, send.server, over, result, number, elapsed))
+        self.give(node, AttemptEnded(send.id, send.endpoint_id, over, result, number, elapsed))
 
     def arrive(self) -> None:
         node = bisect_right(self.weights, self.random.random() * self.weights[-1])
@@ -209,9 +223,9 @@
         entries = [server.entry for server in self.cold]
         for node in range(ramp.nodes):
             at = self.random.random() * ramp.spread_ms
-            self.clock.after(at, self.hear, node, ServerList(ListKind.DELTA, 2, entries))
+            self.clock.after(at, self.hear, node, EndpointUpdate(UpdateKind.DELTA, 2, entries))
 
-    def hear(self, node: int, event: ServerList) -> None:
+    def hear(self, node: int, event: EndpointUpdate) -> None:
         self.heard.add(node)
         self.give(node, event)
 
@@ -219,7 +233,7 @@
         ramp = self.ramp
         listed = [server.entry for server in self.servers.values()]
         for node in range(ramp.nodes):
-            self.give(node, ServerList(ListKind.FULL, 1, listed))
+            self.give(node, EndpointUpdate(UpdateKind.SNAPSHOT, 1, listed))
         self.next_arrival()
         self.clock.at(self.began, self.start_cold)
         self.clock.run(self.began + ramp.ramp_ms)
@@ -239,7 +253,7 @@
         )
 
     def closest(self, server: ModelServer) -> float:
-        return closest(server.got, server.told, server.entry.started, self.ramp)
+        return closest(server.got, server.told, server.entry.started_ms, self.ramp)
 
 
 def closest(times: list[float], told: list[bool], started: float, ramp: Ramp) -> float:
--- a/lab/servers.py
+++ b/lab/servers.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 from lab.chance import Stream
 from lab.clock import Clock
 from lab.settings import Day, Kind
@@ -32,7 +32,7 @@
     work: float  # ms on a core of speed 1
     keyed: bool
     window: float  # ms for which repeats are dropped; 0: not
-    answer: Callable[[Result], None]
+    answer: Callable[[AttemptResult], None]
     run: int = 0  # of the server, when it began
     came: float = 0.0
     beside: int = 0  # requests that were there when it came
@@ -77,7 +77,7 @@
         self.keys.clear()
         self.busy = 0
         for work in lost:
-            work.answer(Result.RESET)
+            work.answer(AttemptResult.RESET)
 
     def start(self) -> None:
         """Up again, and cold."""
@@ -110,11 +110,11 @@
     def take(self, work: Work) -> None:
         """A request has come in."""
         if self.down:
-            work.answer(Result.RESET)
+            work.answer(AttemptResult.RESET)
         elif self.silent and self.chance() < self.silent:
             return  # it never answers: the node has to give up
         elif self.failing and self.chance() < self.failing:
-            self.clock.after(ERROR_MS, work.answer, Result.ERROR)
+            self.clock.after(ERROR_MS, work.answer, AttemptResult.ERROR)
         elif self.busy < self.kind.cores:
             work.came, work.beside = self.clock.now, self.held
             self.begin(work)
@@ -123,7 +123,7 @@
             self.waiting.append(work)
         else:
             self.full += 1
-            work.answer(Result.FULL)
+            work.answer(AttemptResult.FULL)
 
     def begin(self, work: Work) -> None:
         self.busy += 1
@@ -151,7 +151,7 @@
             took = self.clock.now - work.came
             self.by_held[work.beside] = self.by_held.get(work.beside, took) * 0.8 + 0.2 * took
             self.effect(self, work)
-        work.answer(Result.ERROR if failed else Result.OK)
+        work.answer(AttemptResult.ERROR if failed else AttemptResult.OK)
         while self.waiting and self.busy < self.kind.cores:
             following = self.waiting.popleft()
             if following.abandoned and self.day.fleet.drops_abandoned:
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -15,7 +15,7 @@
 from badgercart.app.faults import FileError, Path, of_model, problem
 from badgercart.app.locate import lines_of
 from badgercart.app.model import Listed, Name, Names, Table
-from badgercart.policy.settings import Effect, Group, RequestClass, Settings
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 HOUR = 3_600_000.0  # ms
 Share = Annotated[float, Field(ge=0, le=1)]
@@ -309,22 +309,22 @@
         return Settings(
             classes=tuple(
                 RequestClass(
-                    c.aim_ms, c.deadline_ms, c.worth, Effect(c.effect), Group(c.group),
+                    c.aim_ms, c.deadline_ms, c.worth, Idempotency(c.effect), DeduplicationScope(c.group),
                     c.window_ms if c.effect == "keyed" else 0.0, c.late_value,
                 )
                 for c in self.class_
             ),
             zone=node % self.net.zones,
-            group_size=self.fleet.said or self.fleet.nodes,
-            me=node % (self.fleet.said or self.fleet.nodes),
-            quotas=tuple(t.quota * t.share / shares * self.capacity for t in self.tenant),
-            over_quota_worth=self.node.over_share_worth,
-            warm_keys=self.fleet.warm_gain > 0,
+            cluster_size=self.fleet.said or self.fleet.nodes,
+            node_index=node % (self.fleet.said or self.fleet.nodes),
+            quotas_per_s=tuple(t.quota * t.share / shares * self.capacity for t in self.tenant),
+            over_quota_weight=self.node.over_share_worth,
+            key_affinity=self.fleet.warm_gain > 0,
             may_cancel=self.node.cancel,
             max_attempts=self.node.max_attempts,
-            max_retry_after=self.node.max_retry_after_ms,
-            cold_from=min(kind.cold_from for kind in self.kind),
-            ramp_time=max(kind.ramp_ms for kind in self.kind),
+            max_retry_after_ms=self.node.max_retry_after_ms,
+            slow_start_min_capacity=min(kind.cold_from for kind in self.kind),
+            slow_start_duration_ms=max(kind.ramp_ms for kind in self.kind),
         )  # fmt: skip
 
 
--- a/lab/troubles.py
+++ b/lab/troubles.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from badgercart.policy.events import ListKind
+from badgercart.policy.events import UpdateKind
 from lab.chance import generator
 from lab.servers import Server
 from lab.settings import Trouble
@@ -102,13 +102,13 @@
         """A whole list comes that does not have them, though they are well."""
         without = frozenset(server.number for server in servers)
         for node in self.world.nodes:
-            node.tell(ListKind.FULL, self.world.servers, without)
+            node.tell(UpdateKind.SNAPSHOT, self.world.servers, without)
             for server in servers:
                 node.told_leaving.setdefault(server.number, self.clock.now)
 
     def list_whole(self, trouble: Trouble, servers: list[Server]) -> None:
         for node in self.world.nodes:
-            node.tell(ListKind.FULL, self.world.servers)
+            node.tell(UpdateKind.SNAPSHOT, self.world.servers)
 
     def flap(self, trouble: Trouble, servers: list[Server]) -> None:
         end = self.clock.now + trouble.for_s * 1000 - 2 * FLAP
@@ -118,7 +118,7 @@
         for server in servers:
             server.leaving = leaving
         for node in self.world.nodes:
-            node.tell(ListKind.DELTA, servers)
+            node.tell(UpdateKind.DELTA, servers)
         if self.clock.now < end:
             self.clock.after(FLAP, self.turn, servers, end, not leaving)
 
@@ -186,7 +186,7 @@
     def list_cut_end(self, trouble: Trouble, servers: list[Server]) -> None:
         for node in self.named(trouble):
             node.listless = False
-            node.tell(ListKind.FULL, self.world.servers)
+            node.tell(UpdateKind.SNAPSHOT, self.world.servers)
 
     # Zones.
 
--- a/lab/wire.py
+++ b/lab/wire.py
@@ -8,10 +8,10 @@
 from functools import partial
 from typing import Any
 
-from badgercart.core.ports import Answer, Order
-from badgercart.core.request_pipeline import Join
-from badgercart.policy.actions import Probe
-from badgercart.policy.events import ProbeResult, Result
+from badgercart.core.ports import Answer, AttemptRequest
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.policy.actions import HealthCheck
+from badgercart.policy.events import AttemptResult, HealthCheckResult
 from lab.chance import Stream
 from lab.clock import Clock
 from lab.servers import Server, Work
@@ -25,7 +25,7 @@
 class Attempt:
     """An attempt that is out."""
 
-    order: Order
+    order: AttemptRequest
     server: Server
     sent: float
     tried: int  # the client's try, from 1
@@ -69,13 +69,13 @@
         self.net, self.clock, self.zone, self.servers = net, net.clock, zone, servers
         self.out: dict[tuple[int, int], Attempt] = {}
         self.idle: dict[int, list[float]] = {}  # by server: since when
-        self.sent: Callable[[Server, Order], None] = lambda server, order: None
+        self.sent: Callable[[Server, AttemptRequest], None] = lambda server, order: None
         self.dials = 0
         self.frozen = 0.0  # until when the node stands still
 
-    def join(self, join: Join) -> None:
+    def join(self, join: RequestPipeline) -> None:
         self.told = join
-        join.perform[Probe] = self.probe
+        join.perform[HealthCheck] = self.probe
 
     def close(self) -> None:
         """The node has died: nothing comes back to it."""
@@ -85,26 +85,26 @@
 
     # The join's port.
 
-    def send(self, order: Order) -> None:
-        server = self.servers[order.server_id]
-        attempt = Attempt(order, server, self.clock.now, order.work.tries)
-        self.out[order.request_id, order.number] = attempt
+    def send(self, order: AttemptRequest) -> None:
+        server = self.servers[order.endpoint_id]
+        attempt = Attempt(order, server, self.clock.now, order.payload.tries)
+        self.out[order.request_id, order.attempt] = attempt
         self.sent(server, order)
-        self.clock.after(max(order.limit, 0.0), self.end, attempt, Result.TIMEOUT)
+        self.clock.after(max(order.timeout_ms, 0.0), self.end, attempt, AttemptResult.TIMEOUT)
         ready = self.connected(server)
         there, back = (
             self.net.parted(self.zone, server.zone),
             self.net.parted(server.zone, self.zone),
         )
         if not ready and (there or back):
-            self.clock.after(self.net.day.net.dial_ms, self.end, attempt, Result.UNREACHABLE)
+            self.clock.after(self.net.day.net.dial_ms, self.end, attempt, AttemptResult.UNREACHABLE)
             return
         if there:
             return
         way = self.net.way(self.zone, server.zone)
         if not ready:
             if server.down:
-                self.clock.after(2 * way, self.end, attempt, Result.UNREACHABLE)
+                self.clock.after(2 * way, self.end, attempt, AttemptResult.UNREACHABLE)
                 return
             self.dials += 1
             attempt.up = self.clock.now + self.net.day.net.handshake_ms + 2 * way
@@ -124,20 +124,20 @@
         server = attempt.server
         if attempt.unsent or (attempt.ended and server.day.fleet.drops_abandoned):
             return
-        asked = attempt.order.work
+        asked = attempt.order.payload
         attempt.work = Work(
             asked.number, attempt.tried, asked.cls, asked.key, asked.work, asked.keyed, asked.window,
             partial(self.answer, attempt),
         )  # fmt: skip
         server.take(attempt.work)
 
-    def answer(self, attempt: Attempt, result: Result) -> None:
+    def answer(self, attempt: Attempt, result: AttemptResult) -> None:
         if not self.net.parted(attempt.server.zone, self.zone):
             self.clock.after(
                 self.net.way(self.zone, attempt.server.zone), self.end, attempt, result
             )
 
-    def end(self, attempt: Attempt, result: Result) -> None:
+    def end(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.ended:
             return
         if self.clock.now < self.frozen:  # the node stands still: it sees this as it wakes
@@ -145,39 +145,41 @@
             return
         attempt.ended = True
         order = attempt.order
-        self.out.pop((order.request_id, order.number), None)
-        if result in (Result.OK, Result.ERROR, Result.FULL):
+        self.out.pop((order.request_id, order.attempt), None)
+        if result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL):
             idle = self.idle.setdefault(attempt.server.number, [])
             if len(idle) < MAX_IDLE:
                 idle.append(self.clock.now)
-        elif result is Result.TIMEOUT and attempt.work is not None:
+        elif result is AttemptResult.TIMEOUT and attempt.work is not None:
             attempt.work.abandoned = True
         took = self.clock.now - attempt.sent
-        answer = ANSWER if result is Result.OK else None
-        self.told.ended(order.request_id, order.number, order.server_id, result, took, answer)
+        answer = ANSWER if result is AttemptResult.OK else None
+        self.told.attempt_ended(
+            order.request_id, order.attempt, order.endpoint_id, result, took, answer
+        )
 
     def cancel(self, request_id: int, number: int) -> None:
         if (attempt := self.out.get((request_id, number))) is not None:
             if attempt.work is not None:
                 attempt.work.abandoned = True
-            self.end(attempt, Result.CANCELLED)
+            self.end(attempt, AttemptResult.CANCELLED)
 
-    def forgo(self, request_id: int, number: int) -> None:
+    def abandon_attempt(self, request_id: int, number: int) -> None:
         attempt = self.out.get((request_id, number))
         if attempt is not None and self.clock.now < attempt.up:
             attempt.unsent = True
-            self.end(attempt, Result.NOT_SENT)
+            self.end(attempt, AttemptResult.NOT_SENT)
 
     # Probes, for peers that ask for them.
 
-    def probe(self, action: Probe) -> None:
-        server = self.servers[action.server]
+    def probe(self, action: HealthCheck) -> None:
+        server = self.servers[action.endpoint_id]
         zone, other = self.zone, server.zone
         if server.down or self.net.parted(zone, other) or self.net.parted(other, zone):
             return  # one that is not answered tells nothing
         sent = self.clock.now
         self.clock.after(
-            self.net.way(self.zone, server.zone), self.probed, server, action.server, sent
+            self.net.way(self.zone, server.zone), self.probed, server, action.endpoint_id, sent
         )
 
     def probed(self, server: Server, server_id: int, sent: float) -> None:
@@ -189,5 +191,5 @@
         )
 
     def tell_probe(self, server_id: int, sent: float, report: tuple[float, ...]) -> None:
-        event: Any = ProbeResult(server_id, Result.OK, self.clock.now - sent, report)
-        self.told.tell(event)
+        event: Any = HealthCheckResult(server_id, AttemptResult.OK, self.clock.now - sent, report)
+        self.told.dispatch(event)
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from badgercart.admin.listener import MAX_CALLERS
-from badgercart.policy.endpoint import State
+from badgercart.policy.endpoint import EndpointState
 from tests.net import Client, Peer, Stand, request, run, running
 
 
@@ -52,8 +52,8 @@
             server = stand.node.join.policy.servers[next(iter(stand.node.roster.listed))]
             while first.requests.empty():  # it is cold, and used again
                 assert (await client.ask(request()))[0] == 200
-            assert server.entry.state is State.READY
-            assert stand.node.roster.at(("127.0.0.1", first.port)).entry.started > 0  # type: ignore[union-attr]
+            assert server.entry.state is EndpointState.READY
+            assert stand.node.roster.find_by_address(("127.0.0.1", first.port)).entry.started_ms > 0  # type: ignore[union-attr]
 
     run(test())
 
--- a/tests/admin/test_golden.py
+++ b/tests/admin/test_golden.py
@@ -10,10 +10,10 @@
 
 from badgercart.admin.handlers import NodeDesk
 from badgercart.admin.requests import Call
-from badgercart.core.endpoint_table import Member, MemberList, Roster
-from badgercart.core.request_pipeline import Join
+from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate, EndpointTable
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.ejection.ejections import Bans
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.endpoint import Endpoint, EndpointState
 from tests.admin.test_calls import CASES
 from tests.clockwork import Clockwork
 from tests.golden import differences
@@ -25,13 +25,13 @@
 def bans(known: bool, listed: bool, why: str = "") -> Bans:
     """What the calls change; `why` says why nothing can be."""
     clockwork = Clockwork()
-    join = Join(config(1).settings, 1, clockwork, clockwork.clock)
-    roster = Roster(Unread(), join)
-    roster.told = listed
+    join = RequestPipeline(config(1).settings, 1, clockwork, clockwork.clock)
+    roster = EndpointTable(Unread(), join)
+    roster.has_update = listed
     made = Bans(roster, Path("/nowhere"), clockwork, 0.0, clockwork.clock)
     if known:
-        line = ServerEntry(7, 0, 0, 0, State.READY, 1.0, 0.0)
-        made.ledger.amend(Member(line, ("127.0.0.1", 9), "s-1"))
+        line = Endpoint(7, 0, 0, 0, EndpointState.READY, 1.0, 0.0)
+        made.ledger.amend(DiscoveredEndpoint(line, ("127.0.0.1", 9), "s-1"))
     made.disable = made.enable = lambda name: why  # type: ignore[method-assign]
     return made
 
@@ -39,7 +39,7 @@
 class Unread:
     """Nothing is read of any list."""
 
-    def read(self, raw: Any, kind: Any = None) -> MemberList:
+    def read(self, raw: Any, kind: Any = None) -> DiscoveryUpdate:
         raise ValueError
 
 
--- a/tests/app/test_adding.py
+++ b/tests/app/test_adding.py
@@ -36,7 +36,7 @@
     assert code is not None and code[1].count("\n") < 90
     module = types.ModuleType("line_front")
     exec(compile(code[1], str(PAGE), "exec", dont_inherit=True), module.__dict__)
-    known = (*declarations(), *module.PARTS)
+    known = (*declarations(), *module.COMPONENTS)
     path = tmp_path / "site.toml"
 
     async def test() -> None:
@@ -50,7 +50,7 @@
         assert await asyncio.wait_for(reader.readline(), WAIT) == b"200 done\n"
         writer.close()
         await site.drain()
-        assert not site.join.held and not site.join.out
+        assert not site.join.in_flight and not site.join.open_attempts
 
     run(test())
     path.write_text(FILE.format(port=1).replace("listen", "listens"))
--- a/tests/app/test_file.py
+++ b/tests/app/test_file.py
@@ -14,7 +14,7 @@
 from badgercart.app.file import FileError, load
 from badgercart.app.locate import lines_of
 from badgercart.distribution.commands import store_file
-from badgercart.policy.settings import Effect, Group
+from badgercart.policy.settings import DeduplicationScope, Idempotency
 
 ROOT = Path(__file__).parent.parent.parent
 GOOD = """\
@@ -55,8 +55,11 @@
     path = tmp_path / "site.toml"
     path.write_text(GOOD)
     what = load(str(path))
-    assert [cls.effect for cls in what.config.settings.classes] == [Effect.SAFE, Effect.KEYED]
-    assert what.config.settings.classes[1].group is Group.ZONE
+    assert [cls.idempotency for cls in what.config.settings.classes] == [
+        Idempotency.IDEMPOTENT,
+        Idempotency.KEYED,
+    ]
+    assert what.config.settings.classes[1].deduplication_scope is DeduplicationScope.ZONE
     assert what.config.classes == {b"find": 0, b"book": 1}
     assert what.parts.keys() == {"http", "server"}
     assert what.parts["http"].listen == ("127.0.0.1", 0)
--- a/tests/app/test_golden_metrics.py
+++ b/tests/app/test_golden_metrics.py
@@ -9,8 +9,8 @@
 
 from badgercart.app.file import load
 from badgercart.app.site import Site
-from badgercart.core.endpoint_table import Member
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.core.endpoint_table import DiscoveredEndpoint
+from badgercart.policy.endpoint import Endpoint, EndpointState
 from tests.app.test_file import GOOD, ROOT
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -56,9 +56,11 @@
 
     async def page() -> bytes:
         site = Site(load(str(tmp_path / "site.toml"), {}), asyncio.get_running_loop())
-        for state in State:
-            entry = ServerEntry(int(state), 0, 0, 0, state, 1.0, 0.0)
-            site.roster.listed[int(state)] = Member(entry, ("127.0.0.1", 1), f"s{state}")
+        for state in EndpointState:
+            entry = Endpoint(int(state), 0, 0, 0, state, 1.0, 0.0)
+            site.roster.listed[int(state)] = DiscoveredEndpoint(
+                entry, ("127.0.0.1", 1), f"s{state}"
+            )
         told: bytes = site.parts["metrics"].figures.page()  # type: ignore[attr-defined]
         site.close()
         return told
--- a/tests/app/test_hostile.py
+++ b/tests/app/test_hostile.py
@@ -60,7 +60,7 @@
         "OTHER": "x",
     }
     what = load(str(path), environ)
-    assert what.config.settings.classes[0].worth == 3.5 and what.config.name == "north"
+    assert what.config.settings.classes[0].priority_weight == 3.5 and what.config.name == "north"
     assert what.config.zones == {"a": 0, "c": 1} and what.parts["metrics"].listen == (
         "127.0.0.1",
         0,
--- a/tests/app/test_logs.py
+++ b/tests/app/test_logs.py
@@ -47,7 +47,7 @@
         return [json.loads(line) for line in file.read().splitlines()]
 
 
-def tell(event: events.Event, /, **fields: Any) -> None:
+def tell(event: events.LogEvent, /, **fields: Any) -> None:
     log.log(event.level, event.words, fields, extra={"event": event.name})
 
 
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -11,11 +11,11 @@
 
 from badgercart.app.file import Installation
 from badgercart.app.site import Site
-from badgercart.core.metric_registry import MAX_LABELS, OTHER, Kind, Meter, Meters
+from badgercart.core.metric_registry import MAX_LABELS, OTHER, Kind, Metric, MetricRegistry
 from badgercart.frontends.http.component import HttpSettings
 from badgercart.metrics.component import MetricsSettings
 from badgercart.metrics.figures import MAX_BUCKETS, buckets
-from badgercart.policy.settings import Effect, RequestClass
+from badgercart.policy.settings import Idempotency, RequestClass
 from tests.net import Client, Peer, config, field, listed, request, run
 
 
@@ -81,10 +81,10 @@
 
 def test_open_labels_are_bounded_and_names_are_checked() -> None:
     told = {f"proxy-{n}": float(n) for n in range(500)}
-    found = Meter("a_total", "", Kind.COUNTER, lambda: told, "proxy").values()
+    found = Metric("a_total", "", Kind.COUNTER, lambda: told, "proxy").values()
     assert len(found) == MAX_LABELS and sum(found.values()) == sum(told.values())
     assert found["proxy-499"] == 499.0 and OTHER in found
-    meters = Meters()
+    meters = MetricRegistry()
     meters.gauge("a", "", lambda: 1.0)
     for name, words in (("a", "two figures"), ("no name", "no name of a figure")):
         with pytest.raises(ValueError, match=words):
@@ -92,8 +92,13 @@
 
 
 def test_buckets_follow_the_aims_and_are_bounded() -> None:
-    one = RequestClass(aim=400.0, deadline=1000.0, worth=1.0, effect=Effect.SAFE)
+    one = RequestClass(
+        latency_objective_ms=400.0,
+        deadline_ms=1000.0,
+        priority_weight=1.0,
+        idempotency=Idempotency.IDEMPOTENT,
+    )
     assert buckets([one]) == (0.04, 0.1, 0.2, 0.3, 0.4, 1.0)
-    many = [replace(one, aim=10.0 * n, deadline=20.0 * n) for n in range(1, 60)]
+    many = [replace(one, latency_objective_ms=10.0 * n, deadline_ms=20.0 * n) for n in range(1, 60)]
     found = buckets(many)
     assert len(found) == MAX_BUCKETS and found[-1] == 1.18 and list(found) == sorted(set(found))
--- a/tests/app/test_site.py
+++ b/tests/app/test_site.py
@@ -13,7 +13,14 @@
 import pytest
 
 from badgercart.app import site as site_module
-from badgercart.app.component import Declaration, Host, Kind, OrderError, ReloadError, in_order
+from badgercart.app.component import (
+    ComponentDeclaration,
+    ComponentHost,
+    ComponentKind,
+    OrderError,
+    ReloadError,
+    start_order,
+)
 from badgercart.app.faults import FileError
 from badgercart.app.file import Installation, load
 from badgercart.app.model import Table
@@ -61,15 +68,19 @@
 
 def parts(
     log: list[str], faults: dict[str, Any], **needs: tuple[str, ...]
-) -> tuple[Declaration, ...]:
-    def declared(name: str, wanted: tuple[str, ...]) -> Declaration:
-        def build(host: Host, settings: Any) -> Scripted:
+) -> tuple[ComponentDeclaration, ...]:
+    def declared(name: str, wanted: tuple[str, ...]) -> ComponentDeclaration:
+        def build(host: ComponentHost, settings: Any) -> Scripted:
             if (fault := faults.get(f"build {name}")) is not None:
                 raise fault
             return Scripted(name, log, faults)
 
-        kind = {"list": Kind.MEMBERS, "front": Kind.FRONT}.get(name, Kind.SERVICE)
-        return Declaration(name, (name,), kind, Numbered, name, build, wanted, reloads=("*",))
+        kind = {"list": ComponentKind.DISCOVERY, "front": ComponentKind.FRONTEND}.get(
+            name, ComponentKind.SERVICE
+        )
+        return ComponentDeclaration(
+            name, (name,), kind, Numbered, name, build, wanted, reloads=("*",)
+        )
 
     return tuple(declared(name, wanted) for name, wanted in needs.items())
 
@@ -188,7 +199,7 @@
         ({"a": ("b",), "b": ("a",), "c": ()}, "a, b wait for each other"),
     ):
         with pytest.raises(OrderError, match=words):
-            in_order(parts([], {}, **needs))
+            start_order(parts([], {}, **needs))
 
 
 def test_a_need_that_is_off_is_a_fault_of_the_file(tmp_path: Path) -> None:
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from badgercart.policy.endpoint import ServerEntry
+from badgercart.policy.endpoint import Endpoint
 from badgercart.reload import checks
 from benchmarks.scale import configuration, lists, policy, report
 from benchmarks.scale.__main__ import main
@@ -63,6 +63,6 @@
 
 
 def test_ids_and_lines_are_of_as_many_servers() -> None:
-    entries: list[ServerEntry] = [policy.entry(number) for number in range(20_000)]
+    entries: list[Endpoint] = [policy.entry(number) for number in range(20_000)]
     assert len({entry.id for entry in entries}) == 20_000
     assert len({lists.line(number)["hostPort"] for number in range(20_000)}) == 20_000
--- a/tests/bulk/test_room.py
+++ b/tests/bulk/test_room.py
@@ -5,7 +5,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.core.memory_budget import HOLD, LEAST_HOLD, LEAST_WINDOW, WINDOW, Room, room_of
+from badgercart.core.memory_budget import (
+    HOLD,
+    LEAST_HOLD,
+    LEAST_WINDOW,
+    WINDOW,
+    MemoryBudget,
+    budget_bytes,
+)
 from badgercart.core.streams import Upload
 
 
@@ -13,7 +20,7 @@
 def test_what_is_held_and_what_streams_stay_within_the_room(
     memory_mb: float, messages: int, streams: int
 ) -> None:
-    room = Room(room_of(memory_mb))
+    room = MemoryBudget(budget_bytes(memory_mb))
     for _ in range(messages):
         room.held += room.hold
     room.streams = streams
--- a/tests/bulk/test_streams.py
+++ b/tests/bulk/test_streams.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from badgercart.core.memory_budget import HOLD, Room
+from badgercart.core.memory_budget import HOLD, MemoryBudget
 from badgercart.frontends.http import clients
-from badgercart.policy.events import Began, Outcome, Result, Whole
+from badgercart.policy.events import AttemptEnded, AttemptResult, RequestCompleted, ResponseStarted
 from badgercart.policy.settings import Settings
 from badgercart.upstream import connection_pool as pool_module
 from tests.net import WAIT, Client, Peer, Stand, config, field, request, run, running
@@ -94,8 +94,8 @@
                 head = await head_of(client.reader)
                 assert head.startswith(b"HTTP/1.1 200")
                 assert await body_of(client.reader, head) == LONG
-                assert isinstance(await stand.event(Began), Began)
-                assert (await stand.outcome()).result is Result.OK
+                assert isinstance(await stand.event(ResponseStarted), ResponseStarted)
+                assert (await stand.outcome()).result is AttemptResult.OK
                 assert stand.node.front.bulk.streams == stand.node.front.bulk.held == 0
                 if field(head, b"Connection") == b"close":
                     client = await stand.client()
@@ -121,7 +121,7 @@
                 assert (await client.reader.readexactly(len(first))) == first
                 client.writer.close()  # who has gone away gets nothing more
                 assert await asyncio.wait_for(reader.read(), WAIT) == b""
-                assert (await stand.outcome()).result is Result.CANCELLED
+                assert (await stand.outcome()).result is AttemptResult.CANCELLED
 
     run(test())
 
@@ -140,7 +140,7 @@
             writer.transport.abort()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await body_of(client.reader, head)
-            assert (await stand.outcome()).result is Result.RESET
+            assert (await stand.outcome()).result is AttemptResult.RESET
             assert server.calls.empty()  # no other attempt
 
     run(test())
@@ -214,7 +214,7 @@
             (attempt,) = stand.node.pool.attempts.values()
             assert attempt.timer is None and not stand.node.join.policy.flying
             client.writer.write(body[2 * HOLD :])
-            assert isinstance(await stand.event(Whole), Whole)
+            assert isinstance(await stand.event(RequestCompleted), RequestCompleted)
             rest = (
                 await asyncio.wait_for(reader.readexactly(len(body) - HOLD), WAIT)
                 if form == "length"
@@ -266,10 +266,10 @@
                 status, answer_head, _ = await client.answer()
                 assert (status, field(answer_head, b"Connection")) == (503, b"close")
                 outcome = await spent(stand)
-                assert outcome.result is Result.UNREACHABLE
+                assert outcome.result is AttemptResult.UNREACHABLE
 
-    async def spent(stand: Stand) -> Outcome:
-        while not (outcome := await stand.outcome()).spent:
+    async def spent(stand: Stand) -> AttemptEnded:
+        while not (outcome := await stand.outcome()).body_consumed:
             pass
         return outcome
 
@@ -291,8 +291,8 @@
             reader, _ = await server.call()
             assert await client.end() == b""
             await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
-            assert (await stand.outcome()).result is Result.CANCELLED
-            assert not stand.node.join.held and not stand.node.pool.attempts
+            assert (await stand.outcome()).result is AttemptResult.CANCELLED
+            assert not stand.node.join.in_flight and not stand.node.pool.attempts
 
     run(test())
 
@@ -315,8 +315,8 @@
             else:
                 client.writer.transport.abort()
             await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
-            assert (await stand.outcome()).result is Result.CANCELLED
-            assert not stand.node.join.held and not stand.node.pool.attempts
+            assert (await stand.outcome()).result is AttemptResult.CANCELLED
+            assert not stand.node.join.in_flight and not stand.node.pool.attempts
             assert not stand.node.listener.open_ids
 
     run(test())
@@ -338,7 +338,7 @@
             writer.write(ANSWERS["length"][:HOLD])
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await body_of(client.reader, await head_of(client.reader))
-            assert (await stand.outcome()).result is Result.TIMEOUT
+            assert (await stand.outcome()).result is AttemptResult.TIMEOUT
 
     run(test())
 
@@ -367,7 +367,7 @@
                 head = await head_of(client.reader)
                 client.writer.transport.pause_reading()
                 readers.append((client, head))
-            room: Room = stand.node.front.bulk
+            room: MemoryBudget = stand.node.front.bulk
             paused = lambda: [c for c in stand.node.pool.connections if c.paused]  # noqa: E731
             async with asyncio.timeout(WAIT):
                 while len(paused()) < count:
--- a/tests/capture/golden_parts.py
+++ b/tests/capture/golden_parts.py
@@ -29,87 +29,93 @@
 from badgercart.frontends.processor.settings import OldAnswers
 from badgercart.policy.actions import (
     Action,
-    Cancel,
+    CancelAttempt,
     Fail,
+    HealthCheck,
     Log,
-    Probe,
-    Refuse,
     Send,
+    SetTimer,
+    Shed,
     Subscribe,
-    Wake,
 )
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import (
-    Began,
-    Company,
-    Diverted,
+    AttemptEnded,
+    AttemptRerouted,
+    AttemptResult,
+    ClusterView,
+    DeadlineExceeded,
+    EndpointUpdate,
     Event,
-    ListKind,
-    Outcome,
-    Overdue,
+    HealthCheckResult,
     PeerMessage,
-    Planned,
-    ProbeResult,
     Request,
-    Result,
-    Resume,
-    Retuned,
-    ServerList,
-    Timer,
-    Whole,
-    Withdrawn,
+    RequestCancelled,
+    RequestCompleted,
+    ResponseStarted,
+    RetryDecisionDue,
+    SettingsChanged,
+    TimerFired,
+    TrafficPlan,
+    UpdateKind,
 )
 from badgercart.policy.policy import Policy
-from badgercart.policy.settings import Effect, Group, RequestClass, Settings
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 CLASSES = (
-    RequestClass(580.0, 1400.0, 2.0, Effect.SAFE),
-    RequestClass(750.0, 1900.0, 8.0, Effect.KEYED, Group.CELL, 6000.0, 0.25, True),
-    RequestClass(300.0, 900.0, 4.0, Effect.UNSAFE, Group.ZONE, 0.0, 0.5, False),
+    RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT),
+    RequestClass(
+        750.0, 1900.0, 8.0, Idempotency.KEYED, DeduplicationScope.CELL, 6000.0, 0.25, True
+    ),
+    RequestClass(
+        300.0, 900.0, 4.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ZONE, 0.0, 0.5, False
+    ),
 )
 SETTINGS = Settings(
     CLASSES, 1, 3, 2, (40.0, 20.0), 0.05, True, True, 8000.0, 2.0, True, 4, 600.0, True, 250.0, 0.32, 8800.0,
     1.5, 900.0,
 )  # fmt: skip
 ENTRIES = [
-    ServerEntry(11, 0, 0, 2, State.READY, 2.0, 0.0),
-    ServerEntry(2**63 - 1, 1, 1, 3, State.DRAINING, 0.5, 777.25),
-    ServerEntry(13, -1, 0, 0, State.GONE, 1.0, 5.0),
+    Endpoint(11, 0, 0, 2, EndpointState.READY, 2.0, 0.0),
+    Endpoint(2**63 - 1, 1, 1, 3, EndpointState.DRAINING, 0.5, 777.25),
+    Endpoint(13, -1, 0, 0, EndpointState.GONE, 1.0, 5.0),
 ]
 EVENTS: list[Event] = [
-    ServerList(ListKind.FULL, 7, ENTRIES),
-    ServerList(ListKind.DELTA, 8, ENTRIES[:1]),
-    ServerList(ListKind.CACHED, 9, []),
-    ServerList(ListKind.FAILED, 10, []),
+    EndpointUpdate(UpdateKind.SNAPSHOT, 7, ENTRIES),
+    EndpointUpdate(UpdateKind.DELTA, 8, ENTRIES[:1]),
+    EndpointUpdate(UpdateKind.CACHED, 9, []),
+    EndpointUpdate(UpdateKind.FAILED, 10, []),
     Request(1, 0, 1400.5),
     Request(2, 1, 1900.0, 2**64 - 1, 1, 0.75, True, 3, True, frozenset({11, 13, 5}), False),
-    Whole(2, 2000.0),
-    Began(1, 0, 11, 12.5),
-    *(Outcome(1, 11, result % 2 == 0, result, result, 3.5) for result in Result),
-    Outcome(2, 11, False, Result.TIMEOUT, 1, 9.0, (0.5, 2.0), True, True),
-    Diverted(2, 0, 11, Result.RESET, 4.25, 13),
-    Resume(2, True),
-    ProbeResult(11, Result.OK, 1.5, (0.25,)),
-    Timer(1 << 60),
+    RequestCompleted(2, 2000.0),
+    ResponseStarted(1, 0, 11, 12.5),
+    *(AttemptEnded(1, 11, result % 2 == 0, result, result, 3.5) for result in AttemptResult),
+    AttemptEnded(2, 11, False, AttemptResult.TIMEOUT, 1, 9.0, (0.5, 2.0), True, True),
+    AttemptRerouted(2, 0, 11, AttemptResult.RESET, 4.25, 13),
+    RetryDecisionDue(2, True),
+    HealthCheckResult(11, AttemptResult.OK, 1.5, (0.25,)),
+    TimerFired(1 << 60),
     PeerMessage(3, b"\x00\xffpost"),
-    Withdrawn(2),
-    Overdue(2),
-    Retuned(SETTINGS, frozenset({0, 2}), frozenset({1}), frozenset({0, 1})),
-    Company(4, 1, 5, (0.25, 0.5), ((11, 0.75), (13, 0.125))),
-    Planned(((0.5, 0.25), (0.0, 1.0)), (0.125, 0.0), frozenset({1}), frozenset({0, 1}), (0.5, 0.0)),
+    RequestCancelled(2),
+    DeadlineExceeded(2),
+    SettingsChanged(SETTINGS, frozenset({0, 2}), frozenset({1}), frozenset({0, 1})),
+    ClusterView(4, 1, 5, (0.25, 0.5), ((11, 0.75), (13, 0.125))),
+    TrafficPlan(
+        ((0.5, 0.25), (0.0, 1.0)), (0.125, 0.0), frozenset({1}), frozenset({0, 1}), (0.5, 0.0)
+    ),
 ]
 ACTIONS: list[list[Action] | None] = [
     [
         Send(1, 11, 580.0),
         Send(2, 13, 750.0, (11, 2**63 - 1)),
-        Refuse(3, 0.0),
-        Refuse(4, 599.5),
+        Shed(3, 0.0),
+        Shed(4, 599.5),
         Fail(5),
     ],
     [
-        Cancel(2, 1),
-        Wake(12.25, 1 << 60),
-        Probe(11),
+        CancelAttempt(2, 1),
+        SetTimer(12.25, 1 << 60),
+        HealthCheck(11),
         Subscribe(),
         Log("shedding on: x 0.50, errors 0.2"),
     ],
@@ -211,10 +217,10 @@
         self.unready: list[int] = []  # requests whose bodies are still coming
 
     def entries(
-        self, numbers: range, state: State = State.READY, began: float = 4000.0
-    ) -> list[ServerEntry]:
+        self, numbers: range, state: EndpointState = EndpointState.READY, began: float = 4000.0
+    ) -> list[Endpoint]:
         return [
-            ServerEntry(
+            Endpoint(
                 n * 0x9E3779B97F4A7C15 % 2**63,
                 n % 3,
                 n % 2,
@@ -227,8 +233,8 @@
         ]
 
     def beginning(self) -> list[Event]:
-        company = Company(3, 1, 4, (0.5, 0.25), ((self.entries(range(5, 6))[0].id, 0.8),))
-        return [ServerList(ListKind.FULL, 1, self.entries(range(1, 13))), company]
+        company = ClusterView(3, 1, 4, (0.5, 0.25), ((self.entries(range(5, 6))[0].id, 0.8),))
+        return [EndpointUpdate(UpdateKind.SNAPSHOT, 1, self.entries(range(1, 13))), company]
 
     def next(self) -> Event:
         """The next event; the draws depend on what the policy decided."""
@@ -237,26 +243,28 @@
         if self.number in (60, 160):
             shares = ((0.5, 0.25, 0.2), (0.3, 0.3, 0.4), (0.1, 0.8, 0.1)) * 2
             self.number += 1
-            return Planned(
+            return TrafficPlan(
                 shares, (0.01, 0.02, 0.0), frozenset({2}), frozenset({1}), (0.25, 0.0, 0.0)
             )
         if self.number == 90:
             self.number += 1
-            return ServerList(ListKind.DELTA, 2, self.entries(range(3, 5), State.DRAINING))
+            return EndpointUpdate(
+                UpdateKind.DELTA, 2, self.entries(range(3, 5), EndpointState.DRAINING)
+            )
         if self.number in (130, 190):
             self.number += 1
-            return ServerList(
-                ListKind.DELTA,
+            return EndpointUpdate(
+                UpdateKind.DELTA,
                 3,
                 self.entries(range(self.number, self.number + 3), began=self.now - 900.0),
             )
         if self.timers and dice.random() < 0.2:
-            return Timer(self.timers.pop(0))
+            return TimerFired(self.timers.pop(0))
         if self.parked and dice.random() < 0.3:
-            return Resume(self.parked.pop(0), dice.random() < 0.7)
+            return RetryDecisionDue(self.parked.pop(0), dice.random() < 0.7)
         if self.unready and dice.random() < 0.3:
             request = self.unready.pop(0)
-            return Whole(request, self.now + 1200.0)
+            return RequestCompleted(request, self.now + 1200.0)
         if len(self.out) > dice.randrange(12):
             return self.end()
         self.number += 1
@@ -286,16 +294,20 @@
         if kind < 0.06:  # its outcome is still to come
             self.out.append((request, attempt, server, since))
         if kind < 0.03:
-            return Withdrawn(request)
+            return RequestCancelled(request)
         if kind < 0.06:
-            return Began(request, attempt, server, elapsed)
+            return ResponseStarted(request, attempt, server, elapsed)
         result = (
-            Result.OK if kind < 0.8 else dice.choice((Result.ERROR, Result.TIMEOUT, Result.RESET))
+            AttemptResult.OK
+            if kind < 0.8
+            else dice.choice((AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET))
         )
         parked = kind > 0.95
         if parked:
             self.parked.append(request)
-        return Outcome(request, server, result is Result.OK, result, attempt, elapsed, (), parked)
+        return AttemptEnded(
+            request, server, result is AttemptResult.OK, result, attempt, elapsed, (), parked
+        )
 
     def decide(self, event: Event) -> list[Action]:
         actions = self.policy.handle(self.now, event)
@@ -304,7 +316,7 @@
                 request, server = values(action)[:2]
                 attempt = self.tries[request] = self.tries.get(request, -1) + 1
                 self.out.append((request, attempt, server, self.now))
-            elif isinstance(action, Wake):
+            elif isinstance(action, SetTimer):
                 self.timers.append(values(action)[1])
         return actions
 
--- a/tests/capture/test_explain.py
+++ b/tests/capture/test_explain.py
@@ -11,7 +11,7 @@
 from badgercart.capture.explain import Telling, explain
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import decide, events, replay, segments, start
-from badgercart.policy.actions import Fail, Refuse, Send
+from badgercart.policy.actions import Fail, Send, Shed
 from badgercart.policy.events import Request
 from tests.capture.support import captured
 
@@ -47,7 +47,7 @@
         for action in actions or ():  # type: ignore[attr-defined]
             if isinstance(action, Send):
                 sends[action.id] = sends.get(action.id, 0) + 1
-            elif isinstance(action, Refuse):
+            elif isinstance(action, Shed):
                 refused.add(action.id)
             elif isinstance(action, Fail):
                 failed.add(action.id)
--- a/tests/capture/test_golden.py
+++ b/tests/capture/test_golden.py
@@ -1,8 +1,7 @@
-"""Captures written by an earlier text of the program are read to the same values, and written the
-same.
+"""Captures written by an earlier text of the program are read to the same values, and written the same.
 
-`format-1.bcap` and `rainy-saturday.bcap` (see `test_streams.py`) pin days as a node captured them;
-these files pin every kind of event, action and note, and a policy's state.
+`format-1.bcap` and `rainy-saturday.bcap` (see `test_streams.py`) pin days as a node captured them; these
+files pin every kind of event, action and note, and a policy's state.
 """
 
 from __future__ import annotations
@@ -11,14 +10,21 @@
 
 import pytest
 
-from badgercart.capture.codec import decode_actions, decode_settings, encode_settings
+from badgercart.capture.codec import (
+    decode_actions,
+    decode_settings,
+    encode_actions,
+    encode_settings,
+    freeze,
+    thaw,
+)
 from badgercart.capture.edit import differences
 from badgercart.capture.explain import explain
 from badgercart.capture.format import Ending, Kind, Segment, read_index
-from badgercart.capture.replay import Decided, events, replay, start
+from badgercart.capture.replay import Decided, decide, events, replay, start
 from badgercart.capture.streams import Streams
 from badgercart.capture.words import show
-from badgercart.policy.events import ProbeResult, Request
+from badgercart.policy.events import HealthCheckResult, Request
 from tests.capture.golden_parts import (
     ACTIONS,
     ENTRIES,
@@ -49,8 +55,8 @@
 @pytest.mark.parametrize("name", ["format-1.bin", "format-2.bin"])
 def test_events_are_read_to_the_same_values(name: str) -> None:
     told = read(name)
-    probe = ProbeResult(11, 1, 1.5, [0.25])  # type: ignore[arg-type]  # its numbers are read as they stand
-    expected = [probe if isinstance(event, ProbeResult) else event for event in EVENTS]
+    probe = HealthCheckResult(11, 1, 1.5, [0.25])  # type: ignore[arg-type]  # its numbers are read as they stand
+    expected = [probe if isinstance(event, HealthCheckResult) else event for event in EVENTS]
     assert [item.event for item in told] == expected
     assert [item.now for item in told] == [100.0 + at for at in range(len(EVENTS))]
     assert [type(item.event) for item in told] == [type(event) for event in EVENTS]
@@ -157,6 +163,16 @@
     assert start(Segment(path.read_bytes())).handle(1e6, Request(1 << 40, 0, 2e6))
 
 
+@pytest.mark.parametrize("again", [False, True])
+def test_a_state_by_numbers_goes_on_with_the_same_decisions(again: bool) -> None:
+    """As it is written today: `state-2.bin` was made of the state that `state.bin` begins with."""
+    policy = thaw((GOLDEN / "state-2.bin").read_bytes())
+    if again:
+        policy = thaw(freeze(policy))
+    for item in events(Segment((GOLDEN / "state.bin").read_bytes())):
+        assert encode_actions(decide(policy, item.now, item.event)) == item.then
+
+
 def test_events_and_actions_are_shown_to_people_in_the_same_words() -> None:
     lines = [show(event) for event in EVENTS]
     lines += [show(actions) for actions in ACTIONS]
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -18,7 +18,7 @@
 import badgercart.policy.hash_ring
 import badgercart.policy.policy
 from badgercart.app.cli import main
-from badgercart.capture import codec, format, writer
+from badgercart.capture import codec, format, policy_state, writer
 from badgercart.capture.codec import CodecError, decode_event, freeze, thaw
 from badgercart.capture.format import Ending, FormatError, Kind, Segment
 from badgercart.capture.replay import decide, events, replay, replay_all, segments, start
@@ -61,10 +61,10 @@
     """It had a plain dict of servers without points, all buckets in a list, and faded all
     servers."""
     segment = Segment(segments([str(day)])[1].read_bytes())
-    old = thaw(segment.head["state"])
-    del old.buckets, old.touched, old.leaked
-    old.quota_used, old.unplaced = [3.0] * len(old.settings.quotas), dict.fromkeys(old.ready[:3])  # type: ignore[attr-defined,assignment]
-    segment.head |= {"state": pickle.dumps(old), "module": {"rules.py": "another"}}
+    old = policy_state.stored_values(thaw(segment.head["state"]))
+    del old["buckets"], old["touched"], old["leaked"]
+    old["quota_used"], old["unplaced"] = [3.0, 3.0], dict.fromkeys(old["ready"][:3])
+    segment.head |= {"state": policy_state.dump_values(old), "module": {"rules.py": "another"}}
     policy, came = start(segment), 0
     assert policy.touched == policy.servers.keys() and len(policy.unplaced) == 3
     for item in events(segment):
@@ -167,7 +167,7 @@
     capture = writer.Capture(
         chosen, tmp_path, "n", day.join.policy, 2, gaps.append, failures_are_none
     )
-    day.join.tap = capture.tap
+    day.join.decision_log = capture.tap
     with monkeypatch.context() as patch:
 
         def stalled(self: writer.Disk, segment: str, data: bytes) -> None:
@@ -208,7 +208,7 @@
         CaptureSettings.model_construct(folder=""), folder, "n", day.join.policy, 1, lambda lost: None,
         lambda error: (failures.append(error), setattr(day.join, "tap", None)),
     )  # fmt: skip
-    day.join.tap = capture.tap
+    day.join.decision_log = capture.tap
     folder.rmdir()
     capture.flush()
     capture.disk.thread.join(5)
@@ -278,8 +278,9 @@
 def test_the_numbers_of_events_and_actions_are_those_of_the_files() -> None:
     names = [kind.__name__ for kind in (*codec.EVENTS, *codec.ACTIONS)]
     assert names == [
-        "ServerList", "Request", "Began", "Outcome", "Diverted", "Resume", "ProbeResult", "Timer",
-        "PeerMessage", "Withdrawn", "Whole", "Retuned", "Company", "Planned", "Overdue", "Send", "Refuse",
-        "Fail", "Cancel", "Wake", "Probe", "Subscribe", "Log",
+        "EndpointUpdate", "Request", "ResponseStarted", "AttemptEnded", "AttemptRerouted", "RetryDecisionDue",
+        "HealthCheckResult", "TimerFired", "PeerMessage", "RequestCancelled", "RequestCompleted",
+        "SettingsChanged", "ClusterView", "TrafficPlan", "DeadlineExceeded", "Send", "Shed",
+        "Fail", "CancelAttempt", "SetTimer", "HealthCheck", "Subscribe", "Log",
     ]  # fmt: skip
     assert [kind.value for kind in Kind] == [1, 2, 3, 4, 5, 6] and format.VERSION == 2
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -78,7 +78,7 @@
     day, freshness = Saturday(1), Freshness(Rule())
     chosen = CaptureSettings.model_construct(folder="", segment_bytes=1 << 14)
     capture = Capture(chosen, tmp_path, "n", day.join.policy, 1, lambda lost: None, print)
-    day.join.tap = capture.tap
+    day.join.decision_log = capture.tap
     capture.snapshots.append(lambda: snapshot("list", freshness))
     capture.note(snapshot("list", freshness))
     watch("list", freshness, capture.note)
@@ -142,7 +142,7 @@
         chosen = CaptureSettings.model_construct(folder="")
         policy = join.policy  # type: ignore[attr-defined]
         made.append(Capture(chosen, tmp_path, "n", policy, 1, lambda lost: None, print))
-        join.tap = made[0].tap  # type: ignore[attr-defined]
+        join.decision_log = made[0].tap  # type: ignore[attr-defined]
 
     day = Saturday(1, tap)
     day.play(200)
--- a/tests/capture/test_whatif.py
+++ b/tests/capture/test_whatif.py
@@ -14,7 +14,7 @@
 from badgercart.capture.replay import events, replay, start
 from badgercart.capture.whatif import Change, what_if
 from badgercart.policy import policy as rules
-from badgercart.policy.events import Outcome, Request, Result, ServerList
+from badgercart.policy.events import AttemptEnded, AttemptResult, EndpointUpdate, Request
 from badgercart.policy.policy import Policy
 
 DAY = Path(__file__).parent / "rainy-saturday.bcap"
@@ -68,10 +68,10 @@
             event = item.event  # type: ignore[attr-defined]
             if isinstance(event, Request):
                 found.add(event.key)
-            elif isinstance(event, ServerList):
-                found |= {line.id for line in event.servers}
-            elif isinstance(event, Outcome):
-                found.add(event.server)
+            elif isinstance(event, EndpointUpdate):
+                found |= {line.id for line in event.endpoints}
+            elif isinstance(event, AttemptEnded):
+                found.add(event.endpoint_id)
         return found - {0}
 
     assert not numbers(then) & numbers(now) and len(numbers(then)) >= len(numbers(now)) > 30
@@ -80,7 +80,7 @@
     assert head["node"] == "" and head["wall_ms"] == 0.0 and head["seed"] != 7
 
     def served(items: list[object]) -> int:
-        return sum(getattr(i.event, "result", 0) == Result.OK for i in items)  # type: ignore[attr-defined]
+        return sum(getattr(i.event, "result", 0) == AttemptResult.OK for i in items)  # type: ignore[attr-defined]
 
     assert served(now) == pytest.approx(served(then), rel=0.1)  # a night like it
     anonymise(DAY, again)
--- a/tests/cluster/test_driver.py
+++ b/tests/cluster/test_driver.py
@@ -8,8 +8,8 @@
 
 from badgercart.cluster.codec import Codec
 from badgercart.cluster.driver import Allowed, Driver
-from badgercart.cluster.membership_table import Claim, Status
-from badgercart.cluster.swim import Machine, Timing
+from badgercart.cluster.membership_table import MembershipRecord, Status
+from badgercart.cluster.swim import SwimProtocol, Timing
 
 
 def test_a_connection_that_waits_as_the_process_ends_is_no_fault() -> None:
@@ -18,8 +18,11 @@
     async def run() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: said.append(context))
-        machine = Machine(
-            Claim("n0", 0, Status.ALIVE, ("127.0.0.1", 1), 1), Timing(), [], random.Random(1)
+        machine = SwimProtocol(
+            MembershipRecord("n0", 0, Status.ALIVE, ("127.0.0.1", 1), 1),
+            Timing(),
+            [],
+            random.Random(1),
         )
         codec, allowed = Codec("g", b"a secret of the test"), Allowed(("127.0.0.0/8",))
         driver = Driver(
--- a/tests/cluster/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -32,21 +32,21 @@
     Sync,
 )
 from badgercart.cluster.hybrid_logical_clock import HybridClock
-from badgercart.cluster.membership_table import Claim, Status
-from badgercart.cluster.swim import Effect, Machine, SendTo, SyncWith, Timing
+from badgercart.cluster.membership_table import MembershipRecord, Status
+from badgercart.cluster.swim import Effect, SendTo, SwimProtocol, SyncWith, Timing
 from badgercart.cluster.uses import Hearsay, Rumours, Shares
 from badgercart.config import Address
-from badgercart.core.endpoint_table import Member as Line
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.core.endpoint_table import DiscoveredEndpoint as Line
+from badgercart.policy.endpoint import Endpoint, EndpointState
 
 GOLDEN = Path(__file__).parent / "golden"
 CODEC = Codec("budapest", b"a secret of sixteen or more")
 BOOT = 1_790_000_000_000 << 10 | 7
 CLAIMS = (
-    Claim("n1", 3, Status.ALIVE, ("127.0.0.1", 7946), BOOT, "a", "east", ""),
-    Claim("n2", 0, Status.SUSPECT, ("127.0.0.2", 7947), BOOT + 1, "b", "", "n1"),
-    Claim("n3", 9, Status.DEAD, ("127.0.0.3", 7948), BOOT + 2, "", "", "n2"),
-    Claim("zürich-4", 1, Status.LEFT, ("::1", 65535), 0, "c", "west", "zürich-4"),
+    MembershipRecord("n1", 3, Status.ALIVE, ("127.0.0.1", 7946), BOOT, "a", "east", ""),
+    MembershipRecord("n2", 0, Status.SUSPECT, ("127.0.0.2", 7947), BOOT + 1, "b", "", "n1"),
+    MembershipRecord("n3", 9, Status.DEAD, ("127.0.0.3", 7948), BOOT + 2, "", "", "n2"),
+    MembershipRecord("zürich-4", 1, Status.LEFT, ("::1", 65535), 0, "c", "west", "zürich-4"),
 )
 POSTS = (("use", "n1", 1, b"\x93\x01\x02\x90"), ("zones.plan", "n2", (1 << 63) - 1, b""))
 BODIES: dict[str, Body] = {
@@ -108,19 +108,19 @@
     assert other.heard["n1"].rate(0) == 0.005
 
 
-def line(number: int, state: State) -> Line:
-    return Line(ServerEntry(number, 0, 0, 0, state, 1.0, 0.0), ("127.0.0.1", 80), f"s{number}")
+def line(number: int, state: EndpointState) -> Line:
+    return Line(Endpoint(number, 0, 0, 0, state, 1.0, 0.0), ("127.0.0.1", 80), f"s{number}")
 
 
 def test_a_post_of_drains_is_written_and_read_as_before() -> None:
     rumours = Rumours()
-    rumours.note(line(3, State.DRAINING), 41, 0.0)
-    rumours.note(line(70_000, State.GONE), 42, 0.0)
+    rumours.note(line(3, EndpointState.DRAINING), 41, 0.0)
+    rumours.note(line(70_000, EndpointState.GONE), 42, 0.0)
     kept = (GOLDEN / "post-drains.bin").read_bytes()
     assert rumours.posts(0.0) == [kept]
     assert msgspec.msgpack.decode(kept) == [[70_000, 42], [3, 41]]
     other = Rumours()
-    listed = {number: line(number, State.READY) for number in range(1, 10)}
+    listed = {number: line(number, EndpointState.READY) for number in range(1, 10)}
     assert [found.name for found in other.take(kept, 40, listed)] == ["s3"]
 
 
@@ -137,8 +137,8 @@
 def test_a_node_sends_the_packets_that_it_sent_before() -> None:
     """Fifty seconds of a node that hears one other: bytes, addresses and times of all that it
     sends."""
-    machine = Machine(
-        Claim("n0", 0, Status.ALIVE, ("127.0.0.1", 7946), BOOT, "a", "east"),
+    machine = SwimProtocol(
+        MembershipRecord("n0", 0, Status.ALIVE, ("127.0.0.1", 7946), BOOT, "a", "east"),
         Timing(),
         [("127.0.0.1", 7946), ("127.0.0.9", 7946)],
         random.Random("golden"),
@@ -167,13 +167,17 @@
     clock = HybridClock(lambda: 1_790_000_000_500.0)
 
     def hear(
-        now: float, serial: int, body: Body, claims: tuple[Claim, ...] = (), *posts: object
+        now: float,
+        serial: int,
+        body: Body,
+        claims: tuple[MembershipRecord, ...] = (),
+        *posts: object,
     ) -> None:
         packet = Packet("n1", BOOT + 1, 0, serial, clock.tick(), body, claims, posts)  # type: ignore[arg-type]
         keep(now, machine.receive(now, packet, other))
 
-    n1 = Claim("n1", 0, Status.ALIVE, other, BOOT + 1, "b")
-    n2 = Claim("n2", 0, Status.ALIVE, ("127.0.0.3", 7946), BOOT + 2, "c")
+    n1 = MembershipRecord("n1", 0, Status.ALIVE, other, BOOT + 1, "b")
+    n2 = MembershipRecord("n2", 0, Status.ALIVE, ("127.0.0.3", 7946), BOOT + 2, "c")
     keep(0.0, machine.start(0.0))
     until(300.0)
     hear(310.0, 1, Sync(), (n1, n2))
@@ -185,18 +189,28 @@
         740.0,
         5,
         Gossip(),
-        (Claim("n0", 0, Status.SUSPECT, ("127.0.0.1", 7946), BOOT, "a", "east", "n1"),),
+        (MembershipRecord("n0", 0, Status.SUSPECT, ("127.0.0.1", 7946), BOOT, "a", "east", "n1"),),
     )
     until(1500.0)
     hear(1510.0, 6, Behind(7, BOOT))
-    hear(1520.0, 7, Gossip(), (Claim("n0", 20, Status.ALIVE, ("127.0.0.5", 7946), BOOT + 50),))
-    hear(1530.0, 8, Gossip(), (Claim("n0", 21, Status.ALIVE, ("127.0.0.5", 7946), BOOT + 50),))
+    hear(
+        1520.0,
+        7,
+        Gossip(),
+        (MembershipRecord("n0", 20, Status.ALIVE, ("127.0.0.5", 7946), BOOT + 50),),
+    )
+    hear(
+        1530.0,
+        8,
+        Gossip(),
+        (MembershipRecord("n0", 21, Status.ALIVE, ("127.0.0.5", 7946), BOOT + 50),),
+    )
     keep(1600.0, machine.post(1600.0, "use", 5, b"ours"))
     keep(1610.0, machine.tell(1610.0, "n1", "use", 6, b"yours"))
     until(20_000.0)
     keep(40_000.0, machine.tick(40_000.0))  # it stood still
     until(50_000.0)
-    hear(50_005.0, 9, Gossip(), (Claim("n1", 30, Status.ALIVE, other, BOOT + 1, "b"),))
+    hear(50_005.0, 9, Gossip(), (MembershipRecord("n1", 30, Status.ALIVE, other, BOOT + 1, "b"),))
     keep(50_010.0, machine.leave(50_010.0))
     assert sent == (GOLDEN / "node.txt").read_text().splitlines()
 
@@ -208,7 +222,7 @@
         machine = site.parts["peers"].machine  # type: ignore[attr-defined]
         for claim in (replace(CLAIMS[2], status=Status.ALIVE, incarnation=8), *CLAIMS[:3]):
             machine.merge(claim, "n1")
-        machine.merge(Claim("n1", 4, Status.LEFT, ("127.0.0.1", 7946), BOOT), "n1")
+        machine.merge(MembershipRecord("n1", 4, Status.LEFT, ("127.0.0.1", 7946), BOOT), "n1")
         site.parts["peers"].act(machine.done())  # type: ignore[attr-defined]
         told = site.host.pages[b"/_peers"].body()
         site.close()
--- a/tests/cluster/test_merging.py
+++ b/tests/cluster/test_merging.py
@@ -12,26 +12,31 @@
 from badgercart.cluster.broadcast_queue import Queue, most_times
 from badgercart.cluster.codec import MTU, Codec, Packet, Ping, Refused, Window
 from badgercart.cluster.driver import MAX_SOURCES, Allowed
-from badgercart.cluster.gossip_registers import MAX_POST, Board
+from badgercart.cluster.gossip_registers import MAX_POST, GossipRegisters
 from badgercart.cluster.hybrid_logical_clock import MAX_AHEAD, HybridClock
-from badgercart.cluster.membership_table import Claim, Status, View
+from badgercart.cluster.membership_table import MembershipRecord, MembershipTable, Status
 
 names = st.sampled_from(["a", "b", "c"])
 addresses = st.sampled_from([("h", 1), ("h", 2)])
 claims = st.builds(
-    Claim, names, st.integers(0, 4), st.sampled_from(Status), addresses, st.integers(1, 3)
+    MembershipRecord,
+    names,
+    st.integers(0, 4),
+    st.sampled_from(Status),
+    addresses,
+    st.integers(1, 3),
 )
 posts = st.tuples(st.sampled_from(["x", "y"]), names, st.integers(0, 4), st.binary(max_size=2))
 
 
 @given(st.lists(claims, max_size=12), st.randoms(use_true_random=False), st.integers(0, 12))
 def test_claims_merge_in_any_order_and_any_grouping_to_one_view(
-    told: list[Claim], rng: random.Random, cut: int
+    told: list[MembershipRecord], rng: random.Random, cut: int
 ) -> None:
-    def merged(*groups: list[Claim]) -> dict[str, tuple[object, ...]]:
-        view = View()
+    def merged(*groups: list[MembershipRecord]) -> dict[str, tuple[object, ...]]:
+        view = MembershipTable()
         for group in groups:  # each group by itself first, as another node would have done it
-            part = View()
+            part = MembershipTable()
             for claim in group:
                 part.merge(claim, 0.0, "")
             for claim in part.claims() * 2:
@@ -50,7 +55,7 @@
 ) -> None:
     boards = []
     for order in (told, rng.sample(told, len(told)), told * 2):
-        board = Board()
+        board = GossipRegisters()
         board.follow("x"), board.follow("y")
         for post in order:
             board.merge(post)
@@ -59,10 +64,10 @@
 
 
 def test_tables_have_their_bounds() -> None:
-    view, board, queue = View(most=2), Board(most=2), Queue(2)
+    view, board, queue = MembershipTable(most=2), GossipRegisters(most=2), Queue(2)
     board.follow("x")
     for name in "abc":
-        view.merge(Claim(name, 0, Status.ALIVE, ("h", 1), 1), 0.0, "")
+        view.merge(MembershipRecord(name, 0, Status.ALIVE, ("h", 1), 1), 0.0, "")
         board.merge(("x", name, 1, b""))
         queue.put(name, name, 1)
     assert len(view.beliefs) == len(board.posts) == len(queue) == 2
@@ -85,11 +90,11 @@
 OURS = Codec("g", b"secret of the group")
 
 
-def ping(sender: str = "a", *claims: Claim) -> bytes:
+def ping(sender: str = "a", *claims: MembershipRecord) -> bytes:
     return OURS.encode(Packet(sender, 1, 0, 1, (1, 0), Ping(3), claims))
 
 
-GOOD = ping("a", Claim("a", 0, Status.ALIVE, ("h", 1), 1))
+GOOD = ping("a", MembershipRecord("a", 0, Status.ALIVE, ("h", 1), 1))
 
 
 @pytest.mark.parametrize(
@@ -103,8 +108,8 @@
         ("stray", b"bc"),
         ("oversized", GOOD + bytes(MTU)),
         ("malformed", b"bc\x01" + OURS.tag(b"\x93") + b"\x93"),
-        ("malformed", ping("a", Claim("x" * 99, 0, Status.DEAD, ("h", 1), 1))),
-        ("malformed", ping("a", Claim("x", 1 << 60, Status.DEAD, ("h", 1), 1))),
+        ("malformed", ping("a", MembershipRecord("x" * 99, 0, Status.DEAD, ("h", 1), 1))),
+        ("malformed", ping("a", MembershipRecord("x", 1 << 60, Status.DEAD, ("h", 1), 1))),
         ("malformed", ping("")),
     ],
 )  # fmt: skip
--- a/tests/cluster/test_slopes.py
+++ b/tests/cluster/test_slopes.py
@@ -12,8 +12,13 @@
 
 from badgercart.cluster.broadcast_queue import MISFITS, Queue
 from badgercart.cluster.codec import Gossip
-from badgercart.cluster.membership_table import Belief, Claim, Status, View
-from badgercart.cluster.swim import Machine
+from badgercart.cluster.membership_table import (
+    MembershipRecord,
+    MembershipTable,
+    MemberState,
+    Status,
+)
+from badgercart.cluster.swim import SwimProtocol
 from benchmarks.scale.peers import Hollow, rates
 from lab.group import Group
 
@@ -53,20 +58,20 @@
 
 
 def test_a_fan_out_that_grows_with_the_group_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spread(machine: Machine) -> None:
+    def spread(machine: SwimProtocol) -> None:
         for belief in machine.some(len(machine.view.beliefs) // 4):
             machine.send(belief.claim.address, Gossip())
 
-    monkeypatch.setattr(Machine, "spread", spread)
+    monkeypatch.setattr(SwimProtocol, "spread", spread)
     assert growth("messages", seconds=3.0, settled=1.0)["messages"] > FLAT
 
 
 def test_a_look_at_all_members_for_each_packet_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    def some(machine: Machine, count: int, without: str = "") -> list[Belief]:
+    def some(machine: SwimProtocol, count: int, without: str = "") -> list[MemberState]:
         others = [belief for belief in machine.live() if belief.claim.name != without]
         return machine.random.sample(others, min(count, len(others)))
 
-    monkeypatch.setattr(Machine, "some", some)
+    monkeypatch.setattr(SwimProtocol, "some", some)
     assert growth("looked", tenants=10, seconds=5.0)["looked"] > FLAT
 
 
@@ -131,14 +136,16 @@
 
 
 def test_who_is_in_reach_and_who_is_gone_follow_every_change_of_a_view() -> None:
-    rng, view = random.Random(3), View(40)
+    rng, view = random.Random(3), MembershipTable(40)
     for step in range(3000):
         name = f"n{rng.randrange(50)}"
         if rng.random() < 0.1:
             view.forget(name)
         else:
             status, port = rng.choice(list(Status)), rng.randrange(1, 9)
-            view.merge(Claim(name, step // 9, status, ("h", port), rng.randrange(3)), 0.0, "")
+            view.merge(
+                MembershipRecord(name, step // 9, status, ("h", port), rng.randrange(3)), 0.0, ""
+            )
         live = {b.claim.name for b in view.of(Status.ALIVE, Status.SUSPECT)}
         assert sorted(view.reach) == sorted(live) and all(
             view.reach[at] == n for n, at in view.places.items()
@@ -152,9 +159,9 @@
 
 
 def test_who_is_drawn_costs_by_how_many_are_drawn_and_all_are_drawn_alike() -> None:
-    rng, view = random.Random(4), View()
+    rng, view = random.Random(4), MembershipTable()
     for number in range(1000):
-        view.merge(Claim(f"n{number}", 0, Status.ALIVE, ("h", number + 1), 1), 0.0, "")
+        view.merge(MembershipRecord(f"n{number}", 0, Status.ALIVE, ("h", number + 1), 1), 0.0, "")
     counts = dict.fromkeys(view.beliefs, 0)
     for _ in range(10_000):
         for belief in view.draw(3, rng, ("n7",)):
--- a/tests/cluster/test_uses.py
+++ b/tests/cluster/test_uses.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 
 from badgercart.cluster.member import Member as Group
-from badgercart.cluster.membership_table import Claim, Status
-from badgercart.cluster.quorum import Level, Standing, level_of
-from badgercart.cluster.swim import Machine, Posted, Timing
+from badgercart.cluster.membership_table import MembershipRecord, Status
+from badgercart.cluster.quorum import Level, QuorumState, level_of
+from badgercart.cluster.swim import Posted, SwimProtocol, Timing
 from badgercart.cluster.uses import A_POST, Hearsay, Rumours, Shares, Use, company, levelled
 from badgercart.config import Address
-from badgercart.core.endpoint_table import Member
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.core.endpoint_table import DiscoveredEndpoint
+from badgercart.policy.endpoint import Endpoint, EndpointState
 
 HOST: Address = ("127.0.0.1", 80)
 STALE_MS = 2000.0
@@ -49,8 +49,8 @@
     return nodes
 
 
-def standing(reach: list[int], largest: int) -> Standing:
-    return Standing(level_of(len(reach), largest), tuple(f"n{i}" for i in reach), largest)
+def standing(reach: list[int], largest: int) -> QuorumState:
+    return QuorumState(level_of(len(reach), largest), tuple(f"n{i}" for i in reach), largest)
 
 
 @given(st.lists(st.integers(0, 200), min_size=2, max_size=8), st.integers(1, 2**8 - 1))
@@ -106,8 +106,8 @@
     assert list(nodes[0].heard["n1"].posts) == before and nodes[0].turned_away == 3
 
 
-def member(number: int, state: State = State.READY) -> Member:
-    return Member(ServerEntry(number, 0, 0, 0, state, 1.0, 0.0), HOST, f"s{number}")
+def member(number: int, state: EndpointState = EndpointState.READY) -> DiscoveredEndpoint:
+    return DiscoveredEndpoint(Endpoint(number, 0, 0, 0, state, 1.0, 0.0), HOST, f"s{number}")
 
 
 LISTED = {number: member(number) for number in range(1, 11)}
@@ -116,27 +116,30 @@
 def told(*servers: int, version: int = 5) -> bytes:
     rumours = Rumours()
     for server in servers:
-        rumours.note(member(server, State.DRAINING), version, 0.0)
+        rumours.note(member(server, EndpointState.DRAINING), version, 0.0)
     return rumours.posts(0.0)[0]
 
 
 def test_a_rumour_drains_until_our_own_list_is_as_late_and_never_brings_one_back() -> None:
     rumours = Rumours()
     (line,) = rumours.take(told(3), 4, LISTED)
-    assert rumours.amend(line, 4).entry.state is State.DRAINING
+    assert rumours.amend(line, 4).entry.state is EndpointState.DRAINING
     assert rumours.take(told(3), 4, LISTED) == []  # heard again
     assert rumours.over(4) == []
     assert (
-        rumours.amend(member(3), 4).entry.state is State.DRAINING
+        rumours.amend(member(3), 4).entry.state is EndpointState.DRAINING
     )  # our list says ready, and is older
     (back,) = rumours.over(5)
-    assert back.entry.state is State.READY and rumours.amend(back, 5).entry.state is State.READY
+    assert (
+        back.entry.state is EndpointState.READY
+        and rumours.amend(back, 5).entry.state is EndpointState.READY
+    )
     assert rumours.take(told(3), 5, LISTED) == []  # older than what our list says
 
 
 def test_a_word_of_our_own_list_is_told_and_one_that_came_as_a_rumour_is_not() -> None:
     rumours = Rumours()
-    rumours.note(member(1, State.GONE), 4, 0.0)
+    rumours.note(member(1, EndpointState.GONE), 4, 0.0)
     rumours.take(told(2), 4, LISTED)
     rumours.note(rumours.amend(member(2), 4), 4, 0.0)
     assert [server for server, _ in msgspec.msgpack.decode(rumours.posts(0.0)[0])] == [1]
@@ -160,7 +163,7 @@
 def test_many_drains_are_told_in_posts_of_a_few_the_newest_first() -> None:
     rumours = Rumours()
     for server in range(1000):
-        rumours.note(member(server, State.DRAINING), 5, 0.0)
+        rumours.note(member(server, EndpointState.DRAINING), 5, 0.0)
     posts = rumours.posts(1.0)
     assert [len(msgspec.msgpack.decode(post)) for post in posts] == [A_POST] * 8
     assert msgspec.msgpack.decode(posts[0])[0][0] == 999
@@ -189,7 +192,12 @@
 ) -> None:
     there = standing(list(range(reach)), may_live)
     event = company("n0", there, (0.5,), ())
-    assert (there.level, event.size, event.may_live, event.me) == (level, size, may_live, 0)
+    assert (there.level, event.size, event.possibly_alive, event.node_index) == (
+        level,
+        size,
+        may_live,
+        0,
+    )
 
 
 def test_random_posts_never_raise() -> None:
@@ -204,12 +212,15 @@
 
 
 def test_in_a_large_group_reports_come_less_often_and_none_of_them_is_old_for_that() -> None:
-    machine = Machine(Claim("n0", 0, Status.ALIVE, HOST, 1), Timing(), [], random.Random(1))
+    machine = SwimProtocol(
+        MembershipRecord("n0", 0, Status.ALIVE, HOST, 1), Timing(), [], random.Random(1)
+    )
     member_ = Group(machine, [100.0], 500.0, ("shares",))
     least = member_.every
     for number in range(1, 100):
         machine.merge(
-            Claim(f"n{number}", 0, Status.ALIVE, ("127.0.0.1", 80 + number), 1), f"n{number}"
+            MembershipRecord(f"n{number}", 0, Status.ALIVE, ("127.0.0.1", 80 + number), 1),
+            f"n{number}",
         )
     # So many are passed on by each node that a link bears no more than in a group of eight.
     assert least == 500.0 and member_.every == pytest.approx(500.0 * 100 * 12 / 64)
--- a/tests/core/test_golden.py
+++ b/tests/core/test_golden.py
@@ -10,28 +10,28 @@
 
 import pytest
 
-from badgercart.core.endpoint_table import Member, MemberList, Roster
-from badgercart.core.request_pipeline import Join
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate, EndpointTable
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import (
-    Began,
-    Company,
-    Diverted,
+    AttemptEnded,
+    AttemptRerouted,
+    AttemptResult,
+    ClusterView,
+    DeadlineExceeded,
+    EndpointUpdate,
     Event,
-    ListKind,
-    Outcome,
-    Overdue,
+    HealthCheckResult,
     PeerMessage,
-    Planned,
-    ProbeResult,
     Request,
-    Result,
-    Resume,
-    Retuned,
-    ServerList,
-    Timer,
-    Whole,
-    Withdrawn,
+    RequestCancelled,
+    RequestCompleted,
+    ResponseStarted,
+    RetryDecisionDue,
+    SettingsChanged,
+    TimerFired,
+    TrafficPlan,
+    UpdateKind,
 )
 from tests.clockwork import Clockwork
 from tests.golden import differences
@@ -40,21 +40,21 @@
 GOLDEN = Path(__file__).parent / "golden"
 SETTINGS = config(1).settings
 EVENTS: tuple[Event, ...] = (
-    ServerList(ListKind.FULL, 7, []),
+    EndpointUpdate(UpdateKind.SNAPSHOT, 7, []),
     Request(1, 0, 60_000.0),
-    Whole(1, 60_000.0),
-    Began(1, 0, 7, 2.0),
-    Outcome(1, 7, True, Result.OK, 0, 2.0),
-    Diverted(1, 0, 7, Result.UNREACHABLE, 2.0, 8),
-    Resume(1, True),
-    ProbeResult(7, Result.OK, 2.0),
-    Timer(1),
+    RequestCompleted(1, 60_000.0),
+    ResponseStarted(1, 0, 7, 2.0),
+    AttemptEnded(1, 7, True, AttemptResult.OK, 0, 2.0),
+    AttemptRerouted(1, 0, 7, AttemptResult.UNREACHABLE, 2.0, 8),
+    RetryDecisionDue(1, True),
+    HealthCheckResult(7, AttemptResult.OK, 2.0),
+    TimerFired(1),
     PeerMessage(1, b""),
-    Withdrawn(1),
-    Retuned(SETTINGS, frozenset()),
-    Company(1, 0, 1),
-    Planned(),
-    Overdue(1),
+    RequestCancelled(1),
+    SettingsChanged(SETTINGS, frozenset()),
+    ClusterView(1, 0, 1),
+    TrafficPlan(),
+    DeadlineExceeded(1),
 )
 
 
@@ -70,11 +70,11 @@
         self.lines.append(f"{event} {record.levelname} {record.getMessage()} {record.args!r}")
 
 
-def heard(act: Callable[[Join], object]) -> bytes:
+def heard(act: Callable[[RequestPipeline], object]) -> bytes:
     """What is logged while a join does this."""
     log, handler = logging.getLogger("badgercart"), Heard()
     clockwork = Clockwork()
-    join = Join(SETTINGS, 1, clockwork, clockwork.clock)
+    join = RequestPipeline(SETTINGS, 1, clockwork, clockwork.clock)
     level = log.level
     log.addHandler(handler)
     log.setLevel(logging.INFO)
@@ -92,10 +92,10 @@
     def broken(now: float, event: Event) -> Any:
         raise RuntimeError("broken on purpose")
 
-    def play(event: Event) -> Callable[[Join], None]:
-        def act(join: Join) -> None:
+    def play(event: Event) -> Callable[[RequestPipeline], None]:
+        def act(join: RequestPipeline) -> None:
             join.policy.handle = broken  # type: ignore[method-assign]
-            join.tell(event)
+            join.dispatch(event)
 
         return act
 
@@ -105,13 +105,13 @@
 class Unread:
     """Nothing is read of any list: lists come as they are."""
 
-    def read(self, raw: Any, kind: Any = None) -> MemberList:
+    def read(self, raw: Any, kind: Any = None) -> DiscoveryUpdate:
         raise ValueError
 
 
-def line(number: int, state: State) -> Member:
-    return Member(
-        ServerEntry(number, 0, 0, 0, state, 1.0, 0.0), ("127.0.0.1", number), f"s-{number}"
+def line(number: int, state: EndpointState) -> DiscoveredEndpoint:
+    return DiscoveredEndpoint(
+        Endpoint(number, 0, 0, 0, state, 1.0, 0.0), ("127.0.0.1", number), f"s-{number}"
     )
 
 
@@ -119,25 +119,32 @@
     """`list.taken` for each kind of list and each state of a server."""
     some = [
         line(number, state)
-        for number, state in ((1, State.READY), (2, State.DRAINING), (3, State.GONE))
+        for number, state in (
+            (1, EndpointState.READY),
+            (2, EndpointState.DRAINING),
+            (3, EndpointState.GONE),
+        )
     ]
-    many = [line(number, State.READY) for number in range(1, 8)]
+    many = [line(number, EndpointState.READY) for number in range(1, 8)]
 
-    def play(*told: MemberList) -> Callable[[Join], None]:
-        def act(join: Join) -> None:
-            roster = Roster(Unread(), join)
+    def play(*told: DiscoveryUpdate) -> Callable[[RequestPipeline], None]:
+        def act(join: RequestPipeline) -> None:
+            roster = EndpointTable(Unread(), join)
             for one in told:
-                roster.take_read(one)
+                roster.accept_update(one)
 
         return act
 
-    kinds = {"full": ListKind.FULL, "delta": ListKind.DELTA, "cached": ListKind.CACHED}
-    pieces = {name: heard(play(MemberList(kind, 7, some))) for name, kind in kinds.items()}
-    pieces["failed"] = heard(play(MemberList(ListKind.FAILED, 7, [])))
-    pieces["many"] = heard(play(MemberList(ListKind.FULL, 8, many)))
-    pieces["nothing new"] = heard(play(MemberList(ListKind.DELTA, 8, [])))
+    kinds = {"full": UpdateKind.SNAPSHOT, "delta": UpdateKind.DELTA, "cached": UpdateKind.CACHED}
+    pieces = {name: heard(play(DiscoveryUpdate(kind, 7, some))) for name, kind in kinds.items()}
+    pieces["failed"] = heard(play(DiscoveryUpdate(UpdateKind.FAILED, 7, [])))
+    pieces["many"] = heard(play(DiscoveryUpdate(UpdateKind.SNAPSHOT, 8, many)))
+    pieces["nothing new"] = heard(play(DiscoveryUpdate(UpdateKind.DELTA, 8, [])))
     pieces["gone by a whole list"] = heard(
-        play(MemberList(ListKind.FULL, 1, many), MemberList(ListKind.FULL, 2, []))
+        play(
+            DiscoveryUpdate(UpdateKind.SNAPSHOT, 1, many),
+            DiscoveryUpdate(UpdateKind.SNAPSHOT, 2, []),
+        )
     )
     return pieces
 
--- a/tests/core/test_join.py
+++ b/tests/core/test_join.py
@@ -10,10 +10,10 @@
 
 from badgercart.core.clock import MARGIN
 from badgercart.core.identifiers import stable_id
-from badgercart.core.ports import Intake, Order
-from badgercart.core.request_pipeline import Join
-from badgercart.policy.actions import Action, Refuse, Send
-from badgercart.policy.events import Outcome, Request, Result, Withdrawn
+from badgercart.core.ports import AttemptRequest, IncomingRequest
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.policy.actions import Action, Send, Shed
+from badgercart.policy.events import AttemptEnded, AttemptResult, Request, RequestCancelled
 from tests.clockwork import Clockwork
 from tests.net import (
     OK,
@@ -77,11 +77,13 @@
             client.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
             client.writer.close()
-            await stand.event(Withdrawn)
-            assert (await stand.outcome()).result == Result.CANCELLED
+            await stand.event(RequestCancelled)
+            assert (await stand.outcome()).result == AttemptResult.CANCELLED
             await asyncio.wait_for(peer.ended.get(), WAIT)
             node = stand.node
-            assert not node.join.held and not node.pool.attempts and not node.listener.connections
+            assert (
+                not node.join.in_flight and not node.pool.attempts and not node.listener.connections
+            )
 
     run(test())
 
@@ -94,11 +96,16 @@
             data = request("book", key="ride/42", Tenant="ajax", Work_Hint="2500", Client_Retry="1")
             assert (await client.ask(data))[0] == 200
             told = await stand.event(Request)
-            assert (told.cls, told.tenant, told.key) == (1, 1, stable_id(b"42"))
-            assert (told.hint, told.repeat) == (2.5, True)
+            assert (told.class_index, told.tenant, told.key) == (1, 1, stable_id(b"42"))
+            assert (told.expected_work_ms, told.is_client_retry) == (2.5, True)
             assert (await client.ask(request(Tenant="acme", Work_Hint="much")))[0] == 200
             told = await stand.event(Request)
-            assert (told.cls, told.tenant, told.hint, told.repeat) == (0, 0, 0.0, False)
+            assert (told.class_index, told.tenant, told.expected_work_ms, told.is_client_retry) == (
+                0,
+                0,
+                0.0,
+                False,
+            )
 
     run(test())
 
@@ -129,7 +136,7 @@
             assert (await client.ask(request()))[0] == 500
             stand.node.join.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 200
-            assert not stand.node.join.held
+            assert not stand.node.join.in_flight
 
     run(test())
     assert "broken on purpose" in caplog.text
@@ -147,8 +154,8 @@
             policy.attempt = broken  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 500
             policy.attempt = attempt  # type: ignore[method-assign]
-            assert (await stand.event(Withdrawn)).id == 1
-            assert not policy.jobs and not stand.node.join.held
+            assert (await stand.event(RequestCancelled)).id == 1
+            assert not policy.jobs and not stand.node.join.in_flight
 
     run(test())
 
@@ -156,39 +163,44 @@
 def test_a_request_that_is_withdrawn_while_it_is_decided_is_not_sent() -> None:
     """One answer withdraws another request, as a GraphQL front may, whose attempt stands behind
     it."""
-    join = Join(config(1).settings, 1, Clockwork())
+    join = RequestPipeline(config(1).settings, 1, Clockwork())
     told: list[object] = []
 
     class Front(Nobody):
-        def refused(self, wait: float) -> None:
-            join.withdraw(2)
+        def on_shed(self, wait: float) -> None:
+            join.cancel_request(2)
 
     def decide(now: float, event: object) -> list[Action]:
         told.append(event)
         return (
-            [Refuse(1, 0.0), Send(2, 7, 100.0)]
+            [Shed(1, 0.0), Send(2, 7, 100.0)]
             if isinstance(event, Request) and event.id == 2
             else []
         )
 
     join.policy.handle = decide  # type: ignore[method-assign,assignment]
     for number in (1, 2):
-        join.take(number, Intake(0, 0, 0, 1e9, None), Front(), NoCarrier())
+        join.accept(number, IncomingRequest(0, 0, 0, 1e9, None), Front(), NoCarrier())
     gone, ended = told[-2:]
-    assert isinstance(gone, Withdrawn) and isinstance(ended, Outcome)
-    assert (ended.id, ended.attempt, ended.result, ended.over) == (2, 0, Result.NOT_SENT, True)
-    assert not (join.held or join.out or join.leaving)
+    assert isinstance(gone, RequestCancelled) and isinstance(ended, AttemptEnded)
+    assert (ended.id, ended.attempt, ended.result, ended.completed) == (
+        2,
+        0,
+        AttemptResult.NOT_SENT,
+        True,
+    )
+    assert not (join.in_flight or join.open_attempts or join.cancelled)
 
 
 class NoCarrier:
     """Nothing may be sent by it."""
 
-    def send(self, order: Order) -> None:
+    def send(self, order: AttemptRequest) -> None:
         raise AssertionError("sent for a client that has left")
 
     def cancel(self, request_id: int, number: int) -> None: ...
 
-    def forgo(self, request_id: int, number: int) -> None: ...
+    def abandon_attempt(self, request_id: int, number: int) -> None: ...
 
 
 def test_a_late_answer_reaches_the_policy_and_not_the_client() -> None:
@@ -201,8 +213,8 @@
             stand.node.join.end(stand.node.join.last_id, broken=False)
             stand.node.pool.cancel(stand.node.join.last_id, 0)
             assert (await client.answer())[0] == 502
-            outcome: Outcome = await stand.outcome()
-            assert outcome.over and outcome.result == Result.CANCELLED
+            outcome: AttemptEnded = await stand.outcome()
+            assert outcome.completed and outcome.result == AttemptResult.CANCELLED
 
     run(test())
 
@@ -243,7 +255,7 @@
                 assert (await client.answer())[0] == 200
             await stand.outcome()
             kinds = [await stand.event(object) for _ in range(2)]
-            assert [type(event) for event in kinds] == [Request, Outcome]
+            assert [type(event) for event in kinds] == [Request, AttemptEnded]
             assert kinds[0].id == kinds[1].id == 2
 
     run(test())
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -8,7 +8,7 @@
 
 from badgercart.core.identifiers import stable_id
 from badgercart.discovery import catalog
-from badgercart.policy.endpoint import State
+from badgercart.policy.endpoint import EndpointState
 from tests.net import (
     WAIT,
     Peer,
@@ -55,7 +55,7 @@
             stand.agent.push(5, [peer.entry("s-1", "leaving")])
             stand.agent.lines.put_nowait(None)
             assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=5"
-            assert stand.node.pool.servers[stable_id(b"s-1")].state is State.DRAINING
+            assert stand.node.pool.servers[stable_id(b"s-1")].state is EndpointState.DRAINING
 
     run(test())
 
--- a/tests/distribution/test_part.py
+++ b/tests/distribution/test_part.py
@@ -24,7 +24,7 @@
 from badgercart.core.clock import now_ms
 from badgercart.discovery.freshness import State
 from badgercart.distribution.commands import entries_of, store_file
-from badgercart.distribution.component import MembersPart, store_driver
+from badgercart.distribution.component import DistributedDiscoveryComponent, store_driver
 from badgercart.distribution.driver import Client as Caller
 from badgercart.distribution.driver import StoreDriver
 from badgercart.distribution.messages import Codec, Entry, Propose, Proposed
@@ -81,7 +81,7 @@
     def __init__(self, site: Site) -> None:
         self.site, self.http = site, site.parts["http"].front  # type: ignore[attr-defined]
         part = site.parts["distribution"]
-        assert isinstance(part, MembersPart)
+        assert isinstance(part, DistributedDiscoveryComponent)
         self.part = part
 
     def listed(self) -> dict[str, str]:
@@ -396,7 +396,7 @@
         told = json.loads(body)
         assert told["topics"] == {TOPIC: 1} and told["state"] == "fresh" and told["changes"] == 1
         assert told["store"] == f"127.0.0.1:{port}" and told["age_ms"] < 600
-        meters = site.host.meters.meters
+        meters = site.host.metrics.metrics
         figures = {name: meter.values() for name, meter in meters.items() if "distribution" in name}
         assert figures["badgercart_distribution_number"] == {TOPIC: 1.0}
         assert figures["badgercart_distribution_changes"] == {"": 1.0}
--- a/tests/ejection/test_ledger.py
+++ b/tests/ejection/test_ledger.py
@@ -8,31 +8,33 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.core.endpoint_table import Member
+from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.ejection import ledger as module
 from badgercart.ejection.ledger import Freed, Ledger
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.endpoint import Endpoint, EndpointState
 
 OFFSET = 1_000_000.0  # ms from the node's clock to Unix time
 
 
-def line(name: str, state: State = State.READY, started: float = 0.0) -> Member:
-    return Member(
-        ServerEntry(hash(name) & 0xFFFF, 0, 0, 0, state, 1.0, started), ("127.0.0.1", 1), name
+def line(
+    name: str, state: EndpointState = EndpointState.READY, started: float = 0.0
+) -> DiscoveredEndpoint:
+    return DiscoveredEndpoint(
+        Endpoint(hash(name) & 0xFFFF, 0, 0, 0, state, 1.0, started), ("127.0.0.1", 1), name
     )
 
 
 STEP = st.tuples(
     st.sampled_from(["disable", "enable", "line", "other"]),
     st.sampled_from("ab"),
-    st.sampled_from(State),
+    st.sampled_from(EndpointState),
     st.sampled_from([0.0, 50.0, 1e9]),
 )
 
 
 @given(st.lists(STEP, max_size=30))
 def test_a_server_that_is_out_is_never_told_as_ready_and_one_that_is_back_is_cold(
-    steps: list[tuple[str, str, State, float]],
+    steps: list[tuple[str, str, EndpointState, float]],
 ) -> None:
     ledger, other, now, out = Ledger(OFFSET), Ledger(OFFSET), OFFSET, dict[str, float]()
     back: dict[str, float] = {}
@@ -54,11 +56,13 @@
         else:
             told = ledger.amend(line(name, state, started)).entry
             assert ledger.known(name)
-            assert told.state is (State.DRAINING if name in out and state is State.READY else state)
-            if name in back and state is State.READY and started < 1e9:
-                assert told.started + OFFSET == back[name]
-            elif state is State.READY and name not in out:
-                assert told.started == started
+            assert told.state is (
+                EndpointState.DRAINING if name in out and state is EndpointState.READY else state
+            )
+            if name in back and state is EndpointState.READY and started < 1e9:
+                assert told.started_ms + OFFSET == back[name]
+            elif state is EndpointState.READY and name not in out:
+                assert told.started_ms == started
     assert ledger.state.bans == out
 
 
@@ -67,8 +71,8 @@
     ledger.adopt(ledger.disabled("a", OFFSET + 1000))
     assert [m.name for m in ledger.adopt(ledger.enabled("a", OFFSET + 3000))] == []
     assert ledger.state.freed == {"a": Freed(OFFSET + 1000, OFFSET + 3000)}
-    assert ledger.amend(line("a", started=500.0)).entry.started == 3000.0
-    assert ledger.amend(line("a", started=2000.0)).entry.started == 2000.0
+    assert ledger.amend(line("a", started=500.0)).entry.started_ms == 3000.0
+    assert ledger.amend(line("a", started=2000.0)).entry.started_ms == 2000.0
 
 
 def test_names_have_a_bound_that_spares_what_is_out_or_listed(
@@ -80,5 +84,7 @@
         ledger.amend(line(name))
         ledger.adopt(ledger.disabled("a", OFFSET))
         if name != "e":
-            ledger.amend(replace(line(name), entry=replace(line(name).entry, state=State.GONE)))
+            ledger.amend(
+                replace(line(name), entry=replace(line(name).entry, state=EndpointState.GONE))
+            )
     assert [*ledger.state.names] == ["a", "d", "e"]
--- a/tests/ejection/test_store.py
+++ b/tests/ejection/test_store.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.core.checksummed_file import Unusable, checksum
+from badgercart.core.checksummed_file import CorruptFileError, checksum
 from badgercart.ejection.ledger import MAX_BANS, Freed, Ledger, State
 from badgercart.ejection.store import Store, decode, encode
 
@@ -33,10 +33,10 @@
 @given(st.integers(0, len(encode(STATE)) - 1), st.integers(0, 255))
 def test_cut_anywhere_or_with_any_byte_changed_it_is_not_taken(at: int, byte: int) -> None:
     whole = encode(STATE)
-    with pytest.raises(Unusable):
+    with pytest.raises(CorruptFileError):
         decode(whole[:at])
     if whole[at] != byte:
-        with pytest.raises(Unusable):
+        with pytest.raises(CorruptFileError):
             decode(whole[:at] + bytes([byte]) + whole[at + 1 :])
 
 
@@ -54,7 +54,7 @@
     ],
 )
 def test_a_whole_file_that_says_something_else_is_not_taken(line: bytes) -> None:
-    with pytest.raises(Unusable):
+    with pytest.raises(CorruptFileError):
         decode(b"%b\n%b\n" % (checksum(line), line))
 
 
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from badgercart.policy.events import ServerList
+from badgercart.policy.events import EndpointUpdate
 from tests.ends.test_leaving import Gate
 from tests.net import CLASSES, OK, WAIT, Client, Peer, Stand, config, request, run, running
 
@@ -27,7 +27,7 @@
 
     async def client_leaves(self) -> None:
         self.client.writer.transport.abort()
-        while self.stand.node.join.held:
+        while self.stand.node.join.in_flight:
             await asyncio.sleep(0)
         self.open()
 
@@ -40,7 +40,7 @@
 
     async def server_drains(self) -> None:
         self.stand.agent.push(2, [self.peer.entry("s-1", "leaving")])
-        await self.stand.event(ServerList)
+        await self.stand.event(EndpointUpdate)
         self.open()
         for writer in self.writers:
             writer.write(OK[self.sent :])
@@ -117,11 +117,11 @@
                 assert status == expected and (b"Retry-After" in head) == (status == 503)
             join = stand.node.join
             if expected is None and not may_cancel and scene.writers:
-                assert join.out  # it may not be called back: it ends when its server does
+                assert join.open_attempts  # it may not be called back: it ends when its server does
                 scene.writers[0].transport.abort()
-            while join.out:
+            while join.open_attempts:
                 await asyncio.sleep(0)
-            assert not join.held and not join.policy.jobs and not stand.node.pool.attempts
+            assert not join.in_flight and not join.policy.jobs and not stand.node.pool.attempts
             assert peer.requests.empty() and len(scene.writers) == (where is not DIALLING)
 
     run(test())
--- a/tests/ends/test_drain.py
+++ b/tests/ends/test_drain.py
@@ -46,7 +46,7 @@
             await (peer.requests.get() if gate is None else gate.reached())
             await stand.node.drain()
             assert (
-                not stand.node.join.held and not stand.node.join.policy.jobs
+                not stand.node.join.in_flight and not stand.node.join.policy.jobs
             )  # now the process would end
             status, head, _ = await client.answer()
             assert status == ANSWERS[cls][written]
@@ -71,7 +71,7 @@
             await asyncio.sleep(0)
             client.writer.write(data[40:])
             event = await stand.event(Request)
-            assert event.due == stand.node.join.leave_by
+            assert event.deadline == stand.node.join.shutdown_deadline
             assert (await client.answer())[0] == 503
             await asyncio.wait_for(ending, WAIT)
 
@@ -179,9 +179,9 @@
     async def test() -> None:
         async with running(await Peer(stay_silent).start()) as stand:
             join = stand.node.join
-            join.leave(join.clock() - 1.0)
+            join.begin_shutdown(join.clock() - 1.0)
             client = await stand.client()
             assert (await client.ask(request()))[0] == 503  # at once: there is no time left
-            assert not join.held
+            assert not join.in_flight
 
     run(test())
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -18,7 +18,7 @@
 from badgercart.core.memory_budget import HOLD, WINDOW
 from badgercart.frontends.http.connection import MAX_WAITING
 from badgercart.policy import policy as rules
-from badgercart.policy.events import Event, Outcome, Request, Timer
+from badgercart.policy.events import AttemptEnded, Event, Request, TimerFired
 from badgercart.policy.settings import Settings
 from badgercart.upstream import connection_pool as pools
 from badgercart.upstream.connection_pool import ServerConnection, ServerPool
@@ -130,7 +130,7 @@
     async def gone(self) -> None:
         """Nobody but who stays is there any more, and nothing is owed."""
         async with asyncio.timeout(WAIT):
-            while self.node.join.held or len(self.node.listener.connections) > 1:
+            while self.node.join.in_flight or len(self.node.listener.connections) > 1:
                 await asyncio.sleep(0.001)
 
     async def last(self) -> None:
@@ -167,7 +167,7 @@
     scene.connect().sendall(request("ordered"))
     await scene.stand.event(Request)
     await scene.stand.event(Request)
-    scene.go_at(Outcome)
+    scene.go_at(AttemptEnded)
     writer.write(OK)
     assert (await scene.stay.answer())[0] == 200
 
@@ -179,7 +179,7 @@
     scene.connect().sendall(request("ordered"))
     await scene.stand.event(Request)
     await scene.stand.event(Request)
-    scene.go_at(Timer)
+    scene.go_at(TimerFired)
     writer.transport.abort()
     (await scene.begun()).write(OK)  # sent again
     assert (await scene.stay.answer())[0] == 200
@@ -204,14 +204,14 @@
 async def between_two_attempts(scene: Scene) -> None:
     scene.connect().sendall(request())
     writer = await scene.begun()
-    scene.go_at(Outcome)
+    scene.go_at(AttemptEnded)
     writer.transport.abort()
 
 
 async def between_two_attempts_refused(scene: Scene) -> None:
     scene.connect().sendall(request("pay"))
     writer = await scene.begun()
-    scene.go_at(Outcome)
+    scene.go_at(AttemptEnded)
     writer.write(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -256,7 +256,7 @@
     scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
     writer = await scene.begun()
     assert scene.node.listener.unheard
-    scene.go_at(Outcome)
+    scene.go_at(AttemptEnded)
     writer.transport.abort()
 
 
@@ -264,7 +264,7 @@
     scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
     writer = await scene.begun()
     assert scene.node.listener.unheard
-    scene.go_at(Outcome)
+    scene.go_at(AttemptEnded)
     writer.write(OK)
 
 
@@ -338,8 +338,8 @@
             await asyncio.sleep(0)
         scene.go()  # its end lies behind what the node does not read now
     else:
-        (held,) = scene.node.join.held.values()
-        while not held.intake.whole:
+        (held,) = scene.node.join.in_flight.values()
+        while not held.request.complete:
             await asyncio.sleep(0)
         scene.go()
         await scene.gone()
@@ -395,9 +395,9 @@
     find = given.classes[list(CLASSES).index("find")]
     return replace(
         given,
-        classes=(*given.classes, replace(find, in_order=True)),
+        classes=(*given.classes, replace(find, serialized_by_key=True)),
         may_cancel=may_cancel,
-        key_rest=500.0,
+        key_cooldown_ms=500.0,
     )
 
 
@@ -431,10 +431,10 @@
             assert len(got) >= 2 and not [head for head in got if not head.startswith(LAST)]
             join, pool = stand.node.join, stand.node.pool
             async with asyncio.timeout(WAIT):
-                while join.out or pool.attempts or join.policy.jobs:
+                while join.open_attempts or pool.attempts or join.policy.jobs:
                     await asyncio.sleep(0.001)
             assert (
-                not join.leaving
+                not join.cancelled
                 and not stand.node.listener.open_ids
                 and not stand.node.listener.unheard
             )
--- a/tests/ends/test_leaving.py
+++ b/tests/ends/test_leaving.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from badgercart.policy.events import Result, Withdrawn
+from badgercart.policy.events import AttemptResult, RequestCancelled
 from badgercart.upstream.attempts import hindrance
 from badgercart.upstream.connection_pool import Attempt, ServerPool
 from tests.net import CLASSES, WAIT, Peer, config, held_back, request, run, running
@@ -62,7 +62,7 @@
                     client.writer.transport.abort()
                 else:
                     client.writer.close()
-                await stand.event(Withdrawn)
+                await stand.event(RequestCancelled)
                 gate.opened.set()
                 assert (await stays.ask(request(cls)))[
                     0
@@ -78,8 +78,8 @@
             assert written == 0
             assert (
                 not stand.node.pool.attempts
-                and not stand.node.join.out
-                and not stand.node.join.leaving
+                and not stand.node.join.open_attempts
+                and not stand.node.join.cancelled
             )
 
     run(test())
@@ -111,8 +111,8 @@
             while not stand.node.pool.dials:
                 await asyncio.sleep(0)
             client.writer.close()
-            assert (await stand.outcome()).result == Result.NOT_SENT
-            await stand.event(Withdrawn)
+            assert (await stand.outcome()).result == AttemptResult.NOT_SENT
+            await stand.event(RequestCancelled)
             for sock in fills:
                 sock.close()
             for _ in fills[1:]:
@@ -139,7 +139,7 @@
             async for connection in stand.connections(1):
                 assert connection.machine.paused
             client.writer.close()
-            await stand.event(Withdrawn)
+            await stand.event(RequestCancelled)
             release.set()
             other = await stand.client()
             assert (await other.ask(request()))[0] == 200
@@ -181,8 +181,8 @@
                 await asyncio.wait_for(peer.requests.get(), WAIT)
             assert connection.transport.get_write_buffer_size()
             sock.shutdown(socket.SHUT_WR)
-            await stand.event(Withdrawn)
-            assert not stand.node.join.held
+            await stand.event(RequestCancelled)
+            assert not stand.node.join.in_flight
             gate.set()
             sock.close()
 
@@ -195,4 +195,7 @@
             for left in (-1.0, 0.0, 1.0):
                 why = hindrance(wanted, fit, left)
                 assert (why is None) == (wanted and fit and left > 0)
-                assert why in (None, Result.NOT_SENT if not wanted else Result.UNREACHABLE)
+                assert why in (
+                    None,
+                    AttemptResult.NOT_SENT if not wanted else AttemptResult.UNREACHABLE,
+                )
--- a/tests/ends/test_orders.py
+++ b/tests/ends/test_orders.py
@@ -18,24 +18,45 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.core.endpoint_table import Member, MemberList, Roster
-from badgercart.core.ports import Answer, Intake
-from badgercart.core.request_pipeline import Join
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind, Retuned
-from badgercart.policy.settings import Effect, Group, RequestClass, Settings
+from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate, EndpointTable
+from badgercart.core.ports import Answer, IncomingRequest
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import SettingsChanged, UpdateKind
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from badgercart.upstream import connection_pool as module
 from badgercart.upstream.connection_pool import ServerPool
 from badgercart.upstream.exchange import Message
 from tests.ends.virtual import Dial, Loop, Way
 
 CLASSES = (
-    RequestClass(aim=300.0, deadline=600.0, worth=1.0, effect=Effect.SAFE),
-    RequestClass(aim=300.0, deadline=600.0, worth=3.0, effect=Effect.KEYED, window=400.0),
     RequestClass(
-        aim=300.0, deadline=600.0, worth=3.0, effect=Effect.KEYED, group=Group.CELL, window=400.0
+        latency_objective_ms=300.0,
+        deadline_ms=600.0,
+        priority_weight=1.0,
+        idempotency=Idempotency.IDEMPOTENT,
+    ),
+    RequestClass(
+        latency_objective_ms=300.0,
+        deadline_ms=600.0,
+        priority_weight=3.0,
+        idempotency=Idempotency.KEYED,
+        deduplication_window_ms=400.0,
+    ),
+    RequestClass(
+        latency_objective_ms=300.0,
+        deadline_ms=600.0,
+        priority_weight=3.0,
+        idempotency=Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_window_ms=400.0,
+    ),
+    RequestClass(
+        latency_objective_ms=300.0,
+        deadline_ms=600.0,
+        priority_weight=9.0,
+        idempotency=Idempotency.NON_IDEMPOTENT,
     ),
-    RequestClass(aim=300.0, deadline=600.0, worth=9.0, effect=Effect.UNSAFE),
 )
 FULL = b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -58,19 +79,22 @@
         self.ends.append(how)
         assert len(self.ends) == 1, self.ends
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         return False
 
-    def answered(self, answer: Answer) -> None:
+    def on_answer(self, answer: Answer) -> None:
         assert answer.body.decode() in (f"r{self.number}", ""), "the answer of another"
         self.end("answered")
 
-    def refused(self, wait: float) -> None:
-        if CLASSES[self.cls].effect is Effect.UNSAFE or CLASSES[self.cls].group is Group.CELL:
+    def on_shed(self, wait: float) -> None:
+        if (
+            CLASSES[self.cls].idempotency is Idempotency.NON_IDEMPOTENT
+            or CLASSES[self.cls].deduplication_scope is DeduplicationScope.CELL
+        ):
             assert not self.maybe, "refused though it may have run"
         self.end("refused")
 
-    def failed(self, broken: bool) -> None:
+    def on_failure(self, broken: bool) -> None:
         assert not broken
         self.end("failed")
 
@@ -81,38 +105,38 @@
     def __init__(self, loop: Loop, may_cancel: bool) -> None:
         self.loop = loop
         self.settings = Settings(
-            CLASSES, may_cancel=may_cancel, max_attempts=3, max_retry_after=100.0
+            CLASSES, may_cancel=may_cancel, max_attempts=3, max_retry_after_ms=100.0
         )
-        self.join = Join(self.settings, 7, loop, lambda: loop.now * 1000)
+        self.join = RequestPipeline(self.settings, 7, loop, lambda: loop.now * 1000)
         self.pool = ServerPool(
             loop,
             200.0,
             5000.0,
             64,
-            self.join.ended,
-            self.join.began,
-            wanted=self.join.held.__contains__,
+            self.join.attempt_ended,
+            self.join.response_started,
+            wanted=self.join.in_flight.__contains__,
         )
-        self.roster = Roster(None, self.join)  # type: ignore[arg-type]
+        self.roster = EndpointTable(None, self.join)  # type: ignore[arg-type]
         self.roster.on_change.append(self.pool.update)
         self.owed: dict[int, Owed] = {}
         self.ways: dict[int, tuple[Way, int]] = {}  # with a request on them, and which
         self.idle: list[Way] = []  # that have had an answer
-        self.states = [State.READY] * 4
+        self.states = [EndpointState.READY] * 4
         self.started = [0.0] * 4
         self.left = False
-        self.list([0, 1, 2, 3], ListKind.FULL)
+        self.list([0, 1, 2, 3], UpdateKind.SNAPSHOT)
 
-    def list(self, numbers: list[int], kind: ListKind = ListKind.DELTA) -> None:
+    def list(self, numbers: list[int], kind: UpdateKind = UpdateKind.DELTA) -> None:
         members = [
-            Member(
-                ServerEntry(n + 1, 0, 0, n % 2, self.states[n], 1.0, self.started[n]),
+            DiscoveredEndpoint(
+                Endpoint(n + 1, 0, 0, n % 2, self.states[n], 1.0, self.started[n]),
                 ("s", n),
                 f"s-{n}",
             )
             for n in numbers
         ]
-        self.roster.apply(MemberList(kind, 1, members))
+        self.roster.apply(DiscoveryUpdate(kind, 1, members))
 
     def written(self, way: Way, data: bytes) -> None:
         """A server has got the last byte of a request."""
@@ -120,8 +144,8 @@
         assert match is not None and data.endswith(b"\r\n\r\n")
         owed = self.owed[int(match[1])]
         assert not owed.ends, f"written after its end: {owed.ends}"
-        assert self.states[way.port] is State.READY, "written to a server that leaves"
-        if CLASSES[owed.cls].effect is Effect.UNSAFE:
+        assert self.states[way.port] is EndpointState.READY, "written to a server that leaves"
+        if CLASSES[owed.cls].idempotency is Idempotency.NON_IDEMPOTENT:
             assert not owed.maybe, "an unsafe request, a second time"
         assert way.number not in self.ways
         owed.out.add(way.number)
@@ -132,17 +156,19 @@
 
     def ask(self, number: int) -> None:
         cls, patience = number % len(CLASSES), (60.0, 250.0, 600.0)[number // 7 % 3]
-        request = self.join.number()
+        request = self.join.next_request_id()
         owed = self.owed[request] = Owed(self, request, cls)
         message = Message(b"GET /x HTTP/1.1\r\nRequest-Id: %d\r\n" % request, b"")
         due = self.join.clock() + patience
-        self.join.take(request, Intake(cls, 0, number % 5, due, message), owed, self.pool)
+        self.join.accept(
+            request, IncomingRequest(cls, 0, number % 5, due, message), owed, self.pool
+        )
 
     def leave_client(self, number: int) -> None:
-        if held := sorted(self.join.held):
+        if held := sorted(self.join.in_flight):
             request = held[number % len(held)]
             self.owed[request].end("left")
-            self.join.withdraw(request)
+            self.join.cancel_request(request)
 
     def dial(self, number: int) -> None:
         if waiting := [dial for dial in self.loop.dials if not dial.up.done()]:
@@ -190,23 +216,25 @@
 
     def change(self, number: int) -> None:
         at = number % 4
-        self.states[at] = (State.READY, State.DRAINING, State.GONE)[number // 4 % 3]
+        self.states[at] = (EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)[
+            number // 4 % 3
+        ]
         self.started[at] = self.join.clock() if number % 3 == 0 else 0.0
         self.list([at])
 
     def retune(self, number: int) -> None:
         changed = replace(self.settings, max_attempts=1 + number % 4)
-        self.join.tell(Retuned(changed, frozenset(range(len(CLASSES)))))
+        self.join.dispatch(SettingsChanged(changed, frozenset(range(len(CLASSES)))))
 
     def end(self, number: int) -> None:
         if not self.left and number % 3 == 0:
             self.left = True
-            self.join.leave(self.join.clock() + 200.0)
+            self.join.begin_shutdown(self.join.clock() + 200.0)
             self.loop.call_later(0.2, self.gone)
 
     def gone(self) -> None:
         """The process would end now: what comes later is turned away at once."""
-        assert not self.join.held, "still owed as the process ends"
+        assert not self.join.in_flight, "still owed as the process ends"
 
 
 STEPS: tuple[Callable[[World, int], None], ...] = (
@@ -226,13 +254,13 @@
                 await asyncio.sleep(0)
     await asyncio.sleep(2.0)  # longer than any request has
     assert all(len(owed.ends) == 1 for owed in world.owed.values())
-    assert not world.join.held and not world.join.leaving and not world.join.events
+    assert not world.join.in_flight and not world.join.cancelled and not world.join.events
     assert not world.join.policy.jobs
     for _ in range(200):  # attempts that nobody may cancel end by their own time
         if not world.pool.attempts:
             break
         await asyncio.sleep(0.1)
-    assert not world.pool.attempts and not world.join.out and not world.pool.dials
+    assert not world.pool.attempts and not world.join.open_attempts and not world.pool.dials
     servers = world.join.policy.servers.values()
     assert world.join.policy.flying == 0 and not any(s.open or s.uploads for s in servers)
     assert all(not server.out for server in world.pool.servers.values())
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_suspects.py
@@ -19,8 +19,8 @@
 from badgercart.core.identifiers import stable_id
 from badgercart.discovery.catalog import Discovery, Pace
 from badgercart.frontends.http import clients
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import ServerList
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import EndpointUpdate
 from tests.ends.test_leaving import Gate
 from tests.ends.test_watch import HEAD, Scripted, hang, says
 from tests.ends.virtual import Loop
@@ -217,7 +217,7 @@
             other = next(i for i, task in enumerate(gets) if not task.done())
             name = f"s-{other + 1}"
             stand.agent.push(2, [peers[other].entry(name, "leaving")])
-            while stand.node.pool.servers[stable_id(name.encode())].state is State.READY:
+            while stand.node.pool.servers[stable_id(name.encode())].state is EndpointState.READY:
                 await asyncio.sleep(0)
             drained.set()
             assert (await client.answer())[0] == 503
@@ -238,7 +238,7 @@
             client.writer.write(whole[:-1])
             await gate.reached()
             stand.agent.push(2, [peer.entry("s-1", "leaving")])
-            while (await stand.event(ServerList)).version != 2:
+            while (await stand.event(EndpointUpdate)).version != 2:
                 pass
             gate.opened.set()
             client.writer.write(whole[-1:])
@@ -275,6 +275,6 @@
             left = attempt.deadline / 1000 - time.monotonic()
             time.sleep(left + 0.3)
             assert (await client.answer())[0] == (200 if answers else status)
-            assert not stand.node.join.held
+            assert not stand.node.join.in_flight
 
     run(test())
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -19,15 +19,15 @@
 import pytest
 
 from badgercart.core import descriptors
-from badgercart.core.endpoint_table import Roster
+from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.identifiers import stable_id
-from badgercart.core.ports import Intake, Order
-from badgercart.core.request_pipeline import Join
+from badgercart.core.ports import AttemptRequest, IncomingRequest
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.backoff import MOST, RETRY_FIRST, Pace, Tries
 from badgercart.discovery.catalog import SILENCE, Discovery
 from badgercart.discovery.entries import ListReader
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import ListKind, Result
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import AttemptResult, UpdateKind
 from tests.ends.discovery import Service
 from tests.ends.virtual import Loop
 from tests.net import Nobody, config
@@ -143,15 +143,22 @@
     world: World
     sent: list[float] = field(default_factory=list)
 
-    def send(self, order: Order) -> None:
-        if order.server_id == CHANGED:
+    def send(self, order: AttemptRequest) -> None:
+        if order.endpoint_id == CHANGED:
             self.sent.append(self.world.loop.now)
         loop, join = self.world.loop, self.world.join
-        loop.call_soon(join.ended, order.request_id, order.number, order.server_id, Result.OK, 1.0)
+        loop.call_soon(
+            join.attempt_ended,
+            order.request_id,
+            order.attempt,
+            order.endpoint_id,
+            AttemptResult.OK,
+            1.0,
+        )
 
     def cancel(self, request_id: int, attempt: int) -> None: ...
 
-    def forgo(self, request_id: int, attempt: int) -> None: ...
+    def abandon_attempt(self, request_id: int, attempt: int) -> None: ...
 
 
 class World:
@@ -160,29 +167,29 @@
     def __init__(self, loop: Loop, listed: list[dict[str, Any]], pushed: bool, dice: float) -> None:
         self.loop, self.begun = loop, loop.now
         self.config = config(1)
-        self.join = Join(self.config.settings, 7, loop, lambda: loop.now * 1000)
-        self.roster = Roster(ListReader(self.config), self.join)
+        self.join = RequestPipeline(self.config.settings, 7, loop, lambda: loop.now * 1000)
+        self.roster = EndpointTable(ListReader(self.config), self.join)
         self.roster.on_change.append(lambda member: self.note())
         self.carrier = Carrier(self)
         self.taken = math.inf  # when the change was taken up
         self.change: dict[str, Any] | None = None
         self.service = Service(loop, 1, {e["instanceId"]: e for e in listed})
         self.pace = Pace.agent(GRACE * 1000) if pushed else Pace.shared()
-        self.discovery = Discovery(("d", 1), self.roster.take, Fixed(dice), pace=self.pace)
+        self.discovery = Discovery(("d", 1), self.roster.accept, Fixed(dice), pace=self.pace)
 
     def know(self) -> None:
         told = {"generation": 1, "reset": True, "instances": list(self.service.members.values())}
-        self.discovery.version = self.roster.take(told, ListKind.CACHED)
+        self.discovery.version = self.roster.accept(told, UpdateKind.CACHED)
 
     def note(self) -> None:
         if self.change is None or self.taken < math.inf:
             return
         member = self.roster.listed.get(CHANGED)
         if self.change["lifecycle"] != "active":
-            done = member is None or member.entry.state is not State.READY
+            done = member is None or member.entry.state is not EndpointState.READY
         else:
             done = member is not None and (
-                not self.change["startedAtMs"] or member.entry.started != 0
+                not self.change["startedAtMs"] or member.entry.started_ms != 0
             )
         if done:
             self.taken = self.loop.now
@@ -193,10 +200,10 @@
     async def ask(self, until: float) -> None:
         """Requests, all the time until then."""
         while self.loop.now < until:
-            number = self.join.number()
+            number = self.join.next_request_id()
             due = (self.loop.now + 5.0) * 1000
-            intake = Intake(0, 0, 0, due, None, patience=5000.0)
-            self.join.take(number, intake, Nobody(), self.carrier)  # type: ignore[arg-type]
+            intake = IncomingRequest(0, 0, 0, due, None, response_window_ms=5000.0)
+            self.join.accept(number, intake, Nobody(), self.carrier)  # type: ignore[arg-type]
             await asyncio.sleep(0.05)
 
 
--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -14,7 +14,7 @@
 from badgercart.discovery import catalog
 from badgercart.discovery.backoff import RETRY_FIRST, Pace
 from badgercart.discovery.catalog import SILENCE
-from badgercart.policy.endpoint import State
+from badgercart.policy.endpoint import EndpointState
 from tests.net import WAIT, Agent, Peer, request, run, running
 
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -135,7 +135,7 @@
                     stand.node.discovery.task is not None and not stand.node.discovery.task.done()
                 )
                 await asyncio.sleep(0.001)
-            assert stand.node.pool.servers[stable_id(b"s-1")].state is State.DRAINING
+            assert stand.node.pool.servers[stable_id(b"s-1")].state is EndpointState.DRAINING
             calls = [agent.calls.get_nowait() for _ in range(agent.calls.qsize())]
             assert calls.count("/catalog/members") == wholes
             assert len(calls) == number + wholes + 1
@@ -159,7 +159,7 @@
                 stand.agent.lines.put_nowait(json.dumps(line, indent=indent).encode() + b"\n")
             while stand.node.roster.version < 4:
                 await asyncio.sleep(0)
-            assert stand.node.pool.servers[stable_id(b"s-1")].state is State.DRAINING
+            assert stand.node.pool.servers[stable_id(b"s-1")].state is EndpointState.DRAINING
             assert calls.empty()
 
     run(test())
@@ -229,7 +229,7 @@
             drained = stable_id(b"s-1")
             assert (
                 drained not in policy.ready
-                and policy.servers[drained].entry.state is State.DRAINING
+                and policy.servers[drained].entry.state is EndpointState.DRAINING
             )
             client = await stand.client()
             for _ in range(6):
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -18,9 +18,9 @@
 
 from badgercart.app.file import Installation
 from badgercart.app.site import Site
-from badgercart.core.ports import Answer, Intake, Order
+from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
 from badgercart.discovery.freshness import State
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 from standins.etcd import Etcd
 from tests.etcd.test_following import PREFIX
 from tests.etcd.test_following import settings as etcd_settings
@@ -44,10 +44,12 @@
         self.faults: list[str] = []
 
     def ask(self) -> None:
-        now, number = self.join.clock(), self.join.number()
-        self.join.take(number, Intake(0, 0, number % 7 + 1, now + 8000.0, None), self, self)
+        now, number = self.join.clock(), self.join.next_request_id()
+        self.join.accept(
+            number, IncomingRequest(0, 0, number % 7 + 1, now + 8000.0, None), self, self
+        )
 
-    def send(self, order: Order) -> None:
+    def send(self, order: AttemptRequest) -> None:
         self.sends += 1
         roster, source, now = self.site.roster, self.site.parts["etcd"].source, self.join.clock()
         if source.state is State.STALE:
@@ -55,27 +57,34 @@
         # The state is told by a timer; what the ages say at this very moment must agree with it.
         if source.freshness.age(now) > source.settings.stale_after_ms + 100.0:
             self.faults.append("the list is older than its state says")
-        told = roster.leaving.get(order.server_id)
+        told = roster.draining_since.get(order.endpoint_id)
         if told is not None and now - told > GRACE:
             self.faults.append("sent to a drained server")
-        if order.server_id not in roster.listed:
+        if order.endpoint_id not in roster.listed:
             self.faults.append("sent to a server that is not listed")
-        elapsed = (order.request_id, order.number, order.server_id, Result.OK, 1.0, Answer(200))
-        self.join.timers.call_later(0, self.join.ended, *elapsed)
+        elapsed = (
+            order.request_id,
+            order.attempt,
+            order.endpoint_id,
+            AttemptResult.OK,
+            1.0,
+            Answer(200),
+        )
+        self.join.timers.call_later(0, self.join.attempt_ended, *elapsed)
 
     def cancel(self, request_id: int, number: int) -> None: ...
 
-    def forgo(self, request_id: int, number: int) -> None: ...
+    def abandon_attempt(self, request_id: int, number: int) -> None: ...
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         return False
 
-    def answered(self, answer: Answer) -> None: ...
+    def on_answer(self, answer: Answer) -> None: ...
 
-    def refused(self, wait: float) -> None:
+    def on_shed(self, wait: float) -> None:
         self.refusals += 1
 
-    def failed(self, broken: bool) -> None:
+    def on_failure(self, broken: bool) -> None:
         self.faults.append("failed")
 
 
@@ -186,7 +195,7 @@
         asking.cancel()
         site.close()
         await etcd.stop()
-    assert traffic.faults == [] and not site.join.held
+    assert traffic.faults == [] and not site.join.in_flight
 
 
 def listed(site: Site) -> dict[str, str]:
--- a/tests/etcd/test_follower.py
+++ b/tests/etcd/test_follower.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.core.endpoint_table import MemberList
+from badgercart.core.endpoint_table import DiscoveryUpdate
 from badgercart.discovery.entries import ListReader
 from badgercart.discovery.etcd.follower import (
     Change,
@@ -30,8 +30,8 @@
 from badgercart.discovery.etcd.guard import LEAST, MEMORY, OVERRIDE, Guard
 from badgercart.discovery.etcd.settings import EtcdSettings
 from badgercart.discovery.freshness import Freshness, Rule, State
-from badgercart.policy.endpoint import State as ServerState
-from badgercart.policy.events import ListKind
+from badgercart.policy.endpoint import EndpointState as ServerState
+from badgercart.policy.events import UpdateKind
 from tests.net import config
 
 PREFIX = "/s/"
@@ -68,13 +68,13 @@
     return made
 
 
-def delivered(orders: list[Any]) -> MemberList:
+def delivered(orders: list[Any]) -> DiscoveryUpdate:
     (told,) = [order.told for order in orders if isinstance(order, Deliver)]
     return told
 
 
-def names(told: MemberList, state: ServerState = ServerState.READY) -> list[str]:
-    return sorted(member.name for member in told.members if member.entry.state is state)
+def names(told: DiscoveryUpdate, state: ServerState = ServerState.READY) -> list[str]:
+    return sorted(member.name for member in told.endpoints if member.entry.state is state)
 
 
 def test_pages_are_one_revision_and_handed_over_whole() -> None:
@@ -85,7 +85,7 @@
     assert made.members == {}  # nothing of it yet
     orders = made.page(Page(header(12), pages[1], False), 0.0)
     told = delivered(orders)
-    assert (told.kind, told.version, names(told)) == (ListKind.FULL, 9, ["a", "b", "c", "d"])
+    assert (told.kind, told.version, names(told)) == (UpdateKind.SNAPSHOT, 9, ["a", "b", "c", "d"])
     assert [type(order) for order in orders] == [Deliver, Proven, Watch] and orders[-1] == Watch(10)
 
 
@@ -99,7 +99,7 @@
         pair("a", 9, state="leaving"),
     ]
     told = delivered(made.change(Change(header(9), events), 0.0))
-    assert (told.kind, told.version) == (ListKind.DELTA, 9)
+    assert (told.kind, told.version) == (UpdateKind.DELTA, 9)
     assert names(told) == ["e"] and names(told, ServerState.DRAINING) == ["a"]
     assert names(told, ServerState.GONE) == ["b"]
     made.failed(Failure.UNREACHABLE)
@@ -269,9 +269,9 @@
     def take(found: list[Any]) -> None:
         for order in found:
             if isinstance(order, Deliver):
-                if order.told.kind is ListKind.FULL:
+                if order.told.kind is UpdateKind.SNAPSHOT:
                     given_to.clear()
-                for member in order.told.members:
+                for member in order.told.endpoints:
                     given_to[member.name] = member.entry.state
                     if member.entry.state is ServerState.GONE:
                         del given_to[member.name]
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -23,7 +23,7 @@
 from badgercart.discovery.etcd.settings import EtcdSettings, EtcdTls
 from badgercart.discovery.freshness import State
 from badgercart.frontends.http.component import HttpSettings
-from badgercart.policy.endpoint import State as ServerState
+from badgercart.policy.endpoint import EndpointState as ServerState
 from standins.demo import NodeProcess
 from standins.etcd import Etcd
 from standins.fleet import operators_file
--- a/tests/frontends/test_connection.py
+++ b/tests/frontends/test_connection.py
@@ -14,7 +14,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from badgercart.core.identifiers import stable_id
-from badgercart.core.requests import BadDescription, Classifier
+from badgercart.core.requests import Classifier, InvalidRequestError
 from badgercart.frontends.graphql.requests import bad_request
 from badgercart.frontends.http.connection import MAX_WAITING, MOVES, Connection, State
 from badgercart.frontends.http.requests import (
@@ -217,9 +217,9 @@
 
 def test_a_default_tenant_takes_requests_without_the_header_and_others_are_named() -> None:
     plain = replace(config(1), tenants={b"a": 0, b"b": 1})
-    with pytest.raises(BadDescription, match="no Tenant header, and no default_tenant is set"):
+    with pytest.raises(InvalidRequestError, match="no Tenant header, and no default_tenant is set"):
         Classifier(plain).read(b"GET", b"/find/1", b"r", None, None)
-    with pytest.raises(BadDescription, match="there is no tenant 'x'"):
+    with pytest.raises(InvalidRequestError, match="there is no tenant 'x'"):
         Classifier(plain).read(b"GET", b"/find/1", b"r", b"x", None)
     filled = replace(plain, default_tenant=b"b")
     assert Classifier(filled).read(b"GET", b"/find/1", b"r", None, None).tenant == 1
--- a/tests/frontends/test_golden.py
+++ b/tests/frontends/test_golden.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from badgercart.core.memory_budget import Room
+from badgercart.core.memory_budget import MemoryBudget
 from badgercart.core.ports import Answer
 from badgercart.core.streams import Opening
 from badgercart.frontends.graphql.requests import bad_request
@@ -95,7 +95,7 @@
     def __init__(self, words: Words = no_words, streams: bool = True) -> None:
         loop: Any = StillLoop()
         self.taker = Taker()
-        room = Room(8 << 20) if streams else None
+        room = MemoryBudget(8 << 20) if streams else None
         read = platform_requests(config(1, tenants={b"acme": 0}), streams=True)
         listener = Listener(loop, ("127.0.0.1", 0), self.taker, 30, read, words, room)
         self.listener = listener
@@ -165,7 +165,7 @@
         assert not stand.taker.taken
         pieces[name] = stand.got()
     twice = Stand(words, streams).hear(head() + head())
-    twice.client.answered(Answer(200, b"one"))
+    twice.client.on_answer(Answer(200, b"one"))
     pieces["an id that is open"] = twice.got()
     late = Stand(words, streams).hear(head()[:40])
     late.client.machine.overdue(104.0)
@@ -183,15 +183,15 @@
         "an unknown status": Answer(499, b"x"),
     }.items():
         stand = Stand(words).hear(head())
-        stand.client.answered(answer)
+        stand.client.on_answer(answer)
         pieces[name] = stand.got()
     for wait in (0.0, 0.4, 250.0, 250.4, 1234.5678, 60_000.0):
         stand = Stand(words).hear(head())
-        stand.client.refused(wait)
+        stand.client.on_shed(wait)
         pieces[f"refused, {wait} ms"] = stand.got()
     for broken in (False, True):
         stand = Stand(words).hear(head())
-        stand.client.failed(broken)
+        stand.client.on_failure(broken)
         pieces["the node failed" if broken else "failed"] = stand.got()
     return pieces
 
@@ -206,15 +206,15 @@
         "an upgrade": head("GET /find/cab7 HTTP/1.1", "Connection: upgrade", "Upgrade: websocket"),
     }.items():
         stand = Stand().hear(data)
-        stand.client.answered(Answer(200, b"done"))
+        stand.client.on_answer(Answer(200, b"done"))
         pieces[name] = stand.got()
     stand = Stand().hear(head())
     stand.taker.stopping = True
-    stand.client.refused(100.0)
+    stand.client.on_shed(100.0)
     pieces["a node that stops"] = stand.got()
     stand = Stand().hear(head())
     stand.listener.limit = 0
-    stand.client.answered(Answer(200, b"done"))
+    stand.client.on_answer(Answer(200, b"done"))
     pieces["a crowd"] = stand.got()
     return pieces
 
@@ -237,14 +237,14 @@
     for version in ("1.1", "1.0"):
         for length in (None, 9):
             stand = Stand().hear(head(f"GET /find/cab7 HTTP/{version}"))
-            sink = stand.client.began(Opening(200, b"text/csv", length))
+            sink = stand.client.on_response_started(Opening(200, b"text/csv", length))
             sink.part(b"a,b\n")
             sink.part(b"")
             sink.part(b"c,d\n\n")
             sink.done()
             pieces[f"HTTP/{version}, length {length}"] = stand.got()
     stand = Stand().hear(head())
-    sink = stand.client.began(Opening(200, b"", None))
+    sink = stand.client.on_response_started(Opening(200, b"", None))
     sink.part(b"a")
     sink.broken()
     pieces["broken off"] = stand.got()
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -18,7 +18,7 @@
 from badgercart.frontends.http import clients
 from badgercart.frontends.http import connection as machine
 from badgercart.frontends.http import connection_eviction as crowd
-from badgercart.policy.events import Request, ServerList, Withdrawn
+from badgercart.policy.events import EndpointUpdate, Request, RequestCancelled
 from badgercart.upstream import connection_pool as pool
 from tests.net import (
     WAIT,
@@ -206,9 +206,9 @@
         peer = await Peer().start()
         async with running(peer, known={}) as stand:
             client = await stand.client()
-            await stand.event(ServerList)
+            await stand.event(EndpointUpdate)
             assert (await client.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
-            stand.node.roster.told = False
+            stand.node.roster.has_update = False
             assert (await client.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
 
     run(test())
@@ -409,7 +409,7 @@
             await asyncio.wait_for(peer.requests.get(), WAIT)
             assert len(stand.node.listener.open_ids) == 3
             client.writer.close()
-            await stand.event(Withdrawn)
+            await stand.event(RequestCancelled)
             assert not stand.node.listener.open_ids
 
     run(test())
@@ -582,7 +582,7 @@
                 await rude.end()
             assert peer.requests.empty()
             assert (await (await stand.client()).ask(request()))[0] == 200
-            assert not stand.node.join.held
+            assert not stand.node.join.in_flight
 
     run(test())
 
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -18,8 +18,8 @@
 from badgercart.app.site import Site
 from badgercart.frontends.graphql.documents import Cache
 from badgercart.frontends.graphql.settings import GraphqlSettings
-from badgercart.policy.events import Outcome, Request, Result, Withdrawn
-from badgercart.policy.settings import Effect, RequestClass
+from badgercart.policy.events import AttemptEnded, AttemptResult, Request, RequestCancelled
+from badgercart.policy.settings import Idempotency, RequestClass
 from standins import graphql as dispatch
 from standins import http1
 from tests.net import WAIT, Client, Peer, config, field, hang_up, listed, run, stay_silent
@@ -30,8 +30,19 @@
     {"name": "Mutation.rideAssign", "class": "ride-assign", "affinity": "ride", "key": "key"},
 ]
 CLASSES = (
-    RequestClass(aim=5000.0, deadline=9000.0, worth=2.0, effect=Effect.SAFE),
-    RequestClass(aim=5000.0, deadline=9000.0, worth=8.0, effect=Effect.KEYED, window=20000.0),
+    RequestClass(
+        latency_objective_ms=5000.0,
+        deadline_ms=9000.0,
+        priority_weight=2.0,
+        idempotency=Idempotency.IDEMPOTENT,
+    ),
+    RequestClass(
+        latency_objective_ms=5000.0,
+        deadline_ms=9000.0,
+        priority_weight=8.0,
+        idempotency=Idempotency.KEYED,
+        deduplication_window_ms=20000.0,
+    ),
 )
 NEW = "application/graphql-response+json"
 Script = Callable[[dict[str, Any]], tuple[int, Any] | None]
@@ -136,7 +147,9 @@
         await server.start()
         async with desk(server, **changes) as front:
             await test(front, server)
-            assert not front.join.held and not front.join.out and not front.front.open
+            assert (
+                not front.join.in_flight and not front.join.open_attempts and not front.front.open
+            )
 
     run(whole())
 
@@ -152,7 +165,7 @@
         }
         status, _, told = await front.send({"query": ASSIGN})
         assert told["data"]["rideAssign"] == {"id": "r1", "server": "s"}
-        assert [request.cls for request in front.of(Request)] == [0, 1]
+        assert [request.class_index for request in front.of(Request)] == [0, 1]
         assert server.keys[0] == "" and server.keys[1] != ""
 
     play(test)
@@ -178,7 +191,7 @@
 
         def under_a_cut(request: Request) -> None:
             # The cut lies between the two: lookups are refused, assignments are not.
-            cut = 1000.0 if request.cls == 0 and len(front.of(Request)) else 0.0
+            cut = 1000.0 if request.class_index == 0 and len(front.of(Request)) else 0.0
             policy.measure_overload = lambda: setattr(policy, "cut", cut)  # type: ignore[method-assign]
             policy.upkeep_at = policy.now
             ask(request)
@@ -210,7 +223,7 @@
         assert told["errors"] == [
             {"message": "no", "path": ["cabLookup"], "locations": [{"line": 1, "column": 3}]}
         ]
-        assert [outcome.result for outcome in front.of(Outcome)] == [Result.ERROR]
+        assert [outcome.result for outcome in front.of(AttemptEnded)] == [AttemptResult.ERROR]
         assert front.join.policy.failed > 0
 
     play(test, lambda asked: (200, partial))
@@ -230,7 +243,7 @@
     async def test(front: Desk, server: Dispatch) -> None:
         _, _, told = await front.send({"query": LOOKUP})
         assert told["errors"][0]["extensions"]["code"] in ("REFUSED", "FAILED")
-        assert [outcome.result for outcome in front.of(Outcome)] == [Result.ERROR]
+        assert [outcome.result for outcome in front.of(AttemptEnded)] == [AttemptResult.ERROR]
 
     play(test, lambda asked: (200, said))
 
@@ -275,8 +288,8 @@
         )
         await asyncio.wait_for(server.requests.get(), WAIT)
         client.writer.close()
-        await front.event(Withdrawn)
-        await front.event(Outcome)
+        await front.event(RequestCancelled)
+        await front.event(AttemptEnded)
         assert len(front.of(Request)) == 1  # what had not begun does not begin
 
     play(silent, lambda asked: (0, None))
--- a/tests/graphql/test_limits.py
+++ b/tests/graphql/test_limits.py
@@ -14,7 +14,7 @@
 from badgercart.frontends.graphql.limits import BadDocument, TooCostly, read_document
 from badgercart.frontends.graphql.outcomes import FAULT, TIMED_OUT, TURNED_AWAY, read_reply
 from badgercart.frontends.graphql.settings import Limits
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 
 WIDE = Limits(document=1 << 20, tokens=100_000)
 
@@ -83,38 +83,46 @@
 @pytest.mark.parametrize(
     ("told", "result", "final"),
     [
-        (reply(data=GOOD), Result.OK, True),
-        (reply(data=GOOD, errors=[error(None)]), Result.ERROR, False),
-        (reply(data=None, errors=[error("SOMETHING_NEW")]), Result.ERROR, False),
-        (reply(data=None, errors=[error("QUEUE_FULL")]), Result.FULL, False),
-        (reply(errors=[error("NOT_STARTED")]), Result.FULL, False),
+        (reply(data=GOOD), AttemptResult.OK, True),
+        (reply(data=GOOD, errors=[error(None)]), AttemptResult.ERROR, False),
+        (reply(data=None, errors=[error("SOMETHING_NEW")]), AttemptResult.ERROR, False),
+        (reply(data=None, errors=[error("QUEUE_FULL")]), AttemptResult.FULL, False),
+        (reply(errors=[error("NOT_STARTED")]), AttemptResult.FULL, False),
         (
             reply(data=GOOD, errors=[error("QUEUE_FULL")]),
-            Result.ERROR,
+            AttemptResult.ERROR,
             False,
         ),  # with data it did run
-        (reply(errors=[error("QUEUE_FULL"), error(None)]), Result.ERROR, False),
-        (reply(errors=[error("TIMEOUT")]), Result.TIMEOUT, False),
-        (reply(errors=[error("FORBIDDEN"), error("BAD_USER_INPUT")]), Result.CANCELLED, True),
-        (reply(errors=[error("FORBIDDEN"), error("INTERNAL_SERVER_ERROR")]), Result.ERROR, False),
-        (reply(400, errors=[error("GRAPHQL_VALIDATION_FAILED")]), Result.CANCELLED, True),
-        (reply(500, data=GOOD), Result.ERROR, False),
-        (reply(data={"a": 1}), Result.ERROR, False),  # one is missing
-        (reply(data=GOOD | {"c": 1}), Result.ERROR, False),  # one was not asked for
-        (reply(data=[1]), Result.ERROR, False),
-        (reply(data=None), Result.ERROR, False),
-        (reply(), Result.ERROR, False),
-        (reply(data=GOOD, errors=[]), Result.ERROR, False),
-        (reply(data=GOOD, errors=["x"]), Result.ERROR, False),
-        (read_reply(200, False, b"[" * 99999, {"a"}), Result.ERROR, False),
-        (read_reply(200, False, b"", {"a"}), Result.ERROR, False),
-        (read_reply(404, False, b"no", {"a"}), Result.CANCELLED, True),
-        (read_reply(429, False, b"no", {"a"}), Result.ERROR, False),
-        (read_reply(503, True, b"", {"a"}), Result.FULL, False),
-        (read_reply(503, False, b"", {"a"}), Result.ERROR, False),
+        (reply(errors=[error("QUEUE_FULL"), error(None)]), AttemptResult.ERROR, False),
+        (reply(errors=[error("TIMEOUT")]), AttemptResult.TIMEOUT, False),
+        (
+            reply(errors=[error("FORBIDDEN"), error("BAD_USER_INPUT")]),
+            AttemptResult.CANCELLED,
+            True,
+        ),
+        (
+            reply(errors=[error("FORBIDDEN"), error("INTERNAL_SERVER_ERROR")]),
+            AttemptResult.ERROR,
+            False,
+        ),
+        (reply(400, errors=[error("GRAPHQL_VALIDATION_FAILED")]), AttemptResult.CANCELLED, True),
+        (reply(500, data=GOOD), AttemptResult.ERROR, False),
+        (reply(data={"a": 1}), AttemptResult.ERROR, False),  # one is missing
+        (reply(data=GOOD | {"c": 1}), AttemptResult.ERROR, False),  # one was not asked for
+        (reply(data=[1]), AttemptResult.ERROR, False),
+        (reply(data=None), AttemptResult.ERROR, False),
+        (reply(), AttemptResult.ERROR, False),
+        (reply(data=GOOD, errors=[]), AttemptResult.ERROR, False),
+        (reply(data=GOOD, errors=["x"]), AttemptResult.ERROR, False),
+        (read_reply(200, False, b"[" * 99999, {"a"}), AttemptResult.ERROR, False),
+        (read_reply(200, False, b"", {"a"}), AttemptResult.ERROR, False),
+        (read_reply(404, False, b"no", {"a"}), AttemptResult.CANCELLED, True),
+        (read_reply(429, False, b"no", {"a"}), AttemptResult.ERROR, False),
+        (read_reply(503, True, b"", {"a"}), AttemptResult.FULL, False),
+        (read_reply(503, False, b"", {"a"}), AttemptResult.ERROR, False),
     ],
 )
-def test_what_a_reply_means(told: Any, result: Result, final: bool) -> None:
+def test_what_a_reply_means(told: Any, result: AttemptResult, final: bool) -> None:
     assert (told.result, told.final) == (result, final)
 
 
--- a/tests/hot_restart/test_handover.py
+++ b/tests/hot_restart/test_handover.py
@@ -10,33 +10,33 @@
 from hypothesis import strategies as st
 
 from badgercart.config import Config
-from badgercart.core.checksummed_file import Unusable
+from badgercart.core.checksummed_file import CorruptFileError
 from badgercart.hot_restart.state_transfer import OLDEST, Handover, decode, encode
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind, Request, ServerList
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import EndpointUpdate, Request, UpdateKind
 from badgercart.policy.policy import Policy
-from badgercart.policy.settings import Effect, RequestClass
-from badgercart.policy.statistics import Memory, recall
+from badgercart.policy.settings import Idempotency, RequestClass
+from badgercart.policy.statistics import PolicyStatistics, export_statistics
 from tests.net import config
 
 NOW, OFFSET = 1_000_000.0, 777.0
 
 
 def made(*names: str) -> Config:
-    classes = tuple(RequestClass(400.0, 900.0, 1.0, Effect.SAFE) for _ in names)
+    classes = tuple(RequestClass(400.0, 900.0, 1.0, Idempotency.IDEMPOTENT) for _ in names)
     base = config(1)
     numbers = {name.encode(): i for i, name in enumerate(names)}
     return replace(base, settings=replace(base.settings, classes=classes), classes=numbers)
 
 
-def learned(of: Config) -> Memory:
+def learned(of: Config) -> PolicyStatistics:
     policy = Policy(of.settings, 1)
-    entries = [ServerEntry(i, 0, 0, 0, State.READY, 1.0, 50.0 * i) for i in (1, 2)]
-    policy.handle(100.0, ServerList(ListKind.FULL, 1, entries))
+    entries = [Endpoint(i, 0, 0, 0, EndpointState.READY, 1.0, 50.0 * i) for i in (1, 2)]
+    policy.handle(100.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     policy.handle(101.0, Request(1, 0, 900.0))
     policy.usual[0], policy.kinds[0], policy.carried = 33.0, 1.5, 0.25
     policy.servers[1].slow, policy.servers[1].health[0].fails = 4.0, 0.75
-    return recall(policy)
+    return export_statistics(policy)
 
 
 def test_names_stay_though_numbers_and_clocks_change() -> None:
@@ -44,8 +44,10 @@
     memory = learned(old)
     got = decode(encode(memory, old, NOW, OFFSET), new, NOW + 5, OFFSET + 1000)
     assert got.usual == [100.0, 100.0, 33.0] and got.kinds == {0: 1.5} and got.carried == 0.25
-    assert got.servers[1].fails == (0.0, 0.0, 0.75) and got.servers[1].slow == 4.0
-    assert got.servers[1].started == 50.0 - 1000  # the same moment on another clock
+    assert (
+        got.servers[1].failure_rates == (0.0, 0.0, 0.75) and got.servers[1].relative_latency == 4.0
+    )
+    assert got.servers[1].started_ms == 50.0 - 1000  # the same moment on another clock
     assert got.offered[2] == memory.offered[0] and len(got.offered) == 6
 
 
@@ -58,12 +60,12 @@
         [DATA[:at] + bytes([byte]) + DATA[at + 1 :]] if DATA[at] != byte else []
     )
     for data in spoilt:
-        with pytest.raises(Unusable):
+        with pytest.raises(CorruptFileError):
             decode(data, made("a"), NOW, OFFSET)
 
 
 def test_what_a_process_long_dead_left_is_not_taken(tmp_path: Path) -> None:
-    with pytest.raises(Unusable, match="too old"):
+    with pytest.raises(CorruptFileError, match="too old"):
         decode(DATA, made("a"), NOW + OLDEST + 1, OFFSET)
     handover, policy = Handover(tmp_path, OFFSET), Policy(made("a").settings, 1)
     handover.path.write_bytes(DATA)  # of the year 1970
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -174,13 +174,13 @@
 
 
 def test_a_name_that_is_no_peer_is_told() -> None:
-    from badgercart.core.request_pipeline import Join
+    from badgercart.core.request_pipeline import RequestPipeline
     from lab.clock import Clock
 
     clock = Clock()
     for name in ("nobody", "p2c+nobody", "badgercart+aimd"):
         with pytest.raises(LookupError, match="is none of"):
-            make(name, day(), Join(day().policy_settings(0), 1, clock, clock.time), 1)
+            make(name, day(), RequestPipeline(day().policy_settings(0), 1, clock, clock.time), 1)
 
 
 def test_limits_and_the_budget_move_as_their_sources_say() -> None:
@@ -210,11 +210,11 @@
 def test_least_request_keeps_to_weights() -> None:
     import random
 
-    from badgercart.policy.endpoint import ServerEntry, State
+    from badgercart.policy.endpoint import Endpoint, EndpointState
     from lab.peers.base import Host
 
     picker = WeightedLeastRequest(random.Random(1))
-    hosts = [Host(ServerEntry(n, 0, 0, 0, State.READY, float(n), 0.0)) for n in (1, 2, 5)]
+    hosts = [Host(Endpoint(n, 0, 0, 0, EndpointState.READY, float(n), 0.0)) for n in (1, 2, 5)]
     picker.hosts(hosts)
     counts: dict[int, int] = dict.fromkeys((1, 2, 5), 0)
     for _ in range(800):
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from badgercart.core.ports import Answer
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 from lab.arrivals import plan
 from lab.chance import draw, generator, uniform
 from lab.clock import Clock
@@ -110,7 +110,7 @@
 
 def test_a_server_queues_turns_away_warms_up_and_loses_what_it_holds() -> None:
     clock, one = server()
-    ends: list[tuple[str, Result, float]] = []
+    ends: list[tuple[str, AttemptResult, float]] = []
 
     def ask(name: str, key: int = 0) -> None:
         one.take(
@@ -129,7 +129,11 @@
     for name in ("a", "b", "c"):
         ask(name)
     clock.run(30.0)
-    assert ends == [("c", Result.FULL, 0.0), ("a", Result.OK, 10.0), ("b", Result.OK, 20.0)]
+    assert ends == [
+        ("c", AttemptResult.FULL, 0.0),
+        ("a", AttemptResult.OK, 10.0),
+        ("b", AttemptResult.OK, 20.0),
+    ]
     ends.clear()
     ask("key", 9)
     clock.run(50.0)
@@ -142,13 +146,13 @@
     one.crash()
     ask("down")
     assert [(name, result) for name, result, _ in ends[2:]] == [
-        ("other", Result.RESET), ("waits", Result.RESET), ("down", Result.RESET),
+        ("other", AttemptResult.RESET), ("waits", AttemptResult.RESET), ("down", AttemptResult.RESET),
     ]  # fmt: skip
     ends.clear()
     one.start()
     ask("cold")
     clock.run(200.0)
-    assert ends == [("cold", Result.OK, 61.0 + 20.0)] and one.warmth == pytest.approx(
+    assert ends == [("cold", AttemptResult.OK, 61.0 + 20.0)] and one.warmth == pytest.approx(
         0.5 + 0.5 * 0.139
     )
 
@@ -211,8 +215,8 @@
     node.held[tried.id] = tried
     world.give_up(tried)
     assert watch.counts[1] == 1
-    tried.answered(Answer(200))
-    tried.answered(Answer(200))
+    tried.on_answer(Answer(200))
+    tried.on_answer(Answer(200))
     assert watch.counts[1] == 2
     work = Work(7, 1, 1, 0, 1.0, True, 100.0, lambda result: None)
     watch.effect(first, work)
--- a/tests/net.py
+++ b/tests/net.py
@@ -14,17 +14,21 @@
 
 from badgercart.config import Config
 from badgercart.core.identifiers import stable_id
-from badgercart.core.ports import Answer, Intake, Order
-from badgercart.core.request_pipeline import Held
+from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
+from badgercart.core.request_pipeline import InFlightRequest
 from badgercart.discovery.component import Server
 from badgercart.frontends.http.clients import ClientConnection
 from badgercart.node import Node
-from badgercart.policy.events import Outcome
-from badgercart.policy.settings import Effect, RequestClass, Settings
+from badgercart.policy.events import AttemptEnded
+from badgercart.policy.settings import Idempotency, RequestClass, Settings
 from badgercart.upstream.exchange import Message
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-CLASSES = {"find": Effect.SAFE, "book": Effect.KEYED, "pay": Effect.UNSAFE}
+CLASSES = {
+    "find": Idempotency.IDEMPOTENT,
+    "book": Idempotency.KEYED,
+    "pay": Idempotency.NON_IDEMPOTENT,
+}
 WAIT = 10.0  # s, for what must come; only a failing test gets there
 
 Script = Callable[["Peer", bytes, asyncio.StreamWriter], Awaitable[None]]
@@ -189,14 +193,14 @@
 def request(
     cls: str = "find", timeout: str = "8000m", key: str = "cab7", body: bytes = b"", **headers: str
 ) -> bytes:
-    effect = CLASSES.get(cls, Effect.SAFE)
-    method = "GET" if effect is Effect.SAFE else "POST"
+    effect = CLASSES.get(cls, Idempotency.IDEMPOTENT)
+    method = "GET" if effect is Idempotency.IDEMPOTENT else "POST"
     lines = {
         "Host": "backend.local",
         "Request-Id": f"{next(_ids):016x}",
         "Request-Timeout": timeout,
     }
-    if effect is Effect.KEYED:
+    if effect is Idempotency.KEYED:
         lines["Idempotency-Key"] = "5c0f"
     if method == "POST":
         lines["Content-Length"] = str(len(body))
@@ -207,7 +211,13 @@
 
 def config(discovery: int, aim: float = 5000.0, attempts: int = 1, **changes: Any) -> Config:
     classes = tuple(
-        RequestClass(aim=aim, deadline=9000.0, worth=1.0, effect=effect, window=9000.0)
+        RequestClass(
+            latency_objective_ms=aim,
+            deadline_ms=9000.0,
+            priority_weight=1.0,
+            idempotency=effect,
+            deduplication_window_ms=9000.0,
+        )
         for effect in CLASSES.values()
     )
     values: dict[str, Any] = {
@@ -218,7 +228,7 @@
         "sockets": 1024,
         "known": {},
         "settings": Settings(
-            classes=classes, may_cancel=True, max_attempts=attempts, max_retry_after=600.0
+            classes=classes, may_cancel=True, max_attempts=attempts, max_retry_after_ms=600.0
         ),
         "classes": {name.encode(): i for i, name in enumerate(CLASSES)},
         "tenants": {},
@@ -233,14 +243,14 @@
 class Nobody:
     """A front that does nothing with its answers."""
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         return False
 
-    def answered(self, answer: Answer) -> None: ...
+    def on_answer(self, answer: Answer) -> None: ...
 
-    def refused(self, wait: float) -> None: ...
+    def on_shed(self, wait: float) -> None: ...
 
-    def failed(self, broken: bool) -> None: ...
+    def on_failure(self, broken: bool) -> None: ...
 
 
 class Stand:
@@ -266,8 +276,8 @@
                 pass
         return event
 
-    async def outcome(self) -> Outcome:
-        event: Outcome = await self.event(Outcome)
+    async def outcome(self) -> AttemptEnded:
+        event: AttemptEnded = await self.event(AttemptEnded)
         return event
 
     async def connections(self, number: int) -> AsyncIterator[ClientConnection]:
@@ -281,10 +291,14 @@
     def send(self, request_id: int, name: str) -> None:
         """An attempt that the policy knows nothing of."""
         join, pool = self.node.join, self.node.pool
-        join.out[request_id, 0] = pool
-        join.held[request_id] = Held(Nobody(), pool, Intake(0, 0, 0, math.inf, None), 0.0, 1)
+        join.open_attempts[request_id, 0] = pool
+        join.in_flight[request_id] = InFlightRequest(
+            Nobody(), pool, IncomingRequest(0, 0, 0, math.inf, None), 0.0, 1
+        )
         pool.send(
-            Order(request_id, 0, stable_id(name.encode()), 5000.0, Message(request()[:-2], b""))
+            AttemptRequest(
+                request_id, 0, stable_id(name.encode()), 5000.0, Message(request()[:-2], b"")
+            )
         )
 
     async def client(self) -> Client:
--- a/tests/policy/support.py
+++ b/tests/policy/support.py
@@ -7,45 +7,64 @@
 import random
 from dataclasses import replace
 
-from badgercart.policy.actions import Cancel, Fail, Log, Refuse, Send, Subscribe, Wake
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.actions import CancelAttempt, Fail, Log, Send, SetTimer, Shed, Subscribe
+from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import (
-    Began,
-    ListKind,
-    Outcome,
+    AttemptEnded,
+    AttemptResult,
+    EndpointUpdate,
     Request,
-    Result,
-    Retuned,
-    ServerList,
-    Timer,
-    Whole,
-    Withdrawn,
+    RequestCancelled,
+    RequestCompleted,
+    ResponseStarted,
+    SettingsChanged,
+    TimerFired,
+    UpdateKind,
 )
 from badgercart.policy.policy import Policy
-from badgercart.policy.settings import Effect, Group, RequestClass, Settings
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 START = 50_000.0
-SAFE = RequestClass(aim=400.0, deadline=1000.0, worth=10.0, effect=Effect.SAFE)
-KEYED = RequestClass(aim=400.0, deadline=1000.0, worth=1.0, effect=Effect.KEYED, window=600.0)
-UNSAFE = RequestClass(aim=400.0, deadline=1000.0, worth=1.0, effect=Effect.UNSAFE, window=5000.0)
-NEVER_RAN = (Result.FULL, Result.UNREACHABLE, Result.NOT_SENT)
+SAFE = RequestClass(
+    latency_objective_ms=400.0,
+    deadline_ms=1000.0,
+    priority_weight=10.0,
+    idempotency=Idempotency.IDEMPOTENT,
+)
+KEYED = RequestClass(
+    latency_objective_ms=400.0,
+    deadline_ms=1000.0,
+    priority_weight=1.0,
+    idempotency=Idempotency.KEYED,
+    deduplication_window_ms=600.0,
+)
+UNSAFE = RequestClass(
+    latency_objective_ms=400.0,
+    deadline_ms=1000.0,
+    priority_weight=1.0,
+    idempotency=Idempotency.NON_IDEMPOTENT,
+    deduplication_window_ms=5000.0,
+)
+NEVER_RAN = (AttemptResult.FULL, AttemptResult.UNREACHABLE, AttemptResult.NOT_SENT)
 
 
 def settings(**changes: object) -> Settings:
     base = Settings(
         classes=(SAFE, KEYED, UNSAFE),
-        tick=5.0,
+        tick_ms=5.0,
         may_cancel=True,
         max_attempts=4,
-        max_retry_after=2000.0,
-        cold_from=0.2,
-        ramp_time=10_000.0,
+        max_retry_after_ms=2000.0,
+        slow_start_min_capacity=0.2,
+        slow_start_duration_ms=10_000.0,
     )
     return replace(base, **changes)  # type: ignore[arg-type]
 
 
-def server(number: int, state: State = State.READY, started: float = 0.0) -> ServerEntry:
-    return ServerEntry(number, number % 3, 0, number % 4, state, 1.0, started)
+def server(
+    number: int, state: EndpointState = EndpointState.READY, started: float = 0.0
+) -> Endpoint:
+    return Endpoint(number, number % 3, 0, number % 4, state, 1.0, started)
 
 
 class Stage:
@@ -55,17 +74,17 @@
         self.config = config
         self.now = START
         self.policy = Policy(config, seed)
-        self.states: dict[int, State] = {}
+        self.states: dict[int, EndpointState] = {}
         self.requests: dict[int, Request] = {}
         self.terms: dict[int, RequestClass] = {}  # of each request's class as it came
         self.owed: set[int] = set()
         self.answers: dict[int, str] = {}
-        self.attempts: dict[int, list[tuple[float, ServerEntry]]] = {}
+        self.attempts: dict[int, list[tuple[float, Endpoint]]] = {}
         self.open: dict[tuple[int, int], float] = {}  # attempt -> when its time-out strikes
-        self.maybe_ran: dict[int, dict[int, tuple[float, ServerEntry]]] = {}
+        self.maybe_ran: dict[int, dict[int, tuple[float, Endpoint]]] = {}
         self.timers: list[tuple[float, int]] = []
         self.log: list[object] = []
-        self.entries: dict[int, ServerEntry] = {}
+        self.entries: dict[int, Endpoint] = {}
         self.lines: dict[
             int, list[int]
         ] = {}  # key -> requests that take turns, in order of arrival
@@ -77,7 +96,7 @@
             tuple[int, int], float
         ] = {}  # of attempts on requests that were not whole
         self.spent: set[int] = set()  # requests that can't be sent again
-        self.list([server(i) for i in range(servers)], ListKind.CACHED)
+        self.list([server(i) for i in range(servers)], UpdateKind.CACHED)
 
     def give(self, event: object) -> list[object]:
         actions = self.policy.handle(self.now, event)  # type: ignore[arg-type]
@@ -86,13 +105,13 @@
         self.log.extend(actions)
         return list(actions)
 
-    def list(self, entries: list[ServerEntry], kind: ListKind = ListKind.DELTA) -> list[object]:
-        if kind in (ListKind.FULL, ListKind.CACHED):
-            self.states = dict.fromkeys(self.states, State.GONE)
+    def list(self, entries: list[Endpoint], kind: UpdateKind = UpdateKind.DELTA) -> list[object]:
+        if kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
+            self.states = dict.fromkeys(self.states, EndpointState.GONE)
         for entry in entries:
             self.states[entry.id] = entry.state
             self.entries[entry.id] = entry
-        return self.give(ServerList(kind, 1, entries))
+        return self.give(EndpointUpdate(kind, 1, entries))
 
     def request(
         self,
@@ -107,11 +126,11 @@
         self.next_id += 1
         self.terms[number] = self.config.classes[cls]
         due = self.now + due_in if whole else math.inf
-        self.requests[number] = Request(number, cls, due, key, tenant, hint, whole=whole)
+        self.requests[number] = Request(number, cls, due, key, tenant, hint, complete=whole)
         self.owed.add(number)
         self.attempts[number] = []
         self.maybe_ran[number] = {}
-        if key and self.config.classes[cls].in_order:
+        if key and self.config.classes[cls].serialized_by_key:
             self.lines.setdefault(key, []).append(number)
         self.give(self.requests[number])
         return number
@@ -122,7 +141,7 @@
         return self.log[mark:]
 
     def give_failed_list(self) -> list[object]:
-        return self.give(ServerList(ListKind.FAILED, 0, []))
+        return self.give(EndpointUpdate(UpdateKind.FAILED, 0, []))
 
     def go_on(self, number: int, rng: random.Random) -> None:
         """What befalls servers and attempts at the step of this number: a line of the list, some
@@ -130,15 +149,23 @@
         if number % 20 == 9:
             started = self.now if rng.random() < 0.5 else 0.0
             self.list(
-                [server(rng.randrange(8), rng.choice((State.READY, State.DRAINING)), started)]
+                [
+                    server(
+                        rng.randrange(8),
+                        rng.choice((EndpointState.READY, EndpointState.DRAINING)),
+                        started,
+                    )
+                ]
             )
         for request, attempt in [key for key in self.open if rng.random() < 0.3]:
-            result = rng.choice((Result.OK, Result.OK, Result.ERROR, Result.FULL))
+            result = rng.choice(
+                (AttemptResult.OK, AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL)
+            )
             self.outcome(request, attempt, result, rng.uniform(10, 200))
 
     def whole(self, request: int, due_in: float) -> None:
         """The rest of a request has come: from now on its time counts, and its attempt's."""
-        self.give(Whole(request, self.now + due_in))
+        self.give(RequestCompleted(request, self.now + due_in))
         for key, limit in self.limits.items():
             if key[0] == request and key in self.open:
                 self.open[key] = self.now + min(limit, due_in)
@@ -150,34 +177,43 @@
         self.answers[request] = "served"
         target = self.attempts[request][attempt][1].id
         self.open[request, attempt] = math.inf
-        self.give(Began(request, attempt, target, 50.0))
+        self.give(ResponseStarted(request, attempt, target, 50.0))
 
     def outcome(
-        self, request: int, attempt: int, result: Result, elapsed: float = 50.0, spent: bool = False
+        self,
+        request: int,
+        attempt: int,
+        result: AttemptResult,
+        elapsed: float = 50.0,
+        spent: bool = False,
     ) -> list[object]:
         del self.open[(request, attempt)]
         if spent:
             self.spent.add(request)
-        if result in NEVER_RAN and not (result == Result.FULL and self.config.full_may_have_run):
+        if result in NEVER_RAN and not (
+            result == AttemptResult.FULL and self.config.full_possibly_executed
+        ):
             del self.maybe_ran[request][attempt]
-        if result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED):
-            rest = (request, self.now + self.config.key_rest)
+        if result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED):
+            rest = (request, self.now + self.config.key_cooldown_ms)
             self.rests.setdefault(self.requests[request].key, []).append(rest)
-        if result == Result.OK and request in self.owed:
+        if result == AttemptResult.OK and request in self.owed:
             self.owed.discard(request)
             self.answers[request] = "served"
         over = request not in self.owed
         target = self.attempts[request][attempt][1].id
-        return self.give(Outcome(request, target, over, result, attempt, elapsed, spent=spent))
+        return self.give(
+            AttemptEnded(request, target, over, result, attempt, elapsed, body_consumed=spent)
+        )
 
     def retune(self, config: Settings, fresh: frozenset[int], live: frozenset[int]) -> None:
         self.config = config
-        self.give(Retuned(config, live, fresh))
+        self.give(SettingsChanged(config, live, fresh))
 
     def withdraw(self, request: int) -> None:
         self.owed.discard(request)
         self.answers[request] = "withdrawn"
-        self.give(Withdrawn(request))
+        self.give(RequestCancelled(request))
 
     def advance(self, by: float) -> None:
         """Let time pass: timers ring, attempts time out, and no request may be owed past its due
@@ -193,38 +229,39 @@
             self.now = max(self.now, at)
             if what == 0:
                 self.timers.remove((at, first))
-                self.give(Timer(first))
+                self.give(TimerFired(first))
             else:
                 sent = self.attempts[first][second][0]
-                self.outcome(first, second, Result.TIMEOUT, self.now - sent)
+                self.outcome(first, second, AttemptResult.TIMEOUT, self.now - sent)
         self.now = end
         for number in self.owed:
             assert (
-                self.requests[number].due >= self.now
+                self.requests[number].deadline >= self.now
             ), f"request {number} is owed past its due time"
 
     def _take(self, action: object) -> None:
         if isinstance(action, Send):
             self._send(action)
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, Shed | Fail):
             assert action.id in self.owed, "a second final answer"
             self.owed.discard(action.id)
-            self.answers[action.id] = "refused" if isinstance(action, Refuse) else "failed"
+            self.answers[action.id] = "refused" if isinstance(action, Shed) else "failed"
             cls = self.terms[action.id]
-            harmless = cls.effect is Effect.SAFE or (
-                cls.effect is Effect.KEYED and cls.group is Group.ALL
+            harmless = cls.idempotency is Idempotency.IDEMPOTENT or (
+                cls.idempotency is Idempotency.KEYED
+                and cls.deduplication_scope is DeduplicationScope.ALL
             )
-            if isinstance(action, Refuse) and not harmless:
+            if isinstance(action, Shed) and not harmless:
                 assert not self.maybe_ran[action.id], "refused though it may have run"
-        elif isinstance(action, Cancel):
+        elif isinstance(action, CancelAttempt):
             assert self.config.may_cancel
             assert action.attempt < len(self.attempts[action.id]), "cancelled what was never sent"
-        elif isinstance(action, Wake):
-            assert action.delay >= 0
-            self.timers.append((self.now + action.delay, action.token))
+        elif isinstance(action, SetTimer):
+            assert action.delay_ms >= 0
+            self.timers.append((self.now + action.delay_ms, action.token))
         elif not isinstance(action, Log):
             assert isinstance(action, Subscribe)
-            assert self.config.ask_for_list
+            assert self.config.polls_endpoints
 
     def _in_turn(self, number: int) -> None:
         key = self.requests[number].key
@@ -243,30 +280,40 @@
         request = self.requests[action.id]
         cls = self.terms[action.id]
         assert action.id in self.owed, "sent after the final answer"
-        assert self.states[action.server] is State.READY, "sent to a server that drains or is gone"
+        assert (
+            self.states[action.endpoint_id] is EndpointState.READY
+        ), "sent to a server that drains or is gone"
         assert len(self.attempts[action.id]) < self.config.max_attempts
-        target = self.entries[action.server]
+        target = self.entries[action.endpoint_id]
         outstanding = [key for key in self.open if key[0] == action.id]
         assert not outstanding, "two attempts at once"
         self._in_turn(action.id)
         earlier = self.maybe_ran[action.id].values()
-        if cls.effect is Effect.UNSAFE:
+        if cls.idempotency is Idempotency.NON_IDEMPOTENT:
             assert not earlier, "an unsafe request sent again"
-        elif cls.effect is Effect.KEYED:
+        elif cls.idempotency is Idempotency.KEYED:
             for sent, other in earlier:
-                assert self.now - sent <= cls.window, "a repeat after the servers forgot it"
-                assert cls.group is not Group.ZONE or other.zone == target.zone
-                assert cls.group is not Group.CELL or other.cell == target.cell
+                assert (
+                    self.now - sent <= cls.deduplication_window_ms
+                ), "a repeat after the servers forgot it"
+                assert (
+                    cls.deduplication_scope is not DeduplicationScope.ZONE
+                    or other.zone == target.zone
+                )
+                assert (
+                    cls.deduplication_scope is not DeduplicationScope.CELL
+                    or other.cell == target.cell
+                )
         number = len(self.attempts[action.id])
         self.attempts[action.id].append((self.now, target))
         self.maybe_ran[action.id][number] = (self.now, target)
         assert action.id not in self.spent, "sent again though its body is gone"
         limit = (
-            min(action.limit, request.due - self.now)
-            if action.limit > 0
-            else request.due - self.now
+            min(action.timeout_ms, request.deadline - self.now)
+            if action.timeout_ms > 0
+            else request.deadline - self.now
         )
-        if not request.whole:
-            assert 0 < action.limit < math.inf
-            self.limits[action.id, number], limit = action.limit, math.inf
+        if not request.complete:
+            assert 0 < action.timeout_ms < math.inf
+            self.limits[action.id, number], limit = action.timeout_ms, math.inf
         self.open[(action.id, number)] = self.now + max(limit, 0.0)
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -6,7 +6,7 @@
 
 from badgercart.policy import policy as rules
 from badgercart.policy.actions import Send
-from badgercart.policy.events import ListKind, Result, ServerList
+from badgercart.policy.events import AttemptResult, EndpointUpdate, UpdateKind
 from badgercart.policy.policy import BUDGET, Policy
 from lab.ramp import Ramp, closest, play
 from tests.policy.support import SAFE, Stage, server, settings
@@ -74,28 +74,30 @@
 def test_a_node_leaves_cold_servers_of_other_stretches_to_those_that_share_them() -> None:
     # Past a full stretch each of 200 nodes went on to the whole fleet, with the rate for its own:
     # five times.
-    stage = Stage(settings(group_size=200, me=3, tip_multiple=3.0), servers=0)
-    stage.list([server(number, started=stage.now) for number in range(40)], ListKind.FULL)
+    stage = Stage(settings(cluster_size=200, node_index=3, collapse_load_factor=3.0), servers=0)
+    stage.list([server(number, started=stage.now) for number in range(40)], UpdateKind.SNAPSHOT)
     policy, far = stage.policy, set(range(40))
     assert policy.span < 40
     far -= set(policy.ours)
     for _ in range(600):
         stage.advance(5.0)
         stage.request()
-    sent = [action.server for action in stage.log if isinstance(action, Send)]
+    sent = [action.endpoint_id for action in stage.log if isinstance(action, Send)]
     assert sent and not far & set(sent)
 
 
 def test_a_node_shares_the_budget_with_all_that_may_live() -> None:
     def sent(nodes: int) -> int:
-        stage = Stage(settings(classes=(SAFE,), group_size=nodes, tip_multiple=3.0), servers=0)
+        stage = Stage(
+            settings(classes=(SAFE,), cluster_size=nodes, collapse_load_factor=3.0), servers=0
+        )
         stage.list([server(1, started=stage.now)])
         for _ in range(2000):
             stage.now += 5.0
             number = stage.request()
             if (number, 0) in stage.open:
-                stage.outcome(number, 0, Result.OK, 50.0)
-        return sum(isinstance(action, Send) and action.server == 1 for action in stage.log)
+                stage.outcome(number, 0, AttemptResult.OK, 50.0)
+        return sum(isinstance(action, Send) and action.endpoint_id == 1 for action in stage.log)
 
     few, many = sent(2), sent(20)
     # Answers of 50 ms at any age: 20 a second, whatever its warmth; three times that; one node of
@@ -105,12 +107,12 @@
 
 
 def test_a_listed_start_is_told_to_a_node_that_knows_the_server_warm() -> None:
-    stage = Stage(settings(classes=(SAFE,), group_size=24, tip_multiple=3.0), servers=4)
+    stage = Stage(settings(classes=(SAFE,), cluster_size=24, collapse_load_factor=3.0), servers=4)
     for _ in range(400):
         stage.now += 10.0
-        stage.outcome(stage.request(), 0, Result.OK)
+        stage.outcome(stage.request(), 0, AttemptResult.OK)
     before = stage.policy.servers[0].recent
-    stage.give(ServerList(ListKind.DELTA, 2, [server(0, started=stage.now)]))
+    stage.give(EndpointUpdate(UpdateKind.DELTA, 2, [server(0, started=stage.now)]))
     peers = [stage.policy.servers[number].recent for number in (1, 2, 3)]
     assert before > 0 and stage.policy.servers[0].recent == pytest.approx(sum([before, *peers]) / 4)
     assert -1.0 <= stage.policy.servers[0].tokens <= 0.0  # nodes are out of step
--- a/tests/policy/test_company.py
+++ b/tests/policy/test_company.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from badgercart.policy.actions import Send
-from badgercart.policy.events import Company, Result
+from badgercart.policy.events import AttemptResult, ClusterView
 from badgercart.policy.policy import HEARSAY, SUSPECT_AT, Policy
 from tests.policy.support import Stage, server
 from tests.policy.support import settings as terms
@@ -19,11 +19,17 @@
     """A random day of one of `size` nodes, told of its company or not."""
     rng = random.Random(seed)
     stage = Stage(
-        terms(group_size=size, me=size // 2, quotas=(40.0, 5.0), warm_keys=True, cold_from=0.3),
+        terms(
+            cluster_size=size,
+            node_index=size // 2,
+            quotas_per_s=(40.0, 5.0),
+            key_affinity=True,
+            slow_start_min_capacity=0.3,
+        ),
         seed=seed,
     )
     if told:
-        stage.give(Company(size, size // 2, size))
+        stage.give(ClusterView(size, size // 2, size))
     for number in range(150):
         stage.advance(rng.expovariate(1 / 15))
         stage.request(rng.randrange(3), key=rng.randrange(20), tenant=rng.randrange(2))
@@ -38,8 +44,11 @@
 
 
 def test_a_fleet_that_begins_cold_is_shared_by_all_that_may_live() -> None:
-    def out(company: Company | None) -> int:
-        stage = Stage(terms(group_size=1, cold_from=0.2, ramp_time=60_000.0), servers=0)
+    def out(company: ClusterView | None) -> int:
+        stage = Stage(
+            terms(cluster_size=1, slow_start_min_capacity=0.2, slow_start_duration_ms=60_000.0),
+            servers=0,
+        )
         if company is not None:
             stage.give(company)
         stage.list([server(i, started=stage.now) for i in range(4)])
@@ -47,13 +56,13 @@
             stage.request()
         return sum(isinstance(action, Send) for action in stage.log)
 
-    assert out(None) == 4 and out(Company(1, 0, 8)) < 4
+    assert out(None) == 4 and out(ClusterView(1, 0, 8)) < 4
 
 
 def test_parts_bound_what_a_tenant_may_use_here() -> None:
     def beyond(parts: tuple[float, ...]) -> float:
-        stage = Stage(terms(group_size=4, quotas=(40.0,)))
-        stage.give(Company(4, 0, 4, parts))
+        stage = Stage(terms(cluster_size=4, quotas_per_s=(40.0,)))
+        stage.give(ClusterView(4, 0, 4, parts))
         for _ in range(30):
             stage.request()
         return sum(stage.policy.offered[3:])
@@ -64,13 +73,13 @@
 def test_hearsay_weighs_less_than_what_one_rests_for_and_our_own_eyes_win() -> None:
     assert HEARSAY < SUSPECT_AT
     stage = Stage(terms())
-    stage.give(Company(1, 0, 1, hearsay=((2, 1.0), (99, 1.0))))
+    stage.give(ClusterView(1, 0, 1, failure_reports=((2, 1.0), (99, 1.0))))
     health = stage.policy.servers[2].health[0]
     assert health.fails == HEARSAY and not health.rest_until and 99 not in stage.policy.servers
     while stage.policy.servers[2].health[0].fails > 0.1:
         number = stage.request()
         if (number, 0) in stage.open:
-            stage.outcome(number, 0, Result.OK, 20.0)
+            stage.outcome(number, 0, AttemptResult.OK, 20.0)
 
 
 @pytest.mark.parametrize(
@@ -78,10 +87,10 @@
 )
 def test_a_company_that_can_not_be_is_refused(wrong: tuple[int, ...]) -> None:
     with pytest.raises(ValueError):
-        Company(*wrong)
+        ClusterView(*wrong)
 
 
 def test_settings_with_other_tenants_set_parts_aside() -> None:
-    policy = Policy(terms(quotas=(40.0, 10.0)), 1)
-    policy.handle(1.0, Company(2, 0, 2, (0.5,)))
+    policy = Policy(terms(quotas_per_s=(40.0, 10.0)), 1)
+    policy.handle(1.0, ClusterView(2, 0, 2, (0.5,)))
     assert policy.divisors == [2, 2]
