--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from badgercart.policy.actions import Log, Refuse, Send, Subscribe, Wake
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import ListKind, Outcome, Request, Result
+from badgercart.policy.actions import Log, Send, SetTimer, Shed, Subscribe
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import AttemptEnded, AttemptResult, Request, UpdateKind
 from badgercart.policy.policy import ERRORS_FROM, ERRORS_FULL, PRIOR, Policy
 from tests.policy.support import KEYED, SAFE, START, UNSAFE, Stage, server, settings
 
@@ -25,7 +25,7 @@
 
 
 def sent_to(stage: Stage) -> list[int]:
-    return [action.server for action in stage.log if isinstance(action, Send)]
+    return [action.endpoint_id for action in stage.log if isinstance(action, Send)]
 
 
 def test_without_overload_nothing_is_refused() -> None:
@@ -33,7 +33,7 @@
     for step in range(300):
         number = stage.request(step % 3)
         stage.now += 10
-        stage.outcome(number, 0, Result.OK)
+        stage.outcome(number, 0, AttemptResult.OK)
     assert set(stage.answers.values()) == {"served"}
 
 
@@ -44,9 +44,9 @@
             stage.request(step % 3)
         overload(stage, x)
         lost = sum(
-            stage.config.classes[step % 3].worth
+            stage.config.classes[step % 3].priority_weight
             for step in range(1500)
-            if any(isinstance(a, Refuse) for a in stage.give_new(step % 3))
+            if any(isinstance(a, Shed) for a in stage.give_new(step % 3))
         )
         assert abs(lost / (500 * (10 + 1 + 1)) - x**3) < 0.07
 
@@ -60,9 +60,9 @@
     waits: list[float] = []
     for step in range(900):
         for action in stage.give_new(step % 3):
-            if isinstance(action, Refuse):
+            if isinstance(action, Shed):
                 refused[step % 3] += 1
-                waits.append(action.wait)
+                waits.append(action.retry_after_ms)
     assert refused[0] == 0  # worth ten times the others
     assert refused[1] + refused[2] > 300
     assert min(waits) > 0 and max(waits) <= 2000.0
@@ -82,7 +82,7 @@
             stage.request(0 if step % 20 == 0 else 1 + step % 2)
         overload(stage, x)
         shares.append(
-            sum(any(isinstance(a, Refuse) for a in stage.give_new(0)) for _ in range(300)) / 300
+            sum(any(isinstance(a, Shed) for a in stage.give_new(0)) for _ in range(300)) / 300
         )
     assert shares[1] - shares[0] < 0.5
 
@@ -94,13 +94,13 @@
     while stage.now < end:
         stage.now += 1000 / per_second
         while due and due[0][0] <= stage.now:
-            stage.outcome(due.pop(0)[1], 0, Result.OK, elapsed)
+            stage.outcome(due.pop(0)[1], 0, AttemptResult.OK, elapsed)
         number = stage.request()
         if (number, 0) in stage.open:
             due.append((stage.now + elapsed, number))
         refused += stage.answers.get(number) == "refused"
     for _, number in due:
-        stage.outcome(number, 0, Result.OK, elapsed)
+        stage.outcome(number, 0, AttemptResult.OK, elapsed)
     return refused
 
 
@@ -117,24 +117,25 @@
     # Places on the ring are even; fast servers stood idle while slow ones tipped (quiz big-2,
     # simulated).
     for keys in (True, False):
-        config = settings(classes=(SAFE,), warm_keys=keys)
+        config = settings(classes=(SAFE,), key_affinity=keys)
         stage = Stage(config, servers=0)
         stage.list(
-            [replace(server(i), size=4.0 if i < 10 else 1.0) for i in range(40)], ListKind.FULL
+            [replace(server(i), size=4.0 if i < 10 else 1.0) for i in range(40)],
+            UpdateKind.SNAPSHOT,
         )
         for step in range(2000):
             stage.now += 5
-            stage.outcome(stage.request(key=step * 7919 + 1 if keys else 0), 0, Result.OK)
+            stage.outcome(stage.request(key=step * 7919 + 1 if keys else 0), 0, AttemptResult.OK)
         share = sum(s < 10 for s in sent_to(stage)) / 2000
         assert 0.45 < share < 0.7  # 40 of 70 units of size
 
 
 def test_a_list_without_sizes_is_served_like_any_other() -> None:
     stage = Stage(settings(classes=(SAFE,)), servers=0)
-    stage.list([replace(server(i), size=0.0) for i in range(8)], ListKind.FULL)
+    stage.list([replace(server(i), size=0.0) for i in range(8)], UpdateKind.SNAPSHOT)
     for _ in range(50):
         stage.now += 200
-        stage.outcome(stage.request(), 0, Result.OK)
+        stage.outcome(stage.request(), 0, AttemptResult.OK)
     assert len(set(sent_to(stage))) > 4
 
 
@@ -145,7 +146,7 @@
     for _ in range(2000):
         stage.now += 20
         number = stage.request()
-        stage.outcome(number, 0, Result.OK, 300.0 if sent_to(stage)[-1] < 4 else 60.0)
+        stage.outcome(number, 0, AttemptResult.OK, 300.0 if sent_to(stage)[-1] < 4 else 60.0)
     share = sum(s < 4 for s in sent_to(stage)[-1500:]) / 1500
     assert share < 0.06  # a tenth of the servers
 
@@ -157,24 +158,26 @@
         stage.now += 20
         lines += [action.text for action in stage.give_new(0) if isinstance(action, Log)]
         for number, attempt in list(stage.open):
-            stage.outcome(number, attempt, Result.TIMEOUT if step < 400 else Result.OK)
+            stage.outcome(
+                number, attempt, AttemptResult.TIMEOUT if step < 400 else AttemptResult.OK
+            )
     assert 2 <= len(lines) <= 10
     assert lines[0].startswith("shedding on") and lines[-1].startswith("shedding off")
 
 
 def test_traffic_beyond_a_quota_goes_first() -> None:
-    config = settings(quotas=(1000.0, 10.0), over_quota_worth=0.05, classes=(SAFE,))
+    config = settings(quotas_per_s=(1000.0, 10.0), over_quota_weight=0.05, classes=(SAFE,))
     stage = Stage(config, servers=50)
     for step in range(600):
         stage.now += 5
         number = stage.request(0, tenant=step % 2)
         if (number, 0) in stage.open:
-            stage.outcome(number, 0, Result.OK)
+            stage.outcome(number, 0, AttemptResult.OK)
     overload(stage, 0.3)
     refused = [0, 0]
     for step in range(400):
         stage.now += 0.01
-        refused[step % 2] += any(isinstance(a, Refuse) for a in stage.give_new(0, tenant=step % 2))
+        refused[step % 2] += any(isinstance(a, Shed) for a in stage.give_new(0, tenant=step % 2))
     assert refused[0] == 0
     assert refused[1] > 100
 
@@ -185,7 +188,7 @@
     first = sent_to(stage)[0]
     for _ in range(100):
         number = stage.request()
-        stage.outcome(number, 0, Result.OK)
+        stage.outcome(number, 0, AttemptResult.OK)
         stage.now += 1
     assert sent_to(stage)[1:].count(first) < 10  # by chance it would be half
 
@@ -193,21 +196,23 @@
 def test_nodes_agree_on_the_servers_of_a_key() -> None:
     homes = []
     for seed in (1, 2):
-        stage = Stage(settings(warm_keys=True, classes=(UNSAFE,)), seed=seed, servers=40)
+        stage = Stage(settings(key_affinity=True, classes=(UNSAFE,)), seed=seed, servers=40)
         for key in range(1, 400):
             stage.now += 100
-            stage.outcome(stage.request(key=key * 7919), 0, Result.OK)
+            stage.outcome(stage.request(key=key * 7919), 0, AttemptResult.OK)
         homes.append(sent_to(stage))
     same = sum(a == b for a, b in zip(*homes, strict=True))
     assert same > 200  # by chance it would be about ten
 
 
 def test_hot_key_is_spread_over_several_servers() -> None:
-    stage = Stage(settings(warm_keys=True, classes=(UNSAFE,)), servers=40)
+    stage = Stage(settings(key_affinity=True, classes=(UNSAFE,)), servers=40)
     for step in range(600):
         stage.now += 10
-        stage.outcome(stage.request(key=5 if step % 3 else step + 10), 0, Result.OK)
-    homes = [a.server for a in stage.log if isinstance(a, Send) and stage.requests[a.id].key == 5]
+        stage.outcome(stage.request(key=5 if step % 3 else step + 10), 0, AttemptResult.OK)
+    homes = [
+        a.endpoint_id for a in stage.log if isinstance(a, Send) and stage.requests[a.id].key == 5
+    ]
     assert len(set(homes)) > 10
 
 
@@ -219,11 +224,11 @@
         number = stage.request()
         sick = sent_to(stage)[-1] == 0
         bad += sick
-        stage.outcome(number, 0, Result.ERROR if sick else Result.OK)
+        stage.outcome(number, 0, AttemptResult.ERROR if sick else AttemptResult.OK)
     assert bad < 40
     for _ in range(2000):
         stage.now += 10
-        stage.outcome(stage.request(), 0, Result.OK)
+        stage.outcome(stage.request(), 0, AttemptResult.OK)
     assert sent_to(stage)[-200:].count(0) > 20
 
 
@@ -234,12 +239,12 @@
         stage.now += 5
         number = stage.request()
         while (number, len(stage.attempts[number]) - 1) in stage.open:
-            result = Result.FULL if sent_to(stage)[-1] == 0 else Result.OK
+            result = AttemptResult.FULL if sent_to(stage)[-1] == 0 else AttemptResult.OK
             stage.outcome(
                 number,
                 len(stage.attempts[number]) - 1,
                 result,
-                0.5 if result is Result.FULL else 50.0,
+                0.5 if result is AttemptResult.FULL else 50.0,
             )
     assert sent_to(stage).count(0) < 30
 
@@ -251,7 +256,9 @@
         stage.now += 5
         number = stage.request()
         if stage.open:
-            stage.outcome(number, 0, Result.ERROR if sent_to(stage)[-1] < 3 else Result.OK)
+            stage.outcome(
+                number, 0, AttemptResult.ERROR if sent_to(stage)[-1] < 3 else AttemptResult.OK
+            )
         if step > 100:  # they are known by then
             worst = max(worst, stage.policy.errors)
     assert stage.policy.cut == 0.0
@@ -259,30 +266,36 @@
 
 
 def test_one_silent_server_does_not_fill_the_in_flight_count() -> None:
-    stage = Stage(settings(classes=(replace(UNSAFE, aim=5000.0, deadline=6000.0),)), servers=10)
+    stage = Stage(
+        settings(classes=(replace(UNSAFE, latency_objective_ms=5000.0, deadline_ms=6000.0),)),
+        servers=10,
+    )
     for _ in range(300):
         stage.now += 20
         number = stage.request(due_in=5500.0)
         if sent_to(stage)[-1] != 0:
-            stage.outcome(number, 0, Result.OK)
+            stage.outcome(number, 0, AttemptResult.OK)
     assert len([key for key in stage.open if stage.attempts[key[0]][0][1].id == 0]) <= 5
     assert stage.policy.cut == 0.0
 
 
 def test_a_stalled_server_gets_nothing_more() -> None:
-    stage = Stage(settings(classes=(replace(UNSAFE, aim=5000.0, deadline=6000.0),)), servers=10)
+    stage = Stage(
+        settings(classes=(replace(UNSAFE, latency_objective_ms=5000.0, deadline_ms=6000.0),)),
+        servers=10,
+    )
     for _ in range(300):  # learn that answers take about 50 ms
         stage.now += 20
-        stage.outcome(stage.request(due_in=5500.0), 0, Result.OK)
+        stage.outcome(stage.request(due_in=5500.0), 0, AttemptResult.OK)
     for _ in range(6):  # six requests at once; those on the first server met never come back
         stage.request(due_in=5500.0)
     stuck = sent_to(stage)[-1]
     for request, attempt in list(stage.open):
         if stage.attempts[request][attempt][1].id != stuck:
-            stage.outcome(request, attempt, Result.OK)
+            stage.outcome(request, attempt, AttemptResult.OK)
     stage.now += 5 * max(stage.policy.usual)
     for _ in range(3):
-        stage.outcome(stage.request(due_in=5500.0), 0, Result.OK)
+        stage.outcome(stage.request(due_in=5500.0), 0, AttemptResult.OK)
         stage.request(due_in=5500.0)
     for _ in range(100):
         assert sent_to(stage)[-1] != stuck
@@ -295,7 +308,7 @@
         number = stage.request()
         overload(stage, x)
         while (number, len(stage.attempts[number]) - 1) in stage.open:
-            stage.outcome(number, len(stage.attempts[number]) - 1, Result.FULL)
+            stage.outcome(number, len(stage.attempts[number]) - 1, AttemptResult.FULL)
         assert len(stage.attempts[number]) == most
 
 
@@ -303,7 +316,7 @@
     stage = Stage(settings(classes=(SAFE,)), servers=30)
     for _ in range(300):
         stage.now += 20
-        stage.outcome(stage.request(), 0, Result.OK, 200.0)
+        stage.outcome(stage.request(), 0, AttemptResult.OK, 200.0)
     late = stage.request(due_in=30.0)
     assert stage.attempts[late] == []
     assert stage.answers[late] == "refused"
@@ -315,13 +328,13 @@
         stage.now += 5
         number = stage.request()
         if (number, 0) in stage.open:
-            stage.outcome(number, 0, Result.ERROR, 400.0)
+            stage.outcome(number, 0, AttemptResult.ERROR, 400.0)
     assert stage.policy.cut > 50
     for _ in range(2000):
         stage.now += 5
         number = stage.request()
         if (number, 0) in stage.open:
-            stage.outcome(number, 0, Result.OK)
+            stage.outcome(number, 0, AttemptResult.OK)
     assert stage.policy.cut == 0.0
 
 
@@ -330,14 +343,14 @@
     # what it had seen faded good and bad alike, so the share that had failed stood still (churn,
     # reload).
     stage = Stage(settings(classes=(UNSAFE,)), servers=10)
-    answers = [(Result.ERROR, 400.0)] * 300 + [(Result.OK, 20.0)] * 300
+    answers = [(AttemptResult.ERROR, 400.0)] * 300 + [(AttemptResult.OK, 20.0)] * 300
     cuts, served = [], 0
     for result, elapsed in answers:
         stage.now += 3
         number = stage.request()
         if (number, 0) in stage.open:
             stage.outcome(number, 0, result, elapsed)
-            served += result is Result.OK
+            served += result is AttemptResult.OK
         cuts.append(stage.policy.cut)
     assert max(cuts[:300]) > 90
     assert cuts[-1] < 1.0 and served > 200, (cuts[::20], served)
@@ -348,7 +361,10 @@
     # What was in flight counted as growth until the first slow answers had lifted their mean time:
     # 45 were held to be needed where 9 had done, and the servers were driven until they failed
     # (churn, node log).
-    stage = Stage(settings(classes=(replace(SAFE, aim=aim, deadline=5 * aim),)), servers=10)
+    stage = Stage(
+        settings(classes=(replace(SAFE, latency_objective_ms=aim, deadline_ms=5 * aim),)),
+        servers=10,
+    )
     feed(stage, 300, 3, 20.0)
     assert feed(stage, 600, 0.4, 80.0) > 60  # four times as slow, and twice as much
 
@@ -361,34 +377,38 @@
         if step == 1000:
             stage.list([server(10, started=stage.now)])
             mark = len(stage.log)
-        stage.outcome(stage.request(), 0, Result.OK)
+        stage.outcome(stage.request(), 0, AttemptResult.OK)
         if step in (1500, 2999):
-            sends = [a.server for a in stage.log[mark:] if isinstance(a, Send)]
+            sends = [a.endpoint_id for a in stage.log[mark:] if isinstance(a, Send)]
             counts.append(sends.count(10) / (len(sends) / 11))
     assert 0 < counts[0] < 0.5
     assert counts[1] < 1.0
 
 
 def test_list_is_asked_for_with_backoff_and_only_where_it_must_be() -> None:
-    stage = Stage(settings(ask_for_list=True), servers=3)
+    stage = Stage(settings(polls_endpoints=True), servers=3)
     delays = []
     for _ in range(8):
         stage.advance(3000.0)
-        wakes = [a for a in stage.give_failed_list() if isinstance(a, Wake)]
-        delays.append(wakes[0].delay)
+        wakes = [a for a in stage.give_failed_list() if isinstance(a, SetTimer)]
+        delays.append(wakes[0].delay_ms)
     assert sum(isinstance(a, Subscribe) for a in stage.log) >= 7
     assert delays[-1] > delays[0]
-    assert max(delays) <= stage.config.ask_within / 4
+    assert max(delays) <= stage.config.poll_interval_ms / 4
     pushed = Stage(settings(), servers=3)
     pushed.advance(60_000.0)
-    assert not any(isinstance(a, Subscribe | Wake) for a in pushed.log)
+    assert not any(isinstance(a, Subscribe | SetTimer) for a in pushed.log)
 
 
 def test_keyed_request_is_not_repeated_after_its_window() -> None:
-    stage = Stage(settings(classes=(replace(KEYED, aim=900.0, window=100.0),)))
+    stage = Stage(
+        settings(
+            classes=(replace(KEYED, latency_objective_ms=900.0, deduplication_window_ms=100.0),)
+        )
+    )
     number = stage.request()
     stage.now += 150
-    stage.outcome(number, 0, Result.RESET, 150.0)
+    stage.outcome(number, 0, AttemptResult.RESET, 150.0)
     assert len(stage.attempts[number]) == 1
     assert stage.answers[number] == "refused"
 
@@ -398,22 +418,24 @@
     for _ in range(400):
         stage.now += 5
         number = stage.request()
-        stage.outcome(number, 0, Result.ERROR if sent_to(stage)[-1] == 0 else Result.OK)
+        stage.outcome(
+            number, 0, AttemptResult.ERROR if sent_to(stage)[-1] == 0 else AttemptResult.OK
+        )
     assert stage.policy.servers[0].health[0].rest_until > 0
-    stage.list([replace(server(0), started=stage.now - 60_000.0)])
+    stage.list([replace(server(0), started_ms=stage.now - 60_000.0)])
     assert not stage.policy.servers[0].health[0].rest_until
     assert stage.policy.servers[0].health[0].fails == 0.0
 
 
 def test_same_events_same_actions_and_instances_share_nothing() -> None:
     def play(other: bool) -> list[object]:
-        stage = Stage(settings(warm_keys=True), seed=4)
-        neighbour = Stage(settings(warm_keys=True), seed=9) if other else None
+        stage = Stage(settings(key_affinity=True), seed=4)
+        neighbour = Stage(settings(key_affinity=True), seed=9) if other else None
         for step in range(400):
             stage.advance(7.0)
             stage.request(step % 3, key=step % 11)
             if stage.open and step % 2:
-                stage.outcome(*min(stage.open), Result.OK)
+                stage.outcome(*min(stage.open), AttemptResult.OK)
             if neighbour:
                 neighbour.request(step % 3, key=step % 5)
         return stage.log
@@ -426,12 +448,14 @@
     number = stage.request()
     (_, target), *_ = stage.attempts[number]
     for new in range(3, 203):  # every server is replaced, time and again
-        stage.list([server(new), server(new - 3, State.GONE)])
-    stage.list([server(300, State.GONE)])  # never heard of before
+        stage.list([server(new), server(new - 3, EndpointState.GONE)])
+    stage.list([server(300, EndpointState.GONE)])  # never heard of before
     assert set(stage.policy.servers) == {target.id, 200, 201, 202}
-    stage.outcome(number, 0, Result.OK)
+    stage.outcome(number, 0, AttemptResult.OK)
     assert set(stage.policy.servers) == {200, 201, 202}
-    stage.give(Outcome(number, target.id, True, Result.OK, 0, 5.0))  # told twice: no error
+    stage.give(
+        AttemptEnded(number, target.id, True, AttemptResult.OK, 0, 5.0)
+    )  # told twice: no error
 
 
 def test_unknown_class_or_tenant_is_a_clear_error() -> None:
@@ -439,7 +463,7 @@
     with pytest.raises(LookupError, match="class 9"):
         policy.handle(START, Request(1, 9, START + 100))
     with pytest.raises(LookupError, match="tenant 2"):
-        tenants = settings(quotas=(5.0, 5.0))
+        tenants = settings(quotas_per_s=(5.0, 5.0))
         Policy(tenants, 1).handle(START, Request(1, 0, START + 100, tenant=2))
 
 
@@ -448,10 +472,10 @@
     # none.
     used: list[set[int]] = []
     for me in (0, 199):
-        stage = Stage(settings(classes=(UNSAFE,), group_size=200, me=me), servers=50)
+        stage = Stage(settings(classes=(UNSAFE,), cluster_size=200, node_index=me), servers=50)
         for _ in range(200):
             stage.now += 50
-            stage.outcome(stage.request(), 0, Result.OK)
+            stage.outcome(stage.request(), 0, AttemptResult.OK)
         used.append(set(sent_to(stage)))
     assert len(used[0]) <= 9
     assert not used[0] & used[1]
@@ -462,7 +486,9 @@
     # times the keys it can remember (quotes, simulated: 0.60 to 0.51).
     places = []
     for me in (0, 1, 23):
-        stage = Stage(settings(classes=(SAFE,), group_size=24, me=me, warm_keys=True), servers=80)
+        stage = Stage(
+            settings(classes=(SAFE,), cluster_size=24, node_index=me, key_affinity=True), servers=80
+        )
         places.append([stage.policy.place(key, 0) for key in range(1, 200)])
     assert places[0] == places[1]
     assert not set(places[0]) & set(places[2])
@@ -471,7 +497,7 @@
 def test_in_its_stretch_a_node_goes_on_looking_for_an_idle_server() -> None:
     # Two draws find a server that holds none of ours too seldom; with what others send, small
     # servers tip (if40ccc, simulated: 0.50 with two draws, 0.74 with the whole draw).
-    stage = Stage(settings(classes=(UNSAFE,), group_size=200), servers=50)
+    stage = Stage(settings(classes=(UNSAFE,), cluster_size=200), servers=50)
     for _ in range(6):
         stage.request()
     assert len(set(sent_to(stage))) == 6
@@ -479,14 +505,14 @@
 
 def test_small_node_does_not_refuse_on_chance() -> None:
     # With five requests in flight a clump of arrivals is chance, not overload.
-    stage = Stage(settings(classes=(UNSAFE,), group_size=10), servers=50)
+    stage = Stage(settings(classes=(UNSAFE,), cluster_size=10), servers=50)
     for step in range(400):
         stage.now += 20
         numbers = [stage.request() for _ in range(8 if step % 40 == 0 else 1)]
         stage.now += 55
         for number in numbers:
             if (number, 0) in stage.open:
-                stage.outcome(number, 0, Result.OK)
+                stage.outcome(number, 0, AttemptResult.OK)
     assert list(stage.answers.values()).count("refused") < 8
 
 
@@ -503,21 +529,21 @@
         elif step > 2000:
             refused_late += 1
         while held and len(held) > 12:
-            stage.outcome(held.pop(0), 0, Result.OK, 96.0)
+            stage.outcome(held.pop(0), 0, AttemptResult.OK, 96.0)
     assert refused_late < 50
 
 
 def test_heavier_of_two_equally_worthy_classes_is_not_starved() -> None:
-    stage = Stage(settings(classes=(KEYED, replace(UNSAFE, worth=1.0))), servers=50)
+    stage = Stage(settings(classes=(KEYED, replace(UNSAFE, priority_weight=1.0))), servers=50)
     for step in range(1000):
         stage.now += 5
         number = stage.request(step % 2)
         if (number, 0) in stage.open:
-            stage.outcome(number, 0, Result.OK, 30.0 if step % 2 else 90.0)
+            stage.outcome(number, 0, AttemptResult.OK, 30.0 if step % 2 else 90.0)
     overload(stage, 0.8)
     refused = [0, 0]
     for step in range(600):
-        refused[step % 2] += any(isinstance(a, Refuse) for a in stage.give_new(step % 2))
+        refused[step % 2] += any(isinstance(a, Shed) for a in stage.give_new(step % 2))
     assert min(refused) > 0.6 * max(refused)
 
 
@@ -532,7 +558,7 @@
             mark = len(sent_to(stage))
         number = stage.request()
         if (number, 0) in stage.open:
-            stage.outcome(number, 0, Result.OK)
+            stage.outcome(number, 0, AttemptResult.OK)
     cold = sum(target >= 5 for target in sent_to(stage)[mark:])
     assert 0.35 < cold / 2000 < 0.75
 
@@ -543,7 +569,7 @@
     for sick in range(11):
         stage.policy.servers[sick].health[0].rest_until = stage.now + 60_000.0
     for _ in range(50):
-        stage.outcome(stage.request(), 0, Result.OK)
+        stage.outcome(stage.request(), 0, AttemptResult.OK)
     assert set(sent_to(stage)) == {11}
 
 
@@ -557,14 +583,14 @@
         stage.now += 250
         number = stage.request()
         if (number, 0) in stage.open:
-            stage.outcome(number, 0, Result.TIMEOUT, 240.0)
+            stage.outcome(number, 0, AttemptResult.TIMEOUT, 240.0)
         cuts.append(stage.policy.cut)
     assert max(cuts[:16]) > 90
 
 
 def test_a_small_node_is_held_to_its_own_need() -> None:
     # A floor of one request a node let 600 nodes hold nine for each core (ib2adee, simulated).
-    stage = Stage(settings(classes=(SAFE,), group_size=600), servers=60)
+    stage = Stage(settings(classes=(SAFE,), cluster_size=600), servers=60)
     feed(stage, 5, 30, 60.0)
     assert stage.policy.need < 0.8
     assert feed(stage, 5, 30, 60.0) == 0
@@ -573,14 +599,16 @@
 def test_class_that_fails_on_a_server_goes_elsewhere_and_the_others_stay() -> None:
     # Health was kept by server: one failing class took the server from all, or was kept up by the
     # others (central big-2, simulated: 0.24 to 0.40).
-    stage = Stage(settings(classes=(UNSAFE, replace(UNSAFE, worth=2.0))), servers=6)
+    stage = Stage(settings(classes=(UNSAFE, replace(UNSAFE, priority_weight=2.0))), servers=6)
     for step in range(1200):
         stage.now += 10
         number = stage.request(step % 2)
         if (number, 0) in stage.open:
             sick = sent_to(stage)[-1] < 2 and step % 2
-            stage.outcome(number, 0, Result.ERROR if sick else Result.OK)
-    late = [(a.server, stage.requests[a.id].cls) for a in stage.log if isinstance(a, Send)][-600:]
+            stage.outcome(number, 0, AttemptResult.ERROR if sick else AttemptResult.OK)
+    late = [
+        (a.endpoint_id, stage.requests[a.id].class_index) for a in stage.log if isinstance(a, Send)
+    ][-600:]
     assert sum(s < 2 and cls == 1 for s, cls in late) < 12
     assert sum(s < 2 and cls == 0 for s, cls in late) > 60
 
@@ -590,14 +618,16 @@
     stage = Stage(settings(classes=(SAFE,), max_attempts=1), servers=10)
     for step in range(300):
         stage.now += 20
-        stage.outcome(stage.request(), 0, Result.UNREACHABLE if step % 3 else Result.OK)
+        stage.outcome(
+            stage.request(), 0, AttemptResult.UNREACHABLE if step % 3 else AttemptResult.OK
+        )
     assert stage.policy.cut == 0.0
 
 
 def test_cold_budget_counts_what_peers_answer_not_what_is_thrown_at_them() -> None:
     # Peers that take no connections drew several attempts a request; a cold server was sent 3.4
     # times what it could do (hd1cfdf, simulated, rule broken).
-    stage = Stage(settings(classes=(SAFE,), group_size=5), servers=10)
+    stage = Stage(settings(classes=(SAFE,), cluster_size=5), servers=10)
     mark = 0
     for step in range(3000):
         stage.now += 20
@@ -608,7 +638,11 @@
         while stage.open:
             attempt = next(iter(stage.open))
             cold = stage.attempts[number][-1][1].id == 10
-            result = Result.OK if cold or step < 1000 or step % 20 == 0 else Result.UNREACHABLE
+            result = (
+                AttemptResult.OK
+                if cold or step < 1000 or step % 20 == 0
+                else AttemptResult.UNREACHABLE
+            )
             stage.outcome(*attempt, result)
         if step == 2300:
             break
@@ -625,7 +659,10 @@
         number = stage.request()
         if (number, 0) in stage.open:
             stage.outcome(
-                number, 0, Result.ERROR if step % 2 else Result.OK, 2.0 if step % 2 else 60.0
+                number,
+                0,
+                AttemptResult.ERROR if step % 2 else AttemptResult.OK,
+                2.0 if step % 2 else 60.0,
             )
     assert stage.policy.cut == 0.0
 
@@ -639,9 +676,13 @@
         stage.now += 10
         number = stage.request()
         if (number, 0) in stage.open:
-            stage.outcome(number, 0, *((Result.RESET, 0.5) if step % 5 == 0 else (Result.OK, 50.0)))
+            stage.outcome(
+                number,
+                0,
+                *((AttemptResult.RESET, 0.5) if step % 5 == 0 else (AttemptResult.OK, 50.0)),
+            )
         if (number, 1) in stage.open:
-            stage.outcome(number, 1, Result.OK)
+            stage.outcome(number, 1, AttemptResult.OK)
         assert stage.policy.cut < 1.0
         assert not any(s.health[0].rest_until > stage.now for s in stage.policy.servers.values())
 
@@ -652,7 +693,7 @@
     stage = Stage(settings(classes=(SAFE,)), servers=10)
     for _ in range(200):
         stage.now += 20
-        stage.outcome(stage.request(due_in=300.0), 0, Result.OK)
+        stage.outcome(stage.request(due_in=300.0), 0, AttemptResult.OK)
     light, heavy = stage.request(due_in=90.0, hint=40.0), stage.request(due_in=90.0, hint=120.0)
     assert stage.attempts[light]
     assert stage.answers[heavy] == "refused"
@@ -662,12 +703,14 @@
     # Servers turned away one class for half a minute, and each 'full' cost an unsafe request (busan
     # rough-1, simulated: 0.21 to 0.30). Where 'full' is proof, another server is tried for little.
     for no_proof, most in ((True, 3), (False, 12)):
-        config = settings(classes=(UNSAFE,), full_may_have_run=no_proof, max_attempts=1)
+        config = settings(classes=(UNSAFE,), full_possibly_executed=no_proof, max_attempts=1)
         stage = Stage(config, servers=10)
         for _ in range(100):
             stage.now += 20
             number = stage.request()
-            stage.outcome(number, 0, Result.FULL if sent_to(stage)[-1] == 0 else Result.OK)
+            stage.outcome(
+                number, 0, AttemptResult.FULL if sent_to(stage)[-1] == 0 else AttemptResult.OK
+            )
         assert sent_to(stage).count(0) <= most
 
 
@@ -676,7 +719,7 @@
     stage = Stage(settings(classes=(SAFE,), zone=1), servers=9)
     for _ in range(600):
         stage.now += 20
-        stage.outcome(stage.request(), 0, Result.OK)
+        stage.outcome(stage.request(), 0, AttemptResult.OK)
     near = sum(stage.entries[i].zone == 1 for i in sent_to(stage)) / 600
     assert 0.5 < near < 0.95
     for _ in range(40):  # they answer no more: the others take over at once
@@ -692,14 +735,15 @@
     needs = []
     for late_value in (0.0, 0.5):
         stage = Stage(
-            settings(classes=(replace(SAFE, late_value=late_value),), group_size=50), servers=8
+            settings(classes=(replace(SAFE, late_value_share=late_value),), cluster_size=50),
+            servers=8,
         )
         for step in range(300):
             stage.now += 50
             number = stage.request(due_in=2000.0)
             if (number, 0) in stage.open:
                 stage.now += 700.0 if step % 5 == 0 else 0.0
-                stage.outcome(number, 0, Result.OK, 700.0 if step % 5 == 0 else 60.0)
+                stage.outcome(number, 0, AttemptResult.OK, 700.0 if step % 5 == 0 else 60.0)
         needs.append(stage.policy.need)
     assert needs[1] > 1.5 * needs[0]
 
@@ -717,7 +761,7 @@
 
 
 def test_a_young_node_knows_its_rate_at_once() -> None:
-    stage = Stage(settings(classes=(SAFE,), group_size=20), servers=8)
+    stage = Stage(settings(classes=(SAFE,), cluster_size=20), servers=8)
     feed(stage, 50, 1)
     assert 0.6 < stage.policy.rate * 1000 / 50 < 1.4
 
@@ -730,7 +774,7 @@
         stage.now += 20
         number = stage.request()
         while stage.open:
-            stage.outcome(*next(iter(stage.open)), Result.UNREACHABLE, 5.0)
+            stage.outcome(*next(iter(stage.open)), AttemptResult.UNREACHABLE, 5.0)
     assert stage.policy.cut == 0.0
     assert len(stage.attempts[number]) == 1
 
@@ -744,14 +788,14 @@
         stage.now += 12.5
         stage.request()
         if len(stage.open) >= 4:
-            stage.outcome(*min(stage.open), Result.OK, 50.0)
+            stage.outcome(*min(stage.open), AttemptResult.OK, 50.0)
     burst = [stage.request() for _ in range(40)]
     for _ in range(20):
         stage.now += 12.5
         stage.request()
     assert stage.policy.x > 0.5
     for key in sorted(stage.open):
-        stage.outcome(*key, Result.OK, 60.0)
+        stage.outcome(*key, AttemptResult.OK, 60.0)
     number = stage.request()
     assert stage.policy.in_flight > 1.5 * stage.policy.need  # on average it is still full
     assert stage.policy.x == 0.0 and stage.attempts[number] and burst
@@ -769,7 +813,7 @@
         for health in policy.servers[sick].health[: 1 if sick else 3]:
             health.rest_until = stage.now + 500.0
         policy.rested.add(sick)
-    stage.advance(policy.settings.tick * 20)
+    stage.advance(policy.settings.tick_ms * 20)
     stage.request()
     assert policy.warm == pytest.approx(8 - 1 - 2 / 3)
     feed(stage, 300, 5.0)
@@ -781,7 +825,7 @@
 def test_past_servers_that_are_full_the_search_for_an_idle_one_goes_on() -> None:
     # The two places of a key held ten each where others held none: the lighter of the two was
     # taken.
-    stage = Stage(settings(warm_keys=True), servers=8)
+    stage = Stage(settings(key_affinity=True), servers=8)
     policy = stage.policy
     places = {policy.place(7, 0), policy.place(7, 1)}
     for _ in range(24):
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -12,8 +12,15 @@
 from hypothesis import strategies as st
 
 from badgercart.policy.actions import Send
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind, Outcome, Request, Result, ServerList, Timer
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointUpdate,
+    Request,
+    TimerFired,
+    UpdateKind,
+)
 from badgercart.policy.hash_ring import BLOCK, Ring, Sizes
 from badgercart.policy.policy import (
     BURST_FROM,
@@ -26,11 +33,11 @@
     Policy,
     mix,
 )
-from badgercart.policy.settings import Effect, RequestClass, Settings
+from badgercart.policy.settings import Idempotency, RequestClass, Settings
 
 CLASSES = (
-    RequestClass(400.0, 1000.0, 1.0, Effect.SAFE),
-    RequestClass(400.0, 1000.0, 8.0, Effect.KEYED, window=6000.0),
+    RequestClass(400.0, 1000.0, 1.0, Idempotency.IDEMPOTENT),
+    RequestClass(400.0, 1000.0, 8.0, Idempotency.KEYED, deduplication_window_ms=6000.0),
 )
 
 
@@ -41,12 +48,12 @@
     def __init__(self, policy: Policy, strongest: float) -> None:
         settings, servers = policy.settings, policy.servers
         self.ready = sorted(
-            (i for i, s in servers.items() if s.entry.state is State.READY), key=mix
+            (i for i, s in servers.items() if s.entry.state is EndpointState.READY), key=mix
         )
         ready = [servers[i] for i in self.ready]
         sparse = policy.need < SPARSE * len(ready)
-        groups = max(1, min(settings.group_size // NODES, len(ready) // FEW)) if sparse else 1
-        group = settings.me * groups // settings.group_size
+        groups = max(1, min(settings.cluster_size // NODES, len(ready) // FEW)) if sparse else 1
+        group = settings.node_index * groups // settings.cluster_size
         self.start = group * len(ready) // groups
         self.span = max(1, (group + 1) * len(ready) // groups - self.start)
         self.ours = self.ready[self.start : self.start + self.span]
@@ -61,7 +68,7 @@
             max((strength(s, strongest) for s in ready), default=1.0) or 1.0
         )
         size = sum(s.entry.size for s in ready) / max(1, len(ready))
-        self.slots = (size if 0.5 <= size <= 8 else 1.0) / settings.group_size
+        self.slots = (size if 0.5 <= size <= 8 else 1.0) / settings.cluster_size
         self.mean_strength = sum(strength(s, self.strongest) for s in ready) / max(1, len(ready))
         counts = {i: int(RING_POINTS * strength(servers[i], self.strongest)) + 1 for i in self.ours}
         self.ring = sorted(
@@ -105,13 +112,18 @@
         nodes = rng.choice((1, 3, 30))
         policy = Measured(
             Settings(
-                classes=CLASSES, group_size=nodes, me=rng.randrange(nodes), warm_keys=True, max_attempts=3,
-                cold_from=0.3, ramp_time=3000.0,
+                classes=CLASSES,
+                cluster_size=nodes,
+                node_index=rng.randrange(nodes),
+                key_affinity=True,
+                max_attempts=3,
+                slow_start_min_capacity=0.3,
+                slow_start_duration_ms=3000.0,
             ),
             seed,
-        )  # fmt: skip
+        )
         now, number, out = 50_000.0, 0, []
-        fleet: dict[int, ServerEntry] = {}
+        fleet: dict[int, Endpoint] = {}
         for _ in range(120):
             now += rng.choice((0.0, 10.0, 400.0, 6000.0))
             if rng.random() < 0.4:
@@ -119,22 +131,34 @@
                 for _ in range(rng.choice((1, 1, 3, 90))):
                     server = rng.randrange(1, 200)
                     state = rng.choice(
-                        (State.READY, State.READY, State.READY, State.DRAINING, State.GONE)
+                        (
+                            EndpointState.READY,
+                            EndpointState.READY,
+                            EndpointState.READY,
+                            EndpointState.DRAINING,
+                            EndpointState.GONE,
+                        )
                     )
                     started = rng.choice((0.0, 0.0, now - 500.0))
                     size = rng.choice((0.0, 1.0, 2.0, 3.0, rng.uniform(0.5, 9)))
-                    changed[server] = ServerEntry(
+                    changed[server] = Endpoint(
                         server, server % 2, server % 3, 0, state, size, started
                     )
                 kind = rng.choice(
-                    (ListKind.DELTA, ListKind.DELTA, ListKind.DELTA, ListKind.FULL, ListKind.CACHED)
+                    (
+                        UpdateKind.DELTA,
+                        UpdateKind.DELTA,
+                        UpdateKind.DELTA,
+                        UpdateKind.SNAPSHOT,
+                        UpdateKind.CACHED,
+                    )
                 )
-                policy.handle(now, ServerList(kind, 1, list(changed.values())))
+                policy.handle(now, EndpointUpdate(kind, 1, list(changed.values())))
             else:
                 number += 1
                 cls = rng.randrange(2)
                 out += [
-                    (number, action.server, cls)
+                    (number, action.endpoint_id, cls)
                     for action in policy.handle(
                         now, Request(number, cls, now + 900, rng.randrange(1, 50))
                     )
@@ -143,23 +167,33 @@
                 if out and rng.random() < 0.8:
                     asked, server, _ = out.pop(rng.randrange(len(out)))
                     result = rng.choice(
-                        (Result.OK, Result.OK, Result.OK, Result.ERROR, Result.TIMEOUT)
+                        (
+                            AttemptResult.OK,
+                            AttemptResult.OK,
+                            AttemptResult.OK,
+                            AttemptResult.ERROR,
+                            AttemptResult.TIMEOUT,
+                        )
+                    )
+                    policy.handle(
+                        now, AttemptEnded(asked, server, True, result, 0, rng.uniform(5, 600))
                     )
-                    policy.handle(now, Outcome(asked, server, True, result, 0, rng.uniform(5, 600)))
         assert fleet == {}
     assert Measured.looks > 2000
 
 
 def test_a_long_list_is_placed_in_slices_and_ends_the_same() -> None:
-    policy = Policy(Settings(classes=CLASSES, warm_keys=True), 1)
-    entries = [ServerEntry(i, 0, i % 2, 0, State.READY, 1.0 + i % 7, 0.0) for i in range(1, 2001)]
-    policy.handle(0.0, ServerList(ListKind.FULL, 1, entries))
+    policy = Policy(Settings(classes=CLASSES, key_affinity=True), 1)
+    entries = [
+        Endpoint(i, 0, i % 2, 0, EndpointState.READY, 1.0 + i % 7, 0.0) for i in range(1, 2001)
+    ]
+    policy.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     assert policy.unplaced and policy.ring.blocks
     # Requests are served from the part that is placed.
     assert isinstance(policy.handle(1.0, Request(1, 0, 900.0, key=5))[-1], Send)
     turns = 0
     while policy.unplaced:
-        policy.handle(2.0, Timer(0))
+        policy.handle(2.0, TimerFired(0))
         turns += 1
     assert turns > 10
     assert policy.ring.points() == WholeLook(policy, policy.strongest).ring
@@ -168,21 +202,23 @@
 def test_a_key_draws_no_server_that_has_left_though_its_points_are_there_yet() -> None:
     """Of a list that takes many servers out, points are taken away in slices: with the events that
     follow."""
-    for state in (State.DRAINING, State.GONE):
-        policy = Policy(Settings(CLASSES, warm_keys=True, max_attempts=3), 1)
-        entries = [ServerEntry(i, 0, 0, 0, State.READY, 2.0, 0.0) for i in range(1, 1001)]
-        policy.handle(0.0, ServerList(ListKind.FULL, 1, entries))
+    for state in (EndpointState.DRAINING, EndpointState.GONE):
+        policy = Policy(Settings(CLASSES, key_affinity=True, max_attempts=3), 1)
+        entries = [Endpoint(i, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for i in range(1, 1001)]
+        policy.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
         while policy.unplaced:
             policy.place_points(1 << 30)
-        told = [ServerEntry(i, 0, 0, 0, state, 2.0, 0.0) for i in range(1, 901)]
-        policy.handle(1.0, ServerList(ListKind.DELTA, 2, told))
+        told = [Endpoint(i, 0, 0, 0, state, 2.0, 0.0) for i in range(1, 901)]
+        policy.handle(1.0, EndpointUpdate(UpdateKind.DELTA, 2, told))
         assert policy.unplaced and any(i <= 900 for _, i in policy.ring.points())
         chosen = []
         for number in range(1, 41):
             for action in policy.handle(2.0, Request(number, 0, 900.0, key=number * 7919)):
                 assert isinstance(action, Send)
-                chosen.append(action.server)
-                policy.handle(2.0, Outcome(number, action.server, True, Result.OK, 0, 20.0))
+                chosen.append(action.endpoint_id)
+                policy.handle(
+                    2.0, AttemptEnded(number, action.endpoint_id, True, AttemptResult.OK, 0, 20.0)
+                )
         assert len(chosen) == 40 and min(chosen) > 900
 
 
@@ -228,14 +264,19 @@
     """A policy that has been told of so many servers that started just now, and of so many warm
     ones."""
     policy = Policy(
-        Settings((RequestClass(600.0, 1500.0, 1.0, Effect.SAFE),), group_size=group, cold_from=0.3,
-                 ramp_time=8000.0), 3,
-    )  # fmt: skip
+        Settings(
+            (RequestClass(600.0, 1500.0, 1.0, Idempotency.IDEMPOTENT),),
+            cluster_size=group,
+            slow_start_min_capacity=0.3,
+            slow_start_duration_ms=8000.0,
+        ),
+        3,
+    )
     entries = [
-        ServerEntry(n + 1, 0, 0, 0, State.READY, 3.0, 1000.0 if n < cold else 0.0)
+        Endpoint(n + 1, 0, 0, 0, EndpointState.READY, 3.0, 1000.0 if n < cold else 0.0)
         for n in range(cold + warm)
     ]
-    policy.handle(1000.0, ServerList(ListKind.FULL, 1, entries))
+    policy.handle(1000.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     return policy
 
 
@@ -251,7 +292,7 @@
 
 def test_a_fleet_that_begins_cold_is_sent_to_by_size_and_by_what_it_answers() -> None:
     policy = cold_fleet(10, 0)
-    first = [action.server for action in sent(policy, 200)]
+    first = [action.endpoint_id for action in sent(policy, 200)]
     # Two nodes, three slots: each has one attempt out at a server, or what its tokens let through.
     assert 10 <= len(first) <= 25 and max(map(first.count, first)) <= 2
     again = sent(policy, 200, 1002.0, 500)
@@ -261,7 +302,7 @@
 def test_a_cold_server_among_warm_ones_still_waits_for_its_tokens() -> None:
     policy = cold_fleet(2, 10)
     chosen = sent(policy, 40)
-    assert len(chosen) == 40 and sum(action.server <= 2 for action in chosen) <= 2
+    assert len(chosen) == 40 and sum(action.endpoint_id <= 2 for action in chosen) <= 2
 
 
 def test_warmth_is_measured_between_lists() -> None:
@@ -281,7 +322,9 @@
     first = sent(policy, 200)
     assert BURST_FROM * 15 < len(first) <= BURST_FULL * 15 + 1
     for action in first:
-        policy.handle(1040.0, Outcome(action.id, action.server, True, Result.OK, 0, 30.0))
+        policy.handle(
+            1040.0, AttemptEnded(action.id, action.endpoint_id, True, AttemptResult.OK, 0, 30.0)
+        )
     assert policy.flying == 0 and len(sent(policy, 10, 1041.0, 500)) == 10
 
 
--- a/tests/policy/test_planned.py
+++ b/tests/policy/test_planned.py
@@ -11,21 +11,27 @@
 from hypothesis import strategies as st
 
 from badgercart.policy.actions import Send
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import Planned, Result
-from badgercart.policy.settings import Effect, Group, RequestClass
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import AttemptResult, TrafficPlan
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass
 from tests.policy.support import Stage, server
 from tests.policy.support import settings as terms
 
 NOWHERE = (0.0, 0.0, 0.0)
-KEYED = RequestClass(400.0, 1000.0, 1.0, Effect.KEYED, Group.ZONE, 600.0)
+KEYED = RequestClass(400.0, 1000.0, 1.0, Idempotency.KEYED, DeduplicationScope.ZONE, 600.0)
 
 
-def play(seed: int, plan: Planned | None, **more: object) -> Stage:
+def play(seed: int, plan: TrafficPlan | None, **more: object) -> Stage:
     """A random day, told of a plan now and then or never."""
     rng = random.Random(seed)
     stage = Stage(
-        terms(quotas=(40.0, 5.0), warm_keys=seed % 2 == 0, cold_from=0.3, **more), seed=seed
+        terms(
+            quotas_per_s=(40.0, 5.0),
+            key_affinity=seed % 2 == 0,
+            slow_start_min_capacity=0.3,
+            **more,
+        ),
+        seed=seed,
     )
     for number in range(150):
         if plan is not None and number % 10 == 0:
@@ -39,13 +45,15 @@
 
 
 def zones(stage: Stage) -> Counter[int]:
-    return Counter(stage.entries[told.server].zone for told in stage.log if isinstance(told, Send))
+    return Counter(
+        stage.entries[told.endpoint_id].zone for told in stage.log if isinstance(told, Send)
+    )
 
 
 @settings(max_examples=25, deadline=None)
 @given(st.integers(0, 10**6))
 def test_without_a_plan_it_decides_as_before(seed: int) -> None:
-    assert play(seed, None).log == play(seed, Planned()).log
+    assert play(seed, None).log == play(seed, TrafficPlan()).log
 
 
 @settings(max_examples=40, deadline=None)
@@ -53,7 +61,7 @@
 def test_nothing_goes_where_no_part_and_no_spill_leads(seed: int, closed: int) -> None:
     row = tuple(0.0 if zone == closed else 0.5 for zone in range(3))
     spill = tuple(0.0 if zone == closed else 1.0 for zone in range(3))
-    stage = play(seed, Planned((row,) * 6, spill, frozenset({closed})))
+    stage = play(seed, TrafficPlan((row,) * 6, spill, frozenset({closed})))
     assert closed not in zones(stage) and len(zones(stage)) == 2
 
 
@@ -62,18 +70,18 @@
 def test_a_keyed_request_stays_in_its_groups_zone_whatever_the_plan_says(seed: int) -> None:
     # The stage itself asserts it at every send: what may have run in a zone is repeated nowhere
     # else.
-    stage = play(seed, Planned(((0.4, 0.3, 0.3),) * 2, (1.0,) * 3), classes=(KEYED,))
+    stage = play(seed, TrafficPlan(((0.4, 0.3, 0.3),) * 2, (1.0,) * 3), classes=(KEYED,))
     assert len(zones(stage)) == 3
 
 
 def test_parts_are_kept_and_what_they_leave_is_refused() -> None:
     stage = Stage(terms(), servers=9)
-    stage.give(Planned(((0.5, 0.3, 0.0), NOWHERE, (0.0, 1.0, 0.0)) * 2, NOWHERE))
+    stage.give(TrafficPlan(((0.5, 0.3, 0.0), NOWHERE, (0.0, 1.0, 0.0)) * 2, NOWHERE))
     for _ in range(1000):
         stage.advance(1.0)
         number = stage.request(0)
         if (number, 0) in stage.open:
-            stage.outcome(number, 0, Result.OK, 5.0)
+            stage.outcome(number, 0, AttemptResult.OK, 5.0)
     went = zones(stage)
     assert went[0] == pytest.approx(500, abs=60) and went[1] == pytest.approx(300, abs=60)
     assert went[2] == 0 and Counter(stage.answers.values())["refused"] == 1000 - went[0] - went[1]
@@ -81,9 +89,13 @@
 
 
 def test_a_bound_tenant_has_parts_of_its_own() -> None:
-    stage = Stage(terms(quotas=(1e6, 1e6)), servers=9)
+    stage = Stage(terms(quotas_per_s=(1e6, 1e6)), servers=9)
     stage.give(
-        Planned((((0.0, 1.0, 0.0),) * 3 + ((0.0, 0.0, 1.0),) * 3), NOWHERE, bound=frozenset({1}))
+        TrafficPlan(
+            (((0.0, 1.0, 0.0),) * 3 + ((0.0, 0.0, 1.0),) * 3),
+            NOWHERE,
+            planned_tenants=frozenset({1}),
+        )
     )
     for tenant, zone in ((0, 1), (1, 2)):
         number = stage.request(0, tenant=tenant)
@@ -92,19 +104,19 @@
 
 def test_where_no_server_fits_a_request_spills_at_the_plans_rate_and_no_faster() -> None:
     stage = Stage(terms(), servers=9)
-    stage.list([server(number, State.DRAINING) for number in (0, 3, 6)])  # all of zone 0
-    stage.give(Planned(((1.0, 0.0, 0.0),) * 6, (0.0, 0.02, 0.0)))
+    stage.list([server(number, EndpointState.DRAINING) for number in (0, 3, 6)])  # all of zone 0
+    stage.give(TrafficPlan(((1.0, 0.0, 0.0),) * 6, (0.0, 0.02, 0.0)))
     for _ in range(1000):
         stage.advance(1.0)
         number = stage.request(0)
         if (number, 0) in stage.open:
-            stage.outcome(number, 0, Result.OK, 5.0)
+            stage.outcome(number, 0, AttemptResult.OK, 5.0)
     assert set(zones(stage)) == {1} and zones(stage)[1] == pytest.approx(20, abs=3)
 
 
 def test_a_cold_server_gets_no_more_by_a_plan_than_a_warm_one_of_its_zone() -> None:
-    stage = Stage(terms(cold_from=0.2, ramp_time=60_000.0), servers=9)
-    stage.give(Planned(((1.0, 0.0, 0.0),) * 6, NOWHERE))
+    stage = Stage(terms(slow_start_min_capacity=0.2, slow_start_duration_ms=60_000.0), servers=9)
+    stage.give(TrafficPlan(((1.0, 0.0, 0.0),) * 6, NOWHERE))
 
     def serve(count: int) -> Counter[int]:
         mark = len(stage.log)
@@ -112,11 +124,11 @@
             stage.advance(2.0)
             number = stage.request(0)
             if (number, 0) in stage.open:
-                stage.outcome(number, 0, Result.OK, 5.0)
-        return Counter(told.server for told in stage.log[mark:] if isinstance(told, Send))
+                stage.outcome(number, 0, AttemptResult.OK, 5.0)
+        return Counter(told.endpoint_id for told in stage.log[mark:] if isinstance(told, Send))
 
     serve(1500)
-    stage.list([server(0, State.READY, stage.now)])
+    stage.list([server(0, EndpointState.READY, stage.now)])
     counts = serve(1500)
     assert 0 < counts[0] < 0.5 * min(counts[3], counts[6])
 
@@ -132,7 +144,7 @@
 )
 def test_a_plan_that_can_not_be_is_refused(wrong: tuple[object, ...]) -> None:
     with pytest.raises(ValueError):
-        Planned(*wrong)  # type: ignore[arg-type]
+        TrafficPlan(*wrong)  # type: ignore[arg-type]
 
 
 @settings(max_examples=30, deadline=None)
@@ -140,11 +152,12 @@
 def test_a_few_changed_lines_leave_the_zones_as_a_look_at_all_servers_finds_them(seed: int) -> None:
     rng = random.Random(seed)
     stage = Stage(terms(), servers=12)
-    stage.give(Planned(((0.4, 0.3, 0.3),) * 6, (1.0,) * 3))
+    stage.give(TrafficPlan(((0.4, 0.3, 0.3),) * 6, (1.0,) * 3))
     for _ in range(40):
         lines = [
             replace(
-                server(rng.randrange(16), rng.choice(list(State))), zone=rng.choice((-1, 0, 1, 2))
+                server(rng.randrange(16), rng.choice(list(EndpointState))),
+                zone=rng.choice((-1, 0, 1, 2)),
             )
             for _ in range(rng.randint(1, 3))
         ]
--- a/tests/policy/test_six_rules.py
+++ b/tests/policy/test_six_rules.py
@@ -10,17 +10,23 @@
 from hypothesis import strategies as st
 
 from badgercart.policy.actions import Subscribe
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import ListKind, Result, ServerList, Withdrawn
-from badgercart.policy.settings import Effect, Group, RequestClass
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import AttemptResult, EndpointUpdate, RequestCancelled, UpdateKind
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass
 from badgercart.reload.numbers import renumbered
 from tests.policy.support import KEYED, SAFE, UNSAFE, Stage, server, settings
 
-ZONED = replace(KEYED, group=Group.ZONE, window=300.0)
-CELLED = replace(KEYED, group=Group.CELL, window=300.0)
-LATE = RequestClass(aim=200.0, deadline=1000.0, worth=3.0, effect=Effect.SAFE, late_value=0.5)
-ORDERED = replace(UNSAFE, in_order=True)
-ORDERED_TOO = replace(SAFE, in_order=True)
+ZONED = replace(KEYED, deduplication_scope=DeduplicationScope.ZONE, deduplication_window_ms=300.0)
+CELLED = replace(KEYED, deduplication_scope=DeduplicationScope.CELL, deduplication_window_ms=300.0)
+LATE = RequestClass(
+    latency_objective_ms=200.0,
+    deadline_ms=1000.0,
+    priority_weight=3.0,
+    idempotency=Idempotency.IDEMPOTENT,
+    late_value_share=0.5,
+)
+ORDERED = replace(UNSAFE, serialized_by_key=True)
+ORDERED_TOO = replace(SAFE, serialized_by_key=True)
 CLASSES = (SAFE, KEYED, UNSAFE, ZONED, CELLED, LATE, ORDERED, ORDERED_TOO)
 
 STEP = st.tuples(st.integers(0, 13), st.integers(0, 10**6))
@@ -41,7 +47,7 @@
     changes = {
         "classes": tuple(terms),
         "max_attempts": 1 + number % 4,
-        "over_quota_worth": number % 3 / 2,
+        "over_quota_weight": number % 3 / 2,
     }
     stage.retune(replace(stage.config, **changes), frozenset(fresh), frozenset(now))  # type: ignore[arg-type]
     return now
@@ -72,21 +78,21 @@
     config = settings(
         classes=CLASSES,
         may_cancel=cancel,
-        ask_for_list=ask,
-        warm_keys=warm,
-        quotas=(5.0, 50.0) if quotas else (),
-        over_quota_worth=0.1,
-        full_may_have_run=no_proof,
-        key_rest=rest,
+        polls_endpoints=ask,
+        key_affinity=warm,
+        quotas_per_s=(5.0, 50.0) if quotas else (),
+        over_quota_weight=0.1,
+        full_possibly_executed=no_proof,
+        key_cooldown_ms=rest,
     )
     stage = Stage(config, seed=len(steps), servers=count)
     results = [
-        Result.OK,
-        Result.ERROR,
-        Result.FULL,
-        Result.UNREACHABLE,
-        Result.RESET,
-        Result.NOT_SENT,
+        AttemptResult.OK,
+        AttemptResult.ERROR,
+        AttemptResult.FULL,
+        AttemptResult.UNREACHABLE,
+        AttemptResult.RESET,
+        AttemptResult.NOT_SENT,
     ]
     live = dict(enumerate(CLASSES))
     for what, number in steps:
@@ -97,7 +103,7 @@
             )
         elif what <= 6 and stage.open:
             attempt = sorted(stage.open)[number % len(stage.open)]
-            may_spend = attempt[0] in stage.owed and not stage.requests[attempt[0]].whole
+            may_spend = attempt[0] in stage.owed and not stage.requests[attempt[0]].complete
             stage.outcome(
                 *attempt, results[number % len(results)], spent=may_spend and number % 2 == 0
             )
@@ -108,7 +114,7 @@
         elif what == 11:
             stage.request([*live][number % len(live)], key=number % 5, whole=False)
         elif what == 12 and (
-            partial := [n for n in sorted(stage.owed) if not stage.requests[n].whole]
+            partial := [n for n in sorted(stage.owed) if not stage.requests[n].complete]
         ):
             stage.whole(partial[number % len(partial)], (2.0, 90.0, 900.0)[number % 3])
         elif what == 13:
@@ -118,17 +124,17 @@
             live = retune(stage, live, number)
         else:
             entry = server(
-                number % 12, list(State)[number % 3], stage.now if number % 7 == 0 else 0.0
+                number % 12, list(EndpointState)[number % 3], stage.now if number % 7 == 0 else 0.0
             )
-            kind = (ListKind.DELTA, ListKind.FULL, ListKind.FAILED)[number % 3]
-            if kind is ListKind.FULL:
-                entry = replace(entry, state=State.READY)
-            if kind is ListKind.FAILED and ask:
-                stage.give(ServerList(ListKind.FAILED, 0, []))
-            elif kind is not ListKind.FAILED:
+            kind = (UpdateKind.DELTA, UpdateKind.SNAPSHOT, UpdateKind.FAILED)[number % 3]
+            if kind is UpdateKind.SNAPSHOT:
+                entry = replace(entry, state=EndpointState.READY)
+            if kind is UpdateKind.FAILED and ask:
+                stage.give(EndpointUpdate(UpdateKind.FAILED, 0, []))
+            elif kind is not UpdateKind.FAILED:
                 stage.list([entry], kind)
     for number in sorted(stage.owed):
-        if not stage.requests[number].whole:
+        if not stage.requests[number].complete:
             stage.whole(number, 900.0)
     stage.advance(1000.0)
     assert not stage.owed
@@ -136,7 +142,7 @@
     for key in sorted(
         stage.open
     ):  # answers that still go on, and attempts nobody waits for any more
-        stage.outcome(*key, Result.OK)
+        stage.outcome(*key, AttemptResult.OK)
     assert stage.policy.flying == 0 and not stage.policy.streams and not stage.policy.jobs
     assert not any(s.open or s.uploads for s in stage.policy.servers.values())
 
@@ -153,13 +159,13 @@
     stage = Stage(settings(max_attempts=2))
     number = stage.request(2)
     while stage.open:
-        stage.outcome(*next(iter(stage.open)), Result.FULL)
+        stage.outcome(*next(iter(stage.open)), AttemptResult.FULL)
     assert len(stage.attempts[number]) <= 2
     assert stage.answers[number] == "refused"
 
 
 def test_unsafe_request_that_may_have_run_fails_and_is_never_sent_again() -> None:
-    for result in (Result.ERROR, Result.RESET, Result.TIMEOUT):
+    for result in (AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.TIMEOUT):
         stage = Stage(settings())
         number = stage.request(2)
         stage.outcome(number, 0, result)
@@ -169,7 +175,7 @@
 
 def test_drained_server_gets_nothing_from_the_moment_the_list_says_so() -> None:
     stage = Stage(settings(), servers=2)
-    stage.list([server(0, State.DRAINING)])
+    stage.list([server(0, EndpointState.DRAINING)])
     for _ in range(30):
         stage.request(0)
     assert {entry.id for sends in stage.attempts.values() for _, entry in sends} == {1}
@@ -177,7 +183,7 @@
 
 def test_whole_list_that_omits_a_server_drops_it() -> None:
     stage = Stage(settings(), servers=2)
-    stage.list([server(1)], ListKind.FULL)
+    stage.list([server(1)], UpdateKind.SNAPSHOT)
     for _ in range(30):
         stage.request(0)
     assert {entry.id for sends in stage.attempts.values() for _, entry in sends} == {1}
@@ -187,21 +193,24 @@
     # 'full' was always taken as proof: buys went out twice (busan-tickets, simulated: 'duplicate'
     # on 6 days).
     for no_proof, attempts, answer in ((False, 4, "refused"), (True, 1, "failed")):
-        stage = Stage(settings(classes=(UNSAFE,), full_may_have_run=no_proof))
+        stage = Stage(settings(classes=(UNSAFE,), full_possibly_executed=no_proof))
         number = stage.request()
         while stage.open:
-            stage.outcome(*next(iter(stage.open)), Result.FULL)
+            stage.outcome(*next(iter(stage.open)), AttemptResult.FULL)
         assert (len(stage.attempts[number]), stage.answers[number]) == (attempts, answer)
 
 
 def test_keyed_request_turned_away_without_proof_stays_in_its_zone() -> None:
     stage = Stage(
-        settings(classes=(replace(ZONED, window=5000.0),), full_may_have_run=True), servers=9
+        settings(
+            classes=(replace(ZONED, deduplication_window_ms=5000.0),), full_possibly_executed=True
+        ),
+        servers=9,
     )
     for _ in range(40):
         number = stage.request()
         while (number, len(stage.attempts[number]) - 1) in stage.open:
-            stage.outcome(number, len(stage.attempts[number]) - 1, Result.FULL)
+            stage.outcome(number, len(stage.attempts[number]) - 1, AttemptResult.FULL)
         assert stage.answers[number] == ("failed" if stage.attempts[number] else "refused")
     assert any(stage.attempts.values())
 
@@ -216,11 +225,11 @@
     line = [stage.request(step % 2, key=7) for step in range(3)]
     other, free = stage.request(0, key=8), stage.request(2, key=7)
     assert [len(stage.attempts[n]) for n in [*line, other, free]] == [1, 0, 0, 1, 1]
-    stage.outcome(line[0], 0, Result.OK)
+    stage.outcome(line[0], 0, AttemptResult.OK)
     assert [len(stage.attempts[n]) for n in line] == [1, 1, 0]
     stage.withdraw(line[2])  # from the middle of the line
     last = stage.request(0, key=7)
-    stage.outcome(line[1], 0, Result.OK)
+    stage.outcome(line[1], 0, AttemptResult.OK)
     assert len(stage.attempts[last]) == 1
 
 
@@ -234,13 +243,15 @@
     first, second = stage.request(0, key=7), stage.request(0, key=7)
     stage.withdraw(first)
     assert not stage.attempts[second]
-    stage.outcome(first, 0, Result.ERROR)
+    stage.outcome(first, 0, AttemptResult.ERROR)
     assert len(stage.attempts[second]) == 1
 
 
-@pytest.mark.parametrize("result", [Result.RESET, Result.TIMEOUT, Result.CANCELLED])
-def test_key_rests_after_an_attempt_that_may_run_on(result: Result) -> None:
-    stage = ordered(key_rest=120.0)
+@pytest.mark.parametrize(
+    "result", [AttemptResult.RESET, AttemptResult.TIMEOUT, AttemptResult.CANCELLED]
+)
+def test_key_rests_after_an_attempt_that_may_run_on(result: AttemptResult) -> None:
+    stage = ordered(key_cooldown_ms=120.0)
     first, second = stage.request(0, key=7), stage.request(0, key=7)
     stage.outcome(first, 0, result)
     stage.advance(119.0)
@@ -250,9 +261,9 @@
 
 
 def test_own_further_attempts_do_not_wait_for_the_rest() -> None:
-    stage = ordered(key_rest=120.0)
+    stage = ordered(key_cooldown_ms=120.0)
     number = stage.request(1, key=7)
-    stage.outcome(number, 0, Result.RESET)
+    stage.outcome(number, 0, AttemptResult.RESET)
     assert len(stage.attempts[number]) == 2
 
 
@@ -270,8 +281,8 @@
     stage = ordered()
     for _ in range(200):  # answers take 100 ms
         stage.now += 200
-        stage.outcome(stage.request(2), 0, Result.OK, 100.0)
-        stage.outcome(stage.request(0, key=9), 0, Result.OK, 100.0)
+        stage.outcome(stage.request(2), 0, AttemptResult.OK, 100.0)
+        stage.outcome(stage.request(0, key=9), 0, AttemptResult.OK, 100.0)
     numbers = [stage.request(0, key=7) for _ in range(30)]
     refused = [n for n in numbers if stage.answers.get(n) == "refused"]
     assert 20 < len(refused) < 29
@@ -281,19 +292,19 @@
 def test_order_is_forgotten_with_the_node_and_its_keys_are_not_kept_for_ever() -> None:
     stage = ordered()
     for key in range(1, 300):
-        stage.outcome(stage.request(0, key=key), 0, Result.OK)
+        stage.outcome(stage.request(0, key=key), 0, AttemptResult.OK)
         stage.now += 100
     assert len(stage.policy.turns) < 150
 
 
 def test_server_that_restarts_under_its_own_id_is_cold_again() -> None:
-    stage = Stage(settings(classes=(SAFE,), group_size=5), servers=6)
+    stage = Stage(settings(classes=(SAFE,), cluster_size=5), servers=6)
     counts = []
     for step in range(900):
         stage.now += 10
         if step == 600:
             stage.list([server(0, started=stage.now)])
-        stage.outcome(stage.request(), 0, Result.OK)
+        stage.outcome(stage.request(), 0, AttemptResult.OK)
         if step in (299, 599, 899):
             counts.append(
                 sum(entry.id == 0 for sends in stage.attempts.values() for _, entry in sends)
@@ -306,8 +317,10 @@
     # do.
     nodes, sent = 60, [0] * 8
     for me in range(nodes):
-        stage = Stage(settings(classes=(SAFE,), group_size=nodes, me=me), seed=me, servers=0)
-        stage.list([server(i, started=stage.now) for i in range(8)], ListKind.FULL)
+        stage = Stage(
+            settings(classes=(SAFE,), cluster_size=nodes, node_index=me), seed=me, servers=0
+        )
+        stage.list([server(i, started=stage.now) for i in range(8)], UpdateKind.SNAPSHOT)
         for _ in range(10):
             stage.now += 100
             stage.request()
@@ -326,14 +339,14 @@
     again = ordered()
     number = again.request(0, key=7)
     assert len(again.attempts[number]) == 1
-    assert again.policy.handle(again.now, Withdrawn(99)) == []
+    assert again.policy.handle(again.now, RequestCancelled(99)) == []
 
 
 def test_broken_subscription_is_renewed_in_time() -> None:
-    stage = Stage(settings(ask_for_list=True, ask_within=5000.0), servers=3)
+    stage = Stage(settings(polls_endpoints=True, poll_interval_ms=5000.0), servers=3)
     stage.advance(300.0)
-    stage.list([server(i) for i in range(3)], ListKind.FULL)
+    stage.list([server(i) for i in range(3)], UpdateKind.SNAPSHOT)
     asked = sum(isinstance(action, Subscribe) for action in stage.log)
-    stage.give(ServerList(ListKind.FAILED, 0, []))
+    stage.give(EndpointUpdate(UpdateKind.FAILED, 0, []))
     stage.advance(1300.0)
     assert sum(isinstance(action, Subscribe) for action in stage.log) > asked
--- a/tests/policy/test_slopes.py
+++ b/tests/policy/test_slopes.py
@@ -20,20 +20,20 @@
 
 import badgercart.policy.policy
 from badgercart.policy.actions import Send
-from badgercart.policy.endpoint import Known, ServerEntry, State
+from badgercart.policy.endpoint import Endpoint, EndpointState, EndpointStatistics
 from badgercart.policy.events import (
-    Company,
+    AttemptEnded,
+    AttemptResult,
+    ClusterView,
+    EndpointUpdate,
     Event,
-    ListKind,
-    Outcome,
     Request,
-    Result,
-    Retuned,
-    ServerList,
-    Withdrawn,
+    RequestCancelled,
+    SettingsChanged,
+    UpdateKind,
 )
 from badgercart.policy.policy import SHARE_HALF, UPKEEP, Policy, mix
-from badgercart.policy.settings import Effect, RequestClass, Settings
+from badgercart.policy.settings import Idempotency, RequestClass, Settings
 from benchmarks.scale.fit import Point, fit
 
 SERVERS = (200, 400, 800, 1600, 3200)
@@ -89,23 +89,28 @@
     return taken
 
 
-def entries(count: int) -> list[ServerEntry]:
+def entries(count: int) -> list[Endpoint]:
     return [entry(number) for number in range(count)]
 
 
-def entry(number: int, state: State = State.READY) -> ServerEntry:
-    return ServerEntry(mix(number + 1), number % 3, number % 2, 0, state, 1.0 + number % 2, 0.0)
+def entry(number: int, state: EndpointState = EndpointState.READY) -> Endpoint:
+    return Endpoint(mix(number + 1), number % 3, number % 2, 0, state, 1.0 + number % 2, 0.0)
 
 
 def fleet(servers: int = 20, tenants: int = 0, nodes: int = 1, **changes: Any) -> Policy:
     """A policy that has its list, with all points placed."""
-    terms = (RequestClass(400.0, 1000.0, 1.0, Effect.SAFE),)
+    terms = (RequestClass(400.0, 1000.0, 1.0, Idempotency.IDEMPOTENT),)
     quotas = (50.0,) * tenants
     settings = Settings(
-        terms, group_size=nodes, me=nodes // 2, quotas=quotas, max_attempts=3, **changes
+        terms,
+        cluster_size=nodes,
+        node_index=nodes // 2,
+        quotas_per_s=quotas,
+        max_attempts=3,
+        **changes,
     )
     policy = Policy(settings, 1)
-    policy.handle(1.0, ServerList(ListKind.FULL, 1, entries(servers)))
+    policy.handle(1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries(servers)))
     while policy.unplaced:
         policy.place_points(1 << 30)
     return policy
@@ -118,7 +123,10 @@
         for action in policy.handle(now, Request(number, 0, now + 1000.0)):
             if isinstance(action, Send):
                 policy.handle(
-                    now, Outcome(number, action.server, True, Result.OK, 0, 20.0 + number % 3)
+                    now,
+                    AttemptEnded(
+                        number, action.endpoint_id, True, AttemptResult.OK, 0, 20.0 + number % 3
+                    ),
                 )
     return now
 
@@ -167,15 +175,15 @@
         policy.handle(10.0, Request(number, 0, 1000.0, tenant=number * 7))
     assert len(policy.buckets) == 50
     policy.handle(3000.0, Request(90, 0, 4000.0, tenant=999))
-    policy.handle(3001.0, Company(1, 0, 2))
+    policy.handle(3001.0, ClusterView(1, 0, 2))
     assert policy.buckets.keys() == {999}
     for number in range(3000):
         policy.handle(3001.0 + number, Request(100 + number, 0, 9000.0, tenant=number % 1000))
     assert len(policy.buckets) == 1000  # at most one a tenant
-    policy.handle(6001.0, Retuned(policy.settings, frozenset({0})))
+    policy.handle(6001.0, SettingsChanged(policy.settings, frozenset({0})))
     assert 0 < len(policy.buckets) < 100  # those with something in them yet
-    settings = Settings(policy.settings.classes, quotas=(50.0,) * 10)
-    policy.handle(6002.0, Retuned(settings, frozenset({0})))
+    settings = Settings(policy.settings.classes, quotas_per_s=(50.0,) * 10)
+    policy.handle(6002.0, SettingsChanged(settings, frozenset({0})))
     assert all(tenant < 10 for tenant in policy.buckets)  # none of a tenant that is none any longer
 
 
@@ -186,15 +194,17 @@
         self.full: list[float] = []
         super().__init__(settings, seed)
 
-    def settle_terms(self, event: Retuned) -> None:
+    def settle_terms(self, event: SettingsChanged) -> None:
         super().settle_terms(event)
-        self.full = (self.full + [0.0] * len(event.settings.quotas))[: len(event.settings.quotas)]
-        for i in event.tenants:
+        self.full = (self.full + [0.0] * len(event.settings.quotas_per_s))[
+            : len(event.settings.quotas_per_s)
+        ]
+        for i in event.reset_tenants:
             self.full[i] = 0.0
 
     def upkeep(self) -> None:
         passed = min(self.now - self.upkeep_at, 1000.0) if self.upkeep_at else UPKEEP * self.pace
-        used = zip(self.full, self.settings.quotas, self.divisors, strict=True)
+        used = zip(self.full, self.settings.quotas_per_s, self.divisors, strict=True)
         self.full = [max(0.0, count - quota * (passed / 1000 / by)) for count, quota, by in used]
         super().upkeep()
 
@@ -208,7 +218,7 @@
         held = None if before else self.full[request.tenant]
         super().on_request(request)
         held = self.full[request.tenant] if held is None else held
-        quota = self.settings.quotas[request.tenant] / self.divisors[request.tenant]
+        quota = self.settings.quotas_per_s[request.tenant] / self.divisors[request.tenant]
         self.full[request.tenant] += not held > quota
 
 
@@ -220,8 +230,10 @@
 
         def terms(count: int, rng: random.Random = rng) -> Settings:
             quotas = tuple([rng.choice((0.0, 0.7, 3.1, 20.3, 90.7)) for _ in range(count)])
-            classes = (RequestClass(400.0, 1000.0, 1.0, Effect.SAFE),)
-            return Settings(classes, quotas=quotas, over_quota_worth=0.3, max_retry_after=1000.0)
+            classes = (RequestClass(400.0, 1000.0, 1.0, Idempotency.IDEMPOTENT),)
+            return Settings(
+                classes, quotas_per_s=quotas, over_quota_weight=0.3, max_retry_after_ms=1000.0
+            )
 
         settings = terms(tenants)
         lazy, eager = Policy(settings, seed), Eager(settings, seed)
@@ -231,15 +243,15 @@
             what = rng.random()
             event: Event = Request(number, 0, now + 900.0, tenant=rng.randrange(tenants))
             if what < 0.02:
-                event = ServerList(ListKind.FULL, 1, entries(rng.randrange(1, 9)))
+                event = EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries(rng.randrange(1, 9)))
             elif what < 0.06:
                 parts = tuple([rng.uniform(0.1, 1.0) for _ in range(tenants)])
-                event = Company(3, 1, 3, rng.choice(((), parts)))
+                event = ClusterView(3, 1, 3, rng.choice(((), parts)))
             elif what < 0.08:
                 tenants = rng.choice((1, 3, 8))
                 settings = terms(tenants)
                 fresh = frozenset(i for i in range(tenants) if rng.random() < 0.3)
-                event = Retuned(settings, frozenset({0}), tenants=fresh)
+                event = SettingsChanged(settings, frozenset({0}), reset_tenants=fresh)
             assert lazy.handle(now, event) == eager.handle(now, event)
             assert lazy.offered == eager.offered
         beyond += lazy.offered[1] > 1.0
@@ -255,7 +267,9 @@
         policy = fleet(servers, nodes=1 if alone else nodes_for(servers))
         now = 1.0 if alone else serve(policy, 1.0, 50)
         now = serve(policy, now, 1, 1000)
-        return steps(policy, now, ServerList(ListKind.DELTA, 2, [entry(0, State.DRAINING)]))
+        return steps(
+            policy, now, EndpointUpdate(UpdateKind.DELTA, 2, [entry(0, EndpointState.DRAINING)])
+        )
 
     is_flat(cost, SERVERS if alone else SERVERS[2:] + (6400,))
 
@@ -264,17 +278,17 @@
     """While sizes, paces and the subset change: against what each server of it is due."""
     rng, placed = random.Random(5), 0
     servers, nodes = 800, 600
-    policy = fleet(servers, nodes=nodes, warm_keys=True)
+    policy = fleet(servers, nodes=nodes, key_affinity=True)
     assert policy.groups > badgercart.policy.policy.SCARCE
     now = 1.0
     for turn in range(60):
         now = serve(policy, now + rng.choice((0.0, 6000.0)), 5, 1 + 10 * turn)
         policy.kinds[turn % 2] = rng.uniform(0.5, 2.0)
         told = [
-            entry(rng.randrange(servers), rng.choice((State.READY, State.DRAINING)))
+            entry(rng.randrange(servers), rng.choice((EndpointState.READY, EndpointState.DRAINING)))
             for _ in range(3)
         ]
-        policy.handle(now, ServerList(ListKind.DELTA, 2, told))
+        policy.handle(now, EndpointUpdate(UpdateKind.DELTA, 2, told))
         while policy.unplaced:
             policy.place_points(1 << 30)
         strength = {i: policy.strength(policy.servers[i]) for i in policy.ours}
@@ -284,11 +298,11 @@
         )
         assert policy.points == due and policy.ring.points() == ring
         if turn == 30:  # one group, and back: what was looked at meanwhile by sizes is known
-            policy.handle(now, Company(1, 0, 1))
+            policy.handle(now, ClusterView(1, 0, 1))
             while policy.unplaced:
                 policy.place_points(1 << 30)
             assert policy.groups == 1 and len(policy.points) == len(policy.ready)
-            policy.handle(now, Company(nodes, nodes // 2, nodes))
+            policy.handle(now, ClusterView(nodes, nodes // 2, nodes))
         placed += len(due)
     assert placed > 300
 
@@ -297,13 +311,13 @@
     policy = fleet(800, nodes=600)
     before = dict(policy.kinds)
     policy.kinds.update({0: 1.7, 1: 0.6})
-    policy.handle(2.0, ServerList(ListKind.DELTA, 2, [entry(0, State.DRAINING)]))
-    policy.handle(3.0, Company(1, 0, 1))
+    policy.handle(2.0, EndpointUpdate(UpdateKind.DELTA, 2, [entry(0, EndpointState.DRAINING)]))
+    policy.handle(3.0, ClusterView(1, 0, 1))
     while policy.unplaced:
         policy.place_points(1 << 30)
     policy.kinds.clear()
     policy.kinds.update(before)
-    policy.handle(4.0, ServerList(ListKind.DELTA, 3, [entry(0)]))
+    policy.handle(4.0, EndpointUpdate(UpdateKind.DELTA, 3, [entry(0)]))
     while policy.unplaced:
         policy.place_points(1 << 30)
     strength = {i: policy.strength(policy.servers[i]) for i in policy.ready}
@@ -320,12 +334,12 @@
         hung = list(policy.ready)[1:]
         policy.ready = policy.ours = Slices(policy.ready)
         Slices.copied = 0
-        policy.handle(2.0, ServerList(ListKind.DELTA, 2, [entry(0, State.DRAINING)]))
+        policy.handle(2.0, EndpointUpdate(UpdateKind.DELTA, 2, [entry(0, EndpointState.DRAINING)]))
         assert isinstance(policy.ready, Slices)
-        policy.handle(3.0, Request(1, 0, 1000.0, fallbacks=2))
+        policy.handle(3.0, Request(1, 0, 1000.0, max_fallbacks=2))
         for server_id in hung:
             policy.servers[server_id].open[0, 0] = (policy.jobs[1], 0.0)  # draws go to the end
-        policy.handle(4.0, Request(2, 0, 1000.0, fallbacks=2))
+        policy.handle(4.0, Request(2, 0, 1000.0, max_fallbacks=2))
         return Slices.copied
 
     assert [cost(servers) for servers in SERVERS[:3]] == [0, 0, 0]
@@ -357,7 +371,7 @@
         policy = fleet(20)
         policy.unplaced = Dead(policy.unplaced)
         Dead.walked = Dead.deleted = 0
-        policy.handle(2.0, ServerList(ListKind.FULL, 2, entries(servers)))
+        policy.handle(2.0, EndpointUpdate(UpdateKind.SNAPSHOT, 2, entries(servers)))
         assert isinstance(policy.unplaced, Dead) and policy.unplaced
         events = 0
         while policy.unplaced:
@@ -371,7 +385,7 @@
 def test_new_settings_cost_no_look_at_servers_they_do_not_touch() -> None:
     def cost(servers: int) -> int:
         policy = fleet(servers)
-        return steps(policy, 2.0, Retuned(policy.settings, frozenset({0})))
+        return steps(policy, 2.0, SettingsChanged(policy.settings, frozenset({0})))
 
     is_flat(cost, SERVERS)
 
@@ -381,19 +395,22 @@
         policy = fleet(servers, tenants=9)
         (sent,) = policy.handle(2.0, Request(1, 0, 1000.0, tenant=7))
         assert isinstance(sent, Send)
-        policy.handle(3.0, Withdrawn(1))  # the attempt is out still
+        policy.handle(3.0, RequestCancelled(1))  # the attempt is out still
         policy.handle(
-            4.0, ServerList(ListKind.DELTA, 2, [replace_state(policy, sent.server, State.GONE)])
+            4.0,
+            EndpointUpdate(
+                UpdateKind.DELTA, 2, [replace_state(policy, sent.endpoint_id, EndpointState.GONE)]
+            ),
         )
         assert policy.busy() == ({0}, {7})
-        policy.handle(5.0, Outcome(1, sent.server, True, Result.OK, 0, 3.0))
+        policy.handle(5.0, AttemptEnded(1, sent.endpoint_id, True, AttemptResult.OK, 0, 3.0))
         assert policy.busy() == (set(), set())
         return count(policy.busy)
 
     is_flat(cost, SERVERS)
 
 
-def replace_state(policy: Policy, server_id: int, state: State) -> ServerEntry:
+def replace_state(policy: Policy, server_id: int, state: EndpointState) -> Endpoint:
     return replace(policy.servers[server_id].entry, state=state)
 
 
@@ -419,11 +436,14 @@
     before."""
     for seed in range(5):
         rng = random.Random(seed)
-        settings = Settings((RequestClass(400.0, 1000.0, 1.0, Effect.SAFE),), max_attempts=3)
+        settings = Settings(
+            (RequestClass(400.0, 1000.0, 1.0, Idempotency.IDEMPOTENT),), max_attempts=3
+        )
         policies = Policy(settings, seed), Looking(settings, seed)
         for policy in policies:
             policy.known = {
-                entry(i).id: Known(0.0, 3.0, 9.0, (0.1,), (0.0,)) for i in range(40, 50)
+                entry(i).id: EndpointStatistics(0.0, 3.0, 9.0, (0.1,), (0.0,))
+                for i in range(40, 50)
             }
         now, halvings, out = 10.0, 0, []
         for turn in range(1, 900):
@@ -431,17 +451,21 @@
             event: Event = Request(turn, 0, now + 1000.0)
             if turn == 1 or rng.random() < 0.1:
                 told = [
-                    entry(rng.randrange(50), rng.choice((State.READY, State.GONE)))
+                    entry(rng.randrange(50), rng.choice((EndpointState.READY, EndpointState.GONE)))
                     for _ in range(5)
                 ]
-                event = ServerList(ListKind.DELTA, 2, told)
+                event = EndpointUpdate(UpdateKind.DELTA, 2, told)
             elif out and rng.random() < 0.5:
                 number, server = out.pop(rng.randrange(len(out)))
-                event = Outcome(number, server, True, Result.OK, 0, rng.uniform(5.0, 90.0))
+                event = AttemptEnded(
+                    number, server, True, AttemptResult.OK, 0, rng.uniform(5.0, 90.0)
+                )
             before = policies[0].halved_at
             actions, others = (policy.handle(now, event) for policy in policies)
             assert actions == others
-            out += [(action.id, action.server) for action in actions if isinstance(action, Send)]
+            out += [
+                (action.id, action.endpoint_id) for action in actions if isinstance(action, Send)
+            ]
             halvings += policies[0].halved_at != before
             seen = [
                 {i: (s.recent, s.slow) for i, s in policy.servers.items()} for policy in policies
@@ -460,11 +484,11 @@
             calls += 1
             return mix(number)
 
-        told = [entry(number, State.DRAINING) for number in range(70)]
+        told = [entry(number, EndpointState.DRAINING) for number in range(70)]
         told += [entry(servers + number) for number in range(70)]
         monkeypatch.setattr(policy, "mark_points", lambda pace, changed: None)
         monkeypatch.setattr(badgercart.policy.policy, "mix", counted)
-        policy.handle(2.0, ServerList(ListKind.DELTA, 2, told))
+        policy.handle(2.0, EndpointUpdate(UpdateKind.DELTA, 2, told))
         monkeypatch.setattr(badgercart.policy.policy, "mix", mix)
         assert policy.ready == sorted(policy.ready, key=mix) and len(policy.ready) == servers
         assert policy.marks == [mix(server_id) for server_id in policy.ready]
--- a/tests/policy/test_wire.py
+++ b/tests/policy/test_wire.py
@@ -7,10 +7,26 @@
 
 import pytest
 
-from badgercart.policy.actions import Cancel, Fail, Log, Probe, Refuse, Send, Subscribe, Wake
-from badgercart.policy.endpoint import State
-from badgercart.policy.events import ListKind, Outcome, Request, ServerList, Timer, Withdrawn
-from badgercart.policy.settings import Effect
+from badgercart.policy.actions import (
+    CancelAttempt,
+    Fail,
+    HealthCheck,
+    Log,
+    Send,
+    SetTimer,
+    Shed,
+    Subscribe,
+)
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import (
+    AttemptEnded,
+    EndpointUpdate,
+    Request,
+    RequestCancelled,
+    TimerFired,
+    UpdateKind,
+)
+from badgercart.policy.settings import Idempotency
 from badgercart.simulator.codec import Born, Decoder, Encoder, Killed, WireError, read_settings
 
 EVENTS = bytes.fromhex(
@@ -76,14 +92,14 @@
     assert (number, now) == (12, 8412.25)
     assert events == [
         (3, Request(job, 0, 8652.25, 0x91F03B7C55D20A64, 0, 12.0, False)),
-        (3, Timer(77)),
-        (5, Withdrawn(0x000AA5520E6F2B19)),
+        (3, TimerFired(77)),
+        (5, RequestCancelled(0x000AA5520E6F2B19)),
     ]
 
 
 def test_reply_as_printed() -> None:
     reply = Encoder(12)
-    reply.add(3, [Send(0x000464905D3A91C4, 0x03124A07, 80.0), Wake(500.0, 77)])
+    reply.add(3, [Send(0x000464905D3A91C4, 0x03124A07, 80.0), SetTimer(500.0, 77)])
     reply.add(5, [Log("two servers known")])
     assert reply.frame() == ANSWER
     assert Encoder(1).frame() == bytes.fromhex("00000001 0000000c 00000000")
@@ -95,10 +111,10 @@
     reply.add(
         3,
         [
-            Cancel(0x000464905D3A91C4, 0),
-            Refuse(job, 250.0),
+            CancelAttempt(0x000464905D3A91C4, 0),
+            Shed(job, 250.0),
             Fail(job),
-            Probe(0x2C9011F2),
+            HealthCheck(0x2C9011F2),
             Subscribe(),
         ],
     )
@@ -117,11 +133,11 @@
     decoder = Decoder()
     [(instance, event)] = decoder.batch(LIST)[2]
     assert instance == 3
-    assert isinstance(event, ServerList)
-    assert (event.kind, event.version) == (ListKind.CACHED, 41)
-    assert [(e.id, e.zone, e.state, e.size, e.started) for e in event.servers] == [
-        (0x03124A07, 0, State.READY, 1.0, 0.0),
-        (0x2C9011F2, 1, State.READY, 1.5, 6100.0),
+    assert isinstance(event, EndpointUpdate)
+    assert (event.kind, event.version) == (UpdateKind.CACHED, 41)
+    assert [(e.id, e.zone, e.state, e.size, e.started_ms) for e in event.endpoints] == [
+        (0x03124A07, 0, EndpointState.READY, 1.0, 0.0),
+        (0x2C9011F2, 1, EndpointState.READY, 1.5, 6100.0),
     ]
     again = struct.pack(">IIdI", 2, 116, 1.0, 2) + LIST[20:68] + LIST[116:164]
     assert decoder.batch(again)[2] == [(3, event)]
@@ -139,7 +155,7 @@
         + bytes(47)
     )
     (_, outcome), (_, killed) = Decoder().batch(frame)[2]
-    assert outcome == Outcome(0x000464905D3A91C4, 0x03124A07, True, 1, 0, 18.5, (0.5,))
+    assert outcome == AttemptEnded(0x000464905D3A91C4, 0x03124A07, True, 1, 0, 18.5, (0.5,))
     assert isinstance(killed, Killed)
 
 
@@ -150,12 +166,12 @@
     [(_, event)] = Decoder().batch(head + EVENTS[20:68] + born + text)[2]
     assert isinstance(event, Born)
     assert event.seed == 9
-    assert event.settings.classes[0].effect is Effect.KEYED
-    assert event.settings.ask_for_list
-    assert event.settings.quotas == (5.0,)
-    assert event.settings.classes[0].in_order
-    assert (event.settings.full_may_have_run, event.settings.key_rest) == (True, 40.0)
-    assert (event.settings.tip_multiple, event.settings.overload_for) == (2.5, 2.0)
+    assert event.settings.classes[0].idempotency is Idempotency.KEYED
+    assert event.settings.polls_endpoints
+    assert event.settings.quotas_per_s == (5.0,)
+    assert event.settings.classes[0].serialized_by_key
+    assert (event.settings.full_possibly_executed, event.settings.key_cooldown_ms) == (True, 40.0)
+    assert (event.settings.collapse_load_factor, event.settings.collapse_window_ms) == (2.5, 2.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/processor/test_description.py
+++ b/tests/processor/test_description.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from badgercart.core.identifiers import stable_id
-from badgercart.core.requests import BadDescription
+from badgercart.core.requests import InvalidRequestError
 from badgercart.frontends.processor.description import MAX_TIMEOUT, Described, Describer
 from badgercart.frontends.processor.settings import HeaderNames, ProcessorSettings
 from tests.net import config
@@ -68,7 +68,7 @@
     ],
 )
 def test_what_is_wrong_is_named(more: list[tuple[bytes, bytes]]) -> None:
-    with pytest.raises(BadDescription) as caught:
+    with pytest.raises(InvalidRequestError) as caught:
         read(GOOD + more)
     assert caught.value.status in (400, 431) and str(caught.value)
 
@@ -81,5 +81,5 @@
 def test_any_headers_are_read_or_refused(pairs: list[tuple[bytes, bytes]]) -> None:
     try:
         read(pairs)
-    except BadDescription as error:
+    except InvalidRequestError as error:
         assert 400 <= error.status < 500
--- a/tests/processor/test_failures.py
+++ b/tests/processor/test_failures.py
@@ -24,7 +24,7 @@
 from badgercart.frontends.processor.ask import ask
 from badgercart.frontends.processor.server import TlsError, read_tls
 from badgercart.frontends.processor.settings import Tls
-from badgercart.policy.events import Outcome, Request, Result
+from badgercart.policy.events import AttemptEnded, AttemptResult, Request
 from badgercart.policy.settings import RequestClass
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
@@ -150,7 +150,7 @@
         async with site_with_processor(classes=QUICK) as bench, bench.proxy() as proxy:
             stream = proxy.stream()
             await stream.call.write(request_message(described("pay")))  # and reads nothing
-            await bench.event(Outcome)
+            await bench.event(AttemptEnded)
             await bench.settled()
             await stream.call.read()  # the answer, long since
             assert await stream.status() == "deadline_exceeded"
@@ -164,13 +164,13 @@
             quiet, late = proxy.stream(), proxy.stream()
             await quiet.ask(described("pay", timeout="8000m"))
             await late.ask(described("pay", timeout="8000m"))
-            assert (await bench.event(Outcome, 2)).result == Result.TIMEOUT
+            assert (await bench.event(AttemptEnded, 2)).result == AttemptResult.TIMEOUT
             assert bench.join.policy.flying == 0 and not bench.calls.open
             assert (await late.respond(200)).HasField("response_headers")
             # A refusal by the proxy would promise that trying again does no harm.
             answer = await quiet.respond(503)
             assert answer.immediate_response.status.code == 502
-            assert len(bench.of(Outcome)) == 2
+            assert len(bench.of(AttemptEnded)) == 2
 
     run(test())
 
--- a/tests/processor/test_interleavings.py
+++ b/tests/processor/test_interleavings.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from badgercart.core.endpoint_table import Member, MemberList, Roster
-from badgercart.core.request_pipeline import Join
+from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate, EndpointTable
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.frontends.processor import machine
 from badgercart.frontends.processor.description import Described
 from badgercart.frontends.processor.machine import (
@@ -29,16 +29,23 @@
 )
 from badgercart.frontends.processor.outcomes import Phase
 from badgercart.frontends.processor.settings import OldAnswers, ProcessorSettings
-from badgercart.policy.endpoint import ServerEntry, State
-from badgercart.policy.events import ListKind
-from badgercart.policy.settings import Effect, Group, RequestClass, Settings
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import UpdateKind
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from tests.clockwork import Clockwork
 
 CLASSES = (
-    RequestClass(400.0, 1000.0, 1.0, Effect.SAFE),
-    RequestClass(400.0, 1000.0, 8.0, Effect.KEYED, window=6000.0),
-    RequestClass(400.0, 1000.0, 1.0, Effect.KEYED, Group.ZONE, window=300.0),
-    RequestClass(400.0, 1000.0, 1.0, Effect.UNSAFE),
+    RequestClass(400.0, 1000.0, 1.0, Idempotency.IDEMPOTENT),
+    RequestClass(400.0, 1000.0, 8.0, Idempotency.KEYED, deduplication_window_ms=6000.0),
+    RequestClass(
+        400.0,
+        1000.0,
+        1.0,
+        Idempotency.KEYED,
+        DeduplicationScope.ZONE,
+        deduplication_window_ms=300.0,
+    ),
+    RequestClass(400.0, 1000.0, 1.0, Idempotency.NON_IDEMPOTENT),
 )
 SERVERS = 5
 UF, UC, UT, UO = 1 << 5, 1 << 6, 1 << 2, 1 << 7
@@ -47,14 +54,14 @@
 class Lists:
     """Stands in for a reader: lists come as they are."""
 
-    def read(self, raw: Any, kind: ListKind | None = None) -> MemberList:
-        listed: MemberList = raw["list"]
+    def read(self, raw: Any, kind: UpdateKind | None = None) -> DiscoveryUpdate:
+        listed: DiscoveryUpdate = raw["list"]
         return listed
 
 
-def member(number: int, state: State) -> Member:
-    entry = ServerEntry(number, number % 2, 0, 0, state, 1.0, 0.0)
-    return Member(entry, ("10.0.0.1", number), f"s-{number}")
+def member(number: int, state: EndpointState) -> DiscoveredEndpoint:
+    entry = Endpoint(number, number % 2, 0, 0, state, 1.0, 0.0)
+    return DiscoveredEndpoint(entry, ("10.0.0.1", number), f"s-{number}")
 
 
 @dataclass
@@ -93,11 +100,11 @@
             classes=CLASSES,
             max_attempts=4,
             may_cancel=self.random.random() < 0.5,
-            max_retry_after=600.0,
+            max_retry_after_ms=600.0,
         )
-        self.join = Join(policy, seed, self.clockwork, self.clockwork.clock)
-        self.roster = Roster(Lists(), self.join)
-        self.states = dict.fromkeys(range(1, SERVERS + 1), State.READY)
+        self.join = RequestPipeline(policy, seed, self.clockwork, self.clockwork.clock)
+        self.roster = EndpointTable(Lists(), self.join)
+        self.states = dict.fromkeys(range(1, SERVERS + 1), EndpointState.READY)
         self.list(*self.states)
         self.calls = Calls(settings, self.join, self.roster)
         self.clients = [Client(b"r%d" % i, self.random.randrange(len(CLASSES))) for i in range(3)]
@@ -112,7 +119,7 @@
 
     def list(self, *numbers: int) -> None:
         members = [member(number, self.states[number]) for number in numbers]
-        self.roster.take({"list": MemberList(ListKind.DELTA, 1, members)})
+        self.roster.accept({"list": DiscoveryUpdate(UpdateKind.DELTA, 1, members)})
 
     # What may happen next.
 
@@ -163,26 +170,32 @@
             servers = [int(endpoint.partition(":")[2]) for endpoint in reply.endpoints]
             assert len(set(servers)) == len(servers)
             assert all(
-                self.states[server] is State.READY for server in servers
+                self.states[server] is EndpointState.READY for server in servers
             ), "sent to a drained server"
             assert reply.age <= 500.0
-            if cls.effect is Effect.UNSAFE:
+            if cls.idempotency is Idempotency.NON_IDEMPOTENT:
                 assert not ran and len(servers) == 1, "an unsafe request may run twice"
-            if cls.effect is Effect.KEYED:
+            if cls.idempotency is Idempotency.KEYED:
                 spread = {attempt.server for attempt in ran} | (
                     set(servers) if len(servers) > 1 else set()
                 )
                 if ran:
                     spread |= set(servers)
-                assert cls.group is Group.ALL or len({s % 2 for s in spread}) <= 1, "left its group"
-                assert all(now - attempt.at < cls.window for attempt in ran), "left its window"
+                assert (
+                    cls.deduplication_scope is DeduplicationScope.ALL
+                    or len({s % 2 for s in spread}) <= 1
+                ), "left its group"
+                assert all(
+                    now - attempt.at < cls.deduplication_window_ms for attempt in ran
+                ), "left its window"
         elif isinstance(reply, Immediate) and reply.status in (429, 503):
             self.check_refusal(client, ran)
 
     def check_refusal(self, client: Client, ran: list[Attempt]) -> None:
         cls = CLASSES[client.cls]
-        always = cls.effect is Effect.SAFE or (
-            cls.effect is Effect.KEYED and cls.group is Group.ALL
+        always = cls.idempotency is Idempotency.IDEMPOTENT or (
+            cls.idempotency is Idempotency.KEYED
+            and cls.deduplication_scope is DeduplicationScope.ALL
         )
         assert always or not ran, "refused though it may have run"
 
@@ -224,7 +237,7 @@
             # An old answer: to a server that this one did not name. Only what may be repeated
             # anywhere.
             others = [number for number in self.states if number not in servers]
-            if CLASSES[client.cls].effect is Effect.SAFE:
+            if CLASSES[client.cls].idempotency is Idempotency.IDEMPOTENT:
                 other = chance.choice(others)
                 client.attempts.append(Attempt(now, other, True))
                 return Phase(chance.choice((200, 503))), f"10.0.0.1:{other}"
@@ -261,7 +274,9 @@
 
     def change(self) -> None:
         number = self.random.randrange(1, SERVERS + 1)
-        self.states[number] = self.random.choice((State.READY, State.DRAINING, State.GONE))
+        self.states[number] = self.random.choice(
+            (EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)
+        )
         self.note(f"list {number} {self.states[number].name}")
         self.list(number)
 
@@ -280,7 +295,7 @@
         while self.streams:
             self.close()
         self.clockwork.advance(5000.0)
-        assert not self.calls.open and not self.join.held and not self.join.out
+        assert not self.calls.open and not self.join.in_flight and not self.join.open_attempts
         assert not self.join.policy.jobs and self.join.policy.flying == 0
         assert not any(server.open for server in self.join.policy.servers.values())
         assert all(proxy.unseen == 0 for proxy in self.calls.account.proxies.values())
@@ -289,7 +304,7 @@
 
 def follow(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     world = World(seed)
-    for name in ("answered", "refused", "failed"):
+    for name in ("on_answer", "on_shed", "on_failure"):
         told = getattr(Call, name)
 
         def counted(self: Call, value: Any, told: Any = told, name: str = name) -> None:
@@ -297,13 +312,13 @@
             told(self, value)
 
         monkeypatch.setattr(Call, name, counted)
-    withdraw = world.join.withdraw
+    withdraw = world.join.cancel_request
 
     def withdrawn(number: int) -> None:
         world.ends.setdefault(number, []).append("withdrawn")
         withdraw(number)
 
-    world.join.withdraw = withdrawn  # type: ignore[method-assign]
+    world.join.cancel_request = withdrawn  # type: ignore[method-assign]
     try:
         for _ in range(world.random.randrange(2, 30)):
             world.step()
@@ -344,4 +359,4 @@
             world.calls.response(stream, Phase(200), None, world.clockwork.now)
         assert replies[1:] == [Pass()]
         world.calls.closed(stream, world.clockwork.now)
-        assert not world.join.out and not world.join.held and machine.MARGIN > 0
+        assert not world.join.open_attempts and not world.join.in_flight and machine.MARGIN > 0
--- a/tests/processor/test_outcomes.py
+++ b/tests/processor/test_outcomes.py
@@ -14,7 +14,7 @@
     Phase,
     read_end,
 )
-from badgercart.policy.events import NEVER_RAN, Result
+from badgercart.policy.events import NOT_EXECUTED, AttemptResult
 
 # The flags that prove that a request never reached a server, by Envoy's own words for them.
 PROOF = set("LH UH UF UO NR FI RL UAEX RLSE IH RFCF NFCF NC OM DF DO UDO".split())
@@ -39,30 +39,30 @@
 @pytest.mark.parametrize(
     ("phase", "result", "by_proxy"),
     [
-        (Phase(200), Result.OK, False),
-        (Phase(204), Result.ERROR, False),
-        (Phase(500), Result.ERROR, False),
-        (Phase(503), Result.ERROR, False),
-        (Phase(503, not_started=True), Result.FULL, False),
-        (Phase(504, not_started=True), Result.FULL, False),
-        (Phase(500, not_started=True), Result.ERROR, False),
-        (Phase(503, not_started=True, attempts=2), Result.ERROR, False),
-        (Phase(503, details=VIA_UPSTREAM, flags=1 << 15), Result.ERROR, False),
-        (Phase(200, flags=1 << 5), Result.OK, False),
-        (Phase(200, details="direct_response"), Result.NOT_SENT, True),
+        (Phase(200), AttemptResult.OK, False),
+        (Phase(204), AttemptResult.ERROR, False),
+        (Phase(500), AttemptResult.ERROR, False),
+        (Phase(503), AttemptResult.ERROR, False),
+        (Phase(503, not_started=True), AttemptResult.FULL, False),
+        (Phase(504, not_started=True), AttemptResult.FULL, False),
+        (Phase(500, not_started=True), AttemptResult.ERROR, False),
+        (Phase(503, not_started=True, attempts=2), AttemptResult.ERROR, False),
+        (Phase(503, details=VIA_UPSTREAM, flags=1 << 15), AttemptResult.ERROR, False),
+        (Phase(200, flags=1 << 5), AttemptResult.OK, False),
+        (Phase(200, details="direct_response"), AttemptResult.NOT_SENT, True),
         (
             Phase(503, details="upstream_reset_before_response_started{protocol_error}"),
-            Result.RESET,
+            AttemptResult.RESET,
             True,
         ),
-        (Phase(503, details="something_new"), Result.ERROR, True),
-        (Phase(503, flags=1 << 7, upstream="10.0.0.1:80"), Result.CANCELLED, True),
-        (Phase(503, flags=1 << 5, upstream="10.0.0.1:80"), Result.UNREACHABLE, True),
-        (Phase(503, flags=1 << 5 | 1 << 6), Result.RESET, True),
-        (Phase(503, flags=-1), Result.TIMEOUT, True),
+        (Phase(503, details="something_new"), AttemptResult.ERROR, True),
+        (Phase(503, flags=1 << 7, upstream="10.0.0.1:80"), AttemptResult.CANCELLED, True),
+        (Phase(503, flags=1 << 5, upstream="10.0.0.1:80"), AttemptResult.UNREACHABLE, True),
+        (Phase(503, flags=1 << 5 | 1 << 6), AttemptResult.RESET, True),
+        (Phase(503, flags=-1), AttemptResult.TIMEOUT, True),
     ],
 )
-def test_combinations(phase: Phase, result: Result, by_proxy: bool) -> None:
+def test_combinations(phase: Phase, result: AttemptResult, by_proxy: bool) -> None:
     end = read_end(phase)
     assert (end.result, end.by_proxy) == (result, by_proxy)
 
@@ -77,6 +77,6 @@
     status: int, flags: int, attempts: int, upstream: str | None
 ) -> None:
     end = read_end(Phase(status, flags=flags, attempts=attempts, upstream=upstream))
-    if end.result in NEVER_RAN:
+    if end.result in NOT_EXECUTED:
         told = {flag.short for flag in FLAGS if flags >> flag.bit & 1}
         assert attempts == 1 and told and told <= PROOF and not flags >> 30
--- a/tests/processor/test_streams.py
+++ b/tests/processor/test_streams.py
@@ -8,7 +8,15 @@
 import pytest
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 
-from badgercart.policy.events import Diverted, Outcome, Request, Result, Resume, Timer, Withdrawn
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptRerouted,
+    AttemptResult,
+    Request,
+    RequestCancelled,
+    RetryDecisionDue,
+    TimerFired,
+)
 from standins.scripted_proxy import request_message, response_message, told_headers
 from tests.net import run
 from tests.processors import SERVERS, described, entry, site_with_processor
@@ -35,12 +43,12 @@
             assert (mode.request_trailer_mode, mode.response_trailer_mode) == (2, 2)
             answer = await stream.respond(200, served=SERVERS[0])
             assert answer.HasField("response_headers") and not told_headers(answer)
-            outcome = await bench.event(Outcome)
-            assert (outcome.result, outcome.over) == (Result.OK, True)
+            outcome = await bench.event(AttemptEnded)
+            assert (outcome.result, outcome.completed) == (AttemptResult.OK, True)
             await stream.half_close()
             assert await stream.status() == "ok"
             await bench.settled()
-            assert bench.of(Withdrawn) == []
+            assert bench.of(RequestCancelled) == []
 
     run(test())
 
@@ -53,7 +61,7 @@
             headers |= {"x-request-id": "r", "x-envoy-expected-rq-timeout-ms": "700"}
             before = bench.join.clock()
             await proxy.stream().ask(headers)
-            assert 0 < (await bench.event(Request)).due - before <= 700 + 1000
+            assert 0 < (await bench.event(Request)).deadline - before <= 700 + 1000
 
     run(test())
 
@@ -97,7 +105,7 @@
             assert 0 < float(told_headers(answer)["retry-after"]) <= 0.6
             # Response headers of what was refused are let through, and count for nothing.
             answer = await stream.respond(503)
-            assert answer.HasField("response_headers") and bench.of(Outcome) == []
+            assert answer.HasField("response_headers") and bench.of(AttemptEnded) == []
             await stream.half_close()
             await bench.settled()
 
@@ -110,37 +118,55 @@
 @pytest.mark.parametrize(
     ("cls", "status", "attributes", "result", "shown"),
     [
-        ("find", 500, {}, Result.ERROR, 503),
-        ("book", 500, {}, Result.ERROR, 503),
-        ("pay", 500, {}, Result.ERROR, 0),  # let through: it is a failure
-        ("pay", 503, {}, Result.ERROR, 502),  # a 503 would say that trying again does no harm
-        ("pay", 503, {"response_flags": FLAG["UF"]}, Result.UNREACHABLE, 503),
-        ("pay", 503, {"response_flags": FLAG["UO"]}, Result.NOT_SENT, 503),
-        ("pay", 503, {"response_flags": FLAG["UC"]}, Result.RESET, 502),
-        ("pay", 503, {"response_flags": FLAG["new"]}, Result.ERROR, 502),
-        ("pay", 504, {"response_flags": FLAG["UT"]}, Result.TIMEOUT, 0),
+        ("find", 500, {}, AttemptResult.ERROR, 503),
+        ("book", 500, {}, AttemptResult.ERROR, 503),
+        ("pay", 500, {}, AttemptResult.ERROR, 0),  # let through: it is a failure
+        (
+            "pay",
+            503,
+            {},
+            AttemptResult.ERROR,
+            502,
+        ),  # a 503 would say that trying again does no harm
+        ("pay", 503, {"response_flags": FLAG["UF"]}, AttemptResult.UNREACHABLE, 503),
+        ("pay", 503, {"response_flags": FLAG["UO"]}, AttemptResult.NOT_SENT, 503),
+        ("pay", 503, {"response_flags": FLAG["UC"]}, AttemptResult.RESET, 502),
+        ("pay", 503, {"response_flags": FLAG["new"]}, AttemptResult.ERROR, 502),
+        ("pay", 504, {"response_flags": FLAG["UT"]}, AttemptResult.TIMEOUT, 0),
         (
             "pay",
             503,
             {"response_flags": FLAG["UF"], "upstream_request_attempt_count": 2},
-            Result.ERROR,
+            AttemptResult.ERROR,
             502,
         ),
-        ("find", 404, {}, Result.CANCELLED, 0),
-        ("find", 429, {}, Result.ERROR, 503),
-        ("find", 200, {"response_flags": 1 << 20}, Result.NOT_SENT, 0),  # from the proxy's cache
-        ("find", 403, {"response_flags": 1 << 12}, Result.NOT_SENT, 0),  # the proxy's own rule
+        ("find", 404, {}, AttemptResult.CANCELLED, 0),
+        ("find", 429, {}, AttemptResult.ERROR, 503),
+        (
+            "find",
+            200,
+            {"response_flags": 1 << 20},
+            AttemptResult.NOT_SENT,
+            0,
+        ),  # from the proxy's cache
+        (
+            "find",
+            403,
+            {"response_flags": 1 << 12},
+            AttemptResult.NOT_SENT,
+            0,
+        ),  # the proxy's own rule
     ],
 )
 def test_each_end_is_one_outcome_and_one_answer(
-    cls: str, status: int, attributes: dict[str, Any], result: Result, shown: int
+    cls: str, status: int, attributes: dict[str, Any], result: AttemptResult, shown: int
 ) -> None:
     async def test() -> None:
         async with site_with_processor() as bench, bench.proxy() as proxy:
             stream = proxy.stream()
             await stream.ask(described(cls))
             answer = await stream.respond(status, **attributes)
-            assert (await bench.event(Outcome)).result == result
+            assert (await bench.event(AttemptEnded)).result == result
             if answer.HasField("immediate_response"):
                 assert answer.immediate_response.status.code == shown == 503
                 assert "retry-after" in told_headers(answer)
@@ -148,7 +174,7 @@
                 assert told_headers(answer).get(":status") == (str(shown) if shown else None)
             await stream.half_close()
             await bench.settled()
-            assert len(bench.of(Outcome)) == 1
+            assert len(bench.of(AttemptEnded)) == 1
 
     run(test())
 
@@ -159,7 +185,7 @@
             stream = proxy.stream()
             await stream.ask(described("pay"))
             answer = await stream.respond(503, {"not-started": "1"})
-            assert (await bench.event(Outcome)).result == Result.FULL
+            assert (await bench.event(AttemptEnded)).result == AttemptResult.FULL
             assert answer.immediate_response.status.code == 503
 
     run(test())
@@ -181,11 +207,11 @@
                 await stream.half_close()
             else:
                 await proxy.close()
-            await bench.event(Withdrawn)
+            await bench.event(RequestCancelled)
             await bench.settled()
-            outcomes = bench.of(Outcome)
-            assert len(bench.of(Withdrawn)) == 1 and [o.result for o in outcomes] == [
-                Result.CANCELLED
+            outcomes = bench.of(AttemptEnded)
+            assert len(bench.of(RequestCancelled)) == 1 and [o.result for o in outcomes] == [
+                AttemptResult.CANCELLED
             ]
 
     run(test())
@@ -205,9 +231,9 @@
                 await stream.half_close()
             else:
                 await proxy.close()
-            await bench.event(Withdrawn)
+            await bench.event(RequestCancelled)
             await bench.settled()
-            assert len(bench.of(Withdrawn)) == 1 and bench.of(Outcome) == []
+            assert len(bench.of(RequestCancelled)) == 1 and bench.of(AttemptEnded) == []
 
     run(test())
 
@@ -227,10 +253,10 @@
             asking = asyncio.ensure_future(stream.ask(described(name="held")))
             await bench.event(Request)
             policy.attempt = attempt  # type: ignore[method-assign]
-            bench.join.tell(Timer(held[0].request.id))
+            bench.join.dispatch(TimerFired(held[0].request.id))
             assert told_headers(await asking)[DESTINATION] == SERVERS[0]
             await stream.respond(200)
-            assert (await bench.event(Outcome)).result == Result.OK
+            assert (await bench.event(AttemptEnded)).result == AttemptResult.OK
 
     run(test())
 
@@ -253,9 +279,13 @@
             two = await second.ask(described("book", name, x_envoy_attempt_count="2"))
             assert told_headers(two)[DESTINATION].split(",")[0] != one
             await second.respond(200)
-            await bench.event(Outcome, 2)
+            await bench.event(AttemptEnded, 2)
             assert len(bench.of(Request)) == 1  # one request to the policy, by its number
-            assert [type(e).__name__ for e in bench.told[-3:]] == ["Outcome", "Resume", "Outcome"]
+            assert [type(e).__name__ for e in bench.told[-3:]] == [
+                "AttemptEnded",
+                "RetryDecisionDue",
+                "AttemptEnded",
+            ]
             await first.half_close()
             await second.half_close()
             await bench.settled()
@@ -274,7 +304,7 @@
             # The earlier stream is still open and has told nothing: its attempt may have run.
             answer = await second.ask(described("pay", "once", x_envoy_attempt_count="2"))
             assert answer.immediate_response.status.code == 502
-            assert [o.result for o in bench.of(Outcome)] == [Result.RESET]
+            assert [o.result for o in bench.of(AttemptEnded)] == [AttemptResult.RESET]
             answer = await third.ask(described("pay", "once", x_envoy_attempt_count="3"))
             assert answer.immediate_response.status.code == 502  # the same answer again
             answer = await first.respond(200)  # and the first one's late answer goes through
@@ -293,7 +323,7 @@
             for cls, status in (("pay", 502), ("book", 502), ("find", 0)):
                 answer = await proxy.stream().ask(described(cls, x_envoy_attempt_count="2"))
                 assert answer.immediate_response.status.code == status
-            assert all(request.resumed for request in bench.of(Request))
+            assert all(request.possibly_executed for request in bench.of(Request))
 
     run(test())
 
@@ -307,7 +337,7 @@
             assert answer.immediate_response.status.code == 409
             await second.half_close()
             assert (await first.respond(200)).HasField("response_headers")
-            assert (await bench.event(Outcome)).result == Result.OK
+            assert (await bench.event(AttemptEnded)).result == AttemptResult.OK
 
     run(test())
 
@@ -321,9 +351,11 @@
             stream = proxy.stream()
             await stream.ask(described())
             stream.cancel()
-            await bench.event(Withdrawn)
+            await bench.event(RequestCancelled)
             await bench.settled()
-            assert [o.parked for o in bench.of(Outcome)] == [True] and bench.of(Resume) == []
+            assert [o.parked for o in bench.of(AttemptEnded)] == [True] and bench.of(
+                RetryDecisionDue
+            ) == []
 
     run(test())
 
@@ -350,10 +382,15 @@
             stream = proxy.stream()
             one, two, three = told_headers(await stream.ask(described()))[DESTINATION].split(",")
             await stream.respond(200, served=three, response_flags=FLAG["UF"])
-            assert (await bench.event(Outcome)).result == Result.OK
-            diverted = bench.of(Diverted)
-            assert [d.result for d in diverted] == [Result.UNREACHABLE, Result.UNREACHABLE]
-            assert [d.attempt for d in diverted] == [0, 1] and bench.of(Outcome)[0].attempt == 2
+            assert (await bench.event(AttemptEnded)).result == AttemptResult.OK
+            diverted = bench.of(AttemptRerouted)
+            assert [d.result for d in diverted] == [
+                AttemptResult.UNREACHABLE,
+                AttemptResult.UNREACHABLE,
+            ]
+            assert [d.attempt for d in diverted] == [0, 1] and bench.of(AttemptEnded)[
+                0
+            ].attempt == 2
             await stream.half_close()
             await bench.settled()
 
@@ -407,7 +444,7 @@
                 getattr(message, kind).SetInParent()
                 assert (await stream.send(message)).HasField(kind)
             await stream.respond(200)
-            assert (await bench.event(Outcome)).result == Result.OK
+            assert (await bench.event(AttemptEnded)).result == AttemptResult.OK
 
     run(test())
 
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -11,10 +11,10 @@
 
 from badgercart.app.file import Installation
 from badgercart.app.site import Site
-from badgercart.core.request_pipeline import Join
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.frontends.processor.settings import ProcessorSettings
 from badgercart.policy.events import Event
-from badgercart.policy.settings import Effect, RequestClass
+from badgercart.policy.settings import Idempotency, RequestClass
 from standins.scripted_proxy import ScriptedProxy
 from tests.net import CLASSES, WAIT, config, listed
 
@@ -41,13 +41,13 @@
     """The request headers of a class; further ones by name, with `_` for `-`."""
     effect = CLASSES[cls]
     headers = {
-        ":method": "GET" if effect is Effect.SAFE else "POST",
+        ":method": "GET" if effect is Idempotency.IDEMPOTENT else "POST",
         ":path": f"/{cls}/cab7",
         ":authority": "backend.local",
         "request-id": name or f"r-{next(_ids)}",
         "request-timeout": timeout,
     }
-    if effect is Effect.KEYED:
+    if effect is Idempotency.KEYED:
         headers["idempotency-key"] = "5c0f"
     return headers | {key.replace("_", "-"): value for key, value in more.items()}
 
@@ -55,7 +55,7 @@
 class Recorder:
     """Every event that the policy of a join is told."""
 
-    def __init__(self, join: Join) -> None:
+    def __init__(self, join: RequestPipeline) -> None:
         self.join = join
         self.told: list[Event] = []
         self.changed = asyncio.Event()
@@ -93,13 +93,18 @@
     async def settled(self) -> None:
         """Nothing is held, out or open any more."""
         async with asyncio.timeout(WAIT):
-            while self.join.held or self.join.out or self.calls.open or self.processor.connections:
+            while (
+                self.join.in_flight
+                or self.join.open_attempts
+                or self.calls.open
+                or self.processor.connections
+            ):
                 await asyncio.sleep(0.001)
         assert not self.join.policy.flying and not self.join.policy.jobs
         assert all(proxy.unseen == 0 for proxy in self.calls.account.proxies.values())
 
     def lists(self, *entries: dict[str, Any], reset: bool = False) -> None:
-        self.site.roster.take({"generation": 2, "reset": reset, "instances": list(entries)})
+        self.site.roster.accept({"generation": 2, "reset": reset, "instances": list(entries)})
 
     def proxy(self, name: str = "p-1", **changes: Any) -> ScriptedProxy:
         return ScriptedProxy(self.address, name, **changes)
--- a/tests/reload/test_reload.py
+++ b/tests/reload/test_reload.py
@@ -142,14 +142,14 @@
         tenants = {name: number for number, name in enumerate(names)}
         base = config(1)
         quotas = tuple(10.0 + number for number in range(len(names)))
-        return replace(base, tenants=tenants, settings=replace(base.settings, quotas=quotas))
+        return replace(base, tenants=tenants, settings=replace(base.settings, quotas_per_s=quotas))
 
     old, new = told(b"a", b"b"), told(b"a", b"c")
     held, event = retuned(old, new, Busy(tenants={1}))
-    assert held.tenants == {b"a": 0, b"c": 2} and event.tenants == {2}
-    assert event.settings.quotas == (10.0, 0.0, 11.0)
+    assert held.tenants == {b"a": 0, b"c": 2} and event.reset_tenants == {2}
+    assert event.settings.quotas_per_s == (10.0, 0.0, 11.0)
     free, event = retuned(old, new, Busy())
-    assert free.tenants == {b"a": 0, b"c": 1} and event.tenants == {1}
+    assert free.tenants == {b"a": 0, b"c": 1} and event.reset_tenants == {1}
     policy = Policy(old.settings, 1)
     policy.handle(0.0, Request(1, 0, 1000.0, tenant=1))
     assert policy.used_by(1) == 1 and policy.busy()[1] <= {1}
--- a/tests/statistics/test_golden.py
+++ b/tests/statistics/test_golden.py
@@ -13,9 +13,9 @@
 
 from click.testing import CliRunner
 
-from badgercart.policy.endpoint import Known
-from badgercart.policy.settings import Effect, RequestClass
-from badgercart.policy.statistics import Memory
+from badgercart.policy.endpoint import EndpointStatistics
+from badgercart.policy.settings import Idempotency, RequestClass
+from badgercart.policy.statistics import PolicyStatistics
 from badgercart.statistics.commands import learned
 from badgercart.statistics.snapshot import decode, encode, give, take
 from tests.net import config
@@ -23,8 +23,8 @@
 GOLDEN = Path(__file__).parent / "golden"
 BASE = config(("127.0.0.1", 1))
 CLASSES = (
-    RequestClass(580.0, 1400.0, 2.0, Effect.SAFE),
-    RequestClass(750.0, 1900.0, 8.0, Effect.SAFE),
+    RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT),
+    RequestClass(750.0, 1900.0, 8.0, Idempotency.IDEMPOTENT),
 )
 CONFIG = replace(
     BASE,
@@ -37,9 +37,9 @@
 SAVED, OFFSET = 1.75e12, 1.7e12
 
 
-def memory() -> Memory:
+def memory() -> PolicyStatistics:
     """Each number another one."""
-    return Memory(
+    return PolicyStatistics(
         [33.5, 44.25],
         [10.0, 11.0, 0.5, 0.25],
         {0: 1.5, 1: 0.75},
@@ -51,8 +51,8 @@
         {7: 3.0, 2**63: 1.5},
         5.5,
         {
-            11: Known(5000.0, 4.0, 3.0, (0.75, 0.125), (2.0, 0.0)),
-            2**62: Known(0.0, 1.0, 0.5, (0.0, 0.25), (0.0, 1.0)),
+            11: EndpointStatistics(5000.0, 4.0, 3.0, (0.75, 0.125), (2.0, 0.0)),
+            2**62: EndpointStatistics(0.0, 1.0, 0.5, (0.0, 0.25), (0.0, 1.0)),
         },
     )
 
--- a/tests/statistics/test_memory.py
+++ b/tests/statistics/test_memory.py
@@ -22,10 +22,10 @@
 
 from badgercart.app.cli import main
 from badgercart.policy.actions import Send
-from badgercart.policy.endpoint import Known, ServerEntry, State
-from badgercart.policy.events import ListKind, Request, ServerList
+from badgercart.policy.endpoint import Endpoint, EndpointState, EndpointStatistics
+from badgercart.policy.events import EndpointUpdate, Request, UpdateKind
 from badgercart.policy.policy import Policy
-from badgercart.policy.statistics import Memory, adopt, recall
+from badgercart.policy.statistics import PolicyStatistics, export_statistics, import_statistics
 from badgercart.statistics import store
 from badgercart.statistics.ageing import aged
 from badgercart.statistics.snapshot import (
@@ -53,19 +53,30 @@
 FLOATS = st.floats(0.01, 100)
 SHARES = st.tuples(st.floats(0, 1), st.floats(0, 1))
 MEMORIES = st.builds(
-    Memory,
+    PolicyStatistics,
     usual=st.lists(FLOATS, min_size=2, max_size=2),
     offered=st.lists(FLOATS, min_size=4, max_size=4),
     kinds=st.dictionaries(st.integers(0, 1), FLOATS),
-    least=FLOATS, mean=FLOATS, answers=st.floats(0, 100), best_rate=FLOATS, carried=FLOATS,
-    keys=st.dictionaries(st.integers(1, 1 << 60), FLOATS, max_size=5), keys_total=FLOATS,
+    least=FLOATS,
+    mean=FLOATS,
+    answers=st.floats(0, 100),
+    best_rate=FLOATS,
+    carried=FLOATS,
+    keys=st.dictionaries(st.integers(1, 1 << 60), FLOATS, max_size=5),
+    keys_total=FLOATS,
     servers=st.dictionaries(
         st.integers(1, 1 << 60),
-        st.builds(Known, started=st.sampled_from((0.0, 777.0)), slow=FLOATS, recent=FLOATS, fails=SHARES,
-                  strikes=SHARES),
+        st.builds(
+            EndpointStatistics,
+            started_ms=st.sampled_from((0.0, 777.0)),
+            relative_latency=FLOATS,
+            recent_attempts=FLOATS,
+            failure_rates=SHARES,
+            consecutive_ejections=SHARES,
+        ),
         max_size=4,
     ),
-)  # fmt: skip
+)
 
 
 def day(seed: int = 1, requests: int = 500) -> Saturday:
@@ -74,7 +85,7 @@
     return made
 
 
-def floats(memory: Memory) -> list[float]:
+def floats(memory: PolicyStatistics) -> list[float]:
     plain = msgspec.to_builtins(memory)
     found: list[float] = []
 
@@ -94,7 +105,9 @@
 
 @settings(max_examples=200, deadline=None)
 @given(MEMORIES, st.floats(0, 1e5), st.floats(0, 1e5))
-def test_ageing_in_two_steps_is_ageing_in_one(memory: Memory, first: float, second: float) -> None:
+def test_ageing_in_two_steps_is_ageing_in_one(
+    memory: PolicyStatistics, first: float, second: float
+) -> None:
     once = aged(memory, first + second, SETTINGS)
     twice = aged(aged(memory, first, SETTINGS), second, SETTINGS)
     marginal = {
@@ -108,12 +121,16 @@
 
 @settings(max_examples=50, deadline=None)
 @given(MEMORIES)
-def test_after_endless_time_nothing_is_left_but_what_a_new_policy_assumes(memory: Memory) -> None:
+def test_after_endless_time_nothing_is_left_but_what_a_new_policy_assumes(
+    memory: PolicyStatistics,
+) -> None:
     policy, fresh = Policy(SETTINGS, 1), Policy(SETTINGS, 1)
-    adopt(policy, aged(memory, 1e15, SETTINGS))
-    lines = [ServerEntry(n, 0, n % 2, 0, State.READY, 2.0, 777.0) for n in (*memory.servers, 5, 6)]
+    import_statistics(policy, aged(memory, 1e15, SETTINGS))
+    lines = [
+        Endpoint(n, 0, n % 2, 0, EndpointState.READY, 2.0, 777.0) for n in (*memory.servers, 5, 6)
+    ]
     for one in (policy, fresh):
-        one.handle(1000.0, ServerList(ListKind.FULL, 1, lines))
+        one.handle(1000.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, lines))
     assert policy.usual == pytest.approx(fresh.usual) and policy.kinds.keys() <= {0, 1}
     assert all(pace == pytest.approx(1.0) for pace in policy.kinds.values()) and policy.answers == 0
     assert policy.best_rate == fresh.best_rate == 0 and not policy.key_counts and not policy.rested
@@ -125,80 +142,99 @@
 
 @settings(max_examples=100, deadline=None)
 @given(MEMORIES, st.integers(0, 1 << 30))
-def test_a_restored_fleet_never_gets_what_the_rules_forbid(memory: Memory, seed: int) -> None:
+def test_a_restored_fleet_never_gets_what_the_rules_forbid(
+    memory: PolicyStatistics, seed: int
+) -> None:
     policy, rng = Policy(SETTINGS, seed), random.Random(seed)
-    adopt(policy, memory)
+    import_statistics(policy, memory)
     numbers = [*memory.servers, 11, 12]
-    states = {n: rng.choice((State.READY, State.DRAINING, State.GONE)) for n in numbers}
-    policy.handle(1e5, ServerList(ListKind.FULL, 1, [
-        ServerEntry(n, 0, 0, 0, state, 2.0, 777.0) for n, state in states.items()
-    ]))  # fmt: skip
+    states = {
+        n: rng.choice((EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE))
+        for n in numbers
+    }
+    policy.handle(
+        1e5,
+        EndpointUpdate(
+            UpdateKind.SNAPSHOT,
+            1,
+            [Endpoint(n, 0, 0, 0, state, 2.0, 777.0) for n, state in states.items()],
+        ),
+    )
     sent = 0
     for number in range(1, 60):
         now = 1e5 + number
         for action in policy.handle(now, Request(number, number % 2, now + 1000.0, key=number % 3)):
             if isinstance(action, Send):
                 sent += 1
-                assert states[action.server] is State.READY
-    assert sent or all(state is not State.READY for state in states.values())
+                assert states[action.endpoint_id] is EndpointState.READY
+    assert sent or all(state is not EndpointState.READY for state in states.values())
 
 
 def test_a_server_that_started_anew_keeps_nothing_and_one_that_did_not_keeps_all() -> None:
-    known = Known(777.0, 4.0, 3.0, (0.9, 0.1), (2.0, 0.0))
+    known = EndpointStatistics(777.0, 4.0, 3.0, (0.9, 0.1), (2.0, 0.0))
     policy = Policy(SETTINGS, 1)
-    adopt(policy, Memory([90.0, 80.0], [1.0] * 4, servers={1: known, 2: known, 3: known}))
+    import_statistics(
+        policy, PolicyStatistics([90.0, 80.0], [1.0] * 4, servers={1: known, 2: known, 3: known})
+    )
     entries = [
-        ServerEntry(n, 0, 0, 0, State.READY, 2.0, started)
+        Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, started)
         for n, started in ((1, 777.0), (2, 5000.0))
     ]
-    policy.handle(6000.0, ServerList(ListKind.FULL, 1, entries))
+    policy.handle(6000.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     same, anew = policy.servers[1], policy.servers[2]
     assert (same.slow, same.health[0].fails, same.health[0].strikes) == (4.0, 0.9, 2)
     assert (anew.slow, anew.health[0].fails, anew.recent) == (1.0, 0.0, 0.0)
     assert same.health[0].rest_until and policy.rested == {1}
-    gone = ServerEntry(1, 0, 0, 0, State.GONE, 2.0, 777.0)
-    policy.handle(6001.0, ServerList(ListKind.DELTA, 2, [gone]))
-    policy.handle(6002.0, ServerList(ListKind.DELTA, 3, [replace(gone, state=State.READY)]))
+    gone = Endpoint(1, 0, 0, 0, EndpointState.GONE, 2.0, 777.0)
+    policy.handle(6001.0, EndpointUpdate(UpdateKind.DELTA, 2, [gone]))
+    policy.handle(
+        6002.0, EndpointUpdate(UpdateKind.DELTA, 3, [replace(gone, state=EndpointState.READY)])
+    )
     assert policy.servers[1].slow == 1.0  # given back once
 
 
 def test_what_the_first_whole_list_does_not_name_is_forgotten() -> None:
     """A fleet replaced meanwhile keeps nothing, and a server that comes back later would get what
     is not aged."""
-    known = Known(777.0, 4.0, 3.0, (0.9, 0.1), (2.0, 0.0))
+    known = EndpointStatistics(777.0, 4.0, 3.0, (0.9, 0.1), (2.0, 0.0))
     policy, fresh = Policy(SETTINGS, 1), Policy(SETTINGS, 1)
-    adopt(policy, Memory(list(fresh.usual), [0.0] * 4, servers={n: known for n in range(1, 6)}))
-    others = [ServerEntry(n, 0, 0, 0, State.READY, 2.0, 777.0) for n in range(11, 16)]
+    import_statistics(
+        policy,
+        PolicyStatistics(list(fresh.usual), [0.0] * 4, servers={n: known for n in range(1, 6)}),
+    )
+    others = [Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, 777.0) for n in range(11, 16)]
     cached = [
-        ServerEntry(1, 0, 0, 0, State.READY, 2.0, 777.0)
+        Endpoint(1, 0, 0, 0, EndpointState.READY, 2.0, 777.0)
     ]  # the list kept from before names one still
     for one in (policy, fresh):
-        one.handle(6000.0, ServerList(ListKind.CACHED, 0, cached))
+        one.handle(6000.0, EndpointUpdate(UpdateKind.CACHED, 0, cached))
     assert policy.servers[1].slow == 4.0
     for one in (policy, fresh):
-        one.handle(6001.0, ServerList(ListKind.FULL, 1, others))
+        one.handle(6001.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, others))
     assert not policy.known and {s.slow for s in policy.servers.values()} == {1.0}
-    back = ServerEntry(2, 0, 0, 0, State.READY, 2.0, 777.0)
-    policy.handle(3_600_000.0, ServerList(ListKind.DELTA, 2, [back]))
+    back = Endpoint(2, 0, 0, 0, EndpointState.READY, 2.0, 777.0)
+    policy.handle(3_600_000.0, EndpointUpdate(UpdateKind.DELTA, 2, [back]))
     assert policy.servers[2].slow == 1.0 and not policy.rested
 
 
 def test_a_day_goes_through_a_file_and_back() -> None:
     made = day()
-    memory = recall(made.join.policy)
-    assert max(known.slow for known in memory.servers.values()) > 2 and memory.answers > 10
+    memory = export_statistics(made.join.policy)
+    assert (
+        max(known.relative_latency for known in memory.servers.values()) > 2 and memory.answers > 10
+    )
     snapshot = take(memory, CONFIG, 1e12, 5e11)
     back = give(decode(encode(snapshot)), CONFIG, 5e11)
     assert back == memory
     policy = Policy(SETTINGS, 2)
-    adopt(policy, back)
+    import_statistics(policy, back)
     assert policy.usual == made.join.policy.usual and policy.least == made.join.policy.least
     with pytest.raises(ValueError, match="it is of 1 classes"):
-        adopt(policy, Memory([1.0], [1.0, 1.0]))
+        import_statistics(policy, PolicyStatistics([1.0], [1.0, 1.0]))
 
 
 def test_classes_kinds_and_fleets_are_known_by_their_names() -> None:
-    snapshot = take(recall(day().join.policy), CONFIG, 1e12, 0.0)
+    snapshot = take(export_statistics(day().join.policy), CONFIG, 1e12, 0.0)
     turned = replace(CONFIG, classes={b"b": 0, b"a": 1}, kinds={"k1": 0, "k0": 1})
     with pytest.raises(SnapshotError, match="another fleet"):
         give(snapshot, turned, 0.0)
@@ -206,8 +242,8 @@
     memory = give(snapshot, turned, 0.0)
     assert memory.usual == [snapshot.classes["b"].usual, snapshot.classes["a"].usual]
     other = give(snapshot, replace(CONFIG, classes={b"a": 0, b"new": 1}), 0.0)
-    assert other.usual[1] == SETTINGS.classes[1].aim / 4
-    assert all(known.fails[1] == 0.0 for known in other.servers.values())
+    assert other.usual[1] == SETTINGS.classes[1].latency_objective_ms / 4
+    assert all(known.failure_rates[1] == 0.0 for known in other.servers.values())
 
 
 # The file.
@@ -217,7 +253,7 @@
     return PREFIX.pack(MAGIC, version, len(body), zlib.crc32(body)) + body
 
 
-GOOD = msgspec.to_builtins(take(recall(day(2, 100).join.policy), CONFIG, 1e12, 0.0))
+GOOD = msgspec.to_builtins(take(export_statistics(day(2, 100).join.policy), CONFIG, 1e12, 0.0))
 
 
 @pytest.mark.parametrize(
@@ -257,9 +293,13 @@
     assert decode(good).node == CONFIG.name
     with pytest.raises(Newer, match="version 9"):
         decode(packed(b"later", 9))
-    for spoilt, words in ((good[:-1], "bytes, not"), (good[:8], "cut off"), (b"PNG" + good, "no file"),
-                          (good[:20] + bytes([good[20] ^ 1]) + good[21:], "checksum"),
-                          (packed(b"", 0), "nothing reads version 0")):  # fmt: skip
+    for spoilt, words in (
+        (good[:-1], "bytes, not"),
+        (good[:8], "cut off"),
+        (b"PNG" + good, "no file"),
+        (good[:20] + bytes([good[20] ^ 1]) + good[21:], "checksum"),
+        (packed(b"", 0), "nothing reads version 0"),
+    ):
         with pytest.raises(SnapshotError, match=words):
             decode(spoilt)
     recorded = decode(
@@ -443,8 +483,10 @@
         folder.mkdir()
         killed = subprocess.run(
             [sys.executable, "-c", KILLED, str(folder), str(rng.randrange(7, 250))],
-            cwd=HERE.parent.parent, capture_output=True, text=True,
-        )  # fmt: skip
+            cwd=HERE.parent.parent,
+            capture_output=True,
+            text=True,
+        )
         assert killed.returncode == -9, killed.stderr
         loaded = store.load(store.Folder(folder))
         assert loaded.snapshot is not None and not loaded.faults
--- a/tests/upstream/test_exchange.py
+++ b/tests/upstream/test_exchange.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.policy.events import Result
+from badgercart.policy.events import AttemptResult
 from badgercart.upstream.attempts import ENDS, OVERDUE, At, check_end
 from badgercart.upstream.exchange import Done, Exchange, Malformed, Message, State, Unasked
 
@@ -54,10 +54,12 @@
 
 
 def test_an_attempt_that_was_not_sent_can_not_have_run() -> None:
-    never = {Result.UNREACHABLE, Result.CANCELLED, Result.NOT_SENT}
-    may = {Result.OK, Result.RESET, Result.TIMEOUT}
+    never = {AttemptResult.UNREACHABLE, AttemptResult.CANCELLED, AttemptResult.NOT_SENT}
+    may = {AttemptResult.OK, AttemptResult.RESET, AttemptResult.TIMEOUT}
     assert set(ENDS[At.DIALLING]) == never and may <= set(ENDS[At.SENT])
-    assert Result.UNREACHABLE not in ENDS[At.SENT] and all(OVERDUE[at] in ENDS[at] for at in At)
-    for at, result in ((At.DIALLING, Result.TIMEOUT), (At.SENT, Result.UNREACHABLE)):
+    assert AttemptResult.UNREACHABLE not in ENDS[At.SENT] and all(
+        OVERDUE[at] in ENDS[at] for at in At
+    )
+    for at, result in ((At.DIALLING, AttemptResult.TIMEOUT), (At.SENT, AttemptResult.UNREACHABLE)):
         with pytest.raises(RuntimeError, match=f"that is {at.name} can't end as {result.name}"):
             check_end(at, result)
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -13,7 +13,7 @@
 
 from badgercart.core.identifiers import stable_id
 from badgercart.policy.actions import Send
-from badgercart.policy.events import Request, Result, ServerList
+from badgercart.policy.events import AttemptResult, EndpointUpdate, Request
 from badgercart.upstream import connection_pool as pool
 from badgercart.upstream.connection_pool import ServerConnection
 from tests.net import (
@@ -58,76 +58,91 @@
 @pytest.mark.parametrize(
     ("script", "result"),
     [
-        (answer_ok, Result.OK),
-        (answer(b"HTTP/1.1 100 Continue\r\n\r\n" + OK), Result.OK),
-        (answer(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), Result.FULL),
-        (answer(b"HTTP/1.1 504 No\r\nnot-started: 1\r\nContent-Length: 0\r\n\r\n"), Result.FULL),
-        (answer(b"HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"no HTTP at all\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 500 No\r\nContent-Length: 70000\r\n\r\n" + bytes(70000)), Result.ERROR),
-        (close_after(b"HTTP/1.1 200 OK\r\n\r\ndone"), Result.OK),
-        (close_after(b"HTTP/1.0 200 OK\r\nContent-Length: 4 \r\n\r\ndone"), Result.OK),
-        (close_after(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndone"), Result.RESET),
-        (close_after(CHUNKS + b"4;x=y\r\ndone\r\n"), Result.RESET),
+        (answer_ok, AttemptResult.OK),
+        (answer(b"HTTP/1.1 100 Continue\r\n\r\n" + OK), AttemptResult.OK),
+        (answer(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), AttemptResult.ERROR),
+        (
+            answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"),
+            AttemptResult.FULL,
+        ),
+        (
+            answer(b"HTTP/1.1 504 No\r\nnot-started: 1\r\nContent-Length: 0\r\n\r\n"),
+            AttemptResult.FULL,
+        ),
+        (
+            answer(b"HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"),
+            AttemptResult.ERROR,
+        ),
+        (answer(b"no HTTP at all\r\n\r\n"), AttemptResult.ERROR),
+        (
+            answer(b"HTTP/1.1 500 No\r\nContent-Length: 70000\r\n\r\n" + bytes(70000)),
+            AttemptResult.ERROR,
+        ),
+        (close_after(b"HTTP/1.1 200 OK\r\n\r\ndone"), AttemptResult.OK),
+        (close_after(b"HTTP/1.0 200 OK\r\nContent-Length: 4 \r\n\r\ndone"), AttemptResult.OK),
+        (close_after(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndone"), AttemptResult.RESET),
+        (close_after(CHUNKS + b"4;x=y\r\ndone\r\n"), AttemptResult.RESET),
         (
             answer(CHUNKS.replace(b"chunked", b"Chunked ") + b"4;x=y\r\ndone\r\n0\r\nT: u\r\n\r\n"),
-            Result.OK,
+            AttemptResult.OK,
         ),
         (
             answer(
                 OK.replace(b"Content-Length: 4", b"Content-Length: 4\r\nServer-Load: \xff\xfe =,")
             ),
-            Result.OK,
+            AttemptResult.OK,
+        ),
+        (answer(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 8 + OK), AttemptResult.OK),
+        (answer(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 9 + OK), AttemptResult.ERROR),
+        (
+            answer(b"HTTP/1.1 101 Go\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"),
+            AttemptResult.ERROR,
         ),
-        (answer(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 8 + OK), Result.OK),
-        (answer(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 9 + OK), Result.ERROR),
-        (answer(b"HTTP/1.1 101 Go\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), Result.ERROR),
         # Heads that don't end, and lengths that no answer has: over at once, not when the time is
         # up.
-        (answer(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 4000), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"), Result.ERROR),
+        (answer(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 4000), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"), AttemptResult.ERROR),
         (
             answer(CHUNKS.replace(b"chunked", b"chunked\t") + b"4\r\ndone\r\n0\r\n\r\n"),
-            Result.ERROR,
+            AttemptResult.ERROR,
         ),
-        (answer(CHUNKS + b"1;" + b"x" * 200_000), Result.ERROR),
+        (answer(CHUNKS + b"1;" + b"x" * 200_000), AttemptResult.ERROR),
         (
             answer(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n" + CHUNKS),
-            Result.ERROR,
+            AttemptResult.ERROR,
         ),
-        (answer(CHUNKS + b"4\r\ndone\r\n0\r\nX: " + b"y" * 200_000), Result.ERROR),
+        (answer(CHUNKS + b"4\r\ndone\r\n0\r\nX: " + b"y" * 200_000), AttemptResult.ERROR),
         # Framing that can be read in two ways.
         (
             answer(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\ndone"),
-            Result.ERROR,
+            AttemptResult.ERROR,
         ),
-        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone"), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: 4 4\r\n\r\ndone"), Result.ERROR),
+        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone"), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: 4 4\r\n\r\ndone"), AttemptResult.ERROR),
         (
             answer(CHUNKS.replace(b"\r\n\r\n", b"\r\nContent-Length: 4\r\n\r\n") + b"done"),
-            Result.ERROR,
+            AttemptResult.ERROR,
         ),
-        (answer(CHUNKS + b"4\r\ndonedone\r\n0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 20 OK\r\nContent-Length: 4\r\n\r\ndone"), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nContent Length: 4\r\n\r\ndone"), Result.ERROR),
-        (hang_up, Result.RESET),
+        (answer(CHUNKS + b"4\r\ndonedone\r\n0\r\n\r\n"), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 20 OK\r\nContent-Length: 4\r\n\r\ndone"), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 200 OK\r\nContent Length: 4\r\n\r\ndone"), AttemptResult.ERROR),
+        (hang_up, AttemptResult.RESET),
     ],
 )
-def test_outcomes(script: Script, result: Result) -> None:
+def test_outcomes(script: Script, result: AttemptResult) -> None:
     async def test() -> None:
         async with running(await Peer(script).start()) as stand:
             client = await stand.client()
             status, head, _ = await client.ask(request())
             assert (await stand.outcome()).result == result
-            assert status == (200 if result is Result.OK else 503)
+            assert status == (200 if result is AttemptResult.OK else 503)
             assert (field(head, b"Retry-After") is None) == (
                 status == 200
             )  # who is refused is told when
-            assert not stand.node.join.held and not stand.node.pool.attempts
+            assert not stand.node.join.in_flight and not stand.node.pool.attempts
 
     run(test())
 
@@ -143,7 +158,7 @@
             got, _, body = await (await stand.client()).ask(request())
             assert (got, body) == (status, b"bad")
             assert sum(peer.requests.qsize() for peer in peers) == 1
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await stand.outcome()).result == AttemptResult.CANCELLED
             servers = stand.node.join.policy.servers.values()
             assert not any(health.fails for server in servers for health in server.health)
 
@@ -156,7 +171,7 @@
         peer.server.close()
         async with running(peer) as stand:
             status, _, _ = await (await stand.client()).ask(request("pay"))
-            assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
+            assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
 
     run(test())
 
@@ -167,7 +182,7 @@
         async with running(peer) as stand:
             stand.node.pool.servers[stable_id(b"s-1")].address = ("a" * 70 + ".\udc80", 9)
             status, _, _ = await (await stand.client()).ask(request())
-            assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
+            assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
 
     run(test())
 
@@ -177,7 +192,7 @@
         peer = await Peer(stay_silent).start()
         async with running(peer, aim=1000.0) as stand:
             status, _, _ = await (await stand.client()).ask(request())
-            assert (status, (await stand.outcome()).result) == (503, Result.TIMEOUT)
+            assert (status, (await stand.outcome()).result) == (503, AttemptResult.TIMEOUT)
             await asyncio.wait_for(peer.ended.get(), WAIT)
 
     run(test())
@@ -208,7 +223,7 @@
                 with server:
                     server.setblocking(False)
                     loop.add_reader(server, answer_and_stand_still)
-                    assert (await stand.outcome()).result == Result.OK
+                    assert (await stand.outcome()).result == AttemptResult.OK
                     assert (await client.answer())[0] == 200
 
     run(test())
@@ -229,7 +244,7 @@
 
             node.join.perform[Send] = drained_at_once
             status, _, _ = await client.ask(request())
-            assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
+            assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
             await asyncio.wait_for(peer.ended.get(), WAIT)
             assert peer.requests.empty()
 
@@ -243,7 +258,7 @@
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
             stand.agent.push(2, [peer.entry("s-1", started=1_000)])
-            while (await stand.event(ServerList)).version != 2:
+            while (await stand.event(EndpointUpdate)).version != 2:
                 pass
             await asyncio.wait_for(peer.ended.get(), WAIT)
             assert not stand.node.pool.servers[stable_id(b"s-1")].idle
@@ -300,7 +315,7 @@
             assert not connection.quiet()
             stand.send(77, "s-1")
             assert connection.attempt is None and connection.transport.is_closing()
-            assert (await stand.outcome()).result == Result.OK
+            assert (await stand.outcome()).result == AttemptResult.OK
             assert (await stand.outcome()).id == 77
             assert peer.connections == 2
 
@@ -347,7 +362,7 @@
             while not stand.node.pool.attempts:
                 await asyncio.sleep(0)
             client.writer.close()
-            assert (await stand.outcome()).result == Result.NOT_SENT
+            assert (await stand.outcome()).result == AttemptResult.NOT_SENT
             while not stand.node.pool.servers[stable_id(b"s-1")].idle:
                 await asyncio.sleep(0)
             assert peer.connections == 1 and peer.requests.qsize() == 1
@@ -373,7 +388,7 @@
                 )
             assert set(pool.servers) == {stable_id(b"s-1"), stable_id(b"s-39")}
             client.writer.close()
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await stand.outcome()).result == AttemptResult.CANCELLED
             assert set(pool.servers) == set(stand.node.join.policy.servers) == {stable_id(b"s-39")}
             assert stand.node.roster.listed.keys() == {stable_id(b"s-39")}
 
@@ -390,7 +405,7 @@
                 await stand.outcome()
             pool.max_connections = 2
             stand.send(3, "s-3")
-            assert (await stand.outcome()).result == Result.OK
+            assert (await stand.outcome()).result == AttemptResult.OK
             await asyncio.wait_for(peers[1].ended.get(), WAIT)
             assert len(pool.servers[stable_id(b"s-1")].idle) == 1
 
@@ -450,7 +465,7 @@
 
             stand.node.join.perform[Send] = cancelled_at_once
             assert (await client.ask(request()))[0] == 503
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await stand.outcome()).result == AttemptResult.CANCELLED
             stand.node.join.perform[Send] = send
             assert (await client.ask(request()))[0] == 200
             assert pool.dials == 0 and len(pool.connections) == 1 and not pool.attempts
@@ -472,7 +487,7 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request()))[0] == 503
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await stand.outcome()).result == AttemptResult.CANCELLED
             await asyncio.wait_for(peer.ended.get(), WAIT)
             assert peer.requests.empty() and not stand.node.pool.connections
 
@@ -560,7 +575,7 @@
         async with running(*peers) as stand:
             stand.node.pool.max_connections = 0
             assert (await (await stand.client()).ask(request()))[0] == 503
-            assert (await stand.outcome()).result == Result.UNREACHABLE
+            assert (await stand.outcome()).result == AttemptResult.UNREACHABLE
             assert not any(peer.connections for peer in peers)
 
     run(test())
--- a/tests/zones/support.py
+++ b/tests/zones/support.py
@@ -13,15 +13,24 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from badgercart.zones.plan_consensus import Ballot, Council, Effect, InForce, Post, Terms
+from badgercart.zones.plan_consensus import (
+    Ballot,
+    Effect,
+    InForce,
+    LeaseSettings,
+    PlanConsensus,
+    RegisterUpdate,
+)
 from badgercart.zones.topology import geography
-from badgercart.zones.traffic_plan import Limits, Plan, Situation, unpacked, work_out
+from badgercart.zones.traffic_plan import Limits, Plan, Situation, compute_plan, unpacked
 
 MAP = geography("abc", {}, {}, 1)
-TERMS = Terms(lease=4000.0, margin=100.0, renew=1000.0, patience=2000.0)
+TERMS = LeaseSettings(lease=4000.0, margin=100.0, renew=1000.0, patience=2000.0)
 SLACK = 1.0  # ms
 
-Make = Callable[[str, int, Terms, Callable[[bytes], Plan], Callable[[], float]], Council]
+Make = Callable[
+    [str, int, LeaseSettings, Callable[[bytes], Plan], Callable[[], float]], PlanConsensus
+]
 HOUR = 3_600_000.0  # ms that a wall clock may be off
 WALL = 1_700_000_000_000.0  # Unix ms as a day begins
 
@@ -30,12 +39,12 @@
     """One of many different plans."""
     demand = ((1.0 + number % 97, 0.0), (2.0, 0.0), (1.0, 0.0))
     situation = Situation((50.0, 50.0, 50.0), (50.0, 50.0, 50.0), demand)
-    return work_out(MAP, situation, (1.0,), Limits(), f"plan {number}")
+    return compute_plan(MAP, situation, (1.0,), Limits(), f"plan {number}")
 
 
 @dataclass(slots=True)
 class Node:
-    council: Council
+    council: PlanConsensus
     offset: float  # of its clock
     boot: int
     up: bool = True
@@ -51,7 +60,9 @@
 class Hall:
     """Councils by name. All of a run is drawn from its seed."""
 
-    def __init__(self, count: int, seed: int, make: Make = Council, delay: float = 300.0) -> None:
+    def __init__(
+        self, count: int, seed: int, make: Make = PlanConsensus, delay: float = 300.0
+    ) -> None:
         self.random, self.make, self.delay = random.Random(seed), make, delay
         self.now, self.order, self.plans = 0.0, 0, 0
         self.queue: list[tuple[float, int, str, str, str, bytes]] = []
@@ -82,7 +93,7 @@
 
     def carry(self, name: str, effects: list[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, Post):
+            if isinstance(effect, RegisterUpdate):
                 others = [effect.to] if effect.to else [n for n in self.names if n != name]
                 for other in others:
                     for _ in range(2 if self.random.random() < 0.1 else 1):
@@ -94,7 +105,7 @@
                     raise Broken(f"{name} went back from epoch {node.last} to {effect.epoch}")
                 node.last = effect.epoch
 
-    def send(self, name: str, other: str, effect: Post) -> None:
+    def send(self, name: str, other: str, effect: RegisterUpdate) -> None:
         held = self.nodes[name].council.mine
         if held is not None:
             self.opened.setdefault(held.ballot, self.now)
@@ -213,7 +224,7 @@
 
 
 def play(
-    seed: int, make: Make = Council, steps: int = 40, troubles: tuple[str, ...] = TROUBLES
+    seed: int, make: Make = PlanConsensus, steps: int = 40, troubles: tuple[str, ...] = TROUBLES
 ) -> Hall:
     """A random day. Raises Broken."""
     rng = random.Random(f"{seed} day")
--- a/tests/zones/test_council.py
+++ b/tests/zones/test_council.py
@@ -19,10 +19,10 @@
     ROUND,
     VOTE,
     Ballot,
-    Council,
     InForce,
     Outdone,
-    Post,
+    PlanConsensus,
+    RegisterUpdate,
     mark,
 )  # fmt: skip
 from badgercart.zones.traffic_plan import unpacked
@@ -41,69 +41,73 @@
         assert len(hall.epochs) > 0
 
 
-def changed(name: str, made: Callable[..., Any]) -> type[Council]:
+def changed(name: str, made: Callable[..., Any]) -> type[PlanConsensus]:
     """A council with one mistake."""
-    return type("Mistaken", (Council,), {name: made})
+    return type("Mistaken", (PlanConsensus,), {name: made})
 
 
-def any_of_an_epoch(self: Council, author: str, ballot: Ballot) -> bool:
+def any_of_an_epoch(self: PlanConsensus, author: str, ballot: Ballot) -> bool:
     return self.voted is None or ballot.epoch >= self.voted.epoch
 
 
-def half_is_enough(self: Council, now: float, name: str, ballot: Ballot, boot: int) -> Any:
+def half_is_enough(self: PlanConsensus, now: float, name: str, ballot: Ballot, boot: int) -> Any:
     self.electorate -= 1 if self.electorate % 2 == 0 else 2
     try:
-        return Council.count(self, now, name, ballot, boot)
+        return PlanConsensus.count(self, now, name, ballot, boot)
     finally:
         self.electorate += 1 if self.electorate % 2 == 1 else 2
 
 
-def one_is_enough(self: Council, now: float, name: str, ballot: Ballot, boot: int) -> Any:
+def one_is_enough(self: PlanConsensus, now: float, name: str, ballot: Ballot, boot: int) -> Any:
     had, self.electorate = self.electorate, 1
     try:
-        return Council.count(self, now, name, ballot, boot)
+        return PlanConsensus.count(self, now, name, ballot, boot)
     finally:
         self.electorate = had
 
 
-def unnamed_act_too(self: Council, now: float, author: str, ballot: Ballot, voters: bytes) -> Any:
+def unnamed_act_too(
+    self: PlanConsensus, now: float, author: str, ballot: Ballot, voters: bytes
+) -> Any:
     self.taken.setdefault(ballot, now)
     self.voted_for = author
-    return Council.on_commit(self, now, author, ballot, voters + self.mark)
+    return PlanConsensus.on_commit(self, now, author, ballot, voters + self.mark)
 
 
 def lease_from_the_commit(
-    self: Council, now: float, author: str, ballot: Ballot, voters: bytes
+    self: PlanConsensus, now: float, author: str, ballot: Ballot, voters: bytes
 ) -> Any:
     if ballot in self.taken:
         self.taken[ballot] = now
-    return Council.on_commit(self, now, author, ballot, voters)
+    return PlanConsensus.on_commit(self, now, author, ballot, voters)
 
 
-def lease_for_ever(self: Council, now: float) -> Any:
+def lease_for_ever(self: PlanConsensus, now: float) -> Any:
     held, self.current = self.current, None
-    told = Council.tick(self, now)
+    told = PlanConsensus.tick(self, now)
     self.current = self.current or held
     return told
 
 
-def the_same_epoch_again(self: Council, now: float, told: Any, electorate: int) -> Any:
+def the_same_epoch_again(self: PlanConsensus, now: float, told: Any, electorate: int) -> Any:
     had, self.wall = self.highest, lambda: 0.0
     self.highest = max(self.highest - MS, 0)
     try:
-        return Council.propose(self, now, told, electorate)
+        return PlanConsensus.propose(self, now, told, electorate)
     finally:
         self.highest = max(had, self.highest)
 
 
-def votes_of_any_round(self: Council, now: float, name: str, ballot: Ballot, boot: int) -> Any:
-    return Council.count(self, now, name, self.mine.ballot if self.mine else ballot, boot)
+def votes_of_any_round(
+    self: PlanConsensus, now: float, name: str, ballot: Ballot, boot: int
+) -> Any:
+    return PlanConsensus.count(self, now, name, self.mine.ballot if self.mine else ballot, boot)
 
 
-def renewals_that_open_nothing(self: Council, now: float, mine: Any) -> Any:
+def renewals_that_open_nothing(self: PlanConsensus, now: float, mine: Any) -> Any:
     """The proposer renews by itself: it counts the last round's voters once more."""
     votes = dict(mine.votes)
-    told = Council.renew(self, now, mine)
+    told = PlanConsensus.renew(self, now, mine)
     mine.votes.update(votes)
     for ballot in list(self.taken):
         self.taken[ballot] = now
@@ -111,11 +115,11 @@
 
 
 def an_old_epoch_takes_over(
-    self: Council, ballot: Ballot, proposer: str, now: float | None = None
+    self: PlanConsensus, ballot: Ballot, proposer: str, now: float | None = None
 ) -> Any:
     self.current = None
     self.taken.setdefault(ballot, 0.0 if now is None else now)
-    return Council.enforce(self, ballot, proposer, now)
+    return PlanConsensus.enforce(self, ballot, proposer, now)
 
 
 MISTAKES = {
@@ -146,17 +150,17 @@
 # Single steps.
 
 
-def voter(name: str = "n1") -> Council:
-    made = Council(name, 7, TERMS, lambda data: unpacked(data, MAP), lambda: 0.0)
+def voter(name: str = "n1") -> PlanConsensus:
+    made = PlanConsensus(name, 7, TERMS, lambda data: unpacked(data, MAP), lambda: 0.0)
     made.tick(0.0)
     return made
 
 
-def proposal(epoch_of: int = 1) -> tuple[Council, list[Post]]:
+def proposal(epoch_of: int = 1) -> tuple[PlanConsensus, list[RegisterUpdate]]:
     """n0 has proposed; what it tells."""
     first = voter("n0")
     first.highest = epoch_of - 1  # its clock says nothing
-    return first, [e for e in first.propose(5000.0, plan(1), 3) if isinstance(e, Post)]
+    return first, [e for e in first.propose(5000.0, plan(1), 3) if isinstance(e, RegisterUpdate)]
 
 
 def test_a_plan_is_taken_once_it_is_whole_and_in_force_once_a_commit_names_this_process() -> None:
@@ -166,9 +170,9 @@
         other.hear(5000.0, "n0", post.topic, post.said) for post in reversed(told)
     ]  # the round first
     (vote,) = [effect for effects in said for effect in effects]
-    assert isinstance(vote, Post) and vote.to == "n0" and vote.topic == VOTE
+    assert isinstance(vote, RegisterUpdate) and vote.to == "n0" and vote.topic == VOTE
     named = first.hear(5100.0, "n1", VOTE, vote.said)
-    commit = next(e for e in named if isinstance(e, Post))
+    commit = next(e for e in named if isinstance(e, RegisterUpdate))
     assert any(isinstance(e, InForce) for e in named) and commit.topic == COMMITS[0]
     (now,) = other.hear(5200.0, "n0", commit.topic, commit.said)
     assert (
@@ -188,7 +192,7 @@
     first, told = proposal()
     other = voter()
     vote = [e for post in told for e in other.hear(5000.0, "n0", post.topic, post.said)][0]
-    assert isinstance(vote, Post)
+    assert isinstance(vote, RegisterUpdate)
     late = 5000.0 + TERMS.lease
     assert first.hear(late, "n1", VOTE, vote.said) == [] and first.current is None
     assert any(isinstance(effect, Outdone) for effect in first.tick(late))
@@ -210,7 +214,7 @@
     (answer,) = other.hear(5001.0, "n2", ROUND, old)
     rival = voter("n2")
     rival.propose(5000.0, plan(2), 3)
-    assert isinstance(answer, Post) and answer.to == "n2"
+    assert isinstance(answer, RegisterUpdate) and answer.to == "n2"
     (outdone,) = rival.hear(5002.0, "n1", VOTE, answer.said)
     assert isinstance(outdone, Outdone) and rival.highest == first.highest and rival.mine is None
 
--- a/tests/zones/test_golden.py
+++ b/tests/zones/test_golden.py
@@ -20,11 +20,11 @@
 
 from badgercart.app.cli import main
 from badgercart.zones import commands
-from badgercart.zones.failover_controller import ORDERS, Keeper, Order
+from badgercart.zones.failover_controller import ORDERS, FailoverController, OperatorOverride
 from badgercart.zones.failure_detector import Verdict
-from badgercart.zones.plan_consensus import ASK, ROUND, VOTE, Council, InForce, Post
-from badgercart.zones.traffic_plan import Limits, Plan, Situation, packed, unpacked, work_out
-from badgercart.zones.zone_reports import Claim, Evidence
+from badgercart.zones.plan_consensus import ASK, ROUND, VOTE, InForce, PlanConsensus, RegisterUpdate
+from badgercart.zones.traffic_plan import Limits, Plan, Situation, compute_plan, packed, unpacked
+from badgercart.zones.zone_reports import Evidence, ZoneReport
 from lab.model import World
 from lab.settings import Cell
 from tests.app.test_file import ROOT
@@ -40,7 +40,7 @@
     assert data == (GOLDEN / name).read_bytes()
 
 
-def written(posts: list[Post]) -> bytes:
+def written(posts: list[RegisterUpdate]) -> bytes:
     """Topics, bytes and addressees, a line each."""
     return "".join(f"{post.topic} {post.said.hex()} {post.to or '*'}\n" for post in posts).encode()
 
@@ -51,28 +51,32 @@
     return [(topic, bytes.fromhex(said), to) for topic, said, to in found]
 
 
-def council(name: str, boot: int) -> Council:
-    made = Council(name, boot, TERMS, lambda data: unpacked(data, MAP), lambda: float(WALL))
+def council(name: str, boot: int) -> PlanConsensus:
+    made = PlanConsensus(name, boot, TERMS, lambda data: unpacked(data, MAP), lambda: float(WALL))
     made.tick(0.0)
     return made
 
 
-def conversation() -> list[Post]:
+def conversation() -> list[RegisterUpdate]:
     """A proposal, a node that lost a piece of it and asks, its vote, the commit."""
     first, other = council("n0", 7), council("n1", 8)
-    posts = [effect for effect in first.propose(5000.0, plan(1), 3) if isinstance(effect, Post)]
+    posts = [
+        effect for effect in first.propose(5000.0, plan(1), 3) if isinstance(effect, RegisterUpdate)
+    ]
     (opened,) = [post for post in posts if post.topic == ROUND]
     for _ in range(2):
         asked = other.hear(5010.0, "n0", opened.topic, opened.said)
-    posts += [effect for effect in asked if isinstance(effect, Post)]
+    posts += [effect for effect in asked if isinstance(effect, RegisterUpdate)]
     posts += [
-        e for e in first.hear(5020.0, "n1", posts[-1].topic, posts[-1].said) if isinstance(e, Post)
+        e
+        for e in first.hear(5020.0, "n1", posts[-1].topic, posts[-1].said)
+        if isinstance(e, RegisterUpdate)
     ]
     for post in posts[:-1]:
         answers = other.hear(5030.0, "n0", post.topic, post.said) if post.topic != ASK else []
-        posts += [effect for effect in answers if isinstance(effect, Post)][:1]
+        posts += [effect for effect in answers if isinstance(effect, RegisterUpdate)][:1]
     (vote,) = [post for post in posts if post.topic == VOTE]
-    posts += [e for e in first.hear(5040.0, "n1", VOTE, vote.said) if isinstance(e, Post)]
+    posts += [e for e in first.hear(5040.0, "n1", VOTE, vote.said) if isinstance(e, RegisterUpdate)]
     return posts
 
 
@@ -95,7 +99,7 @@
 def test_a_plan_is_packed_to_the_same_bytes_and_read_back() -> None:
     demand = ((30.0, 12.0), (9.0, 0.0), (1.0, 4.5))
     situation = Situation((0.0, 30.0, 50.0), (0.0, 40.0, 50.0), demand, frozenset({(1, 2)}))
-    made = work_out(MAP, situation, (3.0,), Limits(), "a is dark, say n0 n1")
+    made = compute_plan(MAP, situation, (3.0,), Limits(), "a is dark, say n0 n1")
     held_to("plan.bin", zlib.decompress(packed(made)) + made.digest)
     data = (GOLDEN / "plan.bin").read_bytes()
     told: Plan = unpacked(zlib.compress(data[:-8]), MAP)
@@ -118,7 +122,7 @@
         + "9364325a"
         + "92cd05dc00"
     )
-    claim = Claim(
+    claim = ZoneReport(
         MAP.digest,
         [Verdict.FINE, Verdict.DARK, Verdict.UNKNOWN],
         [100, 300, 0],
@@ -141,7 +145,7 @@
     )
 
 
-def played() -> Keeper:
+def played() -> FailoverController:
     """A node of a day on which a zone is lost, with an operator's word about another."""
     fleet = {"nodes": 6, "peers": True, "zones": "majority", "servers": 6}
     net = {"zones": 3, "regions": 2, "far_ms": 5.0}
@@ -155,24 +159,26 @@
     assert keeper is not None
     now = int(keeper.wall())
     word = msgspec.msgpack.encode(
-        (keeper.geography.digest, [Order(2, "drain", now, now + 60_000, "eva")])
+        (keeper.geography.digest, [OperatorOverride(2, "drain", now, now + 60_000, "eva")])
     )
     keeper.on_orders(0.0, "operator c", word)
     return keeper
 
 
 @pytest.fixture(scope="module")
-def keeper() -> Keeper:
+def keeper() -> FailoverController:
     return played()
 
 
-def test_the_pages_of_a_node_are_as_they_were(keeper: Keeper) -> None:
+def test_the_pages_of_a_node_are_as_they_were(keeper: FailoverController) -> None:
     now = keeper.member.machine.now
     held_to("page.json", json.dumps(keeper.page(now), indent=1).encode())
     held_to("if.json", json.dumps(keeper.if_gone(), indent=1).encode())
 
 
-def test_what_a_node_says_of_its_zones_travels_in_the_same_bytes(keeper: Keeper) -> None:
+def test_what_a_node_says_of_its_zones_travels_in_the_same_bytes(
+    keeper: FailoverController,
+) -> None:
     topics = sorted(topic for topic in keeper.member.out if topic.startswith("zones."))
     held_to(
         "posts.txt",
--- a/tests/zones/test_keeper.py
+++ b/tests/zones/test_keeper.py
@@ -6,8 +6,15 @@
 import msgspec
 import pytest
 
-from badgercart.policy.events import Planned
-from badgercart.zones.failover_controller import DRAIN, ORDERS, PIN, RELEASE, Keeper, Order
+from badgercart.policy.events import TrafficPlan
+from badgercart.zones.failover_controller import (
+    DRAIN,
+    ORDERS,
+    PIN,
+    RELEASE,
+    FailoverController,
+    OperatorOverride,
+)
 from lab.model import World
 from lab.settings import Cell
 from tests.lab.support import day
@@ -22,7 +29,7 @@
     return World(Cell(made, "badgercart", 1))
 
 
-def keepers(played: World) -> list[Keeper]:
+def keepers(played: World) -> list[FailoverController]:
     assert played.companions is not None
     return [one.keeper for one in played.companions.there.values() if one.keeper is not None]
 
@@ -74,7 +81,8 @@
     events = [keeper_event(keeper, nodes) for keeper in keepers(played)]
     for zone in range(3):
         slots = sum(
-            e.spill[zone] * k.eyes.mean for e, k in zip(events, keepers(played), strict=True)
+            e.spillover_rates[zone] * k.eyes.mean
+            for e, k in zip(events, keepers(played), strict=True)
         )
         capacity = keepers(played)[0].capacity[zone]
         assert slots <= 1.05 * keepers(played)[0].ways.blind * capacity
@@ -82,7 +90,7 @@
                for row in event.shares)  # fmt: skip
 
 
-def keeper_event(keeper: Keeper, nodes: int) -> Planned:
+def keeper_event(keeper: FailoverController, nodes: int) -> TrafficPlan:
     keeper.event = None
     event = keeper.direct(1, nodes)
     assert event is not None
@@ -106,7 +114,7 @@
 
     def word(what: str, when: int, until: int, zone: int = 2) -> None:
         told = msgspec.msgpack.encode(
-            (keeper.geography.digest, [Order(zone, what, when, until, "eva")])
+            (keeper.geography.digest, [OperatorOverride(zone, what, when, until, "eva")])
         )
         keeper.on_orders(0.0, "operator c", told)
 
@@ -115,13 +123,13 @@
     word("burn", now + 1, now + 10_000)
     word(DRAIN, now, now + 10_000, zone=9)
     keeper.on_orders(0.0, "operator c", b"junk")
-    other = msgspec.msgpack.encode((1, [Order(1, DRAIN, now, now + 10_000, "eva")]))
+    other = msgspec.msgpack.encode((1, [OperatorOverride(1, DRAIN, now, now + 10_000, "eva")]))
     keeper.on_orders(0.0, "operator b", other)  # of another map
     assert {zone: order.what for zone, order in keeper.orders.items()} == {2: DRAIN}
     event = keeper_event(keeper, 6)
-    assert 2 in event.lost and keeper.page(0.0)["zones"][2]["order"] == DRAIN
+    assert 2 in event.lost_zones and keeper.page(0.0)["zones"][2]["order"] == DRAIN
     word(RELEASE, now + 1, now + 10_000)
-    assert keeper.orders[2].what == RELEASE and 2 not in keeper_event(keeper, 6).lost
+    assert keeper.orders[2].what == RELEASE and 2 not in keeper_event(keeper, 6).lost_zones
     word(DRAIN, now + 2, now - 1)
     keeper.expire()
     assert keeper.orders == {} and ORDERS in keeper.member.machine.board.urgent
--- a/tests/zones/test_plan.py
+++ b/tests/zones/test_plan.py
@@ -17,9 +17,9 @@
     Plan,
     PlanError,
     Situation,
+    compute_plan,
     packed,
     unpacked,
-    work_out,
 )
 
 LIMITS = Limits()
@@ -45,8 +45,8 @@
 @given(situations(), st.booleans())
 def test_every_plan_keeps_its_bounds(now: Situation, first_is_bound: bool) -> None:
     map_ = map_of(4, 2, frozenset({0}) if first_is_bound else frozenset())
-    plan = work_out(map_, now, WORTHS, LIMITS)
-    assert packed(plan) == packed(work_out(map_, now, WORTHS, LIMITS))  # bit by bit
+    plan = compute_plan(map_, now, WORTHS, LIMITS)
+    assert packed(plan) == packed(compute_plan(map_, now, WORTHS, LIMITS))  # bit by bit
     assert unpacked(packed(plan), map_) == plan
     visits = [0.0] * 4
     for source, rows in enumerate(plan.parts):
@@ -70,7 +70,7 @@
     calm = Situation(
         tuple(100.0 for _ in now.home), tuple(100.0 for _ in now.home), now.demand, frozenset()
     )  # fmt: skip
-    plan = work_out(map_of(3), calm, WORTHS, LIMITS)
+    plan = compute_plan(map_of(3), calm, WORTHS, LIMITS)
     for source, rows in enumerate(plan.parts):
         if sum(now.demand[source]) <= 80.0:
             assert all(parts[source] == PARTS for parts in rows)
@@ -79,19 +79,19 @@
 def test_a_lost_zone_goes_to_the_nearest_and_across_regions_only_what_does_not_fit() -> None:
     map_ = map_of(4)  # z0 and z2 are in one region, z1 and z3 in the other
     demand = ((3.0, 3.0, 0.0, 0.0),) * 4
-    plan = work_out(
+    plan = compute_plan(
         map_, Situation((0.0, 20.0, 20.0, 20.0), (0.0, 20.0, 20.0, 20.0), demand), WORTHS, LIMITS
     )
     assert plan.parts[0][1] == (0, 0, PARTS, 0) and plan.lost == (0,)
     small = Situation((0.0, 20.0, 10.0, 20.0), (0.0, 20.0, 10.0, 20.0), demand)
-    far = work_out(map_, small, WORTHS, LIMITS).parts[0]
+    far = compute_plan(map_, small, WORTHS, LIMITS).parts[0]
     assert far[1][2] > 0 and far[0][1] + far[0][3] > 0  # the worthier near, the rest further
 
 
 def test_short_everywhere_the_lowest_worth_is_refused_before_it_crosses() -> None:
     demand = ((6.0, 6.0, 0.0, 0.0),) * 3
     now = Situation((0.0, 10.0, 10.0), (0.0, 10.0, 10.0), demand)
-    plan = work_out(map_of(3, 1), now, WORTHS, LIMITS)
+    plan = compute_plan(map_of(3, 1), now, WORTHS, LIMITS)
     loads, refused = loads_of(plan, demand)
     assert sum(plan.parts[0][1]) > 0.9 * PARTS and sum(plan.parts[0][0]) == 0
     assert refused > 6.0 and max(loads) <= 1.2 * 10.0
@@ -100,13 +100,13 @@
 def test_a_bound_class_with_no_room_in_its_region_is_refused_and_never_leaves() -> None:
     map_ = map_of(2, 2, frozenset({1}))
     now = Situation((0.0, 100.0), (0.0, 100.0), ((1.0, 1.0, 0.0, 0.0),) * 2)
-    rows = work_out(map_, now, WORTHS, LIMITS).parts[0]
+    rows = compute_plan(map_, now, WORTHS, LIMITS).parts[0]
     assert rows[1] == (0, 0) and rows[0] == (0, PARTS)
 
 
 def test_a_zone_that_was_cut_off_keeps_its_own_while_it_is_shut_to_others() -> None:
     now = Situation((0.0, 10.0), (10.0, 10.0), ((4.0, 4.0, 0.0, 0.0), (6.0, 6.0, 0.0, 0.0)))
-    plan = work_out(map_of(2, 1), now, WORTHS, LIMITS)
+    plan = compute_plan(map_of(2, 1), now, WORTHS, LIMITS)
     assert (
         plan.parts[0][0][0] == PARTS
         and all(rows[0] == 0 for rows in plan.parts[1])
@@ -114,7 +114,7 @@
     )
 
 
-GOOD = work_out(map_of(2), Situation((9.0, 9.0), (9.0, 9.0), ((1.0,) * 4,) * 2), WORTHS, LIMITS)
+GOOD = compute_plan(map_of(2), Situation((9.0, 9.0), (9.0, 9.0), ((1.0,) * 4,) * 2), WORTHS, LIMITS)
 
 
 def forged(**changes: object) -> bytes:
--- a/tests/zones/test_seeing.py
+++ b/tests/zones/test_seeing.py
@@ -9,23 +9,29 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.policy.events import Result
-from badgercart.zones.circuit_breaker import Gate, Pace, State
-from badgercart.zones.failure_detector import BACK, KNOWN_FOR, MAX_SERVERS, Eyes, Verdict
+from badgercart.policy.events import AttemptResult
+from badgercart.zones.circuit_breaker import Pace, State, ZoneCircuitBreaker
+from badgercart.zones.failure_detector import (
+    BACK,
+    KNOWN_FOR,
+    MAX_SERVERS,
+    Verdict,
+    ZoneFailureDetector,
+)
 from badgercart.zones.topology import Geography, geography
-from badgercart.zones.zone_reports import Claim, Evidence
+from badgercart.zones.zone_reports import Evidence, ZoneReport
 
 FINE, DARK, UNKNOWN = Verdict.FINE, Verdict.DARK, Verdict.UNKNOWN
 
 
-def serving(seed: int = 1, mean: float = 50.0) -> tuple[Eyes, float]:
+def serving(seed: int = 1, mean: float = 50.0) -> tuple[ZoneFailureDetector, float]:
     """Eyes that have seen 200 answers of zone 0."""
-    eyes, rng, now = Eyes(2), random.Random(seed), 0.0
+    eyes, rng, now = ZoneFailureDetector(2), random.Random(seed), 0.0
     for number in range(200):
         took = rng.expovariate(1 / mean)
         now += 10.0
         eyes.sent(now - took, 0, number % 4)
-        eyes.ended(now, 0, Result.OK, took)
+        eyes.ended(now, 0, AttemptResult.OK, took)
     return eyes, now
 
 
@@ -49,7 +55,7 @@
         for number in range(2000):
             now += rng.expovariate(1 / 20)
             for end, sent in [pair for pair in out if pair[0] <= now]:
-                eyes.ended(end, 0, Result.OK, end - sent)
+                eyes.ended(end, 0, AttemptResult.OK, end - sent)
                 out.remove((end, sent))
             eyes.sent(now, 0, number % 3)
             out.append((now + rng.expovariate(1 / 50), now))
@@ -58,21 +64,26 @@
 
 @pytest.mark.parametrize(
     ("result", "needed"),
-    [(Result.UNREACHABLE, 5), (Result.RESET, 10), (Result.TIMEOUT, 3), (Result.NOT_SENT, 99)],
+    [
+        (AttemptResult.UNREACHABLE, 5),
+        (AttemptResult.RESET, 10),
+        (AttemptResult.TIMEOUT, 3),
+        (AttemptResult.NOT_SENT, 99),
+    ],
 )
 def test_ends_without_an_answer_prove_the_dark_and_one_answer_takes_the_proof_away(
-    result: Result, needed: int
+    result: AttemptResult, needed: int
 ) -> None:
     eyes, now = serving()
     count = 0
     while eyes.verdict(now, 0) is not DARK and count < 40:
         eyes.sent(now, 0, count % 2)
-        now += 1.0 if result is not Result.TIMEOUT else 500.0
-        eyes.ended(now, 0, result, 1.0 if result is not Result.TIMEOUT else 500.0)
+        now += 1.0 if result is not AttemptResult.TIMEOUT else 500.0
+        eyes.ended(now, 0, result, 1.0 if result is not AttemptResult.TIMEOUT else 500.0)
         count += 1
     assert count <= needed if needed < 99 else eyes.verdict(now, 0) is DARK or count == 40
     eyes.sent(now, 0, 1)
-    eyes.ended(now + 5, 0, Result.FULL, 5.0)  # full is an answer, too
+    eyes.ended(now + 5, 0, AttemptResult.FULL, 5.0)  # full is an answer, too
     assert eyes.verdict(now + 5, 0) is FINE
 
 
@@ -103,7 +114,7 @@
     assert eyes.zones[0].slow < 2.0 and eyes.zones[0].known(now) and not eyes.zones[1].known(now)
     for _ in range(40):
         now += 10.0
-        eyes.ended(now, 0, Result.TIMEOUT, 200.0)
+        eyes.ended(now, 0, AttemptResult.TIMEOUT, 200.0)
     assert eyes.zones[0].slow > 2.5 and not eyes.zones[0].known(now + 5000.0)
 
 
@@ -114,7 +125,7 @@
     evidence = Evidence(MAP)
     for number, (zone, verdicts) in enumerate(claims):
         plain = {"slow": [100] * 3, "good": [100] * 3, "demand": [1000, 0]} | more
-        claim = Claim(MAP.digest, list(map(int, verdicts)), **plain)
+        claim = ZoneReport(MAP.digest, list(map(int, verdicts)), **plain)
         evidence.take(f"n{number}", zone, msgspec.msgpack.encode(claim), 1000.0)
     return evidence
 
@@ -157,12 +168,12 @@
     evidence = told((0, (FINE, DARK, FINE)), (1, (FINE, DARK, FINE)))
     assert evidence.seen(1600.0, 500.0, CAPACITY).down == frozenset()
     other = geography("abc", {}, {}, 1)
-    claim = Claim(other.digest, [1] * 3, [0] * 3, [100] * 3, [0, 0])
+    claim = ZoneReport(other.digest, [1] * 3, [0] * 3, [100] * 3, [0, 0])
     evidence.take("n0", 0, msgspec.msgpack.encode(claim), 1000.0)
     assert evidence.other_map == 1 and "n0" not in evidence.heard
     bad = [
-        b"junk", msgspec.msgpack.encode(Claim(MAP.digest, [1], [0] * 3, [0] * 3, [0, 0])),
-        msgspec.msgpack.encode(Claim(MAP.digest, [1] * 3, [0] * 3, [0] * 3, [-1, 0])),
+        b"junk", msgspec.msgpack.encode(ZoneReport(MAP.digest, [1], [0] * 3, [0] * 3, [0, 0])),
+        msgspec.msgpack.encode(ZoneReport(MAP.digest, [1] * 3, [0] * 3, [0] * 3, [-1, 0])),
     ]  # fmt: skip
     for said in bad:
         evidence.take("n5", 0, said, 1000.0)
@@ -190,7 +201,12 @@
 
 
 def walk(
-    gate: Gate, now: float, until: float, down: bool, well: bool = True, strength: float = 1.0
+    gate: ZoneCircuitBreaker,
+    now: float,
+    until: float,
+    down: bool,
+    well: bool = True,
+    strength: float = 1.0,
 ) -> float:
     while now < until:
         now += 100.0
@@ -199,7 +215,7 @@
 
 
 def test_a_gate_shuts_at_once_waits_its_hold_and_opens_by_steps() -> None:
-    gate = Gate(PACE)
+    gate = ZoneCircuitBreaker(PACE)
     now = walk(gate, 0.0, 100.0, True)
     assert gate.state is State.SHUT and gate.factor == 0
     now = walk(gate, now, now + 800.0, False)
@@ -211,7 +227,7 @@
 
 
 def test_a_zone_that_flaps_waits_longer_each_time_and_in_the_end_stays_shut() -> None:
-    gate, now, opened = Gate(PACE), 0.0, 0
+    gate, now, opened = ZoneCircuitBreaker(PACE), 0.0, 0
     for _ in range(75):  # each 2 s for five minutes
         now = walk(gate, now, now + 2000.0, True)
         before = gate.state
@@ -221,7 +237,7 @@
 
 
 def test_a_step_that_hurts_is_taken_back_once_and_a_slow_zone_keeps_a_part() -> None:
-    gate = Gate(PACE)
+    gate = ZoneCircuitBreaker(PACE)
     now = walk(gate, 0.0, 100.0, True)
     now = walk(gate, now, now + 3500.0, False)
     before = gate.factor
@@ -229,6 +245,6 @@
     assert gate.taken_back and gate.factor == pytest.approx(before / 2)
     walk(gate, now, now + 100.0, False, strength=0.25)
     assert gate.state is State.OPEN and gate.factor == 0.25  # no further down than its answers say
-    slow = Gate(PACE)
+    slow = ZoneCircuitBreaker(PACE)
     walk(slow, 0.0, 1000.0, False, strength=0.3)
     assert slow.state is State.OPEN and slow.factor == 0.3
