--- a/lab/sweep.py
+++ b/lab/sweep.py
@@ -105,11 +105,23 @@
         left = [cell for cell in cells if cell.name not in self.failed]
         return [cell for cell in left if read(self.folder / name_of(cell)) is None]
 
+    def submit(
+        self, pool: concurrent.futures.ProcessPoolExecutor, cells: list[Cell]
+    ) -> dict[concurrent.futures.Future[str], Cell]:
+        """Submit the cells, as many as the pool takes: it takes no more once a worker has died."""
+        submitted: dict[concurrent.futures.Future[str], Cell] = {}
+        try:
+            for cell in cells:
+                submitted[pool.submit(self.task, cell, str(self.folder))] = cell
+        except BrokenProcessPool:
+            pass  # its futures tell of it, and the rest goes into the next pool
+        return submitted
+
     def play(self, cells: list[Cell], workers: int) -> bool:
-        """Whether all workers lived; one that dies takes with it what was not done yet."""
-        lived = True
+        """Return whether all workers lived; one that dies takes with it what was not done yet."""
         with concurrent.futures.ProcessPoolExecutor(min(workers, len(cells)), self.context) as pool:
-            running = {pool.submit(self.task, cell, str(self.folder)): cell for cell in cells}
+            running = self.submit(pool, cells)
+            lived = len(running) == len(cells)
             for future in concurrent.futures.as_completed(running):
                 cell = running[future]
                 try:
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -4,7 +4,9 @@
 from __future__ import annotations
 
 import json
+from concurrent.futures import Future, ProcessPoolExecutor, wait
 from pathlib import Path
+from typing import Any
 
 import pytest
 from hypothesis import given, settings
@@ -225,7 +227,22 @@
     assert picker.pick(0.0, [1, 2, 5]) is None
 
 
-def test_one_day_that_kills_does_not_keep_the_others_from_all_workers(tmp_path: Path) -> None:
+class BreaksWhileSubmitting(ProcessPoolExecutor):
+    """A pool whose first worker has died before the third cell is submitted."""
+
+    def submit(self, *arguments: Any, **named: Any) -> Future[Any]:  # type: ignore[override]
+        submitted: list[Future[Any]] = self.__dict__.setdefault("submitted", [])
+        if len(submitted) == 2:
+            wait(submitted[:1])
+        submitted.append(super().submit(*arguments, **named))
+        return submitted[-1]
+
+
+@pytest.mark.parametrize("pool", [ProcessPoolExecutor, BreaksWhileSubmitting])
+def test_one_day_that_kills_does_not_keep_the_others_from_all_workers(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, pool: type[ProcessPoolExecutor]
+) -> None:
+    monkeypatch.setattr("concurrent.futures.ProcessPoolExecutor", pool)
     text = GOOD.replace("seeds = [1, 2]", f"seeds = {list(range(1, 13))}").replace(
         "[0.3, 0.6]", "[0.3]"
     )
