--- a/badgercart/cluster/__init__.py
+++ b/badgercart/cluster/__init__.py
@@ -1,8 +1,7 @@
-"""Nodes that know each other: who is there, who has failed, and what each may count on while they
-disagree.
+"""Cluster membership: who is alive, who has failed, and what each node may count on meanwhile.
 
-Membership is SWIM (Das, Gupta, Motivala 2002) with Lifeguard's mends (Dadgar, Phillips, Currey
-2018). `machine.py` decides and does no I/O; `driver.py` carries its packets. It knows no lists,
-zones or requests: what others want carried goes through `board.py`, and `uses.py` turns what is
-known into plain inputs for the policy. The entry is `part.py`.
+`swim.py` is the membership protocol and does no I/O; `driver.py` runs it on sockets. It knows no
+endpoint lists, zones or requests: other subsystems have their values carried by
+`gossip_registers.py`, and `member.py` turns what is known into the policy's view of the cluster.
+The entry is `component.py`.
 """
--- /dev/null
+++ b/badgercart/cluster/admin_page.py
@@ -0,0 +1,53 @@
+"""The page at `/_peers`, which `badgercart peers` reads.
+
+Its names are an interface to operators.
+"""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from badgercart.cluster.event_log import STATUS_WORDS, ClusterEventLog
+from badgercart.cluster.member import Member
+from badgercart.cluster.membership_table import MemberState
+from badgercart.cluster.packet_gate import PacketGate
+
+
+def cluster_page(
+    now_ms: float, member: Member, gate: PacketGate, event_log: ClusterEventLog
+) -> bytes:
+    """Return the page as JSON."""
+    protocol, quorum, view = member.machine, member.machine.standing(), member.last_view
+    states = sorted(protocol.view.beliefs.values(), key=lambda state: state.claim.name)
+    page = {
+        "name": protocol.me.name,
+        "level": str(quorum.level),
+        "live": len(quorum.live),
+        "may_live": quorum.may_live,
+        "unwell": protocol.context.health.score,
+        "stands_back": protocol.yields_name,
+        "members": [_member_fields(state, now_ms) for state in states],
+        "parts": list(view.quota_shares) if view else [],
+        "drained_by_rumour": len(member.drain_gossip.gossiped),
+        "refused": dict(gate.rejected),
+        "bytes_out": gate.bytes_out,
+        "changes": list(event_log.changes),
+    }
+    return json.dumps(page).encode()
+
+
+def _member_fields(state: MemberState, now_ms: float) -> dict[str, Any]:
+    record = state.claim
+    host, port = record.address
+    return {
+        "name": record.name,
+        "status": STATUS_WORDS[state.status],
+        "address": f"{host}:{port}",
+        "zone": record.zone,
+        "region": record.region,
+        "incarnation": record.incarnation,
+        "since_s": round((now_ms - state.since_ms) / 1000, 1),
+        "word": state.reporter,
+        "accuser": record.accuser,
+    }
--- /dev/null
+++ b/badgercart/cluster/anti_entropy.py
@@ -0,0 +1,136 @@
+"""Push-pull: two nodes exchange all they know. No I/O.
+
+By that a node joins, a cluster heals, and what gossip missed by chance is made up for.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from functools import partial
+
+from badgercart.cluster.context import ProtocolContext
+from badgercart.cluster.gossip_registers import GossipRegisters
+from badgercart.cluster.membership_table import MemberState, MemberStatus
+from badgercart.cluster.messages import Packet, Ping, Sync
+from badgercart.cluster.packet_sender import PacketSender
+from badgercart.config import Address
+
+SYNC_SCALE_THRESHOLD = 32  # members from which push-pulls are rarer, by memberlist's rule
+
+
+@dataclass(slots=True, eq=False)
+class AntiEntropy:
+    """Decides when to exchange everything with whom, and forgets members that are dead for long.
+
+    Attributes:
+        seeds: addresses that a new node turns to.
+        stale: whether this process stood still and nobody has told it the present state since.
+    """
+
+    context: ProtocolContext
+    sender: PacketSender
+    registers: GossipRegisters
+    seeds: list[Address]
+    stale: bool = False
+    _heal_scheduled: bool = field(default=False)
+
+    def start(self) -> None:
+        """Set the timers, and join by one of the seeds."""
+        timing, rng, timers = self.context.timing, self.context.rng, self.context.timers
+        timers.after(timing.retry_interval_ms * (0.5 + 0.5 * rng.random()), self._retry_unreachable)
+        timers.after(timing.sync_interval_ms * (0.5 + 0.5 * rng.random()), self._sync_with_random)
+        if self.seeds:
+            self.sync_with(rng.choice(self.seeds))
+
+    def full_state(self) -> Packet:
+        """Return one side of a push-pull."""
+        local = self.context.local.record
+        others = (r for r in self.context.table.records() if r.name != local.name)
+        return self.sender.packet(Sync(), (*others, local), tuple(self.registers.updates.values()))
+
+    def sync_with(self, address: Address) -> None:
+        """Begin a push-pull with the node at an address."""
+        self.sender.start_sync(address, self.full_state())
+
+    def member_returned(self, address: Address) -> None:
+        """Exchange everything with one that was taken for dead.
+
+        What was cut off is back, and knows more than gossip is sure to bring. One exchange is under
+        way at a time.
+        """
+        if self._heal_scheduled:
+            return
+        self._heal_scheduled = True
+        delay_ms = self.context.rng.random() * self.context.timing.retry_interval_ms
+        self.context.timers.after(delay_ms, partial(self._heal, address))
+
+    def _heal(self, address: Address) -> None:
+        self._heal_scheduled = False
+        self.sync_with(address)
+
+    def process_paused(self) -> None:
+        """Ask for the present state after this process stood still."""
+        self.stale = True
+        members = self.context.peers.sample(1)
+        if members:
+            self.sync_with(members[0].claim.address)
+        elif self.seeds:
+            self.sync_with(self.context.rng.choice(self.seeds))
+
+    def sync_received(self) -> None:
+        """Take it that another node has told its state."""
+        self.stale = False
+
+    def _sync_with_random(self) -> None:
+        # As in memberlist: else the push-pulls of a large cluster would be both more and larger.
+        members = max(len(self.context.table.beliefs), 1)
+        scale = max(1.0, math.log2(members / SYNC_SCALE_THRESHOLD) + 1)
+        interval_ms = self.context.timing.sync_interval_ms * scale
+        self.context.timers.after(interval_ms, self._sync_with_random)
+        self._sync_with_members(self.context.peers.sample(1))
+
+    def _sync_with_members(self, members: Iterable[MemberState]) -> None:
+        for state in members:
+            self.sync_with(state.claim.address)
+
+    def _retry_unreachable(self) -> None:
+        """Try to reach a seed and one of the dead, and forget those that are dead for long."""
+        context = self.context
+        interval_ms = context.timing.retry_interval_ms * (0.5 + context.rng.random())
+        context.timers.after(interval_ms, self._retry_unreachable)
+        dead = self._forget_expired()
+        self._retry_seed()
+        if dead:
+            state = context.rng.choice(dead)
+            ping = Ping(self.sender.next_sequence())
+            self.sender.send(state.claim.address, ping, state.claim)
+
+    def _retry_seed(self) -> None:
+        """Turn to a seed that is not reachable.
+
+        Clusters that formed apart know nothing of each other.
+        """
+        reachable = self.context.table.reachable_addresses
+        missing = [seed for seed in self.seeds if seed not in reachable]
+        if missing:
+            self.sync_with(self.context.rng.choice(missing))
+        elif self.stale:
+            self._sync_with_members(self.context.peers.sample(1))
+
+    def _forget_expired(self) -> list[MemberState]:
+        """Forget members unreachable beyond their retention; return the dead that are left."""
+        table, now_ms = self.context.table, self.context.timers.now_ms
+        retention_ms = self.context.timing.dead_retention_ms
+        states = [table.beliefs[name] for name in table.unreachable]
+        expired = {s.claim.name for s in states if now_ms - s.since_ms >= retention_ms}
+        for name in expired - {self.context.local.name}:
+            table.remove(name)
+        if expired:
+            self.registers.remove_authors(expired)
+        return [
+            state
+            for state in states
+            if state.status is MemberStatus.DEAD and state.claim.name not in expired
+        ]
--- a/badgercart/cluster/commands.py
+++ b/badgercart/cluster/commands.py
@@ -1,4 +1,4 @@
-"""`badgercart peers`: what a node believes of the others, and why.
+"""`badgercart peers`: what a node knows of the others of its cluster, and why.
 
 Exit status: 0 done; 1 the node can't be asked, or knows no such name.
 """
@@ -15,9 +15,12 @@
 from badgercart.app.asking import PATIENCE, page_of
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, Exit
-from badgercart.cluster.codec import MAX_SYNC, Codec, Leave, Packet, Refused
-from badgercart.cluster.driver import LENGTH
-from badgercart.cluster.settings import PeersSettings
+from badgercart.cluster.codec import MAX_SYNC_BYTES, PacketCodec
+from badgercart.cluster.errors import PacketRejectedError
+from badgercart.cluster.hybrid_logical_clock import HybridTimestamp
+from badgercart.cluster.messages import Leave, Packet
+from badgercart.cluster.settings import ClusterSettings
+from badgercart.cluster.sync_streams import FRAME_LENGTH
 
 if TYPE_CHECKING:
     from badgercart.app.file import Installation
@@ -26,15 +29,15 @@
 
 
 def ask(node: str) -> dict[str, Any]:
-    """What a node's HTTP front says of its peers. Raises CommandError."""
+    """Return the page of a node's HTTP listener about its cluster. Raises CommandError."""
     return page_of(node, "/_peers")
 
 
-def show(told: dict[str, Any]) -> None:
-    back = ", stands back for another process of its name" if told["stands_back"] else ""
-    click.echo(
-        f"{told['name']}: {told['live']} of {told['may_live']} in reach, {told['level']}{back}"
-    )
+def show(page: dict[str, Any]) -> None:
+    """Print the members of a page."""
+    yields = ", stands back for another process of its name" if page["stands_back"] else ""
+    reach = f"{page['live']} of {page['may_live']} in reach"
+    click.echo(f"{page['name']}: {reach}, {page['level']}{yields}")
     columns = (
         "name",
         "status",
@@ -47,7 +50,7 @@
         "accuser",
     )
     show_table(
-        columns, [tuple(str(member[name]) for name in columns) for member in told["members"]]
+        columns, [tuple(str(member[name]) for name in columns) for member in page["members"]]
     )
 
 
@@ -61,11 +64,11 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def list_(node: str, as_json: bool) -> None:
     """Who is there, who has failed, and how much of the group the node can vouch for."""
-    told = ask(node)
+    page = ask(node)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(page))
     else:
-        show(told)
+        show(page)
 
 
 @peers.command()
@@ -86,19 +89,19 @@
         for change in ask(node)["changes"]:
             if hlc(change) > hlc({"hlc": last}):
                 last = change["hlc"]
-                click.echo(worded(change))
+                click.echo(describe(change))
 
 
 def hlc(change: dict[str, Any]) -> tuple[int, ...]:
+    """Return the hybrid timestamp of a change, to compare it with others."""
     return tuple(int(part) for part in change["hlc"].split(".")) if change["hlc"] else (0, 0)
 
 
-def worded(change: dict[str, Any]) -> str:
-    blamed = f", first accused by {change['accuser']}" if change["accuser"] else ""
-    return (
-        f"{change['hlc']}  {change['peer']} {change['status']} by the word of {change['word']}{blamed} "
-        f"(incarnation {change['incarnation']})"
-    )
+def describe(change: dict[str, Any]) -> str:
+    """Return a change as a line for people."""
+    accuser = f", first accused by {change['accuser']}" if change["accuser"] else ""
+    state = f"{change['peer']} {change['status']} by the word of {change['word']}"
+    return f"{change['hlc']}  {state}{accuser} (incarnation {change['incarnation']})"
 
 
 @peers.command()
@@ -106,51 +109,59 @@
 def leave(file: str) -> None:
     """Have the node of FILE.toml leave its group and go on alone, as before its own end.
 
-    The others take over its parts at once. It joins again with its next start."""
+    The others take over its parts at once. It joins again with its next start.
+    """
     site = loaded(file, "peers")
     name, group = site.config.name, site.parts["peers"].group
-    told = exchange(site, Packet(name, 0, 0, 1, (0, 0), Leave()))
-    click.echo(f"{name} has left {group}; it knew {len(told.claims) - 1} others")
+    answer = exchange(site, Packet(name, 0, 0, 1, HybridTimestamp(0, 0), Leave()))
+    click.echo(f"{name} has left {group}; it knew {len(answer.records) - 1} others")
 
 
 def loaded(file: str, part: str) -> Installation:
-    """What a file says that has such a part. Raises CommandError."""
+    """Return what a file says that has a component's table. Raises CommandError."""
     from badgercart.app.faults import FileError
     from badgercart.app.file import load
 
     try:
         what = load(file)
     except FileError as error:
-        raise CommandError(str(error), Exit.USAGE) from None
+        raise CommandError(str(error), Exit.USAGE) from error
     if part not in what.parts:
-        raise CommandError(f"{file}: has no [{part}]", Exit.USAGE)
+        words = f"{file}: has no [{part}]"
+        raise CommandError(words, Exit.USAGE)
     return what
 
 
 def exchange(site: Installation, packet: Packet) -> Packet:
-    """Tell a file's node something, as one that has the group's secret, and give what it answers.
+    """Send a packet to a file's node by the cluster's secret, and return its answer.
 
-    Raises CommandError where it does not."""
-    settings: PeersSettings = site.parts["peers"]
+    Raises CommandError where there is none.
+    """
+    settings: ClusterSettings = site.parts["peers"]
     try:
         return asyncio.run(ask_member(settings, packet))
-    except (OSError, TimeoutError, asyncio.IncompleteReadError, Refused) as error:
+    except (OSError, TimeoutError, asyncio.IncompleteReadError, PacketRejectedError) as error:
         words = f"the node {site.config.name} does not answer: {error or type(error).__name__}"
-        raise CommandError(words) from None
+        raise CommandError(words) from error
+
 
+async def ask_member(settings: ClusterSettings, packet: Packet) -> Packet:
+    """Send a packet to a node and return its answer.
 
-async def ask_member(settings: PeersSettings, packet: Packet) -> Packet:
-    """Raises OSError, TimeoutError and Refused."""
-    codec = Codec(settings.group, settings.secret.encode())
+    Raises OSError, TimeoutError, asyncio.IncompleteReadError and PacketRejectedError.
+    """
+    codec = PacketCodec(settings.group, settings.secret.encode())
     data = codec.encode(packet)
     async with asyncio.timeout(PATIENCE):
         reader, writer = await asyncio.open_connection(
             *settings.listen, local_addr=(settings.listen[0], 0)
         )
         try:
-            writer.write(LENGTH.pack(len(data)) + data)
-            (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
-            return codec.decode(await reader.readexactly(min(length, MAX_SYNC)), MAX_SYNC)
+            writer.write(FRAME_LENGTH.pack(len(data)) + data)
+            (length,) = FRAME_LENGTH.unpack(await reader.readexactly(FRAME_LENGTH.size))
+            return codec.decode(
+                await reader.readexactly(min(length, MAX_SYNC_BYTES)), MAX_SYNC_BYTES
+            )
         finally:
             writer.close()
 
@@ -160,15 +171,14 @@
 @click.argument("name")
 def why(node: str, name: str) -> None:
     """Why the node believes of NAME what it does: every change it remembers, and by whose word."""
-    told = ask(node)
-    member = next((m for m in told["members"] if m["name"] == name), None)
+    page = ask(node)
+    member = next((m for m in page["members"] if m["name"] == name), None)
     if member is None:
-        raise CommandError(
-            f"{node} knows no {name}; known are {', '.join(m['name'] for m in told['members'])}"
-        )
-    click.echo(
-        f"{name}: {member['status']} for {member['since_s']} s, by the word of {member['word']}"
-    )
-    for change in told["changes"]:
+        known = ", ".join(m["name"] for m in page["members"])
+        words = f"{node} knows no {name}; known are {known}"
+        raise CommandError(words)
+    since = f"{member['status']} for {member['since_s']} s"
+    click.echo(f"{name}: {since}, by the word of {member['word']}")
+    for change in page["changes"]:
         if change["peer"] == name:
-            click.echo(worded(change))
+            click.echo(describe(change))
--- /dev/null
+++ b/badgercart/cluster/context.py
@@ -0,0 +1,76 @@
+"""What the parts of the membership protocol share at one node. No I/O."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass, replace
+
+from badgercart.cluster.effects import EffectBuffer
+from badgercart.cluster.local_health import LocalHealth
+from badgercart.cluster.membership_table import (
+    REACHABLE,
+    MembershipRecord,
+    MembershipTable,
+    MemberState,
+    MemberStatus,
+    refute,
+)
+from badgercart.cluster.timers import TimerQueue
+from badgercart.cluster.timing import SwimTiming
+
+
+class LocalNode:
+    """What this node says of itself."""
+
+    __slots__ = ("leaving", "record")
+
+    def __init__(self, record: MembershipRecord) -> None:
+        self.record = record
+        self.leaving = False
+
+    @property
+    def name(self) -> str:
+        """The node's name."""
+        return self.record.name
+
+    def refute(self, incarnation: int) -> None:
+        """Win over whatever is said of this node at `incarnation`."""
+        self.record = refute(self.record, incarnation)
+
+    def leave(self) -> None:
+        """Say that this node leaves the cluster; nothing is refuted from now on."""
+        self.leaving = True
+        self.record = replace(self.record, status=MemberStatus.LEFT)
+
+
+class PeerSampler:
+    """Chooses among the other members."""
+
+    __slots__ = ("_local", "_table", "rng")
+
+    def __init__(self, local: LocalNode, table: MembershipTable, rng: random.Random) -> None:
+        self._local, self._table, self.rng = local, table, rng
+
+    def reachable(self) -> list[MemberState]:
+        """Return all others that are alive or suspected."""
+        states = self._table.with_status(*REACHABLE)
+        return [state for state in states if state.claim.name != self._local.name]
+
+    def sample(self, count: int, excluding: str = "") -> list[MemberState]:
+        """Return `count` reachable others by chance, or all there are, without the one named."""
+        names = (self._local.name, excluding) if excluding else (self._local.name,)
+        return self._table.sample(count, self.rng, names)
+
+
+@dataclass(slots=True, frozen=True, eq=False)
+class ProtocolContext:
+    """The state that several parts read; each object in it has one writer or guards itself."""
+
+    local: LocalNode
+    timing: SwimTiming
+    rng: random.Random
+    timers: TimerQueue
+    table: MembershipTable
+    peers: PeerSampler
+    health: LocalHealth
+    effects: EffectBuffer
--- /dev/null
+++ b/badgercart/cluster/dissemination.py
@@ -0,0 +1,57 @@
+"""Gossip: passing on records and register updates in rounds (SWIM, section 4.1). No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from badgercart.cluster.context import ProtocolContext
+from badgercart.cluster.effects import RegisterChanged
+from badgercart.cluster.gossip_registers import GossipRegisters, RegisterUpdate
+from badgercart.cluster.messages import Gossip
+from badgercart.cluster.packet_sender import PacketSender
+
+
+class Dissemination:
+    """Owns the registers, and sends what waits in the queue to a few members each round."""
+
+    def __init__(self, context: ProtocolContext, sender: PacketSender) -> None:
+        self.context, self.sender = context, sender
+        self.registers = GossipRegisters()
+
+    def start(self) -> None:
+        """Set the timer of the first round."""
+        context = self.context
+        delay_ms = context.timing.gossip_interval_ms * context.rng.random()
+        context.timers.after(delay_ms, self._run_round)
+
+    def _run_round(self) -> None:
+        self.context.timers.after(self.context.timing.gossip_interval_ms, self._run_round)
+        self.spread()
+
+    def spread(self) -> None:
+        """Send what waits to a few members by chance."""
+        if not len(self.sender.queue):
+            return
+        for state in self.context.peers.sample(self.context.timing.gossip_fanout):
+            if not len(self.sender.queue):
+                break
+            self.sender.send(state.claim.address, Gossip())
+
+    def receive(self, updates: Iterable[RegisterUpdate]) -> bool:
+        """Take over another node's updates; return whether one is to be passed on at once."""
+        registers, urgent = self.registers, False
+        for update in updates:
+            if not registers.merge(update):
+                continue
+            self.context.effects.add(RegisterChanged(*update))
+            if update.topic not in registers.direct:
+                self.sender.broadcast_update(update)
+                urgent = urgent or update.topic in registers.urgent
+        return urgent
+
+    def publish(self, update: RegisterUpdate) -> None:
+        """Have every node told of a value of this node's own, in place of an earlier one."""
+        if self.registers.merge(update):
+            self.sender.broadcast_update(update)
+            if update.topic in self.registers.urgent:
+                self.spread()
--- a/badgercart/cluster/hybrid_logical_clock.py
+++ b/badgercart/cluster/hybrid_logical_clock.py
@@ -1,34 +1,55 @@
-"""Hybrid logical clocks (Kulkarni et al. 2014): one order of all nodes' events that respects
-cause."""
+"""Hybrid logical clocks (Kulkarni et al. 2014): an order of all nodes' events by causality."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import NamedTuple
 
-MAX_AHEAD = 60_000  # ms that another's clock may pull ours ahead of our own wall clock
+MAX_CLOCK_LEAD_MS = 60_000  # by which another node's clock may pull ours ahead of the wall clock
 
-Stamp = tuple[int, int]  # Unix ms, and a counter among equals
 
+class HybridTimestamp(NamedTuple):
+    """A point in the order of all nodes' events."""
 
-class HybridClock:
-    """Stamps that never go back. Another clock pulls ours along, within a bound."""
+    wall_ms: int  # Unix time
+    counter: int  # tells events of one millisecond apart
+
+
+class HybridLogicalClock:
+    """Timestamps that never go back. Another node's clock pulls this one along, within a bound.
+
+    Args:
+        wall: gives the Unix time in ms.
+    """
+
+    __slots__ = ("latest", "wall")
 
     def __init__(self, wall: Callable[[], float]) -> None:
-        self.wall = wall  # Unix ms
-        self.last: Stamp = (0, 0)
-
-    def tick(self) -> Stamp:
-        """The stamp of an event of our own, a message that is sent among them."""
-        now = int(self.wall())
-        self.last = (now, 0) if now > self.last[0] else (self.last[0], self.last[1] + 1)
-        return self.last
-
-    def hear(self, told: Stamp) -> Stamp:
-        """The stamp of a message that came, behind the one that it bears."""
-        now = int(self.wall())
-        if told[0] > now + MAX_AHEAD:
+        self.wall = wall
+        self.latest = HybridTimestamp(0, 0)
+
+    def tick(self) -> HybridTimestamp:
+        """Return the timestamp of a local event, such as a message that is sent."""
+        wall_ms = int(self.wall())
+        if wall_ms > self.latest.wall_ms:
+            self.latest = HybridTimestamp(wall_ms, 0)
+        else:
+            self.latest = HybridTimestamp(self.latest.wall_ms, self.latest.counter + 1)
+        return self.latest
+
+    def observe(self, remote: HybridTimestamp) -> HybridTimestamp:
+        """Return the timestamp of a received message, which is later than the one that it bears.
+
+        A remote timestamp too far ahead of the wall clock is ignored.
+        """
+        wall_ms = int(self.wall())
+        if remote.wall_ms > wall_ms + MAX_CLOCK_LEAD_MS:
             return self.tick()
-        time = max(now, self.last[0], told[0])
-        behind = [stamp[1] for stamp in (self.last, told) if stamp[0] == time]
-        self.last = (time, max(behind) + 1 if behind else 0)
-        return self.last
+        latest_ms = max(wall_ms, self.latest.wall_ms, remote.wall_ms)
+        counters = [
+            timestamp.counter
+            for timestamp in (self.latest, remote)
+            if timestamp.wall_ms == latest_ms
+        ]
+        self.latest = HybridTimestamp(latest_ms, max(counters) + 1 if counters else 0)
+        return self.latest
--- a/badgercart/cluster/member.py
+++ b/badgercart/cluster/member.py
@@ -1,137 +1,210 @@
-"""One member of a group and all its uses: reports out, company for the policy. No I/O.
+"""One member of a cluster and the features that use what it knows. No I/O.
 
-The same in a node and in the lab's model. Effects are the machine's; posts that are news come by
-`heard`.
+The same in a node and in the lab's model: reports to other nodes out, their updates in, and the
+cluster's view for the policy out.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Sequence
-
-from badgercart.cluster.broadcast_queue import most_times
-from badgercart.cluster.swim import Effect, Posted, SwimProtocol
-from badgercart.cluster.uses import DRAINS, FAILING, USE, Hearsay, Rumours, Shares, company
-from badgercart.core.endpoint_table import DiscoveredEndpoint as Line
+from dataclasses import dataclass
+
+from badgercart.cluster.broadcast_queue import transmit_limit
+from badgercart.cluster.drain_gossip import DRAIN_TOPICS, DrainGossip
+from badgercart.cluster.effects import Effect, RegisterChanged
+from badgercart.cluster.failure_reports import FAILURE_TOPIC, FailureReports
+from badgercart.cluster.features import DRAIN_GOSSIP, FAILURE_REPORTS, QUOTA_SHARING
+from badgercart.cluster.gossip_registers import RegisterUpdate
+from badgercart.cluster.quorum import QuorumState
+from badgercart.cluster.quota_sharing import USAGE_TOPIC, QuotaSharing
+from badgercart.cluster.swim import SwimProtocol
+from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.policy.events import ClusterView
 from badgercart.policy.policy import Policy
 
-STALE = 4  # reports that a node may miss before it counts as one that wants its even part
-# reports that a node passes on between two of its own: of more nodes each reports less often
-PASSED_ON = 64
-FADES = 10_000.0  # ms in which another's word of a failing server fades
+MAX_MISSED_REPORTS = 4  # after which a node counts as one that wants its even share
+MAX_FORWARDED_REPORTS = 64  # that a node passes on between two of its own
+FAILURE_LIFETIME_MS = 10_000.0  # in which another node's report of a failing endpoint fades
+
+Listener = Callable[[float, str, bytes], None]
+"""Called with the time (ms), the author and the value of an update."""
+
+
+@dataclass(slots=True, frozen=True)
+class EndpointList:
+    """The node's own list of endpoints."""
+
+    version: int = 0
+    listed: dict[int, DiscoveredEndpoint] | None = None
+
+
+NO_ENDPOINTS = EndpointList()
 
 
 class Member:
-    """A machine, and the uses that are switched on."""
+    """A membership protocol, and the features that are switched on.
+
+    Args:
+        machine: the protocol.
+        quotas: by tenant, requests a second.
+        share_ms: the time between two reports in a small cluster.
+        uses: the names of the features that are on.
+    """
 
     def __init__(
         self, machine: SwimProtocol, quotas: Sequence[float], share_ms: float, uses: Iterable[str]
     ) -> None:
-        self.machine, self.does = machine, frozenset(uses)
+        self.machine, self.features = machine, frozenset(uses)
         self.name = machine.me.name
         self.share_ms = share_ms
-        self.shares = Shares(quotas, machine.me.boot)
-        self.rumours, self.hearsay = Rumours(), Hearsay(FADES)
-        self.number = 0  # of our posts
-        self.out: dict[str, bytes] = {}  # what we have posted, by topic
-        self.told: ClusterView | None = None
-        self.listeners: dict[str, Callable[[float, str, bytes], None]] = {}  # of other subsystems
-        for topic in (USE, *DRAINS, FAILING):
-            machine.board.follow(topic)
+        self.quota_sharing = QuotaSharing(quotas, machine.me.boot)
+        self.drain_gossip = DrainGossip()
+        self.failure_reports = FailureReports(FAILURE_LIFETIME_MS)
+        self.last_view: ClusterView | None = None
+        self._version = 0  # of the registers' updates
+        self.out: dict[str, bytes] = {}  # by topic
+        self._listeners: dict[str, Listener] = {}  # of other subsystems, by topic
+        for topic in (USAGE_TOPIC, *DRAIN_TOPICS, FAILURE_TOPIC):
+            machine.board.declare(topic)
 
     @property
     def every(self) -> float:
-        """ms between two reports: in a large group more, so that a link bears no more."""
-        members = len(self.machine.view.beliefs)
-        return self.share_ms * max(1.0, members * most_times(members) / PASSED_ON)
+        """The time (ms) between two reports.
 
-    def next_number(self, now: float) -> int:
-        """Of a post: larger than those of the process that had this name before."""
-        self.number = max(self.number + 1, int(now + self.machine.offset))
-        return self.number
-
-    def post(self, now: float, topic: str, said: bytes) -> list[Effect]:
-        if self.out.get(topic) == said:
-            return []
-        self.out[topic] = said
-        return self.machine.post(now, topic, self.next_number(now), said)
+        It grows with the cluster, so that a link carries no more.
+        """
+        members = len(self.machine.view.beliefs)
+        forwarded = members * transmit_limit(members)
+        return self.share_ms * max(1.0, forwarded / MAX_FORWARDED_REPORTS)
 
-    # For other subsystems.
+    # Registers.
 
     def listen(
-        self,
-        topic: str,
-        hear: Callable[[float, str, bytes], None],
-        urgent: bool = False,
-        direct: bool = False,
+        self, topic: str, hear: Listener, urgent: bool = False, direct: bool = False
     ) -> None:
-        """Have a subsystem told of the posts on a topic of its own: when, by whom, what. `urgent`:
-        they are passed on as they come, not with the next round. `direct`: only who is told by
-        `say` is told."""
-        self.machine.board.follow(topic, urgent, direct)
-        self.listeners[topic] = hear
-
-    def say(self, now: float, topic: str, said: bytes, to: str = "") -> list[Effect]:
-        """Post for a subsystem, to all or to one."""
+        """Have another subsystem told of the updates on a topic of its own.
+
+        Args:
+            topic: its name.
+            hear: called with each update.
+            urgent: whether updates are passed on as they come, not with the next round.
+            direct: whether updates are for the node that they are sent to alone.
+        """
+        self.machine.board.declare(topic, urgent, direct)
+        self._listeners[topic] = hear
+
+    def say(self, now_ms: float, topic: str, value: bytes, to: str = "") -> list[Effect]:
+        """Publish an update for another subsystem, to all nodes or to one."""
         if to:
-            return self.machine.tell(now, to, topic, self.next_number(now), said)
-        return self.post(now, topic, said)
+            return self.machine.send_update(now_ms, to, self._update(now_ms, topic, value))
+        return self.publish(now_ms, topic, value)
 
-    def report(self, now: float, policy: Policy) -> list[Effect]:
-        """What others are told of our use, and of the servers that we find failing."""
+    def publish(self, now_ms: float, topic: str, value: bytes) -> list[Effect]:
+        """Publish a value to all nodes, unless it is that of the last call."""
+        if self.out.get(topic) == value:
+            return []
+        self.out[topic] = value
+        return self.machine.publish(now_ms, self._update(now_ms, topic, value))
+
+    def _update(self, now_ms: float, topic: str, value: bytes) -> RegisterUpdate:
+        """Return an update with a version above all that this name has published before."""
+        self._version = max(self._version + 1, int(now_ms + self.machine.wall_offset_ms))
+        return RegisterUpdate(topic, self.name, self._version, value)
+
+    def receive(
+        self, now_ms: float, change: RegisterChanged, endpoints: EndpointList = NO_ENDPOINTS
+    ) -> list[DiscoveredEndpoint]:
+        """Take over another node's update; return the entries of the list to apply again."""
+        listener = self._listeners.get(change.topic)
+        if listener is not None:
+            listener(now_ms, change.author, change.value)
+        elif change.topic == USAGE_TOPIC:
+            self.quota_sharing.receive(change.author, change.value, now_ms)
+        elif change.topic == FAILURE_TOPIC:
+            self.failure_reports.receive(change.author, change.value, now_ms)
+        elif change.topic in DRAIN_TOPICS:
+            return self._receive_drains(change.value, endpoints)
+        return []
+
+    def _receive_drains(self, value: bytes, endpoints: EndpointList) -> list[DiscoveredEndpoint]:
+        if DRAIN_GOSSIP not in self.features or endpoints.listed is None:
+            return []
+        return self.drain_gossip.receive(value, endpoints.version, endpoints.listed)
+
+    # What other nodes are told.
+
+    def report(self, now_ms: float, policy: Policy) -> list[Effect]:
+        """Publish this node's use, and the endpoints that it finds failing."""
         effects: list[Effect] = []
-        if "shares" in self.does:
-            effects += self.post(now, USE, self.shares.report(now))
-        if "hearsay" in self.does:
-            effects += self.post(now, FAILING, self.hearsay.report(failing(policy)))
+        if QUOTA_SHARING in self.features:
+            effects += self.publish(now_ms, USAGE_TOPIC, self.quota_sharing.report(now_ms))
+        if FAILURE_REPORTS in self.features:
+            value = self.failure_reports.report(failing_endpoints(policy))
+            effects += self.publish(now_ms, FAILURE_TOPIC, value)
         return effects
 
-    def drains(self, now: float, version: int, lines: Iterable[Line]) -> list[Effect]:
-        """Our own list, of that version now, has other lines of these servers."""
-        for line in lines:
-            self.rumours.note(line, version, now)
+    def announce_drains(
+        self, now_ms: float, list_version: int, changed: Iterable[DiscoveredEndpoint]
+    ) -> list[Effect]:
+        """Publish the drains of the local list after some of its entries changed.
+
+        Args:
+            now_ms: the time.
+            list_version: of the list as it is now.
+            changed: the entries that changed.
+        """
+        for endpoint in changed:
+            self.drain_gossip.record_local(endpoint, list_version, now_ms)
         effects: list[Effect] = []
-        for topic, said in zip(DRAINS, self.rumours.posts(now), strict=False):
-            effects += self.post(now, topic, said)
+        values = self.drain_gossip.announcements(now_ms)
+        for topic, value in zip(DRAIN_TOPICS, values, strict=False):
+            effects += self.publish(now_ms, topic, value)
         return effects
 
-    def heard(
-        self, now: float, post: Posted, version: int = 0, listed: dict[int, Line] | None = None
-    ) -> list[Line]:
-        """Take over another's post; gives the lines of our list that are otherwise now."""
-        if (hear := self.listeners.get(post.topic)) is not None:
-            hear(now, post.author, post.said)
-        elif post.topic == USE:
-            self.shares.take(post.author, post.said, now)
-        elif post.topic == FAILING:
-            self.hearsay.take(post.author, post.said, now)
-        elif post.topic in DRAINS and "drains" in self.does and listed is not None:
-            return self.rumours.take(post.said, version, listed)
-        return []
+    # What the policy is told.
 
-    def company(self, now: float) -> ClusterView | None:
-        """What the policy has to be told; None where it knows."""
-        standing = self.machine.standing()
-        names = [name for name in standing.live if name != self.name]
-        self.shares.keep(names)
-        self.hearsay.keep(names)
-        parts = (
-            self.shares.parts(self.name, standing, now, STALE * self.every)
-            if "shares" in self.does
-            else ()
-        )
-        hearsay = self.hearsay.levels(names, now) if "hearsay" in self.does else ()
-        event = company(self.name, standing, parts, hearsay)
-        if event == self.told:
+    def view_change(self, now_ms: float) -> ClusterView | None:
+        """Return the cluster's view for the policy, or None if it has not changed."""
+        quorum = self.machine.standing()
+        others = [name for name in quorum.live if name != self.name]
+        self.quota_sharing.retain(others)
+        self.failure_reports.retain(others)
+        view = self._cluster_view(quorum, others, now_ms)
+        if view == self.last_view:
             return None
-        self.told = event
-        return event
-
-
-def failing(policy: Policy) -> dict[int, float]:
-    """The servers that rest by our own eyes, and how much they fail."""
+        self.last_view = view
+        return view
+
+    def _cluster_view(self, quorum: QuorumState, others: list[str], now_ms: float) -> ClusterView:
+        shares: tuple[float, ...] = ()
+        if QUOTA_SHARING in self.features:
+            stale_after_ms = MAX_MISSED_REPORTS * self.every
+            shares = self.quota_sharing.quota_shares(self.name, quorum, now_ms, stale_after_ms)
+        reports: tuple[tuple[int, float], ...] = ()
+        if FAILURE_REPORTS in self.features:
+            reports = self.failure_reports.levels(others, now_ms)
+        return cluster_view(self.name, quorum, shares, reports)
+
+
+def failing_endpoints(policy: Policy) -> dict[int, float]:
+    """Return the endpoints that this node itself has ejected, with their error rates."""
     return {
-        server_id: max(health.fails for health in policy.servers[server_id].health)
-        for server_id in policy.rested
-        if server_id in policy.servers
+        endpoint_id: max(health.fails for health in policy.servers[endpoint_id].health)
+        for endpoint_id in policy.rested
+        if endpoint_id in policy.servers
     }
+
+
+def cluster_view(
+    local_name: str,
+    quorum: QuorumState,
+    quota_shares: tuple[float, ...],
+    failure_reports: tuple[tuple[int, float], ...],
+) -> ClusterView:
+    """Return what the policy is told.
+
+    Without a majority the node counts itself as one of all that may be alive.
+    """
+    size = len(quorum.live) if quorum.majority else quorum.may_live
+    index = quorum.live.index(local_name)
+    return ClusterView(size, index, quorum.may_live, quota_shares, failure_reports)
--- a/badgercart/cluster/membership_table.py
+++ b/badgercart/cluster/membership_table.py
@@ -1,4 +1,4 @@
-"""What a node believes of the others: claims that merge in any order to the same view. No I/O."""
+"""What a node knows of the others: records that merge in any order to the same table. No I/O."""
 
 from __future__ import annotations
 
@@ -10,131 +10,185 @@
 
 from badgercart.config import Address
 
-MAX_MEMBERS = 4096  # names in a view; a group is some hundreds
+MAX_MEMBERS = 4096  # names in a table; a cluster has some hundreds
 
 
-class Status(IntEnum):
-    """In the order in which they win at one incarnation."""
+class MemberStatus(IntEnum):
+    """The state of a member, in the order in which states win at one incarnation.
+
+    The numbers are part of the wire format.
+    """
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # by its own word
+    LEFT = 3  # announced by the member itself
 
 
-REACHED = (Status.ALIVE, Status.SUSPECT)  # who is tried, asked and told
+REACHABLE = (MemberStatus.ALIVE, MemberStatus.SUSPECT)  # probed, gossiped to, and asked
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipRecord:
-    """What somebody says of a member."""
+    """A statement about a member, as it travels between nodes."""
 
     name: str
-    incarnation: int
-    status: Status
+    incarnation: int  # raised by the member alone, to refute what is said of it
+    status: MemberStatus
     address: Address
-    boot: int  # tells processes of one name apart; grows with the time of their start
+    boot: int  # of the process; grows with the time of its start
     zone: str = ""
     region: str = ""
-    by: str = field(default="", compare=False)  # who accuses or buried it
+    accuser: str = field(default="", compare=False)  # who suspected it or declared it dead
 
     @property
-    def rank(self) -> tuple[int, int, int, Address, str, str]:
-        """Claims of one member are in one total order, so that the largest wins whatever came
-        first.
-
-        Incarnation and status as SWIM has them; the rest only makes equal ones comparable."""
-        return (self.incarnation, int(self.status), self.boot, self.address, self.zone, self.region)
+    def precedence(self) -> tuple[int, int, int, Address, str, str]:
+        """The place of the record in a total order of all records of one member.
+
+        The largest wins, whatever came first. Incarnation and status are ordered as in SWIM; the
+        other fields only make records comparable that are equal in these.
+        """
+        return (
+            self.incarnation,
+            int(self.status),
+            self.boot,
+            self.address,
+            self.zone,
+            self.region,
+        )
 
 
 @dataclass(slots=True, frozen=True)
 class MemberState:
-    """A claim that is held, since when (ms on the node's clock), and by whose word."""
+    """A record that is in force at this node."""
 
     claim: MembershipRecord
-    since: float
-    word: str
+    since_ms: float  # of its status, on the node's clock
+    reporter: str  # the node that told this one
 
     @property
-    def status(self) -> Status:
+    def status(self) -> MemberStatus:
+        """The status that the record gives."""
         return self.claim.status
 
 
+class NameSet:
+    """Names in no order, of which some can be drawn by chance without a look at the others."""
+
+    __slots__ = ("names", "positions")
+
+    def __init__(self) -> None:
+        self.names: list[str] = []
+        self.positions: dict[str, int] = {}
+
+    def __len__(self) -> int:
+        return len(self.names)
+
+    def __contains__(self, name: str) -> bool:
+        return name in self.positions
+
+    def add(self, name: str) -> None:
+        """Add a name; one that is there already stays where it is."""
+        if name not in self.positions:
+            self.positions[name] = len(self.names)
+            self.names.append(name)
+
+    def remove(self, name: str) -> None:
+        """Remove a name, with the last one moved to its place.
+
+        Raises KeyError if it isn't there.
+        """
+        position, last = self.positions.pop(name), self.names.pop()
+        if last != name:
+            self.names[position], self.positions[last] = last, position
+
+    def sample(self, count: int, rng: random.Random) -> list[str]:
+        """Return `count` different names by chance, or all there are."""
+        return rng.sample(self.names, min(count, len(self.names)))
+
+
 class MembershipTable:
-    """All beliefs by name, the node's own among them."""
+    """The states of all members by name, the node's own among them."""
 
-    def __init__(self, most: int = MAX_MEMBERS) -> None:
+    def __init__(self, max_members: int = MAX_MEMBERS) -> None:
         self.beliefs: dict[str, MemberState] = {}
-        self.most = most
-        self.turned_away = 0  # claims of new names beyond the bound
-        self.reach: list[str] = []  # names of those alive or only suspected, in no order
-        self.places: dict[str, int] = {}  # where each is in it
-        self.addresses: Counter[Address] = Counter()  # of those in reach
-        self.gone: dict[str, None] = {}  # names of those dead or left
-        self.looked = 0  # beliefs looked at, over all questions
+        self.max_members = max_members
+        self.rejected = 0  # records of new names beyond the bound
+        self.reachable = NameSet()
+        self.reachable_addresses: Counter[Address] = Counter()
+        self.unreachable: dict[str, None] = {}  # names of the dead and those that left
+        self.examined = 0  # states looked at, over all calls
 
     def merge(
-        self, claim: MembershipRecord, now: float, word: str
+        self, record: MembershipRecord, now_ms: float, reporter: str
     ) -> tuple[MemberState | None, MemberState] | None:
-        """Take over a claim if it wins: what was believed before, and is now; None: no change."""
-        before = self.beliefs.get(claim.name)
-        if before is not None and claim.rank <= before.claim.rank:
+        """Take over a record that wins over the one in force.
+
+        Returns the states before and after, or None if nothing changed.
+        """
+        before = self.beliefs.get(record.name)
+        if before is not None and record.precedence <= before.claim.precedence:
             return None
-        if before is None and len(self.beliefs) >= self.most:
-            self.turned_away += 1
+        if before is None and len(self.beliefs) >= self.max_members:
+            self.rejected += 1
             return None
-        same = before is not None and before.status is claim.status
-        since = before.since if before is not None and same else now
-        belief = MemberState(claim, since, word)
-        self.beliefs[claim.name] = belief
-        self.place(before, belief)
-        return before, belief
-
-    def forget(self, name: str) -> None:
-        self.place(self.beliefs.pop(name, None), None)
-
-    def place(self, before: MemberState | None, now: MemberState | None) -> None:
-        """Keep who is in reach and who is gone in step with a belief that has changed."""
-        if before is not None:
-            name = before.claim.name
-            if before.status in REACHED:
-                self.addresses[before.claim.address] -= 1
-                if not self.addresses[before.claim.address]:
-                    del self.addresses[before.claim.address]
-                if now is None or now.status not in REACHED:
-                    last, at = self.reach.pop(), self.places.pop(name)
-                    if last != name:
-                        self.reach[at], self.places[last] = last, at
-            else:
-                self.gone.pop(name, None)
-        if now is not None:
-            name = now.claim.name
-            if now.status in REACHED:
-                self.addresses[now.claim.address] += 1
-                if name not in self.places:
-                    self.places[name] = len(self.reach)
-                    self.reach.append(name)
-            else:
-                self.gone[name] = None
-
-    def draw(
-        self, count: int, rng: random.Random, without: tuple[str, ...] = ()
+        same_status = before is not None and before.status is record.status
+        since_ms = before.since_ms if before is not None and same_status else now_ms
+        after = MemberState(record, since_ms, reporter)
+        self.beliefs[record.name] = after
+        self._reindex(before, after)
+        return before, after
+
+    def remove(self, name: str) -> None:
+        """Forget a member, if it is known."""
+        self._reindex(self.beliefs.pop(name, None), None)
+
+    def _reindex(self, before: MemberState | None, after: MemberState | None) -> None:
+        """Keep the sets of reachable and unreachable names in step with a changed state."""
+        was_reachable = before is not None and before.status in REACHABLE
+        is_reachable = after is not None and after.status in REACHABLE
+        if before is not None and was_reachable:
+            self._release_address(before.claim.address)
+            if not is_reachable:
+                self.reachable.remove(before.claim.name)
+        elif before is not None:
+            self.unreachable.pop(before.claim.name, None)
+        if after is not None and is_reachable:
+            self.reachable_addresses[after.claim.address] += 1
+            self.reachable.add(after.claim.name)
+        elif after is not None:
+            self.unreachable[after.claim.name] = None
+
+    def _release_address(self, address: Address) -> None:
+        self.reachable_addresses[address] -= 1
+        if not self.reachable_addresses[address]:
+            del self.reachable_addresses[address]
+
+    def sample(
+        self, count: int, rng: random.Random, excluding: tuple[str, ...] = ()
     ) -> list[MemberState]:
-        """So many of those in reach by chance, or all there are; the cost goes by how many are
-        drawn."""
-        drawn = rng.sample(self.reach, min(count + len(without), len(self.reach)))
-        self.looked += len(drawn)
-        return [self.beliefs[name] for name in drawn if name not in without][:count]
+        """Return `count` reachable members by chance, or all there are.
+
+        The cost goes by how many are drawn, not by how many are known.
+        """
+        drawn = self.reachable.sample(count + len(excluding), rng)
+        self.examined += len(drawn)
+        return [self.beliefs[name] for name in drawn if name not in excluding][:count]
+
+    def with_status(self, *statuses: MemberStatus) -> Iterator[MemberState]:
+        """Return the members of these statuses, by a look at all members.
 
-    def of(self, *statuses: Status) -> Iterator[MemberState]:
-        """By a look at all; where only some are wanted, there are `reach`, `gone` and `draw`."""
-        self.looked += len(self.beliefs)
-        return (belief for belief in self.beliefs.values() if belief.status in statuses)
+        Where a few suffice, `reachable`, `unreachable` and `sample` cost less.
+        """
+        self.examined += len(self.beliefs)
+        return (state for state in self.beliefs.values() if state.status in statuses)
 
-    def claims(self) -> list[MembershipRecord]:
-        return [belief.claim for belief in self.beliefs.values()]
+    def records(self) -> list[MembershipRecord]:
+        """Return the record in force of each member."""
+        return [state.claim for state in self.beliefs.values()]
 
 
-def refuting(claim: MembershipRecord, against: int) -> MembershipRecord:
-    """The claim of a live member that outdoes what is said of it at incarnation `against`."""
-    return replace(claim, status=Status.ALIVE, incarnation=max(claim.incarnation, against) + 1)
+def refute(record: MembershipRecord, incarnation: int) -> MembershipRecord:
+    """Return a live member's record that wins over whatever is said of it at `incarnation`."""
+    raised = max(record.incarnation, incarnation) + 1
+    return replace(record, status=MemberStatus.ALIVE, incarnation=raised)
--- /dev/null
+++ b/badgercart/cluster/probing.py
@@ -0,0 +1,168 @@
+"""SWIM's failure detection: one member is probed each period, directly and by others. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from functools import partial
+
+from badgercart.cluster.context import ProtocolContext
+from badgercart.cluster.membership_table import REACHABLE, MemberState, MemberStatus
+from badgercart.cluster.messages import Ack, Nack, Ping, PingRequest
+from badgercart.cluster.packet_sender import PacketSender
+from badgercart.config import Address
+
+MAX_RELAYED = 1024  # probes for other nodes that are under way
+RELAY_TIMEOUT_SHARE = (
+    0.8  # of the probe timeout: what a helper has, so that its `Nack` comes in time
+)
+
+
+@dataclass(slots=True)
+class Probe:
+    """The probe of the present period."""
+
+    name: str
+    sequence: int
+    helpers: int = 0  # members that were asked to probe it too
+    nacks: int = 0  # of the helpers' that came
+    acknowledged: bool = False
+
+
+@dataclass(slots=True, eq=False)
+class Prober:
+    """Probes every member once a round, and accuses those that don't answer.
+
+    Attributes:
+        suspect: called with the name of a member that did not answer.
+    """
+
+    context: ProtocolContext
+    sender: PacketSender
+    suspect: Callable[[str], None]
+    probe: Probe | None = None
+    _round: list[str] = field(default_factory=list)  # who is probed next is last
+
+    def start(self) -> None:
+        """Set the timer of the first period."""
+        delay_ms = self.context.timing.probe_period_ms * self.context.rng.random()
+        self.context.timers.after(delay_ms, self._begin_period)
+
+    def add_member(self, name: str) -> None:
+        """Have a new member probed at a random place of the present round."""
+        self._round.insert(self.context.rng.randint(0, len(self._round)), name)
+
+    def abandon(self) -> None:
+        """Give up the present probe without a verdict."""
+        self.probe = None
+
+    def receive_ack(self, sequence: int) -> bool:
+        """Return whether an answer is that to the present probe."""
+        if self.probe is None or sequence != self.probe.sequence:
+            return False
+        self.probe.acknowledged = True
+        return True
+
+    def receive_nack(self, sequence: int) -> None:
+        """Count a helper that got no answer either, but is itself reachable."""
+        if self.probe is not None and sequence == self.probe.sequence:
+            self.probe.nacks += 1
+
+    def _begin_period(self) -> None:
+        context = self.context
+        if self.probe is not None:
+            self._conclude(self.probe)
+        self.probe = None
+        period_ms = context.health.scale(context.timing.probe_period_ms)
+        context.timers.after(period_ms, self._begin_period)
+        target = self._next_target()
+        if target is not None:
+            self._send_probe(target)
+
+    def _conclude(self, probe: Probe) -> None:
+        """Accuse a member that did not answer, and take what its silence says of this node."""
+        if probe.acknowledged:
+            self.context.health.adjust(-1)
+            return
+        # Helpers that did not even send a `Nack` are a sign that this node is cut off itself.
+        self.context.health.adjust(probe.helpers - probe.nacks if probe.helpers else 1)
+        self.suspect(probe.name)
+
+    def _next_target(self) -> MemberState | None:
+        while (name := self._next_in_round()) is not None:
+            state = self.context.table.beliefs.get(name)
+            if state is None or name == self.context.local.name:
+                continue
+            if state.status in REACHABLE:
+                return state
+        return None
+
+    def _next_in_round(self) -> str | None:
+        """Return the next name; each round has an order of its own (SWIM, section 4.3)."""
+        if not self._round:
+            self._round = [state.claim.name for state in self.context.peers.reachable()]
+            self.context.rng.shuffle(self._round)
+        return self._round.pop() if self._round else None
+
+    def _send_probe(self, target: MemberState) -> None:
+        context = self.context
+        self.probe = Probe(target.claim.name, self.sender.next_sequence())
+        first = target.claim if target.status is MemberStatus.SUSPECT else None
+        self.sender.send(target.claim.address, Ping(self.probe.sequence), first)
+        timeout_ms = context.health.scale(context.timing.probe_timeout_ms)
+        context.timers.after(timeout_ms, partial(self._probe_indirectly, self.probe))
+
+    def _probe_indirectly(self, probe: Probe) -> None:
+        """Ask some members to probe one that has not answered yet."""
+        state = self.context.table.beliefs.get(probe.name)
+        if probe is not self.probe or probe.acknowledged or state is None:
+            return
+        timing = self.context.timing
+        helpers = self.context.peers.sample(timing.indirect_probes, excluding=probe.name)
+        probe.helpers = len(helpers)
+        host, port = state.claim.address
+        timeout_ms = timing.probe_timeout_ms * RELAY_TIMEOUT_SHARE
+        request = PingRequest(probe.sequence, probe.name, host, port, timeout_ms)
+        for helper in helpers:
+            self.sender.send(helper.claim.address, request)
+
+
+@dataclass(slots=True, frozen=True)
+class RelayedProbe:
+    """Who asked for a probe, and by which number of its own."""
+
+    requester: Address
+    sequence: int
+
+
+@dataclass(slots=True, eq=False)
+class ProbeRelay:
+    """Probes members for other nodes."""
+
+    context: ProtocolContext
+    sender: PacketSender
+    _relayed: dict[int, RelayedProbe] = field(default_factory=dict)  # by this node's numbers
+
+    def __len__(self) -> int:
+        return len(self._relayed)
+
+    def receive_request(self, request: PingRequest, requester: Address) -> None:
+        """Probe a member, and tell who asked what came of it."""
+        if len(self._relayed) >= MAX_RELAYED:
+            return
+        sequence = self.sender.next_sequence()
+        self._relayed[sequence] = RelayedProbe(requester, request.sequence)
+        self.sender.send((request.host, request.port), Ping(sequence))
+        timeout_ms = min(request.timeout_ms, self.context.timing.probe_period_ms)
+        self.context.timers.after(timeout_ms, partial(self._expire, sequence))
+
+    def receive_ack(self, sequence: int) -> None:
+        """Pass on an answer to who asked for it."""
+        relayed = self._relayed.pop(sequence, None)
+        if relayed is not None:
+            self.sender.send(relayed.requester, Ack(relayed.sequence))
+
+    def _expire(self, sequence: int) -> None:
+        relayed = self._relayed.pop(sequence, None)
+        if relayed is not None:
+            self.sender.send(relayed.requester, Nack(relayed.sequence))
--- /dev/null
+++ b/badgercart/cluster/service.py
@@ -0,0 +1,253 @@
+"""The cluster package on a node: the protocol on sockets, and its effects on the node."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import secrets
+import time
+from collections.abc import Callable
+from typing import Any
+
+import netaddr
+
+from badgercart.app.component import ComponentHost
+from badgercart.cluster import log_events
+from badgercart.cluster.admin_page import cluster_page
+from badgercart.cluster.allowlist import AddressAllowlist
+from badgercart.cluster.codec import PacketCodec
+from badgercart.cluster.driver import ClusterDriver
+from badgercart.cluster.effects import Effect, RegisterChanged
+from badgercart.cluster.event_log import ClusterEventLog
+from badgercart.cluster.features import DRAIN_GOSSIP, QUOTA_SHARING
+from badgercart.cluster.member import EndpointList, Member
+from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
+from badgercart.cluster.packet_gate import PacketGate
+from badgercart.cluster.quorum import QuorumState
+from badgercart.cluster.settings import ClusterSettings
+from badgercart.cluster.swim import SwimProtocol
+from badgercart.cluster.timing import Bootstrap
+from badgercart.core.endpoint_table import DiscoveredEndpoint
+from badgercart.core.ports import IncomingRequest, RequestOutcome
+from badgercart.frontends.http.requests import Page
+
+GENERATION_RANDOM_BITS = 10  # that tell processes apart that start in one millisecond
+
+
+def place_of(settings: ClusterSettings, host: str) -> tuple[str, str]:
+    """Return zone and region of an address by the networks in the file; empty where none fits."""
+    for place in settings.place:
+        if netaddr.IPAddress(host) in netaddr.IPNetwork(place.network):
+            return place.zone, place.region
+    return "", ""
+
+
+def new_generation() -> int:
+    """Return a number for this process, above those of earlier ones."""
+    unix_ms = int(time.time() * 1000)
+    return unix_ms << GENERATION_RANDOM_BITS | secrets.randbits(GENERATION_RANDOM_BITS)
+
+
+def local_record(host: ComponentHost, settings: ClusterSettings) -> MembershipRecord:
+    """Return what the node says of itself as it starts."""
+    config = host.config
+    address = settings.advertise or settings.listen
+    zone, region = place_of(settings, address[0])
+    if not zone:
+        own = config.settings.zone
+        zone = next((name for name, index in config.zones.items() if index == own), "")
+    alive = MemberStatus.ALIVE
+    return MembershipRecord(config.name, 0, alive, address, new_generation(), zone, region)
+
+
+def build_protocol(host: ComponentHost, settings: ClusterSettings) -> SwimProtocol:
+    """Return the node's membership protocol, not yet started."""
+    return SwimProtocol(
+        local_record(host, settings),
+        settings.timing(),
+        Bootstrap(settings.seeds, host.config.settings.cluster_size),
+        random.Random(f"{host.config.seed} peers"),
+        time.time() * 1000 - host.pipeline.clock(),
+    )
+
+
+class DrainAnnouncer:
+    """Collects changed entries of the node's own list, and announces its drains."""
+
+    def __init__(self, host: ComponentHost, member: Member, driver: ClusterDriver) -> None:
+        self._host, self._member, self._driver = host, member, driver
+        self._changed: list[DiscoveredEndpoint] = []  # since drains were announced last
+        host.endpoint_table.override = member.drain_gossip.override
+        host.endpoint_table.on_change.append(self._endpoint_changed)
+
+    def _endpoint_changed(self, endpoint: DiscoveredEndpoint) -> None:
+        if not self._changed:
+            # By then the table knows by which version of the list the entries hold.
+            self._host.loop.call_soon(self.announce)
+        self._changed.append(endpoint)
+
+    def announce(self) -> None:
+        """Tell other nodes, and end gossiped drains that the list has caught up with."""
+        changed, self._changed = self._changed, []
+        table = self._host.endpoint_table
+        now_ms = self._host.pipeline.clock()
+        self._driver.run(self._member.announce_drains(now_ms, table.version, changed))
+        restored = self._member.drain_gossip.expire(table.version)
+        if restored:
+            table.reapply(restored)
+
+
+class ViewReporter:
+    """Tells the log and the policy of the cluster, where that has changed."""
+
+    def __init__(self, host: ComponentHost, member: Member, event_log: ClusterEventLog) -> None:
+        self._host, self._member, self._event_log = host, member, event_log
+        self._logged: dict[str, Any] = {}
+
+    def report(self) -> None:
+        """Log a change of the quorum, and dispatch a changed view to the policy."""
+        self._log_quorum(self._member.machine.standing())
+        pipeline = self._host.pipeline
+        view = self._member.view_change(pipeline.clock())
+        if view is not None:
+            log_events.VIEW_DISPATCHED(size=view.size, may_live=view.possibly_alive)
+            pipeline.dispatch(view)
+
+    def _log_quorum(self, quorum: QuorumState) -> None:
+        fields = {
+            "standing": str(quorum.level),
+            "live": len(quorum.live),
+            "may_live": quorum.may_live,
+        }
+        if fields != self._logged:
+            self._logged = fields
+            log_events.QUORUM_CHANGED(**fields, **self._event_log.stamp())
+
+
+class ClusterComponent:
+    """One member of a cluster, as a component of an installation."""
+
+    def __init__(self, host: ComponentHost, settings: ClusterSettings) -> None:
+        self.host, self.settings = host, settings
+        self.machine = build_protocol(host, settings)
+        codec = PacketCodec(settings.group, settings.secret.encode())
+        gate = PacketGate(codec, AddressAllowlist(settings.allow))
+        clock = host.pipeline.clock
+        self.driver = ClusterDriver(
+            host.loop, clock, self.machine, gate, settings.listen, self.apply
+        )
+        quotas = host.config.settings.quotas_per_s
+        self.member = Member(self.machine, quotas, settings.share_ms, settings.uses)
+        self.event_log = ClusterEventLog(self.machine)
+        self._views = ViewReporter(host, self.member, self.event_log)
+        self._timer: asyncio.TimerHandle | None = None
+        features = self.member.features
+        self._drains = (
+            DrainAnnouncer(host, self.member, self.driver) if DRAIN_GOSSIP in features else None
+        )
+        if QUOTA_SHARING in features:
+            host.pipeline.observers += (self,)
+        host.pages[b"/_peers"] = Page(
+            lambda: cluster_page(clock(), self.member, gate, self.event_log)
+        )
+        host.services["peers"] = self
+        self._register_metrics(gate)
+
+    def _register_metrics(self, gate: PacketGate) -> None:
+        metrics, protocol = self.host.metrics, self.machine
+        health, queue = protocol.context.health, protocol.sender.queue
+        metrics.gauge(
+            "badgercart_peers_live", "Nodes in reach.", lambda: len(protocol.standing().live)
+        )
+        metrics.gauge(
+            "badgercart_peers_may_live",
+            "Nodes that may live.",
+            lambda: protocol.standing().may_live,
+        )
+        metrics.gauge("badgercart_peers_unwell", "Local health, 0 is well.", lambda: health.score)
+        metrics.gauge("badgercart_peers_queue", "News to be passed on.", lambda: len(queue))
+        metrics.counter(
+            "badgercart_peers_bytes_out", "Bytes sent to peers.", lambda: gate.bytes_out
+        )
+        metrics.counter("badgercart_peers_bytes_in", "Bytes from peers.", lambda: gate.bytes_in)
+        metrics.counter(
+            "badgercart_peers_refused", "Packets refused.", lambda: gate.rejected.total()
+        )
+
+    # The component's life.
+
+    async def start(self) -> None:
+        """Listen, and begin to report. Raises OSError if the address can't be had."""
+        await self.driver.start()
+        host, port = self.driver.listen
+        name, group = self.machine.me.name, self.settings.group
+        log_events.LISTENING(host=host, port=port, name=name, group=group)
+        self._report()
+
+    def prepare(self, settings: ClusterSettings) -> Callable[[], None] | None:
+        """Return None: other nodes know this one by its settings, which take a restart."""
+        return None
+
+    async def drain(self, until: float) -> None:
+        """Leave the cluster, so that others take over this node's shares at once."""
+        if self._timer is not None:
+            self._timer.cancel()
+        self.driver.run(self.machine.leave(self.host.pipeline.clock()))
+        await asyncio.sleep(self.settings.gossip_ms / 1000)  # those that were told pass it on
+
+    def close(self) -> None:
+        """Let go of timer and sockets."""
+        if self._timer is not None:
+            self._timer.cancel()
+        self.driver.close()
+
+    # What the protocol says.
+
+    def apply(self, effects: list[Effect]) -> None:
+        """Take the effects that are no packets."""
+        for effect in effects:
+            if isinstance(effect, RegisterChanged):
+                self._register_changed(effect)
+            else:
+                self.event_log.record(effect)
+        # Reports of use alone wait for the next round.
+        if not all(isinstance(effect, RegisterChanged) for effect in effects):
+            self._views.report()
+
+    def _register_changed(self, change: RegisterChanged) -> None:
+        table = self.host.endpoint_table
+        endpoints = EndpointList(table.version, table.listed)
+        changed = self.member.receive(self.host.pipeline.clock(), change, endpoints)
+        for endpoint in changed:
+            stamp = self.event_log.stamp()
+            log_events.ENDPOINT_DRAINED(server=endpoint.name, author=change.author, **stamp)
+        if changed:
+            table.reapply(changed)
+
+    def stamp(self) -> dict[str, Any]:
+        """Return the field of a log event that holds its hybrid timestamp."""
+        return self.event_log.stamp()
+
+    # What other nodes are told.
+
+    def request_finished(  # noqa: PLR0913  (a port of core)
+        self,
+        request_id: int,
+        intake: IncomingRequest,
+        final: RequestOutcome,
+        took: float,
+        server: int,
+        sends: int,
+    ) -> None:
+        """Count a request of its tenant."""
+        self.member.quota_sharing.count_request(intake.tenant)
+
+    def _report(self) -> None:
+        """Report to other nodes, and take what follows from their reports."""
+        delay_s = self.member.every / 1000
+        self._timer = self.host.loop.call_later(delay_s, self._report)
+        pipeline = self.host.pipeline
+        self.driver.run(self.member.report(pipeline.clock(), pipeline.policy))
+        if self._drains is not None:
+            self._drains.announce()
+        self._views.report()
--- a/badgercart/cluster/settings.py
+++ b/badgercart/cluster/settings.py
@@ -1,4 +1,7 @@
-"""What an operator may set of nodes that know each other."""
+"""The settings of the cluster package.
+
+Keys and descriptions are an interface to operators; the docstrings of the tables are part of it.
+"""
 
 from __future__ import annotations
 
@@ -10,32 +13,34 @@
 from badgercart.app.component import Checked
 from badgercart.app.faults import Path
 from badgercart.app.model import Address, Listed, Name, Names, Table
-from badgercart.cluster.swim import Timing
+from badgercart.cluster.features import FEATURES
+from badgercart.cluster.timing import SwimTiming
 
 
 def _network(value: str) -> str:
-    import netaddr  # only where peers are on
+    import netaddr  # loaded only where the component is on
 
     try:
         netaddr.IPNetwork(value)
-    except (netaddr.AddrFormatError, ValueError):
-        raise ValueError(f"{value!r} is no network such as 10.1.0.0/16") from None
+    except (netaddr.AddrFormatError, ValueError) as error:
+        words = f"{value!r} is no network such as 10.1.0.0/16"
+        raise ValueError(words) from error
     return value
 
 
 Network = Annotated[Name, AfterValidator(_network)]
 
 
-class Place(Table, title="Place", schema_name="badgercart__peers__settings__Place"):
-    """where the peers of a network are"""
+class NetworkPlace(Table, title="Place", schema_name="badgercart__peers__settings__Place"):
+    """where the peers of a network are"""  # noqa: D400
 
     network: Network = Field(description="the network, as 10.1.0.0/16")
     zone: Name = Field("", description="their zone")
     region: Name = Field("", description="their region")
 
 
-class PeersSettings(Table, title="PeersSettings"):
-    """nodes that know each other"""
+class ClusterSettings(Table, title="PeersSettings"):
+    """nodes that know each other"""  # noqa: D400
 
     listen: Address = Field(description="the host:port for datagrams and connections between nodes")
     advertise: Address | None = Field(None, description="where others reach it, if not at `listen`")
@@ -53,7 +58,7 @@
     allow: Annotated[tuple[Network, ...], Listed] = Field(
         ("0.0.0.0/0",), min_length=1, max_length=256, description="networks that peers may be in"
     )
-    place: Annotated[tuple[Place, ...], Listed] = Field(
+    place: Annotated[tuple[NetworkPlace, ...], Listed] = Field(
         (), max_length=256, description="zones and regions by network; the first that fits counts"
     )
     period_ms: float = Field(
@@ -86,31 +91,27 @@
     share_ms: float = Field(
         500.0, ge=50, le=60_000, description="the time between two reports of use (ms)"
     )
-    uses: Names = Field(
-        ("shares", "drains", "hearsay"), description="what is done with it: shares, drains, hearsay"
-    )
-
-    def timing(self) -> Timing:
-        return Timing(
-            period=self.period_ms,
-            patience=self.patience_ms,
-            gossip_every=self.gossip_ms,
-            sync_every=self.sync_s * 1000,
-            retry_every=self.retry_ms,
-            remember=self.remember_s * 1000,
-            expect=self.expect_s * 1000,
+    uses: Names = Field(FEATURES, description="what is done with it: shares, drains, hearsay")
+
+    def timing(self) -> SwimTiming:
+        """Return the settings as the protocol has them."""
+        return SwimTiming(
+            probe_period_ms=self.period_ms,
+            probe_timeout_ms=self.patience_ms,
+            gossip_interval_ms=self.gossip_ms,
+            sync_interval_ms=self.sync_s * 1000,
+            retry_interval_ms=self.retry_ms,
+            dead_retention_ms=self.remember_s * 1000,
+            expected_size_ms=self.expect_s * 1000,
         )
 
 
-USES = ("shares", "drains", "hearsay")
-
-
-def check(settings: PeersSettings, file: Checked) -> Iterator[tuple[Path, str]]:
-    """What only several settings together can get wrong."""
+def check(settings: ClusterSettings, _file: Checked) -> Iterator[tuple[Path, str]]:
+    """Yield what only several settings together can get wrong."""
     if settings.patience_ms >= settings.period_ms:
         yield ("patience_ms",), "is not below period_ms"
     if settings.advertise is None and settings.listen[0] in ("0.0.0.0", "::"):
         yield ("advertise",), "is missing: others can't reach an address that stands for all"
     for at, use in enumerate(settings.uses):
-        if use not in USES:
-            yield ("uses", at), f"{use!r} is none of {', '.join(USES)}"
+        if use not in FEATURES:
+            yield ("uses", at), f"{use!r} is none of {', '.join(FEATURES)}"
--- a/badgercart/cluster/suspicion.py
+++ b/badgercart/cluster/suspicion.py
@@ -1,17 +1,25 @@
-"""How long a suspect has to refute: the longer the fewer accuse it (Lifeguard, section IV-B). No
-I/O."""
+"""How long a suspect has to refute: the longer the fewer accuse it. No I/O.
+
+That is Lifeguard's dynamic suspicion timeout, section IV-B of its paper.
+"""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field
 
-CONFIRMATIONS = 3  # accusers beside the first, after which the time is the shortest; K of the paper
+from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
+from badgercart.cluster.timing import SwimTiming
+
+MAX_CONFIRMATIONS = 3  # accusers beside the first, after which the time is shortest; K in the paper
+
 
+def min_suspicion_ms(members: int, probe_period_ms: float, multiplier: float) -> float:
+    """Return the least time to refute.
 
-def shortest(members: int, period: float, factor: float) -> float:
-    """The least time (ms) in a group of this size: `factor` periods for each power of ten."""
-    return factor * max(1.0, math.log10(max(members, 1))) * period
+    It is `multiplier` probe periods for each power of ten of members.
+    """
+    return multiplier * max(1.0, math.log10(max(members, 1))) * probe_period_ms
 
 
 @dataclass(slots=True)
@@ -19,40 +27,69 @@
     """One member that is suspected at one incarnation."""
 
     incarnation: int
-    since: float  # ms
-    least: float
-    most: float
-    wanted: int = CONFIRMATIONS  # fewer where the group is too small for them
+    started_ms: float
+    min_ms: float
+    max_ms: float
+    expected_confirmations: int = MAX_CONFIRMATIONS  # fewer where the cluster is too small
     accusers: set[str] = field(default_factory=set)
 
     def confirm(self, accuser: str) -> bool:
-        """Take an accuser's word; whether it is news that should be passed on."""
-        if accuser in self.accusers or len(self.accusers) > self.wanted:
+        """Count an accuser; return whether it is news that should be passed on."""
+        if accuser in self.accusers or len(self.accusers) > self.expected_confirmations:
             return False
         self.accusers.add(accuser)
         return True
 
     @property
-    def until(self) -> float:
-        """When the suspect counts as dead, unless it refutes."""
-        others = max(0, len(self.accusers) - 1)
-        if self.wanted < 1:
-            return self.since + self.least
-        part = min(1.0, math.log(others + 1) / math.log(self.wanted + 1))
-        return self.since + max(self.least, self.most - (self.most - self.least) * part)
-
-
-MOST_UNWELL = 8  # S of the paper
-
-
-@dataclass(slots=True)
-class Health:
-    """Lifeguard's local health multiplier: a node that is itself unwell is slow to accuse."""
-
-    score: int = 0  # 0: well
-
-    def change(self, by: int) -> None:
-        self.score = min(max(self.score + by, 0), MOST_UNWELL)
-
-    def scaled(self, time: float) -> float:
-        return time * (self.score + 1)
+    def expires_ms(self) -> float:
+        """When the suspect is declared dead, unless it refutes."""
+        if self.expected_confirmations < 1:
+            return self.started_ms + self.min_ms
+        confirmations = max(0, len(self.accusers) - 1)
+        share = math.log(confirmations + 1) / math.log(self.expected_confirmations + 1)
+        reduced_ms = self.max_ms - (self.max_ms - self.min_ms) * min(1.0, share)
+        return self.started_ms + max(self.min_ms, reduced_ms)
+
+
+class SuspicionTracker:
+    """The suspicions that run, by the suspect's name."""
+
+    __slots__ = ("_suspicions", "_timing")
+
+    def __init__(self, timing: SwimTiming) -> None:
+        self._timing = timing
+        self._suspicions: dict[str, Suspicion] = {}
+
+    def begin(self, record: MembershipRecord, members: int, now_ms: float) -> Suspicion:
+        """Suspect a member in a cluster of so many, by the record of its first accuser."""
+        timing = self._timing
+        min_ms = min_suspicion_ms(members, timing.probe_period_ms, timing.suspicion_multiplier)
+        max_ms = min_ms * timing.max_suspicion_multiplier
+        expected = min(MAX_CONFIRMATIONS, max(0, members - 2))
+        suspicion = Suspicion(record.incarnation, now_ms, min_ms, max_ms, expected)
+        suspicion.confirm(record.accuser)
+        self._suspicions[record.name] = suspicion
+        return suspicion
+
+    def confirm(self, record: MembershipRecord) -> Suspicion | None:
+        """Count a further accuser; return the suspicion if that is news, else None."""
+        suspicion = self._suspicions.get(record.name)
+        if suspicion is None or record.status is not MemberStatus.SUSPECT:
+            return None
+        if record.incarnation != suspicion.incarnation or not suspicion.confirm(record.accuser):
+            return None
+        return suspicion
+
+    def end(self, name: str) -> None:
+        """Drop the suspicion of a member, if there is one."""
+        self._suspicions.pop(name, None)
+
+    def has_expired(self, name: str, now_ms: float) -> bool:
+        """Return whether a member is suspected and had its time to refute."""
+        suspicion = self._suspicions.get(name)
+        return suspicion is not None and now_ms >= suspicion.expires_ms
+
+    def postpone(self, gap_ms: float) -> None:
+        """Give all suspects `gap_ms` more, in which this process stood still."""
+        for suspicion in self._suspicions.values():
+            suspicion.started_ms += gap_ms
--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -120,20 +120,23 @@
     """As one that has the group's secret: a post that the node passes on; whether it has it now."""
     import msgspec
 
-    from badgercart.cluster.codec import Packet, Sync
+    from badgercart.cluster.gossip_registers import RegisterUpdate
+    from badgercart.cluster.hybrid_logical_clock import HybridTimestamp
+    from badgercart.cluster.messages import Packet, Sync
     from badgercart.zones.failover_controller import ORDERS, OperatorOverride
 
     config = site.config
     geography = site.parts["zones"].geography(config.zones, config.classes, config.tenants)
     now = int(time.time() * 1000)
     word = OperatorOverride(config.zones[zone], what, now, now + int(for_s * 1000), by[:64])
-    post = (
+    post = RegisterUpdate(
         ORDERS,
         f"operator {zone}"[:64],
         now,
         msgspec.msgpack.encode((geography.digest, [word])),
     )
-    answer = exchange(site, Packet("operator", now, 0, 1, (now, 0), Sync(), (), (post,)))
+    stamp = HybridTimestamp(now, 0)
+    answer = exchange(site, Packet("operator", now, 0, 1, stamp, Sync(), (), (post,)))
     return post in answer.posts
 
 
--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -21,7 +21,7 @@
 from badgercart.zones.settings import ZonesSettings, check
 
 if TYPE_CHECKING:
-    from badgercart.cluster.component import ClusterComponent
+    from badgercart.cluster.service import ClusterComponent
     from badgercart.zones.failover_controller import Fleet
 
 LARGE = (
--- a/badgercart/zones/failover_controller.py
+++ b/badgercart/zones/failover_controller.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
+from badgercart.cluster.effects import Effect as PeersEffect
 from badgercart.cluster.member import Member
 from badgercart.cluster.quorum import QuorumState
-from badgercart.cluster.swim import Effect as PeersEffect
 from badgercart.policy.events import AttemptResult, TrafficPlan
 from badgercart.zones.circuit_breaker import Pace, ZoneCircuitBreaker
 from badgercart.zones.failure_detector import FORGET, VERDICT_WORDS, Verdict, ZoneFailureDetector
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -8,11 +8,11 @@
 from enum import StrEnum
 
 from badgercart.app.document import MAX_FILE
-from badgercart.cluster.broadcast_queue import most_times
-from badgercart.cluster.codec import MAX_SYNC
-from badgercart.cluster.member import PASSED_ON
+from badgercart.cluster.broadcast_queue import transmit_limit
+from badgercart.cluster.codec import MAX_SYNC_BYTES
+from badgercart.cluster.member import MAX_FORWARDED_REPORTS
 from badgercart.cluster.membership_table import MAX_MEMBERS
-from badgercart.cluster.uses import MAX_TENANTS as MOST_SHARED
+from badgercart.cluster.quota_sharing import MAX_SHARED_TENANTS as MOST_SHARED
 from badgercart.discovery.etcd.follower import MAX_ENTRIES
 from badgercart.discovery.list_framing import MOST as MOST_LIST
 from badgercart.policy.policy import FEW, NODES
@@ -122,7 +122,7 @@
 
 def reports_every(nodes: float) -> float:
     """s between two reports of a member, by `Member.every`."""
-    return SHARE_MS / 1000 * max(1.0, nodes * most_times(math.ceil(nodes)) / PASSED_ON)
+    return SHARE_MS / 1000 * max(1.0, nodes * transmit_limit(math.ceil(nodes)) / MAX_FORWARDED_REPORTS)
 
 
 def subset(t: Target) -> float:
@@ -257,7 +257,8 @@
         Need("time", "a whole exchange holds the loop, ten tenants", "ms", lambda t: exchange(t.nodes),
              BUDGETS["standstill"], Mechanism.CELLS, (exchange,), plain=True),
         Need("limit", "bytes of a whole exchange, 64 tenants", "bytes", lambda t: size(t.nodes),
-             limit(MAX_SYNC, "bytes", "badgercart.cluster.codec.MAX_SYNC"), Mechanism.SHARES, (size,)),
+             limit(MAX_SYNC_BYTES, "bytes", "badgercart.cluster.codec.MAX_SYNC_BYTES"),
+             Mechanism.SHARES, (size,)),
     )  # fmt: skip
 
 
@@ -416,7 +417,8 @@
             "nodes x tenants counters at each node",
             (
                 Need("limit", "tenants in a report", "tenants", lambda t: t.tenants,
-                     limit(MOST_SHARED, "tenants", "badgercart.cluster.uses.MAX_TENANTS"), SHARES),
+                     limit(MOST_SHARED, "tenants",
+                           "badgercart.cluster.quota_sharing.MAX_SHARED_TENANTS"), SHARES),
                 Need("time", "for which one request of a mean tenant uses up a node's even part", "s",
                      lambda t: t.nodes * t.tenants / t.requests,
                      limit(1, "s", "badgercart.policy.policy.Policy.on_request: a bucket 1 s deep"), SHARES),
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -2,7 +2,7 @@
 it costs.
 
 `python -m benchmarks.peers [--most N]`: groups of 3, 10, 40, 100, … to N, five seeds each of the
-small ones; then the processor time of one node's machine and codec at 100 peers as a share of a
+small ones; then the processor time of one node's protocol and codec at 100 peers as a share of a
 core, and the time of a decision with a company over that without, in one run.
 """
 
@@ -13,7 +13,7 @@
 import statistics
 import time
 
-from badgercart.cluster.membership_table import Status
+from badgercart.cluster.membership_table import MemberStatus
 from badgercart.policy import Policy, Settings
 from badgercart.policy.actions import Send
 from badgercart.policy.endpoint import Endpoint, EndpointState
@@ -26,64 +26,64 @@
     UpdateKind,
 )
 from badgercart.policy.settings import Idempotency, RequestClass
-from lab.group import Group
+from lab.simulated_cluster import SimulatedCluster
 
 SIZES = (3, 10, 40, 100, 300, 1000)
 SETTLED = 10_000.0  # ms
 LONG = 60_000.0
 
 
-def joined(count: int, seed: int) -> Group:
-    group = Group(count, seed, expected=count)
-    group.run(LONG, group.agreed)
-    group.run(group.now + SETTLED)
-    return group
+def joined(count: int, seed: int) -> SimulatedCluster:
+    cluster = SimulatedCluster(count, seed, expected=count)
+    cluster.run(LONG, cluster.agreed)
+    cluster.run(cluster.now + SETTLED)
+    return cluster
 
 
 def detection(count: int, seed: int) -> list[float]:
     """ms from a death until each other node has buried it."""
-    group = joined(count, seed)
-    group.kill("n1")
-    died = group.now
-    group.run(died + LONG, lambda: group.buried("n1"))
+    cluster = joined(count, seed)
+    cluster.kill("n1")
+    died = cluster.now
+    cluster.run(died + LONG, lambda: cluster.all_declared_dead("n1"))
     first: dict[str, float] = {}
-    for seen in group.seen:
-        if seen.name == "n1" and seen.status is Status.DEAD and seen.at >= died:
-            first.setdefault(seen.observer, seen.at - died)
+    for seen in cluster.changes:
+        if seen.name == "n1" and seen.status is MemberStatus.DEAD and seen.at_ms >= died:
+            first.setdefault(seen.observer, seen.at_ms - died)
     return list(first.values())
 
 
 def false_alarms(count: int, seed: int) -> tuple[int, int]:
     """Healthy members buried, and any, in a minute in which one in ten nodes is slow."""
-    group = joined(count, seed)
-    slow = random.Random(seed).sample(list(group.machines), max(1, count // 10))
+    cluster = joined(count, seed)
+    slow = random.Random(seed).sample(list(cluster.protocols), max(1, count // 10))
     for name in slow:
-        group.slow[name] = 1500.0
-    since = group.now
-    group.run(since + LONG)
-    dead = {s.name for s in group.seen if s.status is Status.DEAD and s.at >= since}
+        cluster.delays_ms[name] = 1500.0
+    since = cluster.now
+    cluster.run(since + LONG)
+    dead = {s.name for s in cluster.changes if s.status is MemberStatus.DEAD and s.at_ms >= since}
     return len(dead - set(slow)), len(dead)
 
 
 def rates(count: int, seed: int) -> tuple[float, float]:
     """Bytes a node a second at rest, and ms to one view after a split of 30 s."""
-    group = joined(count, seed)
-    before = sum(group.bytes.values())
-    group.run(group.now + LONG)
-    rest = (sum(group.bytes.values()) - before) / count / (LONG / 1000)
-    names = list(group.machines)
-    group.split(names[: count // 2], names[count // 2 :])
-    group.run(group.now + 30_000)
-    group.heal()
-    healed = group.now
-    return rest, group.run(healed + 4 * LONG, group.agreed) - healed
+    cluster = joined(count, seed)
+    before = sum(cluster.bytes_sent.values())
+    cluster.run(cluster.now + LONG)
+    rest = (sum(cluster.bytes_sent.values()) - before) / count / (LONG / 1000)
+    names = list(cluster.protocols)
+    cluster.split(names[: count // 2], names[count // 2 :])
+    cluster.run(cluster.now + 30_000)
+    cluster.heal()
+    healed = cluster.now
+    return rest, cluster.run(healed + 4 * LONG, cluster.agreed) - healed
 
 
 def cost(count: int = 100) -> float:
-    """Processor time of one node's machine and codec, as a share of a core."""
-    group = joined(count, 1)
-    begun, since = time.process_time(), group.now
-    group.run(since + 20_000)
+    """Processor time of one node's protocol and codec, as a share of a core."""
+    cluster = joined(count, 1)
+    begun, since = time.process_time(), cluster.now
+    cluster.run(since + 20_000)
     # The simulation's own share is small beside: each packet is encoded once here; a node decodes
     # it too.
     return (time.process_time() - begun) / count / 20.0
@@ -153,7 +153,7 @@
             f"{heal / 1000:.1f}",
         )
         print("|", " | ".join(map(str, row)), "|", flush=True)
-    print(f"machine and codec at 100 peers: {cost():.4f} of a core")
+    print(f"protocol and codec at 100 peers: {cost():.4f} of a core")
     pairs = [(decisions(False), decisions(True)) for _ in range(5)]
     without, with_ = (min(values) for values in zip(*pairs, strict=True))
     print(
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -21,7 +21,10 @@
 
 import msgspec
 
-from badgercart.cluster.codec import Codec, Gossip, Packet
+from badgercart.cluster import gossip_registers
+from badgercart.cluster.codec import PacketCodec
+from badgercart.cluster.hybrid_logical_clock import HybridTimestamp
+from badgercart.cluster.messages import Gossip, Packet
 from badgercart.policy import Policy, Settings
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import EndpointUpdate, UpdateKind
@@ -93,9 +96,10 @@
 
 def datagram(topic: str, said: bytes) -> float:
     """Bytes of one that carries nothing but a post."""
-    codec = Codec("lab", b"a secret of the lab alone")
-    post = (topic, "node-4711", 1_700_000_000_000, said)
-    packet = Packet("node-4711", 1 << 60, 3, 123_456, (1_700_000_000_000, 0), Gossip(), (), (post,))
+    codec = PacketCodec("lab", b"a secret of the lab alone")
+    post = gossip_registers.RegisterUpdate(topic, "node-4711", 1_700_000_000_000, said)
+    stamp = HybridTimestamp(1_700_000_000_000, 0)
+    packet = Packet("node-4711", 1 << 60, 3, 123_456, stamp, Gossip(), (), (post,))
     return float(len(codec.encode(packet)))
 
 
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -1,8 +1,8 @@
-"""Hollow nodes that know each other, many to a process: what one of them bears as the group grows.
+"""HollowCluster nodes that know each other, many to a process: what one of them bears as the group grows.
 
-The machine, its uses and the codec are those of a node; only sockets and clocks are not. Each
+The protocol, its uses and the codec are those of a node; only sockets and clocks are not. Each
 datagram is encoded by who sends it and decoded by who gets it; the processor's time is that of
-machine, uses and codec alone, without the network that is played between them. Times in a group are
+protocol, uses and codec alone, without the network that is played between them. Times in a group are
 virtual, the processor's real.
 """
 
@@ -23,16 +23,20 @@
 from dataclasses import dataclass, replace
 from multiprocessing import get_context
 
-from badgercart.cluster.broadcast_queue import Queue
-from badgercart.cluster.codec import MAX_SYNC, MTU, Codec, Gossip, Packet, Sync
+from badgercart.cluster.codec import MAX_SYNC_BYTES, MTU_BYTES, PacketCodec
+from badgercart.cluster.effects import Effect, RegisterChanged
+from badgercart.cluster.gossip_registers import RegisterUpdate
+from badgercart.cluster.hybrid_logical_clock import HybridTimestamp
 from badgercart.cluster.member import Member
-from badgercart.cluster.membership_table import MembershipRecord, Status
-from badgercart.cluster.swim import Effect, Posted, SwimProtocol, Timing
-from badgercart.cluster.uses import USE, Shares
+from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
+from badgercart.cluster.messages import Gossip, Packet, Sync
+from badgercart.cluster.quota_sharing import USAGE_TOPIC, QuotaSharing
+from badgercart.cluster.swim import SwimProtocol
+from badgercart.cluster.timing import Bootstrap, SwimTiming
 from badgercart.config import Address
 from benchmarks.scale.fit import doublings
 from benchmarks.scale.report import Series
-from lab.group import WALL, Group
+from lab.simulated_cluster import START_UNIX_MS, SimulatedCluster
 
 SHARE_MS = 500.0  # between two reports of use in a small group, as the settings have it
 BUSY = 10  # tenants that a node has requests of between two reports
@@ -50,6 +54,7 @@
     3  # of groups under `MANY` nodes; larger ones, and those with reports of use, are played once
 )
 MANY = 200
+NO_TIME = HybridTimestamp(0, 0)
 MOST_AT_ONCE = 4  # groups, each in a process of its own: one of 1,024 takes a GB
 
 
@@ -65,27 +70,28 @@
     messages: Counter[str]
 
 
-class Hollow(Group):
-    """A group whose packets go as bytes, with what each node bears counted."""
+class HollowCluster(SimulatedCluster):
+    """A cluster whose packets go as bytes, with what each node bears counted."""
 
     def __init__(
-        self, count: int, tenants: int = 0, seed: int = 1, timing: Timing | None = None
+        self, count: int, tenants: int = 0, seed: int = 1, timing: SwimTiming | None = None
     ) -> None:
-        self.spent = 0  # ns of machine, uses and codec
+        self.spent = 0  # ns of protocol, uses and codec
         self.messages: Counter[str] = Counter()
         self.bytes_in: Counter[str] = Counter()
         self.members: dict[str, Member] = {}
         self.tenants = tenants
         super().__init__(count, seed, timing, expected=count)
-        self.topics = (USE,) if tenants else ()
-        for name, machine in self.machines.items():
+        self.topics = (USAGE_TOPIC,) if tenants else ()
+        for name, protocol in self.protocols.items():
             if tenants:
-                member = Member(machine, [100.0] * tenants, SHARE_MS, ("shares",))
+                member = Member(protocol, [100.0] * tenants, SHARE_MS, ("shares",))
                 self.members[name] = member
-                self.at(self.random.random() * SHARE_MS, self.report, name, member)
+                self.schedule(self.random.random() * SHARE_MS, self.report, name, member)
 
     @contextmanager
     def metered(self) -> Iterator[None]:
+        """Count the processor's time of what is done within."""
         since = time.thread_time_ns()
         try:
             yield
@@ -94,156 +100,186 @@
 
     def acquaint(self) -> None:
         """Have all know all, as after a push-pull with one who knew them."""
-        claims = tuple(machine.me for machine in self.machines.values())
-        me = claims[0]
-        for machine in list(self.machines.values())[1:]:
-            serial = self.machines[me.name].next_number()
-            machine.receive(
-                self.now, Packet(me.name, me.boot, 0, serial, (0, 0), Sync(), claims), me.address
-            )
-            machine.queue = Queue(machine.queue.most)  # it is no news to anybody
-        for claim in claims:
-            self.machines[me.name].merge(claim, me.name)
-        self.machines[me.name].queue = Queue(self.machines[me.name].queue.most)
+        records = tuple(protocol.me for protocol in self.protocols.values())
+        me = records[0]
+        for protocol in list(self.protocols.values())[1:]:
+            serial = self.protocols[me.name].sender.next_sequence()
+            packet = Packet(me.name, me.boot, 0, serial, NO_TIME, Sync(), records)
+            protocol.receive(self.now, packet, me.address)
+            protocol.sender.queue.clear()  # it is no news to anybody
+        first = self.protocols[me.name]
+        for record in records:
+            first.membership.merge(record, me.name)
+        first.sender.queue.clear()
 
     # A node's steps, each as bytes in and bytes out.
 
-    def ring(self, name: str, machine: SwimProtocol) -> None:
-        if self.machines[name] is not machine or not self.up[name] or machine.due > self.now:
+    def tick(self, name: str, protocol: SwimProtocol) -> None:
+        """Ring a node's timer."""
+        if self.protocols[name] is not protocol or not self.up[name] or protocol.due_ms > self.now:
             return
         with self.metered():
-            effects = machine.tick(self.now)
+            effects = protocol.tick(self.now)
         self.run_effects(name, effects)
         self.arm(name)
 
     def report(self, name: str, member: Member) -> None:
-        """What `PeersPart.tick` does."""
-        if self.machines[name] is not member.machine or not self.up[name]:
+        """Do one round of reports as `ClusterComponent` does, and set the next."""
+        if self.protocols[name] is not member.machine or not self.up[name]:
             return
         for tenant in self.random.sample(range(self.tenants), min(BUSY, self.tenants)):
-            member.shares.count(tenant)
+            member.quota_sharing.count_request(tenant)
         with self.metered():
-            effects = member.post(self.now, USE, member.shares.report(self.now))
-            member.company(self.now)
+            effects = member.publish(self.now, USAGE_TOPIC, member.quota_sharing.report(self.now))
+            member.view_change(self.now)
             every = member.every
         self.run_effects(name, effects)
-        self.at(self.now + every, self.report, name, member)
+        self.schedule(self.now + every, self.report, name, member)
 
     def run_effects(self, name: str, effects: list[Effect]) -> None:
+        """Carry out effects, with registers' changes given to the member."""
         member = self.members.get(name)
         for effect in effects:
-            if isinstance(effect, Posted) and member is not None:
+            if isinstance(effect, RegisterChanged) and member is not None:
                 with self.metered():
-                    member.heard(self.now, effect)
-        super().run_effects(name, [effect for effect in effects if not isinstance(effect, Posted)])
+                    member.receive(self.now, effect)
+        super().run_effects(
+            name, [effect for effect in effects if not isinstance(effect, RegisterChanged)]
+        )
 
     def encoded(self, name: str, packet: Packet) -> bytes:
+        """Return the bytes of a packet, counted for who sends it."""
         with self.metered():
             data = self.codec.encode(packet)
-        self.bytes[name] += len(data)
+        self.bytes_sent[name] += len(data)
         self.messages[name] += 1
         return data
 
-    def datagram(self, name: str, address: Address, packet: Packet) -> None:
+    def send_datagram(self, name: str, address: Address, packet: Packet) -> None:
+        """Send a datagram, which always arrives."""
         data = self.encoded(name, packet)
         to = self.addresses.get(address)
         if to is not None:
-            source = self.machines[name].me.address
-            self.at(self.now + self.way(), self.taken, to, data, source, MTU)
+            source = self.protocols[name].me.address
+            self.schedule(
+                self.now + self.one_way_delay_ms(), self.received, to, data, source, MTU_BYTES
+            )
 
-    def taken(self, to: str, data: bytes, source: Address, most: int) -> None:
+    def received(self, to: str, data: bytes, source: Address, most: int) -> None:
+        """Have a node receive some bytes."""
         if not self.up[to]:
             return
         self.bytes_in[to] += len(data)
         with self.metered():
-            effects = self.machines[to].receive(self.now, self.codec.decode(data, most), source)
+            effects = self.protocols[to].receive(self.now, self.codec.decode(data, most), source)
         self.run_effects(to, effects)
         self.rearm(to)
 
-    def sync(self, name: str, address: Address, packet: Packet) -> None:
+    def start_sync(self, name: str, address: Address, packet: Packet) -> None:
+        """Send one side of a push-pull."""
         to = self.addresses.get(address)
         if to is not None:
-            self.at(self.now + self.way(), self.answered, name, to, self.encoded(name, packet))
+            self.schedule(
+                self.now + self.one_way_delay_ms(),
+                self.answered,
+                name,
+                to,
+                self.encoded(name, packet),
+            )
 
     def answered(self, name: str, to: str, data: bytes) -> None:
+        """Have a node answer a push-pull."""
         if not self.up[to]:
             return
         self.bytes_in[to] += len(data)
         with self.metered():
-            asked = self.codec.decode(data, MAX_SYNC)
-            answer, effects = self.machines[to].answer_sync(
-                self.now, asked, self.machines[name].me.address
+            asked = self.codec.decode(data, MAX_SYNC_BYTES)
+            answer, effects = self.protocols[to].answer_sync(
+                self.now, asked, self.protocols[name].me.address
             )
         back = self.encoded(to, answer)
         self.run_effects(to, effects)
         self.rearm(to)
-        self.at(
-            self.now + self.way(), self.taken, name, back, self.machines[to].me.address, MAX_SYNC
+        self.schedule(
+            self.now + self.one_way_delay_ms(),
+            self.received,
+            name,
+            back,
+            self.protocols[to].me.address,
+            MAX_SYNC_BYTES,
         )
 
     # What is looked at.
 
     def quiet(self) -> bool:
-        """Whether nothing waits to be passed on; with reports of use something always does."""
+        """Return whether nothing waits to be passed on; with usage reports something does."""
         return not any(
-            len(machine.queue) for name, machine in self.machines.items() if self.up[name]
+            len(protocol.sender.queue) for name, protocol in self.protocols.items() if self.up[name]
         )
 
     def looked(self) -> int:
-        """Beliefs and waiting items that the machines have looked at."""
-        return sum(machine.view.looked + machine.queue.looked for machine in self.machines.values())
+        """Return how many member states and queued items were examined."""
+        return sum(
+            protocol.view.examined + protocol.sender.queue.examined
+            for protocol in self.protocols.values()
+        )
 
     def mark(self) -> Mark:
+        """Return the counters as they are now."""
         return Mark(
             self.now,
             self.spent,
             self.looked(),
-            self.bytes.copy(),
+            self.bytes_sent.copy(),
             self.bytes_in.copy(),
             self.messages.copy(),
         )
 
 
-def rates(group: Hollow, since: Mark) -> dict[str, float]:
-    """What a node bore a second since a mark: the mean, and of bytes the most that one bore."""
-    seconds, count = (group.now - since.at) / 1000, len(group.machines)
-    out = [group.bytes[name] - since.bytes_out[name] for name in group.machines]
-    came = [group.bytes_in[name] - since.bytes_in[name] for name in group.machines]
+def rates(cluster: HollowCluster, since: Mark) -> dict[str, float]:
+    """Return what a node bore a second since a mark.
+
+    That is the mean, and of bytes also the most that one node bore.
+    """
+    seconds, count = (cluster.now - since.at) / 1000, len(cluster.protocols)
+    out = [cluster.bytes_sent[name] - since.bytes_out[name] for name in cluster.protocols]
+    came = [cluster.bytes_in[name] - since.bytes_in[name] for name in cluster.protocols]
     both = [a + b for a, b in zip(out, came, strict=True)]
     return {
         "bytes out": sum(out) / count / seconds,
         "bytes in": sum(came) / count / seconds,
         "bytes worst": max(both) / seconds,
-        "messages": (group.messages.total() - since.messages.total()) / count / seconds,
-        "processor": (group.spent - since.spent) / 1e6 / count / seconds,
-        "looked": (group.looked() - since.looked) / count / seconds,
+        "messages": (cluster.messages.total() - since.messages.total()) / count / seconds,
+        "processor": (cluster.spent - since.spent) / 1e6 / count / seconds,
+        "looked": (cluster.looked() - since.looked) / count / seconds,
     }
 
 
 def play(count: int, tenants: int = 0, seed: int = 1) -> dict[str, float]:
-    """One group: from a cold start to one view, at rest, and to one view again after a death."""
+    """Play a cluster from a cold start to agreement, at rest, and to agreement after a death."""
     begun = time.process_time()
-    group = Hollow(count, tenants, seed)
+    cluster = HollowCluster(count, tenants, seed)
     gc.collect()
     gc.freeze()  # what stands is not looked at again and again
-    start = group.mark()
-    found = {"one view": group.run(LONG, group.agreed) / 1000}
-    found |= {f"{name} at start": value for name, value in rates(group, start).items()}
-    if not group.agreed():
+    start = cluster.mark()
+    found = {"one view": cluster.run(LONG, cluster.agreed) / 1000}
+    found |= {f"{name} at start": value for name, value in rates(cluster, start).items()}
+    if not cluster.agreed():
         return found
-    while not tenants and not group.quiet():
-        group.run(group.now + STEP)
-    found["settled"] = group.now / 1000
-    rest = group.mark()
-    every = max((member.every for member in group.members.values()), default=0.0)
-    group.run(group.now + max(LEAST_REST, 2 * every))
-    found |= rates(group, rest)
+    while not tenants and not cluster.quiet():
+        cluster.run(cluster.now + STEP)
+    found["settled"] = cluster.now / 1000
+    rest = cluster.mark()
+    every = max((member.every for member in cluster.members.values()), default=0.0)
+    cluster.run(cluster.now + max(LEAST_REST, 2 * every))
+    found |= rates(cluster, rest)
     if tenants:
-        found |= entries(group)
-    group.kill("n1")
-    died = group.now
+        found |= entries(cluster)
+    cluster.kill("n1")
+    died = cluster.now
     found["one view after a death"] = (
-        group.run(died + LONG, lambda: group.buried("n1") and group.agreed()) - died
+        cluster.run(died + LONG, lambda: cluster.all_declared_dead("n1") and cluster.agreed())
+        - died
     ) / 1000
     took = time.process_time() - begun
     figures = json.dumps({name: float(f"{value:.4g}") for name, value in found.items()})
@@ -254,14 +290,14 @@
     return found
 
 
-def entries(group: Hollow) -> dict[str, float]:
-    """Counts of use that a node keeps, and how old what it knows of another is (s, median)."""
+def entries(cluster: HollowCluster) -> dict[str, float]:
+    """Return how many counts of use a node keeps, and their median age (s)."""
     kept, ages = [], []
-    for name, member in group.members.items():
-        heard = member.shares.heard
-        kept.append(sum(len(counts) for told in heard.values() for _, counts in told.posts))
-        ages += [group.now - told.came for other, told in heard.items() if other != name]
-    every = statistics.fmean(member.every for member in group.members.values())
+    for name, member in cluster.members.items():
+        heard = member.quota_sharing.peer_usage
+        kept.append(sum(len(s.counts) for told in heard.values() for s in told.samples))
+        ages += [cluster.now - told.received_ms for other, told in heard.items() if other != name]
+    every = statistics.fmean(member.every for member in cluster.members.values())
     return {
         "entries of use": statistics.fmean(kept),
         "age of use": statistics.median(ages) / 1000 if ages else float("nan"),
@@ -273,68 +309,72 @@
 
 
 def informed(members: int, tenants: int) -> Member:
-    """A node that knows so many others, and two reports of use from each, as they come over the
-    wire."""
-    codec = Codec("lab", b"a secret of the lab alone")
-    claims = [
+    """Return a node that knows so many others, and two usage reports from each."""
+    codec = PacketCodec("lab", b"a secret of the lab alone")
+    records = [
         MembershipRecord(
             f"node-{n}",
             0,
-            Status.ALIVE,
+            MemberStatus.ALIVE,
             (f"10.1.{n >> 8}.{n & 255}", 7946),
-            int(WALL) * 1024 + n,
+            int(START_UNIX_MS) * 1024 + n,
             "zone-1",
             "r",
         )
         for n in range(members)
     ]
-    me = MembershipRecord("me", 0, Status.ALIVE, ("10.9.9.9", 7946), 1)
-    machine = SwimProtocol(me, Timing(), [], random.Random(1), WALL, members)
-    member = Member(machine, [100.0] * tenants, SHARE_MS, ("shares",))
-    data = codec.encode(Packet(claims[0].name, claims[0].boot, 0, 1, (0, 0), Sync(), tuple(claims)))
-    machine.receive(1.0, codec.decode(data, MAX_SYNC), claims[0].address)
+    me = MembershipRecord("me", 0, MemberStatus.ALIVE, ("10.9.9.9", 7946), 1)
+    protocol = SwimProtocol(
+        me, SwimTiming(), Bootstrap((), members), random.Random(1), START_UNIX_MS
+    )
+    member = Member(protocol, [100.0] * tenants, SHARE_MS, ("shares",))
+    data = codec.encode(
+        Packet(records[0].name, records[0].boot, 0, 1, NO_TIME, Sync(), tuple(records))
+    )
+    protocol.receive(1.0, codec.decode(data, MAX_SYNC_BYTES), records[0].address)
     for serial in (2, 3):
-        for claim in claims if tenants else ():
-            packet = codec.decode(codec.encode(_use(claim, serial, tenants)))
-            for effect in machine.receive(float(serial), packet, claim.address):
-                if isinstance(effect, Posted):
-                    member.heard(float(serial), effect)
-    machine.queue = Queue(1)  # what waits to be passed on is gone after a while
+        for record in records if tenants else ():
+            packet = codec.decode(codec.encode(_use(record, serial, tenants)))
+            for effect in protocol.receive(float(serial), packet, record.address):
+                if isinstance(effect, RegisterChanged):
+                    member.receive(float(serial), effect)
+    protocol.sender.queue.clear()  # what waits to be passed on is gone after a while
     return member
 
 
 def by_itself(members: int, tenants: int) -> dict[str, float]:
-    """What that node keeps of each other member, and what its long steps take: they hold the event
-    loop."""
+    """Return what that node keeps of each other member, and how long its long steps take."""
     gc.collect()
     tracemalloc.start()
     member = informed(members, tenants)
     gc.collect()
     kept = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    codec, machine = Codec("lab", b"a secret of the lab alone"), member.machine
+    codec, protocol = PacketCodec("lab", b"a secret of the lab alone"), member.machine
 
     def round_of_use() -> None:
-        member.told = None
-        member.company(4.0)
+        member.last_view = None
+        member.view_change(4.0)
 
     def push_pull() -> None:
-        """One side told, the other heard; nothing in it is news."""
-        codec.encode(machine.everything())
+        """Encode one side and receive the other, in which nothing is news."""
+        codec.encode(protocol.anti_entropy.full_state())
         heard = codec.decode(data, len(data))
-        machine.receive(5.0, replace(heard, serial=machine.next_number()), machine.me.address)
+        protocol.receive(
+            5.0, replace(heard, serial=protocol.sender.next_sequence()), protocol.me.address
+        )
 
-    data = codec.encode(replace(machine.everything(), sender="another", boot=0))
+    data = codec.encode(replace(protocol.anti_entropy.full_state(), sender="another", generation=0))
     return {
         "memory": kept / members,
-        "a round of use": took(round_of_use),
-        "a push-pull": took(push_pull),
+        "a round of use": took_ms(round_of_use),
+        "a push-pull": took_ms(push_pull),
         "bytes of a push-pull": float(len(data)),
     }
 
 
-def took(what: Callable[[], None]) -> float:
-    """ms of the processor, the median of some."""
+def took_ms(what: Callable[[], None]) -> float:
+    """Return the processor's time in ms, the median of some calls."""
     found = []
     for _ in range(AGAIN):
         since = time.thread_time_ns()
@@ -343,11 +383,11 @@
     return statistics.median(found)
 
 
-def _use(claim: MembershipRecord, serial: int, tenants: int) -> Packet:
-    said = Shares([100.0] * tenants, claim.boot)
-    said.counts = [serial * 1000 + tenant for tenant in range(tenants)]
-    post = (USE, claim.name, serial, said.report(1000.0 * serial))
-    return Packet(claim.name, claim.boot, 0, serial, (0, 0), Gossip(), (), (post,))
+def _use(record: MembershipRecord, serial: int, tenants: int) -> Packet:
+    sharing = QuotaSharing([100.0] * tenants, record.boot)
+    sharing.counts = [serial * 1000 + tenant for tenant in range(tenants)]
+    update = RegisterUpdate(USAGE_TOPIC, record.name, serial, sharing.report(1000.0 * serial))
+    return Packet(record.name, record.boot, 0, serial, NO_TIME, Gossip(), (), (update,))
 
 
 # The runs.
@@ -357,8 +397,7 @@
 
 
 def plays(pool: Executor, sizes: Sequence[int], tenants: Sequence[int]) -> Callable[[], Plays]:
-    """Begin groups of these sizes with so many tenants, each by its seeds; gives what waits for
-    them."""
+    """Begin clusters of these sizes with so many tenants; return what waits for them."""
     begun = [
         (
             nodes,
@@ -374,6 +413,7 @@
 
 
 def seeds_of(nodes: int, tenants: int) -> int:
+    """Return how many seeds a cluster is played with."""
     return SEEDS if nodes < MANY and not tenants else 1
 
 
@@ -403,7 +443,7 @@
     found: Plays, over: str, fixed: dict[str, float],
     units: dict[str, str],
 ) -> list[Series]:  # fmt: skip
-    """The median of the seeds; of the time to one view also the worst."""
+    """Return series of the median of the seeds, and of the time to agreement also the worst."""
     series = []
     for name, unit in units.items():
         for statistic, of in (("median", statistics.median), ("worst", max)):
@@ -422,7 +462,7 @@
 
 
 def measure(most: int | None) -> list[Series]:
-    """All series; `most` caps nodes, and tenants too."""
+    """Return all series; `most` caps nodes, and tenants too."""
     cap = most if most is not None else sys.maxsize
 
     def sizes(least: int, last: int) -> list[int]:
--- a/lab/companions.py
+++ b/lab/companions.py
@@ -6,10 +6,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from badgercart.cluster.codec import Packet
+from badgercart.cluster.effects import Effect, RegisterChanged, SendDatagram, StartSync
 from badgercart.cluster.member import Member
-from badgercart.cluster.membership_table import MembershipRecord, Status
-from badgercart.cluster.swim import Effect, Posted, SendTo, SwimProtocol, SyncWith, Timing
+from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
+from badgercart.cluster.messages import Packet
+from badgercart.cluster.swim import SwimProtocol
+from badgercart.cluster.timing import Bootstrap, SwimTiming
 from badgercart.config import Address
 from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.core.request_pipeline import RequestPipeline
@@ -53,7 +55,7 @@
         server: int,
         sends: int,
     ) -> None:
-        self.member.shares.count(intake.tenant)
+        self.member.quota_sharing.count_request(intake.tenant)
         if self.keeper is not None:
             self.keeper.asked(intake.class_index, intake.tenant)
 
@@ -76,7 +78,7 @@
     """The group of all nodes of a day."""
 
     def __init__(
-        self, clock: Clock, net: Net, seed: int, expected: int, timing: Timing, chance: Stream,
+        self, clock: Clock, net: Net, seed: int, expected: int, timing: SwimTiming, chance: Stream,
         servers: dict[int, Server],
     ) -> None:  # fmt: skip
         self.clock, self.net, self.seed, self.chance = clock, net, seed, chance
@@ -89,11 +91,11 @@
         """A node comes up, with nothing that it knew."""
         self.boots += 1
         me = MembershipRecord(
-            f"n{number}", 0, Status.ALIVE, address(number), self.boots, f"z{zone}"
+            f"n{number}", 0, MemberStatus.ALIVE, address(number), self.boots, f"z{zone}"
         )
         rng = random.Random(f"{self.seed} companion {number} {self.boots}")
-        seeds = [address(seed) for seed in range(3)]
-        machine = SwimProtocol(me, self.timing, seeds, rng, 0.0, self.expected)
+        bootstrap = Bootstrap(tuple(address(seed) for seed in range(3)), self.expected)
+        machine = SwimProtocol(me, self.timing, bootstrap, rng)
         member = Member(machine, join.policy.settings.quotas_per_s, SHARE_MS, USES)
         one = self.there[number] = Companion(number, zone, join, member)
         join.observers += (one,)
@@ -172,19 +174,19 @@
     def run(self, one: Companion, effects: list[Effect]) -> None:
         """Carry out what a machine wants."""
         for effect in effects:
-            if isinstance(effect, SendTo):
+            if isinstance(effect, SendDatagram):
                 self.carry(one, effect.address, self.deliver, effect.packet, self.net.loss)
-            elif isinstance(effect, SyncWith):
+            elif isinstance(effect, StartSync):
                 self.carry(one, effect.address, self.asked, effect.packet, 0.0)
-            elif isinstance(effect, Posted):
-                one.member.heard(self.clock.now, effect)
-        if (event := one.member.company(self.clock.now)) is not None:
+            elif isinstance(effect, RegisterChanged):
+                one.member.receive(self.clock.now, effect)
+        if (event := one.member.view_change(self.clock.now)) is not None:
             one.join.dispatch(event)
         if one.keeper is not None and one.keeper.out:
             effects, one.keeper.out = one.keeper.out, []
             self.run(one, effects)
         machine = one.member.machine
-        self.clock.at(machine.due, self.ring, one, machine.due)
+        self.clock.at(machine.due_ms, self.ring, one, machine.due_ms)
 
     def held(self, one: Companion, what: Callable[..., None], *arguments: object) -> bool:
         """Whether it stands still now; then this is done as it wakes."""
@@ -197,7 +199,7 @@
         machine = one.member.machine
         if self.held(one, self.ring, one, due):
             return
-        if self.lives(one) and machine.due == due <= self.clock.now:
+        if self.lives(one) and machine.due_ms == due <= self.clock.now:
             self.run(one, machine.tick(self.clock.now))
 
     def carry(
--- a/lab/model.py
+++ b/lab/model.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgercart.cluster.swim import Timing
+from badgercart.cluster.timing import SwimTiming
 from badgercart.core.ports import Answer, IncomingRequest
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.endpoint import Endpoint, EndpointState
@@ -223,7 +223,7 @@
         if day.fleet.peers and cell.policy == OURS:
             said = day.fleet.said or day.fleet.nodes
             chance = uniform(generator(seed, "companions"))
-            timing = Timing(expect=day.fleet.expect_s * 1000)
+            timing = SwimTiming(expected_size_ms=day.fleet.expect_s * 1000)
             self.companions = Companions(
                 self.clock, self.net, seed, said, timing, chance, self.by_id
             )
--- a/tests/cluster/test_driver.py
+++ b/tests/cluster/test_driver.py
@@ -6,39 +6,50 @@
 import random
 from typing import Any
 
-from badgercart.cluster.codec import Codec
-from badgercart.cluster.driver import Allowed, Driver
-from badgercart.cluster.membership_table import MembershipRecord, Status
-from badgercart.cluster.swim import SwimProtocol, Timing
+from badgercart.cluster.allowlist import AddressAllowlist
+from badgercart.cluster.codec import PacketCodec
+from badgercart.cluster.driver import ClusterDriver
+from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
+from badgercart.cluster.packet_gate import PacketGate
+from badgercart.cluster.swim import SwimProtocol
+from badgercart.cluster.timing import Bootstrap, SwimTiming
 
 
-def test_a_connection_that_waits_as_the_process_ends_is_no_fault() -> None:
-    said: list[dict[str, Any]] = []
+def test_a_connection_open_as_the_process_ends_logs_no_error() -> None:
+    errors: list[dict[str, Any]] = []
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: said.append(context))
-        machine = SwimProtocol(
-            MembershipRecord("n0", 0, Status.ALIVE, ("127.0.0.1", 1), 1),
-            Timing(),
-            [],
+        loop.set_exception_handler(lambda _, context: errors.append(context))
+        protocol = SwimProtocol(
+            MembershipRecord("n0", 0, MemberStatus.ALIVE, ("127.0.0.1", 1), 1),
+            SwimTiming(),
+            Bootstrap(),
             random.Random(1),
         )
-        codec, allowed = Codec("g", b"a secret of the test"), Allowed(("127.0.0.0/8",))
-        driver = Driver(
-            loop, loop.time, machine, codec, ("127.0.0.1", 0), allowed, lambda effects: None
+        codec, allowed = (
+            PacketCodec("g", b"a secret of the test"),
+            AddressAllowlist(("127.0.0.0/8",)),
+        )
+        driver = ClusterDriver(
+            loop,
+            loop.time,
+            protocol,
+            PacketGate(codec, allowed),
+            ("127.0.0.1", 0),
+            lambda effects: None,
         )
         await driver.start()
         _, writer = await asyncio.open_connection(*driver.listen)
-        while not driver.serving:
+        while not driver.server.connections:
             await asyncio.sleep(0)
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()  # as asyncio.run does in the end
-        while driver.serving:
+        while driver.server.connections:
             await asyncio.sleep(0)
         await asyncio.sleep(0)
         writer.close()
         driver.close()
 
     asyncio.run(run())
-    assert said == []
+    assert errors == []
--- /dev/null
+++ b/tests/cluster/test_member.py
@@ -0,0 +1,90 @@
+"""One member: what it reports, and what the policy is told."""
+
+from __future__ import annotations
+
+import random
+
+import msgspec
+import pytest
+
+from badgercart.cluster.drain_gossip import DrainGossip
+from badgercart.cluster.effects import RegisterChanged
+from badgercart.cluster.failure_reports import FailureReports
+from badgercart.cluster.member import Member, cluster_view
+from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
+from badgercart.cluster.quorum import QuorumLevel, QuorumState, quorum_level
+from badgercart.cluster.quota_sharing import QuotaSharing, UsageReport
+from badgercart.cluster.swim import SwimProtocol
+from badgercart.cluster.timing import Bootstrap, SwimTiming
+from badgercart.config import Address
+from badgercart.core.endpoint_table import DiscoveredEndpoint
+from badgercart.policy.endpoint import Endpoint, EndpointState
+
+HOST: Address = ("127.0.0.1", 80)
+
+
+@pytest.mark.parametrize(
+    ("reach", "size", "may_live", "level"),
+    [
+        (3, 3, 3, QuorumLevel.ALL),
+        (2, 2, 3, QuorumLevel.MAJORITY),
+        (2, 4, 4, QuorumLevel.MINORITY),
+        (1, 3, 3, QuorumLevel.ISOLATED),
+    ],
+)
+def test_without_a_majority_a_node_counts_itself_as_one_of_all_possibly_alive(
+    reach: int, size: int, may_live: int, level: QuorumLevel
+) -> None:
+    names = tuple(f"n{number}" for number in range(reach))
+    there = QuorumState(quorum_level(reach, may_live), names, may_live)
+    event = cluster_view("n0", there, (0.5,), ())
+    assert (there.level, event.size, event.possibly_alive, event.node_index) == (
+        level,
+        size,
+        may_live,
+        0,
+    )
+
+
+def test_random_update_values_never_raise() -> None:
+    rng = random.Random(1)
+    listed = {
+        number: DiscoveredEndpoint(
+            Endpoint(number, 0, 0, 0, EndpointState.READY, 1.0, 0.0), HOST, f"s{number}"
+        )
+        for number in range(1, 11)
+    }
+    sharing, gossip, reports = QuotaSharing([1.0], 1), DrainGossip(), FailureReports(1.0)
+    for _ in range(2000):
+        value = rng.randbytes(rng.randrange(12))
+        sharing.receive("a", value, 0.0)
+        gossip.receive(value, 0, listed)
+        reports.receive("a", value, 0.0)
+    assert len(sharing.peer_usage) <= 1 and len(gossip.gossiped) <= 3
+
+
+def test_in_a_large_cluster_reports_are_rarer_and_not_stale_for_that() -> None:
+    protocol = SwimProtocol(
+        MembershipRecord("n0", 0, MemberStatus.ALIVE, HOST, 1),
+        SwimTiming(),
+        Bootstrap(),
+        random.Random(1),
+    )
+    cluster_member = Member(protocol, [100.0], 500.0, ("shares",))
+    least = cluster_member.every
+    for number in range(1, 100):
+        protocol.membership.merge(
+            MembershipRecord(f"n{number}", 0, MemberStatus.ALIVE, ("127.0.0.1", 80 + number), 1),
+            f"n{number}",
+        )
+    # So many are passed on by each node that a link bears no more than in a group of eight.
+    assert least == 500.0 and cluster_member.every == pytest.approx(500.0 * 100 * 12 / 64)
+    for at in (0.0, cluster_member.every):
+        post = RegisterChanged(
+            "use", "n1", int(at) + 1, msgspec.msgpack.encode(UsageReport(1, at, [int(at)]))
+        )
+        cluster_member.receive(at, post)
+    usage = cluster_member.quota_sharing.node_usage(
+        "n1", "n0", 2.5 * cluster_member.every, 4 * cluster_member.every
+    )
+    assert usage.demand(0, 100.0 / 1000 / 100) == pytest.approx(1.2)
