--- a/badgercart/metrics/__init__.py
+++ b/badgercart/metrics/__init__.py
@@ -1,6 +1,5 @@
-"""Figures for operators by Prometheus's text format; its entry is ``part.PARTS``.
+"""Metrics for operators by Prometheus's text format; the entry is `component.py`.
 
-Subsystems register what they can be asked for with `core.meters`; nothing is counted twice, and
-nothing is asked between scrapes. Only the ends of requests are counted here, by an observer of the
-join.
+Subsystems register what can be read in `core.metric_registry`, and it is read once a scrape. Only
+the ends of requests are counted here, by an observer of the request pipeline.
 """
--- a/badgercart/metrics/component.py
+++ b/badgercart/metrics/component.py
@@ -1,4 +1,4 @@
-"""The metrics listener as a part of an installation."""
+"""The metrics listener, as a component of an installation."""
 
 from __future__ import annotations
 
@@ -16,28 +16,31 @@
     from badgercart.frontends.http.clients import ClientConnection
 
 PATH = b"/metrics"
-MAX_CONNECTIONS = 16  # of those who scrape: one more makes the longest idle one go
+MAX_CONNECTIONS = 16  # of scrapers: one more evicts the one that is idle for longest
 
 
 class MetricsSettings(Table, title="MetricsSettings"):
-    """a listener that shows figures by Prometheus's text format, at /metrics"""
+    """a listener that shows figures by Prometheus's text format, at /metrics"""  # noqa: D400
 
     listen: Address = Field(description="the host:port to listen on")
 
 
 class MetricsComponent:
-    """Pages only: no request is taken here. It ends with the last front, so that a drain can be
-    watched."""
+    """A listener for the metrics page alone.
+
+    It closes with the last frontend, so that a drain can be watched.
+    """
 
     def __init__(self, host: ComponentHost, settings: MetricsSettings) -> None:
         from badgercart.frontends.http.clients import Listener
-        from badgercart.metrics.figures import CONTENT_TYPE, Figures
+        from badgercart.metrics.exposition import CONTENT_TYPE, MetricsPage, RequestMetrics
 
         config = host.config
         names = [name.decode() for name in config.classes]
-        self.figures = Figures(names, config.settings.classes, host.metrics)
-        host.pipeline.observers += (self.figures,)
-        self.pages: Mapping[bytes, Page] = {PATH: Page(self.figures.page, CONTENT_TYPE)}
+        requests = RequestMetrics(names, config.settings.classes)
+        self.page = MetricsPage(host.metrics, requests)
+        host.pipeline.observers += (requests,)
+        self.pages: Mapping[bytes, Page] = {PATH: Page(self.page.render, CONTENT_TYPE)}
         self.stopping = False
         self.healthy = True
         self.listener = Listener(
@@ -45,28 +48,32 @@
         )
 
     def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
+        """Raise BadRequest: there is nothing but the page."""
         raise BadRequest(404, f"figures are at {PATH.decode()}")
 
     def take(self, client: ClientConnection, request: ClientRequest) -> None:
-        raise AssertionError("no request is taken here")
+        """Raise AssertionError, since no request is read."""
+        raise AssertionError
 
     def withdraw(self, request_id: int) -> None:
-        """There is none."""
+        """Do nothing, since there is no request."""
 
     async def start(self) -> None:
+        """Listen. Raises OSError if the address can't be had."""
         self.listener.start()
         host, port = self.listener.address
         LISTENING(host=host, port=port)
 
     def prepare(self, settings: MetricsSettings) -> Callable[[], None] | None:
-        """Nothing here changes without a restart."""
+        """Return None: nothing here changes without a restart."""
         return None
 
     async def drain(self, until: float) -> None:
-        """The fronts are drained by now; whoever scrapes comes again elsewhere."""
+        """Close connections after their next answer; the frontends are drained by now."""
         self.stopping = True
 
     def close(self) -> None:
+        """Close the listener and its connections."""
         self.listener.close()
 
 
--- a/badgercart/metrics/log_events.py
+++ b/badgercart/metrics/log_events.py
@@ -1,4 +1,4 @@
-"""What the metrics listener says in the log."""
+"""The log events of the metrics listener."""
 
 from __future__ import annotations
 
--- a/tests/app/test_golden_metrics.py
+++ b/tests/app/test_golden_metrics.py
@@ -61,7 +61,7 @@
             site.roster.listed[int(state)] = DiscoveredEndpoint(
                 entry, ("127.0.0.1", 1), f"s{state}"
             )
-        told: bytes = site.parts["metrics"].figures.page()  # type: ignore[attr-defined]
+        told: bytes = site.parts["metrics"].page.render()  # type: ignore[attr-defined]
         site.close()
         return told
 
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -14,7 +14,7 @@
 from badgercart.core.metric_registry import MAX_LABELS, OTHER, Kind, Metric, MetricRegistry
 from badgercart.frontends.http.component import HttpSettings
 from badgercart.metrics.component import MetricsSettings
-from badgercart.metrics.figures import MAX_BUCKETS, buckets
+from badgercart.metrics.exposition import MAX_BUCKETS, bucket_bounds_s
 from badgercart.policy.settings import Idempotency, RequestClass
 from tests.net import Client, Peer, config, field, listed, request, run
 
@@ -98,7 +98,7 @@
         priority_weight=1.0,
         idempotency=Idempotency.IDEMPOTENT,
     )
-    assert buckets([one]) == (0.04, 0.1, 0.2, 0.3, 0.4, 1.0)
+    assert bucket_bounds_s([one]) == (0.04, 0.1, 0.2, 0.3, 0.4, 1.0)
     many = [replace(one, latency_objective_ms=10.0 * n, deadline_ms=20.0 * n) for n in range(1, 60)]
-    found = buckets(many)
+    found = bucket_bounds_s(many)
     assert len(found) == MAX_BUCKETS and found[-1] == 1.18 and list(found) == sorted(set(found))
