--- a/badgercart/distribution/__init__.py
+++ b/badgercart/distribution/__init__.py
@@ -1,8 +1,10 @@
-"""Lists and settings as numbered changes, told to each node for the topics that it asks for.
+"""Lists as numbered changes: replicated by a few processes, and published to all nodes.
 
-A few *stores* (machines set aside for control) replicate one log of changes: one leads, for a term
-that more than half of the voters gave it, and a change is in force once more than half of them keep
-it. Each store tells its *followers*, the nodes, what has changed in their topics. `store.Store` and
-`follower.Follower` are the machines, without I/O; `driver` carries them over TCP; `part` plugs both
-into an installation. Design: docs/design/distribution.md.
+- `raft/`: the replicated log, elections, the leader's lease, replication; no I/O
+- `replica.py`: one replica; `publisher.py` and `proposals.py` serve followers and operators
+- `follower.py`: a node's side
+- `journal.py`, `driver.py`: disk and sockets; `messages.py`, `journal_format.py`: what is on them
+- `component.py`, `settings.py`, `commands.py`: how it plugs into the program
+
+`docs/design/distribution.md` says what it promises.
 """
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -1,257 +1,283 @@
-"""A node's list from stores, and a store, as parts of an installation."""
+"""The components of this package: a node's server list from replicas, and a replica.
+
+Libraries are imported when a component is built, so that an installation without it needs none.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import gc
 import json
+import math
 import random
 from collections import Counter
-from collections.abc import Callable, Mapping
-from dataclasses import replace
+from collections.abc import Callable
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 from badgercart.app.component import Declaration, Host, Kind
-from badgercart.core.endpoint_table import Member, MemberList
-from badgercart.core.identifiers import stable_id
-from badgercart.discovery.entries import ListReader
+from badgercart.core.endpoint_table import MemberList
 from badgercart.discovery.freshness import Rule, State
 from badgercart.discovery.log_events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
 from badgercart.distribution.settings import (
-    SERVERS,
-    MembersSettings,
-    StoreSettings,
-    check_members,
-    check_store,
+    SERVERS_PREFIX,
+    FollowerSettings,
+    ReplicaSettings,
+    check_follower,
+    check_replica,
 )
 from badgercart.frontends.http.requests import Page
-from badgercart.policy.endpoint import State as ServerState
 from badgercart.policy.events import ListKind
 
 if TYPE_CHECKING:
-    from badgercart.distribution.driver import FollowerDriver, StoreDriver
-    from badgercart.distribution.effects import Take
+    from badgercart.distribution.effects import UpdateTopic
     from badgercart.distribution.follower import Follower
-    from badgercart.distribution.messages import Entry, Status
-
-LONG_LIST = 1000  # servers
-AGED = {State.FRESH: LIST_FRESH, State.DOUBTFUL: LIST_DOUBTFUL, State.STALE: LIST_STALE}
-KEPT = ("group", "service")  # settings that take a restart
-
-
-def members_of(
-    reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, Member]
-) -> list[Member]:
-    """The lines of a topic of servers. A key that is gone has left. ValueError where any line is
-    none."""
-    members = []
-    for key, value in {entry.key: entry.value for entry in entries}.items():
-        if value is None:
-            if (member := listed.get(stable_id(key.encode()))) is not None:
-                members.append(replace(member, entry=replace(member.entry, state=ServerState.GONE)))
-            continue
-        try:
-            line = json.loads(value)
-            if line["instanceId"] != key:
-                raise ValueError(f"instanceId is {line['instanceId']!r}")
-            members.append(reader.read_member(line))
-        except KeyError as error:
-            raise ValueError(f"{key}: {error} is missing, or none that is known") from None
-        except (TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
-            raise ValueError(f"{key}: {error}") from None
-    return members
-
-
-class MembersPart:
-    """The list of one service from the stores, with its age; SIGHUP takes all settings but KEPT."""
-
-    def __init__(self, host: Host, settings: MembersSettings) -> None:
-        self.host, self.settings = host, settings
-        self.topic = SERVERS + settings.service
+    from badgercart.distribution.follower_driver import FollowerDriver
+    from badgercart.distribution.messages import Status
+    from badgercart.distribution.replica_driver import ReplicaDriver
+
+# Servers in a snapshot from which on the collector is kept from looking at all of them again.
+LONG_LIST = 1000
+STATE_EVENTS = {
+    State.FRESH: LIST_FRESH,
+    State.DOUBTFUL: LIST_DOUBTFUL,
+    State.STALE: LIST_STALE,
+}
+RESTART_SETTINGS = ("group", "service")  # which a reload leaves as they are
+
+
+class DistributedDiscoveryComponent:
+    """The list of one service from replicas, with its age.
+
+    Attributes:
+        settings: as they are in force.
+        topic: the followed topic.
+        state: how fresh the list is, as last logged.
+        driver: the follower on its connection; another one after a reload.
+    """
+
+    def __init__(self, host: Host, settings: FollowerSettings) -> None:
+        self.settings = settings
+        self.topic = SERVERS_PREFIX + settings.service
         self.state = State.STALE
-        self.timer: asyncio.TimerHandle | None = None
-        self.started = False
-        self.refused: Counter[str] = Counter()  # by drivers before this one
-        self.driver = self.build(settings)
+        self._host = host
+        self._timer: asyncio.TimerHandle | None = None
+        self._is_started = False
+        self._refused_before: Counter[str] = Counter()  # by earlier drivers
+        self.driver = self._build_driver(settings)
         host.list_state = lambda: self.state.value
         host.machines["distribution.freshness"] = self.follower.freshness
-        host.pages[b"/_distribution"] = Page(self.page)
-        self.register()
+        host.pages[b"/_distribution"] = Page(self._render_page)
+        self._register_metrics()
 
-    def build(self, settings: MembersSettings) -> FollowerDriver:
-        from badgercart.distribution.driver import FollowerDriver
-        from badgercart.distribution.follower import Follower, Timing
+    def _build_driver(self, settings: FollowerSettings) -> FollowerDriver:
+        from badgercart.distribution.driver import Runtime
+        from badgercart.distribution.follower import Follower
+        from badgercart.distribution.follower_driver import FollowerDriver
         from badgercart.distribution.messages import Codec
-
-        config, join = self.host.config, self.host.join
-        timing = Timing(
-            silence=settings.silence_ms,
-            dial=settings.dial_ms,
-            answer=settings.answer_ms,
-            window=settings.window_ms,
-            longest=settings.window_most_ms,
-            lag=settings.lag_ms,
+        from badgercart.distribution.replica_selector import FollowerTiming, ReplicaSelector
+
+        config = self._host.config
+        timing = FollowerTiming(
+            silence_timeout_ms=settings.silence_ms,
+            connect_timeout_ms=settings.dial_ms,
+            answer_timeout_ms=settings.answer_ms,
+            reconnect_window_ms=settings.window_ms,
+            max_reconnect_window_ms=settings.window_most_ms,
+            max_lag_ms=settings.lag_ms,
         )
-        # Each node has an order of stores and moments of its own, also where seeds are the same.
+        # The name gives each node an order and times of its own, also where seeds are the same.
         rng = random.Random(f"{config.seed} {config.name} distribution")
+        selector = ReplicaSelector(len(settings.stores), timing, rng)
         rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
-        follower = Follower(config.name, (self.topic,), len(settings.stores), timing, rng, rule)
+        follower = Follower(config.name, (self.topic,), selector, timing, rule)
         codec = Codec(settings.group, settings.secret.encode())
-        return FollowerDriver(
-            self.host.loop,
-            join.clock,
-            follower,
-            codec,
-            settings.stores,
-            self.take,
-            self.look,
-            config.source,
-        )
+        runtime = Runtime(self._host.loop, self._host.join.clock, codec)
+        driver = FollowerDriver(runtime, follower, settings.stores, self._apply_update)
+        driver.on_event = self._check_freshness
+        driver.local_host = config.source
+        return driver
 
     @property
     def follower(self) -> Follower:
+        """The follower that runs now."""
         return self.driver.follower
 
-    def register(self) -> None:
-        meters, clock = self.host.meters, self.host.join.clock
-        meters.gauge(
+    def _register_metrics(self) -> None:
+        metrics, clock = self._host.meters, self._host.join.clock
+        metrics.gauge(
             "badgercart_list_age_seconds",
             "Time since the list was whole for sure.",
-            lambda: self.follower.age(clock()) / 1000,
+            lambda: self.follower.age_ms(clock()) / 1000,
         )
-        meters.gauge(
+        metrics.gauge(
             "badgercart_distribution_number",
             "The number of the last change in force, by topic.",
-            lambda: {topic: held.number for topic, held in self.follower.topics.items()},
+            self._versions,
             "topic",
         )
-        meters.counter(
+        metrics.counter(
             "badgercart_distribution_changes",
             "Changes and whole topics taken.",
-            lambda: self.follower.changes,
+            lambda: self.follower.topics.change_count,
         )
-        meters.counter(
+        metrics.counter(
             "badgercart_distribution_faults",
             "Gaps that were closed and stores that were left, by kind.",
             lambda: self.follower.faults,
             "kind",
         )
-        meters.counter(
+        metrics.counter(
             "badgercart_distribution_refused",
             "Frames and connections refused, by kind.",
-            lambda: self.refused + self.driver.refused,
+            self._refused,
             "kind",
         )
-        meters.counter(
-            "badgercart_distribution_dials", "Calls to stores.", lambda: self.follower.dials
+        metrics.counter(
+            "badgercart_distribution_dials",
+            "Calls to stores.",
+            lambda: self.follower.dial_count,
         )
 
+    def _versions(self) -> dict[str, float]:
+        return {name: topic.version for name, topic in self.follower.topics.by_name.items()}
+
+    def _refused(self) -> Counter[str]:
+        return self._refused_before + self.driver.refused
+
     # Life.
 
     async def start(self) -> None:
-        self.started = True
-        self.aged()
+        """Begin to follow."""
+        self._is_started = True
+        self._apply_freshness()
         self.driver.start()
 
-    def prepare(self, settings: MembersSettings) -> Callable[[], None]:
-        return lambda: self.move(
-            settings.model_copy(update={k: getattr(self.settings, k) for k in KEPT})
-        )
+    def prepare(self, settings: FollowerSettings) -> Callable[[], None]:
+        """Return what puts new settings in force, but for those that take a restart."""
+        kept = {name: getattr(self.settings, name) for name in RESTART_SETTINGS}
+        return lambda: self.reload(settings.model_copy(update=kept))
 
-    def move(self, settings: MembersSettings) -> None:
-        """Other stores, secrets and times: the list stays in force, its age runs on."""
+    def reload(self, settings: FollowerSettings) -> None:
+        """Follow other replicas, with another secret or timing; the list stays, and its age."""
         if settings == self.settings:
             return
-        old, driver = self.follower, self.driver
-        driver.close()
-        self.refused += driver.refused
-        self.settings, self.driver = settings, self.build(settings)
-        self.follower.succeed(old)
-        self.follower.freshness.rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
-        if self.started:
-            self.aged()  # what follows from the same state may be another thing now
+        old_follower, old_driver = self.follower, self.driver
+        old_driver.close()
+        self._refused_before += old_driver.refused
+        self.settings, self.driver = settings, self._build_driver(settings)
+        self.follower.succeed(old_follower)
+        rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
+        self.follower.freshness.rule = rule
+        if self._is_started:
+            self._apply_freshness()  # `when_stale` may have changed
             self.driver.start()
 
     async def drain(self, until: float) -> None:
-        """The list is followed to the end: what is held may still be sent again."""
+        """Go on following: requests that are in flight may still be sent again."""
 
     def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
+        """Let go of everything at once."""
+        self._cancel_timer()
         self.driver.close()
 
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
     # The list.
 
-    def take(self, told: Take) -> None:
-        """Have a change in force, or have the topic told whole again where that can't be."""
-        from badgercart.distribution import log_events as events
+    def _apply_update(self, update: UpdateTopic) -> None:
+        """Put an update in force, or request a snapshot where it can't be used."""
+        from badgercart.distribution import log_events
+        from badgercart.distribution.server_list import read_servers
 
-        roster = self.host.roster
+        table = self._host.roster
         try:
-            members = members_of(self.host.reader, told.entries, roster.listed)
-            kind = ListKind.FULL if told.whole else ListKind.DELTA
-            roster.take_read(MemberList(kind, told.number, members))
+            servers = read_servers(self._host.reader, update.entries, table.listed)
+            kind = ListKind.FULL if update.is_snapshot else ListKind.DELTA
+            table.take_read(MemberList(kind, update.version, servers))
         except ValueError as error:
-            events.UNUSABLE(topic=told.topic, number=told.number, error=error)
-            self.driver.run(self.follower.ask_whole(self.host.join.clock(), told.topic))
+            log_events.UNUSABLE(topic=update.topic, number=update.version, error=error)
+            now_ms = self._host.join.clock()
+            self.driver.perform(self.follower.request_resend(now_ms, update.topic))
             return
-        if told.whole and len(members) >= LONG_LIST:
-            # the collector would stop the loop for long to look at all of them again and again
-            gc.freeze()
-
-    def look(self) -> None:
-        """Say a change of the list's state, and wake up for the next one."""
-        now, freshness = self.host.join.clock(), self.follower.freshness
-        state = freshness.state(now)
+        if update.is_snapshot and len(servers) >= LONG_LIST:
+            gc.freeze()  # each full collection would stop the loop to look at all of them
+
+    def _check_freshness(self) -> None:
+        """Log a change of the list's state, and come back for the next one."""
+        now_ms, freshness = self._host.join.clock(), self.follower.freshness
+        state = freshness.state(now_ms)
         if state is not self.state:
-            age = f"{freshness.age(now) / 1000:.1f}"
-            AGED[state](age=age, was=self.state.value, version=self.host.roster.version)
+            age_s = f"{freshness.age(now_ms) / 1000:.1f}"
+            version = self._host.roster.version
+            STATE_EVENTS[state](age=age_s, was=self.state.value, version=version)
             self.state = state
-            self.aged()
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        due = freshness.next_change(now)
-        if due is not None:
-            self.timer = self.host.loop.call_later(max(0.0, due - now) / 1000 + 0.001, self.look)
+            self._apply_freshness()
+        self._cancel_timer()
+        due_ms = freshness.next_change(now_ms)
+        if due_ms is not None:
+            delay_s = max(0.0, due_ms - now_ms) / 1000 + 0.001
+            self._timer = self._host.loop.call_later(delay_s, self._check_freshness)
 
-    def aged(self) -> None:
-        self.host.roster.suspend(self.state is State.STALE and self.settings.when_stale == "refuse")
+    def _apply_freshness(self) -> None:
+        is_stale = self.state is State.STALE
+        self._host.roster.suspend(is_stale and self.settings.when_stale == "refuse")
 
     # For operators.
 
-    def page(self) -> bytes:
-        follower, age = self.follower, self.follower.age(self.host.join.clock())
-        host, port = self.settings.stores[max(0, follower.store)]
-        told = {
-            "name": self.host.config.name,
+    def _render_page(self) -> bytes:
+        follower = self.follower
+        age_ms = follower.age_ms(self._host.join.clock())
+        fields = {
+            "name": self._host.config.name,
             "group": self.settings.group,
-            "store": f"{host}:{port}" if follower.greeted else None,
+            "store": self._followed_address(),
             "state": self.state.value,
-            "age_ms": round(age, 1) if age < float("inf") else None,
-            "topics": {topic: held.number for topic, held in follower.topics.items()},
-            "unknown": sorted(follower.unknown),
-            "changes": follower.changes,
-            "dials": follower.dials,
+            "age_ms": round(age_ms, 1) if age_ms < math.inf else None,
+            "topics": self._versions(),
+            "unknown": sorted(follower.topics.unknown),
+            "changes": follower.topics.change_count,
+            "dials": follower.dial_count,
             "faults": dict(follower.faults),
-            "refused": dict(self.refused + self.driver.refused),
+            "refused": dict(self._refused()),
         }
-        return json.dumps(told).encode()
+        return json.dumps(fields).encode()
 
+    def _followed_address(self) -> str | None:
+        replica = self.follower.followed_replica
+        if replica is None:
+            return None
+        host, port = self.settings.stores[replica]
+        return f"{host}:{port}"
 
-def store_driver(
-    settings: StoreSettings,
+
+def build_replica_driver(
+    settings: ReplicaSettings,
     folder: str,
     loop: asyncio.AbstractEventLoop,
     clock: Callable[[], float],
-    failed: Callable[[Exception], None],
-) -> StoreDriver:
-    """A store of what its folder holds. Raises OSError and JournalError."""
-    from badgercart.distribution.driver import StoreDriver
+) -> ReplicaDriver:
+    """Build a replica of what its folder holds.
+
+    Args:
+        settings: the replica's.
+        folder: that the settings' folder is relative to.
+        loop: the event loop.
+        clock: the time in ms.
+
+    Raises:
+        OSError: the folder can't be used.
+        JournalError: another process has it, or what it holds can't be trusted.
+    """
+    from badgercart.distribution.driver import Runtime
     from badgercart.distribution.journal import Journal
     from badgercart.distribution.messages import Codec
-    from badgercart.distribution.store import Store, Timing
+    from badgercart.distribution.replica import Replica
+    from badgercart.distribution.replica_config import ReplicaGroup, ReplicaLimits, ReplicaTiming
+    from badgercart.distribution.replica_driver import ReplicaAddresses, ReplicaDriver
 
     journal = Journal(Path(folder) / settings.folder)
     try:
@@ -259,84 +285,103 @@
     except BaseException:
         journal.close()
         raise
-    timing = Timing(
-        settings.heartbeat_ms, settings.election_ms, settings.beat_ms, settings.patience_ms
+    group = ReplicaGroup(
+        local=settings.name,
+        voters=tuple(entry.name for entry in settings.store if entry.voter),
+        members=tuple(entry.name for entry in settings.store),
+    )
+    timing = ReplicaTiming(
+        heartbeat_interval_ms=settings.heartbeat_ms,
+        election_timeout_ms=settings.election_ms,
+        subscriber_heartbeat_interval_ms=settings.beat_ms,
+        reply_timeout_ms=settings.patience_ms,
     )
-    names = tuple(entry.name for entry in settings.store)
-    voters = tuple(entry.name for entry in settings.store if entry.voter)
-    rng = random.Random()  # elections: no two stores may draw alike
-    store = Store(settings.name, voters, names, timing, rng, recovered, settings.most_followers)
+    rng = random.Random()  # no two replicas may draw the same election timeouts
+    limits = ReplicaLimits(max_subscribers=settings.most_followers)
+    replica = Replica(group, timing, rng, recovered, limits)
     addresses = {entry.name: entry.address for entry in settings.store}
-    codec = Codec(settings.group, settings.secret.encode())
-    return StoreDriver(loop, clock, store, journal, codec, settings.listen, addresses, rng, failed)
+    runtime = Runtime(loop, clock, Codec(settings.group, settings.secret.encode()))
+    return ReplicaDriver(
+        runtime, replica, journal, ReplicaAddresses(settings.listen, addresses), rng
+    )
 
 
-def say_listening(settings: StoreSettings, driver: StoreDriver) -> None:
-    from badgercart.distribution import log_events as events
+def log_listening(settings: ReplicaSettings, driver: ReplicaDriver) -> None:
+    """Log that a replica is up."""
+    from badgercart.distribution import log_events
 
-    (host, port), store = driver.listen, driver.store
-    events.LISTENING(
-        name=store.name,
+    (host, port), replica = driver.listen, driver.replica
+    log_events.LISTENING(
+        name=settings.name,
         group=settings.group,
         host=host,
         port=port,
-        topics=len(store.topics),
-        committed=store.committed,
+        topics=len(replica.topics),
+        committed=replica.raft.state.log.commit_index,
     )
 
 
-class StorePart:
-    """One store, in a process that may do other things."""
+class ReplicaComponent:
+    """One replica, in a process that may do other things."""
+
+    def __init__(self, host: Host, settings: ReplicaSettings) -> None:
+        self.driver: ReplicaDriver | None = None
+        self._host = host
+        self._settings = settings
+        self._register_metrics()
 
-    def __init__(self, host: Host, settings: StoreSettings) -> None:
-        self.host, self.settings = host, settings
-        self.driver: StoreDriver | None = None
-        meters = host.meters
-        meters.gauge(
-            "badgercart_store_age_seconds", "Time since it knew that it had all.", self.age
+    def _register_metrics(self) -> None:
+        metrics = self._host.meters
+        metrics.gauge(
+            "badgercart_store_age_seconds", "Time since it knew that it had all.", self._age_s
         )
-        meters.gauge("badgercart_store_leading", "1 while it leads.", lambda: float(self.leading()))
-        meters.gauge(
+        metrics.gauge(
+            "badgercart_store_leading", "1 while it leads.", lambda: float(self._is_leader())
+        )
+        metrics.gauge(
             "badgercart_store_followers",
             "Nodes that it tells.",
-            lambda: self.status(lambda status: status.followers),
+            lambda: self._status_figure(lambda status: status.subscribers),
         )
-        meters.gauge(
+        metrics.gauge(
             "badgercart_store_committed",
             "Changes in force.",
-            lambda: self.status(lambda status: status.committed),
+            lambda: self._status_figure(lambda status: status.commit_index),
         )
-        meters.counter(
+        metrics.counter(
             "badgercart_store_refused",
             "Frames and connections refused, by kind.",
             lambda: self.driver.refused if self.driver else {},
             "kind",
         )
 
-    def age(self) -> float:
-        return self.status(lambda status: status.age) / 1000 if self.driver else float("inf")
+    def _age_s(self) -> float:
+        if self.driver is None:
+            return math.inf
+        return self._status_figure(lambda status: status.age_ms) / 1000
 
-    def leading(self) -> bool:
-        return self.driver is not None and self.driver.store.leading
+    def _is_leader(self) -> bool:
+        return self.driver is not None and self.driver.replica.raft.state.is_leader
 
-    def status(self, figure: Callable[[Status], float]) -> float:
+    def _status_figure(self, figure: Callable[[Status], float]) -> float:
         return float(figure(self.driver.status())) if self.driver else 0.0
 
     async def start(self) -> None:
-        host, settings = self.host, self.settings
-        self.driver = store_driver(
-            settings, host.folder, host.loop, host.join.clock, lambda error: None
-        )
+        """Recover and listen. Raises OSError and JournalError."""
+        host, settings = self._host, self._settings
+        self.driver = build_replica_driver(settings, host.folder, host.loop, host.join.clock)
         await self.driver.start()
-        say_listening(settings, self.driver)
+        log_listening(settings, self.driver)
 
-    def prepare(self, settings: StoreSettings) -> Callable[[], None] | None:
-        return None  # all of it takes a restart: the other stores know it by it
+    def prepare(self, settings: ReplicaSettings) -> Callable[[], None] | None:  # noqa: ARG002
+        """Change nothing: the other replicas know this one by its settings."""
+        return None
 
     async def drain(self, until: float) -> None:
-        """Nothing is held here; nodes turn to other stores."""
+        """Do nothing: no request is held here, and nodes turn to other replicas."""
 
     def close(self) -> None:
+        """Let go of everything at once."""
         if self.driver is not None:
             self.driver.close()
 
@@ -346,10 +391,10 @@
         name="distribution",
         key=("members", "distribution"),
         kind=Kind.MEMBERS,
-        settings=MembersSettings,
+        settings=FollowerSettings,
         about="the server list from stores that tell changes",
-        build=MembersPart,
-        check=check_members,
+        build=DistributedDiscoveryComponent,
+        check=check_follower,
         reloads=("*",),
         extra="distribution",
         libraries=("msgspec",),
@@ -359,10 +404,10 @@
         name="distribution-store",
         key=("distribution",),
         kind=Kind.SERVICE,
-        settings=StoreSettings,
+        settings=ReplicaSettings,
         about="a store that tells changes to nodes",
-        build=StorePart,
-        check=check_store,
+        build=ReplicaComponent,
+        check=check_replica,
         extra="distribution",
         libraries=("msgspec",),
     ),
--- /dev/null
+++ b/badgercart/distribution/connections.py
@@ -0,0 +1,77 @@
+"""The connections of a replica, and what each was found to be."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from badgercart.distribution.errors import ConnectionRejectedError
+from badgercart.distribution.messages import Hello
+from badgercart.distribution.raft.state import Peer
+from badgercart.distribution.replica_config import ReplicaGroup
+
+
+@dataclass(slots=True)
+class Connection:
+    """One connection, of another replica, a follower or an operator."""
+
+    number: int
+    opened_at_ms: float
+    dialled: str = ""  # the replica that was dialled; empty: it came in
+    name: str = ""  # from its Hello; empty: it has not said that yet
+    peer: Peer | None = None  # where it is another replica's
+    stalled: bool = False
+
+
+class ConnectionTable:
+    """All open connections by number."""
+
+    __slots__ = ("_group", "by_number")
+
+    def __init__(self, group: ReplicaGroup) -> None:
+        self._group = group
+        self.by_number: dict[int, Connection] = {}
+
+    def is_open(self, number: int) -> bool:
+        """Tell whether there is such a connection."""
+        return number in self.by_number
+
+    def identify(self, connection: Connection, hello: Hello) -> None:
+        """Learn from a Hello whose connection this is. Raises ConnectionRejectedError."""
+        self._check_hello(connection, hello)
+        connection.name = hello.name
+        if hello.is_replica:
+            connection.peer = Peer(hello.name, connection.number, connection.stalled)
+
+    def _check_hello(self, connection: Connection, hello: Hello) -> None:
+        if connection.name:
+            raise ConnectionRejectedError("stray", "it said Hello twice")
+        if connection.dialled and (not hello.is_replica or hello.name != connection.dialled):
+            detail = f"{hello.name!r} answers where {connection.dialled!r} was dialled"
+            raise ConnectionRejectedError("stray", detail)
+        is_other = hello.name in self._group.members and hello.name != self._group.local
+        if hello.is_replica and not is_other:
+            detail = f"{hello.name!r} is not another of the stores {self._group.members}"
+            raise ConnectionRejectedError("stray", detail)
+
+    def set_stalled(self, connection: Connection, stalled: bool) -> None:
+        """Note whether more waits to be written to a connection than the driver holds."""
+        connection.stalled = stalled
+        if connection.peer is not None:
+            connection.peer.stalled = stalled
+
+    def dialled_or_connected(self) -> set[str]:
+        """Return the names of the replicas that need not be dialled."""
+        names = {connection.dialled for connection in self.by_number.values()}
+        names |= {each.peer.name for each in self.by_number.values() if each.peer is not None}
+        return names
+
+    @staticmethod
+    def overdue(connection: Connection, now_ms: float, timeout_ms: float) -> str:
+        """Tell what a connection has failed to say in time; empty: nothing."""
+        if not connection.name:
+            late = now_ms - connection.opened_at_ms >= timeout_ms
+            return "it has not said Hello" if late else ""
+        if connection.peer is None or connection.peer.reply_owed_since_ms is None:
+            return ""
+        late = now_ms - connection.peer.reply_owed_since_ms >= timeout_ms
+        return f"{connection.name!r} has not answered" if late else ""
--- a/badgercart/distribution/effects.py
+++ b/badgercart/distribution/effects.py
@@ -1,4 +1,4 @@
-"""What the machines of stores and followers want done. Drivers carry it out in the order given."""
+"""What the machines of this package want done. Drivers carry it out in the order given."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Recovered:
-    """All that a store has on disk: topics as of one place of the log, and the log behind it."""
+class RecoveredState:
+    """Everything that a replica has on disk: topics as of a log index, and the log behind it."""
 
     term: int = 0
-    voted: str = ""  # for whom in this term; empty: nobody
-    committed: int = 0  # known to be in force; what lies behind may be, too
-    index: int = 0  # the place that the topics are as of, `committed` at most
-    index_term: int = 0
+    voted_for: str = ""  # in this term; empty: nobody
+    commit_index: int = 0  # known to be committed; later changes may be, too
+    snapshot_index: int = 0  # that the topics are as of, `commit_index` at most
+    snapshot_term: int = 0
     topics: dict[str, Topic] = field(default_factory=dict)
-    changes: tuple[Change, ...] = ()  # from `index` + 1 on, without a gap
+    changes: tuple[Change, ...] = ()  # from `snapshot_index` + 1 on, without a gap
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,62 +32,91 @@
 
 @dataclass(slots=True, frozen=True)
 class Close:
-    """End a connection: why, in one word for figures and a few for people."""
+    """Close a connection, for a reason: one word for counters, a sentence for people."""
 
     connection: int
     kind: str
-    words: str
+    detail: str
 
 
 @dataclass(slots=True, frozen=True)
-class Keep:
-    """Have this on disk before anything that follows: what a store promised or said that it has.
+class Persist:
+    """Have this on disk before any later effect.
 
-    `behind`: changes behind this place that were kept before are void, and these stand in their
-    place.
+    Changes behind `after_index` that were persisted before are void: these take their place.
     """
 
     term: int
-    voted: str  # for whom in this term; empty: nobody
-    behind: int
+    voted_for: str  # in this term; empty: nobody
+    after_index: int
     changes: tuple[Change, ...]
-    committed: int
+    commit_index: int
 
 
 @dataclass(slots=True, frozen=True)
-class KeepAll:
-    """As Keep, but in the place of all that was kept before: the leader has told its topics whole.
+class PersistSnapshot:
+    """Have this on disk before any later effect, in place of all that was persisted before.
 
-    The topics are the store's own: written before the machine is called again."""
+    The topics are the replica's own: they have to be written before its next event.
+    """
 
-    state: Recovered
+    state: RecoveredState
 
 
 @dataclass(slots=True, frozen=True)
 class Dial:
-    """Connect to the store of this number in the settings; the answer is `connected` or
-    `closed`."""
+    """Connect to a replica, by its position in the settings; `connected` or `closed` answers."""
 
-    store: int
+    replica: int
     connection: int
 
 
 @dataclass(slots=True, frozen=True)
-class Take:
-    """A follower's topic has changed: all of it (`whole`), or these entries. It is in force now."""
+class UpdateTopic:
+    """Put a new version of a followed topic in force: all of it, or the entries that changed."""
 
     topic: str
-    number: int
-    whole: bool
+    version: int
+    is_snapshot: bool
     entries: tuple[Entry, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Happened:
-    """Something for the log, named as in `events`."""
+class LogEvent:
+    """Log an event of `events`, by its name without the subsystem, with these fields."""
 
     name: str
-    told: dict[str, Any] = field(default_factory=dict)
+    fields: dict[str, Any] = field(default_factory=dict)
+
+
+Effect = Send | Close | Persist | PersistSnapshot | Dial | UpdateTopic | LogEvent
+
+
+class EffectQueue:
+    """The effects of the current event, in their order."""
+
+    __slots__ = ("_effects",)
+
+    def __init__(self) -> None:
+        self._effects: list[Effect] = []
+
+    def add(self, effect: Effect) -> None:
+        """Add one more effect."""
+        self._effects.append(effect)
+
+    def extend(self, effects: list[Effect]) -> None:
+        """Add more effects."""
+        self._effects += effects
+
+    def send(self, connection: int, message: Message) -> None:
+        """Add a message to be sent."""
+        self._effects.append(Send(connection, message))
 
+    def log_event(self, name: str, fields: dict[str, Any]) -> None:
+        """Add an event to be logged."""
+        self._effects.append(LogEvent(name, fields))
 
-Effect = Send | Close | Keep | KeepAll | Dial | Take | Happened
+    def take(self) -> list[Effect]:
+        """Return all effects and begin anew."""
+        effects, self._effects = self._effects, []
+        return effects
--- /dev/null
+++ b/badgercart/distribution/entry_file.py
@@ -0,0 +1,73 @@
+"""Entries for a topic, as operators write them: JSON lists or objects."""
+
+from __future__ import annotations
+
+import json
+from typing import Any, cast
+
+from badgercart.config import Config
+from badgercart.discovery.entries import ListReader
+from badgercart.distribution.messages import Entry
+from badgercart.distribution.server_list import read_servers
+from badgercart.distribution.settings import SERVERS_PREFIX
+
+KEY_FIELD = "instanceId"  # of a server in a list
+
+
+class EntryFileError(ValueError):
+    """What an operator wrote can't be put into a topic."""
+
+
+def parse_entries(text: bytes, topic: str) -> tuple[Entry, ...]:
+    """Return the entries of a list of servers, or of an object of values by key.
+
+    Null stands for a key that is to be removed. Servers are checked as a node reads them.
+
+    Raises:
+        ValueError: the text is neither, or a value is not what the topic holds.
+    """
+    values = _values_by_key(_parse_json(text))
+    entries = tuple(
+        Entry(key, None if value is None else json.dumps(value, separators=(",", ":")).encode())
+        for key, value in values.items()
+    )
+    if topic.startswith(SERVERS_PREFIX):
+        # Names of zones and kinds are the nodes' own: any will do here.
+        names = cast(Config, type("Names", (), {"zones": {}, "kinds": {}}))
+        read_servers(ListReader(names), entries, {})
+    return entries
+
+
+def _parse_json(text: bytes) -> Any:
+    try:
+        return json.loads(text, parse_constant=_refuse_constant)
+    except RecursionError as error:
+        detail = "it is nested too deeply"
+        raise EntryFileError(detail) from error
+
+
+def _refuse_constant(name: str) -> None:
+    detail = f"{name} is no number"
+    raise EntryFileError(detail)
+
+
+def _values_by_key(parsed: Any) -> dict[str, Any]:
+    values = _servers_by_key(parsed) if isinstance(parsed, list) else parsed
+    if not isinstance(values, dict) or not values:
+        detail = "it is neither a list of lines nor an object of values by key"
+        raise EntryFileError(detail)
+    return values
+
+
+def _servers_by_key(servers: list[Any]) -> dict[str, Any]:
+    values: dict[str, Any] = {}
+    for position, server in enumerate(servers):
+        if not isinstance(server, dict) or not isinstance(server.get(KEY_FIELD), str):
+            detail = f"[{position}]: it is no line with an instanceId"
+            raise EntryFileError(detail)
+        key = server[KEY_FIELD]
+        if key in values:
+            detail = f"[{position}]: {key!r} stands there twice"
+            raise EntryFileError(detail)
+        values[key] = server
+    return values
--- /dev/null
+++ b/badgercart/distribution/group_client.py
@@ -0,0 +1,90 @@
+"""An operator's way to the replicas of a group, by a node's or a replica's file."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from typing import TypeVar
+
+from badgercart.app.asking import PATIENCE
+from badgercart.app.exits import CommandError, Exit
+from badgercart.app.faults import FileError
+from badgercart.app.file import load
+from badgercart.config import Address
+from badgercart.distribution.client import Client
+from badgercart.distribution.errors import DistributionError, FrameError
+from badgercart.distribution.messages import Codec
+from badgercart.distribution.replica_file import load_replica_file
+from badgercart.distribution.settings import FollowerSettings, ReplicaSettings
+
+T = TypeVar("T")
+
+CONNECTION_ERRORS = (OSError, TimeoutError, asyncio.IncompleteReadError, FrameError)
+
+
+class UnableReplicaError(DistributionError):
+    """A replica can't do what it was asked for; another one might."""
+
+
+@dataclass(slots=True, frozen=True)
+class GroupClient:
+    """Connects to the replicas of a group."""
+
+    name: str
+    secret: str
+    addresses: dict[str, Address]  # by name, or by address where the file has no names
+
+    def connect(self, address: Address) -> Client:
+        """Return a connection to a replica, as a context manager."""
+        return Client(address, Codec(self.name, self.secret.encode()))
+
+    def ask_in_turn(self, ask: Callable[[Client], Awaitable[T]]) -> T:
+        """Return what the first replica answers that is able to.
+
+        Args:
+            ask: asks one replica; raises UnableReplicaError where the next is to be asked.
+
+        Raises:
+            CommandError: none is able to.
+        """
+        return asyncio.run(self._ask_in_turn(ask))
+
+    async def _ask_in_turn(self, ask: Callable[[Client], Awaitable[T]]) -> T:
+        failures = []
+        for name, address in self.addresses.items():
+            try:
+                async with asyncio.timeout(PATIENCE), self.connect(address) as client:
+                    return await ask(client)
+            except UnableReplicaError as error:
+                failures.append(f"{name}: {error}")
+            except CONNECTION_ERRORS as error:
+                failures.append(f"{name}: {describe_error(error)}")
+        raise CommandError("no store can do that: " + "; ".join(failures))
+
+
+def load_group(path: str) -> GroupClient:
+    """Return the group of a node's file, or of a replica's. Raises CommandError."""
+    try:
+        file = load_replica_file(path)
+        parts = {"distribution-store": file.distribution} if file else load(path).parts
+    except FileError as error:
+        raise CommandError(str(error), Exit.USAGE) from error
+    replica, node = parts.get("distribution-store"), parts.get("distribution")
+    if isinstance(replica, ReplicaSettings):
+        addresses = {entry.name: entry.address for entry in replica.store}
+        return GroupClient(replica.group, replica.secret, addresses)
+    if isinstance(node, FollowerSettings):
+        addresses = {f"{host}:{port}": (host, port) for host, port in node.stores}
+        return GroupClient(node.group, node.secret, addresses)
+    detail = f"{path}: has neither [members.distribution] nor [distribution]"
+    raise CommandError(detail, Exit.USAGE)
+
+
+def describe_error(error: BaseException) -> str:
+    """Return what went wrong with a connection, for people."""
+    if isinstance(error, asyncio.IncompleteReadError):
+        return "it ended the connection: is the group's secret right?"
+    if isinstance(error, TimeoutError):
+        return f"no answer in {PATIENCE:.0f} s"
+    return str(error) or type(error).__name__
--- a/badgercart/distribution/journal.py
+++ b/badgercart/distribution/journal.py
@@ -1,362 +1,239 @@
-"""What a store keeps on disk: a snapshot of all topics, and a journal of what was kept since.
+"""What a replica keeps on disk: a snapshot of all topics, and a journal of what came after it.
 
-A record is its length, the CRC32 of its body, the CRC32 of these eight bytes, and its body in
-MessagePack. One `Keep` is one record, written and synced before `keep` returns. A crash can spoil
-the last record alone, which nobody was told of: it is cut off. A spoilt record with a whole one
-behind it is none that a crash made: then nothing is started.
+One `Persist` is one record (see `record_file`), written and synced before `persist` returns.
 
-A snapshot is written beside, synced and renamed; the journal behind it has its generation in its
-name and is there before. So at each moment one snapshot and its journal are whole.
+A snapshot is written beside the old one, synced and renamed. The journal behind it has the
+snapshot's generation in its name, and exists before the rename. So there is one whole snapshot with
+its journal at each moment.
 """
 
 from __future__ import annotations
 
 import fcntl
 import os
-import zlib
-from collections.abc import Callable, Iterable
 from pathlib import Path
 from typing import Protocol
 
-import msgspec
+from badgercart.distribution.effects import Persist, PersistSnapshot, RecoveredState
+from badgercart.distribution.errors import JournalError
+from badgercart.distribution.journal_format import (
+    decode_journal,
+    decode_snapshot,
+    encode_header,
+    encode_persist,
+    encode_snapshot,
+    replay,
+)
+from badgercart.distribution.record_file import encode_record, read_records
+
+SNAPSHOT_NAME = "snapshot"
+NEW_SNAPSHOT_NAME = "snapshot.new"
+JOURNAL_PREFIX = "journal."  # followed by the generation
+LOCK_NAME = "lock"
+MIN_COMPACTION_BYTES = 1 << 20  # a smaller journal is not compacted
 
-from badgercart.distribution.effects import Keep, KeepAll, Recovered
-from badgercart.distribution.messages import Change, Entry
-from badgercart.distribution.topic import Topic
 
-VERSION = 1
-HEAD = 12  # bytes before a record's body
-SNAPSHOT, FRESH, JOURNAL, LOCK = "snapshot", "snapshot.new", "journal.", "lock"
-FLOOR = 1 << 20  # bytes: a smaller journal is not compacted
+class Disk(Protocol):
+    """What carries out `Persist` and `PersistSnapshot`; see `Journal`."""
 
+    def recover(self) -> RecoveredState:
+        """Return what was persisted before."""
 
-class JournalError(Exception):
-    """What is on disk can't be trusted, or the disk has failed: the store must not start, or go
-    on."""
+    def persist(self, effect: Persist | PersistSnapshot) -> None:
+        """Have it on disk on return."""
 
+    @property
+    def needs_compaction(self) -> bool:
+        """Whether `compact` is wanted."""
 
-class Disk(Protocol):
-    """What carries out `Keep` and `KeepAll`; see `Journal`."""
+    def compact(self, state: RecoveredState) -> None:
+        """Keep this in place of all that was persisted before."""
 
-    def recover(self) -> Recovered: ...
+    def close(self) -> None:
+        """Let go of all files."""
 
-    def keep(self, effect: Keep | KeepAll) -> None: ...
 
-    @property
-    def over(self) -> bool: ...
-
-    def compact(self, state: Recovered) -> None: ...
-
-    def close(self) -> None: ...
-
-
-class _First(msgspec.Struct, array_like=True, frozen=True):
-    """A journal's first record."""
-
-    version: int
-    generation: int
-
-
-class _Kept(msgspec.Struct, array_like=True, frozen=True):
-    term: int
-    voted: str
-    behind: int
-    changes: tuple[Change, ...]
-    committed: int
-
-
-class _Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    version: int
-    generation: int  # of the journal behind it
-    term: int
-    voted: str
-    committed: int
-    index: int
-    index_term: int
-    topics: dict[str, tuple[int, int, dict[str, bytes]]]  # number, digest, entries
-    changes: tuple[Change, ...]
-
-
-_encode = msgspec.msgpack.Encoder().encode
-_first: Callable[[bytes], _First] = msgspec.msgpack.Decoder(_First).decode
-_kept: Callable[[bytes], _Kept] = msgspec.msgpack.Decoder(_Kept).decode
-_snapshot: Callable[[bytes], _Snapshot] = msgspec.msgpack.Decoder(_Snapshot).decode
-
-
-def record(body: bytes) -> bytes:
-    head = len(body).to_bytes(4) + zlib.crc32(body).to_bytes(4)
-    return head + zlib.crc32(head).to_bytes(4) + body
-
-
-def _head_at(data: bytes, place: int) -> int | None:
-    """The length of the body of a record that begins there; None: none does."""
-    head = data[place : place + 8]
-    if len(data) - place < HEAD or zlib.crc32(head) != int.from_bytes(
-        data[place + 8 : place + HEAD]
-    ):
-        return None
-    return int.from_bytes(head[:4])
-
-
-def _body_at(data: bytes, place: int) -> bytes | None:
-    """The body of a whole record that begins there."""
-    length = _head_at(data, place)
-    if length is None or place + HEAD + length > len(data):
-        return None
-    body = data[place + HEAD : place + HEAD + length]
-    return body if zlib.crc32(body) == int.from_bytes(data[place + 4 : place + 8]) else None
-
-
-def records(data: bytes, name: str) -> tuple[list[bytes], int]:
-    """Bodies of whole records, and the bytes that they take; what a crash left behind them is not
-    counted.
-
-    Raises JournalError where a record behind a spoilt one is whole."""
-    bodies: list[bytes] = []
-    place = 0
-    while place < len(data):
-        body = _body_at(data, place)
-        if body is None:
-            length = _head_at(data, place)
-            # Where the head is whole we know where the next begins; else it may begin anywhere.
-            after = (
-                range(place + 1, len(data))
-                if length is None
-                else range(place + HEAD + length, len(data))
-            )
-            whole = next((at for at in after if _body_at(data, at) is not None), None)
-            if whole is not None:
-                raise JournalError(
-                    f"{name}: the record at byte {place} is spoilt, and the one at byte {whole} is whole"
-                )
-            break
-        bodies.append(body)
-        place += HEAD + len(body)
-    return bodies, place
-
-
-def replay(start: Recovered, kept: Iterable[Keep | _Kept], name: str = "journal") -> Recovered:
-    """What is kept, from a snapshot and all that was kept since. Raises JournalError."""
-    term, voted, committed = start.term, start.voted, start.committed
-    changes = list(start.changes)
-    for number, each in enumerate(kept, 1):
-        last = start.index + len(changes)
-        if not committed <= each.behind <= last and each.changes:
-            raise JournalError(
-                f"{name}: record {number} is put behind {each.behind}, of {committed} to {last}"
-            )
-        if each.changes:
-            del changes[each.behind - start.index :]
-            for change in each.changes:
-                if change.index != start.index + len(changes) + 1:
-                    raise JournalError(
-                        f"{name}: record {number} has a gap before place {change.index}"
-                    )
-                changes.append(change)
-        last = start.index + len(changes)
-        if each.term < term or not committed <= each.committed <= last:
-            raise JournalError(
-                f"{name}: record {number} goes back, from term {term} and place {committed} "
-                f"to term {each.term} and place {each.committed} of {last}"
-            )
-        term, voted, committed = each.term, each.voted, each.committed
-    return Recovered(
-        term, voted, committed, start.index, start.index_term, start.topics, tuple(changes)
-    )
+class Journal:
+    """The files of a replica's folder, which no other process can open meanwhile.
 
+    After an OSError of the disk it is not known what was written: from then on all calls raise
+    JournalError, and a new process has to recover.
+    """
 
-class Journal:
-    """A store's folder, which is its alone as long as this is open."""
+    def __init__(self, folder: Path, min_compaction_bytes: int = MIN_COMPACTION_BYTES) -> None:
+        """Lock the folder, which is made if need be.
 
-    def __init__(self, folder: Path, floor: int = FLOOR) -> None:
-        """Raises JournalError where another process has the folder, and OSError."""
-        self.folder, self.floor = folder, floor
+        Raises:
+            JournalError: another process has the folder.
+            OSError: the folder can't be used.
+        """
+        self.folder = folder
+        self._min_compaction_bytes = min_compaction_bytes
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self.lock = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:
-            os.close(self.lock)
-            raise JournalError(f"{folder}: another process has it") from None
-        self.handle = -1  # of the journal, for appending
-        self.generation = self.size = self.snapshot_size = 0
-        self.failed = ""  # why nothing can be kept any more
+        self._lock_fd = _lock(folder)
+        self._journal_fd = -1  # open for appending
+        self._generation = 0
+        self.journal_bytes = 0
+        self._snapshot_bytes = 0
+        self._failure = ""  # why nothing can be persisted any more
 
     def close(self) -> None:
-        if self.handle >= 0:
-            os.close(self.handle)
-        os.close(self.lock)
-        self.handle, self.failed = -1, "it is closed"
+        """Let go of all files."""
+        if self._journal_fd >= 0:
+            os.close(self._journal_fd)
+        os.close(self._lock_fd)
+        self._journal_fd, self._failure = -1, "it is closed"
 
     # Reading.
 
-    def recover(self) -> Recovered:
-        """What was kept, by a store of this folder before. Raises JournalError and OSError."""
-        start = Recovered()
-        self.generation = 0
-        if (data := self.read(SNAPSHOT)) is not None:
-            self.generation, start = self.load(data)
-            self.snapshot_size = len(data)
-        name = f"{JOURNAL}{self.generation}"
-        data = self.read(name)
-        if data is None and self.generation:
-            raise JournalError(f"{name}: it is gone, the snapshot says that it is there")
-        bodies, whole = records(data or b"", name)
-        if not bodies:
-            if self.generation:
-                raise JournalError(f"{name}: its first record is spoilt")
-            self.create()  # the first start, or one that got no further
-            recovered = start
+    def recover(self) -> RecoveredState:
+        """Return what a process that had this folder before has persisted.
+
+        Raises:
+            JournalError: what is there can't be trusted.
+            OSError: it can't be read.
+        """
+        start = self._load_snapshot()
+        name = self._journal_name
+        data = self._read(name)
+        if data is None and self._generation:
+            raise JournalError(name, "it is gone, the snapshot says that it is there")
+        records = read_records(data or b"", name)
+        if records.bodies:
+            persisted = decode_journal(records.bodies, self._generation, name)
+            recovered = replay(start, persisted, name)
+            self._open_journal(records.length_bytes)
+        elif self._generation:
+            raise JournalError(name, "its first record is spoilt")
         else:
-            recovered = replay(start, self.decode(bodies, name), name)
-            self.handle = os.open(self.folder / name, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
-            if data is not None and whole < len(data):
-                os.ftruncate(self.handle, whole)
-                os.fsync(self.handle)
-            self.size = whole
-        self.tidy()
+            self._create_journal()  # the first start, or one that got no further
+            recovered = start
+        self._remove_leftovers()
         return recovered
 
-    def read(self, name: str) -> bytes | None:
+    @property
+    def _journal_name(self) -> str:
+        return f"{JOURNAL_PREFIX}{self._generation}"
+
+    def _load_snapshot(self) -> RecoveredState:
+        self._generation = 0
+        data = self._read(SNAPSHOT_NAME)
+        if data is None:
+            return RecoveredState()
+        self._generation, state = decode_snapshot(data, SNAPSHOT_NAME)
+        self._snapshot_bytes = len(data)
+        return state
+
+    def _read(self, name: str) -> bytes | None:
         try:
             return (self.folder / name).read_bytes()
         except FileNotFoundError:
             return None
 
-    def load(self, data: bytes) -> tuple[int, Recovered]:
-        """A snapshot: its journal's generation, and what it holds."""
-        body = _body_at(data, 0)
-        if body is None or HEAD + len(body) != len(data):
-            raise JournalError(f"{SNAPSHOT}: it is spoilt")
-        try:
-            told = _snapshot(body)
-        except msgspec.MsgspecError as error:
-            raise JournalError(f"{SNAPSHOT}: {error}") from None
-        if told.version != VERSION:
-            raise JournalError(
-                f"{SNAPSHOT}: it is of version {told.version}, this program's is {VERSION}"
-            )
-        topics: dict[str, Topic] = {}
-        for name, (number, digest, entries) in told.topics.items():
-            topic = topics[name] = Topic(
-                number, (Entry(key, value) for key, value in entries.items())
-            )
-            if topic.digest != digest:
-                raise JournalError(f"{SNAPSHOT}: {name!r} has another digest than it should have")
-        if told.index + len(told.changes) < told.committed or told.committed < told.index:
-            raise JournalError(f"{SNAPSHOT}: its places {told.index} and {told.committed} can't be")
-        recovered = Recovered(
-            told.term, told.voted, told.committed, told.index, told.index_term, topics, told.changes
-        )
-        return told.generation, recovered
-
-    def decode(self, bodies: list[bytes], name: str) -> list[_Kept]:
-        try:
-            first = _first(bodies[0])
-            if first.version != VERSION:
-                raise JournalError(
-                    f"{name}: it is of version {first.version}, this program's is {VERSION}"
-                )
-            if first.generation != self.generation:
-                raise JournalError(f"{name}: it says that it is generation {first.generation}")
-            return [_kept(body) for body in bodies[1:]]
-        except msgspec.MsgspecError as error:
-            raise JournalError(f"{name}: {error}") from None
-
-    def tidy(self) -> None:
+    def _open_journal(self, length_bytes: int) -> None:
+        """Go on behind the whole records, and cut off what a crash left behind them."""
+        path = self.folder / self._journal_name
+        self._journal_fd = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
+        if length_bytes < os.fstat(self._journal_fd).st_size:
+            os.ftruncate(self._journal_fd, length_bytes)
+            os.fsync(self._journal_fd)
+        self.journal_bytes = length_bytes
+
+    def _remove_leftovers(self) -> None:
         """Remove what a crash left of a compaction."""
         for path in self.folder.iterdir():
-            old = path.name.startswith(JOURNAL) and path.name != f"{JOURNAL}{self.generation}"
-            if old or path.name == FRESH:
+            is_old = path.name.startswith(JOURNAL_PREFIX) and path.name != self._journal_name
+            if is_old or path.name == NEW_SNAPSHOT_NAME:
                 path.unlink()
 
     # Writing.
 
-    def keep(self, effect: Keep | KeepAll) -> None:
-        """On disk when it returns. Raises OSError, and JournalError from then on: how much was kept
-        is not known, and a new process has to look."""
-        if isinstance(effect, KeepAll):
+    def persist(self, effect: Persist | PersistSnapshot) -> None:
+        """Have it on disk on return.
+
+        Raises:
+            OSError: the disk has failed.
+            JournalError: it had failed before, or this is closed or was not recovered.
+        """
+        if isinstance(effect, PersistSnapshot):
             self.compact(effect.state)
             return
-        self.check()
-        kept = _Kept(effect.term, effect.voted, effect.behind, effect.changes, effect.committed)
+        self._check_usable()
         try:
-            self.size += self.write(self.handle, _encode(kept))
-            os.fsync(self.handle)
+            self.journal_bytes += _write_record(self._journal_fd, encode_persist(effect))
+            os.fsync(self._journal_fd)
         except OSError as error:
-            self.failed = str(error)
+            self._failure = str(error)
             raise
 
     @property
-    def over(self) -> bool:
-        """Whether the journal is over twice the state, so that `compact` is wanted."""
-        return self.size > max(self.floor, 2 * self.snapshot_size)
-
-    def compact(self, state: Recovered) -> None:
-        """Keep this in the place of all that was kept before. Raises as `keep`."""
-        self.check()
-        topics = {
-            name: (topic.number, topic.digest, topic.entries)
-            for name, topic in state.topics.items()
-        }
-        told = _Snapshot(
-            VERSION,
-            self.generation + 1,
-            state.term,
-            state.voted,
-            state.committed,
-            state.index,
-            state.index_term,
-            topics,
-            state.changes,
-        )
-        old, before = self.handle, self.generation
+    def needs_compaction(self) -> bool:
+        """Whether the journal is longer than twice the snapshot."""
+        return self.journal_bytes > max(self._min_compaction_bytes, 2 * self._snapshot_bytes)
+
+    def compact(self, state: RecoveredState) -> None:
+        """Keep this in place of all that was persisted before. Raises as `persist`."""
+        self._check_usable()
+        body = encode_snapshot(state, self._generation + 1)
+        old_fd, old_name = self._journal_fd, self._journal_name
         try:
-            fresh = os.open(
-                self.folder / FRESH, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600
-            )
-            try:
-                takes = self.write(fresh, _encode(told))
-                os.fsync(fresh)
-            finally:
-                os.close(fresh)
-            self.generation += 1
-            self.create()
-            os.replace(self.folder / FRESH, self.folder / SNAPSHOT)
-            self.sync_folder()
+            snapshot_bytes = self._write_new_snapshot(body)
+            self._generation += 1
+            self._create_journal()
+            os.replace(self.folder / NEW_SNAPSHOT_NAME, self.folder / SNAPSHOT_NAME)
+            self._sync_folder()
         except OSError as error:
-            self.failed = str(error)
+            self._failure = str(error)
             raise
-        self.snapshot_size = takes
-        os.close(old)
-        (self.folder / f"{JOURNAL}{before}").unlink()
+        self._snapshot_bytes = snapshot_bytes
+        os.close(old_fd)
+        (self.folder / old_name).unlink()
+
+    def _check_usable(self) -> None:
+        if self._failure or self._journal_fd < 0:
+            reason = self._failure or "not recovered"
+            raise JournalError(str(self.folder), f"nothing is kept any more: {reason}")
+
+    def _write_new_snapshot(self, body: bytes) -> int:
+        flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
+        fd = os.open(self.folder / NEW_SNAPSHOT_NAME, flags, 0o600)
+        try:
+            length_bytes = _write_record(fd, body)
+            os.fsync(fd)
+        finally:
+            os.close(fd)
+        return length_bytes
 
-    def create(self) -> None:
-        """This generation's journal, with its first record."""
+    def _create_journal(self) -> None:
+        """Create this generation's journal, with its first record."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
-        self.handle = os.open(self.folder / f"{JOURNAL}{self.generation}", flags, 0o600)
-        self.size = self.write(self.handle, _encode(_First(VERSION, self.generation)))
-        os.fsync(self.handle)
-        self.sync_folder()
-
-    def check(self) -> None:
-        if self.failed or self.handle < 0:
-            raise JournalError(
-                f"{self.folder}: nothing is kept any more: {self.failed or 'not recovered'}"
-            )
-
-    @staticmethod
-    def write(handle: int, body: bytes) -> int:
-        """A record; how many bytes it takes."""
-        data = memoryview(record(body))
-        rest = data
-        while rest:
-            rest = rest[os.write(handle, rest) :]
-        return len(data)
-
-    def sync_folder(self) -> None:
-        handle = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
+        self._journal_fd = os.open(self.folder / self._journal_name, flags, 0o600)
+        self.journal_bytes = _write_record(self._journal_fd, encode_header(self._generation))
+        os.fsync(self._journal_fd)
+        self._sync_folder()
+
+    def _sync_folder(self) -> None:
+        fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(handle)
+            os.fsync(fd)
         finally:
-            os.close(handle)
+            os.close(fd)
+
+
+def _lock(folder: Path) -> int:
+    fd = os.open(folder / LOCK_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    try:
+        fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except OSError as error:
+        os.close(fd)
+        raise JournalError(str(folder), "another process has it") from error
+    return fd
+
+
+def _write_record(fd: int, body: bytes) -> int:
+    """Write a record and return how many bytes it takes."""
+    data = memoryview(encode_record(body))
+    rest = data
+    while rest:
+        rest = rest[os.write(fd, rest) :]
+    return len(data)
--- a/badgercart/distribution/log_events.py
+++ b/badgercart/distribution/log_events.py
@@ -1,11 +1,11 @@
-"""What is said in the log of changes told by stores."""
+"""Log events of replicas and followers, with what operators are told to do."""
 
 from __future__ import annotations
 
 import logging
 
 from badgercart.core.log_events import TABLE, event
-from badgercart.distribution.effects import Happened
+from badgercart.distribution.effects import LogEvent
 
 LISTENING = event(
     "distribution.listening",
@@ -92,6 +92,6 @@
 )
 
 
-def say(happened: Happened) -> None:
-    """Log what a machine says."""
-    TABLE[f"distribution.{happened.name.replace('-', '_')}"](**happened.told)
+def log(event: LogEvent) -> None:
+    """Log what a machine wants logged."""
+    TABLE[f"distribution.{event.name.replace('-', '_')}"](**event.fields)
--- a/badgercart/distribution/messages.py
+++ b/badgercart/distribution/messages.py
@@ -1,256 +1,274 @@
-"""What stores and followers say to each other: versioned, bounded, keyed by the group's secret. No
-I/O.
+"""Messages between replicas, followers and operators: versioned, bounded, authenticated. No I/O.
 
-A frame is `bd`, the protocol's version, a keyed hash of all that follows, and MessagePack. Whatever
-is not of this group, this version and this size is refused before any of it is read, and changes
-nothing. On TCP a frame stands behind its length (4 bytes, big-endian).
+A frame is `bd`, the protocol's version, a keyed hash of all that follows, and MessagePack. A frame
+of another group, version or size is refused before anything of it is decoded. On TCP a frame stands
+behind its length, 4 bytes in network order.
+
+A message is an array of its tag and its fields in their order, so that no name of a class or a
+field is on the wire. Tags and the values of `kind`, `error` and `role` fields are literals of this
+protocol.
 """
 
 from __future__ import annotations
 
 import hashlib
 import hmac
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from typing import Any
 
 import msgspec
 
-VERSION = 1
-MAGIC = b"bd"
-TAG = 16  # bytes of the keyed hash
-HEAD = len(MAGIC) + 1 + TAG
-MAX_FRAME = 1 << 20  # bytes of one frame, its head included: what is longer comes in parts
-MAX_VALUE = 64 << 10  # bytes of one value
-MAX_ENTRIES = 4096  # of one change: it is in force whole or not at all
-MAX_TOPICS = 4096  # that one follower may ask for
-WHOLE = -1  # in place of a number: what I have may be wrong, and no change mends that
-NAME = 200  # characters of a topic, a key, a name
-
-
-class Refused(Exception):
-    """What is not taken: why, in one word for figures and a few for people."""
+from badgercart.distribution.errors import FrameError
 
-    def __init__(self, kind: str, words: str) -> None:
-        super().__init__(words)
-        self.kind = kind
+PROTOCOL_VERSION = 1
+MAGIC = b"bd"
+HASH_BYTES = 16
+HEAD_BYTES = len(MAGIC) + 1 + HASH_BYTES
+MAX_FRAME_BYTES = 1 << 20  # with its head; what is larger comes in parts
+MAX_VALUE_BYTES = 64 << 10
+MAX_ENTRIES = 4096  # of one change, which is committed whole or not at all
+MAX_TOPICS = 4096  # of one subscription
+MAX_NAME_LENGTH = 200  # characters of a topic, a key, a name
+RESEND = -1  # in place of a version: what the subscriber has may be wrong, so no delta helps
+ANY_VERSION = -1  # in place of an expected version
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One key of a topic, with its new value; None: it is gone."""
+    """A key of a topic with its new value; None removes it."""
 
     key: str
     value: bytes | None
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
-    """What changes in one topic, at one place of the log: all of it or nothing.
+    """A change of one topic, at one log index: all of its entries or none.
 
-    Without a topic: a term's first word, which changes none."""
+    Without a topic it changes nothing: a leader begins its term with one of these.
+    """
 
     term: int  # of the leader that put it into the log
-    index: int  # its place, from 1
+    index: int  # in the log, from 1
     topic: str
     entries: tuple[Entry, ...]
 
 
-# Between stores.
+class TopicPart(msgspec.Struct, array_like=True, frozen=True):
+    """Some entries of a topic that has this version and digest."""
+
+    topic: str
+    version: int
+    digest: int
+    entries: tuple[Entry, ...]
+
+
+class TopicVersion(msgspec.Struct, array_like=True, frozen=True):
+    """What a subscriber has of a topic.
+
+    Version 0 with digest 0 is nothing; `RESEND` with digest 0 asks for a snapshot in any case.
+    """
+
+    topic: str
+    version: int
+    digest: int
+
+
+# Between replicas.
 
 
 class Hello(msgspec.Struct, tag="h", array_like=True, frozen=True):
-    """The first word on each connection, from both sides. A follower's name is for people."""
+    """The first message on each connection, from both ends. A follower's name is for people."""
 
     name: str
-    store: bool
+    is_replica: bool
 
 
 class VoteRequest(msgspec.Struct, tag="vq", array_like=True, frozen=True):
-    """Let me lead this term; my log ends there. `only_asking`: would you? (no term is begun by
-    that)"""
+    """Ask for a vote in a term, by a replica whose log ends there.
+
+    With `pre_vote` it asks whether a vote would be given, and no term is begun.
+    """
 
     term: int
     last_term: int
     last_index: int
-    only_asking: bool
+    pre_vote: bool
+
 
+class VoteResponse(msgspec.Struct, tag="v", array_like=True, frozen=True):
+    """The answer to a VoteRequest, with the term that was granted, or the voter's."""
 
-class Vote(msgspec.Struct, tag="v", array_like=True, frozen=True):
     term: int
     granted: bool
-    only_asking: bool
+    pre_vote: bool
 
 
-class Append(msgspec.Struct, tag="a", array_like=True, frozen=True):
-    """The leader's log behind `after`, which the receiver has committed; nothing new is a sign of
-    life.
+class AppendEntries(msgspec.Struct, tag="a", array_like=True, frozen=True):
+    """The leader's log behind an index that the receiver has committed; or, empty, a heartbeat.
 
-    What the receiver has said that it has as told may be committed by this very message."""
+    What the receiver has said to match may be committed by this very message.
+    """
 
     term: int
-    after: int
+    after_index: int
     changes: tuple[Change, ...]
-    committed: int  # the last place that more than half of the voters keep
-    age: float = (
-        0.0  # ms since the leader last knew that more than half of the voters had it as leader
-    )
+    commit_index: int  # the leader's
+    age_ms: float = 0.0  # since a majority of the voters certainly had this leader
+
 
+class AppendResponse(msgspec.Struct, tag="d", array_like=True, frozen=True):
+    """The log matches the leader's up to an index.
 
-class Appended(msgspec.Struct, tag="d", array_like=True, frozen=True):
-    """The log is as told up to `index`; or (`missing`) all behind `committed` is wanted anew."""
+    Where it is `rejected`, the leader has to send everything behind `commit_index` again.
+    """
 
     term: int
-    index: int
-    committed: int
-    missing: bool
+    match_index: int
+    commit_index: int  # the receiver's
+    rejected: bool
 
 
-class State(msgspec.Struct, tag="s", array_like=True, frozen=True):
-    """A part of all topics as of a place of the log, for a store that is too far behind.
+class InstallSnapshot(msgspec.Struct, tag="s", array_like=True, frozen=True):
+    """A part of all topics as of a log index, for a replica that is too far behind for the log.
 
-    Parts come in order, and are in force all or none."""
+    Parts come in order, and are installed with the last.
+    """
 
     term: int
-    index: int
-    index_term: int
-    part: int
+    last_index: int
+    last_term: int
+    part: int  # from 1
     parts: int
-    topics: tuple[
-        tuple[str, int, int, tuple[Entry, ...]], ...
-    ]  # topic, number, digest, some of its entries
+    topics: tuple[TopicPart, ...]
 
 
-# Between stores and followers.
+# Between replicas and followers.
 
 
 class Subscribe(msgspec.Struct, tag="f", array_like=True, frozen=True):
-    """Tell me these topics, from the number and digest that I have; 0, 0: nothing; WHOLE, 0: all
-    anew.
-
-    Replaces what was asked for before."""
+    """Subscribe to these topics, from what the subscriber has; replaces a subscription before."""
 
-    topics: tuple[tuple[str, int, int], ...]
+    topics: tuple[TopicVersion, ...]
 
 
-class Whole(msgspec.Struct, tag="w", array_like=True, frozen=True):
-    """A part of a whole topic. In order; in force with the last part, and only if the digest is
-    right."""
+class Snapshot(msgspec.Struct, tag="w", array_like=True, frozen=True):
+    """A part of a topic. Parts come in order, and are in force with the last if the digest fits."""
 
     topic: str
-    number: int
+    version: int
     digest: int
-    part: int
+    part: int  # from 1
     parts: int
     entries: tuple[Entry, ...]
 
 
 class Delta(msgspec.Struct, tag="c", array_like=True, frozen=True):
-    """The change by which a topic comes to this number and digest, from the number before."""
+    """The entries that take a topic to this version and digest, from the version before."""
 
     topic: str
-    number: int
+    version: int
     digest: int
     entries: tuple[Entry, ...]
 
 
-class Beat(msgspec.Struct, tag="b", array_like=True, frozen=True):
-    """All that was asked for is told as of `age` ms ago.
+class Heartbeat(msgspec.Struct, tag="b", array_like=True, frozen=True):
+    """Everything that was subscribed to was sent, as of that long ago.
 
-    That is when this store last knew of a leader that more than half of the voters have; inf: it
-    has not since it began."""
+    The age is infinite where the replica hasn't known a leader with a majority since its start.
+    """
 
-    age: float
+    age_ms: float
 
 
-class No(msgspec.Struct, tag="n", array_like=True, frozen=True):
-    """Something asked for can't be had: why.
+class Rejection(msgspec.Struct, tag="n", array_like=True, frozen=True):
+    """Something that was subscribed to can't be had.
 
-    `unknown-topic`; `behind`: I know less of it than you; `too-many`: I can't take another
-    follower.
+    Kinds: `unknown-topic`; `behind`, where the replica has an older version than the subscriber;
+    `too-many`, where it takes no further subscriber.
     """
 
     kind: str
-    about: str  # the topic, if it is about one
-    words: str
+    topic: str  # empty where it is not about one
+    detail: str
 
 
-# From operators to a store.
+# From operators to a replica.
 
 
 class Propose(msgspec.Struct, tag="p", array_like=True, frozen=True):
-    """Put these into a topic. `expected`: only if the topic's number is this; -1: whatever it
-    is."""
+    """Put entries into a topic, if it has the expected version."""
 
-    serial: int  # by which the answer is known
+    request_id: int  # by which the response is known
     topic: str
     entries: tuple[Entry, ...]
-    expected: int
+    expected_version: int  # or ANY_VERSION
 
 
-class Proposed(msgspec.Struct, tag="q", array_like=True, frozen=True):
-    """In force as this number of its topic; or not, for this `error`.
+class ProposeResponse(msgspec.Struct, tag="q", array_like=True, frozen=True):
+    """The proposal is committed as this version of its topic, or has failed with an error.
 
-    `not-leading` (`words`: who leads, if known), `conflict` (another number than expected),
-    `too-many`, `oversized`, `unknown`: the term ended before it was decided, so that it may be in
-    force or not.
+    Errors: `not-leading`, with the leader's name as detail if it is known; `conflict`, where the
+    topic has another version than expected; `too-many`; `oversized`; `unknown`, where the term
+    ended before it was decided, so that it may yet be committed or not.
     """
 
-    serial: int
-    number: int
+    request_id: int
+    version: int
     error: str
-    words: str
+    detail: str
 
 
 class StatusRequest(msgspec.Struct, tag="sq", array_like=True, frozen=True):
-    """How do you stand? Answered by the store's driver; the machine knows nothing of it."""
+    """Ask for a Status. The driver answers it; the replica's machine doesn't know of it."""
 
 
 class Status(msgspec.Struct, tag="st", array_like=True, frozen=True):
-    """How a store stands."""
+    """The state of a replica, for operators."""
 
     name: str
-    role: str
-    leader: str  # who leads, as far as it knows; empty: nobody
+    role: str  # see `driver.ROLE_LABELS`
+    leader: str  # as far as is known; empty: nobody
     term: int
-    committed: int
-    last: int  # place of its log
-    followers: int
+    commit_index: int
+    last_index: int
+    subscribers: int
     topics: int
     entries: int
-    age: float  # ms since it knew that it had all that was in force
+    age_ms: float  # since it knew that it had everything
 
 
 Message = (
     Hello
     | VoteRequest
-    | Vote
-    | Append
-    | Appended
-    | State
+    | VoteResponse
+    | AppendEntries
+    | AppendResponse
+    | InstallSnapshot
     | Subscribe
-    | Whole
+    | Snapshot
     | Delta
-    | Beat
-    | No
+    | Heartbeat
+    | Rejection
     | Propose
-    | Proposed
+    | ProposeResponse
     | StatusRequest
     | Status
 )
 
-# What people read of a message that came out of turn; these words don't follow the names of the
-# types.
-LABELS: dict[type[Message], str] = {
+# What messages are called in the log, where operators know them by these words.
+MESSAGE_LABELS: dict[type[Message], str] = {
     Hello: "Hello",
     VoteRequest: "VoteRequest",
-    Vote: "Vote",
-    Append: "Append",
-    Appended: "Appended",
-    State: "State",
+    VoteResponse: "Vote",
+    AppendEntries: "Append",
+    AppendResponse: "Appended",
+    InstallSnapshot: "State",
     Subscribe: "Subscribe",
-    Whole: "Whole",
+    Snapshot: "Whole",
     Delta: "Delta",
-    Beat: "Beat",
-    No: "No",
+    Heartbeat: "Beat",
+    Rejection: "No",
     Propose: "Propose",
-    Proposed: "Proposed",
+    ProposeResponse: "Proposed",
     StatusRequest: "StatusRequest",
     Status: "Status",
 }
@@ -259,70 +277,121 @@
 _decode: Callable[[bytes], Message] = msgspec.msgpack.Decoder(Message).decode
 
 
-def check(message: Message) -> None:
-    """Refused where a message is over a bound that its form does not show."""
-    entries: tuple[Entry, ...] = ()
-    names: list[str] = []
-    if isinstance(message, Hello):
-        names = [message.name]
-    elif isinstance(message, Propose | Delta | Whole):
-        entries, names = message.entries, [message.topic]
-    elif isinstance(message, Append):
-        entries = tuple(entry for change in message.changes for entry in change.entries)
-        names = [change.topic for change in message.changes if change.topic or change.entries]
-    elif isinstance(message, State):
-        entries = tuple(entry for topic in message.topics for entry in topic[3])
-        names = [topic[0] for topic in message.topics]
-    elif isinstance(message, Subscribe):
-        names = [topic[0] for topic in message.topics]
-        if len(names) > MAX_TOPICS:
-            raise Refused("oversized", f"{len(names)} topics are more than {MAX_TOPICS}")
-    if isinstance(message, Propose | Delta) and len(entries) > MAX_ENTRIES:
-        raise Refused("oversized", f"a change of {len(entries)} entries is over {MAX_ENTRIES}")
-    for name in (*names, *(entry.key for entry in entries)):
-        if not 0 < len(name) <= NAME or not name.isprintable():
-            raise Refused(
-                "malformed", f"{name[:40]!r} is no name: 1 to {NAME} printable characters"
-            )
+def check_message(message: Message) -> None:
+    """Raise FrameError where a message exceeds a bound that its types don't show."""
+    check = _CHECKS.get(type(message))
+    if check is not None:
+        check(message)
+
+
+def _check_hello(message: Hello) -> None:
+    _check_name(message.name)
+
+
+def _check_change(message: Propose | Delta) -> None:
+    if len(message.entries) > MAX_ENTRIES:
+        detail = f"a change of {len(message.entries)} entries is over {MAX_ENTRIES}"
+        raise FrameError("oversized", detail)
+    _check_names((message.topic,), message.entries)
+
+
+def _check_snapshot(message: Snapshot) -> None:
+    _check_names((message.topic,), message.entries)
+
+
+def _check_append(message: AppendEntries) -> None:
+    topics = [change.topic for change in message.changes if change.topic or change.entries]
+    _check_names(topics, [entry for change in message.changes for entry in change.entries])
+
+
+def _check_install_snapshot(message: InstallSnapshot) -> None:
+    topics = [part.topic for part in message.topics]
+    _check_names(topics, [entry for part in message.topics for entry in part.entries])
+
+
+def _check_subscribe(message: Subscribe) -> None:
+    if len(message.topics) > MAX_TOPICS:
+        detail = f"{len(message.topics)} topics are more than {MAX_TOPICS}"
+        raise FrameError("oversized", detail)
+    for wanted in message.topics:
+        _check_name(wanted.topic)
+
+
+_CHECKS: dict[type[Message], Callable[[Any], None]] = {
+    Hello: _check_hello,
+    AppendEntries: _check_append,
+    InstallSnapshot: _check_install_snapshot,
+    Subscribe: _check_subscribe,
+    Snapshot: _check_snapshot,
+    Delta: _check_change,
+    Propose: _check_change,
+}
+
+
+def _check_names(topics: Iterable[str], entries: Iterable[Entry]) -> None:
+    for topic in topics:
+        _check_name(topic)
+    for entry in entries:
+        _check_name(entry.key)
     for entry in entries:
-        if entry.value is not None and len(entry.value) > MAX_VALUE:
-            raise Refused(
-                "oversized",
-                f"the value of {entry.key!r} has {len(entry.value)} bytes of {MAX_VALUE}",
-            )
+        if entry.value is not None and len(entry.value) > MAX_VALUE_BYTES:
+            length = len(entry.value)
+            detail = f"the value of {entry.key!r} has {length} bytes of {MAX_VALUE_BYTES}"
+            raise FrameError("oversized", detail)
+
+
+def _check_name(name: str) -> None:
+    if not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
+        detail = f"{name[:40]!r} is no name: 1 to {MAX_NAME_LENGTH} printable characters"
+        raise FrameError("malformed", detail)
 
 
 class Codec:
-    """Frames of one group, to bytes and back."""
+    """Turns messages of one group into frames and back.
+
+    Args:
+        group: the group's name, which is part of each hash.
+        secret: the group's secret, from which the key of the hash is derived.
+    """
 
     def __init__(self, group: str, secret: bytes) -> None:
-        self.key = hashlib.blake2b(secret, digest_size=32, person=b"badgercart-distr").digest()
-        self.group = group.encode()
+        self._group = group.encode()
+        self._key = hashlib.blake2b(secret, digest_size=32, person=b"badgercart-distr").digest()
 
-    def tag(self, data: bytes) -> bytes:
-        return hashlib.blake2b(self.group + b"\0" + data, digest_size=TAG, key=self.key).digest()
+    def hash(self, data: bytes) -> bytes:
+        """Return the keyed hash of a message's bytes."""
+        data = self._group + b"\0" + data
+        return hashlib.blake2b(data, digest_size=HASH_BYTES, key=self._key).digest()
 
     def encode(self, message: Message) -> bytes:
-        """Refused where it would be refused at the other end."""
-        check(message)
+        """Return a frame. Raises FrameError where the other end would refuse it."""
+        check_message(message)
         data = _encode(message)
-        if HEAD + len(data) > MAX_FRAME:
-            raise Refused("oversized", f"{HEAD + len(data)} bytes are more than {MAX_FRAME}")
-        return MAGIC + bytes((VERSION,)) + self.tag(data) + data
-
-    def decode(self, data: bytes) -> Message:
-        """Raises Refused, with nothing taken."""
-        if len(data) > MAX_FRAME:
-            raise Refused("oversized", f"{len(data)} bytes are more than {MAX_FRAME}")
-        if len(data) <= HEAD or data[:2] != MAGIC:
-            raise Refused("stray", "it is none of this protocol's frames")
-        if data[2] != VERSION:
-            raise Refused("version", f"it is of version {data[2]}, this process speaks {VERSION}")
-        if not hmac.compare_digest(data[3:HEAD], self.tag(data[HEAD:])):
-            raise Refused("forged", "its hash is not this group's")
+        if HEAD_BYTES + len(data) > MAX_FRAME_BYTES:
+            detail = f"{HEAD_BYTES + len(data)} bytes are more than {MAX_FRAME_BYTES}"
+            raise FrameError("oversized", detail)
+        return MAGIC + bytes((PROTOCOL_VERSION,)) + self.hash(data) + data
+
+    def decode(self, frame: bytes) -> Message:
+        """Return the message of a frame. Raises FrameError."""
+        self._check_head(frame)
         try:
-            message = _decode(data[HEAD:])
+            message = _decode(frame[HEAD_BYTES:])
         except msgspec.MsgspecError as error:
-            raise Refused("malformed", str(error)) from None
-        check(message)
+            raise FrameError("malformed", str(error)) from error
+        check_message(message)
         return message
+
+    def _check_head(self, frame: bytes) -> None:
+        if len(frame) > MAX_FRAME_BYTES:
+            detail = f"{len(frame)} bytes are more than {MAX_FRAME_BYTES}"
+            raise FrameError("oversized", detail)
+        if len(frame) <= HEAD_BYTES or not frame.startswith(MAGIC):
+            raise FrameError("stray", "it is none of this protocol's frames")
+        version = frame[len(MAGIC)]
+        if version != PROTOCOL_VERSION:
+            detail = f"it is of version {version}, this process speaks {PROTOCOL_VERSION}"
+            raise FrameError("version", detail)
+        hash_in_frame = frame[len(MAGIC) + 1 : HEAD_BYTES]
+        if not hmac.compare_digest(hash_in_frame, self.hash(frame[HEAD_BYTES:])):
+            raise FrameError("forged", "its hash is not this group's")
--- /dev/null
+++ b/badgercart/distribution/proposals.py
@@ -0,0 +1,193 @@
+"""Proposals of operators: which are admitted, and who waits for which log index. No I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from badgercart.distribution.errors import ProposalRejectedError
+from badgercart.distribution.messages import (
+    ANY_VERSION,
+    MAX_ENTRIES,
+    MAX_FRAME_BYTES,
+    Change,
+    Propose,
+)
+from badgercart.distribution.replica_config import ReplicaLimits
+from badgercart.distribution.topic import TopicTable, framed_size
+
+# One change, which leaves room for its framing in every message that carries it.
+MAX_CHANGE_BYTES = MAX_FRAME_BYTES - 4096
+
+
+@dataclass(slots=True)
+class ProjectedTopic:
+    """What a topic will be once the leader's whole log is committed."""
+
+    log_index: int  # of its last change
+    version: int
+    entries: dict[str, bytes | None] = field(default_factory=dict)  # that are not committed yet
+
+
+class UncommittedChanges:
+    """The changes in a leader's log that are not committed, as they will change the topics."""
+
+    __slots__ = ("_topics", "byte_count", "entry_count", "projected")
+
+    def __init__(self, topics: TopicTable) -> None:
+        self._topics = topics
+        self.byte_count = 0
+        self.entry_count = 0
+        self.projected: dict[str, ProjectedTopic] = {}
+
+    def add(self, change: Change) -> None:
+        """Add the newest change of the log."""
+        if not change.topic:
+            return
+        self.byte_count += framed_size(change.entries)
+        self.entry_count += len(change.entries)
+        projected = self.projected.get(change.topic)
+        if projected is None:
+            version = self._topics.version(change.topic)
+            projected = self.projected[change.topic] = ProjectedTopic(0, version)
+        projected.log_index = change.index
+        projected.version += 1
+        projected.entries.update((entry.key, entry.value) for entry in change.entries)
+
+    def remove(self, change: Change) -> None:
+        """Remove the oldest change, which is now committed."""
+        if not change.topic:
+            return
+        self.byte_count -= framed_size(change.entries)
+        self.entry_count -= len(change.entries)
+        projected = self.projected.get(change.topic)
+        if projected is not None and projected.log_index <= change.index:
+            del self.projected[change.topic]
+
+    def clear(self) -> None:
+        """Forget all, since this replica no longer leads."""
+        self.projected.clear()
+        self.byte_count = self.entry_count = 0
+
+    def version(self, topic: str) -> int:
+        """Return the version that a topic will have."""
+        projected = self.projected.get(topic)
+        return self._topics.version(topic) if projected is None else projected.version
+
+    def value(self, topic: str, key: str) -> bytes | None:
+        """Return the value that a key will have; None: none."""
+        projected = self.projected.get(topic)
+        if projected is not None and key in projected.entries:
+            return projected.entries[key]
+        committed = self._topics.by_name.get(topic)
+        return None if committed is None else committed.entries.get(key)
+
+    def knows(self, topic: str) -> bool:
+        """Tell whether there is, or will be, such a topic."""
+        return topic in self._topics.by_name or topic in self.projected
+
+    def topic_count(self) -> int:
+        """Return how many topics there will be."""
+        committed = self._topics.by_name
+        return len(committed) + sum(name not in committed for name in self.projected)
+
+
+@dataclass(slots=True, frozen=True)
+class PendingProposal:
+    """A proposal whose change is in the log but not committed."""
+
+    connection: int
+    request_id: int
+    topic: str
+
+
+class Proposals:
+    """The proposals of a leader that wait to be decided.
+
+    Attributes:
+        uncommitted: the changes that they, and earlier leaders, have put into the log.
+        by_index: pending proposals by the log index at which they are decided.
+        count: how many there are.
+    """
+
+    __slots__ = ("_limits", "_topics", "by_index", "count", "uncommitted")
+
+    def __init__(self, topics: TopicTable, limits: ReplicaLimits) -> None:
+        self._topics = topics
+        self._limits = limits
+        self.uncommitted = UncommittedChanges(topics)
+        self.by_index: dict[int, list[PendingProposal]] = {}
+        self.count = 0
+
+    def check(self, proposal: Propose) -> None:
+        """Raise ProposalRejectedError where a proposal can't be admitted."""
+        size_bytes = framed_size(proposal.entries)
+        self._check_size(proposal, size_bytes)
+        self._check_pending(size_bytes)
+        self._check_version(proposal)
+        self._check_topic_count(proposal)
+        self._check_entry_count(proposal)
+
+    @staticmethod
+    def _check_size(proposal: Propose, size_bytes: int) -> None:
+        if size_bytes > MAX_CHANGE_BYTES or len(proposal.entries) > MAX_ENTRIES:
+            detail = (
+                f"{len(proposal.entries)} entries of {size_bytes} bytes, "
+                f"{MAX_ENTRIES} of {MAX_CHANGE_BYTES} at most"
+            )
+            raise ProposalRejectedError("oversized", detail)
+
+    def _check_pending(self, size_bytes: int) -> None:
+        limits, pending_bytes = self._limits, self.uncommitted.byte_count
+        if (
+            self.count >= limits.max_pending_proposals
+            or pending_bytes + size_bytes > limits.max_pending_bytes
+        ):
+            detail = f"{self.count} proposals of {pending_bytes} bytes wait to be decided"
+            raise ProposalRejectedError("too-many", detail)
+
+    def _check_version(self, proposal: Propose) -> None:
+        version = self.uncommitted.version(proposal.topic)
+        if proposal.expected_version not in (ANY_VERSION, version):
+            detail = f"number {proposal.expected_version} was expected, it is {version}"
+            raise ProposalRejectedError("conflict", detail)
+
+    def _check_topic_count(self, proposal: Propose) -> None:
+        if self.uncommitted.knows(proposal.topic):
+            return
+        count = self.uncommitted.topic_count()
+        if count >= self._limits.max_topics:
+            raise ProposalRejectedError("too-many", f"there are {count} topics, the most")
+
+    def _check_entry_count(self, proposal: Propose) -> None:
+        """Check the entries of all topics, with each proposed one counted as if it were new."""
+        most = self._limits.max_entries
+        count = self._topics.entry_count + self.uncommitted.entry_count + len(proposal.entries)
+        if count > most:
+            raise ProposalRejectedError(
+                "too-many", f"there would be more than {most} entries in all"
+            )
+
+    def changes_nothing(self, proposal: Propose) -> bool:
+        """Tell whether all proposed values are there, or will be once the log is committed."""
+        proposed = {entry.key: entry.value for entry in proposal.entries}
+        return all(
+            self.uncommitted.value(proposal.topic, key) == value for key, value in proposed.items()
+        )
+
+    def wait(self, log_index: int, proposal: PendingProposal) -> None:
+        """Have a proposal decided with the change at a log index."""
+        self.by_index.setdefault(log_index, []).append(proposal)
+        self.count += 1
+
+    def take_decided(self, log_index: int) -> list[PendingProposal]:
+        """Take the proposals that are decided with the change at a log index."""
+        decided = self.by_index.pop(log_index, [])
+        self.count -= len(decided)
+        return decided
+
+    def take_all(self) -> list[PendingProposal]:
+        """Take all proposals, which this replica can't decide any more."""
+        pending = [proposal for proposals in self.by_index.values() for proposal in proposals]
+        self.by_index.clear()
+        self.count = 0
+        return pending
--- a/badgercart/distribution/publisher.py
+++ b/badgercart/distribution/publisher.py
@@ -1,315 +1,243 @@
-"""What a store tells its followers: changes in force, to those alone that asked for the topic. No
-I/O.
+"""Publishes committed changes of topics to those who have subscribed to them. No I/O.
 
-A follower that is behind by little gets the changes that it lacks (a bounded history), else the
-topic whole. No more is built for a connection than BURST bytes a call: what is left over waits for
-the next, and what changes meanwhile is told from what the follower was sent last.
+A subscriber that is a little behind gets the deltas it lacks, from a bounded history; otherwise a
+snapshot of the topic. No more than `BURST_BYTES` are built for a connection in one event: the rest
+follows with later events, each from what the subscriber was sent last.
 """
 
 from __future__ import annotations
 
-from collections import OrderedDict, deque
-from collections.abc import Iterable
-from dataclasses import dataclass, field
-
-from badgercart.distribution.effects import Close, Effect, Send
+from badgercart.distribution.delta_history import DeltaHistory
+from badgercart.distribution.effects import Effect, Send
 from badgercart.distribution.messages import (
-    MAX_TOPICS,
-    WHOLE,
-    Beat,
+    RESEND,
     Change,
     Delta,
-    Entry,
-    No,
+    Heartbeat,
+    Rejection,
+    Snapshot,
     Subscribe,
-    Whole,
+    TopicVersion,
 )
-from badgercart.distribution.topic import EACH, Topic
-
-BURST = (
-    256 << 10
-)  # bytes built for one connection in one call; the message that passes it is the last
-
-
-@dataclass(slots=True, frozen=True)
-class Bounds:
-    """Of one store's tables."""
-
-    topics: int = 16_384
-    entries: int = 1_000_000  # of all topics together
-    subscriptions: int = 1 << 18  # of all followers together
-    history_each: int = 64  # changes of one topic that are told again
-    history: int = 16_384  # of all topics together
-    history_bytes: int = 64 << 20
-    log: int = 4096  # changes in force that are kept for other stores; twice that for a while
-    log_bytes: int = 64 << 20  # the same, in bytes
-    waiting: int = 1024  # proposals that are not decided
-    waiting_bytes: int = 16 << 20
-    stages: int = 2  # stores that are told all topics at one time
-    parts: int = 4096  # in which a store takes all topics
-    guests: int = 256  # connections that are neither stores' nor subscribed
-
-
-def size(entries: Iterable[Entry]) -> int:
-    """Bytes of entries in a frame, at most."""
-    return sum(len(entry.key.encode()) + len(entry.value or b"") + EACH for entry in entries)
-
-
-@dataclass(slots=True)
-class Follower:
-    """One subscribed connection."""
-
-    connection: int
-    told: dict[str, int] = field(
-        default_factory=dict
-    )  # the number last sent, or that it had; by topic
-    ahead: dict[str, int] = field(
-        default_factory=dict
-    )  # digests of topics that it knew more of than we did
-    todo: dict[str, None] = field(
-        default_factory=dict
-    )  # topics that it is to be told, first come first
-    whole: deque[Whole] = field(default_factory=deque)  # parts that are left of the topic under way
-    stalled: bool = False
-    complete: float = float("-inf")  # when it had last been sent all
-
-
-class Teller:
-    """All topics as in force here, and who asked for which."""
-
-    def __init__(self, topics: dict[str, Topic], most_followers: int, bounds: Bounds) -> None:
-        self.topics, self.most, self.bounds = topics, most_followers, bounds
-        self.entries = sum(len(topic.entries) for topic in topics.values())
-        self.followers: dict[int, Follower] = {}
-        self.index: dict[str, dict[int, None]] = {}  # connections that asked for a topic
-        self.subscriptions = 0
-        self.busy: dict[
-            int, None
-        ] = {}  # connections that have something to be told and room for it
-        self.deltas: dict[str, deque[Delta]] = {}
-        self.order: OrderedDict[tuple[str, int], int] = OrderedDict()  # of all deltas: their bytes
-        self.history_bytes = 0
-        self.spent: dict[int, int] = {}  # bytes built in this call, by connection; see `call_over`
-        self.touched = 0  # followers that were looked at for changes, since the start
-
-    def call_over(self) -> None:
-        """What was built is the driver's now."""
-        self.spent.clear()
+from badgercart.distribution.replica_config import ReplicaLimits
+from badgercart.distribution.subscriptions import Subscriber, Subscriptions
+from badgercart.distribution.topic import ENTRY_FRAMING_BYTES, Topic, TopicTable, framed_size
+
+BURST_BYTES = 256 << 10  # for one connection and event; the message that passes it is the last
+
+
+class Publisher:
+    """Keeps every subscriber at the newest version of its topics.
+
+    Attributes:
+        topics: all topics as of the commit index.
+        subscriptions: who has subscribed to what.
+        history: the last deltas.
+        ready: connections that have something to be sent and room for it.
+        visited: subscribers that were looked at for changes, since the start.
+    """
+
+    __slots__ = ("_sent_bytes", "history", "ready", "subscriptions", "topics", "visited")
+
+    def __init__(self, topics: TopicTable, limits: ReplicaLimits) -> None:
+        self.topics = topics
+        self.subscriptions = Subscriptions(limits)
+        self.history = DeltaHistory(limits)
+        self.ready: dict[int, None] = {}
+        self.visited = 0
+        self._sent_bytes: dict[int, int] = {}  # in the current event, by connection
+
+    def end_event(self) -> None:
+        """Begin to count bursts anew: what was built is the driver's now."""
+        self._sent_bytes.clear()
 
     # Changes.
 
-    def apply(self, now: float, change: Change) -> list[Effect]:
-        """A change is in force: into its topic, and to those who asked for that."""
-        if (topic := self.topics.get(change.topic)) is None:
-            topic = self.topics[change.topic] = Topic()
-        before = len(topic.entries)
-        topic.change(change.entries)
-        self.entries += len(topic.entries) - before
-        delta = Delta(change.topic, topic.number, topic.digest, change.entries)
-        takes = size(change.entries)
-        self.remember(delta, takes)
+    def apply(self, change: Change) -> list[Effect]:
+        """Apply a committed change to its topic and send it to those who lack nothing else."""
+        topic = self.topics.apply(change)
+        delta = Delta(change.topic, topic.version, topic.digest, change.entries)
+        size_bytes = framed_size(change.entries)
+        self.history.add(delta, size_bytes)
         effects: list[Effect] = []
-        for connection in self.index.get(change.topic, ()):
-            self.touched += 1
-            follower = self.followers[connection]
-            if topic.number <= follower.told[change.topic]:
-                self.caught_up(follower, change.topic, topic)
-            elif (
-                follower.stalled
-                or follower.todo
-                or follower.told[change.topic] != topic.number - 1
-                or not self.spend(connection, takes)
-            ):
-                self.want(follower, change.topic)
-            else:
-                follower.told[change.topic] = topic.number
+        subscribers = self.subscriptions.subscribers
+        for connection in self.subscriptions.by_topic.get(change.topic, ()):
+            subscriber = subscribers[connection]
+            self.visited += 1
+            if topic.version <= subscriber.sent_versions[change.topic]:
+                self._caught_up(subscriber, change.topic, topic)
+            elif self._is_next(subscriber, delta) and self._take_burst(connection, size_bytes):
+                subscriber.sent_versions[change.topic] = topic.version
                 effects.append(Send(connection, delta))
+            else:
+                self._enqueue(subscriber, change.topic)
         return effects
 
-    def caught_up(self, follower: Follower, name: str, topic: Topic) -> None:
-        """A follower knew more of a topic than we did: it is told whole where its number was
-        another's."""
-        if (
-            topic.number == follower.told[name]
-            and follower.ahead.pop(name, topic.digest) != topic.digest
-        ):
-            follower.told[name] = WHOLE
-            self.want(follower, name)
-
-    def spend(self, connection: int, takes: int) -> bool:
-        """Whether something may still be built for a connection in this call; if so, it is."""
-        spent = self.spent.get(connection, 0)
-        if spent >= BURST:
-            return False
-        self.spent[connection] = spent + takes + EACH
-        return True
-
-    def remember(self, delta: Delta, takes: int) -> None:
-        past = self.deltas.setdefault(delta.topic, deque())
-        past.append(delta)
-        self.order[delta.topic, delta.number] = takes
-        self.history_bytes += takes
-        if len(past) > self.bounds.history_each:
-            self.forget(delta.topic, past[0].number)
-        while (
-            len(self.order) > self.bounds.history or self.history_bytes > self.bounds.history_bytes
-        ):
-            self.forget(*next(iter(self.order)))
-
-    def forget(self, name: str, number: int) -> None:
-        """The oldest change of a topic."""
-        self.history_bytes -= self.order.pop((name, number))
-        past = self.deltas[name]
-        past.popleft()
-        if not past:
-            del self.deltas[name]
-
-    def replace(self, now: float, topics: dict[str, Topic]) -> None:
-        """All topics anew, each at least at its number before."""
-        self.topics = topics
-        self.entries = sum(len(topic.entries) for topic in topics.values())
-        self.deltas.clear()
-        self.order.clear()
-        self.history_bytes = 0
-        for follower in self.followers.values():
-            for name, told in follower.told.items():
-                if (topic := topics.get(name)) is None:
+    @staticmethod
+    def _is_next(subscriber: Subscriber, delta: Delta) -> bool:
+        """Tell whether a subscriber can be sent a new delta at once."""
+        return (
+            not subscriber.stalled
+            and not subscriber.pending
+            and subscriber.sent_versions[delta.topic] == delta.version - 1
+        )
+
+    def _caught_up(self, subscriber: Subscriber, name: str, topic: Topic) -> None:
+        """Compare a topic with that of a subscriber that was ahead of this replica.
+
+        Where the same version has another digest, the subscriber's is not the group's.
+        """
+        if topic.version != subscriber.sent_versions[name]:
+            return
+        if subscriber.newer_digests.pop(name, topic.digest) != topic.digest:
+            subscriber.sent_versions[name] = RESEND
+            self._enqueue(subscriber, name)
+
+    def replace_topics(self, topics: dict[str, Topic]) -> None:
+        """Replace all topics, each at least at its version before."""
+        self.topics.replace(topics)
+        self.history.clear()
+        for subscriber in self.subscriptions.subscribers.values():
+            for name, sent_version in subscriber.sent_versions.items():
+                topic = topics.get(name)
+                if topic is None:
                     continue
-                if topic.number > told:
-                    self.want(follower, name)
+                if topic.version > sent_version:
+                    self._enqueue(subscriber, name)
                 else:
-                    self.caught_up(follower, name, topic)
-
-    # Followers.
-
-    def subscribe(self, now: float, connection: int, asked: Subscribe) -> list[Effect]:
-        follower = self.followers.get(connection)
-        had = 0 if follower is None else len(follower.told)
-        over = ""
-        if follower is None and len(self.followers) >= self.most:
-            over = f"this store has {self.most} followers, its most"
-        elif len(asked.topics) > MAX_TOPICS:
-            over = f"{len(asked.topics)} topics are more than {MAX_TOPICS}"
-        elif self.subscriptions - had + len(asked.topics) > self.bounds.subscriptions:
-            over = (
-                f"this store's followers would ask for more than {self.bounds.subscriptions} topics"
-            )
-        if over:
-            return [Send(connection, No("too-many", "", over)), Close(connection, "too-many", over)]
-        self.closed(connection)
-        follower = self.followers[connection] = Follower(connection)
+                    self._caught_up(subscriber, name, topic)
+
+    # Subscribers.
+
+    def subscribe(self, now_ms: float, connection: int, message: Subscribe) -> list[Effect]:
+        """Replace the subscription of a connection and send what it lacks.
+
+        Raises SubscriptionRejectedError, with the subscription before left as it was.
+        """
+        self.subscriptions.check(connection, message)
+        self.unsubscribe(connection)
+        subscriber = self.subscriptions.add_subscriber(connection)
         effects: list[Effect] = []
-        for name, number, digest in asked.topics:
-            if name in follower.told:
-                continue
-            self.index.setdefault(name, {})[connection] = None
-            self.subscriptions += 1
-            topic = self.topics.get(name)
-            mine = 0 if topic is None else topic.number
-            follower.told[name] = number
-            if number > mine:
-                follower.ahead[name] = digest
-                words = f"the follower has number {number}, this store {mine}"
-                effects.append(Send(connection, No("behind", name, words)))
-            elif topic is None:
-                words = "there is no such topic yet"
-                effects.append(Send(connection, No("unknown-topic", name, words)))
-            elif number < mine:
-                self.want(follower, name)
-            elif digest != topic.digest:
-                follower.told[name] = (
-                    WHOLE  # its number is ours, what it has is not: no change mends that
-                )
-                self.want(follower, name)
-        return effects + self.pump(now, follower)
-
-    def closed(self, connection: int) -> None:
-        follower = self.followers.pop(connection, None)
-        if follower is None:
-            return
-        self.busy.pop(connection, None)
-        self.subscriptions -= len(follower.told)
-        for name in follower.told:
-            asked = self.index[name]
-            del asked[connection]
-            if not asked:
-                del self.index[name]
-
-    def want(self, follower: Follower, name: str) -> None:
-        follower.todo[name] = None
-        if not follower.stalled:
-            self.busy[follower.connection] = None
-
-    def stalled(self, connection: int) -> None:
-        if (follower := self.followers.get(connection)) is not None:
-            follower.stalled = True
-            self.busy.pop(connection, None)
-
-    def room(self, now: float, connection: int) -> list[Effect]:
-        if (follower := self.followers.get(connection)) is None:
+        for wanted in message.topics:
+            if wanted.topic not in subscriber.sent_versions:
+                effects += self._subscribe_to(subscriber, wanted)
+        return effects + self._send_pending(now_ms, subscriber)
+
+    def _subscribe_to(self, subscriber: Subscriber, wanted: TopicVersion) -> list[Effect]:
+        name = wanted.topic
+        self.subscriptions.add_topic(subscriber, name, wanted.version)
+        topic = self.topics.by_name.get(name)
+        version = 0 if topic is None else topic.version
+        if wanted.version > version:
+            subscriber.newer_digests[name] = wanted.digest
+            detail = f"the follower has number {wanted.version}, this store {version}"
+            return [Send(subscriber.connection, Rejection("behind", name, detail))]
+        if topic is None:
+            rejection = Rejection("unknown-topic", name, "there is no such topic yet")
+            return [Send(subscriber.connection, rejection)]
+        if wanted.version < version:
+            self._enqueue(subscriber, name)
+        elif wanted.digest != topic.digest:
+            subscriber.sent_versions[name] = RESEND
+            self._enqueue(subscriber, name)
+        return []
+
+    def unsubscribe(self, connection: int) -> None:
+        """Forget a subscriber, if there is one on that connection."""
+        self.ready.pop(connection, None)
+        self.subscriptions.remove(connection)
+
+    def _enqueue(self, subscriber: Subscriber, topic: str) -> None:
+        subscriber.pending[topic] = None
+        if not subscriber.stalled:
+            self.ready[subscriber.connection] = None
+
+    def pause(self, connection: int) -> None:
+        """Send a subscriber nothing until `resume`."""
+        subscriber = self.subscriptions.subscribers.get(connection)
+        if subscriber is not None:
+            subscriber.stalled = True
+            self.ready.pop(connection, None)
+
+    def resume(self, now_ms: float, connection: int) -> list[Effect]:
+        """Go on with a subscriber that has room again."""
+        subscriber = self.subscriptions.subscribers.get(connection)
+        if subscriber is None:
             return []
-        follower.stalled = False
-        return self.pump(now, follower)
+        subscriber.stalled = False
+        return self._send_pending(now_ms, subscriber)
 
-    def work(self, now: float) -> list[Effect]:
-        """Go on with those who are to be told more."""
+    def send_ready(self, now_ms: float) -> list[Effect]:
+        """Go on with all who have something to be sent and room for it."""
         effects: list[Effect] = []
-        for connection in list(self.busy):
-            effects += self.pump(now, self.followers[connection])
+        for connection in list(self.ready):
+            effects += self._send_pending(now_ms, self.subscriptions.subscribers[connection])
         return effects
 
-    def pump(self, now: float, follower: Follower) -> list[Effect]:
-        """Up to BURST bytes of what a follower is to be told."""
+    def heartbeats(self, now_ms: float, known_ms: float) -> list[Effect]:
+        """Tell each subscriber how old what it was sent is.
+
+        Args:
+            now_ms: the time of this event.
+            known_ms: when this replica last knew that it had everything.
+        """
         effects: list[Effect] = []
-        connection = follower.connection
-        while (
-            self.spent.get(connection, 0) < BURST and (message := self.next(follower)) is not None
-        ):
+        for subscriber in self.subscriptions.subscribers.values():
+            if subscriber.stalled:
+                continue
+            if not subscriber.pending:
+                subscriber.complete_at_ms = now_ms
+            if subscriber.complete_at_ms > float("-inf"):
+                age_ms = max(0.0, now_ms - min(known_ms, subscriber.complete_at_ms))
+                effects.append(Send(subscriber.connection, Heartbeat(age_ms)))
+        return effects
+
+    # Bursts.
+
+    def _take_burst(self, connection: int, size_bytes: int) -> bool:
+        """Count a message into the burst of a connection, unless that is over."""
+        sent_bytes = self._sent_bytes.get(connection, 0)
+        if sent_bytes >= BURST_BYTES:
+            return False
+        self._sent_bytes[connection] = sent_bytes + size_bytes + ENTRY_FRAMING_BYTES
+        return True
+
+    def _send_pending(self, now_ms: float, subscriber: Subscriber) -> list[Effect]:
+        """Send a subscriber one burst of what it lacks."""
+        connection = subscriber.connection
+        effects: list[Effect] = []
+        while subscriber.pending and self._sent_bytes.get(connection, 0) < BURST_BYTES:
+            message = self._next_message(subscriber)
             effects.append(Send(connection, message))
-            self.spend(connection, size(message.entries))
-        if follower.todo and not follower.stalled:
-            self.busy[follower.connection] = None
+            self._take_burst(connection, framed_size(message.entries))
+        if subscriber.pending and not subscriber.stalled:
+            self.ready[connection] = None
         else:
-            self.busy.pop(follower.connection, None)
-            if not follower.todo:
-                follower.complete = now
+            self.ready.pop(connection, None)
+        if not subscriber.pending:
+            subscriber.complete_at_ms = now_ms
         return effects
 
-    def next(self, follower: Follower) -> Whole | Delta | None:
-        """The next message to a follower; None: it has all."""
-        if not follower.todo:
-            return None
-        name = next(iter(follower.todo))
-        topic, told = self.topics[name], follower.told[name]
-        past = self.deltas.get(name)
-        message: Whole | Delta
-        if not follower.whole and past and past[0].number <= told + 1:
-            message = past[told + 1 - past[0].number]
-        else:
-            if not follower.whole:
-                parts = list(topic.parts())
-                follower.whole.extend(
-                    Whole(name, topic.number, topic.digest, at, len(parts), part)
-                    for at, part in enumerate(parts, 1)
-                )
-            message = follower.whole.popleft()
-        if not follower.whole:
-            follower.told[name] = message.number
-            if message.number == topic.number:
-                del follower.todo[name]
+    def _next_message(self, subscriber: Subscriber) -> Snapshot | Delta:
+        """Take the next message for a subscriber that has pending topics."""
+        name = next(iter(subscriber.pending))
+        message = self._message_for(subscriber, name)
+        if not subscriber.snapshot_parts:
+            subscriber.sent_versions[name] = message.version
+            if message.version == self.topics.by_name[name].version:
+                del subscriber.pending[name]
         return message
 
-    def beats(self, now: float, known: float) -> list[Effect]:
-        """To each follower how old what it was told is; `known`: when we had all that was in
-        force."""
-        effects: list[Effect] = []
-        for follower in self.followers.values():
-            if follower.stalled:
-                continue
-            if not follower.todo:
-                follower.complete = now
-            if follower.complete > float("-inf"):
-                effects.append(
-                    Send(follower.connection, Beat(max(0.0, now - min(known, follower.complete))))
-                )
-        return effects
+    def _message_for(self, subscriber: Subscriber, name: str) -> Snapshot | Delta:
+        if subscriber.snapshot_parts:
+            return subscriber.snapshot_parts.popleft()
+        delta = self.history.delta_after(name, subscriber.sent_versions[name])
+        if delta is not None:
+            return delta
+        topic = self.topics.by_name[name]
+        parts = list(topic.parts())
+        subscriber.snapshot_parts.extend(
+            Snapshot(name, topic.version, topic.digest, part, len(parts), entries)
+            for part, entries in enumerate(parts, 1)
+        )
+        return subscriber.snapshot_parts.popleft()
--- /dev/null
+++ b/badgercart/distribution/raft/log.py
@@ -0,0 +1,119 @@
+"""The replicated log in memory: changes behind a compacted prefix, and the commit index."""
+
+from __future__ import annotations
+
+from badgercart.distribution.messages import MAX_ENTRIES, Change
+from badgercart.distribution.topic import PART_BYTES, framed_size
+
+CHANGE_FRAMING_BYTES = 64  # of one change or topic beside its name and entries, at most
+
+
+class RaftLog:
+    """Changes in the order of their log indices, which start at 1.
+
+    Changes up to `compacted_index` are no longer held. Those up to `commit_index` are committed and
+    never change.
+    """
+
+    __slots__ = (
+        "changes",
+        "commit_index",
+        "committed_bytes",
+        "compacted_index",
+        "compacted_term",
+        "max_bytes",
+        "max_changes",
+    )
+
+    def __init__(
+        self, compacted_index: int, compacted_term: int, max_changes: int, max_bytes: int
+    ) -> None:
+        """Make an empty log.
+
+        Args:
+            compacted_index: the log index behind which it begins.
+            compacted_term: the term of the change at that index.
+            max_changes: committed changes that are kept for other replicas.
+            max_bytes: the same, in bytes of their entries.
+        """
+        self.compacted_index = compacted_index
+        self.compacted_term = compacted_term
+        self.changes: list[Change] = []
+        self.commit_index = compacted_index
+        self.committed_bytes = 0  # of the committed changes that are still held
+        self.max_changes = max_changes
+        self.max_bytes = max_bytes
+
+    @property
+    def last_index(self) -> int:
+        """The log index of the newest change."""
+        return self.compacted_index + len(self.changes)
+
+    @property
+    def last_term(self) -> int:
+        """The term of the newest change."""
+        return self.term_at(self.last_index)
+
+    def term_at(self, index: int) -> int:
+        """Return the term of a change that is held, or of the last one that was compacted."""
+        if index == self.compacted_index:
+            return self.compacted_term
+        return self.changes[index - self.compacted_index - 1].term
+
+    def matches(self, index: int, term: int) -> bool:
+        """Tell whether the log has a change of that term at that index."""
+        return index <= self.last_index and self.term_at(index) == term
+
+    def replace_tail(self, after_index: int, changes: tuple[Change, ...]) -> None:
+        """Drop all changes behind an index and put these in their place."""
+        del self.changes[after_index - self.compacted_index :]
+        self.changes += changes
+
+    def uncommitted(self) -> list[Change]:
+        """Return the changes that may still be replaced."""
+        return self.changes[self.commit_index - self.compacted_index :]
+
+    def batch_after(self, index: int) -> tuple[Change, ...]:
+        """Return the changes behind an index, as many as fit one frame; at least one."""
+        start = index - self.compacted_index
+        batch: list[Change] = []
+        bytes_left = PART_BYTES
+        for change in self.changes[start : start + MAX_ENTRIES]:
+            bytes_left -= framed_size(change.entries)
+            bytes_left -= len(change.topic.encode()) + CHANGE_FRAMING_BYTES
+            if batch and bytes_left < 0:
+                break
+            batch.append(change)
+        return tuple(batch)
+
+    def commit_next(self) -> Change:
+        """Commit one more change and return it."""
+        change = self.changes[self.commit_index - self.compacted_index]
+        self.commit_index += 1
+        self.committed_bytes += framed_size(change.entries)
+        return change
+
+    def compact(self) -> None:
+        """Drop old committed changes where twice as many are held as are to be kept.
+
+        Waiting for twice as many keeps the cost of moving the list away from each commit.
+        """
+        held = self.commit_index - self.compacted_index
+        if held <= 2 * self.max_changes and self.committed_bytes <= 2 * self.max_bytes:
+            return
+        dropped = 0
+        while held - dropped > self.max_changes or self.committed_bytes > self.max_bytes:
+            self.committed_bytes -= framed_size(self.changes[dropped].entries)
+            dropped += 1
+        self.compacted_term = self.changes[dropped - 1].term
+        self.compacted_index += dropped
+        del self.changes[:dropped]
+
+    def install_snapshot(self, index: int, term: int) -> None:
+        """Begin behind a snapshot, and keep the changes behind it if the log agrees with it."""
+        tail: list[Change] = []
+        if self.matches(index, term):
+            tail = self.changes[index - self.compacted_index :]
+        self.compacted_index, self.compacted_term = index, term
+        self.changes, self.committed_bytes = tail, 0
+        self.commit_index = index
--- /dev/null
+++ b/badgercart/distribution/raft/snapshot.py
@@ -0,0 +1,91 @@
+"""All topics of a replica in parts, for a peer that is too far behind for the log."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from badgercart.distribution.errors import SnapshotError
+from badgercart.distribution.messages import InstallSnapshot, TopicPart
+from badgercart.distribution.raft.log import CHANGE_FRAMING_BYTES
+from badgercart.distribution.replica_config import ReplicaLimits
+from badgercart.distribution.topic import PART_BYTES, Topic, framed_size
+
+
+def snapshot_parts(
+    topics: dict[str, Topic], term: int, last_index: int, last_term: int
+) -> Iterator[InstallSnapshot]:
+    """Split all topics into messages that fit a frame each.
+
+    Args:
+        topics: all topics as of `last_index`; they may change once this has returned.
+        term: the term of the leader that sends the snapshot.
+        last_index: the log index that the topics are as of.
+        last_term: the term of the change at that index.
+    """
+    groups: list[list[TopicPart]] = [[]]
+    bytes_left = PART_BYTES
+    for name, topic in topics.items():
+        for entries in topic.parts():
+            takes = framed_size(entries) + len(name.encode()) + CHANGE_FRAMING_BYTES
+            if takes > bytes_left and groups[-1]:
+                groups.append([])
+                bytes_left = PART_BYTES
+            bytes_left -= takes
+            groups[-1].append(TopicPart(name, topic.version, topic.digest, entries))
+    return iter(
+        [
+            InstallSnapshot(term, last_index, last_term, part, len(groups), tuple(group))
+            for part, group in enumerate(groups, 1)
+        ]
+    )
+
+
+class SnapshotAssembler:
+    """Puts the parts of one snapshot together.
+
+    Attributes:
+        topics: what has come of each topic, complete once the last part was added.
+    """
+
+    __slots__ = ("_declared", "_entry_count", "_last_part", "topics")
+
+    def __init__(self, first: InstallSnapshot) -> None:
+        self._last_part = first
+        self._declared: dict[str, tuple[int, int]] = {}  # version and digest that each should have
+        self._entry_count = 0
+        self.topics: dict[str, Topic] = {}
+
+    def continues_with(self, part: InstallSnapshot) -> bool:
+        """Tell whether a part is the next one of the same snapshot."""
+        last = self._last_part
+        return part.part == last.part + 1 and _identity(part) == _identity(last)
+
+    def add(self, part: InstallSnapshot, limits: ReplicaLimits) -> None:
+        """Add a part. Raises SnapshotError."""
+        self._last_part = part
+        for each in part.topics:
+            declared = self._declared.setdefault(each.topic, (each.version, each.digest))
+            if declared != (each.version, each.digest):
+                detail = f"{each.topic!r} has two numbers or digests"
+                raise SnapshotError(detail)
+            topic = self.topics.setdefault(each.topic, Topic(each.version))
+            topic.put(each.entries)
+            self._entry_count += len(each.entries)
+        if len(self.topics) > limits.max_topics or self._entry_count > limits.max_entries:
+            detail = f"more than {limits.max_topics} topics or {limits.max_entries} entries"
+            raise SnapshotError(detail)
+
+    def verify(self, current: dict[str, Topic]) -> None:
+        """Check the whole against its digests and against what is here. Raises SnapshotError."""
+        for name, topic in self.topics.items():
+            if topic.digest != self._declared[name][1]:
+                detail = f"{name!r} has another digest than it should have"
+                raise SnapshotError(detail)
+        for name, topic in current.items():
+            if name not in self.topics or self.topics[name].version < topic.version:
+                detail = f"{name!r} is older than here"
+                raise SnapshotError(detail)
+
+
+def _identity(part: InstallSnapshot) -> tuple[int, int, int, int]:
+    return part.term, part.last_index, part.last_term, part.parts
--- /dev/null
+++ b/badgercart/distribution/replica.py
@@ -0,0 +1,304 @@
+"""One replica: its Raft node, what serves subscribers and operators, its connections. No I/O.
+
+Every call is an event with its time in ms, on any clock that only goes forward, and returns what
+has to be done, in order: a message may rest on what is persisted before it.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+from collections.abc import Callable
+from typing import Any
+
+from badgercart.distribution.connections import Connection, ConnectionTable
+from badgercart.distribution.effects import Close, Effect, EffectQueue, RecoveredState
+from badgercart.distribution.errors import (
+    ConnectionRejectedError,
+    ProposalRejectedError,
+    SubscriptionRejectedError,
+)
+from badgercart.distribution.messages import (
+    MESSAGE_LABELS,
+    Hello,
+    Message,
+    Propose,
+    ProposeResponse,
+    Rejection,
+    Subscribe,
+)
+from badgercart.distribution.proposals import PendingProposal, Proposals
+from badgercart.distribution.publisher import Publisher
+from badgercart.distribution.raft.node import RaftNode
+from badgercart.distribution.raft.state import Peer, RaftState
+from badgercart.distribution.replica_config import ReplicaGroup, ReplicaLimits, ReplicaTiming
+from badgercart.distribution.state_machine import TopicStateMachine
+from badgercart.distribution.topic import Topic, TopicTable
+
+
+class Replica:
+    """Keeps topics together with the other replicas of its group, and publishes them.
+
+    Attributes:
+        group: the replicas, and which of them this is.
+        raft: the Raft node that decides which changes are committed.
+        publisher: what sends committed changes to subscribers.
+        proposals: the operators' changes that wait to be decided.
+        connections: all open connections.
+    """
+
+    def __init__(
+        self,
+        group: ReplicaGroup,
+        timing: ReplicaTiming,
+        rng: random.Random,
+        recovered: RecoveredState,
+        limits: ReplicaLimits | None = None,
+    ) -> None:
+        """Go on from what was recovered, which is the replica's own from now on."""
+        limits = ReplicaLimits() if limits is None else limits
+        topics = TopicTable(recovered.topics)
+        self.group = group
+        self._timing = timing
+        self._limits = limits
+        self._effects = EffectQueue()
+        self.connections = ConnectionTable(group)
+        self.publisher = Publisher(topics, limits)
+        self.proposals = Proposals(topics, limits)
+        machine = TopicStateMachine(self.publisher, self.proposals, self.connections, self._effects)
+        self.raft = RaftNode(
+            RaftState(group, recovered, machine, self._effects, limits), timing, rng
+        )
+        self._heartbeat_due_ms = math.inf  # to subscribers
+        self._handlers: dict[type[Message], Callable[[Connection, Any], None]] = {
+            Subscribe: self._handle_subscribe,
+            Propose: self._handle_propose,
+        }
+
+    # What may be looked at between events.
+
+    @property
+    def topics(self) -> dict[str, Topic]:
+        """All topics as of the commit index, not to be changed."""
+        return self.publisher.topics.by_name
+
+    @property
+    def due_ms(self) -> float:
+        """When `tick` has something to do."""
+        if self.publisher.ready:
+            return self.raft.state.now_ms
+        return min(self.raft.due_ms, self._heartbeat_due_ms)
+
+    def age_ms(self, now_ms: float) -> float:
+        """Return the time since this replica certainly had everything; inf where it never did."""
+        return self.raft.age.age_ms(now_ms)
+
+    def replicas_to_dial(self) -> tuple[str, ...]:
+        """Return the replicas that this one has to connect to: those behind it by name."""
+        reached = self.connections.dialled_or_connected()
+        local = self.group.local
+        return tuple(name for name in self.group.members if name > local and name not in reached)
+
+    def recoverable_state(self) -> RecoveredState:
+        """Return what a restart has to find, for a compaction of the journal.
+
+        The topics are the replica's own: they have to be written before its next event.
+        """
+        return self.raft.state.recoverable(self.topics)
+
+    # Events.
+
+    def start(self, now_ms: float) -> list[Effect]:
+        """Begin."""
+        self.raft.state.now_ms = now_ms
+        self._heartbeat_due_ms = now_ms + self._timing.subscriber_heartbeat_interval_ms
+        self.raft.elections.start()
+        return self._end_event()
+
+    def tick(self, now_ms: float) -> list[Effect]:
+        """Do what the time demands."""
+        self._advance_clock(now_ms)
+        self.raft.tick()
+        now_ms = self.raft.state.now_ms
+        if now_ms >= self._heartbeat_due_ms:
+            self._heartbeat_due_ms = now_ms + self._timing.subscriber_heartbeat_interval_ms
+            known_ms = now_ms - self.age_ms(now_ms)
+            self._effects.extend(self.publisher.heartbeats(now_ms, known_ms))
+            self._close_overdue()
+        self._effects.extend(self.publisher.send_ready(now_ms))
+        return self._end_event()
+
+    def connected(self, now_ms: float, connection: int, replica: str) -> list[Effect]:
+        """Take a connection to another replica that was dialled from here."""
+        return self._open(now_ms, Connection(connection, now_ms, dialled=replica))
+
+    def accepted(self, now_ms: float, connection: int) -> list[Effect]:
+        """Take a connection that came in: its Hello tells whose it is."""
+        return self._open(now_ms, Connection(connection, now_ms))
+
+    def closed(self, now_ms: float, connection: int) -> list[Effect]:
+        """Forget a connection that is gone, whoever closed it."""
+        self._advance_clock(now_ms)
+        self._forget(connection)
+        return self._end_event()
+
+    def received(self, now_ms: float, connection: int, message: Message) -> list[Effect]:
+        """Take a message."""
+        self._advance_clock(now_ms)
+        self.raft.check_lease()
+        source = self.connections.by_number.get(connection)
+        if source is not None:  # else it was closed from here
+            try:
+                self._handle(source, message)
+            except ConnectionRejectedError as rejected:
+                self._close(connection, rejected)
+        return self._end_event()
+
+    def writable(self, now_ms: float, connection: int) -> list[Effect]:
+        """Go on with a connection that was stalled and has room again."""
+        self._advance_clock(now_ms)
+        source = self.connections.by_number.get(connection)
+        if source is not None:
+            self.connections.set_stalled(source, False)
+            if source.peer is not None:
+                self.raft.replication.send_to(source.peer)
+            else:
+                resumed = self.publisher.resume(self.raft.state.now_ms, connection)
+                self._effects.extend(resumed)
+        return self._end_event()
+
+    def stalled(self, now_ms: float, connection: int) -> list[Effect]:
+        """Send nothing more to a connection, until it is writable again."""
+        self._advance_clock(now_ms)
+        source = self.connections.by_number.get(connection)
+        if source is not None:
+            self.connections.set_stalled(source, True)
+            self.publisher.pause(connection)
+        return self._end_event()
+
+    def _advance_clock(self, now_ms: float) -> None:
+        state = self.raft.state
+        state.now_ms = max(state.now_ms, now_ms)
+
+    def _end_event(self) -> list[Effect]:
+        self.publisher.end_event()
+        return self._effects.take()
+
+    # Connections.
+
+    def _open(self, now_ms: float, connection: Connection) -> list[Effect]:
+        self._advance_clock(now_ms)
+        self.connections.by_number[connection.number] = connection
+        identified = len(self.raft.state.peers) + len(self.publisher.subscriptions.subscribers)
+        unidentified = len(self.connections.by_number) - identified
+        most = self._limits.max_unidentified_connections + len(self.group.members)
+        if unidentified > most:
+            detail = f"{unidentified} connections have not said what they are for"
+            self._close(connection.number, ConnectionRejectedError("too-many", detail))
+        else:
+            self._effects.send(connection.number, Hello(self.group.local, True))
+        return self._end_event()
+
+    def _close(
+        self, connection: int, reason: ConnectionRejectedError | SubscriptionRejectedError
+    ) -> None:
+        self._forget(connection)
+        self._effects.add(Close(connection, reason.kind, reason.detail))
+
+    def _forget(self, number: int) -> None:
+        connection = self.connections.by_number.pop(number, None)
+        if connection is None:
+            return
+        self.publisher.unsubscribe(number)
+        if connection.peer is not None:
+            self.raft.peer_disconnected(connection.peer)
+
+    def _close_overdue(self) -> None:
+        now_ms, timeout_ms = self.raft.state.now_ms, self._timing.reply_timeout_ms
+        for connection in list(self.connections.by_number.values()):
+            detail = self.connections.overdue(connection, now_ms, timeout_ms)
+            if detail:
+                self._close(connection.number, ConnectionRejectedError("silent", detail))
+
+    # Messages. They raise ConnectionRejectedError where the connection has to be closed.
+
+    def _handle(self, source: Connection, message: Message) -> None:
+        if isinstance(message, Hello):
+            self._handle_hello(source, message)
+        elif not source.name:
+            detail = f"{MESSAGE_LABELS[type(message)]} came before Hello"
+            raise ConnectionRejectedError("stray", detail)
+        elif source.peer is not None:
+            source.peer.reply_owed_since_ms = None
+            self.raft.receive(source.peer, message)
+        else:
+            self._handle_request(source, message)
+
+    def _handle_request(self, source: Connection, message: Message) -> None:
+        handler = self._handlers.get(type(message))
+        if handler is None:
+            detail = f"{MESSAGE_LABELS[type(message)]} is not for a follower to say"
+            raise ConnectionRejectedError("stray", detail)
+        handler(source, message)
+
+    def _handle_hello(self, source: Connection, hello: Hello) -> None:
+        self.connections.identify(source, hello)
+        if source.peer is not None:
+            self._replace_peer(source.peer)
+            self.raft.peer_connected(source.peer)
+
+    def _replace_peer(self, peer: Peer) -> None:
+        """Close an earlier connection of a replica, which has begun anew."""
+        replaced = self.raft.state.peers.get(peer.name)
+        if replaced is not None:
+            detail = f"{peer.name!r} has a newer connection"
+            self._close(replaced.connection, ConnectionRejectedError("replaced", detail))
+
+    def _handle_subscribe(self, source: Connection, message: Subscribe) -> None:
+        now_ms = self.raft.state.now_ms
+        try:
+            effects = self.publisher.subscribe(now_ms, source.number, message)
+        except SubscriptionRejectedError as rejected:
+            rejection = Rejection(rejected.kind, "", rejected.detail)
+            self._effects.send(source.number, rejection)
+            self._close(source.number, rejected)
+        else:
+            self._effects.extend(effects)
+
+    def _handle_propose(self, source: Connection, proposal: Propose) -> None:
+        try:
+            self._check_proposal(proposal)
+        except ProposalRejectedError as rejected:
+            self._answer(source, proposal, rejected.kind, rejected.detail)
+            return
+        if self.proposals.changes_nothing(proposal):
+            index = self._index_of_current_value(proposal.topic)
+            if index <= self.raft.state.log.commit_index:
+                self._answer(source, proposal, "", "")
+                return
+        else:
+            index = self.raft.append(proposal.topic, proposal.entries)
+        pending = PendingProposal(source.number, proposal.request_id, proposal.topic)
+        self.proposals.wait(index, pending)
+        self.raft.replicate()
+
+    def _check_proposal(self, proposal: Propose) -> None:
+        if not self.raft.state.is_leader:
+            raise ProposalRejectedError("not-leading", self.raft.state.leader)
+        self.proposals.check(proposal)
+
+    def _index_of_current_value(self, topic: str) -> int:
+        """Return the log index that has to be committed for a topic to be as it is projected.
+
+        Without a change under way that is the first of the leader's term: before it is committed,
+        a later leader may have another view of the topic.
+        """
+        projected = self.proposals.uncommitted.projected.get(topic)
+        if projected is None:
+            return self.raft.state.term_start_index
+        return projected.log_index
+
+    def _answer(self, source: Connection, proposal: Propose, error: str, detail: str) -> None:
+        version = self.publisher.topics.version(proposal.topic)
+        response = ProposeResponse(proposal.request_id, version, error, detail)
+        self._effects.send(source.number, response)
--- /dev/null
+++ b/badgercart/distribution/server_list.py
@@ -0,0 +1,52 @@
+"""Reads the entries of a topic of servers as endpoints."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+from dataclasses import replace
+
+from badgercart.core.endpoint_table import Member
+from badgercart.core.identifiers import stable_id
+from badgercart.discovery.entries import ListReader
+from badgercart.distribution.messages import Entry
+from badgercart.policy.endpoint import State
+
+
+def read_servers(
+    reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, Member]
+) -> list[Member]:
+    """Return what the entries of a topic say of servers. A key without a value is gone.
+
+    Args:
+        reader: reads the values.
+        entries: the entries; the last of a key counts.
+        listed: servers that are listed now, by stable id.
+
+    Raises:
+        ValueError: a value is not a server's, or not that of its key.
+    """
+    servers = []
+    for key, value in {entry.key: entry.value for entry in entries}.items():
+        if value is not None:
+            servers.append(_read_server(reader, key, value))
+            continue
+        current = listed.get(stable_id(key.encode()))
+        if current is not None:
+            servers.append(replace(current, entry=replace(current.entry, state=State.GONE)))
+    return servers
+
+
+def _read_server(reader: ListReader, key: str, value: bytes) -> Member:
+    try:
+        fields = json.loads(value)
+        if fields["instanceId"] != key:
+            detail = f"instanceId is {fields['instanceId']!r}"
+            raise ValueError(detail)
+        return reader.read_member(fields)
+    except KeyError as error:
+        detail = f"{key}: {error} is missing, or none that is known"
+        raise ValueError(detail) from error
+    except (TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
+        detail = f"{key}: {error}"
+        raise ValueError(detail) from error
--- a/badgercart/distribution/settings.py
+++ b/badgercart/distribution/settings.py
@@ -1,4 +1,7 @@
-"""What an operator may set of changes told by stores: a node that follows, and a store."""
+"""Settings of a node that follows replicas, and of a replica.
+
+Class docstrings and descriptions are shown to operators, and titles are names in the schema.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +14,10 @@
 from badgercart.app.faults import Path
 from badgercart.app.model import LONG, Address, Addresses, Listed, Name, Table
 
-SERVERS = "servers/"  # what the topic of a service's servers begins with
+SERVERS_PREFIX = "servers/"  # what the topic of a service's servers begins with
 
 
-class MembersSettings(Table, title="MembersSettings"):
+class FollowerSettings(Table, title="MembersSettings"):
     """the server list from stores that tell changes"""
 
     group: Name = Field(
@@ -59,7 +62,7 @@
     )
 
 
-class StoreEntry(Table, title="StoreEntry"):
+class ReplicaEntry(Table, title="StoreEntry"):
     """a store of the group"""
 
     name: Name = Field(max_length=64, description="its name")
@@ -69,7 +72,7 @@
     )
 
 
-class StoreSettings(Table, title="StoreSettings"):
+class ReplicaSettings(Table, title="StoreSettings"):
     """a store that tells changes to nodes"""
 
     listen: Address = Field(description="the host:port for nodes, operators and other stores")
@@ -95,12 +98,12 @@
     most_followers: int = Field(
         1024, ge=1, le=100_000, description="nodes that it tells; further ones are sent to others"
     )
-    store: Annotated[tuple[StoreEntry, ...], Listed] = Field(
+    store: Annotated[tuple[ReplicaEntry, ...], Listed] = Field(
         (), max_length=256, description="all stores of the group, the same in each store's file"
     )
 
 
-def check_members(settings: MembersSettings, file: Checked) -> Iterator[tuple[Path, str]]:
+def check_follower(settings: FollowerSettings, file: Checked) -> Iterator[tuple[Path, str]]:
     if settings.doubtful_after_ms > settings.stale_after_ms:
         yield ("doubtful_after_ms",), "is later than stale_after_ms"
     if len(set(settings.stores)) != len(settings.stores):
@@ -109,11 +112,11 @@
         yield ("window_ms",), "is longer than window_most_ms"
 
 
-def check_store(settings: StoreSettings, file: Checked) -> Iterator[tuple[Path, str]]:
-    yield from store_faults(settings)
+def check_replica(settings: ReplicaSettings, file: Checked) -> Iterator[tuple[Path, str]]:
+    yield from replica_faults(settings)
 
 
-def store_faults(settings: StoreSettings) -> Iterator[tuple[Path, str]]:
+def replica_faults(settings: ReplicaSettings) -> Iterator[tuple[Path, str]]:
     """What only several settings together can get wrong."""
     if settings.election_ms < 3 * settings.heartbeat_ms:
         yield (
--- a/badgercart/distribution/topic.py
+++ b/badgercart/distribution/topic.py
@@ -1,9 +1,8 @@
-"""One topic: its entries, the number of its last change, and a digest that costs no look at all of
-them.
+"""A topic: its entries, the version that its last change gave it, and a digest of its entries.
 
-The digest is the sum, modulo 2**64, of a hash of each key with its value: the same at all who have
-the same, by whatever way they came to it. The group's keyed hash on each frame keeps strangers out;
-the digest finds mistakes.
+The digest is the sum, modulo 2**64, of a hash of each key with its value. It is the same for the
+same entries, in whatever order they came, and costs a change no look at the others. It finds
+mistakes; it keeps nobody out, which the keyed hash of each frame does.
 """
 
 from __future__ import annotations
@@ -11,66 +10,104 @@
 import hashlib
 from collections.abc import Iterable, Iterator
 
-from badgercart.distribution.messages import MAX_ENTRIES, MAX_FRAME, Entry
+from badgercart.distribution.messages import MAX_ENTRIES, MAX_FRAME_BYTES, Change, Entry
 
-MASK = (1 << 64) - 1
-PART = (
-    MAX_FRAME // 2
-)  # bytes of keys and values in one part of a whole topic, which leaves room for its framing
-EACH = 16  # bytes of framing that one entry takes at most, its lengths included
+DIGEST_MASK = (1 << 64) - 1
+# Keys and values in one part of a snapshot, which leaves room for its framing.
+PART_BYTES = MAX_FRAME_BYTES // 2
+ENTRY_FRAMING_BYTES = 16  # of one entry, its lengths included, at most
 
 
-def fingerprint(key: str, value: bytes) -> int:
-    """64 bits of a key with its value."""
-    word = key.encode()
-    told = hashlib.blake2b(len(word).to_bytes(4) + word + value, digest_size=8).digest()
-    return int.from_bytes(told)
+def entry_digest(key: str, value: bytes) -> int:
+    """Return 64 bits of hash of a key with its value."""
+    key_bytes = key.encode()
+    data = len(key_bytes).to_bytes(4) + key_bytes + value
+    return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest())
+
+
+def framed_size(entries: Iterable[Entry]) -> int:
+    """Return how many bytes entries take in a frame, at most."""
+    return sum(
+        len(entry.key.encode()) + len(entry.value or b"") + ENTRY_FRAMING_BYTES for entry in entries
+    )
 
 
 class Topic:
-    """Entries by key, as of one number. It grows by its entries alone: who keeps many bounds
-    them."""
+    """Entries by key, as of one version. Whoever keeps topics bounds their entries."""
 
-    __slots__ = ("digest", "entries", "number")
+    __slots__ = ("digest", "entries", "version")
 
-    def __init__(self, number: int = 0, entries: Iterable[Entry] = ()) -> None:
-        self.number, self.digest = number, 0
+    def __init__(self, version: int = 0, entries: Iterable[Entry] = ()) -> None:
+        self.version, self.digest = version, 0
         self.entries: dict[str, bytes] = {}
         self.put(entries)
 
     def put(self, entries: Iterable[Entry]) -> None:
+        """Set or remove entries without a new version."""
         for entry in entries:
-            if (old := self.entries.pop(entry.key, None)) is not None:
-                self.digest = (self.digest - fingerprint(entry.key, old)) & MASK
+            replaced = self.entries.pop(entry.key, None)
+            if replaced is not None:
+                self.digest = (self.digest - entry_digest(entry.key, replaced)) & DIGEST_MASK
             if entry.value is not None:
                 self.entries[entry.key] = entry.value
-                self.digest = (self.digest + fingerprint(entry.key, entry.value)) & MASK
+                self.digest = (self.digest + entry_digest(entry.key, entry.value)) & DIGEST_MASK
 
-    def change(self, entries: Iterable[Entry]) -> None:
-        """The next number, with these."""
+    def apply(self, entries: Iterable[Entry]) -> None:
+        """Set or remove entries, which makes the next version."""
         self.put(entries)
-        self.number += 1
+        self.version += 1
 
     def digest_with(self, entries: Iterable[Entry]) -> int:
-        """What the digest would be. A key may come twice: its last value counts."""
-        digest, new = self.digest, {entry.key: entry.value for entry in entries}
-        for key, value in new.items():
-            if (old := self.entries.get(key)) is not None:
-                digest -= fingerprint(key, old)
+        """Return the digest that these entries would give. The last value of a key counts."""
+        digest = self.digest
+        for key, value in {entry.key: entry.value for entry in entries}.items():
+            replaced = self.entries.get(key)
+            if replaced is not None:
+                digest -= entry_digest(key, replaced)
             if value is not None:
-                digest += fingerprint(key, value)
-        return digest & MASK
+                digest += entry_digest(key, value)
+        return digest & DIGEST_MASK
 
     def parts(self) -> Iterator[tuple[Entry, ...]]:
-        """All entries, in pieces that fit a frame; one, empty, where there are none."""
+        """Yield all entries in parts that fit a frame; one empty part where there are none."""
         part: list[Entry] = []
-        size, told = 0, False
+        part_bytes = 0
         for key, value in self.entries.items():
-            more = len(key.encode()) + len(value) + EACH
-            if part and (size + more > PART or len(part) >= MAX_ENTRIES):
+            entry_bytes = len(key.encode()) + len(value) + ENTRY_FRAMING_BYTES
+            is_full = part_bytes + entry_bytes > PART_BYTES or len(part) >= MAX_ENTRIES
+            if part and is_full:
                 yield tuple(part)
-                part, size, told = [], 0, True
+                part, part_bytes = [], 0
             part.append(Entry(key, value))
-            size += more
-        if part or not told:
+            part_bytes += entry_bytes
+        if part or not self.entries:
             yield tuple(part)
+
+
+class TopicTable:
+    """All topics by name, with the number of their entries."""
+
+    __slots__ = ("by_name", "entry_count")
+
+    def __init__(self, topics: dict[str, Topic]) -> None:
+        self.replace(topics)
+
+    def replace(self, topics: dict[str, Topic]) -> None:
+        """Hold these topics in place of all others."""
+        self.by_name = topics
+        self.entry_count = sum(len(topic.entries) for topic in topics.values())
+
+    def apply(self, change: Change) -> Topic:
+        """Apply a change to its topic, which is made if need be, and return that."""
+        topic = self.by_name.get(change.topic)
+        if topic is None:
+            topic = self.by_name[change.topic] = Topic()
+        count_before = len(topic.entries)
+        topic.apply(change.entries)
+        self.entry_count += len(topic.entries) - count_before
+        return topic
+
+    def version(self, name: str) -> int:
+        """Return the version of a topic; 0 where there is none."""
+        topic = self.by_name.get(name)
+        return 0 if topic is None else topic.version
--- /dev/null
+++ b/badgercart/distribution/topic_sync.py
@@ -0,0 +1,214 @@
+"""Brings the topics of a follower up to date over one connection.
+
+A topic changes only by a snapshot whose digest fits, or by the very next delta. Anything else
+leaves it as it is.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass, field
+
+from badgercart.distribution.effects import UpdateTopic
+from badgercart.distribution.errors import ReplicaAbandonedError, TopicGapError
+from badgercart.distribution.followed_topics import FollowedTopics
+from badgercart.distribution.messages import Delta, Entry, Rejection, Snapshot
+from badgercart.distribution.topic import Topic, framed_size
+
+MAX_SNAPSHOT_PARTS = 4096  # of one topic
+MAX_GAPS = 8  # on one connection, before another replica is turned to
+
+
+@dataclass(slots=True)
+class _SnapshotAssembly:
+    """A snapshot of a topic of which some parts have come."""
+
+    version: int
+    digest: int
+    parts: int
+    entries: list[Entry] = field(default_factory=list)
+    next_part: int = 1
+    size_bytes: int = 0
+
+    def continues_with(self, part: Snapshot) -> bool:
+        """Tell whether a part is the next one of this snapshot."""
+        return (
+            part.part == self.next_part
+            and (part.version, part.digest, part.parts) == (self.version, self.digest, self.parts)
+            and all(entry.value is not None for entry in part.entries)
+        )
+
+
+class TopicSync:
+    """What one connection owes, and what has come of it.
+
+    Attributes:
+        awaited: topics for which an answer is owed.
+        assembled_bytes: keys and values of all unfinished snapshots, with their framing.
+    """
+
+    __slots__ = (
+        "_assemblies",
+        "_faults",
+        "_gap_count",
+        "_resent",
+        "_topics",
+        "assembled_bytes",
+        "awaited",
+    )
+
+    def __init__(self, topics: FollowedTopics, faults: Counter[str]) -> None:
+        self._topics = topics
+        self._faults = faults
+        self._assemblies: dict[str, _SnapshotAssembly] = {}
+        self._gap_count = 0
+        self._resent: set[str] = set()  # topics sent again because their entries were unusable
+        self.assembled_bytes = 0
+        empty = {name for name, topic in topics.by_name.items() if not topic.version}
+        self.awaited = empty | topics.doubted
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether all topics are right, as of the replica's last message."""
+        return not self.awaited and not self._topics.doubted
+
+    def add_gap(self, gap: TopicGapError) -> None:
+        """Await a topic that will be asked for again.
+
+        Raises:
+            ReplicaAbandonedError: there were too many gaps on this connection.
+        """
+        self._drop_assembly(gap.topic)
+        self._faults[gap.kind] += 1
+        self._gap_count += 1
+        if self._gap_count > MAX_GAPS:
+            detail = f"more than {MAX_GAPS} gaps, the last: {gap.topic}: {gap.detail}"
+            raise ReplicaAbandonedError("gaps", detail)
+        self.awaited.add(gap.topic)
+
+    def may_resend(self, name: str) -> bool:
+        """Tell, once for each topic, whether it may be asked for again for unusable entries."""
+        if name in self._resent:
+            return False
+        self._resent.add(name)
+        return True
+
+    # Deltas.
+
+    def apply_delta(self, delta: Delta) -> UpdateTopic | None:
+        """Put a delta in force; None where it is passed over.
+
+        Raises:
+            TopicGapError: the topic has to be asked for again.
+            ReplicaAbandonedError: the replica has to be left.
+        """
+        name, topic = delta.topic, self._topics.get(delta.topic)
+        if name in self._topics.doubted:
+            if name in self.awaited:
+                return None  # a snapshot is on its way, and nothing else helps
+            raise TopicGapError("unusable", name, f"change {delta.version} may mend it")
+        if delta.version != topic.version + 1:
+            self._check_repeated(delta, topic)
+            return None
+        if topic.digest_with(delta.entries) != delta.digest:
+            self._topics.doubted.add(name)
+            raise TopicGapError("digest", name, f"change {delta.version} has a wrong digest")
+        self._topics.apply(delta)
+        self._drop_assembly(name)
+        self.awaited.discard(name)
+        return UpdateTopic(name, delta.version, False, delta.entries)
+
+    def _check_repeated(self, delta: Delta, topic: Topic) -> None:
+        """Pass over a delta that was sent before a new subscription was read, or again for that.
+
+        Raises TopicGapError or ReplicaAbandonedError where it is neither.
+        """
+        name = delta.topic
+        if name in self.awaited:
+            return
+        if delta.version > topic.version:
+            raise TopicGapError("gap", name, f"change {delta.version} behind {topic.version}")
+        if not self._gap_count:
+            detail = f"{name} as of {delta.version}, which is {topic.version} here"
+            raise ReplicaAbandonedError("older", detail)
+
+    # Snapshots.
+
+    def add_snapshot_part(self, part: Snapshot) -> UpdateTopic | None:
+        """Take a part of a snapshot, which is put in force with the last; None before.
+
+        Raises:
+            TopicGapError: the topic has to be asked for again.
+            ReplicaAbandonedError: the replica has to be left.
+        """
+        name, topic = part.topic, self._topics.get(part.topic)
+        if part.version < topic.version:
+            detail = f"{name} whole as of {part.version}, which is {topic.version} here"
+            raise ReplicaAbandonedError("older", detail)
+        assembly = self._assembly_for(part)
+        self._extend(assembly, part)
+        if assembly.next_part <= assembly.parts:
+            return None
+        return self._finish(name, assembly)
+
+    def _assembly_for(self, part: Snapshot) -> _SnapshotAssembly:
+        name = part.topic
+        if part.part == 1 and 0 < part.parts <= MAX_SNAPSHOT_PARTS and part.version > 0:
+            self._drop_assembly(name)
+            self.awaited.add(name)
+            assembly = _SnapshotAssembly(part.version, part.digest, part.parts)
+            self._assemblies[name] = assembly
+        started = self._assemblies.get(name)
+        if started is None or not started.continues_with(part):
+            detail = f"part {part.part} of {part.parts} as of {part.version} does not follow"
+            raise TopicGapError("parts", name, detail)
+        return started
+
+    def _extend(self, assembly: _SnapshotAssembly, part: Snapshot) -> None:
+        size_bytes = framed_size(part.entries)
+        max_bytes = self._topics.max_bytes
+        if self.assembled_bytes + size_bytes > max_bytes:
+            detail = f"{part.topic} whole takes over {max_bytes} bytes"
+            raise ReplicaAbandonedError("oversized", detail)
+        assembly.entries += part.entries
+        assembly.next_part += 1
+        assembly.size_bytes += size_bytes
+        self.assembled_bytes += size_bytes
+
+    def _finish(self, name: str, assembly: _SnapshotAssembly) -> UpdateTopic:
+        self._drop_assembly(name)
+        topic, current = Topic(assembly.version, assembly.entries), self._topics.get(name)
+        if topic.digest != assembly.digest:
+            self._topics.doubted.add(name)
+            raise TopicGapError(
+                "digest", name, f"the whole of {assembly.version} has a wrong digest"
+            )
+        is_doubted = name in self._topics.doubted
+        self._topics.replace(name, topic, assembly.size_bytes)
+        if topic.version == current.version and topic.digest != current.digest and not is_doubted:
+            self._faults["other"] += 1  # what was here is not the group's history
+        self.awaited.discard(name)
+        return UpdateTopic(name, topic.version, True, tuple(assembly.entries))
+
+    def _drop_assembly(self, name: str) -> None:
+        assembly = self._assemblies.pop(name, None)
+        if assembly is not None:
+            self.assembled_bytes -= assembly.size_bytes
+
+    # Rejections.
+
+    def is_newly_unknown(self, rejection: Rejection) -> bool:
+        """Take that the replica has no such topic, and tell whether that is news.
+
+        Raises:
+            ReplicaAbandonedError: the topic is here, so the replica knows less.
+        """
+        name, topic = rejection.topic, self._topics.get(rejection.topic)
+        if topic.version:
+            detail = f"it knows no {name}, which is {topic.version} here"
+            raise ReplicaAbandonedError("behind", detail)
+        self.awaited.discard(name)
+        if name in self._topics.unknown:
+            return False
+        self._topics.unknown.add(name)
+        return True
--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -22,19 +22,22 @@
 from typing import Any
 
 from badgercart.config import Address
-from badgercart.distribution.driver import LENGTH, Client
+from badgercart.distribution.client import Client
+from badgercart.distribution.link import FRAME_LENGTH
 from badgercart.distribution.messages import (
-    WHOLE,
+    ANY_VERSION,
+    RESEND,
     Codec,
     Entry,
     Hello,
-    No,
     Propose,
-    Proposed,
+    ProposeResponse,
+    Rejection,
+    Snapshot,
     Status,
     StatusRequest,
     Subscribe,
-    Whole,
+    TopicVersion,
 )
 from lab.trial.processes import NodeError, NodeProcess, Told
 from lab.trial.switch import Switch
@@ -171,33 +174,33 @@
         found = await self.ask(store, ask)
         return found if isinstance(found, Status) else None
 
-    async def propose(self, store: str, entries: tuple[Entry, ...]) -> Proposed | None:
+    async def propose(self, store: str, entries: tuple[Entry, ...]) -> ProposeResponse | None:
         self.serial += 1
         serial = self.serial
 
-        async def ask(client: Client) -> Proposed:
-            client.write(Propose(serial, TOPIC, entries, -1))
-            while not isinstance(told := await client.read(), Proposed):
+        async def ask(client: Client) -> ProposeResponse:
+            client.write(Propose(serial, TOPIC, entries, ANY_VERSION))
+            while not isinstance(told := await client.read(), ProposeResponse):
                 pass
             return told
 
         found = await self.ask(store, ask)
-        return found if isinstance(found, Proposed) else None
+        return found if isinstance(found, ProposeResponse) else None
 
     async def whole(self, store: str) -> tuple[int, dict[str, bytes | None]] | None:
         """Number and entries of the topic there."""
 
         async def ask(client: Client) -> tuple[int, dict[str, bytes | None]] | None:
-            client.write(Subscribe(((TOPIC, WHOLE, 0),)))
+            client.write(Subscribe((TopicVersion(TOPIC, RESEND, 0),)))
             entries: dict[str, bytes | None] = {}
             while True:
                 told = await client.read()
-                if isinstance(told, No):
+                if isinstance(told, Rejection):
                     return None
-                if isinstance(told, Whole):
+                if isinstance(told, Snapshot):
                     entries |= {entry.key: entry.value for entry in told.entries}
                     if told.part == told.parts:
-                        return told.number, entries
+                        return told.version, entries
 
         found: tuple[int, dict[str, bytes | None]] | None = await self.ask(store, ask)
         return found
@@ -219,9 +222,10 @@
                 told = await self.propose(await self.leader(among), entries)
                 if told is not None and not told.error:
                     need(
-                        told.number >= self.number, f"number {told.number} came after {self.number}"
+                        told.version >= self.number,
+                        f"number {told.version} came after {self.number}",
                     )
-                    self.number = told.number
+                    self.number = told.version
                     return time.time()
 
     async def refused(self, store: str) -> str:
@@ -396,7 +400,7 @@
     """Frames that are none, of another version, of another secret, too long: refused, and nothing
     changes."""
     store = TELLING[0]
-    good = group.codec.encode(Propose(1, TOPIC, (line(7, "leaving"),), -1))
+    good = group.codec.encode(Propose(1, TOPIC, (line(7, "leaving"),), ANY_VERSION))
     other = Codec(GROUP, b"another secret of the trial").encode(Hello("x", False))
     frames = {
         "version": good[:2] + b"\x07" + good[3:],
@@ -405,9 +409,11 @@
         "another secret": other,
     }
     for kind, frame in frames.items():
-        ended = await raw(group.real[store], LENGTH.pack(len(frame)) + frame)
+        ended = await raw(group.real[store], FRAME_LENGTH.pack(len(frame)) + frame)
         need(ended, f"{store} kept a connection with a frame of kind {kind}")
-    need(await raw(group.real[store], LENGTH.pack(1 << 30)), "a frame of 1 GiB was waited for")
+    need(
+        await raw(group.real[store], FRAME_LENGTH.pack(1 << 30)), "a frame of 1 GiB was waited for"
+    )
     told = {
         told["kind"]
         for told in group.stores[store].events
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -21,11 +21,28 @@
 from functools import partial
 from typing import Any
 
-from badgercart.distribution.effects import Close, Dial, Effect, Recovered, Send, Take
+from badgercart.distribution.effects import (
+    Close,
+    Dial,
+    Effect,
+    RecoveredState,
+    Send,
+    UpdateTopic,
+)
 from badgercart.distribution.follower import Follower
-from badgercart.distribution.follower import Timing as FollowerTiming
-from badgercart.distribution.messages import Codec, Delta, Entry, Hello, Propose, Proposed, Whole
-from badgercart.distribution.store import Store, Timing
+from badgercart.distribution.messages import (
+    ANY_VERSION,
+    Codec,
+    Delta,
+    Entry,
+    Hello,
+    Propose,
+    ProposeResponse,
+    Snapshot,
+)
+from badgercart.distribution.replica import Replica
+from badgercart.distribution.replica_config import ReplicaGroup, ReplicaTiming
+from badgercart.distribution.replica_selector import FollowerTiming, ReplicaSelector
 from benchmarks.capacity.target import TARGET
 from benchmarks.scale.report import Series
 
@@ -45,8 +62,8 @@
 class Machine:
     """A store or a follower, and what it has cost."""
 
-    def __init__(self, made: Any) -> None:
-        self.made = made
+    def __init__(self, made: Any, name: str = "") -> None:
+        self.made, self.name = made, name
         self.busy = 0.0  # s of processor time
         self.sent = self.read = self.frames = 0  # bytes out, bytes in, frames in
         self.ends: dict[
@@ -69,18 +86,31 @@
         self.taken: dict[tuple[str, int], list[float]] = defaultdict(
             list
         )  # by topic and number: when
-        self.answers: dict[int, Proposed] = {}
+        self.answers: dict[int, ProposeResponse] = {}
         self.connects: list[float] = []  # when nodes came to a store
         names = tuple(f"store-{n:02d}" for n in range(STORES))
         self.stores = {
             name: Machine(
-                Store(name, names[:VOTERS], names, Timing(), random.Random(n), Recovered())
+                Replica(
+                    ReplicaGroup(name, names[:VOTERS], names),
+                    ReplicaTiming(),
+                    random.Random(n),
+                    RecoveredState(),
+                ),
+                name,
             )
             for n, name in enumerate(names)
         }
         timing = FollowerTiming()
         self.nodes = [
-            Machine(Follower(f"node-{n}", topics(n), STORES, timing, random.Random(1000 + n)))
+            Machine(
+                Follower(
+                    f"node-{n}",
+                    topics(n),
+                    ReplicaSelector(STORES, timing, random.Random(1000 + n)),
+                    timing,
+                )
+            )
             for n in range(nodes)
         ]
         for machine in self.stores.values():
@@ -110,16 +140,16 @@
                     self.at(self.now + HOP, partial(self.arrive, *end, data))
             elif isinstance(effect, Dial):
                 self.connects.append(self.now)
-                self.join(machine, effect.connection, list(self.stores.values())[effect.store])
+                self.join(machine, effect.connection, list(self.stores.values())[effect.replica])
                 self.at(
                     self.now + HOP, partial(self.carry, machine, made.connected, effect.connection)
                 )
-            elif isinstance(effect, Take):
-                self.taken[effect.topic, effect.number].append(self.now)
+            elif isinstance(effect, UpdateTopic):
+                self.taken[effect.topic, effect.version].append(self.now)
             elif isinstance(effect, Close):
                 self.cut(machine, effect.connection)
-        if isinstance(made, Store):
-            for name in made.wanted:
+        if isinstance(made, Replica):
+            for name in made.replicas_to_dial():
                 if name not in machine.dialled:
                     machine.dialled.add(name)
                     mine = next(self.number)
@@ -127,8 +157,8 @@
                     self.at(
                         self.now + HOP, partial(self.carry, machine, made.connected, mine, name)
                     )
-        if made.due < machine.wake or machine.wake < self.now:
-            machine.wake = made.due
+        if made.due_ms < machine.wake or machine.wake < self.now:
+            machine.wake = made.due_ms
             if machine.wake < float("inf"):
                 self.at(max(machine.wake, self.now), partial(self.tick, machine))
 
@@ -142,7 +172,7 @@
             other, theirs = end
             other.ends.pop(theirs, None)
             for one, by in ((machine, other), (other, machine)):
-                one.dialled.discard(getattr(by.made, "name", ""))
+                one.dialled.discard(by.name)
             self.at(self.now + HOP, partial(self.carry, other, other.made.closed, theirs))
             self.carry(machine, machine.made.closed, connection)
 
@@ -153,15 +183,15 @@
         message = self.codec.decode(data)
         machine.busy += time.thread_time() - begun
         machine.read += len(data) + 4
-        machine.frames += isinstance(message, Delta | Whole)
+        machine.frames += isinstance(message, Delta | Snapshot)
         self.carry(machine, machine.made.received, connection, message)
 
     def tick(self, machine: Machine) -> None:
-        if machine.made.due <= self.now:
+        if machine.made.due_ms <= self.now:
             machine.wake = float("inf")
             self.carry(machine, machine.made.tick)
-        elif machine.made.due < float("inf"):
-            machine.wake = machine.made.due
+        elif machine.made.due_ms < float("inf"):
+            machine.wake = machine.made.due_ms
             self.at(machine.wake, partial(self.tick, machine))
 
     def run(self, until: float) -> None:
@@ -177,14 +207,14 @@
         for _ in range(600):
             self.run(self.now + 100.0)
             for machine in self.stores.values():
-                if machine.made.leading:
+                if machine.made.raft.state.is_leader:
                     return machine
         raise RuntimeError("no store led within a minute")
 
     def put(self, caller: Caller, topic: str, entries: tuple[Entry, ...]) -> int:
         """Have a change proposed now; the serial by which its answer is known."""
         serial = next(self.number)
-        data = self.codec.encode(Propose(serial, topic, entries, -1))
+        data = self.codec.encode(Propose(serial, topic, entries, ANY_VERSION))
         machine, connection = caller.machine.ends[caller.connection]
         self.at(self.now + HOP, partial(self.arrive, machine, connection, data))
         return serial
@@ -193,7 +223,7 @@
 class Caller:
     """An operator's connection to the leader; as a machine it takes answers and wants nothing."""
 
-    due = float("inf")
+    due_ms = float("inf")
 
     def __init__(self, fleet: Fleet, leader: Machine) -> None:
         self.fleet, self.machine, self.connection = fleet, Machine(self), 0
@@ -203,8 +233,8 @@
         fleet.arrive(machine, connection, fleet.codec.encode(Hello("operator", False)))
 
     def received(self, now: float, connection: int, message: object) -> list[Effect]:
-        if isinstance(message, Proposed):
-            self.fleet.answers[message.serial] = message
+        if isinstance(message, ProposeResponse):
+            self.fleet.answers[message.request_id] = message
         return []
 
     def closed(self, now: float, connection: int) -> list[Effect]:
@@ -290,7 +320,7 @@
         for serial, (name, at) in put.items():
             if (told := fleet.answers.get(serial)) is None or told.error:
                 raise RuntimeError(f"a change was not taken: {told}")
-            answered += [last - at for last in fleet.taken[name, told.number][-1:]]
+            answered += [last - at for last in fleet.taken[name, told.version][-1:]]
         leader = max(fleet.stores.values(), key=lambda machine: machine.sent)
         others = [machine for machine in fleet.stores.values() if machine is not leader]
         return {
--- a/tests/app/test_file.py
+++ b/tests/app/test_file.py
@@ -13,7 +13,7 @@
 
 from badgercart.app.file import FileError, load
 from badgercart.app.locate import lines_of
-from badgercart.distribution.commands import store_file
+from badgercart.distribution.replica_file import load_replica_file
 from badgercart.policy.settings import Effect, Group
 
 ROOT = Path(__file__).parent.parent.parent
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("path", sorted(ROOT.glob("deploy/*.toml")), ids=lambda path: path.name)
 def test_the_examples_are_good(path: Path) -> None:
     if path.name == "distribution-store.toml":  # of a process that is a store alone
-        assert store_file(str(path)) is not None
+        assert load_replica_file(str(path)) is not None
     elif path.name != "balancer.toml":  # the platform's own form
         load(str(path))
 
