--- a/tests/distribution/group.py
+++ b/tests/distribution/simulation.py
@@ -1,5 +1,4 @@
-"""Stores with hollow followers on a virtual clock, and a network that delays, cuts one way and
-drops.
+"""Replicas with hollow followers on a virtual clock, and a network with delays and cuts.
 
 A connection is TCP's: in order, whole, and where a way is cut what is said waits until it is healed
 or the connection ends. After each call to a store the group checks what always has to hold.
@@ -13,69 +12,83 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-
-from badgercart.distribution.effects import Close, Effect, Happened, Keep, KeepAll, Recovered, Send
-from badgercart.distribution.journal import Disk, replay
+from typing import Any
+
+from badgercart.distribution.effects import (
+    Close,
+    Effect,
+    LogEvent,
+    Persist,
+    PersistSnapshot,
+    RecoveredState,
+    Send,
+)
+from badgercart.distribution.journal import Disk
+from badgercart.distribution.journal_format import replay
 from badgercart.distribution.messages import (
-    Beat,
     Change,
     Codec,
     Delta,
     Entry,
+    Heartbeat,
     Hello,
     Message,
     Propose,
-    Proposed,
+    ProposeResponse,
+    Snapshot,
     Subscribe,
-    Whole,
+    TopicVersion,
 )
-from badgercart.distribution.publisher import Bounds
-from badgercart.distribution.store import Store, Timing
+from badgercart.distribution.raft.state import RaftState, StateMachine
+from badgercart.distribution.replica import Replica
+from badgercart.distribution.replica_config import ReplicaGroup, ReplicaLimits, ReplicaTiming
 from badgercart.distribution.topic import Topic
 
 CODEC = Codec("a group", b"its secret")
 
 
-def copied(state: Recovered) -> Recovered:
+def copied(state: RecoveredState) -> RecoveredState:
     topics = {
-        name: Topic(topic.number, [Entry(*pair) for pair in topic.entries.items()])
+        name: Topic(topic.version, [Entry(*pair) for pair in topic.entries.items()])
         for name, topic in state.topics.items()
     }
-    return Recovered(
+    return RecoveredState(
         state.term,
-        state.voted,
-        state.committed,
-        state.index,
-        state.index_term,
+        state.voted_for,
+        state.commit_index,
+        state.snapshot_index,
+        state.snapshot_term,
         topics,
         state.changes,
     )
 
 
 class MemoryDisk:
-    """What a Journal does, in memory. `over` as often as the test likes."""
+    """What a Journal does, in memory. `needs_compaction` as often as the test likes."""
 
     def __init__(self, most: int = 8) -> None:
         self.most = most
-        self.start = Recovered()
-        self.kept: list[Keep] = []
+        self.start = RecoveredState()
+        self.kept: list[Persist] = []
 
-    def recover(self) -> Recovered:
+    def recover(self) -> RecoveredState:
         return replay(copied(self.start), self.kept)
 
-    def keep(self, effect: Keep | KeepAll) -> None:
-        if isinstance(effect, KeepAll):
+    def persist(self, effect: Persist | PersistSnapshot) -> None:
+        if isinstance(effect, PersistSnapshot):
             self.compact(effect.state)
         else:
             self.kept.append(effect)
 
     @property
-    def over(self) -> bool:
+    def needs_compaction(self) -> bool:
         return len(self.kept) > self.most
 
-    def compact(self, state: Recovered) -> None:
+    def compact(self, state: RecoveredState) -> None:
         self.start, self.kept = copied(state), []
 
+    def close(self) -> None: ...
+
 
 @dataclass(eq=False)
 class End:
@@ -86,7 +99,7 @@
     other: End | None = None
     open: bool = True
     accepted: bool = True  # by its owner: nothing is read before
-    queue: deque[tuple[float, Message | None]] = field(
+    queue: deque[tuple[float, float, Message | None]] = field(
         default_factory=deque
     )  # that comes; None: it is closed
 
@@ -105,109 +118,121 @@
     def accepted(self, end: End) -> None: ...
     def received(self, end: End, message: Message) -> None: ...
     def closed(self, end: End) -> None: ...
-    def woken(self) -> None: ...
+    def resumed(self) -> None: ...
+
+
+class Watched:
+    """A state machine with another `apply`."""
+
+    def __init__(self, machine: StateMachine, apply: Callable[[Change, bool], None]) -> None:
+        self._machine = machine
+        self.apply = apply
 
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self._machine, name)
 
-class StoreProcess(Process):
+
+class ReplicaProcess(Process):
     def __init__(self, group: Group, name: str) -> None:
         super().__init__(group, name)
         self.disk: Disk = group.disk_class()
         self.crash_in = -1  # effects that are carried out before it crashes; -1: it doesn't
-        self.happened: list[Happened] = []
+        self.log_events: list[LogEvent] = []
         self.checked = 0  # the place up to which what is in force here was held against others'
         self.fresh: list[Change] = []  # that came to be in force since
         self.dialled: set[str] = set()
-        self.boot()
+        self.start_replica()
 
-    def boot(self) -> None:
+    def start_replica(self) -> None:
         group = self.group
         self.alive, self.ends, self.dialled = True, {}, set()
         recovered = self.disk.recover()
-        self.fresh = list(recovered.changes[: recovered.committed - recovered.index])
-        self.store = group.store_class(
-            self.name,
-            group.voters,
-            group.names,
+        self.fresh = list(recovered.changes[: recovered.commit_index - recovered.snapshot_index])
+        self.replica = group.replica_class(
+            ReplicaGroup(self.name, group.voters, group.names),
             group.timing,
             random.Random(group.rng.random()),
             recovered,
-            bounds=group.bounds,
+            group.limits,
         )
-        self.checked = recovered.index
-        commit = self.store.commit
+        self.checked = recovered.snapshot_index
+        self.watch(self.replica.raft.state)
+        self.do(self.replica.start(group.now))
+
+    def watch(self, state: RaftState) -> None:
+        """Note each change that is committed from now on."""
+        apply = state.machine.apply
 
-        def watched(index: int) -> None:
-            base = self.store.base
-            self.fresh += self.store.log[self.store.committed - base : max(index - base, 0)]
-            commit(index)
+        def watched(change: Change, is_leader: bool) -> None:
+            self.fresh.append(change)
+            apply(change, is_leader)
 
-        self.store.commit = watched  # type: ignore[method-assign]
-        self.do(self.store.start(group.now))
+        state.machine = Watched(state.machine, watched)
 
     def do(self, effects: list[Effect]) -> None:
         for at, effect in enumerate(effects):
             if self.crash_in == 0:
                 self.crash_in = -1
-                if not any(isinstance(e, Keep | KeepAll) for e in effects[at:]):
+                if not any(isinstance(e, Persist | PersistSnapshot) for e in effects[at:]):
                     self.group.check(self)  # what it says is in force rests on what is on its disk
                 self.group.kill(self.name)
                 return
             self.crash_in -= self.crash_in > 0
-            if isinstance(effect, Keep | KeepAll):
-                self.disk.keep(effect)
+            if isinstance(effect, Persist | PersistSnapshot):
+                self.disk.persist(effect)
             elif isinstance(effect, Send):
                 self.group.send(self.ends[effect.connection], effect.message)
             elif isinstance(effect, Close):
                 self.group.close(self.ends[effect.connection])
-            elif isinstance(effect, Happened):
-                self.happened.append(effect)
-        if self.disk.over:
-            self.disk.compact(self.store.state())
+            elif isinstance(effect, LogEvent):
+                self.log_events.append(effect)
+        if self.disk.needs_compaction:
+            self.disk.compact(self.replica.recoverable_state())
         self.group.check(self)
         self.group.set_timer(self)
-        for name in self.store.wanted:
+        for name in self.replica.replicas_to_dial():
             if name not in self.dialled:
                 self.dialled.add(name)
-                self.group.at(self.group.delay(), self.dial, name, self.store)
+                self.group.at(self.group.delay(), self.dial, name, self.replica)
 
-    def dial(self, name: str, store: Store) -> None:
-        if store is not self.store or not self.alive:
+    def dial(self, name: str, replica: Replica) -> None:
+        if replica is not self.replica or not self.alive:
             return
         self.dialled.discard(name)
-        if self.paused or name not in store.wanted:
+        if self.paused or name not in replica.replicas_to_dial():
             return
         other = self.group.processes[name]
         cut = {(self.name, name), (name, self.name)} & self.group.cuts
         if not other.alive or cut:
             self.dialled.add(name)
-            self.group.at(100.0, self.dial, name, store)
+            self.group.at(100.0, self.dial, name, replica)
             return
         end = self.group.connect(self, other)
-        self.do(self.store.connected(self.group.now, end.number, name))
+        self.do(self.replica.connected(self.group.now, end.number, name))
 
     def accepted(self, end: End) -> None:
-        self.do(self.store.accepted(self.group.now, end.number))
+        self.do(self.replica.accepted(self.group.now, end.number))
 
     def received(self, end: End, message: Message) -> None:
-        self.do(self.store.received(self.group.now, end.number, message))
+        self.do(self.replica.received(self.group.now, end.number, message))
 
     def closed(self, end: End) -> None:
-        self.do(self.store.closed(self.group.now, end.number))
+        self.do(self.replica.closed(self.group.now, end.number))
 
     def tick(self) -> None:
-        self.do(self.store.tick(self.group.now))
+        self.do(self.replica.tick(self.group.now))
 
-    woken = tick
+    resumed = tick
 
 
 class Hollow(Process):
     """A follower that holds every message against what it knows."""
 
-    def __init__(self, group: Group, name: str, store: str, topics: Iterable[str]) -> None:
+    def __init__(self, group: Group, name: str, replica: str, topics: Iterable[str]) -> None:
         super().__init__(group, name)
-        self.store = store
+        self.replica = replica
         self.topics = {topic: Topic() for topic in topics}
-        self.stage: dict[str, tuple[Whole, Topic]] = {}
+        self.stage: dict[str, tuple[Snapshot, Topic]] = {}
         self.said: list[Message] = []
         self.age = self.age_at = float("-inf")
         self.dial()
@@ -215,8 +240,11 @@
     def dial(self) -> None:
         if not self.alive:
             return
-        other = self.group.processes[self.store]
-        if not other.alive or {(self.name, self.store), (self.store, self.name)} & self.group.cuts:
+        other = self.group.processes[self.replica]
+        if (
+            not other.alive
+            or {(self.name, self.replica), (self.replica, self.name)} & self.group.cuts
+        ):
             self.group.at(100.0, self.dial)
             return
         end = self.group.connect(self, other)
@@ -225,7 +253,9 @@
         self.subscribe(end)
 
     def subscribe(self, end: End) -> None:
-        asked = tuple((name, topic.number, topic.digest) for name, topic in self.topics.items())
+        asked = tuple(
+            TopicVersion(name, topic.version, topic.digest) for name, topic in self.topics.items()
+        )
         self.group.send(end, Subscribe(asked))
 
     def closed(self, end: End) -> None:
@@ -236,29 +266,29 @@
         if isinstance(message, Delta):
             topic = self.topics[message.topic]
             assert message.topic not in self.stage, "a change came between the parts of its topic"
-            assert message.number == topic.number + 1, (self.name, message, topic.number)
-            topic.change(message.entries)
+            assert message.version == topic.version + 1, (self.name, message, topic.version)
+            topic.apply(message.entries)
             assert topic.digest == message.digest
             self.group.check_topic(self.name, message.topic, topic)
-        elif isinstance(message, Whole):
+        elif isinstance(message, Snapshot):
             had = self.stage.get(message.topic)
             if message.part == 1:
-                had = message, Topic(message.number)
+                had = message, Topic(message.version)
             assert had is not None and message.part == had[0].part + (message.part > 1)
-            assert (message.number, message.digest) == (had[0].number, had[0].digest)
+            assert (message.version, message.digest) == (had[0].version, had[0].digest)
             had[1].put(message.entries)
             self.stage[message.topic] = message, had[1]
             if message.part == message.parts:
                 del self.stage[message.topic]
                 assert (
-                    had[1].number >= self.topics[message.topic].number
+                    had[1].version >= self.topics[message.topic].version
                 ), "older was told for newer"
                 assert had[1].digest == message.digest
                 self.topics[message.topic] = had[1]
                 self.group.check_topic(self.name, message.topic, had[1])
-        elif isinstance(message, Beat):
-            self.age, self.age_at = message.age, self.group.now
-            self.group.check_beat(self, message)
+        elif isinstance(message, Heartbeat):
+            self.age, self.age_at = message.age_ms, self.group.now
+            self.group.check_heartbeat(self, message)
 
 
 class Operator(Process):
@@ -267,7 +297,7 @@
     def __init__(self, group: Group) -> None:
         super().__init__(group, "operator")
         self.asked: dict[int, tuple[str, Propose]] = {}
-        self.answers: dict[int, Proposed] = {}
+        self.answers: dict[int, ProposeResponse] = {}
         self.serials = itertools.count(1)
         self.lines: dict[str, End] = {}
 
@@ -286,11 +316,11 @@
         return serial
 
     def received(self, end: End, message: Message) -> None:
-        if isinstance(message, Proposed):
-            assert message.serial not in self.answers, "answered twice"
-            self.answers[message.serial] = message
+        if isinstance(message, ProposeResponse):
+            assert message.request_id not in self.answers, "answered twice"
+            self.answers[message.request_id] = message
             if not message.error:
-                _, asked = self.asked[message.serial]
+                _, asked = self.asked[message.request_id]
                 self.group.check_answer(asked, message)
 
 
@@ -300,26 +330,26 @@
         count: int = 3,
         learners: int = 0,
         seed: int = 1,
-        store_class: type[Store] = Store,
+        replica_class: type[Replica] = Replica,
         disk_class: Callable[[], Disk] = MemoryDisk,
-        bounds: Bounds | None = None,
+        limits: ReplicaLimits | None = None,
     ) -> None:
         self.now = 0.0
         self.rng = random.Random(seed)
-        self.timing = Timing()
-        self.store_class, self.disk_class, self.bounds = store_class, disk_class, bounds
+        self.timing = ReplicaTiming()
+        self.replica_class, self.disk_class, self.limits = replica_class, disk_class, limits
         self.names = tuple(f"s{number}" for number in range(1, count + learners + 1))
         self.voters = self.names[:count]
         self.events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self.order = itertools.count()
-        self.said_at = 0.0  # when the message that is being received was sent
+        self.sent_at_ms = 0.0  # when the message that is being received was sent
         self.numbers = itertools.count(1)
         self.cuts: set[tuple[str, str]] = set()  # from, to
-        self.swallow: Callable[[str, str, Message], bool] = lambda source, to, message: False
+        self.drops: Callable[[str, str, Message], bool] = lambda source, to, message: False
         self.ticking: set[str] | None = None  # stores whose clocks run; None: all
         self.timers: dict[str, float] = {}
         # What was seen, of all stores together.
-        self.truth: dict[int, Change] = {}  # all that was in force anywhere
+        self.committed: dict[int, Change] = {}  # all that was in force anywhere
         self.leaders: dict[int, str] = {}
         self.digests: dict[str, dict[int, int]] = {}
         self.changes: dict[str, list[Change]] = {}  # in force, by topic
@@ -330,22 +360,25 @@
         ]  # when the newest place in force was first seen
         self.processes: dict[str, Process] = {}
         for name in self.names:
-            self.processes[name] = StoreProcess(self, name)
+            self.processes[name] = ReplicaProcess(self, name)
         self.operator = Operator(self)
         self.processes["operator"] = self.operator
 
     # Looking.
 
-    def process(self, name: str) -> StoreProcess:
+    def process(self, name: str) -> ReplicaProcess:
         process = self.processes[name]
-        assert isinstance(process, StoreProcess)
+        assert isinstance(process, ReplicaProcess)
         return process
 
-    def store(self, name: str) -> Store:
-        return self.process(name).store
+    def replica(self, name: str) -> Replica:
+        return self.process(name).replica
+
+    def state(self, name: str) -> RaftState:
+        return self.replica(name).raft.state
 
     @property
-    def running(self) -> list[StoreProcess]:
+    def running(self) -> list[ReplicaProcess]:
         return [
             self.process(n)
             for n in self.names
@@ -354,8 +387,8 @@
 
     def leader(self) -> str:
         """The leader of the latest term among those that run; empty: none leads."""
-        leading = [p for p in self.running if p.store.leading]
-        return max(leading, key=lambda p: p.store.term).name if leading else ""
+        leaders = [p.name for p in self.running if self.state(p.name).is_leader]
+        return max(leaders, key=lambda name: self.state(name).term) if leaders else ""
 
     # Time and network.
 
@@ -378,21 +411,21 @@
         self.now = end
         return False
 
-    def set_timer(self, process: StoreProcess) -> None:
-        due = max(self.now, process.store.due)
+    def set_timer(self, process: ReplicaProcess) -> None:
+        due = max(self.now, process.replica.due_ms)
         if due != float("inf") and self.timers.get(process.name) != due:
             self.timers[process.name] = due
-            self.at(due - self.now, self.timer, process, process.store, due)
+            self.at(due - self.now, self.timer, process, process.replica, due)
 
-    def timer(self, process: StoreProcess, store: Store, due: float) -> None:
-        if process.store is not store or self.timers.get(process.name) != due:
+    def timer(self, process: ReplicaProcess, replica: Replica, due: float) -> None:
+        if process.replica is not replica or self.timers.get(process.name) != due:
             return
         del self.timers[process.name]
         if not process.alive or process.paused:
             return
         if self.ticking is not None and process.name not in self.ticking:
             self.timers[process.name] = self.now + 50.0
-            self.at(50.0, self.timer, process, store, self.now + 50.0)
+            self.at(50.0, self.timer, process, replica, self.now + 50.0)
             return
         process.tick()
 
@@ -419,7 +452,7 @@
         assert end.open, f"{end.owner.name} writes to a connection that is closed: {message}"
         other = end.other
         assert other is not None
-        if self.swallow(end.owner.name, other.owner.name, message):
+        if self.drops(end.owner.name, other.owner.name, message):
             return
         when = max(self.now + self.delay(), other.queue[-1][0] if other.queue else 0.0)
         other.queue.append((when, self.now, message))
@@ -434,7 +467,7 @@
                 return
             if owner.paused or not end.accepted or (end.other.owner.name, owner.name) in self.cuts:
                 return  # waking and healing deliver
-            _, self.said_at, message = end.queue.popleft()
+            _, self.sent_at_ms, message = end.queue.popleft()
             if message is None:
                 end.open = False
                 owner.ends.pop(end.number, None)
@@ -453,7 +486,7 @@
             other.queue.append((when, self.now, None))
             self.at(when - self.now, self.deliver, other)
 
-    def everything(self) -> None:
+    def deliver_waiting(self) -> None:
         """Deliver what has waited."""
         for process in list(self.processes.values()):
             if process.alive and not process.paused:
@@ -474,7 +507,7 @@
 
     def heal(self) -> None:
         self.cuts.clear()
-        self.everything()
+        self.deliver_waiting()
 
     def break_between(self, one: str, other: str) -> None:
         """Their connections end."""
@@ -495,7 +528,7 @@
     def restart(self, name: str) -> None:
         process = self.process(name)
         if not process.alive:
-            process.boot()
+            process.start_replica()
 
     def pause(self, name: str) -> None:
         self.processes[name].paused = True
@@ -507,9 +540,9 @@
             for end in list(process.ends.values()):
                 self.deliver(end)  # as the kernel has it: what came first is read first
             if process.alive:
-                process.woken()
+                process.resumed()
 
-    def calm(self) -> None:
+    def restore_all(self) -> None:
         """All run, all are in reach."""
         for name in self.names:
             self.wake(name)
@@ -518,49 +551,49 @@
 
     # What always has to hold.
 
-    def check(self, process: StoreProcess) -> None:
-        store = process.store
-        if store.leading:
-            assert (
-                self.leaders.setdefault(store.term, store.name) == store.name
-            ), f"{self.leaders[store.term]} and {store.name} both lead term {store.term}"
-        assert process.checked <= store.committed, f"{store.name} took back what was in force"
-        changed = process.checked < store.committed
-        process.checked = store.committed
+    def check(self, process: ReplicaProcess) -> None:
+        name, state = process.name, process.replica.raft.state
+        commit_index = state.log.commit_index
+        if state.is_leader:
+            leader = self.leaders.setdefault(state.term, name)
+            assert leader == name, f"{leader} and {name} both lead term {state.term}"
+        assert process.checked <= commit_index, f"{name} took back what was in force"
+        changed = process.checked < commit_index
+        process.checked = commit_index
         fresh, process.fresh = process.fresh, []
         for change in fresh:
-            had = self.truth.setdefault(change.index, change)
-            assert had == change, f"{had} is in force and, at {store.name}, {change}"
+            had = self.committed.setdefault(change.index, change)
+            assert had == change, f"{had} is in force and, at {name}, {change}"
             if change.index > self.known_at[-1][1]:
                 self.known_at.append((self.now, change.index))
         if changed:
-            for name, topic in store.topics.items():
-                self.check_topic(store.name, name, topic)
+            for topic_name, topic in process.replica.topics.items():
+                self.check_topic(name, topic_name, topic)
 
     def replay(self) -> None:
-        while (change := self.truth.get(self.replayed + 1)) is not None:
+        while (change := self.committed.get(self.replayed + 1)) is not None:
             self.replayed += 1
             if change.topic:
                 topic = self.replayed_topics.setdefault(change.topic, Topic())
-                topic.change(change.entries)
+                topic.apply(change.entries)
                 self.changes.setdefault(change.topic, []).append(change)
-                self.digests.setdefault(change.topic, {})[topic.number] = topic.digest
+                self.digests.setdefault(change.topic, {})[topic.version] = topic.digest
 
     def check_topic(self, who: str, name: str, topic: Topic) -> None:
         """What somebody has of a topic is what was in force as of that number."""
         self.replay()
-        if topic.number:
+        if topic.version:
             assert (
-                self.digests.get(name, {}).get(topic.number) == topic.digest
+                self.digests.get(name, {}).get(topic.version) == topic.digest
             ), f"{who} has {name!r} otherwise"
 
-    def check_answer(self, asked: Propose, answer: Proposed) -> None:
+    def check_answer(self, asked: Propose, answer: ProposeResponse) -> None:
         """What was answered as in force is so, as of this number."""
         self.replay()
         changes = self.changes.get(asked.topic, [])
-        assert answer.number <= len(changes), f"{answer} was never in force"
+        assert answer.version <= len(changes), f"{answer} was never in force"
         wanted = {entry.key: entry.value for entry in asked.entries}
-        for change in reversed(changes[: answer.number]):
+        for change in reversed(changes[: answer.version]):
             for entry in reversed(change.entries):
                 if entry.key in wanted:
                     assert (
@@ -570,26 +603,25 @@
             value is not None for value in wanted.values()
         ), f"{answer}: {wanted} are not there"
 
-    def check_beat(self, follower: Hollow, beat: Beat) -> None:
+    def check_heartbeat(self, follower: Hollow, heartbeat: Heartbeat) -> None:
         """All that was in force anywhere `age` ms before it was said is told."""
-        before = self.said_at - beat.age
+        before = self.sent_at_ms - heartbeat.age_ms
         index = max((i for when, i in self.known_at if when < before), default=0)
         numbers: dict[str, int] = {}
         for place in range(1, index + 1):
-            change = self.truth[place]
+            change = self.committed[place]
             if change.topic:
                 numbers[change.topic] = numbers.get(change.topic, 0) + 1
         for name, topic in follower.topics.items():
-            assert topic.number >= numbers.get(name, 0), (
-                f"{follower.name} was told that {name!r} is as of {beat.age} ms ago; "
-                f"it has number {topic.number}, {numbers[name]} was in force"
+            assert topic.version >= numbers.get(name, 0), (
+                f"{follower.name} was told that {name!r} is as of {heartbeat.age_ms} ms ago; "
+                f"it has number {topic.version}, {numbers[name]} was in force"
             )
 
     def settle(self, ms: float = 12_000.0) -> None:
-        """With all running and in reach: one leads, all stores and followers have all, nothing was
-        lost."""
-        self.calm()
-        assert self.run(ms, self.settled), self.story()
+        """Restore everything, and check that all have all and that nothing was lost."""
+        self.restore_all()
+        assert self.run(ms, self.settled), self.describe()
         followers = [p for p in self.processes.values() if isinstance(p, Hollow)]
         for answered, answer in self.operator.answers.items():
             if not answer.error:
@@ -599,29 +631,34 @@
                 self.check_topic(follower.name, name, topic)
 
     def settled(self) -> bool:
-        stores = [self.store(name) for name in self.names]
         leader = self.leader()
-        if not leader or any(s.committed != self.store(leader).last for s in stores):
+        if not leader:
+            return False
+        log = self.state(leader).log
+        if any(self.state(name).log.commit_index != log.last_index for name in self.names):
             return False
-        if max(self.truth, default=0) > self.store(leader).committed:
+        if max(self.committed, default=0) > log.commit_index:
             return False
         return all(
-            topic.number == self.store(follower.store).number(name)
+            topic.version == self.replica(follower.replica).publisher.topics.version(name)
             for follower in self.processes.values()
             if isinstance(follower, Hollow)
             for name, topic in follower.topics.items()
         )
 
-    def story(self) -> str:
+    def describe(self) -> str:
         lines = [f"at {self.now:.0f} ms, {max(self.truth, default=0)} places were in force"]
         for name in self.names:
-            store = self.store(name)
+            state = self.state(name)
             lines.append(
-                f"{name}: {store.role} term {store.term} committed {store.committed} last {store.last} "
-                f"base {store.base} peers {sorted(store.peers)} leader {store.leader!r}"
+                f"{name}: {state.role} term {state.term} committed {state.log.commit_index} "
+                f"last {state.log.last_index} compacted {state.log.compacted_index} "
+                f"peers {sorted(state.peers)} leader {state.leader!r}"
             )
         for process in self.processes.values():
             if isinstance(process, Hollow):
-                told = {name: topic.number for name, topic in process.topics.items()}
-                lines.append(f"{process.name} at {process.store}: {told} open {len(process.ends)}")
+                told = {name: topic.version for name, topic in process.topics.items()}
+                lines.append(
+                    f"{process.name} at {process.replica}: {told} open {len(process.ends)}"
+                )
         return "\n".join(lines)
--- a/tests/distribution/test_part.py
+++ b/tests/distribution/test_component.py
@@ -23,12 +23,13 @@
 from badgercart.config import Address
 from badgercart.core.clock import now_ms
 from badgercart.discovery.freshness import State
-from badgercart.distribution.commands import entries_of, store_file
-from badgercart.distribution.component import MembersPart, store_driver
-from badgercart.distribution.driver import Client as Caller
-from badgercart.distribution.driver import StoreDriver
-from badgercart.distribution.messages import Codec, Entry, Propose, Proposed
-from badgercart.distribution.settings import MembersSettings, StoreEntry, StoreSettings
+from badgercart.distribution.client import Client as ReplicaClient
+from badgercart.distribution.component import DistributedDiscoveryComponent, build_replica_driver
+from badgercart.distribution.entry_file import parse_entries
+from badgercart.distribution.messages import Codec, Entry, Propose, ProposeResponse
+from badgercart.distribution.replica_driver import ReplicaDriver
+from badgercart.distribution.replica_file import load_replica_file
+from badgercart.distribution.settings import FollowerSettings, ReplicaEntry, ReplicaSettings
 from badgercart.frontends.http.component import HttpSettings
 from badgercart.metrics.component import MetricsSettings
 from tests.distribution.test_driver import free_ports
@@ -38,10 +39,10 @@
 GROUP, SECRET, TOPIC = "test", "a secret of the tests", "servers/dispatch"
 
 
-def store_settings(folder: Path, port: int = 0, **changes: Any) -> StoreSettings:
-    entry = StoreEntry(name="s1", address=("127.0.0.1", port), voter=True)
+def store_settings(folder: Path, port: int = 0, **changes: Any) -> ReplicaSettings:
+    entry = ReplicaEntry(name="s1", address=("127.0.0.1", port), voter=True)
     values = {"heartbeat_ms": 20.0, "election_ms": 200.0, "beat_ms": 20.0, "store": (entry,)}
-    return StoreSettings(
+    return ReplicaSettings(
         listen=("127.0.0.1", port),
         name="s1",
         group=GROUP,
@@ -51,15 +52,15 @@
     )
 
 
-async def started(folder: Path, port: int = 0) -> StoreDriver:
+async def started(folder: Path, port: int = 0) -> ReplicaDriver:
     loop = asyncio.get_running_loop()
-    driver = store_driver(store_settings(folder, port), "/", loop, now_ms, lambda error: None)
+    driver = build_replica_driver(store_settings(folder, port), "/", loop, now_ms)
     await driver.start()
     return driver
 
 
 @asynccontextmanager
-async def store(folder: Path, port: int = 0) -> AsyncIterator[StoreDriver]:
+async def store(folder: Path, port: int = 0) -> AsyncIterator[ReplicaDriver]:
     driver = await started(folder, port)
     try:
         yield driver
@@ -67,12 +68,12 @@
         driver.close()
 
 
-def node_settings(*stores: Address, **changes: Any) -> MembersSettings:
+def node_settings(*stores: Address, **changes: Any) -> FollowerSettings:
     values: dict[str, Any] = {
         "group": GROUP, "secret": SECRET, "service": "dispatch", "window_ms": 5.0, "window_most_ms": 20.0,
         "doubtful_after_ms": 200.0, "stale_after_ms": 600.0,
     }  # fmt: skip
-    return MembersSettings(stores=stores, **values | changes)
+    return FollowerSettings(stores=stores, **values | changes)
 
 
 class Node:
@@ -81,7 +82,7 @@
     def __init__(self, site: Site) -> None:
         self.site, self.http = site, site.parts["http"].front  # type: ignore[attr-defined]
         part = site.parts["distribution"]
-        assert isinstance(part, MembersPart)
+        assert isinstance(part, DistributedDiscoveryComponent)
         self.part = part
 
     def listed(self) -> dict[str, str]:
@@ -134,20 +135,20 @@
 
 
 async def put(
-    driver: StoreDriver, *lines: dict[str, Any], topic: str = TOPIC, **others: Any
+    driver: ReplicaDriver, *lines: dict[str, Any], topic: str = TOPIC, **others: Any
 ) -> int:
     """Straight to a store, without the command's own checks."""
     values = {each["instanceId"]: json.dumps(each).encode() for each in lines} | others
     entries = tuple(Entry(key, value) for key, value in values.items())
     async with (
         asyncio.timeout(WAIT),
-        Caller(driver.listen, Codec(GROUP, SECRET.encode())) as caller,
+        ReplicaClient(driver.listen, Codec(GROUP, SECRET.encode())) as caller,
     ):
         caller.write(Propose(1, topic, entries, -1))
-        while not isinstance(told := await caller.read(), Proposed):
+        while not isinstance(told := await caller.read(), ProposeResponse):
             pass
     assert not told.error, told
-    return told.number
+    return told.version
 
 
 NODE_FILE = """\
@@ -190,7 +191,7 @@
     async def test() -> None:
         async with store(tmp_path / "s") as s, node(s.listen) as n:
             assert await n.health() == 503 and await n.ask() == 503  # nothing is known yet
-            await n.until(lambda: n.part.follower.unknown)
+            await n.until(lambda: n.part.follower.topics.unknown)
             first, second = await Peer().start(), await Peer().start()
             path, lines = node_file(tmp_path, s.listen), tmp_path / "lines.json"
             lines.write_text(json.dumps([line("a", first)]))
@@ -211,7 +212,7 @@
             lines.write_text('{"a": null}')
             assert (await command(capsys, "put", path, TOPIC, "--file", str(lines)))[0] == 0
             await n.lists(b="ready")
-            assert n.site.roster.version == 3 and n.part.follower.changes == 3
+            assert n.site.roster.version == 3 and n.part.follower.topics.change_count == 3
 
     run(test())
 
@@ -230,13 +231,13 @@
             await n.lists(a="ready", b="ready")
             await n.state(State.FRESH)
             s.close()
-            await n.until(lambda: n.part.follower.age(now_ms()) > 100)
+            await n.until(lambda: n.part.follower.age_ms(now_ms()) > 100)
             assert n.listed() == {"a": "ready", "b": "ready"} and await n.ask() == 200
-            ages = [n.part.follower.age(now_ms())]
+            ages = [n.part.follower.age_ms(now_ms())]
             await n.state(State.DOUBTFUL)
             assert await n.ask() == 200
             await n.state(State.STALE)
-            assert n.part.follower.age(now_ms()) > ages[0] and n.listed() == {
+            assert n.part.follower.age_ms(now_ms()) > ages[0] and n.listed() == {
                 "a": "ready",
                 "b": "ready",
             }
@@ -246,7 +247,7 @@
             await put(s, line("b", peer, "leaving"))
             await n.lists(a="ready", b="draining")
             await n.state(State.FRESH)
-            assert await n.ask() == 200 and n.part.follower.topics[TOPIC].number == 2
+            assert await n.ask() == 200 and n.part.follower.topics.by_name[TOPIC].version == 2
             s.close()
 
     run(test())
@@ -264,12 +265,12 @@
             async with node(s.listen) as n:
                 await n.lists(s0="ready", s1="ready", s2="ready")
                 s.close()
-                n.part.move(node_settings(other.listen))
+                n.part.reload(node_settings(other.listen))
                 await n.until(lambda: n.part.follower.faults["behind"] >= 3)
                 assert n.listed() == {"s0": "ready", "s1": "ready", "s2": "ready"}
                 await n.state(State.STALE)
                 back = await started(tmp_path / "s")
-                n.part.move(node_settings(other.listen, back.listen))
+                n.part.reload(node_settings(other.listen, back.listen))
                 await put(back, line("s3"))
                 await n.until(lambda: "s3" in n.listed() and n.part.state is State.FRESH)
                 assert "old" not in n.listed()
@@ -306,11 +307,11 @@
             )  # the change, and the whole
             assert n.listed() == {"a": "ready"}  # nothing of it, and not the other line beside it
             await n.state(State.DOUBTFUL)  # it is known to be old
-            assert n.part.follower.dials == 1 and n.part.follower.faults["unusable"] == 1
+            assert n.part.follower.dial_count == 1 and n.part.follower.faults["unusable"] == 1
             await put(s, line("b"))
             await n.lists(a="draining", b="ready")
             await n.state(State.FRESH)
-            assert n.part.follower.dials == 1
+            assert n.part.follower.dial_count == 1
 
     run(test())
 
@@ -333,9 +334,11 @@
 
             monkeypatch.setattr(policy, "handle", break_once)
             await put(s, line("b"))
-            await n.until(lambda: n.part.follower.changes == 3)
+            await n.until(lambda: n.part.follower.topics.change_count == 3)
             assert (
-                broken and n.listed() == {"a": "ready", "b": "ready"} and n.part.follower.dials == 1
+                broken
+                and n.listed() == {"a": "ready", "b": "ready"}
+                and n.part.follower.dial_count == 1
             )
             await n.state(State.FRESH)
 
@@ -356,11 +359,11 @@
             )
             known = n.site.what
             installation = Installation(known.config, known.parts | {"distribution": fresh})
-            assert n.site.reload(installation) == [] and not old.open and not old.links
+            assert n.site.reload(installation) == [] and not old.is_open and not old.links
             await put(moved, line("b"))
             await n.lists(a="ready", b="ready")
             assert n.part.topic == TOPIC and n.part.follower.freshness.rule.stale_after == 700
-            assert n.part.follower.changes == 2
+            assert n.part.follower.topics.change_count == 2
             moved.close()
             await n.state(State.STALE)
             assert not n.site.roster.suspended
@@ -463,7 +466,7 @@
                 status == 1
                 and "conflict: number 0 was expected, it is 1; nothing was changed" in err
             )
-            assert s.store.topics[TOPIC].number == 1
+            assert s.replica.topics[TOPIC].version == 1
             wrong = tmp_path / "wrong.toml"
             wrong.write_text(
                 Path(path).read_text().replace("a secret of the tests", "another secret than it")
@@ -494,7 +497,7 @@
             path = node_file(tmp_path, server.sockets[0].getsockname(), s.listen)
             (lines := tmp_path / "l.json").write_text(json.dumps([line("a")]))
             status, _, err = await command(capsys, "put", path, TOPIC, "--file", str(lines))
-            assert status == 1 and "it may be in force or not" in err and not s.store.topics
+            assert status == 1 and "it may be in force or not" in err and not s.replica.topics
         server.close()
 
     run(test())
@@ -536,7 +539,10 @@
 
 
 def test_values_of_other_topics_are_any_json() -> None:
-    assert entries_of(b'{"a": 1, "b": null}', "settings/x") == (Entry("a", b"1"), Entry("b", None))
+    assert parse_entries(b'{"a": 1, "b": null}', "settings/x") == (
+        Entry("a", b"1"),
+        Entry("b", None),
+    )
 
 
 # The file, and the process of a store alone.
@@ -588,7 +594,7 @@
     assert old in text
     path.write_text(text.replace(old, new))
     with pytest.raises(FileError) as caught:
-        store_file(str(path))
+        load_replica_file(str(path))
     assert words in str(caught.value)
     assert command_line(["distribution", "store", str(path)]) == 2
     assert words in capsys.readouterr().err
@@ -714,6 +720,6 @@
             _, body = await n.get(b"GET /_distribution HTTP/1.1\r\nHost: x\r\n\r\n")
             told = json.loads(body)
             assert told["age_ms"] is None and told["store"] is None and told["state"] == "stale"
-            assert n.part.follower.age(now_ms()) == math.inf and n.site.roster.suspended
+            assert n.part.follower.age_ms(now_ms()) == math.inf and n.site.roster.suspended
 
     run(test())
--- a/tests/distribution/test_driver.py
+++ b/tests/distribution/test_driver.py
@@ -14,38 +14,58 @@
 
 from badgercart.config import Address
 from badgercart.core.clock import now_ms
-from badgercart.distribution import driver as module
-from badgercart.distribution.driver import HIGH, LENGTH, MOST, Client, FollowerDriver, StoreDriver
-from badgercart.distribution.effects import Keep, Take
+from badgercart.distribution import link as link_module
+from badgercart.distribution.client import Client
+from badgercart.distribution.driver import Runtime
+from badgercart.distribution.effects import Persist, PersistSnapshot, UpdateTopic
 from badgercart.distribution.follower import Follower
-from badgercart.distribution.follower import Timing as FollowerTiming
+from badgercart.distribution.follower_driver import FollowerDriver
 from badgercart.distribution.journal import Journal
+from badgercart.distribution.link import (
+    FRAME_LENGTH,
+    HIGH_WATER_BYTES,
+    MAX_WAITING_BYTES,
+    Link,
+)
 from badgercart.distribution.messages import (
     MAGIC,
-    MAX_FRAME,
-    VERSION,
-    Beat,
+    MAX_FRAME_BYTES,
+    PROTOCOL_VERSION,
     Codec,
     Delta,
     Entry,
+    Heartbeat,
     Hello,
     Message,
     Propose,
-    Proposed,
+    ProposeResponse,
+    Snapshot,
     Status,
     StatusRequest,
-    Subscribe,
-    Whole,
 )
-from badgercart.distribution.store import Store
-from badgercart.distribution.store import Timing as StoreTiming
+from badgercart.distribution.replica import Replica
+from badgercart.distribution.replica_config import ReplicaGroup, ReplicaTiming
+from badgercart.distribution.replica_driver import ReplicaAddresses, ReplicaDriver
+from badgercart.distribution.replica_selector import FollowerTiming, ReplicaSelector
 from badgercart.distribution.topic import Topic
+from tests.distribution.support import subscribe
 from tests.net import WAIT, run
 
 GROUP, SECRET = "test", b"a secret of the tests"
 CODEC = Codec(GROUP, SECRET)
-QUICK = StoreTiming(heartbeat=20.0, election=200.0, beat=20.0, patience=2000.0)
-BRISK = FollowerTiming(silence=2000.0, dial=1000.0, answer=5000.0, window=20.0, longest=100.0)
+QUICK = ReplicaTiming(
+    heartbeat_interval_ms=20.0,
+    election_timeout_ms=200.0,
+    subscriber_heartbeat_interval_ms=20.0,
+    reply_timeout_ms=2000.0,
+)
+BRISK = FollowerTiming(
+    silence_timeout_ms=2000.0,
+    connect_timeout_ms=1000.0,
+    answer_timeout_ms=5000.0,
+    reconnect_window_ms=20.0,
+    max_reconnect_window_ms=100.0,
+)
 A, B = "servers/a", "servers/b"
 
 
@@ -71,46 +91,51 @@
     others: dict[str, Address] | None = None,
     port: int = 0,
     **changes: Any,
-) -> StoreDriver:
+) -> ReplicaDriver:
     """A store that is up; alone where there are no others."""
     addresses = others or {name: ("127.0.0.1", port)}
     names = tuple(addresses)
-    journal = Journal(folder / name, changes.pop("floor", 1 << 20))
-    store = Store(name, names, names, QUICK, random.Random(name), journal.recover(), **changes)
+    journal = Journal(folder / name, changes.pop("min_compaction_bytes", 1 << 20))
+    group = ReplicaGroup(name, names, names)
+    replica = Replica(group, QUICK, random.Random(name), journal.recover(), **changes)
     loop = asyncio.get_running_loop()
     listen = addresses[name]
-    driver = StoreDriver(loop, now_ms, store, journal, CODEC, listen, addresses, random.Random(1))
+    runtime = Runtime(loop, now_ms, CODEC)
+    driver = ReplicaDriver(
+        runtime, replica, journal, ReplicaAddresses(listen, addresses), random.Random(1)
+    )
     await driver.start()
     return driver
 
 
 def following(
     *stores: Address, topics: tuple[str, ...] = (A,), timing: FollowerTiming = BRISK, seed: int = 1
-) -> tuple[FollowerDriver, list[Take]]:
-    taken: list[Take] = []
-    follower = Follower("n", topics, len(stores), timing, random.Random(seed))
+) -> tuple[FollowerDriver, list[UpdateTopic]]:
+    taken: list[UpdateTopic] = []
+    selector = ReplicaSelector(len(stores), timing, random.Random(seed))
+    follower = Follower("n", topics, selector, timing)
     loop = asyncio.get_running_loop()
-    driver = FollowerDriver(loop, now_ms, follower, CODEC, stores, taken.append)
+    driver = FollowerDriver(Runtime(loop, now_ms, CODEC), follower, stores, taken.append)
     driver.start()
     return driver, taken
 
 
-async def put(driver: StoreDriver, topic: str, **values: str | None) -> Proposed:
+async def put(driver: ReplicaDriver, topic: str, **values: str | None) -> ProposeResponse:
     entries = tuple(Entry(k, None if v is None else v.encode()) for k, v in values.items())
     async with asyncio.timeout(WAIT), Client(driver.listen, CODEC) as client:
         client.write(Propose(1, topic, entries, -1))
-        while not isinstance(told := await client.read(), Proposed):
+        while not isinstance(told := await client.read(), ProposeResponse):
             pass
         return told
 
 
-def same(driver: FollowerDriver, store: StoreDriver, topic: str = A) -> bool:
-    held, there = driver.follower.topics[topic], store.store.topics.get(topic)
-    return there is not None and (held.number, held.entries) == (there.number, there.entries)
+def same(driver: FollowerDriver, store: ReplicaDriver, topic: str = A) -> bool:
+    held, there = driver.follower.topics.by_name[topic], store.replica.topics.get(topic)
+    return there is not None and (held.version, held.entries) == (there.version, there.entries)
 
 
 @asynccontextmanager
-async def alone(folder: Path, **changes: Any) -> AsyncIterator[StoreDriver]:
+async def alone(folder: Path, **changes: Any) -> AsyncIterator[ReplicaDriver]:
     driver = await store_at(folder, **changes)
     try:
         yield driver
@@ -118,43 +143,43 @@
         driver.close()
 
 
-def test_a_follower_is_told_the_whole_and_then_each_change(tmp_path: Path) -> None:
+def test_a_follower_gets_a_snapshot_and_then_each_delta(tmp_path: Path) -> None:
     async def test() -> None:
         async with alone(tmp_path) as store:
-            assert (await put(store, A, x="1")).number == 1
+            assert (await put(store, A, x="1")).version == 1
             follower, taken = following(store.listen, topics=(A, B))
-            await until(lambda: same(follower, store) and follower.follower.age(now_ms()) < 500)
-            assert follower.follower.unknown == {B}
+            await until(lambda: same(follower, store) and follower.follower.age_ms(now_ms()) < 500)
+            assert follower.follower.topics.unknown == {B}
             for number in range(2, 30):
-                assert (await put(store, A, x=str(number), y=None)).number == number
+                assert (await put(store, A, x=str(number), y=None)).version == number
             await put(store, B, z="1")
             await until(lambda: same(follower, store) and same(follower, store, B))
-            assert [take.number for take in taken if take.topic == A] == list(range(1, 30))
-            assert follower.follower.dials == 1 and not follower.refused and not store.refused
+            assert [take.version for take in taken if take.topic == A] == list(range(1, 30))
+            assert follower.follower.dial_count == 1 and not follower.refused and not store.refused
             follower.close()
-            await until(lambda: not store.store.teller.followers)
+            await until(lambda: not store.replica.publisher.subscriptions.subscribers)
 
     run(test())
 
 
-def test_what_a_store_kept_is_there_after_a_restart_and_compactions(tmp_path: Path) -> None:
+def test_persisted_topics_survive_compactions_and_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        async with alone(tmp_path, floor=2000) as store:
+        async with alone(tmp_path, min_compaction_bytes=2000) as store:
             for number in range(60):
                 await put(store, A, **{f"k{number % 7}": "v" * 100 + str(number)})
-            assert store.disk.generation >= 2
-            had = dict(store.store.topics[A].entries)
+            assert int(next(p.suffix[1:] for p in (tmp_path / "s1").glob("journal.*"))) >= 2
+            had = dict(store.replica.topics[A].entries)
         async with alone(tmp_path) as store:
-            assert store.store.topics[A].entries == had and store.store.topics[A].number == 60
+            assert store.replica.topics[A].entries == had and store.replica.topics[A].version == 60
 
     run(test())
 
 
 BAD = {
     "forged": Codec(GROUP, b"another secret of 16").encode(Hello("n", False)),
-    "version": MAGIC + bytes((VERSION + 1,)) + CODEC.encode(Hello("n", False))[3:],
+    "version": MAGIC + bytes((PROTOCOL_VERSION + 1,)) + CODEC.encode(Hello("n", False))[3:],
     "stray": b"nothing of ours at all, though long enough",
-    "malformed": MAGIC + bytes((VERSION,)) + CODEC.tag(b"\xc1") + b"\xc1",
+    "malformed": MAGIC + bytes((PROTOCOL_VERSION,)) + CODEC.hash(b"\xc1") + b"\xc1",
 }
 
 
@@ -166,7 +191,7 @@
 
 @pytest.mark.parametrize("kind", [*BAD, "oversized"])
 @pytest.mark.parametrize("greeted", [False, True])
-def test_a_bad_frame_ends_its_connection_alone_and_changes_nothing(
+def test_a_bad_frame_closes_only_its_connection_and_changes_nothing(
     tmp_path: Path, kind: str, greeted: bool
 ) -> None:
     async def test() -> None:
@@ -177,28 +202,31 @@
             reader, writer = await asyncio.open_connection(*store.listen)
             if greeted:
                 data = CODEC.encode(Hello("n2", False))
-                writer.write(LENGTH.pack(len(data)) + data)
+                writer.write(FRAME_LENGTH.pack(len(data)) + data)
             if kind == "oversized":
-                writer.write(LENGTH.pack(MAX_FRAME + 1) + b"x")
+                writer.write(FRAME_LENGTH.pack(MAX_FRAME_BYTES + 1) + b"x")
             else:
                 # A good change behind it is not taken either.
                 more = CODEC.encode(Propose(1, A, (Entry("x", b"2"),), -1))
                 writer.write(
-                    LENGTH.pack(len(BAD[kind])) + BAD[kind] + LENGTH.pack(len(more)) + more
+                    FRAME_LENGTH.pack(len(BAD[kind]))
+                    + BAD[kind]
+                    + FRAME_LENGTH.pack(len(more))
+                    + more
                 )
             await ended(reader)
             assert dict(store.refused) == {kind: 1}
-            assert store.store.topics[A].number == 1 and len(store.links) == 1
+            assert store.replica.topics[A].version == 1 and len(store.links) == 1
             await put(store, A, x="3")
             await until(lambda: same(follower, store))
-            assert follower.follower.dials == 1
+            assert follower.follower.dial_count == 1
             writer.close()
             follower.close()
 
     run(test())
 
 
-def test_frames_in_any_pieces_are_the_same_frames(tmp_path: Path) -> None:
+def test_frames_split_into_single_bytes_are_reassembled(tmp_path: Path) -> None:
     async def test() -> None:
         async with alone(tmp_path) as store:
             reader, writer = await asyncio.open_connection(*store.listen)
@@ -209,7 +237,7 @@
                 StatusRequest(),
             ):
                 frame = CODEC.encode(message)
-                data += LENGTH.pack(len(frame)) + frame
+                data += FRAME_LENGTH.pack(len(frame)) + frame
             for byte in data:
                 writer.write(bytes((byte,)))
                 await writer.drain()
@@ -217,9 +245,11 @@
             client = Client(store.listen, CODEC)
             client.reader = reader
             async with asyncio.timeout(WAIT):
-                assert await client.read() == Proposed(1, 1, "", "")
+                assert await client.read() == ProposeResponse(1, 1, "", "")
                 status = await client.read()
-            assert isinstance(status, Status) and status.role == "leading" and status.committed == 2
+            assert (
+                isinstance(status, Status) and status.role == "leading" and status.commit_index == 2
+            )
             writer.close()
 
     run(test())
@@ -239,7 +269,7 @@
 
     def say(self, writer: asyncio.StreamWriter, message: Message | bytes) -> None:
         data = message if isinstance(message, bytes) else CODEC.encode(message)
-        writer.write(LENGTH.pack(len(data)) + data)
+        writer.write(FRAME_LENGTH.pack(len(data)) + data)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
@@ -247,7 +277,7 @@
             self.say(writer, message)
         try:
             while True:
-                (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
+                (length,) = FRAME_LENGTH.unpack(await reader.readexactly(FRAME_LENGTH.size))
                 self.heard.put_nowait(CODEC.decode(await reader.readexactly(length)))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
@@ -259,20 +289,22 @@
 
 
 @pytest.mark.parametrize("kind", BAD)
-def test_a_store_that_speaks_badly_is_left_for_another_with_nothing_changed(
+def test_a_replica_that_sends_bad_frames_is_left_with_nothing_changed(
     tmp_path: Path, kind: str
 ) -> None:
     async def test() -> None:
         async with alone(tmp_path) as store:
             await put(store, A, x="1")
             held = Topic(3, (Entry("old", b"1"),))
-            whole = Whole(A, 3, held.digest, 1, 1, (Entry("old", b"1"),))
+            whole = Snapshot(A, 3, held.digest, 1, 1, (Entry("old", b"1"),))
             change = Delta(A, 4, held.digest_with((Entry("old", b"2"),)), (Entry("old", b"2"),))
-            bad = await Scripted(Hello("bad", True), whole, Beat(0.0), BAD[kind], change).start()
+            bad = await Scripted(
+                Hello("bad", True), whole, Heartbeat(0.0), BAD[kind], change
+            ).start()
             follower, taken = following(bad.address)
             await until(lambda: follower.follower.faults["closed"])
-            assert [take.number for take in taken][:1] == [3] and follower.refused[kind]
-            assert follower.follower.topics[A].entries == {"old": b"1"}
+            assert [take.version for take in taken][:1] == [3] and follower.refused[kind]
+            assert follower.follower.topics.by_name[A].entries == {"old": b"1"}
             follower.close()
             seeds = [seed for seed in range(50) if first_store(seed) == 0]
             follower, taken = following(bad.address, store.listen, seed=seeds[0])
@@ -287,10 +319,10 @@
 
 
 def first_store(seed: int) -> int:
-    return Follower("n", (A,), 2, BRISK, random.Random(seed)).order[0]
+    return ReplicaSelector(2, BRISK, random.Random(seed)).order[0]
 
 
-def test_a_store_whose_connection_never_comes_up_is_left_after_its_time(
+def test_a_dial_that_never_completes_is_cancelled_after_its_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -299,14 +331,15 @@
             seed = next(seed for seed in range(50) if first_store(seed) == 0)
             loop = asyncio.get_running_loop()
             hung: asyncio.Queue[str] = asyncio.Queue()
-            timing = FollowerTiming(dial=30.0, window=1.0)
+            timing = FollowerTiming(connect_timeout_ms=30.0, reconnect_window_ms=1.0)
             real = FollowerDriver.dial
 
             async def dial(self: FollowerDriver, effect: Any) -> None:
-                if effect.store == 1:
-                    return await real(self, effect)
+                if effect.replica == 1:
+                    await real(self, effect)
+                    return
                 try:
-                    return await loop.create_future()
+                    await loop.create_future()
                 except asyncio.CancelledError:
                     hung.put_nowait("cancelled")
                     raise
@@ -322,28 +355,30 @@
     run(test())
 
 
-def test_a_doubt_is_mended_by_the_whole_though_the_store_has_all_changes(tmp_path: Path) -> None:
+def test_a_doubted_topic_is_repaired_by_a_snapshot_even_where_deltas_are_held(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         async with alone(tmp_path) as store:
             await put(store, A, x="1", y="1")
             follower, taken = following(store.listen)
             await until(lambda: same(follower, store))
-            follower.follower.topics[A].entries["x"] = b"spoilt"  # as by a fault in memory
+            follower.follower.topics.by_name[A].entries["x"] = b"spoilt"  # as by a fault in memory
             await put(store, A, x="2")
             await until(lambda: same(follower, store))
-            assert follower.follower.faults["digest"] == 1 and taken[-1].whole
-            assert follower.follower.dials == 1
+            assert follower.follower.faults["digest"] == 1 and taken[-1].is_snapshot
+            assert follower.follower.dial_count == 1
             follower.close()
 
     run(test())
 
 
-def test_a_connection_that_comes_up_as_the_driver_closes_is_ended(tmp_path: Path) -> None:
+def test_a_connection_that_opens_while_the_driver_closes_is_aborted(tmp_path: Path) -> None:
     async def test() -> None:
         store = await store_at(tmp_path)
-        loop, coming = asyncio.get_running_loop(), store.coming()
+        loop, coming = asyncio.get_running_loop(), store.accept()
         follower, _ = following(store.listen)
-        late = module.Link(follower, 99)
+        late = Link(follower, 99)
         # Both wait to be told of their connections while their drivers close.
         other = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
         store.close()
@@ -351,7 +386,7 @@
         for link in (coming, late):
             address = other.sockets[0].getsockname()
             transport, _ = await loop.create_connection(lambda link=link: link, *address)  # type: ignore[misc]
-            assert transport.is_closing() and link.ended
+            assert transport.is_closing() and link.is_closed
         assert not store.links and not follower.links
         other.close()
 
@@ -361,7 +396,7 @@
 # Who does not read.
 
 
-def test_who_does_not_read_is_told_no_more_than_a_bound_and_all_of_it_later(tmp_path: Path) -> None:
+def test_a_slow_reader_is_buffered_up_to_a_bound_and_gets_everything_later(tmp_path: Path) -> None:
     async def test() -> None:
         async with alone(tmp_path) as store:
             big = {f"k{i}": "v" * 60_000 for i in range(8)}
@@ -369,43 +404,49 @@
             for topic in topics:
                 await put(store, topic, **big)
             reader, writer = await asyncio.open_connection(*store.listen, limit=1000)
-            for message in (Hello("n", False), Subscribe(tuple((topic, 0, 0) for topic in topics))):
+            for message in (Hello("n", False), subscribe(*((topic, 0, 0) for topic in topics))):
                 data = CODEC.encode(message)
-                writer.write(LENGTH.pack(len(data)) + data)
-            await until(lambda: any(f.stalled for f in store.store.teller.followers.values()))
+                writer.write(FRAME_LENGTH.pack(len(data)) + data)
+            await until(
+                lambda: any(
+                    f.stalled for f in store.replica.publisher.subscriptions.subscribers.values()
+                )
+            )
             (link,) = (
-                link for link in store.links.values() if link.number in store.store.teller.followers
+                link
+                for link in store.links.values()
+                if link.number in store.replica.publisher.subscriptions.subscribers
             )
             peak = 0
             for number in range(20):
                 await put(store, topics[-1], k0=str(number))
                 assert link.transport is not None
                 peak = max(peak, link.transport.get_write_buffer_size())
-            assert HIGH < peak < MOST / 2
+            assert HIGH_WATER_BYTES < peak < MAX_WAITING_BYTES / 2
             had: dict[str, Topic] = {}
             client = Client(store.listen, CODEC)
             client.reader = reader
             async with asyncio.timeout(WAIT):
                 while any(
-                    topic not in had or had[topic].digest != store.store.topics[topic].digest
+                    topic not in had or had[topic].digest != store.replica.topics[topic].digest
                     for topic in topics
                 ):
                     told = await client.read()
-                    if isinstance(told, Whole):
-                        had[told.topic] = Topic(told.number, told.entries)  # each in one part
+                    if isinstance(told, Snapshot):
+                        had[told.topic] = Topic(told.version, told.entries)  # each in one part
                         assert told.parts == 1
                     elif isinstance(told, Delta):
-                        had.setdefault(told.topic, Topic()).change(told.entries)
-            assert had[topics[-1]].number == 21 and not store.refused
+                        had.setdefault(told.topic, Topic()).apply(told.entries)
+            assert had[topics[-1]].version == 21 and not store.refused
             writer.close()
 
     run(test())
 
 
-def test_who_does_not_read_for_long_is_ended(
+def test_a_connection_that_stalls_for_long_is_closed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "STALL", 0.05)
+    monkeypatch.setattr(link_module, "STALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with alone(tmp_path) as store:
@@ -413,11 +454,11 @@
                 await put(store, f"t{number}", **{f"k{i}": "v" * 60_000 for i in range(8)})
             reader, writer = await asyncio.open_connection(*store.listen, limit=1000)
             topics = tuple((f"t{i}", 0, 0) for i in range(30))
-            for message in (Hello("n", False), Subscribe(topics)):
+            for message in (Hello("n", False), subscribe(*topics)):
                 data = CODEC.encode(message)
-                writer.write(LENGTH.pack(len(data)) + data)
+                writer.write(FRAME_LENGTH.pack(len(data)) + data)
             await until(lambda: store.refused["slow"])
-            assert not store.store.teller.followers
+            assert not store.replica.publisher.subscriptions.subscribers
             writer.close()
 
     run(test())
@@ -426,42 +467,45 @@
 # Disks and others that fail.
 
 
-def test_a_disk_that_fails_ends_the_store_before_it_says_what_it_did_not_keep(
+def test_a_failing_disk_stops_the_replica_before_it_acknowledges(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
         failures: list[Exception] = []
         store = await store_at(tmp_path)
-        store.failed = failures.append
-        kept = store.disk.keep
+        store.on_failure = failures.append
+        persist = store.disk.persist
 
-        def keep(effect: Keep) -> None:
+        def failing(effect: Persist | PersistSnapshot) -> None:
+            assert isinstance(effect, Persist)
             if any(entry.key == "x" for change in effect.changes for entry in change.entries):
                 raise OSError(28, "no room")
-            kept(effect)
+            persist(effect)
 
-        store.disk.keep = keep  # type: ignore[method-assign]
-        assert (await put(store, A, ok="1")).number == 1
+        store.disk.persist = failing  # type: ignore[method-assign]
+        assert (await put(store, A, ok="1")).version == 1
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await put(store, A, x="1")
-        assert [str(error) for error in failures] == ["[Errno 28] no room"] and not store.open
+        assert [str(error) for error in failures] == ["[Errno 28] no room"] and not store.is_open
         with pytest.raises(OSError):
             await asyncio.open_connection(*store.listen)
         async with alone(tmp_path) as store:
-            assert store.store.topics[A].entries == {"ok": b"1"}
+            assert store.replica.topics[A].entries == {"ok": b"1"}
 
     run(test())
 
 
-def test_three_stores_on_sockets_go_on_without_the_one_that_leads(tmp_path: Path) -> None:
+def test_three_replicas_on_sockets_survive_the_loss_of_their_leader(tmp_path: Path) -> None:
     async def test() -> None:
         addresses: dict[str, Address] = {
             f"s{i}": ("127.0.0.1", port) for i, port in enumerate(free_ports(3), 1)
         }
         stores = {name: await store_at(tmp_path, name, addresses) for name in addresses}
 
-        def leader() -> StoreDriver | None:
-            return next((s for s in stores.values() if s.store.leading and s.open), None)
+        def leader() -> ReplicaDriver | None:
+            return next(
+                (s for s in stores.values() if s.replica.raft.state.is_leader and s.is_open), None
+            )
 
         follower, taken = following(*addresses.values())
         await until(leader)
@@ -472,16 +516,16 @@
         other = next(store for store in stores.values() if store is not first)
         assert (await put(other, A, x="2")).error == "not-leading"
         first.close()
-        del stores[first.store.name]
+        del stores[first.replica.group.local]
         await until(leader)
         second = leader()
-        assert second is not None and second.store.term > first.store.term
-        assert (await put(second, A, x="3")).number == 2
-        await until(lambda: same(follower, second) and follower.follower.age(now_ms()) < 500)
-        back = await store_at(tmp_path, first.store.name, addresses)
-        stores[back.store.name] = back
-        await until(lambda: back.store.topics.get(A, Topic()).number == 2)
-        assert [take.number for take in taken] == [1, 2]
+        assert second is not None and second.replica.raft.state.term > first.replica.raft.state.term
+        assert (await put(second, A, x="3")).version == 2
+        await until(lambda: same(follower, second) and follower.follower.age_ms(now_ms()) < 500)
+        back = await store_at(tmp_path, first.replica.group.local, addresses)
+        stores[back.replica.group.local] = back
+        await until(lambda: back.replica.topics.get(A, Topic()).version == 2)
+        assert [take.version for take in taken] == [1, 2]
         for store in stores.values():
             store.close()
         follower.close()
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -1,5 +1,4 @@
-"""The follower alone: what it takes, what it refuses with nothing changed, and when it turns
-elsewhere."""
+"""The follower alone: what it takes, what it refuses unchanged, and when it turns elsewhere."""
 
 from __future__ import annotations
 
@@ -12,29 +11,32 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.distribution import follower as module
-from badgercart.distribution.effects import Close, Dial, Effect, Happened, Send, Take
-from badgercart.distribution.follower import MAX_AGAIN, MAX_PARTS, Follower, Timing
+from badgercart.distribution.effects import Close, Dial, Effect, LogEvent, Send, UpdateTopic
+from badgercart.distribution.errors import FrameError
+from badgercart.distribution.follower import Follower
 from badgercart.distribution.messages import (
-    MAX_FRAME,
+    MAX_FRAME_BYTES,
     MAX_TOPICS,
-    MAX_VALUE,
-    WHOLE,
-    Append,
-    Beat,
+    MAX_VALUE_BYTES,
+    RESEND,
+    AppendEntries,
     Codec,
     Delta,
     Entry,
+    Heartbeat,
     Hello,
     Message,
-    No,
-    Refused,
+    Rejection,
+    Snapshot,
     Subscribe,
-    Whole,
+    TopicVersion,
 )
-from badgercart.distribution.topic import Topic
+from badgercart.distribution.replica_selector import FollowerTiming, ReplicaSelector
+from badgercart.distribution.topic import Topic, framed_size
+from badgercart.distribution.topic_sync import MAX_GAPS, MAX_SNAPSHOT_PARTS
+from tests.distribution.support import subscribe
 
-TIMING = Timing()
+TIMING = FollowerTiming()
 A, B = "servers/a", "servers/b"
 
 
@@ -44,29 +46,36 @@
     )
 
 
-def wholes(topic: str, state: Topic, parts: int = 1) -> list[Whole]:
+def wholes(topic: str, state: Topic, parts: int = 1) -> list[Snapshot]:
     told = [Entry(key, value) for key, value in state.entries.items()]
     step = max(1, -(-len(told) // parts))
     pieces = [tuple(told[at : at + step]) for at in range(0, len(told), step)] or [()]
     return [
-        Whole(topic, state.number, state.digest, i, len(pieces), p) for i, p in enumerate(pieces, 1)
+        Snapshot(topic, state.version, state.digest, i, len(pieces), p)
+        for i, p in enumerate(pieces, 1)
     ]
 
 
 def next_delta(topic: str, state: Topic, **values: str | None) -> Delta:
-    state.change(entries(**values))
-    return Delta(topic, state.number, state.digest, entries(**values))
+    state.apply(entries(**values))
+    return Delta(topic, state.version, state.digest, entries(**values))
+
+
+def follower_of(
+    name: str, topics: tuple[str, ...], replicas: int, timing: FollowerTiming, rng: random.Random
+) -> Follower:
+    return Follower(name, topics, ReplicaSelector(replicas, timing, rng), timing)
 
 
 class Rig:
     """A follower whose stores the test plays; what is in force as the effects say."""
 
     def __init__(
-        self, *topics: str, stores: int = 3, seed: int = 1, timing: Timing = TIMING
+        self, *topics: str, replicas: int = 3, seed: int = 1, timing: FollowerTiming = TIMING
     ) -> None:
-        self.follower = Follower("n", topics or (A,), stores, timing, random.Random(seed))
+        self.follower = follower_of("n", topics or (A,), replicas, timing, random.Random(seed))
         self.now = 1000.0
-        self.taken: dict[str, Topic] = {topic: Topic() for topic in self.follower.topics}
+        self.taken: dict[str, Topic] = {topic: Topic() for topic in self.follower.topics.by_name}
         self.effects: list[Effect] = []
         self.connection = 0
         self.do(self.follower.start(self.now))
@@ -76,15 +85,15 @@
         for effect in effects:
             if isinstance(effect, Dial):
                 self.connection = effect.connection
-            elif isinstance(effect, Take):
-                if effect.whole:
-                    self.taken[effect.topic] = Topic(effect.number, effect.entries)
+            elif isinstance(effect, UpdateTopic):
+                if effect.is_snapshot:
+                    self.taken[effect.topic] = Topic(effect.version, effect.entries)
                 else:
-                    self.taken[effect.topic].change(effect.entries)
-                    assert self.taken[effect.topic].number == effect.number
-        for topic, held in self.follower.topics.items():  # what it holds is what it said
-            assert (held.number, held.digest) == (
-                self.taken[topic].number,
+                    self.taken[effect.topic].apply(effect.entries)
+                    assert self.taken[effect.topic].version == effect.version
+        for topic, held in self.follower.topics.by_name.items():  # what it holds is what it said
+            assert (held.version, held.digest) == (
+                self.taken[topic].version,
                 self.taken[topic].digest,
             )
         return effects
@@ -97,13 +106,13 @@
         return told
 
     def tick(self) -> list[Effect]:
-        assert math.isfinite(self.follower.due)
-        self.now = max(self.now, self.follower.due)
+        assert math.isfinite(self.follower.due_ms)
+        self.now = max(self.now, self.follower.due_ms)
         return self.do(self.follower.tick(self.now))
 
     def connect(self) -> Subscribe:
         """Come up with the next store, and give what it is asked for."""
-        while not self.follower.connection:
+        while self.follower.session is None:
             self.tick()
         effects = self.do(self.follower.connected(self.now, self.connection))
         assert [type(e.message) for e in effects if isinstance(e, Send)] == [Hello, Subscribe]
@@ -117,18 +126,37 @@
         """Up, with one topic whole and proven."""
         self.connect()
         state = Topic(4, entries(**(values or {"x": "1", "y": "2", "z": "3"})))
-        self.tell(*wholes(next(iter(self.follower.topics)), state, parts), Beat(0.0))
-        assert self.follower.age(self.now) == 0
+        self.tell(*wholes(next(iter(self.follower.topics.by_name)), state, parts), Heartbeat(0.0))
+        assert self.follower.age_ms(self.now) == 0
         return state
 
     def held(self) -> dict[str, tuple[int, dict[str, bytes]]]:
         return {
-            topic: (held.number, dict(held.entries)) for topic, held in self.follower.topics.items()
+            topic: (held.version, dict(held.entries))
+            for topic, held in self.follower.topics.by_name.items()
         }
 
 
+def dialled(follower: Follower) -> int:
+    """The number of the connection that counts."""
+    assert follower.session is not None
+    return follower.session.connection
+
+
+def followed(follower: Follower) -> int:
+    """The replica that is followed, or dialled."""
+    assert follower.session is not None
+    return follower.session.replica
+
+
+def assembled_bytes(follower: Follower) -> int:
+    """Of unfinished snapshots."""
+    sync = None if follower.session is None else follower.session.sync
+    return 0 if sync is None else sync.assembled_bytes
+
+
 def happened(effects: list[Effect]) -> list[tuple[str, str]]:
-    return [(e.name, e.told.get("kind", "")) for e in effects if isinstance(e, Happened)]
+    return [(e.name, e.fields.get("kind", "")) for e in effects if isinstance(e, LogEvent)]
 
 
 def subscribes(effects: list[Effect]) -> list[Subscribe]:
@@ -139,57 +167,57 @@
     return [e.kind for e in effects if isinstance(e, Close)]
 
 
-def test_it_greets_asks_for_all_and_takes_a_whole_with_its_last_part() -> None:
+def test_a_follower_subscribes_and_installs_a_snapshot_with_its_last_part() -> None:
     rig = Rig(A, B)
-    assert rig.connect() == Subscribe(((A, 0, 0), (B, 0, 0)))
+    assert rig.connect() == subscribe((A, 0, 0), (B, 0, 0))
     state = Topic(7, entries(x="1", y="2", z="3"))
     first, second, third = wholes(A, state, 3)
-    assert rig.tell(first, second) == [] and rig.taken[A].number == 0
+    assert rig.tell(first, second) == [] and rig.taken[A].version == 0
     (take,) = rig.tell(third)
-    assert take == Take(A, 7, True, entries(x="1", y="2", z="3"))
-    rig.tell(Beat(0.0))
-    assert rig.follower.age(rig.now) == math.inf  # the other is owed still
-    rig.tell(*wholes(B, Topic(1)), Beat(200.0))
-    assert rig.follower.age(rig.now) == 200
+    assert take == UpdateTopic(A, 7, True, entries(x="1", y="2", z="3"))
+    rig.tell(Heartbeat(0.0))
+    assert rig.follower.age_ms(rig.now) == math.inf  # the other is owed still
+    rig.tell(*wholes(B, Topic(1)), Heartbeat(200.0))
+    assert rig.follower.age_ms(rig.now) == 200
 
 
-def test_changes_are_taken_in_their_order_and_the_age_runs_from_the_last_beat() -> None:
+def test_deltas_are_applied_in_order_and_the_age_runs_from_the_last_heartbeat() -> None:
     rig = Rig()
     state = rig.with_topic()
     assert rig.tell(next_delta(A, state, x="9", y=None)) == [
-        Take(A, 5, False, entries(x="9", y=None))
+        UpdateTopic(A, 5, False, entries(x="9", y=None))
     ]
     assert rig.held()[A] == (5, {"x": b"9", "z": b"3"})
-    rig.tell(Beat(30.0), after=100)
-    rig.tell(Beat(500.0), after=100)  # an older proof than the last changes nothing
-    assert rig.follower.age(rig.now) == 130
-    rig.tell(Beat(0.0), after=100)
+    rig.tell(Heartbeat(30.0), after=100)
+    rig.tell(Heartbeat(500.0), after=100)  # an older proof than the last changes nothing
+    assert rig.follower.age_ms(rig.now) == 130
+    rig.tell(Heartbeat(0.0), after=100)
     rig.now += 700
-    assert rig.follower.age(rig.now) == 700
+    assert rig.follower.age_ms(rig.now) == 700
 
 
-def test_a_gap_is_noticed_and_closed_from_what_there_is() -> None:
+def test_a_gap_is_closed_by_subscribing_from_the_current_version() -> None:
     rig = Rig()
     state = rig.with_topic()
     had = rig.held()
     lost, after = next_delta(A, state, x="5"), next_delta(A, state, y="6")
     told = rig.tell(after)
     assert happened(told) == [("gap", "gap")] and rig.held() == had
-    assert subscribes(told) == [Subscribe(((A, had[A][0], rig.taken[A].digest),))]
-    rig.tell(Beat(0.0), after=50)
-    assert rig.follower.age(rig.now) == 50  # nothing is proven meanwhile
+    assert subscribes(told) == [subscribe((A, had[A][0], rig.taken[A].digest))]
+    rig.tell(Heartbeat(0.0), after=50)
+    assert rig.follower.age_ms(rig.now) == 50  # nothing is proven meanwhile
     later = next_delta(A, state, z="7")
     assert rig.tell(later) == []  # written before the question was read
     assert len(rig.tell(lost, after, later)) == 3 and rig.held()[A][0] == 7
-    rig.tell(Beat(0.0))
-    assert rig.follower.age(rig.now) == 0
+    rig.tell(Heartbeat(0.0))
+    assert rig.follower.age_ms(rig.now) == 0
 
 
-def test_what_is_told_twice_because_of_a_gap_elsewhere_is_passed_over() -> None:
+def test_deltas_repeated_because_of_a_gap_in_another_topic_are_ignored() -> None:
     rig = Rig(A, B)
     rig.connect()
     one, other = Topic(4, entries(x="1")), Topic(2, entries(y="1"))
-    rig.tell(*wholes(A, one), *wholes(B, other), Beat(0.0))
+    rig.tell(*wholes(A, one), *wholes(B, other), Heartbeat(0.0))
     first, second, change = (
         next_delta(A, one, x="2"),
         next_delta(A, one, x="3"),
@@ -200,91 +228,95 @@
         3,
         {"y": b"2"},
     )  # the store answers what was asked
-    rig.tell(first, second, Beat(0.0))
-    assert rig.held()[A] == (6, {"x": b"3"}) and rig.follower.age(rig.now) == 0
+    rig.tell(first, second, Heartbeat(0.0))
+    assert rig.held()[A] == (6, {"x": b"3"}) and rig.follower.age_ms(rig.now) == 0
 
 
-def test_a_wrong_digest_changes_nothing_and_has_all_of_it_told_again() -> None:
+def test_a_wrong_digest_changes_nothing_and_requests_a_snapshot() -> None:
     rig = Rig()
     state = rig.with_topic()
     had = rig.held()
     wrong = next_delta(A, state, x="5")
-    told = rig.tell(Delta(A, wrong.number, wrong.digest ^ 1, wrong.entries))
+    told = rig.tell(Delta(A, wrong.version, wrong.digest ^ 1, wrong.entries))
     assert happened(told) == [("gap", "digest")] and rig.held() == had
-    assert subscribes(told) == [Subscribe(((A, WHOLE, 0),))]
-    assert rig.tell(wrong, Beat(0.0)) == [] and rig.held() == had  # only a whole makes it good
+    assert subscribes(told) == [subscribe((A, RESEND, 0))]
+    assert rig.tell(wrong, Heartbeat(0.0)) == [] and rig.held() == had  # only a whole makes it good
     (part,) = wholes(A, state)
-    told = rig.tell(Whole(A, part.number, part.digest ^ 1, 1, 1, part.entries))
+    told = rig.tell(Snapshot(A, part.version, part.digest ^ 1, 1, 1, part.entries))
     assert happened(told) == [("gap", "digest")] and rig.held() == had
-    rig.tell(part, Beat(0.0), after=10)
-    assert rig.held()[A][1] == state.entries and rig.follower.age(rig.now) == 0
+    rig.tell(part, Heartbeat(0.0), after=10)
+    assert rig.held()[A][1] == state.entries and rig.follower.age_ms(rig.now) == 0
 
 
-def test_a_doubt_outlives_the_connection() -> None:
+def test_a_doubted_topic_stays_doubted_on_the_next_connection() -> None:
     rig = Rig()
     state = rig.with_topic()
     wrong = next_delta(A, state, x="5")
-    rig.tell(Delta(A, wrong.number, wrong.digest ^ 1, wrong.entries))
+    rig.tell(Delta(A, wrong.version, wrong.digest ^ 1, wrong.entries))
     rig.do(rig.follower.closed(rig.now, rig.connection))
-    assert rig.connect() == Subscribe(((A, WHOLE, 0),))
-    rig.tell(Beat(0.0), after=1)
-    assert rig.follower.age(rig.now) > 0
+    assert rig.connect() == subscribe((A, RESEND, 0))
+    rig.tell(Heartbeat(0.0), after=1)
+    assert rig.follower.age_ms(rig.now) > 0
     told: list[Effect] = []
     for _ in range(200):
         if not told:
             told = (
-                rig.tell(Beat(0.0), after=100) if rig.now + 100 < rig.follower.due else rig.tick()
+                rig.tell(Heartbeat(0.0), after=100)
+                if rig.now + 100 < rig.follower.due_ms
+                else rig.tick()
             )
     assert closes(told) == ["no-answer"]  # it is owed there, too
 
 
 @pytest.mark.parametrize("how", ["delta", "whole"])
-def test_nothing_older_is_taken_for_newer(how: str) -> None:
+def test_an_older_version_is_never_applied(how: str) -> None:
     rig = Rig()
     state = rig.with_topic()
     had, older = rig.held(), Topic(3, entries(x="0"))
     message: Message = wholes(A, older)[0]
     if how == "delta":
         message = Delta(A, 4, state.digest, entries(x="0"))
-    store = rig.follower.store
+    store = followed(rig.follower)
     told = rig.tell(message)
     assert closes(told) == ["older"] and happened(told) == [("lost", "older")] and rig.held() == had
-    assert rig.connect() == Subscribe(((A, 4, state.digest),)) and rig.follower.store != store
+    assert rig.connect() == subscribe((A, 4, state.digest)) and followed(rig.follower) != store
 
 
-def test_another_history_at_the_same_number_is_taken_whole_and_counted() -> None:
+def test_a_snapshot_of_the_same_version_with_other_entries_is_applied_and_counted() -> None:
     rig = Rig()
     rig.with_topic()
     other = Topic(4, entries(x="other"))
     (take,) = rig.tell(*wholes(A, other))
-    assert take == Take(A, 4, True, entries(x="other")) and rig.follower.faults["other"] == 1
+    assert take == UpdateTopic(A, 4, True, entries(x="other")) and rig.follower.faults["other"] == 1
 
 
 @pytest.mark.parametrize("kind", ["behind", "too-many", "something-new"])
-def test_a_store_that_says_no_is_left_for_another(kind: str) -> None:
+def test_a_replica_that_rejects_the_subscription_is_left_for_another(kind: str) -> None:
     rig = Rig()
     rig.with_topic()
-    had, store = rig.held(), rig.follower.store
-    told = rig.tell(No(kind, "", "no"))
+    had, store = rig.held(), followed(rig.follower)
+    told = rig.tell(Rejection(kind, "", "no"))
     wanted = "refused" if kind == "something-new" else kind
     assert closes(told) == [wanted] and rig.held() == had
     rig.connect()
-    assert rig.follower.store != store
+    assert followed(rig.follower) != store
 
 
-def test_a_service_that_nobody_has_is_said_once_and_stays_asked_for() -> None:
+def test_an_unknown_topic_is_logged_once_and_stays_subscribed() -> None:
     rig = Rig(A, B)
     rig.connect()
     rig.tell(*wholes(A, Topic(1, entries(x="1"))))
-    assert happened(rig.tell(No("unknown-topic", B, "nobody has it"))) == [("unknown-topic", "")]
-    rig.tell(Beat(0.0))
-    assert rig.follower.age(rig.now) == 0  # that is all there is
+    assert happened(rig.tell(Rejection("unknown-topic", B, "nobody has it"))) == [
+        ("unknown-topic", "")
+    ]
+    rig.tell(Heartbeat(0.0))
+    assert rig.follower.age_ms(rig.now) == 0  # that is all there is
     rig.do(rig.follower.closed(rig.now, rig.connection))
-    assert rig.connect().topics[1] == (B, 0, 0)
-    assert rig.tell(No("unknown-topic", B, "nobody has it")) == []
+    assert rig.connect().topics[1] == TopicVersion(B, 0, 0)
+    assert rig.tell(Rejection("unknown-topic", B, "nobody has it")) == []
     state = Topic()
-    assert rig.tell(next_delta(B, state, y="1")) == [Take(B, 1, False, entries(y="1"))]
-    assert closes(rig.tell(No("unknown-topic", B, "nobody has it"))) == [
+    assert rig.tell(next_delta(B, state, y="1")) == [UpdateTopic(B, 1, False, entries(y="1"))]
+    assert closes(rig.tell(Rejection("unknown-topic", B, "nobody has it"))) == [
         "behind"
     ]  # but it was there
 
@@ -296,63 +328,63 @@
     number: int = 0,
     entry: Entry | None = None,
     digest: int = 0,
-) -> Whole:
+) -> Snapshot:
     entry = entry or Entry("xyz"[(part - 1) % 3], str(part - 1).encode())
-    return Whole(A, number or state.number, digest or state.digest, part, parts, (entry,))
+    return Snapshot(A, number or state.version, digest or state.digest, part, parts, (entry,))
 
 
-SPOILT: dict[str, Callable[[Topic], list[Whole]]] = {
+SPOILT: dict[str, Callable[[Topic], list[Snapshot]]] = {
     "one left out": lambda s: [part(s, 1), part(s, 3)],
     "no first": lambda s: [part(s, 2)],
     "one twice": lambda s: [part(s, 1), part(s, 1), part(s, 2), part(s, 2)],
-    "another number": lambda s: [part(s, 1), part(s, 2, number=s.number + 1)],
+    "another number": lambda s: [part(s, 1), part(s, 2, number=s.version + 1)],
     "another digest": lambda s: [part(s, 1), part(s, 2, digest=s.digest ^ 1)],
     "another count": lambda s: [part(s, 1), part(s, 2, parts=4)],
     "no parts": lambda s: [part(s, 1, parts=0)],
     "below": lambda s: [part(s, 0)],
     "behind the last": lambda s: [part(s, 4)],
-    "too many parts": lambda s: [part(s, 1, parts=MAX_PARTS + 1)],
+    "too many parts": lambda s: [part(s, 1, parts=MAX_SNAPSHOT_PARTS + 1)],
     "one that is gone": lambda s: [part(s, 1, entry=Entry("x", None))],
 }
 
 
 @pytest.mark.parametrize("how", SPOILT)
-def test_parts_that_do_not_follow_change_nothing_and_are_asked_for_again(how: str) -> None:
+def test_snapshot_parts_out_of_sequence_change_nothing_and_are_requested_again(how: str) -> None:
     rig = Rig()
     state = rig.with_topic()
     had = rig.held()
-    state.change(entries(x="0", y="1", z="2"))
+    state.apply(entries(x="0", y="1", z="2"))
     told = rig.tell(*SPOILT[how](state))
     assert happened(told) == [("gap", "parts")] and rig.held() == had and not closes(told)
-    assert subscribes(told) and not rig.follower.staged and not rig.follower.staged_size
-    rig.tell(Beat(0.0), after=5)
-    assert rig.follower.age(rig.now) == 5
-    rig.tell(*wholes(A, state, 3), Beat(0.0))
-    assert rig.held()[A] == (5, state.entries) and rig.follower.age(rig.now) == 0
+    assert subscribes(told) and not assembled_bytes(rig.follower)
+    rig.tell(Heartbeat(0.0), after=5)
+    assert rig.follower.age_ms(rig.now) == 5
+    rig.tell(*wholes(A, state, 3), Heartbeat(0.0))
+    assert rig.held()[A] == (5, state.entries) and rig.follower.age_ms(rig.now) == 0
 
 
-def test_a_whole_begun_anew_takes_the_place_of_the_one_begun_before() -> None:
+def test_a_new_snapshot_replaces_an_unfinished_one() -> None:
     rig = Rig()
     state = rig.with_topic()
-    rig.tell(Whole(A, 5, 1, 1, 2, entries(w="old")))
-    state.change(entries(x="7"))
-    state.change(entries(x="8"))
+    rig.tell(Snapshot(A, 5, 1, 1, 2, entries(w="old")))
+    state.apply(entries(x="7"))
+    state.apply(entries(x="8"))
     rig.tell(*wholes(A, state, 3))
     assert rig.held()[A] == (6, state.entries)
 
 
-def test_a_whole_that_nobody_asked_for_is_owed_until_its_last_part() -> None:
+def test_an_unrequested_snapshot_is_awaited_until_its_last_part() -> None:
     rig = Rig()
     state = rig.with_topic()
-    state.change(entries(x="7"))
+    state.apply(entries(x="7"))
     first, *others = wholes(A, state, 3)
-    rig.tell(first, Beat(0.0), after=10)
-    assert rig.follower.age(rig.now) == 20
-    rig.tell(*others, Beat(0.0))
-    assert rig.held()[A] == (5, state.entries) and rig.follower.age(rig.now) == 0
+    rig.tell(first, Heartbeat(0.0), after=10)
+    assert rig.follower.age_ms(rig.now) == 20
+    rig.tell(*others, Heartbeat(0.0))
+    assert rig.held()[A] == (5, state.entries) and rig.follower.age_ms(rig.now) == 0
 
 
-def test_parts_of_two_topics_may_mix() -> None:
+def test_snapshot_parts_of_two_topics_may_interleave() -> None:
     rig = Rig(A, B)
     rig.connect()
     one, other = Topic(2, entries(x="1", y="2")), Topic(9, entries(x="3", y="4"))
@@ -366,35 +398,35 @@
     ("message", "kind"),
     [
         (Delta("servers/other", 1, 0, ()), "unasked"),
-        (Whole("servers/other", 1, 0, 1, 1, ()), "unasked"),
-        (No("unknown-topic", "servers/other", ""), "unasked"),
-        (Append(1, 0, (), 0), "unasked"),
+        (Snapshot("servers/other", 1, 0, 1, 1, ()), "unasked"),
+        (Rejection("unknown-topic", "servers/other", ""), "unasked"),
+        (AppendEntries(1, 0, (), 0), "unasked"),
         (Subscribe(()), "unasked"),
         (Hello("s", True), "unasked"),
-        (Beat(-1.0), "malformed"),
-        (Beat(math.nan), "malformed"),
+        (Heartbeat(-1.0), "malformed"),
+        (Heartbeat(math.nan), "malformed"),
     ],
 )
-def test_what_was_never_asked_for_changes_nothing_and_ends_the_connection(
+def test_unexpected_messages_change_nothing_and_close_the_connection(
     message: Message, kind: str
 ) -> None:
     rig = Rig()
     rig.with_topic()
     had = rig.held()
     told = rig.tell(message, after=10)
-    assert closes(told) == [kind] and rig.held() == had and rig.follower.age(rig.now) == 10
+    assert closes(told) == [kind] and rig.held() == had and rig.follower.age_ms(rig.now) == 10
     assert rig.follower.faults[kind] == 1
 
 
-@pytest.mark.parametrize("first", [Hello("n2", False), Beat(0.0), Delta(A, 1, 0, ())])
-def test_who_does_not_greet_as_a_store_is_left(first: Message) -> None:
+@pytest.mark.parametrize("first", [Hello("n2", False), Heartbeat(0.0), Delta(A, 1, 0, ())])
+def test_a_connection_without_a_replicas_hello_is_left(first: Message) -> None:
     rig = Rig()
     rig.do(rig.follower.connected(rig.now, rig.connection))
     assert closes(rig.tell(first)) in (["no-store"], ["unasked"])
 
 
 @pytest.mark.parametrize("state", ["dialling", "up", "waiting"])
-def test_what_comes_of_another_connection_is_passed_over(state: str) -> None:
+def test_events_of_other_connections_are_ignored(state: str) -> None:
     rig = Rig()
     old = rig.connection
     if state != "dialling":
@@ -406,122 +438,126 @@
     follower, had = rig.follower, rig.held()
     wrong = old + 7 if state == "dialling" else old
     change = wholes(A, Topic(9, entries(x="new")))[0]
-    due = follower.due
+    due = follower.due_ms
     assert (
         follower.received(rig.now, wrong, change) == [] and follower.connected(rig.now, wrong) == []
     )
-    assert follower.closed(rig.now, wrong) == [] and rig.held() == had and follower.due == due
+    assert follower.closed(rig.now, wrong) == [] and rig.held() == had and follower.due_ms == due
 
 
 # Stores that say nothing, hang, lag.
 
 
-def test_a_silent_store_is_left_and_another_is_called_within_the_window() -> None:
+def test_a_silent_replica_is_left_and_another_dialled_within_the_window() -> None:
     rig = Rig()
     rig.with_topic()
-    store, began = rig.follower.store, rig.now
-    assert rig.do(rig.follower.tick(rig.now + TIMING.silence - 1)) == []
+    store, began = followed(rig.follower), rig.now
+    assert rig.do(rig.follower.tick(rig.now + TIMING.silence_timeout_ms - 1)) == []
     told = rig.tick()
-    assert rig.now == began + TIMING.silence and closes(told) == ["silent"]
+    assert rig.now == began + TIMING.silence_timeout_ms and closes(told) == ["silent"]
     (dial,) = rig.tick()
-    assert isinstance(dial, Dial) and dial.store != store
-    assert rig.now <= began + TIMING.silence + TIMING.window
+    assert isinstance(dial, Dial) and dial.replica != store
+    assert rig.now <= began + TIMING.silence_timeout_ms + TIMING.reconnect_window_ms
 
 
-def test_what_lay_in_a_buffer_while_the_process_stood_still_proves_nothing() -> None:
+def test_messages_buffered_while_the_process_was_paused_prove_nothing() -> None:
     rig = Rig()
     state = rig.with_topic()
     had, began = rig.held(), rig.now
     rig.now += 60_000
     told = rig.tell(next_delta(A, state, x="5"))
-    assert closes(told) == ["silent"] and rig.tell(Beat(0.0)) == []
-    assert rig.held() == had and rig.follower.age(rig.now) == rig.now - began
+    assert closes(told) == ["silent"] and rig.tell(Heartbeat(0.0)) == []
+    assert rig.held() == had and rig.follower.age_ms(rig.now) == rig.now - began
 
 
 def test_a_dial_that_hangs_is_given_up() -> None:
     rig = Rig()
-    store = rig.follower.store
+    store = followed(rig.follower)
     told = rig.tick()
-    assert rig.now == 1000.0 + TIMING.dial and closes(told) == ["hangs"]
+    assert rig.now == 1000.0 + TIMING.connect_timeout_ms and closes(told) == ["hangs"]
     rig.tick()
-    assert rig.follower.store != store
+    assert followed(rig.follower) != store
 
 
-def test_a_store_that_owes_an_answer_and_only_beats_is_left() -> None:
+def test_a_replica_that_sends_only_heartbeats_for_a_subscription_is_left() -> None:
     rig = Rig()
     rig.connect()
     told: list[Effect] = []
     for _ in range(200):
         if not told:
             told = (
-                rig.tell(Beat(0.0), after=100) if rig.now + 100 < rig.follower.due else rig.tick()
+                rig.tell(Heartbeat(0.0), after=100)
+                if rig.now + 100 < rig.follower.due_ms
+                else rig.tick()
             )
-    assert closes(told) == ["no-answer"] and rig.now == 1000.0 + TIMING.answer
+    assert closes(told) == ["no-answer"] and rig.now == 1000.0 + TIMING.answer_timeout_ms
 
 
-def test_parts_that_come_slowly_are_an_answer() -> None:
+def test_slow_snapshot_parts_count_as_progress() -> None:
     rig = Rig()
     rig.connect()
     state = Topic(3, entries(**{f"k{i}": "v" for i in range(20)}))
-    rig.tell(*wholes(A, state, 20), after=TIMING.silence - 1)
+    rig.tell(*wholes(A, state, 20), after=TIMING.silence_timeout_ms - 1)
     assert rig.held()[A] == (3, state.entries)
 
 
-def test_a_store_that_is_cut_off_from_its_leader_is_kept_while_another_is_looked_for() -> None:
-    rig = Rig(timing=Timing(window=100.0))
+def test_a_replica_cut_off_from_its_leader_is_kept_until_another_is_dialled() -> None:
+    rig = Rig(timing=FollowerTiming(reconnect_window_ms=100.0))
     state = rig.with_topic()
-    store = rig.follower.store
-    rig.tell(Beat(TIMING.lag))
-    by = rig.follower.due
+    store = followed(rig.follower)
+    rig.tell(Heartbeat(TIMING.max_lag_ms))
+    by = rig.follower.due_ms
     assert rig.now <= by <= rig.now + 100.0
-    rig.tell(next_delta(A, state, x="6"), Beat(TIMING.lag + 10))
-    assert rig.held()[A][0] == 5 and rig.follower.due == by  # put off by nothing but a leader
+    rig.tell(next_delta(A, state, x="6"), Heartbeat(TIMING.max_lag_ms + 10))
+    assert rig.held()[A][0] == 5 and rig.follower.due_ms == by  # put off by nothing but a leader
     told = rig.tick()
-    assert closes(told) == ["lags"] and isinstance(told[-1], Dial) and told[-1].store != store
+    assert closes(told) == ["lags"] and isinstance(told[-1], Dial) and told[-1].replica != store
     rig.connect()
-    rig.tell(Beat(TIMING.lag), Beat(0.0))
-    assert rig.follower.due == rig.now + TIMING.silence  # its leader is back, it is kept
+    rig.tell(Heartbeat(TIMING.max_lag_ms), Heartbeat(0.0))
+    assert (
+        rig.follower.due_ms == rig.now + TIMING.silence_timeout_ms
+    )  # its leader is back, it is kept
 
 
-def test_a_store_that_never_knew_of_a_leader_proves_nothing() -> None:
+def test_a_replica_that_never_knew_a_leader_proves_no_freshness() -> None:
     rig = Rig()
     rig.connect()
-    rig.tell(*wholes(A, Topic(1)), Beat(math.inf))
-    assert rig.follower.age(rig.now) == math.inf and rig.follower.freshness.proved is None
-    rig.tell(Beat(40.0))
-    assert rig.follower.age(rig.now) == 40
+    rig.tell(*wholes(A, Topic(1)), Heartbeat(math.inf))
+    assert rig.follower.age_ms(rig.now) == math.inf and rig.follower.freshness.proved is None
+    rig.tell(Heartbeat(40.0))
+    assert rig.follower.age_ms(rig.now) == 40
 
 
-def test_the_only_store_is_kept_though_it_lags() -> None:
-    rig = Rig(stores=1)
+def test_the_only_replica_is_kept_even_if_it_lags() -> None:
+    rig = Rig(replicas=1)
     rig.with_topic()
-    rig.tell(Beat(60_000.0))
-    assert rig.follower.due == rig.now + TIMING.silence
+    rig.tell(Heartbeat(60_000.0))
+    assert rig.follower.due_ms == rig.now + TIMING.silence_timeout_ms
 
 
-def test_a_store_that_is_back_takes_up_where_it_was() -> None:
-    rig = Rig(stores=1)
+def test_a_reconnect_resumes_from_the_current_version() -> None:
+    rig = Rig(replicas=1)
     state = rig.with_topic()
     rig.do(rig.follower.closed(rig.now, rig.connection))
     missed = next_delta(A, state, x="8")
-    assert rig.connect() == Subscribe(((A, 4, rig.taken[A].digest),))
-    rig.tell(missed, Beat(0.0))
-    assert rig.held()[A][0] == 5 and rig.follower.age(rig.now) == 0
+    assert rig.connect() == subscribe((A, 4, rig.taken[A].digest))
+    rig.tell(missed, Heartbeat(0.0))
+    assert rig.held()[A][0] == 5 and rig.follower.age_ms(rig.now) == 0
 
 
-def test_tries_without_a_proof_come_ever_later_up_to_a_bound_and_a_proof_begins_anew() -> None:
-    timing, waits = Timing(window=100.0, longest=1000.0), []
+def test_reconnects_back_off_up_to_a_bound_until_freshness_is_proven() -> None:
+    timing, waits = FollowerTiming(reconnect_window_ms=100.0, max_reconnect_window_ms=1000.0), []
     rig = Rig(timing=timing)
     for _ in range(60):
         rig.do(rig.follower.closed(rig.now, rig.connection))
-        waits.append(rig.follower.due - rig.now)
+        waits.append(rig.follower.due_ms - rig.now)
         rig.tick()
     bounds = [min(100.0 * 2**i, 1000.0) for i in range(60)]
     assert all(0 <= wait <= bound for wait, bound in zip(waits, bounds, strict=True))
     assert max(waits[5:]) > 800 and min(waits[5:]) < 200  # drawn from all of it
     rig.with_topic()
     rig.do(rig.follower.closed(rig.now, rig.connection))
-    assert rig.follower.due - rig.now <= 100
+    assert rig.follower.due_ms - rig.now <= 100
 
 
 # 8,600 at once.
@@ -531,94 +567,98 @@
     """(time, store) of each call while nobody answers, as all lose their stores at 0."""
     calls = []
     for follower in followers:
-        connection = follower.connection
+        connection = dialled(follower)
         follower.closed(0.0, connection)
-        while (now := follower.due) < span:
+        while (now := follower.due_ms) < span:
             (dial,) = follower.tick(now)
             assert isinstance(dial, Dial)
-            calls.append((now, dial.store))
+            calls.append((now, dial.replica))
             follower.closed(now, dial.connection)  # refused at once: the worst case
     return calls
 
 
 def many(count: int) -> list[Follower]:
-    followers = [Follower(f"n{i}", (A,), 40, TIMING, random.Random(f"n{i}")) for i in range(count)]
+    followers = [
+        follower_of(f"n{i}", (A,), 40, TIMING, random.Random(f"n{i}")) for i in range(count)
+    ]
     for follower in followers:
         follower.start(0.0)
     return followers
 
 
-def test_8600_that_lost_all_stores_do_not_come_back_together() -> None:
+def test_8600_followers_that_lost_all_replicas_do_not_reconnect_together() -> None:
     calls = calls_of(many(8600), 60_000.0)
     by_tenth = Counter(int(now // 100) for now, _ in calls)
     peak = max(by_tenth.values())
     # First calls come evenly over the window, 430 in 100 ms. At its end second calls (from twice
     # the window), third ones and so on have risen to 1/2, 1/16, 1/384, ... of that beside them.
-    # Four deviations of chance.
-    most = (1 + 1 / 2 + 1 / 16 + 1 / 384 + 1e-3) * 8600 * 100 / TIMING.window
+    # Four standard deviations are allowed for chance.
+    most = (1 + 1 / 2 + 1 / 16 + 1 / 384 + 1e-3) * 8600 * 100 / TIMING.reconnect_window_ms
     assert peak <= most + 4 * math.sqrt(most)
     second = Counter((int(now // 1000), store) for now, store in calls)
     assert (
-        max(second.values()) <= 2.5 * 8600 / 40 * 1000 / TIMING.window
+        max(second.values()) <= 2.5 * 8600 / 40 * 1000 / TIMING.reconnect_window_ms
     )  # of one store, by chance too
     late = sum(count for at, count in by_tenth.items() if at >= 300) / 30
     assert late <= 1.3 * 8600 / (
-        TIMING.longest / 2 / 1000
+        TIMING.max_reconnect_window_ms / 2 / 1000
     )  # calls a second once all wait the longest
 
 
-def test_stores_are_tried_in_an_order_of_each_nodes_own_and_share_the_load() -> None:
+def test_each_follower_has_its_own_order_of_replicas_which_spreads_the_load() -> None:
     followers = many(8600)
-    first = Counter(follower.store for follower in followers)
+    first = Counter(followed(follower) for follower in followers)
     mean, spread = 8600 / 40, 4 * math.sqrt(8600 / 40)
     assert len(first) == 40 and all(abs(count - mean) < spread for count in first.values())
     gone = first.most_common(1)[0][0]  # one store dies: its nodes go to all the others
     second: Counter[int] = Counter()
     for follower in followers:
-        if follower.store == gone:
-            follower.closed(0.0, follower.connection)
-            follower.tick(follower.due)
-            second[follower.store] += 1
+        if followed(follower) == gone:
+            follower.closed(0.0, dialled(follower))
+            follower.tick(follower.due_ms)
+            second[followed(follower)] += 1
     assert len(second) == 39 and max(second.values()) <= 20
 
 
 # Bounds.
 
 
-def test_topics_are_bounded_by_number_and_by_what_one_frame_holds() -> None:
+def test_followed_topics_are_bounded_by_count_and_by_frame_size() -> None:
     def made(*topics: str) -> Follower:
-        return Follower("n", topics, 3, TIMING, random.Random(1))
+        return follower_of("n", topics, 3, TIMING, random.Random(1))
 
     most = made(*(f"servers/{i}" for i in range(MAX_TOPICS)))
-    Codec("g", b"secret").encode(most.subscription())
+    Codec("g", b"secret").encode(most.topics.subscription())
     for topics in [(), (A, A), tuple(f"servers/{i}" for i in range(MAX_TOPICS + 1))]:
         with pytest.raises(ValueError, match="topics are not 1 to"):
             made(*topics)
     long = ["é" * 195 + f"{i:05}" for i in range(MAX_TOPICS)]
     with pytest.raises(ValueError, match="more than one frame holds"):
         made(*long)
-    fits = made(*long[: MAX_FRAME // 440])
-    Codec("g", b"secret").encode(fits.subscription())
+    fits = made(*long[: MAX_FRAME_BYTES // 440])
+    Codec("g", b"secret").encode(fits.topics.subscription())
     with pytest.raises(ValueError, match="no store"):
-        Follower("n", (A,), 0, TIMING, random.Random(1))
+        follower_of("n", (A,), 0, TIMING, random.Random(1))
 
 
-def test_what_it_holds_is_bounded_in_force_and_in_parts() -> None:
+def test_bytes_are_bounded_in_force_and_in_unfinished_snapshots() -> None:
     def filled(most: int) -> Rig:
         rig = Rig()
-        rig.follower.most_bytes = most
+        rig.follower.topics.max_bytes = most
         rig.connect()
         return rig
 
     big = Topic(1, entries(**{f"k{i}": "v" * 1000 for i in range(10)}))
     rig = filled(9000)
     assert closes(rig.tell(*wholes(A, big, 10))) == ["oversized"] and rig.held()[A][0] == 0
-    assert not rig.follower.staged and not rig.follower.staged_size
+    assert not assembled_bytes(rig.follower)
     rig = filled(5000)
     told = rig.tell(*wholes(A, big, 10)[:5])
-    assert closes(told) == ["oversized"] and not rig.follower.staged_size  # long before the last
+    assert closes(told) == ["oversized"] and not assembled_bytes(
+        rig.follower
+    )  # long before the last
     two = Rig(A, B)
-    two.follower.most_bytes = 15_000
+    two.follower.topics.max_bytes = 15_000
     two.connect()
     assert closes(two.tell(*wholes(A, big, 10), *wholes(B, big, 10))) == ["oversized"]
     assert two.held()[A][0] == 1 and two.held()[B][0] == 0
@@ -633,51 +673,56 @@
     rig.tell(*wholes(A, state, 10))
     for _ in range(50):  # what takes an old value's place takes its room
         rig.tell(next_delta(A, state, k0="w" * 1000, k1=None), next_delta(A, state, k1="v" * 1000))
-    assert rig.follower.size == module.size_of(Entry(k, v) for k, v in state.entries.items())
-    fresh = Follower("n", (A, B), 1, TIMING, random.Random(1))
+    assert rig.follower.topics.total_bytes == framed_size(
+        Entry(k, v) for k, v in state.entries.items()
+    )
+    fresh = follower_of("n", (A, B), 1, TIMING, random.Random(1))
     fresh.succeed(rig.follower)
-    assert fresh.size == rig.follower.size and fresh.topics[A] is rig.follower.topics[A]
+    assert (
+        fresh.topics.total_bytes == rig.follower.topics.total_bytes
+        and fresh.topics.by_name[A] is rig.follower.topics.by_name[A]
+    )
 
 
-def test_a_store_that_leaves_gap_upon_gap_is_left() -> None:
+def test_a_replica_that_leaves_too_many_gaps_is_left() -> None:
     rig = Rig()
     state = rig.with_topic()
     kinds: list[str] = []
-    for _ in range(MAX_AGAIN + 1):
-        kinds += closes(rig.tell(Whole(A, state.number + 1, 1, 2, 2, ())))
+    for _ in range(MAX_GAPS + 1):
+        kinds += closes(rig.tell(Snapshot(A, state.version + 1, 1, 2, 2, ())))
     assert kinds == ["gaps"]
 
 
-def test_lines_that_can_not_be_used_are_asked_for_again_whole() -> None:
+def test_unusable_entries_are_requested_again_as_a_snapshot() -> None:
     rig = Rig()
     state = rig.with_topic()
     rig.tell(next_delta(A, state, x="bad"))
-    told = rig.do(rig.follower.ask_whole(rig.now, A))
+    told = rig.do(rig.follower.request_resend(rig.now, A))
     assert happened(told) == [("gap", "unusable")] and subscribes(told) == [
-        Subscribe(((A, WHOLE, 0),))
+        subscribe((A, RESEND, 0))
     ]
-    rig.tell(Beat(0.0), after=20)
-    assert rig.follower.age(rig.now) == 20  # not whole for sure until then
+    rig.tell(Heartbeat(0.0), after=20)
+    assert rig.follower.age_ms(rig.now) == 20  # not whole for sure until then
     (take,) = rig.tell(*wholes(A, state))
-    assert isinstance(take, Take) and take.whole and take.number == 5
-    assert rig.do(rig.follower.ask_whole(rig.now, A)) == []  # it is no better: not in a circle
-    rig.tell(Beat(0.0), after=1000)
-    assert rig.follower.age(rig.now) == 1020
-    assert rig.follower.due == rig.now + TIMING.silence  # nobody owes anything
+    assert isinstance(take, UpdateTopic) and take.is_snapshot and take.version == 5
+    assert rig.do(rig.follower.request_resend(rig.now, A)) == []  # it is no better: not in a circle
+    rig.tell(Heartbeat(0.0), after=1000)
+    assert rig.follower.age_ms(rig.now) == 1020
+    assert rig.follower.due_ms == rig.now + TIMING.silence_timeout_ms  # nobody owes anything
     mended = next_delta(A, state, x="good")
-    assert subscribes(rig.tell(mended)) == [Subscribe(((A, WHOLE, 0),))]
-    rig.tell(*wholes(A, state), Beat(0.0))
-    assert rig.held()[A] == (6, state.entries) and rig.follower.age(rig.now) == 0
+    assert subscribes(rig.tell(mended)) == [subscribe((A, RESEND, 0))]
+    rig.tell(*wholes(A, state), Heartbeat(0.0))
+    assert rig.held()[A] == (6, state.entries) and rig.follower.age_ms(rig.now) == 0
     rig.do(rig.follower.closed(rig.now, rig.connection))
-    assert rig.do(rig.follower.ask_whole(rig.now, A)) == []
-    assert rig.connect() == Subscribe(((A, WHOLE, 0),))
+    assert rig.do(rig.follower.request_resend(rig.now, A)) == []
+    assert rig.connect() == subscribe((A, RESEND, 0))
 
 
 # Any order of anything.
 
 
 @given(st.integers(0, 2**32))
-def test_whatever_is_told_nothing_older_and_no_half_is_ever_in_force(seed: int) -> None:
+def test_whatever_is_received_no_older_or_partial_version_is_ever_in_force(seed: int) -> None:
     """One history of one topic; stores tell pieces of it, late, twice, spoilt and mixed."""
     history, states = [Topic()], [(0, 0)]
     rng = draw = random.Random(seed)
@@ -689,21 +734,21 @@
             for _ in range(rng.randint(1, 3))
         }
         deltas.append(next_delta(A, state, **values))
-        copy = Topic(state.number, [Entry(k, v) for k, v in state.entries.items()])
+        copy = Topic(state.version, [Entry(k, v) for k, v in state.entries.items()])
         history.append(copy)
-        states.append((copy.number, copy.digest))
+        states.append((copy.version, copy.digest))
     rig = Rig(seed=seed)
     last = 0
     for _ in range(80):
         act = draw.random()
-        if not rig.follower.up:
+        if not rig.follower.is_connected:
             rig.connect()
         elif act < 0.5:
             delta = draw.choice(deltas)
-            if draw.random() < 0.6 and rig.follower.topics[A].number < len(deltas):
-                delta = deltas[rig.follower.topics[A].number]
+            if draw.random() < 0.6 and rig.follower.topics.by_name[A].version < len(deltas):
+                delta = deltas[rig.follower.topics.by_name[A].version]
             if draw.random() < 0.1:
-                delta = Delta(A, delta.number, delta.digest ^ 1, delta.entries)
+                delta = Delta(A, delta.version, delta.digest ^ 1, delta.entries)
             rig.tell(delta)
         elif act < 0.8:
             pieces = wholes(A, draw.choice(history[1:]), draw.randint(1, 4))
@@ -713,19 +758,19 @@
                 pieces = pieces[: draw.randrange(len(pieces) + 1)]
             rig.tell(*pieces)
         elif act < 0.9:
-            rig.tell(Beat(0.0))
+            rig.tell(Heartbeat(0.0))
         elif act < 0.95:
             rig.do(rig.follower.closed(rig.now, rig.connection))
         else:
             rig.tick()
-        held = rig.follower.topics[A]
-        assert held.number >= last and (held.number, held.digest) == states[held.number]
-        assert held.entries == history[held.number].entries
-        last = held.number
+        held = rig.follower.topics.by_name[A]
+        assert held.version >= last and (held.version, held.digest) == states[held.version]
+        assert held.entries == history[held.version].entries
+        last = held.version
 
 
 def test_an_oversized_value_is_refused_by_the_codec_before_the_follower_sees_it() -> None:
     codec = Codec("g", b"secret")
-    with pytest.raises(Refused, match="bytes of") as caught:
-        codec.encode(Delta(A, 1, 0, (Entry("x", bytes(MAX_VALUE + 1)),)))
+    with pytest.raises(FrameError, match="bytes of") as caught:
+        codec.encode(Delta(A, 1, 0, (Entry("x", bytes(MAX_VALUE_BYTES + 1)),)))
     assert caught.value.kind == "oversized"
--- a/tests/distribution/test_golden.py
+++ b/tests/distribution/test_golden.py
@@ -1,5 +1,4 @@
-"""Bytes of this package on wires and disks, as they were written before the names of the code
-changed.
+"""Bytes of this package on wires and disks, as written before the names of the code changed.
 
 What stands in `golden/` was written once. It is read to the same values, and the same values are
 written as the same bytes, whatever classes and fields are called.
@@ -20,36 +19,38 @@
 from click.testing import CliRunner
 
 from badgercart.core.log_events import TABLE
-from badgercart.distribution import commands
-from badgercart.distribution import log_events as events
-from badgercart.distribution.driver import LENGTH, StoreDriver
-from badgercart.distribution.effects import Keep, KeepAll, Recovered
+from badgercart.distribution import commands, log_events
+from badgercart.distribution.driver import Runtime
+from badgercart.distribution.effects import Persist, PersistSnapshot, RecoveredState
 from badgercart.distribution.journal import Journal
+from badgercart.distribution.link import FRAME_LENGTH
 from badgercart.distribution.messages import (
-    LABELS,
-    WHOLE,
-    Append,
-    Appended,
-    Beat,
+    MESSAGE_LABELS,
+    RESEND,
+    AppendEntries,
+    AppendResponse,
     Change,
     Codec,
     Delta,
     Entry,
+    Heartbeat,
     Hello,
+    InstallSnapshot,
     Message,
-    No,
     Propose,
-    Proposed,
-    State,
+    ProposeResponse,
+    Rejection,
+    Snapshot,
     Status,
     StatusRequest,
-    Subscribe,
-    Vote,
     VoteRequest,
-    Whole,
+    VoteResponse,
 )
-from badgercart.distribution.store import Store, Timing
+from badgercart.distribution.replica import Replica
+from badgercart.distribution.replica_config import ReplicaGroup, ReplicaTiming
+from badgercart.distribution.replica_driver import ReplicaAddresses, ReplicaDriver
 from badgercart.distribution.topic import Topic
+from tests.distribution.support import subscribe, topic_parts
 
 GOLDEN = Path(__file__).parent / "golden"
 CODEC = Codec("budapest", b"sixteen or more bytes")
@@ -63,39 +64,46 @@
     ("hello-follower", Hello("node é", False), ["node é", False]),
     ("vote-request", VoteRequest(3, 2, 9, False), [3, 2, 9, False]),
     ("vote-request-only-asking", VoteRequest(4, 2, 9, True), [4, 2, 9, True]),
-    ("vote", Vote(3, True, False), [3, True, False]),
-    ("vote-only-asking", Vote(3, False, True), [3, False, True]),
+    ("vote", VoteResponse(3, True, False), [3, True, False]),
+    ("vote-only-asking", VoteResponse(3, False, True), [3, False, True]),
     (
         "append",
-        Append(3, 8, (CHANGE, Change(3, 10, "", ())), 8, 12.5),
+        AppendEntries(3, 8, (CHANGE, Change(3, 10, "", ())), 8, 12.5),
         [3, 8, [[3, 9, "servers/a", LINE_VALUES], [3, 10, "", []]], 8, 12.5],
     ),
-    ("append-nothing", Append(3, 8, (), 8), [3, 8, [], 8, 0.0]),
-    ("append-never-known", Append(3, 8, (), 8, math.inf), [3, 8, [], 8, math.inf]),
-    ("appended", Appended(3, 9, 8, False), [3, 9, 8, False]),
-    ("appended-missing", Appended(3, 0, 8, True), [3, 0, 8, True]),
+    ("append-nothing", AppendEntries(3, 8, (), 8), [3, 8, [], 8, 0.0]),
+    ("append-never-known", AppendEntries(3, 8, (), 8, math.inf), [3, 8, [], 8, math.inf]),
+    ("appended", AppendResponse(3, 9, 8, False), [3, 9, 8, False]),
+    ("appended-missing", AppendResponse(3, 0, 8, True), [3, 0, 8, True]),
     (
         "state",
-        State(3, 9, 2, 1, 2, (("servers/a", 4, 1 << 63, LINES[:1]), ("servers/b", 1, 0, ()))),
+        InstallSnapshot(
+            3,
+            9,
+            2,
+            1,
+            2,
+            topic_parts(("servers/a", 4, 1 << 63, LINES[:1]), ("servers/b", 1, 0, ())),
+        ),
         [3, 9, 2, 1, 2, [["servers/a", 4, 1 << 63, LINE_VALUES[:1]], ["servers/b", 1, 0, []]]],
     ),
     (
         "subscribe",
-        Subscribe((("servers/a", 4, 1 << 63), ("servers/b", 0, 0), ("servers/c", WHOLE, 0))),
+        subscribe(("servers/a", 4, 1 << 63), ("servers/b", 0, 0), ("servers/c", RESEND, 0)),
         [[["servers/a", 4, 1 << 63], ["servers/b", 0, 0], ["servers/c", -1, 0]]],
     ),
     (
         "whole",
-        Whole("servers/a", 4, 1 << 63, 1, 2, LINES[:1]),
+        Snapshot("servers/a", 4, 1 << 63, 1, 2, LINES[:1]),
         ["servers/a", 4, 1 << 63, 1, 2, LINE_VALUES[:1]],
     ),
     ("delta", Delta("servers/a", 5, 7, LINES), ["servers/a", 5, 7, LINE_VALUES]),
-    ("beat", Beat(1.5), [1.5]),
-    ("beat-never-known", Beat(math.inf), [math.inf]),
-    ("no", No("behind", "servers/a", "why"), ["behind", "servers/a", "why"]),
+    ("beat", Heartbeat(1.5), [1.5]),
+    ("beat-never-known", Heartbeat(math.inf), [math.inf]),
+    ("no", Rejection("behind", "servers/a", "why"), ["behind", "servers/a", "why"]),
     ("propose", Propose(1, "servers/a", LINES, -1), [1, "servers/a", LINE_VALUES, -1]),
-    ("proposed", Proposed(1, 5, "", ""), [1, 5, "", ""]),
-    ("proposed-refused", Proposed(2, 5, "conflict", "why"), [2, 5, "conflict", "why"]),
+    ("proposed", ProposeResponse(1, 5, "", ""), [1, 5, "", ""]),
+    ("proposed-refused", ProposeResponse(2, 5, "conflict", "why"), [2, 5, "conflict", "why"]),
     ("status-request", StatusRequest(), []),
     (
         "status",
@@ -115,7 +123,7 @@
 
 
 def test_there_is_a_frame_of_each_message() -> None:
-    assert {type(message) for _, message, _ in MESSAGES} == LABELS.keys()
+    assert {type(message) for _, message, _ in MESSAGES} == MESSAGE_LABELS.keys()
     assert {path.stem for path in (GOLDEN / "frames").iterdir()} == {
         name for name, _, _ in MESSAGES
     }
@@ -134,24 +142,24 @@
 
 
 def test_on_tcp_a_frame_stands_behind_its_length() -> None:
-    assert LENGTH.pack(0x1234) == b"\x00\x00\x12\x34"
+    assert FRAME_LENGTH.pack(0x1234) == b"\x00\x00\x12\x34"
 
 
 def test_words_for_messages_out_of_turn_are_as_ever() -> None:
-    told = dict.fromkeys(LABELS[type(message)] for _, message, _ in MESSAGES)
+    told = dict.fromkeys(MESSAGE_LABELS[type(message)] for _, message, _ in MESSAGES)
     assert " ".join(told) == (
-        "Hello VoteRequest Vote Append Appended State Subscribe Whole Delta Beat No Propose Proposed "
-        "StatusRequest Status"
+        "Hello VoteRequest Vote Append Appended State Subscribe Whole Delta Beat No "
+        "Propose Proposed StatusRequest Status"
     )
 
 
 # A journal, and what it is compacted to.
 
 KEPT = (
-    Keep(1, "", 0, (), 0),
-    Keep(1, "store-1", 0, (Change(1, 1, "", ()), Change(1, 2, "servers/a", LINES)), 0),
-    Keep(2, "", 1, (Change(2, 2, "servers/a", LINES[:1]), Change(2, 3, "settings/é", LINES)), 1),
-    Keep(3, "store-2", 3, (), 2),
+    Persist(1, "", 0, (), 0),
+    Persist(1, "store-1", 0, (Change(1, 1, "", ()), Change(1, 2, "servers/a", LINES)), 0),
+    Persist(2, "", 1, (Change(2, 2, "servers/a", LINES[:1]), Change(2, 3, "settings/é", LINES)), 1),
+    Persist(3, "store-2", 3, (), 2),
 )
 BEHIND = (Change(2, 3, "settings/é", LINES),)
 
@@ -160,8 +168,8 @@
     return {"servers/a": Topic(1, LINES[:1]), "servers/empty": Topic(4)}
 
 
-def whole_state() -> Recovered:
-    return Recovered(3, "store-2", 2, 2, 2, topics(), BEHIND)
+def whole_state() -> RecoveredState:
+    return RecoveredState(3, "store-2", 2, 2, 2, topics(), BEHIND)
 
 
 def digest(*pairs: tuple[str, bytes]) -> int:
@@ -177,18 +185,18 @@
     journal = Journal(folder)
     journal.recover()
     for each in KEPT:
-        journal.keep(each)
+        journal.persist(each)
     if compacted:
-        journal.keep(KeepAll(whole_state()))
-        journal.keep(Keep(4, "", 3, (), 3))
+        journal.persist(PersistSnapshot(whole_state()))
+        journal.persist(Persist(4, "", 3, (), 3))
     journal.close()
 
 
-def plain(recovered: Recovered) -> list[Any]:
+def plain(recovered: RecoveredState) -> list[Any]:
     """All that is recovered, by place."""
     fields = [getattr(recovered, name) for name in recovered.__dataclass_fields__]
     fields[5] = [
-        [name, topic.number, topic.digest, topic.entries] for name, topic in fields[5].items()
+        [name, topic.version, topic.digest, topic.entries] for name, topic in fields[5].items()
     ]
     return [values(each) for each in fields]
 
@@ -272,13 +280,13 @@
 def test_a_stores_row_is_as_ever() -> None:
     told = Status("store-1", "leading", "store-1", 3, 9, 10, 215, 2, 40, 1.54)
     assert json.dumps(commands.row(told)) == (
-        '{"name": "store-1", "role": "leading", "leader": "store-1", "term": 3, "committed": 9, "last": 10, '
-        '"followers": 215, "topics": 2, "entries": 40, "age_ms": 1.5}'
+        '{"name": "store-1", "role": "leading", "leader": "store-1", "term": 3, "committed": 9, '
+        '"last": 10, "followers": 215, "topics": 2, "entries": 40, "age_ms": 1.5}'
     )
     never = Status("store-2", "following", "", 3, 9, 10, 0, 2, 40, math.inf)
     assert json.dumps(commands.row(never)) == (
-        '{"name": "store-2", "role": "following", "leader": "", "term": 3, "committed": 9, "last": 10, '
-        '"followers": 0, "topics": 2, "entries": 40, "age_ms": null}'
+        '{"name": "store-2", "role": "following", "leader": "", "term": 3, "committed": 9, '
+        '"last": 10, "followers": 0, "topics": 2, "entries": 40, "age_ms": null}'
     )
     assert commands.row("no answer in 5 s") == {"error": "no answer in 5 s"}
 
@@ -286,22 +294,27 @@
 def test_roles_are_told_as_ever(tmp_path: Path) -> None:
     """A store on its way to lead, and what its driver answers to a status request meanwhile."""
     names = ("store-1", "store-2", "store-3")
-    store = Store("store-1", names, names, Timing(), random.Random(1), Recovered())
+    group = ReplicaGroup("store-1", names, names)
+    replica = Replica(group, ReplicaTiming(), random.Random(1), RecoveredState())
     loop = asyncio.new_event_loop()
     journal = Journal(tmp_path)
     try:
-        driver = StoreDriver(
-            loop, lambda: 5000.0, store, journal, CODEC, ("127.0.0.1", 0), {}, random.Random(1)
+        driver = ReplicaDriver(
+            Runtime(loop, lambda: 5000.0, CODEC),
+            replica,
+            journal,
+            ReplicaAddresses(("127.0.0.1", 0), {}),
+            random.Random(1),
         )
         roles = [values(driver.status())[1:4]]
-        store.start(0.0)
-        store.accepted(1.0, 1)
-        store.received(1.0, 1, Hello("store-2", True))
-        store.tick(4000.0)
+        replica.start(0.0)
+        replica.accepted(1.0, 1)
+        replica.received(1.0, 1, Hello("store-2", True))
+        replica.tick(4000.0)
         roles.append(values(driver.status())[1:4])
-        store.received(4000.0, 1, Vote(1, True, True))
+        replica.received(4000.0, 1, VoteResponse(1, True, True))
         roles.append(values(driver.status())[1:4])
-        store.received(4000.0, 1, Vote(1, True, False))
+        replica.received(4000.0, 1, VoteResponse(1, True, False))
         roles.append(values(driver.status())[1:4])
     finally:
         loop.close()
@@ -318,7 +331,7 @@
     said = [
         f"{event.name} {event.level} {event.words}\n"
         for event in TABLE.values()
-        if event.name.startswith(f"{events.LISTENING.name.partition('.')[0]}.")
+        if event.name.startswith(f"{log_events.LISTENING.name.partition('.')[0]}.")
     ]
     assert "".join(sorted(said)) == (GOLDEN / "events.txt").read_text()
 
--- a/tests/distribution/test_properties.py
+++ b/tests/distribution/test_properties.py
@@ -1,5 +1,4 @@
-"""Whatever befalls a group of stores: the group's checks hold all the while, and it comes back
-whole.
+"""Whatever happens to a group of replicas, its invariants hold and it recovers.
 
 `BADGERCART_RUNS=3000 pytest tests/distribution/test_properties.py` is the long form; CI draws the
 same plays each time.
@@ -14,15 +13,15 @@
 from hypothesis import strategies as st
 
 from badgercart.distribution.messages import Entry
-from badgercart.distribution.publisher import Bounds
-from badgercart.distribution.store import Store
-from tests.distribution.broken import draw
-from tests.distribution.group import Group, Hollow, MemoryDisk
+from badgercart.distribution.replica import Replica
+from badgercart.distribution.replica_config import ReplicaLimits
+from tests.distribution.mutants import draw
+from tests.distribution.simulation import Group, Hollow, MemoryDisk
 
 RUNS = int(os.environ.get("BADGERCART_RUNS", "0"))
 TOPICS = ("a", "b")
-SMALL = Bounds(
-    log=3, history_each=2, history=3, stages=1
+SMALL = ReplicaLimits(
+    max_log_changes=3, max_topic_history=2, max_history=3, max_concurrent_snapshots=1
 )  # so that all are told whole, again and again
 
 names = st.integers(0, 4)
@@ -101,13 +100,13 @@
 def play(
     voters: int,
     learners: int,
-    bounds: Bounds | None,
+    limits: ReplicaLimits | None,
     seed: int,
     told: list[Any],
-    store_class: type[Store] = Store,
+    replica_class: type[Replica] = Replica,
     disk_class: type[MemoryDisk] = MemoryDisk,
 ) -> Group:
-    group = Group(voters, learners, seed, store_class, disk_class, bounds)
+    group = Group(voters, learners, seed, replica_class, disk_class, limits)
     for name in group.names:
         group.processes[f"at {name}"] = Hollow(group, f"at {name}", name, TOPICS)
     group.run(5000.0, lambda: bool(group.leader()))
@@ -122,26 +121,26 @@
 
 @settings(max_examples=RUNS or 150)
 @given(plays)
-def test_three_voters_and_a_learner_keep_their_promises(told: tuple[int, list[Any]]) -> None:
+def test_three_voters_and_a_learner_keep_all_invariants(told: tuple[int, list[Any]]) -> None:
     play(3, 1, None, *told)
 
 
 @settings(max_examples=RUNS or 150)
 @given(plays)
-def test_three_voters_that_keep_little_keep_their_promises(told: tuple[int, list[Any]]) -> None:
+def test_three_voters_with_small_limits_keep_all_invariants(told: tuple[int, list[Any]]) -> None:
     play(3, 1, SMALL, *told)
 
 
 @settings(max_examples=RUNS or 100)
 @given(plays)
-def test_five_voters_keep_their_promises(told: tuple[int, list[Any]]) -> None:
+def test_five_voters_keep_all_invariants(told: tuple[int, list[Any]]) -> None:
     play(5, 0, SMALL, *told)
 
 
 @settings(max_examples=RUNS or 60)
 @given(st.integers(0, 1 << 32), st.sampled_from([(3, None), (3, SMALL), (5, SMALL)]))
-def test_long_plays_in_which_the_leader_is_in_trouble(
-    seed: int, shape: tuple[int, Bounds | None]
+def test_long_plays_with_leader_failures_keep_all_invariants(
+    seed: int, shape: tuple[int, ReplicaLimits | None]
 ) -> None:
-    voters, bounds = shape
-    play(voters, 0, bounds, seed, draw(seed))
+    voters, limits = shape
+    play(voters, 0, limits, seed, draw(seed))
--- /dev/null
+++ b/tests/distribution/test_replica_proposals.py
@@ -0,0 +1,122 @@
+"""What a replica answers to proposals, and the bounds of what is pending."""
+
+from __future__ import annotations
+
+from badgercart.distribution.messages import (
+    MAX_ENTRIES,
+    Entry,
+    ProposeResponse,
+)
+from badgercart.distribution.proposals import MAX_CHANGE_BYTES
+from badgercart.distribution.replica_config import ReplicaLimits
+from badgercart.distribution.topic import framed_size
+from tests.distribution.simulation import Group
+from tests.distribution.support import (
+    propose,
+    response_in,
+    single_replica,
+)
+
+
+def test_a_proposal_with_another_expected_version_is_a_conflict() -> None:
+    replica = single_replica()
+    assert response_in(propose(replica, "t", ("k", b"1"), expected=0)).version == 1
+    refused = response_in(propose(replica, "t", ("k", b"2"), expected=0))
+    assert (refused.error, refused.version) == ("conflict", 1)
+    assert replica.topics["t"].entries == {"k": b"1"}
+    assert response_in(propose(replica, "t", ("k", b"2"), expected=1)).version == 2
+
+
+def test_a_proposal_that_changes_nothing_is_answered_with_the_current_version() -> None:
+    replica = single_replica()
+    propose(replica, "t", ("k", b"1"), ("l", b"2"))
+    last = replica.raft.state.log.last_index
+    for same in ((("k", b"1"),), (("m", None),), (), (("k", b"7"), ("k", b"1"))):
+        assert response_in(propose(replica, "t", *same)) == ProposeResponse(5, 1, "", "")
+    assert response_in(propose(replica, "none", ("k", None))) == ProposeResponse(5, 0, "", "")
+    assert replica.raft.state.log.last_index == last and "none" not in replica.topics
+
+
+def test_pending_proposals_count_for_the_next_one() -> None:
+    group = Group(3)
+    assert group.run(5000.0, lambda: bool(group.leader()))
+    leader, operator = group.leader(), group.operator
+    group.run(500.0)
+    one = operator.propose(leader, "t", [Entry("k", b"1")], 0)
+    two = operator.propose(leader, "t", [Entry("k", b"2")], 0)
+    three = operator.propose(leader, "t", [Entry("k", b"3")], 1)
+    same = operator.propose(leader, "t", [Entry("k", b"3")])
+    group.run(500.0)
+    told = operator.answers
+    assert (told[one].error, told[one].version) == ("", 1)
+    assert told[two].error == "conflict"
+    assert (told[three].error, told[three].version) == ("", 2)
+    assert (told[same].error, told[same].version) == ("", 2), "when it is in force, not before"
+
+
+def test_an_oversized_change_is_refused_and_the_largest_fits_all_messages() -> None:
+    group = Group(3)
+    assert group.run(5000.0, lambda: bool(group.leader()))
+    group.run(500.0)
+    whole = [Entry(f"key {number:02}", bytes(65_000)) for number in range(16)]
+    room = MAX_CHANGE_BYTES - framed_size(whole) - len("last") - 16
+    most = [*whole, Entry("last", bytes(room))]
+    assert framed_size(most) == MAX_CHANGE_BYTES
+    fits = group.operator.propose(group.leader(), "t" * 200, most)
+    over = group.operator.propose(group.leader(), "t", [*whole, Entry("last", bytes(room + 1))])
+    group.run(1000.0)
+    assert group.operator.answers[fits].error == ""
+    assert group.operator.answers[over].error == "oversized"
+    assert all(group.replica(name).publisher.topics.version("t" * 200) == 1 for name in group.names)
+    replica = single_replica()
+    assert (
+        response_in(propose(replica, "t", *((f"{n}", b"") for n in range(MAX_ENTRIES + 1)))).error
+        == "oversized"
+    )
+
+
+def test_pending_proposals_are_bounded_by_count_and_bytes() -> None:
+    for limits in (
+        ReplicaLimits(max_pending_proposals=3),
+        ReplicaLimits(max_pending_bytes=3 * 120),
+    ):
+        group = Group(3, limits=limits)
+        assert group.run(5000.0, lambda group=group: bool(group.leader()))  # type: ignore[misc]
+        group.run(500.0)
+        leader = group.leader()
+        for name in group.names:
+            if name != leader:
+                group.pause(name)
+        serials = [
+            group.operator.propose(leader, "t", [Entry(f"k{n}", bytes(100))]) for n in range(5)
+        ]
+        group.run(100.0)
+        assert [s for s in serials if s in group.operator.answers] == serials[3:]
+        assert {group.operator.answers[s].error for s in serials[3:]} == {"too-many"}
+        replica = group.replica(leader)
+        assert (
+            replica.proposals.count == 3 and sum(map(len, replica.proposals.by_index.values())) == 3
+        )
+        for name in group.names:
+            group.wake(name)
+        group.run(300.0)
+        assert [group.operator.answers[s].error for s in serials[:3]] == ["", "", ""]
+        assert (
+            replica.proposals.count,
+            replica.proposals.uncommitted.byte_count,
+            replica.proposals.uncommitted.entry_count,
+        ) == (0, 0, 0)
+        assert not replica.proposals.by_index and not replica.proposals.uncommitted.projected
+
+
+def test_topics_and_entries_are_bounded() -> None:
+    replica = single_replica(ReplicaLimits(max_topics=2, max_entries=5))
+    propose(replica, "a", ("k", b"1"))
+    propose(replica, "b", ("k", b"1"), ("l", b"1"))
+    assert response_in(propose(replica, "c", ("k", b"1"))).error == "too-many"
+    assert response_in(propose(replica, "a", ("l", b"1"), ("m", b"1"))).error == ""
+    assert response_in(propose(replica, "a", ("n", b"1"))).error == "too-many"
+    assert (
+        response_in(propose(replica, "a", ("l", None))).error == "too-many"
+    ), "it is counted as if it were new"
+    assert sorted(replica.topics) == ["a", "b"] and replica.publisher.topics.entry_count == 5
