--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -20,7 +20,7 @@
 from badgercart.app.faults import FileError
 from badgercart.config import Address
 from badgercart.distribution.client import Client
-from badgercart.distribution.entry_file import parse_entries
+from badgercart.distribution.entry_file import MAX_FILE_BYTES, parse_entries
 from badgercart.distribution.errors import FrameError
 from badgercart.distribution.group_client import (
     CONNECTION_ERRORS,
@@ -48,7 +48,6 @@
 from badgercart.distribution.replica_file import ReplicaFile, load_replica_file
 from badgercart.distribution.topic import Topic
 
-MAX_FILE_BYTES = 64 << 20  # of entries
 REQUEST_ID = 1  # there is one request on a connection
 MAYBE_COMMITTED = "it may be in force or not: look with `distribution get`"
 FILE = click.argument("file", metavar="FILE.toml")
@@ -104,11 +103,8 @@
 
 def _read_proposal(topic: str, entries_file: Any, expected: int) -> Propose:
     try:
-        data = entries_file.read(MAX_FILE_BYTES + 1)
-        if len(data) > MAX_FILE_BYTES:
-            detail = f"over {MAX_FILE_BYTES} bytes"
-            raise ValueError(detail)
-        proposal = Propose(REQUEST_ID, topic, parse_entries(data, topic), expected)
+        entries = parse_entries(entries_file.read(MAX_FILE_BYTES + 1), topic)
+        proposal = Propose(REQUEST_ID, topic, entries, expected)
         check_message(proposal)
     except (ValueError, FrameError) as error:
         detail = f"{entries_file.name}: {error}"
--- a/badgercart/distribution/entry_file.py
+++ b/badgercart/distribution/entry_file.py
@@ -11,6 +11,7 @@
 from badgercart.distribution.server_list import read_servers
 from badgercart.distribution.settings import SERVERS_PREFIX
 
+MAX_FILE_BYTES = 64 << 20
 KEY_FIELD = "instanceId"  # of a server in a list
 
 
@@ -24,8 +25,11 @@
     Null stands for a key that is to be removed. Servers are checked as a node reads them.
 
     Raises:
-        ValueError: the text is neither, or a value is not what the topic holds.
+        ValueError: the text is neither, too long, or a value is not what the topic holds.
     """
+    if len(text) > MAX_FILE_BYTES:
+        detail = f"over {MAX_FILE_BYTES} bytes"
+        raise EntryFileError(detail)
     values = _values_by_key(_parse_json(text))
     entries = tuple(
         Entry(key, None if value is None else json.dumps(value, separators=(",", ":")).encode())
--- a/badgercart/distribution/proposals.py
+++ b/badgercart/distribution/proposals.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass, field
 
+from badgercart.distribution.effects import EffectQueue
 from badgercart.distribution.errors import ProposalRejectedError
 from badgercart.distribution.messages import (
     ANY_VERSION,
@@ -11,7 +12,9 @@
     MAX_FRAME_BYTES,
     Change,
     Propose,
+    ProposeResponse,
 )
+from badgercart.distribution.raft.node import RaftNode
 from badgercart.distribution.replica_config import ReplicaLimits
 from badgercart.distribution.topic import TopicTable, framed_size
 
@@ -191,3 +194,56 @@
         self.by_index.clear()
         self.count = 0
         return pending
+
+
+class ProposalService:
+    """Answers proposals, and has the admitted ones replicated."""
+
+    __slots__ = ("_effects", "_proposals", "_raft", "_topics")
+
+    def __init__(
+        self, proposals: Proposals, raft: RaftNode, topics: TopicTable, effects: EffectQueue
+    ) -> None:
+        self._proposals = proposals
+        self._raft = raft
+        self._topics = topics
+        self._effects = effects
+
+    def handle(self, connection: int, proposal: Propose) -> None:
+        """Put a change into the log, or answer why not."""
+        try:
+            self._check(proposal)
+        except ProposalRejectedError as rejected:
+            self._answer(connection, proposal, rejected.kind, rejected.detail)
+            return
+        if self._proposals.changes_nothing(proposal):
+            index = self._index_of_current_value(proposal.topic)
+            if index <= self._raft.state.log.commit_index:
+                self._answer(connection, proposal, "", "")
+                return
+        else:
+            index = self._raft.append(proposal.topic, proposal.entries)
+        pending = PendingProposal(connection, proposal.request_id, proposal.topic)
+        self._proposals.wait(index, pending)
+        self._raft.replicate()
+
+    def _check(self, proposal: Propose) -> None:
+        if not self._raft.state.is_leader:
+            raise ProposalRejectedError("not-leading", self._raft.state.leader)
+        self._proposals.check(proposal)
+
+    def _index_of_current_value(self, topic: str) -> int:
+        """Return the log index that has to be committed for a topic to be as it is projected.
+
+        Without a change under way that is the first of the leader's term: before it is committed,
+        a later leader may have another view of the topic.
+        """
+        projected = self._proposals.uncommitted.projected.get(topic)
+        if projected is None:
+            return self._raft.state.term_start_index
+        return projected.log_index
+
+    def _answer(self, connection: int, proposal: Propose, error: str, detail: str) -> None:
+        version = self._topics.version(proposal.topic)
+        response = ProposeResponse(proposal.request_id, version, error, detail)
+        self._effects.send(connection, response)
--- a/badgercart/distribution/replica.py
+++ b/badgercart/distribution/replica.py
@@ -13,21 +13,16 @@
 
 from badgercart.distribution.connections import Connection, ConnectionTable
 from badgercart.distribution.effects import Close, Effect, EffectQueue, RecoveredState
-from badgercart.distribution.errors import (
-    ConnectionRejectedError,
-    ProposalRejectedError,
-    SubscriptionRejectedError,
-)
+from badgercart.distribution.errors import ConnectionRejectedError, SubscriptionRejectedError
 from badgercart.distribution.messages import (
     MESSAGE_LABELS,
     Hello,
     Message,
     Propose,
-    ProposeResponse,
     Rejection,
     Subscribe,
 )
-from badgercart.distribution.proposals import PendingProposal, Proposals
+from badgercart.distribution.proposals import Proposals, ProposalService
 from badgercart.distribution.publisher import Publisher
 from badgercart.distribution.raft.node import RaftNode
 from badgercart.distribution.raft.state import Peer, RaftState
@@ -70,6 +65,7 @@
             RaftState(group, recovered, machine, self._effects, limits), timing, rng
         )
         self._heartbeat_due_ms = math.inf  # to subscribers
+        self._proposal_service = ProposalService(self.proposals, self.raft, topics, self._effects)
         self._handlers: dict[type[Message], Callable[[Connection, Any], None]] = {
             Subscribe: self._handle_subscribe,
             Propose: self._handle_propose,
@@ -266,39 +262,4 @@
             self._effects.extend(effects)
 
     def _handle_propose(self, source: Connection, proposal: Propose) -> None:
-        try:
-            self._check_proposal(proposal)
-        except ProposalRejectedError as rejected:
-            self._answer(source, proposal, rejected.kind, rejected.detail)
-            return
-        if self.proposals.changes_nothing(proposal):
-            index = self._index_of_current_value(proposal.topic)
-            if index <= self.raft.state.log.commit_index:
-                self._answer(source, proposal, "", "")
-                return
-        else:
-            index = self.raft.append(proposal.topic, proposal.entries)
-        pending = PendingProposal(source.number, proposal.request_id, proposal.topic)
-        self.proposals.wait(index, pending)
-        self.raft.replicate()
-
-    def _check_proposal(self, proposal: Propose) -> None:
-        if not self.raft.state.is_leader:
-            raise ProposalRejectedError("not-leading", self.raft.state.leader)
-        self.proposals.check(proposal)
-
-    def _index_of_current_value(self, topic: str) -> int:
-        """Return the log index that has to be committed for a topic to be as it is projected.
-
-        Without a change under way that is the first of the leader's term: before it is committed,
-        a later leader may have another view of the topic.
-        """
-        projected = self.proposals.uncommitted.projected.get(topic)
-        if projected is None:
-            return self.raft.state.term_start_index
-        return projected.log_index
-
-    def _answer(self, source: Connection, proposal: Propose, error: str, detail: str) -> None:
-        version = self.publisher.topics.version(proposal.topic)
-        response = ProposeResponse(proposal.request_id, version, error, detail)
-        self._effects.send(source.number, response)
+        self._proposal_service.handle(source.number, proposal)
--- a/badgercart/distribution/server_list.py
+++ b/badgercart/distribution/server_list.py
@@ -40,9 +40,7 @@
 def _read_server(reader: ListReader, key: str, value: bytes) -> Member:
     try:
         fields = json.loads(value)
-        if fields["instanceId"] != key:
-            detail = f"instanceId is {fields['instanceId']!r}"
-            raise ValueError(detail)
+        _check_key(fields["instanceId"], key)
         return reader.read_member(fields)
     except KeyError as error:
         detail = f"{key}: {error} is missing, or none that is known"
@@ -50,3 +48,9 @@
     except (TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
         detail = f"{key}: {error}"
         raise ValueError(detail) from error
+
+
+def _check_key(server: object, key: str) -> None:
+    if server != key:
+        detail = f"instanceId is {server!r}"
+        raise ValueError(detail)
--- a/badgercart/distribution/settings.py
+++ b/badgercart/distribution/settings.py
@@ -103,7 +103,11 @@
     )
 
 
-def check_follower(settings: FollowerSettings, file: Checked) -> Iterator[tuple[Path, str]]:
+def check_follower(
+    settings: FollowerSettings,
+    file: Checked,  # noqa: ARG001 - the signature of all checks
+) -> Iterator[tuple[Path, str]]:
+    """Yield what only several settings together can get wrong, by key."""
     if settings.doubtful_after_ms > settings.stale_after_ms:
         yield ("doubtful_after_ms",), "is later than stale_after_ms"
     if len(set(settings.stores)) != len(settings.stores):
@@ -112,12 +116,16 @@
         yield ("window_ms",), "is longer than window_most_ms"
 
 
-def check_replica(settings: ReplicaSettings, file: Checked) -> Iterator[tuple[Path, str]]:
+def check_replica(
+    settings: ReplicaSettings,
+    file: Checked,  # noqa: ARG001 - the signature of all checks
+) -> Iterator[tuple[Path, str]]:
+    """Yield what only several settings together can get wrong, by key."""
     yield from replica_faults(settings)
 
 
 def replica_faults(settings: ReplicaSettings) -> Iterator[tuple[Path, str]]:
-    """What only several settings together can get wrong."""
+    """Yield what only several settings together can get wrong, by key."""
     if settings.election_ms < 3 * settings.heartbeat_ms:
         yield (
             ("election_ms",),
--- a/tests/distribution/mutants.py
+++ b/tests/distribution/mutants.py
@@ -25,6 +25,7 @@
     "raft.replication",
     "raft.log_receiver",
     "raft.node",
+    "proposals",
     "connections",
     "state_machine",
     "replica",
