--- a/tests/distribution/scenarios.py
+++ b/tests/distribution/scenarios.py
@@ -54,7 +54,7 @@
     group.operator.propose(s1, "t", value(group, "first"))
     assert group.run(1000.0, lambda: group.state(s2).log.last_index == 2)
     group.kill(s1)
-    # (b) s5 leads by s3 and s4, and writes its own at the same place; nobody gets it.
+    # (b) s5 leads by s3 and s4, and writes its own at the same index; nobody gets it.
     group.drops = lambda source, to, message: isinstance(message, AppendEntries) and source == s5
     elect(group, s5, s3, s4)
     assert group.state(s5).log.last_index == 2
@@ -177,7 +177,7 @@
 
 
 def earlier_term(replica_class: type[Replica] = Replica) -> None:
-    """Who leads an earlier term is told so, and changes nothing."""
+    """A leader of an earlier term is answered with the term, and changes nothing."""
     replica = led_replica(
         RecoveredState(3, "c", 1, 0, 0, {}, (change(1, 1), change(3, 2))), replica_class
     )
@@ -194,13 +194,13 @@
     log = tuple(change(1, index) for index in range(1, 6))
     replica = led_replica(RecoveredState(1, "", 1, 0, 0, {}, log), replica_class)
     topic = Topic(4, (Entry("k", b"4"),))
-    told = InstallSnapshot(2, 4, 1, 1, 1, (TopicPart("t", 4, topic.digest, (Entry("k", b"4"),)),))
-    effects = replica.received(1.0, 1, told)
-    kept = [effect for effect in effects if isinstance(effect, PersistSnapshot)]
+    part = InstallSnapshot(2, 4, 1, 1, 1, (TopicPart("t", 4, topic.digest, (Entry("k", b"4"),)),))
+    effects = replica.received(1.0, 1, part)
+    persisted = [effect for effect in effects if isinstance(effect, PersistSnapshot)]
     assert (
         replica.raft.state.log.commit_index == 4
         and replica.raft.state.log.last_index == 5
-        and kept[0].state.changes == (change(1, 5),)
+        and persisted[0].state.changes == (change(1, 5),)
     )
     assert effects[-1] == Send(1, AppendResponse(2, 4, 4, False))
 
--- a/tests/distribution/simulation.py
+++ b/tests/distribution/simulation.py
@@ -69,23 +69,23 @@
     def __init__(self, most: int = 8) -> None:
         self.most = most
         self.start = RecoveredState()
-        self.kept: list[Persist] = []
+        self.persisted: list[Persist] = []
 
     def recover(self) -> RecoveredState:
-        return replay(copied(self.start), self.kept)
+        return replay(copied(self.start), self.persisted)
 
     def persist(self, effect: Persist | PersistSnapshot) -> None:
         if isinstance(effect, PersistSnapshot):
             self.compact(effect.state)
         else:
-            self.kept.append(effect)
+            self.persisted.append(effect)
 
     @property
     def needs_compaction(self) -> bool:
-        return len(self.kept) > self.most
+        return len(self.persisted) > self.most
 
     def compact(self, state: RecoveredState) -> None:
-        self.start, self.kept = copied(state), []
+        self.start, self.persisted = copied(state), []
 
     def close(self) -> None: ...
 
@@ -138,7 +138,7 @@
         self.disk: Disk = group.disk_class()
         self.crash_in = -1  # effects that are carried out before it crashes; -1: it doesn't
         self.log_events: list[LogEvent] = []
-        self.checked = 0  # the place up to which what is in force here was held against others'
+        self.checked = 0  # the log index up to which this replica was checked against the others
         self.fresh: list[Change] = []  # that came to be in force since
         self.dialled: set[str] = set()
         self.start_replica()
@@ -232,8 +232,8 @@
         super().__init__(group, name)
         self.replica = replica
         self.topics = {topic: Topic() for topic in topics}
-        self.stage: dict[str, tuple[Snapshot, Topic]] = {}
-        self.said: list[Message] = []
+        self.assembling: dict[str, tuple[Snapshot, Topic]] = {}
+        self.received_messages: list[Message] = []
         self.age = self.age_at = float("-inf")
         self.dial()
 
@@ -248,7 +248,7 @@
             self.group.at(100.0, self.dial)
             return
         end = self.group.connect(self, other)
-        self.stage.clear()
+        self.assembling.clear()
         self.group.send(end, Hello(self.name, False))
         self.subscribe(end)
 
@@ -262,27 +262,29 @@
         self.group.at(100.0, self.dial)
 
     def received(self, end: End, message: Message) -> None:
-        self.said.append(message)
+        self.received_messages.append(message)
         if isinstance(message, Delta):
             topic = self.topics[message.topic]
-            assert message.topic not in self.stage, "a change came between the parts of its topic"
+            assert (
+                message.topic not in self.assembling
+            ), "a change came between the parts of its topic"
             assert message.version == topic.version + 1, (self.name, message, topic.version)
             topic.apply(message.entries)
             assert topic.digest == message.digest
             self.group.check_topic(self.name, message.topic, topic)
         elif isinstance(message, Snapshot):
-            had = self.stage.get(message.topic)
+            had = self.assembling.get(message.topic)
             if message.part == 1:
                 had = message, Topic(message.version)
             assert had is not None and message.part == had[0].part + (message.part > 1)
             assert (message.version, message.digest) == (had[0].version, had[0].digest)
             had[1].put(message.entries)
-            self.stage[message.topic] = message, had[1]
+            self.assembling[message.topic] = message, had[1]
             if message.part == message.parts:
-                del self.stage[message.topic]
+                del self.assembling[message.topic]
                 assert (
                     had[1].version >= self.topics[message.topic].version
-                ), "older was told for newer"
+                ), "an older version replaced a newer one"
                 assert had[1].digest == message.digest
                 self.topics[message.topic] = had[1]
                 self.group.check_topic(self.name, message.topic, had[1])
@@ -357,7 +359,7 @@
         self.replayed_topics: dict[str, Topic] = {}
         self.known_at: list[tuple[float, int]] = [
             (0.0, 0)
-        ]  # when the newest place in force was first seen
+        ]  # when the newest committed log index was first seen
         self.processes: dict[str, Process] = {}
         for name in self.names:
             self.processes[name] = ReplicaProcess(self, name)
@@ -392,8 +394,8 @@
 
     # Time and network.
 
-    def at(self, after: float, call: Callable[..., None], *told: object) -> None:
-        heapq.heappush(self.events, (self.now + after, next(self.order), call, told))
+    def at(self, after: float, call: Callable[..., None], *arguments: object) -> None:
+        heapq.heappush(self.events, (self.now + after, next(self.order), call, arguments))
 
     def delay(self) -> float:
         return self.rng.uniform(1.0, 20.0)
@@ -404,8 +406,8 @@
         while self.events and self.events[0][0] <= end:
             if until is not None and until():
                 return True
-            self.now, _, call, told = heapq.heappop(self.events)
-            call(*told)
+            self.now, _, call, arguments = heapq.heappop(self.events)
+            call(*arguments)
         if until is not None and until():
             return True
         self.now = end
@@ -557,7 +559,7 @@
         if state.is_leader:
             leader = self.leaders.setdefault(state.term, name)
             assert leader == name, f"{leader} and {name} both lead term {state.term}"
-        assert process.checked <= commit_index, f"{name} took back what was in force"
+        assert process.checked <= commit_index, f"{name} took back what was committed"
         changed = process.checked < commit_index
         process.checked = commit_index
         fresh, process.fresh = process.fresh, []
@@ -604,18 +606,18 @@
         ), f"{answer}: {wanted} are not there"
 
     def check_heartbeat(self, follower: Hollow, heartbeat: Heartbeat) -> None:
-        """All that was in force anywhere `age` ms before it was said is told."""
+        """Check that everything committed `age_ms` before the heartbeat was sent has been received."""
         before = self.sent_at_ms - heartbeat.age_ms
         index = max((i for when, i in self.known_at if when < before), default=0)
         numbers: dict[str, int] = {}
-        for place in range(1, index + 1):
-            change = self.committed[place]
+        for log_index in range(1, index + 1):
+            change = self.committed[log_index]
             if change.topic:
                 numbers[change.topic] = numbers.get(change.topic, 0) + 1
         for name, topic in follower.topics.items():
             assert topic.version >= numbers.get(name, 0), (
-                f"{follower.name} was told that {name!r} is as of {heartbeat.age_ms} ms ago; "
-                f"it has number {topic.version}, {numbers[name]} was in force"
+                f"{follower.name} got a heartbeat for {name!r} as of {heartbeat.age_ms} ms ago; "
+                f"it has number {topic.version}, {numbers[name]} was committed"
             )
 
     def settle(self, ms: float = 12_000.0) -> None:
@@ -647,7 +649,7 @@
         )
 
     def describe(self) -> str:
-        lines = [f"at {self.now:.0f} ms, {max(self.truth, default=0)} places were in force"]
+        lines = [f"at {self.now:.0f} ms, {max(self.committed, default=0)} changes were committed"]
         for name in self.names:
             state = self.state(name)
             lines.append(
@@ -657,8 +659,8 @@
             )
         for process in self.processes.values():
             if isinstance(process, Hollow):
-                told = {name: topic.version for name, topic in process.topics.items()}
+                versions = {name: topic.version for name, topic in process.topics.items()}
                 lines.append(
-                    f"{process.name} at {process.replica}: {told} open {len(process.ends)}"
+                    f"{process.name} at {process.replica}: {versions} open {len(process.ends)}"
                 )
         return "\n".join(lines)
--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -41,7 +41,12 @@
 
 def store_settings(folder: Path, port: int = 0, **changes: Any) -> ReplicaSettings:
     entry = ReplicaEntry(name="s1", address=("127.0.0.1", port), voter=True)
-    values = {"heartbeat_ms": 20.0, "election_ms": 200.0, "beat_ms": 20.0, "store": (entry,)}
+    values: dict[str, Any] = {
+        "heartbeat_ms": 20.0,
+        "election_ms": 200.0,
+        "beat_ms": 20.0,
+        "store": (entry,),
+    }
     return ReplicaSettings(
         listen=("127.0.0.1", port),
         name="s1",
@@ -145,10 +150,10 @@
         ReplicaClient(driver.listen, Codec(GROUP, SECRET.encode())) as caller,
     ):
         caller.write(Propose(1, topic, entries, -1))
-        while not isinstance(told := await caller.read(), ProposeResponse):
+        while not isinstance(result := await caller.read(), ProposeResponse):
             pass
-    assert not told.error, told
-    return told.version
+    assert not result.error, result
+    return result.version
 
 
 NODE_FILE = """\
@@ -178,8 +183,8 @@
 
 async def command(capsys: pytest.CaptureFixture[str], *words: str) -> tuple[int, str, str]:
     status = await asyncio.to_thread(command_line, ["distribution", *words])
-    told = capsys.readouterr()
-    return status, told.out, told.err
+    result = capsys.readouterr()
+    return status, result.out, result.err
 
 
 # The node.
@@ -195,8 +200,8 @@
             first, second = await Peer().start(), await Peer().start()
             path, lines = node_file(tmp_path, s.listen), tmp_path / "lines.json"
             lines.write_text(json.dumps([line("a", first)]))
-            told = await command(capsys, "put", path, TOPIC, "--file", str(lines))
-            assert told == (0, f"{TOPIC}: in force as number 1\n", "")
+            result = await command(capsys, "put", path, TOPIC, "--file", str(lines))
+            assert result == (0, f"{TOPIC}: in force as number 1\n", "")
             await n.lists(a="ready")
             await n.state(State.FRESH)
             assert await n.health() == 200 and await n.ask() == 200 and first.requests.qsize() == 1
@@ -324,7 +329,8 @@
             await put(s, line("a"))
             await n.lists(a="ready")
             policy = n.site.join.policy
-            handle, broken = policy.handle, []
+            handle = policy.handle
+            broken: list[Any] = []
 
             def break_once(now: float, event: Any) -> Any:
                 if getattr(event, "version", 0) == 2 and not broken:
@@ -396,9 +402,11 @@
         await n.lists(a="ready")
         await n.state(State.FRESH)
         _, body = await n.get(b"GET /_distribution HTTP/1.1\r\nHost: x\r\n\r\n")
-        told = json.loads(body)
-        assert told["topics"] == {TOPIC: 1} and told["state"] == "fresh" and told["changes"] == 1
-        assert told["store"] == f"127.0.0.1:{port}" and told["age_ms"] < 600
+        result = json.loads(body)
+        assert (
+            result["topics"] == {TOPIC: 1} and result["state"] == "fresh" and result["changes"] == 1
+        )
+        assert result["store"] == f"127.0.0.1:{port}" and result["age_ms"] < 600
         meters = site.host.meters.meters
         figures = {name: meter.values() for name, meter in meters.items() if "distribution" in name}
         assert figures["badgercart_distribution_number"] == {TOPIC: 1.0}
@@ -451,14 +459,14 @@
             )  # the other address answers nobody
             status, out, _ = await command(capsys, "status", path, "--json")
             assert [list(each) for each in json.loads(out).values()][0] == ["error"]
-            told = json.loads(out)[f"127.0.0.1:{s.listen[1]}"]
-            assert (told["name"], told["leader"], told["topics"], told["entries"]) == (
+            result = json.loads(out)[f"127.0.0.1:{s.listen[1]}"]
+            assert (result["name"], result["leader"], result["topics"], result["entries"]) == (
                 "s1",
                 "s1",
                 2,
                 4,
             )
-            assert told["committed"] == 3 and told["age_ms"] < 5000
+            assert result["committed"] == 3 and result["age_ms"] < 5000
             lines.write_text(json.dumps([line("c")]))
             words = ("put", path, TOPIC, "--file", str(lines), "--expected", "0")
             status, _, err = await command(capsys, *words)
@@ -658,8 +666,8 @@
         )  # fmt: skip
         assert process.stderr is not None
         async with asyncio.timeout(6 * WAIT):
-            while b"distribution.listening" not in (told := await process.stderr.readline()):
-                assert told, "it ended"
+            while b"distribution.listening" not in (result := await process.stderr.readline()):
+                assert result, "it ended"
         return process
 
     async def test() -> None:
@@ -718,8 +726,10 @@
     async def test() -> None:
         async with node(("127.0.0.1", free_ports(1)[0])) as n:
             _, body = await n.get(b"GET /_distribution HTTP/1.1\r\nHost: x\r\n\r\n")
-            told = json.loads(body)
-            assert told["age_ms"] is None and told["store"] is None and told["state"] == "stale"
+            result = json.loads(body)
+            assert (
+                result["age_ms"] is None and result["store"] is None and result["state"] == "stale"
+            )
             assert n.part.follower.age_ms(now_ms()) == math.inf and n.site.roster.suspended
 
     run(test())
--- a/tests/distribution/test_driver.py
+++ b/tests/distribution/test_driver.py
@@ -108,25 +108,25 @@
     return driver
 
 
-def following(
+def start_follower(
     *stores: Address, topics: tuple[str, ...] = (A,), timing: FollowerTiming = BRISK, seed: int = 1
 ) -> tuple[FollowerDriver, list[UpdateTopic]]:
-    taken: list[UpdateTopic] = []
+    updates: list[UpdateTopic] = []
     selector = ReplicaSelector(len(stores), timing, random.Random(seed))
     follower = Follower("n", topics, selector, timing)
     loop = asyncio.get_running_loop()
-    driver = FollowerDriver(Runtime(loop, now_ms, CODEC), follower, stores, taken.append)
+    driver = FollowerDriver(Runtime(loop, now_ms, CODEC), follower, stores, updates.append)
     driver.start()
-    return driver, taken
+    return driver, updates
 
 
 async def put(driver: ReplicaDriver, topic: str, **values: str | None) -> ProposeResponse:
     entries = tuple(Entry(k, None if v is None else v.encode()) for k, v in values.items())
     async with asyncio.timeout(WAIT), Client(driver.listen, CODEC) as client:
         client.write(Propose(1, topic, entries, -1))
-        while not isinstance(told := await client.read(), ProposeResponse):
+        while not isinstance(message := await client.read(), ProposeResponse):
             pass
-        return told
+        return message
 
 
 def same(driver: FollowerDriver, store: ReplicaDriver, topic: str = A) -> bool:
@@ -135,7 +135,7 @@
 
 
 @asynccontextmanager
-async def alone(folder: Path, **changes: Any) -> AsyncIterator[ReplicaDriver]:
+async def running_replica(folder: Path, **changes: Any) -> AsyncIterator[ReplicaDriver]:
     driver = await store_at(folder, **changes)
     try:
         yield driver
@@ -145,16 +145,16 @@
 
 def test_a_follower_gets_a_snapshot_and_then_each_delta(tmp_path: Path) -> None:
     async def test() -> None:
-        async with alone(tmp_path) as store:
+        async with running_replica(tmp_path) as store:
             assert (await put(store, A, x="1")).version == 1
-            follower, taken = following(store.listen, topics=(A, B))
+            follower, updates = start_follower(store.listen, topics=(A, B))
             await until(lambda: same(follower, store) and follower.follower.age_ms(now_ms()) < 500)
             assert follower.follower.topics.unknown == {B}
             for number in range(2, 30):
                 assert (await put(store, A, x=str(number), y=None)).version == number
             await put(store, B, z="1")
             await until(lambda: same(follower, store) and same(follower, store, B))
-            assert [take.version for take in taken if take.topic == A] == list(range(1, 30))
+            assert [take.version for take in updates if take.topic == A] == list(range(1, 30))
             assert follower.follower.dial_count == 1 and not follower.refused and not store.refused
             follower.close()
             await until(lambda: not store.replica.publisher.subscriptions.subscribers)
@@ -164,12 +164,12 @@
 
 def test_persisted_topics_survive_compactions_and_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        async with alone(tmp_path, min_compaction_bytes=2000) as store:
+        async with running_replica(tmp_path, min_compaction_bytes=2000) as store:
             for number in range(60):
                 await put(store, A, **{f"k{number % 7}": "v" * 100 + str(number)})
             assert int(next(p.suffix[1:] for p in (tmp_path / "s1").glob("journal.*"))) >= 2
             had = dict(store.replica.topics[A].entries)
-        async with alone(tmp_path) as store:
+        async with running_replica(tmp_path) as store:
             assert store.replica.topics[A].entries == had and store.replica.topics[A].version == 60
 
     run(test())
@@ -195,9 +195,9 @@
     tmp_path: Path, kind: str, greeted: bool
 ) -> None:
     async def test() -> None:
-        async with alone(tmp_path) as store:
+        async with running_replica(tmp_path) as store:
             await put(store, A, x="1")
-            follower, _ = following(store.listen)
+            follower, _ = start_follower(store.listen)
             await until(lambda: same(follower, store))
             reader, writer = await asyncio.open_connection(*store.listen)
             if greeted:
@@ -228,7 +228,7 @@
 
 def test_frames_split_into_single_bytes_are_reassembled(tmp_path: Path) -> None:
     async def test() -> None:
-        async with alone(tmp_path) as store:
+        async with running_replica(tmp_path) as store:
             reader, writer = await asyncio.open_connection(*store.listen)
             data = b""
             for message in (
@@ -293,7 +293,7 @@
     tmp_path: Path, kind: str
 ) -> None:
     async def test() -> None:
-        async with alone(tmp_path) as store:
+        async with running_replica(tmp_path) as store:
             await put(store, A, x="1")
             held = Topic(3, (Entry("old", b"1"),))
             whole = Snapshot(A, 3, held.digest, 1, 1, (Entry("old", b"1"),))
@@ -301,13 +301,13 @@
             bad = await Scripted(
                 Hello("bad", True), whole, Heartbeat(0.0), BAD[kind], change
             ).start()
-            follower, taken = following(bad.address)
+            follower, updates = start_follower(bad.address)
             await until(lambda: follower.follower.faults["closed"])
-            assert [take.version for take in taken][:1] == [3] and follower.refused[kind]
+            assert [take.version for take in updates][:1] == [3] and follower.refused[kind]
             assert follower.follower.topics.by_name[A].entries == {"old": b"1"}
             follower.close()
             seeds = [seed for seed in range(50) if first_store(seed) == 0]
-            follower, taken = following(bad.address, store.listen, seed=seeds[0])
+            follower, updates = start_follower(bad.address, store.listen, seed=seeds[0])
             await until(lambda: follower.follower.faults["closed"])
             for number in range(3):
                 await put(store, A, x=str(number))
@@ -326,7 +326,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with alone(tmp_path) as store:
+        async with running_replica(tmp_path) as store:
             await put(store, A, x="1")
             seed = next(seed for seed in range(50) if first_store(seed) == 0)
             loop = asyncio.get_running_loop()
@@ -345,7 +345,7 @@
                     raise
 
             monkeypatch.setattr(FollowerDriver, "dial", dial)
-            follower, _ = following(("127.0.0.1", 9), store.listen, timing=timing, seed=seed)
+            follower, _ = start_follower(("127.0.0.1", 9), store.listen, timing=timing, seed=seed)
             await until(lambda: same(follower, store))
             async with asyncio.timeout(WAIT):
                 assert await hung.get() == "cancelled"
@@ -359,14 +359,14 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with alone(tmp_path) as store:
+        async with running_replica(tmp_path) as store:
             await put(store, A, x="1", y="1")
-            follower, taken = following(store.listen)
+            follower, updates = start_follower(store.listen)
             await until(lambda: same(follower, store))
             follower.follower.topics.by_name[A].entries["x"] = b"spoilt"  # as by a fault in memory
             await put(store, A, x="2")
             await until(lambda: same(follower, store))
-            assert follower.follower.faults["digest"] == 1 and taken[-1].is_snapshot
+            assert follower.follower.faults["digest"] == 1 and updates[-1].is_snapshot
             assert follower.follower.dial_count == 1
             follower.close()
 
@@ -377,7 +377,7 @@
     async def test() -> None:
         store = await store_at(tmp_path)
         loop, coming = asyncio.get_running_loop(), store.accept()
-        follower, _ = following(store.listen)
+        follower, _ = start_follower(store.listen)
         late = Link(follower, 99)
         # Both wait to be told of their connections while their drivers close.
         other = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
@@ -398,7 +398,7 @@
 
 def test_a_slow_reader_is_buffered_up_to_a_bound_and_gets_everything_later(tmp_path: Path) -> None:
     async def test() -> None:
-        async with alone(tmp_path) as store:
+        async with running_replica(tmp_path) as store:
             big = {f"k{i}": "v" * 60_000 for i in range(8)}
             topics = tuple(f"t{i}" for i in range(40))
             for topic in topics:
@@ -431,12 +431,14 @@
                     topic not in had or had[topic].digest != store.replica.topics[topic].digest
                     for topic in topics
                 ):
-                    told = await client.read()
-                    if isinstance(told, Snapshot):
-                        had[told.topic] = Topic(told.version, told.entries)  # each in one part
-                        assert told.parts == 1
-                    elif isinstance(told, Delta):
-                        had.setdefault(told.topic, Topic()).apply(told.entries)
+                    received = await client.read()
+                    if isinstance(received, Snapshot):
+                        had[received.topic] = Topic(
+                            received.version, received.entries
+                        )  # each in one part
+                        assert received.parts == 1
+                    elif isinstance(received, Delta):
+                        had.setdefault(received.topic, Topic()).apply(received.entries)
             assert had[topics[-1]].version == 21 and not store.refused
             writer.close()
 
@@ -449,7 +451,7 @@
     monkeypatch.setattr(link_module, "STALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        async with alone(tmp_path) as store:
+        async with running_replica(tmp_path) as store:
             for number in range(30):
                 await put(store, f"t{number}", **{f"k{i}": "v" * 60_000 for i in range(8)})
             reader, writer = await asyncio.open_connection(*store.listen, limit=1000)
@@ -489,7 +491,7 @@
         assert [str(error) for error in failures] == ["[Errno 28] no room"] and not store.is_open
         with pytest.raises(OSError):
             await asyncio.open_connection(*store.listen)
-        async with alone(tmp_path) as store:
+        async with running_replica(tmp_path) as store:
             assert store.replica.topics[A].entries == {"ok": b"1"}
 
     run(test())
@@ -507,7 +509,7 @@
                 (s for s in stores.values() if s.replica.raft.state.is_leader and s.is_open), None
             )
 
-        follower, taken = following(*addresses.values())
+        follower, updates = start_follower(*addresses.values())
         await until(leader)
         first = leader()
         assert first is not None
@@ -525,7 +527,7 @@
         back = await store_at(tmp_path, first.replica.group.local, addresses)
         stores[back.replica.group.local] = back
         await until(lambda: back.replica.topics.get(A, Topic()).version == 2)
-        assert [take.version for take in taken] == [1, 2]
+        assert [take.version for take in updates] == [1, 2]
         for store in stores.values():
             store.close()
         follower.close()
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -46,10 +46,10 @@
     )
 
 
-def wholes(topic: str, state: Topic, parts: int = 1) -> list[Snapshot]:
-    told = [Entry(key, value) for key, value in state.entries.items()]
-    step = max(1, -(-len(told) // parts))
-    pieces = [tuple(told[at : at + step]) for at in range(0, len(told), step)] or [()]
+def snapshot_parts(topic: str, state: Topic, parts: int = 1) -> list[Snapshot]:
+    effects_of = [Entry(key, value) for key, value in state.entries.items()]
+    step = max(1, -(-len(effects_of) // parts))
+    pieces = [tuple(effects_of[at : at + step]) for at in range(0, len(effects_of), step)] or [()]
     return [
         Snapshot(topic, state.version, state.digest, i, len(pieces), p)
         for i, p in enumerate(pieces, 1)
@@ -75,7 +75,7 @@
     ) -> None:
         self.follower = follower_of("n", topics or (A,), replicas, timing, random.Random(seed))
         self.now = 1000.0
-        self.taken: dict[str, Topic] = {topic: Topic() for topic in self.follower.topics.by_name}
+        self.in_force: dict[str, Topic] = {topic: Topic() for topic in self.follower.topics.by_name}
         self.effects: list[Effect] = []
         self.connection = 0
         self.do(self.follower.start(self.now))
@@ -87,23 +87,23 @@
                 self.connection = effect.connection
             elif isinstance(effect, UpdateTopic):
                 if effect.is_snapshot:
-                    self.taken[effect.topic] = Topic(effect.version, effect.entries)
+                    self.in_force[effect.topic] = Topic(effect.version, effect.entries)
                 else:
-                    self.taken[effect.topic].apply(effect.entries)
-                    assert self.taken[effect.topic].version == effect.version
+                    self.in_force[effect.topic].apply(effect.entries)
+                    assert self.in_force[effect.topic].version == effect.version
         for topic, held in self.follower.topics.by_name.items():  # what it holds is what it said
             assert (held.version, held.digest) == (
-                self.taken[topic].version,
-                self.taken[topic].digest,
+                self.in_force[topic].version,
+                self.in_force[topic].digest,
             )
         return effects
 
-    def tell(self, *messages: Message, after: float = 0.0) -> list[Effect]:
-        told: list[Effect] = []
+    def receive(self, *messages: Message, after: float = 0.0) -> list[Effect]:
+        effects_of: list[Effect] = []
         for message in messages:
             self.now += after
-            told += self.do(self.follower.received(self.now, self.connection, message))
-        return told
+            effects_of += self.do(self.follower.received(self.now, self.connection, message))
+        return effects_of
 
     def tick(self) -> list[Effect]:
         assert math.isfinite(self.follower.due_ms)
@@ -116,7 +116,7 @@
             self.tick()
         effects = self.do(self.follower.connected(self.now, self.connection))
         assert [type(e.message) for e in effects if isinstance(e, Send)] == [Hello, Subscribe]
-        self.tell(Hello("s", True))
+        self.receive(Hello("s", True))
         (subscribe,) = [
             e.message for e in effects if isinstance(e, Send) and isinstance(e.message, Subscribe)
         ]
@@ -126,7 +126,9 @@
         """Up, with one topic whole and proven."""
         self.connect()
         state = Topic(4, entries(**(values or {"x": "1", "y": "2", "z": "3"})))
-        self.tell(*wholes(next(iter(self.follower.topics.by_name)), state, parts), Heartbeat(0.0))
+        self.receive(
+            *snapshot_parts(next(iter(self.follower.topics.by_name)), state, parts), Heartbeat(0.0)
+        )
         assert self.follower.age_ms(self.now) == 0
         return state
 
@@ -155,7 +157,7 @@
     return 0 if sync is None else sync.assembled_bytes
 
 
-def happened(effects: list[Effect]) -> list[tuple[str, str]]:
+def logged(effects: list[Effect]) -> list[tuple[str, str]]:
     return [(e.name, e.fields.get("kind", "")) for e in effects if isinstance(e, LogEvent)]
 
 
@@ -163,7 +165,7 @@
     return [e.message for e in effects if isinstance(e, Send) and isinstance(e.message, Subscribe)]
 
 
-def closes(effects: list[Effect]) -> list[str]:
+def closed_kinds(effects: list[Effect]) -> list[str]:
     return [e.kind for e in effects if isinstance(e, Close)]
 
 
@@ -171,27 +173,27 @@
     rig = Rig(A, B)
     assert rig.connect() == subscribe((A, 0, 0), (B, 0, 0))
     state = Topic(7, entries(x="1", y="2", z="3"))
-    first, second, third = wholes(A, state, 3)
-    assert rig.tell(first, second) == [] and rig.taken[A].version == 0
-    (take,) = rig.tell(third)
+    first, second, third = snapshot_parts(A, state, 3)
+    assert rig.receive(first, second) == [] and rig.in_force[A].version == 0
+    (take,) = rig.receive(third)
     assert take == UpdateTopic(A, 7, True, entries(x="1", y="2", z="3"))
-    rig.tell(Heartbeat(0.0))
+    rig.receive(Heartbeat(0.0))
     assert rig.follower.age_ms(rig.now) == math.inf  # the other is owed still
-    rig.tell(*wholes(B, Topic(1)), Heartbeat(200.0))
+    rig.receive(*snapshot_parts(B, Topic(1)), Heartbeat(200.0))
     assert rig.follower.age_ms(rig.now) == 200
 
 
 def test_deltas_are_applied_in_order_and_the_age_runs_from_the_last_heartbeat() -> None:
     rig = Rig()
     state = rig.with_topic()
-    assert rig.tell(next_delta(A, state, x="9", y=None)) == [
+    assert rig.receive(next_delta(A, state, x="9", y=None)) == [
         UpdateTopic(A, 5, False, entries(x="9", y=None))
     ]
     assert rig.held()[A] == (5, {"x": b"9", "z": b"3"})
-    rig.tell(Heartbeat(30.0), after=100)
-    rig.tell(Heartbeat(500.0), after=100)  # an older proof than the last changes nothing
+    rig.receive(Heartbeat(30.0), after=100)
+    rig.receive(Heartbeat(500.0), after=100)  # an older proof than the last changes nothing
     assert rig.follower.age_ms(rig.now) == 130
-    rig.tell(Heartbeat(0.0), after=100)
+    rig.receive(Heartbeat(0.0), after=100)
     rig.now += 700
     assert rig.follower.age_ms(rig.now) == 700
 
@@ -201,15 +203,15 @@
     state = rig.with_topic()
     had = rig.held()
     lost, after = next_delta(A, state, x="5"), next_delta(A, state, y="6")
-    told = rig.tell(after)
-    assert happened(told) == [("gap", "gap")] and rig.held() == had
-    assert subscribes(told) == [subscribe((A, had[A][0], rig.taken[A].digest))]
-    rig.tell(Heartbeat(0.0), after=50)
+    effects_of = rig.receive(after)
+    assert logged(effects_of) == [("gap", "gap")] and rig.held() == had
+    assert subscribes(effects_of) == [subscribe((A, had[A][0], rig.in_force[A].digest))]
+    rig.receive(Heartbeat(0.0), after=50)
     assert rig.follower.age_ms(rig.now) == 50  # nothing is proven meanwhile
     later = next_delta(A, state, z="7")
-    assert rig.tell(later) == []  # written before the question was read
-    assert len(rig.tell(lost, after, later)) == 3 and rig.held()[A][0] == 7
-    rig.tell(Heartbeat(0.0))
+    assert rig.receive(later) == []  # written before the question was read
+    assert len(rig.receive(lost, after, later)) == 3 and rig.held()[A][0] == 7
+    rig.receive(Heartbeat(0.0))
     assert rig.follower.age_ms(rig.now) == 0
 
 
@@ -217,18 +219,18 @@
     rig = Rig(A, B)
     rig.connect()
     one, other = Topic(4, entries(x="1")), Topic(2, entries(y="1"))
-    rig.tell(*wholes(A, one), *wholes(B, other), Heartbeat(0.0))
+    rig.receive(*snapshot_parts(A, one), *snapshot_parts(B, other), Heartbeat(0.0))
     first, second, change = (
         next_delta(A, one, x="2"),
         next_delta(A, one, x="3"),
         next_delta(B, other, y="2"),
     )
-    assert subscribes(rig.tell(second, change)) and rig.held()[B] == (3, {"y": b"2"})
-    assert rig.tell(change) == [] and rig.held()[B] == (
+    assert subscribes(rig.receive(second, change)) and rig.held()[B] == (3, {"y": b"2"})
+    assert rig.receive(change) == [] and rig.held()[B] == (
         3,
         {"y": b"2"},
     )  # the store answers what was asked
-    rig.tell(first, second, Heartbeat(0.0))
+    rig.receive(first, second, Heartbeat(0.0))
     assert rig.held()[A] == (6, {"x": b"3"}) and rig.follower.age_ms(rig.now) == 0
 
 
@@ -237,14 +239,16 @@
     state = rig.with_topic()
     had = rig.held()
     wrong = next_delta(A, state, x="5")
-    told = rig.tell(Delta(A, wrong.version, wrong.digest ^ 1, wrong.entries))
-    assert happened(told) == [("gap", "digest")] and rig.held() == had
-    assert subscribes(told) == [subscribe((A, RESEND, 0))]
-    assert rig.tell(wrong, Heartbeat(0.0)) == [] and rig.held() == had  # only a whole makes it good
-    (part,) = wholes(A, state)
-    told = rig.tell(Snapshot(A, part.version, part.digest ^ 1, 1, 1, part.entries))
-    assert happened(told) == [("gap", "digest")] and rig.held() == had
-    rig.tell(part, Heartbeat(0.0), after=10)
+    effects_of = rig.receive(Delta(A, wrong.version, wrong.digest ^ 1, wrong.entries))
+    assert logged(effects_of) == [("gap", "digest")] and rig.held() == had
+    assert subscribes(effects_of) == [subscribe((A, RESEND, 0))]
+    assert (
+        rig.receive(wrong, Heartbeat(0.0)) == [] and rig.held() == had
+    )  # only a whole makes it good
+    (part,) = snapshot_parts(A, state)
+    effects_of = rig.receive(Snapshot(A, part.version, part.digest ^ 1, 1, 1, part.entries))
+    assert logged(effects_of) == [("gap", "digest")] and rig.held() == had
+    rig.receive(part, Heartbeat(0.0), after=10)
     assert rig.held()[A][1] == state.entries and rig.follower.age_ms(rig.now) == 0
 
 
@@ -252,20 +256,20 @@
     rig = Rig()
     state = rig.with_topic()
     wrong = next_delta(A, state, x="5")
-    rig.tell(Delta(A, wrong.version, wrong.digest ^ 1, wrong.entries))
+    rig.receive(Delta(A, wrong.version, wrong.digest ^ 1, wrong.entries))
     rig.do(rig.follower.closed(rig.now, rig.connection))
     assert rig.connect() == subscribe((A, RESEND, 0))
-    rig.tell(Heartbeat(0.0), after=1)
+    rig.receive(Heartbeat(0.0), after=1)
     assert rig.follower.age_ms(rig.now) > 0
-    told: list[Effect] = []
+    effects_of: list[Effect] = []
     for _ in range(200):
-        if not told:
-            told = (
-                rig.tell(Heartbeat(0.0), after=100)
+        if not effects_of:
+            effects_of = (
+                rig.receive(Heartbeat(0.0), after=100)
                 if rig.now + 100 < rig.follower.due_ms
                 else rig.tick()
             )
-    assert closes(told) == ["no-answer"]  # it is owed there, too
+    assert closed_kinds(effects_of) == ["no-answer"]  # it is owed there, too
 
 
 @pytest.mark.parametrize("how", ["delta", "whole"])
@@ -273,12 +277,16 @@
     rig = Rig()
     state = rig.with_topic()
     had, older = rig.held(), Topic(3, entries(x="0"))
-    message: Message = wholes(A, older)[0]
+    message: Message = snapshot_parts(A, older)[0]
     if how == "delta":
         message = Delta(A, 4, state.digest, entries(x="0"))
     store = followed(rig.follower)
-    told = rig.tell(message)
-    assert closes(told) == ["older"] and happened(told) == [("lost", "older")] and rig.held() == had
+    effects_of = rig.receive(message)
+    assert (
+        closed_kinds(effects_of) == ["older"]
+        and logged(effects_of) == [("lost", "older")]
+        and rig.held() == had
+    )
     assert rig.connect() == subscribe((A, 4, state.digest)) and followed(rig.follower) != store
 
 
@@ -286,7 +294,7 @@
     rig = Rig()
     rig.with_topic()
     other = Topic(4, entries(x="other"))
-    (take,) = rig.tell(*wholes(A, other))
+    (take,) = rig.receive(*snapshot_parts(A, other))
     assert take == UpdateTopic(A, 4, True, entries(x="other")) and rig.follower.faults["other"] == 1
 
 
@@ -295,9 +303,9 @@
     rig = Rig()
     rig.with_topic()
     had, store = rig.held(), followed(rig.follower)
-    told = rig.tell(Rejection(kind, "", "no"))
+    effects_of = rig.receive(Rejection(kind, "", "no"))
     wanted = "refused" if kind == "something-new" else kind
-    assert closes(told) == [wanted] and rig.held() == had
+    assert closed_kinds(effects_of) == [wanted] and rig.held() == had
     rig.connect()
     assert followed(rig.follower) != store
 
@@ -305,18 +313,18 @@
 def test_an_unknown_topic_is_logged_once_and_stays_subscribed() -> None:
     rig = Rig(A, B)
     rig.connect()
-    rig.tell(*wholes(A, Topic(1, entries(x="1"))))
-    assert happened(rig.tell(Rejection("unknown-topic", B, "nobody has it"))) == [
+    rig.receive(*snapshot_parts(A, Topic(1, entries(x="1"))))
+    assert logged(rig.receive(Rejection("unknown-topic", B, "nobody has it"))) == [
         ("unknown-topic", "")
     ]
-    rig.tell(Heartbeat(0.0))
+    rig.receive(Heartbeat(0.0))
     assert rig.follower.age_ms(rig.now) == 0  # that is all there is
     rig.do(rig.follower.closed(rig.now, rig.connection))
     assert rig.connect().topics[1] == TopicVersion(B, 0, 0)
-    assert rig.tell(Rejection("unknown-topic", B, "nobody has it")) == []
+    assert rig.receive(Rejection("unknown-topic", B, "nobody has it")) == []
     state = Topic()
-    assert rig.tell(next_delta(B, state, y="1")) == [UpdateTopic(B, 1, False, entries(y="1"))]
-    assert closes(rig.tell(Rejection("unknown-topic", B, "nobody has it"))) == [
+    assert rig.receive(next_delta(B, state, y="1")) == [UpdateTopic(B, 1, False, entries(y="1"))]
+    assert closed_kinds(rig.receive(Rejection("unknown-topic", B, "nobody has it"))) == [
         "behind"
     ]  # but it was there
 
@@ -354,22 +362,26 @@
     state = rig.with_topic()
     had = rig.held()
     state.apply(entries(x="0", y="1", z="2"))
-    told = rig.tell(*SPOILT[how](state))
-    assert happened(told) == [("gap", "parts")] and rig.held() == had and not closes(told)
-    assert subscribes(told) and not assembled_bytes(rig.follower)
-    rig.tell(Heartbeat(0.0), after=5)
+    effects_of = rig.receive(*SPOILT[how](state))
+    assert (
+        logged(effects_of) == [("gap", "parts")]
+        and rig.held() == had
+        and not closed_kinds(effects_of)
+    )
+    assert subscribes(effects_of) and not assembled_bytes(rig.follower)
+    rig.receive(Heartbeat(0.0), after=5)
     assert rig.follower.age_ms(rig.now) == 5
-    rig.tell(*wholes(A, state, 3), Heartbeat(0.0))
+    rig.receive(*snapshot_parts(A, state, 3), Heartbeat(0.0))
     assert rig.held()[A] == (5, state.entries) and rig.follower.age_ms(rig.now) == 0
 
 
 def test_a_new_snapshot_replaces_an_unfinished_one() -> None:
     rig = Rig()
     state = rig.with_topic()
-    rig.tell(Snapshot(A, 5, 1, 1, 2, entries(w="old")))
+    rig.receive(Snapshot(A, 5, 1, 1, 2, entries(w="old")))
     state.apply(entries(x="7"))
     state.apply(entries(x="8"))
-    rig.tell(*wholes(A, state, 3))
+    rig.receive(*snapshot_parts(A, state, 3))
     assert rig.held()[A] == (6, state.entries)
 
 
@@ -377,10 +389,10 @@
     rig = Rig()
     state = rig.with_topic()
     state.apply(entries(x="7"))
-    first, *others = wholes(A, state, 3)
-    rig.tell(first, Heartbeat(0.0), after=10)
+    first, *others = snapshot_parts(A, state, 3)
+    rig.receive(first, Heartbeat(0.0), after=10)
     assert rig.follower.age_ms(rig.now) == 20
-    rig.tell(*others, Heartbeat(0.0))
+    rig.receive(*others, Heartbeat(0.0))
     assert rig.held()[A] == (5, state.entries) and rig.follower.age_ms(rig.now) == 0
 
 
@@ -388,9 +400,9 @@
     rig = Rig(A, B)
     rig.connect()
     one, other = Topic(2, entries(x="1", y="2")), Topic(9, entries(x="3", y="4"))
-    first, second = wholes(A, one, 2)
-    third, fourth = wholes(B, other, 2)
-    rig.tell(first, third, second, fourth)
+    first, second = snapshot_parts(A, one, 2)
+    third, fourth = snapshot_parts(B, other, 2)
+    rig.receive(first, third, second, fourth)
     assert rig.held() == {A: (2, one.entries), B: (9, other.entries)}
 
 
@@ -413,8 +425,12 @@
     rig = Rig()
     rig.with_topic()
     had = rig.held()
-    told = rig.tell(message, after=10)
-    assert closes(told) == [kind] and rig.held() == had and rig.follower.age_ms(rig.now) == 10
+    effects_of = rig.receive(message, after=10)
+    assert (
+        closed_kinds(effects_of) == [kind]
+        and rig.held() == had
+        and rig.follower.age_ms(rig.now) == 10
+    )
     assert rig.follower.faults[kind] == 1
 
 
@@ -422,7 +438,7 @@
 def test_a_connection_without_a_replicas_hello_is_left(first: Message) -> None:
     rig = Rig()
     rig.do(rig.follower.connected(rig.now, rig.connection))
-    assert closes(rig.tell(first)) in (["no-store"], ["unasked"])
+    assert closed_kinds(rig.receive(first)) in (["no-store"], ["unasked"])
 
 
 @pytest.mark.parametrize("state", ["dialling", "up", "waiting"])
@@ -437,7 +453,7 @@
         rig.connect()
     follower, had = rig.follower, rig.held()
     wrong = old + 7 if state == "dialling" else old
-    change = wholes(A, Topic(9, entries(x="new")))[0]
+    change = snapshot_parts(A, Topic(9, entries(x="new")))[0]
     due = follower.due_ms
     assert (
         follower.received(rig.now, wrong, change) == [] and follower.connected(rig.now, wrong) == []
@@ -453,8 +469,8 @@
     rig.with_topic()
     store, began = followed(rig.follower), rig.now
     assert rig.do(rig.follower.tick(rig.now + TIMING.silence_timeout_ms - 1)) == []
-    told = rig.tick()
-    assert rig.now == began + TIMING.silence_timeout_ms and closes(told) == ["silent"]
+    effects_of = rig.tick()
+    assert rig.now == began + TIMING.silence_timeout_ms and closed_kinds(effects_of) == ["silent"]
     (dial,) = rig.tick()
     assert isinstance(dial, Dial) and dial.replica != store
     assert rig.now <= began + TIMING.silence_timeout_ms + TIMING.reconnect_window_ms
@@ -465,16 +481,16 @@
     state = rig.with_topic()
     had, began = rig.held(), rig.now
     rig.now += 60_000
-    told = rig.tell(next_delta(A, state, x="5"))
-    assert closes(told) == ["silent"] and rig.tell(Heartbeat(0.0)) == []
+    effects_of = rig.receive(next_delta(A, state, x="5"))
+    assert closed_kinds(effects_of) == ["silent"] and rig.receive(Heartbeat(0.0)) == []
     assert rig.held() == had and rig.follower.age_ms(rig.now) == rig.now - began
 
 
 def test_a_dial_that_hangs_is_given_up() -> None:
     rig = Rig()
     store = followed(rig.follower)
-    told = rig.tick()
-    assert rig.now == 1000.0 + TIMING.connect_timeout_ms and closes(told) == ["hangs"]
+    effects_of = rig.tick()
+    assert rig.now == 1000.0 + TIMING.connect_timeout_ms and closed_kinds(effects_of) == ["hangs"]
     rig.tick()
     assert followed(rig.follower) != store
 
@@ -482,22 +498,24 @@
 def test_a_replica_that_sends_only_heartbeats_for_a_subscription_is_left() -> None:
     rig = Rig()
     rig.connect()
-    told: list[Effect] = []
+    effects_of: list[Effect] = []
     for _ in range(200):
-        if not told:
-            told = (
-                rig.tell(Heartbeat(0.0), after=100)
+        if not effects_of:
+            effects_of = (
+                rig.receive(Heartbeat(0.0), after=100)
                 if rig.now + 100 < rig.follower.due_ms
                 else rig.tick()
             )
-    assert closes(told) == ["no-answer"] and rig.now == 1000.0 + TIMING.answer_timeout_ms
+    assert (
+        closed_kinds(effects_of) == ["no-answer"] and rig.now == 1000.0 + TIMING.answer_timeout_ms
+    )
 
 
 def test_slow_snapshot_parts_count_as_progress() -> None:
     rig = Rig()
     rig.connect()
     state = Topic(3, entries(**{f"k{i}": "v" for i in range(20)}))
-    rig.tell(*wholes(A, state, 20), after=TIMING.silence_timeout_ms - 1)
+    rig.receive(*snapshot_parts(A, state, 20), after=TIMING.silence_timeout_ms - 1)
     assert rig.held()[A] == (3, state.entries)
 
 
@@ -505,15 +523,19 @@
     rig = Rig(timing=FollowerTiming(reconnect_window_ms=100.0))
     state = rig.with_topic()
     store = followed(rig.follower)
-    rig.tell(Heartbeat(TIMING.max_lag_ms))
+    rig.receive(Heartbeat(TIMING.max_lag_ms))
     by = rig.follower.due_ms
     assert rig.now <= by <= rig.now + 100.0
-    rig.tell(next_delta(A, state, x="6"), Heartbeat(TIMING.max_lag_ms + 10))
+    rig.receive(next_delta(A, state, x="6"), Heartbeat(TIMING.max_lag_ms + 10))
     assert rig.held()[A][0] == 5 and rig.follower.due_ms == by  # put off by nothing but a leader
-    told = rig.tick()
-    assert closes(told) == ["lags"] and isinstance(told[-1], Dial) and told[-1].replica != store
+    effects_of = rig.tick()
+    assert (
+        closed_kinds(effects_of) == ["lags"]
+        and isinstance(effects_of[-1], Dial)
+        and effects_of[-1].replica != store
+    )
     rig.connect()
-    rig.tell(Heartbeat(TIMING.max_lag_ms), Heartbeat(0.0))
+    rig.receive(Heartbeat(TIMING.max_lag_ms), Heartbeat(0.0))
     assert (
         rig.follower.due_ms == rig.now + TIMING.silence_timeout_ms
     )  # its leader is back, it is kept
@@ -522,16 +544,16 @@
 def test_a_replica_that_never_knew_a_leader_proves_no_freshness() -> None:
     rig = Rig()
     rig.connect()
-    rig.tell(*wholes(A, Topic(1)), Heartbeat(math.inf))
+    rig.receive(*snapshot_parts(A, Topic(1)), Heartbeat(math.inf))
     assert rig.follower.age_ms(rig.now) == math.inf and rig.follower.freshness.proved is None
-    rig.tell(Heartbeat(40.0))
+    rig.receive(Heartbeat(40.0))
     assert rig.follower.age_ms(rig.now) == 40
 
 
 def test_the_only_replica_is_kept_even_if_it_lags() -> None:
     rig = Rig(replicas=1)
     rig.with_topic()
-    rig.tell(Heartbeat(60_000.0))
+    rig.receive(Heartbeat(60_000.0))
     assert rig.follower.due_ms == rig.now + TIMING.silence_timeout_ms
 
 
@@ -540,8 +562,8 @@
     state = rig.with_topic()
     rig.do(rig.follower.closed(rig.now, rig.connection))
     missed = next_delta(A, state, x="8")
-    assert rig.connect() == subscribe((A, 4, rig.taken[A].digest))
-    rig.tell(missed, Heartbeat(0.0))
+    assert rig.connect() == subscribe((A, 4, rig.in_force[A].digest))
+    rig.receive(missed, Heartbeat(0.0))
     assert rig.held()[A][0] == 5 and rig.follower.age_ms(rig.now) == 0
 
 
@@ -650,29 +672,36 @@
 
     big = Topic(1, entries(**{f"k{i}": "v" * 1000 for i in range(10)}))
     rig = filled(9000)
-    assert closes(rig.tell(*wholes(A, big, 10))) == ["oversized"] and rig.held()[A][0] == 0
+    assert (
+        closed_kinds(rig.receive(*snapshot_parts(A, big, 10))) == ["oversized"]
+        and rig.held()[A][0] == 0
+    )
     assert not assembled_bytes(rig.follower)
     rig = filled(5000)
-    told = rig.tell(*wholes(A, big, 10)[:5])
-    assert closes(told) == ["oversized"] and not assembled_bytes(
+    effects_of = rig.receive(*snapshot_parts(A, big, 10)[:5])
+    assert closed_kinds(effects_of) == ["oversized"] and not assembled_bytes(
         rig.follower
     )  # long before the last
     two = Rig(A, B)
     two.follower.topics.max_bytes = 15_000
     two.connect()
-    assert closes(two.tell(*wholes(A, big, 10), *wholes(B, big, 10))) == ["oversized"]
+    assert closed_kinds(two.receive(*snapshot_parts(A, big, 10), *snapshot_parts(B, big, 10))) == [
+        "oversized"
+    ]
     assert two.held()[A][0] == 1 and two.held()[B][0] == 0
     rig = filled(11_000)
-    rig.tell(*wholes(A, big, 10))
+    rig.receive(*snapshot_parts(A, big, 10))
     had = rig.held()
     assert had[A][0] == 1
-    told = rig.tell(next_delta(A, big, more="v" * 1000))
-    assert closes(told) == ["oversized"] and rig.held() == had
+    effects_of = rig.receive(next_delta(A, big, more="v" * 1000))
+    assert closed_kinds(effects_of) == ["oversized"] and rig.held() == had
     rig = filled(11_000)
     state = Topic(1, entries(**{f"k{i}": "v" * 1000 for i in range(10)}))
-    rig.tell(*wholes(A, state, 10))
+    rig.receive(*snapshot_parts(A, state, 10))
     for _ in range(50):  # what takes an old value's place takes its room
-        rig.tell(next_delta(A, state, k0="w" * 1000, k1=None), next_delta(A, state, k1="v" * 1000))
+        rig.receive(
+            next_delta(A, state, k0="w" * 1000, k1=None), next_delta(A, state, k1="v" * 1000)
+        )
     assert rig.follower.topics.total_bytes == framed_size(
         Entry(k, v) for k, v in state.entries.items()
     )
@@ -689,29 +718,29 @@
     state = rig.with_topic()
     kinds: list[str] = []
     for _ in range(MAX_GAPS + 1):
-        kinds += closes(rig.tell(Snapshot(A, state.version + 1, 1, 2, 2, ())))
+        kinds += closed_kinds(rig.receive(Snapshot(A, state.version + 1, 1, 2, 2, ())))
     assert kinds == ["gaps"]
 
 
 def test_unusable_entries_are_requested_again_as_a_snapshot() -> None:
     rig = Rig()
     state = rig.with_topic()
-    rig.tell(next_delta(A, state, x="bad"))
-    told = rig.do(rig.follower.request_resend(rig.now, A))
-    assert happened(told) == [("gap", "unusable")] and subscribes(told) == [
+    rig.receive(next_delta(A, state, x="bad"))
+    effects_of = rig.do(rig.follower.request_resend(rig.now, A))
+    assert logged(effects_of) == [("gap", "unusable")] and subscribes(effects_of) == [
         subscribe((A, RESEND, 0))
     ]
-    rig.tell(Heartbeat(0.0), after=20)
+    rig.receive(Heartbeat(0.0), after=20)
     assert rig.follower.age_ms(rig.now) == 20  # not whole for sure until then
-    (take,) = rig.tell(*wholes(A, state))
+    (take,) = rig.receive(*snapshot_parts(A, state))
     assert isinstance(take, UpdateTopic) and take.is_snapshot and take.version == 5
     assert rig.do(rig.follower.request_resend(rig.now, A)) == []  # it is no better: not in a circle
-    rig.tell(Heartbeat(0.0), after=1000)
+    rig.receive(Heartbeat(0.0), after=1000)
     assert rig.follower.age_ms(rig.now) == 1020
     assert rig.follower.due_ms == rig.now + TIMING.silence_timeout_ms  # nobody owes anything
     mended = next_delta(A, state, x="good")
-    assert subscribes(rig.tell(mended)) == [subscribe((A, RESEND, 0))]
-    rig.tell(*wholes(A, state), Heartbeat(0.0))
+    assert subscribes(rig.receive(mended)) == [subscribe((A, RESEND, 0))]
+    rig.receive(*snapshot_parts(A, state), Heartbeat(0.0))
     assert rig.held()[A] == (6, state.entries) and rig.follower.age_ms(rig.now) == 0
     rig.do(rig.follower.closed(rig.now, rig.connection))
     assert rig.do(rig.follower.request_resend(rig.now, A)) == []
@@ -749,16 +778,16 @@
                 delta = deltas[rig.follower.topics.by_name[A].version]
             if draw.random() < 0.1:
                 delta = Delta(A, delta.version, delta.digest ^ 1, delta.entries)
-            rig.tell(delta)
+            rig.receive(delta)
         elif act < 0.8:
-            pieces = wholes(A, draw.choice(history[1:]), draw.randint(1, 4))
+            pieces = snapshot_parts(A, draw.choice(history[1:]), draw.randint(1, 4))
             if draw.random() < 0.3:
                 draw.shuffle(pieces)
             if draw.random() < 0.3:
                 pieces = pieces[: draw.randrange(len(pieces) + 1)]
-            rig.tell(*pieces)
+            rig.receive(*pieces)
         elif act < 0.9:
-            rig.tell(Heartbeat(0.0))
+            rig.receive(Heartbeat(0.0))
         elif act < 0.95:
             rig.do(rig.follower.closed(rig.now, rig.connection))
         else:
--- a/tests/distribution/test_journal.py
+++ b/tests/distribution/test_journal.py
@@ -11,7 +11,6 @@
 
 import pytest
 
-from badgercart.distribution import journal as module
 from badgercart.distribution.effects import Persist, PersistSnapshot, RecoveredState, Send
 from badgercart.distribution.errors import JournalError
 from badgercart.distribution.journal import Journal
@@ -35,33 +34,33 @@
 )
 
 
-def told(recovered: RecoveredState) -> tuple[Any, ...]:
+def summary(recover: RecoveredState) -> tuple[Any, ...]:
     """What a replica begins with, whether it stood in a snapshot or behind it."""
     topics = {
         name: Topic(t.version, (Entry(*pair) for pair in t.entries.items()))
-        for name, t in recovered.topics.items()
+        for name, t in recover.topics.items()
     }
-    for each in recovered.changes:
+    for each in recover.changes:
         if each.topic:
             topics.setdefault(each.topic, Topic()).apply(each.entries)
     seen = tuple(sorted((name, topic.version, topic.digest) for name, topic in topics.items()))
-    last = recovered.snapshot_index + len(recovered.changes)
-    return recovered.term, recovered.voted_for, recovered.commit_index, last, seen
+    last = recover.snapshot_index + len(recover.changes)
+    return recover.term, recover.voted_for, recover.commit_index, last, seen
 
 
-def written(folder: Path, kept: tuple[Persist, ...] = KEPT) -> list[int]:
+def write_journal(folder: Path, records_of: tuple[Persist, ...] = KEPT) -> list[int]:
     """A journal of these; how long it was after each."""
     journal = Journal(folder)
     journal.recover()
     sizes = [journal.journal_bytes]
-    for each in kept:
+    for each in records_of:
         journal.persist(each)
         sizes.append(journal.journal_bytes)
     journal.close()
     return sizes
 
 
-def recovered(folder: Path) -> RecoveredState:
+def recover(folder: Path) -> RecoveredState:
     journal = Journal(folder)
     try:
         return journal.recover()
@@ -70,19 +69,19 @@
 
 
 def test_what_was_persisted_is_recovered(tmp_path: Path) -> None:
-    written(tmp_path)
-    found = recovered(tmp_path)
+    write_journal(tmp_path)
+    found = recover(tmp_path)
     assert found == replay(RecoveredState(), KEPT)
     assert (found.term, found.voted_for, found.commit_index) == (3, "b", 4)
     assert [each.term for each in found.changes] == [1, 2, 2, 2, 3]
 
 
 def test_a_new_folder_recovers_to_nothing(tmp_path: Path) -> None:
-    assert recovered(tmp_path / "new" / "one") == RecoveredState()
+    assert recover(tmp_path / "new" / "one") == RecoveredState()
 
 
 def test_a_journal_cut_at_any_byte_recovers_a_prefix_and_continues(tmp_path: Path) -> None:
-    sizes = written(tmp_path / "whole")
+    sizes = write_journal(tmp_path / "whole")
     data = (tmp_path / "whole" / "journal.0").read_bytes()
     assert len(data) == sizes[-1]
     for length in range(len(data) + 1):
@@ -90,26 +89,26 @@
         folder.mkdir()
         (folder / "journal.0").write_bytes(data[:length])
         whole = sum(size <= length for size in sizes[1:])
-        assert recovered(folder) == replay(RecoveredState(), KEPT[:whole]), length
+        assert recover(folder) == replay(RecoveredState(), KEPT[:whole]), length
         journal = Journal(folder)
         before = journal.recover()
         last = len(before.changes)
         journal.persist(Persist(9, "z", last, (change(9, last + 1),), before.commit_index))
         journal.close()
-        after = recovered(folder)
+        after = recover(folder)
         assert (after.term, after.voted_for, after.changes[-1]) == (9, "z", change(9, last + 1))
 
 
 def test_zeros_behind_the_last_record_are_cut_off(tmp_path: Path) -> None:
     """As some file systems leave them: the file's length was written, its last bytes were not."""
-    written(tmp_path)
+    write_journal(tmp_path)
     with (tmp_path / "journal.0").open("ab") as file:
         file.write(bytes(500))
-    assert recovered(tmp_path) == replay(RecoveredState(), KEPT)
+    assert recover(tmp_path) == replay(RecoveredState(), KEPT)
 
 
 def test_a_damaged_byte_is_an_error_unless_it_is_in_the_last_record(tmp_path: Path) -> None:
-    sizes = written(tmp_path / "whole")
+    sizes = write_journal(tmp_path / "whole")
     data = (tmp_path / "whole" / "journal.0").read_bytes()
     folder = tmp_path / "spoilt"
     folder.mkdir()
@@ -118,26 +117,26 @@
             data[:place] + bytes([data[place] ^ 0x41]) + data[place + 1 :]
         )
         if place >= sizes[-2]:
-            assert recovered(folder) == replay(RecoveredState(), KEPT[:-1])
+            assert recover(folder) == replay(RecoveredState(), KEPT[:-1])
         else:
             with pytest.raises(JournalError, match=r"journal\.0: the record at byte \d+ is spoilt"):
-                recovered(folder)
+                recover(folder)
             assert (folder / "journal.0").stat().st_size == len(data), "nothing is cut off then"
 
 
 def test_a_damaged_snapshot_is_an_error(tmp_path: Path) -> None:
-    compacted(tmp_path)
+    write_compacted(tmp_path)
     data = (tmp_path / "snapshot").read_bytes()
     for place in range(0, len(data), 7):
         (tmp_path / "snapshot").write_bytes(
             data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :]
         )
         with pytest.raises(JournalError, match="snapshot: it is spoilt"):
-            recovered(tmp_path)
+            recover(tmp_path)
     for length in range(len(data)):
         (tmp_path / "snapshot").write_bytes(data[:length])
         with pytest.raises(JournalError, match="snapshot: it is spoilt"):
-            recovered(tmp_path)
+            recover(tmp_path)
 
 
 def state() -> RecoveredState:
@@ -148,8 +147,8 @@
     return RecoveredState(3, "b", 4, 4, 2, {"t": topic}, (change(3, 5),))
 
 
-def compacted(folder: Path) -> None:
-    written(folder)
+def write_compacted(folder: Path) -> None:
+    write_journal(folder)
     journal = Journal(folder)
     journal.recover()
     journal.compact(state())
@@ -157,28 +156,28 @@
 
 
 def test_a_snapshot_replaces_all_that_was_persisted_before(tmp_path: Path) -> None:
-    written(tmp_path)
-    before = recovered(tmp_path)
+    write_journal(tmp_path)
+    before = recover(tmp_path)
     journal = Journal(tmp_path)
     journal.recover()
     journal.compact(state())
     journal.persist(Persist(3, "b", 5, (change(3, 6),), 5))
     journal.close()
-    found = recovered(tmp_path)
-    assert told(before)[:3] == (3, "b", 4) and told(found)[3] == 6
+    found = recover(tmp_path)
+    assert summary(before)[:3] == (3, "b", 4) and summary(found)[3] == 6
     assert (found.snapshot_index, found.snapshot_term, found.commit_index) == (4, 2, 5)
     assert found.topics["t"].version == 3 and found.changes == (change(3, 5), change(3, 6))
     assert sorted(p.name for p in tmp_path.iterdir()) == ["journal.1", "lock", "snapshot"]
 
 
 def test_a_leaders_snapshot_replaces_everything(tmp_path: Path) -> None:
-    written(tmp_path)
+    write_journal(tmp_path)
     journal = Journal(tmp_path)
     journal.recover()
     topic = Topic(40, (Entry("k", b"v"),))
     journal.persist(PersistSnapshot(RecoveredState(7, "", 90, 90, 6, {"u": topic})))
     journal.close()
-    found = recovered(tmp_path)
+    found = recover(tmp_path)
     assert (found.term, found.commit_index, found.snapshot_term, list(found.topics)) == (
         7,
         90,
@@ -198,15 +197,15 @@
     def wrap(name: str) -> None:
         real = getattr(os, name)
 
-        def call(*told: Any, **more: Any) -> Any:
+        def call(*summary: Any, **more: Any) -> Any:
             seen.append(name)
             if len(seen) == fail_at:
                 if name == "write" and partly:
-                    real(told[0], bytes(told[1])[: len(told[1]) // 2])
+                    real(summary[0], bytes(summary[1])[: len(summary[1]) // 2])
                 raise Crash(f"call {fail_at}, {name}, fails")
-            return real(*told, **more)
+            return real(*summary, **more)
 
-        monkeypatch.setattr(module.os, name, call)
+        monkeypatch.setattr(os, name, call)
 
     for name in ("open", "write", "fsync", "replace"):
         wrap(name)
@@ -220,7 +219,7 @@
     for partly in (False, True):
         for fail_at in range(1, 100):
             folder = tmp_path / f"{what} {partly} {fail_at}"
-            written(folder)
+            write_journal(folder)
             journal = Journal(folder)
             journal.recover()
             with monkeypatch.context() as patch:
@@ -246,21 +245,21 @@
 def test_a_persist_that_fails_at_any_call_is_whole_or_absent_and_ends_the_journal(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    before = told(replay(RecoveredState(), KEPT))
-    after = told(replay(RecoveredState(), [*KEPT, Persist(4, "", 5, (change(4, 6),), 4)]))
-    found = [told(recovered(folder)) for folder, _ in crashes(tmp_path, monkeypatch, "keep")]
+    before = summary(replay(RecoveredState(), KEPT))
+    after = summary(replay(RecoveredState(), [*KEPT, Persist(4, "", 5, (change(4, 6),), 4)]))
+    found = [summary(recover(folder)) for folder, _ in crashes(tmp_path, monkeypatch, "keep")]
     assert len(found) == 4 and set(found) <= {before, after}
 
 
 def test_a_compaction_that_fails_at_any_call_loses_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    whole = told(state())
-    assert whole == told(replay(RecoveredState(), KEPT))
+    whole = summary(state())
+    assert whole == summary(replay(RecoveredState(), KEPT))
     tried = 0
     for folder, _ in crashes(tmp_path, monkeypatch, "compact"):
         tried += 1
-        assert told(recovered(folder)) == whole, folder.name
+        assert summary(recover(folder)) == whole, folder.name
         names = sorted(path.name for path in folder.iterdir())
         assert names in (
             ["journal.0", "lock"],
@@ -288,9 +287,9 @@
 
 def test_short_writes_are_continued(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     real = os.write
-    monkeypatch.setattr(module.os, "write", lambda handle, data: real(handle, bytes(data)[:3]))
-    written(tmp_path)
-    assert recovered(tmp_path) == replay(RecoveredState(), KEPT)
+    monkeypatch.setattr(os, "write", lambda handle, data: real(handle, bytes(data)[:3]))
+    write_journal(tmp_path)
+    assert recover(tmp_path) == replay(RecoveredState(), KEPT)
 
 
 def test_a_folder_belongs_to_one_process(tmp_path: Path) -> None:
@@ -314,10 +313,10 @@
 def test_records_this_program_can_not_have_written_are_errors(tmp_path: Path) -> None:
     first = encode_record(encode(JournalHeader(1, 0)))
 
-    def kept(*told: Persist) -> bytes:
+    def records_of(*summary: Persist) -> bytes:
         bodies = [
             PersistRecord(k.term, k.voted_for, k.after_index, k.changes, k.commit_index)
-            for k in told
+            for k in summary
         ]
         return first + b"".join(encode_record(encode(body)) for body in bodies)
 
@@ -326,28 +325,30 @@
         (encode_record(encode(JournalHeader(1, 5))), "it says that it is generation 5"),
         (encode_record(b"\xc1"), r"journal\.0: "),
         (first + encode_record(encode("word")), r"journal\.0: "),
-        (kept(Persist(1, "", 3, (change(1, 4),), 0)), "record 1 is put behind 3, of 0 to 0"),
-        (kept(Persist(1, "", 0, (change(1, 2),), 0)), "has a gap before place 2"),
-        (kept(Persist(1, "", 0, (change(1, 1),), 2)), "record 1 goes back"),
+        (records_of(Persist(1, "", 3, (change(1, 4),), 0)), "record 1 is put behind 3, of 0 to 0"),
+        (records_of(Persist(1, "", 0, (change(1, 2),), 0)), "has a gap before place 2"),
+        (records_of(Persist(1, "", 0, (change(1, 1),), 2)), "record 1 goes back"),
         (
-            kept(Persist(2, "", 0, (), 0), Persist(1, "", 0, (), 0)),
+            records_of(Persist(2, "", 0, (), 0), Persist(1, "", 0, (), 0)),
             "record 2 goes back, from term 2",
         ),
         (
-            kept(Persist(1, "", 0, (change(1, 1),), 1), Persist(2, "", 0, (change(2, 1),), 1)),
+            records_of(
+                Persist(1, "", 0, (change(1, 1),), 1), Persist(2, "", 0, (change(2, 1),), 1)
+            ),
             "put behind 0",
         ),
     ):
         (tmp_path / "journal.0").write_bytes(data)
         with pytest.raises(JournalError, match=words):
-            recovered(tmp_path)
+            recover(tmp_path)
 
 
 def test_a_missing_journal_is_an_error(tmp_path: Path) -> None:
-    compacted(tmp_path)
+    write_compacted(tmp_path)
     (tmp_path / "journal.1").unlink()
     with pytest.raises(JournalError, match=r"journal\.1: it is gone"):
-        recovered(tmp_path)
+        recover(tmp_path)
 
 
 def run(replica: Replica, journal: Journal, effects: list[Any]) -> list[Any]:
--- a/tests/distribution/test_properties.py
+++ b/tests/distribution/test_properties.py
@@ -22,7 +22,7 @@
 TOPICS = ("a", "b")
 SMALL = ReplicaLimits(
     max_log_changes=3, max_topic_history=2, max_history=3, max_concurrent_snapshots=1
-)  # so that all are told whole, again and again
+)  # so that snapshots are sent again and again
 
 names = st.integers(0, 4)
 steps = st.one_of(
@@ -54,26 +54,26 @@
 
 
 def step(group: Group, what: tuple[Any, ...], serial: int) -> None:
-    kind, *told = what
-    name = [group.names[t % len(group.names)] if type(t) is int else "" for t in told]
+    kind, *drawn = what
+    name = [group.names[t % len(group.names)] if type(t) is int else "" for t in drawn]
     leader = group.leader()
     if kind == "propose":
-        _, topic, key, value = told
+        _, topic, key, value = drawn
         group.operator.propose(name[0], topic, [Entry(key, b"%d" % value if value else None)])
     elif kind == "propose to the leader" and leader:
-        topic, count = told
+        topic, count = drawn
         for number in range(count):
             group.operator.propose(
                 leader, topic, [Entry("xyz"[number % 3], b"%d %d" % (serial, number))]
             )
     elif kind == "run":
-        group.run(told[0])
+        group.run(drawn[0])
     elif kind == "kill":
         group.kill(name[0])
     elif kind == "crash":
-        group.process(name[0]).crash_in = told[1]
+        group.process(name[0]).crash_in = drawn[1]
     elif kind == "crash the leader" and leader:
-        group.process(leader).crash_in = told[0]
+        group.process(leader).crash_in = drawn[0]
     elif kind == "restart":
         group.restart(name[0])
     elif kind == "restart all":
@@ -102,7 +102,7 @@
     learners: int,
     limits: ReplicaLimits | None,
     seed: int,
-    told: list[Any],
+    drawn: list[Any],
     replica_class: type[Replica] = Replica,
     disk_class: type[MemoryDisk] = MemoryDisk,
 ) -> Group:
@@ -110,7 +110,7 @@
     for name in group.names:
         group.processes[f"at {name}"] = Hollow(group, f"at {name}", name, TOPICS)
     group.run(5000.0, lambda: bool(group.leader()))
-    for serial, (what, ms) in enumerate(told):
+    for serial, (what, ms) in enumerate(drawn):
         step(group, what, serial)
         group.run(ms)
     for name in group.names:
@@ -121,20 +121,20 @@
 
 @settings(max_examples=RUNS or 150)
 @given(plays)
-def test_three_voters_and_a_learner_keep_all_invariants(told: tuple[int, list[Any]]) -> None:
-    play(3, 1, None, *told)
+def test_three_voters_and_a_learner_keep_all_invariants(drawn: tuple[int, list[Any]]) -> None:
+    play(3, 1, None, *drawn)
 
 
 @settings(max_examples=RUNS or 150)
 @given(plays)
-def test_three_voters_with_small_limits_keep_all_invariants(told: tuple[int, list[Any]]) -> None:
-    play(3, 1, SMALL, *told)
+def test_three_voters_with_small_limits_keep_all_invariants(drawn: tuple[int, list[Any]]) -> None:
+    play(3, 1, SMALL, *drawn)
 
 
 @settings(max_examples=RUNS or 100)
 @given(plays)
-def test_five_voters_keep_all_invariants(told: tuple[int, list[Any]]) -> None:
-    play(5, 0, SMALL, *told)
+def test_five_voters_keep_all_invariants(drawn: tuple[int, list[Any]]) -> None:
+    play(5, 0, SMALL, *drawn)
 
 
 @settings(max_examples=RUNS or 60)
--- a/tests/distribution/test_replica_connections.py
+++ b/tests/distribution/test_replica_connections.py
@@ -116,5 +116,5 @@
     effects = propose(replica, "t0", ("k", b"new"))
     assert not messages_to(effects, 2) and messages_to(effects, 3)
     assert not messages_to(replica.tick(3200.0), 2)
-    (told,) = messages_to(replica.writable(3201.0, 2), 2)
-    assert isinstance(told, AppendEntries) and [c.index for c in told.changes] == [1002]
+    (append,) = messages_to(replica.writable(3201.0, 2), 2)
+    assert isinstance(append, AppendEntries) and [c.index for c in append.changes] == [1002]
--- a/tests/distribution/test_replica_group.py
+++ b/tests/distribution/test_replica_group.py
@@ -135,16 +135,20 @@
 
 
 def test_a_replica_that_lags_gets_the_log_or_else_a_snapshot() -> None:
-    for count, whole in ((5, False), (40, True)):
+    for count, needs_snapshot in ((5, False), (40, True)):
         group, leader = group_with_leader(limits=ReplicaLimits(max_log_changes=8))
         lags = next(name for name in group.names if name != leader)
-        told: list[Message] = []
+        received: list[Message] = []
 
         def note(
-            source: str, to: str, message: Message, lags: str = lags, told: list[Message] = told
+            source: str,
+            to: str,
+            message: Message,
+            lags: str = lags,
+            received: list[Message] = received,
         ) -> bool:
             if to == lags:
-                told.append(message)
+                received.append(message)
             return False
 
         group.kill(lags)
@@ -155,7 +159,7 @@
         group.drops = note
         group.restart(lags)
         group.settle()
-        assert any(isinstance(message, InstallSnapshot) for message in told) is whole
+        assert any(isinstance(message, InstallSnapshot) for message in received) is needs_snapshot
         assert group.leader() == leader
         assert follower(group, lags).topics["t"].version == count
 
--- a/tests/distribution/test_replica_proposals.py
+++ b/tests/distribution/test_replica_proposals.py
@@ -47,23 +47,28 @@
     three = operator.propose(leader, "t", [Entry("k", b"3")], 1)
     same = operator.propose(leader, "t", [Entry("k", b"3")])
     group.run(500.0)
-    told = operator.answers
-    assert (told[one].error, told[one].version) == ("", 1)
-    assert told[two].error == "conflict"
-    assert (told[three].error, told[three].version) == ("", 2)
-    assert (told[same].error, told[same].version) == ("", 2), "when it is in force, not before"
+    answers_by_id = operator.answers
+    assert (answers_by_id[one].error, answers_by_id[one].version) == ("", 1)
+    assert answers_by_id[two].error == "conflict"
+    assert (answers_by_id[three].error, answers_by_id[three].version) == ("", 2)
+    assert (answers_by_id[same].error, answers_by_id[same].version) == (
+        "",
+        2,
+    ), "when it is in force, not before"
 
 
 def test_an_oversized_change_is_refused_and_the_largest_fits_all_messages() -> None:
     group = Group(3)
     assert group.run(5000.0, lambda: bool(group.leader()))
     group.run(500.0)
-    whole = [Entry(f"key {number:02}", bytes(65_000)) for number in range(16)]
-    room = MAX_CHANGE_BYTES - framed_size(whole) - len("last") - 16
-    most = [*whole, Entry("last", bytes(room))]
+    most_entries = [Entry(f"key {number:02}", bytes(65_000)) for number in range(16)]
+    bytes_left = MAX_CHANGE_BYTES - framed_size(most_entries) - len("last") - 16
+    most = [*most_entries, Entry("last", bytes(bytes_left))]
     assert framed_size(most) == MAX_CHANGE_BYTES
     fits = group.operator.propose(group.leader(), "t" * 200, most)
-    over = group.operator.propose(group.leader(), "t", [*whole, Entry("last", bytes(room + 1))])
+    over = group.operator.propose(
+        group.leader(), "t", [*most_entries, Entry("last", bytes(bytes_left + 1))]
+    )
     group.run(1000.0)
     assert group.operator.answers[fits].error == ""
     assert group.operator.answers[over].error == "oversized"
--- a/tests/distribution/test_replica_publishing.py
+++ b/tests/distribution/test_replica_publishing.py
@@ -104,8 +104,8 @@
         6,
         7,
     ]
-    (whole,) = subscribe_on(replica, 2, ("t", 3, 0))
-    assert isinstance(whole, Snapshot) and (whole.version, whole.entries) == (
+    (snapshot,) = subscribe_on(replica, 2, ("t", 3, 0))
+    assert isinstance(snapshot, Snapshot) and (snapshot.version, snapshot.entries) == (
         7,
         (Entry("k", b"7"),),
     )
@@ -127,8 +127,8 @@
     for number in range(40):
         propose(replica, f"t{number % 7}", ("k", b"%023d" % number))
         history = replica.publisher.history
-        kept = sum(map(len, history.by_topic.values()))
-        assert kept == len(history.sizes) == min(5, number + 1)
+        held = sum(map(len, history.by_topic.values()))
+        assert held == len(history.sizes) == min(5, number + 1)
         assert history.total_bytes == sum(history.sizes.values()) <= 200
         assert all(history.by_topic.values())
 
@@ -188,7 +188,7 @@
         effects = propose(replica, "t0", ("k", b"new"))
         costs[others] = replica.publisher.visited - before, len(effects)
         assert not replica.publisher.ready
-    assert costs[10] == costs[1000] == (5, 7)  # five changes, one kept, one answer
+    assert costs[10] == costs[1000] == (5, 7)  # five deltas, one Persist, one response
 
 
 # Beats.
@@ -210,8 +210,8 @@
         RecoveredState(1, "", 1, 1, 1, {"t": Topic(1, (Entry("k", b"v"),))}), Replica
     )
     say_hello(replica, 5)
-    told = messages_to(replica.received(0.0, 5, subscribe(("t", 0, 0))), 5)
-    assert [type(m) for m in told] == [Snapshot]
+    sent = messages_to(replica.received(0.0, 5, subscribe(("t", 0, 0))), 5)
+    assert [type(m) for m in sent] == [Snapshot]
     assert Heartbeat(float("inf")) in messages_to(replica.tick(1000.0), 5)
 
 
@@ -240,8 +240,8 @@
     assert [
         m.topic for m in messages_to(replica.writable(1900.0, 1), 1) if isinstance(m, Delta)
     ] == ["t"]
-    beat, delta = messages_to(replica.tick(2000.0), 1)
-    assert beat == Heartbeat(1000.0) and isinstance(delta, Delta) and delta.topic == "u"
+    heartbeat, delta = messages_to(replica.tick(2000.0), 1)
+    assert heartbeat == Heartbeat(1000.0) and isinstance(delta, Delta) and delta.topic == "u"
     assert messages_to(replica.tick(3000.0), 1) == [Heartbeat(0.0)]
 
 
@@ -267,8 +267,8 @@
     ] == [2, 3]
     for number in range(2):
         propose(replica, "t", ("k", b"b%d" % number))
-    (whole,) = messages_to(replica.writable(4.0, 2), 2)
-    assert isinstance(whole, Snapshot) and whole.version == 5
+    (snapshot,) = messages_to(replica.writable(4.0, 2), 2)
+    assert isinstance(snapshot, Snapshot) and snapshot.version == 5
     assert replica.writable(5.0, 2) == [] and replica.tick(6.0) == []
 
 
@@ -288,7 +288,7 @@
     got += messages_to(effects, 1)
     replica.stalled(3.0, 1)
     assert replica.due_ms > replica.raft.state.now_ms and replica.tick(4.0) == []
-    propose(replica, "t0", ("k", b"new"))  # which was told
+    propose(replica, "t0", ("k", b"new"))  # which was sent
     got += messages_to(replica.writable(5.0, 1), 1)
     while replica.due_ms <= replica.raft.state.now_ms:
         more = messages_to(replica.tick(6.0), 1)
@@ -347,7 +347,7 @@
     began = [at for at, m in enumerate(parts) if m.part == 1]
     assert (
         began[0] == 0 and len(began) == 2
-    ), "what changed was not in the history any more: whole again"
+    ), "the history no longer had the changes, so a second snapshot was sent"
     assert [m.part for m in parts[: began[1]]] == list(range(1, parts[0].parts + 1))
     topic = Topic(parts[-1].version, (entry for m in parts[began[1] :] for entry in m.entries))
     assert (topic.version, topic.digest) == (23, replica.topics["t"].digest)
--- a/tests/distribution/test_replica_replication.py
+++ b/tests/distribution/test_replica_replication.py
@@ -58,7 +58,7 @@
     assert [type(m) for m in messages_to(effects, 3)] == [
         AppendEntries
     ], "a sign of life all the same"
-    assert messages_to(effects, 2) == [], "one that has not answered is told nothing more"
+    assert messages_to(effects, 2) == [], "a peer that has not responded is sent nothing more"
     parts = [m for m in first if isinstance(m, InstallSnapshot)]
     while len(parts) < parts[0].parts:
         (part,) = messages_to(replica.received(3102.0, 2, AppendResponse(6, 0, 0, False)), 2)
@@ -78,8 +78,8 @@
 def snapshot_of_two_parts(
     parts: int = 2, term: int = 2, digest: int | None = None
 ) -> list[InstallSnapshot]:
-    whole = Topic(4, (Entry("k", b"4"), Entry("l", b"5")))
-    digest = whole.digest if digest is None else digest
+    topic = Topic(4, (Entry("k", b"4"), Entry("l", b"5")))
+    digest = topic.digest if digest is None else digest
     first = ("t", 4, digest, (Entry("k", b"4"),))
     second = ("t", 4, digest, (Entry("l", b"5"),))
     return [
@@ -126,7 +126,9 @@
             connection, effects = 2, []
         assert replica.raft.receiver.assembler is None
         if between != "append" and effects:
-            assert isinstance(effects[-1], Send) and effects[-1].message.rejected  # type: ignore[union-attr]
+            assert isinstance(effects[-1], Send)
+            response = effects[-1].message
+            assert isinstance(response, AppendResponse) and response.rejected
         if between not in ("term", "vote"):
             effects = replica.received(2.0, connection, two)
             assert effects[-1] == Send(connection, AppendResponse(2, 1, 1, True))
@@ -152,8 +154,8 @@
         replica.received(1.0, 1, parts[0])
         effects = replica.received(1.0, 1, parts[1])
         assert closed_in(effects) == [(1, "spoilt")]
-        (happened,) = (e for e in effects if isinstance(e, LogEvent))
-        assert happened.name == "store-state-refused" and words in happened.fields["why"]
+        (event,) = (e for e in effects if isinstance(e, LogEvent))
+        assert event.name == "store-state-refused" and words in event.fields["why"]
         assert (
             replica.raft.state.log.commit_index == 1
             and replica.topics == topics
@@ -163,13 +165,13 @@
 
 def test_an_unfinished_snapshot_is_bounded_in_parts_topics_and_entries() -> None:
     many = topic_parts(*((f"t{n}", 1, 0, (Entry("k", b""),)) for n in range(4)))
-    for limits, told in (
+    for limits, part in (
         (ReplicaLimits(max_topics=3), InstallSnapshot(2, 9, 1, 1, 2, many)),
         (ReplicaLimits(max_entries=3), InstallSnapshot(2, 9, 1, 1, 2, many)),
     ):
         replica = led_replica(RecoveredState(), limits=limits)
         assert (
-            closed_in(replica.received(1.0, 1, told)) == [(1, "spoilt")]
+            closed_in(replica.received(1.0, 1, part)) == [(1, "spoilt")]
             and replica.raft.receiver.assembler is None
         )
     replica = led_replica(RecoveredState(), limits=ReplicaLimits(max_snapshot_parts=3))
--- a/tests/distribution/test_rules.py
+++ b/tests/distribution/test_rules.py
@@ -59,10 +59,10 @@
 
 
 class Forgetful(MemoryDisk):
-    """Says that it has kept what a crash takes from it."""
+    """Claims to have persisted what a crash takes from it."""
 
     def recover(self) -> object:  # type: ignore[override]
-        del self.kept[-1:]
+        del self.persisted[-1:]
         return super().recover()
 
 
