--- a/badgercart/distribution/publisher.py
+++ b/badgercart/distribution/publisher.py
@@ -64,24 +64,21 @@
         for connection in self.subscriptions.by_topic.get(change.topic, ()):
             subscriber = subscribers[connection]
             self.visited += 1
-            if topic.version <= subscriber.sent_versions[change.topic]:
+            sent_version = subscriber.sent_versions[change.topic]
+            lacks_nothing_else = sent_version == topic.version - 1 and not subscriber.pending
+            if topic.version <= sent_version:
                 self._caught_up(subscriber, change.topic, topic)
-            elif self._is_next(subscriber, delta) and self._take_burst(connection, size_bytes):
+            elif (
+                lacks_nothing_else
+                and not subscriber.stalled
+                and self._take_burst(connection, size_bytes)
+            ):
                 subscriber.sent_versions[change.topic] = topic.version
                 effects.append(Send(connection, delta))
             else:
                 self._enqueue(subscriber, change.topic)
         return effects
 
-    @staticmethod
-    def _is_next(subscriber: Subscriber, delta: Delta) -> bool:
-        """Tell whether a subscriber can be sent a new delta at once."""
-        return (
-            not subscriber.stalled
-            and not subscriber.pending
-            and subscriber.sent_versions[delta.topic] == delta.version - 1
-        )
-
     def _caught_up(self, subscriber: Subscriber, name: str, topic: Topic) -> None:
         """Compare a topic with that of a subscriber that was ahead of this replica.
 
