--- a/badgercart/admin/handlers.py
+++ b/badgercart/admin/handlers.py
@@ -51,6 +51,6 @@
         return AdminResponse(HTTPStatus.OK, f"{name} {done}")
 
     def _unknown(self, name: str) -> AdminResponse:
-        if not self._ejections.endpoint_table.told:
+        if not self._ejections.endpoint_table.has_update:
             return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "no server list has come yet")
         return AdminResponse(HTTPStatus.NOT_FOUND, f"no server {name} was ever listed")
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from badgercart.app.component import Declaration, Host, Kind
-from badgercart.core.endpoint_table import MemberList
+from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
+from badgercart.core.endpoint_table import DiscoveryUpdate
 from badgercart.discovery.freshness import Rule, State
 from badgercart.discovery.log_events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
 from badgercart.distribution.settings import (
@@ -27,7 +27,7 @@
     check_replica,
 )
 from badgercart.frontends.http.requests import Page
-from badgercart.policy.events import ListKind
+from badgercart.policy.events import UpdateKind
 
 if TYPE_CHECKING:
     from badgercart.distribution.effects import UpdateTopic
@@ -56,7 +56,7 @@
         driver: the follower on its connection; another one after a reload.
     """
 
-    def __init__(self, host: Host, settings: FollowerSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: FollowerSettings) -> None:
         self.settings = settings
         self.topic = SERVERS_PREFIX + settings.service
         self.state = State.STALE
@@ -92,7 +92,7 @@
         rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
         follower = Follower(config.name, (self.topic,), selector, timing, rule)
         codec = Codec(settings.group, settings.secret.encode())
-        runtime = Runtime(self._host.loop, self._host.join.clock, codec)
+        runtime = Runtime(self._host.loop, self._host.pipeline.clock, codec)
         driver = FollowerDriver(runtime, follower, settings.stores, self._apply_update)
         driver.on_event = self._check_freshness
         driver.local_host = config.source
@@ -104,7 +104,7 @@
         return self.driver.follower
 
     def _register_metrics(self) -> None:
-        metrics, clock = self._host.meters, self._host.join.clock
+        metrics, clock = self._host.metrics, self._host.pipeline.clock
         metrics.gauge(
             "badgercart_list_age_seconds",
             "Time since the list was whole for sure.",
@@ -193,14 +193,14 @@
         from badgercart.distribution import log_events
         from badgercart.distribution.server_list import read_servers
 
-        table = self._host.roster
+        table = self._host.endpoint_table
         try:
             servers = read_servers(self._host.reader, update.entries, table.listed)
-            kind = ListKind.FULL if update.is_snapshot else ListKind.DELTA
-            table.take_read(MemberList(kind, update.version, servers))
+            kind = UpdateKind.SNAPSHOT if update.is_snapshot else UpdateKind.DELTA
+            table.accept_update(DiscoveryUpdate(kind, update.version, servers))
         except ValueError as error:
             log_events.UNUSABLE(topic=update.topic, number=update.version, error=error)
-            now_ms = self._host.join.clock()
+            now_ms = self._host.pipeline.clock()
             self.driver.perform(self.follower.request_resend(now_ms, update.topic))
             return
         if update.is_snapshot and len(servers) >= LONG_LIST:
@@ -208,11 +208,11 @@
 
     def _check_freshness(self) -> None:
         """Log a change of the list's state, and come back for the next one."""
-        now_ms, freshness = self._host.join.clock(), self.follower.freshness
+        now_ms, freshness = self._host.pipeline.clock(), self.follower.freshness
         state = freshness.state(now_ms)
         if state is not self.state:
             age_s = f"{freshness.age(now_ms) / 1000:.1f}"
-            version = self._host.roster.version
+            version = self._host.endpoint_table.version
             STATE_EVENTS[state](age=age_s, was=self.state.value, version=version)
             self.state = state
             self._apply_freshness()
@@ -224,13 +224,13 @@
 
     def _apply_freshness(self) -> None:
         is_stale = self.state is State.STALE
-        self._host.roster.suspend(is_stale and self.settings.when_stale == "refuse")
+        self._host.endpoint_table.suspend(is_stale and self.settings.when_stale == "refuse")
 
     # For operators.
 
     def _render_page(self) -> bytes:
         follower = self.follower
-        age_ms = follower.age_ms(self._host.join.clock())
+        age_ms = follower.age_ms(self._host.pipeline.clock())
         fields = {
             "name": self._host.config.name,
             "group": self.settings.group,
@@ -324,14 +324,14 @@
 class ReplicaComponent:
     """One replica, in a process that may do other things."""
 
-    def __init__(self, host: Host, settings: ReplicaSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: ReplicaSettings) -> None:
         self.driver: ReplicaDriver | None = None
         self._host = host
         self._settings = settings
         self._register_metrics()
 
     def _register_metrics(self) -> None:
-        metrics = self._host.meters
+        metrics = self._host.metrics
         metrics.gauge(
             "badgercart_store_age_seconds", "Time since it knew that it had all.", self._age_s
         )
@@ -369,7 +369,7 @@
     async def start(self) -> None:
         """Recover and listen. Raises OSError and JournalError."""
         host, settings = self._host, self._settings
-        self.driver = build_replica_driver(settings, host.folder, host.loop, host.join.clock)
+        self.driver = build_replica_driver(settings, host.folder, host.loop, host.pipeline.clock)
         await self.driver.start()
         log_listening(settings, self.driver)
 
@@ -386,11 +386,11 @@
             self.driver.close()
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="distribution",
         key=("members", "distribution"),
-        kind=Kind.MEMBERS,
+        kind=ComponentKind.DISCOVERY,
         settings=FollowerSettings,
         about="the server list from stores that tell changes",
         build=DistributedDiscoveryComponent,
@@ -400,10 +400,10 @@
         libraries=("msgspec",),
         commands="badgercart.distribution.commands:distribution",
     ),
-    Declaration(
+    ComponentDeclaration(
         name="distribution-store",
         key=("distribution",),
-        kind=Kind.SERVICE,
+        kind=ComponentKind.SERVICE,
         settings=ReplicaSettings,
         about="a store that tells changes to nodes",
         build=ReplicaComponent,
--- a/badgercart/distribution/server_list.py
+++ b/badgercart/distribution/server_list.py
@@ -6,16 +6,16 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from badgercart.core.endpoint_table import Member
+from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.core.identifiers import stable_id
 from badgercart.discovery.entries import ListReader
 from badgercart.distribution.messages import Entry
-from badgercart.policy.endpoint import State
+from badgercart.policy.endpoint import EndpointState
 
 
 def read_servers(
-    reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, Member]
-) -> list[Member]:
+    reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, DiscoveredEndpoint]
+) -> list[DiscoveredEndpoint]:
     """Return what the entries of a topic say of servers. A key without a value is gone.
 
     Args:
@@ -33,11 +33,11 @@
             continue
         current = listed.get(stable_id(key.encode()))
         if current is not None:
-            servers.append(replace(current, entry=replace(current.entry, state=State.GONE)))
+            servers.append(replace(current, entry=replace(current.entry, state=EndpointState.GONE)))
     return servers
 
 
-def _read_server(reader: ListReader, key: str, value: bytes) -> Member:
+def _read_server(reader: ListReader, key: str, value: bytes) -> DiscoveredEndpoint:
     try:
         fields = json.loads(value)
         _check_key(fields["instanceId"], key)
--- a/badgercart/ejection/ejection_file.py
+++ b/badgercart/ejection/ejection_file.py
@@ -16,7 +16,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from badgercart.core.checksummed_file import Unusable, put, seal, unseal
+from badgercart.core.checksummed_file import (
+    CorruptFileError,
+    decode_checksummed,
+    encode_checksummed,
+    replace_file,
+)
 from badgercart.ejection.ledger import MAX_EJECTED, MAX_NAMES, EjectionState, Reinstatement
 
 FORMAT_VERSION = 1
@@ -36,12 +41,12 @@
         },
         "names": [*state.known_names],
     }
-    return seal(fields)
+    return encode_checksummed(fields)
 
 
 def decode(data: bytes) -> EjectionState:
-    """Return the state in a file. Raises Unusable where any of it can't be used."""
-    fields = unseal(data, FORMAT_VERSION)
+    """Return the state in a file. Raises CorruptFileError where any of it can't be used."""
+    fields = decode_checksummed(data, FORMAT_VERSION)
     try:
         ejected = {str(name): _time_ms(at) for name, at in fields["bans"].items()}
         reinstated = {
@@ -51,10 +56,10 @@
         known_names = dict.fromkeys(str(name) for name in fields["names"])
     except (KeyError, TypeError, ValueError, AttributeError, RecursionError) as error:
         detail = f"{type(error).__name__}: {error}"
-        raise Unusable(detail) from error
+        raise CorruptFileError(detail) from error
     if len(ejected) > MAX_EJECTED or len(known_names) > MAX_NAMES + MAX_EJECTED:
         detail = "it names too many servers"
-        raise Unusable(detail)
+        raise CorruptFileError(detail)
     return EjectionState(ejected, reinstated, known_names)
 
 
@@ -101,7 +106,7 @@
         """Return what is kept; None where there is no file.
 
         Raises:
-            Unusable: nothing of the file can be used.
+            CorruptFileError: nothing of the file can be used.
             OSError: it can't be read.
         """
         self._seen = self._version()
@@ -112,12 +117,12 @@
             return None
         if len(data) > MAX_BYTES:
             detail = f"it is over {MAX_BYTES} bytes"
-            raise Unusable(detail)
+            raise CorruptFileError(detail)
         return decode(data)
 
     def write(self, state: EjectionState) -> None:
         """Replace the file, which is on disk on return. Raises OSError; then the old one stays."""
-        put(self.path, encode(state), sync=True)
+        replace_file(self.path, encode(state), sync=True)
         self._seen = self._version()
 
     @contextmanager
--- a/badgercart/ejection/ejections.py
+++ b/badgercart/ejection/ejections.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from badgercart.core.checksummed_file import Unusable
-from badgercart.core.endpoint_table import Roster
+from badgercart.core.checksummed_file import CorruptFileError
+from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.ports import Timers
 from badgercart.ejection.ejection_file import EjectionFile
 from badgercart.ejection.errors import EjectionError
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        endpoint_table: Roster,
+        endpoint_table: EndpointTable,
         folder: Path,
         timers: Timers,
         unix_offset_ms: float,
@@ -64,7 +64,7 @@
             self.ledger.adopt(state)
             if state.ejected:
                 TAKEN_OVER(servers=", ".join(state.ejected))
-        endpoint_table.amend = self.ledger.override
+        endpoint_table.override = self.ledger.override
 
     def start(self) -> None:
         """Begin to watch the file."""
@@ -92,7 +92,7 @@
         """Return what the file has, if it can be used."""
         try:
             return self._file.read()
-        except (Unusable, OSError) as error:
+        except (CorruptFileError, OSError) as error:
             FILE_UNUSABLE(path=self._file.path, error=error)
             return None
 
@@ -145,4 +145,4 @@
         for name in old.keys() - state.ejected.keys():
             REINSTATED(server=name)
         if changed:
-            self.endpoint_table.renew(changed)
+            self.endpoint_table.reapply(changed)
--- a/badgercart/ejection/ledger.py
+++ b/badgercart/ejection/ledger.py
@@ -7,8 +7,8 @@
 
 from dataclasses import dataclass, field, replace
 
-from badgercart.core.endpoint_table import Member
-from badgercart.policy.endpoint import State
+from badgercart.core.endpoint_table import DiscoveredEndpoint
+from badgercart.policy.endpoint import EndpointState
 
 MAX_NAMES = 4096  # servers that were ever listed, the longest known of which are forgotten first
 MAX_EJECTED = 1024  # servers at a time
@@ -50,17 +50,17 @@
         """Begin with nothing ejected; the offset leads from the node's clock to Unix time."""
         self._unix_offset_ms = unix_offset_ms
         self.state = EjectionState()
-        self.listed: dict[str, Member] = {}
+        self.listed: dict[str, DiscoveredEndpoint] = {}
         self.has_new_names = False
 
     def is_known(self, name: str) -> bool:
         """Tell whether a server was ever listed."""
         return name in self.state.known_names or name in self.listed
 
-    def override(self, endpoint: Member, version: int = 0) -> Member:  # noqa: ARG002
+    def override(self, endpoint: DiscoveredEndpoint, version: int = 0) -> DiscoveredEndpoint:  # noqa: ARG002
         """Return what the node is told of an endpoint in place of what discovery says."""
         name = endpoint.name
-        if endpoint.entry.state is State.GONE:
+        if endpoint.entry.state is EndpointState.GONE:
             self.listed.pop(name, None)
         else:
             self.listed[name] = endpoint
@@ -72,13 +72,15 @@
             return self._restarted(endpoint, reinstatement)
         return endpoint
 
-    def _restarted(self, endpoint: Member, reinstatement: Reinstatement) -> Member:
+    def _restarted(
+        self, endpoint: DiscoveredEndpoint, reinstatement: Reinstatement
+    ) -> DiscoveredEndpoint:
         """Have a server that was put back start slowly, as one that has just started."""
-        started_ms = endpoint.entry.started
+        started_ms = endpoint.entry.started_ms
         if started_ms and started_ms + self._unix_offset_ms >= reinstatement.ejected_ms:
             return endpoint  # discovery knows of a start since the ejection
         started_ms = reinstatement.reinstated_ms - self._unix_offset_ms
-        return replace(endpoint, entry=replace(endpoint.entry, started=started_ms))
+        return replace(endpoint, entry=replace(endpoint.entry, started_ms=started_ms))
 
     def _note_name(self, name: str) -> None:
         if name not in self.state.known_names:
@@ -114,7 +116,7 @@
             reinstated = reinstated | {name: Reinstatement(ejected_ms, now_ms)}
         return EjectionState(ejected, reinstated, self.state.known_names)
 
-    def adopt(self, state: EjectionState) -> list[Member]:
+    def adopt(self, state: EjectionState) -> list[DiscoveredEndpoint]:
         """Put another state in force and return the endpoints for which something changes."""
         old = self.state
         self.state = EjectionState(
@@ -132,8 +134,8 @@
         ]
 
 
-def _drained(endpoint: Member) -> Member:
+def _drained(endpoint: DiscoveredEndpoint) -> DiscoveredEndpoint:
     """Return an endpoint that takes no new requests; one that is draining or gone stays so."""
-    if endpoint.entry.state is not State.READY:
+    if endpoint.entry.state is not EndpointState.READY:
         return endpoint
-    return replace(endpoint, entry=replace(endpoint.entry, state=State.DRAINING))
+    return replace(endpoint, entry=replace(endpoint.entry, state=EndpointState.DRAINING))
--- a/tests/admin/test_golden.py
+++ b/tests/admin/test_golden.py
@@ -10,11 +10,11 @@
 
 from badgercart.admin.handlers import NodeHandlers
 from badgercart.admin.requests import AdminExchange
-from badgercart.core.endpoint_table import Member, MemberList, Roster
-from badgercart.core.request_pipeline import Join
+from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate, EndpointTable
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.ejection.ejections import AdministrativeEjections
 from badgercart.ejection.errors import EjectionError
-from badgercart.policy.endpoint import ServerEntry, State
+from badgercart.policy.endpoint import Endpoint, EndpointState
 from tests.admin.test_requests import CASES
 from tests.clockwork import Clockwork
 from tests.golden import differences
@@ -26,13 +26,13 @@
 def ejections(known: bool, listed: bool, why: str = "") -> AdministrativeEjections:
     """What the calls change; `why` says why nothing can be."""
     clockwork = Clockwork()
-    join = Join(config(1).settings, 1, clockwork, clockwork.clock)
-    roster = Roster(Unread(), join)
-    roster.told = listed
+    join = RequestPipeline(config(1).settings, 1, clockwork, clockwork.clock)
+    roster = EndpointTable(Unread(), join)
+    roster.has_update = listed
     made = AdministrativeEjections(roster, Path("/nowhere"), clockwork, 0.0, clockwork.clock)
     if known:
-        line = ServerEntry(7, 0, 0, 0, State.READY, 1.0, 0.0)
-        made.ledger.override(Member(line, ("127.0.0.1", 9), "s-1"))
+        line = Endpoint(7, 0, 0, 0, EndpointState.READY, 1.0, 0.0)
+        made.ledger.override(DiscoveredEndpoint(line, ("127.0.0.1", 9), "s-1"))
 
     def change(name: str) -> None:
         if why:
@@ -45,7 +45,7 @@
 class Unread:
     """Nothing is read of any list."""
 
-    def read(self, raw: Any, kind: Any = None) -> MemberList:
+    def read(self, raw: Any, kind: Any = None) -> DiscoveryUpdate:
         raise ValueError
 
 
--- a/tests/admin/test_listener.py
+++ b/tests/admin/test_listener.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from badgercart.admin.listener import MAX_CONNECTIONS
-from badgercart.policy.endpoint import State
+from badgercart.policy.endpoint import EndpointState
 from tests.net import Client, Peer, Stand, request, run, running
 
 
@@ -52,8 +52,8 @@
             server = stand.node.join.policy.servers[next(iter(stand.node.roster.listed))]
             while first.requests.empty():  # it is cold, and used again
                 assert (await client.ask(request()))[0] == 200
-            assert server.entry.state is State.READY
-            assert stand.node.roster.at(("127.0.0.1", first.port)).entry.started > 0  # type: ignore[union-attr]
+            assert server.entry.state is EndpointState.READY
+            assert stand.node.roster.find_by_address(("127.0.0.1", first.port)).entry.started_ms > 0  # type: ignore[union-attr]
 
     run(test())
 
--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -407,7 +407,7 @@
             result["topics"] == {TOPIC: 1} and result["state"] == "fresh" and result["changes"] == 1
         )
         assert result["store"] == f"127.0.0.1:{port}" and result["age_ms"] < 600
-        meters = site.host.meters.meters
+        meters = site.host.metrics.metrics
         figures = {name: meter.values() for name, meter in meters.items() if "distribution" in name}
         assert figures["badgercart_distribution_number"] == {TOPIC: 1.0}
         assert figures["badgercart_distribution_changes"] == {"": 1.0}
--- a/tests/ejection/test_ejection_file.py
+++ b/tests/ejection/test_ejection_file.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.core.checksummed_file import Unusable, checksum
+from badgercart.core.checksummed_file import CorruptFileError, checksum
 from badgercart.ejection.ejection_file import EjectionFile, decode, encode
 from badgercart.ejection.ledger import MAX_EJECTED, EjectionLedger, EjectionState, Reinstatement
 
@@ -34,10 +34,10 @@
 @given(st.integers(0, len(encode(STATE)) - 1), st.integers(0, 255))
 def test_a_truncated_or_altered_file_is_unusable(at: int, byte: int) -> None:
     whole = encode(STATE)
-    with pytest.raises(Unusable):
+    with pytest.raises(CorruptFileError):
         decode(whole[:at])
     if whole[at] != byte:
-        with pytest.raises(Unusable):
+        with pytest.raises(CorruptFileError):
             decode(whole[:at] + bytes([byte]) + whole[at + 1 :])
 
 
@@ -55,7 +55,7 @@
     ],
 )
 def test_a_file_with_other_content_is_unusable(line: bytes) -> None:
-    with pytest.raises(Unusable):
+    with pytest.raises(CorruptFileError):
         decode(b"%b\n%b\n" % (checksum(line), line))
 
 
