--- a/badgercart/app/__init__.py
+++ b/badgercart/app/__init__.py
@@ -1,5 +1,12 @@
-"""The operator's file: what it may say, where it goes wrong, and what is started by it.
+"""The settings file, the command line, the registry of components, and logging.
 
-`schema` checks tables by their settings, `file` knows badgercart's own, `run` starts what a file
-switches on. Its entry is `file.load`.
+- `document`, `locate`: a file's text, the variables that override it, and line numbers.
+- `model`, `base`, `file`, `faults`: the tables of a file, what they describe, and what is wrong
+  with them.
+- `component`, `registry`, `site`, `run`: components, and the installation that they make.
+- `cli`, `asking`, `console`, `exits`, `render`, `pages`: commands, and what they print.
+- `logs`, `log_events`: the log of `serve`.
+
+`file.load` reads a file, `run.run` serves what it switches on. The package knows no component by
+name.
 """
--- a/badgercart/app/asking.py
+++ b/badgercart/app/asking.py
@@ -1,4 +1,4 @@
-"""Asks a running node's HTTP front for one of its pages, for commands."""
+"""Asks a running node's HTTP frontend for one of its pages, for commands."""
 
 from __future__ import annotations
 
@@ -12,16 +12,33 @@
 PATIENCE = 5.0  # s
 
 
+class PageError(CommandError):
+    """A page that can't be had of a node."""
+
+    def __init__(self, node: str, problem: str) -> None:
+        """Name the node, by HOST:PORT, and what went wrong."""
+        super().__init__(f"{node}: {problem}")
+        self.node, self.problem = node, problem
+
+
 def page_of(node: str, path: str) -> dict[str, Any]:
-    """What the node at HOST:PORT says there. CommandError where it does not."""
+    """Return a page of the node at HOST:PORT.
+
+    Raises:
+        PageError: the node can't be reached, or has no such page.
+    """
     try:
-        host, port = parse_address(node)
-        connection = http.client.HTTPConnection(host, port, timeout=PATIENCE)
-        connection.request("GET", path)
-        answer = connection.getresponse()
-        if answer.status != 200:
-            raise CommandError(f"{node}: status {answer.status} for {path}")
-        told: dict[str, Any] = json.loads(answer.read())
+        response = _get(node, path)
+        page: dict[str, Any] = json.loads(response.read()) if response.status == 200 else {}
     except (OSError, ValueError, http.client.HTTPException) as error:
-        raise CommandError(f"{node}: {error}") from None
-    return told
+        raise PageError(node, str(error)) from error
+    if response.status != 200:
+        raise PageError(node, f"status {response.status} for {path}")
+    return page
+
+
+def _get(node: str, path: str) -> http.client.HTTPResponse:
+    host, port = parse_address(node)
+    connection = http.client.HTTPConnection(host, port, timeout=PATIENCE)
+    connection.request("GET", path)
+    return connection.getresponse()
--- a/badgercart/app/base.py
+++ b/badgercart/app/base.py
@@ -1,24 +1,23 @@
-"""The tables that every installation has: the node, the fleet, sending again, classes and
-tenants."""
+"""The tables that every installation has: node, fleet, retries, classes and tenants."""
 
 from __future__ import annotations
 
 import secrets
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from ipaddress import ip_address
 from typing import Annotated, Any, Literal
 
 from pydantic import Field
 
-from badgercart.app.faults import Path
+from badgercart.app.faults import Fault
 from badgercart.app.logs import Log
 from badgercart.app.model import LONG, Listed, Name, Names, Table
 from badgercart.config import Config, held_to
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 
-class Node(Table, title="Node"):
-    """what this node is"""
+class Node(Table, title="Node", about="what this node is"):
+    """The table `[node]`."""
 
     name: Name = Field("badgercart", description="its name in the log")
     zone: Name | None = Field(None, description="its own zone, one of fleet.zones")
@@ -47,8 +46,8 @@
     )
 
 
-class Fleet(Table, title="Fleet"):
-    """what all servers have in common"""
+class Fleet(Table, title="Fleet", about="what all servers have in common"):
+    """The table `[fleet]`."""
 
     zones: Names = Field((), description="the zones' names")
     kinds: Names = Field((), description="the kinds of machine")
@@ -81,8 +80,8 @@
     )
 
 
-class Retry(Table, title="Retry"):
-    """sending again and sending away"""
+class Retry(Table, title="Retry", about="sending again and sending away"):
+    """The table `[retry]`."""
 
     max_attempts: int = Field(4, ge=1, le=16, description="attempts for a request at the most")
     max_retry_after_ms: float = Field(
@@ -99,8 +98,8 @@
     )
 
 
-class Class(Table, title="Class"):
-    """a class of requests"""
+class Class(Table, title="Class", about="a class of requests"):
+    """A table `[[class]]`."""
 
     name: Name = Field(description="the first part of its requests' paths")
     aim_ms: float = Field(
@@ -122,15 +121,15 @@
     )
 
 
-class Tenant(Table, title="Tenant"):
-    """a tenant and its share"""
+class Tenant(Table, title="Tenant", about="a tenant and its share"):
+    """A table `[[tenant]]`."""
 
     name: Name = Field(description="the name in the header Tenant")
     quota_per_s: float = Field(ge=0, le=1e9, description="requests a second over all nodes")
 
 
 class Base(Table):
-    """The root of a file but for its parts' tables, which `file` adds."""
+    """The root of a file, but for the tables of components, which `file` adds."""
 
     node: Node = Node()
     fleet: Fleet = Fleet()
@@ -142,45 +141,67 @@
     tenant: Annotated[tuple[Tenant, ...], Listed] = Field((), description="a tenant and its share")
 
 
-def check(base: Base) -> Iterator[tuple[Path, str]]:
-    """What only several settings together can get wrong: where, and what."""
-    names = {
-        "class": [cls.name for cls in base.class_],
-        "tenant": [tenant.name for tenant in base.tenant],
-    }
+def check(base: Base) -> Iterator[Fault]:
+    """Yield what only several settings together can get wrong."""
     if not base.class_:
         yield ("class",), "is missing: a class of requests"
-    for table, items in names.items():
-        for at, name in enumerate(items):
-            if name in items[:at]:
-                yield (table, at, "name"), f"{name!r} stands here twice"
-    for at, cls in enumerate(base.class_):
-        if cls.aim_ms > cls.deadline_ms:
-            yield ("class", at, "aim_ms"), "is later than deadline_ms"
-        if cls.effect == "keyed" and not cls.window_ms:
-            yield ("class", at, "effect"), "keyed needs a window_ms above 0"
-        if "/" in cls.name:
-            yield ("class", at, "name"), "holds a slash: it is one part of a path"
+    yield from _check_distinct("class", [entry.name for entry in base.class_])
+    yield from _check_distinct("tenant", [entry.name for entry in base.tenant])
+    for at, entry in enumerate(base.class_):
+        for key, words in _check_class(entry):
+            yield ("class", at, key), words
+    yield from _check_node(base)
+
+
+def _check_distinct(table: str, names: Sequence[str]) -> Iterator[Fault]:
+    for at, name in enumerate(names):
+        if name in names[:at]:
+            yield (table, at, "name"), f"{name!r} stands here twice"
+
+
+def _check_class(entry: Class) -> Iterator[tuple[str, str]]:
+    """Yield the keys of a class that contradict others, and why."""
+    if entry.aim_ms > entry.deadline_ms:
+        yield "aim_ms", "is later than deadline_ms"
+    if entry.effect == "keyed" and not entry.window_ms:
+        yield "effect", "keyed needs a window_ms above 0"
+    if "/" in entry.name:
+        yield "name", "holds a slash: it is one part of a path"
+
+
+def _check_node(base: Base) -> Iterator[Fault]:
     node = base.node
     if node.zone is not None and node.zone not in base.fleet.zones:
         yield ("node", "zone"), f"{node.zone!r} is none of fleet.zones"
     if node.number >= node.nodes:
         yield ("node", "number"), "is not below node.nodes"
-    if node.default_tenant is not None and node.default_tenant not in {t.name for t in base.tenant}:
+    tenants = {tenant.name for tenant in base.tenant}
+    if node.default_tenant is not None and node.default_tenant not in tenants:
         yield ("node", "default_tenant"), f"{node.default_tenant!r} is no [[tenant]]"
-    if node.source is not None:
-        try:
-            ip_address(node.source)
-        except ValueError:
-            yield ("node", "source"), f"{node.source!r} is no IP address"
+    if node.source is not None and not _is_ip_address(node.source):
+        yield ("node", "source"), f"{node.source!r} is no IP address"
+    if not _is_hexadecimal(node.seed or "0"):
+        yield ("node", "seed"), "is not hexadecimal"
+
+
+def _is_ip_address(text: str) -> bool:
     try:
-        int(node.seed or "0", 16)
+        ip_address(text)
     except ValueError:
-        yield ("node", "seed"), "is not hexadecimal"
+        return False
+    return True
+
+
+def _is_hexadecimal(text: str) -> bool:
+    try:
+        int(text, 16)
+    except ValueError:
+        return False
+    return True
 
 
 def config_of(base: Base) -> Config:
-    """The configuration that the core and the policy live by."""
+    """Return the configuration of the core and the policy."""
     node, fleet, retry = base.node, base.fleet, base.retry
     settings = Settings(
         classes=tuple(
--- a/badgercart/app/cli.py
+++ b/badgercart/app/cli.py
@@ -1,8 +1,8 @@
-"""The command line: `serve`, `check`, `config`, and the groups that parts bring.
+"""The command line: `serve`, `check`, `config`, and the groups that components bring.
 
-Why click: its groups find commands only when they are called, so that no subsystem's library is
-imported for another's command, and completion comes with it. Typer is click with another face, and
-rich as a must.
+Click was chosen since its groups find commands only when they are called, so that no subsystem's
+library is imported for another's command, and since completion comes with it. Help texts are an
+interface, so they stand apart from doc comments.
 """
 
 from __future__ import annotations
@@ -33,17 +33,21 @@
 
 
 class Commands(click.Group):
-    """The program's own commands, and one group for each part that brings one."""
+    """The program's own commands, and one group for each component that brings one."""
 
     def brought(self) -> dict[str, str]:
-        """`module:name` by the group's name."""
-        paths = [part.commands for part in declarations() if part.commands is not None]
+        """Return `module:name` by the group's name."""
+        paths = [
+            component.commands for component in declarations() if component.commands is not None
+        ]
         return {path.rpartition(":")[2]: path for path in paths}
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """Return the names of all commands."""
         return [*super().list_commands(ctx), *self.brought()]
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
+        """Return the command with this name; that of a component is imported now."""
         if (path := self.brought().get(name)) is None:
             return super().get_command(ctx, name)
         module, _, attribute = path.partition(":")
@@ -51,66 +55,72 @@
         return command
 
 
-@click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
-def cli() -> None:
-    """Without arguments: the platform's node, configured by the ROUTER_* variables.
+HELP = """Without arguments: the platform's node, configured by the ROUTER_* variables.
+
+Exit status: 0 done, 1 could not be done or a difference, 2 a wrong command line or file.
+"""
 
-    Exit status: 0 done, 1 could not be done or a difference, 2 a wrong command line or file.
-    """
+
+@click.group(cls=Commands, help=HELP, context_settings={"help_option_names": ["-h", "--help"]})
+def cli() -> None:
+    """Group all commands."""
 
 
 def loaded(path: str) -> Installation:
+    """Return what a file switches on; print what is wrong with it and exit otherwise."""
     try:
         return load(path)
     except FileError as error:
         click.echo(str(error), err=True)
-        raise click.exceptions.Exit(Exit.USAGE) from None
+        raise click.exceptions.Exit(Exit.USAGE) from error
 
 
-@cli.command()
+@cli.command(help="Start what an operator's file switches on.")
 @FILE
 def serve(file: str) -> None:
-    """Start what an operator's file switches on."""
+    """Serve until a signal ends the process."""
     what = loaded(file)
     assert what.base is not None
     sink = logs.open_sink(what.config.name, what.base.log)
     try:
         uvloop.run(run(file, what))
     except PartError as error:
-        raise CommandError(str(error), Exit.USAGE) from None
+        raise CommandError(str(error), Exit.USAGE) from error
     finally:
         logs.close_sink(sink)
 
 
-@cli.command()
+@cli.command(help="Say what is wrong with an operator's file, by line and key.")
 @FILE
 def check(file: str) -> None:
-    """Say what is wrong with an operator's file, by line and key."""
+    """Check a file."""
     loaded(file)
     click.echo(f"{file}: good")
 
 
-@cli.group()
+@cli.group(help="What may stand in an operator's file, and what one says.")
 def config() -> None:
-    """What may stand in an operator's file, and what one says."""
+    """Group the commands about files."""
 
 
-@config.command()
+@config.command(help="JSON Schema of the file, for editors that complete and check TOML.")
 def schema() -> None:
-    """JSON Schema of the file, for editors that complete and check TOML."""
+    """Print the JSON Schema of a file."""
     click.echo(json.dumps(render.json_schema(), indent=2))
 
 
-@config.command()
+@config.command(
+    help="The effective settings and where each came from: a line, a variable or the default."
+)
 @FILE
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def show(file: str, as_json: bool) -> None:
-    """The effective settings and where each came from: a line, a variable or the default."""
+    """Print the settings in force and where each came from."""
     try:
         rows = render.effective(file, os.environ)
     except FileError as error:
         click.echo(str(error), err=True)
-        raise click.exceptions.Exit(Exit.USAGE) from None
+        raise click.exceptions.Exit(Exit.USAGE) from error
     if as_json:
         click.echo(
             json.dumps({key: {"value": value, "from": origin} for key, value, origin in rows})
@@ -121,52 +131,61 @@
         )
 
 
-@config.command()
+@config.command(
+    help="A commented table with every default, to begin from: NAME is `node`, `fleet`, `class`, "
+    "or a part."
+)
 @click.argument("name")
 def default(name: str) -> None:
-    """A commented table with every default, to begin from: NAME is `node`, `fleet`, `class`, or a
-    part."""
+    """Print a table with every default."""
     try:
         click.echo(render.default_table(name))
     except LookupError as error:
-        raise CommandError(str(error.args[0]), Exit.USAGE) from None
+        raise CommandError(str(error.args[0]), Exit.USAGE) from error
 
 
-@config.command()
+@config.command(
+    help="Write the tables of the operators' pages in FOLDER anew from the program itself."
+)
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 @click.option(
     "--check", "only_check", is_flag=True, help="Change nothing; exit 1 if a page is out of date."
 )
 def pages(folder: str, only_check: bool) -> None:
-    """Write the tables of the operators' pages in FOLDER anew from the program itself."""
+    """Renew the pages of a folder, or name those that are out of date."""
     stale = []
     for path in sorted(Path(folder).glob("*.md")):
         text = path.read_text("utf-8")
-        try:
-            fresh = render.page(text)
-        except LookupError as error:
-            raise CommandError(f"{path}: {error.args[0]}", Exit.USAGE) from None
-        if fresh != text:
+        renewed = _renewed(path, text)
+        if renewed != text:
             stale.append(path)
             if not only_check:
-                path.write_text(fresh, "utf-8")
+                path.write_text(renewed, "utf-8")
     for path in stale:
         click.echo(f"{path}: {'out of date' if only_check else 'written'}")
     if stale and only_check:
         raise click.exceptions.Exit(Exit.FAILED)
 
 
-@cli.command()
+def _renewed(path: Path, text: str) -> str:
+    try:
+        return render.page(text)
+    except LookupError as error:
+        words = f"{path}: {error.args[0]}"
+        raise CommandError(words, Exit.USAGE) from error
+
+
+@cli.command(help='A script that completes commands: `eval "$(badgercart completion bash)"`.')
 @click.argument("shell", type=click.Choice(("bash", "zsh", "fish")))
 def completion(shell: str) -> None:
-    """A script that completes commands: `eval "$(badgercart completion bash)"`."""
+    """Print a script that completes commands."""
     found = get_completion_class(shell)
     assert found is not None
     click.echo(found(cli, {}, NAME, COMPLETE).source())
 
 
 def main(arguments: list[str]) -> int:
-    """Run one command and give its exit status."""
+    """Run one command and return its exit status."""
     try:
         done = cli.main(arguments, prog_name=NAME, complete_var=COMPLETE, standalone_mode=False)
     except click.ClickException as error:
--- a/badgercart/app/component.py
+++ b/badgercart/app/component.py
@@ -1,20 +1,20 @@
-"""What a part of an installation is: one front, one source of the server list, or a service beside
-them.
+"""Components of an installation: frontends, sources of the endpoint list, and services beside them.
 
-A subsystem plugs in with one package and one line in `registry`. Its `part.py` holds `PARTS`,
-Declarations, and imports no library but pydantic until `build` is called: what is switched off
-costs nothing.
+A subsystem plugs in with one package and one line in `registry`. Its `component.py` holds
+`COMPONENTS`, declarations, and imports no library but pydantic until `build` is called, so that a
+component that is switched off costs nothing.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import Any, Protocol
 
 from badgercart.app.base import Base
+from badgercart.app.errors import AppError, CircularNeedError, MissingNeedError
 from badgercart.app.faults import Path
 from badgercart.config import Config
 from badgercart.core.endpoint_table import EndpointTable
@@ -24,34 +24,46 @@
 from badgercart.frontends.http.requests import Page
 
 
-class ReloadError(Exception):
-    """New settings that a part can't take: what is wrong, in one line."""
+class ReloadError(AppError):
+    """New settings that a component can't take: what is wrong, in one line."""
 
 
 class Component(Protocol):
-    """One running part. Calls come in this order: start, any number of prepares, drain, close.
+    """A running component. Calls come in the order: start, any number of prepares, drain, close.
 
     `close` may come at any time after `start` was called, also where that failed or was cancelled.
     """
 
     async def start(self) -> None:
-        """Raises OSError where an address or a file can't be had."""
+        """Begin to work.
+
+        Raises:
+            OSError: an address or a file can't be had.
+        """
 
     def prepare(self, settings: Any) -> Callable[[], None] | None:
-        """Check new settings and give what puts them in force, which must not fail; None: nothing
-        to do.
+        """Check new settings and return what puts them in force, which must not fail.
+
+        None: there is nothing to do.
 
-        Raises ReloadError, and then no part's settings change."""
+        Raises:
+            ReloadError: the settings can't be taken; then no component's settings change.
+        """
 
     async def drain(self, until: float) -> None:
-        """Take what still comes, answer all that is held, until this time (ms on `clock.now_ms`) at
-        most."""
+        """Accept what still comes and answer all requests in flight.
+
+        Args:
+            until: latest time to end, in ms on `clock.now_ms`.
+        """
 
     def close(self) -> None:
-        """Let go of everything at once."""
+        """Close everything at once."""
 
 
 class ComponentKind(Enum):
+    """What a component does for an installation; values stand in `needs` of others."""
+
     FRONTEND = "front"  # owes answers; at least one must be on
     DISCOVERY = "members"  # tells the server list; exactly one must be on
     SERVICE = "service"  # any number
@@ -59,7 +71,7 @@
 
 @dataclass(slots=True)
 class ComponentHost:
-    """What an installation hands to its parts."""
+    """What an installation hands to its components."""
 
     config: Config
     pipeline: RequestPipeline
@@ -67,38 +79,37 @@
     reader: ListReader
     loop: asyncio.AbstractEventLoop
     folder: str  # of the operator's file: what it names relative to itself
-    share: float  # of the clients' and servers' descriptors, for each part that has such
-    others: int = 0  # parts that have none of those
+    share: float  # of the clients' and servers' descriptors, for each component that has such
+    others: int = 0  # components that have none of those
     pages: dict[bytes, Page] = field(default_factory=dict)  # for operators, by path
-    metrics: MetricRegistry = field(default_factory=MetricRegistry)  # figures for operators
-    machines: dict[str, object] = field(
-        default_factory=dict
-    )  # that decide beside the policy, by name
-    services: dict[str, object] = field(
-        default_factory=dict
-    )  # what parts offer to those that need them
+    metrics: MetricRegistry = field(default_factory=MetricRegistry)  # for operators
+    # Protocol machines that decide beside the policy, by name.
+    machines: dict[str, object] = field(default_factory=dict)
+    # What components offer to those that need them, by name.
+    services: dict[str, object] = field(default_factory=dict)
     list_state: Callable[[], str] = lambda: "of no known age"
 
 
 @dataclass(slots=True, frozen=True)
 class Checked:
-    """A file whose tables are right each for itself."""
+    """A file whose tables are valid each for itself."""
 
     base: Base
-    folder: str
-    on: dict[str, Any]  # settings of the parts that are switched on, by name
+    folder: str  # of the file
+    on: dict[str, Any]  # settings of the components that are switched on, by name
 
 
 Check = Callable[[Any, Checked], Iterator[tuple[Path, str]]]
 
 
-def no_check(settings: Any, file: Checked) -> Iterator[tuple[Path, str]]:
+def no_check(_settings: Any, _file: Checked) -> Iterator[tuple[Path, str]]:
+    """Find nothing wrong."""
     return iter(())
 
 
 @dataclass(slots=True, frozen=True)
 class ComponentDeclaration:
-    """How a part plugs in."""
+    """How a component plugs in."""
 
     name: str
     key: tuple[str, ...]  # where its settings stand in the file: `("fronts", "http")`
@@ -106,41 +117,49 @@
     settings: Any  # the type of what stands there, for pydantic
     about: str
     build: Callable[[ComponentHost, Any], Component]  # imports its libraries; may raise OSError
-    needs: tuple[str, ...] = ()  # parts, or kinds of parts, that start before it and end after it
+    needs: tuple[
+        str, ...
+    ] = ()  # components, or kinds of them, that start before it and end after it
     extra: str | None = None  # of pyproject.toml, with its libraries
     libraries: tuple[str, ...] = ()  # the modules that must be there for it
     sockets: bool = False  # whether it takes a share of the descriptors
-    check: Check = (
-        no_check  # what only several settings together can get wrong, by paths from its key
-    )
+    # Finds what only several settings together can get wrong; paths begin at the key.
+    check: Check = no_check
     reloads: tuple[str, ...] = ()  # settings that SIGHUP puts in force; ("*",): all
     commands: str | None = None  # `module:name` of a click group, found only when it is called
 
 
-class OrderError(Exception):
-    """Parts that can't be put in order: which, and why."""
-
+def start_order(
+    components: Iterable[ComponentDeclaration],
+) -> list[list[ComponentDeclaration]]:
+    """Return steps of components that may start together; they end in the reverse order.
 
-def start_order(parts: Iterable[ComponentDeclaration]) -> list[list[ComponentDeclaration]]:
-    """Steps of parts that may start together. They end in the reverse order. Raises OrderError."""
-    left = {part.name: part for part in parts}
-    providers: dict[str, set[str]] = {name: {name} for name in left}
-    for part in left.values():
-        providers.setdefault(part.kind.value, set()).add(part.name)
-    waits: dict[str, set[str]] = {}
-    for part in left.values():
-        waits[part.name] = set()
-        for need in part.needs:
-            if need not in providers:
-                raise OrderError(f"{part.name} needs {need}, which is not switched on")
-            waits[part.name] |= providers[need] - {part.name}
+    Raises:
+        OrderError: a component needs one that is not switched on, or some wait for each other.
+    """
+    left = {component.name: component for component in components}
+    needs = _needed_components(left)
     steps: list[list[ComponentDeclaration]] = []
     done: set[str] = set()
     while left:
-        step = [part for name, part in left.items() if waits[name] <= done]
+        step = [component for name, component in left.items() if needs[name] <= done]
         if not step:
-            raise OrderError(f"{', '.join(sorted(left))} wait for each other")
+            raise CircularNeedError(sorted(left))
         steps.append(step)
-        done |= {part.name for part in step}
-        left = {name: part for name, part in left.items() if name not in done}
+        done |= {component.name for component in step}
+        left = {name: component for name, component in left.items() if name not in done}
     return steps
+
+
+def _needed_components(components: Mapping[str, ComponentDeclaration]) -> dict[str, set[str]]:
+    """Return by name the components that have to start before each."""
+    providers: dict[str, set[str]] = {name: {name} for name in components}
+    for component in components.values():
+        providers.setdefault(component.kind.value, set()).add(component.name)
+    needed: dict[str, set[str]] = {name: set() for name in components}
+    for name, component in components.items():
+        for need in component.needs:
+            if need not in providers:
+                raise MissingNeedError(name, need)
+            needed[name] |= providers[need] - {name}
+    return needed
--- a/badgercart/app/console.py
+++ b/badgercart/app/console.py
@@ -1,5 +1,4 @@
-"""What commands show: a table where there is a terminal, aligned text where there is none, JSON if
-asked."""
+"""Output of commands: a table on a terminal, aligned text elsewhere."""
 
 from __future__ import annotations
 
@@ -11,7 +10,7 @@
 
 
 def aligned(columns: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Columns of text, two blanks apart."""
+    """Return columns of text, two blanks apart."""
     lines = [columns, *rows]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     shown = [
@@ -21,7 +20,7 @@
 
 
 def show_table(columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
-    """A table to read, on standard output."""
+    """Print a table."""
     if not sys.stdout.isatty():
         print(aligned(columns, rows))
         return
--- a/badgercart/app/document.py
+++ b/badgercart/app/document.py
@@ -13,15 +13,18 @@
 from pathlib import Path as FilePath
 from typing import Any
 
+from badgercart.app.errors import FileTooLargeError, NoSuchSettingError
 from badgercart.app.faults import FileError, Path, Problem, dotted
 
 MAX_FILE = 1 << 20  # bytes
 PREFIX = "BADGERCART__"
+# What is wrong with the place that a variable names.
+NO_SETTING, NO_ENTRY, NO_TABLE = "there is no such setting", "there is no such table", "is no table"
 
 
 @dataclass(slots=True)
 class Document:
-    """A file's tables with the overrides in them."""
+    """A file's tables, with the overrides in them."""
 
     path: str
     text: str
@@ -30,35 +33,54 @@
 
 
 def read(path: str, environ: Mapping[str, str]) -> Document:
-    """Raises FileError where the file or a variable can't be read at all."""
-    try:
-        with FilePath(path).open("rb") as file:
-            data = file.read(MAX_FILE + 1)
-        if len(data) > MAX_FILE:
-            raise ValueError(f"over {MAX_FILE} bytes")
-        text = data.decode()
-        document = Document(path, text, tomllib.loads(text))
-    except OSError as error:
-        raise FileError(path, [Problem(0, "", error.strerror or str(error))]) from None
-    except (ValueError, RecursionError) as error:  # also what is no UTF-8 and no TOML
-        raise FileError(path, [Problem(0, "", str(error))]) from None
+    """Return a file's tables, with the settings that variables override.
+
+    Raises:
+        FileError: the file or a variable can't be read at all.
+    """
+    document = _parse(path)
     problems = []
-    for name in sorted(environ):
-        if name.startswith(PREFIX):
-            target = tuple(
-                int(p) if p.isdecimal() else p for p in name[len(PREFIX) :].lower().split("__")
-            )
-            try:
-                _put(document.raw, target, _value(environ[name]))
-            except LookupError as error:
-                problems.append(Problem(0, dotted(target), f"{error.args[0]} (set by {name})"))
-            document.origins[target] = name
+    for variable in sorted(environ):
+        if not variable.startswith(PREFIX):
+            continue
+        target = _target(variable)
+        try:
+            _put(document.raw, target, _value(environ[variable]))
+        except NoSuchSettingError as error:
+            words = f"{error.problem} (set by {variable})"
+            problems.append(Problem(0, dotted(target), words))
+        document.origins[target] = variable
     if problems:
         raise FileError(path, problems)
     return document
 
 
+def _parse(path: str) -> Document:
+    try:
+        text = _text(path)
+        return Document(path, text, tomllib.loads(text))
+    except OSError as error:
+        raise FileError(path, [Problem(0, "", error.strerror or str(error))]) from error
+    except (ValueError, RecursionError) as error:  # also what is no UTF-8 and no TOML
+        raise FileError(path, [Problem(0, "", str(error))]) from error
+
+
+def _text(path: str) -> str:
+    with FilePath(path).open("rb") as file:
+        data = file.read(MAX_FILE + 1)
+    if len(data) > MAX_FILE:
+        raise FileTooLargeError(MAX_FILE)
+    return data.decode()
+
+
+def _target(variable: str) -> Path:
+    """Return the place in the file that a variable sets."""
+    parts = variable[len(PREFIX) :].lower().split("__")
+    return tuple(int(part) if part.isdecimal() else part for part in parts)
+
+
 def _value(text: str) -> Any:
+    """Return a variable's text as a TOML value, or the text itself if it is none."""
     try:
         read = tomllib.loads(f"value = {text}")
     except (ValueError, RecursionError):
@@ -67,22 +89,32 @@
 
 
 def _put(raw: Any, target: Path, value: Any) -> None:
-    """Raises LookupError where there is no such place."""
+    """Set a value in nested tables.
+
+    Raises:
+        NoSuchSettingError: there is no such place.
+    """
     for part in target[:-1]:
-        if isinstance(part, int):
-            if not isinstance(raw, list) or part >= len(raw):
-                raise LookupError("there is no such table")
-            raw = raw[part]
-        elif isinstance(raw, dict) and part:
-            raw = raw.setdefault(part, {})
-        else:
-            raise LookupError("is no table")
+        raw = _table_in(raw, part)
     last = target[-1]
-    there = (
-        isinstance(raw, dict)
-        if isinstance(last, str)
-        else isinstance(raw, list) and last < len(raw)
-    )
-    if not there or last == "":
-        raise LookupError("there is no such setting")
+    if last == "" or not _has_place(raw, last):
+        raise NoSuchSettingError(NO_SETTING)
     raw[last] = value
+
+
+def _has_place(raw: Any, place: str | int) -> bool:
+    """Return whether a table can have a key, or an array has an index."""
+    if isinstance(place, str):
+        return isinstance(raw, dict)
+    return isinstance(raw, list) and place < len(raw)
+
+
+def _table_in(raw: Any, part: str | int) -> Any:
+    """Return the table at a key, which is made if need be, or at an index."""
+    if isinstance(part, int):
+        if not isinstance(raw, list) or part >= len(raw):
+            raise NoSuchSettingError(NO_ENTRY)
+        return raw[part]
+    if not isinstance(raw, dict) or not part:
+        raise NoSuchSettingError(NO_TABLE)
+    return raw.setdefault(part, {})
--- a/badgercart/app/exits.py
+++ b/badgercart/app/exits.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 from enum import IntEnum
+from typing import IO, Any
 
 import click
 
 
 class Exit(IntEnum):
+    """The exit statuses."""
+
     DONE = 0
     FAILED = 1  # could not be done, or what was compared differs
     USAGE = 2  # a wrong command line, a file or an address that can't be used
@@ -17,8 +20,11 @@
     """What can't be done, in one line, and the status that says so."""
 
     def __init__(self, text: str, status: Exit = Exit.FAILED) -> None:
+        """Keep the line and the exit status."""
         super().__init__(text)
-        self.exit_code = status  # type: ignore[misc]  # click says class, and reads it of the instance
+        # click declares a class variable, and reads it of the instance
+        self.exit_code = status  # type: ignore[misc]
 
-    def show(self, file: object = None) -> None:
-        click.echo(f"badgercart: {self.format_message()}", err=True)
+    def show(self, file: IO[Any] | None = None) -> None:
+        """Write the line to standard error, or to a file."""
+        click.echo(f"badgercart: {self.format_message()}", file=file, err=file is None)
--- a/badgercart/app/file.py
+++ b/badgercart/app/file.py
@@ -1,10 +1,9 @@
-"""An operator's file: the model of all of it, its checks, and the installation that a good one
-describes."""
+"""An operator's file: its model, its checks, and the installation that it describes."""
 
 from __future__ import annotations
 
 import os
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
 from functools import cache
 from importlib.util import find_spec
@@ -19,10 +18,10 @@
     Checked,
     ComponentDeclaration,
     ComponentKind,
-    OrderError,
     start_order,
 )
-from badgercart.app.faults import FileError, Path, below, many, of_model, problem
+from badgercart.app.errors import OrderError
+from badgercart.app.faults import Fault, FileError, below, many, of_model, problem
 from badgercart.app.locate import lines_of
 from badgercart.app.model import Table
 from badgercart.app.registry import declarations
@@ -36,29 +35,29 @@
     """What an operator's file switches on."""
 
     config: Config
-    parts: dict[str, Any]  # settings of the parts that are on, by name
+    parts: dict[str, Any]  # settings of the components that are on, by name
     folder: str = "."  # the file's: what it names relative to itself
     base: Base | None = None  # the tables behind the configuration; None where there was no file
     known: tuple[ComponentDeclaration, ...] = field(default_factory=declarations)
 
     def declared(self) -> list[ComponentDeclaration]:
-        """Those that are on."""
-        return [part for part in self.known if part.name in self.parts]
+        """Return the components that are on."""
+        return [component for component in self.known if component.name in self.parts]
 
 
 @cache
 def root_model(known: tuple[ComponentDeclaration, ...]) -> type[Base]:
-    """The model of a whole file: the tables that are always there, and those of the parts."""
+    """Return the model of a whole file: the tables that are always there, and the components'."""
     groups: dict[str, dict[str, Any]] = {}
     fields: dict[str, Any] = {}
-    for part in known:
-        default: Any = () if many(part.settings) else None
-        setting = part.settings if many(part.settings) else part.settings | None
-        told = (setting, Field(default, description=part.about))
-        if len(part.key) == 1:
-            fields[part.key[0]] = told
+    for component in known:
+        default: Any = () if many(component.settings) else None
+        setting = component.settings if many(component.settings) else component.settings | None
+        definition = (setting, Field(default, description=component.about))
+        if len(component.key) == 1:
+            fields[component.key[0]] = definition
         else:
-            groups.setdefault(part.key[0], {})[part.key[1]] = told
+            groups.setdefault(component.key[0], {})[component.key[1]] = definition
     for name, inner in groups.items():
         model = create_model(name.title(), __base__=Table, __doc__=GROUPS.get(name, name), **inner)
         fields[name] = (model, Field(model(), description=GROUPS.get(name)))
@@ -66,10 +65,10 @@
     return root
 
 
-def settings_at(root: Base, part: ComponentDeclaration) -> Any:
-    """What a file says of a part; None where it is switched off."""
+def settings_at(root: Base, component: ComponentDeclaration) -> Any:
+    """Return the settings of a component in a file; None where it is switched off."""
     value: Any = root
-    for key in part.key:
+    for key in component.key:
         value = getattr(value, key)
     return value if value != () else None
 
@@ -79,76 +78,95 @@
     environ: Mapping[str, str] | None = None,
     known: tuple[ComponentDeclaration, ...] | None = None,
 ) -> Installation:
-    """Read and check a file. FileError names all that is wrong with it."""
+    """Read and check a file.
+
+    Args:
+        path: of the file.
+        environ: variables that override settings; those of the process if not given.
+        known: components that a file may switch on; those of the registry if not given.
+
+    Raises:
+        FileError: names all that is wrong with the file.
+    """
     return describe(document.read(path, os.environ if environ is None else environ), known)[0]
 
 
 def describe(
     read: document.Document, known: tuple[ComponentDeclaration, ...] | None = None
 ) -> tuple[Installation, Base]:
-    """The installation and the model behind it. FileError names all that is wrong."""
+    """Return the installation that a document describes, and the model behind it.
+
+    Raises:
+        FileError: names all that is wrong with the file.
+    """
     known = declarations() if known is None else known
     model = root_model(known)
-    found: list[tuple[Path, str]]
     try:
         root = model.model_validate(read.raw)
     except ValidationError as error:
-        raise _error(read, list(of_model(error, model))) from None
-    on = {part.name: value for part in known if (value := settings_at(root, part)) is not None}
+        raise _error(read, list(of_model(error, model))) from error
+    on = {
+        component.name: value
+        for component in known
+        if (value := settings_at(root, component)) is not None
+    }
     folder = str(FilePath(read.path).parent)
-    found = [*check(root), *_whole(known, on), *_missing(known, on)]
+    found = [*check(root), *_check_whole(known, on), *_check_libraries(known, on)]
     if not found:
-        file = Checked(root, folder, on)
-        for part in known:
-            if part.name in on:
-                found += [
-                    (part.key + place, words) for place, words in part.check(on[part.name], file)
-                ]
+        found = list(_check_components(known, Checked(root, folder, on)))
     if found:
         raise _error(read, found)
     return Installation(config_of(root), on, folder, root, known), root
 
 
-def _error(read: document.Document, found: list[tuple[Path, str]]) -> FileError:
+def _check_components(known: Sequence[ComponentDeclaration], file: Checked) -> Iterator[Fault]:
+    """Yield what each component finds wrong with its settings."""
+    for component in known:
+        if component.name in file.on:
+            for place, words in component.check(file.on[component.name], file):
+                yield component.key + place, words
+
+
+def _error(read: document.Document, found: list[Fault]) -> FileError:
     lines = lines_of(read.text)
     return FileError(
         read.path, [problem(place, words, lines, read.origins) for place, words in found]
     )
 
 
-def _whole(
-    known: tuple[ComponentDeclaration, ...], on: Mapping[str, Any]
-) -> Iterator[tuple[Path, str]]:
-    """Whether the parts that are on make an installation."""
-    kinds = {kind: [part for part in known if part.kind is kind] for kind in ComponentKind}
-    if not any(part.name in on for part in kinds[ComponentKind.FRONTEND]):
-        names = ", ".join(part.key[-1] for part in kinds[ComponentKind.FRONTEND])
+def _check_whole(known: tuple[ComponentDeclaration, ...], on: Mapping[str, Any]) -> Iterator[Fault]:
+    """Yield why the components that are on make no installation."""
+    kinds = {
+        kind: [component for component in known if component.kind is kind] for kind in ComponentKind
+    }
+    if not any(component.name in on for component in kinds[ComponentKind.FRONTEND]):
+        names = ", ".join(component.key[-1] for component in kinds[ComponentKind.FRONTEND])
         yield ("fronts",), f"nobody may ask: switch on one of {names}"
-    sources = [part for part in kinds[ComponentKind.DISCOVERY] if part.name in on]
+    sources = [component for component in kinds[ComponentKind.DISCOVERY] if component.name in on]
     if len(sources) != 1:
-        words = ", ".join(_worded(part) for part in kinds[ComponentKind.DISCOVERY])
+        words = ", ".join(_key_text(component) for component in kinds[ComponentKind.DISCOVERY])
         yield ("members",), f"the server list comes from one of {words}, not {len(sources)}"
     try:
-        start_order(part for part in known if part.name in on)
+        start_order(component for component in known if component.name in on)
     except OrderError as error:
         yield (), str(error)
 
 
-def _worded(part: ComponentDeclaration) -> str:
-    key = ".".join(part.key)
-    if many(part.settings):
+def _key_text(component: ComponentDeclaration) -> str:
+    key = ".".join(component.key)
+    if many(component.settings):
         return f"[[{key}]]"
-    return f"[{key}]" if below(part.settings) is not None else key
+    return f"[{key}]" if below(component.settings) is not None else key
 
 
-def _missing(
+def _check_libraries(
     known: tuple[ComponentDeclaration, ...], on: Mapping[str, Any]
-) -> Iterator[tuple[Path, str]]:
-    """Parts whose libraries are not installed."""
-    for part in known:
-        absent = (
-            [name for name in part.libraries if find_spec(name) is None] if part.name in on else []
-        )
+) -> Iterator[Fault]:
+    """Yield the components whose libraries are not installed."""
+    for component in known:
+        if component.name not in on:
+            continue
+        absent = [name for name in component.libraries if find_spec(name) is None]
         if absent:
             words = f"needs {', '.join(absent)}, which is not installed"
-            yield part.key, f"{words}: pip install 'badgercart[{part.extra}]'"
+            yield component.key, f"{words}: pip install 'badgercart[{component.extra}]'"
--- a/badgercart/app/locate.py
+++ b/badgercart/app/locate.py
@@ -1,8 +1,8 @@
-"""Where the keys of a TOML text stand: line numbers by path, which the standard reader does not
-keep.
+"""Line numbers of the keys of a TOML text, which the standard parser does not keep.
 
-Why tree-sitter: its grammar of TOML gives every node its place, in one pass of C; tomlkit keeps the
-layout but no line numbers, and takes time that grows with the square of a file's tables.
+Tree-sitter was chosen since its grammar of TOML gives every node its place, in one pass of C;
+tomlkit keeps the layout but no line numbers, and takes time that grows with the square of a file's
+tables.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def _names(key: Node) -> tuple[str, ...]:
-    """The parts of a bare, quoted or dotted key."""
+    """Return the parts of a bare, quoted or dotted key."""
     if key.type == "dotted_key":
         return tuple(name for child in key.named_children for name in _names(child))
     assert key.text is not None
@@ -27,7 +27,7 @@
 
 
 def _resolve(names: tuple[str, ...], counts: dict[Path, int]) -> Path:
-    """A header's path: below an array of tables it means the last one."""
+    """Return a header's path: below an array of tables it means the last one."""
     path: Path = ()
     for at, name in enumerate(names):
         path = (*path, name)
@@ -37,8 +37,11 @@
 
 
 def lines_of(text: str) -> dict[Path, int]:
-    """The line, from 1, of every table header and of every key outside inline tables, of a valid
-    text."""
+    """Return the line, from 1, of each table header and each key outside inline tables.
+
+    Args:
+        text: valid TOML.
+    """
     found: dict[Path, int] = {}
     counts: dict[Path, int] = {}  # tables of an array so far
 
--- a/badgercart/app/log_events.py
+++ b/badgercart/app/log_events.py
@@ -1,4 +1,4 @@
-"""What an installation as a whole says in the log."""
+"""The log events of an installation as a whole. Names, fields and texts are an interface."""
 
 from __future__ import annotations
 
--- a/badgercart/app/logs.py
+++ b/badgercart/app/logs.py
@@ -1,10 +1,9 @@
-"""The log of `serve`: events as JSON lines, or for people on a terminal, by a thread that nobody
-waits for.
+"""The log of `serve`: events as JSON lines, or for people on a terminal, written by a thread.
 
-Why structlog: processors that turn a record of the standard library, as every module and library
-writes them, into fields, and renderers for both forms. The queue and its writer are ours: the
-library's own, and the standard's, hold up whoever logs, or the end of the process, where the sink
-stands still.
+Structlog was chosen for its processors, which turn a record of the standard library, as every
+module and library writes them, into fields, and for its renderers of both forms. The queue and its
+writer are our own, since those of structlog and of the standard library block whoever logs, or the
+end of the process, while nobody reads the log.
 """
 
 from __future__ import annotations
@@ -39,8 +38,10 @@
 }
 
 
-class Log(Table, title="Log"):
-    """what is logged, to standard error; SIGHUP takes its level anew"""
+class Log(
+    Table, title="Log", about="what is logged, to standard error; SIGHUP takes its level anew"
+):
+    """The table `[log]`."""
 
     level: Literal["debug", "info", "warning", "error"] = Field(
         "info", description="the least level that is logged; debug has a line for each request"
@@ -56,34 +57,36 @@
     )
 
 
-def record_fields(_: Any, __: str, told: EventDict) -> EventDict:
-    """A record of the standard library as an event and its fields."""
-    record: logging.LogRecord = told["_record"]
-    given, message = told.pop("positional_args", ()), told["event"]
+def record_fields(_: Any, __: str, entry: EventDict) -> EventDict:
+    """Return a record of the standard library as an event and its fields."""
+    record: logging.LogRecord = entry["_record"]
+    given, message = entry.pop("positional_args", ()), entry["event"]
     name = getattr(record, "event", None)
     fields = given if isinstance(given, dict) else {}
     if name is None:
         name, fields = LIBRARY.name, {"logger": record.name}
     for key, value in fields.items():
-        told[key] = value if isinstance(value, int | float) else str(value)
-    told.update(event=name, message=message)
+        entry[key] = value if isinstance(value, int | float) else str(value)
+    entry.update(event=name, message=message)
     if (left_out := getattr(record, "left_out", 0)) > 0:
-        told["left_out"] = left_out
-    return told
+        entry["left_out"] = left_out
+    return entry
 
 
-def stamp(_: Any, __: str, told: EventDict) -> EventDict:
-    """The time of the record, not of its writing: it may have waited."""
-    record: logging.LogRecord = told["_record"]
+def stamp(_: Any, __: str, entry: EventDict) -> EventDict:
+    """Add the time of the record, not of its writing: it may have waited."""
+    record: logging.LogRecord = entry["_record"]
     at = datetime.fromtimestamp(record.created, UTC)
-    told["timestamp"] = at.isoformat(timespec="milliseconds").replace("+00:00", "Z")
-    return told
+    entry["timestamp"] = at.isoformat(timespec="milliseconds").replace("+00:00", "Z")
+    return entry
 
 
 def formatter(node: str, as_json: bool) -> logging.Formatter:
-    def named(_: Any, __: str, told: EventDict) -> EventDict:
-        told.setdefault("node", node)
-        return told
+    """Return what formats records as JSON lines, or for people; `node` stands in each of them."""
+
+    def named(_: Any, __: str, entry: EventDict) -> EventDict:
+        entry.setdefault("node", node)
+        return entry
 
     last: list[Any] = [structlog.stdlib.ProcessorFormatter.remove_processors_meta]
     if as_json:
@@ -98,29 +101,36 @@
 
 
 class Sink(logging.Handler):
-    """Hands records to a thread that formats and writes them. Where it can't follow, lines are
-    dropped."""
+    """Hands records to a thread that writes them; those that find its queue full are lost."""
 
     def __init__(self, node: str, settings: Log, fd: int = 2) -> None:
+        """Start the thread.
+
+        Args:
+            node: the node's name.
+            settings: of the log.
+            fd: descriptor to write to.
+        """
         super().__init__()
         self.fd = fd
         terminal = settings.format == "auto" and os.isatty(fd)
         self.setFormatter(formatter(node, as_json=not terminal and settings.format != "console"))
         self.addFilter(Sparse())
         self.waiting: queue.Queue[logging.LogRecord | None] = queue.Queue(settings.queue_lines)
-        self.dropped = 0  # since it was last told
+        self.dropped = 0  # since that was logged last
         self.broken = False  # nobody reads any more
         self.thread = threading.Thread(target=self.write_all, name="log", daemon=True)
         self.thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Queue a record, or count it as dropped."""
         try:
             self.waiting.put_nowait(record)
         except queue.Full:
             self.dropped += 1
 
     def write_all(self) -> None:
-        """The thread's work."""
+        """Write queued records until None comes: the work of the thread."""
         while (record := self.waiting.get()) is not None:
             if self.broken:
                 continue
@@ -134,6 +144,7 @@
 
     @staticmethod
     def dropped_line(count: int) -> logging.LogRecord:
+        """Return the record that says how many were dropped."""
         event = LINES_DROPPED
         record = logging.LogRecord(
             "badgercart", event.level, "", 0, event.words, ({"count": count},), None
@@ -142,19 +153,22 @@
         return record
 
     def write(self, record: logging.LogRecord) -> None:
-        """Raises OSError. A record that can't be formatted becomes a line that says so."""
+        """Write a record; one that can't be formatted becomes a line that says so.
+
+        Raises:
+            OSError: nobody reads the log any more.
+        """
         try:
             line = self.format(record)
         except Exception as error:
-            told = {"event": LIBRARY.name, "message": f"a line that can't be formatted: {error!r}"}
-            line = json.dumps(told)
+            message = f"a line that can't be formatted: {error!r}"
+            line = json.dumps({"event": LIBRARY.name, "message": message})
         data = line.encode("utf-8", "backslashreplace") + b"\n"
         while data:
             data = data[os.write(self.fd, data) :]
 
     def close(self) -> None:
-        """Write what waits, for a second at most: a sink that stands still must not keep the
-        process."""
+        """Write what waits, for PATIENCE at most: a blocked reader must not keep the process."""
         try:
             self.waiting.put_nowait(None)
         except queue.Full:
@@ -165,9 +179,10 @@
 
 
 class RequestLog:
-    """An observer of the join: a line for each request."""
+    """Observes the request pipeline, and logs a line for each request."""
 
     def __init__(self, config: Config, roster: EndpointTable) -> None:
+        """Take the names of classes and tenants from the configuration."""
         self.classes = [name.decode() for name in config.classes]
         self.tenants = [name.decode() for name in config.tenants]
         self.roster = roster
@@ -181,6 +196,7 @@
         server: int,
         sends: int,
     ) -> None:
+        """Log a request that is over."""
         member = self.roster.listed.get(server)
         REQUEST_OVER(
             request_id=intake.request_name.decode("latin-1") or str(request_id),
@@ -196,7 +212,7 @@
 
 
 def open_sink(node: str, settings: Log) -> Sink:
-    """In place of whatever the process logged to before."""
+    """Log to a new sink, in place of whatever the process logged to before."""
     sink = Sink(node, settings)
     root = logging.getLogger()
     for handler in list(root.handlers):
@@ -207,18 +223,19 @@
 
 
 def watch(join: RequestPipeline, settings: Log, requests: RequestLog) -> None:
-    """Have each request logged where the level asks for it; elsewhere it costs nothing."""
+    """Log each request where the level asks for it; elsewhere it costs nothing."""
     others = tuple(observer for observer in join.observers if observer is not requests)
     join.observers = (*others, requests) if settings.level == "debug" else others
 
 
 def set_level(settings: Log) -> None:
-    """Of our own events. Libraries stay at info: theirs are not for operators."""
+    """Set the level of our own events; that of libraries stays at info."""
     logging.getLogger().setLevel(logging.INFO)
     logging.getLogger("badgercart").setLevel(LEVELS[settings.level])
 
 
 def close_sink(sink: Sink) -> None:
+    """Close a sink, and log to standard error from now on."""
     sink.close()
     root = logging.getLogger()
     root.removeHandler(sink)
--- a/badgercart/app/pages.py
+++ b/badgercart/app/pages.py
@@ -1,8 +1,7 @@
-"""Reports for people: one HTML page without outside references, with matplotlib's figures as SVG in
-it.
+"""Reports as one HTML page without outside references, with figures of matplotlib as SVG in it.
 
-Why matplotlib: it draws SVG that every browser shows as it is, with nothing to load, and PNG by the
-same calls.
+Matplotlib was chosen since it draws SVG that every browser shows as it is, with nothing to load,
+and PNG by the same calls.
 """
 
 from __future__ import annotations
@@ -20,10 +19,14 @@
 
 
 def pyplot() -> Any:
-    """matplotlib's, without a window. Raises ImportError where it is not installed."""
+    """Return matplotlib's pyplot, which draws without a window.
+
+    Raises:
+        ImportError: matplotlib is not installed.
+    """
     import matplotlib
 
-    logging.getLogger("matplotlib").setLevel(logging.WARNING)  # it tells of its fonts
+    logging.getLogger("matplotlib").setLevel(logging.WARNING)  # it logs its fonts
     matplotlib.use("agg")
     from matplotlib import pyplot
 
@@ -31,7 +34,7 @@
 
 
 def svg(figure: Any) -> str:
-    """A figure as an element of a page; the same bytes whenever it is drawn."""
+    """Return a figure as an element of a page; the same bytes whenever it is drawn."""
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None})
     text = out.getvalue()
@@ -39,13 +42,14 @@
 
 
 def heading(text: str) -> str:
+    """Return a heading."""
     return f"<h2>{html.escape(text)}</h2>"
 
 
 def table(
     head: Sequence[str], rows: Iterable[Sequence[object]], marked: frozenset[int] = frozenset()
 ) -> str:
-    """A table; `marked`: the numbers of rows that are to stand out."""
+    """Return a table; the rows with the numbers in `marked` stand out."""
     lines = ["".join(f"<th>{html.escape(name)}</th>" for name in head)]
     lines += ["".join(f"<td>{html.escape(str(cell))}</td>" for cell in row) for row in rows]
     styles = ("", *(' class="marked"' if at in marked else "" for at in range(len(lines) - 1)))
@@ -57,7 +61,7 @@
 
 
 def page(title: str, parts: Iterable[str]) -> str:
-    """A whole page; `parts` are HTML already, the title is not."""
+    """Return a whole page; `parts` are HTML already, the title is not."""
     title = html.escape(title)
     return "\n".join(
         (
--- a/badgercart/app/registry.py
+++ b/badgercart/app/registry.py
@@ -1,4 +1,4 @@
-"""The parts that an operator's file may switch on: a line for each package that plugs in."""
+"""The components that an operator's file may switch on: a line for each package that plugs in."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def load_events(modules: tuple[str, ...] = COMPONENT_MODULES) -> None:
-    """Fill the table of log events: those beside each part, the pool's and the operator's."""
+    """Fill the table of log events: of each component, the connection pool and the app."""
     packages = [module.rpartition(".")[0] for module in modules]
     for package in (*packages, "badgercart.upstream", "badgercart.app"):
         if find_spec(f"{package}.log_events") is not None:
@@ -33,7 +33,7 @@
 
 @cache
 def declarations(modules: tuple[str, ...] = COMPONENT_MODULES) -> tuple[ComponentDeclaration, ...]:
-    """What each module declares, in the order of the lines."""
+    """Return what each module declares, in the order of the lines."""
     found: list[ComponentDeclaration] = []
     for module in modules:
         found += import_module(module).COMPONENTS
--- a/badgercart/app/render.py
+++ b/badgercart/app/render.py
@@ -1,4 +1,4 @@
-"""What the settings' models say, in the forms that people and editors read."""
+"""The settings' models as JSON Schema, as tables of Markdown and as TOML with defaults."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 from pydantic_core import PydanticUndefined
 
 from badgercart.app import document
-from badgercart.app.faults import Path, below, choices_of, dotted, fields_of, many
+from badgercart.app.errors import NoSuchEventError, NoSuchTableError, UnknownMarkError
+from badgercart.app.faults import Path, below, choices_of, description_of, dotted, fields_of, many
 from badgercart.app.file import describe, root_model
 from badgercart.app.locate import lines_of
 from badgercart.app.model import SCHEMA_NAME
@@ -25,7 +26,7 @@
 
 
 def json_schema() -> dict[str, Any]:
-    """JSON Schema of an operator's file."""
+    """Return the JSON Schema of an operator's file."""
     made = root_model(declarations()).model_json_schema(by_alias=True)
     made.pop(SCHEMA_NAME)
     names = {key: told.pop(SCHEMA_NAME) for key, told in made["$defs"].items()}
@@ -35,7 +36,7 @@
 
 
 def _renamed(value: Any, names: Mapping[str, str]) -> Any:
-    """A schema whose references follow the literal names of its definitions."""
+    """Return a schema whose references follow the literal names of its definitions."""
     if isinstance(value, list):
         return [_renamed(item, names) for item in value]
     if not isinstance(value, dict):
@@ -48,7 +49,11 @@
 
 
 def effective(path: str, environ: Mapping[str, str]) -> list[tuple[str, Any, str]]:
-    """Each setting in force: its key, its value, and where it came from. Raises FileError."""
+    """Return each setting in force: its key, its value, and where it came from.
+
+    Raises:
+        FileError: the file is wrong.
+    """
     read = document.read(path, environ)
     _, root = describe(read)
     lines = lines_of(read.text)
@@ -70,7 +75,7 @@
 
 
 def _origin(path: Path, read: document.Document, lines: Mapping[Path, int]) -> str:
-    """A variable, a line or the default. What stands in an inline table has the line of that."""
+    """Return a variable, a line or the default; an inline table has one line."""
     for length in range(len(path), 0, -1):
         if (variable := read.origins.get(path[:length])) is not None:
             return variable
@@ -86,7 +91,7 @@
     return "default"
 
 
-# Values and types, as an operator reads them.
+# Values and types in the words of operators.
 
 
 def _default(info: FieldInfo) -> Any:
@@ -109,7 +114,7 @@
 
 
 def _kind(name: str, info: FieldInfo) -> str:
-    """A setting's unit, or what kind of value it is."""
+    """Return a setting's unit, or what kind of value it is."""
     if (match := UNITS.search(info.description or "")) is not None:
         return match[1]
     for suffix, unit in SUFFIXES.items():
@@ -140,7 +145,7 @@
 
 
 def settings_table(model: type[BaseModel]) -> str:
-    """The settings of a model and of the tables below it, as a table of Markdown."""
+    """Return the settings of a model and of the tables below it, as a table of Markdown."""
     rows = ["| key | unit or kind | default | range | |", "| --- | --- | --- | --- | --- |"]
     rows += _table_rows(model, "")
     return "\n".join(rows)
@@ -164,17 +169,20 @@
 
 
 def default_table(name: str) -> str:
-    """A commented table with every default. LookupError where there is none of this name."""
+    """Return a commented table with every default.
+
+    Raises:
+        NoSuchTableError: there is no table of this name.
+    """
     for header, model, several in _tables():
         if name in (header, header.rpartition(".")[2]):
             return "\n".join(_default_lines(header, model, several))
     known = ", ".join(header.rpartition(".")[2] for header, _, _ in _tables())
-    raise LookupError(f"there is no table {name!r}; there are {known}")
+    raise NoSuchTableError(name, known)
 
 
 def _tables() -> Iterator[tuple[str, type[BaseModel], bool]]:
-    """Every table that an operator may begin from: its header, its model, whether it is an
-    array."""
+    """Yield every table of a file: its header, its model, whether it is an array."""
     root = root_model(declarations())
     parts = {".".join(part.key) for part in declarations()}
     groups = {key.partition(".")[0] for key in parts if "." in key}
@@ -191,8 +199,8 @@
 
 def _default_lines(header: str, model: type[BaseModel], several: bool) -> Iterator[str]:
     yield f"[[{header}]]" if several else f"[{header}]"
-    if model.__doc__:
-        yield f"# {model.__doc__.strip()}"
+    if words := description_of(model):
+        yield f"# {words}"
     inner = []
     for name, info in fields_of(model).items():
         lower = below(info.annotation)
@@ -220,16 +228,16 @@
     for header, model, _ in _tables():
         if header == name:
             return settings_table(model)
-    raise LookupError(f"there is no table {name!r}")
+    raise NoSuchTableError(name)
 
 
 def _events(prefixes: str) -> str:
-    """The table of log events of these subsystems, in the order of their names."""
+    """Return the table of log events of these subsystems, in the order of their names."""
     load_events()
     wanted = tuple(f"{prefix.strip()}." for prefix in prefixes.split(","))
     found = [event for name, event in sorted(TABLE.items()) if name.startswith(wanted)]
     if not found:
-        raise LookupError(f"no event's name begins with {prefixes!r}")
+        raise NoSuchEventError(prefixes)
     rows = ["| event | level | message | meaning and remedy |", "| --- | --- | --- | --- |"]
     for event in found:
         words = re.sub(r"%\((\w+)\)[sd]", r"<\1>", event.words)
@@ -243,13 +251,16 @@
 
 
 def page(text: str) -> str:
-    """A page with its tables made anew between their marks. LookupError names a mark that means
-    nothing."""
+    """Return a page with its tables made anew between their marks.
+
+    Raises:
+        LookupError: a mark stands for nothing.
+    """
 
-    def fresh(match: re.Match[str]) -> str:
+    def renewed(match: re.Match[str]) -> str:
         kind, name = match[1], match[2]
         if kind not in MADE:
-            raise LookupError(f"the mark {kind!r} is none of {', '.join(MADE)}")
+            raise UnknownMarkError(kind, ", ".join(MADE))
         return f"<!-- {kind}: {name} -->\n{MADE[kind](name)}\n<!-- end -->"
 
-    return MARK.sub(fresh, text)
+    return MARK.sub(renewed, text)
--- a/badgercart/app/run.py
+++ b/badgercart/app/run.py
@@ -16,7 +16,7 @@
 
 
 def reload(site: Site, path: str, requests: logs.RequestLog) -> None:
-    """Read the file anew, on SIGHUP; one that is wrong changes nothing."""
+    """Read the file anew, as SIGHUP asks for; one that is wrong changes nothing."""
     try:
         fresh = load(path, known=site.what.known)
     except FileError as error:
@@ -32,9 +32,18 @@
 
 
 async def run(
-    path: str, what: Installation, started: Callable[[Site], None] = lambda site: None
+    path: str, what: Installation, started: Callable[[Site], None] = lambda _site: None
 ) -> None:
-    """Serve until SIGTERM or SIGINT, which may also come during the start. Raises PartError."""
+    """Serve until SIGTERM or SIGINT, which may also come during the start.
+
+    Args:
+        path: of the file, which SIGHUP reads anew.
+        what: what the file switches on.
+        started: called once all components are up.
+
+    Raises:
+        PartError: a component does not start.
+    """
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -52,7 +61,7 @@
         return
     starting.result()
     gc.collect()
-    gc.freeze()  # what is there now stays: the collector need not look at it again
+    gc.freeze()  # what exists now stays: the collector need not look at it again
     loop.add_signal_handler(signal.SIGHUP, reload, site, path, requests)
     started(site)
     await stopping
--- a/badgercart/app/site.py
+++ b/badgercart/app/site.py
@@ -1,5 +1,7 @@
-"""One running installation: a join and the parts on it, started, reloaded, drained and closed in
-order."""
+"""One running installation: the request pipeline and the components on it.
+
+Components are built, started, reloaded, drained and closed in the order of their needs.
+"""
 
 from __future__ import annotations
 
@@ -18,6 +20,7 @@
     ReloadError,
     start_order,
 )
+from badgercart.app.errors import AppError
 from badgercart.app.faults import Path, dotted
 from badgercart.app.file import Installation
 from badgercart.core.clock import now_ms
@@ -30,15 +33,8 @@
 from badgercart.policy.endpoint import EndpointState
 
 ACCEPT_FOR = 600.0  # ms after SIGTERM during which clients may still come
-GRACE = (
-    300.0  # ms beyond the deadline of a drain, after which a part that hangs is closed as it stands
-)
-STATE_LABELS = {
-    EndpointState.READY: "ready",
-    EndpointState.GONE: "gone",
-    EndpointState.DRAINING: "draining",
-}  # a label
-
+# ms beyond the deadline of a drain, after which a component that hangs is closed as it stands.
+GRACE = 300.0
 # A server's state as a label of `badgercart_servers`.
 STATE_LABELS = {
     EndpointState.READY: "ready",
@@ -47,19 +43,24 @@
 }
 
 
-class PartError(Exception):
-    """A part that does not start: its name, and why."""
+class PartError(AppError):
+    """A component that does not start."""
 
     def __init__(self, name: str, cause: BaseException) -> None:
+        """Keep its name; the message says why."""
         super().__init__(f"{name} does not start: {cause or type(cause).__name__}")
         self.name = name
 
 
 class Site:
-    """All parts of one installation. It knows none of them by name."""
+    """All components of one installation; it knows none of them by name."""
 
     def __init__(self, what: Installation, loop: asyncio.AbstractEventLoop) -> None:
-        """Raises PartError."""
+        """Build all components.
+
+        Raises:
+            PartError: one of them can't be built; those before it are closed again.
+        """
         config = what.config
         self.what = what
         self.join = RequestPipeline(config.settings, config.seed, loop)
@@ -89,7 +90,7 @@
                 raise PartError(part.name, error) from error
 
     def register(self, meters: MetricRegistry) -> None:
-        """What every installation can be asked for."""
+        """Register the metrics of every installation."""
         join, policy, listed = self.join, self.join.policy, self.roster.listed
         meters.gauge(
             "badgercart_cut",
@@ -128,81 +129,93 @@
         )
 
     def members_page(self) -> bytes:
-        """What this node believes of the list, for `members list --from-node`."""
+        """Return the endpoint list of this node, for `members list --from-node`."""
         names = {EndpointState.READY: "active", EndpointState.DRAINING: "leaving"}
         lines = [
             {"instanceId": m.name, "hostPort": m.address_text, "lifecycle": names[m.entry.state]}
             for m in self.roster.listed.values()
         ]
-        told = {
+        page = {
             "generation": self.roster.version,
             "state": self.host.list_state(),
             "instances": lines,
         }
-        return json.dumps(told).encode()
+        return json.dumps(page).encode()
 
     async def start(self) -> None:
-        """Start the parts in order. Raises PartError; what was started is closed again, also if
-        cancelled."""
+        """Start the components in order; if one fails or the call is cancelled, close all of them.
+
+        Raises:
+            PartError: one of them does not start.
+        """
         try:
-            for part in (part for step in self.steps for part in step):
-                try:
-                    await self.parts[part.name].start()
-                except Exception as error:
-                    raise PartError(part.name, error) from error
+            for component in (component for step in self.steps for component in step):
+                await self._start_component(component.name)
         except BaseException:
             self.close()
             raise
 
+    async def _start_component(self, name: str) -> None:
+        try:
+            await self.parts[name].start()
+        except Exception as error:
+            raise PartError(name, error) from error
+
     def reload(self, fresh: Installation) -> list[str]:
-        """Put new settings in force, of all parts or, if one of them can't take its own, of none.
+        """Put new settings in force: of all components, or of none if one can't take its own.
+
+        Half a file is never in force, since nobody wrote it. Settings that need a restart are
+        logged and left out.
 
-        None, because a file that is half in force is one that nobody wrote. Gives what is wrong;
-        empty: done. What takes a restart is logged and passed over."""
+        Returns:
+            What is wrong; empty: the settings are in force.
+        """
         commits: list[Callable[[], None]] = []
         faults = []
-        for name, part in self.parts.items():
-            if name in fresh.parts:
-                try:
-                    commit = part.prepare(fresh.parts[name])
-                except ReloadError as error:
-                    faults.append(f"{name}: {error}")
-                else:
-                    if commit is not None:
-                        commits.append(commit)
-        if not faults:
-            for commit in commits:
-                commit()
-            if restart := list(self.needs_restart(fresh)):
-                events.RESTART_NEEDED(settings=", ".join(restart))
-            self.remember(fresh)
-        return faults
+        for name, component in self.parts.items():
+            if name not in fresh.parts:
+                continue
+            try:
+                commit = component.prepare(fresh.parts[name])
+            except ReloadError as error:
+                faults.append(f"{name}: {error}")
+                continue
+            if commit is not None:
+                commits.append(commit)
+        if faults:
+            return faults
+        for commit in commits:
+            commit()
+        if restart := list(self.needs_restart(fresh)):
+            events.RESTART_NEEDED(settings=", ".join(restart))
+        self.remember(fresh)
+        return []
 
     def needs_restart(self, fresh: Installation) -> Iterator[str]:
-        """Settings that differ from those in force and that SIGHUP does not change."""
+        """Yield the settings that differ from those in force and that SIGHUP does not change."""
         old = self.what
         if old.base is not None and fresh.base is not None:
-            for name in Base.model_fields.keys() - {"log"}:  # those that are no part's
+            for name in Base.model_fields.keys() - {"log"}:  # those of no component
                 yield from differing(
                     getattr(old.base, name), getattr(fresh.base, name), (name.rstrip("_"),)
                 )
-        for part in self.what.known:
-            was, now = old.parts.get(part.name), fresh.parts.get(part.name)
+        for component in self.what.known:
+            was, now = old.parts.get(component.name), fresh.parts.get(component.name)
             if (was is None) != (now is None):
-                yield dotted(part.key)
-            elif part.reloads != ("*",):
-                for name in differing(was, now, part.key):
-                    if not any(name == dotted((*part.key, key)) for key in part.reloads):
-                        yield name
+                yield dotted(component.key)
+            elif component.reloads != ("*",):
+                reloaded = {dotted((*component.key, key)) for key in component.reloads}
+                found = differing(was, now, component.key)
+                yield from (name for name in found if name not in reloaded)
 
     def remember(self, fresh: Installation) -> None:
-        """What is in force now: of what takes a restart, the old."""
+        """Keep the settings that are in force now; those that need a restart stay the old ones."""
         for part in self.what.declared():
             if part.reloads and part.name in fresh.parts:
                 self.what.parts[part.name] = fresh.parts[part.name]
 
     async def drain(self) -> None:
-        """Answer all that is held, on every part, then end. One deadline holds for all of them."""
+        """Answer all requests in flight, then close. One deadline holds for all components."""
         until = now_ms() + ACCEPT_FOR + self.what.config.longest
         self.join.begin_shutdown(until)
         for step in reversed(self.steps):
@@ -211,6 +224,7 @@
         STOPPED()
 
     async def drain_step(self, step: list[ComponentDeclaration], until: float) -> None:
+        """Drain components together; those that hang beyond the deadline are cancelled."""
         tasks = {
             asyncio.ensure_future(self.parts[part.name].drain(until)): part.name for part in step
         }
@@ -226,8 +240,7 @@
             await asyncio.wait(hanging, timeout=GRACE / 1000)
 
     def close(self) -> None:
-        """Let go of all parts, the last started first; one that fails does not keep the others
-        open."""
+        """Close all components, the last started first; a failure keeps no other one open."""
         for name, part in reversed(self.parts.items()):
             try:
                 part.close()
@@ -236,7 +249,7 @@
 
 
 def differing(old: Any, new: Any, path: Path) -> Iterator[str]:
-    """The settings that two models differ in, as people write them."""
+    """Yield the settings that two models differ in, as people write them."""
     if old == new:
         return
     fields = getattr(type(old), "model_fields", None)
--- a/tests/app/test_site.py
+++ b/tests/app/test_site.py
@@ -17,10 +17,10 @@
     ComponentDeclaration,
     ComponentHost,
     ComponentKind,
-    OrderError,
     ReloadError,
     start_order,
 )
+from badgercart.app.errors import OrderError
 from badgercart.app.faults import FileError
 from badgercart.app.file import Installation, load
 from badgercart.app.model import Table
