--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -26,7 +26,7 @@
 from badgercart.hot_restart.process_lock import Lives
 from badgercart.hot_restart.state_transfer import Handover
 from badgercart.policy.events import UpdateKind
-from badgercart.reload.reconfiguration import Busy, retuned, wants_restart
+from badgercart.reload.reconfiguration import IndexesInUse, reconfigure, settings_needing_restart
 
 LIST_PATIENCE = (
     2.5  # s that a successor waits for discovery, after which it serves by the list that it has
@@ -126,15 +126,15 @@
         old, lines = self.config, [member.entry for member in self.roster.listed.values()]
         classes, tenants = self.join.policy.busy()
         read = list(self.listener.read_ahead())
-        busy = Busy(
+        busy = IndexesInUse(
             classes=classes | {request.cls for request in read},
             tenants=tenants | {request.tenant for request in read},
             zones={entry.zone for entry in lines},
             kinds={entry.kind for entry in lines},
             read={request.cls for request in read},
         )
-        restart = ", ".join(wants_restart(old, new))
-        self.config, event = retuned(old, new, busy)
+        restart = ", ".join(settings_needing_restart(old, new))
+        self.config, event = reconfigure(old, new, busy)
         self.join.dispatch(event)
         self.front.retune(self.config)
         self.reader.rename(self.config)
--- a/badgercart/reload/__init__.py
+++ b/badgercart/reload/__init__.py
@@ -1,1 +1,1 @@
-"""New settings for a node that runs: ``retune.retuned`` is the entry. No I/O."""
+"""New settings for a node that runs: `reconfiguration.reconfigure` is the entry. No I/O."""
--- a/badgercart/reload/reconfiguration.py
+++ b/badgercart/reload/reconfiguration.py
@@ -1,5 +1,7 @@
 """One configuration in place of another: what the node goes on with, and what the policy is told.
-No I/O."""
+
+No I/O.
+"""
 
 from __future__ import annotations
 
@@ -13,76 +15,107 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Busy:
-    """Numbers that something still goes by, whatever the new configuration names."""
+class IndexesInUse:
+    """Indexes under which something is in flight, whatever the new configuration names."""
 
     classes: Container[int] = ()
     tenants: Container[int] = ()
     zones: Container[int] = ()
     kinds: Container[int] = ()
-    read: Container[int] = ()  # classes of requests that are read, and whose terms nobody holds yet
+    # Classes of requests that are being read, and whose settings no part of the node holds yet.
+    read: Container[int] = ()
 
 
-# What only a restart puts in force: in a configuration, and its path in the file.
-RESTART = (
-    ("listen", "listen"),
-    ("console", "console"),
-    ("name", "name"),
-    ("sockets", "limits.sockets"),
-    ("memory_mb", "limits.memory_mb"),
-)
+@dataclass(slots=True, frozen=True)
+class _Indexes:
+    """The indexes of a new configuration's names."""
 
+    classes: dict[bytes, int]
+    reset_classes: list[int]  # of classes that begin anew
+    tenants: dict[bytes, int]
+    reset_tenants: list[int]
+    zones: dict[str, int]
+    kinds: dict[str, int]
 
-def retuned(old: Config, new: Config, busy: Busy) -> tuple[Config, SettingsChanged]:
-    """The new configuration in the numbers of the old one, and the event for the policy.
 
-    Under the number of a class that vanished its old terms stand until another class takes it over.
-    One whose terms change while requests of it are read and not taken is another from then on:
-    those keep theirs."""
-    wanted, before = new.settings, old.settings
-    same = {
-        name: number
-        for name, number in old.classes.items()
-        if name not in new.classes
-        or number not in busy.read
-        or wanted.classes[new.classes[name]] == before.classes[number]
-    }
-    classes, fresh = renumbered(new.classes, same, busy.classes)
-    tenants, came = renumbered(new.tenants, old.tenants, busy.tenants)
-    zones, _ = renumbered(new.zones, old.zones, busy.zones)
-    kinds, _ = renumbered(new.kinds, old.kinds, busy.kinds)
-    terms: list[RequestClass] = [*before.classes, *wanted.classes]
-    terms = terms[: max(len(before.classes), 1 + max(classes.values()))]
-    for name, number in classes.items():
-        terms[number] = wanted.classes[new.classes[name]]
-    quotas = [0.0] * (1 + max(tenants.values(), default=-1))
-    for tenant, number in tenants.items():
-        quotas[number] = wanted.quotas_per_s[new.tenants[tenant]]
-    zone = next(
-        (zones[name] for name, number in new.zones.items() if number == wanted.zone), wanted.zone
-    )
-    settings: Settings = replace(
-        wanted, classes=tuple(terms), quotas_per_s=tuple(quotas), zone=zone
-    )
-    # What takes a restart stays as it was.
+def reconfigure(old: Config, new: Config, in_use: IndexesInUse) -> tuple[Config, SettingsChanged]:
+    """Return the new configuration by the indexes of the old one, and the event for the policy.
+
+    The index of a class that vanished keeps its old settings until another class takes it over. A
+    class whose settings change while requests of it are being read gets another index: those
+    requests keep the old settings.
+    """
+    indexes = _assign_indexes(old, new, in_use)
+    settings = _merged_settings(old.settings, new, indexes)
     config = replace(
         new,
-        **{key: getattr(old, key) for key, _ in RESTART},
+        # These need a restart, and stay as they were.
+        listen=old.listen,
+        console=old.console,
+        name=old.name,
+        sockets=old.sockets,
+        memory_mb=old.memory_mb,
+        # These are of the process.
         seed=old.seed,
         known=old.known,
         inherited=old.inherited,
         folder=old.folder,
         settings=settings,
-        classes=classes,
-        tenants=tenants,
-        zones=zones,
-        kinds=kinds,
+        classes=indexes.classes,
+        tenants=indexes.tenants,
+        zones=indexes.zones,
+        kinds=indexes.kinds,
     )
-    return config, SettingsChanged(
-        settings, frozenset(classes.values()), frozenset(fresh), frozenset(came)
+    event = SettingsChanged(
+        settings,
+        frozenset(indexes.classes.values()),
+        frozenset(indexes.reset_classes),
+        frozenset(indexes.reset_tenants),
     )
+    return config, event
 
 
-def wants_restart(old: Config, new: Config) -> Iterator[str]:
-    """What the new file has otherwise and only a restart puts in force, by its path in the file."""
-    return (path for key, path in RESTART if getattr(old, key) != getattr(new, key))
+def _assign_indexes(old: Config, new: Config, in_use: IndexesInUse) -> _Indexes:
+    unchanged = {
+        name: index
+        for name, index in old.classes.items()
+        if name not in new.classes
+        or index not in in_use.read
+        or new.settings.classes[new.classes[name]] == old.settings.classes[index]
+    }
+    classes, reset_classes = renumbered(new.classes, unchanged, in_use.classes)
+    tenants, reset_tenants = renumbered(new.tenants, old.tenants, in_use.tenants)
+    zones, _ = renumbered(new.zones, old.zones, in_use.zones)
+    kinds, _ = renumbered(new.kinds, old.kinds, in_use.kinds)
+    return _Indexes(classes, reset_classes, tenants, reset_tenants, zones, kinds)
+
+
+def _merged_settings(before: Settings, new: Config, indexes: _Indexes) -> Settings:
+    """Return the new settings, with classes, tenants and the node's zone by their new indexes."""
+    wanted = new.settings
+    classes: list[RequestClass] = [*before.classes, *wanted.classes]
+    classes = classes[: max(len(before.classes), 1 + max(indexes.classes.values()))]
+    for name, index in indexes.classes.items():
+        classes[index] = wanted.classes[new.classes[name]]
+    quotas = [0.0] * (1 + max(indexes.tenants.values(), default=-1))
+    for tenant, index in indexes.tenants.items():
+        quotas[index] = wanted.quotas_per_s[new.tenants[tenant]]
+    own_zone = (indexes.zones[name] for name, index in new.zones.items() if index == wanted.zone)
+    return replace(
+        wanted,
+        classes=tuple(classes),
+        quotas_per_s=tuple(quotas),
+        zone=next(own_zone, wanted.zone),
+    )
+
+
+def settings_needing_restart(old: Config, new: Config) -> Iterator[str]:
+    """Yield what differs and only a restart puts in force, by its path in the file."""
+    needing_restart = (
+        ("listen", old.listen, new.listen),
+        ("console", old.console, new.console),
+        ("name", old.name, new.name),
+        ("limits.sockets", old.sockets, new.sockets),
+        ("limits.memory_mb", old.memory_mb, new.memory_mb),
+    )
+    return (path for path, was, wanted in needing_restart if was != wanted)
--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -24,7 +24,7 @@
 from badgercart.policy import Policy
 from badgercart.policy.events import EndpointUpdate, UpdateKind
 from badgercart.reload import checks
-from badgercart.reload.reconfiguration import Busy, retuned
+from badgercart.reload.reconfiguration import IndexesInUse, reconfigure
 from badgercart.simulator.codec import read_settings
 from benchmarks.scale.fit import Point, doublings
 from benchmarks.scale.policy import TENANTS, Found, entry, in_a_child, resident
@@ -132,7 +132,9 @@
     if old is not None:
         new = sizes.spend("reload: read and check", size, lambda: reread(environ, old))
         if new is not None and (
-            told := sizes.spend("reload: renumber", size, lambda: retuned(old, new, Busy()))
+            told := sizes.spend(
+                "reload: renumber", size, lambda: reconfigure(old, new, IndexesInUse())
+            )
         ):
             give_policy(sizes, size, old, told[1])
     file = folder / "file.toml"
--- a/tests/reload/test_checks.py
+++ b/tests/reload/test_checks.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.reload.checks import FREE, MAX_CLASSES, faults, load
+from badgercart.reload.checks import MAX_CLASSES, OPTIONAL_KEYS, faults, load
 from badgercart.reload.numbers import renumbered
 from tests.test_process import raw_config
 
@@ -58,7 +58,7 @@
         else:
             table[path[-1]] = None
         found = list(faults(new, whole()))
-        if path[0] in FREE:
+        if path[0] in OPTIONAL_KEYS:
             assert found == []
         else:
             assert any(fault.startswith(words(path) + " ") for fault in found), found
--- a/tests/reload/test_reload.py
+++ b/tests/reload/test_reload.py
@@ -15,7 +15,7 @@
 from badgercart.config import Config
 from badgercart.policy import Policy
 from badgercart.policy.events import Request
-from badgercart.reload.reconfiguration import Busy, retuned
+from badgercart.reload.reconfiguration import IndexesInUse, reconfigure
 from tests.net import WAIT, Agent, Client, Peer, config, hang_up, held_back, request
 from tests.test_process import Process, raw_config, started
 
@@ -145,10 +145,10 @@
         return replace(base, tenants=tenants, settings=replace(base.settings, quotas_per_s=quotas))
 
     old, new = told(b"a", b"b"), told(b"a", b"c")
-    held, event = retuned(old, new, Busy(tenants={1}))
+    held, event = reconfigure(old, new, IndexesInUse(tenants={1}))
     assert held.tenants == {b"a": 0, b"c": 2} and event.reset_tenants == {2}
     assert event.settings.quotas_per_s == (10.0, 0.0, 11.0)
-    free, event = retuned(old, new, Busy())
+    free, event = reconfigure(old, new, IndexesInUse())
     assert free.tenants == {b"a": 0, b"c": 1} and event.reset_tenants == {1}
     policy = Policy(old.settings, 1)
     policy.handle(0.0, Request(1, 0, 1000.0, tenant=1))
