--- a/badgercart/zones/__init__.py
+++ b/badgercart/zones/__init__.py
@@ -1,8 +1,16 @@
 """Zones and regions that fail over by one plan, and traffic that stays near while that is safe.
 
-`geography.py` is the map; `eyes.py` what a node sees of each zone, `evidence.py` what all have
-seen; `gates.py` who is shut and who may come back; `plan.py` works out which part of each zone's
-traffic goes where; `council.py` has a majority agree on one plan at a time, under a lease;
-`keeper.py` puts them together and gives the policy its plain input. None of them does I/O. The
-entry is `part.py`. It stands on `peers/`.
+- `topology`: zones, regions and routing costs.
+- `failure_detector`, `demand`, `zone_observer`: what this node observes of each zone.
+- `zone_reports`, `circuit_breaker`, `zone_conditions`: what all nodes report, and the capacity that
+  counts.
+- `traffic_plan`, `plan_codec`, `plan_scheduler`, `planner`: plans, and when another one is due.
+- `plan_consensus` with `plan_proposer`, `plan_voter`, `plan_store`, `consensus_messages` and
+  `consensus_state`: a majority agrees on one plan at a time, under a lease.
+- `operator_overrides`: what operators want of a zone.
+- `policy_feed`: what the policy is told.
+- `failover_controller` puts them together; `component` runs it on the node's clock and sockets.
+- `presentation`, `change_logger`, `metrics`, `commands`: what operators see.
+
+Only `component`, `health_check` and `commands` do I/O. The package stands on `cluster`.
 """
--- a/badgercart/zones/circuit_breaker.py
+++ b/badgercart/zones/circuit_breaker.py
@@ -1,86 +1,120 @@
-"""Which part of a zone's capacity counts now: none while it is down, little as it comes back, then
-all.
+"""The circuit breaker of a zone: which share of its capacity counts at the moment.
 
-A zone that fails again soon waits longer each time. No I/O."""
+None counts while the zone is down, little as it recovers, then all. A zone that fails again soon
+waits longer each time. No I/O.
+"""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from enum import StrEnum
+from dataclasses import dataclass
+from enum import Enum, auto
+
+# Below this part of the share that is admitted, what answers show takes a step of recovery back.
+REGRESSION_SHARE = 0.5
+# Below this part of the share that is admitted, a closed breaker admits less at once.
+DEGRADED_SHARE = 0.8
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
-    """Times in ms."""
+class RecoverySettings:
+    """How a zone that was down gets traffic again."""
+
+    hold_ms: float = 3000.0  # a zone has to be well for so long before anything goes there again
+    max_hold_ms: float = 60_000.0  # what the hold grows to where a zone fails again and again
+    # after so long without a failure the hold is `hold_ms` again
+    forgive_after_ms: float = 60_000.0
+    step_per_s: float = 0.2  # share of its capacity that is admitted more each second
+    initial_share: float = 0.1  # share of its capacity that is admitted first
 
-    hold: float = 3000.0  # a zone has to be well for so long before anything goes there again
-    longest: float = 60_000.0  # what the hold grows to where it fails again and again
-    forgive: float = 60_000.0  # after so long without a failure the hold is the first one again
-    step: float = 0.2  # of its capacity more each second, as it comes back
-    first: float = 0.1  # of it at first
 
+class BreakerState(Enum):
+    """Whether a zone gets traffic: `CLOSED` lets it through, `OPEN` does not."""
 
-class State(StrEnum):
-    OPEN = "open"
-    SHUT = "shut"
-    RETURNING = "returning"
+    CLOSED = auto()
+    OPEN = auto()
+    HALF_OPEN = auto()
 
 
-@dataclass(slots=True)
 class ZoneCircuitBreaker:
-    """One zone's."""
-
-    pace: Pace
-    state: State = State.OPEN
-    factor: float = 1.0  # of its capacity that counts
-    hold: float = 0.0
-    well_since: float | None = None
-    opened: float = float("-inf")  # when it came back last
-    taken_back: bool = False  # whether its way back was halved
-    at: float = field(default=0.0)
-
-    def tick(self, now: float, down: bool, well: bool, strength: float) -> None:
-        """One look. `strength`: what its answers say that it can do, of its capacity, 0 to 1."""
-        passed, self.at = max(now - self.at, 0.0), now
+    """One zone's breaker. Times are in ms on the node's clock."""
+
+    def __init__(self, settings: RecoverySettings) -> None:
+        """Begin closed, with all of the zone's capacity admitted."""
+        self.settings = settings
+        self.state = BreakerState.CLOSED
+        self.admitted_share = 1.0  # of the zone's capacity that counts
+        self.hold_ms = 0.0  # the current hold; 0: the zone has not failed yet
+        self._well_since: float | None = None
+        self._recovered_at = float("-inf")  # when the zone came back last
+        self._stepped_back = False  # whether this recovery was halved once already
+        self._ticked_at = 0.0
+
+    @property
+    def stepped_back(self) -> bool:
+        """Whether this recovery lost half of its share once, and goes on at half speed."""
+        return self._stepped_back
+
+    def tick(self, now: float, down: bool, reachable: bool, health: float) -> None:
+        """Take over what is known of the zone now.
+
+        Args:
+            now: ms on the node's clock.
+            down: whether no node reaches the zone.
+            reachable: whether any node reaches it.
+            health: share of the capacity that its answers show it to have, 0 to 1.
+        """
+        elapsed_ms, self._ticked_at = max(now - self._ticked_at, 0.0), now
         if down:
-            self.shut(now)
-        elif self.state is State.SHUT:
-            self.wait(now, well)
-        elif self.state is State.RETURNING:
-            self.come_back(now, passed, strength)
+            self._trip(now)
+        elif self.state is BreakerState.OPEN:
+            self._hold(now, reachable)
+        elif self.state is BreakerState.HALF_OPEN:
+            self._recover(now, elapsed_ms, health)
         else:
-            self.follow(passed, strength)
-
-    def shut(self, now: float) -> None:
-        if self.state is not State.SHUT:
-            again = now - self.opened < self.pace.forgive
-            self.hold = (
-                min(2 * self.hold, self.pace.longest) if again and self.hold else self.pace.hold
-            )
-            self.state, self.factor = State.SHUT, 0.0
-        self.well_since = None
-
-    def wait(self, now: float, well: bool) -> None:
-        if not well:
-            self.well_since = None
-        elif self.well_since is None:
-            self.well_since = now
-        elif now - self.well_since >= self.hold:
-            self.state, self.factor, self.taken_back = State.RETURNING, self.pace.first, False
-            self.opened = now
-
-    def come_back(self, now: float, passed: float, strength: float) -> None:
-        """A step that hurts is taken back, once; from then on it goes on half as fast."""
-        if strength < 0.5 * self.factor and not self.taken_back:
-            self.factor, self.taken_back = max(self.factor / 2, self.pace.first), True
+            self._follow(elapsed_ms, health)
+
+    def _trip(self, now: float) -> None:
+        """Admit nothing. A failure soon after a recovery doubles the hold."""
+        if self.state is not BreakerState.OPEN:
+            settings = self.settings
+            fails_again = now - self._recovered_at < settings.forgive_after_ms
+            if fails_again and self.hold_ms:
+                self.hold_ms = min(2 * self.hold_ms, settings.max_hold_ms)
+            else:
+                self.hold_ms = settings.hold_ms
+            self.state, self.admitted_share = BreakerState.OPEN, 0.0
+        self._well_since = None
+
+    def _hold(self, now: float, reachable: bool) -> None:
+        """Begin to recover once the zone was reachable for the whole hold."""
+        if not reachable:
+            self._well_since = None
+        elif self._well_since is None:
+            self._well_since = now
+        elif now - self._well_since >= self.hold_ms:
+            self.state = BreakerState.HALF_OPEN
+            self.admitted_share = self.settings.initial_share
+            self._stepped_back = False
+            self._recovered_at = now
+
+    def _recover(self, now: float, elapsed_ms: float, health: float) -> None:
+        """Admit more step by step; halve the share once if a step made answers worse."""
+        settings = self.settings
+        if health < REGRESSION_SHARE * self.admitted_share and not self._stepped_back:
+            self.admitted_share = max(self.admitted_share / 2, settings.initial_share)
+            self._stepped_back = True
             return
-        self.factor += self.pace.step * (0.5 if self.taken_back else 1.0) * passed / 1000
-        if self.factor >= min(strength, 1.0):
-            self.state, self.factor, self.opened = State.OPEN, min(strength, 1.0), now
-
-    def follow(self, passed: float, strength: float) -> None:
-        """Less as soon as answers say so, more step by step: a zone that is slow keeps a part."""
-        if strength < 0.8 * self.factor:
-            self.factor = strength
-        elif strength > self.factor:
-            self.factor = min(strength, self.factor + self.pace.step * passed / 1000)
+        speed = 0.5 if self._stepped_back else 1.0
+        self.admitted_share += settings.step_per_s * speed * elapsed_ms / 1000
+        if self.admitted_share >= min(health, 1.0):
+            self.state = BreakerState.CLOSED
+            self.admitted_share = min(health, 1.0)
+            self._recovered_at = now
+
+    def _follow(self, elapsed_ms: float, health: float) -> None:
+        """Admit less as soon as answers show it, more step by step: a slow zone keeps a share."""
+        if health < DEGRADED_SHARE * self.admitted_share:
+            self.admitted_share = health
+        elif health > self.admitted_share:
+            grown = self.admitted_share + self.settings.step_per_s * elapsed_ms / 1000
+            self.admitted_share = min(health, grown)
--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -1,6 +1,6 @@
-"""`badgercart zones`: what a node knows of each zone, the plan, and an operator's word about one.
+"""`badgercart zones`: what a node knows of each zone, the plan, and operators' overrides.
 
-Exit status: 0 done; 1 the node can't be asked, or did not take the word; 2 a wrong file.
+Exit status: 0 done; 1 the node can't be asked, or did not take the override; 2 a wrong file.
 """
 
 from __future__ import annotations
@@ -16,129 +16,187 @@
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, Exit
 from badgercart.cluster.commands import exchange, loaded
+from badgercart.zones.traffic_plan import SHARES_PER_ROW
 
 if TYPE_CHECKING:
     from badgercart.app.file import Installation
 
+MAX_AUTHOR_LENGTH = 64  # characters
+
 NODE = click.argument("node", metavar="HOST:PORT")
 FILE = click.argument("file", metavar="FILE.toml")
 
 
 def ask(node: str) -> dict[str, Any]:
-    """What a node's HTTP front says of its zones. Raises CommandError."""
+    """Return the page `/_zones` of a node's HTTP frontend. Raises CommandError."""
     return page_of(node, "/_zones")
 
 
-@click.group()
+@click.group(
+    help="Look into the plan by which zones fail over; HOST:PORT is that of a node's HTTP front."
+)
 def zones() -> None:
-    """Look into the plan by which zones fail over; HOST:PORT is that of a node's HTTP front."""
+    """Group the commands about zones."""
 
 
-@zones.command()
+@zones.command(help="Each zone as the node knows it, and what it goes by.")
 @NODE
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def show(node: str, as_json: bool) -> None:
-    """Each zone as the node knows it, and what it goes by."""
-    told = ask(node)
+    """Show each zone as the node knows it, and the plan in force."""
+    page = ask(node)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(page))
         return
-    click.echo(heading(told))
-    columns = ("zone", "region", "seen", "gate", "open", "capacity", "demand", "slow", "order")
-    show_table(columns, [tuple(str(zone[name]) for name in columns) for zone in told["zones"]])
-
-
-def heading(told: dict[str, Any]) -> str:
-    by = f"{told['name']} in {told['zone']}"
-    if not told["plan"]:
-        return f"{by}: no plan, near only, by its own eyes"
-    lease = f", for {told['lease_ms'] / 1000:.1f} s more" if told["epoch"] else ""
-    which = (
-        f"plan {told['epoch']} of {told['proposer']}{lease}" if told["epoch"] else "its own plan"
+    click.echo(heading(page))
+    columns = (
+        "zone",
+        "region",
+        "seen",
+        "gate",
+        "open",
+        "capacity",
+        "demand",
+        "slow",
+        "order",
     )
-    return f"{by}: {which}{': ' + told['why'] if told['why'] else ''}"
+    show_table(columns, [tuple(str(zone[name]) for name in columns) for zone in page["zones"]])
+
 
+def heading(page: dict[str, Any]) -> str:
+    """Return the line that says by which plan a node goes."""
+    node = f"{page['name']} in {page['zone']}"
+    if not page["plan"]:
+        return f"{node}: no plan, near only, by its own eyes"
+    which = "its own plan"
+    if page["epoch"]:
+        lease = f"for {page['lease_ms'] / 1000:.1f} s more"
+        which = f"plan {page['epoch']} of {page['proposer']}, {lease}"
+    reason = f": {page['why']}" if page["why"] else ""
+    return f"{node}: {which}{reason}"
 
-@zones.command()
+
+@zones.command(
+    help="Where each zone's requests go, by class; the second half of the rows is for bound tenants."
+)
 @NODE
 def plan(node: str) -> None:
-    """Where each zone's requests go, by class; the second half of the rows is for bound tenants."""
-    told = ask(node)
-    click.echo(heading(told))
-    names = [zone["zone"] for zone in told["zones"]]
+    """Show the plan in force, by zone and row."""
+    page = ask(node)
+    click.echo(heading(page))
+    names = [zone["zone"] for zone in page["zones"]]
     rows = []
-    for source, table in zip(names, told["parts"], strict=False):
-        for number, parts in enumerate(table):
-            shares = [f"{part / 240:.2f}" for part in parts]
-            rows.append((source, str(number), *shares, f"{1 - sum(parts) / 240:.2f}"))
+    for source, table in zip(names, page["parts"], strict=False):
+        for number, shares in enumerate(table):
+            cells = [f"{share / SHARES_PER_ROW:.2f}" for share in shares]
+            shed = f"{1 - sum(shares) / SHARES_PER_ROW:.2f}"
+            rows.append((source, str(number), *cells, shed))
     show_table(("from", "row", *names, "refused"), rows)
 
 
-@zones.command()
+@zones.command(help="What was in force at the node lately, and why.")
 @NODE
 def why(node: str) -> None:
-    """What was in force at the node lately, and why."""
+    """Show the latest changes of what is in force at the node."""
     for change in ask(node)["changes"]:
-        click.echo(worded(change))
+        click.echo(describe_change(change))
 
 
-def worded(change: dict[str, Any]) -> str:
+def describe_change(change: dict[str, Any]) -> str:
+    """Return the line for one change of a node's page."""
     at = f"{change['at_ms'] / 1000:10.3f} s"
     if "order" in change:
         return f"{at}  {change['order']}, by {change['by']}"
     if "epoch" in change:
-        return f"{at}  plan {change['epoch']} of {change['proposer']}: {change['why'] or 'all is well'}"
+        reason = change["why"] or "all is well"
+        return f"{at}  plan {change['epoch']} of {change['proposer']}: {reason}"
     if "lapsed" in change:
         return f"{at}  no plan: {change['why']} (plan {change['lapsed']})"
     return f"{at}  our proposal {change['outdone']} came to nothing"
 
 
-@zones.command("if")
+@zones.command(
+    "if", help="What would happen if ZONE went now, by what the node knows at this moment."
+)
 @NODE
 @click.argument("zone")
-def if_(node: str, zone: str) -> None:
-    """What would happen if ZONE went now, by what the node knows at this moment."""
-    told = page_of(node, "/_zones/if")
-    if zone not in told:
-        raise CommandError(f"{node} knows no zone {zone}; known are {', '.join(told)}")
-    what = told[zone]
-    show_table(("zone", "full"), [(name, f"{full:.0%}") for name, full in what["full"].items()])
-    click.echo(f"refused: {what['refused']:.1%}")
-
-
-def order(what: str, file: str, zone: str, for_s: float, by: str) -> None:
-    """Have the group know an operator's word; the file's node has it when this returns."""
+def forecast(node: str, zone: str) -> None:
+    """Show what would happen if a zone went now."""
+    page = page_of(node, "/_zones/if")
+    if zone not in page:
+        raise UnknownZoneError(zone, tuple(page), node)
+    found = page[zone]
+    rows = [(name, f"{utilization:.0%}") for name, utilization in found["full"].items()]
+    show_table(("zone", "full"), rows)
+    click.echo(f"refused: {found['refused']:.1%}")
+
+
+class UnknownZoneError(CommandError):
+    """A zone that a node does not know."""
+
+    def __init__(self, zone: str, known: tuple[str, ...], node: str) -> None:
+        """Name the zones that the node knows."""
+        super().__init__(f"{node} knows no zone {zone}; known are {', '.join(known)}")
+
+
+class WrongZoneError(CommandError):
+    """A zone that the file does not have."""
+
+    def __init__(self, zone: str, known: tuple[str, ...]) -> None:
+        """Name the zones of the file."""
+        super().__init__(f"{zone!r} is none of {', '.join(known)}", Exit.USAGE)
+
+
+class OverrideNotTakenError(CommandError):
+    """A node that did not take an override."""
+
+    def __init__(self, file: str) -> None:
+        """Name the file of the node."""
+        super().__init__(f"{file}: the node did not take it: its posts are full")
+
+
+def override(file: str, action: str, zone: str, for_s: float, author: str) -> None:
+    """Have the cluster know an override; the file's node has it when this returns.
+
+    Raises:
+        CommandError: the node can't be asked or did not take it, or the zone is not known.
+    """
     site = loaded(file, "zones")
     if zone not in site.config.zones:
-        raise CommandError(f"{zone!r} is none of {', '.join(site.config.zones)}", Exit.USAGE)
-    if not told(site, what, zone, for_s, by or getpass.getuser()):
-        raise CommandError(f"{file}: the node did not take it: its posts are full")
-    click.echo(f"{what} {zone}" + (f" for {for_s:g} s" if what != "release" else ""))
+        raise WrongZoneError(zone, tuple(site.config.zones))
+    if not send_override(site, action, zone, for_s, author or getpass.getuser()):
+        raise OverrideNotTakenError(file)
+    click.echo(f"{action} {zone}" + (f" for {for_s:g} s" if action != "release" else ""))
 
 
-def told(site: Installation, what: str, zone: str, for_s: float, by: str) -> bool:
-    """As one that has the group's secret: a post that the node passes on; whether it has it now."""
-    import msgspec
+def send_override(site: Installation, action: str, zone: str, for_s: float, author: str) -> bool:
+    """Send an override to the node of a file, and return whether it has it now.
 
+    It travels as a register update by one that has the cluster's secret; the node passes it on.
+    """
     from badgercart.cluster.codec import Packet, Sync
-    from badgercart.zones.failover_controller import ORDERS, OperatorOverride
+    from badgercart.zones.operator_overrides import (
+        OVERRIDES_TOPIC,
+        OperatorOverride,
+        encode_overrides,
+    )
 
     config = site.config
-    geography = site.parts["zones"].geography(config.zones, config.classes, config.tenants)
-    now = int(time.time() * 1000)
-    word = OperatorOverride(config.zones[zone], what, now, now + int(for_s * 1000), by[:64])
-    post = (
-        ORDERS,
-        f"operator {zone}"[:64],
-        now,
-        msgspec.msgpack.encode((geography.digest, [word])),
+    topology = site.parts["zones"].topology(config.zones, config.classes, config.tenants)
+    now_ms = int(time.time() * 1000)
+    expires_ms = now_ms + int(for_s * 1000)
+    wanted = OperatorOverride(
+        config.zones[zone], action, now_ms, expires_ms, author[:MAX_AUTHOR_LENGTH]
     )
-    answer = exchange(site, Packet("operator", now, 0, 1, (now, 0), Sync(), (), (post,)))
-    return post in answer.posts
+    payload = encode_overrides(topology.digest, [wanted])
+    writer = f"operator {zone}"[:MAX_AUTHOR_LENGTH]
+    post = (OVERRIDES_TOPIC, writer, now_ms, payload)
+    packet = Packet("operator", now_ms, 0, 1, (now_ms, 0), Sync(), (), (post,))
+    return post in exchange(site, packet).posts
 
 
-def word(what: str, about: str) -> None:
-    @zones.command(what, help=about)
+def _add_override_command(action: str, help_text: str) -> None:
+    @zones.command(action, help=help_text)
     @FILE
     @click.argument("zone")
     @click.option(
@@ -151,9 +209,11 @@
     )
     @click.option("--by", default="", help="Who says so [the user's name].")
     def command(file: str, zone: str, for_s: float, by: str) -> None:
-        order(what, file, zone, for_s, by)
+        override(file, action, zone, for_s, by)
 
 
-word("drain", "Have nothing new sent to ZONE, by any node of the group of FILE.toml, for a time.")
-word("pin", "Keep ZONE open, whatever is seen of it, for a time.")
-word("release", "Take back what was said about ZONE.")
+_add_override_command(
+    "drain", "Have nothing new sent to ZONE, by any node of the group of FILE.toml, for a time."
+)
+_add_override_command("pin", "Keep ZONE open, whatever is seen of it, for a time.")
+_add_override_command("release", "Take back what was said about ZONE.")
--- a/badgercart/zones/failure_detector.py
+++ b/badgercart/zones/failure_detector.py
@@ -1,166 +1,268 @@
-"""What one node sees of each zone by its own attempts and probes: does anything answer there? No
-I/O.
-
-A zone is dark when its silence can't be chance any more. By a law without memory the chance that
-attempts which have been out for a_1, a_2, … ms are all unanswered, where answers take m on average,
-is exp(-sum(a) / m): so the sum is the proof, whatever the rate of traffic is (as the phi of
-Hayashibara et al. 2004, over many attempts). One server that hangs is the policy's matter: any
-answer of the zone takes the proof away.
+"""What one node observes of each zone by its own attempts and health checks. No I/O.
+
+A zone is unreachable when its silence can't be chance any more. With exponentially distributed
+latencies of mean m, the chance that attempts which have been outstanding for a_1, a_2, … ms are all
+still unanswered is exp(-sum(a) / m). So sum(a) / m is the suspicion, whatever the rate of traffic
+is (as the phi of Hayashibara et al. 2004, over many attempts). One endpoint that hangs is the
+policy's concern: any answer from the zone takes the suspicion away.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
 from enum import IntEnum
 
 from badgercart.policy.events import AttemptResult
 
-DARK_FROM = 12.0  # proof: a chance of 6 in a million
-NO_LINK = 2.5  # proof of an attempt or a probe that met nobody at all
-UNMET = {
-    AttemptResult.UNREACHABLE: NO_LINK,
-    AttemptResult.RESET: NO_LINK / 2,
-}  # the least that such an end proves
-DOUBT = 100.0  # ms after which a zone that has left something unanswered is asked
-ATTEMPTS = 3  # that a proof rests on at least, and on two servers where there are two
-BACK = 3  # probes answered in a row that end the dark
-KNOWN_FOR = 10_000.0  # ms for which an answer tells that a zone is well
-PACED_FOR = 3000.0  # ms for which an attempt tells how quick a zone is
-FORGET = 100_000.0  # ms in which the quickest time doubles: a zone may have slower work for good
-PACE = 40.0  # answers that the pace reaches back over: of fewer a third more is chance
-STEADY = (
-    200.0  # answers that the mean over all zones reaches back over: its least must not be chance
-)
-SAMPLE = 30.0  # attempts that shares and times reach back over
+UNREACHABLE_SUSPICION = 12.0  # a chance of 6 in a million
+NO_CONNECTION_SUSPICION = 2.5  # of an attempt or a health check that nobody accepted
+# The least suspicion that an attempt adds by the way it ended.
+MIN_SUSPICION = {
+    AttemptResult.UNREACHABLE: NO_CONNECTION_SUSPICION,
+    AttemptResult.RESET: NO_CONNECTION_SUSPICION / 2,
+}
+# Results that show that the zone answers.
 ANSWERS = frozenset({AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL})
-MAX_SERVERS = 16  # that a proof is told apart by
 
+MIN_ATTEMPTS = 3  # that a verdict rests on, at two endpoints where there are two
+MAX_ENDPOINTS = 16  # endpoints of a zone that are told apart
+HEALTHY_CHECKS = 3  # answered in a row before an unreachable zone is reachable again
+DEFAULT_LATENCY_MS = 100.0  # assumed until an answer has come
+
+REACHABLE_FOR_MS = 10_000.0  # after an answer
+LATENCY_VALID_MS = 3000.0  # after an attempt that took a known time
+CHECK_AFTER_MS = 100.0  # silence after which a zone with an unanswered attempt is checked
+BASELINE_DOUBLING_MS = 100_000.0  # in which the baseline latency doubles unless it is met again
+
+# How many samples the averages reach back over.
+MEAN_SAMPLES = 30.0  # success rate and mean latency of a zone
+LATENCY_SAMPLES = 40.0  # latency with timeouts: of fewer, a third more is chance
+OVERALL_SAMPLES = 200.0  # mean latency over all zones: its minimum must not be chance
+
+
+class Reachability(IntEnum):
+    """What a node says of a zone. The numbers travel in reports."""
 
-class Verdict(IntEnum):
     UNKNOWN = 0
-    FINE = 1
-    DARK = 2
+    REACHABLE = 1
+    UNREACHABLE = 2
+
 
+class LatencyTracker:
+    """A zone's latencies: the current one beside the lowest of late.
+
+    A zone is compared with itself, since a node that stays in its own zone sees no other.
+    """
+
+    __slots__ = ("_baseline_ms", "_current_ms", "_sample_count", "_sampled_at", "mean_ms")
+
+    def __init__(self) -> None:
+        """Begin without any sample."""
+        self.mean_ms = 0.0  # of successful answers; 0: none yet
+        self._current_ms = 0.0  # with attempts that timed out, or only the quick ones would count
+        self._baseline_ms = 0.0  # the lowest that the current one was; 0: none yet
+        self._sample_count = 0.0  # that the current one rests on, up to LATENCY_SAMPLES
+        self._sampled_at = -REACHABLE_FOR_MS
+
+    @property
+    def relative(self) -> float:
+        """The current latency over the baseline; 1 while there is no baseline."""
+        return self._current_ms / self._baseline_ms if self._baseline_ms else 1.0
 
-# By these words verdicts stand in pages and in the log.
-VERDICT_WORDS = {Verdict.UNKNOWN: "unknown", Verdict.FINE: "fine", Verdict.DARK: "dark"}
+    def is_current(self, now: float) -> bool:
+        """Return whether the relative latency rests on attempts of late; checks do not count."""
+        return self._baseline_ms > 0 and now - self._sampled_at < LATENCY_VALID_MS
 
+    def record(self, now: float, latency_ms: float, silent_ms: float) -> None:
+        """Take over an attempt that was answered, or not, in this time.
 
-@dataclass(slots=True)
-class Eye:
-    """One zone as this node sees it. What is out counts from the zone's last answer on."""
+        Args:
+            now: ms on the node's clock.
+            latency_ms: how long the attempt took.
+            silent_ms: time since the zone's last answer, by which the baseline grows.
+        """
+        self._sample_count = min(self._sample_count + 1, LATENCY_SAMPLES)
+        self._sampled_at = now
+        self._current_ms += (latency_ms - self._current_ms) / self._sample_count
+        if self._sample_count >= LATENCY_SAMPLES:
+            growth = 1 + min(silent_ms, BASELINE_DOUBLING_MS) / BASELINE_DOUBLING_MS
+            grown_ms = self._baseline_ms * growth
+            self._baseline_ms = min(grown_ms or self._current_ms, self._current_ms)
 
-    out: int = 0
-    sent: float = 0.0  # the sum of the times at which those that are out were sent
-    proof: float = 0.0  # of those that have ended unanswered
-    tried: int = 0  # attempts and probes that the proof rests on
-    servers: set[int] = field(default_factory=set)
-    answered: float = -KNOWN_FOR  # when last
-    mean: float = 0.0  # ms of its answers
-    pace: float = (
-        0.0  # the same with those that took too long: else only the quick ones would count
+    def record_mean(self, latency_ms: float) -> None:
+        """Take over a successful answer into the mean."""
+        if self.mean_ms:
+            self.mean_ms += (latency_ms - self.mean_ms) / MEAN_SAMPLES
+        else:
+            self.mean_ms += latency_ms
+
+
+class ZoneObservation:
+    """One zone as this node observes it. Counts begin anew with each answer of the zone."""
+
+    __slots__ = (
+        "_attempts",
+        "_ended_suspicion",
+        "_endpoints",
+        "_healthy_checks",
+        "_outstanding",
+        "_sent_sum_ms",
+        "answered_at",
+        "latency",
+        "success_rate",
+        "unreachable",
     )
-    least: float = 0.0  # the quickest that this was, forgotten in time
-    answers: float = 0.0  # how many it rests on, up to PACE
-    timed_at: float = -KNOWN_FOR  # when the last of them came
-    good: float = 1.0  # the share of answers that were no errors
-    dark: bool = False
-    streak: int = 0  # probes answered since it is dark
+
+    def __init__(self) -> None:
+        """Begin without any attempt."""
+        self.answered_at = -REACHABLE_FOR_MS
+        self.success_rate = 1.0  # share of answers that were no errors
+        self.unreachable = False
+        self.latency = LatencyTracker()
+        self._outstanding = 0  # attempts without an answer
+        self._sent_sum_ms = 0.0  # sum of the times at which those were sent
+        self._ended_suspicion = 0.0  # of attempts that ended without an answer
+        self._attempts = 0  # attempts and checks that the suspicion rests on
+        self._endpoints: set[int] = set()  # that they went to
+        self._healthy_checks = 0  # answered in a row since the zone is unreachable
 
     @property
-    def slow(self) -> float:
-        """The time of its answers over the quickest that it was: a zone is its own measure, as a
-        node that stays near sees no other."""
-        return self.pace / self.least if self.least else 1.0
-
-    def known(self, now: float) -> bool:
-        """Whether its pace rests on attempts of late: probes tell none."""
-        return self.least > 0 and now - self.timed_at < PACED_FOR
-
-    def timed(self, took: float, now: float) -> None:
-        """An answer took so long, or did not come in this time."""
-        self.answers = min(self.answers + 1, PACE)
-        self.timed_at = now
-        self.pace += (took - self.pace) / self.answers
-        if self.answers >= PACE:
-            grown = self.least * (1 + min(now - self.answered, FORGET) / FORGET)
-            self.least = min(grown or self.pace, self.pace)
-
-    def reset(self, now: float) -> None:
-        self.answered, self.out, self.sent, self.proof, self.tried = now, 0, 0.0, 0.0, 0
-        self.servers.clear()
-        self.dark, self.streak = False, 0
+    def endpoint_count(self) -> int:
+        """How many endpoints the suspicion rests on, up to MAX_ENDPOINTS."""
+        return len(self._endpoints)
+
+    @property
+    def has_failed_attempts(self) -> bool:
+        """Whether an attempt or check ended without an answer since the last answer."""
+        return self._ended_suspicion > 0
+
+    def sent(self, now: float, endpoint_id: int) -> None:
+        """Take over that an attempt was sent."""
+        self._outstanding += 1
+        self._sent_sum_ms += now
+        self._attempts += 1
+        if len(self._endpoints) < MAX_ENDPOINTS:
+            self._endpoints.add(endpoint_id)
+
+    def answered(self, now: float) -> None:
+        """Take over that the zone answered: what counted against it is void."""
+        self.answered_at = now
+        self._outstanding, self._sent_sum_ms = 0, 0.0
+        self._ended_suspicion, self._attempts = 0.0, 0
+        self._endpoints.clear()
+        self.unreachable, self._healthy_checks = False, 0
+
+    def unanswered(self, sent_at: float, suspicion: float) -> None:
+        """Take over that an attempt ended without an answer."""
+        self._outstanding = max(self._outstanding - 1, 0)
+        remaining_ms = max(self._sent_sum_ms - sent_at, 0.0)
+        self._sent_sum_ms = remaining_ms if self._outstanding else 0.0
+        self._ended_suspicion += suspicion
+
+    def checked(self, now: float, endpoint_id: int, healthy: bool) -> None:
+        """Take over the result of a health check."""
+        if not healthy:
+            self._healthy_checks = 0
+            self._ended_suspicion += NO_CONNECTION_SUSPICION
+            self._attempts += 1
+            if len(self._endpoints) < MAX_ENDPOINTS:
+                self._endpoints.add(endpoint_id)
+        elif self.unreachable and self._healthy_checks + 1 < HEALTHY_CHECKS:
+            self._healthy_checks += 1
+        else:
+            self.answered(now)
+
+    def suspicion(self, now: float, mean_latency_ms: float) -> float:
+        """Return how unlikely the zone's silence is, by answers of this mean latency."""
+        outstanding_ms = self._outstanding * now - self._sent_sum_ms
+        return self._ended_suspicion + outstanding_ms / mean_latency_ms
+
+    def has_evidence(self, endpoint_count: int) -> bool:
+        """Return whether the suspicion rests on enough attempts and endpoints."""
+        return self._attempts >= MIN_ATTEMPTS and len(self._endpoints) >= min(2, endpoint_count)
 
 
 class ZoneFailureDetector:
-    """All zones. Times in ms."""
-
-    def __init__(self, zones: int) -> None:
-        self.zones = [Eye() for _ in range(zones)]
-        self.mean = 0.0  # ms of all zones' answers
-        self.answers = 0.0  # how many it rests on, up to STEADY
-
-    def sent(self, now: float, zone: int, server: int) -> None:
-        eye = self.zones[zone]
-        eye.out += 1
-        eye.sent += now
-        eye.tried += 1
-        if len(eye.servers) < MAX_SERVERS:
-            eye.servers.add(server)
-
-    def ended(self, now: float, zone: int, result: AttemptResult, took: float) -> None:
-        """An attempt has ended, `took` ms after it was sent."""
-        eye = self.zones[zone]
+    """Observes all zones. Times are in ms on the node's clock."""
+
+    def __init__(self, zone_count: int) -> None:
+        """Begin with every zone unknown."""
+        self.zones = [ZoneObservation() for _ in range(zone_count)]
+        self.mean_latency_ms = 0.0  # of all zones' successful answers; 0: none yet
+        self._sample_count = 0.0  # that it rests on, up to OVERALL_SAMPLES
+
+    def attempt_sent(self, now: float, zone: int, endpoint_id: int) -> None:
+        """Take over that an attempt was sent to an endpoint of a zone."""
+        self.zones[zone].sent(now, endpoint_id)
+
+    def attempt_ended(
+        self, now: float, zone: int, result: AttemptResult, elapsed_ms: float
+    ) -> None:
+        """Take over that an attempt ended, `elapsed_ms` after it was sent."""
         if result in ANSWERS:
-            eye.good += ((result != AttemptResult.ERROR) - eye.good) / SAMPLE
-            if result == AttemptResult.OK:
-                eye.mean += (took - eye.mean) / SAMPLE if eye.mean else took
-                self.answers = min(self.answers + 1, STEADY)
-                self.mean += (took - self.mean) / self.answers
-                eye.timed(took, now)
-            eye.reset(now)
-            return
-        if result == AttemptResult.TIMEOUT:
-            eye.timed(took, now)
-        if now - took < eye.answered or result == AttemptResult.NOT_SENT:
-            return  # sent before the last answer: it is counted no longer
-        eye.out = max(eye.out - 1, 0)
-        eye.sent = max(eye.sent - (now - took), 0.0) if eye.out else 0.0
-        eye.proof += max(UNMET.get(result, 0.0), took / self.scale(eye))
-
-    def probed(self, now: float, zone: int, server: int, answered: bool) -> None:
-        eye = self.zones[zone]
-        if not answered:
-            eye.streak = 0
-            eye.proof += NO_LINK
-            eye.tried += 1
-            if len(eye.servers) < MAX_SERVERS:
-                eye.servers.add(server)
-        elif eye.dark and eye.streak + 1 < BACK:
-            eye.streak += 1
+            self._answered(now, self.zones[zone], result, elapsed_ms)
         else:
-            eye.reset(now)
-
-    def scale(self, eye: Eye) -> float:
-        """ms that an answer of a zone takes on average; 100 where nothing has answered yet."""
-        return max(eye.mean, self.mean, 1.0) if eye.mean or self.mean else 100.0
-
-    def proof(self, now: float, zone: int) -> float:
-        eye = self.zones[zone]
-        return eye.proof + (eye.out * now - eye.sent) / self.scale(eye)
-
-    def verdict(self, now: float, zone: int, servers: int = 2) -> Verdict:
-        """What this node says of a zone that has so many servers."""
-        eye = self.zones[zone]
-        if not eye.dark and eye.tried >= ATTEMPTS and len(eye.servers) >= min(2, servers):
-            eye.dark = self.proof(now, zone) >= DARK_FROM
-        if eye.dark:
-            return Verdict.DARK
-        return Verdict.FINE if now - eye.answered < KNOWN_FOR else Verdict.UNKNOWN
-
-    def wants_probe(self, now: float, zone: int, every: float) -> bool:
-        """Whether nobody else will tell how the zone is: it is dark, has not answered for so long
-        (ms), or has left something unanswered."""
-        eye = self.zones[zone]
-        silent = now - eye.answered
-        return eye.dark or silent > every or (eye.proof > 0 and silent > DOUBT)
+            self._unanswered(now, self.zones[zone], result, elapsed_ms)
+
+    def _answered(
+        self, now: float, zone: ZoneObservation, result: AttemptResult, elapsed_ms: float
+    ) -> None:
+        zone.success_rate += ((result != AttemptResult.ERROR) - zone.success_rate) / MEAN_SAMPLES
+        if result == AttemptResult.OK:
+            zone.latency.record_mean(elapsed_ms)
+            self._sample_count = min(self._sample_count + 1, OVERALL_SAMPLES)
+            self.mean_latency_ms += (elapsed_ms - self.mean_latency_ms) / self._sample_count
+            zone.latency.record(now, elapsed_ms, now - zone.answered_at)
+        zone.answered(now)
+
+    def _unanswered(
+        self, now: float, zone: ZoneObservation, result: AttemptResult, elapsed_ms: float
+    ) -> None:
+        if result == AttemptResult.TIMEOUT:
+            zone.latency.record(now, elapsed_ms, now - zone.answered_at)
+        sent_at = now - elapsed_ms
+        sent_before_last_answer = sent_at < zone.answered_at
+        if sent_before_last_answer or result == AttemptResult.NOT_SENT:
+            return
+        least = MIN_SUSPICION.get(result, 0.0)
+        zone.unanswered(sent_at, max(least, elapsed_ms / self._expected_latency_ms(zone)))
+
+    def health_checked(self, now: float, zone: int, endpoint_id: int, healthy: bool) -> None:
+        """Take over whether an endpoint of a zone answered a health check."""
+        self.zones[zone].checked(now, endpoint_id, healthy)
+
+    def suspicion(self, now: float, zone: int) -> float:
+        """Return how unlikely a zone's silence is: minus the logarithm of its chance."""
+        observation = self.zones[zone]
+        return observation.suspicion(now, self._expected_latency_ms(observation))
+
+    def reachability(self, now: float, zone: int, endpoint_count: int = 2) -> Reachability:
+        """Return what this node says of a zone that has so many endpoints.
+
+        An unreachable zone stays so until it answers an attempt or several checks in a row.
+        """
+        observation = self.zones[zone]
+        if not observation.unreachable and observation.has_evidence(endpoint_count):
+            observation.unreachable = self.suspicion(now, zone) >= UNREACHABLE_SUSPICION
+        if observation.unreachable:
+            return Reachability.UNREACHABLE
+        if now - observation.answered_at < REACHABLE_FOR_MS:
+            return Reachability.REACHABLE
+        return Reachability.UNKNOWN
+
+    def wants_check(self, now: float, zone: int, max_silence_ms: float) -> bool:
+        """Return whether a health check has to tell how a zone is, since traffic does not.
+
+        That is so where it is unreachable, was silent for `max_silence_ms`, or left an attempt
+        without an answer.
+        """
+        observation = self.zones[zone]
+        silent_ms = now - observation.answered_at
+        if observation.unreachable or silent_ms > max_silence_ms:
+            return True
+        return observation.has_failed_attempts and silent_ms > CHECK_AFTER_MS
+
+    def _expected_latency_ms(self, zone: ZoneObservation) -> float:
+        """Return the mean latency by which silence is judged."""
+        if not zone.latency.mean_ms and not self.mean_latency_ms:
+            return DEFAULT_LATENCY_MS
+        return max(zone.latency.mean_ms, self.mean_latency_ms, 1.0)
--- /dev/null
+++ b/badgercart/zones/metrics.py
@@ -0,0 +1,48 @@
+"""The metrics of zone failover. Names, help texts and labels are an interface."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from badgercart.core.metric_registry import MetricRegistry
+from badgercart.zones.failover_controller import FailoverController
+
+
+def register_metrics(
+    metrics: MetricRegistry, controller: FailoverController, zone_names: Sequence[str]
+) -> None:
+    """Register what operators can see of a controller."""
+    metrics.gauge(
+        "badgercart_zones_epoch",
+        "The plan in force; 0: none.",
+        lambda: controller.consensus.epoch,
+    )
+    metrics.gauge(
+        "badgercart_zones_open",
+        "Of its capacity, what counts of a zone.",
+        lambda: {
+            zone_names[zone]: breaker.admitted_share
+            for zone, breaker in enumerate(controller.conditions.breakers)
+        },
+        "zone",
+    )
+    metrics.gauge(
+        "badgercart_zones_share",
+        "Of this node's requests, what goes to a zone by its plan.",
+        lambda: dict(zip(zone_names, mean_shares(controller, len(zone_names)), strict=True)),
+        "zone",
+    )
+    metrics.counter(
+        "badgercart_zones_plans",
+        "Plans that were in force here.",
+        lambda: controller.history.plan_count,
+    )
+
+
+def mean_shares(controller: FailoverController, zone_count: int) -> list[float]:
+    """Return which share of this node's requests goes to each zone, the mean over classes."""
+    told = controller.feed.last
+    if told is None:
+        return [0.0] * zone_count
+    rows = told.shares[: controller.topology.class_count]
+    return [sum(row[zone] for row in rows) / len(rows) for zone in range(len(rows[0]))]
--- /dev/null
+++ b/badgercart/zones/outbox.py
@@ -0,0 +1,31 @@
+"""What other nodes have to be told, until a driver sends it. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from badgercart.cluster.member import Member
+from badgercart.cluster.swim import Effect
+
+
+class Outbox:
+    """Collects effects of the cluster protocol."""
+
+    def __init__(self, member: Member) -> None:
+        """Begin empty. `on_ready` may be set to what is called when messages wait."""
+        self._member = member
+        self._effects: list[Effect] = []
+        self.on_ready: Callable[[], None] = lambda: None
+
+    def __bool__(self) -> bool:
+        """Return whether something waits."""
+        return bool(self._effects)
+
+    def add(self, now: float, topic: str, payload: bytes, recipient: str = "") -> None:
+        """Have every node told, or only `recipient` where it is named."""
+        self._effects += self._member.say(now, topic, payload, recipient)
+
+    def take(self) -> list[Effect]:
+        """Return what waits, and forget it."""
+        taken, self._effects = self._effects, []
+        return taken
--- /dev/null
+++ b/badgercart/zones/presentation.py
@@ -0,0 +1,126 @@
+"""What operators see of zones: the node's pages, and the words for its states. No I/O.
+
+The keys and words of pages are an interface: they are written here as literals, and nowhere taken
+from a name in the code. `commands.py` shows the pages, `change_logger.py` uses the words.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from badgercart.zones.change_history import (
+    Change,
+    OverrideRecorded,
+    PlanEnded,
+    PlanInForce,
+    ProposalFailed,
+)
+from badgercart.zones.circuit_breaker import BreakerState
+from badgercart.zones.failover_controller import FailoverController
+from badgercart.zones.failure_detector import Reachability
+from badgercart.zones.traffic_plan import PlanInput
+
+REACHABILITY_WORDS = {
+    Reachability.UNKNOWN: "unknown",
+    Reachability.REACHABLE: "fine",
+    Reachability.UNREACHABLE: "dark",
+}
+# A zone is open where its breaker is closed.
+BREAKER_WORDS = {
+    BreakerState.CLOSED: "open",
+    BreakerState.OPEN: "shut",
+    BreakerState.HALF_OPEN: "returning",
+}
+MAX_CHANGES_SHOWN = 32
+
+
+def status_page(controller: FailoverController, now: float) -> dict[str, Any]:
+    """Return the page `/_zones` as plain data: the zones, the plan, and the latest changes."""
+    topology, plan = controller.topology, controller.planner.plan
+    active = controller.consensus.active
+    return {
+        "name": controller.member.name,
+        "zone": topology.zones[controller.zone],
+        "mode": controller.settings.mode.value,
+        "map": topology.digest,
+        "epoch": controller.consensus.epoch,
+        "proposer": active.proposer if active is not None else "",
+        "plan": plan.digest.hex() if plan is not None else "",
+        "why": plan.reason if plan is not None else "",
+        "lease_ms": round(controller.consensus.lease_left_ms(now)),
+        "short": controller.planner.scheduler.exhausted,
+        "zones": [_zone_entry(controller, zone) for zone in range(len(topology.zones))],
+        "parts": [list(map(list, rows)) for rows in plan.shares] if plan is not None else [],
+        "changes": [
+            change_entry(change, topology.zones)
+            for change in controller.history.changes[-MAX_CHANGES_SHOWN:]
+        ],
+    }
+
+
+def _zone_entry(controller: FailoverController, zone: int) -> dict[str, Any]:
+    topology, conditions = controller.topology, controller.conditions
+    observed, summary = controller.observer.reachability, conditions.summary
+    breaker, told = conditions.breakers[zone], controller.feed.last
+    return {
+        "zone": topology.zones[zone],
+        "region": topology.regions[zone],
+        "seen": REACHABILITY_WORDS[observed[zone]] if observed else "unknown",
+        "gate": BREAKER_WORDS[breaker.state],
+        "open": round(breaker.admitted_share, 3),
+        "capacity": round(conditions.capacity[zone], 2),
+        "demand": round(sum(summary.demand[zone]), 2) if summary is not None else 0.0,
+        "slow": round(summary.relative_latency[zone], 2) if summary is not None else 1.0,
+        "share": [row[zone] for row in told.shares] if told is not None else [],
+        "order": controller.overrides.action_for(zone),
+    }
+
+
+def change_entry(change: Change, zone_names: tuple[str, ...]) -> dict[str, Any]:
+    """Return a change as plain data."""
+    at_ms = round(change.at)
+    match change:
+        case PlanInForce(_, epoch, proposer, reason, digest):
+            return {
+                "at_ms": at_ms,
+                "why": reason,
+                "epoch": epoch,
+                "proposer": proposer,
+                "plan": digest,
+            }
+        case PlanEnded(_, epoch, reason):
+            return {"at_ms": at_ms, "why": reason, "lapsed": epoch}
+        case ProposalFailed(_, epoch):
+            return {"at_ms": at_ms, "why": "", "outdone": epoch}
+        case OverrideRecorded(_, override):
+            order = f"{override.action} {zone_names[override.zone]}"
+            return {"at_ms": at_ms, "why": "", "order": order, "by": override.author}
+
+
+def loss_forecast(controller: FailoverController) -> dict[str, Any]:
+    """Return the page `/_zones/if`: for each zone, what would happen if it went now.
+
+    That is how full the other zones would be, and which share of all requests would be shed.
+    """
+    situation = controller.conditions.plan_input
+    if situation is None:
+        return {}
+    names = controller.topology.zones
+    return {name: _forecast(controller, situation, lost) for lost, name in enumerate(names)}
+
+
+def _forecast(controller: FailoverController, now: PlanInput, lost: int) -> dict[str, Any]:
+    after = PlanInput(
+        tuple(0.0 if zone == lost else slots for zone, slots in enumerate(now.capacity)),
+        tuple(0.0 if zone == lost else slots for zone, slots in enumerate(now.local_capacity)),
+        now.demand,
+        now.partitioned,
+    )
+    load = controller.compute(after).load(now.demand)
+    wanted = sum(map(sum, now.demand))
+    names = controller.topology.zones
+    zones = zip(names, load.slots, after.local_capacity, strict=True)
+    return {
+        "full": {name: round(slots / capacity, 3) for name, slots, capacity in zones if capacity},
+        "refused": round(load.shed / wanted, 3) if wanted else 0.0,
+    }
--- a/badgercart/zones/settings.py
+++ b/badgercart/zones/settings.py
@@ -1,8 +1,8 @@
-"""What an operator may set of zones that fail over by one plan."""
+"""What operators may set of zones. Keys and descriptions are an interface."""
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from typing import Annotated, Literal
 
 from pydantic import Field
@@ -11,17 +11,21 @@
 from badgercart.app.faults import Path
 from badgercart.app.model import LONG, Listed, Name, Names, Table
 from badgercart.cluster.settings import Network
-from badgercart.zones.circuit_breaker import Pace
-from badgercart.zones.failover_controller import FailoverSettings, Mode
-from badgercart.zones.plan_consensus import LeaseSettings
-from badgercart.zones.topology import MAX_ZONES, Geography, geography
-from badgercart.zones.traffic_plan import Limits
+from badgercart.zones.circuit_breaker import RecoverySettings
+from badgercart.zones.consensus_state import LeaseSettings
+from badgercart.zones.failover_settings import FailoverSettings, PlanningMode
+from badgercart.zones.topology import MAX_ZONES, Topology, build_topology
+from badgercart.zones.traffic_plan import UtilizationLimits
 
-Part = Annotated[float, Field(ge=0, le=1)]
+MAX_LEASE_MARGIN_MS = 100.0  # by which a lease is shorter on the node's own clock
+REPORTS_PER_MAX_AGE = 5  # reports that a node may miss before it counts for nothing
 
+Share = Annotated[float, Field(ge=0, le=1)]
+Fault = tuple[Path, str]  # where, and what
 
-class Region(Table, title="Region"):
-    """zones that lie together"""
+
+class Region(Table, title="Region", about="zones that lie together"):
+    """A region: zones whose traffic may stay among themselves."""
 
     name: Name = Field(description="its name")
     zones: Names = Field(
@@ -29,8 +33,10 @@
     )
 
 
-class Distance(Table, title="Distance"):
-    """what it costs to go from one zone to another, and back"""
+class Distance(
+    Table, title="Distance", about="what it costs to go from one zone to another, and back"
+):
+    """The routing cost between two zones."""
 
     from_: Name = Field(alias="from", description="one zone")
     to: Name = Field(description="the other")
@@ -39,15 +45,22 @@
     )
 
 
-class Place(Table, title="Place", schema_name="badgercart__zones__settings__Place"):
-    """where the servers of a network are, where the list does not say"""
+class NetworkZone(
+    Table,
+    title="Place",
+    schema_name="badgercart__zones__settings__Place",
+    about="where the servers of a network are, where the list does not say",
+):
+    """The zone of the servers of a network."""
 
     network: Network = Field(description="the network, as 10.1.0.0/16")
     zone: Name = Field(description="their zone")
 
 
-class ZonesSettings(Table, title="ZonesSettings"):
-    """zones and regions that fail over by one plan"""
+class ZonesSettings(
+    Table, title="ZonesSettings", about="zones and regions that fail over by one plan"
+):
+    """The table `[zones]`."""
 
     mode: Literal["majority", "shared"] = Field(
         "majority",
@@ -61,7 +74,7 @@
         max_length=MAX_ZONES * MAX_ZONES,
         description="costs; 1 within a region and 10 between two if not given",
     )
-    network: Annotated[tuple[Place, ...], Listed] = Field(
+    network: Annotated[tuple[NetworkZone, ...], Listed] = Field(
         (), max_length=1024, description="zones of servers by network; the first that fits counts"
     )
     bound_classes: Names = Field(
@@ -82,7 +95,7 @@
         le=1,
         description="the part of its capacity that a zone is filled to while others have room",
     )
-    blind: Part = Field(
+    blind: Share = Field(
         0.1,
         description="the part of a zone's capacity left to all nodes together that have no plan",
     )
@@ -123,37 +136,45 @@
     )
     probe_ms: float = Field(500.0, ge=10, le=60_000, description="the time for such an answer (ms)")
 
-    def ways(self, electorate: int) -> FailoverSettings:
+    def failover_settings(self, electorate: int) -> FailoverSettings:
+        """Return the controller's settings, for a cluster that should have so many nodes."""
         return FailoverSettings(
-            Mode(self.mode),
-            Limits(self.head, 1 - self.blind),
-            LeaseSettings(
-                lease=self.lease_ms, margin=min(100.0, self.lease_ms / 10), renew=self.renew_ms,
-                patience=self.patience_ms,
+            mode=PlanningMode(self.mode),
+            limits=UtilizationLimits(target=self.head, planned=1 - self.blind),
+            lease=LeaseSettings(
+                lease_ms=self.lease_ms,
+                margin_ms=min(MAX_LEASE_MARGIN_MS, self.lease_ms / 10),
+                renew_ms=self.renew_ms,
+                patience_ms=self.patience_ms,
             ),
-            Pace(hold=self.hold_ms, step=self.step),
-            tell=self.tell_ms,
-            old=5 * self.tell_ms,
-            blind=self.blind,
-            per_minute=self.plans_per_minute,
+            recovery=RecoverySettings(hold_ms=self.hold_ms, step_per_s=self.step),
+            report_interval_ms=self.tell_ms,
+            max_report_age_ms=REPORTS_PER_MAX_AGE * self.tell_ms,
+            fallback_budget=self.blind,
+            plans_per_minute=self.plans_per_minute,
             electorate=electorate,
-        )  # fmt: skip
+        )
 
-    def geography(
+    def topology(
         self, zones: dict[str, int], classes: dict[bytes, int], tenants: dict[bytes, int]
-    ) -> Geography:
-        """The map, by the names that the file has for zones, classes and tenants."""
-        regions = {zone: region.name for region in self.region for zone in region.zones}
-        distances = {(told.from_, told.to): told.cost for told in self.distance}
-        return geography(
-            tuple(zones), regions, distances, len(classes),
+    ) -> Topology:
+        """Return the topology, by the indexes that the file's zones, classes and tenants have.
+
+        Raises:
+            KeyError: a class or tenant is not among them.
+        """
+        return build_topology(
+            tuple(zones),
+            {zone: region.name for region in self.region for zone in region.zones},
+            {(entry.from_, entry.to): entry.cost for entry in self.distance},
+            len(classes),
             frozenset(classes[name.encode()] for name in self.bound_classes),
             frozenset(tenants[name.encode()] for name in self.bound_tenants),
-        )  # fmt: skip
+        )
 
 
-def check(settings: ZonesSettings, file: Checked) -> Iterator[tuple[Path, str]]:
-    """What only several settings together can get wrong."""
+def check(settings: ZonesSettings, file: Checked) -> Iterator[Fault]:
+    """Yield what only several settings together can get wrong."""
     base = file.base
     zones = base.fleet.zones
     if len(zones) < 2:
@@ -162,50 +183,60 @@
         yield (), f"takes {MAX_ZONES} zones at most, fleet.zones has {len(zones)}"
     if base.node.zone is None:
         yield (), "needs node.zone: where this node is"
-    seen: dict[str, str] = {}
-    for at, region in enumerate(settings.region):
+    yield from _check_regions(settings.region, zones)
+    yield from _check_distances(settings.distance, zones)
+    for at, entry in enumerate(settings.network):
+        if entry.zone not in zones:
+            yield ("network", at, "zone"), f"{entry.zone!r} is none of fleet.zones"
+    classes = {request_class.name for request_class in base.class_}
+    tenants = {tenant.name for tenant in base.tenant}
+    yield from _check_names("bound_classes", settings.bound_classes, "class", classes)
+    yield from _check_names("bound_tenants", settings.bound_tenants, "tenant", tenants)
+    yield from _check_numbers(settings)
+
+
+def _check_regions(regions: Sequence[Region], zones: Sequence[str]) -> Iterator[Fault]:
+    region_of: dict[str, str] = {}
+    for at, region in enumerate(regions):
         for place, zone in enumerate(region.zones):
             if zone not in zones:
                 yield ("region", at, "zones", place), f"{zone!r} is none of fleet.zones"
-            elif zone in seen:
-                yield (
-                    ("region", at, "zones", place),
-                    f"{zone!r} is in the region {seen[zone]!r} already",
-                )
-            seen[zone] = region.name
-    names = [region.name for region in settings.region]
+            elif zone in region_of:
+                words = f"{zone!r} is in the region {region_of[zone]!r} already"
+                yield ("region", at, "zones", place), words
+            region_of[zone] = region.name
+    names = [region.name for region in regions]
     for at, name in enumerate(names):
         if name in names[:at]:
             yield ("region", at, "name"), f"{name!r} stands here twice"
+
+
+def _check_distances(distances: Sequence[Distance], zones: Sequence[str]) -> Iterator[Fault]:
     pairs: set[frozenset[str]] = set()
-    for at, told in enumerate(settings.distance):
-        for key, zone in (("from", told.from_), ("to", told.to)):
+    for at, entry in enumerate(distances):
+        for key, zone in (("from", entry.from_), ("to", entry.to)):
             if zone not in zones:
                 yield ("distance", at, key), f"{zone!r} is none of fleet.zones"
-        if told.from_ == told.to:
+        if entry.from_ == entry.to:
             yield ("distance", at, "to"), "is the zone itself: that costs nothing"
-        if (pair := frozenset((told.from_, told.to))) in pairs:
-            yield ("distance", at), f"{told.from_!r} and {told.to!r} have a distance already"
+        pair = frozenset((entry.from_, entry.to))
+        if pair in pairs:
+            yield ("distance", at), f"{entry.from_!r} and {entry.to!r} have a distance already"
         pairs.add(pair)
-    for at, place_ in enumerate(settings.network):
-        if place_.zone not in zones:
-            yield ("network", at, "zone"), f"{place_.zone!r} is none of fleet.zones"
-    for key, table, wanted in (
-        ("bound_classes", "class", {cls.name for cls in base.class_}),
-        ("bound_tenants", "tenant", {tenant.name for tenant in base.tenant}),
-    ):
-        for at, name in enumerate(getattr(settings, key)):
-            if name not in wanted:
-                yield (key, at), f"{name!r} is no [[{table}]]"
+
+
+def _check_names(key: str, names: Sequence[str], table: str, known: set[str]) -> Iterator[Fault]:
+    for at, name in enumerate(names):
+        if name not in known:
+            yield (key, at), f"{name!r} is no [[{table}]]"
+
+
+def _check_numbers(settings: ZonesSettings) -> Iterator[Fault]:
     if settings.head > 1 - settings.blind:
         yield ("head",), "is more than blind leaves: head and blind together are 1 at most"
     if 2 * settings.renew_ms >= settings.lease_ms:
-        yield (
-            ("renew_ms",),
-            "is not below half of lease_ms: one renewal that is lost would end the plan",
-        )
+        words = "is not below half of lease_ms: one renewal that is lost would end the plan"
+        yield ("renew_ms",), words
     if settings.patience_ms <= settings.renew_ms:
-        yield (
-            ("patience_ms",),
-            "is not above renew_ms: a proposer that does its work would be stepped over",
-        )
+        words = "is not above renew_ms: a proposer that does its work would be stepped over"
+        yield ("patience_ms",), words
--- a/badgercart/zones/traffic_plan.py
+++ b/badgercart/zones/traffic_plan.py
@@ -1,247 +1,263 @@
-"""The plan: which part of each zone's traffic goes to which zone. A pure function of the evidence.
-No I/O.
-
-Water-filling by worth and by nearness: classes in the order of their worth, and each first at home
-up to the head-room, then to the nearest zones that have room below theirs, then at home up to the
-full, then to others up to the full; what is left stays at home, where the measured cut refuses it;
-where home is gone others take it up to all that they can do, and the rest is refused. So what can't
-be carried is refused as the lowest worth, before it crosses zones. How near it comes to a linear
-programme, and what either costs, says
-`benchmarks/zones.py`.
+"""The traffic plan: which share of each zone's requests goes to which zone. No I/O.
+
+A plan is a pure function of its input, the same bit by bit on every node. It fills zones like
+vessels with water, by priority and by routing cost: rows in the order of their weight, each
+
+1. at home up to the target utilization, then in the nearest zones that have room below theirs;
+2. the same up to the planned maximum;
+3. at home up to all that the zone can do, and elsewhere only what has no home zone any more.
+
+What is left stays at home, where the policy's load shedding decides by measurement; where the home
+zone is gone it is shed. So what can't be carried is shed by the lowest priority before it crosses
+zones. `benchmarks/zones.py` compares the result and its cost with a linear programme.
 """
 
 from __future__ import annotations
 
 import hashlib
-import zlib
-from collections.abc import Callable, Iterator, Sequence
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
 import msgspec
 
-from badgercart.zones.topology import Geography
+from badgercart.zones.topology import Topology
 
-# that a row is dealt out in: a plan is whole numbers, the same bit by bit wherever it is read
-PARTS = 240
-ROUNDS = 4  # of dealing what is over at one distance
-LEAST = 1e-6  # slots that a row without traffic counts for: it has to go somewhere when it comes
-MAX_BODY = 64 * 1024  # bytes of a plan, unpacked
+# Whole shares that a row is dealt out in: integers are the same wherever a plan is read.
+SHARES_PER_ROW = 240
+DEALING_ROUNDS = 4  # of what is left over at one routing cost
+MIN_DEMAND = 1e-6  # slots assumed for a row without traffic: its requests have to go somewhere
+MAX_REASON_LENGTH = 400  # characters
 
-
-class PlanError(Exception):
-    """Bytes that are no plan of this geography: what is wrong."""
+# whole shares by source zone, row and target zone
+ZoneRows = tuple[tuple[tuple[int, ...], ...], ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
-    """How full zones are planned to be, as parts of their capacity."""
+class UtilizationLimits:
+    """How full zones are planned to be, as shares of their capacity."""
 
-    head: float = 0.8  # by what is near, while others have room
-    full: float = 0.9  # in all; the rest is left to those who go by no plan
-    most: float = (
-        1.0  # where else what has no home would be refused: a measured cut knows better than a plan
-    )
+    target: float = 0.8  # while nearer zones have room
+    planned: float = 0.9  # in all; the rest is left to nodes without a plan
+    maximum: float = 1.0  # for what would be shed otherwise, since it has no home zone
 
 
 @dataclass(slots=True, frozen=True)
-class Situation:
-    """What a plan rests on."""
+class PlanInput:
+    """What a plan rests on. Sequences are by zone."""
 
-    capacity: tuple[float, ...]  # by zone: slots that count for others, 0 where it is shut
-    home: tuple[float, ...]  # and for its own nodes: a zone that was cut off is not strange to them
-    demand: tuple[tuple[float, ...], ...]  # by zone and row: slots kept busy
-    parted: frozenset[tuple[int, int]] = frozenset()  # links that carry nothing
+    capacity: tuple[float, ...]  # slots that others may use; 0 where the circuit breaker is open
+    local_capacity: tuple[float, ...]  # slots for the zone's own nodes, which may still reach it
+    demand: tuple[tuple[float, ...], ...]  # slots kept busy, by zone of the nodes and by row
+    partitioned: frozenset[tuple[int, int]] = frozenset()  # links that carry nothing
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """Parts of `PARTS` by source, row and zone; what a row leaves of them is refused."""
+    """Shares of SHARES_PER_ROW by source zone, row and target zone; what a row lacks is shed."""
 
-    map: int  # digest of the geography
-    parts: tuple[tuple[tuple[int, ...], ...], ...]
-    room: tuple[int, ...]  # by zone: thousandths of a slot that the plan leaves of `full`
-    lost: tuple[int, ...]  # zones that nobody counts on
-    why: str = ""
+    topology_digest: int
+    shares: ZoneRows
+    spare_milli_slots: tuple[int, ...]  # by zone: what the plan leaves of the planned maximum
+    lost_zones: tuple[int, ...]  # that no node may count on
+    reason: str = ""
     digest: bytes = field(init=False, compare=False)
 
     def __post_init__(self) -> None:
-        object.__setattr__(self, "digest", hashlib.blake2b(self.body(), digest_size=8).digest())
+        """Compute the digest, which covers all else."""
+        digest = hashlib.blake2b(self.encode_body(), digest_size=8).digest()
+        object.__setattr__(self, "digest", digest)
 
-    def body(self) -> bytes:
+    def encode_body(self) -> bytes:
+        """Return the plan as it travels, before compression; of each row only what is not 0."""
         rows = [
-            [[zone, part] for zone, part in enumerate(row) if part]
-            for rows in self.parts
+            [[zone, share] for zone, share in enumerate(row) if share]
+            for rows in self.shares
             for row in rows
         ]
-        return msgspec.msgpack.encode((self.map, rows, self.room, self.lost, self.why))
-
-    def shares(self, source: int) -> tuple[tuple[float, ...], ...]:
-        """What the nodes of a zone do, by row and zone."""
-        return tuple(tuple(part / PARTS for part in row) for row in self.parts[source])
-
-
-def packed(plan: Plan) -> bytes:
-    return zlib.compress(plan.body())
-
-
-_Body = tuple[int, list[list[tuple[int, int]]], list[int], list[int], str]
-_body: Callable[[bytes], _Body] = msgspec.msgpack.Decoder(_Body).decode
-
-
-def unpacked(data: bytes, geography: Geography) -> Plan:
-    """Raises PlanError, with nothing taken."""
-    try:
-        unpacker = zlib.decompressobj()
-        body = unpacker.decompress(data, MAX_BODY)
-        if unpacker.unconsumed_tail or not unpacker.eof:
-            raise PlanError(f"is cut off, or over {MAX_BODY} bytes")
-        digest, rows, room, lost, why = _body(body)
-    except (zlib.error, msgspec.MsgspecError) as error:
-        raise PlanError(str(error)) from None
-    zones, height = len(geography.zones), geography.rows
-    if digest != geography.digest:
-        raise PlanError("is of another geography")
-    if len(rows) != zones * height or len(room) != zones or len(why) > 400:
-        raise PlanError(f"is of {len(rows)} rows, there are {zones * height}")
-    if any(not 0 <= zone < zones for zone in lost) or any(milli < 0 for milli in room):
-        raise PlanError("names a zone that there is not, or room below nothing")
-    made = []
-    for number, told in enumerate(rows):
-        row = [0] * zones
-        for zone, part in told:
-            if not 0 <= zone < zones or part <= 0 or row[zone]:
-                raise PlanError(f"row {number} has no such part: zone {zone}, {part}")
-            if not geography.may(number % height, number // height, zone):
-                raise PlanError(f"row {number} leaves its region")
-            row[zone] = part
-        if sum(row) > PARTS:
-            raise PlanError(f"row {number} gives {sum(row)} of {PARTS} parts")
-        made.append(tuple(row))
-    parts = tuple(tuple(made[source * height : (source + 1) * height]) for source in range(zones))
-    return Plan(digest, parts, tuple(room), tuple(lost), why)
+        content = (
+            self.topology_digest,
+            rows,
+            self.spare_milli_slots,
+            self.lost_zones,
+            self.reason,
+        )
+        return msgspec.msgpack.encode(content)
+
+    def shares_of(self, source: int) -> tuple[tuple[float, ...], ...]:
+        """Return what the nodes of a zone do: shares of 1 by row and target zone."""
+        return tuple(tuple(share / SHARES_PER_ROW for share in row) for row in self.shares[source])
+
+    def load(self, demand: Sequence[Sequence[float]]) -> PlannedLoad:
+        """Return the slots that the plan fills by such a demand, by zone and row."""
+        slots, shed = [0.0] * len(demand), 0.0
+        for rows, wanted in zip(self.shares, demand, strict=True):
+            for row, amount in zip(rows, wanted, strict=True):
+                shed += amount * (1 - sum(row) / SHARES_PER_ROW)
+                for zone, share in enumerate(row):
+                    slots[zone] += amount * share / SHARES_PER_ROW
+        return PlannedLoad(tuple(slots), shed)
+
+
+@dataclass(slots=True, frozen=True)
+class PlannedLoad:
+    """What a plan makes of a demand."""
+
+    slots: tuple[float, ...]  # filled, by zone
+    shed: float  # slots of the requests that are shed
 
 
 def compute_plan(
-    geography: Geography,
-    situation: Situation,
-    worths: Sequence[float],
-    limits: Limits,
-    why: str = "",
+    topology: Topology,
+    situation: PlanInput,
+    weights: Sequence[float],
+    limits: UtilizationLimits,
+    reason: str = "",
 ) -> Plan:
-    """The plan for a situation; `worths` are those of the classes."""
-    filling = Filling(geography, situation, limits)
-    order = sorted(range(geography.rows), key=lambda row: (-worths[row % geography.classes], -row))
-    for row in order:
-        filling.place(row)
-    room = tuple(
-        max(0, int(1000 * (limits.full * min(c, home) - load)))
-        for c, home, load in zip(situation.capacity, situation.home, filling.load, strict=True)
+    """Return the plan for a situation.
+
+    Args:
+        topology: the zones.
+        situation: capacity and demand.
+        weights: priority weight of each class.
+        limits: how full zones may be.
+        reason: why the plan is made, for people.
+    """
+    allocation = _Allocation(topology, situation, limits)
+    by_priority = sorted(
+        range(topology.row_count), key=lambda row: (-weights[row % topology.class_count], -row)
+    )
+    for row in by_priority:
+        allocation.place(row)
+    zones = zip(situation.capacity, situation.local_capacity, allocation.load, strict=True)
+    spare = tuple(
+        max(0, int(1000 * (limits.planned * min(capacity, local) - load)))
+        for capacity, local, load in zones
     )
-    lost = tuple(zone for zone, home in enumerate(situation.home) if home <= 0)
-    parts = tuple(
-        tuple(whole_parts(filling.placed[source][row], filling.asked[source][row])
-              for row in range(geography.rows))
-        for source in range(len(geography.zones))
-    )  # fmt: skip
-    return Plan(geography.digest, parts, room, lost, why[:400])
-
-
-def whole_parts(placed: Sequence[float], asked: float) -> tuple[int, ...]:
-    """Shares as whole parts of PARTS, by the largest remainders; ties go to the lower zone."""
-    shares = [PARTS * amount / asked for amount in placed]
-    parts = [int(share + 1e-9) for share in shares]
-    over = min(round(sum(shares) + 1e-9), PARTS) - sum(parts)
-    ranked = sorted(range(len(parts)), key=lambda zone: (parts[zone] - shares[zone], zone))
-    for zone in [zone for zone in ranked if shares[zone] > 0][: max(over, 0)]:
-        parts[zone] += 1
-    return tuple(parts)
-
-
-class Filling:
+    lost = tuple(zone for zone, local in enumerate(situation.local_capacity) if local <= 0)
+    return Plan(topology.digest, allocation.shares(), spare, lost, reason[:MAX_REASON_LENGTH])
+
+
+def whole_shares(placed: Sequence[float], demand: float) -> tuple[int, ...]:
+    """Return slots as whole shares of SHARES_PER_ROW, by largest remainder.
+
+    Ties go to the zone with the lower index.
+
+    Args:
+        placed: slots by zone.
+        demand: slots of the whole row.
+    """
+    exact = [SHARES_PER_ROW * amount / demand for amount in placed]
+    whole = [int(share + 1e-9) for share in exact]
+    missing = min(round(sum(exact) + 1e-9), SHARES_PER_ROW) - sum(whole)
+    by_remainder = sorted(range(len(whole)), key=lambda zone: (whole[zone] - exact[zone], zone))
+    for zone in [zone for zone in by_remainder if exact[zone] > 0][: max(missing, 0)]:
+        whole[zone] += 1
+    return tuple(whole)
+
+
+class _Allocation:
     """Zones as they fill up."""
 
-    def __init__(self, geography: Geography, situation: Situation, limits: Limits) -> None:
-        self.geography, self.situation, self.limits = geography, situation, limits
-        self.zones = range(len(geography.zones))
-        self.load = [0.0] * len(self.zones)
-        self.visitors = [0.0] * len(self.zones)  # of the load, what comes from elsewhere
-        self.asked = [[max(amount, LEAST) for amount in rows] for rows in situation.demand]
+    def __init__(self, topology: Topology, situation: PlanInput, limits: UtilizationLimits) -> None:
+        self.topology, self.situation, self.limits = topology, situation, limits
+        self.zones = range(len(topology.zones))
+        self.load = [0.0] * len(self.zones)  # slots filled
+        self.foreign_load = [0.0] * len(self.zones)  # of these, by other zones' requests
+        self.demand = [[max(amount, MIN_DEMAND) for amount in rows] for rows in situation.demand]
         self.placed = [[[0.0] * len(self.zones) for _ in rows] for rows in situation.demand]
-        far = {cost for row in geography.cost for cost in row if cost > 0}
-        self.distances = sorted(far)
+        self.costs = sorted({cost for row in topology.costs for cost in row if cost > 0})
+
+    def shares(self) -> ZoneRows:
+        """Return what was placed as whole shares."""
+        return tuple(
+            tuple(
+                whole_shares(self.placed[source][row], self.demand[source][row])
+                for row in range(self.topology.row_count)
+            )
+            for source in self.zones
+        )
 
     def place(self, row: int) -> None:
-        """All sources' requests of one row."""
-        left, limits = [rows[row] for rows in self.asked], self.limits
-        for limit in (limits.head, limits.full, limits.most):
+        """Place all zones' requests of one row."""
+        remaining = [rows[row] for rows in self.demand]
+        for limit in (self.limits.target, self.limits.planned, self.limits.maximum):
             for source in self.zones:
-                left[source] -= self.at_home(source, row, left[source], limit)
-            for distance in self.distances:
-                self.deal(row, left, distance, limit)
+                remaining[source] -= self._place_at_home(source, row, remaining[source], limit)
+            for cost in self.costs:
+                self._deal(row, remaining, cost, limit)
         for source in self.zones:
-            if self.has_home(source):
-                self.add(source, row, source, self.stays(source, left[source]))
+            if self._has_home(source):
+                self._add(source, row, source, self._kept_at_home(source, remaining[source]))
 
-    def has_home(self, source: int) -> bool:
-        return self.situation.home[source] > 0 and (source, source) not in self.situation.parted
+    def _has_home(self, source: int) -> bool:
+        reaches_itself = (source, source) not in self.situation.partitioned
+        return self.situation.local_capacity[source] > 0 and reaches_itself
 
-    def room(self, zone: int, limit: float) -> float:
-        """Slots that are left for others."""
+    def _room(self, zone: int, limit: float) -> float:
+        """Return the slots that a zone has left for other zones' requests."""
         return max(0.0, limit * self.situation.capacity[zone] - self.load[zone])
 
-    def at_home(self, source: int, row: int, amount: float, limit: float) -> float:
-        """Place as much at home as there is room for; how much."""
-        if (source, source) in self.situation.parted:
+    def _place_at_home(self, source: int, row: int, amount: float, limit: float) -> float:
+        """Place as many slots at home as there is room for, and return how many."""
+        if (source, source) in self.situation.partitioned:
             return 0.0
-        fits = min(amount, max(0.0, limit * self.situation.home[source] - self.load[source]))
-        self.add(source, row, source, fits)
-        return fits
-
-    def stays(self, source: int, left: float) -> float:
-        """What stays at home of what fits nowhere: the measured cut refuses what is too much. Only
-        where others' requests, of more worth, take the place is it refused ahead, as much as they
-        take."""
-        over = self.load[source] + left - self.limits.most * self.situation.home[source]
-        return left - min(left, max(over, 0.0), self.visitors[source])
-
-    def add(self, source: int, row: int, zone: int, amount: float) -> None:
+        room = max(0.0, limit * self.situation.local_capacity[source] - self.load[source])
+        placed = min(amount, room)
+        self._add(source, row, source, placed)
+        return placed
+
+    def _kept_at_home(self, source: int, amount: float) -> float:
+        """Return how much stays at home of what fits nowhere.
+
+        The policy sheds what is too much, by measurement. Only where requests of other zones, which
+        weigh more, take the place, as much as they take is shed by the plan.
+        """
+        full = self.limits.maximum * self.situation.local_capacity[source]
+        excess = self.load[source] + amount - full
+        return amount - min(amount, max(excess, 0.0), self.foreign_load[source])
+
+    def _add(self, source: int, row: int, zone: int, amount: float) -> None:
         self.placed[source][row][zone] += amount
         self.load[zone] += amount
         if source != zone:
-            self.visitors[zone] += amount
+            self.foreign_load[zone] += amount
 
-    def reach(self, row: int, distance: float, source: int) -> Iterator[int]:
-        """Zones at a distance that the requests of a row may go to."""
+    def _targets(self, row: int, cost: float, source: int) -> Iterator[int]:
+        """Yield the zones at one routing cost that requests of a row may go to."""
         for zone in self.zones:
-            if zone == source or self.geography.cost[source][zone] != distance:
+            if zone == source or self.topology.costs[source][zone] != cost:
+                continue
+            if (source, zone) in self.situation.partitioned:
                 continue
-            if (
-                self.geography.may(row, source, zone)
-                and (source, zone) not in self.situation.parted
-            ):
+            if self.topology.may_route(row, source, zone):
                 yield zone
 
-    def deal(self, row: int, left: list[float], distance: float, limit: float) -> None:
-        """Deal out what is left to zones at one distance, by their room, and to none more than it
-        has."""
-        for _ in range(ROUNDS):
-            asks: dict[int, list[tuple[int, float]]] = {}
-            for source in self.zones:
-                if left[source] <= LEAST / 100 or (
-                    limit > self.limits.full and self.has_home(source)
-                ):
-                    continue  # up to all that others can do goes only what has no home
-                rooms = [
-                    (zone, self.room(zone, limit)) for zone in self.reach(row, distance, source)
-                ]
-                total = sum(room for _, room in rooms)
-                for zone, room in rooms:
-                    if room > 0:
-                        asks.setdefault(zone, []).append((source, left[source] * room / total))
-            if not asks:
+    def _deal(self, row: int, remaining: list[float], cost: float, limit: float) -> None:
+        """Deal out what remains to zones at one routing cost, to none more than it has room."""
+        for _ in range(DEALING_ROUNDS):
+            requested = self._requested(row, remaining, cost, limit)
+            if not requested:
                 return
-            for zone, asked in sorted(asks.items()):
-                scale = min(1.0, self.room(zone, limit) / sum(amount for _, amount in asked))
-                for source, amount in asked:
-                    self.add(source, row, zone, amount * scale)
-                    left[source] -= amount * scale
+            for zone, amounts in sorted(requested.items()):
+                granted = min(1.0, self._room(zone, limit) / sum(amount for _, amount in amounts))
+                for source, amount in amounts:
+                    self._add(source, row, zone, amount * granted)
+                    remaining[source] -= amount * granted
+
+    def _requested(
+        self, row: int, remaining: Sequence[float], cost: float, limit: float
+    ) -> dict[int, list[tuple[int, float]]]:
+        """Return by target zone which zones want how many slots there, by the room of targets."""
+        requested: dict[int, list[tuple[int, float]]] = {}
+        for source in self.zones:
+            if remaining[source] <= MIN_DEMAND / 100:
+                continue
+            if limit > self.limits.planned and self._has_home(source):
+                continue  # above the planned maximum goes only what has no home zone
+            rooms = [(zone, self._room(zone, limit)) for zone in self._targets(row, cost, source)]
+            total = sum(room for _, room in rooms)
+            for zone, room in rooms:
+                if room > 0:
+                    share = (source, remaining[source] * room / total)
+                    requested.setdefault(zone, []).append(share)
+        return requested
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -17,11 +17,14 @@
 from badgercart.discovery.list_framing import MOST as MOST_LIST
 from badgercart.policy.policy import FEW, NODES
 from badgercart.reload.checks import MAX_CLASSES, MAX_TENANTS
-from badgercart.zones.failover_controller import LOOK
-from badgercart.zones.plan_consensus import COMMITS, VOTERS, LeaseSettings
+from badgercart.zones.consensus_messages import COMMIT_TOPICS, VOTERS_PER_COMMIT
+from badgercart.zones.consensus_state import LeaseSettings
+from badgercart.zones.failover_controller import TICK_INTERVAL_MS
 from benchmarks.capacity.laws import Law, Runs, break_share
 from benchmarks.capacity.target import ASSUMED, BUDGETS, TARGET, Budget, Target
 
+RENEW_MS = LeaseSettings().renew_ms  # between two rounds of the zones' consensus
+
 REPORTED = 10  # tenants in the reports of `benchmarks.scale.peers`
 APART = 0.5  # s between changes in `benchmarks.scale.processes`
 A_SERVER = TARGET.nodes / TARGET.servers  # nodes that there are for each server
@@ -446,19 +449,23 @@
                 Need("time", "between two claims of a node", "s", lambda t: reports_every(t.nodes),
                      BUDGETS["evidence"], COUNCIL, note="worked out by `Member.every`"),
                 Need("processor", "looks at all claims, ten a second", "of a core",
-                     lambda t: look(t.nodes) / LOOK, BUDGETS["core"], COUNCIL, (look,)),
+                     lambda t: look(t.nodes) / TICK_INTERVAL_MS, BUDGETS["core"], COUNCIL, (look,)),
                 Need("messages in", "votes of a round, at the proposer", "B/s",
-                     lambda t: votes(t.nodes) * 1000 / LeaseSettings().renew, BUDGETS["bytes"],
+                     lambda t: votes(t.nodes) * 1000 / RENEW_MS, BUDGETS["bytes"],
                      COUNCIL, (votes,)),
                 Need("processor", "votes of a round, at the proposer", "of a core",
-                     lambda t: counted(t.nodes) / LeaseSettings().renew, BUDGETS["core"],
+                     lambda t: counted(t.nodes) / RENEW_MS, BUDGETS["core"],
                      COUNCIL, (counted,)),
                 Need("messages in", "the commit of a round, at each node", "B/s",
-                     lambda t: commit(t.nodes) * 1000 / LeaseSettings().renew, BUDGETS["bytes"],
+                     lambda t: commit(t.nodes) * 1000 / RENEW_MS, BUDGETS["bytes"],
                      COUNCIL, (commit,)),
                 Need("limit", "voters that a commit names: more than half of the nodes", "nodes",
                      lambda t: t.nodes / 2,
-                     limit(VOTERS * len(COMMITS), "voters", "badgercart.zones.plan_consensus.COMMITS"),
+                     limit(
+                         VOTERS_PER_COMMIT * len(COMMIT_TOPICS),
+                         "voters",
+                         "badgercart.zones.consensus_messages.COMMIT_TOPICS",
+                     ),
                      COUNCIL),
                 Need("memory", "claims", "MB", lambda t: claims(t.nodes) / 1e6, BUDGETS["memory"], COUNCIL,
                      (claims,), plain=True),
--- a/benchmarks/capacity/storms.py
+++ b/benchmarks/capacity/storms.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from badgercart.discovery.backoff import RETRY_FIRST, Pace
-from badgercart.zones.traffic_plan import Limits
+from badgercart.zones.traffic_plan import UtilizationLimits
 from benchmarks.capacity.laws import Law, Runs
 from benchmarks.capacity.rows import Tag, changed_line, line_bytes, reload, subset
 from benchmarks.capacity.target import ASSUMED, BUDGETS, TARGET, Budget
@@ -104,7 +104,7 @@
 def busier(name: str, parts: float) -> Storm:
     """One of so many parts of all servers is lost, and its traffic goes to the others."""
     load = assumed("busy") * parts / (parts - 1)
-    full = Limits().full
+    full = UtilizationLimits().planned
     return Storm(
         f"the load on the others, one {name} lost",
         (
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -28,23 +28,23 @@
 from badgercart.policy.settings import Idempotency, RequestClass
 from badgercart.policy.statistics import export_statistics
 from badgercart.statistics.snapshot import ServerPart
-from badgercart.zones.failure_detector import Verdict
-from badgercart.zones.plan_consensus import (
-    COMMITS,
-    VOTE,
-    VOTERS,
-    Ballot,
-    LeaseSettings,
-    PlanConsensus,
-    RegisterUpdate,
-    _Vote,
+from badgercart.zones.consensus_messages import (
+    COMMIT_TOPICS,
+    VOTE_TOPIC,
+    VOTERS_PER_COMMIT,
+    Vote,
+    encode_message,
 )
-from badgercart.zones.topology import Geography, geography
-from badgercart.zones.traffic_plan import Limits, Plan, compute_plan, packed, unpacked
-from badgercart.zones.zone_reports import Evidence, ZoneReport
+from badgercart.zones.consensus_state import LeaseSettings, SendMessage
+from badgercart.zones.failure_detector import Reachability
+from badgercart.zones.plan_codec import decode_plan, encode_plan
+from badgercart.zones.plan_consensus import PlanConsensus
+from badgercart.zones.topology import Topology, build_topology
+from badgercart.zones.traffic_plan import Plan, UtilizationLimits, compute_plan
+from badgercart.zones.zone_reports import ZoneReport, ZoneReportTable, encode_report
 from benchmarks.scale.fit import doublings
 from benchmarks.scale.report import Series
-from benchmarks.zones import drawn
+from benchmarks.zones import random_situation
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
 
@@ -76,19 +76,22 @@
 # The zones' council and evidence.
 
 
-def world(zones: int) -> Geography:
+def world(zones: int) -> Topology:
     names = [f"z{number}" for number in range(zones)]
-    return geography(names, {name: f"r{i % 3}" for i, name in enumerate(names)}, {}, CLASSES)
+    return build_topology(names, {name: f"r{i % 3}" for i, name in enumerate(names)}, {}, CLASSES)
 
 
-def claim(map_: Geography, rng: random.Random) -> bytes:
+def claim(map_: Topology, rng: random.Random) -> bytes:
     zones = len(map_.zones)
-    return msgspec.msgpack.encode(
+    return encode_report(
         ZoneReport(
-            map_.digest, [int(Verdict.FINE)] * zones, [rng.randrange(80, 130) for _ in range(zones)],
-            [rng.randrange(95, 101) for _ in range(zones)], [rng.randrange(5000) for _ in range(map_.rows)],
+            map_.digest,
+            [int(Reachability.REACHABLE)] * zones,
+            [rng.randrange(80, 130) for _ in range(zones)],
+            [rng.randrange(95, 101) for _ in range(zones)],
+            [rng.randrange(5000) for _ in range(map_.row_count)],
         )
-    )  # fmt: skip
+    )
 
 
 def datagram(topic: str, said: bytes) -> float:
@@ -99,62 +102,62 @@
     return float(len(codec.encode(packet)))
 
 
-def evidence(nodes: int, map_: Geography) -> tuple[float, float]:
+def evidence(nodes: int, map_: Topology) -> tuple[float, float]:
     """ms of one look at the claims of so many nodes, and bytes that they are kept in."""
     rng = random.Random(nodes)
     claims = [claim(map_, rng) for _ in range(nodes)]
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = Evidence(map_)
+    kept = ZoneReportTable(map_)
     for number, said in enumerate(claims):
-        kept.take(f"node-{number}", number % len(map_.zones), said, 0.0)
+        kept.record(f"node-{number}", number % len(map_.zones), said, 0.0)
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    assert len(kept.heard) == nodes
+    assert len(kept.reports) == nodes
     capacity = [100.0] * len(map_.zones)
-    return timed(lambda: kept.seen(1.0, 2500.0, capacity)), float(grown)
+    return timed(lambda: kept.summarize(1.0, 2500.0, capacity)), float(grown)
 
 
-def round_of(nodes: int, map_: Geography) -> tuple[float, float, float]:
+def round_of(nodes: int, map_: Topology) -> tuple[float, float, float]:
     """One round of a proposer of so many nodes: ms for all votes, bytes of these, and of the
     commit."""
-    _, situation = drawn(len(map_.zones), 3, CLASSES, 1)
-    plan = compute_plan(map_, situation, [1.0] * CLASSES, Limits())
+    _, situation = random_situation(len(map_.zones), 3, CLASSES, 1)
+    plan = compute_plan(map_, situation, [1.0] * CLASSES, UtilizationLimits())
     council = PlanConsensus(
-        "node-0", 1, LeaseSettings(), lambda data: unpacked(data, map_), lambda: 1.7e12
+        "node-0", 1, LeaseSettings(), lambda data: decode_plan(data, map_), lambda: 1.7e12
     )
     council.tick(0.0)
     council.propose(5000.0, plan, nodes)
-    assert council.mine is not None
-    ballot: Ballot = council.mine.ballot
-    votes = [msgspec.msgpack.encode(_Vote(ballot, 1 << 60 | number)) for number in range(1, nodes)]
+    assert council.proposal is not None
+    ballot = council.proposal.ballot
+    votes = [encode_message(Vote(ballot, 1 << 60 | number)) for number in range(1, nodes)]
     effects: list[object] = []
     began = time.thread_time()
     for number, vote in enumerate(votes, 1):
-        effects += council.hear(5001.0, f"node-{number}", VOTE, vote)
+        effects += council.receive(5001.0, f"node-{number}", VOTE_TOPIC, vote)
     spent = 1000 * (time.thread_time() - began)
     posts = [
         effect
         for effect in effects
-        if isinstance(effect, RegisterUpdate) and effect.topic in COMMITS
+        if isinstance(effect, SendMessage) and effect.topic in COMMIT_TOPICS
     ]
-    commit = sum(datagram(post.topic, post.said) for post in posts)
-    return spent, sum(datagram(VOTE, vote) for vote in votes), commit
+    commit = sum(datagram(post.topic, post.payload) for post in posts)
+    return spent, sum(datagram(VOTE_TOPIC, vote) for vote in votes), commit
 
 
 def plan_of(zones: int) -> tuple[float, float, float]:
     """ms to work out a plan for so many zones, its bytes, and those of one claim."""
     map_ = world(zones)
-    _, situation = drawn(zones, 3, CLASSES, 1)
+    _, situation = random_situation(zones, 3, CLASSES, 1)
     worths = [1.0 + number for number in range(CLASSES)]
 
     def plan() -> Plan:
-        return compute_plan(map_, situation, worths, Limits())
+        return compute_plan(map_, situation, worths, UtilizationLimits())
 
     return (
         timed(plan),
-        float(len(packed(plan()))),
+        float(len(encode_plan(plan()))),
         datagram("zones.eyes", claim(map_, random.Random(1))),
     )
 
@@ -173,7 +176,9 @@
         spent, votes, commit = round_of(nodes, map_)
         note("votes counted", "ms", "nodes", nodes, spent)
         note("votes of a round", "bytes", "nodes", nodes, votes)
-        if nodes <= 2 * VOTERS * len(COMMITS):  # more than half are not named beyond that
+        if nodes <= 2 * VOTERS_PER_COMMIT * len(
+            COMMIT_TOPICS
+        ):  # more than half are not named beyond that
             note("commit of a round", "bytes", "nodes", nodes, commit)
         print(f"control: {nodes} nodes", file=sys.stderr, flush=True)
     for zones in doublings(3, ZONES_MOST):
--- a/benchmarks/zone_trials.py
+++ b/benchmarks/zone_trials.py
@@ -1,10 +1,9 @@
-"""A zone's servers die under real nodes: how long until its requests are served elsewhere, and what
-it costs.
+"""A zone's servers die under real nodes: how long until others serve, and at what cost.
 
-`python -m benchmarks.zone_trials [--nodes 12] [--seeds 3]`: processes in three zones and two
-regions, by each way of deciding, the same requests in turn. Told from clients' and servers' records
-alone: the time from the loss until a node serves 0.95 of its requests again for good, worth served
-in the 5 s after it, and the fullest second of a zone that lives.
+`python -m benchmarks.zone_trials [--nodes 12] [--seeds 3]` runs processes in three zones and two
+regions, in each planning mode, with the same requests in turn. Figures are from clients' and
+servers' records alone: the time from the loss until a node serves 0.95 of its requests again for
+good, the value served in the 5 s after it, and the fullest second of a zone that lives.
 """
 
 from __future__ import annotations
@@ -15,31 +14,38 @@
 import sys
 import tempfile
 import time
+from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
 
 from lab.trial.checkers import broken
 from lab.trial.world import WORK, Asked, Shape, World
 
-WAYS = ("majority", "shared", "")  # the last: each node alone
-CORES, BEFORE, AFTER = 2, 3.0, 6.0  # of a server; s of traffic
-BIN = 0.5  # s
+MODES = ("majority", "shared", "")  # the last: each node alone
+SERVERS, CORES = 9, 2
+BEFORE_S, AFTER_S = 3.0, 6.0  # of traffic, before and after the loss
+VALUE_S = 5.0  # after the loss, in which the value served counts
+BIN_S = 0.5
+SERVED_SHARE = 0.95  # from which a bin counts as served
 REGIONS = (("a", "b"), ("c",))
+LOST_ZONE, LIVING_ZONES = "b", ("a", "c")
+MEAN_WORK_S = sum(sum(ends) for ends in WORK.values()) / (2 * len(WORK)) / 1000
 
 
 @dataclass(slots=True)
-class Seen:
-    moved: list[float]  # by node: s from the loss until it serves
-    worth: float
-    fullest: float  # of a living zone's capacity, in its fullest second
-    broken: int
+class TrialResult:
+    """What came of one trial."""
 
+    moved_s: list[float]  # by node: from the loss until it serves
+    value: float  # served, as a share
+    fullest: float  # share of a living zone's capacity, in its fullest second
+    broken: int  # promises broken
 
-def fullest(world: World, zones: tuple[str, ...], since: float) -> float:
-    """Of a zone's capacity, what came in its fullest second; by the mean work of requests."""
-    work = sum(sum(ends) for ends in WORK.values()) / (2 * len(WORK)) / 1000  # s
+
+def fullest_second(world: World, since: float) -> float:
+    """Return what came to a living zone in its fullest second, as a share of its capacity."""
     worst = 0.0
-    for zone in zones:
+    for zone in LIVING_ZONES:
         servers = [world.servers[name] for name in world.servers_of(zone)]
         times = sorted(
             seen.at for server in servers for seen in server.seen if seen.id and seen.at > since
@@ -48,53 +54,90 @@
         for last, at in enumerate(times):
             while times[first] <= at - 1.0:
                 first += 1
-            worst = max(worst, (last - first + 1) * work / (len(servers) * CORES))
+            arrived = last - first + 1
+            worst = max(worst, arrived * MEAN_WORK_S / (len(servers) * CORES))
     return worst
 
 
-def settled(asked: list[Asked], since: float) -> float:
-    """s from then until the end of the last half second in which under 0.95 of the requests were
-    served."""
+def settling_time(asked: Sequence[Asked], since: float) -> float:
+    """Return the seconds until the end of the last bin in which too few requests were served."""
     bins: dict[int, list[bool]] = {}
-    for told in asked:
-        bins.setdefault(int((told.sent - since) / BIN), []).append(told.result.outcome == "served")
-    return max(
-        ((place + 1) * BIN for place, ends in bins.items() if sum(ends) < 0.95 * len(ends)),
-        default=0.0,
+    for request in asked:
+        served = request.result.outcome == "served"
+        bins.setdefault(int((request.sent - since) / BIN_S), []).append(served)
+    failed = [
+        (number + 1) * BIN_S
+        for number, ends in bins.items()
+        if sum(ends) < SERVED_SHARE * len(ends)
+    ]
+    return max(failed, default=0.0)
+
+
+def shape_of(mode: str, nodes: int, seed: int) -> Shape:
+    """Return the shape of a trial's world."""
+    return Shape(
+        nodes=nodes,
+        servers=SERVERS,
+        cores=CORES,
+        queue=4,
+        quota=1e6,
+        plan=mode,
+        seed=seed,
+        lease_ms=4000.0,
+        hold_ms=3000.0,
+        period_ms=1000.0,
+        regions=REGIONS if mode else (),
     )
 
 
-async def one(way: str, nodes: int, load: float, seed: int) -> Seen:
-    servers = 9
-    rate = (
-        load * servers * CORES / (sum(sum(ends) for ends in WORK.values()) / (2 * len(WORK)) / 1000)
-    )
-    shape = Shape(
-        nodes=nodes, servers=servers, cores=CORES, queue=4, quota=1e6, plan=way, seed=seed, lease_ms=4000.0,
-        hold_ms=3000.0, period_ms=1000.0, regions=REGIONS if way else (),
-    )  # fmt: skip
+async def run_trial(mode: str, nodes: int, load: float, seed: int) -> TrialResult:
+    """Play a trial: traffic, and the loss of a zone in its midst."""
+    rate = load * SERVERS * CORES / MEAN_WORK_S
     with tempfile.TemporaryDirectory() as folder:
-        world = await World(shape, Path(folder)).start()
+        world = await World(shape_of(mode, nodes, seed), Path(folder)).start()
         try:
             await world.group(nodes)
-            if way == "majority":
+            if mode == "majority":
                 await world.in_force(list(world.nodes), dict.fromkeys(world.nodes, 0))
-            traffic = asyncio.ensure_future(world.traffic(rate, BEFORE + AFTER, seed))
-            await asyncio.sleep(BEFORE)
+            traffic = asyncio.ensure_future(world.traffic(rate, BEFORE_S + AFTER_S, seed))
+            await asyncio.sleep(BEFORE_S)
             died = time.monotonic()
-            for name in world.servers_of("b"):
+            for name in world.servers_of(LOST_ZONE):
                 world.crash(name)
             await traffic
         finally:
             await world.stop()
-        late = [a for a in world.asked if a.sent >= died]
-        moved = [settled([a for a in late if a.node == name], died) for name in world.nodes]
-        soon = [a for a in late if a.sent < died + 5.0]
-        worth = sum(a.result.worth for a in soon) / sum(a.result.arrival.kind.worth for a in soon)
-        return Seen(moved, worth, fullest(world, ("a", "c"), died), len(broken(world)))
+        return result_of(world, died)
+
+
+def result_of(world: World, died: float) -> TrialResult:
+    """Return what came of a trial in which a zone was lost at this time."""
+    late = [request for request in world.asked if request.sent >= died]
+    by_node = [[request for request in late if request.node == name] for name in world.nodes]
+    soon = [request.result for request in late if request.sent < died + VALUE_S]
+    value = sum(result.worth for result in soon) / sum(result.arrival.kind.worth for result in soon)
+    moved_s = [settling_time(asked, died) for asked in by_node]
+    return TrialResult(moved_s, value, fullest_second(world, died), len(broken(world)))
+
+
+def print_row(nodes: int, load: float, mode: str, results: Sequence[TrialResult]) -> None:
+    """Print the table's row for one mode at one load."""
+    moved_s = sorted(seconds for result in results for seconds in result.moved_s)
+    cells = (
+        str(nodes),
+        str(load),
+        mode or "alone",
+        f"{statistics.median(moved_s):.2f}",
+        f"{moved_s[len(moved_s) * 99 // 100]:.2f}",
+        f"{statistics.fmean(result.value for result in results):.4f}",
+        f"{max(result.fullest for result in results):.2f}",
+        str(sum(result.broken for result in results)),
+    )
+    print(f"| {' | '.join(cells)} |", flush=True)
 
 
 def main() -> int:
+    """Run the trials that the command line asks for, and print their table."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.zone_trials", description=__doc__)
     parser.add_argument("--nodes", type=int, default=12, help="processes (12)")
     parser.add_argument("--seeds", type=int, default=3, help="of each way (3)")
@@ -105,18 +148,12 @@
     )
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for load in chosen.loads:
-        for way in WAYS:
-            seen = [
-                asyncio.run(one(way, chosen.nodes, load, seed))
+        for mode in MODES:
+            results = [
+                asyncio.run(run_trial(mode, chosen.nodes, load, seed))
                 for seed in range(1, chosen.seeds + 1)
             ]
-            moved = sorted(s for told in seen for s in told.moved)
-            print(
-                f"| {chosen.nodes} | {load} | {way or 'alone'} | {statistics.median(moved):.2f} | "
-                f"{moved[len(moved) * 99 // 100]:.2f} | {statistics.fmean(t.worth for t in seen):.4f} | "
-                f"{max(t.fullest for t in seen):.2f} | {sum(t.broken for t in seen)} |",
-                flush=True,
-            )
+            print_row(chosen.nodes, load, mode, results)
     return 0
 
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,10 +1,9 @@
-"""Zones that fail over: what it brings by worlds of the lab, and what it costs. Ratios and
-differences of one run.
+"""Zone failover: what it gains in worlds of the lab, and what it costs. All figures are of one run.
 
-`python -m benchmarks.zones`: the time of a plan by its size, water-filling beside a linear
-programme (highspy), a decision with a plan over one without. `--worlds [--seeds N]`: zones cut,
-lost, slow, flapping and two lost, by each way of deciding (each alone, shared evidence, one plan by
-a majority) and by peers, worth served and paired differences from one plan.
+`python -m benchmarks.zones` measures the time of a plan by its size, compares it with a linear
+programme (highspy), and a policy's decisions with a plan with those without. `--worlds [--seeds N]`
+plays zones that are cut off, lost, slow or flapping, and two that are lost, with each planning mode
+and other policies, and compares the value served in pairs.
 """
 
 from __future__ import annotations
@@ -15,7 +14,9 @@
 import statistics
 import sys
 import time
+from collections.abc import Mapping, Sequence
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
 from typing import Any
 
 from badgercart.policy import Policy
@@ -30,106 +31,121 @@
     UpdateKind,
 )
 from badgercart.policy.settings import Idempotency, RequestClass, Settings
-from badgercart.zones.failover_controller import loads_of
-from badgercart.zones.topology import Geography, geography
-from badgercart.zones.traffic_plan import PARTS, Limits, Situation, compute_plan
+from badgercart.zones.topology import Topology, build_topology
+from badgercart.zones.traffic_plan import (
+    SHARES_PER_ROW,
+    PlanInput,
+    UtilizationLimits,
+    compute_plan,
+)
 from lab.model import play
 from lab.settings import Cell, Day, load
 from lab.stats import paired, verdict
 
 SIZES = ((3, 2, 2), (6, 3, 4), (12, 4, 8), (20, 5, 8))  # zones, regions, classes
 WORLD = "lab/days/worlds/zone-cut.toml"
-TROUBLES: dict[str, list[dict[str, Any]]] = {
+FAULTS: dict[str, list[dict[str, Any]]] = {
     "cut": [{"kind": "partition", "at_s": 6, "for_s": 8, "zone": 1}],
     "lost": [{"kind": "zone_loss", "at_s": 8, "for_s": 8, "zone": 1}],
     "slow": [{"kind": "zone_slow", "at_s": 8, "for_s": 10, "zone": 1, "size": 3.0}],
     "flaps": [{"kind": "zone_flap", "at_s": 8, "for_s": 14, "zone": 1, "size": 2.0}],
-    "one way": [{"kind": "zone_way", "at_s": 8, "for_s": 8, "zone": 1, "to": 0}],
+    "one mode": [{"kind": "zone_way", "at_s": 8, "for_s": 8, "zone": 1, "to": 0}],
     "two lost": [
         {"kind": "zone_loss", "at_s": 8, "for_s": 12, "zone": 1},
         {"kind": "zone_loss", "at_s": 12, "for_s": 8, "zone": 2},
     ],
 }
-WAYS = ("majority", "shared", "alone", "prequal", "priority")  # the first is compared with
+MODES = ("majority", "shared", "alone", "prequal", "priority")  # the first is compared with
 
 
 # Plans.
 
 
-def drawn(zones: int, regions: int, classes: int, seed: int) -> tuple[Geography, Situation]:
-    """A random situation in which one zone is lost and about nine tenths of the rest is wanted."""
+def random_situation(
+    zones: int, regions: int, classes: int, seed: int
+) -> tuple[Topology, PlanInput]:
+    """Return a random situation: one zone is lost, about nine tenths of the rest is wanted."""
     rng = random.Random(seed)
     names = [f"z{number}" for number in range(zones)]
-    map_ = geography(names, {n: f"r{i % regions}" for i, n in enumerate(names)}, {}, classes)
+    topology = build_topology(
+        names, {n: f"r{i % regions}" for i, n in enumerate(names)}, {}, classes
+    )
     capacity = tuple(0.0 if i == 1 else rng.uniform(300, 700) for i in range(zones))
     scale = 0.9 * sum(capacity) / (zones * classes)
     demand = tuple(
         tuple(rng.uniform(0.2, 1.8) * scale if row < classes else 0.0 for row in range(2 * classes))
         for _ in range(zones)
     )
-    return map_, Situation(capacity, capacity, demand)
+    return topology, PlanInput(capacity, capacity, demand)
 
 
-def value(map_: Geography, now: Situation, worths: list[float]) -> float:
-    """Worth that the water-filled plan carries within what each zone can do."""
-    plan = compute_plan(map_, now, worths, Limits())
-    loads, _ = loads_of(plan, now.demand)
+def carried_value(topology: Topology, now: PlanInput, weights: list[float]) -> float:
+    """Return the value that a plan carries within the capacity of each zone."""
+    plan = compute_plan(topology, now, weights, UtilizationLimits())
+    loads = plan.load(now.demand).slots
     over = {
         z: load / c
         for z, (load, c) in enumerate(zip(loads, now.capacity, strict=True))
         if c and load > c
     }
     total = 0.0
-    for source, rows in enumerate(plan.parts):
+    for source, rows in enumerate(plan.shares):
         for row, parts in enumerate(rows):
             for zone, part in enumerate(parts):
-                carried = now.demand[source][row] * part / PARTS / over.get(zone, 1.0)
-                total += worths[row % map_.classes] * carried
+                carried = now.demand[source][row] * part / SHARES_PER_ROW / over.get(zone, 1.0)
+                total += weights[row % topology.class_count] * carried
     return total
 
 
-def programme(map_: Geography, now: Situation, worths: list[float]) -> tuple[float, float]:
-    """The most worth that any plan carries, and the time (ms) that it takes to find it."""
+def best_value(topology: Topology, now: PlanInput, weights: list[float]) -> tuple[float, float]:
+    """Return the most value that any plan carries, and the time (ms) that it takes to find it."""
     import highspy
 
     begun = time.perf_counter()
     model: Any = highspy.Highs()  # type: ignore[no-untyped-call]
     model.setOptionValue("output_flag", False)
-    zones = range(len(map_.zones))
+    zones = range(len(topology.zones))
     cells = [
-        (i, r, j) for i in zones for r in range(map_.classes) for j in zones if now.capacity[j] > 0
+        (i, r, j)
+        for i in zones
+        for r in range(topology.class_count)
+        for j in zones
+        if now.capacity[j] > 0
     ]
     moved = {cell: model.addVariable(lb=0.0) for cell in cells}
     for i in zones:
-        for r in range(map_.classes):
+        for r in range(topology.class_count):
             model.addConstr(sum(moved[c] for c in cells if c[:2] == (i, r)) <= now.demand[i][r])
     for j in zones:
         if now.capacity[j] > 0:
             model.addConstr(sum(moved[c] for c in cells if c[2] == j) <= now.capacity[j])
-    model.maximize(sum((worths[r] - 1e-4 * map_.cost[i][j]) * moved[i, r, j] for i, r, j in cells))
+    model.maximize(
+        sum((weights[r] - 1e-4 * topology.costs[i][j]) * moved[i, r, j] for i, r, j in cells)
+    )
     took = (time.perf_counter() - begun) * 1000
     solution = model.getSolution().col_value
-    found = sum(worths[r] * solution[moved[i, r, j].index] for i, r, j in cells)
+    found = sum(weights[r] * solution[moved[i, r, j].index] for i, r, j in cells)
     return found, took
 
 
-def plans(with_programme: bool) -> None:
+def print_plans(with_programme: bool) -> None:
+    """Print times of plans by their size, and their value beside the best one."""
     print(
         "| zones | regions | classes | plan ms | linear programme ms | worth carried over the best |"
     )
     print("| --- | --- | --- | --- | --- | --- |")
     for zones, regions, classes in SIZES:
-        worths = [float(1 + number) for number in range(classes)]
+        weights = [float(1 + number) for number in range(classes)]
         times, shares, others = [], [], []
         for seed in range(5):
-            map_, now = drawn(zones, regions, classes, seed)
+            topology, now = random_situation(zones, regions, classes, seed)
             begun = time.perf_counter()
-            compute_plan(map_, now, worths, Limits())
+            compute_plan(topology, now, weights, UtilizationLimits())
             times.append((time.perf_counter() - begun) * 1000)
             if with_programme:
-                best, took = programme(map_, now, worths)
+                best, took = best_value(topology, now, weights)
                 others.append(took)
-                shares.append(value(map_, now, worths) / best)
+                shares.append(carried_value(topology, now, weights) / best)
         lp = f"{statistics.median(others):.1f}" if others else "-"
         share = f"{min(shares):.3f} to {max(shares):.3f}" if shares else "-"
         print(
@@ -141,7 +157,7 @@
 
 
 def decisions(plan: TrafficPlan | None, servers: int = 60) -> float:
-    """us a request of a policy that has a plan, or none."""
+    """Return the microseconds a request of a policy with a plan, or without."""
     classes = (
         RequestClass(
             latency_objective_ms=400.0,
@@ -167,7 +183,8 @@
     return (time.perf_counter() - begun) / 30_000 * 1e6
 
 
-def cost() -> None:
+def print_cost() -> None:
+    """Print what a plan adds to a policy's decisions."""
     plan = TrafficPlan(((0.8, 0.2, 0.0),) * 2, (0.1, 0.1, 0.1))
     pairs = [(decisions(None), decisions(plan)) for _ in range(5)]
     ratio = statistics.median(with_ / without for without, with_ in pairs)
@@ -179,57 +196,95 @@
 # Worlds.
 
 
-def day(trouble: str, nodes: int, load_: float, zones: str) -> Day:
-    told = load(WORLD).model_dump(by_alias=True)
-    told["experiment"]["seconds"] = 24 if trouble == "cut" else 30
-    told["arrivals"]["load"], told["fleet"]["nodes"] = load_, nodes
-    told["trouble"] = TROUBLES[trouble]
+@dataclass(slots=True, frozen=True)
+class Scenario:
+    """A fault of a zone, at so many nodes and so much load."""
+
+    fault: str
+    nodes: int
+    load: float
+
+
+@dataclass(slots=True, frozen=True)
+class Job:
+    """One run of a scenario: the planning mode or the other policy, and the seed."""
+
+    mode: str
+    scenario: Scenario
+    seed: int
+
+
+@dataclass(slots=True, frozen=True)
+class Outcome:
+    """What came of a run."""
+
+    value: float  # served, as a share
+    breaches: int  # rules broken
+    lost_after: float  # share of requests not served in time in the 5 s after the fault's end
+
+
+def world_day(scenario: Scenario, zones: str) -> Day:
+    """Return the day of a scenario; `zones` is the planning mode, or `off`."""
+    tables = load(WORLD).model_dump(by_alias=True)
+    tables["experiment"]["seconds"] = 24 if scenario.fault == "cut" else 30
+    tables["arrivals"]["load"], tables["fleet"]["nodes"] = scenario.load, scenario.nodes
+    tables["trouble"] = FAULTS[scenario.fault]
     if zones != "off":
-        told["fleet"] |= {"peers": True, "zones": zones}
-    return Day.model_validate(told)
-
-
-def played(job: tuple[str, str, int, float, int]) -> tuple[float, int, float]:
-    """Worth served, rules broken, and requests refused in the 5 s after the trouble's end, of all
-    then."""
-    way, trouble, nodes, load_, seed = job
-    zones = way if way in ("majority", "shared") else "off"
-    policy = way if way in ("prequal", "priority") else "badgercart"
-    result = play(Cell(day(trouble, nodes, load_, zones), policy, seed))
-    end = int(max(t["at_s"] + t["for_s"] for t in TROUBLES[trouble]))
+        tables["fleet"] |= {"peers": True, "zones": zones}
+    return Day.model_validate(tables)
+
+
+def run_job(job: Job) -> Outcome:
+    """Play one run."""
+    zones = job.mode if job.mode in ("majority", "shared") else "off"
+    policy = job.mode if job.mode in ("prequal", "priority") else "badgercart"
+    result = play(Cell(world_day(job.scenario, zones), policy, job.seed))
+    faults = FAULTS[job.scenario.fault]
+    end_s = int(max(fault["at_s"] + fault["for_s"] for fault in faults))
     course = result["course"]
-    offered = sum(course["offered"][end : end + 5])
-    dip = 1 - sum(course["timely"][end : end + 5]) / offered if offered else 0.0
-    return result["share"], sum(result["breaches"].values()), dip
+    offered = sum(course["offered"][end_s : end_s + 5])
+    lost = 1 - sum(course["timely"][end_s : end_s + 5]) / offered if offered else 0.0
+    return Outcome(result["share"], sum(result["breaches"].values()), lost)
 
 
-def worlds(seeds: int, cells: list[tuple[str, int, float]], workers: int) -> None:
-    jobs = [(way, *cell, seed) for cell in cells for way in WAYS for seed in range(1, seeds + 1)]
+def print_worlds(seeds: int, scenarios: list[Scenario], workers: int) -> None:
+    """Print a table of all scenarios by each mode, beside the first one."""
+    numbers = range(1, seeds + 1)
+    jobs = [Job(mode, each, seed) for each in scenarios for mode in MODES for seed in numbers]
     with ProcessPoolExecutor(workers) as pool:
-        found = dict(zip(jobs, pool.map(played, jobs), strict=True))
-    print("| zone | nodes | load | " + " | ".join(WAYS) + " | lost after its end, majority |")
-    print("| --- " * (len(WAYS) + 4) + "|")
-    for cell in cells:
-        row, ours = [], [found["majority", *cell, seed][0] for seed in range(1, seeds + 1)]
-        for way in WAYS:
-            shares = [found[way, *cell, seed][0] for seed in range(1, seeds + 1)]
-            broken = sum(found[way, *cell, seed][1] for seed in range(1, seeds + 1))
-            words = f"{statistics.fmean(shares):.4f}" + (f" !{broken}" if broken else "")
-            if way != "majority":
-                told = verdict(paired(shares, ours))
-                words = (
-                    f"**{words}**"
-                    if told == "better"
-                    else f"{words} ="
-                    if told != "worse"
-                    else words
-                )
-            row.append(words)
-        dips = statistics.fmean(found["majority", *cell, seed][2] for seed in range(1, seeds + 1))
-        print(f"| {cell[0]} | {cell[1]} | {cell[2]} | {' | '.join(row)} | {dips:.3f} |", flush=True)
+        outcomes = dict(zip(jobs, pool.map(run_job, jobs), strict=True))
+    print("| zone | nodes | load | " + " | ".join(MODES) + " | lost after its end, majority |")
+    print("| --- " * (len(MODES) + 4) + "|")
+    for each in scenarios:
+        by_mode = {mode: [outcomes[Job(mode, each, seed)] for seed in numbers] for mode in MODES}
+        cells = [mode_cell(mode, by_mode) for mode in MODES]
+        lost = statistics.fmean(outcome.lost_after for outcome in by_mode["majority"])
+        head = f"| {each.fault} | {each.nodes} | {each.load} |"
+        print(f"{head} {' | '.join(cells)} | {lost:.3f} |", flush=True)
+
+
+def mode_cell(mode: str, by_mode: Mapping[str, Sequence[Outcome]]) -> str:
+    """Return a mode's cell: its mean value, rules broken, and how it compares with one plan."""
+    values = [outcome.value for outcome in by_mode[mode]]
+    breaches = sum(outcome.breaches for outcome in by_mode[mode])
+    words = f"{statistics.fmean(values):.4f}" + (f" !{breaches}" if breaches else "")
+    if mode == "majority":
+        return words
+    compared = verdict(paired(values, [outcome.value for outcome in by_mode["majority"]]))
+    if compared == "better":
+        return f"**{words}**"
+    return words if compared == "worse" else f"{words} ="
+
+
+def scenarios_of(only_cut: bool) -> list[Scenario]:
+    """Return zones cut off by loads and nodes, or all faults at nine nodes."""
+    if only_cut:
+        return [Scenario("cut", nodes, load) for load in (0.55, 0.7, 0.8) for nodes in (3, 9, 18)]
+    return [Scenario(fault, 9, load) for fault in FAULTS for load in (0.55, 0.7)]
 
 
 def main() -> int:
+    """Run the benchmark that the command line asks for."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.zones", description=__doc__)
     parser.add_argument("--worlds", action="store_true", help="worth by worlds of the lab")
     parser.add_argument("--seeds", type=int, default=10, help="of each (10)")
@@ -239,19 +294,16 @@
     )
     chosen = parser.parse_args()
     if chosen.worlds:
-        cells = [("cut", nodes, load_) for load_ in (0.55, 0.7, 0.8) for nodes in (3, 9, 18)]
-        if not chosen.cut:
-            cells = [(trouble, 9, load_) for trouble in TROUBLES for load_ in (0.55, 0.7)]
-        worlds(chosen.seeds, cells, chosen.workers)
+        print_worlds(chosen.seeds, scenarios_of(chosen.cut), chosen.workers)
         return 0
     try:
         import highspy  # noqa: F401
     except ModuleNotFoundError:
         print("without highspy there is no linear programme to compare with")
-        plans(False)
+        print_plans(with_programme=False)
     else:
-        plans(True)
-    cost()
+        print_plans(with_programme=True)
+    print_cost()
     return 0
 
 
--- a/lab/companions.py
+++ b/lab/companions.py
@@ -14,9 +14,10 @@
 from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.events import AttemptResult
-from badgercart.zones.failover_controller import LOOK, FailoverController, FailoverSettings, Mode
-from badgercart.zones.sight import fleet_of, looks_apart
-from badgercart.zones.topology import geography
+from badgercart.zones.endpoint_capacity import scan_endpoints, ticks_between_scans
+from badgercart.zones.failover_controller import TICK_INTERVAL_MS, FailoverController
+from badgercart.zones.failover_settings import FailoverSettings, PlanningMode
+from badgercart.zones.topology import build_topology
 from lab.chance import Stream
 from lab.clock import Clock
 from lab.servers import Server
@@ -38,7 +39,7 @@
     zone: int
     join: RequestPipeline
     member: Member
-    keeper: FailoverController | None = None
+    controller: FailoverController | None = None
     zones: dict[int, int] = field(default_factory=dict)  # by server
     looks: int = 0
     up: bool = True
@@ -54,18 +55,22 @@
         sends: int,
     ) -> None:
         self.member.shares.count(intake.tenant)
-        if self.keeper is not None:
-            self.keeper.asked(intake.class_index, intake.tenant)
+        if self.controller is not None:
+            self.controller.observer.request_completed(intake.class_index, intake.tenant)
 
     # What the join tells of attempts.
 
     def attempt_sent(self, server_id: int) -> None:
-        if self.keeper is not None:
-            self.keeper.sent(self.join.clock(), self.zones[server_id], server_id)
+        if self.controller is not None:
+            self.controller.observer.attempt_sent(
+                self.join.clock(), self.zones[server_id], server_id
+            )
 
     def attempt_ended(self, server_id: int, result: AttemptResult, elapsed: float) -> None:
-        if self.keeper is not None:
-            self.keeper.ended(self.join.clock(), self.zones[server_id], result, elapsed)
+        if self.controller is not None:
+            self.controller.observer.attempt_ended(
+                self.join.clock(), self.zones[server_id], result, elapsed
+            )
 
 
 def address(number: int) -> Address:
@@ -98,38 +103,43 @@
         one = self.there[number] = Companion(number, zone, join, member)
         join.observers += (one,)
         if self.net.day.fleet.zones != "off":
-            one.keeper = self.keeper(member, zone, join)
+            one.controller = self.controller(member, zone, join)
             one.zones = {server_id: server.zone for server_id, server in self.servers.items()}
             join.attempt_observers += (one,)
-            self.clock.after(LOOK * rng.random(), self.look, one)
+            self.clock.after(TICK_INTERVAL_MS * rng.random(), self.look, one)
         self.run(one, machine.start(self.clock.now))
         self.clock.after(SHARE_MS * rng.random(), self.round, one)
 
-    def keeper(self, member: Member, zone: int, join: RequestPipeline) -> FailoverController:
+    def controller(self, member: Member, zone: int, join: RequestPipeline) -> FailoverController:
         day = self.net.day
         names = [f"z{number}" for number in range(day.net.zones)]
         regions = {name: f"r{day.region(number)}" for number, name in enumerate(names)}
-        map_ = geography(names, regions, {}, len(day.class_))
-        ways = FailoverSettings(Mode(day.fleet.zones), electorate=day.fleet.said or day.fleet.nodes)
-        return FailoverController(member, map_, zone, [cls.worth for cls in day.class_], ways)
+        topology = build_topology(names, regions, {}, len(day.class_))
+        settings = FailoverSettings(
+            PlanningMode(day.fleet.zones), electorate=day.fleet.said or day.fleet.nodes
+        )
+        weights = [cls.worth for cls in day.class_]
+        return FailoverController(member, topology, zone, weights, settings)
 
     def look(self, one: Companion) -> None:
-        """The keeper's look; plans are worked out here and now."""
-        keeper, now = one.keeper, self.clock.now
-        if keeper is None or not self.lives(one) or self.held(one, self.look, one):
+        """Tick the failover controller; plans are computed here and now."""
+        controller, now = one.controller, self.clock.now
+        if controller is None or not self.lives(one) or self.held(one, self.look, one):
             return
         policy = one.join.policy
-        fresh = one.looks % looks_apart(policy) == 0
+        fresh = one.looks % ticks_between_scans(policy) == 0
         one.looks += 1
-        fleet = fleet_of(policy, keeper.geography, self.serves) if fresh else keeper.fleet
-        if (event := keeper.look(now, fleet)) is not None:
+        capacity = controller.observer.capacity
+        if fresh:
+            capacity = scan_endpoints(policy, controller.topology, self.serves)
+        if (event := controller.tick(now, capacity)) is not None:
             one.join.dispatch(event)
-        if keeper.question is not None:
-            keeper.answer(now, keeper.work_out(keeper.question))
-        for zone in keeper.probes(now):
-            self.probe(one, keeper, zone)
+        if (question := controller.planner.scheduler.question) is not None:
+            controller.on_plan_computed(now, controller.compute(question))
+        for zone in controller.observer.zones_to_check(now):
+            self.probe(one, controller, zone)
         self.run(one, [])
-        self.clock.after(LOOK, self.look, one)
+        self.clock.after(TICK_INTERVAL_MS, self.look, one)
 
     @property
     def serves(self) -> float:
@@ -140,7 +150,7 @@
         )
         return sum(kind.share * kind.cores for kind in kinds) / weights
 
-    def probe(self, one: Companion, keeper: FailoverController, zone: int) -> None:
+    def probe(self, one: Companion, controller: FailoverController, zone: int) -> None:
         """Ask one of a zone's servers whether it is there."""
         there = [i for i in one.join.policy.ready if one.zones[i] == zone]
         server_id = there[int(self.chance() * len(there))]
@@ -148,13 +158,18 @@
         parted = self.net.parted(one.zone, zone) or self.net.parted(zone, one.zone)
         answers = not (parted or server.down or (server.silent and self.chance() < server.silent))
         took = 2 * self.net.way(one.zone, zone) if answers else PROBE_MS
-        self.clock.after(took, self.probed, one, keeper, zone, server_id, answers)
+        self.clock.after(took, self.probed, one, controller, zone, server_id, answers)
 
     def probed(
-        self, one: Companion, keeper: FailoverController, zone: int, server_id: int, answers: bool
+        self,
+        one: Companion,
+        controller: FailoverController,
+        zone: int,
+        server_id: int,
+        answers: bool,
     ) -> None:
         if self.lives(one):
-            keeper.probed(self.clock.now, zone, server_id, answers)
+            controller.observer.health_checked(self.clock.now, zone, server_id, answers)
 
     def stop(self, number: int) -> None:
         """It dies."""
@@ -180,9 +195,8 @@
                 one.member.heard(self.clock.now, effect)
         if (event := one.member.company(self.clock.now)) is not None:
             one.join.dispatch(event)
-        if one.keeper is not None and one.keeper.out:
-            effects, one.keeper.out = one.keeper.out, []
-            self.run(one, effects)
+        if one.controller is not None and one.controller.outbox:
+            self.run(one, one.controller.outbox.take())
         machine = one.member.machine
         self.clock.at(machine.due, self.ring, one, machine.due)
 
--- a/tests/benchmarks/test_control.py
+++ b/tests/benchmarks/test_control.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from badgercart.zones.plan_consensus import COMMITS, VOTERS
+from badgercart.zones.consensus_messages import COMMIT_TOPICS, VOTERS_PER_COMMIT
 from benchmarks.scale import control
 
 
@@ -19,8 +19,9 @@
 def test_a_commit_names_no_more_voters_than_its_posts_hold() -> None:
     """Of 8,600 nodes it takes 4,301: no council of so many would ever have a plan."""
     map_ = control.world(control.ZONES)
-    most = control.round_of(2 * VOTERS * len(COMMITS), map_)[2]
-    assert control.round_of(4 * VOTERS * len(COMMITS), map_)[2] == pytest.approx(most, rel=0.01)
+    named = VOTERS_PER_COMMIT * len(COMMIT_TOPICS)
+    most = control.round_of(2 * named, map_)[2]
+    assert control.round_of(4 * named, map_)[2] == pytest.approx(most, rel=0.01)
 
 
 def test_the_evidence_keeps_a_claim_of_each_node() -> None:
--- a/tests/zones/support.py
+++ b/tests/zones/support.py
@@ -1,9 +1,10 @@
-"""Councils in virtual time: messages late, lost, doubled or overtaken; nodes that sleep and
-restart.
+"""Plan consensus in virtual time.
 
-Every node has a clock of its own. What is checked is read off from outside, never from a council's
-word about others: no two plans of one epoch, nobody acting long after its round, nobody on an epoch
-long outdone.
+Messages come late, get lost, doubled or reordered; nodes are suspended and restart.
+
+Every node has a clock of its own. What is checked is observed from outside, never taken from a
+node's word about others: no two plans of one epoch, no node acting long after its round, no node on
+an epoch that was superseded long ago.
 """
 
 from __future__ import annotations
@@ -13,243 +14,271 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from badgercart.zones.plan_consensus import (
-    Ballot,
-    Effect,
-    InForce,
-    LeaseSettings,
-    PlanConsensus,
-    RegisterUpdate,
-)
-from badgercart.zones.topology import geography
-from badgercart.zones.traffic_plan import Limits, Plan, Situation, compute_plan, unpacked
-
-MAP = geography("abc", {}, {}, 1)
-TERMS = LeaseSettings(lease=4000.0, margin=100.0, renew=1000.0, patience=2000.0)
-SLACK = 1.0  # ms
+from badgercart.zones.consensus_messages import Ballot
+from badgercart.zones.consensus_state import Effect, LeaseSettings, PlanActivated, SendMessage
+from badgercart.zones.plan_codec import decode_plan
+from badgercart.zones.plan_consensus import PlanConsensus
+from badgercart.zones.topology import build_topology
+from badgercart.zones.traffic_plan import Plan, PlanInput, UtilizationLimits, compute_plan
+
+TOPOLOGY = build_topology("abc", {}, {}, 1)
+SETTINGS = LeaseSettings(lease_ms=4000.0, margin_ms=100.0, renew_ms=1000.0, patience_ms=2000.0)
+SLACK_MS = 1.0
+TICK_MS = 100.0
+LATE_MS = 3000.0  # that a late message takes more
+MAX_WALL_SKEW_MS = 3_600_000.0
+WALL_START_MS = 1_700_000_000_000.0  # Unix ms as a run begins
 
 Make = Callable[
     [str, int, LeaseSettings, Callable[[bytes], Plan], Callable[[], float]], PlanConsensus
 ]
-HOUR = 3_600_000.0  # ms that a wall clock may be off
-WALL = 1_700_000_000_000.0  # Unix ms as a day begins
 
 
 def plan(number: int) -> Plan:
     """One of many different plans."""
     demand = ((1.0 + number % 97, 0.0), (2.0, 0.0), (1.0, 0.0))
-    situation = Situation((50.0, 50.0, 50.0), (50.0, 50.0, 50.0), demand)
-    return compute_plan(MAP, situation, (1.0,), Limits(), f"plan {number}")
+    situation = PlanInput((50.0, 50.0, 50.0), (50.0, 50.0, 50.0), demand)
+    return compute_plan(TOPOLOGY, situation, (1.0,), UtilizationLimits(), f"plan {number}")
 
 
 @dataclass(slots=True)
 class Node:
-    council: PlanConsensus
-    offset: float  # of its clock
-    boot: int
+    consensus: PlanConsensus
+    clock_offset_ms: float
+    incarnation: int
     up: bool = True
-    asleep: bool = False
-    last: int = 0  # epoch that was in force
+    suspended: bool = False
+    last_epoch: int = 0  # that was in force
     waiting: list[tuple[str, str, bytes]] = field(default_factory=list)
 
 
-class Broken(AssertionError):
-    """A promise that was broken."""
+class BrokenInvariantError(AssertionError):
+    """Something happened that the consensus rules out."""
 
 
-class Hall:
-    """Councils by name. All of a run is drawn from its seed."""
+class Cluster:
+    """Nodes by name. All of a run is drawn from its seed."""
 
     def __init__(
-        self, count: int, seed: int, make: Make = PlanConsensus, delay: float = 300.0
+        self, count: int, seed: int, make: Make = PlanConsensus, delay_ms: float = 300.0
     ) -> None:
-        self.random, self.make, self.delay = random.Random(seed), make, delay
-        self.now, self.order, self.plans = 0.0, 0, 0
+        self.random, self.make, self.delay_ms = random.Random(seed), make, delay_ms
+        self.now, self.sequence, self.plan_count = 0.0, 0, 0
         self.queue: list[tuple[float, int, str, str, str, bytes]] = []
-        self.forgot = False  # whether any process has begun anew
-        self.cut: set[tuple[str, str]] = set()
-        self.loss, self.late = 0.05, 0.03  # shares of messages; a late one takes 3 s more
+        self.any_restarted = False
+        self.cut_links: set[tuple[str, str]] = set()
+        self.loss_share, self.late_share = 0.05, 0.03
         self.names = [f"n{number}" for number in range(count)]
         self.nodes: dict[str, Node] = {}
-        self.epochs: dict[int, bytes] = {}  # digests in force, by epoch
-        self.first: dict[int, float] = {}  # when an epoch was in force first
-        self.opened: dict[Ballot, float] = {}  # when a round was told of first
+        self.digests: dict[int, bytes] = {}  # of plans in force, by epoch
+        self.first_in_force: dict[int, float] = {}  # when, by epoch
+        self.opened: dict[Ballot, float] = {}  # when a round was announced first
         for name in self.names:
             self.begin(name)
 
     def begin(self, name: str) -> None:
-        self.order += 1
-        skew = self.random.uniform(-HOUR, HOUR)
-        council = self.make(
-            name, self.order, TERMS, lambda d: unpacked(d, MAP), lambda: WALL + self.now + skew
+        self.sequence += 1
+        skew_ms = self.random.uniform(-MAX_WALL_SKEW_MS, MAX_WALL_SKEW_MS)
+        consensus = self.make(
+            name,
+            self.sequence,
+            SETTINGS,
+            lambda data: decode_plan(data, TOPOLOGY),
+            lambda: WALL_START_MS + self.now + skew_ms,
         )
-        self.nodes[name] = Node(council, self.random.uniform(0, 1e6), self.order)
+        self.nodes[name] = Node(consensus, self.random.uniform(0, 1e6), self.sequence)
         self.tick(name)
 
-    # What happens to them.
+    # Events.
 
     def clock(self, name: str) -> float:
-        return self.now + self.nodes[name].offset
+        return self.now + self.nodes[name].clock_offset_ms
 
-    def carry(self, name: str, effects: list[Effect]) -> None:
+    def apply(self, name: str, effects: list[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, RegisterUpdate):
-                others = [effect.to] if effect.to else [n for n in self.names if n != name]
+            if isinstance(effect, SendMessage):
+                others = (
+                    [effect.recipient] if effect.recipient else [n for n in self.names if n != name]
+                )
                 for other in others:
                     for _ in range(2 if self.random.random() < 0.1 else 1):
                         self.send(name, other, effect)
-            elif isinstance(effect, InForce):
-                self.in_force(effect)
+            elif isinstance(effect, PlanActivated):
+                self.activated(effect)
                 node = self.nodes[name]
-                if effect.epoch < node.last:
-                    raise Broken(f"{name} went back from epoch {node.last} to {effect.epoch}")
-                node.last = effect.epoch
-
-    def send(self, name: str, other: str, effect: RegisterUpdate) -> None:
-        held = self.nodes[name].council.mine
-        if held is not None:
-            self.opened.setdefault(held.ballot, self.now)
-        if (name, other) in self.cut or self.random.random() < self.loss:
+                if effect.epoch < node.last_epoch:
+                    raise BrokenInvariantError(
+                        f"{name} went back from epoch {node.last_epoch} to {effect.epoch}"
+                    )
+                node.last_epoch = effect.epoch
+
+    def send(self, name: str, other: str, effect: SendMessage) -> None:
+        proposal = self.nodes[name].consensus.proposal
+        if proposal is not None:
+            self.opened.setdefault(proposal.ballot, self.now)
+        if (name, other) in self.cut_links or self.random.random() < self.loss_share:
             return
-        self.order += 1
-        late = self.random.expovariate(1 / self.delay) + (
-            3000.0 if self.random.random() < self.late else 0.0
+        self.sequence += 1
+        delay_ms = self.random.expovariate(1 / self.delay_ms) + (
+            LATE_MS if self.random.random() < self.late_share else 0.0
         )
         heapq.heappush(
-            self.queue, (self.now + late, self.order, name, other, effect.topic, effect.said)
+            self.queue,
+            (self.now + delay_ms, self.sequence, name, other, effect.topic, effect.payload),
         )
 
     def tick(self, name: str) -> None:
         node = self.nodes[name]
-        if node.up and not node.asleep:
-            self.carry(name, node.council.tick(self.clock(name)))
+        if node.up and not node.suspended:
+            self.apply(name, node.consensus.tick(self.clock(name)))
 
     def propose(self, name: str) -> None:
         node = self.nodes[name]
-        if node.up and not node.asleep:
-            self.plans += 1
-            self.carry(
-                name, node.council.propose(self.clock(name), plan(self.plans), len(self.names))
+        if node.up and not node.suspended:
+            self.plan_count += 1
+            self.apply(
+                name,
+                node.consensus.propose(self.clock(name), plan(self.plan_count), len(self.names)),
             )
 
-    def turn(self, name: str) -> None:
-        """Propose where it is its turn, as a keeper does."""
+    def take_turn(self, name: str) -> None:
+        """Propose where it is the node's turn, as a planner does."""
         node = self.nodes[name]
         if (
             node.up
-            and not node.asleep
-            and node.council.turn(self.clock(name), self.names.index(name))
+            and not node.suspended
+            and node.consensus.may_propose(self.clock(name), self.names.index(name))
         ):
             self.propose(name)
 
-    def sleep(self, name: str) -> None:
-        self.nodes[name].asleep = True
+    def cut(self, inside: set[str]) -> None:
+        """Cut these nodes off from the others, both ways."""
+        self.cut_links = {
+            (a, b) for a in self.names for b in self.names if (a in inside) != (b in inside)
+        }
 
-    def wake(self, name: str) -> None:
-        """As SIGCONT: what waited in its sockets comes first, then its timers."""
+    def suspend(self, name: str) -> None:
+        self.nodes[name].suspended = True
+
+    def resume(self, name: str) -> None:
+        """Resume as after SIGCONT: what waited in its sockets comes first, then its timers."""
         node = self.nodes[name]
-        if node.asleep:
-            node.asleep, waiting = False, node.waiting
+        if node.suspended:
+            node.suspended, waiting = False, node.waiting
             node.waiting = []
-            for author, topic, said in waiting:
-                self.carry(name, node.council.hear(self.clock(name), author, topic, said))
+            for author, topic, payload in waiting:
+                self.apply(name, node.consensus.receive(self.clock(name), author, topic, payload))
             self.tick(name)
 
     def restart(self, name: str) -> None:
-        self.forgot = True
+        self.any_restarted = True
         self.begin(name)
 
     def run(self, until: float) -> None:
-        """Let time pass; every node is looked at each 100 ms, at a moment of its own."""
+        """Let time pass; every node is ticked each 100 ms, in a random order."""
         while self.now < until:
-            step = min(self.now + 100.0, until)
+            step = min(self.now + TICK_MS, until)
             while self.queue and self.queue[0][0] <= step:
-                at, _, author, name, topic, said = heapq.heappop(self.queue)
+                at, _, author, name, topic, payload = heapq.heappop(self.queue)
                 self.now = max(self.now, at)
-                self.deliver(author, name, topic, said)
+                self.deliver(author, name, topic, payload)
                 self.check()
             self.now = step
             for name in self.random.sample(self.names, len(self.names)):
                 self.tick(name)
-                self.turn(name)
+                self.take_turn(name)
             self.check()
 
-    def deliver(self, author: str, name: str, topic: str, said: bytes) -> None:
+    def deliver(self, author: str, name: str, topic: str, payload: bytes) -> None:
         node = self.nodes[name]
-        if (author, name) in self.cut or not node.up:
+        if (author, name) in self.cut_links or not node.up:
             return
-        if node.asleep:
-            node.waiting.append((author, topic, said))
+        if node.suspended:
+            node.waiting.append((author, topic, payload))
         else:
-            self.carry(name, node.council.hear(self.clock(name), author, topic, said))
+            self.apply(name, node.consensus.receive(self.clock(name), author, topic, payload))
 
-    # What must hold.
+    # Invariants.
 
-    def in_force(self, effect: InForce) -> None:
-        known = self.epochs.setdefault(effect.epoch, effect.plan.digest)
+    def activated(self, effect: PlanActivated) -> None:
+        known = self.digests.setdefault(effect.epoch, effect.plan.digest)
         if known != effect.plan.digest:
-            raise Broken(f"two plans of epoch {effect.epoch}")
-        self.first.setdefault(effect.epoch, self.now)
+            raise BrokenInvariantError(f"two plans of epoch {effect.epoch}")
+        self.first_in_force.setdefault(effect.epoch, self.now)
 
     def acting(self) -> dict[str, Ballot]:
-        """By node that runs: the round that it goes by. One that looks finds its lease over."""
+        """Return by running node the round that it goes by; a node that ticks ends an old lease."""
         found = {}
         for name, node in self.nodes.items():
-            held = node.council.current
-            if node.up and not node.asleep and held is not None and self.clock(name) < held.until:
-                found[name] = held.ballot
+            active = node.consensus.active
+            if (
+                node.up
+                and not node.suspended
+                and active is not None
+                and self.clock(name) < active.expires_at
+            ):
+                found[name] = active.ballot
         return found
 
     def check(self) -> None:
-        lease = TERMS.lease
-        for name, node in self.nodes.items():
-            if node.up and not node.asleep and node.council.current is not None:
-                late = self.clock(name) - node.council.current.until
-                if late > 100.0 + SLACK:  # it is looked at each 100 ms
-                    raise Broken(f"{name} acts {late:.0f} ms past its lease")
+        """Raise BrokenInvariantError if a node acts by a plan that it must not act by any more."""
+        self._check_leases()
         for name, ballot in self.acting().items():
-            opened = self.opened.get(ballot)
-            if opened is not None and self.now > opened + 2 * lease + SLACK:
-                raise Broken(f"{name} acts by a round of {self.now - opened:.0f} ms ago")
-            later = [at for epoch, at in self.first.items() if epoch > ballot.epoch]
-            if self.forgot:
-                continue  # who voted for both has begun anew: the older one may be renewed by it
-            if later and self.now > min(later) + 2 * lease + SLACK:
-                raise Broken(
-                    f"{name} is on an epoch that was outdone {self.now - min(later):.0f} ms ago"
-                )
+            self._check_ballot(name, ballot)
+
+    def _check_leases(self) -> None:
+        for name, node in self.nodes.items():
+            if node.up and not node.suspended and node.consensus.active is not None:
+                late_ms = self.clock(name) - node.consensus.active.expires_at
+                if late_ms > TICK_MS + SLACK_MS:
+                    raise BrokenInvariantError(f"{name} acts {late_ms:.0f} ms past its lease")
+
+    def _check_ballot(self, name: str, ballot: Ballot) -> None:
+        allowed_ms = 2 * SETTINGS.lease_ms + SLACK_MS
+        opened = self.opened.get(ballot)
+        if opened is not None and self.now > opened + allowed_ms:
+            age_ms = self.now - opened
+            raise BrokenInvariantError(f"{name} acts by a round of {age_ms:.0f} ms ago")
+        if self.any_restarted:
+            return  # a node that voted for both restarted: it may renew the older one
+        later = [at for epoch, at in self.first_in_force.items() if epoch > ballot.epoch]
+        if later and self.now > min(later) + allowed_ms:
+            age_ms = self.now - min(later)
+            raise BrokenInvariantError(
+                f"{name} is on an epoch that was superseded {age_ms:.0f} ms ago"
+            )
 
 
-TROUBLES = ("cut", "one_way", "heal", "sleep", "wake", "restart", "propose", "loss", "rest")
+FAULTS = ("cut", "one_way", "heal", "suspend", "resume", "restart", "propose", "loss", "rest")
 
 
-def play(
-    seed: int, make: Make = PlanConsensus, steps: int = 40, troubles: tuple[str, ...] = TROUBLES
-) -> Hall:
-    """A random day. Raises Broken."""
+def play(seed: int, make: Make = PlanConsensus, steps: int = 40) -> Cluster:
+    """Return a cluster after a random run. Raises BrokenInvariantError."""
     rng = random.Random(f"{seed} day")
-    hall = Hall(rng.choice((3, 3, 4, 5)), seed, make, rng.choice((5.0, 100.0, 400.0)))
-    hall.run(6000.0)
+    cluster = Cluster(rng.choice((3, 3, 4, 5)), seed, make, rng.choice((5.0, 100.0, 400.0)))
+    cluster.run(6000.0)
     for _ in range(steps):
-        name, other = rng.sample(hall.names, 2)
-        kind = rng.choice(TROUBLES)
-        if kind == "cut":
-            inside = set(rng.sample(hall.names, rng.randint(1, len(hall.names) - 1)))
-            hall.cut = {
-                (a, b) for a in hall.names for b in hall.names if (a in inside) != (b in inside)
-            }
-        elif kind == "one_way":
-            hall.cut.add((name, other))
-        elif kind == "heal":
-            hall.cut.clear()
-        elif kind == "loss":
-            hall.loss = rng.choice((0.0, 0.05, 0.3))
-        elif kind in ("sleep", "wake", "restart", "propose"):
-            getattr(hall, kind)(name)
-        hall.run(hall.now + rng.choice((50.0, 300.0, 1500.0, 5000.0)))
-    hall.cut.clear()
-    hall.loss = hall.late = 0.0
-    hall.delay = 5.0
-    for name in hall.names:
-        hall.wake(name)
-    return hall
+        _inject_fault(cluster, rng)
+        cluster.run(cluster.now + rng.choice((50.0, 300.0, 1500.0, 5000.0)))
+    cluster.cut_links.clear()
+    cluster.loss_share = cluster.late_share = 0.0
+    cluster.delay_ms = 5.0
+    for name in cluster.names:
+        cluster.resume(name)
+    return cluster
+
+
+def _inject_fault(cluster: Cluster, rng: random.Random) -> None:
+    name, other = rng.sample(cluster.names, 2)
+    kind = rng.choice(FAULTS)
+    if kind == "cut":
+        inside = set(rng.sample(cluster.names, rng.randint(1, len(cluster.names) - 1)))
+        cluster.cut(inside)
+    elif kind == "one_way":
+        cluster.cut_links.add((name, other))
+    elif kind == "heal":
+        cluster.cut_links.clear()
+    elif kind == "loss":
+        cluster.loss_share = rng.choice((0.0, 0.05, 0.3))
+    elif kind in ("suspend", "resume", "restart", "propose"):
+        getattr(cluster, kind)(name)
--- a/tests/zones/test_golden.py
+++ b/tests/zones/test_golden.py
@@ -1,7 +1,7 @@
 """What zones tell each other and people, byte for byte as it was written before.
 
-Posts as they travel, a plan packed, the pages of a node, and what the commands make of them. All
-come from one council, one claim and one day of the lab's model under fixed clocks and seeds.
+Messages as they travel, a plan packed, the pages of a node, and what the commands make of them. All
+come from one consensus, one report and one day of the lab's model under fixed clocks and seeds.
 """
 
 from __future__ import annotations
@@ -20,19 +20,24 @@
 
 from badgercart.app.cli import main
 from badgercart.zones import commands
-from badgercart.zones.failover_controller import ORDERS, FailoverController, OperatorOverride
-from badgercart.zones.failure_detector import Verdict
-from badgercart.zones.plan_consensus import ASK, ROUND, VOTE, InForce, PlanConsensus, RegisterUpdate
-from badgercart.zones.traffic_plan import Limits, Plan, Situation, compute_plan, packed, unpacked
-from badgercart.zones.zone_reports import Evidence, ZoneReport
+from badgercart.zones.consensus_messages import REQUEST_TOPIC, ROUND_TOPIC, VOTE_TOPIC
+from badgercart.zones.consensus_state import PlanActivated, SendMessage
+from badgercart.zones.failover_controller import FailoverController
+from badgercart.zones.failure_detector import Reachability
+from badgercart.zones.operator_overrides import OVERRIDES_TOPIC, OperatorOverride
+from badgercart.zones.plan_codec import decode_plan, encode_plan
+from badgercart.zones.plan_consensus import PlanConsensus
+from badgercart.zones.presentation import loss_forecast, status_page
+from badgercart.zones.traffic_plan import Plan, PlanInput, UtilizationLimits, compute_plan
+from badgercart.zones.zone_reports import ZoneReport, ZoneReportTable
 from lab.model import World
 from lab.settings import Cell
 from tests.app.test_file import ROOT
 from tests.lab.support import day
-from tests.zones.support import MAP, TERMS, plan
+from tests.zones.support import SETTINGS, TOPOLOGY, plan
 
 GOLDEN = Path(__file__).parent / "golden"
-WALL = 1_700_000_000_000
+WALL_MS = 1_700_000_000_000
 NODE = "n1"
 
 
@@ -40,113 +45,136 @@
     assert data == (GOLDEN / name).read_bytes()
 
 
-def written(posts: list[RegisterUpdate]) -> bytes:
+def written(messages: list[SendMessage]) -> bytes:
     """Topics, bytes and addressees, a line each."""
-    return "".join(f"{post.topic} {post.said.hex()} {post.to or '*'}\n" for post in posts).encode()
+    return "".join(
+        f"{message.topic} {message.payload.hex()} {message.recipient or '*'}\n"
+        for message in messages
+    ).encode()
 
 
 def read() -> list[tuple[str, bytes, str]]:
-    lines = (GOLDEN / "council.txt").read_text().splitlines()
+    lines = (GOLDEN / "consensus.txt").read_text().splitlines()
     found = [line.split(" ") for line in lines]
     return [(topic, bytes.fromhex(said), to) for topic, said, to in found]
 
 
-def council(name: str, boot: int) -> PlanConsensus:
-    made = PlanConsensus(name, boot, TERMS, lambda data: unpacked(data, MAP), lambda: float(WALL))
+def consensus(name: str, incarnation: int) -> PlanConsensus:
+    made = PlanConsensus(
+        name,
+        incarnation,
+        SETTINGS,
+        lambda data: decode_plan(data, TOPOLOGY),
+        lambda: float(WALL_MS),
+    )
     made.tick(0.0)
     return made
 
 
-def conversation() -> list[RegisterUpdate]:
+def conversation() -> list[SendMessage]:
     """A proposal, a node that lost a piece of it and asks, its vote, the commit."""
-    first, other = council("n0", 7), council("n1", 8)
-    posts = [
-        effect for effect in first.propose(5000.0, plan(1), 3) if isinstance(effect, RegisterUpdate)
+    first, other = consensus("n0", 7), consensus("n1", 8)
+    messages = [
+        effect for effect in first.propose(5000.0, plan(1), 3) if isinstance(effect, SendMessage)
     ]
-    (opened,) = [post for post in posts if post.topic == ROUND]
+    (opened,) = [message for message in messages if message.topic == ROUND_TOPIC]
     for _ in range(2):
-        asked = other.hear(5010.0, "n0", opened.topic, opened.said)
-    posts += [effect for effect in asked if isinstance(effect, RegisterUpdate)]
-    posts += [
+        asked = other.receive(5010.0, "n0", opened.topic, opened.payload)
+    messages += [effect for effect in asked if isinstance(effect, SendMessage)]
+    messages += [
+        e
+        for e in first.receive(5020.0, "n1", messages[-1].topic, messages[-1].payload)
+        if isinstance(e, SendMessage)
+    ]
+    for message in messages[:-1]:
+        answers = (
+            other.receive(5030.0, "n0", message.topic, message.payload)
+            if message.topic != REQUEST_TOPIC
+            else []
+        )
+        messages += [effect for effect in answers if isinstance(effect, SendMessage)][:1]
+    (vote,) = [message for message in messages if message.topic == VOTE_TOPIC]
+    messages += [
         e
-        for e in first.hear(5020.0, "n1", posts[-1].topic, posts[-1].said)
-        if isinstance(e, RegisterUpdate)
+        for e in first.receive(5040.0, "n1", VOTE_TOPIC, vote.payload)
+        if isinstance(e, SendMessage)
     ]
-    for post in posts[:-1]:
-        answers = other.hear(5030.0, "n0", post.topic, post.said) if post.topic != ASK else []
-        posts += [effect for effect in answers if isinstance(effect, RegisterUpdate)][:1]
-    (vote,) = [post for post in posts if post.topic == VOTE]
-    posts += [e for e in first.hear(5040.0, "n1", VOTE, vote.said) if isinstance(e, RegisterUpdate)]
-    return posts
+    return messages
 
 
-def test_a_council_tells_others_the_same_bytes() -> None:
-    held_to("council.txt", written(conversation()))
+def test_the_consensus_sends_the_same_bytes() -> None:
+    held_to("consensus.txt", written(conversation()))
 
 
-def test_a_council_reads_what_was_told_before() -> None:
-    other = council("n1", 8)
+def test_the_consensus_reads_what_was_sent_before() -> None:
+    other = consensus("n1", 8)
     effects: list[Any] = []
     for topic, said, to in read():
         if to in ("*", "n1"):
-            effects += other.hear(5100.0, "n0", topic, said)
-    (in_force,) = [effect for effect in effects if isinstance(effect, InForce)]
+            effects += other.receive(5100.0, "n0", topic, said)
+    (in_force,) = [effect for effect in effects if isinstance(effect, PlanActivated)]
     assert in_force.epoch == 6_963_200_000_001_769 and in_force.proposer == "n0"
-    assert in_force.plan == plan(1) and in_force.plan.why == "plan 1"
-    assert other.refused == 0
+    assert in_force.plan == plan(1) and in_force.plan.reason == "plan 1"
+    assert other.rejected_count == 0
 
 
 def test_a_plan_is_packed_to_the_same_bytes_and_read_back() -> None:
     demand = ((30.0, 12.0), (9.0, 0.0), (1.0, 4.5))
-    situation = Situation((0.0, 30.0, 50.0), (0.0, 40.0, 50.0), demand, frozenset({(1, 2)}))
-    made = compute_plan(MAP, situation, (3.0,), Limits(), "a is dark, say n0 n1")
-    held_to("plan.bin", zlib.decompress(packed(made)) + made.digest)
+    situation = PlanInput((0.0, 30.0, 50.0), (0.0, 40.0, 50.0), demand, frozenset({(1, 2)}))
+    made = compute_plan(TOPOLOGY, situation, (3.0,), UtilizationLimits(), "a is dark, say n0 n1")
+    held_to("plan.bin", zlib.decompress(encode_plan(made)) + made.digest)
     data = (GOLDEN / "plan.bin").read_bytes()
-    told: Plan = unpacked(zlib.compress(data[:-8]), MAP)
+    told: Plan = decode_plan(zlib.compress(data[:-8]), TOPOLOGY)
     assert told == made and told.digest == data[-8:]
-    assert told.parts == (
+    assert told.shares == (
         ((0, 73, 167), (0, 0, 0)),
         ((0, 240, 0), (0, 240, 0)),
         ((0, 0, 240), (0, 0, 240)),
     )
-    assert told.room == (0, 8909, 18590) and told.lost == (0,)
+    assert told.spare_milli_slots == (0, 8909, 18590) and told.lost_zones == (0,)
 
 
-def test_a_claim_is_read_as_it_was() -> None:
+def test_a_report_is_read_as_it_was() -> None:
     said = bytes.fromhex(
         "95"
         + "cf0000"
-        + f"{MAP.digest:012x}"
+        + f"{TOPOLOGY.digest:012x}"
         + "93010200"
         + "9364cd012c00"
         + "9364325a"
         + "92cd05dc00"
     )
-    claim = ZoneReport(
-        MAP.digest,
-        [Verdict.FINE, Verdict.DARK, Verdict.UNKNOWN],
+    report = ZoneReport(
+        TOPOLOGY.digest,
+        [Reachability.REACHABLE, Reachability.UNREACHABLE, Reachability.UNKNOWN],
         [100, 300, 0],
         [100, 50, 90],
         [1500, 0],
     )
-    assert msgspec.msgpack.encode(claim) == said
-    evidence = Evidence(MAP)
-    evidence.take("n0", 0, said, 1000.0)
-    evidence.take("n1", 0, said, 1000.0)
-    seen = evidence.seen(1000.0, 500.0, (10.0, 10.0, 10.0))
-    assert (set(seen.down), set(seen.fine), seen.slow, seen.good) == (
+    assert msgspec.msgpack.encode(report) == said
+    table = ZoneReportTable(TOPOLOGY)
+    table.record("n0", 0, said, 1000.0)
+    table.record("n1", 0, said, 1000.0)
+    summary = table.summarize(1000.0, 500.0, (10.0, 10.0, 10.0))
+    assert (
+        set(summary.down),
+        set(summary.reachable),
+        summary.relative_latency,
+        summary.success_rate,
+    ) == (
         {1},
         {0},
         (1.0, 3.0, 1.0),
         (1.0, 0.5, 1.0),
     )
     assert (
-        seen.demand == ((3.0, 0.0), (0.0, 0.0), (0.0, 0.0)) and seen.why == "b is dark, say n0 n1"
+        summary.demand == ((3.0, 0.0), (0.0, 0.0), (0.0, 0.0))
+        and summary.reason == "b is dark, say n0 n1"
     )
 
 
 def played() -> FailoverController:
-    """A node of a day on which a zone is lost, with an operator's word about another."""
+    """A node of a day on which a zone is lost, with an operator's override of another."""
     fleet = {"nodes": 6, "peers": True, "zones": "majority", "servers": 6}
     net = {"zones": 3, "regions": 2, "far_ms": 5.0}
     trouble = [{"kind": "zone_loss", "at_s": 7.0, "for_s": 8.0, "zone": 1}]
@@ -155,40 +183,40 @@
     )
     world.play()
     assert world.companions is not None
-    keeper = [one.keeper for one in world.companions.there.values()][0]
-    assert keeper is not None
-    now = int(keeper.wall())
-    word = msgspec.msgpack.encode(
-        (keeper.geography.digest, [OperatorOverride(2, "drain", now, now + 60_000, "eva")])
+    controller = [one.controller for one in world.companions.there.values()][0]
+    assert controller is not None
+    now = int(controller.wall_ms())
+    payload = msgspec.msgpack.encode(
+        (controller.topology.digest, [OperatorOverride(2, "drain", now, now + 60_000, "eva")])
     )
-    keeper.on_orders(0.0, "operator c", word)
-    return keeper
+    controller.on_overrides(0.0, "operator c", payload)
+    return controller
 
 
 @pytest.fixture(scope="module")
-def keeper() -> FailoverController:
+def controller() -> FailoverController:
     return played()
 
 
-def test_the_pages_of_a_node_are_as_they_were(keeper: FailoverController) -> None:
-    now = keeper.member.machine.now
-    held_to("page.json", json.dumps(keeper.page(now), indent=1).encode())
-    held_to("if.json", json.dumps(keeper.if_gone(), indent=1).encode())
+def test_the_pages_of_a_node_are_as_they_were(controller: FailoverController) -> None:
+    now = controller.member.machine.now
+    held_to("page.json", json.dumps(status_page(controller, now), indent=1).encode())
+    held_to("if.json", json.dumps(loss_forecast(controller), indent=1).encode())
 
 
-def test_what_a_node_says_of_its_zones_travels_in_the_same_bytes(
-    keeper: FailoverController,
+def test_what_a_node_reports_of_zones_travels_in_the_same_bytes(
+    controller: FailoverController,
 ) -> None:
-    topics = sorted(topic for topic in keeper.member.out if topic.startswith("zones."))
+    topics = sorted(topic for topic in controller.member.out if topic.startswith("zones."))
     held_to(
         "posts.txt",
-        "".join(f"{topic} {keeper.member.out[topic].hex()}\n" for topic in topics).encode(),
+        "".join(f"{topic} {controller.member.out[topic].hex()}\n" for topic in topics).encode(),
     )
 
 
 @contextmanager
 def serving() -> Iterator[str]:
-    """An HTTP front that has the golden pages."""
+    """An HTTP frontend that has the golden pages."""
 
     class Handler(http.server.BaseHTTPRequestHandler):
         def do_GET(self) -> None:
@@ -221,7 +249,7 @@
     held_to("commands.txt", told.encode())
 
 
-def test_an_operators_word_travels_in_the_same_bytes(
+def test_an_operators_override_travels_in_the_same_bytes(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sent = []
@@ -231,12 +259,12 @@
         return packet
 
     monkeypatch.setattr(commands, "exchange", exchange)
-    monkeypatch.setattr(commands.time, "time", lambda: WALL / 1000)
+    monkeypatch.setattr(commands.time, "time", lambda: WALL_MS / 1000)
     monkeypatch.chdir(ROOT)
     for words in (["drain", "szeged", "--for", "60"], ["pin", "kelenfold"], ["release", "szeged"]):
         assert main(["zones", words[0], "deploy/zones.toml", *words[1:], "--by", "eva"]) == 0
     assert main(["zones", "drain", "deploy/zones.toml", "x", "--by", "eva"]) == 2
     lines = [f"{topic} {author} {number} {said.hex()}\n" for topic, author, number, said in sent]
-    assert ORDERS == "zones.orders"
+    assert OVERRIDES_TOPIC == "zones.orders"
     told = capsys.readouterr()
     held_to("orders.txt", ("".join(lines) + told.out + told.err).encode())
--- a/tests/zones/test_settings.py
+++ b/tests/zones/test_settings.py
@@ -1,4 +1,4 @@
-"""A wrong geography is told by key and in words; a right one is a map."""
+"""A wrong topology is rejected by key and in words; a right one is read."""
 
 from __future__ import annotations
 
@@ -13,19 +13,23 @@
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "zones.toml"
 
 
-def test_the_example_is_a_map_of_two_regions() -> None:
+def test_the_example_is_a_topology_of_two_regions() -> None:
     site = load(str(EXAMPLE))
     settings: ZonesSettings = site.parts["zones"]
-    map_ = settings.geography(site.config.zones, site.config.classes, site.config.tenants)
-    assert map_.zones == ("angyalfold", "kelenfold", "szeged") and map_.regions == (
+    topology = settings.topology(site.config.zones, site.config.classes, site.config.tenants)
+    assert topology.zones == ("angyalfold", "kelenfold", "szeged") and topology.regions == (
         "pest",
         "pest",
         "alfold",
     )
-    assert map_.cost[0] == (0.0, 1.0, 6.0) == tuple(row[0] for row in map_.cost)
-    bound = site.config.classes[b"ride-assign"]
-    assert not map_.may(bound, 0, 2) and map_.may(bound, 0, 1) and map_.may(1 - bound, 0, 2)
-    assert map_.row_of(1, 0) == 1 and map_.rows == 4
+    assert topology.costs[0] == (0.0, 1.0, 6.0) == tuple(row[0] for row in topology.costs)
+    regional = site.config.classes[b"ride-assign"]
+    assert (
+        not topology.may_route(regional, 0, 2)
+        and topology.may_route(regional, 0, 1)
+        and topology.may_route(1 - regional, 0, 2)
+    )
+    assert topology.row_of(1, 0) == 1 and topology.row_count == 4
 
 
 @pytest.mark.parametrize(
@@ -47,7 +51,7 @@
         ('zones = ["angyalfold", "kelenfold", "szeged"]', 'zones = ["angyalfold"]', "at least two names"),
     ],
 )  # fmt: skip
-def test_what_contradicts_itself_is_named(tmp_path: Path, old: str, new: str, words: str) -> None:
+def test_contradictory_settings_are_named(tmp_path: Path, old: str, new: str, words: str) -> None:
     text = EXAMPLE.read_text()
     assert old in text
     path = tmp_path / "zones.toml"
