--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,10 @@
 """Tests that are known to fail, passed over by name: a pytest plugin.
 
 `KNOWN-RED.txt` at the root lists at most `MOST` of them, a line each, with four fields separated by
-`; `: the test as pytest names it, the command and seed that show it, what was seen, the issue. They are run all the same; that they fail changes no verdict
-and is printed, and so is that one passes again. A line that names no test, or not exactly one, and
-a line too many end the run before any test. An absent or empty file changes nothing.
+`; `: the test as pytest names it, the command and seed that show it, what was seen, the issue. They
+are run all the same; that they fail changes no verdict and is printed, and so is that one passes
+again. A line that names no test, or not exactly one, and a line too many end the run before any
+test. An absent or empty file changes nothing.
 """
 
 from __future__ import annotations
