--- a/badgercart/cluster/membership.py
+++ b/badgercart/cluster/membership.py
@@ -44,14 +44,16 @@
 
     def merge(self, record: MembershipRecord, reporter: str) -> None:
         """Take over a record if it wins, and pass on what is news."""
-        local, table = self.context.local, self.context.table
-        if record.name == local.name and record.precedence != local.record.precedence:
+        context = self.context
+        local, table = context.local.record, context.table
+        if record.name == local.name and record.precedence != local.precedence:
             self._merge_local_name(record)
             return
         if record.name not in table.beliefs and record.status not in REACHABLE:
             return  # members that were forgotten would come back with every push-pull
-        self._confirm_suspicion(record)
-        change = table.merge(record, self.context.timers.now_ms, reporter)
+        if record.status is MemberStatus.SUSPECT:
+            self._confirm_suspicion(record)
+        change = table.merge(record, context.timers.now_ms, reporter)
         if change is not None:
             self._state_changed(*change)
 
--- a/badgercart/cluster/suspicion.py
+++ b/badgercart/cluster/suspicion.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field
 
-from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
+from badgercart.cluster.membership_table import MembershipRecord
 from badgercart.cluster.timing import SwimTiming
 
 MAX_CONFIRMATIONS = 3  # accusers beside the first, after which the time is shortest; K in the paper
@@ -72,13 +72,11 @@
         return suspicion
 
     def confirm(self, record: MembershipRecord) -> Suspicion | None:
-        """Count a further accuser; return the suspicion if that is news, else None."""
+        """Count a further accuser of a suspect; return the suspicion if that is news, else None."""
         suspicion = self._suspicions.get(record.name)
-        if suspicion is None or record.status is not MemberStatus.SUSPECT:
+        if suspicion is None or record.incarnation != suspicion.incarnation:
             return None
-        if record.incarnation != suspicion.incarnation or not suspicion.confirm(record.accuser):
-            return None
-        return suspicion
+        return suspicion if suspicion.confirm(record.accuser) else None
 
     def end(self, name: str) -> None:
         """Drop the suspicion of a member, if there is one."""
