--- a/tests/app/test_adding.py
+++ b/tests/app/test_adding.py
@@ -1,4 +1,4 @@
-"""A new front is one package and one line: the code of docs/ADDING.md, run as it stands there."""
+"""A new frontend is one package and one line: the code of docs/ADDING.md, run as it stands there."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 """
 
 
-def test_the_front_of_the_page_serves_drains_and_is_checked(tmp_path: Path) -> None:
-    code = re.search(r"```python\n(\"\"\"A front.*?)```", PAGE.read_text(), re.DOTALL)
+def test_the_frontend_of_the_page_serves_drains_and_is_checked(tmp_path: Path) -> None:
+    code = re.search(r"```python\n(\"\"\"A frontend.*?)```", PAGE.read_text(), re.DOTALL)
     assert code is not None
     assert code[1].count("\n") < 90
     module = types.ModuleType("line_front")
--- a/tests/app/test_file.py
+++ b/tests/app/test_file.py
@@ -155,7 +155,7 @@
     assert words == "is longer than fleet.drain_grace_ms"
 
 
-def test_what_can_not_be_read_is_one_fault(tmp_path: Path) -> None:
+def test_an_unreadable_file_is_one_fault(tmp_path: Path) -> None:
     for data in (b"\xff\xfe", b"a = ", b"[" * 5000, b"x" * (1 << 20) + b"=1"):
         path = tmp_path / "site.toml"
         path.write_bytes(data)
@@ -166,7 +166,7 @@
         load(str(tmp_path / "none.toml"))
 
 
-def test_check_says_it_with_its_exit_status(tmp_path: Path) -> None:
+def test_check_names_a_fault_and_exits_with_its_status(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text(GOOD.replace("worth = 2", "worth = -1"))
     command = [sys.executable, "-m", "badgercart", "check", str(path)]
@@ -209,7 +209,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.text(alphabet="[]\"'=#.\\\n abc1{},", max_size=60))
-def test_no_text_is_more_than_a_fault(text: str) -> None:
+def test_random_text_raises_nothing_but_a_file_error(text: str) -> None:
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(text)
         file.flush()
--- a/tests/app/test_hostile.py
+++ b/tests/app/test_hostile.py
@@ -37,7 +37,7 @@
     "more",
     ["[fleet]\n", "[node]\n[node]\n", "[node]\nname = 'a'\nname = 'b'\n", "[fronts]\nhttp = 1\n"],
 )
-def test_what_stands_there_twice_is_one_fault(tmp_path: Path, more: str) -> None:
+def test_a_duplicate_key_or_table_is_one_fault(tmp_path: Path, more: str) -> None:
     assert len(faults(tmp_path, GOOD + more)) == 1
 
 
@@ -50,7 +50,7 @@
     assert found == [(23, "fronts.processor", words)]
 
 
-def test_variables_override_single_settings_and_are_blamed_for_theirs(tmp_path: Path) -> None:
+def test_variables_override_single_settings_and_are_named_in_their_faults(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text(GOOD)
     environ = {
@@ -85,7 +85,7 @@
         assert f"(set by BADGERCART__{name})" in problem.words
 
 
-def test_show_says_where_each_setting_came_from(tmp_path: Path) -> None:
+def test_show_names_the_origin_of_each_setting(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text(GOOD)
     rows = {
@@ -157,7 +157,7 @@
     assert main(["config", "pages", "--check", str(ROOT / "docs" / "operators")]) == 0
 
 
-def test_a_page_that_is_out_of_date_is_told_and_mended(tmp_path: Path) -> None:
+def test_a_page_that_is_out_of_date_is_named_and_renewed(tmp_path: Path) -> None:
     page = tmp_path / "a.md"
     page.write_text("x\n<!-- settings: fronts.http -->\nold\n<!-- end -->\ny\n")
     assert main(["config", "pages", "--check", str(tmp_path)]) == 1
--- a/tests/app/test_logs.py
+++ b/tests/app/test_logs.py
@@ -75,7 +75,7 @@
     assert "ValueError: odd" in broken["exception"]
 
 
-def test_a_sink_that_stands_still_holds_nobody_up_and_drops_are_counted() -> None:
+def test_a_blocked_sink_blocks_no_caller_and_drops_are_counted() -> None:
     read, write = os.pipe()
     os.set_blocking(write, True)
     with sink(write, queue_lines=10) as made:
@@ -97,7 +97,7 @@
     assert lines[-1]["message"] == "the last"
 
 
-def test_the_end_does_not_wait_for_a_sink_that_stands_still(
+def test_closing_does_not_wait_for_a_blocked_sink(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(logs, "PATIENCE", 0.05)
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("broken_pipe", [False, True])
-def test_serve_logs_json_without_what_is_planted_and_takes_its_level_by_sighup(
+def test_serve_logs_json_without_request_contents_and_takes_its_level_by_sighup(
     tmp_path: Path, broken_pipe: bool
 ) -> None:
     path = tmp_path / "site.toml"
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -27,7 +27,7 @@
     }
 
 
-def test_figures_count_what_was_served_and_refused_and_hostile_names_add_nothing() -> None:
+def test_metrics_count_served_and_rejected_requests_and_hostile_names_add_nothing() -> None:
     async def test() -> None:
         peer = await Peer().start()
         address = ("127.0.0.1", 0)
@@ -94,7 +94,7 @@
             meters.gauge(name, "", lambda: 1.0)
 
 
-def test_buckets_follow_the_aims_and_are_bounded() -> None:
+def test_buckets_follow_the_latency_objectives_and_are_bounded() -> None:
     one = RequestClass(
         latency_objective_ms=400.0,
         deadline_ms=1000.0,
--- a/tests/app/test_site.py
+++ b/tests/app/test_site.py
@@ -1,4 +1,4 @@
-"""Parts that fail, hang and wait for each other: what becomes of the others."""
+"""Components that fail, hang and wait for each other: what becomes of the others."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 from tests.net import WAIT, config, run
 
 
-class Numbered(Table):
-    """settings of a scripted part"""
+class NumberedSettings(Table):
+    """The settings of a scripted component."""
 
     number: int = 0
 
 
-class Scripted:
-    """A part that does what the test says, and tells what was done to it."""
+class ScriptedComponent:
+    """A component that does what the test says, and logs what was done to it."""
 
     def __init__(self, name: str, log: list[str], faults: dict[str, Any]) -> None:
         self.name, self.log, self.faults, self.number = name, log, faults, 0
@@ -52,7 +52,7 @@
     async def start(self) -> None:
         await self.act("start")
 
-    def prepare(self, settings: Numbered) -> Callable[[], None]:
+    def prepare(self, settings: NumberedSettings) -> Callable[[], None]:
         if settings.number < 0:
             raise ReloadError(f"{settings.number} is below 0")
         return lambda: setattr(self, "number", settings.number)
@@ -70,16 +70,16 @@
     log: list[str], faults: dict[str, Any], **needs: tuple[str, ...]
 ) -> tuple[ComponentDeclaration, ...]:
     def declared(name: str, wanted: tuple[str, ...]) -> ComponentDeclaration:
-        def build(host: ComponentHost, settings: Any) -> Scripted:
+        def build(host: ComponentHost, settings: Any) -> ScriptedComponent:
             if (fault := faults.get(f"build {name}")) is not None:
                 raise fault
-            return Scripted(name, log, faults)
+            return ScriptedComponent(name, log, faults)
 
         kind = {"list": ComponentKind.DISCOVERY, "front": ComponentKind.FRONTEND}.get(
             name, ComponentKind.SERVICE
         )
         return ComponentDeclaration(
-            name, (name,), kind, Numbered, name, build, wanted, reloads=("*",)
+            name, (name,), kind, NumberedSettings, name, build, wanted, reloads=("*",)
         )
 
     return tuple(declared(name, wanted) for name, wanted in needs.items())
@@ -93,10 +93,10 @@
         list=(),
         extra=("front",),
     )
-    return Installation(config(1), {part.name: Numbered() for part in known}, known=known)
+    return Installation(config(1), {part.name: NumberedSettings() for part in known}, known=known)
 
 
-def test_parts_start_by_need_and_end_in_the_reverse_order() -> None:
+def test_components_start_by_need_and_end_in_the_reverse_order() -> None:
     async def test() -> None:
         log: list[str] = []
         site = Site(installation(log), asyncio.get_running_loop())
@@ -111,7 +111,9 @@
 
 
 @pytest.mark.parametrize("fault", [OSError("taken"), ImportError("no lib"), RuntimeError("odd")])
-def test_a_part_that_does_not_start_names_itself_and_ends_those_before_it(fault: Exception) -> None:
+def test_a_component_that_does_not_start_names_itself_and_closes_those_before_it(
+    fault: Exception,
+) -> None:
     async def test() -> None:
         log: list[str] = []
         site = Site(installation(log, start_front=fault), asyncio.get_running_loop())
@@ -125,7 +127,7 @@
     run(test())
 
 
-def test_a_part_that_hangs_in_drain_is_closed_and_the_others_are_drained(
+def test_a_component_that_hangs_in_drain_is_closed_and_the_others_are_drained(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(site_module, "ACCEPT_FOR", -1e9)  # the deadline is over at once
@@ -158,7 +160,7 @@
     assert "front failed as it closed" in told
 
 
-def test_sigterm_during_the_start_closes_what_is_up() -> None:
+def test_sigterm_during_the_start_closes_what_was_started() -> None:
     async def test() -> None:
         log: list[str] = []
         what = installation(log, start_front="hang")
@@ -178,15 +180,15 @@
         what = installation([])
         site = Site(what, asyncio.get_running_loop())
         await site.start()
-        wrong = dict.fromkeys(("front", "extra"), Numbered(number=-1)) | {
-            "list": Numbered(number=7)
+        wrong = dict.fromkeys(("front", "extra"), NumberedSettings(number=-1)) | {
+            "list": NumberedSettings(number=7)
         }
         assert site.reload(replace(what, parts=wrong)) == [
             "front: -1 is below 0",
             "extra: -1 is below 0",
         ]
         assert site.parts["list"].number == 0  # type: ignore[attr-defined]
-        good = dict.fromkeys(wrong, Numbered(number=7))
+        good = dict.fromkeys(wrong, NumberedSettings(number=7))
         assert site.reload(replace(what, parts=good)) == []
         assert {part.number for part in site.parts.values()} == {7}  # type: ignore[attr-defined]
         site.close()
@@ -194,7 +196,7 @@
     run(test())
 
 
-def test_orders_that_can_not_be_kept_are_told() -> None:
+def test_missing_and_circular_needs_are_named() -> None:
     for needs, words in (
         ({"front": ("gone",)}, "front needs gone, which is not switched on"),
         ({"a": ("b",), "b": ("a",), "c": ()}, "a, b wait for each other"),
--- a/tests/reload/test_checks.py
+++ b/tests/reload/test_checks.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("path", PLACES, ids=map(words, PLACES))
-def test_a_key_that_is_short_or_of_another_kind_is_named(path: tuple[Any, ...]) -> None:
+def test_a_missing_key_or_one_of_another_type_is_named(path: tuple[Any, ...]) -> None:
     for change in ("drop", [None]):
         new = whole()
         table = new
@@ -76,7 +76,7 @@
         (lambda s: s.update(Classes=s["Classes"] * MAX_CLASSES), "settings.Classes has over 256 items"),
     ],
 )  # fmt: skip
-def test_what_can_not_be_is_named(change: Any, fault: str) -> None:
+def test_an_invalid_configuration_is_named_by_its_path(change: Any, fault: str) -> None:
     new = whole()
     change(new["settings"])
     assert any(found.startswith(fault) for found in faults(new, whole()))
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize(
     "text", ['{"a":NaN}', '{"a":1e999}', '{"a":-Infinity}', "[]", "", "{", "3"]
 )
-def test_text_that_is_no_table_of_numbers_that_can_be_used_is_refused(text: str) -> None:
+def test_text_that_is_no_table_of_finite_numbers_is_rejected(text: str) -> None:
     with pytest.raises(ValueError, match="."):
         load(text.encode())
     assert load(json.dumps({"a": 1.5}).encode()) == {"a": 1.5}
@@ -103,7 +103,7 @@
         st.tuples(st.sets(st.sampled_from("abcdefgh")), st.sets(st.integers(0, 9))), max_size=20
     )
 )
-def test_names_keep_their_numbers_and_numbers_stay_few(
+def test_names_keep_their_indexes_and_indexes_stay_few(
     steps: list[tuple[set[str], set[int]]],
 ) -> None:
     numbers: dict[str, int] = {}
--- a/tests/reload/test_reload.py
+++ b/tests/reload/test_reload.py
@@ -35,7 +35,7 @@
     return (await node.line("configuration (read|stays)"))[0]
 
 
-def test_classes_come_and_go_and_what_is_under_way_keeps_its_terms(tmp_path: Path) -> None:
+def test_classes_come_and_go_and_requests_in_flight_keep_their_settings(tmp_path: Path) -> None:
     release = asyncio.Event()
 
     async def test() -> None:
@@ -68,7 +68,7 @@
     uvloop.run(test())
 
 
-def test_a_stricter_effect_and_fewer_attempts_bind_what_comes_then(tmp_path: Path) -> None:
+def test_a_stricter_idempotency_and_fewer_attempts_apply_to_later_requests(tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer(hang_up).start()
         agent = await Agent([peer.entry()]).start()
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize(
     "then", [[("look", "free")], [("pay", "free")]], ids=["another", "the same, laxer"]
 )
-def test_a_request_that_waits_for_its_turn_keeps_the_class_that_it_was_read_by(
+def test_a_request_that_waits_keeps_the_class_that_it_was_read_by(
     tmp_path: Path, then: list[tuple[str, str]]
 ) -> None:
     """Behind another on its connection, it is read before the new settings and taken after them."""
@@ -137,7 +137,7 @@
     uvloop.run(test())
 
 
-def test_no_number_of_a_tenant_passes_to_another_while_requests_of_it_are_about() -> None:
+def test_no_tenant_gets_the_index_of_another_with_requests_in_flight() -> None:
     def told(*names: bytes) -> Config:
         tenants = {name: number for number, name in enumerate(names)}
         base = config(1)
