--- a/tests/reload/test_reload.py
+++ b/tests/reload/test_reload.py
@@ -35,7 +35,7 @@
     return (await node.line("configuration (read|stays)"))[0]
 
 
-def test_classes_come_and_go_and_what_is_under_way_keeps_its_terms(tmp_path: Path) -> None:
+def test_classes_come_and_go_and_requests_in_flight_keep_their_settings(tmp_path: Path) -> None:
     release = asyncio.Event()
 
     async def test() -> None:
@@ -68,7 +68,7 @@
     uvloop.run(test())
 
 
-def test_a_stricter_effect_and_fewer_attempts_bind_what_comes_then(tmp_path: Path) -> None:
+def test_a_stricter_idempotency_and_fewer_attempts_apply_to_later_requests(tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer(hang_up).start()
         agent = await Agent([peer.entry()]).start()
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize(
     "then", [[("look", "free")], [("pay", "free")]], ids=["another", "the same, laxer"]
 )
-def test_a_request_that_waits_for_its_turn_keeps_the_class_that_it_was_read_by(
+def test_a_request_that_waits_keeps_the_class_that_it_was_read_by(
     tmp_path: Path, then: list[tuple[str, str]]
 ) -> None:
     """Behind another on its connection, it is read before the new settings and taken after them."""
@@ -137,7 +137,7 @@
     uvloop.run(test())
 
 
-def test_no_number_of_a_tenant_passes_to_another_while_requests_of_it_are_about() -> None:
+def test_no_tenant_gets_the_index_of_another_with_requests_in_flight() -> None:
     def told(*names: bytes) -> Config:
         tenants = {name: number for number, name in enumerate(names)}
         base = config(1)
@@ -146,13 +146,16 @@
 
     old, new = told(b"a", b"b"), told(b"a", b"c")
     held, event = reconfigure(old, new, IndexesInUse(tenants={1}))
-    assert held.tenants == {b"a": 0, b"c": 2} and event.reset_tenants == {2}
+    assert held.tenants == {b"a": 0, b"c": 2}
+    assert event.reset_tenants == {2}
     assert event.settings.quotas_per_s == (10.0, 0.0, 11.0)
     free, event = reconfigure(old, new, IndexesInUse())
-    assert free.tenants == {b"a": 0, b"c": 1} and event.reset_tenants == {1}
+    assert free.tenants == {b"a": 0, b"c": 1}
+    assert event.reset_tenants == {1}
     policy = Policy(old.settings, 1)
     policy.handle(0.0, Request(1, 0, 1000.0, tenant=1))
-    assert policy.used_by(1) == 1 and policy.busy()[1] <= {1}
+    assert policy.used_by(1) == 1
+    assert policy.busy()[1] <= {1}
     policy.handle(0.0, event)
     assert [policy.used_by(i) for i in range(2)] == [
         0.0,
