--- a/badgercart/__main__.py
+++ b/badgercart/__main__.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from badgercart.config import Config, ConfigError, read_config
-from badgercart.core.events import Sparse
+from badgercart.core.log_events import Sparse
 from badgercart.node import Node
 
 
@@ -30,12 +30,16 @@
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a node that can read its file anew
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # until there is a node that can read its file anew
+    logging.basicConfig(
+        stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
+    )
     logging.getLogger().handlers[0].addFilter(Sparse())
     if len(sys.argv) > 1 or "_BADGERCART_COMPLETE" in os.environ:
         try:  # the platform's node has no use for it, nor for its libraries
-            from badgercart.operator.cli import main as command_line
+            from badgercart.app.cli import main as command_line
         except ModuleNotFoundError as error:
             print(f"badgercart: {error}: pip install 'badgercart[operator]'", file=sys.stderr)
             return 2
--- a/badgercart/operator/base.py
+++ b/badgercart/app/base.py
@@ -1,4 +1,5 @@
-"""The tables that every installation has: the node, the fleet, sending again, classes and tenants."""
+"""The tables that every installation has: the node, the fleet, sending again, classes and
+tenants."""
 
 from __future__ import annotations
 
@@ -9,14 +10,14 @@
 
 from pydantic import Field
 
+from badgercart.app.faults import Path
+from badgercart.app.logs import Log
+from badgercart.app.model import LONG, Listed, Name, Names, Table
 from badgercart.config import Config, held_to
-from badgercart.operator.faults import Path
-from badgercart.operator.logs import Log
-from badgercart.operator.model import LONG, Listed, Name, Names, Table
-from cottonhall.interface import Effect, Group, RequestClass, Settings
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 
-class Node(Table):
+class Node(Table, title="Node"):
     """what this node is"""
 
     name: Name = Field("badgercart", description="its name in the log")
@@ -24,11 +25,14 @@
     seed: Name | None = Field(
         None, description="the seed of its random numbers, hexadecimal; new if not given"
     )
-    sockets: int = Field(1024, ge=64, le=1_000_000, description="descriptors that the process may hold")
+    sockets: int = Field(
+        1024, ge=64, le=1_000_000, description="descriptors that the process may hold"
+    )
     number: int = Field(0, ge=0, le=65535, description="its number among the nodes, from 0")
     nodes: int = Field(1, ge=1, le=65536, description="how many nodes share the fleet")
     source: Name | None = Field(
-        None, description="the address that its connections set out from, where the machine has several"
+        None,
+        description="the address that its connections set out from, where the machine has several",
     )
     key_secret: Name | None = Field(
         None,
@@ -38,11 +42,12 @@
         "then no key can be found in a capture by guessing",
     )
     default_tenant: Name | None = Field(
-        None, description="the tenant that requests without the header count for; none: they are turned away"
+        None,
+        description="the tenant that requests without the header count for; none: they are turned away",
     )
 
 
-class Fleet(Table):
+class Fleet(Table, title="Fleet"):
     """what all servers have in common"""
 
     zones: Names = Field((), description="the zones' names")
@@ -50,9 +55,14 @@
     cold_from: float = Field(
         1.0, ge=0.01, le=1, description="the share of its capacity with which a server starts"
     )
-    ramp_ms: float = Field(0.0, ge=0, le=LONG, description="the time in which a started server is warm (ms)")
+    ramp_ms: float = Field(
+        0.0, ge=0, le=LONG, description="the time in which a started server is warm (ms)"
+    )
     drain_grace_ms: float = Field(
-        500.0, ge=50, le=LONG, description="the time after which nothing new goes to a draining server (ms)"
+        500.0,
+        ge=50,
+        le=LONG,
+        description="the time after which nothing new goes to a draining server (ms)",
     )
     warm_keys: bool = Field(
         False, description="whether a server that met a key lately serves it with less work"
@@ -71,27 +81,34 @@
     )
 
 
-class Retry(Table):
+class Retry(Table, title="Retry"):
     """sending again and sending away"""
 
     max_attempts: int = Field(4, ge=1, le=16, description="attempts for a request at the most")
     max_retry_after_ms: float = Field(
-        600.0, ge=0, le=LONG, description="the longest time for which a refused client is sent away (ms)"
+        600.0,
+        ge=0,
+        le=LONG,
+        description="the longest time for which a refused client is sent away (ms)",
+    )
+    cancel: bool = Field(
+        True, description="whether attempts that are no longer wanted are given up"
     )
-    cancel: bool = Field(True, description="whether attempts that are no longer wanted are given up")
     over_share_worth: float = Field(
         0.05, ge=0, le=1, description="the part of its worth left beyond a tenant's share"
     )
 
 
-class Class(Table):
+class Class(Table, title="Class"):
     """a class of requests"""
 
     name: Name = Field(description="the first part of its requests' paths")
     aim_ms: float = Field(
         ge=1, le=LONG, description="the time within which an answer has its whole worth (ms)"
     )
-    deadline_ms: float = Field(ge=1, le=LONG, description="the time after which clients give up (ms)")
+    deadline_ms: float = Field(
+        ge=1, le=LONG, description="the time after which clients give up (ms)"
+    )
     worth: float = Field(ge=0, le=1e6, description="what one is worth beside the others")
     effect: Literal["safe", "keyed", "unsafe"] = Field(description="what repeating one does")
     group: Literal["all", "zone", "cell"] = Field(
@@ -100,10 +117,12 @@
     window_ms: float = Field(
         0.0, ge=0, le=LONG, description="keyed: the time for which repeats are dropped (ms)"
     )
-    late_value: float = Field(0.0, ge=0, le=1, description="the part of its worth left after the aim")
+    late_value: float = Field(
+        0.0, ge=0, le=1, description="the part of its worth left after the aim"
+    )
 
 
-class Tenant(Table):
+class Tenant(Table, title="Tenant"):
     """a tenant and its share"""
 
     name: Name = Field(description="the name in the header Tenant")
@@ -117,13 +136,18 @@
     fleet: Fleet = Fleet()
     retry: Retry = Retry()
     log: Log = Log()
-    class_: Annotated[tuple[Class, ...], Listed] = Field(alias="class", description="a class of requests")
+    class_: Annotated[tuple[Class, ...], Listed] = Field(
+        alias="class", description="a class of requests"
+    )
     tenant: Annotated[tuple[Tenant, ...], Listed] = Field((), description="a tenant and its share")
 
 
 def check(base: Base) -> Iterator[tuple[Path, str]]:
     """What only several settings together can get wrong: where, and what."""
-    names = {"class": [cls.name for cls in base.class_], "tenant": [tenant.name for tenant in base.tenant]}
+    names = {
+        "class": [cls.name for cls in base.class_],
+        "tenant": [tenant.name for tenant in base.tenant],
+    }
     if not base.class_:
         yield ("class",), "is missing: a class of requests"
     for table, items in names.items():
@@ -161,28 +185,28 @@
     settings = Settings(
         classes=tuple(
             RequestClass(
-                aim=cls.aim_ms,
-                deadline=cls.deadline_ms,
-                worth=cls.worth,
-                effect=Effect(cls.effect),
-                group=Group(cls.group),
-                window=cls.window_ms,
-                late_value=cls.late_value,
+                latency_objective_ms=cls.aim_ms,
+                deadline_ms=cls.deadline_ms,
+                priority_weight=cls.worth,
+                idempotency=Idempotency(cls.effect),
+                deduplication_scope=DeduplicationScope(cls.group),
+                deduplication_window_ms=cls.window_ms,
+                late_value_share=cls.late_value,
             )
             for cls in base.class_
         ),
         zone=fleet.zones.index(node.zone) if node.zone is not None else 0,
-        group_size=node.nodes,
-        me=node.number,
-        quotas=tuple(tenant.quota_per_s for tenant in base.tenant),
-        over_quota_worth=retry.over_share_worth,
-        warm_keys=fleet.warm_keys,
+        cluster_size=node.nodes,
+        node_index=node.number,
+        quotas_per_s=tuple(tenant.quota_per_s for tenant in base.tenant),
+        over_quota_weight=retry.over_share_worth,
+        key_affinity=fleet.warm_keys,
         may_cancel=retry.cancel,
         max_attempts=retry.max_attempts,
-        max_retry_after=retry.max_retry_after_ms,
-        full_may_have_run=fleet.full_may_have_run,
-        cold_from=fleet.cold_from,
-        ramp_time=fleet.ramp_ms,
+        max_retry_after_ms=retry.max_retry_after_ms,
+        full_possibly_executed=fleet.full_may_have_run,
+        slow_start_min_capacity=fleet.cold_from,
+        slow_start_duration_ms=fleet.ramp_ms,
     )
     known: dict[str, Any] = {}
     return Config(
--- a/badgercart/operator/cli.py
+++ b/badgercart/app/cli.py
@@ -1,7 +1,8 @@
 """The command line: `serve`, `check`, `config`, and the groups that parts bring.
 
-Why click: its groups find commands only when they are called, so that no subsystem's library is imported for
-another's command, and completion comes with it. Typer is click with another face, and rich as a must.
+Why click: its groups find commands only when they are called, so that no subsystem's library is
+imported for another's command, and completion comes with it. Typer is click with another face, and
+rich as a must.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 import uvloop
 from click.shell_completion import get_completion_class
 
-from badgercart.operator import logs, render
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError, Exit
-from badgercart.operator.faults import FileError
-from badgercart.operator.file import Installation, load
-from badgercart.operator.registry import declarations
-from badgercart.operator.run import run
-from badgercart.operator.site import PartError
+from badgercart.app import logs, render
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError, Exit
+from badgercart.app.faults import FileError
+from badgercart.app.file import Installation, load
+from badgercart.app.registry import declarations
+from badgercart.app.run import run
+from badgercart.app.site import PartError
 
 NAME = "badgercart"
 COMPLETE = "_BADGERCART_COMPLETE"  # the variable by which a shell asks for completions
@@ -111,15 +112,20 @@
         click.echo(str(error), err=True)
         raise click.exceptions.Exit(Exit.USAGE) from None
     if as_json:
-        click.echo(json.dumps({key: {"value": value, "from": origin} for key, value, origin in rows}))
+        click.echo(
+            json.dumps({key: {"value": value, "from": origin} for key, value, origin in rows})
+        )
     else:
-        show_table(("setting", "value", "from"), [(k, json.dumps(v), origin) for k, v, origin in rows])
+        show_table(
+            ("setting", "value", "from"), [(k, json.dumps(v), origin) for k, v, origin in rows]
+        )
 
 
 @config.command()
 @click.argument("name")
 def default(name: str) -> None:
-    """A commented table with every default, to begin from: NAME is `node`, `fleet`, `class`, or a part."""
+    """A commented table with every default, to begin from: NAME is `node`, `fleet`, `class`, or a
+    part."""
     try:
         click.echo(render.default_table(name))
     except LookupError as error:
@@ -128,7 +134,9 @@
 
 @config.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--check", "only_check", is_flag=True, help="Change nothing; exit 1 if a page is out of date.")
+@click.option(
+    "--check", "only_check", is_flag=True, help="Change nothing; exit 1 if a page is out of date."
+)
 def pages(folder: str, only_check: bool) -> None:
     """Write the tables of the operators' pages in FOLDER anew from the program itself."""
     stale = []
--- a/badgercart/operator/logs.py
+++ b/badgercart/app/logs.py
@@ -1,8 +1,10 @@
-"""The log of `serve`: events as JSON lines, or for people on a terminal, by a thread that nobody waits for.
+"""The log of `serve`: events as JSON lines, or for people on a terminal, by a thread that nobody
+waits for.
 
-Why structlog: processors that turn a record of the standard library, as every module and library writes them,
-into fields, and renderers for both forms. The queue and its writer are ours: the library's own, and the
-standard's, hold up whoever logs, or the end of the process, where the sink stands still.
+Why structlog: processors that turn a record of the standard library, as every module and library
+writes them, into fields, and renderers for both forms. The queue and its writer are ours: the
+library's own, and the standard's, hold up whoever logs, or the end of the process, where the sink
+stands still.
 """
 
 from __future__ import annotations
@@ -20,19 +22,24 @@
 from pydantic import Field
 from structlog.typing import EventDict
 
+from badgercart.app.log_events import LIBRARY, LINES_DROPPED, REQUEST_OVER
+from badgercart.app.model import Table
 from badgercart.config import Config
-from badgercart.core.events import Sparse
-from badgercart.core.join import Join
-from badgercart.core.ports import Final, Intake
-from badgercart.core.roster import Roster
-from badgercart.operator.events import LIBRARY, LINES_DROPPED, REQUEST_OVER
-from badgercart.operator.model import Table
+from badgercart.core.endpoint_table import EndpointTable
+from badgercart.core.log_events import Sparse
+from badgercart.core.ports import IncomingRequest, RequestOutcome
+from badgercart.core.request_pipeline import RequestPipeline
 
 PATIENCE = 1.0  # s for what is written at the end of the process
-LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
+LEVELS = {
+    "debug": logging.DEBUG,
+    "info": logging.INFO,
+    "warning": logging.WARNING,
+    "error": logging.ERROR,
+}
 
 
-class Log(Table):
+class Log(Table, title="Log"):
     """what is logged, to standard error; SIGHUP takes its level anew"""
 
     level: Literal["debug", "info", "warning", "error"] = Field(
@@ -42,7 +49,10 @@
         "auto", description="JSON lines, or for people; auto: for people on a terminal"
     )
     queue_lines: int = Field(
-        10_000, ge=10, le=1_000_000, description="lines that wait for a slow reader; more are dropped"
+        10_000,
+        ge=10,
+        le=1_000_000,
+        description="lines that wait for a slow reader; more are dropped",
     )
 
 
@@ -88,7 +98,8 @@
 
 
 class Sink(logging.Handler):
-    """Hands records to a thread that formats and writes them. Where it can't follow, lines are dropped."""
+    """Hands records to a thread that formats and writes them. Where it can't follow, lines are
+    dropped."""
 
     def __init__(self, node: str, settings: Log, fd: int = 2) -> None:
         super().__init__()
@@ -124,7 +135,9 @@
     @staticmethod
     def dropped_line(count: int) -> logging.LogRecord:
         event = LINES_DROPPED
-        record = logging.LogRecord("badgercart", event.level, "", 0, event.words, ({"count": count},), None)
+        record = logging.LogRecord(
+            "badgercart", event.level, "", 0, event.words, ({"count": count},), None
+        )
         record.event = event.name
         return record
 
@@ -140,7 +153,8 @@
             data = data[os.write(self.fd, data) :]
 
     def close(self) -> None:
-        """Write what waits, for a second at most: a sink that stands still must not keep the process."""
+        """Write what waits, for a second at most: a sink that stands still must not keep the
+        process."""
         try:
             self.waiting.put_nowait(None)
         except queue.Full:
@@ -153,20 +167,26 @@
 class RequestLog:
     """An observer of the join: a line for each request."""
 
-    def __init__(self, config: Config, roster: Roster) -> None:
+    def __init__(self, config: Config, roster: EndpointTable) -> None:
         self.classes = [name.decode() for name in config.classes]
         self.tenants = [name.decode() for name in config.tenants]
         self.roster = roster
 
-    def over(
-        self, request_id: int, intake: Intake, final: Final, took: float, server: int, sends: int
+    def request_finished(
+        self,
+        request_id: int,
+        intake: IncomingRequest,
+        final: RequestOutcome,
+        took: float,
+        server: int,
+        sends: int,
     ) -> None:
         member = self.roster.listed.get(server)
         REQUEST_OVER(
-            request_id=intake.name.decode("latin-1") or str(request_id),
+            request_id=intake.request_name.decode("latin-1") or str(request_id),
             number=request_id,
             outcome=final.value,
-            **{"class": self.classes[intake.cls]},
+            **{"class": self.classes[intake.class_index]},
             tenant=self.tenants[intake.tenant] if self.tenants else "",
             server=member.name if member is not None else "",
             attempts=sends,
@@ -186,7 +206,7 @@
     return sink
 
 
-def watch(join: Join, settings: Log, requests: RequestLog) -> None:
+def watch(join: RequestPipeline, settings: Log, requests: RequestLog) -> None:
     """Have each request logged where the level asks for it; elsewhere it costs nothing."""
     others = tuple(observer for observer in join.observers if observer is not requests)
     join.observers = (*others, requests) if settings.level == "debug" else others
--- a/badgercart/operator/render.py
+++ b/badgercart/app/render.py
@@ -13,19 +13,38 @@
 from pydantic.fields import FieldInfo
 from pydantic_core import PydanticUndefined
 
-from badgercart.core.events import TABLE
-from badgercart.operator import document
-from badgercart.operator.faults import Path, below, choices_of, dotted, fields_of, many
-from badgercart.operator.file import describe, root_model
-from badgercart.operator.locate import lines_of
-from badgercart.operator.registry import declarations, load_events
+from badgercart.app import document
+from badgercart.app.faults import Path, below, choices_of, dotted, fields_of, many
+from badgercart.app.file import describe, root_model
+from badgercart.app.locate import lines_of
+from badgercart.app.model import SCHEMA_NAME
+from badgercart.app.registry import declarations, load_events
+from badgercart.core.log_events import TABLE
 
 SCHEMA = "https://json-schema.org/draft/2020-12/schema"
 
 
 def json_schema() -> dict[str, Any]:
     """JSON Schema of an operator's file."""
-    return {"$schema": SCHEMA} | root_model(declarations()).model_json_schema(by_alias=True)
+    made = root_model(declarations()).model_json_schema(by_alias=True)
+    made.pop(SCHEMA_NAME)
+    names = {key: told.pop(SCHEMA_NAME) for key, told in made["$defs"].items()}
+    made["$defs"] = {names[key]: made["$defs"][key] for key in sorted(names, key=names.__getitem__)}
+    whole: dict[str, Any] = _renamed(made, names)
+    return {"$schema": SCHEMA} | whole
+
+
+def _renamed(value: Any, names: Mapping[str, str]) -> Any:
+    """A schema whose references follow the literal names of its definitions."""
+    if isinstance(value, list):
+        return [_renamed(item, names) for item in value]
+    if not isinstance(value, dict):
+        return value
+    found = {key: _renamed(item, names) for key, item in value.items()}
+    if "$ref" in found:
+        ahead, _, key = found["$ref"].rpartition("/")
+        found["$ref"] = f"{ahead}/{names[key]}"
+    return found
 
 
 def effective(path: str, environ: Mapping[str, str]) -> list[tuple[str, Any, str]]:
@@ -135,7 +154,9 @@
             inner.append((f"{ahead}{name}.", lower))
             continue
         value = _default(info)
-        shown = "required" if info.is_required() else "none" if value is None else f"`{_toml(value)}`"
+        shown = (
+            "required" if info.is_required() else "none" if value is None else f"`{_toml(value)}`"
+        )
         cells = (f"`{ahead}{name}`", _kind(name, info), shown, _range(info), info.description or "")
         yield "| " + " | ".join(cells) + " |"
     for deeper, lower in inner:
@@ -152,7 +173,8 @@
 
 
 def _tables() -> Iterator[tuple[str, type[BaseModel], bool]]:
-    """Every table that an operator may begin from: its header, its model, whether it is an array."""
+    """Every table that an operator may begin from: its header, its model, whether it is an
+    array."""
     root = root_model(declarations())
     parts = {".".join(part.key) for part in declarations()}
     groups = {key.partition(".")[0] for key in parts if "." in key}
@@ -221,7 +243,8 @@
 
 
 def page(text: str) -> str:
-    """A page with its tables made anew between their marks. LookupError names a mark that means nothing."""
+    """A page with its tables made anew between their marks. LookupError names a mark that means
+    nothing."""
 
     def fresh(match: re.Match[str]) -> str:
         kind, name = match[1], match[2]
--- a/badgercart/operator/site.py
+++ b/badgercart/app/site.py
@@ -1,4 +1,5 @@
-"""One running installation: a join and the parts on it, started, reloaded, drained and closed in order."""
+"""One running installation: a join and the parts on it, started, reloaded, drained and closed in
+order."""
 
 from __future__ import annotations
 
@@ -8,22 +9,42 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
+from badgercart.app import log_events as events
+from badgercart.app.base import Base
+from badgercart.app.component import (
+    Component,
+    ComponentDeclaration,
+    ComponentHost,
+    ReloadError,
+    start_order,
+)
+from badgercart.app.faults import Path, dotted
+from badgercart.app.file import Installation
 from badgercart.core.clock import now_ms
-from badgercart.core.events import STOPPED
-from badgercart.core.join import Join
-from badgercart.core.meters import Meters
-from badgercart.core.roster import Roster
-from badgercart.fronts.http.requests import Page
-from badgercart.membership.entries import ListReader
-from badgercart.operator import events
-from badgercart.operator.base import Base
-from badgercart.operator.faults import Path, dotted
-from badgercart.operator.file import Installation
-from badgercart.operator.part import Declaration, Host, Part, ReloadError, in_order
-from cottonhall.interface import State
+from badgercart.core.endpoint_table import EndpointTable
+from badgercart.core.log_events import STOPPED
+from badgercart.core.metric_registry import MetricRegistry
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.discovery.entries import ListReader
+from badgercart.frontends.http.requests import Page
+from badgercart.policy.endpoint import EndpointState
 
 ACCEPT_FOR = 600.0  # ms after SIGTERM during which clients may still come
-GRACE = 300.0  # ms beyond the deadline of a drain, after which a part that hangs is closed as it stands
+GRACE = (
+    300.0  # ms beyond the deadline of a drain, after which a part that hangs is closed as it stands
+)
+STATE_LABELS = {
+    EndpointState.READY: "ready",
+    EndpointState.GONE: "gone",
+    EndpointState.DRAINING: "draining",
+}  # a label
+
+# A server's state as a label of `badgercart_servers`.
+STATE_LABELS = {
+    EndpointState.READY: "ready",
+    EndpointState.GONE: "gone",
+    EndpointState.DRAINING: "draining",
+}
 
 
 class PartError(Exception):
@@ -41,12 +62,12 @@
         """Raises PartError."""
         config = what.config
         self.what = what
-        self.join = Join(config.settings, config.seed, loop)
+        self.join = RequestPipeline(config.settings, config.seed, loop)
         reader = ListReader(config)
-        self.roster = Roster(reader, self.join)
+        self.roster = EndpointTable(reader, self.join)
         declared = what.declared()
         holders = sum(part.sockets for part in declared)
-        self.host = Host(
+        self.host = ComponentHost(
             config,
             self.join,
             self.roster,
@@ -57,9 +78,9 @@
             len(declared) - holders,
         )
         self.host.pages[b"/_members"] = Page(self.members_page)
-        self.register(self.host.meters)
-        self.steps = in_order(declared)
-        self.parts: dict[str, Part] = {}
+        self.register(self.host.metrics)
+        self.steps = start_order(declared)
+        self.parts: dict[str, Component] = {}
         for part in (part for step in self.steps for part in step):
             try:
                 self.parts[part.name] = part.build(self.host, what.parts[part.name])
@@ -67,27 +88,39 @@
                 self.close()
                 raise PartError(part.name, error) from error
 
-    def register(self, meters: Meters) -> None:
+    def register(self, meters: MetricRegistry) -> None:
         """What every installation can be asked for."""
         join, policy, listed = self.join, self.join.policy, self.roster.listed
         meters.gauge(
-            "badgercart_cut", "The score below which requests are refused, 0 to 100.", lambda: policy.cut
+            "badgercart_cut",
+            "The score below which requests are refused, 0 to 100.",
+            lambda: policy.cut,
         )
         meters.gauge(
-            "badgercart_overload", "The overload x that the cut rises with, 0 to 1.", lambda: policy.x
+            "badgercart_overload",
+            "The overload x that the cut rises with, 0 to 1.",
+            lambda: policy.x,
         )
-        meters.gauge("badgercart_held", "Requests that are owed an answer.", lambda: len(join.held))
-        meters.gauge("badgercart_attempts_out", "Attempts that are out.", lambda: len(join.out))
         meters.gauge(
-            "badgercart_need", "Attempts that a busy fleet needs out to be kept busy.", lambda: policy.need
+            "badgercart_held", "Requests that are owed an answer.", lambda: len(join.in_flight)
+        )
+        meters.gauge(
+            "badgercart_attempts_out", "Attempts that are out.", lambda: len(join.open_attempts)
+        )
+        meters.gauge(
+            "badgercart_need",
+            "Attempts that a busy fleet needs out to be kept busy.",
+            lambda: policy.need,
         )
         meters.gauge(
             "badgercart_servers",
             "Servers of the list, by state.",
-            lambda: Counter(member.entry.state.name.lower() for member in listed.values()),
+            lambda: Counter(STATE_LABELS[member.entry.state] for member in listed.values()),
             "state",
         )
-        meters.gauge("badgercart_list_version", "The version of the list.", lambda: self.roster.version)
+        meters.gauge(
+            "badgercart_list_version", "The version of the list.", lambda: self.roster.version
+        )
         meters.gauge(
             "badgercart_list_suspended",
             "1 while the list is too old to send anything by it.",
@@ -96,16 +129,21 @@
 
     def members_page(self) -> bytes:
         """What this node believes of the list, for `members list --from-node`."""
-        names = {State.READY: "active", State.DRAINING: "leaving"}
+        names = {EndpointState.READY: "active", EndpointState.DRAINING: "leaving"}
         lines = [
-            {"instanceId": m.name, "hostPort": m.endpoint, "lifecycle": names[m.entry.state]}
+            {"instanceId": m.name, "hostPort": m.address_text, "lifecycle": names[m.entry.state]}
             for m in self.roster.listed.values()
         ]
-        told = {"generation": self.roster.version, "state": self.host.list_state(), "instances": lines}
+        told = {
+            "generation": self.roster.version,
+            "state": self.host.list_state(),
+            "instances": lines,
+        }
         return json.dumps(told).encode()
 
     async def start(self) -> None:
-        """Start the parts in order. Raises PartError; what was started is closed again, also if cancelled."""
+        """Start the parts in order. Raises PartError; what was started is closed again, also if
+        cancelled."""
         try:
             for part in (part for step in self.steps for part in step):
                 try:
@@ -119,8 +157,8 @@
     def reload(self, fresh: Installation) -> list[str]:
         """Put new settings in force, of all parts or, if one of them can't take its own, of none.
 
-        None, because a file that is half in force is one that nobody wrote. Gives what is wrong; empty: done.
-        What takes a restart is logged and passed over."""
+        None, because a file that is half in force is one that nobody wrote. Gives what is wrong;
+        empty: done. What takes a restart is logged and passed over."""
         commits: list[Callable[[], None]] = []
         faults = []
         for name, part in self.parts.items():
@@ -145,7 +183,9 @@
         old = self.what
         if old.base is not None and fresh.base is not None:
             for name in Base.model_fields.keys() - {"log"}:  # those that are no part's
-                yield from differing(getattr(old.base, name), getattr(fresh.base, name), (name.rstrip("_"),))
+                yield from differing(
+                    getattr(old.base, name), getattr(fresh.base, name), (name.rstrip("_"),)
+                )
         for part in self.what.known:
             was, now = old.parts.get(part.name), fresh.parts.get(part.name)
             if (was is None) != (now is None):
@@ -164,14 +204,16 @@
     async def drain(self) -> None:
         """Answer all that is held, on every part, then end. One deadline holds for all of them."""
         until = now_ms() + ACCEPT_FOR + self.what.config.longest
-        self.join.leave(until)
+        self.join.begin_shutdown(until)
         for step in reversed(self.steps):
             await self.drain_step(step, until)
         self.close()
         STOPPED()
 
-    async def drain_step(self, step: list[Declaration], until: float) -> None:
-        tasks = {asyncio.ensure_future(self.parts[part.name].drain(until)): part.name for part in step}
+    async def drain_step(self, step: list[ComponentDeclaration], until: float) -> None:
+        tasks = {
+            asyncio.ensure_future(self.parts[part.name].drain(until)): part.name for part in step
+        }
         patience = max(0.0, until + GRACE - now_ms()) / 1000
         done, hanging = await asyncio.wait(tasks, timeout=patience)
         for task in done:
@@ -184,7 +226,8 @@
             await asyncio.wait(hanging, timeout=GRACE / 1000)
 
     def close(self) -> None:
-        """Let go of all parts, the last started first; one that fails does not keep the others open."""
+        """Let go of all parts, the last started first; one that fails does not keep the others
+        open."""
         for name, part in reversed(self.parts.items()):
             try:
                 part.close()
--- a/badgercart/capture/anonymise.py
+++ b/badgercart/capture/anonymise.py
@@ -1,10 +1,12 @@
-"""A capture under other names, to be handed on: a night like it, which replays to its own decisions.
-
-Numbers of keys and servers are hashes of names, and whoever can guess a name can find it. They also place
-keys on servers, so that they can't be replaced and the decisions stay. So the night is decided anew under
-new numbers, from a keyed hash whose key is thrown away; outcomes follow their requests, as `whatif` says.
-Tenants change places with their shares. Node, seed and the time of day are left out; times count from the
-first event. Zones, kinds and cells are numbers by their place in a file, and stay.
+"""A capture under other names, to be handed on: a night like it, which replays to its own
+decisions.
+
+Numbers of keys and servers are hashes of names, and whoever can guess a name can find it. They also
+place keys on servers, so that they can't be replaced and the decisions stay. So the night is
+decided anew under new numbers, from a keyed hash whose key is thrown away; outcomes follow their
+requests, as `whatif` says. Tenants change places with their shares. Node, seed and the time of day
+are left out; times count from the first event. Zones, kinds and cells are numbers by their place in
+a file, and stay.
 """
 
 from __future__ import annotations
@@ -16,12 +18,20 @@
 from pathlib import Path
 
 from badgercart.capture.build import Builder
-from badgercart.capture.codec import CodecError, decode_settings, encode_settings, freeze, module_digest
+from badgercart.capture.codec import (
+    CodecError,
+    decode_settings,
+    encode_settings,
+    freeze,
+    module_digest,
+)
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import Decided, events, start
 from badgercart.capture.whatif import Night, plain, sends
-from cottonhall.interface import ListKind, Request, ServerEntry, ServerList, Settings, State
-from cottonhall.rules import Policy
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import EndpointUpdate, Request, UpdateKind
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Settings
 
 BEGIN = 1000.0  # ms on the clock of the new capture, at its first event
 
@@ -42,10 +52,14 @@
         return int.from_bytes(hashlib.blake2b(data, digest_size=8, key=self.secret).digest()) or 1
 
 
-def fleet(policy: Policy) -> ServerList:
+def fleet(policy: Policy) -> EndpointUpdate:
     """The list that a segment's state begins with."""
-    entries = [server.entry for server in policy.servers.values() if server.entry.state is not State.GONE]
-    return ServerList(ListKind.FULL, 0, entries)
+    entries = [
+        server.entry
+        for server in policy.servers.values()
+        if server.entry.state is not EndpointState.GONE
+    ]
+    return EndpointUpdate(UpdateKind.SNAPSHOT, 0, entries)
 
 
 def items_of(segment: Segment, state: Policy) -> list[Decided]:
@@ -59,16 +73,17 @@
 
 
 def anonymise(source: Path, output: Path, secret: bytes | None = None) -> tuple[int, int]:
-    """Write a segment under other names; gives its events, and the requests that came under way in it.
+    """Write a segment under other names; gives its events, and the requests that came under way in
+    it.
 
     Raises FormatError, CodecError and OSError."""
     segment = Segment(source.read_bytes())
     settings = decode_settings(segment.head["settings"])
-    names = Names(secret or secrets.token_bytes(32), len(settings.quotas))
-    quotas = [0.0] * len(settings.quotas)
-    for number, quota in enumerate(settings.quotas):
+    names = Names(secret or secrets.token_bytes(32), len(settings.quotas_per_s))
+    quotas = [0.0] * len(settings.quotas_per_s)
+    for number, quota in enumerate(settings.quotas_per_s):
         quotas[names("tenant", number)] = quota
-    settings = replace(settings, quotas=tuple(quotas))
+    settings = replace(settings, quotas_per_s=tuple(quotas))
     items = items_of(segment, start(segment))
     shift = items[0].now - BEGIN
     seed = names("seed", segment.head["seed"] + 1)
@@ -83,16 +98,16 @@
     for item in items:
         event = plain(item.event, names)
         if isinstance(event, Request):
-            event.due -= shift
-        elif isinstance(event, ServerList):
-            event.servers = [began_at(line, shift) for line in event.servers]
+            event.deadline -= shift
+        elif isinstance(event, EndpointUpdate):
+            event.endpoints = [began_at(line, shift) for line in event.endpoints]
         fresh.append(Decided(item.now - shift, event, item.then))
     return fresh
 
 
-def began_at(line: ServerEntry, shift: float) -> ServerEntry:
+def began_at(line: Endpoint, shift: float) -> Endpoint:
     """A start that lies before the new clock's zero counts as long ago only where it was."""
-    return replace(line, started=line.started - shift) if line.started else line
+    return replace(line, started_ms=line.started_ms - shift) if line.started_ms else line
 
 
 def render(settings: Settings, seed: int, items: list[Decided]) -> tuple[int, int, bytes]:
--- a/badgercart/capture/codec.py
+++ b/badgercart/capture/codec.py
@@ -16,52 +16,63 @@
 
 import msgspec
 
-import cottonhall.fleet
-import cottonhall.rules
+import badgercart.policy.hash_ring
+import badgercart.policy.policy
 from badgercart.capture import policy_state
-from cottonhall.interface import (
+from badgercart.policy.actions import (
     Action,
-    Began,
-    Cancel,
-    Company,
-    Diverted,
-    Effect,
-    Event,
+    CancelAttempt,
     Fail,
-    Group,
-    ListKind,
+    HealthCheck,
     Log,
-    Outcome,
-    Overdue,
-    PeerMessage,
-    Planned,
-    Probe,
-    ProbeResult,
-    Refuse,
-    Request,
-    RequestClass,
-    Result,
-    Resume,
-    Retuned,
     Send,
-    ServerEntry,
-    ServerList,
-    Settings,
-    State,
+    SetTimer,
+    Shed,
     Subscribe,
-    Timer,
-    Wake,
-    Whole,
-    Withdrawn,
 )
-from cottonhall.rules import Policy
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptRerouted,
+    AttemptResult,
+    ClusterView,
+    DeadlineExceeded,
+    EndpointUpdate,
+    Event,
+    HealthCheckResult,
+    PeerMessage,
+    Request,
+    RequestCancelled,
+    RequestCompleted,
+    ResponseStarted,
+    RetryDecisionDue,
+    SettingsChanged,
+    TimerFired,
+    TrafficPlan,
+    UpdateKind,
+)
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 # The numbers stand in files: a new one is added at the end, none is ever used again.
 EVENTS: tuple[type, ...] = (
-    ServerList, Request, Began, Outcome, Diverted, Resume, ProbeResult, Timer, PeerMessage, Withdrawn,
-    Whole, Retuned, Company, Planned, Overdue,
-)  # fmt: skip
-ACTIONS: tuple[type, ...] = (Send, Refuse, Fail, Cancel, Wake, Probe, Subscribe, Log)
+    EndpointUpdate,
+    Request,
+    ResponseStarted,
+    AttemptEnded,
+    AttemptRerouted,
+    RetryDecisionDue,
+    HealthCheckResult,
+    TimerFired,
+    PeerMessage,
+    RequestCancelled,
+    RequestCompleted,
+    SettingsChanged,
+    ClusterView,
+    TrafficPlan,
+    DeadlineExceeded,
+)
+ACTIONS: tuple[type, ...] = (Send, Shed, Fail, CancelAttempt, SetTimer, HealthCheck, Subscribe, Log)
 _EVENT_NUMBERS = {kind: number for number, kind in enumerate(EVENTS)}
 _ACTION_NUMBERS = {kind: number for number, kind in enumerate(ACTIONS)}
 _encode = msgspec.msgpack.Encoder().encode
@@ -75,10 +86,10 @@
     return lambda item: tuple(getattr(item, name) for name in names)
 
 
-_FIELDS = {kind: _getter(kind) for kind in (*EVENTS, *ACTIONS, ServerEntry)}
+_FIELDS = {kind: _getter(kind) for kind in (*EVENTS, *ACTIONS, Endpoint)}
 
 
-_AMONG = [field.name for field in dataclasses.fields(Request)].index("among")
+_AMONG = [field.name for field in dataclasses.fields(Request)].index("reachable_endpoints")
 
 
 class CodecError(Exception):
@@ -89,19 +100,25 @@
     """`(number, now, (field, ...))`, the fields in the order of the class. Nothing in it can change later."""
     kind = type(event)
     fields = _FIELDS[kind](event)
-    if kind is ServerList:
-        fields = (*fields[:-1], [_FIELDS[ServerEntry](entry) for entry in fields[-1]])
-    elif kind is Request and event.among is not None:  # type: ignore[union-attr]
+    if kind is EndpointUpdate:
+        fields = (*fields[:-1], [_FIELDS[Endpoint](entry) for entry in fields[-1]])
+    elif kind is Request and event.reachable_endpoints is not None:  # type: ignore[union-attr]
         fields = (*fields[:_AMONG], sorted(fields[_AMONG]), *fields[_AMONG + 1 :])
-    elif isinstance(event, Retuned):
+    elif isinstance(event, SettingsChanged):
         fields = (
             encode_settings(event.settings),
-            sorted(event.live),
-            sorted(event.fresh),
-            sorted(event.tenants),
+            sorted(event.live_classes),
+            sorted(event.reset_classes),
+            sorted(event.reset_tenants),
+        )
+    elif isinstance(event, TrafficPlan):
+        fields = (
+            event.shares,
+            event.spillover_rates,
+            sorted(event.lost_zones),
+            sorted(event.planned_tenants),
+            event.zone_strain,
         )
-    elif isinstance(event, Planned):
-        fields = (event.shares, event.spill, sorted(event.lost), sorted(event.bound), event.strain)
     return _EVENT_NUMBERS[kind], now, fields
 
 
@@ -121,62 +138,74 @@
 encode_batch: Callable[[list[Told]], bytes] = _encode
 
 
-def _server_list(kind: int, version: int, servers: list[list[Any]]) -> ServerList:
+def _server_list(kind: int, version: int, servers: list[list[Any]]) -> EndpointUpdate:
     entries = [
-        ServerEntry(at, zone, machine, cell, State(state), size, started)
+        Endpoint(at, zone, machine, cell, EndpointState(state), size, started)
         for at, zone, machine, cell, state, size, started in servers
     ]
-    return ServerList(ListKind(kind), version, entries)
+    return EndpointUpdate(UpdateKind(kind), version, entries)
 
 
 def _request(*fields: Any) -> Request:
     event = Request(*fields)
-    event.among = frozenset(event.among) if event.among is not None else None
+    event.reachable_endpoints = (
+        frozenset(event.reachable_endpoints) if event.reachable_endpoints is not None else None
+    )
     return event
 
 
-def _outcome(*fields: Any) -> Outcome:
-    event = Outcome(*fields)
-    event.result, event.report = Result(event.result), tuple(event.report)
+def _outcome(*fields: Any) -> AttemptEnded:
+    event = AttemptEnded(*fields)
+    event.result, event.report = AttemptResult(event.result), tuple(event.report)
     return event
 
 
-def _diverted(*fields: Any) -> Diverted:
-    event = Diverted(*fields)
-    event.result = Result(event.result)
+def _diverted(*fields: Any) -> AttemptRerouted:
+    event = AttemptRerouted(*fields)
+    event.result = AttemptResult(event.result)
     return event
 
 
 def _retuned(
     settings: dict[str, Any], live: list[int], fresh: list[int], tenants: Sequence[int] = ()
-) -> Retuned:
-    return Retuned(decode_settings(settings), frozenset(live), frozenset(fresh), frozenset(tenants))
+) -> SettingsChanged:
+    return SettingsChanged(
+        decode_settings(settings), frozenset(live), frozenset(fresh), frozenset(tenants)
+    )
 
 
-def _company(size: int, me: int, may_live: int, parts: list[float], hearsay: list[list[Any]]) -> Company:
-    return Company(size, me, may_live, tuple(parts), tuple((server, level) for server, level in hearsay))
+def _company(
+    size: int, me: int, may_live: int, parts: list[float], hearsay: list[list[Any]]
+) -> ClusterView:
+    return ClusterView(
+        size, me, may_live, tuple(parts), tuple((server, level) for server, level in hearsay)
+    )
 
 
 def _planned(
-    shares: list[list[float]], spill: list[float], lost: list[int], bound: list[int], strain: list[float]
-) -> Planned:
+    shares: list[list[float]],
+    spill: list[float],
+    lost: list[int],
+    bound: list[int],
+    strain: list[float],
+) -> TrafficPlan:
     rows = tuple(map(tuple, shares))
-    return Planned(rows, tuple(spill), frozenset(lost), frozenset(bound), tuple(strain))
+    return TrafficPlan(rows, tuple(spill), frozenset(lost), frozenset(bound), tuple(strain))
 
 
 _READ: dict[type, Callable[..., Any]] = {
-    ServerList: _server_list,
+    EndpointUpdate: _server_list,
     Request: _request,
-    Outcome: _outcome,
-    Diverted: _diverted,
-    Retuned: _retuned,
-    Company: _company,
-    Planned: _planned,
+    AttemptEnded: _outcome,
+    AttemptRerouted: _diverted,
+    SettingsChanged: _retuned,
+    ClusterView: _company,
+    TrafficPlan: _planned,
 }
 
 
-_BATCH: msgspec.msgpack.Decoder[list[tuple[int, float, list[Any], msgspec.Raw]]] = msgspec.msgpack.Decoder(
-    list[tuple[int, float, list[Any], msgspec.Raw]]
+_BATCH: msgspec.msgpack.Decoder[list[tuple[int, float, list[Any], msgspec.Raw]]] = (
+    msgspec.msgpack.Decoder(list[tuple[int, float, list[Any], msgspec.Raw]])
 )
 
 
@@ -230,8 +259,8 @@
     aim: float
     deadline: float
     worth: float
-    effect: Effect
-    group: Group = Group.ALL
+    effect: Idempotency
+    group: DeduplicationScope = DeduplicationScope.ALL
     window: float = 0.0
     late_value: float = 0.0
     in_order: bool = False
@@ -265,37 +294,37 @@
     """Plain data, by the stored names."""
     classes = tuple(
         _StoredClass(
-            aim=cls.aim,
-            deadline=cls.deadline,
-            worth=cls.worth,
-            effect=cls.effect,
-            group=cls.group,
-            window=cls.window,
-            late_value=cls.late_value,
-            in_order=cls.in_order,
+            aim=cls.latency_objective_ms,
+            deadline=cls.deadline_ms,
+            worth=cls.priority_weight,
+            effect=cls.idempotency,
+            group=cls.deduplication_scope,
+            window=cls.deduplication_window_ms,
+            late_value=cls.late_value_share,
+            in_order=cls.serialized_by_key,
         )
         for cls in settings.classes
     )
     stored = _StoredSettings(
         classes=classes,
         zone=settings.zone,
-        group_size=settings.group_size,
-        me=settings.me,
-        quotas=settings.quotas,
-        over_quota_worth=settings.over_quota_worth,
-        warm_keys=settings.warm_keys,
-        ask_for_list=settings.ask_for_list,
-        ask_within=settings.ask_within,
-        tick=settings.tick,
+        group_size=settings.cluster_size,
+        me=settings.node_index,
+        quotas=settings.quotas_per_s,
+        over_quota_worth=settings.over_quota_weight,
+        warm_keys=settings.key_affinity,
+        ask_for_list=settings.polls_endpoints,
+        ask_within=settings.poll_interval_ms,
+        tick=settings.tick_ms,
         may_cancel=settings.may_cancel,
         max_attempts=settings.max_attempts,
-        max_retry_after=settings.max_retry_after,
-        full_may_have_run=settings.full_may_have_run,
-        key_rest=settings.key_rest,
-        cold_from=settings.cold_from,
-        ramp_time=settings.ramp_time,
-        tip_multiple=settings.tip_multiple,
-        overload_for=settings.overload_for,
+        max_retry_after=settings.max_retry_after_ms,
+        full_may_have_run=settings.full_possibly_executed,
+        key_rest=settings.key_cooldown_ms,
+        cold_from=settings.slow_start_min_capacity,
+        ramp_time=settings.slow_start_duration_ms,
+        tip_multiple=settings.collapse_load_factor,
+        overload_for=settings.collapse_window_ms,
     )
     plain: dict[str, Any] = msgspec.to_builtins(stored)
     return plain
@@ -307,37 +336,37 @@
         stored = msgspec.convert(plain, _StoredSettings)
         classes = tuple(
             RequestClass(
-                aim=cls.aim,
-                deadline=cls.deadline,
-                worth=cls.worth,
-                effect=cls.effect,
-                group=cls.group,
-                window=cls.window,
-                late_value=cls.late_value,
-                in_order=cls.in_order,
+                latency_objective_ms=cls.aim,
+                deadline_ms=cls.deadline,
+                priority_weight=cls.worth,
+                idempotency=cls.effect,
+                deduplication_scope=cls.group,
+                deduplication_window_ms=cls.window,
+                late_value_share=cls.late_value,
+                serialized_by_key=cls.in_order,
             )
             for cls in stored.classes
         )
         return Settings(
             classes=classes,
             zone=stored.zone,
-            group_size=stored.group_size,
-            me=stored.me,
-            quotas=stored.quotas,
-            over_quota_worth=stored.over_quota_worth,
-            warm_keys=stored.warm_keys,
-            ask_for_list=stored.ask_for_list,
-            ask_within=stored.ask_within,
-            tick=stored.tick,
+            cluster_size=stored.group_size,
+            node_index=stored.me,
+            quotas_per_s=stored.quotas,
+            over_quota_weight=stored.over_quota_worth,
+            key_affinity=stored.warm_keys,
+            polls_endpoints=stored.ask_for_list,
+            poll_interval_ms=stored.ask_within,
+            tick_ms=stored.tick,
             may_cancel=stored.may_cancel,
             max_attempts=stored.max_attempts,
-            max_retry_after=stored.max_retry_after,
-            full_may_have_run=stored.full_may_have_run,
-            key_rest=stored.key_rest,
-            cold_from=stored.cold_from,
-            ramp_time=stored.ramp_time,
-            tip_multiple=stored.tip_multiple,
-            overload_for=stored.overload_for,
+            max_retry_after_ms=stored.max_retry_after,
+            full_possibly_executed=stored.full_may_have_run,
+            key_cooldown_ms=stored.key_rest,
+            slow_start_min_capacity=stored.cold_from,
+            slow_start_duration_ms=stored.ramp_time,
+            collapse_load_factor=stored.tip_multiple,
+            collapse_window_ms=stored.overload_for,
         )
     except (msgspec.MsgspecError, ValueError) as error:
         raise CodecError(f"no settings: {error}") from None
@@ -346,7 +375,10 @@
 @cache
 def module_digest() -> dict[str, str]:
     """The texts of the policy's files, by their SHA-256: decisions can only be the same by the same text."""
-    files = [Path(str(module.__file__)) for module in (cottonhall.rules, cottonhall.fleet)]
+    files = [
+        Path(str(module.__file__))
+        for module in (badgercart.policy.policy, badgercart.policy.hash_ring)
+    ]
     return {path.name: hashlib.sha256(path.read_bytes()).hexdigest() for path in files}
 
 
--- a/badgercart/capture/explain.py
+++ b/badgercart/capture/explain.py
@@ -1,7 +1,7 @@
 """Why one request went as it did: its segment is decided anew by a policy that also says why.
 
-The policy's own code runs, in a subclass whose methods call it and take notes of one request; a node's policy
-is never of this class, so that nobody pays for what nobody asks.
+The policy's own code runs, in a subclass whose methods call it and take notes of one request; a
+node's policy is never of this class, so that nobody pays for what nobody asks.
 """
 
 from __future__ import annotations
@@ -13,24 +13,19 @@
 from badgercart.capture.format import Segment, read_index
 from badgercart.capture.replay import events, start
 from badgercart.capture.words import RESULTS
-from cottonhall.interface import (
-    Action,
-    Began,
-    Cancel,
-    Diverted,
+from badgercart.policy.actions import Action, CancelAttempt, Fail, Send, SetTimer, Shed
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptRerouted,
     Event,
-    Fail,
-    Outcome,
-    Refuse,
     Request,
-    Resume,
-    Send,
-    Timer,
-    Wake,
-    Whole,
-    Withdrawn,
+    RequestCancelled,
+    RequestCompleted,
+    ResponseStarted,
+    RetryDecisionDue,
+    TimerFired,
 )
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
 
 
 @dataclass(slots=True)
@@ -52,14 +47,20 @@
         state = self.random.getstate()  # looked at, and put back: the parent draws the same
         draw = self.random.random()
         self.random.setstate(state)
-        settings, group, beyond = self.settings, request.cls, ""
+        settings, group, beyond = self.settings, request.class_index, ""
         tenant = request.tenant
-        quota = settings.quotas[tenant] / self.divisors[tenant] if settings.quotas else float("inf")
-        if settings.quotas and self.used_by(tenant) > quota:
+        quota = (
+            settings.quotas_per_s[tenant] / self.divisors[tenant]
+            if settings.quotas_per_s
+            else float("inf")
+        )
+        if settings.quotas_per_s and self.used_by(tenant) > quota:
             group, beyond = group + len(settings.classes), ", beyond its tenant's share"
         low, width = self.bands[group]
         score = low + width * draw
-        self.say(f"taken: class {request.cls}, tenant {request.tenant}{beyond}, key {request.key:x}")
+        self.say(
+            f"taken: class {request.class_index}, tenant {request.tenant}{beyond}, key {request.key:x}"
+        )
         self.say(f"score {score:.2f}, of {low:.2f} to {low + width:.2f} for its class and share")
         self.measure_overload()  # as the parent will
         flying = f"{self.in_flight:.1f} attempts in flight of {self.need:.1f} needed"
@@ -77,7 +78,8 @@
         for server_id, words in looked.items():
             self.say(f"  {server_id:x}: {words}")
         self.say(
-            f"attempt {job.tries}: " + (f"server {server.entry.id:x}" if server else "no server will do")
+            f"attempt {job.tries}: "
+            + (f"server {server.entry.id:x}" if server else "no server will do")
         )
         return server
 
@@ -99,7 +101,9 @@
     def allowed(self, job: Any, server: Any, until: float = 0.0) -> bool:
         fit = super().allowed(job, server, until)
         if not fit and (looked := self.notes.looked) is not None:
-            looked[server.entry.id] = "not allowed: the request may have run where its class forbids a repeat"
+            looked[server.entry.id] = (
+                "not allowed: the request may have run where its class forbids a repeat"
+            )
         return fit
 
     def say(self, words: str) -> None:
@@ -108,39 +112,57 @@
 
 def _of(event: Event) -> int:
     """The request that an event is about; 0: none."""
-    if isinstance(event, Request | Whole | Began | Outcome | Diverted | Resume | Withdrawn):
+    if isinstance(
+        event,
+        Request
+        | RequestCompleted
+        | ResponseStarted
+        | AttemptEnded
+        | AttemptRerouted
+        | RetryDecisionDue
+        | RequestCancelled,
+    ):
         return event.id
-    return event.token if isinstance(event, Timer) else 0
+    return event.token if isinstance(event, TimerFired) else 0
 
 
 _EVENT_WORDS: dict[type, str] = {
-    Whole: "whole",
-    Began: "began",
-    Resume: "resume",
-    Withdrawn: "withdrawn",
-    Timer: "timer",
+    RequestCompleted: "whole",
+    ResponseStarted: "began",
+    RetryDecisionDue: "resume",
+    RequestCancelled: "withdrawn",
+    TimerFired: "timer",
 }
-_ACTION_WORDS: dict[type, str] = {Fail: "fail", Cancel: "cancel"}
+_ACTION_WORDS: dict[type, str] = {Fail: "fail", CancelAttempt: "cancel"}
 
 
 def _told(event: Event) -> str:
-    if isinstance(event, Outcome):
+    if isinstance(event, AttemptEnded):
         parked = ", parked" if event.parked else ""
-        words = f"attempt {event.attempt} at {event.server:x}: {RESULTS[event.result]} after"
-        return f"{words} {event.elapsed:.1f} ms{parked}" + (", the request is over" if event.over else "")
-    if isinstance(event, Diverted):
-        return f"attempt {event.attempt}: {RESULTS[event.result]}; its carrier went on to {event.to:x}"
+        words = f"attempt {event.attempt} at {event.endpoint_id:x}: {RESULTS[event.result]} after"
+        return f"{words} {event.elapsed_ms:.1f} ms{parked}" + (
+            ", the request is over" if event.completed else ""
+        )
+    if isinstance(event, AttemptRerouted):
+        result = RESULTS[event.result]
+        return (
+            f"attempt {event.attempt}: {result}; its carrier went on to {event.next_endpoint_id:x}"
+        )
     return _EVENT_WORDS[type(event)]
 
 
 def _done(action: Action) -> str:
     if isinstance(action, Send):
         more = f", fallbacks {[f'{i:x}' for i in action.fallbacks]}" if action.fallbacks else ""
-        return f"send to {action.server:x}, {action.limit:.0f} ms at most{more}"
-    if isinstance(action, Refuse):
-        return f"refuse; come back after {action.wait:.0f} ms" if action.wait else "refuse"
-    if isinstance(action, Wake):
-        return f"wait {action.delay:.0f} ms"
+        return f"send to {action.endpoint_id:x}, {action.timeout_ms:.0f} ms at most{more}"
+    if isinstance(action, Shed):
+        return (
+            f"refuse; come back after {action.retry_after_ms:.0f} ms"
+            if action.retry_after_ms
+            else "refuse"
+        )
+    if isinstance(action, SetTimer):
+        return f"wait {action.delay_ms:.0f} ms"
     return _ACTION_WORDS[type(action)]
 
 
@@ -153,7 +175,8 @@
 def explain(path: Path, request_id: int) -> list[str]:
     """The life of a request, line by line; empty where this segment does not have it.
 
-    Raises FormatError, CodecError and OSError. One that began in an earlier segment is told from there on."""
+    Raises FormatError, CodecError and OSError. One that began in an earlier segment is told from
+    there on."""
     segment = Segment(path.read_bytes())
     # Deciding is dear: a segment that does not have the request is only searched.
     if not may_hold(segment.data, request_id):
@@ -176,9 +199,14 @@
         except Exception as error:  # as it did then
             actions = []
             if mine:
-                notes.lines.append(f"{now:.3f} ms  the policy failed: {type(error).__name__}: {error}")
+                notes.lines.append(
+                    f"{now:.3f} ms  the policy failed: {type(error).__name__}: {error}"
+                )
         for action in actions:
-            about = action.token if isinstance(action, Wake) else getattr(action, "id", 0)
-            if isinstance(action, Send | Refuse | Fail | Cancel | Wake) and about == request_id:
+            about = action.token if isinstance(action, SetTimer) else getattr(action, "id", 0)
+            if (
+                isinstance(action, Send | Shed | Fail | CancelAttempt | SetTimer)
+                and about == request_id
+            ):
                 notes.lines.append(f"{now:.3f} ms  {_done(action)}")
     return notes.lines
--- a/badgercart/capture/events.py
+++ b/badgercart/capture/log_events.py
@@ -4,10 +4,13 @@
 
 import logging
 
-from badgercart.core.events import event
+from badgercart.core.log_events import event
 
 WRITING = event(
-    "capture.writing", logging.INFO, "capturing to %(folder)s", "What the policy is told is kept there."
+    "capture.writing",
+    logging.INFO,
+    "capturing to %(folder)s",
+    "What the policy is told is kept there.",
 )
 OFF = event(
     "capture.off",
--- a/badgercart/capture/policy_state.py
+++ b/badgercart/capture/policy_state.py
@@ -17,22 +17,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from cottonhall.fleet import Level, Ring, Sizes
-from cottonhall.interface import (
-    Company,
-    Effect,
-    Group,
-    Known,
-    ListKind,
-    Planned,
-    Request,
-    RequestClass,
-    Result,
-    ServerEntry,
-    Settings,
-    State,
-)
-from cottonhall.rules import Health, Job, Policy, Server, Turn
+from badgercart.policy.endpoint import Endpoint, EndpointState, EndpointStatistics
+from badgercart.policy.events import AttemptResult, ClusterView, Request, TrafficPlan, UpdateKind
+from badgercart.policy.hash_ring import Level, Ring, Sizes
+from badgercart.policy.policy import Health, Job, Policy, Server, Turn
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 
 class StateError(Exception):
@@ -45,43 +34,85 @@
 # What is made whole at once: its values are there before it.
 
 
-def _endpoint(item: ServerEntry) -> Values:
-    return item.id, item.zone, item.kind, item.cell, item.state, item.size, item.started
+def _endpoint(item: Endpoint) -> Values:
+    return item.id, item.zone, item.kind, item.cell, item.state, item.size, item.started_ms
 
 
 def _request(item: Request) -> Values:
     return (
-        item.id, item.cls, item.due, item.key, item.tenant, item.hint, item.repeat, item.fallbacks,
-        item.resumed, item.among, item.whole,
-    )  # fmt: skip
+        item.id,
+        item.class_index,
+        item.deadline,
+        item.key,
+        item.tenant,
+        item.expected_work_ms,
+        item.is_client_retry,
+        item.max_fallbacks,
+        item.possibly_executed,
+        item.reachable_endpoints,
+        item.complete,
+    )
 
 
 def _class(item: RequestClass) -> Values:
     return (
-        item.aim, item.deadline, item.worth, item.effect, item.group, item.window, item.late_value,
-        item.in_order,
-    )  # fmt: skip
+        item.latency_objective_ms,
+        item.deadline_ms,
+        item.priority_weight,
+        item.idempotency,
+        item.deduplication_scope,
+        item.deduplication_window_ms,
+        item.late_value_share,
+        item.serialized_by_key,
+    )
 
 
 def _settings(item: Settings) -> Values:
     return (
-        item.classes, item.zone, item.group_size, item.me, item.quotas, item.over_quota_worth, item.warm_keys,
-        item.ask_for_list, item.ask_within, item.tick, item.may_cancel, item.max_attempts,
-        item.max_retry_after, item.full_may_have_run, item.key_rest, item.cold_from, item.ramp_time,
-        item.tip_multiple, item.overload_for,
-    )  # fmt: skip
-
-
-def _known(item: Known) -> Values:
-    return item.started, item.slow, item.recent, item.fails, item.strikes
+        item.classes,
+        item.zone,
+        item.cluster_size,
+        item.node_index,
+        item.quotas_per_s,
+        item.over_quota_weight,
+        item.key_affinity,
+        item.polls_endpoints,
+        item.poll_interval_ms,
+        item.tick_ms,
+        item.may_cancel,
+        item.max_attempts,
+        item.max_retry_after_ms,
+        item.full_possibly_executed,
+        item.key_cooldown_ms,
+        item.slow_start_min_capacity,
+        item.slow_start_duration_ms,
+        item.collapse_load_factor,
+        item.collapse_window_ms,
+    )
+
+
+def _known(item: EndpointStatistics) -> Values:
+    return (
+        item.started_ms,
+        item.relative_latency,
+        item.recent_attempts,
+        item.failure_rates,
+        item.consecutive_ejections,
+    )
 
 
-def _company(item: Company) -> Values:
-    return item.size, item.me, item.may_live, item.parts, item.hearsay
+def _company(item: ClusterView) -> Values:
+    return item.size, item.node_index, item.possibly_alive, item.quota_shares, item.failure_reports
 
 
-def _planned(item: Planned) -> Values:
-    return item.shares, item.spill, item.lost, item.bound, item.strain
+def _planned(item: TrafficPlan) -> Values:
+    return (
+        item.shares,
+        item.spillover_rates,
+        item.lost_zones,
+        item.planned_tenants,
+        item.zone_strain,
+    )
 
 
 def _health(item: Health) -> Values:
@@ -94,17 +125,23 @@
 
 # The numbers stand in files: a new one is added at the end, none is ever used again.
 _MADE: tuple[tuple[type, Callable[[Any], Values]], ...] = (
-    (ServerEntry, _endpoint),
+    (Endpoint, _endpoint),
     (Request, _request),
     (RequestClass, _class),
     (Settings, _settings),
-    (Known, _known),
-    (Company, _company),
-    (Planned, _planned),
+    (EndpointStatistics, _known),
+    (ClusterView, _company),
+    (TrafficPlan, _planned),
     (Health, _health),
     (Level, _level),
 )
-_ENUMS: tuple[type, ...] = (State, ListKind, Result, Effect, Group)
+_ENUMS: tuple[type, ...] = (
+    EndpointState,
+    UpdateKind,
+    AttemptResult,
+    Idempotency,
+    DeduplicationScope,
+)
 
 
 # What may hold what holds it: it is made empty, and filled once all is there.
@@ -112,14 +149,28 @@
 
 def _save_server(item: Server) -> Values:
     return (
-        item.entry, item.tokens, item.tokens_at, item.health, item.open, item.uploads, item.recent, item.slow
-    )  # fmt: skip
+        item.entry,
+        item.tokens,
+        item.tokens_at,
+        item.health,
+        item.open,
+        item.uploads,
+        item.recent,
+        item.slow,
+    )
 
 
 def _fill_server(item: Server, values: Values) -> None:
     (
-        item.entry, item.tokens, item.tokens_at, item.health, item.open, item.uploads, item.recent, item.slow
-    ) = values  # fmt: skip
+        item.entry,
+        item.tokens,
+        item.tokens_at,
+        item.health,
+        item.open,
+        item.uploads,
+        item.recent,
+        item.slow,
+    ) = values
 
 
 def _save_turn(item: Turn) -> Values:
@@ -132,16 +183,32 @@
 
 def _save_job(item: Job) -> Values:
     return (
-        item.request, item.terms, item.since, item.score, item.turn, item.tries, item.out, item.maybe_ran,
-        item.used, item.parked,
-    )  # fmt: skip
+        item.request,
+        item.terms,
+        item.since,
+        item.score,
+        item.turn,
+        item.tries,
+        item.out,
+        item.maybe_ran,
+        item.used,
+        item.parked,
+    )
 
 
 def _fill_job(item: Job, values: Values) -> None:
     (
-        item.request, item.terms, item.since, item.score, item.turn, item.tries, item.out, item.maybe_ran,
-        item.used, item.parked,
-    ) = values  # fmt: skip
+        item.request,
+        item.terms,
+        item.since,
+        item.score,
+        item.turn,
+        item.tries,
+        item.out,
+        item.maybe_ran,
+        item.used,
+        item.parked,
+    ) = values
 
 
 def _save_ring(item: Ring) -> Values:
@@ -370,7 +437,9 @@
 def _reducers() -> dict[type, Reducer]:
     found = {kind: _reduce_made(number, save) for number, (kind, save) in enumerate(_MADE)}
     found |= {kind: _reduce_member(number) for number, kind in enumerate(_ENUMS)}
-    return found | {kind: _reduce_filled(number, save) for number, (kind, save, _) in enumerate(_FILLED)}
+    return found | {
+        kind: _reduce_filled(number, save) for number, (kind, save, _) in enumerate(_FILLED)
+    }
 
 
 class _Writer(pickle.Pickler):
@@ -398,7 +467,17 @@
     ("builtins", "object"),
 }
 _OURS = {(__name__, function.__name__): function for function in (_make, _member, _new, _fill)}
-_NAMED_ENUMS = {"State": State, "ListKind": ListKind, "Result": Result, "Effect": Effect, "Group": Group}
+_NAMED_ENUMS = {
+    "State": EndpointState,
+    "ListKind": UpdateKind,
+    "Result": AttemptResult,
+    "Effect": Idempotency,
+    "Group": DeduplicationScope,
+}
+
+
+# The modules that states of earlier texts name.
+_EARLIER_MODULES = ("cottonhall.rules", "cottonhall.fleet", "cottonhall.interface")
 
 
 class _Named:
@@ -415,7 +494,7 @@
     def find_class(self, module: str, name: str) -> Any:
         if (module, name) in _OURS:
             return _OURS[module, name]
-        if module in ("cottonhall.rules", "cottonhall.fleet", "cottonhall.interface") and "." not in name:
+        if module in _EARLIER_MODULES and "." not in name:
             return _NAMED_ENUMS.get(name) or type(name, (_Named,), {"name": name})
         if (module, name) in _ALLOWED:
             return super().find_class(module, name)
@@ -447,9 +526,15 @@
     def policy(self, named: _Named) -> Policy:
         values: dict[str, Any] = dict(named.values)
         values["settings"] = self.settings(values["settings"])
-        values["servers"] = {number: self.server(item) for number, item in values["servers"].items()}
-        values["placed"] = {number: ServerEntry(*item.values) for number, item in values["placed"].items()}
-        values["known"] = {number: Known(*item.values) for number, item in values["known"].items()}
+        values["servers"] = {
+            number: self.server(item) for number, item in values["servers"].items()
+        }
+        values["placed"] = {
+            number: Endpoint(*item.values) for number, item in values["placed"].items()
+        }
+        values["known"] = {
+            number: EndpointStatistics(*item.values) for number, item in values["known"].items()
+        }
         values["jobs"] = {number: self.job(item) for number, item in values["jobs"].items()}
         values["streams"] = {place: self.job(item) for place, item in values["streams"].items()}
         values["turns"] = {key: self.turn(item) for key, item in values["turns"].items()}
@@ -458,9 +543,13 @@
         values["ring"] = self.ring(values["ring"])
         for name in ("company", "group"):
             if values[name] is not None:
-                values[name] = Company(*_in_order(values[name], "size", "me", "may_live", "parts", "hearsay"))
+                values[name] = ClusterView(
+                    *_in_order(values[name], "size", "me", "may_live", "parts", "hearsay")
+                )
         if values["plan"] is not None:
-            values["plan"] = Planned(*_in_order(values["plan"], "shares", "spill", "lost", "bound", "strain"))
+            values["plan"] = TrafficPlan(
+                *_in_order(values["plan"], "shares", "spill", "lost", "bound", "strain")
+            )
         return _policy(values)
 
     def settings(self, named: _Named) -> Settings:
@@ -474,13 +563,25 @@
         healths = [Health(*_in_order(item, "fails", "rest_until", "strikes")) for item in health]
         out = {place: (self.job(item), overdue) for place, (item, overdue) in attempts.items()}
         coming = {place: self.job(item) for place, item in uploads.items()}
-        return Server(ServerEntry(*entry.values), tokens, tokens_at, healths, out, coming, recent, slow)
+        return Server(
+            Endpoint(*entry.values), tokens, tokens_at, healths, out, coming, recent, slow
+        )
 
     def job(self, named: _Named) -> Job:
         if (made := self.jobs.get(id(named))) is not None:
             return made
         request, terms, since, score, turn, tries, out, maybe_ran, used, parked = _in_order(
-            named, "request", "terms", "since", "score", "turn", "tries", "out", "maybe_ran", "used", "parked"
+            named,
+            "request",
+            "terms",
+            "since",
+            "score",
+            "turn",
+            "tries",
+            "out",
+            "maybe_ran",
+            "used",
+            "parked",
         )
         made = self.jobs[id(named)] = Job(
             Request(
@@ -497,15 +598,19 @@
                     "resumed",
                     "among",
                     "whole",
-                )  # fmt: skip
+                )
             ),
             RequestClass(*terms.values),
             since,
             score,
         )
-        ran = {number: (sent, ServerEntry(*entry.values)) for number, (sent, entry) in maybe_ran.items()}
+        ran = {
+            number: (sent, Endpoint(*entry.values)) for number, (sent, entry) in maybe_ran.items()
+        }
         queue = None if turn is None else self.turn(turn)
-        _fill_job(made, (made.request, made.terms, since, score, queue, tries, out, ran, used, parked))
+        _fill_job(
+            made, (made.request, made.terms, since, score, queue, tries, out, ran, used, parked)
+        )
         return made
 
     def turn(self, named: _Named) -> Turn:
@@ -522,9 +627,13 @@
         return made
 
     def sizes(self, named: _Named) -> Sizes:
-        order, total, changes, scale, level = _in_order(named, "order", "total", "changes", "scale", "level")
+        order, total, changes, scale, level = _in_order(
+            named, "order", "total", "changes", "scale", "level"
+        )
         made = Sizes()
-        _fill_sizes(made, (order, total, changes, scale, None if level is None else Level(*level.values)))
+        _fill_sizes(
+            made, (order, total, changes, scale, None if level is None else Level(*level.values))
+        )
         return made
 
 
--- a/badgercart/capture/report.py
+++ b/badgercart/capture/report.py
@@ -10,22 +10,13 @@
 from pathlib import Path
 from typing import Any
 
+from badgercart.app import pages
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import decide, events, start
-from badgercart.operator import pages
-from cottonhall.interface import (
-    Action,
-    Event,
-    Fail,
-    Outcome,
-    Refuse,
-    Request,
-    Result,
-    Send,
-    ServerList,
-    State,
-)
-from cottonhall.rules import Policy
+from badgercart.policy.actions import Action, Fail, Send, Shed
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import AttemptEnded, AttemptResult, EndpointUpdate, Event, Request
+from badgercart.policy.policy import Policy
 
 STEP = 1000.0  # ms of the night in a point of the plots
 MAX_ROWS = 86_400  # points; a longer capture is told to be cut
@@ -67,7 +58,7 @@
         self.rows: list[Row] = []
         self.servers: dict[int, ServerSum] = {}
         self.classes: dict[int, int] = {}  # of requests under way
-        self.states: dict[int, State] = {}
+        self.states: dict[int, EndpointState] = {}
         self.finals: Counter[str] = Counter()
         self.worths: tuple[float, ...] = ()
         self.events = 0
@@ -79,7 +70,7 @@
         segment = Segment(path.read_bytes())
         policy = start(segment)
         self.node = segment.head["node"]
-        self.worths = tuple(cls.worth for cls in policy.settings.classes)
+        self.worths = tuple(cls.priority_weight for cls in policy.settings.classes)
         for server in policy.servers.values():
             self.states.setdefault(server.entry.id, server.entry.state)
         for item in events(segment):
@@ -89,27 +80,29 @@
         self.events += 1
         row = self.row(policy, now)
         if isinstance(event, Request):
-            row.taken[event.cls] += 1
-            self.classes[event.id] = event.cls
-        elif isinstance(event, Outcome):
+            row.taken[event.class_index] += 1
+            self.classes[event.id] = event.class_index
+        elif isinstance(event, AttemptEnded):
             row.results[event.result] += 1
-            told = self.servers.setdefault(event.server, ServerSum())
+            told = self.servers.setdefault(event.endpoint_id, ServerSum())
             told.attempts += 1
-            if event.result == Result.OK:
+            if event.result == AttemptResult.OK:
                 told.served += 1
-                told.took += event.elapsed
-            elif event.result != Result.CANCELLED:
+                told.took += event.elapsed_ms
+            elif event.result != AttemptResult.CANCELLED:
                 told.failed += 1
-            if event.over and self.classes.pop(event.id, None) is not None:
-                self.finals["served" if event.result == Result.OK else "ended otherwise"] += 1
-        elif isinstance(event, ServerList):
-            self.states.update((line.id, line.state) for line in event.servers)
+            if event.completed and self.classes.pop(event.id, None) is not None:
+                self.finals[
+                    "served" if event.result == AttemptResult.OK else "ended otherwise"
+                ] += 1
+        elif isinstance(event, EndpointUpdate):
+            self.states.update((line.id, line.state) for line in event.endpoints)
         for action in actions:
             if isinstance(action, Send):
                 row.sent += 1
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Shed | Fail):
                 row.refused[self.classes.pop(action.id, -1)] += 1
-                self.finals["refused" if isinstance(action, Refuse) else "failed"] += 1
+                self.finals["refused" if isinstance(action, Shed) else "failed"] += 1
 
     def row(self, policy: Policy, now: float) -> Row:
         at = now - now % STEP
@@ -122,7 +115,7 @@
         states = Counter(self.states.values())
         row = Row(
             at, x=policy.x, cut=policy.cut, errors=policy.errors, flying=policy.flying, need=policy.need,
-            ready=states[State.READY], draining=states[State.DRAINING],
+            ready=states[EndpointState.READY], draining=states[EndpointState.DRAINING],
             resting=sum(
                 any(h.rest_until > now for h in s.health) for s in policy.servers.values()
             ),
@@ -153,12 +146,20 @@
         "x": [r.x for r in rows], "cut / 100": [r.cut / 100 for r in rows],
         "share of attempts that fail": [r.errors for r in rows],
     })  # fmt: skip
-    offered = {f"class {c} (worth {course.worths[c]:g}), taken": [r.taken[c] for r in rows] for c in classes}
+    offered = {
+        f"class {c} (worth {course.worths[c]:g}), taken": [r.taken[c] for r in rows]
+        for c in classes
+    }
     lines(1, "Requests", "a second", offered)
-    lines(2, "Turned away", "a second", {f"class {c}": [r.refused[c] for r in rows] for c in classes})
+    lines(
+        2, "Turned away", "a second", {f"class {c}": [r.refused[c] for r in rows] for c in classes}
+    )
     ends = sorted({result for r in rows for result in r.results})
-    attempts: dict[str, list[Any]] = {"in flight": [r.flying for r in rows], "need": [r.need for r in rows]}
-    attempts |= {Result(e).name.lower(): [r.results[e] for r in rows] for e in ends}
+    attempts: dict[str, list[Any]] = {
+        "in flight": [r.flying for r in rows],
+        "need": [r.need for r in rows],
+    }
+    attempts |= {AttemptResult(e).name.lower(): [r.results[e] for r in rows] for e in ends}
     lines(3, "Attempts: in flight, need, ends", "count, a second", attempts)
     lines(4, "Servers", "count", {
         "ready": [r.ready for r in rows], "draining": [r.draining for r in rows],
@@ -178,7 +179,12 @@
     seconds = (course.rows[-1].at - course.rows[0].at) / 1000
     worst = sorted(course.servers.items(), key=lambda item: (-item[1].failed, item[0]))[:WORST]
     servers: list[tuple[object, ...]] = [
-        (f"{number:x}", told.attempts, told.failed, f"{told.took / told.served:.0f}" if told.served else "-")
+        (
+            f"{number:x}",
+            told.attempts,
+            told.failed,
+            f"{told.took / told.served:.0f}" if told.served else "-",
+        )
         for number, told in worst
     ]
     taken = sum(sum(row.taken.values()) for row in course.rows)
--- a/badgercart/capture/words.py
+++ b/badgercart/capture/words.py
@@ -1,5 +1,5 @@
-"""Events and actions as operators read them in messages. The names are literals: no rename in the code may
-change what a message says. No I/O."""
+"""Events and actions as operators read them in messages. The names are literals: no rename in the
+code may change what a message says. No I/O."""
 
 from __future__ import annotations
 
@@ -8,72 +8,70 @@
 from enum import Enum
 from typing import Any
 
-from cottonhall.interface import (
-    Began,
-    Cancel,
-    Company,
-    Diverted,
-    Effect,
+from badgercart.policy.actions import (
+    CancelAttempt,
     Fail,
-    Group,
-    ListKind,
+    HealthCheck,
     Log,
-    Outcome,
-    Overdue,
-    PeerMessage,
-    Planned,
-    Probe,
-    ProbeResult,
-    Refuse,
-    Request,
-    RequestClass,
-    Result,
-    Resume,
-    Retuned,
     Send,
-    ServerEntry,
-    ServerList,
-    Settings,
-    State,
+    SetTimer,
+    Shed,
     Subscribe,
-    Timer,
-    Wake,
-    Whole,
-    Withdrawn,
 )
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptRerouted,
+    AttemptResult,
+    ClusterView,
+    DeadlineExceeded,
+    EndpointUpdate,
+    HealthCheckResult,
+    PeerMessage,
+    Request,
+    RequestCancelled,
+    RequestCompleted,
+    ResponseStarted,
+    RetryDecisionDue,
+    SettingsChanged,
+    TimerFired,
+    TrafficPlan,
+    UpdateKind,
+)
+from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 # The name of each type in messages, and those of its fields in the order of the class.
 _SHOWN: dict[type, tuple[str, tuple[str, ...]]] = {
-    ServerList: ("ServerList", ("kind", "version", "servers")),
+    EndpointUpdate: ("ServerList", ("kind", "version", "servers")),
     Request: (
         "Request",
         ("id", "cls", "due", "key", "tenant", "hint", "repeat", "fallbacks", "resumed", "among", "whole"),
     ),
-    Began: ("Began", ("id", "attempt", "server", "elapsed")),
-    Outcome: (
+    ResponseStarted: ("Began", ("id", "attempt", "server", "elapsed")),
+    AttemptEnded: (
         "Outcome",
         ("id", "server", "over", "result", "attempt", "elapsed", "report", "parked", "spent"),
     ),
-    Diverted: ("Diverted", ("id", "attempt", "server", "result", "elapsed", "to")),
-    Resume: ("Resume", ("id", "resend")),
-    ProbeResult: ("ProbeResult", ("server", "result", "elapsed", "report")),
-    Timer: ("Timer", ("token",)),
+    AttemptRerouted: ("Diverted", ("id", "attempt", "server", "result", "elapsed", "to")),
+    RetryDecisionDue: ("Resume", ("id", "resend")),
+    HealthCheckResult: ("ProbeResult", ("server", "result", "elapsed", "report")),
+    TimerFired: ("Timer", ("token",)),
     PeerMessage: ("PeerMessage", ("sender", "data")),
-    Withdrawn: ("Withdrawn", ("id",)),
-    Whole: ("Whole", ("id", "due")),
-    Retuned: ("Retuned", ("settings", "live", "fresh", "tenants")),
-    Company: ("Company", ("size", "me", "may_live", "parts", "hearsay")),
-    Planned: ("Planned", ("shares", "spill", "lost", "bound", "strain")),
-    Overdue: ("Overdue", ("id",)),
+    RequestCancelled: ("Withdrawn", ("id",)),
+    RequestCompleted: ("Whole", ("id", "due")),
+    SettingsChanged: ("Retuned", ("settings", "live", "fresh", "tenants")),
+    ClusterView: ("Company", ("size", "me", "may_live", "parts", "hearsay")),
+    TrafficPlan: ("Planned", ("shares", "spill", "lost", "bound", "strain")),
+    DeadlineExceeded: ("Overdue", ("id",)),
     Send: ("Send", ("id", "server", "limit", "fallbacks")),
-    Refuse: ("Refuse", ("id", "wait")),
+    Shed: ("Refuse", ("id", "wait")),
     Fail: ("Fail", ("id",)),
-    Cancel: ("Cancel", ("id", "attempt")),
-    Wake: ("Wake", ("delay", "token")),
-    Probe: ("Probe", ("server",)),
+    CancelAttempt: ("Cancel", ("id", "attempt")),
+    SetTimer: ("Wake", ("delay", "token")),
+    HealthCheck: ("Probe", ("server",)),
     Subscribe: ("Subscribe", ()),
     Log: ("Log", ("text",)),
-    ServerEntry: ("ServerEntry", ("id", "zone", "kind", "cell", "state", "size", "started")),
+    Endpoint: ("ServerEntry", ("id", "zone", "kind", "cell", "state", "size", "started")),
     RequestClass: (
         "RequestClass",
         ("aim", "deadline", "worth", "effect", "group", "window", "late_value", "in_order"),
@@ -88,30 +86,30 @@
     ),
 }  # fmt: skip
 RESULTS: dict[int, str] = {
-    Result.OK: "OK",
-    Result.ERROR: "ERROR",
-    Result.FULL: "FULL",
-    Result.TIMEOUT: "TIMEOUT",
-    Result.UNREACHABLE: "UNREACHABLE",
-    Result.RESET: "RESET",
-    Result.CANCELLED: "CANCELLED",
-    Result.NOT_SENT: "NOT_SENT",
+    AttemptResult.OK: "OK",
+    AttemptResult.ERROR: "ERROR",
+    AttemptResult.FULL: "FULL",
+    AttemptResult.TIMEOUT: "TIMEOUT",
+    AttemptResult.UNREACHABLE: "UNREACHABLE",
+    AttemptResult.RESET: "RESET",
+    AttemptResult.CANCELLED: "CANCELLED",
+    AttemptResult.NOT_SENT: "NOT_SENT",
 }
 _MEMBERS: dict[object, str] = {
-    **{(Result, value): f"<Result.{name}: {int(value)}>" for value, name in RESULTS.items()},
-    (State, State.READY): "<State.READY: 0>",
-    (State, State.GONE): "<State.GONE: 1>",
-    (State, State.DRAINING): "<State.DRAINING: 2>",
-    (ListKind, ListKind.DELTA): "<ListKind.DELTA: 0>",
-    (ListKind, ListKind.FULL): "<ListKind.FULL: 1>",
-    (ListKind, ListKind.CACHED): "<ListKind.CACHED: 2>",
-    (ListKind, ListKind.FAILED): "<ListKind.FAILED: 3>",
-    (Effect, Effect.SAFE): "<Effect.SAFE: 'safe'>",
-    (Effect, Effect.KEYED): "<Effect.KEYED: 'keyed'>",
-    (Effect, Effect.UNSAFE): "<Effect.UNSAFE: 'unsafe'>",
-    (Group, Group.ALL): "<Group.ALL: 'all'>",
-    (Group, Group.ZONE): "<Group.ZONE: 'zone'>",
-    (Group, Group.CELL): "<Group.CELL: 'cell'>",
+    **{(AttemptResult, value): f"<Result.{name}: {int(value)}>" for value, name in RESULTS.items()},
+    (EndpointState, EndpointState.READY): "<State.READY: 0>",
+    (EndpointState, EndpointState.GONE): "<State.GONE: 1>",
+    (EndpointState, EndpointState.DRAINING): "<State.DRAINING: 2>",
+    (UpdateKind, UpdateKind.DELTA): "<ListKind.DELTA: 0>",
+    (UpdateKind, UpdateKind.SNAPSHOT): "<ListKind.FULL: 1>",
+    (UpdateKind, UpdateKind.CACHED): "<ListKind.CACHED: 2>",
+    (UpdateKind, UpdateKind.FAILED): "<ListKind.FAILED: 3>",
+    (Idempotency, Idempotency.IDEMPOTENT): "<Effect.SAFE: 'safe'>",
+    (Idempotency, Idempotency.KEYED): "<Effect.KEYED: 'keyed'>",
+    (Idempotency, Idempotency.NON_IDEMPOTENT): "<Effect.UNSAFE: 'unsafe'>",
+    (DeduplicationScope, DeduplicationScope.ALL): "<Group.ALL: 'all'>",
+    (DeduplicationScope, DeduplicationScope.ZONE): "<Group.ZONE: 'zone'>",
+    (DeduplicationScope, DeduplicationScope.CELL): "<Group.CELL: 'cell'>",
 }
 
 
@@ -120,7 +118,9 @@
 
 
 def _tuple(value: tuple[Any, ...]) -> str:
-    return f"({show(value[0])},)" if len(value) == 1 else _sequence("(", [show(v) for v in value], ")")
+    return (
+        f"({show(value[0])},)" if len(value) == 1 else _sequence("(", [show(v) for v in value], ")")
+    )
 
 
 def _frozenset(value: frozenset[Any]) -> str:
--- a/badgercart/peers/wire.py
+++ b/badgercart/cluster/codec.py
@@ -1,7 +1,7 @@
 """Messages between nodes: versioned, within one MTU, keyed by the group's secret. No I/O.
 
-A packet is `bc`, the protocol's version, a keyed hash of all that follows, and MessagePack. Whatever is not
-of this group, this version and this size is refused before any of it is read.
+A packet is `bc`, the protocol's version, a keyed hash of all that follows, and MessagePack.
+Whatever is not of this group, this version and this size is refused before any of it is read.
 """
 
 from __future__ import annotations
@@ -13,15 +13,17 @@
 
 import msgspec
 
-from badgercart.peers.hybrid import Stamp
-from badgercart.peers.view import Claim, Status
+from badgercart.cluster.hybrid_logical_clock import Stamp
+from badgercart.cluster.membership_table import MembershipRecord, Status
 
 VERSION = 1
 MAGIC = b"bc"
 TAG = 16  # bytes of the keyed hash
 HEAD = len(MAGIC) + 1 + TAG
 MTU = 1400  # bytes of a datagram: with its headers below the 1,500 of Ethernet
-MAX_SYNC = 1 << 20  # bytes of one side of a push-pull: 4,096 members of 100 bytes, and what is on the board
+MAX_SYNC = (
+    1 << 20
+)  # bytes of one side of a push-pull: 4,096 members of 100 bytes, and what is on the board
 MAX_CLAIMS = 4096
 NAME = 64  # characters of a name
 
@@ -107,7 +109,7 @@
     serial: int
     stamp: Stamp
     body: Body
-    claims: tuple[Claim, ...] = ()
+    claims: tuple[MembershipRecord, ...] = ()
     posts: tuple[Posted, ...] = field(default=())
 
 
@@ -115,23 +117,30 @@
 _decode: Callable[[bytes], _Packet] = msgspec.msgpack.Decoder(_Packet).decode
 
 
-def plain(claim: Claim) -> Plain:
+def plain(claim: MembershipRecord) -> Plain:
     return (
         claim.name, claim.incarnation, int(claim.status), *claim.address, claim.boot, claim.zone,
         claim.region, claim.by,
     )  # fmt: skip
 
 
-def claim_of(told: Plain) -> Claim:
+def claim_of(told: Plain) -> MembershipRecord:
     """Refused where no member can be so."""
     name, incarnation, status, host, port, boot, zone, region, by = told
     for text in (name, host, zone, region, by):
         if len(text) > NAME or not text.isprintable():
             raise Refused("malformed", "a claim's text is too long or not printable")
-    if not name or not 0 < port < 65536 or not 0 <= incarnation < 1 << 53 or not 0 <= boot < 1 << 63:
+    if (
+        not name
+        or not 0 < port < 65536
+        or not 0 <= incarnation < 1 << 53
+        or not 0 <= boot < 1 << 63
+    ):
         raise Refused("malformed", f"a claim of {name!r} has a number out of bounds")
     try:
-        return Claim(name, incarnation, Status(status), (host, port), boot, zone, region, by)
+        return MembershipRecord(
+            name, incarnation, Status(status), (host, port), boot, zone, region, by
+        )
     except ValueError:
         raise Refused("malformed", f"a claim of {name!r} has the status {status}") from None
 
@@ -179,7 +188,7 @@
         )  # fmt: skip
 
 
-def size_of(claim: Claim) -> int:
+def size_of(claim: MembershipRecord) -> int:
     """Bytes of a claim in a packet."""
     return len(_encode(plain(claim)))
 
@@ -189,7 +198,8 @@
 
 
 class Window:
-    """Which serials of one process were taken: once each, in any order within 64 (RFC 4303, 3.4.3)."""
+    """Which serials of one process were taken: once each, in any order within 64 (RFC 4303,
+    3.4.3)."""
 
     __slots__ = ("highest", "seen")
 
--- a/badgercart/peers/driver.py
+++ b/badgercart/cluster/driver.py
@@ -1,4 +1,5 @@
-"""Carries the machine's packets: one socket for datagrams, one listener for push-pulls, one timer."""
+"""Carries the machine's packets: one socket for datagrams, one listener for push-pulls, one
+timer."""
 
 from __future__ import annotations
 
@@ -11,10 +12,10 @@
 
 import netaddr
 
+from badgercart.cluster.codec import MAX_SYNC, MTU, Codec, Leave, Packet, Refused, Sync
+from badgercart.cluster.log_events import REFUSED
+from badgercart.cluster.swim import Effect, SendTo, SwimProtocol, SyncWith
 from badgercart.config import Address
-from badgercart.peers.events import REFUSED
-from badgercart.peers.machine import Effect, Machine, SendTo, SyncWith
-from badgercart.peers.wire import MAX_SYNC, MTU, Codec, Leave, Packet, Refused, Sync
 
 AT_ONCE = 32  # datagrams that are read before the loop turns to requests again
 RATE = 4000  # datagrams a second that are looked at: a flood costs a bounded part of the core
@@ -52,7 +53,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], float],
-        machine: Machine,
+        machine: SwimProtocol,
         codec: Codec,
         listen: Address,
         allowed: Allowed,
@@ -154,7 +155,9 @@
     def datagram(self, data: bytes, source: Address) -> None:
         self.received += 1
         self.bytes_in += len(data)
-        if (packet := self.read(data, source, MTU)) is not None and not isinstance(packet.body, Sync | Leave):
+        if (packet := self.read(data, source, MTU)) is not None and not isinstance(
+            packet.body, Sync | Leave
+        ):
             self.run(self.machine.receive(self.clock(), packet, source))
 
     def read(self, data: bytes, source: Address, most: int) -> Packet | None:
@@ -210,7 +213,8 @@
             return
         self.serving += 1
         try:
-            # Cancelled it is as the process ends: what asyncio calls when it is done would log that.
+            # Cancelled it is as the process ends: what asyncio calls when it is done would log
+            # that.
             with contextlib.suppress(
                 OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.CancelledError
             ):
--- a/badgercart/peers/events.py
+++ b/badgercart/cluster/log_events.py
@@ -1,10 +1,11 @@
-"""What is said in the log of nodes that know each other. Each bears its hybrid time, for a timeline."""
+"""What is said in the log of nodes that know each other. Each bears its hybrid time, for a
+timeline."""
 
 from __future__ import annotations
 
 import logging
 
-from badgercart.core.events import event
+from badgercart.core.log_events import event
 
 LISTENING = event(
     "peers.listening",
--- a/badgercart/peers/member.py
+++ b/badgercart/cluster/member.py
@@ -1,21 +1,23 @@
 """One member of a group and all its uses: reports out, company for the policy. No I/O.
 
-The same in a node and in the lab's model. Effects are the machine's; posts that are news come by `heard`.
+The same in a node and in the lab's model. Effects are the machine's; posts that are news come by
+`heard`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Sequence
 
-from badgercart.core.roster import Member as Line
-from badgercart.peers.machine import Effect, Machine, Posted
-from badgercart.peers.queue import most_times
-from badgercart.peers.uses import DRAINS, FAILING, USE, Hearsay, Rumours, Shares, company
-from cottonhall.interface import Company
-from cottonhall.rules import Policy
+from badgercart.cluster.broadcast_queue import most_times
+from badgercart.cluster.swim import Effect, Posted, SwimProtocol
+from badgercart.cluster.uses import DRAINS, FAILING, USE, Hearsay, Rumours, Shares, company
+from badgercart.core.endpoint_table import DiscoveredEndpoint as Line
+from badgercart.policy.events import ClusterView
+from badgercart.policy.policy import Policy
 
 STALE = 4  # reports that a node may miss before it counts as one that wants its even part
-PASSED_ON = 64  # reports that a node passes on between two of its own: of more nodes each reports less often
+# reports that a node passes on between two of its own: of more nodes each reports less often
+PASSED_ON = 64
 FADES = 10_000.0  # ms in which another's word of a failing server fades
 
 
@@ -23,7 +25,7 @@
     """A machine, and the uses that are switched on."""
 
     def __init__(
-        self, machine: Machine, quotas: Sequence[float], share_ms: float, uses: Iterable[str]
+        self, machine: SwimProtocol, quotas: Sequence[float], share_ms: float, uses: Iterable[str]
     ) -> None:
         self.machine, self.does = machine, frozenset(uses)
         self.name = machine.me.name
@@ -32,7 +34,7 @@
         self.rumours, self.hearsay = Rumours(), Hearsay(FADES)
         self.number = 0  # of our posts
         self.out: dict[str, bytes] = {}  # what we have posted, by topic
-        self.told: Company | None = None
+        self.told: ClusterView | None = None
         self.listeners: dict[str, Callable[[float, str, bytes], None]] = {}  # of other subsystems
         for topic in (USE, *DRAINS, FAILING):
             machine.board.follow(topic)
@@ -63,8 +65,9 @@
         urgent: bool = False,
         direct: bool = False,
     ) -> None:
-        """Have a subsystem told of the posts on a topic of its own: when, by whom, what. `urgent`: they are
-        passed on as they come, not with the next round. `direct`: only who is told by `say` is told."""
+        """Have a subsystem told of the posts on a topic of its own: when, by whom, what. `urgent`:
+        they are passed on as they come, not with the next round. `direct`: only who is told by
+        `say` is told."""
         self.machine.board.follow(topic, urgent, direct)
         self.listeners[topic] = hear
 
@@ -106,14 +109,16 @@
             return self.rumours.take(post.said, version, listed)
         return []
 
-    def company(self, now: float) -> Company | None:
+    def company(self, now: float) -> ClusterView | None:
         """What the policy has to be told; None where it knows."""
         standing = self.machine.standing()
         names = [name for name in standing.live if name != self.name]
         self.shares.keep(names)
         self.hearsay.keep(names)
         parts = (
-            self.shares.parts(self.name, standing, now, STALE * self.every) if "shares" in self.does else ()
+            self.shares.parts(self.name, standing, now, STALE * self.every)
+            if "shares" in self.does
+            else ()
         )
         hearsay = self.hearsay.levels(names, now) if "hearsay" in self.does else ()
         event = company(self.name, standing, parts, hearsay)
--- a/badgercart/peers/settings.py
+++ b/badgercart/cluster/settings.py
@@ -7,10 +7,10 @@
 
 from pydantic import AfterValidator, Field, Strict
 
-from badgercart.operator.faults import Path
-from badgercart.operator.model import Address, Listed, Name, Names, Table
-from badgercart.operator.part import Checked
-from badgercart.peers.machine import Timing
+from badgercart.app.component import Checked
+from badgercart.app.faults import Path
+from badgercart.app.model import Address, Listed, Name, Names, Table
+from badgercart.cluster.swim import Timing
 
 
 def _network(value: str) -> str:
@@ -26,7 +26,7 @@
 Network = Annotated[Name, AfterValidator(_network)]
 
 
-class Place(Table):
+class Place(Table, title="Place", schema_name="badgercart__peers__settings__Place"):
     """where the peers of a network are"""
 
     network: Network = Field(description="the network, as 10.1.0.0/16")
@@ -34,14 +34,18 @@
     region: Name = Field("", description="their region")
 
 
-class PeersSettings(Table):
+class PeersSettings(Table, title="PeersSettings"):
     """nodes that know each other"""
 
     listen: Address = Field(description="the host:port for datagrams and connections between nodes")
     advertise: Address | None = Field(None, description="where others reach it, if not at `listen`")
-    group: Name = Field(max_length=64, description="the group's name; nodes of other groups are strangers")
+    group: Name = Field(
+        max_length=64, description="the group's name; nodes of other groups are strangers"
+    )
     secret: Name = Field(
-        min_length=16, max_length=256, description="the group's secret, by which its messages are known"
+        min_length=16,
+        max_length=256,
+        description="the group's secret, by which its messages are known",
     )
     seeds: Annotated[tuple[Address, ...], Listed, Strict(False)] = Field(
         (), max_length=64, description="members that a new one turns to"
@@ -52,14 +56,23 @@
     place: Annotated[tuple[Place, ...], Listed] = Field(
         (), max_length=256, description="zones and regions by network; the first that fits counts"
     )
-    period_ms: float = Field(1000.0, ge=50, le=60_000, description="the time between two probes (ms)")
+    period_ms: float = Field(
+        1000.0, ge=50, le=60_000, description="the time between two probes (ms)"
+    )
     patience_ms: float = Field(
         500.0, ge=10, le=60_000, description="the time for an answer before others are asked (ms)"
     )
-    gossip_ms: float = Field(200.0, ge=10, le=60_000, description="the time between two rounds of news (ms)")
-    sync_s: float = Field(30.0, ge=1, le=3600, description="the time between two whole exchanges (s)")
+    gossip_ms: float = Field(
+        200.0, ge=10, le=60_000, description="the time between two rounds of news (ms)"
+    )
+    sync_s: float = Field(
+        30.0, ge=1, le=3600, description="the time between two whole exchanges (s)"
+    )
     retry_ms: float = Field(
-        2000.0, ge=50, le=3_600_000, description="the time between tries to reach one of the dead (ms)"
+        2000.0,
+        ge=50,
+        le=3_600_000,
+        description="the time between tries to reach one of the dead (ms)",
     )
     remember_s: float = Field(
         600.0, ge=1, le=86_400, description="the time for which a silent member may live (s)"
@@ -70,7 +83,9 @@
         le=86_400,
         description="the time from its start for which a node counts on as many as `node.nodes` says (s)",
     )
-    share_ms: float = Field(500.0, ge=50, le=60_000, description="the time between two reports of use (ms)")
+    share_ms: float = Field(
+        500.0, ge=50, le=60_000, description="the time between two reports of use (ms)"
+    )
     uses: Names = Field(
         ("shares", "drains", "hearsay"), description="what is done with it: shares, drains, hearsay"
     )
--- a/badgercart/core/events.py
+++ b/badgercart/core/log_events.py
@@ -1,8 +1,8 @@
 """What the program says of itself: each event once in a table, with its level and meaning.
 
-An event is logged through the standard library, whose record carries its name and fields: the platform's node
-shows the words, `serve` has structlog write the fields. Both go through `Sparse`, so that nothing that peers
-bring about can fill a log.
+An event is logged through the standard library, whose record carries its name and fields: the
+platform's node shows the words, `serve` has structlog write the fields. Both go through `Sparse`,
+so that nothing that peers bring about can fill a log.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Event:
+class LogEvent:
     """One kind of event. Called with its fields, it is logged."""
 
     name: str  # `subsystem.fact`
@@ -32,19 +32,20 @@
             log.log(self.level, self.words, *told, exc_info=exc_info, extra={"event": self.name})
 
 
-TABLE: dict[str, Event] = {}  # all that there are, by name
+TABLE: dict[str, LogEvent] = {}  # all that there are, by name
 
 
-def event(name: str, level: int, words: str, meaning: str) -> Event:
+def event(name: str, level: int, words: str, meaning: str) -> LogEvent:
     """Add one to the table. ValueError where its name is taken."""
     if name in TABLE:
         raise ValueError(f"there are two events {name}")
-    TABLE[name] = made = Event(name, level, words, meaning)
+    TABLE[name] = made = LogEvent(name, level, words, meaning)
     return made
 
 
 class Sparse(logging.Filter):
-    """Lets a warning, which peers can bring about, through once in a while: they must not fill the log."""
+    """Lets a warning, which peers can bring about, through once in a while: they must not fill the
+    log."""
 
     EVERY = 10.0  # s
 
@@ -106,4 +107,6 @@
     "configuration read%(what)s",
     "SIGHUP: what can change without a restart is in force.",
 )
-STOPPED = event("node.stopped", logging.INFO, "stopped", "All that was held is answered; the process ends.")
+STOPPED = event(
+    "node.stopped", logging.INFO, "stopped", "All that was held is answered; the process ends."
+)
--- a/badgercart/core/room.py
+++ b/badgercart/core/memory_budget.py
@@ -1,7 +1,7 @@
 """How much of what passes through may be held at a time. No I/O: counts and divisions.
 
-Half of the room is for messages that are held whole, so that another attempt stays possible; half is for the
-windows of those that go on as they come.
+Half of the room is for messages that are held whole, so that another attempt stays possible; half
+is for the windows of those that go on as they come.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 LEAST_ROOM = 4 << 20
 
 
-def room_of(memory_mb: float) -> int:
+def budget_bytes(memory_mb: float) -> int:
     """Bytes that may be held by a process that may take so much memory."""
     return max(LEAST_ROOM, (int(memory_mb * 1_000_000) - PROGRAM) // 2)
 
 
-class Room:
-    """The room of one process. Windows shrink with the number of streams, holds with what is held."""
+class MemoryBudget:
+    """The room of one process. Windows shrink with the number of streams, holds with what is
+    held."""
 
     def __init__(self, total: int) -> None:
         self.total = total
--- a/badgercart/core/meters.py
+++ b/badgercart/core/metric_registry.py
@@ -1,4 +1,5 @@
-"""The port by which subsystems offer figures: a name, a meaning, and a function that reads the present value.
+"""The port by which subsystems offer figures: a name, a meaning, and a function that reads the
+present value.
 
 Whoever shows them asks when it wants to know, so that a figure costs nothing in between.
 """
@@ -23,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Meter:
+class Metric:
     name: str  # with its unit: `badgercart_list_age_seconds`
     about: str
     kind: Kind
@@ -39,28 +40,39 @@
             return {key: float(value) for key, value in told.items()}
         ranked = sorted(told.items(), key=lambda item: (-item[1], item[0]))
         kept = {key: float(value) for key, value in ranked[: MAX_LABELS - 1]}
-        kept[OTHER] = kept.get(OTHER, 0.0) + float(sum(value for _, value in ranked[MAX_LABELS - 1 :]))
+        kept[OTHER] = kept.get(OTHER, 0.0) + float(
+            sum(value for _, value in ranked[MAX_LABELS - 1 :])
+        )
         return kept
 
 
-class Meters:
+class MetricRegistry:
     """All figures of one installation."""
 
     def __init__(self) -> None:
-        self.meters: dict[str, Meter] = {}
+        self.metrics: dict[str, Metric] = {}
 
     def add(
-        self, kind: Kind, name: str, about: str, read: Callable[[], Reading], label: str | None = None
+        self,
+        kind: Kind,
+        name: str,
+        about: str,
+        read: Callable[[], Reading],
+        label: str | None = None,
     ) -> None:
         """ValueError where the name is taken, or none."""
         if not _NAME.fullmatch(name):
             raise ValueError(f"{name!r} is no name of a figure")
-        if name in self.meters:
+        if name in self.metrics:
             raise ValueError(f"there are two figures {name}")
-        self.meters[name] = Meter(name, about, kind, read, label)
+        self.metrics[name] = Metric(name, about, kind, read, label)
 
-    def counter(self, name: str, about: str, read: Callable[[], Reading], label: str | None = None) -> None:
+    def counter(
+        self, name: str, about: str, read: Callable[[], Reading], label: str | None = None
+    ) -> None:
         self.add(Kind.COUNTER, name, about, read, label)
 
-    def gauge(self, name: str, about: str, read: Callable[[], Reading], label: str | None = None) -> None:
+    def gauge(
+        self, name: str, about: str, read: Callable[[], Reading], label: str | None = None
+    ) -> None:
         self.add(Kind.GAUGE, name, about, read, label)
--- a/badgercart/membership/etcd/commands.py
+++ b/badgercart/discovery/etcd/commands.py
@@ -1,6 +1,7 @@
 """`badgercart members`: list and change the entries in etcd.
 
-Exit status: 0 done, and with --from-node no difference; 1 could not be done, or a difference; 2 bad input.
+Exit status: 0 done, and with --from-node no difference; 1 could not be done, or a difference; 2 bad
+input.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 
 import click
 
+from badgercart.app.exits import CommandError, Exit
 from badgercart.config import parse_address
-from badgercart.membership.etcd.settings import EtcdSettings, EtcdTls
-from badgercart.operator.exits import CommandError, Exit
+from badgercart.discovery.etcd.settings import EtcdSettings, EtcdTls
 
 if TYPE_CHECKING:
-    from badgercart.membership.etcd.members import Members
+    from badgercart.discovery.etcd.members import Members
 
 PATIENCE = 5000.0  # ms for each call
 
@@ -33,7 +34,7 @@
 
     def run(self, act: Callable[[Members], Awaitable[int]], dry_run: bool = False) -> None:
         """Do one thing and exit with its status."""
-        from badgercart.membership.etcd.members import Members  # heavy
+        from badgercart.discovery.etcd.members import Members  # heavy
 
         try:
             status = asyncio.run(Members(self.settings, dry_run).run(act))
@@ -105,7 +106,9 @@
 
 @members.command()
 @click.argument("entry")
-@click.option("--ttl", type=click.IntRange(1), metavar="S", help="Bind it to a lease of so many seconds.")
+@click.option(
+    "--ttl", type=click.IntRange(1), metavar="S", help="Bind it to a lease of so many seconds."
+)
 @DRY_RUN
 @click.pass_obj
 def put(access: Access, entry: str, ttl: int | None, dry_run: bool) -> None:
--- a/badgercart/distribution/part.py
+++ b/badgercart/distribution/component.py
@@ -12,8 +12,12 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from badgercart.core.names import stable_id
-from badgercart.core.roster import Member, MemberList
+from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
+from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate
+from badgercart.core.identifiers import stable_id
+from badgercart.discovery.entries import ListReader
+from badgercart.discovery.freshness import Rule, State
+from badgercart.discovery.log_events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
 from badgercart.distribution.settings import (
     SERVERS,
     MembersSettings,
@@ -21,27 +25,26 @@
     check_members,
     check_store,
 )
-from badgercart.fronts.http.requests import Page
-from badgercart.membership.entries import ListReader
-from badgercart.membership.events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
-from badgercart.membership.freshness import Rule, State
-from badgercart.operator.part import Declaration, Host, Kind
-from cottonhall.interface import ListKind
-from cottonhall.interface import State as ServerState
+from badgercart.frontends.http.requests import Page
+from badgercart.policy.endpoint import EndpointState as ServerState
+from badgercart.policy.events import UpdateKind
 
 if TYPE_CHECKING:
     from badgercart.distribution.driver import FollowerDriver, StoreDriver
     from badgercart.distribution.effects import Take
     from badgercart.distribution.follower import Follower
-    from badgercart.distribution.messages import Entry
+    from badgercart.distribution.messages import Entry, Status
 
 LONG_LIST = 1000  # servers
 AGED = {State.FRESH: LIST_FRESH, State.DOUBTFUL: LIST_DOUBTFUL, State.STALE: LIST_STALE}
 KEPT = ("group", "service")  # settings that take a restart
 
 
-def members_of(reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, Member]) -> list[Member]:
-    """The lines of a topic of servers. A key that is gone has left. ValueError where any line is none."""
+def members_of(
+    reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, DiscoveredEndpoint]
+) -> list[DiscoveredEndpoint]:
+    """The lines of a topic of servers. A key that is gone has left. ValueError where any line is
+    none."""
     members = []
     for key, value in {entry.key: entry.value for entry in entries}.items():
         if value is None:
@@ -60,10 +63,10 @@
     return members
 
 
-class MembersPart:
+class DistributedDiscoveryComponent:
     """The list of one service from the stores, with its age; SIGHUP takes all settings but KEPT."""
 
-    def __init__(self, host: Host, settings: MembersSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: MembersSettings) -> None:
         self.host, self.settings = host, settings
         self.topic = SERVERS + settings.service
         self.state = State.STALE
@@ -81,7 +84,7 @@
         from badgercart.distribution.follower import Follower, Timing
         from badgercart.distribution.messages import Codec
 
-        config, join = self.host.config, self.host.join
+        config, join = self.host.config, self.host.pipeline
         timing = Timing(
             silence=settings.silence_ms,
             dial=settings.dial_ms,
@@ -96,7 +99,14 @@
         follower = Follower(config.name, (self.topic,), len(settings.stores), timing, rng, rule)
         codec = Codec(settings.group, settings.secret.encode())
         return FollowerDriver(
-            self.host.loop, join.clock, follower, codec, settings.stores, self.take, self.look, config.source
+            self.host.loop,
+            join.clock,
+            follower,
+            codec,
+            settings.stores,
+            self.take,
+            self.look,
+            config.source,
         )
 
     @property
@@ -104,7 +114,7 @@
         return self.driver.follower
 
     def register(self) -> None:
-        meters, clock = self.host.meters, self.host.join.clock
+        meters, clock = self.host.metrics, self.host.pipeline.clock
         meters.gauge(
             "badgercart_list_age_seconds",
             "Time since the list was whole for sure.",
@@ -133,7 +143,9 @@
             lambda: self.refused + self.driver.refused,
             "kind",
         )
-        meters.counter("badgercart_distribution_dials", "Calls to stores.", lambda: self.follower.dials)
+        meters.counter(
+            "badgercart_distribution_dials", "Calls to stores.", lambda: self.follower.dials
+        )
 
     # Life.
 
@@ -143,7 +155,9 @@
         self.driver.start()
 
     def prepare(self, settings: MembersSettings) -> Callable[[], None]:
-        return lambda: self.move(settings.model_copy(update={k: getattr(self.settings, k) for k in KEPT}))
+        return lambda: self.move(
+            settings.model_copy(update={k: getattr(self.settings, k) for k in KEPT})
+        )
 
     def move(self, settings: MembersSettings) -> None:
         """Other stores, secrets and times: the list stays in force, its age runs on."""
@@ -171,27 +185,28 @@
 
     def take(self, told: Take) -> None:
         """Have a change in force, or have the topic told whole again where that can't be."""
-        from badgercart.distribution import events
+        from badgercart.distribution import log_events as events
 
-        roster = self.host.roster
+        roster = self.host.endpoint_table
         try:
             members = members_of(self.host.reader, told.entries, roster.listed)
-            kind = ListKind.FULL if told.whole else ListKind.DELTA
-            roster.take_read(MemberList(kind, told.number, members))
+            kind = UpdateKind.SNAPSHOT if told.whole else UpdateKind.DELTA
+            roster.accept_update(DiscoveryUpdate(kind, told.number, members))
         except ValueError as error:
             events.UNUSABLE(topic=told.topic, number=told.number, error=error)
-            self.driver.run(self.follower.ask_whole(self.host.join.clock(), told.topic))
+            self.driver.run(self.follower.ask_whole(self.host.pipeline.clock(), told.topic))
             return
         if told.whole and len(members) >= LONG_LIST:
-            gc.freeze()  # the collector would stop the loop for long to look at all of them again and again
+            # the collector would stop the loop for long to look at all of them again and again
+            gc.freeze()
 
     def look(self) -> None:
         """Say a change of the list's state, and wake up for the next one."""
-        now, freshness = self.host.join.clock(), self.follower.freshness
+        now, freshness = self.host.pipeline.clock(), self.follower.freshness
         state = freshness.state(now)
         if state is not self.state:
             age = f"{freshness.age(now) / 1000:.1f}"
-            AGED[state](age=age, was=self.state.value, version=self.host.roster.version)
+            AGED[state](age=age, was=self.state.value, version=self.host.endpoint_table.version)
             self.state = state
             self.aged()
         if self.timer is not None:
@@ -202,12 +217,14 @@
             self.timer = self.host.loop.call_later(max(0.0, due - now) / 1000 + 0.001, self.look)
 
     def aged(self) -> None:
-        self.host.roster.suspend(self.state is State.STALE and self.settings.when_stale == "refuse")
+        self.host.endpoint_table.suspend(
+            self.state is State.STALE and self.settings.when_stale == "refuse"
+        )
 
     # For operators.
 
     def page(self) -> bytes:
-        follower, age = self.follower, self.follower.age(self.host.join.clock())
+        follower, age = self.follower, self.follower.age(self.host.pipeline.clock())
         host, port = self.settings.stores[max(0, follower.store)]
         told = {
             "name": self.host.config.name,
@@ -244,7 +261,9 @@
     except BaseException:
         journal.close()
         raise
-    timing = Timing(settings.heartbeat_ms, settings.election_ms, settings.beat_ms, settings.patience_ms)
+    timing = Timing(
+        settings.heartbeat_ms, settings.election_ms, settings.beat_ms, settings.patience_ms
+    )
     names = tuple(entry.name for entry in settings.store)
     voters = tuple(entry.name for entry in settings.store if entry.voter)
     rng = random.Random()  # elections: no two stores may draw alike
@@ -255,7 +274,7 @@
 
 
 def say_listening(settings: StoreSettings, driver: StoreDriver) -> None:
-    from badgercart.distribution import events
+    from badgercart.distribution import log_events as events
 
     (host, port), store = driver.listen, driver.store
     events.LISTENING(
@@ -268,17 +287,27 @@
     )
 
 
-class StorePart:
+class StoreComponent:
     """One store, in a process that may do other things."""
 
-    def __init__(self, host: Host, settings: StoreSettings) -> None:
+    def __init__(self, host: ComponentHost, settings: StoreSettings) -> None:
         self.host, self.settings = host, settings
         self.driver: StoreDriver | None = None
-        meters = host.meters
-        meters.gauge("badgercart_store_age_seconds", "Time since it knew that it had all.", self.age)
+        meters = host.metrics
+        meters.gauge(
+            "badgercart_store_age_seconds", "Time since it knew that it had all.", self.age
+        )
         meters.gauge("badgercart_store_leading", "1 while it leads.", lambda: float(self.leading()))
-        meters.gauge("badgercart_store_followers", "Nodes that it tells.", lambda: self.status("followers"))
-        meters.gauge("badgercart_store_committed", "Changes in force.", lambda: self.status("committed"))
+        meters.gauge(
+            "badgercart_store_followers",
+            "Nodes that it tells.",
+            lambda: self.status(lambda status: status.followers),
+        )
+        meters.gauge(
+            "badgercart_store_committed",
+            "Changes in force.",
+            lambda: self.status(lambda status: status.committed),
+        )
         meters.counter(
             "badgercart_store_refused",
             "Frames and connections refused, by kind.",
@@ -287,17 +316,19 @@
         )
 
     def age(self) -> float:
-        return self.status("age") / 1000 if self.driver else float("inf")
+        return self.status(lambda status: status.age) / 1000 if self.driver else float("inf")
 
     def leading(self) -> bool:
         return self.driver is not None and self.driver.store.leading
 
-    def status(self, name: str) -> float:
-        return float(getattr(self.driver.status(), name)) if self.driver else 0.0
+    def status(self, figure: Callable[[Status], float]) -> float:
+        return float(figure(self.driver.status())) if self.driver else 0.0
 
     async def start(self) -> None:
         host, settings = self.host, self.settings
-        self.driver = store_driver(settings, host.folder, host.loop, host.join.clock, lambda error: None)
+        self.driver = store_driver(
+            settings, host.folder, host.loop, host.pipeline.clock, lambda error: None
+        )
         await self.driver.start()
         say_listening(settings, self.driver)
 
@@ -312,27 +343,27 @@
             self.driver.close()
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="distribution",
         key=("members", "distribution"),
-        kind=Kind.MEMBERS,
+        kind=ComponentKind.DISCOVERY,
         settings=MembersSettings,
         about="the server list from stores that tell changes",
-        build=MembersPart,
+        build=DistributedDiscoveryComponent,
         check=check_members,
         reloads=("*",),
         extra="distribution",
         libraries=("msgspec",),
         commands="badgercart.distribution.commands:distribution",
     ),
-    Declaration(
+    ComponentDeclaration(
         name="distribution-store",
         key=("distribution",),
-        kind=Kind.SERVICE,
+        kind=ComponentKind.SERVICE,
         settings=StoreSettings,
         about="a store that tells changes to nodes",
-        build=StorePart,
+        build=StoreComponent,
         check=check_store,
         extra="distribution",
         libraries=("msgspec",),
--- a/badgercart/bans/bans.py
+++ b/badgercart/ejection/ejections.py
@@ -1,4 +1,5 @@
-"""Keeps the servers taken out in force: over calls, lists, the file, and a process beside this one."""
+"""Keeps the servers taken out in force: over calls, lists, the file, and a process beside this
+one."""
 
 from __future__ import annotations
 
@@ -6,12 +7,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from badgercart.bans.events import BANNED, FILE_FAILED, FILE_SPOILT, FREED, TAKEN_OVER
-from badgercart.bans.ledger import MAX_BANS, Ledger, State
-from badgercart.bans.store import Store
+from badgercart.core.checksummed_file import CorruptFileError
+from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.ports import Timers
-from badgercart.core.roster import Roster
-from badgercart.core.sealed import Unusable
+from badgercart.ejection.ledger import MAX_BANS, Ledger, State
+from badgercart.ejection.log_events import BANNED, FILE_FAILED, FILE_SPOILT, FREED, TAKEN_OVER
+from badgercart.ejection.store import Store
 
 LOOK = 0.1  # s between looks at the file: well inside the grace for drains
 
@@ -25,7 +26,7 @@
 
     def __init__(
         self,
-        roster: Roster,
+        roster: EndpointTable,
         folder: Path,
         timers: Timers,
         unix_offset: float,
@@ -41,7 +42,7 @@
             self.ledger.adopt(state)
             if state.bans:
                 TAKEN_OVER(servers=", ".join(state.bans))
-        roster.amend = self.ledger.amend
+        roster.override = self.ledger.amend
 
     def start(self) -> None:
         self.look()
@@ -53,7 +54,7 @@
         """What the file has, if it can be used."""
         try:
             return self.store.read()
-        except (Unusable, OSError) as error:
+        except (CorruptFileError, OSError) as error:
             FILE_SPOILT(path=self.store.path, error=error)
             return None
 
@@ -65,7 +66,9 @@
         if self.store.changed() and (state := self.read()) is not None:
             self.adopt(state)
         if self.ledger.new_names:
-            self.ledger.new_names = False  # also where it fails: with the next change it is tried again
+            self.ledger.new_names = (
+                False  # also where it fails: with the next change it is tried again
+            )
             self.change(lambda: self.ledger.state)
 
     def disable(self, name: str) -> str:
@@ -99,4 +102,4 @@
         for name in old.keys() - state.bans.keys():
             FREED(server=name)
         if lines:
-            self.roster.renew(lines)
+            self.roster.reapply(lines)
--- a/badgercart/bans/ledger.py
+++ b/badgercart/ejection/ledger.py
@@ -1,6 +1,7 @@
 """Which servers operators have taken out, and what that makes of a line of the server list. No I/O.
 
-Times are Unix time in ms: the set outlives the process. `State` is what is kept, `Ledger` what decides by it.
+Times are Unix time in ms: the set outlives the process. `State` is what is kept, `Ledger` what
+decides by it.
 """
 
 from __future__ import annotations
@@ -8,8 +9,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from badgercart.core.roster import Member
-from cottonhall.interface import State as Listed
+from badgercart.core.endpoint_table import DiscoveredEndpoint
+from badgercart.policy.endpoint import EndpointState as Listed
 
 MAX_NAMES = 4096  # servers that were ever listed, as far back as is remembered
 MAX_BANS = 1024  # servers that are out at a time
@@ -29,7 +30,9 @@
 
     bans: dict[str, float] = field(default_factory=dict)  # since when
     freed: dict[str, Freed] = field(default_factory=dict)
-    names: dict[str, None] = field(default_factory=dict)  # that were ever listed, the longest known first
+    names: dict[str, None] = field(
+        default_factory=dict
+    )  # that were ever listed, the longest known first
 
 
 class Ledger:
@@ -39,13 +42,13 @@
         """`unix_offset`: ms from the node's clock, by which lines are told, to Unix time."""
         self.unix_offset = unix_offset
         self.state = State()
-        self.lines: dict[str, Member] = {}  # raw
+        self.lines: dict[str, DiscoveredEndpoint] = {}  # raw
         self.new_names = False  # some came that are not kept yet
 
     def known(self, name: str) -> bool:
         return name in self.state.names or name in self.lines
 
-    def amend(self, member: Member, version: int = 0) -> Member:
+    def amend(self, member: DiscoveredEndpoint, version: int = 0) -> DiscoveredEndpoint:
         """What the node is told of a server in place of this line of the list."""
         name, entry = member.name, member.entry
         if entry.state is Listed.GONE:
@@ -61,9 +64,9 @@
                 return replace(member, entry=replace(entry, state=Listed.DRAINING))
             return member
         if (back := self.state.freed.get(name)) is not None:
-            if entry.started and entry.started + self.unix_offset >= back.banned:
+            if entry.started_ms and entry.started_ms + self.unix_offset >= back.banned:
                 return member  # the list knows of the start that came meanwhile
-            return replace(member, entry=replace(entry, started=back.freed - self.unix_offset))
+            return replace(member, entry=replace(entry, started_ms=back.freed - self.unix_offset))
         return member
 
     def bound(self) -> None:
@@ -78,7 +81,9 @@
     def disabled(self, name: str, now: float) -> State:
         """What is to be kept once a server is taken out. Repeated, it changes nothing."""
         bans = {name: now} | self.state.bans
-        return State(bans, {n: f for n, f in self.state.freed.items() if n != name}, self.state.names)
+        return State(
+            bans, {n: f for n, f in self.state.freed.items() if n != name}, self.state.names
+        )
 
     def enabled(self, name: str, now: float) -> State:
         """What is to be kept once a server is called back: one call ends the ban."""
@@ -87,7 +92,7 @@
         freed = self.state.freed if since is None else self.state.freed | {name: Freed(since, now)}
         return State(bans, freed, self.state.names)
 
-    def adopt(self, state: State) -> list[Member]:
+    def adopt(self, state: State) -> list[DiscoveredEndpoint]:
         """Put another state in force. The raw lines of the servers for which something changes."""
         old, names = self.state, self.state.names
         self.state = State(dict(state.bans), dict(state.freed), dict(state.names))
--- a/badgercart/fronts/graphql/part.py
+++ b/badgercart/frontends/graphql/component.py
@@ -7,34 +7,36 @@
 from pathlib import Path as FilePath
 from typing import TYPE_CHECKING
 
-from badgercart.fronts.graphql.settings import GraphqlSettings
-from badgercart.fronts.http.part import register
-from badgercart.operator.faults import Path
-from badgercart.operator.part import Checked, Declaration, Host, Kind
-from cottonhall.interface import Effect
+from badgercart.app.component import Checked, ComponentDeclaration, ComponentHost, ComponentKind
+from badgercart.app.faults import Path
+from badgercart.frontends.graphql.settings import GraphqlSettings
+from badgercart.frontends.http.component import register
+from badgercart.policy.settings import Idempotency
 
 if TYPE_CHECKING:
-    from badgercart.fronts.graphql.front import GraphqlFront
+    from badgercart.frontends.graphql.frontend import GraphqlFront
 
 
-class GraphqlPart:
+class GraphqlComponent:
     """GraphQL clients and servers; its schema and map take a restart."""
 
-    def __init__(self, host: Host, settings: GraphqlSettings) -> None:
-        from badgercart.fronts.graphql.front import GraphqlFront  # heavy: only where it is switched on
+    def __init__(self, host: ComponentHost, settings: GraphqlSettings) -> None:
+        from badgercart.frontends.graphql.frontend import (
+            GraphqlFront,
+        )  # heavy: only where it is switched on
 
         self.front: GraphqlFront = GraphqlFront(
             host.config,
             settings,
-            host.join,
-            host.roster,
+            host.pipeline,
+            host.endpoint_table,
             host.loop,
             host.share,
             host.others,
             FilePath(host.folder),
         )
 
-        register(host.meters, "graphql", self.front.listener)
+        register(host.metrics, "graphql", self.front.listener)
 
     async def start(self) -> None:
         self.front.start()
@@ -52,7 +54,7 @@
 
 def check(settings: GraphqlSettings, file: Checked) -> Iterator[tuple[Path, str]]:
     """The map against the schema."""
-    from badgercart.fronts.graphql.mapping import faults, read_schema
+    from badgercart.frontends.graphql.mapping import faults, read_schema
 
     folder = FilePath(file.folder)
     try:
@@ -70,20 +72,20 @@
     places = {item.name: at for at, item in enumerate(settings.field)}
     if len(places) < len(settings.field):
         yield ("field",), "names a field twice"
-    effects = {cls.name: Effect(cls.effect) for cls in file.base.class_}
+    effects = {cls.name: Idempotency(cls.effect) for cls in file.base.class_}
     for name, key, words in faults(schema, settings.by_field, effects):
         place: Path = ("field", places[name]) if name else ("field",)
         yield (*place, key) if key else place, words
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="graphql",
         key=("fronts", "graphql"),
-        kind=Kind.FRONT,
+        kind=ComponentKind.FRONTEND,
         settings=GraphqlSettings,
         about="a listener for GraphQL clients, in front of GraphQL dispatch servers",
-        build=GraphqlPart,
+        build=GraphqlComponent,
         needs=("members",),
         sockets=True,
         check=check,
--- a/badgercart/fronts/graphql/execution.py
+++ b/badgercart/frontends/graphql/execution.py
@@ -1,8 +1,8 @@
 """Carries out one plan: its parts become requests to the core, and their ends one response.
 
-Parts of a query go side by side, those of a mutation one after the other. A part that is refused or fails is
-an error in its place; a mutation whose client has gone, or whose response holds no data any more, begins no
-further part.
+Parts of a query go side by side, those of a mutation one after the other. A part that is refused or
+fails is an error in its place; a mutation whose client has gone, or whose response holds no data
+any more, begins no further part.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgercart.carriers.pool.exchange import Message
-from badgercart.core.join import Join
-from badgercart.core.ports import Answer, Carrier, Intake
-from badgercart.fronts.graphql.merge import Outcome, response
-from badgercart.fronts.graphql.outcomes import Reply
-from badgercart.fronts.graphql.planner import Part, Plan
-from badgercart.fronts.graphql.requests import error
+from badgercart.core.ports import Answer, IncomingRequest, UpstreamTransport
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.frontends.graphql.merge import Outcome, response
+from badgercart.frontends.graphql.outcomes import Reply
+from badgercart.frontends.graphql.planner import Part, Plan
+from badgercart.frontends.graphql.requests import error
+from badgercart.upstream.exchange import Message
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
         self.reply: Reply | None = None  # the last one
         self.done = False
 
-    def answered(self, answer: Answer) -> None:
+    def on_answer(self, answer: Answer) -> None:
         reply = self.reply
         assert reply is not None  # the carrier has read it
         if reply.data is None and not reply.errors:
@@ -51,7 +51,7 @@
         else:
             self.end(reply)
 
-    def refused(self, wait: float) -> None:
+    def on_shed(self, wait: float) -> None:
         if self.usable():
             self.end(self.reply)
             return
@@ -59,18 +59,19 @@
         more = {"retryAfter": round(wait / 1000, 3)} if wait else {}
         self.end(instead=error("refused: trying again does no harm", "REFUSED", **more))
 
-    def failed(self, broken: bool) -> None:
+    def on_failure(self, broken: bool) -> None:
         if self.usable():
             self.end(self.reply)
             return
         code = "INTERNAL_SERVER_ERROR" if broken else "FAILED"
         self.end(instead=error("failed: it may have run", code))
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         return self.execution.gone()
 
     def usable(self) -> bool:
-        """Whether the last reply holds some data: what came with errors is still worth more than none."""
+        """Whether the last reply holds some data: what came with errors is still worth more than
+        none."""
         return self.reply is not None and self.reply.data is not None
 
     def end(self, reply: Reply | None = None, instead: dict[str, Any] | None = None) -> None:
@@ -84,20 +85,27 @@
 
 
 class Execution:
-    """One operation. `on_end` gets the response and, if all of it was refused, the shortest wait (ms)."""
+    """One operation. `on_end` gets the response and, if all of it was refused, the shortest wait
+    (ms)."""
 
     def __init__(
         self,
         plan: Plan,
         orders: list[Order],
         local: Outcome | None,
-        join: Join,
-        carrier: Carrier,
+        join: RequestPipeline,
+        carrier: UpstreamTransport,
         on_end: Callable[[dict[str, Any], float | None], None],
         gone: Callable[[], bool],
     ) -> None:
         """`gone`: whether the client has left, and that is seen only now."""
-        self.plan, self.join, self.carrier, self.on_end, self.gone = plan, join, carrier, on_end, gone
+        self.plan, self.join, self.carrier, self.on_end, self.gone = (
+            plan,
+            join,
+            carrier,
+            on_end,
+            gone,
+        )
         self.calls = [PartCall(self, number, order) for number, order in enumerate(orders)]
         self.outcomes: list[Outcome | None] = [None] * len(orders)
         self.local = local
@@ -120,7 +128,12 @@
         if self.starting:
             return
         self.starting = True
-        while not self.over and self.begun < len(self.calls) and not self.waiting() and not self.void():
+        while (
+            not self.over
+            and self.begun < len(self.calls)
+            and not self.waiting()
+            and not self.void()
+        ):
             self.begin()
         self.starting = False
 
@@ -139,10 +152,12 @@
     def begin(self) -> None:
         call = self.calls[self.begun]
         self.begun += 1
-        call.request_id = self.join.number()
+        call.request_id = self.join.next_request_id()
         order = call.order
-        intake = Intake(order.cls, order.tenant, order.key, order.due, call, name=order.name)
-        self.join.take(call.request_id, intake, call, self.carrier)
+        intake = IncomingRequest(
+            order.cls, order.tenant, order.key, order.due, call, request_name=order.name
+        )
+        self.join.accept(call.request_id, intake, call, self.carrier)
 
     def ended(self, number: int, outcome: Outcome) -> None:
         self.outcomes[number] = outcome
@@ -166,7 +181,9 @@
             ends.append(self.local)
         told = response(self.plan, ends)
         if refused and not self.plan.local:
-            told = {"errors": told["errors"]}  # nothing was begun: the request as a whole is refused
+            told = {
+                "errors": told["errors"]
+            }  # nothing was begun: the request as a whole is refused
         self.on_end(told, min(self.waits) if refused else None)
 
     def withdraw(self) -> None:
@@ -175,4 +192,4 @@
         for call in self.calls[: self.begun]:
             if not call.done:
                 call.done = True
-                self.join.withdraw(call.request_id)
+                self.join.cancel_request(call.request_id)
--- a/badgercart/fronts/graphql/front.py
+++ b/badgercart/frontends/graphql/frontend.py
@@ -11,25 +11,23 @@
 
 from graphql import FragmentDefinitionNode, OperationDefinitionNode, execute_sync, parse, print_ast
 
-from badgercart.carriers.pool.exchange import Message
-from badgercart.carriers.pool.pool import ServerPool
 from badgercart.config import Config
 from badgercart.core.clock import MARGIN, now_ms
 from badgercart.core.descriptors import Descriptors
-from badgercart.core.join import Join
-from badgercart.core.names import stable_id
+from badgercart.core.endpoint_table import EndpointTable
+from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import Answer
-from badgercart.core.ports import Order as Attempt
+from badgercart.core.ports import AttemptRequest as Attempt
+from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.core.requests import unknown_tenant
-from badgercart.core.roster import Roster
-from badgercart.fronts.graphql.documents import Documents, Rejected
-from badgercart.fronts.graphql.events import LISTENING, PLAN_FAILED
-from badgercart.fronts.graphql.execution import Execution, Order, PartCall
-from badgercart.fronts.graphql.mapping import read_schema
-from badgercart.fronts.graphql.merge import Outcome
-from badgercart.fronts.graphql.outcomes import read_reply
-from badgercart.fronts.graphql.planner import Plan, Planner
-from badgercart.fronts.graphql.requests import (
+from badgercart.frontends.graphql.documents import Documents, Rejected
+from badgercart.frontends.graphql.execution import Execution, Order, PartCall
+from badgercart.frontends.graphql.log_events import LISTENING, PLAN_FAILED
+from badgercart.frontends.graphql.mapping import read_schema
+from badgercart.frontends.graphql.merge import Outcome
+from badgercart.frontends.graphql.outcomes import read_reply
+from badgercart.frontends.graphql.planner import Plan, Planner
+from badgercart.frontends.graphql.requests import (
     RESPONSE_JSON,
     Asked,
     HttpError,
@@ -40,10 +38,13 @@
     read_post,
     status_of,
 )
-from badgercart.fronts.graphql.settings import GraphqlSettings
-from badgercart.fronts.http.clients import ClientConnection, Listener
-from badgercart.fronts.http.requests import BadRequest, ClientRequest, Headers, Page
-from cottonhall.interface import Effect, Result
+from badgercart.frontends.graphql.settings import GraphqlSettings
+from badgercart.frontends.http.clients import ClientConnection, Listener
+from badgercart.frontends.http.requests import BadRequest, ClientRequest, Headers, Page
+from badgercart.policy.events import AttemptResult
+from badgercart.policy.settings import Idempotency
+from badgercart.upstream.connection_pool import ServerPool
+from badgercart.upstream.exchange import Message
 
 MAX_KEY = 256  # bytes of a client's idempotency key
 
@@ -62,30 +63,36 @@
 class GraphqlCarrier:
     """The server pool, with replies read as GraphQL: an error inside a 200 is what it is."""
 
-    def __init__(self, join: Join) -> None:
+    def __init__(self, join: RequestPipeline) -> None:
         self.join = join
         self.calls: dict[tuple[int, int], PartCall] = {}
         self.pool: ServerPool
 
     def send(self, order: Attempt) -> None:
-        call: PartCall = order.work
-        self.calls[order.request_id, order.number] = call
+        call: PartCall = order.payload
+        self.calls[order.request_id, order.attempt] = call
         self.pool.send(
-            Attempt(order.request_id, order.number, order.server_id, order.limit, call.order.message)
+            Attempt(
+                order.request_id,
+                order.attempt,
+                order.endpoint_id,
+                order.timeout_ms,
+                call.order.message,
+            )
         )
 
     def cancel(self, request_id: int, number: int) -> None:
         self.pool.cancel(request_id, number)
 
-    def forgo(self, request_id: int, number: int) -> None:
-        self.pool.forgo(request_id, number)
+    def abandon_attempt(self, request_id: int, number: int) -> None:
+        self.pool.abandon_attempt(request_id, number)
 
     def ended(
         self,
         request_id: int,
         number: int,
         server_id: int,
-        result: Result,
+        result: AttemptResult,
         elapsed: float,
         answer: Answer | None = None,
         *,
@@ -93,14 +100,16 @@
     ) -> None:
         call = self.calls.pop((request_id, number), None)
         if answer is None or call is None:
-            self.join.ended(request_id, number, server_id, result, elapsed)
+            self.join.attempt_ended(request_id, number, server_id, result, elapsed)
             return
-        reply = read_reply(answer.status, result is Result.FULL, answer.body, call.keys)
+        reply = read_reply(answer.status, result is AttemptResult.FULL, answer.body, call.keys)
         if reply.data is not None or reply.final or call.reply is None:
             call.reply = reply
         # To the join: served, the request's own fault, or neither.
-        status = 200 if reply.result is Result.OK else 400 if reply.final else 500
-        self.join.ended(request_id, number, server_id, reply.result, elapsed, Answer(status))
+        status = 200 if reply.result is AttemptResult.OK else 400 if reply.final else 500
+        self.join.attempt_ended(
+            request_id, number, server_id, reply.result, elapsed, Answer(status)
+        )
 
 
 class GraphqlFront:
@@ -110,8 +119,8 @@
         self,
         config: Config,
         settings: GraphqlSettings,
-        join: Join,
-        roster: Roster,
+        join: RequestPipeline,
+        roster: EndpointTable,
         loop: asyncio.AbstractEventLoop,
         share: float = 1.0,  # of the descriptors that clients and servers have
         parts: int = 0,  # others in the process, which have descriptors of their own
@@ -124,10 +133,15 @@
             allowed = json.loads((folder / settings.allow_list).read_bytes())
         self.planner = Planner(self.schema, settings.by_field)
         self.documents = Documents(
-            self.schema, self.planner, settings.limits, settings.cache_bytes, settings.introspection, allowed
+            self.schema,
+            self.planner,
+            settings.limits,
+            settings.cache_bytes,
+            settings.introspection,
+            allowed,
         )
         self.classes = {name.decode(): number for name, number in config.classes.items()}
-        self.effects = [cls.effect for cls in config.settings.classes]
+        self.effects = [cls.idempotency for cls in config.settings.classes]
         self.deadline = config.longest
         self.stopping = False
         self.pages: Mapping[bytes, Page] = {}
@@ -142,19 +156,20 @@
             servers,
             self.carrier.ended,
             source=config.source,
-            wanted=join.wanted,
+            wanted=join.is_awaited,
         )
         roster.on_change.append(self.pool.update)
         self.listener = Listener(loop, settings.listen, self, clients, self.read, bad_request)
 
     @property
     def healthy(self) -> bool:
-        return self.roster.told and not self.roster.suspended
+        return self.roster.has_update and not self.roster.suspended
 
     # From the listener.
 
     def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
-        """What HTTP itself says of a request. The rest is read in its turn, and answered in words."""
+        """What HTTP itself says of a request. The rest is read in its turn, and answered in
+        words."""
         if url.partition(b"?")[0] != self.settings.path.encode():
             raise BadRequest(404, f"GraphQL is served at {self.settings.path}")
         if method not in (b"GET", b"POST"):
@@ -212,9 +227,9 @@
         except Exception:
             # One request must not take the node down with it.
             PLAN_FAILED(True, request=request.name.decode("latin-1"))
-            client.failed(broken=True)
+            client.on_failure(broken=True)
             return
-        client.request_id = number = self.join.number()
+        client.request_id = number = self.join.next_request_id()
 
         def on_end(told: dict[str, Any], wait: float | None) -> None:
             self.open.pop(number, None)
@@ -223,7 +238,9 @@
             client.answer(status, json.dumps(told).encode(), media.encode(), after)
 
         local = self.local(plan, operation, document, asked) if plan.local else None
-        execution = Execution(plan, orders, local, self.join, self.carrier, on_end, client.gone)
+        execution = Execution(
+            plan, orders, local, self.join, self.carrier, on_end, client.client_is_gone
+        )
         self.open[number] = execution
         execution.start()
 
@@ -243,7 +260,9 @@
                 message=self.message(plan, number, request),
                 cls=self.classes[part.cls],
                 tenant=request.tenant,
-                key=stable_id(part.affinity.encode(), self.config.key_secret) if part.affinity else 0,
+                key=stable_id(part.affinity.encode(), self.config.key_secret)
+                if part.affinity
+                else 0,
                 due=due,
                 name=b"%b.%d" % (request.name, number),
             )
@@ -258,7 +277,7 @@
             b"Accept: application/graphql-response+json, application/json\r\n",
             b"Request-Id: %b.%d\r\n" % (request.name, number),
         ]
-        if self.effects[self.classes[part.cls]] is Effect.KEYED:
+        if self.effects[self.classes[part.cls]] is Idempotency.KEYED:
             if not part.key:
                 words = f"{part.roots[0].response_key} needs an idempotency key"
                 raise Rejected([error(words, "BAD_USER_INPUT")])
@@ -270,9 +289,13 @@
         lines.append(b"Content-Length: %d\r\n" % len(body))
         return Message(b"".join(lines), body)
 
-    def local(self, plan: Plan, operation: OperationDefinitionNode, document: Any, asked: Asked) -> Outcome:
+    def local(
+        self, plan: Plan, operation: OperationDefinitionNode, document: Any, asked: Asked
+    ) -> Outcome:
         """`__typename` and introspection: they concern no server."""
-        fragments = {d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)}
+        fragments = {
+            d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)
+        }
         part, needed = self.planner.document(operation, plan.local, fragments)
         variables = {name: asked.variables[name] for name in needed if name in asked.variables}
         done = execute_sync(self.schema, parse(print_ast(part)), variable_values=variables)
--- a/badgercart/fronts/graphql/mapping.py
+++ b/badgercart/frontends/graphql/mapping.py
@@ -6,8 +6,8 @@
 
 from graphql import GraphQLError, GraphQLObjectType, GraphQLSchema, build_schema
 
-from badgercart.fronts.graphql.settings import FieldMap
-from cottonhall.interface import Effect
+from badgercart.frontends.graphql.settings import FieldMap
+from badgercart.policy.settings import Idempotency
 
 
 def read_schema(text: str) -> GraphQLSchema:
@@ -19,7 +19,7 @@
 
 
 def faults(
-    schema: GraphQLSchema, fields: Mapping[str, FieldMap], effects: Mapping[str, Effect]
+    schema: GraphQLSchema, fields: Mapping[str, FieldMap], effects: Mapping[str, Idempotency]
 ) -> list[tuple[str, str, str]]:
     """Each fault of a map: the field, the key that is wrong (empty: all of it), and the words."""
     found: list[tuple[str, str, str]] = []
@@ -39,10 +39,14 @@
         effect = effects.get(mapped.cls)
         if effect is None:
             found.append((name, "class", f"there is no class {mapped.cls!r}"))
-        elif is_mutation and effect is Effect.SAFE:
-            found.append((name, "class", f"{mapped.cls!r} is safe to repeat, and a mutation is not"))
-        elif not is_mutation and effect is not Effect.SAFE:
-            found.append((name, "class", f"{mapped.cls!r} is not safe to repeat: a query may be sent again"))
+        elif is_mutation and effect is Idempotency.IDEMPOTENT:
+            found.append(
+                (name, "class", f"{mapped.cls!r} is safe to repeat, and a mutation is not")
+            )
+        elif not is_mutation and effect is not Idempotency.IDEMPOTENT:
+            found.append(
+                (name, "class", f"{mapped.cls!r} is not safe to repeat: a query may be sent again")
+            )
         arguments = kind.fields[field_name].args
         for key, argument in (("affinity", mapped.affinity), ("key", mapped.key)):
             if argument is not None and argument not in arguments:
@@ -51,7 +55,11 @@
         open_ones = [field for field in kind.fields if f"{type_name}.{field}" not in fields]
         if open_ones:
             found.append(
-                ("", "", f"no class is given for {', '.join(f'{type_name}.{f}' for f in open_ones)}")
+                (
+                    "",
+                    "",
+                    f"no class is given for {', '.join(f'{type_name}.{f}' for f in open_ones)}",
+                )
             )
     if schema.subscription_type is not None:
         found.append(("", "", "subscriptions are not served here; the schema has some"))
--- a/badgercart/fronts/http/requests.py
+++ b/badgercart/frontends/http/requests.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from badgercart.carriers.pool.exchange import MAX_BODY, MAX_HEAD, Message
 from badgercart.config import Config
 from badgercart.core.clock import now_ms
-from badgercart.core.requests import BadDescription, Classifier
+from badgercart.core.requests import Classifier, InvalidRequestError
 from badgercart.core.streams import Upload
+from badgercart.upstream.exchange import MAX_BODY, MAX_HEAD, Message
 
 MAX_REQUEST = MAX_HEAD + 2 * MAX_BODY  # bytes of a whole request, the framing of its body included
 MAX_WHY = 200  # characters of a reason that go into an answer
@@ -84,7 +84,9 @@
         self.size = self.length = 0
         self.got = 0  # bytes of the body
         self.expects = self.whole = False
-        self.upload: Upload | None = None  # what the rest of the body comes by, where it is not whole
+        self.upload: Upload | None = (
+            None  # what the rest of the body comes by, where it is not whole
+        )
         self.old = False  # of HTTP/1.0, which knows no chunks
         self.fault = ""  # what is wrong with them, the first of it
         self.request_id: bytes | None = None
@@ -134,7 +136,9 @@
         self.coding = value
 
     def read_hint(self, value: bytes) -> None:
-        self.hint = int(value) / 1000 if _DIGITS.fullmatch(value) else 0.0  # a guess may be left out
+        self.hint = (
+            int(value) / 1000 if _DIGITS.fullmatch(value) else 0.0
+        )  # a guess may be left out
 
     def read_repeat(self, value: bytes) -> None:
         self.repeat = value == b"1"
@@ -160,7 +164,8 @@
 
 
 def platform_requests(config: Config, streams: bool = False) -> Read:
-    """Reads requests of the platform's protocol; whether long answers to them go on as they come."""
+    """Reads requests of the platform's protocol; whether long answers to them go on as they
+    come."""
     classifier = Classifier(config)
 
     def read(method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
@@ -175,7 +180,7 @@
             url = origin_form(url)
         try:
             found = classifier.read(method, url, headers.request_id, headers.tenant, headers.key)
-        except BadDescription as error:
+        except InvalidRequestError as error:
             allow = b"Allow: %b\r\n" % error.allow if error.allow else b""
             raise BadRequest(error.status, str(error), allow) from None
         if upload is not None and upload.length is None:
@@ -186,8 +191,8 @@
         head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.lines))
         return ClientRequest(
             message=Message(head, body if upload is None else b"", upload, streams),
-            name=found.name,
-            cls=found.cls,
+            name=found.request_name,
+            cls=found.class_index,
             tenant=found.tenant,
             key=found.key,
             sent=now_ms(),
--- a/badgercart/fronts/processor/commands.py
+++ b/badgercart/frontends/processor/commands.py
@@ -6,10 +6,20 @@
 
 import click
 
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError
-
-COLUMNS = ("standing", "answered", "unseen", "first", "fallback", "lost", "old", "drained", "refused")
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError
+
+COLUMNS = (
+    "standing",
+    "answered",
+    "unseen",
+    "first",
+    "fallback",
+    "lost",
+    "old",
+    "drained",
+    "refused",
+)
 
 
 @click.group()
@@ -25,7 +35,7 @@
 @click.option("--key", metavar="PEM", help="And its key.")
 def proxies(address: str, as_json: bool, ca: str | None, cert: str | None, key: str | None) -> None:
     """The account of each calling proxy."""
-    from badgercart.fronts.processor.ask import AskError, ask  # heavy
+    from badgercart.frontends.processor.ask import AskError, ask  # heavy
 
     try:
         told = ask(address, ca, cert, key)
@@ -34,6 +44,8 @@
     if as_json:
         click.echo(json.dumps(told))
         return
-    rows = [(name, *(str(row[column]) for column in COLUMNS)) for name, row in told["proxies"].items()]
+    rows = [
+        (name, *(str(row[column]) for column in COLUMNS)) for name, row in told["proxies"].items()
+    ]
     show_table(("proxy", *COLUMNS), rows)
     click.echo(f"{told['open']} calls open")
--- a/badgercart/metrics/part.py
+++ b/badgercart/metrics/component.py
@@ -7,39 +7,42 @@
 
 from pydantic import Field
 
-from badgercart.fronts.http.requests import BadRequest, ClientRequest, Headers, Page, problem
-from badgercart.metrics.events import LISTENING
-from badgercart.operator.model import Address, Table
-from badgercart.operator.part import Declaration, Host, Kind
+from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
+from badgercart.app.model import Address, Table
+from badgercart.frontends.http.requests import BadRequest, ClientRequest, Headers, Page, problem
+from badgercart.metrics.log_events import LISTENING
 
 if TYPE_CHECKING:
-    from badgercart.fronts.http.clients import ClientConnection
+    from badgercart.frontends.http.clients import ClientConnection
 
 PATH = b"/metrics"
 MAX_CONNECTIONS = 16  # of those who scrape: one more makes the longest idle one go
 
 
-class MetricsSettings(Table):
+class MetricsSettings(Table, title="MetricsSettings"):
     """a listener that shows figures by Prometheus's text format, at /metrics"""
 
     listen: Address = Field(description="the host:port to listen on")
 
 
-class MetricsPart:
-    """Pages only: no request is taken here. It ends with the last front, so that a drain can be watched."""
+class MetricsComponent:
+    """Pages only: no request is taken here. It ends with the last front, so that a drain can be
+    watched."""
 
-    def __init__(self, host: Host, settings: MetricsSettings) -> None:
-        from badgercart.fronts.http.clients import Listener
+    def __init__(self, host: ComponentHost, settings: MetricsSettings) -> None:
+        from badgercart.frontends.http.clients import Listener
         from badgercart.metrics.figures import CONTENT_TYPE, Figures
 
         config = host.config
         names = [name.decode() for name in config.classes]
-        self.figures = Figures(names, config.settings.classes, host.meters)
-        host.join.observers += (self.figures,)
+        self.figures = Figures(names, config.settings.classes, host.metrics)
+        host.pipeline.observers += (self.figures,)
         self.pages: Mapping[bytes, Page] = {PATH: Page(self.figures.page, CONTENT_TYPE)}
         self.stopping = False
         self.healthy = True
-        self.listener = Listener(host.loop, settings.listen, self, MAX_CONNECTIONS, self.read, problem)
+        self.listener = Listener(
+            host.loop, settings.listen, self, MAX_CONNECTIONS, self.read, problem
+        )
 
     def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
         raise BadRequest(404, f"figures are at {PATH.decode()}")
@@ -67,14 +70,14 @@
         self.listener.close()
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="metrics",
         key=("metrics",),
-        kind=Kind.SERVICE,
+        kind=ComponentKind.SERVICE,
         settings=MetricsSettings,
         about="a listener that shows figures by Prometheus's text format, at /metrics",
-        build=MetricsPart,
+        build=MetricsComponent,
         extra="operator",
         libraries=("prometheus_client",),
     ),
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -1,4 +1,5 @@
-"""The platform's node: HTTP front, catalog and console on one join; start, reload, drain, hand over."""
+"""The platform's node: HTTP front, catalog and console on one join; start, reload, drain, hand
+over."""
 
 from __future__ import annotations
 
@@ -7,41 +8,45 @@
 from collections.abc import Mapping
 from typing import Any
 
-from badgercart.bans.bans import Bans
+from badgercart.admin.handlers import NodeDesk
+from badgercart.admin.listener import Door
 from badgercart.config import Config, ConfigError, reread
-from badgercart.console.desk import NodeDesk
-from badgercart.console.door import Door
 from badgercart.core.clock import now_ms
-from badgercart.core.events import CONFIG_KEPT, CONFIG_READ, LIST_KNOWN_MALFORMED, STOPPED
-from badgercart.core.join import Join
-from badgercart.core.roster import Roster
-from badgercart.fronts.http.clients import ACCEPT_FOR
-from badgercart.fronts.http.front import HttpFront
-from badgercart.membership.catalog import Discovery
-from badgercart.membership.entries import ListReader
-from badgercart.membership.tries import Pace
-from badgercart.retune.retune import Busy, retuned, wants_restart
-from badgercart.upgrade.events import ALONE, BESIDE
-from badgercart.upgrade.handover import Handover
-from badgercart.upgrade.inherited import inherited_socket
-from badgercart.upgrade.lives import Lives
-from cottonhall.interface import ListKind
+from badgercart.core.endpoint_table import EndpointTable
+from badgercart.core.log_events import CONFIG_KEPT, CONFIG_READ, LIST_KNOWN_MALFORMED, STOPPED
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.discovery.backoff import Pace
+from badgercart.discovery.catalog import Discovery
+from badgercart.discovery.entries import ListReader
+from badgercart.ejection.ejections import Bans
+from badgercart.frontends.http.clients import ACCEPT_FOR
+from badgercart.frontends.http.frontend import HttpFront
+from badgercart.hot_restart.inherited_socket import inherited_socket
+from badgercart.hot_restart.log_events import ALONE, BESIDE
+from badgercart.hot_restart.process_lock import Lives
+from badgercart.hot_restart.state_transfer import Handover
+from badgercart.policy.events import UpdateKind
+from badgercart.reload.reconfiguration import Busy, retuned, wants_restart
 
-LIST_PATIENCE = 2.5  # s that a successor waits for discovery, after which it serves by the list that it has
+LIST_PATIENCE = (
+    2.5  # s that a successor waits for discovery, after which it serves by the list that it has
+)
 HANDOVER_FROM = 2.0  # s from its start until a process has learned what is worth keeping
-# ms: SIGKILL comes no sooner than the longest deadline and 0.7 s, but no deadline counts for more than this.
+# ms: SIGKILL comes no sooner than the longest deadline and 0.7 s, but no deadline counts for more
+# than this.
 KILLED_AFTER = 3000.0
 SHARE = 0.5  # of the limits, for each of two processes that live together
 
 
 class Node:
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
-        """ConfigError where the inherited descriptor is none, OSError where the folder can't be used."""
+        """ConfigError where the inherited descriptor is none, OSError where the folder can't be
+        used."""
         self.config = config
         self.loop = loop
-        self.join = Join(config.settings, config.seed, loop)
+        self.join = RequestPipeline(config.settings, config.seed, loop)
         self.reader = ListReader(config)
-        self.roster = Roster(self.reader, self.join)
+        self.roster = EndpointTable(self.reader, self.join)
         self.inherited = None if config.inherited is None else inherited_socket(config.inherited)
         self.bans: Bans | None = None
         self.door: Door | None = None
@@ -63,13 +68,14 @@
         )
         if config.known.get("instances"):
             try:
-                self.discovery.version = self.take_list(config.known, ListKind.CACHED)
+                self.discovery.version = self.take_list(config.known, UpdateKind.CACHED)
             except ValueError as error:
                 LIST_KNOWN_MALFORMED(error=error)
 
-    def take_list(self, raw: dict[str, Any], kind: ListKind | None = None) -> int:
-        """Take over a list or its changes; ValueError, and nothing taken, if any line of it is bad."""
-        version = self.roster.take(raw, kind)
+    def take_list(self, raw: dict[str, Any], kind: UpdateKind | None = None) -> int:
+        """Take over a list or its changes; ValueError, and nothing taken, if any line of it is
+        bad."""
+        version = self.roster.accept(raw, kind)
         if kind is None:
             self.listener.open()
         return version
@@ -93,8 +99,9 @@
 
     @staticmethod
     def pace(config: Config) -> Pace:
-        """The settings say whether lists are pushed to an agent of our own, or asked for at one service."""
-        return Pace.shared() if config.settings.ask_for_list else Pace.agent(config.drain_grace)
+        """The settings say whether lists are pushed to an agent of our own, or asked for at one
+        service."""
+        return Pace.shared() if config.settings.polls_endpoints else Pace.agent(config.drain_grace)
 
     def unready(self) -> str:
         """Why the node can't serve; empty where it can."""
@@ -128,12 +135,13 @@
         )
         restart = ", ".join(wants_restart(old, new))
         self.config, event = retuned(old, new, busy)
-        self.join.tell(event)
+        self.join.dispatch(event)
         self.front.retune(self.config)
         self.reader.rename(self.config)
         CONFIG_READ(
             what=f": discovery at {new.discovery[0]}:{new.discovery[1]}, {len(new.classes)} classes, "
-            f"{new.settings.max_attempts} attempts" + (f"; takes a restart: {restart}" if restart else "")
+            f"{new.settings.max_attempts} attempts"
+            + (f"; takes a restart: {restart}" if restart else "")
         )
         self.discovery.pace = self.pace(self.config)
         renamed = (old.zones, old.kinds) != (self.config.zones, self.config.kinds)
@@ -144,7 +152,7 @@
         if self.handover is not None:
             self.handover.close()  # from now on the next process knows better
         until = now_ms() + ACCEPT_FOR * 1000 + min(self.config.longest, KILLED_AFTER)
-        self.join.leave(until)
+        self.join.begin_shutdown(until)
         if self.inherited is not None:
             await self.front.hand_over(until)
         else:
--- a/badgercart/learning/ageing.py
+++ b/badgercart/statistics/ageing.py
@@ -1,8 +1,8 @@
 """How what was learned fades towards what is assumed of the unknown. No I/O.
 
-value(t) = prior + (value - prior) * 2 ** (-t / half), so that ageing in two steps is ageing in one, and after
-endless time nothing is left but the prior. What is learned anew within seconds is worth little once it is
-old: minutes at most.
+value(t) = prior + (value - prior) * 2 ** (-t / half), so that ageing in two steps is ageing in one,
+and after endless time nothing is left but the prior. What is learned anew within seconds is worth
+little once it is old: minutes at most.
 """
 
 from __future__ import annotations
@@ -10,15 +10,17 @@
 import math
 from dataclasses import replace
 
-from cottonhall.interface import Settings
-from cottonhall.memory import Memory
+from badgercart.policy.settings import Settings
+from badgercart.policy.statistics import PolicyStatistics
 
 SECOND, MINUTE = 1000.0, 60_000.0
 HALF = {  # ms after which half of it is left
-    "usual": 10 * MINUTE,  # learned anew of some fifty answers: what is old costs more than it saves
+    "usual": 10
+    * MINUTE,  # learned anew of some fifty answers: what is old costs more than it saves
     "kinds": 10 * MINUTE,  # the same; and servers that were slow are in it
     "offered": MINUTE,  # which classes come
-    "answers": 10 * MINUTE,  # the trust in the quickest mean time; the time itself can't fade to a prior
+    "answers": 10
+    * MINUTE,  # the trust in the quickest mean time; the time itself can't fade to a prior
     "rates": MINUTE,  # the best that was carried
     "keys": 5 * SECOND,  # as the policy halves them itself
     "slow": MINUTE,  # what slows one server
@@ -38,14 +40,16 @@
     return prior + (value - prior) * part
 
 
-def aged(memory: Memory, age: float, settings: Settings) -> Memory:
+def aged(memory: PolicyStatistics, age: float, settings: Settings) -> PolicyStatistics:
     """What is left of it after `age` ms (under 0 counts as 0)."""
     usual, kinds, slow = left("usual", age), left("kinds", age), left("slow", age)
     recent, fails, strikes = left("recent", age), left("fails", age), left("strikes", age)
     rates, offered, keys = left("rates", age), left("offered", age), left("keys", age)
-    priors = [cls.aim / 4 for cls in settings.classes]
-    return Memory(
-        usual=[towards(prior, value, usual) for prior, value in zip(priors, memory.usual, strict=False)],
+    priors = [cls.latency_objective_ms / 4 for cls in settings.classes]
+    return PolicyStatistics(
+        usual=[
+            towards(prior, value, usual) for prior, value in zip(priors, memory.usual, strict=False)
+        ],
         offered=[count * offered for count in memory.offered],
         kinds={kind: towards(1.0, pace, kinds) for kind, pace in memory.kinds.items()},
         least=memory.least,
@@ -58,10 +62,12 @@
         servers={
             number: replace(
                 known,
-                slow=towards(1.0, known.slow, slow),
-                recent=known.recent * recent,
-                fails=tuple(value * fails for value in known.fails),
-                strikes=tuple(value * strikes for value in known.strikes),
+                relative_latency=towards(1.0, known.relative_latency, slow),
+                recent_attempts=known.recent_attempts * recent,
+                failure_rates=tuple(value * fails for value in known.failure_rates),
+                consecutive_ejections=tuple(
+                    value * strikes for value in known.consecutive_ejections
+                ),
             )
             for number, known in memory.servers.items()
         },
--- a/badgercart/learning/commands.py
+++ b/badgercart/statistics/commands.py
@@ -8,18 +8,18 @@
 
 import click
 
-from badgercart.operator.console import show_table
-from badgercart.operator.exits import CommandError
+from badgercart.app.console import show_table
+from badgercart.app.exits import CommandError
 
 if TYPE_CHECKING:
-    from badgercart.learning.snapshot import Snapshot
+    from badgercart.statistics.snapshot import Snapshot
 
 FILE = click.argument("file", type=click.Path(exists=True), metavar="FILE|FOLDER")
 
 
 def read(path: str) -> Snapshot:
-    from badgercart.learning.snapshot import MAX_BYTES, SnapshotError, decode
-    from badgercart.learning.store import CURRENT
+    from badgercart.statistics.snapshot import MAX_BYTES, SnapshotError, decode
+    from badgercart.statistics.store import CURRENT
 
     file = Path(path) / CURRENT if Path(path).is_dir() else Path(path)
     try:
@@ -43,7 +43,7 @@
     """A table of servers: slowness, failures, and how much of it still counts."""
     import msgspec
 
-    from badgercart.learning.ageing import left, towards
+    from badgercart.statistics.ageing import left, towards
 
     kept = read(file)
     if as_json:
@@ -80,14 +80,16 @@
 
 @learned.command()
 @FILE
-@click.option("-o", "--output", required=True, type=click.Path(dir_okay=False), help="Where it goes.")
+@click.option(
+    "-o", "--output", required=True, type=click.Path(dir_okay=False), help="Where it goes."
+)
 @click.option("--to", "form", type=click.Choice(("json", "file")), default="json", show_default=True,
               help="JSON to read or change, or a file of the current version.")  # fmt: skip
 def convert(file: str, output: str, form: str) -> None:
     """A file as JSON, or JSON and files of older versions as a file."""
     import msgspec
 
-    from badgercart.learning.snapshot import Snapshot, SnapshotError, decode, encode
+    from badgercart.statistics.snapshot import Snapshot, SnapshotError, decode, encode
 
     data = Path(file).read_bytes() if Path(file).is_file() else b""
     try:
@@ -95,6 +97,8 @@
         kept = decode(encode(msgspec.json.decode(data, type=Snapshot))) if told else read(file)
     except (msgspec.MsgspecError, SnapshotError) as error:
         raise CommandError(f"{file}: {error}") from None
-    text = msgspec.json.format(msgspec.json.encode(kept), indent=1) if form == "json" else encode(kept)
+    text = (
+        msgspec.json.format(msgspec.json.encode(kept), indent=1) if form == "json" else encode(kept)
+    )
     Path(output).write_bytes(text)
     click.echo(f"{output}: written")
--- a/badgercart/learning/part.py
+++ b/badgercart/statistics/component.py
@@ -1,4 +1,5 @@
-"""What was learned as a part of an installation: given back at the start, saved in a while and at the end."""
+"""What was learned as a part of an installation: given back at the start, saved in a while and at
+the end."""
 
 from __future__ import annotations
 
@@ -9,28 +10,30 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from badgercart.learning.events import FAILED, OFF, RESTORED, UNUSED
-from badgercart.learning.settings import LearningSettings
-from badgercart.operator.part import Declaration, Host, Kind
+from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
+from badgercart.statistics.log_events import FAILED, OFF, RESTORED, UNUSED
+from badgercart.statistics.settings import LearningSettings
 
 if TYPE_CHECKING:
-    from badgercart.learning.store import Folder, Lock
-    from cottonhall.memory import Memory
+    from badgercart.policy.statistics import PolicyStatistics
+    from badgercart.statistics.store import Folder, Lock
 
 FUTURE = 5000.0  # ms by which a file may be younger than now: clocks are set
 PATIENCE = 2.0  # s for the last save
 
 
 def give_way() -> None:
-    """On the saving thread: let the loop have the interpreter now, not after its switch interval of 5 ms."""
+    """On the saving thread: let the loop have the interpreter now, not after its switch interval of
+    5 ms."""
     time.sleep(0.0002)
 
 
-class LearningPart:
-    """Nothing that is wrong with the folder costs a request: it is said, and the node runs as without it."""
+class StatisticsComponent:
+    """Nothing that is wrong with the folder costs a request: it is said, and the node runs as
+    without it."""
 
-    def __init__(self, host: Host, settings: LearningSettings) -> None:
-        from badgercart.learning.store import Folder, Lock
+    def __init__(self, host: ComponentHost, settings: LearningSettings) -> None:
+        from badgercart.statistics.store import Folder, Lock
 
         self.host, self.settings = host, settings
         self.folder = Path(host.folder) / settings.folder
@@ -45,13 +48,17 @@
             OFF(cause=f"{self.folder}: {error.strerror or error}")
             return
         self.restore()
-        host.meters.counter("badgercart_learning_saves", "Saves of what was learned.", lambda: self.saves)
-        host.meters.counter("badgercart_learning_failures", "Saves that failed.", lambda: self.failures)
+        host.metrics.counter(
+            "badgercart_learning_saves", "Saves of what was learned.", lambda: self.saves
+        )
+        host.metrics.counter(
+            "badgercart_learning_failures", "Saves that failed.", lambda: self.failures
+        )
 
     def restore(self) -> None:
         """Before anything is told to the policy."""
-        from badgercart.learning import ageing, snapshot, store
-        from cottonhall.memory import adopt
+        from badgercart.policy.statistics import import_statistics
+        from badgercart.statistics import ageing, snapshot, store
 
         loaded = store.load(self.files)
         for fault in loaded.faults:
@@ -68,7 +75,9 @@
             if age > self.settings.oldest_s * 1000:
                 raise snapshot.SnapshotError(f"it is {age / 1000:.0f} s old")
             memory = snapshot.give(kept, self.host.config, self.host.reader.unix_offset)
-            adopt(self.host.join.policy, ageing.aged(memory, age, self.host.config.settings))
+            import_statistics(
+                self.host.pipeline.policy, ageing.aged(memory, age, self.host.config.settings)
+            )
         except (snapshot.SnapshotError, ValueError) as error:
             UNUSED(cause=str(error))
         else:
@@ -88,9 +97,9 @@
 
     async def save(self) -> None:
         """The copy is made here, all else on a thread: the loop waits for no disk."""
-        from cottonhall.memory import recall
+        from badgercart.policy.statistics import export_statistics
 
-        memory = recall(self.host.join.policy, self.settings.keys)
+        memory = export_statistics(self.host.pipeline.policy, self.settings.keys)
         try:
             await asyncio.to_thread(self.write, memory)
         except (OSError, ValueError) as error:
@@ -99,8 +108,8 @@
         else:
             self.saves += 1
 
-    def write(self, memory: Memory) -> None:
-        from badgercart.learning import snapshot, store
+    def write(self, memory: PolicyStatistics) -> None:
+        from badgercart.statistics import snapshot, store
 
         offset = self.host.reader.unix_offset
         now = time.time() * 1000
@@ -137,17 +146,17 @@
         self.release()
 
 
-PARTS = (
-    Declaration(
+COMPONENTS = (
+    ComponentDeclaration(
         name="learning",
         key=("learning",),
-        kind=Kind.SERVICE,
+        kind=ComponentKind.SERVICE,
         settings=LearningSettings,
         about="what was learned, kept over a restart",
-        build=LearningPart,
+        build=StatisticsComponent,
         extra="learning",
         libraries=("msgspec",),
         reloads=("every_s", "keys", "most_bytes", "oldest_s"),
-        commands="badgercart.learning.commands:learned",
+        commands="badgercart.statistics.commands:learned",
     ),
 )
--- a/badgercart/learning/settings.py
+++ b/badgercart/statistics/settings.py
@@ -4,10 +4,10 @@
 
 from pydantic import Field
 
-from badgercart.operator.model import Name, Table
+from badgercart.app.model import Name, Table
 
 
-class LearningSettings(Table):
+class LearningSettings(Table, title="LearningSettings"):
     """what was learned of servers and classes, kept in a folder that lasts"""
 
     folder: Name = Field(description="where it is kept; each node needs one of its own")
@@ -20,5 +20,8 @@
         description="the size of the file; a larger one is not written (bytes)",
     )
     oldest_s: float = Field(
-        86400.0, ge=1, le=30 * 86400, description="the age beyond which a file is not used at all (s)"
+        86400.0,
+        ge=1,
+        le=30 * 86400,
+        description="the age beyond which a file is not used at all (s)",
     )
--- a/badgercart/learning/snapshot.py
+++ b/badgercart/statistics/snapshot.py
@@ -1,11 +1,13 @@
-"""The content of a file of what was learned: by names and wall time, checked to the last number. No I/O.
+"""The content of a file of what was learned: by names and wall time, checked to the last number. No
+I/O.
 
     file = magic "BLRN" | version u16 | length u32 | crc32 u32 | MessagePack map      (big-endian; crc32 is
     zlib's)
 
-Why msgspec: a typed, bounded decoding of MessagePack in one pass, so that nothing read from a disk can reach
-the policy unchecked. Classes, kinds and zones stand by their names, since their numbers are places in a file
-that may have changed; a server's start is Unix time, since the node's clock begins anew with the machine.
+Why msgspec: a typed, bounded decoding of MessagePack in one pass, so that nothing read from a disk
+can reach the policy unchecked. Classes, kinds and zones stand by their names, since their numbers
+are places in a file that may have changed; a server's start is Unix time, since the node's clock
+begins anew with the machine.
 """
 
 from __future__ import annotations
@@ -19,8 +21,8 @@
 from msgspec import Meta
 
 from badgercart.config import Config
-from cottonhall.interface import Known
-from cottonhall.memory import Memory
+from badgercart.policy.endpoint import EndpointStatistics
+from badgercart.policy.statistics import PolicyStatistics
 
 MAGIC = b"BLRN"
 VERSION = 1
@@ -84,7 +86,9 @@
 
 
 _DECODER: msgspec.msgpack.Decoder[Snapshot] = msgspec.msgpack.Decoder(Snapshot)
-MIGRATIONS: dict[int, Callable[[bytes], bytes]] = {}  # by version: its content as that of the next one
+MIGRATIONS: dict[
+    int, Callable[[bytes], bytes]
+] = {}  # by version: its content as that of the next one
 
 
 def fleet_of(config: Config) -> str:
@@ -93,14 +97,14 @@
 
 
 def take(
-    memory: Memory,
+    memory: PolicyStatistics,
     config: Config,
     saved_ms: float,
     unix_offset: float,
     pause: Callable[[], object] = lambda: None,
 ) -> Snapshot:
-    """`unix_offset`: Unix time less the node's clock, ms. `pause` is called now and then, for others'
-    turn."""
+    """`unix_offset`: Unix time less the node's clock, ms. `pause` is called now and then, for
+    others' turn."""
     count = len(memory.usual)
     names = [name.decode() for name in config.classes]
     kinds = {number: name for name, number in config.kinds.items()}
@@ -112,9 +116,13 @@
     for place, (number, known) in enumerate(memory.servers.items()):
         if place % SLICE == 0:
             pause()
-        started = round(known.started + unix_offset) if known.started else 0.0
-        fails, strikes = list(known.fails), list(known.strikes)
-        servers.append(ServerPart(number, started, known.slow, known.recent, fails, strikes))
+        started = round(known.started_ms + unix_offset) if known.started_ms else 0.0
+        fails, strikes = list(known.failure_rates), list(known.consecutive_ejections)
+        servers.append(
+            ServerPart(
+                number, started, known.relative_latency, known.recent_attempts, fails, strikes
+            )
+        )
     return Snapshot(
         config.name, fleet_of(config), saved_ms, classes,
         {kinds[number]: pace for number, pace in memory.kinds.items() if number in kinds},
@@ -123,7 +131,7 @@
     )  # fmt: skip
 
 
-def give(snapshot: Snapshot, config: Config, unix_offset: float) -> Memory:
+def give(snapshot: Snapshot, config: Config, unix_offset: float) -> PolicyStatistics:
     """The memory that a snapshot holds, for a node of this configuration. Raises SnapshotError.
 
     A class that it does not know has its prior; one that is no more is left out."""
@@ -132,7 +140,7 @@
     names = [name.decode() for name in config.classes]
     places = {name: at for at, name in enumerate(snapshot.classes)}
     parts = [
-        snapshot.classes.get(name, ClassPart(cls.aim / 4, 0.0, 0.0))
+        snapshot.classes.get(name, ClassPart(cls.latency_objective_ms / 4, 0.0, 0.0))
         for name, cls in zip(names, config.settings.classes, strict=True)
     ]
 
@@ -140,13 +148,13 @@
         return tuple(values[places[name]] if name in places else 0.0 for name in names)
 
     servers = {
-        part.number: Known(
+        part.number: EndpointStatistics(
             part.started_ms - unix_offset if part.started_ms else 0.0, part.slow, part.recent,
             by_class(part.fails), by_class(part.strikes),
         )
         for part in snapshot.servers
     }  # fmt: skip
-    return Memory(
+    return PolicyStatistics(
         [part.usual for part in parts],
         [part.offered for part in parts] + [part.beyond for part in parts],
         {config.kinds[name]: pace for name, pace in snapshot.kinds.items() if name in config.kinds},
@@ -186,5 +194,7 @@
         raise SnapshotError(str(error)) from None
     for server in snapshot.servers:
         if not len(server.fails) == len(server.strikes) == len(snapshot.classes):
-            raise SnapshotError(f"server {server.number:x} is not of {len(snapshot.classes)} classes")
+            raise SnapshotError(
+                f"server {server.number:x} is not of {len(snapshot.classes)} classes"
+            )
     return snapshot
--- a/badgercart/carriers/pool/attempts.py
+++ b/badgercart/upstream/attempts.py
@@ -1,14 +1,16 @@
-"""The life of one attempt, and how long servers keep idle connections. No I/O: tables and arithmetic."""
+"""The life of one attempt, and how long servers keep idle connections. No I/O: tables and
+arithmetic."""
 
 from __future__ import annotations
 
 import math
 from enum import IntEnum
 
-from cottonhall.interface import Result
+from badgercart.policy.events import AttemptResult
 
-# A server may close what stands idle sooner than it says, unseen until the next request is reset. Where two
-# in a row that were idle for longer than SHORT_IDLE are, the limit comes down; it grows back step by step.
+# A server may close what stands idle sooner than it says, unseen until the next request is reset.
+# Where two in a row that were idle for longer than SHORT_IDLE are, the limit comes down; it grows
+# back step by step.
 IDLE_MARGIN = 2000.0  # ms before the server's own limit: its close must not cross a request of ours
 SHORT_IDLE, IDLE_GROWTH = 100.0, 1.1  # ms
 
@@ -22,32 +24,59 @@
     STREAMING = 3  # the answer has begun to go on
 
 
-# How an attempt may end from where it is. One that was not sent never ran, and one that was may have.
-ENDS: dict[At, tuple[Result, ...]] = {
-    At.DIALLING: (Result.UNREACHABLE, Result.CANCELLED, Result.NOT_SENT),
-    At.SENT: (Result.OK, Result.ERROR, Result.FULL, Result.RESET, Result.TIMEOUT, Result.CANCELLED),
-    At.SENDING: (Result.OK, Result.ERROR, Result.FULL, Result.UNREACHABLE, Result.CANCELLED),
-    At.STREAMING: (Result.OK, Result.ERROR, Result.RESET, Result.TIMEOUT, Result.CANCELLED),
+# How an attempt may end from where it is. One that was not sent never ran, and one that was may
+# have.
+ENDS: dict[At, tuple[AttemptResult, ...]] = {
+    At.DIALLING: (AttemptResult.UNREACHABLE, AttemptResult.CANCELLED, AttemptResult.NOT_SENT),
+    At.SENT: (
+        AttemptResult.OK,
+        AttemptResult.ERROR,
+        AttemptResult.FULL,
+        AttemptResult.RESET,
+        AttemptResult.TIMEOUT,
+        AttemptResult.CANCELLED,
+    ),
+    At.SENDING: (
+        AttemptResult.OK,
+        AttemptResult.ERROR,
+        AttemptResult.FULL,
+        AttemptResult.UNREACHABLE,
+        AttemptResult.CANCELLED,
+    ),
+    At.STREAMING: (
+        AttemptResult.OK,
+        AttemptResult.ERROR,
+        AttemptResult.RESET,
+        AttemptResult.TIMEOUT,
+        AttemptResult.CANCELLED,
+    ),
 }
 OVERDUE = {
-    At.DIALLING: Result.UNREACHABLE,
-    At.SENT: Result.TIMEOUT,
-    At.SENDING: Result.UNREACHABLE,
-    At.STREAMING: Result.TIMEOUT,
+    At.DIALLING: AttemptResult.UNREACHABLE,
+    At.SENT: AttemptResult.TIMEOUT,
+    At.SENDING: AttemptResult.UNREACHABLE,
+    At.STREAMING: AttemptResult.TIMEOUT,
+}
+BROKEN = {
+    At.SENT: AttemptResult.RESET,
+    At.SENDING: AttemptResult.UNREACHABLE,
+    At.STREAMING: AttemptResult.RESET,
 }
-BROKEN = {At.SENT: Result.RESET, At.SENDING: Result.UNREACHABLE, At.STREAMING: Result.RESET}
 
 
-def hindrance(wanted: bool, fit: bool, left: float) -> Result | None:
-    """Why an attempt that has not begun may not be written now, as the end that it has; None: it may.
+def hindrance(wanted: bool, fit: bool, left: float) -> AttemptResult | None:
+    """Why an attempt that has not begun may not be written now, as the end that it has; None: it
+    may.
 
-    `wanted`: its request still waits; `fit`: its server may get something new; `left`: ms of its time."""
+    `wanted`: its request still waits; `fit`: its server may get something new; `left`: ms of its
+    time.
+    """
     if not wanted:
-        return Result.NOT_SENT
-    return None if fit and left > 0 else Result.UNREACHABLE
+        return AttemptResult.NOT_SENT
+    return None if fit and left > 0 else AttemptResult.UNREACHABLE
 
 
-def check_end(at: At, result: Result) -> None:
+def check_end(at: At, result: AttemptResult) -> None:
     """RuntimeError where an attempt can't end so from there."""
     if result not in ENDS[at]:
         raise RuntimeError(f"an attempt that is {at.name} can't end as {result.name}")
