--- a/badgercart/carriers/pool/pool.py
+++ b/badgercart/upstream/connection_pool.py
@@ -1,4 +1,5 @@
-"""Drives the way to the servers: pooled connections, attempts on them, and how each attempt ended."""
+"""Drives the way to the servers: pooled connections, attempts on them, and how each attempt
+ended."""
 
 from __future__ import annotations
 
@@ -10,23 +11,25 @@
 from functools import partial
 from typing import Protocol, cast
 
-from badgercart.carriers.pool.attempts import BROKEN, OVERDUE, At, IdleLimit, check_end, hindrance
-from badgercart.carriers.pool.events import MALFORMED_ANSWER, NO_DESCRIPTORS
-from badgercart.carriers.pool.exchange import Done, Exchange, Found, Malformed, Message
 from badgercart.config import Address
-from badgercart.core import reading
+from badgercart.core import read_buffer as reading
 from badgercart.core.clock import now_ms
-from badgercart.core.ports import Answer, Order
+from badgercart.core.endpoint_table import DiscoveredEndpoint
+from badgercart.core.memory_budget import MemoryBudget, budget_bytes
+from badgercart.core.ports import Answer, AttemptRequest
 from badgercart.core.results import result_of
-from badgercart.core.room import Room, room_of
-from badgercart.core.roster import Member
 from badgercart.core.streams import Opening, Sink, nothing
-from cottonhall.interface import Result, State
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import AttemptResult
+from badgercart.upstream.attempts import BROKEN, OVERDUE, At, IdleLimit, check_end, hindrance
+from badgercart.upstream.exchange import Done, Exchange, Found, Malformed, Message
+from badgercart.upstream.log_events import MALFORMED_ANSWER, NO_DESCRIPTORS
 
 LAST_LOOK = 0.001  # s, one turn of the loop, between an attempt's time and its end
 SWEEP = 1.0  # s between looks for connections that have been idle for too long
-# ms that a connection rests between an answer and the next request. A second answer may come some ms behind
-# the first, and would pass for the next one's: answers do not say whose they are. Seen: 1.2 to 3.5 ms.
+# ms that a connection rests between an answer and the next request. A second answer may come some
+# ms behind the first, and would pass for the next one's: answers do not say whose they are. Seen:
+# 1.2 to 3.5 ms.
 REST = 10.0
 HOLD_TIME = 0.1  # s after its first byte that an answer of unknown length is held
 SILENCE = 10_000.0  # ms without a byte after which a server's answer, or its reading, is given up
@@ -53,11 +56,12 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server at its address. The version counts changes after which old connections are not used."""
+    """A server at its address. The version counts changes after which old connections are not
+    used."""
 
     id: int
     address: Address
-    state: State
+    state: EndpointState
     started: float
     version: int = 0
     out: int = 0  # attempts
@@ -87,7 +91,8 @@
         self.moved = 0.0  # ms, when something last went on, of what goes on as it comes
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
+        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with
+        # TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
         self.poll = select.poll()
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -99,8 +104,8 @@
         if self in self.server.idle:
             self.server.idle.remove(self)
         if (attempt := self.attempt) is not None:
-            # Where the request has been given to the transport, what its buffer held is no proof that the
-            # server did not get it: the attempt may have run.
+            # Where the request has been given to the transport, what its buffer held is no proof
+            # that the server did not get it: the attempt may have run.
             self.pool.idle_limit.reused(self.idled, self.exchange.size > 0)
             self.leave(whole=False)
             self.pool.end(attempt, BROKEN[attempt.at])
@@ -119,7 +124,9 @@
         attempt.at = At.SENT if message.upload is None else At.SENDING
         self.exchange.hold = self.pool.hold
         left = attempt.deadline - now_ms()
-        self.transport.write(self.exchange.ask(message, left if math.isfinite(left) else attempt.limit))
+        self.transport.write(
+            self.exchange.ask(message, left if math.isfinite(left) else attempt.limit)
+        )
         if message.upload is not None:
             self.moved = now_ms()
             self.transport.set_write_buffer_limits(high=self.pool.room.window)
@@ -136,7 +143,12 @@
 
     def send_on(self) -> None:
         attempt = self.attempt
-        if attempt is None or attempt.at is not At.SENDING or self.full or self.transport.is_closing():
+        if (
+            attempt is None
+            or attempt.at is not At.SENDING
+            or self.full
+            or self.transport.is_closing()
+        ):
             return
         upload = attempt.message.upload
         assert upload is not None
@@ -163,9 +175,11 @@
         attempt.at = At.STREAMING
         pool.disarm(attempt)
         opening, elapsed = self.exchange.begin(), now_ms() - attempt.started
-        self.sink = pool.on_begin(attempt.request_id, attempt.number, self.server.id, elapsed, opening)
+        self.sink = pool.on_begin(
+            attempt.request_id, attempt.number, self.server.id, elapsed, opening
+        )
         if self.sink is None:  # nobody waits for it any more
-            pool.drop(attempt, Result.CANCELLED)
+            pool.drop(attempt, AttemptResult.CANCELLED)
             return
         pool.room.streams += 1
         self.sink.watch(self.on_room, self.on_lost)
@@ -191,7 +205,7 @@
         self.sink = None
         self.pool.room.streams -= 1
         if self.attempt is not None:
-            self.pool.drop(self.attempt, Result.CANCELLED)
+            self.pool.drop(self.attempt, AttemptResult.CANCELLED)
 
     def leave(self, whole: bool) -> Attempt | None:
         """Part from the attempt, which is over: nothing more goes on."""
@@ -252,7 +266,7 @@
         elif attempt is not None and isinstance(found, Malformed):
             self.transport.abort()
             MALFORMED_ANSWER(server=self.server.endpoint, request=attempt.request_id, why=found.why)
-            self.pool.end(attempt, Result.ERROR)
+            self.pool.end(attempt, AttemptResult.ERROR)
         else:  # nothing was asked
             self.transport.abort()
 
@@ -265,7 +279,7 @@
         request_id: int,
         number: int,
         server_id: int,
-        result: Result,
+        result: AttemptResult,
         elapsed: float,
         answer: Answer | None = None,
         *,
@@ -273,7 +287,8 @@
     ) -> None: ...  # fmt: skip
 
 
-# Request, number of the attempt, server, ms until now, the answer's head; where it goes, None: nowhere.
+# Request, number of the attempt, server, ms until now, the answer's head; where it goes, None:
+# nowhere.
 OnBegin = Callable[[int, int, int, float, Opening], Sink | None]
 
 
@@ -282,7 +297,9 @@
     return True
 
 
-def held_only(request_id: int, number: int, server_id: int, elapsed: float, opening: Opening) -> Sink | None:
+def held_only(
+    request_id: int, number: int, server_id: int, elapsed: float, opening: Opening
+) -> Sink | None:
     """For fronts whose messages ask for no answer as it comes."""
     return None
 
@@ -298,7 +315,7 @@
         max_connections: int,
         on_end: OnEnd,
         on_begin: OnBegin = held_only,
-        room: Room | None = None,
+        room: MemoryBudget | None = None,
         source: str | None = None,  # the address that connections set out from
         wanted: Callable[[int], bool] = any_request,
     ) -> None:
@@ -310,20 +327,20 @@
         self.max_connections = max_connections
         self.on_end = on_end
         self.on_begin = on_begin
-        self.room = room or Room(room_of(0))
+        self.room = room or MemoryBudget(budget_bytes(0))
         self.servers: dict[int, Server] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.connections: set[ServerConnection] = set()
         self.dials = 0
         self.loop.call_later(SWEEP, self.sweep)
 
-    def update(self, member: Member) -> None:
+    def update(self, member: DiscoveredEndpoint) -> None:
         """Take over a line of the server list."""
         entry, address = member.entry, member.address
-        server_id, state, started = entry.id, entry.state, entry.started
+        server_id, state, started = entry.id, entry.state, entry.started_ms
         server = self.servers.get(server_id)
         if server is None:
-            if state is not State.GONE:
+            if state is not EndpointState.GONE:
                 self.servers[server_id] = Server(server_id, address, state, started)
         elif (server.address, server.state, server.started) != (address, state, started):
             # Connections from before a restart are dead, and a server that drains gets nothing new.
@@ -336,22 +353,26 @@
 
     def forget(self, server: Server) -> None:
         """Ids are ever new: a server that is gone leaves with its last attempt."""
-        if server.state is State.GONE and not server.out and self.servers.get(server.id) is server:
+        if (
+            server.state is EndpointState.GONE
+            and not server.out
+            and self.servers.get(server.id) is server
+        ):
             del self.servers[server.id]
 
-    def send(self, order: Order) -> None:
-        server = self.servers[order.server_id]
-        now, limit = now_ms(), order.limit
+    def send(self, order: AttemptRequest) -> None:
+        server = self.servers[order.endpoint_id]
+        now, limit = now_ms(), order.timeout_ms
         attempt = Attempt(
-            order.request_id, order.number, server, server.version, order.work, now, now + limit
+            order.request_id, order.attempt, server, server.version, order.payload, now, now + limit
         )
-        self.attempts[order.request_id, order.number] = attempt
+        self.attempts[order.request_id, order.attempt] = attempt
         server.out += 1
-        upload = order.work.upload
+        upload = order.payload.upload
         if upload is not None and not upload.whole:
             attempt.limit, attempt.deadline = limit, math.inf
             upload.on_data = partial(self.came_in, attempt)
-            upload.on_lost = partial(self.drop, attempt, Result.CANCELLED)
+            upload.on_lost = partial(self.drop, attempt, AttemptResult.CANCELLED)
         else:
             attempt.timer = self.loop.call_later(max(0.0, limit) / 1000, self.expire, attempt)
         at = len(server.idle)
@@ -390,14 +411,14 @@
 
         Meanwhile its request may have ended, its time passed, or its server begun to drain."""
         server = attempt.server
-        fit = attempt.version == server.version and server.state is State.READY
+        fit = attempt.version == server.version and server.state is EndpointState.READY
         fit = fit and not connection.transport.is_closing()
         left = attempt.deadline - now_ms()
         why = hindrance(self.wanted(attempt.request_id), fit, left)
         if why is None:
             connection.start(attempt)
             return
-        if why is Result.NOT_SENT and fit:  # nothing is wrong with it
+        if why is AttemptResult.NOT_SENT and fit:  # nothing is wrong with it
             self.park(connection)
         else:
             connection.transport.abort()
@@ -417,7 +438,9 @@
         if attempt.timer is None and math.isinf(attempt.deadline):
             attempt.started = now_ms()
             attempt.deadline = attempt.started + attempt.limit
-            attempt.timer = self.loop.call_later(max(0.0, attempt.limit) / 1000, self.expire, attempt)
+            attempt.timer = self.loop.call_later(
+                max(0.0, attempt.limit) / 1000, self.expire, attempt
+            )
 
     def disarm(self, attempt: Attempt) -> None:
         for timer in (attempt.timer, attempt.opener):
@@ -431,16 +454,18 @@
             await asyncio.sleep(0)  # it holds its descriptor until then
         if self.open >= self.max_connections:
             NO_DESCRIPTORS(server=server.endpoint, request=attempt.request_id)
-            self.end(attempt, Result.UNREACHABLE)
+            self.end(attempt, AttemptResult.UNREACHABLE)
             return
         self.dials += 1
         connection = ServerConnection(self, server)
         try:
             async with asyncio.timeout(self.dial_timeout / 1000):
-                await self.loop.create_connection(lambda: connection, *server.address, local_addr=self.local)
+                await self.loop.create_connection(
+                    lambda: connection, *server.address, local_addr=self.local
+                )
         except (OSError, UnicodeError):  # no connection in time, or an address that is none
             connection.exchange.unlink()
-            self.end(attempt, Result.UNREACHABLE)
+            self.end(attempt, AttemptResult.UNREACHABLE)
             return
         except asyncio.CancelledError:
             connection.exchange.unlink()
@@ -448,8 +473,8 @@
         finally:
             self.dials -= 1
         attempt.dial = None
-        # Counted from here, not from connection_made: a dial that is cancelled just as it comes up is
-        # closed by uvloop without connection_lost, and would count against the limit for ever.
+        # Counted from here, not from connection_made: a dial that is cancelled just as it comes up
+        # is closed by uvloop without connection_lost, and would count against the limit for ever.
         if not connection.transport.is_closing():
             self.connections.add(connection)
         self.put_on(attempt, connection)
@@ -480,9 +505,10 @@
         return True
 
     def park(self, connection: ServerConnection) -> None:
-        """Keep a connection for the next attempt, if its server still is the one it was opened to."""
+        """Keep a connection for the next attempt, if its server still is the one it was opened
+        to."""
         server = connection.server
-        if connection.version != server.version or server.state is not State.READY:
+        if connection.version != server.version or server.state is not EndpointState.READY:
             connection.transport.close()
             return
         connection.idle_since = now_ms()
@@ -496,8 +522,8 @@
             attempt = connection.attempt
             if attempt is None or attempt.at not in (At.SENDING, At.STREAMING):
                 continue
-            # A request may come in slowly: that is its client's affair, and only a server that does not read
-            # is given up.
+            # A request may come in slowly: that is its client's affair, and only a server that does
+            # not read is given up.
             waits = connection.full if attempt.at is At.SENDING else True
             if waits and now - connection.moved > (UNREAD if connection.paused else SILENCE):
                 self.drop(attempt, OVERDUE[attempt.at])
@@ -507,8 +533,9 @@
                 server.idle.pop(0).transport.close()
 
     def expire(self, attempt: Attempt) -> None:
-        # The loop runs timers before it reads: after a stall the answer may lie in the socket unread, and a
-        # server that did its work would pass for a silent one. So it reads once more first.
+        # The loop runs timers before it reads: after a stall the answer may lie in the socket
+        # unread, and a server that did its work would pass for a silent one. So it reads once more
+        # first.
         if not attempt.overdue:
             attempt.overdue = True
             attempt.timer = self.loop.call_later(LAST_LOOK, self.expire, attempt)
@@ -522,20 +549,20 @@
     def cancel(self, request_id: int, number: int) -> None:
         attempt = self.attempts.get((request_id, number))
         if attempt is not None:
-            self.drop(attempt, Result.CANCELLED)
+            self.drop(attempt, AttemptResult.CANCELLED)
 
-    def forgo(self, request_id: int, number: int) -> None:
-        """Nobody waits for it: what has not been written of it never is. A server begins a request with its
-        last byte, so one whose last byte is still here never runs."""
+    def abandon_attempt(self, request_id: int, number: int) -> None:
+        """Nobody waits for it: what has not been written of it never is. A server begins a request
+        with its last byte, so one whose last byte is still here never runs."""
         attempt = self.attempts.get((request_id, number))
         if attempt is None:
             return
         if attempt.at is At.DIALLING:
-            self.drop(attempt, Result.NOT_SENT)
+            self.drop(attempt, AttemptResult.NOT_SENT)
         elif attempt.connection is not None and not attempt.connection.all_sent():
-            self.drop(attempt, Result.CANCELLED)
+            self.drop(attempt, AttemptResult.CANCELLED)
 
-    def drop(self, attempt: Attempt, result: Result) -> None:
+    def drop(self, attempt: Attempt, result: AttemptResult) -> None:
         """Stop waiting: the connection is of no more use, an answer may still come on it."""
         if attempt.dial is not None:
             attempt.dial.cancel()
@@ -545,7 +572,7 @@
             attempt.connection.transport.abort()
         self.end(attempt, result)
 
-    def end(self, attempt: Attempt, result: Result, answer: Answer | None = None) -> None:
+    def end(self, attempt: Attempt, result: AttemptResult, answer: Answer | None = None) -> None:
         if self.attempts.pop((attempt.request_id, attempt.number), None) is None:
             return
         check_end(attempt.at, result)
@@ -559,4 +586,6 @@
         if upload is not None:
             upload.on_data = upload.on_lost = nothing
         server = attempt.server.id
-        self.on_end(attempt.request_id, attempt.number, server, result, elapsed, answer, spent=spent)
+        self.on_end(
+            attempt.request_id, attempt.number, server, result, elapsed, answer, spent=spent
+        )
--- a/badgercart/zones/keeper.py
+++ b/badgercart/zones/failover_controller.py
@@ -1,9 +1,10 @@
-"""One node's zones: eyes, evidence, gates, plan and council together, and the policy's plain input. No I/O.
+"""One node's zones: eyes, evidence, gates, plan and council together, and the policy's plain input.
+No I/O.
 
-By a plan in force a node sends what the plan says, and what finds no server there may spill over into the
-room that the plan has left, its own part of it. Without one it serves near, by its own eyes, and spills over
-no more than its part of the blind allowance, which every plan leaves free. A zone that it sees dark itself it
-leaves at once, by the same spill.
+By a plan in force a node sends what the plan says, and what finds no server there may spill over
+into the room that the plan has left, its own part of it. Without one it serves near, by its own
+eyes, and spills over no more than its part of the blind allowance, which every plan leaves free. A
+zone that it sees dark itself it leaves at once, by the same spill.
 """
 
 from __future__ import annotations
@@ -15,29 +16,29 @@
 
 import msgspec
 
-from badgercart.peers.machine import Effect as PeersEffect
-from badgercart.peers.member import Member
-from badgercart.peers.vouching import Standing
-from badgercart.zones.council import (
+from badgercart.cluster.member import Member
+from badgercart.cluster.quorum import QuorumState
+from badgercart.cluster.swim import Effect as PeersEffect
+from badgercart.policy.events import AttemptResult, TrafficPlan
+from badgercart.zones.circuit_breaker import Pace, ZoneCircuitBreaker
+from badgercart.zones.failure_detector import FORGET, VERDICT_WORDS, Verdict, ZoneFailureDetector
+from badgercart.zones.plan_consensus import (
     ASK,
     CHUNKS,
     COMMITS,
     ROUND,
     VOTE,
-    Council,
     InForce,
     Lapsed,
-    Terms,
+    LeaseSettings,
+    PlanConsensus,
     Why,
 )
-from badgercart.zones.council import Effect as CouncilEffect
-from badgercart.zones.council import Post as CouncilPost
-from badgercart.zones.evidence import SLOW_FROM, Claim, Evidence, Seen
-from badgercart.zones.eyes import FORGET, Eyes, Verdict
-from badgercart.zones.gates import Gate, Pace
-from badgercart.zones.geography import MAX_ZONES, Geography
-from badgercart.zones.plan import PARTS, Limits, Plan, Situation, unpacked, work_out
-from cottonhall.interface import Planned, Result
+from badgercart.zones.plan_consensus import Effect as CouncilEffect
+from badgercart.zones.plan_consensus import RegisterUpdate as CouncilPost
+from badgercart.zones.topology import MAX_ZONES, Geography
+from badgercart.zones.traffic_plan import PARTS, Limits, Plan, Situation, compute_plan, unpacked
+from badgercart.zones.zone_reports import SLOW_FROM, Evidence, Seen, ZoneReport
 
 EYES, ORDERS = "zones.eyes", "zones.orders"  # topics
 DRAIN, PIN, RELEASE = WORDS = ("drain", "pin", "release")
@@ -54,12 +55,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ways:
+class FailoverSettings:
     """How plans are made and kept. Times in ms."""
 
     mode: Mode = Mode.MAJORITY
     limits: Limits = field(default_factory=Limits)
-    terms: Terms = field(default_factory=Terms)
+    terms: LeaseSettings = field(default_factory=LeaseSettings)
     pace: Pace = field(default_factory=Pace)
     tell: float = 500.0  # between two claims; at once where a verdict changes
     old: float = 2500.0  # a claim that came so long ago counts for nothing
@@ -80,8 +81,9 @@
     usual: tuple[float, ...]  # by class: ms of an answer
 
 
-class Order(msgspec.Struct, array_like=True, frozen=True):
-    """An operator's word about a zone: `drain` (nothing goes there), `pin` (it stays open) or `release`."""
+class OperatorOverride(msgspec.Struct, array_like=True, frozen=True):
+    """An operator's word about a zone: `drain` (nothing goes there), `pin` (it stays open) or
+    `release`."""
 
     zone: int
     what: str
@@ -90,7 +92,9 @@
     by: str
 
 
-_orders: Callable[[bytes], tuple[int, list[Order]]] = msgspec.msgpack.Decoder(tuple[int, list[Order]]).decode
+_orders: Callable[[bytes], tuple[int, list[OperatorOverride]]] = msgspec.msgpack.Decoder(
+    tuple[int, list[OperatorOverride]]
+).decode
 
 
 @dataclass(slots=True, frozen=True)
@@ -104,19 +108,25 @@
     digest: str = ""
     lapsed: int = 0  # the epoch of one that is not any more
     outdone: int = 0  # the epoch of a proposal of ours that came to nothing
-    order: Order | None = None  # of an operator
+    order: OperatorOverride | None = None  # of an operator
 
 
-class Keeper:
-    """Told of attempts and requests; `look` every `LOOK` ms. `out` collects what peers have to be told."""
+class FailoverController:
+    """Told of attempts and requests; `look` every `LOOK` ms. `out` collects what peers have to be
+    told."""
 
     def __init__(
-        self, member: Member, geography: Geography, zone: int, worths: Sequence[float], ways: Ways
+        self,
+        member: Member,
+        geography: Geography,
+        zone: int,
+        worths: Sequence[float],
+        ways: FailoverSettings,
     ) -> None:
         self.member, self.geography, self.zone = member, geography, zone
         self.worths, self.ways, self.name = tuple(worths), ways, member.name
         self.wall = member.machine.clock.wall
-        self.council = Council(
+        self.council = PlanConsensus(
             self.name, member.machine.me.boot, ways.terms,
             lambda data: unpacked(data, self.geography), self.wall,
         )  # fmt: skip
@@ -141,13 +151,13 @@
         self.budget = ways.per_minute
         self.budget_at = 0.0
         self.short = False  # of plans this minute
-        self.orders: dict[int, Order] = {}  # by zone, whoever took them
+        self.orders: dict[int, OperatorOverride] = {}  # by zone, whoever took them
         self.told: list[Told] = []
         self.unsaid: list[Told] = []
         self.plans = 0  # that were in force here
         self.answering = False  # whether somebody works out the plan of the question
         self.wake: Callable[[], None] = lambda: None  # called when `out` has something
-        self.event: Planned | None = None  # as the policy was told last
+        self.event: TrafficPlan | None = None  # as the policy was told last
         self.listen()
 
     def listen(self) -> None:
@@ -162,8 +172,8 @@
     def settle_map(self, geography: Geography) -> None:
         zones = len(geography.zones)
         self.geography = geography
-        self.eyes, self.evidence = Eyes(zones), Evidence(geography)
-        self.gates = [Gate(self.ways.pace) for _ in range(zones)]
+        self.eyes, self.evidence = ZoneFailureDetector(zones), Evidence(geography)
+        self.gates = [ZoneCircuitBreaker(self.ways.pace) for _ in range(zones)]
 
     def relocate(self, now: float, geography: Geography, zone: int) -> None:
         """Another map from now on: what rests on the old one is void."""
@@ -181,7 +191,7 @@
         if 0 <= zone < len(self.eyes.zones):
             self.eyes.sent(now, zone, server)
 
-    def ended(self, now: float, zone: int, result: Result, took: float) -> None:
+    def ended(self, now: float, zone: int, result: AttemptResult, took: float) -> None:
         if 0 <= zone < len(self.eyes.zones):
             self.eyes.ended(now, zone, result, took)
 
@@ -197,7 +207,11 @@
 
     def probes(self, now: float) -> list[int]:
         """Zones that want a probe now; `probed` tells what came of each."""
-        there = (z for z in range(len(self.eyes.zones)) if self.fleet.servers[z] and z not in self.probing)
+        there = (
+            z
+            for z in range(len(self.eyes.zones))
+            if self.fleet.servers[z] and z not in self.probing
+        )
         wanted = [zone for zone in there if self.eyes.wants_probe(now, zone, self.ways.probe_after)]
         self.probing |= set(wanted)
         return wanted
@@ -246,7 +260,7 @@
 
     # The look.
 
-    def look(self, now: float, fleet: Fleet) -> Planned | None:
+    def look(self, now: float, fleet: Fleet) -> TrafficPlan | None:
         """Everything that time brings; what the policy has to be told, None where it knows."""
         self.fleet = fleet
         self.expire()
@@ -256,7 +270,8 @@
         self.evidence.keep(standing.live)
         whole = [warm + cold for warm, cold in zip(fleet.warm, fleet.cold, strict=True)]
         self.seen = seen = self.evidence.seen(now, self.ways.old * self.scale, whole)
-        # The policy gives a cold server what a warm one of its age's part would have: no more than the load.
+        # The policy gives a cold server what a warm one of its age's part would have: no more than
+        # the load.
         load = min(sum(map(sum, seen.demand)) / max(sum(whole), 1e-9), 1.0)
         self.capacity = tuple(w + c * load for w, c in zip(fleet.warm, fleet.cold, strict=True))
         self.watch_gates(now, seen)
@@ -270,13 +285,16 @@
         return self.direct(len(standing.live), standing.may_live)
 
     def home(self, zone: int, seen: Seen) -> float:
-        """Slots that a zone has for its own nodes: all that they reach, unless an operator drains it."""
+        """Slots that a zone has for its own nodes: all that they reach, unless an operator drains
+        it."""
         order = self.orders.get(zone)
         if order is not None and order.what == DRAIN:
             return 0.0
         gate, capacity = self.gates[zone], self.capacity[zone]
         return capacity * (
-            max(gate.factor, strength(seen.slow[zone], seen.good[zone])) if zone in seen.own else gate.factor
+            max(gate.factor, strength(seen.slow[zone], seen.good[zone]))
+            if zone in seen.own
+            else gate.factor
         )
 
     @property
@@ -287,7 +305,9 @@
     def claim(self, now: float) -> None:
         """Say what we see: at once where a verdict changes, else now and then."""
         eyes = self.eyes
-        verdicts = tuple(eyes.verdict(now, zone, count) for zone, count in enumerate(self.fleet.servers))
+        verdicts = tuple(
+            eyes.verdict(now, zone, count) for zone, count in enumerate(self.fleet.servers)
+        )
         due = now - self.claimed >= self.ways.tell * self.scale
         if not due and verdicts == self.verdicts:
             return
@@ -297,7 +317,7 @@
             self.weigh(passed)
             self.counts, self.counted = [0] * len(self.counts), now
         said = msgspec.msgpack.encode(
-            Claim(
+            ZoneReport(
                 self.geography.digest, list(map(int, verdicts)),
                 [round(100 * eye.slow) if eye.known(now) else 0 for eye in eyes.zones],
                 [round(100 * eye.good) for eye in eyes.zones],
@@ -308,9 +328,9 @@
         self.out += self.member.say(now, EYES, said)
 
     def weigh(self, passed: float) -> None:
-        """How many slots our requests of the last while kept busy. All in all by what answers took at their
-        quickest, since what is usual now may be that of a slow zone; the classes beside each other as
-        usual."""
+        """How many slots our requests of the last while kept busy. All in all by what answers took
+        at their quickest, since what is usual now may be that of a slow zone; the classes beside
+        each other as usual."""
         grown = self.least * (1 + min(passed, FORGET) / FORGET)
         self.least = min(grown or self.eyes.mean, self.eyes.mean)
         usual, classes = self.fleet.usual, self.geography.classes
@@ -330,10 +350,13 @@
 
     # Planning.
 
-    def steer(self, now: float, standing: Standing) -> None:
-        """Ask for a plan of what is, where that is ours to do: `question`, which `answer` takes up."""
+    def steer(self, now: float, standing: QuorumState) -> None:
+        """Ask for a plan of what is, where that is ours to do: `question`, which `answer` takes
+        up."""
         ways, council = self.ways, self.council
-        self.budget = min(self.budget + (now - self.budget_at) * ways.per_minute / 60_000, ways.per_minute)
+        self.budget = min(
+            self.budget + (now - self.budget_at) * ways.per_minute / 60_000, ways.per_minute
+        )
         self.budget_at = now
         if ways.mode is Mode.MAJORITY:
             self.electorate = max(standing.may_live, ways.electorate)
@@ -343,7 +366,9 @@
                 return
         before = self.proposed
         urgent = before is not None and self.closes(before)
-        if self.question is None and (urgent or before is None or now - self.considered >= ways.settle / 4):
+        if self.question is None and (
+            urgent or before is None or now - self.considered >= ways.settle / 4
+        ):
             self.considered, self.question = now, self.situation
 
     @property
@@ -356,7 +381,7 @@
     def work_out(self, question: Situation) -> Plan:
         """The plan of a situation: a pure function, for another thread where it takes long."""
         why = self.seen.why if self.seen is not None else ""
-        return work_out(self.geography, question, self.worths, self.ways.limits, why)
+        return compute_plan(self.geography, question, self.worths, self.ways.limits, why)
 
     def answer(self, now: float, plan: Plan) -> None:
         """The plan that was asked for: propose it, where it is worth an epoch."""
@@ -365,7 +390,9 @@
             return
         if before is not None:
             urgent = self.closes(before)
-            if not self.worth_it(before, plan) or (now - self.planned_at < self.ways.settle and not urgent):
+            if not self.worth_it(before, plan) or (
+                now - self.planned_at < self.ways.settle and not urgent
+            ):
                 return
             if self.budget < 1 and not set(plan.lost) > set(before.lost):
                 self.short = True  # what is in force stays: it gives less to those that come and go
@@ -382,14 +409,21 @@
     def closes(self, before: Plan) -> bool:
         """Whether a zone or a link has gone that the plan still counts on."""
         assert self.situation is not None
-        if any(not home and zone not in before.lost for zone, home in enumerate(self.situation.home)):
+        if any(
+            not home and zone not in before.lost for zone, home in enumerate(self.situation.home)
+        ):
             return True
         for zone, capacity in enumerate(self.situation.capacity):
             if not capacity and any(
-                row[zone] for source, rows in enumerate(before.parts) if source != zone for row in rows
+                row[zone]
+                for source, rows in enumerate(before.parts)
+                if source != zone
+                for row in rows
             ):
                 return True
-        return any(row[zone] for source, zone in self.situation.parted for row in before.parts[source])
+        return any(
+            row[zone] for source, zone in self.situation.parted for row in before.parts[source]
+        )
 
     def worth_it(self, before: Plan, after: Plan) -> bool:
         if before.lost != after.lost or self.closes(before):
@@ -410,10 +444,12 @@
             return self.own
         return self.council.current.plan if self.council.current is not None else None
 
-    def direct(self, live: int, may_live: int) -> Planned | None:
+    def direct(self, live: int, may_live: int) -> TrafficPlan | None:
         """What the policy has to be told; None where it knows."""
         plan, zones = self.plan, range(len(self.geography.zones))
-        service = max(self.eyes.mean, 1.0) if self.least else 100.0  # ms that an attempt keeps a slot
+        service = (
+            max(self.eyes.mean, 1.0) if self.least else 100.0
+        )  # ms that an attempt keeps a slot
         lost = {zone for zone in zones if self.verdicts[zone] is Verdict.DARK}
         lost |= {zone for zone, order in self.orders.items() if order.what == DRAIN}
         if plan is not None:
@@ -425,7 +461,7 @@
             shares = (home,) * self.geography.rows
             blind = self.ways.blind / max(may_live, 1) / service
             spill = [blind * capacity for capacity in self.capacity]
-        event = Planned(
+        event = TrafficPlan(
             shares, tuple(0.0 if zone in lost else round(rate, 6) for zone, rate in enumerate(spill)),
             frozenset(lost), self.geography.bound_tenants, self.strain(),
         )  # fmt: skip
@@ -435,7 +471,8 @@
         return event
 
     def strain(self) -> tuple[float, ...]:
-        """By zone: how much of its part it is spared, since it is slow to us and the plan may not know yet.
+        """By zone: how much of its part it is spared, since it is slow to us and the plan may not
+        know yet.
 
         In fifths, so that the policy hears of changes only."""
         found = []
@@ -453,7 +490,7 @@
             {
                 "zone": name,
                 "region": self.geography.regions[zone],
-                "seen": self.verdicts[zone].name.lower() if self.verdicts else "unknown",
+                "seen": VERDICT_WORDS[self.verdicts[zone]] if self.verdicts else "unknown",
                 "gate": self.gates[zone].state.value,
                 "open": round(self.gates[zone].factor, 3),
                 "capacity": round(self.capacity[zone], 2),
@@ -485,14 +522,13 @@
         if told.order is not None:
             name = self.geography.zones[told.order.zone]
             return plain | {"order": f"{told.order.what} {name}", "by": told.order.by}
-        for key in ("epoch", "lapsed", "outdone"):
-            if getattr(told, key):
-                plain[key] = getattr(told, key)
+        epochs = {"epoch": told.epoch, "lapsed": told.lapsed, "outdone": told.outdone}
+        plain |= {key: epoch for key, epoch in epochs.items() if epoch}
         return plain | ({"proposer": told.proposer, "plan": told.digest} if told.epoch else {})
 
     def if_gone(self) -> dict[str, Any]:
-        """What would happen if a zone went now, by the live evidence: how full the others would be, and what
-        part of all requests would be refused."""
+        """What would happen if a zone went now, by the live evidence: how full the others would be,
+        and what part of all requests would be refused."""
         found: dict[str, Any] = {}
         if self.situation is None:
             return found
@@ -508,7 +544,9 @@
             loads, refused = loads_of(self.work_out(gone), now.demand)
             full = {
                 other: round(load / capacity, 3)
-                for other, load, capacity in zip(self.geography.zones, loads, gone.home, strict=True)
+                for other, load, capacity in zip(
+                    self.geography.zones, loads, gone.home, strict=True
+                )
                 if capacity
             }
             found[name] = {"full": full, "refused": round(refused / total, 3) if total else 0.0}
@@ -525,7 +563,7 @@
                 if 0 <= order.zone < len(self.geography.zones) and order.what in WORDS:
                     self.obey(order)
 
-    def obey(self, order: Order) -> None:
+    def obey(self, order: OperatorOverride) -> None:
         before = self.orders.get(order.zone)
         if before is None or (order.at, order.by) > (before.at, before.by):
             self.orders[order.zone] = order
@@ -539,7 +577,8 @@
 
 
 def loads_of(plan: Plan, demand: Sequence[Sequence[float]]) -> tuple[list[float], float]:
-    """How many slots a plan fills in each zone by such a demand, and how many requests' slots it refuses."""
+    """How many slots a plan fills in each zone by such a demand, and how many requests' slots it
+    refuses."""
     loads, refused = [0.0] * len(demand), 0.0
     for rows, asked in zip(plan.parts, demand, strict=True):
         for parts, amount in zip(rows, asked, strict=True):
@@ -554,8 +593,16 @@
     return min(1.0, good / (slow if slow >= SLOW_FROM else 1.0))
 
 
-def same(one: Planned, other: Planned) -> bool:
+def same(one: TrafficPlan, other: TrafficPlan) -> bool:
     """Whether two inputs differ by a little in their rates of spilling at most."""
-    if (one.shares, one.lost, one.bound, one.strain) != (other.shares, other.lost, other.bound, other.strain):
+    if (one.shares, one.lost_zones, one.planned_tenants, one.zone_strain) != (
+        other.shares,
+        other.lost_zones,
+        other.planned_tenants,
+        other.zone_strain,
+    ):
         return False
-    return all(abs(a - b) <= ALIKE * max(a, b) for a, b in zip(one.spill, other.spill, strict=True))
+    return all(
+        abs(a - b) <= ALIKE * max(a, b)
+        for a, b in zip(one.spillover_rates, other.spillover_rates, strict=True)
+    )
--- a/badgercart/zones/council.py
+++ b/badgercart/zones/plan_consensus.py
@@ -1,23 +1,24 @@
 """One plan at a time, by a majority and under a lease. No I/O.
 
-A plan has an epoch; a ballot is an epoch, the plan's digest and a round. Whoever proposes has every node
-told of the plan and of a round, and each node that takes it says so to the proposer; once more than half of
-the electorate has, the proposer names them in a commit. Each round renews the lease. What holds, and what
+A plan has an epoch; a ballot is an epoch, the plan's digest and a round. Whoever proposes has every
+node told of the plan and of a round, and each node that takes it says so to the proposer; once more
+than half of the electorate has, the proposer names them in a commit. Each round renews the lease.
+What holds, and what
 keeps it so:
 
 - Two plans of one epoch are never in force: a node takes one plan of an epoch at most, more than half must
-  have taken it, and two such halves share a node. A process that begins takes none until a lease has
-  passed: what its predecessor took is void by then.
+have taken it, and two such halves share a node. A process that begins takes none until a lease has
+passed: what its predecessor took is void by then.
 - Nobody acts by a plan that is past its lease: the lease runs on each node's own clock from when it took the
-  round, which is before the proposer counted it, and only a commit that names this very process starts it.
-  What arrives late, from a queue or by a node that slept, starts none.
+round, which is before the proposer counted it, and only a commit that names this very process
+starts it. What arrives late, from a queue or by a node that slept, starts none.
 - Epochs go by the wall's clock where that is ahead of all that was heard of, and their last bits are those of
   the process: a majority that was restarted remembers none, and must not use one again.
 - A proposer that falls silent is followed by the next by name, each waiting its turn; epochs only grow, so
   one that wakes finds its own outdone, and counts no ballot that it began a lease ago.
 
-Weighed: a log that is replicated (nothing here has to be remembered once it is outdone); one plan by
-whoever is first in name, without a majority (two halves would each have one).
+Weighed: a log that is replicated (nothing here has to be remembered once it is outdone); one plan
+by whoever is first in name, without a majority (two halves would each have one).
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 import msgspec
 
-from badgercart.zones.plan import Plan, PlanError, packed
+from badgercart.zones.traffic_plan import Plan, PlanError, packed
 
 CHUNK = 440  # bytes of a plan in one post
 MAX_CHUNKS = 32
@@ -45,7 +46,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class LeaseSettings:
     """Times in ms."""
 
     lease: float = 4000.0  # from when a node took a round
@@ -105,7 +106,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Post:
+class RegisterUpdate:
     """Have every node told, at once; to one only where `to` names it."""
 
     topic: str
@@ -137,7 +138,7 @@
     epoch: int
 
 
-Effect = Post | InForce | Lapsed | Outdone
+Effect = RegisterUpdate | InForce | Lapsed | Outdone
 
 
 @dataclass(slots=True)
@@ -162,11 +163,16 @@
     moved: float = 0.0  # when a round was won last
 
 
-class Council:
+class PlanConsensus:
     """One node's part. Every call gives what to do."""
 
     def __init__(
-        self, name: str, boot: int, terms: Terms, read: Callable[[bytes], Plan], wall: Callable[[], float]
+        self,
+        name: str,
+        boot: int,
+        terms: LeaseSettings,
+        read: Callable[[bytes], Plan],
+        wall: Callable[[], float],
     ) -> None:
         """`read` makes a plan of bytes, or raises PlanError; `wall` gives Unix ms."""
         self.name, self.boot, self.terms, self.read, self.wall = name, boot, terms, read, wall
@@ -205,12 +211,14 @@
         return effects
 
     def give_up(self, now: float, mine: Proposal) -> Outdone:
-        """Leave it to others, and wait for our turn anew: two that went on at once would never end it."""
+        """Leave it to others, and wait for our turn anew: two that went on at once would never end
+        it."""
         self.mine, self.heard = None, now
         return Outdone(mine.ballot.epoch)
 
     def turn(self, now: float, rank: int) -> bool:
-        """Whether the node of that rank among those in reach may propose, since nobody else does."""
+        """Whether the node of that rank among those in reach may propose, since nobody else
+        does."""
         if self.mine is not None:
             return False
         return self.awake(now) and now - self.heard >= self.terms.patience * (1 + rank)
@@ -225,8 +233,9 @@
         """A new epoch; what was ours before stays in force until it is outdone."""
         if not self.awake(now):
             return []
-        # By the clock, since a majority that has begun anew remembers no epoch; and one that no other process
-        # has, since two that have heard of the same ones would name the same next one.
+        # By the clock, since a majority that has begun anew remembers no epoch; and one that no
+        # other process has, since two that have heard of the same ones would name the same next
+        # one.
         own = int.from_bytes(self.mark, "big") % MS
         self.highest = max(self.highest // MS + 1, int(self.wall())) * MS + own
         moved = self.mine.moved if self.mine is not None else now
@@ -243,14 +252,14 @@
             self.mine = None
             raise PlanError(f"takes {len(pieces)} posts, {MAX_CHUNKS} at most")
         return [
-            Post(topic, _encode(_Chunk(plan.digest, len(pieces), piece)), to)
+            RegisterUpdate(topic, _encode(_Chunk(plan.digest, len(pieces), piece)), to)
             for topic, piece in zip(CHUNKS, pieces, strict=False)
         ]
 
     def open(self, now: float, mine: Proposal, electorate: int) -> list[Effect]:
         """Tell of a round, and take it ourselves."""
         self.electorate = electorate
-        effects: list[Effect] = [Post(ROUND, _encode(mine.ballot))]
+        effects: list[Effect] = [RegisterUpdate(ROUND, _encode(mine.ballot))]
         self.take(now, self.name, mine.ballot)
         return effects + self.count(now, self.name, mine.ballot, self.boot)
 
@@ -275,7 +284,7 @@
         mine.told = len(marks)
         pieces = [marks[at : at + VOTERS] for at in range(0, len(marks), VOTERS)][: len(COMMITS)]
         effects: list[Effect] = [
-            Post(topic, _encode(_Commit(mine.ballot, b"".join(piece))))
+            RegisterUpdate(topic, _encode(_Commit(mine.ballot, b"".join(piece))))
             for topic, piece in zip(COMMITS, pieces, strict=False)
         ]
         return effects + self.enforce(mine.ballot, self.name)
@@ -339,7 +348,8 @@
             del self.plans[old]
 
     def on_round(self, now: float, author: str, ballot: Ballot) -> list[Effect]:
-        """Take a round, unless it is outdone; whoever asks by an old epoch is told the one that outdid it."""
+        """Take a round, unless it is outdone; whoever asks by an old epoch is told the one that
+        outdid it."""
         if self.began is None or not self.awake(now):
             self.highest = max(self.highest, ballot.epoch)
             return []
@@ -347,24 +357,28 @@
             voted = self.voted
             if voted is None or ballot == voted:
                 return []
-            return [Post(VOTE, _encode(_Vote(voted, self.boot)), author)]
+            return [RegisterUpdate(VOTE, _encode(_Vote(voted, self.boot)), author)]
         self.heard, self.highest = now, max(self.highest, ballot.epoch)
         if ballot.digest not in self.plans:
             again = self.asked is not None and self.asked[1].plan == ballot.plan
             self.asked = author, ballot
-            return [Post(ASK, ballot.digest, author)] if again else []  # a piece of it was lost
+            return (
+                [RegisterUpdate(ASK, ballot.digest, author)] if again else []
+            )  # a piece of it was lost
         self.asked = None
         self.take(now, author, ballot)
         effects: list[Effect] = []
         if self.mine is not None and self.mine.ballot.epoch < ballot.epoch:
             effects.append(self.give_up(now, self.mine))
-        return [*effects, Post(VOTE, _encode(_Vote(ballot, self.boot)), author)]
+        return [*effects, RegisterUpdate(VOTE, _encode(_Vote(ballot, self.boot)), author)]
 
     def acceptable(self, author: str, ballot: Ballot) -> bool:
         """One plan of an epoch at most, by one proposer, and its rounds only forward."""
         voted = self.voted
         if voted is None:
-            return ballot.epoch >= self.highest  # one that has begun anew has heard of later ones since
+            return (
+                ballot.epoch >= self.highest
+            )  # one that has begun anew has heard of later ones since
         if ballot.epoch > voted.epoch:
             return True
         return ballot.plan == voted.plan and author == self.voted_for and ballot.round > voted.round
@@ -379,7 +393,11 @@
         if ballot.epoch > self.highest:
             self.highest = ballot.epoch
         mine = self.mine
-        if mine is not None and ballot.epoch >= mine.ballot.epoch and ballot.plan != mine.ballot.plan:
+        if (
+            mine is not None
+            and ballot.epoch >= mine.ballot.epoch
+            and ballot.plan != mine.ballot.plan
+        ):
             return [self.give_up(now, mine)]  # another has taken this epoch or a later one
         return self.count(now, author, ballot, boot)
 
--- a/badgercart/zones/settings.py
+++ b/badgercart/zones/settings.py
@@ -7,49 +7,55 @@
 
 from pydantic import Field
 
-from badgercart.operator.faults import Path
-from badgercart.operator.model import LONG, Listed, Name, Names, Table
-from badgercart.operator.part import Checked
-from badgercart.peers.settings import Network
-from badgercart.zones.council import Terms
-from badgercart.zones.gates import Pace
-from badgercart.zones.geography import MAX_ZONES, Geography, geography
-from badgercart.zones.keeper import Mode, Ways
-from badgercart.zones.plan import Limits
+from badgercart.app.component import Checked
+from badgercart.app.faults import Path
+from badgercart.app.model import LONG, Listed, Name, Names, Table
+from badgercart.cluster.settings import Network
+from badgercart.zones.circuit_breaker import Pace
+from badgercart.zones.failover_controller import FailoverSettings, Mode
+from badgercart.zones.plan_consensus import LeaseSettings
+from badgercart.zones.topology import MAX_ZONES, Geography, geography
+from badgercart.zones.traffic_plan import Limits
 
 Part = Annotated[float, Field(ge=0, le=1)]
 
 
-class Region(Table):
+class Region(Table, title="Region"):
     """zones that lie together"""
 
     name: Name = Field(description="its name")
-    zones: Names = Field(min_length=1, description="its zones; one that is in none is a region of its own")
+    zones: Names = Field(
+        min_length=1, description="its zones; one that is in none is a region of its own"
+    )
 
 
-class Distance(Table):
+class Distance(Table, title="Distance"):
     """what it costs to go from one zone to another, and back"""
 
     from_: Name = Field(alias="from", description="one zone")
     to: Name = Field(description="the other")
-    cost: float = Field(gt=0, le=1e6, description="any measure, the same for all: nearer ones come first")
+    cost: float = Field(
+        gt=0, le=1e6, description="any measure, the same for all: nearer ones come first"
+    )
 
 
-class Place(Table):
+class Place(Table, title="Place", schema_name="badgercart__zones__settings__Place"):
     """where the servers of a network are, where the list does not say"""
 
     network: Network = Field(description="the network, as 10.1.0.0/16")
     zone: Name = Field(description="their zone")
 
 
-class ZonesSettings(Table):
+class ZonesSettings(Table, title="ZonesSettings"):
     """zones and regions that fail over by one plan"""
 
     mode: Literal["majority", "shared"] = Field(
         "majority",
         description="one plan by more than half of the nodes, or each its own by shared evidence",
     )
-    region: Annotated[tuple[Region, ...], Listed] = Field((), max_length=MAX_ZONES, description="regions")
+    region: Annotated[tuple[Region, ...], Listed] = Field(
+        (), max_length=MAX_ZONES, description="regions"
+    )
     distance: Annotated[tuple[Distance, ...], Listed] = Field(
         (),
         max_length=MAX_ZONES * MAX_ZONES,
@@ -58,8 +64,12 @@
     network: Annotated[tuple[Place, ...], Listed] = Field(
         (), max_length=1024, description="zones of servers by network; the first that fits counts"
     )
-    bound_classes: Names = Field((), description="classes whose requests must not leave their region")
-    bound_tenants: Names = Field((), description="tenants whose requests must not leave their region")
+    bound_classes: Names = Field(
+        (), description="classes whose requests must not leave their region"
+    )
+    bound_tenants: Names = Field(
+        (), description="tenants whose requests must not leave their region"
+    )
     serves: float = Field(
         1.0,
         gt=0,
@@ -73,19 +83,24 @@
         description="the part of its capacity that a zone is filled to while others have room",
     )
     blind: Part = Field(
-        0.1, description="the part of a zone's capacity left to all nodes together that have no plan"
+        0.1,
+        description="the part of a zone's capacity left to all nodes together that have no plan",
     )
     lease_ms: float = Field(
         4000.0, ge=200, le=LONG, description="for how long a plan holds once a node took it (ms)"
     )
-    renew_ms: float = Field(1000.0, ge=50, le=LONG, description="the time between two renewals (ms)")
+    renew_ms: float = Field(
+        1000.0, ge=50, le=LONG, description="the time between two renewals (ms)"
+    )
     patience_ms: float = Field(
         2000.0,
         ge=100,
         le=LONG,
         description="the silence of a proposer after which the next one steps in (ms)",
     )
-    tell_ms: float = Field(500.0, ge=50, le=LONG, description="the time between two reports of evidence (ms)")
+    tell_ms: float = Field(
+        500.0, ge=50, le=LONG, description="the time between two reports of evidence (ms)"
+    )
     hold_ms: float = Field(
         3000.0,
         ge=0,
@@ -108,11 +123,11 @@
     )
     probe_ms: float = Field(500.0, ge=10, le=60_000, description="the time for such an answer (ms)")
 
-    def ways(self, electorate: int) -> Ways:
-        return Ways(
+    def ways(self, electorate: int) -> FailoverSettings:
+        return FailoverSettings(
             Mode(self.mode),
             Limits(self.head, 1 - self.blind),
-            Terms(
+            LeaseSettings(
                 lease=self.lease_ms, margin=min(100.0, self.lease_ms / 10), renew=self.renew_ms,
                 patience=self.patience_ms,
             ),
@@ -153,7 +168,10 @@
             if zone not in zones:
                 yield ("region", at, "zones", place), f"{zone!r} is none of fleet.zones"
             elif zone in seen:
-                yield ("region", at, "zones", place), f"{zone!r} is in the region {seen[zone]!r} already"
+                yield (
+                    ("region", at, "zones", place),
+                    f"{zone!r} is in the region {seen[zone]!r} already",
+                )
             seen[zone] = region.name
     names = [region.name for region in settings.region]
     for at, name in enumerate(names):
@@ -182,6 +200,12 @@
     if settings.head > 1 - settings.blind:
         yield ("head",), "is more than blind leaves: head and blind together are 1 at most"
     if 2 * settings.renew_ms >= settings.lease_ms:
-        yield ("renew_ms",), "is not below half of lease_ms: one renewal that is lost would end the plan"
+        yield (
+            ("renew_ms",),
+            "is not below half of lease_ms: one renewal that is lost would end the plan",
+        )
     if settings.patience_ms <= settings.renew_ms:
-        yield ("patience_ms",), "is not above renew_ms: a proposer that does its work would be stepped over"
+        yield (
+            ("patience_ms",),
+            "is not above renew_ms: a proposer that does its work would be stepped over",
+        )
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -7,20 +7,20 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from badgercart.membership.etcd.follower import MAX_ENTRIES
-from badgercart.membership.texts import MOST as MOST_LIST
-from badgercart.operator.document import MAX_FILE
-from badgercart.peers.member import PASSED_ON
-from badgercart.peers.queue import most_times
-from badgercart.peers.uses import MAX_TENANTS as MOST_SHARED
-from badgercart.peers.view import MAX_MEMBERS
-from badgercart.peers.wire import MAX_SYNC
-from badgercart.retune.checks import MAX_CLASSES, MAX_TENANTS
-from badgercart.zones.council import COMMITS, VOTERS, Terms
-from badgercart.zones.keeper import LOOK
+from badgercart.app.document import MAX_FILE
+from badgercart.cluster.broadcast_queue import most_times
+from badgercart.cluster.codec import MAX_SYNC
+from badgercart.cluster.member import PASSED_ON
+from badgercart.cluster.membership_table import MAX_MEMBERS
+from badgercart.cluster.uses import MAX_TENANTS as MOST_SHARED
+from badgercart.discovery.etcd.follower import MAX_ENTRIES
+from badgercart.discovery.list_framing import MOST as MOST_LIST
+from badgercart.policy.policy import FEW, NODES
+from badgercart.reload.checks import MAX_CLASSES, MAX_TENANTS
+from badgercart.zones.failover_controller import LOOK
+from badgercart.zones.plan_consensus import COMMITS, VOTERS, LeaseSettings
 from benchmarks.capacity.laws import Law, Runs, break_share
 from benchmarks.capacity.target import ASSUMED, BUDGETS, TARGET, Budget, Target
-from cottonhall.rules import FEW, NODES
 
 REPORTED = 10  # tenants in the reports of `benchmarks.scale.peers`
 APART = 0.5  # s between changes in `benchmarks.scale.processes`
@@ -126,7 +126,8 @@
 
 
 def subset(t: Target) -> float:
-    """Servers of one service that a node sends to, by `Policy.measure_fleet` where traffic is thin."""
+    """Servers of one service that a node sends to, by `Policy.measure_fleet` where traffic is
+    thin."""
     return t.service_servers / max(1, min(t.nodes // NODES, t.service_servers // FEW))
 
 
@@ -137,10 +138,11 @@
 
 
 def busy(requests: float, usual: float, mean: float) -> float:
-    """Of a core, for so many requests a second, by the median and the mean of decisions 1 ms apart (µs).
+    """Of a core, for so many requests a second, by the median and the mean of decisions 1 ms apart
+    (µs).
 
-    What lifts the mean over the median is done by the clock, whatever comes: each second of the run of 1,000
-    decisions had all of it."""
+    What lifts the mean over the median is done by the clock, whatever comes: each second of the run
+    of 1,000 decisions had all of it."""
     return (requests * usual + 1000 * max(0.0, mean - usual)) / 1e6
 
 
@@ -159,7 +161,9 @@
     if "lists" not in runs.runs:
         return ()
     TOLD = Mechanism.TOLD
-    line, whole = (runs.law("lists", what, "servers", "median") for what in ("changed line", "whole list"))
+    line, whole = (
+        runs.law("lists", what, "servers", "median") for what in ("changed line", "whole list")
+    )
     peak = runs.law("lists", "memory, peak of taking a list", "servers")
     return (
         Need("processor", "changed lines read and taken, the mean of a day", "of a core",
@@ -204,7 +208,7 @@
         Need("messages in", "the whole file for each change, the mean of a day", "B/s",
              lambda t: t.config_changes * file(t.tenants), BUDGETS["bytes"], TOLD, (file,)),
         Need("limit", "bytes of an operator's file, all tenants", "bytes", lambda t: theirs(t.tenants),
-             limit(MAX_FILE, "bytes", "badgercart.operator.document.MAX_FILE"), TOLD, (theirs,)),
+             limit(MAX_FILE, "bytes", "badgercart.app.document.MAX_FILE"), TOLD, (theirs,)),
         Need("memory", "the peak as a file is read, all tenants", "MB", lambda t: peak(t.tenants) / 1e6,
              BUDGETS["memory"], TOLD, (peak,), plain=True),
     )  # fmt: skip
@@ -216,7 +220,8 @@
         return ()
     CELLS, use = Mechanism.CELLS, REPORTED
     came, out = (
-        runs.law(runs.first(PEERS), f"bytes {way}", "nodes", "median", tenants=use) for way in ("in", "out")
+        runs.law(runs.first(PEERS), f"bytes {way}", "nodes", "median", tenants=use)
+        for way in ("in", "out")
     )
     most = runs.law(runs.first(PEERS), "bytes worst", "nodes", "median", tenants=use)
     processor = runs.law(runs.first(PEERS), "processor", "nodes", "median", tenants=use)
@@ -252,7 +257,7 @@
         Need("time", "a whole exchange holds the loop, ten tenants", "ms", lambda t: exchange(t.nodes),
              BUDGETS["standstill"], Mechanism.CELLS, (exchange,), plain=True),
         Need("limit", "bytes of a whole exchange, 64 tenants", "bytes", lambda t: size(t.nodes),
-             limit(MAX_SYNC, "bytes", "badgercart.peers.wire.MAX_SYNC"), Mechanism.SHARES, (size,)),
+             limit(MAX_SYNC, "bytes", "badgercart.cluster.codec.MAX_SYNC"), Mechanism.SHARES, (size,)),
     )  # fmt: skip
 
 
@@ -313,10 +318,15 @@
         runs.law("control", "save holds the loop", "servers"),
         runs.law("control", "idle clients", "connections"),
     )
-    TOLD, FLEETS, CELLS, COUNCIL = Mechanism.TOLD, Mechanism.FLEETS, Mechanism.CELLS, Mechanism.COUNCIL
+    TOLD, FLEETS, CELLS, COUNCIL = (
+        Mechanism.TOLD,
+        Mechanism.FLEETS,
+        Mechanism.CELLS,
+        Mechanism.COUNCIL,
+    )
     SHARES, LEARNED = Mechanism.SHARES, Mechanism.LEARNED
     told = ("lines of a restart", "lines of a failure")
-    members = limit(MAX_MEMBERS, "members", "badgercart.peers.view.MAX_MEMBERS")
+    members = limit(MAX_MEMBERS, "members", "badgercart.cluster.membership_table.MAX_MEMBERS")
 
     return [
         Role(
@@ -345,9 +355,9 @@
                      TOLD,
                      (kept_tenants,), plain=True),
                 Need("limit", "services that a node tells apart", "services", lambda t: t.services,
-                     limit(1, "service", "cottonhall.rules.Policy: one list of servers"), FLEETS),
+                     limit(1, "service", "badgercart.policy.policy.Policy: one list of servers"), FLEETS),
                 Need("limit", "routes, where each is a class", "routes", lambda t: t.routes,
-                     limit(MAX_CLASSES, "classes", "badgercart.retune.checks.MAX_CLASSES"), FLEETS),
+                     limit(MAX_CLASSES, "classes", "badgercart.reload.checks.MAX_CLASSES"), FLEETS),
                 Need("messages out", "requests that open a connection, every node serves every service",
                      "of requests", opened, BUDGETS["new connections"], FLEETS, assumed=("idle",)),
                 Need("state", "connections to servers, every node serves every service", "connections",
@@ -368,9 +378,9 @@
                 Need("messages in", "the whole list at a start, at 17 KB a second", "s",
                      lambda t: size(t.servers) / BUDGETS["bytes"].value, BUDGETS["ready"], TOLD, (size,)),
                 Need("limit", "bytes of a whole list", "bytes", lambda t: size(t.servers),
-                     limit(MOST_LIST, "bytes", "badgercart.membership.texts.MOST"), TOLD, (size,)),
+                     limit(MOST_LIST, "bytes", "badgercart.discovery.list_framing.MOST"), TOLD, (size,)),
                 Need("limit", "entries, where etcd tells them", "entries", lambda t: t.servers,
-                     limit(MAX_ENTRIES, "entries", "badgercart.membership.etcd.follower.MAX_ENTRIES"), TOLD),
+                     limit(MAX_ENTRIES, "entries", "badgercart.discovery.etcd.follower.MAX_ENTRIES"), TOLD),
                 *list_needs(runs),
             ),
             (TOLD,),
@@ -382,7 +392,7 @@
             (
                 Need("time", "a change is in force everywhere", "s", nothing, BUDGETS["in force"], TOLD),
                 Need("limit", "tenants that a reload takes", "tenants", lambda t: t.tenants,
-                     limit(MAX_TENANTS, "tenants", "badgercart.retune.checks.MAX_TENANTS"), TOLD),
+                     limit(MAX_TENANTS, "tenants", "badgercart.reload.checks.MAX_TENANTS"), TOLD),
                 *config_needs(runs),
             ),
             (TOLD,),
@@ -406,10 +416,10 @@
             "nodes x tenants counters at each node",
             (
                 Need("limit", "tenants in a report", "tenants", lambda t: t.tenants,
-                     limit(MOST_SHARED, "tenants", "badgercart.peers.uses.MAX_TENANTS"), SHARES),
+                     limit(MOST_SHARED, "tenants", "badgercart.cluster.uses.MAX_TENANTS"), SHARES),
                 Need("time", "for which one request of a mean tenant uses up a node's even part", "s",
                      lambda t: t.nodes * t.tenants / t.requests,
-                     limit(1, "s", "cottonhall.rules.Policy.on_request: a bucket 1 s deep"), SHARES),
+                     limit(1, "s", "badgercart.policy.policy.Policy.on_request: a bucket 1 s deep"), SHARES),
                 Need("time", "between two reports of use", "s", lambda t: reports_every(t.nodes),
                      BUDGETS["report"], SHARES, note="worked out by `Member.every`"),
                 Need("time", "a node's parts of all tenants hold the loop as they change", "ms",
@@ -438,14 +448,18 @@
                 Need("processor", "looks at all claims, ten a second", "of a core",
                      lambda t: look(t.nodes) / LOOK, BUDGETS["core"], COUNCIL, (look,)),
                 Need("messages in", "votes of a round, at the proposer", "B/s",
-                     lambda t: votes(t.nodes) * 1000 / Terms().renew, BUDGETS["bytes"], COUNCIL, (votes,)),
+                     lambda t: votes(t.nodes) * 1000 / LeaseSettings().renew, BUDGETS["bytes"],
+                     COUNCIL, (votes,)),
                 Need("processor", "votes of a round, at the proposer", "of a core",
-                     lambda t: counted(t.nodes) / Terms().renew, BUDGETS["core"], COUNCIL, (counted,)),
+                     lambda t: counted(t.nodes) / LeaseSettings().renew, BUDGETS["core"],
+                     COUNCIL, (counted,)),
                 Need("messages in", "the commit of a round, at each node", "B/s",
-                     lambda t: commit(t.nodes) * 1000 / Terms().renew, BUDGETS["bytes"], COUNCIL, (commit,)),
+                     lambda t: commit(t.nodes) * 1000 / LeaseSettings().renew, BUDGETS["bytes"],
+                     COUNCIL, (commit,)),
                 Need("limit", "voters that a commit names: more than half of the nodes", "nodes",
                      lambda t: t.nodes / 2,
-                     limit(VOTERS * len(COMMITS), "voters", "badgercart.zones.council.COMMITS"), COUNCIL),
+                     limit(VOTERS * len(COMMITS), "voters", "badgercart.zones.plan_consensus.COMMITS"),
+                     COUNCIL),
                 Need("memory", "claims", "MB", lambda t: claims(t.nodes) / 1e6, BUDGETS["memory"], COUNCIL,
                      (claims,), plain=True),
             ),
@@ -494,17 +508,26 @@
 
 
 def told(runs: Runs) -> list[Role]:
-    """The rows that numbered changes carry, worked out anew from what was built; none if it was not run."""
+    """The rows that numbered changes carry, worked out anew from what was built; none if it was not
+    run."""
     if "distribution" not in runs.runs:
         return []
 
     def law(name: str) -> Law:
-        return runs.law("distribution", name, "nodes", None, **{"services followed": ASSUMED["served"].value})
+        return runs.law(
+            "distribution", name, "nodes", None, **{"services followed": ASSUMED["served"].value}
+        )
 
-    force, came = law("a change in force at the last node"), law("bytes at the target's rate of changes")
+    force, came = (
+        law("a change in force at the last node"),
+        law("bytes at the target's rate of changes"),
+    )
     busy_ = law("processor at the target's rate of changes")
     leader, leading = law("bytes of a leader"), law("processor of a leader")
-    store, storing = law("bytes of the busiest other store"), law("processor of the busiest other store")
+    store, storing = (
+        law("bytes of the busiest other store"),
+        law("processor of the busiest other store"),
+    )
     size, names = line_bytes(runs), ("served",)
     TOLD = Mechanism.STANDS
     return [
@@ -556,7 +579,8 @@
 
 
 def ranking(found: Sequence[Role]) -> list[Ranked]:
-    """By the smallest share of a need that it carries; of equal ones, the one on which most rows rest."""
+    """By the smallest share of a need that it carries; of equal ones, the one on which most rows
+    rest."""
     ranked = []
     for mechanism in MISSING:
         needs = [(need.share, role.name, need, role) for role in found for need in role.needs]
--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -1,10 +1,11 @@
 """What a capture costs, and how quickly it is replayed: `python -m benchmarks.capture`.
 
-One run plays the same requests through a join and its policy with the capture on and off, in turn, and prints
-the processor time of both, the writer's thread included; bytes an event and a request; the replay's speed
-beside the time that was captured; and how long `capture explain` takes, as a whole process, for a request in
-the middle of `--records` events. The share of a whole request is against the processor time that the HTTP
-front takes for one (`--front`, in µs, as `benchmarks.operator` gives it).
+One run plays the same requests through a join and its policy with the capture on and off, in turn,
+and prints the processor time of both, the writer's thread included; bytes an event and a request;
+the replay's speed beside the time that was captured; and how long `capture explain` takes, as a
+whole process, for a request in the middle of `--records` events. The share of a whole request is
+against the processor time that the HTTP front takes for one (`--front`, in µs, as
+`benchmarks.operator` gives it).
 """
 
 from __future__ import annotations
@@ -21,20 +22,13 @@
 from badgercart.capture.replay import replay, segments
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.writer import Capture
-from badgercart.core.join import Join
-from badgercart.core.ports import Answer, Intake, Order
-from cottonhall.interface import (
-    Effect,
-    ListKind,
-    RequestClass,
-    Result,
-    ServerEntry,
-    ServerList,
-    Settings,
-    State,
-)
-
-CLASS = RequestClass(580.0, 1400.0, 2.0, Effect.SAFE)
+from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import AttemptResult, EndpointUpdate, UpdateKind
+from badgercart.policy.settings import Idempotency, RequestClass, Settings
+
+CLASS = RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT)
 GAP = 3.0  # ms between requests
 TOOK = 40.0  # ms of an answer
 
@@ -49,15 +43,19 @@
 
     def __init__(self, folder: Path | None) -> None:
         self.now = 0.0
-        self.order: Order | None = None
-        self.join = Join(Settings(classes=(CLASS,), max_attempts=2), 1, NoTimers(), lambda: self.now)
+        self.order: AttemptRequest | None = None
+        self.join = RequestPipeline(
+            Settings(classes=(CLASS,), max_attempts=2), 1, NoTimers(), lambda: self.now
+        )
         self.capture: Capture | None = None
         if folder is not None:
             settings = CaptureSettings(folder=str(folder))
-            self.capture = Capture(settings, folder, "n", self.join.policy, 1, self.lost, self.broken)
-            self.join.tap = self.capture.tap
-        entries = [ServerEntry(n, 0, 0, 0, State.READY, 2.0, 0.0) for n in range(1, 11)]
-        self.join.tell(ServerList(ListKind.FULL, 1, entries))
+            self.capture = Capture(
+                settings, folder, "n", self.join.policy, 1, self.lost, self.broken
+            )
+            self.join.decision_log = self.capture.tap
+        entries = [Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for n in range(1, 11)]
+        self.join.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
 
     def lost(self, count: int) -> None:
         print(f"{count} events were lost: the disk is too slow for this benchmark")
@@ -65,21 +63,21 @@
     def broken(self, error: OSError) -> None:
         raise RuntimeError(str(error))
 
-    def send(self, order: Order) -> None:
+    def send(self, order: AttemptRequest) -> None:
         self.order = order
 
     def cancel(self, request_id: int, number: int) -> None: ...
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         return False
 
-    def answered(self, answer: Answer) -> None: ...
+    def on_answer(self, answer: Answer) -> None: ...
 
-    def forgo(self, request_id: int, number: int) -> None: ...
+    def abandon_attempt(self, request_id: int, number: int) -> None: ...
 
-    def refused(self, wait: float) -> None: ...
+    def on_shed(self, wait: float) -> None: ...
 
-    def failed(self, broken: bool) -> None: ...
+    def on_failure(self, broken: bool) -> None: ...
 
     def play(self, requests: int) -> float:
         """Processor time of all threads (s)."""
@@ -87,11 +85,18 @@
         for number in range(requests):
             self.now += GAP
             self.order = None
-            intake = Intake(0, 0, number % 500 + 1, self.now + 1300.0, None)
-            self.join.take(self.join.number(), intake, self, self)
+            intake = IncomingRequest(0, 0, number % 500 + 1, self.now + 1300.0, None)
+            self.join.accept(self.join.next_request_id(), intake, self, self)
             if (order := self.order) is not None:
                 answer = Answer(200)
-                self.join.ended(order.request_id, order.number, order.server_id, Result.OK, TOOK, answer)
+                self.join.attempt_ended(
+                    order.request_id,
+                    order.attempt,
+                    order.endpoint_id,
+                    AttemptResult.OK,
+                    TOOK,
+                    answer,
+                )
             while self.capture is not None and self.capture.disk.waiting > 1 << 20:
                 time.sleep(0.01)  # no node sends so many requests: the writer keeps up
         if self.capture is not None:
@@ -106,12 +111,22 @@
         load = Load(folder)
         load.play(records // 2)
         size = sum(path.stat().st_size for path in segments([name]))
-        command = [sys.executable, "-m", "badgercart", "capture", "explain", name, str(records // 4)]
+        command = [
+            sys.executable,
+            "-m",
+            "badgercart",
+            "capture",
+            "explain",
+            name,
+            str(records // 4),
+        ]
         begun = time.perf_counter()
         done = subprocess.run(command, capture_output=True, text=True)
         spent = time.perf_counter() - begun
         begun = time.perf_counter()
-        subprocess.run([sys.executable, "-m", "badgercart", "capture", "--help"], capture_output=True)
+        subprocess.run(
+            [sys.executable, "-m", "badgercart", "capture", "--help"], capture_output=True
+        )
         bare = time.perf_counter() - begun
     if done.returncode or "send to" not in done.stdout:
         raise RuntimeError(f"explain failed: {done.stdout}{done.stderr}")
@@ -124,8 +139,12 @@
     parser = argparse.ArgumentParser(prog="python -m benchmarks.capture", description=__doc__)
     parser.add_argument("--requests", type=int, default=10_000, help="of each play (10,000)")
     parser.add_argument("--rounds", type=int, default=5, help="plays of each way, in turn (5)")
-    parser.add_argument("--records", type=int, default=1_000_000, help="events for explain (1,000,000)")
-    parser.add_argument("--front", type=float, default=200.0, help="µs of a core for a whole request (200)")
+    parser.add_argument(
+        "--records", type=int, default=1_000_000, help="events for explain (1,000,000)"
+    )
+    parser.add_argument(
+        "--front", type=float, default=200.0, help="µs of a core for a whole request (200)"
+    )
     chosen = parser.parse_args()
     off, on = [], []
     with tempfile.TemporaryDirectory() as name:
@@ -145,7 +164,9 @@
         return 1
     cost = statistics.median(on) - statistics.median(off)
     share = chosen.front / (chosen.front + cost)
-    print(f"join and policy: {statistics.median(off):.1f} µs a request, {cost:.1f} more with the capture on")
+    print(
+        f"join and policy: {statistics.median(off):.1f} µs a request, {cost:.1f} more with the capture on"
+    )
     print(f"of a whole request at {chosen.front:.0f} µs: throughput {share:.3f} of off")
     print(f"{size / events:.1f} bytes an event, {size / chosen.requests:.1f} a request")
     times = chosen.requests * GAP / 1000 / spent
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -1,7 +1,8 @@
-"""Following etcd: from a `Put` to the policy, beside the bare stub on the same stream; and the policy's part.
+"""Following etcd: from a `Put` to the policy, beside the bare stub on the same stream; and the
+policy's part.
 
-`python -m benchmarks.etcd` starts the stand-in in a process of its own, writes entries and then changes, and
-prints the figures of one run.
+`python -m benchmarks.etcd` starts the stand-in in a process of its own, writes entries and then
+changes, and prints the figures of one run.
 """
 
 from __future__ import annotations
@@ -21,29 +22,22 @@
 from aetcd.rpc import rpc_pb2, rpc_pb2_grpc
 
 from badgercart.core.clock import now_ms
-from badgercart.core.join import Join
-from badgercart.core.roster import MemberList, Roster
-from badgercart.membership.entries import ListReader
-from badgercart.membership.etcd.client import EtcdSource, prefix_end
-from badgercart.membership.etcd.settings import EtcdSettings
-from cottonhall import Policy, Settings
-from cottonhall.interface import (
-    Effect,
-    ListKind,
-    Request,
-    RequestClass,
-    ServerEntry,
-    ServerList,
-    State,
-    Timer,
-)
+from badgercart.core.endpoint_table import DiscoveryUpdate, EndpointTable
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.discovery.entries import ListReader
+from badgercart.discovery.etcd.client import EtcdSource, prefix_end
+from badgercart.discovery.etcd.settings import EtcdSettings
+from badgercart.policy import Policy, Settings
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import EndpointUpdate, Request, TimerFired, UpdateKind
+from badgercart.policy.settings import Idempotency, RequestClass
 from tests.net import config
 
 PREFIX = "/badgercart/servers/"
 FLEETS = (10, 100, 1000, 10000)
 CLASSES = (
-    RequestClass(580.0, 1400.0, 2.0, Effect.SAFE),
-    RequestClass(750.0, 1900.0, 8.0, Effect.KEYED, window=6000.0),
+    RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT),
+    RequestClass(750.0, 1900.0, 8.0, Idempotency.KEYED, deduplication_window_ms=6000.0),
 )
 
 
@@ -60,7 +54,8 @@
 
 
 async def writer(address: str, entries: int, rate: float, seconds: float) -> None:
-    """In a process of its own: fills the prefix, waits for a line, then changes entries at a rate."""
+    """In a process of its own: fills the prefix, waits for a line, then changes entries at a
+    rate."""
     async with grpc.aio.insecure_channel(address) as channel:
         kv = rpc_pb2_grpc.KVStub(channel)
         for start in range(0, entries, 100):
@@ -111,9 +106,11 @@
 
     def __init__(self, port: int) -> None:
         base = config(1)
-        self.join = Join(Settings(classes=CLASSES, warm_keys=True), 1, asyncio.get_running_loop())
+        self.join = RequestPipeline(
+            Settings(classes=CLASSES, key_affinity=True), 1, asyncio.get_running_loop()
+        )
         reader = ListReader(base)
-        self.roster = Roster(reader, self.join)
+        self.roster = EndpointTable(reader, self.join)
         self.delays: list[float] = []
         self.changes = 0
 
@@ -125,9 +122,11 @@
 
         self.pending: list[float] = []
         settings = EtcdSettings(endpoints=(("127.0.0.1", port),), guard_share=0.0)
-        self.source = EtcdSource(settings, read, self.took, lambda state: None, now_ms, random.Random(1))
+        self.source = EtcdSource(
+            settings, read, self.took, lambda state: None, now_ms, random.Random(1)
+        )
 
-    def took(self, told: MemberList) -> None:
+    def took(self, told: DiscoveryUpdate) -> None:
         self.roster.apply(told)
         now = time.monotonic()
         self.delays += [(now - sent) * 1000 for sent in self.pending]
@@ -140,11 +139,15 @@
     async with grpc.aio.insecure_channel(f"127.0.0.1:{port}") as channel:
         call = rpc_pb2_grpc.WatchStub(channel).Watch()
         prefix = PREFIX.encode()
-        create = rpc_pb2.WatchCreateRequest(key=prefix, range_end=prefix_end(prefix), start_revision=revision)
+        create = rpc_pb2.WatchCreateRequest(
+            key=prefix, range_end=prefix_end(prefix), start_revision=revision
+        )
         await call.write(rpc_pb2.WatchRequest(create_request=create))
         while (answer := await call.read()) is not grpc.aio.EOF:
             now = time.monotonic()
-            delays += [(now - json.loads(event.kv.value)["sentAt"]) * 1000 for event in answer.events]
+            delays += [
+                (now - json.loads(event.kv.value)["sentAt"]) * 1000 for event in answer.events
+            ]
 
 
 def shown(delays: list[float]) -> str:
@@ -208,9 +211,10 @@
 
 
 async def catch_up(entries: int) -> None:
-    """The cost of a change from a watch response to the policy, beside reading the response alone."""
-    from badgercart.membership.etcd.follower import Change, Deliver, Header, Page, Pair
-    from badgercart.membership.etcd.follower import Follower as Machine
+    """The cost of a change from a watch response to the policy, beside reading the response
+    alone."""
+    from badgercart.discovery.etcd.follower import Change, Deliver, Header, Page, Pair
+    from badgercart.discovery.etcd.follower import Follower as Machine
 
     follower = Follower(1)
     machine = Machine(
@@ -224,10 +228,12 @@
         if isinstance(order, Deliver):
             follower.roster.apply(order.told)
     while follower.join.policy.unplaced:  # the long list goes on the ring in slices
-        follower.join.tell(Timer(0))
+        follower.join.dispatch(TimerFired(0))
     answers = []
     for number in range(1000):
-        answer = rpc_pb2.WatchResponse(header=rpc_pb2.ResponseHeader(cluster_id=1, revision=number + 2))
+        answer = rpc_pb2.WatchResponse(
+            header=rpc_pb2.ResponseHeader(cluster_id=1, revision=number + 2)
+        )
         event = answer.events.add()
         event.kv.key, event.kv.value = key(number % entries), entry(number % entries, "leaving")
         event.kv.mod_revision = number + 2
@@ -245,41 +251,49 @@
             if isinstance(order, Deliver):
                 follower.roster.apply(order.told)
     whole = time.perf_counter() - start
-    print(f"a change among {entries}: {whole:.3f} ms from response to policy, {alone:.3f} to read it alone")
+    print(
+        f"a change among {entries}: {whole:.3f} ms from response to policy, {alone:.3f} to read it alone"
+    )
 
 
 def policy() -> None:
     """One changed line, a whole list and a request, as the fleet grows."""
     first: dict[str, float] = {}
     for count in FLEETS:
-        made = Policy(Settings(classes=CLASSES, warm_keys=True), 1)
-        entries = [ServerEntry(n + 1, 0, n % 2, 0, State.READY, 1.0 + n % 3, 0.0) for n in range(count)]
+        made = Policy(Settings(classes=CLASSES, key_affinity=True), 1)
+        entries = [
+            Endpoint(n + 1, 0, n % 2, 0, EndpointState.READY, 1.0 + n % 3, 0.0)
+            for n in range(count)
+        ]
         start = time.perf_counter()
-        made.handle(0.0, ServerList(ListKind.FULL, 1, entries))
+        made.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
         whole = time.perf_counter() - start
         slices: list[float] = []
         while made.unplaced:
             start = time.perf_counter()
-            made.handle(0.0, Timer(0))
+            made.handle(0.0, TimerFired(0))
             slices.append(time.perf_counter() - start)
         rng, changes = random.Random(1), 400
         lines = []
         for number in range(changes):
             old = entries[rng.randrange(count)]
-            state = State.DRAINING if number % 2 else State.READY
-            lines.append(ServerEntry(old.id, 0, old.kind, 0, state, old.size, 0.0))
+            state = EndpointState.DRAINING if number % 2 else EndpointState.READY
+            lines.append(Endpoint(old.id, 0, old.kind, 0, state, old.size, 0.0))
         start = time.perf_counter()
         for line in lines:
-            made.handle(1.0, ServerList(ListKind.DELTA, 2, [line]))
+            made.handle(1.0, EndpointUpdate(UpdateKind.DELTA, 2, [line]))
         change = (time.perf_counter() - start) / changes
-        made.handle(2.0, ServerList(ListKind.FULL, 3, entries))
+        made.handle(2.0, EndpointUpdate(UpdateKind.SNAPSHOT, 3, entries))
         best = float("inf")
         for turn in range(5):
             start = time.perf_counter()
             for number in range(1000):
                 now = 10.0 + number / 100
                 made.handle(
-                    now, Request(turn * 1000 + number + 1, number % 2, now + 900, number * 7919 % 500 + 1)
+                    now,
+                    Request(
+                        turn * 1000 + number + 1, number % 2, now + 900, number * 7919 % 500 + 1
+                    ),
                 )
             best = min(best, (time.perf_counter() - start) / 1000)
             for number in range(1000):
@@ -288,7 +302,9 @@
                 server.open.clear()
             made.flying = 0
         first.setdefault("request", best)
-        longest = f", then {len(slices)} slices of {max(slices) * 1000:.1f} ms at most" if slices else ""
+        longest = (
+            f", then {len(slices)} slices of {max(slices) * 1000:.1f} ms at most" if slices else ""
+        )
         print(
             f"{count:6} servers: a changed line {change * 1000:.3f} ms; "
             f"a whole list {whole * 1000:.1f} ms{longest}; a request {best * 1e6:.0f} microseconds, "
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,8 +1,9 @@
-"""Nodes that know each other: detection, false alarms, bytes and healing in virtual time, and what it costs.
+"""Nodes that know each other: detection, false alarms, bytes and healing in virtual time, and what
+it costs.
 
-`python -m benchmarks.peers [--most N]`: groups of 3, 10, 40, 100, … to N, five seeds each of the small ones;
-then the processor time of one node's machine and codec at 100 peers as a share of a core, and the time of a
-decision with a company over that without, in one run.
+`python -m benchmarks.peers [--most N]`: groups of 3, 10, 40, 100, … to N, five seeds each of the
+small ones; then the processor time of one node's machine and codec at 100 peers as a share of a
+core, and the time of a decision with a company over that without, in one run.
 """
 
 from __future__ import annotations
@@ -12,21 +13,19 @@
 import statistics
 import time
 
-from badgercart.peers.view import Status
-from cottonhall import Policy, Settings
-from cottonhall.interface import (
-    Company,
-    Effect,
-    ListKind,
-    Outcome,
+from badgercart.cluster.membership_table import Status
+from badgercart.policy import Policy, Settings
+from badgercart.policy.actions import Send
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClusterView,
+    EndpointUpdate,
     Request,
-    RequestClass,
-    Result,
-    Send,
-    ServerEntry,
-    ServerList,
-    State,
+    UpdateKind,
 )
+from badgercart.policy.settings import Idempotency, RequestClass
 from lab.group import Group
 
 SIZES = (3, 10, 40, 100, 300, 1000)
@@ -85,25 +84,36 @@
     group = joined(count, 1)
     begun, since = time.process_time(), group.now
     group.run(since + 20_000)
-    # The simulation's own share is small beside: each packet is encoded once here; a node decodes it too.
+    # The simulation's own share is small beside: each packet is encoded once here; a node decodes
+    # it too.
     return (time.process_time() - begun) / count / 20.0
 
 
 def decisions(company: bool) -> float:
     """us a decision of a policy that hears of its company ten times a second, or of none."""
-    classes = (RequestClass(aim=400.0, deadline=1000.0, worth=1.0, effect=Effect.SAFE),)
-    policy = Policy(Settings(classes=classes, group_size=10, quotas=(1e6,)), 1)
-    entries = [ServerEntry(i + 1, 0, 0, 0, State.READY, 2.0, 0.0) for i in range(20)]
-    policy.handle(1.0, ServerList(ListKind.FULL, 1, entries))
+    classes = (
+        RequestClass(
+            latency_objective_ms=400.0,
+            deadline_ms=1000.0,
+            priority_weight=1.0,
+            idempotency=Idempotency.IDEMPOTENT,
+        ),
+    )
+    policy = Policy(Settings(classes=classes, cluster_size=10, quotas_per_s=(1e6,)), 1)
+    entries = [Endpoint(i + 1, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for i in range(20)]
+    policy.handle(1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     now, told, begun = 1.0, 0.0, time.perf_counter()
     for number in range(1, 20_001):
         now += 1.0
         if company and now - told >= 100.0:
             told = now
-            policy.handle(now, Company(10, 3, 10, (0.1 + (number % 7) / 100,), ((1, 0.2),)))
+            policy.handle(now, ClusterView(10, 3, 10, (0.1 + (number % 7) / 100,), ((1, 0.2),)))
         for action in policy.handle(now, Request(number, 0, now + 1000)):
             if isinstance(action, Send):
-                policy.handle(now + 0.5, Outcome(number, action.server, True, Result.OK, 0, 20.0))
+                policy.handle(
+                    now + 0.5,
+                    AttemptEnded(number, action.endpoint_id, True, AttemptResult.OK, 0, 20.0),
+                )
     return (time.perf_counter() - begun) / 20_000 * 1e6
 
 
@@ -111,22 +121,44 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--most", type=int, default=100, help="the largest group (100)")
     most = parser.parse_args().most
-    names = ("nodes", "detect median s", "p99 s", "buried, healthy", "any", "bytes a node a s", "one view s")
+    names = (
+        "nodes",
+        "detect median s",
+        "p99 s",
+        "buried, healthy",
+        "any",
+        "bytes a node a s",
+        "one view s",
+    )
     print("|", " | ".join(names), "|")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for count in (size for size in SIZES if size <= most):
         seeds = range(1, 6) if count <= 40 else (1,)
         times = [t for seed in seeds for t in detection(count, seed)]
         times.sort()
-        healthy, any_ = (sum(part) for part in zip(*(false_alarms(count, s) for s in seeds), strict=True))
-        rest, heal = (statistics.fmean(p) for p in zip(*(rates(count, s) for s in seeds), strict=True))
+        healthy, any_ = (
+            sum(part) for part in zip(*(false_alarms(count, s) for s in seeds), strict=True)
+        )
+        rest, heal = (
+            statistics.fmean(p) for p in zip(*(rates(count, s) for s in seeds), strict=True)
+        )
         median, p99 = statistics.median(times) / 1000, times[int(0.99 * (len(times) - 1))] / 1000
-        row = (count, f"{median:.2f}", f"{p99:.2f}", healthy, any_, f"{rest:.0f}", f"{heal / 1000:.1f}")
+        row = (
+            count,
+            f"{median:.2f}",
+            f"{p99:.2f}",
+            healthy,
+            any_,
+            f"{rest:.0f}",
+            f"{heal / 1000:.1f}",
+        )
         print("|", " | ".join(map(str, row)), "|", flush=True)
     print(f"machine and codec at 100 peers: {cost():.4f} of a core")
     pairs = [(decisions(False), decisions(True)) for _ in range(5)]
     without, with_ = (min(values) for values in zip(*pairs, strict=True))
-    print(f"a decision: {without:.1f} us without a company, {with_:.1f} us with one, {with_ / without:.3f}")
+    print(
+        f"a decision: {without:.1f} us without a company, {with_:.1f} us with one, {with_ / without:.3f}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -1,7 +1,7 @@
 """The external processor's speed, beside a bare echo of the same protocol on the same library.
 
-`python -m benchmarks.processor` prints one line a figure; all are ratios or costs within this one run, the
-two servers in processes of their own, pinned to one core where the system allows it.
+`python -m benchmarks.processor` prints one line a figure; all are ratios or costs within this one
+run, the two servers in processes of their own, pinned to one core where the system allows it.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 from envoy.service.ext_proc.v3 import external_processor_pb2_grpc as ext_proc_grpc
 
+from badgercart.app.file import Installation, load
+from badgercart.app.run import run
+from badgercart.app.site import Site
 from badgercart.core.clock import now_ms
-from badgercart.core.join import Join
-from badgercart.fronts.processor.part import ProcessorPart
-from badgercart.membership.entries import ListReader
-from badgercart.membership.part import Server as Listed
-from badgercart.operator.file import Installation, load
-from badgercart.operator.run import run
-from badgercart.operator.site import Site
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.discovery.component import Server as Listed
+from badgercart.discovery.entries import ListReader
+from badgercart.frontends.processor.component import ProcessorComponent
 from standins.fleet import operators_file
 from standins.scripted_proxy import (
     DESTINATION,
@@ -70,7 +70,8 @@
 
 
 async def echo() -> None:
-    """The least that such a server can do: a servicer that answers each phase and changes nothing."""
+    """The least that such a server can do: a servicer that answers each phase and changes
+    nothing."""
 
     class Echo(ext_proc_grpc.ExternalProcessorServicer):  # type: ignore[misc]  # it comes without types
         async def Process(self, request_iterator: Any, context: Any) -> Any:
@@ -94,7 +95,7 @@
 
     def started(site: Site) -> None:
         part = site.parts["processor"]
-        assert isinstance(part, ProcessorPart)
+        assert isinstance(part, ProcessorComponent)
         print(part.front.address[1], flush=True)
 
     await run("", installation(servers), started)
@@ -188,7 +189,9 @@
         return self.done / (time.perf_counter() - start)
 
 
-async def rate(server: Server, seconds: float, at_once: int, seed: int) -> tuple[float, list[float], float]:
+async def rate(
+    server: Server, seconds: float, at_once: int, seed: int
+) -> tuple[float, list[float], float]:
     """Requests a second of the server's own core, times of answers, and the share refused."""
     load = Load(server.address, seed)
     await load.run(at_once, 0.5)  # warm
@@ -223,7 +226,9 @@
                     file=sys.stderr,
                 )
             ratios.append(rates["processor"][-1] / rates["echo"][-1])
-    print(f"rate, of a bare echo's: {statistics.median(ratios):.2f} ({min(ratios):.2f} to {max(ratios):.2f})")
+    print(
+        f"rate, of a bare echo's: {statistics.median(ratios):.2f} ({min(ratios):.2f} to {max(ratios):.2f})"
+    )
     for name in times:
         print(
             f"{name}: {statistics.median(rates[name]):.0f} requests a second of one core; "
@@ -254,22 +259,22 @@
     """The cost of a decision alone, in the join and the policy, as the fleet grows."""
 
     class Nobody:
-        def gone(self) -> bool:
+        def client_is_gone(self) -> bool:
             return False
 
-        def answered(self, answer: Any) -> None: ...
-        def refused(self, wait: float) -> None: ...
-        def failed(self, broken: bool) -> None: ...
+        def on_answer(self, answer: Any) -> None: ...
+        def on_shed(self, wait: float) -> None: ...
+        def on_failure(self, broken: bool) -> None: ...
         def send(self, order: Any) -> None:
             self.order = order
 
         def cancel(self, request_id: int, number: int) -> None: ...
 
-        def forgo(self, request_id: int, number: int) -> None: ...
+        def abandon_attempt(self, request_id: int, number: int) -> None: ...
 
-    from badgercart.core.ports import Answer, Intake
-    from badgercart.core.roster import Roster
-    from cottonhall.interface import Result
+    from badgercart.core.endpoint_table import EndpointTable
+    from badgercart.core.ports import Answer, IncomingRequest
+    from badgercart.policy.events import AttemptResult
 
     class NoTimers:
         def call_later(self, delay: float, callback: Any, *args: Any) -> Any: ...
@@ -277,21 +282,29 @@
     found: dict[int, float] = {}
     for count in FLEETS:
         what = installation(count)
-        join = Join(what.config.settings, 1, NoTimers())
-        roster = Roster(ListReader(what.config), join)
-        roster.take(
-            {"generation": 1, "reset": True, "instances": [server.line() for server in listed(count)]}
+        join = RequestPipeline(what.config.settings, 1, NoTimers())
+        roster = EndpointTable(ListReader(what.config), join)
+        roster.accept(
+            {
+                "generation": 1,
+                "reset": True,
+                "instances": [server.line() for server in listed(count)],
+            }
         )
         nobody = Nobody()
         best = float("inf")
         for _ in range(5):
             start = time.perf_counter()
             for number in range(2000):
-                now, request_id = now_ms(), join.number()
-                intake = Intake(number % 2, 0, number * 7919 % 500 + 1, now + 1000.0, None, fallbacks=1)
-                join.take(request_id, intake, nobody, nobody)
+                now, request_id = now_ms(), join.next_request_id()
+                intake = IncomingRequest(
+                    number % 2, 0, number * 7919 % 500 + 1, now + 1000.0, None, max_fallbacks=1
+                )
+                join.accept(request_id, intake, nobody, nobody)
                 order = nobody.order
-                join.ended(request_id, 0, order.server_id, Result.OK, 50.0, Answer(200))
+                join.attempt_ended(
+                    request_id, 0, order.endpoint_id, AttemptResult.OK, 50.0, Answer(200)
+                )
             best = min(best, (time.perf_counter() - start) / 2000)
         found[count] = best * 1e6
     base = found[FLEETS[0]]
@@ -308,7 +321,9 @@
     parser.add_argument("what", nargs="*", default=["all"], help=argparse.SUPPRESS)
     parser.add_argument("--seconds", type=float, default=3.0, help="of each round (3)")
     parser.add_argument("--rounds", type=int, default=5, help="of echo and processor in turn (5)")
-    parser.add_argument("--streams", type=int, default=4000, help="open for the figure of memory (4000)")
+    parser.add_argument(
+        "--streams", type=int, default=4000, help="open for the figure of memory (4000)"
+    )
     parser.add_argument("--json", metavar="FILE", help="write the figures there too")
     chosen = parser.parse_args()
     if chosen.what[0] == "echo":
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -1,9 +1,10 @@
-"""What the server list costs a node beside its policy: its bytes, its text, the reader and the roster.
+"""What the server list costs a node beside its policy: its bytes, its text, the reader and the
+roster.
 
-The list is worded as the platform's discovery words it. A whole list is read as `Discovery.fetch` does, a
-changed line as its watch does. The node refuses a text over `MOST` bytes; it is measured beyond that as well,
-so that the slope shows where the bound lies. Times are of the thread's processor; memory is the resident size
-of a process of its own.
+The list is worded as the platform's discovery words it. A whole list is read as `Discovery.fetch`
+does, a changed line as its watch does. The node refuses a text over `MOST` bytes; it is measured
+beyond that as well, so that the slope shows where the bound lies. Times are of the thread's
+processor; memory is the resident size of a process of its own.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 from typing import Any, cast
 
 from badgercart.config import Config
-from badgercart.core.join import Join
-from badgercart.core.roster import Roster
-from badgercart.membership.entries import ListReader
-from badgercart.membership.texts import MOST, Texts, read
+from badgercart.core.endpoint_table import EndpointTable
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.discovery.entries import ListReader
+from badgercart.discovery.list_framing import MOST, Texts, read
+from badgercart.policy.events import EndpointUpdate, Event
 from benchmarks.scale.configuration import config
 from benchmarks.scale.fit import Point, doublings
 from benchmarks.scale.policy import SERVERS, Found, in_a_child, resident
 from benchmarks.scale.report import Series
-from cottonhall.interface import Event, ServerList
 
 LINES = 200
 WHOLE_LISTS = 3  # whole lists at a size; the median counts
@@ -51,7 +52,7 @@
 class Ear:
     """Stands in for the join: it hears of a list and has no policy."""
 
-    spoilt: Event | None = None
+    failed_event: Event | None = None
 
     def __init__(self) -> None:
         self.heard = 0
@@ -59,8 +60,8 @@
     def clock(self) -> float:
         return 1000.0
 
-    def tell(self, event: Event) -> None:
-        assert isinstance(event, ServerList)
+    def dispatch(self, event: Event) -> None:
+        assert isinstance(event, EndpointUpdate)
         self.heard += 1
 
 
@@ -81,13 +82,18 @@
     reader, costs = ListReader(named()), dict[str, list[float]]()
     for _ in range(WHOLE_LISTS):
         ear = Ear()
-        roster = Roster(reader, cast(Join, ear))
+        roster = EndpointTable(reader, cast(RequestPipeline, ear))
         parsed, raw = spent(lambda: read(whole))
         checked, told = spent(lambda raw=raw: reader.read(raw))  # type: ignore[misc]
         taken, _ = spent(lambda roster=roster, told=told: roster.apply(told))  # type: ignore[misc]
         again, _ = spent(lambda roster=roster, told=told: roster.apply(told))  # type: ignore[misc]
         assert ear.heard == 2 and len(roster.listed) == size
-        for name, cost in (("JSON", parsed), ("reader", checked), ("roster", taken), ("roster again", again)):
+        for name, cost in (
+            ("JSON", parsed),
+            ("reader", checked),
+            ("roster", taken),
+            ("roster again", again),
+        ):
             costs.setdefault(f"whole list, {name}", []).append(cost)
         costs.setdefault("whole list", []).append(parsed + checked + taken)
     for name, several in costs.items():
@@ -100,7 +106,7 @@
         def follow(change: bytes = change) -> None:
             for raw in texts.feed(change):
                 assert raw is not None
-                roster.take(raw)
+                roster.accept(raw)
 
         lines.append(spent(follow)[0])
     found.spread("changed line", size, lines)
@@ -110,8 +116,8 @@
 def grown(servers: int) -> int:
     """Bytes that a roster of this size takes in this process."""
     before = resident()
-    roster = Roster(ListReader(named()), cast(Join, Ear()))
-    roster.take(json.loads(text(1, [line(number) for number in range(servers)], True)))
+    roster = EndpointTable(ListReader(named()), cast(RequestPipeline, Ear()))
+    roster.accept(json.loads(text(1, [line(number) for number in range(servers)], True)))
     return resident() - before
 
 
@@ -125,4 +131,7 @@
         (size, in_a_child(f"from benchmarks.scale.lists import grown; print(grown({size}))"))
         for size in doublings(min(10_000, largest), largest)
     ]
-    return [*found.series(), Series("memory, peak of taking a list", "bytes", "servers", "one", points)]
+    return [
+        *found.series(),
+        Series("memory, peak of taking a list", "bytes", "servers", "one", points),
+    ]
--- a/benchmarks/scale/policy.py
+++ b/benchmarks/scale/policy.py
@@ -1,9 +1,11 @@
-"""The policy alone: what a list, a changed line and a decision cost as servers, tenants and classes grow.
-
-Times are of the thread's processor, so that what else runs on a core does not count. Two fleets: one node
-before all servers, whose ring and draws go over the whole fleet; and one node for so many servers as at the
-target (8,600 before 170,000), which keeps to a subset. `placing`: with the ring being filled behind a whole
-list; otherwise all points are placed. Memory is the resident size of a process of its own.
+"""The policy alone: what a list, a changed line and a decision cost as servers, tenants and classes
+grow.
+
+Times are of the thread's processor, so that what else runs on a core does not count. Two fleets:
+one node before all servers, whose ring and draws go over the whole fleet; and one node for so many
+servers as at the target (8,600 before 170,000), which keeps to a subset. `placing`: with the ring
+being filled behind a whole list; otherwise all points are placed. Memory is the resident size of a
+process of its own.
 """
 
 from __future__ import annotations
@@ -17,25 +19,23 @@
 from itertools import count
 from pathlib import Path
 
-from benchmarks.scale.fit import Point, doublings
-from benchmarks.scale.report import ROOT, Series
-from cottonhall import Policy, Settings
-from cottonhall.interface import (
-    Company,
-    Effect,
-    ListKind,
-    Outcome,
-    Planned,
+from badgercart.policy import Policy, Settings
+from badgercart.policy.actions import Send
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClusterView,
+    EndpointUpdate,
     Request,
-    RequestClass,
-    Result,
-    Retuned,
-    Send,
-    ServerEntry,
-    ServerList,
-    State,
-    Timer,
+    SettingsChanged,
+    TimerFired,
+    TrafficPlan,
+    UpdateKind,
 )
+from badgercart.policy.settings import Idempotency, RequestClass
+from benchmarks.scale.fit import Point, doublings
+from benchmarks.scale.report import ROOT, Series
 
 SERVERS, NODES, TENANTS, CLASSES = 170_000, 8_600, 290_000, 64  # the target
 ZONES = 11
@@ -46,23 +46,34 @@
 
 
 def settings(classes: int = 1, tenants: int = 0, nodes: int = 1) -> Settings:
-    terms = [RequestClass(400.0, 1000.0, 1.0 + number, Effect.SAFE) for number in range(classes)]
+    terms = [
+        RequestClass(400.0, 1000.0, 1.0 + number, Idempotency.IDEMPOTENT)
+        for number in range(classes)
+    ]
     return Settings(
-        classes=tuple(terms), group_size=nodes, me=nodes // 2, quotas=(50.0,) * tenants, over_quota_worth=0.5,
-        max_attempts=3, cold_from=0.3, ramp_time=8000.0,
-    )  # fmt: skip
-
-
-def entry(number: int, state: State = State.READY) -> ServerEntry:
+        classes=tuple(terms),
+        cluster_size=nodes,
+        node_index=nodes // 2,
+        quotas_per_s=(50.0,) * tenants,
+        over_quota_weight=0.5,
+        max_attempts=3,
+        slow_start_min_capacity=0.3,
+        slow_start_duration_ms=8000.0,
+    )
+
+
+def entry(number: int, state: EndpointState = EndpointState.READY) -> Endpoint:
     """Three kinds, two sizes, eleven zones: ids scatter as those of names do."""
     server = number * 0x9E3779B97F4A7C15 % (1 << 62) + 1
-    return ServerEntry(server, number % ZONES, number % 3, number % 4, state, 1.0 + number % 2, 0.0)
+    return Endpoint(server, number % ZONES, number % 3, number % 4, state, 1.0 + number % 2, 0.0)
 
 
 class Stage:
     """One policy and its clock; what each call costs, in us."""
 
-    def __init__(self, servers: int, *, classes: int = 1, tenants: int = 0, nodes: int = 1, seed: int = 1):
+    def __init__(
+        self, servers: int, *, classes: int = 1, tenants: int = 0, nodes: int = 1, seed: int = 1
+    ):
         self.random = random.Random(seed)
         self.settings = settings(classes, tenants, nodes)
         self.policy = Policy(self.settings, seed)
@@ -76,19 +87,19 @@
         return (time.thread_time_ns() - begun) / 1000, list(actions)
 
     def whole_list(self) -> float:
-        return self.give(ServerList(ListKind.FULL, 1, self.entries))[0]
+        return self.give(EndpointUpdate(UpdateKind.SNAPSHOT, 1, self.entries))[0]
 
     def place(self) -> float:
         """Have all points placed, by events that ask for nothing."""
         total = 0.0
         while self.policy.unplaced:
-            total += self.give(Timer(0))[0]
+            total += self.give(TimerFired(0))[0]
         return total
 
     def decisions(self, most: int = DECISIONS) -> list[float]:
         """Requests a ms apart, each served by the first server; what the requests alone cost."""
         costs = []
-        classes, tenants = len(self.settings.classes), max(1, len(self.settings.quotas))
+        classes, tenants = len(self.settings.classes), max(1, len(self.settings.quotas_per_s))
         for number in (next(self.numbers) for _ in range(most)):
             self.now += GAP
             cls, tenant = self.random.randrange(classes), self.random.randrange(tenants)
@@ -97,7 +108,9 @@
             for action in actions:
                 if isinstance(action, Send):
                     self.now += GAP / 4
-                    self.give(Outcome(number, action.server, True, Result.OK, 0, 20.0))
+                    self.give(
+                        AttemptEnded(number, action.endpoint_id, True, AttemptResult.OK, 0, 20.0)
+                    )
         return costs
 
     def lines(self, most: int = LINES) -> list[float]:
@@ -107,23 +120,27 @@
             self.now += 20.0
             if turn % 2 == 0:
                 number = self.random.randrange(self.servers)
-            state = State.READY if turn % 2 else State.DRAINING
-            costs.append(self.give(ServerList(ListKind.DELTA, 2 + turn, [entry(number, state)]))[0])
+            state = EndpointState.READY if turn % 2 else EndpointState.DRAINING
+            costs.append(
+                self.give(EndpointUpdate(UpdateKind.DELTA, 2 + turn, [entry(number, state)]))[0]
+            )
         return costs
 
     def rack(self) -> float:
         """Up to 40 servers drain with one list."""
-        told = [entry(number, State.DRAINING) for number in range(min(40, self.servers // 2))]
-        return self.give(ServerList(ListKind.DELTA, 1, told))[0]
+        told = [
+            entry(number, EndpointState.DRAINING) for number in range(min(40, self.servers // 2))
+        ]
+        return self.give(EndpointUpdate(UpdateKind.DELTA, 1, told))[0]
 
     def retuned(self) -> float:
         every = frozenset(range(len(self.settings.classes)))
-        return self.give(Retuned(self.settings, every))[0]
+        return self.give(SettingsChanged(self.settings, every))[0]
 
     def planned(self) -> float:
         """An even plan over the zones."""
         even = (1 / ZONES,) * ZONES
-        return self.give(Planned((even,) * 2 * len(self.settings.classes), (0.01,) * ZONES))[0]
+        return self.give(TrafficPlan((even,) * 2 * len(self.settings.classes), (0.01,) * ZONES))[0]
 
     def busy(self) -> float:
         """What a reload asks: who still has requests."""
@@ -133,12 +150,16 @@
 
     def peers(self) -> float:
         """The company is told again, without tenants' parts."""
-        return self.give(Company(self.settings.group_size, self.settings.me, self.settings.group_size))[0]
+        return self.give(
+            ClusterView(
+                self.settings.cluster_size, self.settings.node_index, self.settings.cluster_size
+            )
+        )[0]
 
     def company(self) -> float:
         """Each tenant's part is told anew."""
-        parts = tuple([self.random.uniform(0.01, 0.2) for _ in self.settings.quotas])
-        return self.give(Company(10, 3, 10, parts))[0]
+        parts = tuple([self.random.uniform(0.01, 0.2) for _ in self.settings.quotas_per_s])
+        return self.give(ClusterView(10, 3, 10, parts))[0]
 
 
 class Found:
@@ -179,16 +200,28 @@
         found.note("rack drains", "us", "one", size, stage.rack())
         stage.place()
         found.note("whole list again", "us", "one", size, stage.whole_list())
-        for name, call in (("retuned", stage.retuned), ("busy", stage.busy), ("company", stage.peers)):
+        for name, call in (
+            ("retuned", stage.retuned),
+            ("busy", stage.busy),
+            ("company", stage.peers),
+        ):
             found.note(name, "us", "median", size, statistics.median(call() for _ in range(5)))
         stage.place()
         found.note("plan", "us", "first", size, stage.planned())
         found.note(
-            "company, planned", "us", "median", size, statistics.median(stage.peers() for _ in range(5))
+            "company, planned",
+            "us",
+            "median",
+            size,
+            statistics.median(stage.peers() for _ in range(5)),
         )
         found.spread("changed line, planned", size, stage.lines(40))
         found.spread("decision, planned", size, stage.decisions(1000))
-        print(f"policy: {size} servers, {stage.settings.group_size} nodes", file=sys.stderr, flush=True)
+        print(
+            f"policy: {size} servers, {stage.settings.cluster_size} nodes",
+            file=sys.stderr,
+            flush=True,
+        )
     return found.series()
 
 
@@ -198,8 +231,12 @@
         stage = Stage(FLEET_OF_TENANTS, tenants=size)
         stage.whole_list()
         found.spread("decision", size, stage.decisions())
-        found.note("retuned", "us", "median", size, statistics.median(stage.retuned() for _ in range(5)))
-        found.note("company", "us", "median", size, statistics.median(stage.company() for _ in range(5)))
+        found.note(
+            "retuned", "us", "median", size, statistics.median(stage.retuned() for _ in range(5))
+        )
+        found.note(
+            "company", "us", "median", size, statistics.median(stage.company() for _ in range(5))
+        )
         print(f"policy: {size} tenants", file=sys.stderr, flush=True)
     return found.series()
 
@@ -210,7 +247,9 @@
         stage = Stage(FLEET_OF_TENANTS, classes=size)
         stage.whole_list()
         found.spread("decision", size, stage.decisions())
-        found.note("retuned", "us", "median", size, statistics.median(stage.retuned() for _ in range(5)))
+        found.note(
+            "retuned", "us", "median", size, statistics.median(stage.retuned() for _ in range(5))
+        )
     return found.series()
 
 
@@ -234,7 +273,9 @@
 
 def in_a_child(call: str) -> int:
     """The number that a process of its own prints."""
-    told = subprocess.run([sys.executable, "-c", call], cwd=ROOT, capture_output=True, text=True, check=True)
+    told = subprocess.run(
+        [sys.executable, "-c", call], cwd=ROOT, capture_output=True, text=True, check=True
+    )
     return int(told.stdout)
 
 
@@ -245,7 +286,9 @@
         ("tenants", tenants, {"servers": FLEET_OF_TENANTS, "classes": 1}),
     ):
         points: list[Point] = []
-        for size in doublings(min(10_000, most), most):  # of less, pages that are there already hide much
+        for size in doublings(
+            min(10_000, most), most
+        ):  # of less, pages that are there already hide much
             sizes = (size, 0) if over == "servers" else (FLEET_OF_TENANTS, size)
             call = f"from benchmarks.scale.policy import grown; print(grown{sizes})"
             points.append((size, in_a_child(call)))
@@ -260,7 +303,9 @@
     return [
         *over_servers(cap(SERVERS), lambda size: 1, nodes=1),
         *over_servers(
-            cap(SERVERS), lambda size: max(1, size * NODES // SERVERS), nodes_a_server=NODES / SERVERS
+            cap(SERVERS),
+            lambda size: max(1, size * NODES // SERVERS),
+            nodes_a_server=NODES / SERVERS,
         ),
         *over_tenants(cap(TENANTS)),
         *over_classes(cap(CLASSES)),
--- a/lab/companions.py
+++ b/lab/companions.py
@@ -1,4 +1,4 @@
-"""Nodes of a day that know each other: the machines of `badgercart.peers` on the model's clock."""
+"""Nodes of a day that know each other: the machines of `badgercart.cluster` on the model's clock."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from badgercart.cluster.codec import Packet
+from badgercart.cluster.member import Member
+from badgercart.cluster.membership_table import MembershipRecord, Status
+from badgercart.cluster.swim import Effect, Posted, SendTo, SwimProtocol, SyncWith, Timing
 from badgercart.config import Address
-from badgercart.core.join import Join
-from badgercart.core.ports import Final, Intake
-from badgercart.peers.machine import Effect, Machine, Posted, SendTo, SyncWith, Timing
-from badgercart.peers.member import Member
-from badgercart.peers.view import Claim, Status
-from badgercart.peers.wire import Packet
-from badgercart.zones.geography import geography
-from badgercart.zones.keeper import LOOK, Keeper, Mode, Ways
+from badgercart.core.ports import IncomingRequest, RequestOutcome
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.policy.events import AttemptResult
+from badgercart.zones.failover_controller import LOOK, FailoverController, FailoverSettings, Mode
 from badgercart.zones.sight import fleet_of, looks_apart
-from cottonhall.interface import Result
+from badgercart.zones.topology import geography
 from lab.chance import Stream
 from lab.clock import Clock
 from lab.servers import Server
@@ -24,7 +24,10 @@
 
 PROBE_MS = 200.0  # after which a probe is not answered
 SHARE_MS = 500.0  # as a node's own default
-USES = ("shares", "hearsay")  # the model's lists have no common version, so that drains are no rumours there
+USES = (
+    "shares",
+    "hearsay",
+)  # the model's lists have no common version, so that drains are no rumours there
 
 
 @dataclass(slots=True, eq=False)
@@ -33,28 +36,34 @@
 
     number: int
     zone: int
-    join: Join
+    join: RequestPipeline
     member: Member
-    keeper: Keeper | None = None
+    keeper: FailoverController | None = None
     zones: dict[int, int] = field(default_factory=dict)  # by server
     looks: int = 0
     up: bool = True
     frozen: float = 0.0  # until when it stands still
 
-    def over(
-        self, request_id: int, intake: Intake, final: Final, took: float, server: int, sends: int
+    def request_finished(
+        self,
+        request_id: int,
+        intake: IncomingRequest,
+        final: RequestOutcome,
+        took: float,
+        server: int,
+        sends: int,
     ) -> None:
         self.member.shares.count(intake.tenant)
         if self.keeper is not None:
-            self.keeper.asked(intake.cls, intake.tenant)
+            self.keeper.asked(intake.class_index, intake.tenant)
 
     # What the join tells of attempts.
 
-    def sent(self, server_id: int) -> None:
+    def attempt_sent(self, server_id: int) -> None:
         if self.keeper is not None:
             self.keeper.sent(self.join.clock(), self.zones[server_id], server_id)
 
-    def ended(self, server_id: int, result: Result, elapsed: float) -> None:
+    def attempt_ended(self, server_id: int, result: AttemptResult, elapsed: float) -> None:
         if self.keeper is not None:
             self.keeper.ended(self.join.clock(), self.zones[server_id], result, elapsed)
 
@@ -76,31 +85,33 @@
         self.there: dict[int, Companion] = {}  # by node: its life now
         self.boots = 0
 
-    def start(self, number: int, zone: int, join: Join) -> None:
+    def start(self, number: int, zone: int, join: RequestPipeline) -> None:
         """A node comes up, with nothing that it knew."""
         self.boots += 1
-        me = Claim(f"n{number}", 0, Status.ALIVE, address(number), self.boots, f"z{zone}")
+        me = MembershipRecord(
+            f"n{number}", 0, Status.ALIVE, address(number), self.boots, f"z{zone}"
+        )
         rng = random.Random(f"{self.seed} companion {number} {self.boots}")
         seeds = [address(seed) for seed in range(3)]
-        machine = Machine(me, self.timing, seeds, rng, 0.0, self.expected)
-        member = Member(machine, join.policy.settings.quotas, SHARE_MS, USES)
+        machine = SwimProtocol(me, self.timing, seeds, rng, 0.0, self.expected)
+        member = Member(machine, join.policy.settings.quotas_per_s, SHARE_MS, USES)
         one = self.there[number] = Companion(number, zone, join, member)
         join.observers += (one,)
         if self.net.day.fleet.zones != "off":
             one.keeper = self.keeper(member, zone, join)
             one.zones = {server_id: server.zone for server_id, server in self.servers.items()}
-            join.watchers += (one,)
+            join.attempt_observers += (one,)
             self.clock.after(LOOK * rng.random(), self.look, one)
         self.run(one, machine.start(self.clock.now))
         self.clock.after(SHARE_MS * rng.random(), self.round, one)
 
-    def keeper(self, member: Member, zone: int, join: Join) -> Keeper:
+    def keeper(self, member: Member, zone: int, join: RequestPipeline) -> FailoverController:
         day = self.net.day
         names = [f"z{number}" for number in range(day.net.zones)]
         regions = {name: f"r{day.region(number)}" for number, name in enumerate(names)}
         map_ = geography(names, regions, {}, len(day.class_))
-        ways = Ways(Mode(day.fleet.zones), electorate=day.fleet.said or day.fleet.nodes)
-        return Keeper(member, map_, zone, [cls.worth for cls in day.class_], ways)
+        ways = FailoverSettings(Mode(day.fleet.zones), electorate=day.fleet.said or day.fleet.nodes)
+        return FailoverController(member, map_, zone, [cls.worth for cls in day.class_], ways)
 
     def look(self, one: Companion) -> None:
         """The keeper's look; plans are worked out here and now."""
@@ -112,7 +123,7 @@
         one.looks += 1
         fleet = fleet_of(policy, keeper.geography, self.serves) if fresh else keeper.fleet
         if (event := keeper.look(now, fleet)) is not None:
-            one.join.tell(event)
+            one.join.dispatch(event)
         if keeper.question is not None:
             keeper.answer(now, keeper.work_out(keeper.question))
         for zone in keeper.probes(now):
@@ -124,10 +135,12 @@
     def serves(self) -> float:
         """Requests at once by listed weight: the model lists cores times speed."""
         kinds = self.net.day.kind
-        weights = sum(kind.share * (kind.listed_weight or kind.cores * kind.speed) for kind in kinds)
+        weights = sum(
+            kind.share * (kind.listed_weight or kind.cores * kind.speed) for kind in kinds
+        )
         return sum(kind.share * kind.cores for kind in kinds) / weights
 
-    def probe(self, one: Companion, keeper: Keeper, zone: int) -> None:
+    def probe(self, one: Companion, keeper: FailoverController, zone: int) -> None:
         """Ask one of a zone's servers whether it is there."""
         there = [i for i in one.join.policy.ready if one.zones[i] == zone]
         server_id = there[int(self.chance() * len(there))]
@@ -137,7 +150,9 @@
         took = 2 * self.net.way(one.zone, zone) if answers else PROBE_MS
         self.clock.after(took, self.probed, one, keeper, zone, server_id, answers)
 
-    def probed(self, one: Companion, keeper: Keeper, zone: int, server_id: int, answers: bool) -> None:
+    def probed(
+        self, one: Companion, keeper: FailoverController, zone: int, server_id: int, answers: bool
+    ) -> None:
         if self.lives(one):
             keeper.probed(self.clock.now, zone, server_id, answers)
 
@@ -164,7 +179,7 @@
             elif isinstance(effect, Posted):
                 one.member.heard(self.clock.now, effect)
         if (event := one.member.company(self.clock.now)) is not None:
-            one.join.tell(event)
+            one.join.dispatch(event)
         if one.keeper is not None and one.keeper.out:
             effects, one.keeper.out = one.keeper.out, []
             self.run(one, effects)
@@ -186,7 +201,12 @@
             self.run(one, machine.tick(self.clock.now))
 
     def carry(
-        self, one: Companion, to: Address, arrive: Callable[..., object], packet: Packet, loss: float
+        self,
+        one: Companion,
+        to: Address,
+        arrive: Callable[..., object],
+        packet: Packet,
+        loss: float,
     ) -> None:
         other = next((o for o in self.there.values() if o.member.machine.me.address == to), None)
         if other is None or (one.number, other.number) in self.net.between:
--- a/lab/group.py
+++ b/lab/group.py
@@ -1,7 +1,9 @@
-"""A group of membership machines in virtual time: loss, delay, duplication, reordering, cuts and pauses.
+"""A group of membership machines in virtual time: loss, delay, duplication, reordering, cuts and
+pauses.
 
-The machines are those that run in a node; the network between them is a table of directed links. Figures that
-need hundreds of nodes come from here, as do the tests of orders that real processes would not meet twice.
+The machines are those that run in a node; the network between them is a table of directed links.
+Figures that need hundreds of nodes come from here, as do the tests of orders that real processes
+would not meet twice.
 """
 
 from __future__ import annotations
@@ -13,21 +15,21 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from badgercart.config import Address
-from badgercart.peers.machine import (
+from badgercart.cluster.codec import Codec, Packet
+from badgercart.cluster.membership_table import MembershipRecord, Status
+from badgercart.cluster.quorum import Level
+from badgercart.cluster.swim import (
     Changed,
     Conflict,
     Effect,
-    Machine,
     Paused,
     Posted,
     SendTo,
+    SwimProtocol,
     SyncWith,
     Timing,
 )
-from badgercart.peers.view import Claim, Status
-from badgercart.peers.vouching import Level
-from badgercart.peers.wire import Codec, Packet
+from badgercart.config import Address
 
 LOOK = 20.0  # ms between looks at whether to go on
 WALL = 1_700_000_000_000.0  # Unix ms as a day begins
@@ -70,7 +72,7 @@
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.count = self.boots = 0
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, SwimProtocol] = {}
         self.up: dict[str, bool] = {}
         self.paused: dict[str, list[tuple[Packet, Address, bool]]] = {}
         self.slow: dict[str, float] = {}  # ms by which a node is late with everything
@@ -89,16 +91,22 @@
 
     # Nodes.
 
-    def add(self, name: str, number: int, join: bool = True, wall: float = WALL) -> Machine:
+    def add(self, name: str, number: int, join: bool = True, wall: float = WALL) -> SwimProtocol:
         """A process under a name, also one that had it before."""
         self.boots += 1
         address = (f"127.{number >> 8}.{number & 255}.1", 7946)
-        me = Claim(
-            name, 0, Status.ALIVE, address, int(wall + self.now) * 1024 + self.boots, f"z{number % 3}", "r"
+        me = MembershipRecord(
+            name,
+            0,
+            Status.ALIVE,
+            address,
+            int(wall + self.now) * 1024 + self.boots,
+            f"z{number % 3}",
+            "r",
         )
         seeds = [("127.0.0.1", 7946), ("127.0.1.1", 7946)] if join else []
         rng = random.Random(f"{self.seed} {name} {self.boots}")
-        machine = Machine(me, self.timing, seeds, rng, wall, self.expected)
+        machine = SwimProtocol(me, self.timing, seeds, rng, wall, self.expected)
         for topic in self.topics:
             machine.board.follow(topic)
         self.machines[name], self.up[name], self.addresses[address] = machine, True, name
@@ -109,7 +117,7 @@
     def kill(self, name: str) -> None:
         self.up[name] = False
 
-    def restart(self, name: str, wall: float = WALL) -> Machine:
+    def restart(self, name: str, wall: float = WALL) -> SwimProtocol:
         """The same name on the same address, with nothing that it knew."""
         number = list(self.machines).index(name)
         return self.add(name, number, True, wall)
@@ -146,7 +154,7 @@
         machine = self.machines[name]
         self.at(max(machine.due, self.now) + self.slow.get(name, 0.0), self.ring, name, machine)
 
-    def ring(self, name: str, machine: Machine) -> None:
+    def ring(self, name: str, machine: SwimProtocol) -> None:
         if self.machines[name] is not machine or not self.up[name] or name in self.paused:
             return
         if machine.due <= self.now:
@@ -184,7 +192,9 @@
             return
         source = self.machines[name].me.address
         for _ in range(2 if self.random.random() < self.links.twice else 1):
-            self.at(self.now + self.way() + self.slow.get(to, 0.0), self.deliver, to, packet, source)
+            self.at(
+                self.now + self.way() + self.slow.get(to, 0.0), self.deliver, to, packet, source
+            )
 
     def deliver(self, to: str, packet: Packet, source: Address) -> None:
         if not self.up[to]:
@@ -206,7 +216,7 @@
             return
         self.at(self.now + self.way(), self.asked, name, self.machines[name], to, packet)
 
-    def asked(self, name: str, asking: Machine, to: str, packet: Packet) -> None:
+    def asked(self, name: str, asking: SwimProtocol, to: str, packet: Packet) -> None:
         if not self.up[to] or to in self.paused or self.machines[name] is not asking:
             return
         answer, effects = self.machines[to].answer_sync(self.now, packet, asking.me.address)
@@ -217,7 +227,8 @@
         self.at(self.now + self.way(), self.deliver, name, answer, self.machines[to].me.address)
 
     def run(self, until: float, stop: Callable[[], bool] | None = None) -> float:
-        """Let time pass to `until` ms, or until `stop` holds, which is looked at now and then; the time."""
+        """Let time pass to `until` ms, or until `stop` holds, which is looked at now and then; the
+        time."""
         look = 0.0
         while self.queue and self.queue[0][0] <= until:
             at, _, what, arguments = heapq.heappop(self.queue)
@@ -239,7 +250,8 @@
         """Whether all that run take each other, and nobody else, for alive."""
         names = [name for name, up in self.up.items() if up and name not in self.paused]
         running = set(names)
-        # Who disagreed at the last look mostly still does; a look at all views costs members times members.
+        # Who disagreed at the last look mostly still does; a look at all views costs members times
+        # members.
         first = names.index(self.doubter) if self.doubter in running else 0
         for name in names[first:] + names[:first]:
             self.asked_views += 1
--- a/lab/ramp.py
+++ b/lab/ramp.py
@@ -1,9 +1,11 @@
-"""Many policies in one process before model servers that start cold: what of their budget is sent, who falls.
-
-A cold server falls once it has got more than N + 2 * sqrt(N) + 2 requests in the time that the settings name;
-N is what they allow it then: `tip_multiple` times what its age surely lets it do, for `overload_for`. It
-counts where over two thirds came from nodes that had been told of the start. The servers' own records decide.
-Nothing here knows of sockets; time is the clock's, chance comes from the seed.
+"""Many policies in one process before model servers that start cold: what of their budget is sent,
+who falls.
+
+A cold server falls once it has got more than N + 2 * sqrt(N) + 2 requests in the time that the
+settings name; N is what they allow it then: `tip_multiple` times what its age surely lets it do,
+for `overload_for`. It counts where over two thirds came from nodes that had been told of the start.
+The servers' own records decide. Nothing here knows of sockets; time is the clock's, chance comes
+from the seed.
 """
 
 from __future__ import annotations
@@ -15,24 +17,19 @@
 from dataclasses import dataclass, field, replace
 from itertools import accumulate
 
-from cottonhall.interface import (
-    Action,
-    Effect,
+from badgercart.policy.actions import Action, Send, SetTimer
+from badgercart.policy.endpoint import Endpoint, EndpointState
+from badgercart.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointUpdate,
     Event,
-    ListKind,
-    Outcome,
     Request,
-    RequestClass,
-    Result,
-    Send,
-    ServerEntry,
-    ServerList,
-    Settings,
-    State,
-    Timer,
-    Wake,
+    TimerFired,
+    UpdateKind,
 )
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Idempotency, RequestClass, Settings
 from lab.clock import Clock
 
 WAY = 0.5  # ms from a node to a server, and back
@@ -53,7 +50,9 @@
     cores: int = 3
     queue: int = 3  # requests that wait at a server; beyond that it turns them away
     work_ms: float = 80.0  # mean, on one core
-    warm_gain: float = 0.0  # a warm server knows keys and needs so much less work; what starts knows none
+    warm_gain: float = (
+        0.0  # a warm server knows keys and needs so much less work; what starts knows none
+    )
     cold_from: float = 0.32
     ramp_ms: float = 8800.0
     multiple: float = 3.0
@@ -72,20 +71,30 @@
 
     def allowed(self, age: float) -> float:
         """N: what the settings allow within the window that ends at this age."""
-        return self.multiple * self.warm * self.window_ms * self.share(max(age - self.window_ms / 2, 0.0))
+        return (
+            self.multiple
+            * self.warm
+            * self.window_ms
+            * self.share(max(age - self.window_ms / 2, 0.0))
+        )
 
     @property
     def settings(self) -> Settings:
-        safe = RequestClass(aim=600.0, deadline=1400.0, worth=2.0, effect=Effect.SAFE)
+        safe = RequestClass(
+            latency_objective_ms=600.0,
+            deadline_ms=1400.0,
+            priority_weight=2.0,
+            idempotency=Idempotency.IDEMPOTENT,
+        )
         return Settings(
             classes=(safe,),
-            tick=5.0,
+            tick_ms=5.0,
             max_attempts=4,
-            group_size=self.nodes,
-            cold_from=self.cold_from,
-            ramp_time=self.ramp_ms,
-            tip_multiple=self.multiple,
-            overload_for=self.window_ms,
+            cluster_size=self.nodes,
+            slow_start_min_capacity=self.cold_from,
+            slow_start_duration_ms=self.ramp_ms,
+            collapse_load_factor=self.multiple,
+            collapse_window_ms=self.window_ms,
         )
 
 
@@ -93,7 +102,7 @@
 class ModelServer:
     """Cores, a short queue, a ramp; and the times of all that reached it."""
 
-    entry: ServerEntry
+    entry: Endpoint
     free: list[float] = field(default_factory=list)  # when each core is, as a heap
     got: list[float] = field(default_factory=list)
     told: list[bool] = field(default_factory=list)  # of each, whether its node knew of the start
@@ -103,12 +112,14 @@
         """When it is done with this; None: turned away."""
         self.got.append(now)
         self.told.append(told)
-        waits = sum(at > now for at in self.free) - ramp.cores  # a core's next work is behind its last
+        waits = (
+            sum(at > now for at in self.free) - ramp.cores
+        )  # a core's next work is behind its last
         if waits >= ramp.queue:
             return None
         self.free = [at for at in self.free if at > now]
-        cold = bool(self.entry.started)
-        speed = ramp.share(now - self.entry.started) if cold else 1.0 / (1.0 - ramp.warm_gain)
+        cold = bool(self.entry.started_ms)
+        speed = ramp.share(now - self.entry.started_ms) if cold else 1.0 / (1.0 - ramp.warm_gain)
         busy = sorted(self.free)
         begin = now if len(busy) < ramp.cores else busy[len(busy) - ramp.cores]
         self.free.append(begin + work / speed)
@@ -120,7 +131,8 @@
 class Told:
     """What came of a play."""
 
-    sent: float  # of the budget that the settings allow the cold ones, over all of them and their ramp
+    # of the budget that the settings allow the cold ones, over all of them and their ramp
+    sent: float
     done: float  # what they were sent, of what their age surely lets them do
     fallen: int  # cold servers that fell
     closest: float  # the largest count over its bound, N + 2 * sqrt(N) + 2
@@ -131,9 +143,14 @@
     def __init__(self, ramp: Ramp, make: Callable[[Settings, int], Policy] = Policy) -> None:
         self.ramp, self.clock, self.random = ramp, Clock(), random.Random(ramp.seed)
         self.clock.now = 10_000.0
-        self.nodes = [make(replace(ramp.settings, me=me), ramp.seed * 1000 + me) for me in range(ramp.nodes)]
+        self.nodes = [
+            make(replace(ramp.settings, node_index=me), ramp.seed * 1000 + me)
+            for me in range(ramp.nodes)
+        ]
         listed = ramp.servers - (ramp.cold if ramp.how == "join" else 0)
-        self.servers = {number: ModelServer(self.entry(number, 0.0)) for number in range(1, listed + 1)}
+        self.servers = {
+            number: ModelServer(self.entry(number, 0.0)) for number in range(1, listed + 1)
+        }
         self.began = self.clock.now + ramp.before_ms
         self.heard: set[int] = set()  # nodes that know of the start
         self.tries: dict[int, int] = {}
@@ -141,8 +158,8 @@
         weights = [ramp.uneven if me % 8 == 3 else 1.0 for me in range(ramp.nodes)]
         self.weights = [*accumulate(weights)]
 
-    def entry(self, number: int, started: float) -> ServerEntry:
-        return ServerEntry(number, 0, 0, 0, State.READY, float(self.ramp.cores), started)
+    def entry(self, number: int, started: float) -> Endpoint:
+        return Endpoint(number, 0, 0, 0, EndpointState.READY, float(self.ramp.cores), started)
 
     def give(self, node: int, event: Event) -> None:
         for action in self.nodes[node].handle(self.clock.now, event):
@@ -151,24 +168,30 @@
     def carry_out(self, node: int, action: Action) -> None:
         if isinstance(action, Send):
             self.clock.after(WAY, self.reach, node, action, self.clock.now)
-        elif isinstance(action, Wake):
-            self.clock.after(action.delay, self.give, node, Timer(action.token))
+        elif isinstance(action, SetTimer):
+            self.clock.after(action.delay_ms, self.give, node, TimerFired(action.token))
 
     def reach(self, node: int, send: Send, since: float) -> None:
         work = self.random.expovariate(1.0 / self.ramp.work_ms)
         told = node in self.heard
-        done = self.servers[send.server].take(self.ramp, self.clock.now, work, told)
+        done = self.servers[send.endpoint_id].take(self.ramp, self.clock.now, work, told)
         number = self.tries[send.id] = self.tries.get(send.id, -1) + 1
-        end = min(self.clock.now if done is None else done, since + send.limit)
-        result = Result.FULL if done is None else Result.OK if done <= since + send.limit else Result.TIMEOUT
+        end = min(self.clock.now if done is None else done, since + send.timeout_ms)
+        result = (
+            AttemptResult.FULL
+            if done is None
+            else AttemptResult.OK
+            if done <= since + send.timeout_ms
+            else AttemptResult.TIMEOUT
+        )
         self.clock.at(end + WAY, self.tell, node, send, result, number, since)
 
-    def tell(self, node: int, send: Send, result: Result, number: int, since: float) -> None:
-        if result is Result.OK and since > self.began:
+    def tell(self, node: int, send: Send, result: AttemptResult, number: int, since: float) -> None:
+        if result is AttemptResult.OK and since > self.began:
             self.answered += 1
-        over = result is Result.OK
+        over = result is AttemptResult.OK
         elapsed = self.clock.now - since
-        self.give(node, Outcome(send.id, send.server, over, result, number, elapsed))
+        self.give(node, AttemptEnded(send.id, send.endpoint_id, over, result, number, elapsed))
 
     def arrive(self) -> None:
         node = bisect_right(self.weights, self.random.random() * self.weights[-1])
@@ -200,9 +223,9 @@
         entries = [server.entry for server in self.cold]
         for node in range(ramp.nodes):
             at = self.random.random() * ramp.spread_ms
-            self.clock.after(at, self.hear, node, ServerList(ListKind.DELTA, 2, entries))
+            self.clock.after(at, self.hear, node, EndpointUpdate(UpdateKind.DELTA, 2, entries))
 
-    def hear(self, node: int, event: ServerList) -> None:
+    def hear(self, node: int, event: EndpointUpdate) -> None:
         self.heard.add(node)
         self.give(node, event)
 
@@ -210,7 +233,7 @@
         ramp = self.ramp
         listed = [server.entry for server in self.servers.values()]
         for node in range(ramp.nodes):
-            self.give(node, ServerList(ListKind.FULL, 1, listed))
+            self.give(node, EndpointUpdate(UpdateKind.SNAPSHOT, 1, listed))
         self.next_arrival()
         self.clock.at(self.began, self.start_cold)
         self.clock.run(self.began + ramp.ramp_ms)
@@ -230,11 +253,12 @@
         )
 
     def closest(self, server: ModelServer) -> float:
-        return closest(server.got, server.told, server.entry.started, self.ramp)
+        return closest(server.got, server.told, server.entry.started_ms, self.ramp)
 
 
 def closest(times: list[float], told: list[bool], started: float, ramp: Ramp) -> float:
-    """The largest count of a window over N + 2 * sqrt(N) + 2, by a server's record of what it got (ms)."""
+    """The largest count of a window over N + 2 * sqrt(N) + 2, by a server's record of what it got
+    (ms)."""
     most, first = 0.0, 0
     for last, at in enumerate(times):
         while times[first] <= at - ramp.window_ms:
--- a/lab/servers.py
+++ b/lab/servers.py
@@ -1,6 +1,8 @@
-"""Model servers: cores, a bounded queue, a cold ramp, keys that they know, and what can be wrong with them.
+"""Model servers: cores, a bounded queue, a cold ramp, keys that they know, and what can be wrong
+with them.
 
-Driven by the clock; nothing here knows of nodes. An answer is told by a callback, at the server's own time.
+Driven by the clock; nothing here knows of nodes. An answer is told by a callback, at the server's
+own time.
 """
 
 from __future__ import annotations
@@ -10,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cottonhall.interface import Result
+from badgercart.policy.events import AttemptResult
 from lab.chance import Stream
 from lab.clock import Clock
 from lab.settings import Day, Kind
@@ -30,7 +32,7 @@
     work: float  # ms on a core of speed 1
     keyed: bool
     window: float  # ms for which repeats are dropped; 0: not
-    answer: Callable[[Result], None]
+    answer: Callable[[AttemptResult], None]
     run: int = 0  # of the server, when it began
     came: float = 0.0
     beside: int = 0  # requests that were there when it came
@@ -56,7 +58,9 @@
         self.at_work: dict[Work, None] = {}  # in the order in which they began
         self.keys: dict[int, float] = {}  # when each was met last
         self.effect: Callable[[Server, Work], None] = lambda server, work: None
-        self.by_held: dict[int, float] = {}  # time of answers lately, by the requests held as one came
+        self.by_held: dict[
+            int, float
+        ] = {}  # time of answers lately, by the requests held as one came
         # Measured.
         self.served = self.full = 0
         self.busy_ms = 0.0
@@ -73,7 +77,7 @@
         self.keys.clear()
         self.busy = 0
         for work in lost:
-            work.answer(Result.RESET)
+            work.answer(AttemptResult.RESET)
 
     def start(self) -> None:
         """Up again, and cold."""
@@ -91,8 +95,8 @@
 
     @property
     def expected(self) -> float:
-        """The time of an answer to what came now, as its own answers lately tell it; what it tells a
-        probe."""
+        """The time of an answer to what came now, as its own answers lately tell it; what it tells
+        a probe."""
         if not self.by_held:
             return 0.0
         return self.by_held[min(self.by_held, key=lambda held: (abs(held - self.held), held))]
@@ -106,11 +110,11 @@
     def take(self, work: Work) -> None:
         """A request has come in."""
         if self.down:
-            work.answer(Result.RESET)
+            work.answer(AttemptResult.RESET)
         elif self.silent and self.chance() < self.silent:
             return  # it never answers: the node has to give up
         elif self.failing and self.chance() < self.failing:
-            self.clock.after(ERROR_MS, work.answer, Result.ERROR)
+            self.clock.after(ERROR_MS, work.answer, AttemptResult.ERROR)
         elif self.busy < self.kind.cores:
             work.came, work.beside = self.clock.now, self.held
             self.begin(work)
@@ -119,7 +123,7 @@
             self.waiting.append(work)
         else:
             self.full += 1
-            work.answer(Result.FULL)
+            work.answer(AttemptResult.FULL)
 
     def begin(self, work: Work) -> None:
         self.busy += 1
@@ -147,7 +151,7 @@
             took = self.clock.now - work.came
             self.by_held[work.beside] = self.by_held.get(work.beside, took) * 0.8 + 0.2 * took
             self.effect(self, work)
-        work.answer(Result.ERROR if failed else Result.OK)
+        work.answer(AttemptResult.ERROR if failed else AttemptResult.OK)
         while self.waiting and self.busy < self.kind.cores:
             following = self.waiting.popleft()
             if following.abandoned and self.day.fleet.drops_abandoned:
@@ -160,7 +164,10 @@
     total, made = sum(kind.share for kind in day.kind), [0] * len(day.kind)
     servers = []
     for number in range(day.fleet.servers):
-        wanted = [kind.share / total * (number + 1) - had for kind, had in zip(day.kind, made, strict=True)]
+        wanted = [
+            kind.share / total * (number + 1) - had
+            for kind, had in zip(day.kind, made, strict=True)
+        ]
         kind = max(range(len(wanted)), key=lambda at: (wanted[at], -at))
         made[kind] += 1
         server = Server(clock, day, number, kind, chance(number))
--- a/lab/troubles.py
+++ b/lab/troubles.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from cottonhall.interface import ListKind
+from badgercart.policy.events import UpdateKind
 from lab.chance import generator
 from lab.servers import Server
 from lab.settings import Trouble
@@ -25,7 +25,8 @@
         self.world, self.clock = world, world.clock
 
     def schedule(self) -> None:
-        """Who is befallen is drawn by the seed and the trouble's place, the same for every policy."""
+        """Who is befallen is drawn by the seed and the trouble's place, the same for every
+        policy."""
         day = self.world.day
         for number, trouble in enumerate(day.trouble):
             if trouble.kind in ("surge", "hot_key"):
@@ -101,13 +102,13 @@
         """A whole list comes that does not have them, though they are well."""
         without = frozenset(server.number for server in servers)
         for node in self.world.nodes:
-            node.tell(ListKind.FULL, self.world.servers, without)
+            node.tell(UpdateKind.SNAPSHOT, self.world.servers, without)
             for server in servers:
                 node.told_leaving.setdefault(server.number, self.clock.now)
 
     def list_whole(self, trouble: Trouble, servers: list[Server]) -> None:
         for node in self.world.nodes:
-            node.tell(ListKind.FULL, self.world.servers)
+            node.tell(UpdateKind.SNAPSHOT, self.world.servers)
 
     def flap(self, trouble: Trouble, servers: list[Server]) -> None:
         end = self.clock.now + trouble.for_s * 1000 - 2 * FLAP
@@ -117,7 +118,7 @@
         for server in servers:
             server.leaving = leaving
         for node in self.world.nodes:
-            node.tell(ListKind.DELTA, servers)
+            node.tell(UpdateKind.DELTA, servers)
         if self.clock.now < end:
             self.clock.after(FLAP, self.turn, servers, end, not leaving)
 
@@ -185,7 +186,7 @@
     def list_cut_end(self, trouble: Trouble, servers: list[Server]) -> None:
         for node in self.named(trouble):
             node.listless = False
-            node.tell(ListKind.FULL, self.world.servers)
+            node.tell(UpdateKind.SNAPSHOT, self.world.servers)
 
     # Zones.
 
@@ -219,7 +220,9 @@
     def around(self, trouble: Trouble) -> set[tuple[int, int]]:
         """All ways in and out of these zones."""
         every = range(self.world.day.net.zones)
-        pairs = {(one, other) for one in trouble.zones for other in every if other not in trouble.zones}
+        pairs = {
+            (one, other) for one in trouble.zones for other in every if other not in trouble.zones
+        }
         return pairs | {(other, one) for one, other in pairs}
 
     def region_cut(self, trouble: Trouble, servers: list[Server]) -> None:
--- a/tests/console/test_door.py
+++ b/tests/admin/test_door.py
@@ -5,8 +5,8 @@
 import asyncio
 from pathlib import Path
 
-from badgercart.console.door import MAX_CALLERS
-from cottonhall.interface import State
+from badgercart.admin.listener import MAX_CALLERS
+from badgercart.policy.endpoint import EndpointState
 from tests.net import Client, Peer, Stand, request, run, running
 
 
@@ -23,7 +23,9 @@
     return {"console": ("127.0.0.1", 0), "folder": tmp_path}
 
 
-def test_a_server_is_out_from_the_yes_to_the_call_back_whatever_the_list_says(tmp_path: Path) -> None:
+def test_a_server_is_out_from_the_yes_to_the_call_back_whatever_the_list_says(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         first, second = await Peer().start(), await Peer().start()
         async with running(first, second, **console(tmp_path)) as stand:
@@ -50,8 +52,8 @@
             server = stand.node.join.policy.servers[next(iter(stand.node.roster.listed))]
             while first.requests.empty():  # it is cold, and used again
                 assert (await client.ask(request()))[0] == 200
-            assert server.entry.state is State.READY
-            assert stand.node.roster.at(("127.0.0.1", first.port)).entry.started > 0  # type: ignore[union-attr]
+            assert server.entry.state is EndpointState.READY
+            assert stand.node.roster.find_by_address(("127.0.0.1", first.port)).entry.started_ms > 0  # type: ignore[union-attr]
 
     run(test())
 
--- a/tests/operator/test_adding.py
+++ b/tests/app/test_adding.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from badgercart.operator.faults import FileError
-from badgercart.operator.file import load
-from badgercart.operator.registry import declarations
-from badgercart.operator.site import Site
+from badgercart.app.faults import FileError
+from badgercart.app.file import load
+from badgercart.app.registry import declarations
+from badgercart.app.site import Site
 from tests.net import WAIT, Peer, run
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "ADDING.md"
@@ -36,7 +36,7 @@
     assert code is not None and code[1].count("\n") < 90
     module = types.ModuleType("line_front")
     exec(compile(code[1], str(PAGE), "exec", dont_inherit=True), module.__dict__)
-    known = (*declarations(), *module.PARTS)
+    known = (*declarations(), *module.COMPONENTS)
     path = tmp_path / "site.toml"
 
     async def test() -> None:
@@ -50,7 +50,7 @@
         assert await asyncio.wait_for(reader.readline(), WAIT) == b"200 done\n"
         writer.close()
         await site.drain()
-        assert not site.join.held and not site.join.out
+        assert not site.join.in_flight and not site.join.open_attempts
 
     run(test())
     path.write_text(FILE.format(port=1).replace("listen", "listens"))
--- a/tests/operator/test_file.py
+++ b/tests/app/test_file.py
@@ -11,10 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from badgercart.app.file import FileError, load
+from badgercart.app.locate import lines_of
 from badgercart.distribution.commands import store_file
-from badgercart.operator.file import FileError, load
-from badgercart.operator.locate import lines_of
-from cottonhall.interface import Effect, Group
+from badgercart.policy.settings import DeduplicationScope, Idempotency
 
 ROOT = Path(__file__).parent.parent.parent
 GOOD = """\
@@ -55,8 +55,11 @@
     path = tmp_path / "site.toml"
     path.write_text(GOOD)
     what = load(str(path))
-    assert [cls.effect for cls in what.config.settings.classes] == [Effect.SAFE, Effect.KEYED]
-    assert what.config.settings.classes[1].group is Group.ZONE
+    assert [cls.idempotency for cls in what.config.settings.classes] == [
+        Idempotency.IDEMPOTENT,
+        Idempotency.KEYED,
+    ]
+    assert what.config.settings.classes[1].deduplication_scope is DeduplicationScope.ZONE
     assert what.config.classes == {b"find": 0, b"book": 1}
     assert what.parts.keys() == {"http", "server"}
     assert what.parts["http"].listen == ("127.0.0.1", 0)
@@ -88,11 +91,23 @@
         ("127.0.0.1:7001", "7001", 19, "members.server[0].address", "'7001' is no host:port"),
         ('zone = "a"', 'zone = "c"', 20, "members.server[0].zone", "'c' is none of fleet.zones"),
         ("[fronts.http]", "[fronts.htpt]", 21, "fronts.htpt", "is not known here"),
-        ("[fleet]\n", "[fleet]\ncold_from = 0\n", 2, "fleet.cold_from", "0 is not within 0.01 to 1"),
+        (
+            "[fleet]\n",
+            "[fleet]\ncold_from = 0\n",
+            2,
+            "fleet.cold_from",
+            "0 is not within 0.01 to 1",
+        ),
         ("[fleet]\n", 'x = """\n[a]\n"""\n[fleet]\n', 1, "x", "is not known here"),
         ("[fleet]", "[[fleet]]", 1, "fleet", "is no table"),
         ("[[class]]", "[class]", 0, "", "Cannot"),
-        ('zones = ["a", "b"]', 'zones = ["a", "a"]', 2, "fleet.zones", "is no list of different names"),
+        (
+            'zones = ["a", "b"]',
+            'zones = ["a", "a"]',
+            2,
+            "fleet.zones",
+            "is no list of different names",
+        ),
     ],
 )
 def test_each_fault_is_named_by_line_and_key(
@@ -123,7 +138,10 @@
         ('[fronts.processor.headers]\ntenant = "tenant"', "fronts.processor.headers.tenant"),
         ('[fronts.processor.headers]\ntenant = ["a b"]', "fronts.processor.headers.tenant"),
         ('[fronts.processor.tls]\ncert = "x.pem"', "fronts.processor.tls"),
-        ("[fronts.processor.old_answers]\nrefuse_after = 2", "fronts.processor.old_answers.refuse_after"),
+        (
+            "[fronts.processor.old_answers]\nrefuse_after = 2",
+            "fronts.processor.old_answers.refuse_after",
+        ),
     ],
 )
 def test_faults_of_the_processor(tmp_path: Path, more: str, key: str) -> None:
--- a/tests/operator/test_site.py
+++ b/tests/app/test_site.py
@@ -12,13 +12,20 @@
 
 import pytest
 
-from badgercart.operator import site as site_module
-from badgercart.operator.faults import FileError
-from badgercart.operator.file import Installation, load
-from badgercart.operator.model import Table
-from badgercart.operator.part import Declaration, Host, Kind, OrderError, ReloadError, in_order
-from badgercart.operator.run import run as serve
-from badgercart.operator.site import PartError, Site
+from badgercart.app import site as site_module
+from badgercart.app.component import (
+    ComponentDeclaration,
+    ComponentHost,
+    ComponentKind,
+    OrderError,
+    ReloadError,
+    start_order,
+)
+from badgercart.app.faults import FileError
+from badgercart.app.file import Installation, load
+from badgercart.app.model import Table
+from badgercart.app.run import run as serve
+from badgercart.app.site import PartError, Site
 from tests.net import WAIT, config, run
 
 
@@ -59,15 +66,21 @@
             raise fault
 
 
-def parts(log: list[str], faults: dict[str, Any], **needs: tuple[str, ...]) -> tuple[Declaration, ...]:
-    def declared(name: str, wanted: tuple[str, ...]) -> Declaration:
-        def build(host: Host, settings: Any) -> Scripted:
+def parts(
+    log: list[str], faults: dict[str, Any], **needs: tuple[str, ...]
+) -> tuple[ComponentDeclaration, ...]:
+    def declared(name: str, wanted: tuple[str, ...]) -> ComponentDeclaration:
+        def build(host: ComponentHost, settings: Any) -> Scripted:
             if (fault := faults.get(f"build {name}")) is not None:
                 raise fault
             return Scripted(name, log, faults)
 
-        kind = {"list": Kind.MEMBERS, "front": Kind.FRONT}.get(name, Kind.SERVICE)
-        return Declaration(name, (name,), kind, Numbered, name, build, wanted, reloads=("*",))
+        kind = {"list": ComponentKind.DISCOVERY, "front": ComponentKind.FRONTEND}.get(
+            name, ComponentKind.SERVICE
+        )
+        return ComponentDeclaration(
+            name, (name,), kind, Numbered, name, build, wanted, reloads=("*",)
+        )
 
     return tuple(declared(name, wanted) for name, wanted in needs.items())
 
@@ -164,8 +177,13 @@
         what = installation([])
         site = Site(what, asyncio.get_running_loop())
         await site.start()
-        wrong = dict.fromkeys(("front", "extra"), Numbered(number=-1)) | {"list": Numbered(number=7)}
-        assert site.reload(replace(what, parts=wrong)) == ["front: -1 is below 0", "extra: -1 is below 0"]
+        wrong = dict.fromkeys(("front", "extra"), Numbered(number=-1)) | {
+            "list": Numbered(number=7)
+        }
+        assert site.reload(replace(what, parts=wrong)) == [
+            "front: -1 is below 0",
+            "extra: -1 is below 0",
+        ]
         assert site.parts["list"].number == 0  # type: ignore[attr-defined]
         good = dict.fromkeys(wrong, Numbered(number=7))
         assert site.reload(replace(what, parts=good)) == []
@@ -181,7 +199,7 @@
         ({"a": ("b",), "b": ("a",), "c": ()}, "a, b wait for each other"),
     ):
         with pytest.raises(OrderError, match=words):
-            in_order(parts([], {}, **needs))
+            start_order(parts([], {}, **needs))
 
 
 def test_a_need_that_is_off_is_a_fault_of_the_file(tmp_path: Path) -> None:
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from badgercart.retune import checks
+from badgercart.policy.endpoint import Endpoint
+from badgercart.reload import checks
 from benchmarks.scale import configuration, lists, policy, report
 from benchmarks.scale.__main__ import main
-from cottonhall.interface import ServerEntry
 
 
 @pytest.fixture(autouse=True)
@@ -34,7 +34,15 @@
         assert series.keys() == {"name", "unit", "over", "statistic", "fixed", "points"}
         assert all(size >= 0 and cost > 0 for size, cost in series["points"]), series
         assert max(size for size, _ in series["points"]) <= 20
-        names.add((series["name"], series["unit"], series["over"], series["statistic"], str(series["fixed"])))
+        names.add(
+            (
+                series["name"],
+                series["unit"],
+                series["over"],
+                series["statistic"],
+                str(series["fixed"]),
+            )
+        )
     assert len(names) == len(raw["series"])
 
 
@@ -55,6 +63,6 @@
 
 
 def test_ids_and_lines_are_of_as_many_servers() -> None:
-    entries: list[ServerEntry] = [policy.entry(number) for number in range(20_000)]
+    entries: list[Endpoint] = [policy.entry(number) for number in range(20_000)]
     assert len({entry.id for entry in entries}) == 20_000
     assert len({lists.line(number)["hostPort"] for number in range(20_000)}) == 20_000
--- a/tests/bulk/test_room.py
+++ b/tests/bulk/test_room.py
@@ -5,7 +5,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.core.room import HOLD, LEAST_HOLD, LEAST_WINDOW, WINDOW, Room, room_of
+from badgercart.core.memory_budget import (
+    HOLD,
+    LEAST_HOLD,
+    LEAST_WINDOW,
+    WINDOW,
+    MemoryBudget,
+    budget_bytes,
+)
 from badgercart.core.streams import Upload
 
 
@@ -13,7 +20,7 @@
 def test_what_is_held_and_what_streams_stay_within_the_room(
     memory_mb: float, messages: int, streams: int
 ) -> None:
-    room = Room(room_of(memory_mb))
+    room = MemoryBudget(budget_bytes(memory_mb))
     for _ in range(messages):
         room.held += room.hold
     room.streams = streams
@@ -24,7 +31,9 @@
 
 
 @given(st.lists(st.one_of(st.binary(min_size=1, max_size=50), st.none()), max_size=30))
-def test_an_upload_gives_out_what_it_was_given_and_says_when_there_is_room(steps: list[bytes | None]) -> None:
+def test_an_upload_gives_out_what_it_was_given_and_says_when_there_is_room(
+    steps: list[bytes | None],
+) -> None:
     upload, given_, got, rooms = Upload(None, lambda: 64), bytearray(), bytearray(), 0
 
     def room() -> None:
--- a/tests/bulk/test_streams.py
+++ b/tests/bulk/test_streams.py
@@ -9,10 +9,11 @@
 
 import pytest
 
-from badgercart.carriers.pool import pool as pool_module
-from badgercart.core.room import HOLD, Room
-from badgercart.fronts.http import clients
-from cottonhall.interface import Began, Outcome, Result, Settings, Whole
+from badgercart.core.memory_budget import HOLD, MemoryBudget
+from badgercart.frontends.http import clients
+from badgercart.policy.events import AttemptEnded, AttemptResult, RequestCompleted, ResponseStarted
+from badgercart.policy.settings import Settings
+from badgercart.upstream import connection_pool as pool_module
 from tests.net import WAIT, Client, Peer, Stand, config, field, request, run, running
 
 LONG = random.Random(5).randbytes(5 * HOLD + 321)
@@ -20,14 +21,19 @@
 
 def framed(body: bytes, chunk: int) -> bytes:
     parts = [body[at : at + chunk] for at in range(0, len(body), chunk)]
-    return b"".join(b"%x;n=v\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\nT: u\r\n\r\n"
+    return (
+        b"".join(b"%x;n=v\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\nT: u\r\n\r\n"
+    )
 
 
 class Raw:
-    """A server that hands out its connections: what comes is read, and what goes is written, by hand."""
+    """A server that hands out its connections: what comes is read, and what goes is written, by
+    hand."""
 
     def __init__(self) -> None:
-        self.calls: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
+        self.calls: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = (
+            asyncio.Queue()
+        )
 
     async def start(self) -> Raw:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -88,8 +94,8 @@
                 head = await head_of(client.reader)
                 assert head.startswith(b"HTTP/1.1 200")
                 assert await body_of(client.reader, head) == LONG
-                assert isinstance(await stand.event(Began), Began)
-                assert (await stand.outcome()).result is Result.OK
+                assert isinstance(await stand.event(ResponseStarted), ResponseStarted)
+                assert (await stand.outcome()).result is AttemptResult.OK
                 assert stand.node.front.bulk.streams == stand.node.front.bulk.held == 0
                 if field(head, b"Connection") == b"close":
                     client = await stand.client()
@@ -115,7 +121,7 @@
                 assert (await client.reader.readexactly(len(first))) == first
                 client.writer.close()  # who has gone away gets nothing more
                 assert await asyncio.wait_for(reader.read(), WAIT) == b""
-                assert (await stand.outcome()).result is Result.CANCELLED
+                assert (await stand.outcome()).result is AttemptResult.CANCELLED
 
     run(test())
 
@@ -134,7 +140,7 @@
             writer.transport.abort()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await body_of(client.reader, head)
-            assert (await stand.outcome()).result is Result.RESET
+            assert (await stand.outcome()).result is AttemptResult.RESET
             assert server.calls.empty()  # no other attempt
 
     run(test())
@@ -160,7 +166,8 @@
 
 
 def test_an_attempt_that_times_out_passes_on_nothing_of_the_answer_before_it() -> None:
-    # A connection's old answer went out as the begin of the next: the bench's day bulk+slow+pieces, 'lost'.
+    # A connection's old answer went out as the begin of the next: the bench's day bulk+slow+pieces,
+    # 'lost'.
     async def test() -> None:
         server = await Raw().start()
         async with running(server, aim=200.0) as stand:  # type: ignore[arg-type]
@@ -168,7 +175,9 @@
             client.writer.write(request())
             reader, writer = await server.call()
             await head_of(reader)
-            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nold\r\n0\r\n\r\n")
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nold\r\n0\r\n\r\n"
+            )
             assert (await client.answer())[0] == 200
             client.writer.write(request(timeout="150m"))
             await head_of(reader)
@@ -199,11 +208,13 @@
             client.writer.write(head + body[: 2 * HOLD])
             reader, writer = await server.call()
             got = await head_of(reader)
-            assert await asyncio.wait_for(reader.readexactly(HOLD), WAIT)  # though the rest has not come
+            assert await asyncio.wait_for(
+                reader.readexactly(HOLD), WAIT
+            )  # though the rest has not come
             (attempt,) = stand.node.pool.attempts.values()
             assert attempt.timer is None and not stand.node.join.policy.flying
             client.writer.write(body[2 * HOLD :])
-            assert isinstance(await stand.event(Whole), Whole)
+            assert isinstance(await stand.event(RequestCompleted), RequestCompleted)
             rest = (
                 await asyncio.wait_for(reader.readexactly(len(body) - HOLD), WAIT)
                 if form == "length"
@@ -255,10 +266,10 @@
                 status, answer_head, _ = await client.answer()
                 assert (status, field(answer_head, b"Connection")) == (503, b"close")
                 outcome = await spent(stand)
-                assert outcome.result is Result.UNREACHABLE
+                assert outcome.result is AttemptResult.UNREACHABLE
 
-    async def spent(stand: Stand) -> Outcome:
-        while not (outcome := await stand.outcome()).spent:
+    async def spent(stand: Stand) -> AttemptEnded:
+        while not (outcome := await stand.outcome()).body_consumed:
             pass
         return outcome
 
@@ -280,8 +291,8 @@
             reader, _ = await server.call()
             assert await client.end() == b""
             await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
-            assert (await stand.outcome()).result is Result.CANCELLED
-            assert not stand.node.join.held and not stand.node.pool.attempts
+            assert (await stand.outcome()).result is AttemptResult.CANCELLED
+            assert not stand.node.join.in_flight and not stand.node.pool.attempts
 
     run(test())
 
@@ -304,14 +315,16 @@
             else:
                 client.writer.transport.abort()
             await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
-            assert (await stand.outcome()).result is Result.CANCELLED
-            assert not stand.node.join.held and not stand.node.pool.attempts
+            assert (await stand.outcome()).result is AttemptResult.CANCELLED
+            assert not stand.node.join.in_flight and not stand.node.pool.attempts
             assert not stand.node.listener.open_ids
 
     run(test())
 
 
-def test_a_server_that_stands_still_in_the_middle_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_server_that_stands_still_in_the_middle_is_given_up(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(pool_module, "SILENCE", 50.0)
     monkeypatch.setattr(pool_module, "SWEEP", 0.01)
 
@@ -325,7 +338,7 @@
             writer.write(ANSWERS["length"][:HOLD])
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await body_of(client.reader, await head_of(client.reader))
-            assert (await stand.outcome()).result is Result.TIMEOUT
+            assert (await stand.outcome()).result is AttemptResult.TIMEOUT
 
     run(test())
 
@@ -354,7 +367,7 @@
                 head = await head_of(client.reader)
                 client.writer.transport.pause_reading()
                 readers.append((client, head))
-            room: Room = stand.node.front.bulk
+            room: MemoryBudget = stand.node.front.bulk
             paused = lambda: [c for c in stand.node.pool.connections if c.paused]  # noqa: E731
             async with asyncio.timeout(WAIT):
                 while len(paused()) < count:
@@ -377,7 +390,9 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             client: Client = await stand.client()
-            absolute = request().replace(b"GET /find/cab7", b"GET http://backend.local/find/cab7?x=1")
+            absolute = request().replace(
+                b"GET /find/cab7", b"GET http://backend.local/find/cab7?x=1"
+            )
             assert (await client.ask(absolute))[0] == 200
             assert (await peer.requests.get()).startswith(b"GET /find/cab7?x=1 HTTP/1.1\r\n")
             spaced = request().replace(
--- a/tests/capture/test_explain.py
+++ b/tests/capture/test_explain.py
@@ -6,12 +6,13 @@
 
 import pytest
 
+from badgercart.app.cli import main
 from badgercart.capture import explain as module
 from badgercart.capture.explain import Telling, explain
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import decide, events, replay, segments, start
-from badgercart.operator.cli import main
-from cottonhall.interface import Fail, Refuse, Request, Send
+from badgercart.policy.actions import Fail, Send, Shed
+from badgercart.policy.events import Request
 from tests.capture.support import captured
 
 
@@ -22,7 +23,9 @@
     return segments([str(folder)])[0]
 
 
-def test_the_telling_policy_decides_as_the_plain_one(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_telling_policy_decides_as_the_plain_one(
+    path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     plain = start(Segment(path.read_bytes()))
     telling = start(Segment(path.read_bytes()))
     telling.__class__ = Telling
@@ -44,7 +47,7 @@
         for action in actions or ():  # type: ignore[attr-defined]
             if isinstance(action, Send):
                 sends[action.id] = sends.get(action.id, 0) + 1
-            elif isinstance(action, Refuse):
+            elif isinstance(action, Shed):
                 refused.add(action.id)
             elif isinstance(action, Fail):
                 failed.add(action.id)
@@ -56,7 +59,9 @@
     assert "refuse" in lines[-1] or "below the cut" in lines[-1]
     again = next(number for number, count in sends.items() if count > 1)
     text = "\n".join(explain(path, again))
-    assert text.count("send to ") == sends[again] and "attempt 0 at " in text and "could serve" in text
+    assert (
+        text.count("send to ") == sends[again] and "attempt 0 at " in text and "could serve" in text
+    )
     assert main(["capture", "explain", str(path), str(again)]) == 0
     assert "could serve" in capsys.readouterr().out
     assert main(["capture", "explain", str(path), "99999999"]) == 1
--- a/tests/capture/test_golden.py
+++ b/tests/capture/test_golden.py
@@ -24,7 +24,7 @@
 from badgercart.capture.replay import Decided, decide, events, replay, start
 from badgercart.capture.streams import Streams
 from badgercart.capture.words import show
-from cottonhall.interface import ProbeResult, Request
+from badgercart.policy.events import HealthCheckResult, Request
 from tests.capture.golden_parts import (
     ACTIONS,
     ENTRIES,
@@ -55,8 +55,8 @@
 @pytest.mark.parametrize("name", ["format-1.bin", "format-2.bin"])
 def test_events_are_read_to_the_same_values(name: str) -> None:
     told = read(name)
-    probe = ProbeResult(11, 1, 1.5, [0.25])  # type: ignore[arg-type]  # its numbers are read as they stand
-    expected = [probe if isinstance(event, ProbeResult) else event for event in EVENTS]
+    probe = HealthCheckResult(11, 1, 1.5, [0.25])  # type: ignore[arg-type]  # its numbers are read as they stand
+    expected = [probe if isinstance(event, HealthCheckResult) else event for event in EVENTS]
     assert [item.event for item in told] == expected
     assert [item.now for item in told] == [100.0 + at for at in range(len(EVENTS))]
     assert [type(item.event) for item in told] == [type(event) for event in EVENTS]
@@ -97,7 +97,9 @@
 
 def test_actions_are_read_to_the_same_values() -> None:
     told = read("format-2.bin")
-    assert [decode_actions(item.then or b"") for item in told] == [decisions(at) for at in range(len(told))]
+    assert [decode_actions(item.then or b"") for item in told] == [
+        decisions(at) for at in range(len(told))
+    ]
     every = [values(action) for actions in ACTIONS[:2] for action in actions or ()]
     assert every == [
         (1, 11, 580.0, ()),
@@ -179,7 +181,9 @@
 
 def test_lives_of_requests_are_told_in_the_same_words() -> None:
     path = GOLDEN / "state.bin"
-    numbers = [values(item.event)[0] for item in read("state.bin") if isinstance(item.event, Request)]
+    numbers = [
+        values(item.event)[0] for item in read("state.bin") if isinstance(item.event, Request)
+    ]
     lines = [line for number in numbers[:12] for line in explain(path, number)]
     assert lines == (GOLDEN / "explained.txt").read_text().splitlines()
 
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -1,4 +1,5 @@
-"""A captured day is decided the same again, on any hash seed, and whatever is wrong with a file is told."""
+"""A captured day is decided the same again, on any hash seed, and whatever is wrong with a file is
+told."""
 
 from __future__ import annotations
 
@@ -14,16 +15,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import cottonhall.fleet
-import cottonhall.rules
+import badgercart.policy.hash_ring
+import badgercart.policy.policy
+from badgercart.app.cli import main
 from badgercart.capture import codec, format, policy_state, writer
 from badgercart.capture.codec import CodecError, decode_event, freeze, thaw
 from badgercart.capture.format import Ending, FormatError, Kind, Segment
 from badgercart.capture.replay import decide, events, replay, replay_all, segments, start
 from badgercart.capture.settings import CaptureSettings
-from badgercart.operator.cli import main
-from cottonhall.interface import Settings
-from cottonhall.rules import Policy
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Settings
 from tests.capture.support import CLASSES, Saturday, captured
 
 
@@ -57,7 +58,8 @@
 
 
 def test_a_state_of_an_older_text_is_gone_on_from(day: Path) -> None:
-    """It had a plain dict of servers without points, all buckets in a list, and faded all servers."""
+    """It had a plain dict of servers without points, all buckets in a list, and faded all
+    servers."""
     segment = Segment(segments([str(day)])[1].read_bytes())
     old = policy_state.stored_values(thaw(segment.head["state"]))
     del old["buckets"], old["touched"], old["leaked"]
@@ -71,7 +73,9 @@
     assert came > 300 and not policy.unplaced
 
 
-def test_another_decision_is_named_by_its_record(day: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_another_decision_is_named_by_its_record(
+    day: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     path = segments([str(day)])[0]
     draw = Policy.handle
     count = 0
@@ -91,7 +95,9 @@
     assert main(["capture", "replay", str(day)]) in (0, 1)
 
 
-def test_a_file_cut_off_at_any_byte_keeps_what_is_whole_before_it(day: Path, tmp_path: Path) -> None:
+def test_a_file_cut_off_at_any_byte_keeps_what_is_whole_before_it(
+    day: Path, tmp_path: Path
+) -> None:
     data = segments([str(day)])[1].read_bytes()
     whole = [record.offset for record in Segment(data).records()]
     first = whole[0]
@@ -158,8 +164,10 @@
     put, held, gaps = writer.Disk.put, [], []
     chosen = CaptureSettings.model_construct(folder="", buffer_bytes=1 << 14)
     day = Saturday(2)
-    capture = writer.Capture(chosen, tmp_path, "n", day.join.policy, 2, gaps.append, failures_are_none)
-    day.join.tap = capture.tap
+    capture = writer.Capture(
+        chosen, tmp_path, "n", day.join.policy, 2, gaps.append, failures_are_none
+    )
+    day.join.decision_log = capture.tap
     with monkeypatch.context() as patch:
 
         def stalled(self: writer.Disk, segment: str, data: bytes) -> None:
@@ -189,7 +197,9 @@
     raise AssertionError(str(error))
 
 
-def test_a_folder_that_can_not_be_written_switches_it_off_and_costs_nothing_else(tmp_path: Path) -> None:
+def test_a_folder_that_can_not_be_written_switches_it_off_and_costs_nothing_else(
+    tmp_path: Path,
+) -> None:
     folder = tmp_path / "gone"
     folder.mkdir()
     day = Saturday(1)
@@ -198,7 +208,7 @@
         CaptureSettings.model_construct(folder=""), folder, "n", day.join.policy, 1, lambda lost: None,
         lambda error: (failures.append(error), setattr(day.join, "tap", None)),
     )  # fmt: skip
-    day.join.tap = capture.tap
+    day.join.decision_log = capture.tap
     folder.rmdir()
     capture.flush()
     capture.disk.thread.join(5)
@@ -236,10 +246,11 @@
 
 
 def test_the_policy_draws_on_nothing_but_its_events_and_its_seed() -> None:
-    """Each source of time or chance in its files is in this list; a new one has to be captured first."""
+    """Each source of time or chance in its files is in this list; a new one has to be captured
+    first."""
     known = {"random.Random", "hash"}
     used: set[str] = set()
-    for module in (cottonhall.rules, cottonhall.fleet):
+    for module in (badgercart.policy.policy, badgercart.policy.hash_ring):
         tree = ast.parse(Path(str(module.__file__)).read_text())
         for node in ast.walk(tree):
             if isinstance(node, ast.Import | ast.ImportFrom):
@@ -267,8 +278,9 @@
 def test_the_numbers_of_events_and_actions_are_those_of_the_files() -> None:
     names = [kind.__name__ for kind in (*codec.EVENTS, *codec.ACTIONS)]
     assert names == [
-        "ServerList", "Request", "Began", "Outcome", "Diverted", "Resume", "ProbeResult", "Timer",
-        "PeerMessage", "Withdrawn", "Whole", "Retuned", "Company", "Planned", "Overdue", "Send", "Refuse",
-        "Fail", "Cancel", "Wake", "Probe", "Subscribe", "Log",
+        "EndpointUpdate", "Request", "ResponseStarted", "AttemptEnded", "AttemptRerouted", "RetryDecisionDue",
+        "HealthCheckResult", "TimerFired", "PeerMessage", "RequestCancelled", "RequestCompleted",
+        "SettingsChanged", "ClusterView", "TrafficPlan", "DeadlineExceeded", "Send", "Shed",
+        "Fail", "CancelAttempt", "SetTimer", "HealthCheck", "Subscribe", "Log",
     ]  # fmt: skip
     assert [kind.value for kind in Kind] == [1, 2, 3, 4, 5, 6] and format.VERSION == 2
--- a/tests/capture/test_whatif.py
+++ b/tests/capture/test_whatif.py
@@ -7,15 +7,15 @@
 
 import pytest
 
+from badgercart.app.cli import main
 from badgercart.capture import codec
 from badgercart.capture.anonymise import anonymise
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import events, replay, start
 from badgercart.capture.whatif import Change, what_if
-from badgercart.operator.cli import main
-from cottonhall import rules
-from cottonhall.interface import Outcome, Request, Result, ServerList
-from cottonhall.rules import Policy
+from badgercart.policy import policy as rules
+from badgercart.policy.events import AttemptEnded, AttemptResult, EndpointUpdate, Request
+from badgercart.policy.policy import Policy
 
 DAY = Path(__file__).parent / "rainy-saturday.bcap"
 
@@ -30,14 +30,20 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     real = codec.module_digest()
-    monkeypatch.setattr("badgercart.capture.replay.module_digest", lambda: real | {"rules.py": "other"})
+    monkeypatch.setattr(
+        "badgercart.capture.replay.module_digest", lambda: real | {"rules.py": "other"}
+    )
     monkeypatch.setattr(rules, "IN_FLIGHT_FROM", 50.0)
     monkeypatch.setattr(rules, "IN_FLIGHT_FULL", 60.0)
     assert main(["capture", "replay", str(DAY)]) == 1
     assert "text is another one now" in capsys.readouterr().err
     assert main(["capture", "replay", str(DAY), "--force"]) == 1
     out = capsys.readouterr().out
-    assert "then: [Refuse(" in out and "now:  [Send(" in out and "requests go otherwise (estimated)" in out
+    assert (
+        "then: [Refuse(" in out
+        and "now:  [Send(" in out
+        and "requests go otherwise (estimated)" in out
+    )
     change = Change()
     segment = Segment(DAY.read_bytes())
     what_if(Policy(codec.decode_settings(segment.head["settings"]), 7), events(segment), change)
@@ -62,10 +68,10 @@
             event = item.event  # type: ignore[attr-defined]
             if isinstance(event, Request):
                 found.add(event.key)
-            elif isinstance(event, ServerList):
-                found |= {line.id for line in event.servers}
-            elif isinstance(event, Outcome):
-                found.add(event.server)
+            elif isinstance(event, EndpointUpdate):
+                found |= {line.id for line in event.endpoints}
+            elif isinstance(event, AttemptEnded):
+                found.add(event.endpoint_id)
         return found - {0}
 
     assert not numbers(then) & numbers(now) and len(numbers(then)) >= len(numbers(now)) > 30
@@ -74,7 +80,7 @@
     assert head["node"] == "" and head["wall_ms"] == 0.0 and head["seed"] != 7
 
     def served(items: list[object]) -> int:
-        return sum(getattr(i.event, "result", 0) == Result.OK for i in items)  # type: ignore[attr-defined]
+        return sum(getattr(i.event, "result", 0) == AttemptResult.OK for i in items)  # type: ignore[attr-defined]
 
     assert served(now) == pytest.approx(served(then), rel=0.1)  # a night like it
     anonymise(DAY, again)
@@ -90,7 +96,9 @@
 
     def handle_starttag(self, tag: str, attrs: list[tuple[str, str | None]]) -> None:
         self.tags.append(tag)
-        self.links += [value or "" for name, value in attrs if name in ("src", "href", "xlink:href")]
+        self.links += [
+            value or "" for name, value in attrs if name in ("src", "href", "xlink:href")
+        ]
 
 
 def test_a_report_is_one_page_without_outside_references(tmp_path: Path) -> None:
--- a/tests/peers/test_driver.py
+++ b/tests/cluster/test_driver.py
@@ -6,10 +6,10 @@
 import random
 from typing import Any
 
-from badgercart.peers.driver import Allowed, Driver
-from badgercart.peers.machine import Machine, Timing
-from badgercart.peers.view import Claim, Status
-from badgercart.peers.wire import Codec
+from badgercart.cluster.codec import Codec
+from badgercart.cluster.driver import Allowed, Driver
+from badgercart.cluster.membership_table import MembershipRecord, Status
+from badgercart.cluster.swim import SwimProtocol, Timing
 
 
 def test_a_connection_that_waits_as_the_process_ends_is_no_fault() -> None:
@@ -18,9 +18,16 @@
     async def run() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: said.append(context))
-        machine = Machine(Claim("n0", 0, Status.ALIVE, ("127.0.0.1", 1), 1), Timing(), [], random.Random(1))
+        machine = SwimProtocol(
+            MembershipRecord("n0", 0, Status.ALIVE, ("127.0.0.1", 1), 1),
+            Timing(),
+            [],
+            random.Random(1),
+        )
         codec, allowed = Codec("g", b"a secret of the test"), Allowed(("127.0.0.0/8",))
-        driver = Driver(loop, loop.time, machine, codec, ("127.0.0.1", 0), allowed, lambda effects: None)
+        driver = Driver(
+            loop, loop.time, machine, codec, ("127.0.0.1", 0), allowed, lambda effects: None
+        )
         await driver.start()
         _, writer = await asyncio.open_connection(*driver.listen)
         while not driver.serving:
--- a/tests/membership/test_texts.py
+++ b/tests/discovery/test_texts.py
@@ -9,15 +9,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.membership import texts
-from badgercart.membership.texts import Cut, Texts
+from badgercart.discovery import list_framing as texts
+from badgercart.discovery.list_framing import Cut, Texts
 
-words = st.text(st.characters(codec="utf-8", exclude_categories=("Cs",)), max_size=8) | st.sampled_from(
-    ['"', "\\", '{"', "]}", "\n", '\\"{', "generation"]
-)
+words = st.text(
+    st.characters(codec="utf-8", exclude_categories=("Cs",)), max_size=8
+) | st.sampled_from(['"', "\\", '{"', "]}", "\n", '\\"{', "generation"])
 line = st.fixed_dictionaries({"instanceId": words, "zone": words, "cell": st.integers(0, 9)})
 told = st.fixed_dictionaries(
-    {"generation": st.integers(0, 99), "reset": st.booleans(), "instances": st.lists(line, max_size=3)}
+    {
+        "generation": st.integers(0, 99),
+        "reset": st.booleans(),
+        "instances": st.lists(line, max_size=3),
+    }
 )
 indents = st.sampled_from([None, 0, 1, 4, "\t"])
 sent = st.lists(st.tuples(st.none() | told, indents, st.sampled_from(["\n", "\r\n"])), max_size=5)
--- a/tests/bans/test_store.py
+++ b/tests/ejection/test_store.py
@@ -1,4 +1,5 @@
-"""The file of bans: whole or not at all, whatever was done to it; two processes that change it at once."""
+"""The file of bans: whole or not at all, whatever was done to it; two processes that change it at
+once."""
 
 from __future__ import annotations
 
@@ -13,9 +14,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.bans.ledger import MAX_BANS, Freed, Ledger, State
-from badgercart.bans.store import Store, decode, encode
-from badgercart.core.sealed import Unusable, checksum
+from badgercart.core.checksummed_file import CorruptFileError, checksum
+from badgercart.ejection.ledger import MAX_BANS, Freed, Ledger, State
+from badgercart.ejection.store import Store, decode, encode
 
 STATE = State({"s-1": 5.0}, {"s-2": Freed(1.0, 2.0)}, {"s-1": None, "s-2": None, "s-3": None})
 
@@ -32,10 +33,10 @@
 @given(st.integers(0, len(encode(STATE)) - 1), st.integers(0, 255))
 def test_cut_anywhere_or_with_any_byte_changed_it_is_not_taken(at: int, byte: int) -> None:
     whole = encode(STATE)
-    with pytest.raises(Unusable):
+    with pytest.raises(CorruptFileError):
         decode(whole[:at])
     if whole[at] != byte:
-        with pytest.raises(Unusable):
+        with pytest.raises(CorruptFileError):
             decode(whole[:at] + bytes([byte]) + whole[at + 1 :])
 
 
@@ -53,7 +54,7 @@
     ],
 )
 def test_a_whole_file_that_says_something_else_is_not_taken(line: bytes) -> None:
-    with pytest.raises(Unusable):
+    with pytest.raises(CorruptFileError):
         decode(b"%b\n%b\n" % (checksum(line), line))
 
 
@@ -69,8 +70,8 @@
 WRITER = textwrap.dedent("""
     import sys
     from pathlib import Path
-    from badgercart.bans.ledger import Ledger
-    from badgercart.bans.store import Store
+    from badgercart.ejection.ledger import Ledger
+    from badgercart.ejection.store import Store
     store = Store(Path(sys.argv[1]))
     for number in range(int(sys.argv[3])):
         while True:  # two that come again at once may keep it from each other beyond a call's wait
@@ -110,6 +111,8 @@
         os.kill(one.pid, signal.SIGKILL)
         one.communicate()
         state = Store(tmp_path).read()
-        assert state is not None and f"r{round_}-{7 * round_}" in state.bans  # each that was said is kept
+        assert (
+            state is not None and f"r{round_}-{7 * round_}" in state.bans
+        )  # each that was said is kept
     with Store(tmp_path).held():  # and the lock of the dead one is free
         assert Ledger(0.0).state.bans == {}
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -1,4 +1,5 @@
-"""One table of crossings: what ends, where its request is just then, and what a repeat of it would do."""
+"""One table of crossings: what ends, where its request is just then, and what a repeat of it would
+do."""
 
 from __future__ import annotations
 
@@ -8,7 +9,7 @@
 
 import pytest
 
-from cottonhall.interface import ServerList
+from badgercart.policy.events import EndpointUpdate
 from tests.ends.test_leaving import Gate
 from tests.net import CLASSES, OK, WAIT, Client, Peer, Stand, config, request, run, running
 
@@ -26,7 +27,7 @@
 
     async def client_leaves(self) -> None:
         self.client.writer.transport.abort()
-        while self.stand.node.join.held:
+        while self.stand.node.join.in_flight:
             await asyncio.sleep(0)
         self.open()
 
@@ -39,7 +40,7 @@
 
     async def server_drains(self) -> None:
         self.stand.agent.push(2, [self.peer.entry("s-1", "leaving")])
-        await self.stand.event(ServerList)
+        await self.stand.event(EndpointUpdate)
         self.open()
         for writer in self.writers:
             writer.write(OK[self.sent :])
@@ -55,7 +56,8 @@
 
 
 End = Callable[[Scene], Awaitable[None]]
-# The end, where, and the answers to a safe, a keyed and an unsafe request; None: nobody is there to have one.
+# The end, where, and the answers to a safe, a keyed and an unsafe request; None: nobody is there to
+# have one.
 TABLE: list[tuple[End, str, tuple[int | None, int | None, int | None]]] = [
     (Scene.client_leaves, DIALLING, (None, None, None)),
     (Scene.client_leaves, WRITTEN, (None, None, None)),
@@ -74,7 +76,9 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False], ids=["cancels", "never cancels"])
 @pytest.mark.parametrize("cls", CLASSES)
-@pytest.mark.parametrize(("end", "where", "answers"), TABLE, ids=lambda x: getattr(x, "__name__", None))
+@pytest.mark.parametrize(
+    ("end", "where", "answers"), TABLE, ids=lambda x: getattr(x, "__name__", None)
+)
 def test_what_ends_is_answered_once_by_where_it_was_and_what_a_repeat_would_do(
     end: End,
     where: str,
@@ -113,11 +117,11 @@
                 assert status == expected and (b"Retry-After" in head) == (status == 503)
             join = stand.node.join
             if expected is None and not may_cancel and scene.writers:
-                assert join.out  # it may not be called back: it ends when its server does
+                assert join.open_attempts  # it may not be called back: it ends when its server does
                 scene.writers[0].transport.abort()
-            while join.out:
+            while join.open_attempts:
                 await asyncio.sleep(0)
-            assert not join.held and not join.policy.jobs and not stand.node.pool.attempts
+            assert not join.in_flight and not join.policy.jobs and not stand.node.pool.attempts
             assert peer.requests.empty() and len(scene.writers) == (where is not DIALLING)
 
     run(test())
--- a/tests/ends/test_drain.py
+++ b/tests/ends/test_drain.py
@@ -1,4 +1,5 @@
-"""The end of a process, and of a connection, with something still owed: it is answered, once, and in time."""
+"""The end of a process, and of a connection, with something still owed: it is answered, once, and
+in time."""
 
 from __future__ import annotations
 
@@ -9,10 +10,11 @@
 import pytest
 
 from badgercart import node as platform
-from badgercart.fronts.http import clients, crowd
-from badgercart.fronts.http.clients import Listener
-from badgercart.fronts.http.connection import State
-from cottonhall.interface import Request
+from badgercart.frontends.http import clients
+from badgercart.frontends.http import connection_eviction as crowd
+from badgercart.frontends.http.clients import Listener
+from badgercart.frontends.http.connection import State
+from badgercart.policy.events import Request
 from tests.ends.test_leaving import Gate
 from tests.net import WAIT, Client, Peer, Stand, held_back, request, run, running, stay_silent
 
@@ -43,7 +45,9 @@
             client.writer.write(request(cls))  # with 8 s to go
             await (peer.requests.get() if gate is None else gate.reached())
             await stand.node.drain()
-            assert not stand.node.join.held and not stand.node.join.policy.jobs  # now the process would end
+            assert (
+                not stand.node.join.in_flight and not stand.node.join.policy.jobs
+            )  # now the process would end
             status, head, _ = await client.answer()
             assert status == ANSWERS[cls][written]
             assert (b"Retry-After" in head) == (status == 503)
@@ -67,7 +71,7 @@
             await asyncio.sleep(0)
             client.writer.write(data[40:])
             event = await stand.event(Request)
-            assert event.due == stand.node.join.leave_by
+            assert event.deadline == stand.node.join.shutdown_deadline
             assert (await client.answer())[0] == 503
             await asyncio.wait_for(ending, WAIT)
 
@@ -144,7 +148,9 @@
     return client, data
 
 
-@pytest.mark.parametrize(("state", "end"), CROSSINGS, ids=lambda x: getattr(x, "name", "") or x.__name__)
+@pytest.mark.parametrize(
+    ("state", "end"), CROSSINGS, ids=lambda x: getattr(x, "name", "") or x.__name__
+)
 def test_a_request_that_lies_unread_is_not_lost_by_the_end_of_its_connection(
     state: State, end: Callable[[Listener], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -173,9 +179,9 @@
     async def test() -> None:
         async with running(await Peer(stay_silent).start()) as stand:
             join = stand.node.join
-            join.leave(join.clock() - 1.0)
+            join.begin_shutdown(join.clock() - 1.0)
             client = await stand.client()
             assert (await client.ask(request()))[0] == 503  # at once: there is no time left
-            assert not join.held
+            assert not join.in_flight
 
     run(test())
