--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -1,7 +1,7 @@
 """A client that has gone: no attempt for it, first or further, begins behind its close.
 
-It goes at the worst moment there is: with the close behind all that the node has read, just before the node
-decides, or just before it would write.
+It goes at the worst moment there is: with the close behind all that the node has read, just before
+the node decides, or just before it would write.
 """
 
 from __future__ import annotations
@@ -15,12 +15,13 @@
 
 import pytest
 
-from badgercart.carriers.pool import pool as pools
-from badgercart.carriers.pool.pool import ServerConnection, ServerPool
-from badgercart.core.room import HOLD, WINDOW
-from badgercart.fronts.http.connection import MAX_WAITING
-from cottonhall import rules
-from cottonhall.interface import Event, Outcome, Request, Settings, Timer
+from badgercart.core.memory_budget import HOLD, WINDOW
+from badgercart.frontends.http.connection import MAX_WAITING
+from badgercart.policy import policy as rules
+from badgercart.policy.events import AttemptEnded, Event, Request, TimerFired
+from badgercart.policy.settings import Settings
+from badgercart.upstream import connection_pool as pools
+from badgercart.upstream.connection_pool import ServerConnection, ServerPool
 from tests.net import CLASSES, OK, WAIT, Client, Peer, Stand, config, request, run, running
 
 MANY = 100
@@ -46,9 +47,12 @@
 
 
 class Scene:
-    """A node, a server that answers what it is let answer, and clients on sockets that end at once."""
+    """A node, a server that answers what it is let answer, and clients on sockets that end at
+    once."""
 
-    def __init__(self, stand: Stand, peer: Peer, leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
+    def __init__(
+        self, stand: Stand, peer: Peer, leave: Leave, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
         self.stand, self.peer, self.monkeypatch = stand, peer, monkeypatch
         self.node, self.leave = stand.node, leave
         self.socks: list[socket.socket] = []
@@ -95,7 +99,8 @@
         policy.handle = told  # type: ignore[method-assign]
 
     def go_on_dialled(self) -> None:
-        """They leave in the moment in which a connection to the server is up, before it is written on."""
+        """They leave in the moment in which a connection to the server is up, before it is written
+        on."""
         put_on = ServerPool.put_on
 
         def dialled(pool: ServerPool, attempt: Any, connection: ServerConnection) -> None:
@@ -106,7 +111,8 @@
         self.monkeypatch.setattr(ServerPool, "put_on", dialled)
 
     async def ready(self) -> None:
-        """Connections stand idle, under both names of the server: what is sent again goes to the other."""
+        """Connections stand idle, under both names of the server: what is sent again goes to the
+        other."""
         self.stand.send(1 << 40, "s-1")
         self.stand.send(1 << 41, "s-2")
         for writer in [await self.begun() for _ in range(2)]:
@@ -124,11 +130,12 @@
     async def gone(self) -> None:
         """Nobody but who stays is there any more, and nothing is owed."""
         async with asyncio.timeout(WAIT):
-            while self.node.join.held or len(self.node.listener.connections) > 1:
+            while self.node.join.in_flight or len(self.node.listener.connections) > 1:
                 await asyncio.sleep(0.001)
 
     async def last(self) -> None:
-        """What comes behind all that the server was to get, and behind all who wait to be accepted."""
+        """What comes behind all that the server was to get, and behind all who wait to be
+        accepted."""
         client = await self.stand.client()
         assert (await client.ask(request(key="last")))[0] == 200
         client.writer.close()
@@ -138,7 +145,8 @@
 Case = Callable[[Scene], Awaitable[None]]
 
 
-# Each leaves behind only clients that have gone. What the server had of them before is taken from its queue.
+# Each leaves behind only clients that have gone. What the server had of them before is taken from
+# its queue.
 
 
 async def right_behind_its_request(scene: Scene) -> None:
@@ -159,7 +167,7 @@
     scene.connect().sendall(request("ordered"))
     await scene.stand.event(Request)
     await scene.stand.event(Request)
-    scene.go_at(Outcome)
+    scene.go_at(AttemptEnded)
     writer.write(OK)
     assert (await scene.stay.answer())[0] == 200
 
@@ -171,7 +179,7 @@
     scene.connect().sendall(request("ordered"))
     await scene.stand.event(Request)
     await scene.stand.event(Request)
-    scene.go_at(Timer)
+    scene.go_at(TimerFired)
     writer.transport.abort()
     (await scene.begun()).write(OK)  # sent again
     assert (await scene.stay.answer())[0] == 200
@@ -196,14 +204,14 @@
 async def between_two_attempts(scene: Scene) -> None:
     scene.connect().sendall(request())
     writer = await scene.begun()
-    scene.go_at(Outcome)
+    scene.go_at(AttemptEnded)
     writer.transport.abort()
 
 
 async def between_two_attempts_refused(scene: Scene) -> None:
     scene.connect().sendall(request("pay"))
     writer = await scene.begun()
-    scene.go_at(Outcome)
+    scene.go_at(AttemptEnded)
     writer.write(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -248,7 +256,7 @@
     scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
     writer = await scene.begun()
     assert scene.node.listener.unheard
-    scene.go_at(Outcome)
+    scene.go_at(AttemptEnded)
     writer.transport.abort()
 
 
@@ -256,7 +264,7 @@
     scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
     writer = await scene.begun()
     assert scene.node.listener.unheard
-    scene.go_at(Outcome)
+    scene.go_at(AttemptEnded)
     writer.write(OK)
 
 
@@ -330,8 +338,8 @@
             await asyncio.sleep(0)
         scene.go()  # its end lies behind what the node does not read now
     else:
-        (held,) = scene.node.join.held.values()
-        while not held.intake.whole:
+        (held,) = scene.node.join.in_flight.values()
+        while not held.request.complete:
             await asyncio.sleep(0)
         scene.go()
         await scene.gone()
@@ -386,7 +394,10 @@
     given = config(1, attempts=3).settings
     find = given.classes[list(CLASSES).index("find")]
     return replace(
-        given, classes=(*given.classes, replace(find, in_order=True)), may_cancel=may_cancel, key_rest=500.0
+        given,
+        classes=(*given.classes, replace(find, serialized_by_key=True)),
+        may_cancel=may_cancel,
+        key_cooldown_ms=500.0,
     )
 
 
@@ -396,7 +407,9 @@
 def test_no_attempt_begins_for_a_client_that_has_gone(
     monkeypatch: pytest.MonkeyPatch, case: Case, leave: Leave, may_cancel: bool
 ) -> None:
-    monkeypatch.setattr(pools, "REST", 0.0)  # else each attempt on a connection in use waits for a turn
+    monkeypatch.setattr(
+        pools, "REST", 0.0
+    )  # else each attempt on a connection in use waits for a turn
 
     async def test() -> None:
         peer = await Peer().start()
@@ -418,9 +431,13 @@
             assert len(got) >= 2 and not [head for head in got if not head.startswith(LAST)]
             join, pool = stand.node.join, stand.node.pool
             async with asyncio.timeout(WAIT):
-                while join.out or pool.attempts or join.policy.jobs:
+                while join.open_attempts or pool.attempts or join.policy.jobs:
                     await asyncio.sleep(0.001)
-            assert not join.leaving and not stand.node.listener.open_ids and not stand.node.listener.unheard
+            assert (
+                not join.cancelled
+                and not stand.node.listener.open_ids
+                and not stand.node.listener.unheard
+            )
 
     run(test())
 
--- a/tests/ends/test_ready.py
+++ b/tests/ends/test_ready.py
@@ -1,4 +1,5 @@
-"""Restarted processes that know no list are ready with the first: nine in ten in time, whatever happens."""
+"""Restarted processes that know no list are ready with the first: nine in ten in time, whatever
+happens."""
 
 from __future__ import annotations
 
@@ -9,8 +10,8 @@
 
 import pytest
 
-from badgercart.membership.catalog import Discovery
-from badgercart.membership.tries import MOST, PATIENCE, Pace
+from badgercart.discovery.backoff import MOST, PATIENCE, Pace
+from badgercart.discovery.catalog import Discovery
 from tests.ends.discovery import InTurn, Service
 from tests.ends.test_told import entry, on_a_clock
 from tests.ends.virtual import Loop
@@ -69,7 +70,9 @@
 
             return take
 
-        followers = [Discovery(("d", 1), taking(node), random.Random(node)) for node in range(nodes)]
+        followers = [
+            Discovery(("d", 1), taking(node), random.Random(node)) for node in range(nodes)
+        ]
         for follower in followers:
             follower.start()
         await asyncio.sleep(term)
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -1,7 +1,8 @@
 """Told after 6 s: whatever befalls watches and calls, no change is missed for longer.
 
-A change counts as told 6 s after discovery had it and could be reached, and what a watch misses 6 s after it
-fell silent. Calls that fail one by one, though another would get through, leave discovery within reach.
+A change counts as told 6 s after discovery had it and could be reached, and what a watch misses 6 s
+after it fell silent. Calls that fail one by one, though another would get through, leave discovery
+within reach.
 """
 
 from __future__ import annotations
@@ -18,19 +19,24 @@
 import pytest
 
 from badgercart.core import descriptors
-from badgercart.core.join import Join
-from badgercart.core.names import stable_id
-from badgercart.core.ports import Intake, Order
-from badgercart.core.roster import Roster
-from badgercart.membership.catalog import SILENCE, Discovery
-from badgercart.membership.entries import ListReader
-from badgercart.membership.tries import MOST, RETRY_FIRST, Pace, Tries
-from cottonhall.interface import ListKind, Result, State
+from badgercart.core.endpoint_table import EndpointTable
+from badgercart.core.identifiers import stable_id
+from badgercart.core.ports import AttemptRequest, IncomingRequest
+from badgercart.core.request_pipeline import RequestPipeline
+from badgercart.discovery.backoff import MOST, RETRY_FIRST, Pace, Tries
+from badgercart.discovery.catalog import SILENCE, Discovery
+from badgercart.discovery.entries import ListReader
+from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.events import AttemptResult, UpdateKind
 from tests.ends.discovery import Service
 from tests.ends.virtual import Loop
 from tests.net import Nobody, config
 
-TOLD, GRACE, MOVED = 6.0, 0.5, 4.0  # s, by the pages: a change, a drain, a change behind SIGHUP at an agent
+TOLD, GRACE, MOVED = (
+    6.0,
+    0.5,
+    4.0,
+)  # s, by the pages: a change, a drain, a change behind SIGHUP at an agent
 SOON = 0.001  # s
 CHANGED = stable_id(b"s-1")
 EARLY = 1.0  # s after the start
@@ -78,8 +84,16 @@
 def troubles() -> Iterator[tuple[str, Trouble]]:
     for at in (EARLY, 13.0):
         yield f"silent after {at:.0f} s", Trouble("silent", at, after=SWEEP)
-        yield f"silent after {at:.0f} s, twice running", Trouble("silent", at, again=True, after=SWEEP)
-    for how in ("ends instead", "half a list, then nothing", "a spoilt list", "a whole list in its place"):
+        yield (
+            f"silent after {at:.0f} s, twice running",
+            Trouble("silent", at, again=True, after=SWEEP),
+        )
+    for how in (
+        "ends instead",
+        "half a list, then nothing",
+        "a spoilt list",
+        "a whole list in its place",
+    ):
         yield how, Trouble(how)
         for fault in ("refused", "silent", "half a list, then nothing"):
             yield f"{how}, then twice {fault}", Trouble(how, calls=(fault,) * 2)
@@ -87,13 +101,21 @@
         yield f"silent, then {fault}", Trouble("silent", calls=(fault,), after=SWEEP)
         yield f"silent, then twice {fault}", Trouble("silent", calls=(fault,) * 2, after=SWEEP)
         yield f"down: {fault}", Trouble("ends", down=fault, after=AROUND)
-        yield f"down: {fault}, then silent", Trouble("ends", down=fault, calls=("silent",), after=AROUND)
+        yield (
+            f"down: {fault}, then silent",
+            Trouble("ends", down=fault, calls=("silent",), after=AROUND),
+        )
         yield (
             f"down: {fault}, then twice silent",
             Trouble("ends", down=fault, calls=("silent",) * 2, after=AROUND),
         )
-        yield f"silent, {fault}, moved", Trouble("silent", down=fault, moved=3.5, after=(SOON, 3.4, 3.6))
-        late = Trouble("silent", down="silent", calls=(fault,) * 2, moved=9.0, after=(SOON, 8.9, 9.1))
+        yield (
+            f"silent, {fault}, moved",
+            Trouble("silent", down=fault, moved=3.5, after=(SOON, 3.4, 3.6)),
+        )
+        late = Trouble(
+            "silent", down="silent", calls=(fault,) * 2, moved=9.0, after=(SOON, 8.9, 9.1)
+        )
         yield f"silent, down, moved, then twice {fault}", late
 
 
@@ -121,15 +143,22 @@
     world: World
     sent: list[float] = field(default_factory=list)
 
-    def send(self, order: Order) -> None:
-        if order.server_id == CHANGED:
+    def send(self, order: AttemptRequest) -> None:
+        if order.endpoint_id == CHANGED:
             self.sent.append(self.world.loop.now)
         loop, join = self.world.loop, self.world.join
-        loop.call_soon(join.ended, order.request_id, order.number, order.server_id, Result.OK, 1.0)
+        loop.call_soon(
+            join.attempt_ended,
+            order.request_id,
+            order.attempt,
+            order.endpoint_id,
+            AttemptResult.OK,
+            1.0,
+        )
 
     def cancel(self, request_id: int, attempt: int) -> None: ...
 
-    def forgo(self, request_id: int, attempt: int) -> None: ...
+    def abandon_attempt(self, request_id: int, attempt: int) -> None: ...
 
 
 class World:
@@ -138,28 +167,30 @@
     def __init__(self, loop: Loop, listed: list[dict[str, Any]], pushed: bool, dice: float) -> None:
         self.loop, self.begun = loop, loop.now
         self.config = config(1)
-        self.join = Join(self.config.settings, 7, loop, lambda: loop.now * 1000)
-        self.roster = Roster(ListReader(self.config), self.join)
+        self.join = RequestPipeline(self.config.settings, 7, loop, lambda: loop.now * 1000)
+        self.roster = EndpointTable(ListReader(self.config), self.join)
         self.roster.on_change.append(lambda member: self.note())
         self.carrier = Carrier(self)
         self.taken = math.inf  # when the change was taken up
         self.change: dict[str, Any] | None = None
         self.service = Service(loop, 1, {e["instanceId"]: e for e in listed})
         self.pace = Pace.agent(GRACE * 1000) if pushed else Pace.shared()
-        self.discovery = Discovery(("d", 1), self.roster.take, Fixed(dice), pace=self.pace)
+        self.discovery = Discovery(("d", 1), self.roster.accept, Fixed(dice), pace=self.pace)
 
     def know(self) -> None:
         told = {"generation": 1, "reset": True, "instances": list(self.service.members.values())}
-        self.discovery.version = self.roster.take(told, ListKind.CACHED)
+        self.discovery.version = self.roster.accept(told, UpdateKind.CACHED)
 
     def note(self) -> None:
         if self.change is None or self.taken < math.inf:
             return
         member = self.roster.listed.get(CHANGED)
         if self.change["lifecycle"] != "active":
-            done = member is None or member.entry.state is not State.READY
+            done = member is None or member.entry.state is not EndpointState.READY
         else:
-            done = member is not None and (not self.change["startedAtMs"] or member.entry.started != 0)
+            done = member is not None and (
+                not self.change["startedAtMs"] or member.entry.started_ms != 0
+            )
         if done:
             self.taken = self.loop.now
 
@@ -169,15 +200,18 @@
     async def ask(self, until: float) -> None:
         """Requests, all the time until then."""
         while self.loop.now < until:
-            number = self.join.number()
+            number = self.join.next_request_id()
             due = (self.loop.now + 5.0) * 1000
-            intake = Intake(0, 0, 0, due, None, patience=5000.0)
-            self.join.take(number, intake, Nobody(), self.carrier)  # type: ignore[arg-type]
+            intake = IncomingRequest(0, 0, 0, due, None, response_window_ms=5000.0)
+            self.join.accept(number, intake, Nobody(), self.carrier)  # type: ignore[arg-type]
             await asyncio.sleep(0.05)
 
 
-async def play(loop: Loop, trouble: Trouble, change: str, pushed: bool, after: float, dice: float) -> float:
-    """One cell at one time: s from when the change counts as told until it is taken up; infinite if never."""
+async def play(
+    loop: Loop, trouble: Trouble, change: str, pushed: bool, after: float, dice: float
+) -> float:
+    """One cell at one time: s from when the change counts as told until it is taken up; infinite if
+    never."""
     line, listed = CHANGES[change]
     world = World(loop, [entry("s-1")] * listed + [entry("s-2"), entry("s-3")], pushed, dice)
     service = world.service
@@ -186,7 +220,9 @@
     await world.until(world.begun + trouble.at)
     service.whole_first = trouble.watch == "a whole list in its place"
     while True:  # to just behind a line: silence is noticed latest then
-        if any(line.timer is not None and line.timer.when() - loop.now > 1.96 for line in service.lines):
+        if any(
+            line.timer is not None and line.timer.when() - loop.now > 1.96 for line in service.lines
+        ):
             break
         await asyncio.sleep(0.02)
     since = loop.now
@@ -208,7 +244,9 @@
             for open_line in list(service.lines):
                 open_line.end()
             if pushed and not trouble.calls:
-                bound = max(had, reachable) + GRACE  # at its return, what an agent has counts at once
+                bound = (
+                    max(had, reachable) + GRACE
+                )  # at its return, what an agent has counts at once
         if trouble.again:
             loop.create_task(second(world))
         if trouble.moved:
@@ -245,7 +283,9 @@
     """SIGHUP: another service has the list, by numbers of its own."""
     await world.until(at)
     members = dict(world.service.members)
-    world.service = Service(world.loop, 2, members, faults=list(faults), changes=list(world.service.changes))
+    world.service = Service(
+        world.loop, 2, members, faults=list(faults), changes=list(world.service.changes)
+    )
     world.discovery.move(("d", 2))
 
 
@@ -259,10 +299,18 @@
 
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked for", "pushed"])
 @pytest.mark.parametrize("name", TROUBLES)
-def test_a_change_is_taken_up_by_the_time_at_which_it_counts_as_told(name: str, pushed: bool) -> None:
+def test_a_change_is_taken_up_by_the_time_at_which_it_counts_as_told(
+    name: str, pushed: bool
+) -> None:
     trouble, broken = TROUBLES[name], []
-    worst = [*product(("drain", "new"), trouble.after), *product(("gone", "back cold"), trouble.after[:1])]
-    for change, after, dice in [*((*one, LATEST) for one in worst), ("drain", trouble.after[0], 0.0)]:
+    worst = [
+        *product(("drain", "new"), trouble.after),
+        *product(("gone", "back cold"), trouble.after[:1]),
+    ]
+    for change, after, dice in [
+        *((*one, LATEST) for one in worst),
+        ("drain", trouble.after[0], 0.0),
+    ]:
         cell = partial(play, trouble=trouble, change=change, pushed=pushed, after=after, dice=dice)
         if (late := on_a_clock(cell)) > SOON:
             broken.append(f"{change}, {after} s after, dice at {dice:.1f}: {late:.3f} s late")
@@ -273,11 +321,13 @@
 def test_the_table_sees_a_change_that_is_never_taken_up(change: str) -> None:
     never = Trouble("silent", calls=("silent",) * 99)
     assert (
-        on_a_clock(partial(play, trouble=never, change=change, pushed=False, after=0.0, dice=0.0)) == math.inf
+        on_a_clock(partial(play, trouble=never, change=change, pushed=False, after=0.0, dice=0.0))
+        == math.inf
     )
 
 
-# Calls a second that one node makes once discovery has been lost for long: the service bears them of all.
+# Calls a second that one node makes once discovery has been lost for long: the service bears them
+# of all.
 HELD, FAILED = 0.65, 1.05
 RATES = {fault: FAILED for fault in FAULTS} | {
     "never up": HELD,
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -14,11 +14,12 @@
 
 import pytest
 
-from badgercart.fronts.graphql.documents import Cache
-from badgercart.fronts.graphql.settings import GraphqlSettings
-from badgercart.operator.file import Installation
-from badgercart.operator.site import Site
-from cottonhall.interface import Effect, Outcome, Request, RequestClass, Result, Withdrawn
+from badgercart.app.file import Installation
+from badgercart.app.site import Site
+from badgercart.frontends.graphql.documents import Cache
+from badgercart.frontends.graphql.settings import GraphqlSettings
+from badgercart.policy.events import AttemptEnded, AttemptResult, Request, RequestCancelled
+from badgercart.policy.settings import Idempotency, RequestClass
 from standins import graphql as dispatch
 from standins import http1
 from tests.net import WAIT, Client, Peer, config, field, hang_up, listed, run, stay_silent
@@ -29,8 +30,19 @@
     {"name": "Mutation.rideAssign", "class": "ride-assign", "affinity": "ride", "key": "key"},
 ]
 CLASSES = (
-    RequestClass(aim=5000.0, deadline=9000.0, worth=2.0, effect=Effect.SAFE),
-    RequestClass(aim=5000.0, deadline=9000.0, worth=8.0, effect=Effect.KEYED, window=20000.0),
+    RequestClass(
+        latency_objective_ms=5000.0,
+        deadline_ms=9000.0,
+        priority_weight=2.0,
+        idempotency=Idempotency.IDEMPOTENT,
+    ),
+    RequestClass(
+        latency_objective_ms=5000.0,
+        deadline_ms=9000.0,
+        priority_weight=8.0,
+        idempotency=Idempotency.KEYED,
+        deduplication_window_ms=20000.0,
+    ),
 )
 NEW = "application/graphql-response+json"
 Script = Callable[[dict[str, Any]], tuple[int, Any] | None]
@@ -78,7 +90,11 @@
         return Client(*await asyncio.open_connection(*self.front.listener.address))
 
     async def send(
-        self, body: Any, accept: str | None = NEW, content_type: str = "application/json", **headers: str
+        self,
+        body: Any,
+        accept: str | None = NEW,
+        content_type: str = "application/json",
+        **headers: str,
     ) -> tuple[int, bytes, Any]:
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         lines = {"host": "x", "content-type": content_type, "request-timeout": "8000m"}
@@ -105,7 +121,8 @@
         config=replace(base, settings=replace(base.settings, classes=CLASSES), classes=names),
         parts={
             "graphql": GraphqlSettings.model_validate(
-                {"listen": "127.0.0.1:0", "schema": str(dispatch.SCHEMA_FILE), "field": FIELDS} | changes
+                {"listen": "127.0.0.1:0", "schema": str(dispatch.SCHEMA_FILE), "field": FIELDS}
+                | changes
             ),
             "server": tuple(listed(server.entry(f"s-{n}")) for n, server in enumerate(servers, 1)),
         },
@@ -130,7 +147,9 @@
         await server.start()
         async with desk(server, **changes) as front:
             await test(front, server)
-            assert not front.join.held and not front.join.out and not front.front.open
+            assert (
+                not front.join.in_flight and not front.join.open_attempts and not front.front.open
+            )
 
     run(whole())
 
@@ -140,11 +159,13 @@
         status, head, told = await front.send({"query": LOOKUP})
         assert status == 200 and field(head, b"Content-Type") == NEW.encode()
         assert told == {
-            "data": {"cabLookup": {"pickup": "opera", "cabs": [{"id": f"cab{n}"} for n in range(3)]}}
+            "data": {
+                "cabLookup": {"pickup": "opera", "cabs": [{"id": f"cab{n}"} for n in range(3)]}
+            }
         }
         status, _, told = await front.send({"query": ASSIGN})
         assert told["data"]["rideAssign"] == {"id": "r1", "server": "s"}
-        assert [request.cls for request in front.of(Request)] == [0, 1]
+        assert [request.class_index for request in front.of(Request)] == [0, 1]
         assert server.keys[0] == "" and server.keys[1] != ""
 
     play(test)
@@ -170,7 +191,7 @@
 
         def under_a_cut(request: Request) -> None:
             # The cut lies between the two: lookups are refused, assignments are not.
-            cut = 1000.0 if request.cls == 0 and len(front.of(Request)) else 0.0
+            cut = 1000.0 if request.class_index == 0 and len(front.of(Request)) else 0.0
             policy.measure_overload = lambda: setattr(policy, "cut", cut)  # type: ignore[method-assign]
             policy.upkeep_at = policy.now
             ask(request)
@@ -202,7 +223,7 @@
         assert told["errors"] == [
             {"message": "no", "path": ["cabLookup"], "locations": [{"line": 1, "column": 3}]}
         ]
-        assert [outcome.result for outcome in front.of(Outcome)] == [Result.ERROR]
+        assert [outcome.result for outcome in front.of(AttemptEnded)] == [AttemptResult.ERROR]
         assert front.join.policy.failed > 0
 
     play(test, lambda asked: (200, partial))
@@ -222,14 +243,17 @@
     async def test(front: Desk, server: Dispatch) -> None:
         _, _, told = await front.send({"query": LOOKUP})
         assert told["errors"][0]["extensions"]["code"] in ("REFUSED", "FAILED")
-        assert [outcome.result for outcome in front.of(Outcome)] == [Result.ERROR]
+        assert [outcome.result for outcome in front.of(AttemptEnded)] == [AttemptResult.ERROR]
 
     play(test, lambda asked: (200, said))
 
 
 def test_a_failed_assignment_is_sent_again_with_the_same_key() -> None:
     async def test() -> None:
-        servers = [Dispatch("one", lambda asked: (-1, None)), Dispatch("two", lambda asked: (-1, None))]
+        servers = [
+            Dispatch("one", lambda asked: (-1, None)),
+            Dispatch("two", lambda asked: (-1, None)),
+        ]
         for server in servers:
             await server.start()
         async with desk(*servers, attempts=4) as front:
@@ -243,7 +267,9 @@
 
 def test_mutations_go_in_their_order_and_stop_with_their_client() -> None:
     chain = (
-        "mutation { " + " ".join(f'm{i}: rideAssign(ride: "{i}", key: "k") {{ id }}' for i in range(4)) + " }"
+        "mutation { "
+        + " ".join(f'm{i}: rideAssign(ride: "{i}", key: "k") {{ id }}' for i in range(4))
+        + " }"
     )
 
     async def test(front: Desk, server: Dispatch) -> None:
@@ -257,11 +283,13 @@
     async def silent(front: Desk, server: Dispatch) -> None:
         client = await front.client()
         head = {"host": "x", "content-type": "application/json", "request-timeout": "8000m"}
-        client.writer.write(http1.request("POST", "/graphql", head, json.dumps({"query": chain}).encode()))
+        client.writer.write(
+            http1.request("POST", "/graphql", head, json.dumps({"query": chain}).encode())
+        )
         await asyncio.wait_for(server.requests.get(), WAIT)
         client.writer.close()
-        await front.event(Withdrawn)
-        await front.event(Outcome)
+        await front.event(RequestCancelled)
+        await front.event(AttemptEnded)
         assert len(front.of(Request)) == 1  # what had not begun does not begin
 
     play(silent, lambda asked: (0, None))
@@ -274,7 +302,9 @@
         async with desk(server) as front:
             usual = front.join.policy
             usual.usual = [10.0, 10.0]
-            query = '{ a: cabLookup(pickup: "slow") { pickup } b: cabLookup(pickup: "x") { pickup } }'
+            query = (
+                '{ a: cabLookup(pickup: "slow") { pickup } b: cabLookup(pickup: "x") { pickup } }'
+            )
             status, _, told = await front.send({"query": query}, request_timeout="300m")
             assert status == 200 and list(told["data"]) == ["a", "b"]
             assert told["data"]["b"] == {"pickup": "x"} and told["errors"][0]["path"] == ["a"]
@@ -309,14 +339,17 @@
         ({"query": "{"}, None, "application/json", 200),
         ({"query": "subscription { x }"}, NEW, "application/json", 400),
         ({"query": "{" + "a" * 17000 + "}"}, NEW, "application/json", 400),
-        ({"query": 'mutation { rideAssign(ride: "1") { id } }'}, NEW, "application/json", 400),  # no key
+        # no key
+        ({"query": 'mutation { rideAssign(ride: "1") { id } }'}, NEW, "application/json", 400),
         ({"query": "query($p: String!) { cabLookup(pickup: $p) { pickup } }"}, NEW, "application/json", 400),
         ({"query": LOOKUP}, f"text/html, {NEW};q=0.5", "application/json; charset=UTF-8", 200),
         ({"query": LOOKUP, "variables": None, "operationName": None, "extensions": None}, "*/*",
          "application/json", 200),
     ],
 )  # fmt: skip
-def test_how_requests_are_taken(body: Any, accept: str | None, content_type: str, status: int) -> None:
+def test_how_requests_are_taken(
+    body: Any, accept: str | None, content_type: str, status: int
+) -> None:
     async def test(front: Desk, server: Dispatch) -> None:
         got, _, told = await front.send(body, accept, content_type)
         assert got == status
@@ -334,7 +367,9 @@
         assert status == 200 and told["data"]["cabLookup"]["pickup"] == "opera"
         status, head, _ = await front.get(query=ASSIGN)
         assert status == 405 and field(head, b"Allow") == b"POST"
-        assert (await front.get())[0] == 400 and (await front.get(query=LOOKUP, variables="{"))[0] == 400
+        assert (await front.get())[0] == 400 and (await front.get(query=LOOKUP, variables="{"))[
+            0
+        ] == 400
         assert len(front.of(Request)) == 1
         assert (await front.raw(http1.request("DELETE", "/graphql", {"host": "x"})))[0] == 405
         assert (await front.raw(http1.request("GET", "/other", {"host": "x"})))[0] == 404
@@ -352,7 +387,9 @@
     async def off(front: Desk, server: Dispatch) -> None:
         status, _, told = await front.send({"query": query})
         assert status == 400 and told["errors"][0]["extensions"]["code"] == "INTROSPECTION_DISABLED"
-        assert (await front.send({"query": "{ __typename }"}))[2] == {"data": {"__typename": "Query"}}
+        assert (await front.send({"query": "{ __typename }"}))[2] == {
+            "data": {"__typename": "Query"}
+        }
 
     play(on)
     play(off, introspection=False)
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from badgercart.core.ports import Answer
-from cottonhall.interface import Result
+from badgercart.policy.events import AttemptResult
 from lab.arrivals import plan
 from lab.chance import draw, generator, uniform
 from lab.clock import Clock
@@ -47,7 +47,9 @@
     st.floats(1.0, 500.0),
     st.floats(0.2, 0.55),
 )
-def test_laws_have_the_mean_and_the_spread_that_are_asked_for(law: Any, mean: float, cv: float) -> None:
+def test_laws_have_the_mean_and_the_spread_that_are_asked_for(
+    law: Any, mean: float, cv: float
+) -> None:
     cv = {"constant": 0.0, "exponential": 1.0, "pareto": 1.2}.get(law, cv)
     values = draw(generator(7, law), law, mean, cv, 200_000)
     assert values.mean() == pytest.approx(mean, rel=0.03) and values.min() >= 0
@@ -79,7 +81,9 @@
 def test_every_policy_meets_the_same_requests_and_another_seed_others() -> None:
     small = day(5.0)
     one, other = plan(small, 1), plan(small, 2)
-    assert np.array_equal(plan(small, 1).work, one.work) and not np.array_equal(one.at[:9], other.at[:9])
+    assert np.array_equal(plan(small, 1).work, one.work) and not np.array_equal(
+        one.at[:9], other.at[:9]
+    )
     told = {name: play_day(small, name, 1) for name in ("badgercart", "p2c", "prequal")}
     assert len({result["requests"] for result in told.values()}) == 1
     assert all(result["share"] > 0.9 for result in told.values())
@@ -106,15 +110,30 @@
 
 def test_a_server_queues_turns_away_warms_up_and_loses_what_it_holds() -> None:
     clock, one = server()
-    ends: list[tuple[str, Result, float]] = []
+    ends: list[tuple[str, AttemptResult, float]] = []
 
     def ask(name: str, key: int = 0) -> None:
-        one.take(Work(1, 1, 0, key, 10.0, False, 0.0, lambda result: ends.append((name, result, clock.now))))
+        one.take(
+            Work(
+                1,
+                1,
+                0,
+                key,
+                10.0,
+                False,
+                0.0,
+                lambda result: ends.append((name, result, clock.now)),
+            )
+        )
 
     for name in ("a", "b", "c"):
         ask(name)
     clock.run(30.0)
-    assert ends == [("c", Result.FULL, 0.0), ("a", Result.OK, 10.0), ("b", Result.OK, 20.0)]
+    assert ends == [
+        ("c", AttemptResult.FULL, 0.0),
+        ("a", AttemptResult.OK, 10.0),
+        ("b", AttemptResult.OK, 20.0),
+    ]
     ends.clear()
     ask("key", 9)
     clock.run(50.0)
@@ -127,13 +146,15 @@
     one.crash()
     ask("down")
     assert [(name, result) for name, result, _ in ends[2:]] == [
-        ("other", Result.RESET), ("waits", Result.RESET), ("down", Result.RESET),
+        ("other", AttemptResult.RESET), ("waits", AttemptResult.RESET), ("down", AttemptResult.RESET),
     ]  # fmt: skip
     ends.clear()
     one.start()
     ask("cold")
     clock.run(200.0)
-    assert ends == [("cold", Result.OK, 61.0 + 20.0)] and one.warmth == pytest.approx(0.5 + 0.5 * 0.139)
+    assert ends == [("cold", AttemptResult.OK, 61.0 + 20.0)] and one.warmth == pytest.approx(
+        0.5 + 0.5 * 0.139
+    )
 
 
 TROUBLES: list[tuple[str, dict[str, Any]]] = [
@@ -194,8 +215,8 @@
     node.held[tried.id] = tried
     world.give_up(tried)
     assert watch.counts[1] == 1
-    tried.answered(Answer(200))
-    tried.answered(Answer(200))
+    tried.on_answer(Answer(200))
+    tried.on_answer(Answer(200))
     assert watch.counts[1] == 2
     work = Work(7, 1, 1, 0, 1.0, True, 100.0, lambda result: None)
     watch.effect(first, work)
@@ -217,7 +238,15 @@
 
 
 def unsafe_day() -> Day:
-    classes = [{"name": "book", "work_ms": 40.0, "aim_ms": 500.0, "deadline_ms": 1200.0, "effect": "unsafe"}]
+    classes = [
+        {
+            "name": "book",
+            "work_ms": 40.0,
+            "aim_ms": 500.0,
+            "deadline_ms": 1200.0,
+            "effect": "unsafe",
+        }
+    ]
     return day(6.0, [{"kind": "crash", "at_s": 1.0, "for_s": 2.0, "share": 0.4},
                      {"kind": "loss", "at_s": 1.0, "for_s": 4.0, "chance": 0.1}],
                clients={"retries": 3, "backoff_ms": 10.0}, **{"class": classes})  # fmt: skip
@@ -227,16 +256,22 @@
 def test_nothing_unsafe_runs_twice_under_any_policy(policy: str) -> None:
     told = play_day(unsafe_day(), policy, 2)
     assert not sum(told["breaches"].values()), told["shown"]
-    assert told["classes"]["book"]["ends"].get("failed", 0) > 0  # where it may have run, that is said
+    assert (
+        told["classes"]["book"]["ends"].get("failed", 0) > 0
+    )  # where it may have run, that is said
 
 
-def test_a_node_that_restarts_in_the_model_has_what_it_learned_only_where_that_is_asked_for() -> None:
+def test_a_node_that_restarts_in_the_model_has_what_it_learned_only_where_that_is_asked_for() -> (
+    None
+):
     trouble = [{"kind": "slow", "at_s": 0.0, "for_s": 6.0, "share": 0.25, "size": 5.0},
                {"kind": "node_restart", "at_s": 3.0, "for_s": 0.02, "share": 0.0}]  # fmt: skip
     found = {}
     for age in (-1.0, 0.0, 1e9):
         world = World(
-            Cell(day(6.0, trouble, fleet={"nodes": 1}, node={"learned_age_s": age}), "badgercart", 1)
+            Cell(
+                day(6.0, trouble, fleet={"nodes": 1}, node={"learned_age_s": age}), "badgercart", 1
+            )
         )
         node, usual = world.nodes[0], list[float]()
         plain = node.start
--- a/tests/net.py
+++ b/tests/net.py
@@ -1,4 +1,5 @@
-"""Loopback peers for a node under test: servers that follow a script, discovery, and a raw client."""
+"""Loopback peers for a node under test: servers that follow a script, discovery, and a raw
+client."""
 
 from __future__ import annotations
 
@@ -11,18 +12,23 @@
 
 import uvloop
 
-from badgercart.carriers.pool.exchange import Message
 from badgercart.config import Config
-from badgercart.core.join import Held
-from badgercart.core.names import stable_id
-from badgercart.core.ports import Answer, Intake, Order
-from badgercart.fronts.http.clients import ClientConnection
-from badgercart.membership.part import Server
+from badgercart.core.identifiers import stable_id
+from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
+from badgercart.core.request_pipeline import InFlightRequest
+from badgercart.discovery.component import Server
+from badgercart.frontends.http.clients import ClientConnection
 from badgercart.node import Node
-from cottonhall.interface import Effect, Outcome, RequestClass, Settings
+from badgercart.policy.events import AttemptEnded
+from badgercart.policy.settings import Idempotency, RequestClass, Settings
+from badgercart.upstream.exchange import Message
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-CLASSES = {"find": Effect.SAFE, "book": Effect.KEYED, "pay": Effect.UNSAFE}
+CLASSES = {
+    "find": Idempotency.IDEMPOTENT,
+    "book": Idempotency.KEYED,
+    "pay": Idempotency.NON_IDEMPOTENT,
+}
 WAIT = 10.0  # s, for what must come; only a failing test gets there
 
 Script = Callable[["Peer", bytes, asyncio.StreamWriter], Awaitable[None]]
@@ -58,7 +64,8 @@
 
 
 class Peer:
-    """A server. Each request it gets goes into `requests`, each connection that ends into `ended`."""
+    """A server. Each request it gets goes into `requests`, each connection that ends into
+    `ended`."""
 
     def __init__(self, script: Script = answer_ok) -> None:
         self.script = script
@@ -186,10 +193,14 @@
 def request(
     cls: str = "find", timeout: str = "8000m", key: str = "cab7", body: bytes = b"", **headers: str
 ) -> bytes:
-    effect = CLASSES.get(cls, Effect.SAFE)
-    method = "GET" if effect is Effect.SAFE else "POST"
-    lines = {"Host": "backend.local", "Request-Id": f"{next(_ids):016x}", "Request-Timeout": timeout}
-    if effect is Effect.KEYED:
+    effect = CLASSES.get(cls, Idempotency.IDEMPOTENT)
+    method = "GET" if effect is Idempotency.IDEMPOTENT else "POST"
+    lines = {
+        "Host": "backend.local",
+        "Request-Id": f"{next(_ids):016x}",
+        "Request-Timeout": timeout,
+    }
+    if effect is Idempotency.KEYED:
         lines["Idempotency-Key"] = "5c0f"
     if method == "POST":
         lines["Content-Length"] = str(len(body))
@@ -200,7 +211,13 @@
 
 def config(discovery: int, aim: float = 5000.0, attempts: int = 1, **changes: Any) -> Config:
     classes = tuple(
-        RequestClass(aim=aim, deadline=9000.0, worth=1.0, effect=effect, window=9000.0)
+        RequestClass(
+            latency_objective_ms=aim,
+            deadline_ms=9000.0,
+            priority_weight=1.0,
+            idempotency=effect,
+            deduplication_window_ms=9000.0,
+        )
         for effect in CLASSES.values()
     )
     values: dict[str, Any] = {
@@ -210,7 +227,9 @@
         "seed": 1,
         "sockets": 1024,
         "known": {},
-        "settings": Settings(classes=classes, may_cancel=True, max_attempts=attempts, max_retry_after=600.0),
+        "settings": Settings(
+            classes=classes, may_cancel=True, max_attempts=attempts, max_retry_after_ms=600.0
+        ),
         "classes": {name.encode(): i for i, name in enumerate(CLASSES)},
         "tenants": {},
         "kinds": {"m": 0},
@@ -224,14 +243,14 @@
 class Nobody:
     """A front that does nothing with its answers."""
 
-    def gone(self) -> bool:
+    def client_is_gone(self) -> bool:
         return False
 
-    def answered(self, answer: Answer) -> None: ...
+    def on_answer(self, answer: Answer) -> None: ...
 
-    def refused(self, wait: float) -> None: ...
+    def on_shed(self, wait: float) -> None: ...
 
-    def failed(self, broken: bool) -> None: ...
+    def on_failure(self, broken: bool) -> None: ...
 
 
 class Stand:
@@ -257,8 +276,8 @@
                 pass
         return event
 
-    async def outcome(self) -> Outcome:
-        event: Outcome = await self.event(Outcome)
+    async def outcome(self) -> AttemptEnded:
+        event: AttemptEnded = await self.event(AttemptEnded)
         return event
 
     async def connections(self, number: int) -> AsyncIterator[ClientConnection]:
@@ -272,9 +291,15 @@
     def send(self, request_id: int, name: str) -> None:
         """An attempt that the policy knows nothing of."""
         join, pool = self.node.join, self.node.pool
-        join.out[request_id, 0] = pool
-        join.held[request_id] = Held(Nobody(), pool, Intake(0, 0, 0, math.inf, None), 0.0, 1)
-        pool.send(Order(request_id, 0, stable_id(name.encode()), 5000.0, Message(request()[:-2], b"")))
+        join.open_attempts[request_id, 0] = pool
+        join.in_flight[request_id] = InFlightRequest(
+            Nobody(), pool, IncomingRequest(0, 0, 0, math.inf, None), 0.0, 1
+        )
+        pool.send(
+            AttemptRequest(
+                request_id, 0, stable_id(name.encode()), 5000.0, Message(request()[:-2], b"")
+            )
+        )
 
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection(*self.node.listener.address))
@@ -282,8 +307,16 @@
 
 def listed(line: dict[str, Any]) -> Server:
     """A line of the platform's list as an operator's file has it."""
-    wanted = {"name": line["instanceId"], "address": line["hostPort"], "weight": float(line["weight"])}
-    places = {"zone": line["zone"] or None, "kind": line["machineType"] or None, "cell": line["cell"]}
+    wanted = {
+        "name": line["instanceId"],
+        "address": line["hostPort"],
+        "weight": float(line["weight"]),
+    }
+    places = {
+        "zone": line["zone"] or None,
+        "kind": line["machineType"] or None,
+        "cell": line["cell"],
+    }
     return Server.model_validate(wanted | places)
 
 
--- a/tests/carriers/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -11,10 +11,11 @@
 
 import pytest
 
-from badgercart.carriers.pool import pool
-from badgercart.carriers.pool.pool import ServerConnection
-from badgercart.core.names import stable_id
-from cottonhall.interface import Request, Result, Send, ServerList
+from badgercart.core.identifiers import stable_id
+from badgercart.policy.actions import Send
+from badgercart.policy.events import AttemptResult, EndpointUpdate, Request
+from badgercart.upstream import connection_pool as pool
+from badgercart.upstream.connection_pool import ServerConnection
 from tests.net import (
     OK,
     WAIT,
@@ -57,66 +58,99 @@
 @pytest.mark.parametrize(
     ("script", "result"),
     [
-        (answer_ok, Result.OK),
-        (answer(b"HTTP/1.1 100 Continue\r\n\r\n" + OK), Result.OK),
-        (answer(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), Result.FULL),
-        (answer(b"HTTP/1.1 504 No\r\nnot-started: 1\r\nContent-Length: 0\r\n\r\n"), Result.FULL),
-        (answer(b"HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"no HTTP at all\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 500 No\r\nContent-Length: 70000\r\n\r\n" + bytes(70000)), Result.ERROR),
-        (close_after(b"HTTP/1.1 200 OK\r\n\r\ndone"), Result.OK),
-        (close_after(b"HTTP/1.0 200 OK\r\nContent-Length: 4 \r\n\r\ndone"), Result.OK),
-        (close_after(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndone"), Result.RESET),
-        (close_after(CHUNKS + b"4;x=y\r\ndone\r\n"), Result.RESET),
+        (answer_ok, AttemptResult.OK),
+        (answer(b"HTTP/1.1 100 Continue\r\n\r\n" + OK), AttemptResult.OK),
+        (answer(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), AttemptResult.ERROR),
+        (
+            answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"),
+            AttemptResult.FULL,
+        ),
+        (
+            answer(b"HTTP/1.1 504 No\r\nnot-started: 1\r\nContent-Length: 0\r\n\r\n"),
+            AttemptResult.FULL,
+        ),
+        (
+            answer(b"HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"),
+            AttemptResult.ERROR,
+        ),
+        (answer(b"no HTTP at all\r\n\r\n"), AttemptResult.ERROR),
+        (
+            answer(b"HTTP/1.1 500 No\r\nContent-Length: 70000\r\n\r\n" + bytes(70000)),
+            AttemptResult.ERROR,
+        ),
+        (close_after(b"HTTP/1.1 200 OK\r\n\r\ndone"), AttemptResult.OK),
+        (close_after(b"HTTP/1.0 200 OK\r\nContent-Length: 4 \r\n\r\ndone"), AttemptResult.OK),
+        (close_after(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndone"), AttemptResult.RESET),
+        (close_after(CHUNKS + b"4;x=y\r\ndone\r\n"), AttemptResult.RESET),
         (
             answer(CHUNKS.replace(b"chunked", b"Chunked ") + b"4;x=y\r\ndone\r\n0\r\nT: u\r\n\r\n"),
-            Result.OK,
+            AttemptResult.OK,
+        ),
+        (
+            answer(
+                OK.replace(b"Content-Length: 4", b"Content-Length: 4\r\nServer-Load: \xff\xfe =,")
+            ),
+            AttemptResult.OK,
         ),
+        (answer(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 8 + OK), AttemptResult.OK),
+        (answer(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 9 + OK), AttemptResult.ERROR),
         (
-            answer(OK.replace(b"Content-Length: 4", b"Content-Length: 4\r\nServer-Load: \xff\xfe =,")),
-            Result.OK,
+            answer(b"HTTP/1.1 101 Go\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"),
+            AttemptResult.ERROR,
         ),
-        (answer(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 8 + OK), Result.OK),
-        (answer(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 9 + OK), Result.ERROR),
-        (answer(b"HTTP/1.1 101 Go\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), Result.ERROR),
-        # Heads that don't end, and lengths that no answer has: over at once, not when the time is up.
-        (answer(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 4000), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"), Result.ERROR),
-        (answer(CHUNKS.replace(b"chunked", b"chunked\t") + b"4\r\ndone\r\n0\r\n\r\n"), Result.ERROR),
-        (answer(CHUNKS + b"1;" + b"x" * 200_000), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n" + CHUNKS), Result.ERROR),
-        (answer(CHUNKS + b"4\r\ndone\r\n0\r\nX: " + b"y" * 200_000), Result.ERROR),
+        # Heads that don't end, and lengths that no answer has: over at once, not when the time is
+        # up.
+        (answer(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 4000), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"), AttemptResult.ERROR),
+        (
+            answer(CHUNKS.replace(b"chunked", b"chunked\t") + b"4\r\ndone\r\n0\r\n\r\n"),
+            AttemptResult.ERROR,
+        ),
+        (answer(CHUNKS + b"1;" + b"x" * 200_000), AttemptResult.ERROR),
+        (
+            answer(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n" + CHUNKS),
+            AttemptResult.ERROR,
+        ),
+        (answer(CHUNKS + b"4\r\ndone\r\n0\r\nX: " + b"y" * 200_000), AttemptResult.ERROR),
         # Framing that can be read in two ways.
-        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\ndone"), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone"), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: 4 4\r\n\r\ndone"), Result.ERROR),
-        (answer(CHUNKS.replace(b"\r\n\r\n", b"\r\nContent-Length: 4\r\n\r\n") + b"done"), Result.ERROR),
-        (answer(CHUNKS + b"4\r\ndonedone\r\n0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 20 OK\r\nContent-Length: 4\r\n\r\ndone"), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nContent Length: 4\r\n\r\ndone"), Result.ERROR),
-        (hang_up, Result.RESET),
+        (
+            answer(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\ndone"),
+            AttemptResult.ERROR,
+        ),
+        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone"), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: 4 4\r\n\r\ndone"), AttemptResult.ERROR),
+        (
+            answer(CHUNKS.replace(b"\r\n\r\n", b"\r\nContent-Length: 4\r\n\r\n") + b"done"),
+            AttemptResult.ERROR,
+        ),
+        (answer(CHUNKS + b"4\r\ndonedone\r\n0\r\n\r\n"), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 20 OK\r\nContent-Length: 4\r\n\r\ndone"), AttemptResult.ERROR),
+        (answer(b"HTTP/1.1 200 OK\r\nContent Length: 4\r\n\r\ndone"), AttemptResult.ERROR),
+        (hang_up, AttemptResult.RESET),
     ],
 )
-def test_outcomes(script: Script, result: Result) -> None:
+def test_outcomes(script: Script, result: AttemptResult) -> None:
     async def test() -> None:
         async with running(await Peer(script).start()) as stand:
             client = await stand.client()
             status, head, _ = await client.ask(request())
             assert (await stand.outcome()).result == result
-            assert status == (200 if result is Result.OK else 503)
-            assert (field(head, b"Retry-After") is None) == (status == 200)  # who is refused is told when
-            assert not stand.node.join.held and not stand.node.pool.attempts
+            assert status == (200 if result is AttemptResult.OK else 503)
+            assert (field(head, b"Retry-After") is None) == (
+                status == 200
+            )  # who is refused is told when
+            assert not stand.node.join.in_flight and not stand.node.pool.attempts
 
     run(test())
 
 
 @pytest.mark.parametrize("status", [400, 404, 499])
 def test_what_servers_say_of_a_bad_request_is_final_and_no_fault_of_theirs(status: int) -> None:
-    # One bad client's request went to four servers, and each was taken for broken (bad clients, a trace).
+    # One bad client's request went to four servers, and each was taken for broken (bad clients, a
+    # trace).
     async def test() -> None:
         script = answer(b"HTTP/1.1 %d No\r\nContent-Length: 3\r\n\r\nbad" % status)
         peers = [await Peer(script).start() for _ in range(3)]
@@ -124,7 +158,7 @@
             got, _, body = await (await stand.client()).ask(request())
             assert (got, body) == (status, b"bad")
             assert sum(peer.requests.qsize() for peer in peers) == 1
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await stand.outcome()).result == AttemptResult.CANCELLED
             servers = stand.node.join.policy.servers.values()
             assert not any(health.fails for server in servers for health in server.health)
 
@@ -137,7 +171,7 @@
         peer.server.close()
         async with running(peer) as stand:
             status, _, _ = await (await stand.client()).ask(request("pay"))
-            assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
+            assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
 
     run(test())
 
@@ -148,7 +182,7 @@
         async with running(peer) as stand:
             stand.node.pool.servers[stable_id(b"s-1")].address = ("a" * 70 + ".\udc80", 9)
             status, _, _ = await (await stand.client()).ask(request())
-            assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
+            assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
 
     run(test())
 
@@ -158,15 +192,15 @@
         peer = await Peer(stay_silent).start()
         async with running(peer, aim=1000.0) as stand:
             status, _, _ = await (await stand.client()).ask(request())
-            assert (status, (await stand.outcome()).result) == (503, Result.TIMEOUT)
+            assert (status, (await stand.outcome()).result) == (503, AttemptResult.TIMEOUT)
             await asyncio.wait_for(peer.ended.get(), WAIT)
 
     run(test())
 
 
 def test_an_answer_that_came_while_the_loop_stood_still_counts() -> None:
-    # Timers run before sockets are read. A node that stands still past an attempt's time (little CPU, say)
-    # must not take for silence what has long been in the socket.
+    # Timers run before sockets are read. A node that stands still past an attempt's time (little
+    # CPU, say) must not take for silence what has long been in the socket.
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             peer = Peer()
@@ -189,7 +223,7 @@
                 with server:
                     server.setblocking(False)
                     loop.add_reader(server, answer_and_stand_still)
-                    assert (await stand.outcome()).result == Result.OK
+                    assert (await stand.outcome()).result == AttemptResult.OK
                     assert (await client.answer())[0] == 200
 
     run(test())
@@ -210,7 +244,7 @@
 
             node.join.perform[Send] = drained_at_once
             status, _, _ = await client.ask(request())
-            assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
+            assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
             await asyncio.wait_for(peer.ended.get(), WAIT)
             assert peer.requests.empty()
 
@@ -224,7 +258,7 @@
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
             stand.agent.push(2, [peer.entry("s-1", started=1_000)])
-            while (await stand.event(ServerList)).version != 2:
+            while (await stand.event(EndpointUpdate)).version != 2:
                 pass
             await asyncio.wait_for(peer.ended.get(), WAIT)
             assert not stand.node.pool.servers[stable_id(b"s-1")].idle
@@ -271,7 +305,8 @@
             await second.ask(b"GET /_health HTTP/1.1\r\n\r\n")
             assert (await first.ask(request()))[0] == 200
             (connection,) = stand.node.pool.connections
-            # Behind the node's back, in the middle of a turn: the loop has no chance to read it first.
+            # Behind the node's back, in the middle of a turn: the loop has no chance to read it
+            # first.
             sock = writers[0].get_extra_info("socket")
             if behind:
                 os.write(sock.fileno(), behind)
@@ -280,15 +315,19 @@
             assert not connection.quiet()
             stand.send(77, "s-1")
             assert connection.attempt is None and connection.transport.is_closing()
-            assert (await stand.outcome()).result == Result.OK
+            assert (await stand.outcome()).result == AttemptResult.OK
             assert (await stand.outcome()).id == 77
             assert peer.connections == 2
 
     run(test())
 
 
-def test_a_second_answer_that_comes_late_is_not_the_next_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "REST", 500.0)  # so that a slow machine has the second one come within it
+def test_a_second_answer_that_comes_late_is_not_the_next_ones(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(
+        pool, "REST", 500.0
+    )  # so that a slow machine has the second one come within it
     writers: list[asyncio.StreamWriter] = []
 
     async def test() -> None:
@@ -298,7 +337,9 @@
             assert (await client.ask(request()))[2] == b"done"
             await stand.event(Request)
             client.writer.write(request())
-            await stand.event(Request)  # decided for the same server, while the first answer is fresh
+            await stand.event(
+                Request
+            )  # decided for the same server, while the first answer is fresh
             writers[0].write(OK.replace(b"done", b"late"))
             assert (await client.answer())[2] == b"done"
             assert peer.connections == 2 and len(writers) == 2
@@ -321,7 +362,7 @@
             while not stand.node.pool.attempts:
                 await asyncio.sleep(0)
             client.writer.close()
-            assert (await stand.outcome()).result == Result.NOT_SENT
+            assert (await stand.outcome()).result == AttemptResult.NOT_SENT
             while not stand.node.pool.servers[stable_id(b"s-1")].idle:
                 await asyncio.sleep(0)
             assert peer.connections == 1 and peer.requests.qsize() == 1
@@ -347,7 +388,7 @@
                 )
             assert set(pool.servers) == {stable_id(b"s-1"), stable_id(b"s-39")}
             client.writer.close()
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await stand.outcome()).result == AttemptResult.CANCELLED
             assert set(pool.servers) == set(stand.node.join.policy.servers) == {stable_id(b"s-39")}
             assert stand.node.roster.listed.keys() == {stable_id(b"s-39")}
 
@@ -364,7 +405,7 @@
                 await stand.outcome()
             pool.max_connections = 2
             stand.send(3, "s-3")
-            assert (await stand.outcome()).result == Result.OK
+            assert (await stand.outcome()).result == AttemptResult.OK
             await asyncio.wait_for(peers[1].ended.get(), WAIT)
             assert len(pool.servers[stable_id(b"s-1")].idle) == 1
 
@@ -424,7 +465,7 @@
 
             stand.node.join.perform[Send] = cancelled_at_once
             assert (await client.ask(request()))[0] == 503
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await stand.outcome()).result == AttemptResult.CANCELLED
             stand.node.join.perform[Send] = send
             assert (await client.ask(request()))[0] == 200
             assert pool.dials == 0 and len(pool.connections) == 1 and not pool.attempts
@@ -446,7 +487,7 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request()))[0] == 503
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await stand.outcome()).result == AttemptResult.CANCELLED
             await asyncio.wait_for(peer.ended.get(), WAIT)
             assert peer.requests.empty() and not stand.node.pool.connections
 
@@ -487,7 +528,13 @@
         async with running(await Peer().start()) as stand:
             pool = stand.node.pool
             most = pool.idle_limit.ms
-            for idled, alive in ((50.0, False), (50.0, False), (150.0, False), (140.0, True), (150.0, False)):
+            for idled, alive in (
+                (50.0, False),
+                (50.0, False),
+                (150.0, False),
+                (140.0, True),
+                (150.0, False),
+            ):
                 pool.idle_limit.reused(idled, alive)
             assert pool.idle_limit.ms == most  # chance, or not for standing idle
             pool.idle_limit.reused(140.0, False)
@@ -528,7 +575,7 @@
         async with running(*peers) as stand:
             stand.node.pool.max_connections = 0
             assert (await (await stand.client()).ask(request()))[0] == 503
-            assert (await stand.outcome()).result == Result.UNREACHABLE
+            assert (await stand.outcome()).result == AttemptResult.UNREACHABLE
             assert not any(peer.connections for peer in peers)
 
     run(test())
--- a/tests/zones/support.py
+++ b/tests/zones/support.py
@@ -1,7 +1,9 @@
-"""Councils in virtual time: messages late, lost, doubled or overtaken; nodes that sleep and restart.
+"""Councils in virtual time: messages late, lost, doubled or overtaken; nodes that sleep and
+restart.
 
-Every node has a clock of its own. What is checked is read off from outside, never from a council's word about
-others: no two plans of one epoch, nobody acting long after its round, nobody on an epoch long outdone.
+Every node has a clock of its own. What is checked is read off from outside, never from a council's
+word about others: no two plans of one epoch, nobody acting long after its round, nobody on an epoch
+long outdone.
 """
 
 from __future__ import annotations
@@ -11,15 +13,24 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from badgercart.zones.council import Ballot, Council, Effect, InForce, Post, Terms
-from badgercart.zones.geography import geography
-from badgercart.zones.plan import Limits, Plan, Situation, unpacked, work_out
+from badgercart.zones.plan_consensus import (
+    Ballot,
+    Effect,
+    InForce,
+    LeaseSettings,
+    PlanConsensus,
+    RegisterUpdate,
+)
+from badgercart.zones.topology import geography
+from badgercart.zones.traffic_plan import Limits, Plan, Situation, compute_plan, unpacked
 
 MAP = geography("abc", {}, {}, 1)
-TERMS = Terms(lease=4000.0, margin=100.0, renew=1000.0, patience=2000.0)
+TERMS = LeaseSettings(lease=4000.0, margin=100.0, renew=1000.0, patience=2000.0)
 SLACK = 1.0  # ms
 
-Make = Callable[[str, int, Terms, Callable[[bytes], Plan], Callable[[], float]], Council]
+Make = Callable[
+    [str, int, LeaseSettings, Callable[[bytes], Plan], Callable[[], float]], PlanConsensus
+]
 HOUR = 3_600_000.0  # ms that a wall clock may be off
 WALL = 1_700_000_000_000.0  # Unix ms as a day begins
 
@@ -28,12 +39,12 @@
     """One of many different plans."""
     demand = ((1.0 + number % 97, 0.0), (2.0, 0.0), (1.0, 0.0))
     situation = Situation((50.0, 50.0, 50.0), (50.0, 50.0, 50.0), demand)
-    return work_out(MAP, situation, (1.0,), Limits(), f"plan {number}")
+    return compute_plan(MAP, situation, (1.0,), Limits(), f"plan {number}")
 
 
 @dataclass(slots=True)
 class Node:
-    council: Council
+    council: PlanConsensus
     offset: float  # of its clock
     boot: int
     up: bool = True
@@ -49,7 +60,9 @@
 class Hall:
     """Councils by name. All of a run is drawn from its seed."""
 
-    def __init__(self, count: int, seed: int, make: Make = Council, delay: float = 300.0) -> None:
+    def __init__(
+        self, count: int, seed: int, make: Make = PlanConsensus, delay: float = 300.0
+    ) -> None:
         self.random, self.make, self.delay = random.Random(seed), make, delay
         self.now, self.order, self.plans = 0.0, 0, 0
         self.queue: list[tuple[float, int, str, str, str, bytes]] = []
@@ -80,7 +93,7 @@
 
     def carry(self, name: str, effects: list[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, Post):
+            if isinstance(effect, RegisterUpdate):
                 others = [effect.to] if effect.to else [n for n in self.names if n != name]
                 for other in others:
                     for _ in range(2 if self.random.random() < 0.1 else 1):
@@ -92,15 +105,19 @@
                     raise Broken(f"{name} went back from epoch {node.last} to {effect.epoch}")
                 node.last = effect.epoch
 
-    def send(self, name: str, other: str, effect: Post) -> None:
+    def send(self, name: str, other: str, effect: RegisterUpdate) -> None:
         held = self.nodes[name].council.mine
         if held is not None:
             self.opened.setdefault(held.ballot, self.now)
         if (name, other) in self.cut or self.random.random() < self.loss:
             return
         self.order += 1
-        late = self.random.expovariate(1 / self.delay) + (3000.0 if self.random.random() < self.late else 0.0)
-        heapq.heappush(self.queue, (self.now + late, self.order, name, other, effect.topic, effect.said))
+        late = self.random.expovariate(1 / self.delay) + (
+            3000.0 if self.random.random() < self.late else 0.0
+        )
+        heapq.heappush(
+            self.queue, (self.now + late, self.order, name, other, effect.topic, effect.said)
+        )
 
     def tick(self, name: str) -> None:
         node = self.nodes[name]
@@ -111,12 +128,18 @@
         node = self.nodes[name]
         if node.up and not node.asleep:
             self.plans += 1
-            self.carry(name, node.council.propose(self.clock(name), plan(self.plans), len(self.names)))
+            self.carry(
+                name, node.council.propose(self.clock(name), plan(self.plans), len(self.names))
+            )
 
     def turn(self, name: str) -> None:
         """Propose where it is its turn, as a keeper does."""
         node = self.nodes[name]
-        if node.up and not node.asleep and node.council.turn(self.clock(name), self.names.index(name)):
+        if (
+            node.up
+            and not node.asleep
+            and node.council.turn(self.clock(name), self.names.index(name))
+        ):
             self.propose(name)
 
     def sleep(self, name: str) -> None:
@@ -192,13 +215,17 @@
             if self.forgot:
                 continue  # who voted for both has begun anew: the older one may be renewed by it
             if later and self.now > min(later) + 2 * lease + SLACK:
-                raise Broken(f"{name} is on an epoch that was outdone {self.now - min(later):.0f} ms ago")
+                raise Broken(
+                    f"{name} is on an epoch that was outdone {self.now - min(later):.0f} ms ago"
+                )
 
 
 TROUBLES = ("cut", "one_way", "heal", "sleep", "wake", "restart", "propose", "loss", "rest")
 
 
-def play(seed: int, make: Make = Council, steps: int = 40, troubles: tuple[str, ...] = TROUBLES) -> Hall:
+def play(
+    seed: int, make: Make = PlanConsensus, steps: int = 40, troubles: tuple[str, ...] = TROUBLES
+) -> Hall:
     """A random day. Raises Broken."""
     rng = random.Random(f"{seed} day")
     hall = Hall(rng.choice((3, 3, 4, 5)), seed, make, rng.choice((5.0, 100.0, 400.0)))
@@ -208,7 +235,9 @@
         kind = rng.choice(TROUBLES)
         if kind == "cut":
             inside = set(rng.sample(hall.names, rng.randint(1, len(hall.names) - 1)))
-            hall.cut = {(a, b) for a in hall.names for b in hall.names if (a in inside) != (b in inside)}
+            hall.cut = {
+                (a, b) for a in hall.names for b in hall.names if (a in inside) != (b in inside)
+            }
         elif kind == "one_way":
             hall.cut.add((name, other))
         elif kind == "heal":
--- a/tests/zones/test_keeper.py
+++ b/tests/zones/test_keeper.py
@@ -1,12 +1,20 @@
-"""Keepers of a few nodes in the lab's model: one plan, moves, and what the blind may send in sum."""
+"""Keepers of a few nodes in the lab's model: one plan, moves, and what the blind may send in
+sum."""
 
 from __future__ import annotations
 
 import msgspec
 import pytest
 
-from badgercart.zones.keeper import DRAIN, ORDERS, PIN, RELEASE, Keeper, Order
-from cottonhall.interface import Planned
+from badgercart.policy.events import TrafficPlan
+from badgercart.zones.failover_controller import (
+    DRAIN,
+    ORDERS,
+    PIN,
+    RELEASE,
+    FailoverController,
+    OperatorOverride,
+)
 from lab.model import World
 from lab.settings import Cell
 from tests.lab.support import day
@@ -21,7 +29,7 @@
     return World(Cell(made, "badgercart", 1))
 
 
-def keepers(played: World) -> list[Keeper]:
+def keepers(played: World) -> list[FailoverController]:
     assert played.companions is not None
     return [one.keeper for one in played.companions.there.values() if one.keeper is not None]
 
@@ -57,7 +65,11 @@
 
     at(played, 10_000.0, look)
     played.play()
-    assert seen["lost"] == [(1,)] * 6 and seen["row"][1] == 0 and sum(seen["row"]) == pytest.approx(1.0)
+    assert (
+        seen["lost"] == [(1,)] * 6
+        and seen["row"][1] == 0
+        and sum(seen["row"]) == pytest.approx(1.0)
+    )
 
 
 @pytest.mark.parametrize("nodes", [4, 6])
@@ -68,14 +80,17 @@
         keeper.council.current = None
     events = [keeper_event(keeper, nodes) for keeper in keepers(played)]
     for zone in range(3):
-        slots = sum(e.spill[zone] * k.eyes.mean for e, k in zip(events, keepers(played), strict=True))
+        slots = sum(
+            e.spillover_rates[zone] * k.eyes.mean
+            for e, k in zip(events, keepers(played), strict=True)
+        )
         capacity = keepers(played)[0].capacity[zone]
         assert slots <= 1.05 * keepers(played)[0].ways.blind * capacity
     assert all(row.index(1.0) == keeper.zone for keeper, event in zip(keepers(played), events, strict=True)
                for row in event.shares)  # fmt: skip
 
 
-def keeper_event(keeper: Keeper, nodes: int) -> Planned:
+def keeper_event(keeper: FailoverController, nodes: int) -> TrafficPlan:
     keeper.event = None
     event = keeper.direct(1, nodes)
     assert event is not None
@@ -85,7 +100,9 @@
 def test_shared_evidence_alone_gives_each_a_plan_of_its_own() -> None:
     played = world("shared")
     result = played.play()
-    assert all(keeper.plan is not None and keeper.council.current is None for keeper in keepers(played))
+    assert all(
+        keeper.plan is not None and keeper.council.current is None for keeper in keepers(played)
+    )
     assert not sum(result["breaches"].values())
 
 
@@ -96,7 +113,9 @@
     now = int(keeper.wall())
 
     def word(what: str, when: int, until: int, zone: int = 2) -> None:
-        told = msgspec.msgpack.encode((keeper.geography.digest, [Order(zone, what, when, until, "eva")]))
+        told = msgspec.msgpack.encode(
+            (keeper.geography.digest, [OperatorOverride(zone, what, when, until, "eva")])
+        )
         keeper.on_orders(0.0, "operator c", told)
 
     word(DRAIN, now, now + 10_000)
@@ -104,13 +123,13 @@
     word("burn", now + 1, now + 10_000)
     word(DRAIN, now, now + 10_000, zone=9)
     keeper.on_orders(0.0, "operator c", b"junk")
-    other = msgspec.msgpack.encode((1, [Order(1, DRAIN, now, now + 10_000, "eva")]))
+    other = msgspec.msgpack.encode((1, [OperatorOverride(1, DRAIN, now, now + 10_000, "eva")]))
     keeper.on_orders(0.0, "operator b", other)  # of another map
     assert {zone: order.what for zone, order in keeper.orders.items()} == {2: DRAIN}
     event = keeper_event(keeper, 6)
-    assert 2 in event.lost and keeper.page(0.0)["zones"][2]["order"] == DRAIN
+    assert 2 in event.lost_zones and keeper.page(0.0)["zones"][2]["order"] == DRAIN
     word(RELEASE, now + 1, now + 10_000)
-    assert keeper.orders[2].what == RELEASE and 2 not in keeper_event(keeper, 6).lost
+    assert keeper.orders[2].what == RELEASE and 2 not in keeper_event(keeper, 6).lost_zones
     word(DRAIN, now + 2, now - 1)
     keeper.expire()
     assert keeper.orders == {} and ORDERS in keeper.member.machine.board.urgent
