--- a/tests/core/test_join.py
+++ b/tests/core/test_join.py
@@ -146,16 +146,16 @@
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client, policy = await stand.client(), stand.node.join.policy
-            attempt = policy.attempt
+            attempt = policy.lifecycle.attempt
 
-            def broken(job: object) -> None:
+            def broken(pending: object, now_ms: float) -> None:
                 raise RuntimeError("broken on purpose")
 
-            policy.attempt = broken  # type: ignore[method-assign]
+            policy.lifecycle.attempt = broken  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 500
-            policy.attempt = attempt  # type: ignore[method-assign]
+            policy.lifecycle.attempt = attempt  # type: ignore[method-assign]
             assert (await stand.event(RequestCancelled)).id == 1
-            assert not policy.jobs and not stand.node.join.in_flight
+            assert not policy.lifecycle.requests and not stand.node.join.in_flight
 
     run(test())
 
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -121,7 +121,11 @@
                 scene.writers[0].transport.abort()
             while join.open_attempts:
                 await asyncio.sleep(0)
-            assert not join.in_flight and not join.policy.jobs and not stand.node.pool.attempts
+            assert (
+                not join.in_flight
+                and not join.policy.lifecycle.requests
+                and not stand.node.pool.attempts
+            )
             assert peer.requests.empty() and len(scene.writers) == (where is not DIALLING)
 
     run(test())
--- a/tests/ends/test_drain.py
+++ b/tests/ends/test_drain.py
@@ -46,7 +46,7 @@
             await (peer.requests.get() if gate is None else gate.reached())
             await stand.node.drain()
             assert (
-                not stand.node.join.in_flight and not stand.node.join.policy.jobs
+                not stand.node.join.in_flight and not stand.node.join.policy.lifecycle.requests
             )  # now the process would end
             status, head, _ = await client.answer()
             assert status == ANSWERS[cls][written]
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -17,7 +17,7 @@
 
 from badgercart.core.memory_budget import HOLD, WINDOW
 from badgercart.frontends.http.connection import MAX_WAITING
-from badgercart.policy import policy as rules
+from badgercart.policy import overload
 from badgercart.policy.events import AttemptEnded, Event, Request, TimerFired
 from badgercart.policy.settings import Settings
 from badgercart.upstream import connection_pool as pools
@@ -230,8 +230,8 @@
 async def in_a_burst_while_connections_come_up(scene: Scene) -> None:
     scene.node.pool.max_connections = 2 * MANY
     # All of them are taken on, by one server, however long the machine takes over it.
-    scene.monkeypatch.setattr(rules, "BURST_FULL", 1e9)
-    scene.monkeypatch.setattr(rules, "IN_FLIGHT_FULL", 1e9)
+    scene.monkeypatch.setattr(overload, "BURST_FULL", 1e9)
+    scene.monkeypatch.setattr(overload, "IN_FLIGHT_FULL", 1e9)
     held, gate, connect = 0, asyncio.Event(), ServerPool.connect
 
     async def gated(pool: ServerPool, attempt: Any) -> None:
@@ -431,7 +431,7 @@
             assert len(got) >= 2 and not [head for head in got if not head.startswith(LAST)]
             join, pool = stand.node.join, stand.node.pool
             async with asyncio.timeout(WAIT):
-                while join.open_attempts or pool.attempts or join.policy.jobs:
+                while join.open_attempts or pool.attempts or join.policy.lifecycle.requests:
                     await asyncio.sleep(0.001)
             assert (
                 not join.cancelled
--- a/tests/ends/test_orders.py
+++ b/tests/ends/test_orders.py
@@ -255,14 +255,16 @@
     await asyncio.sleep(2.0)  # longer than any request has
     assert all(len(owed.ends) == 1 for owed in world.owed.values())
     assert not world.join.in_flight and not world.join.cancelled and not world.join.events
-    assert not world.join.policy.jobs
+    assert not world.join.policy.lifecycle.requests
     for _ in range(200):  # attempts that nobody may cancel end by their own time
         if not world.pool.attempts:
             break
         await asyncio.sleep(0.1)
     assert not world.pool.attempts and not world.join.open_attempts and not world.pool.dials
-    servers = world.join.policy.servers.values()
-    assert world.join.policy.flying == 0 and not any(s.open or s.uploads for s in servers)
+    servers = world.join.policy.fleet.endpoints.by_id.values()
+    assert world.join.policy.overload.concurrency.current == 0 and not any(
+        s.open_attempts or s.uploads for s in servers
+    )
     assert all(not server.out for server in world.pool.servers.values())
     return world
 
--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -208,7 +208,7 @@
                 == "/catalog/members?watch=1&from=1"
             )
             policy, left = stand.node.join.policy, 1
-            settle = policy.settle
+            settle = policy.fleet.settle
 
             def broken() -> None:
                 nonlocal left
@@ -217,7 +217,7 @@
                     raise ArithmeticError("a fault of ours")
                 settle()
 
-            policy.settle = broken  # type: ignore[method-assign]
+            policy.fleet.settle = broken  # type: ignore[method-assign]
             leaving = [peer.entry("s-1", "leaving"), other.entry("s-2")]
             stand.agent.whole = {"generation": 2, "reset": True, "instances": leaving}
             stand.agent.push(2, leaving[:1])
@@ -228,8 +228,8 @@
             )
             drained = stable_id(b"s-1")
             assert (
-                drained not in policy.ready
-                and policy.servers[drained].entry.state is EndpointState.DRAINING
+                drained not in policy.fleet.endpoints.ready
+                and policy.fleet.endpoints.by_id[drained].endpoint.state is EndpointState.DRAINING
             )
             client = await stand.client()
             for _ in range(6):
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -363,7 +363,7 @@
             async with following(etcd) as node:
                 await node.state(State.FRESH)
                 assert await node.ask() == 200
-                known = node.site.join.policy.servers[stable_id(b"a")]
+                known = node.site.join.policy.fleet.endpoints.by_id[stable_id(b"a")]
                 etcd.frozen = True
                 await node.state(State.STALE)
                 sent = peer.requests.qsize()
@@ -375,7 +375,7 @@
                 await etcd.wake()
                 await node.state(State.FRESH)
                 assert await node.ask() == 200 and await node.health() == 200
-                assert node.site.join.policy.servers[stable_id(b"a")] is known
+                assert node.site.join.policy.fleet.endpoints.by_id[stable_id(b"a")] is known
 
     run(test())
 
@@ -521,7 +521,8 @@
                 await etcd.put(PREFIX + "z", entry("z"))
                 await node.lists(a="ready", z="ready")
                 assert (
-                    node.site.join.policy.servers[stable_id(b"a")].entry.state is ServerState.READY
+                    node.site.join.policy.fleet.endpoints.by_id[stable_id(b"a")].endpoint.state
+                    is ServerState.READY
                 )
 
     run(test())
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -187,16 +187,19 @@
 
 def test_a_refused_part_is_an_error_in_its_place_and_the_others_answer() -> None:
     async def test(front: Desk, server: Dispatch) -> None:
-        policy, ask = front.join.policy, front.join.policy.on_request
+        policy, ask = front.join.policy, front.join.policy.handle
 
-        def under_a_cut(request: Request) -> None:
+        def under_a_cut(now_ms: float, event: Any) -> Any:
             # The cut lies between the two: lookups are refused, assignments are not.
-            cut = 1000.0 if request.class_index == 0 and len(front.of(Request)) else 0.0
-            policy.measure_overload = lambda: setattr(policy, "cut", cut)  # type: ignore[method-assign]
-            policy.upkeep_at = policy.now
-            ask(request)
-
-        policy.on_request = under_a_cut  # type: ignore[method-assign]
+            if isinstance(event, Request):
+                cut = 1000.0 if event.class_index == 0 and len(front.of(Request)) else 0.0
+                policy.overload.measure = lambda: setattr(  # type: ignore[method-assign]
+                    policy.overload, "shed_threshold", cut
+                )
+                policy.schedule.refreshed_at = now_ms
+            return ask(now_ms, event)
+
+        policy.handle = under_a_cut  # type: ignore[method-assign]
         query = '{ a: cabLookup(pickup: "x") { pickup } b: cabLookup(pickup: "y") { pickup } }'
         status, _, told = await front.send({"query": query})
         assert status == 200 and told["data"] == {"a": {"pickup": "x"}, "b": None}
@@ -224,7 +227,7 @@
             {"message": "no", "path": ["cabLookup"], "locations": [{"line": 1, "column": 3}]}
         ]
         assert [outcome.result for outcome in front.of(AttemptEnded)] == [AttemptResult.ERROR]
-        assert front.join.policy.failed > 0
+        assert front.join.policy.overload.error_rate.failures > 0
 
     play(test, lambda asked: (200, partial))
 
@@ -301,7 +304,7 @@
         await server.start()
         async with desk(server) as front:
             usual = front.join.policy
-            usual.usual = [10.0, 10.0]
+            usual.fleet.latency.typical_ms = [10.0, 10.0]
             query = (
                 '{ a: cabLookup(pickup: "slow") { pickup } b: cabLookup(pickup: "x") { pickup } }'
             )
--- a/tests/hot_restart/test_handover.py
+++ b/tests/hot_restart/test_handover.py
@@ -34,8 +34,15 @@
     entries = [Endpoint(i, 0, 0, 0, EndpointState.READY, 1.0, 50.0 * i) for i in (1, 2)]
     policy.handle(100.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     policy.handle(101.0, Request(1, 0, 900.0))
-    policy.usual[0], policy.kinds[0], policy.carried = 33.0, 1.5, 0.25
-    policy.servers[1].slow, policy.servers[1].health[0].fails = 4.0, 0.75
+    (
+        policy.fleet.latency.typical_ms[0],
+        policy.fleet.latency.kind_ratios[0],
+        policy.overload.throughput.best_rate_per_endpoint,
+    ) = 33.0, 1.5, 0.25
+    (
+        policy.fleet.endpoints.by_id[1].relative_latency,
+        policy.fleet.endpoints.by_id[1].health[0].failure_rate,
+    ) = 4.0, 0.75
     return export_statistics(policy)
 
 
@@ -43,11 +50,16 @@
     old, new = made("a", "b"), made("new", "b", "a")
     memory = learned(old)
     got = decode(encode(memory, old, NOW, OFFSET), new, NOW + 5, OFFSET + 1000)
-    assert got.usual == [100.0, 100.0, 33.0] and got.kinds == {0: 1.5} and got.carried == 0.25
     assert (
-        got.servers[1].failure_rates == (0.0, 0.0, 0.75) and got.servers[1].relative_latency == 4.0
+        got.typical_latency_ms == [100.0, 100.0, 33.0]
+        and got.kind_ratios == {0: 1.5}
+        and got.best_rate_per_endpoint == 0.25
     )
-    assert got.servers[1].started_ms == 50.0 - 1000  # the same moment on another clock
+    assert (
+        got.endpoints[1].failure_rates == (0.0, 0.0, 0.75)
+        and got.endpoints[1].relative_latency == 4.0
+    )
+    assert got.endpoints[1].started_ms == 50.0 - 1000  # the same moment on another clock
     assert got.offered[2] == memory.offered[0] and len(got.offered) == 6
 
 
@@ -70,7 +82,7 @@
     handover, policy = Handover(tmp_path, OFFSET), Policy(made("a").settings, 1)
     handover.path.write_bytes(DATA)  # of the year 1970
     handover.give(policy, made("a"))
-    assert policy.usual == [100.0] and not policy.known
+    assert policy.fleet.latency.typical_ms == [100.0] and not policy.fleet.endpoints.restorable
 
 
 def test_it_is_written_and_taken_and_its_writes_end(tmp_path: Path) -> None:
@@ -85,12 +97,12 @@
 
     of, timers = made("a"), Timers()
     first, policy = Handover(tmp_path, OFFSET), Policy(of.settings, 1)
-    policy.usual[0] = 44.0
+    policy.fleet.latency.typical_ms[0] = 44.0
     first.keep(policy, lambda: of, timers)
     assert [path.name for path in tmp_path.iterdir()] == [first.path.name] and len(timers.set) == 1
     successor = Policy(of.settings, 2)
     Handover(tmp_path, OFFSET).give(successor, of)
-    assert successor.usual == [44.0]
+    assert successor.fleet.latency.typical_ms == [44.0]
     first.close()
     first.keep(policy, lambda: of, timers)
     assert len(timers.set) == 1
--- a/tests/lab/test_companions.py
+++ b/tests/lab/test_companions.py
@@ -24,10 +24,14 @@
 def test_a_file_that_says_too_much_counts_for_a_while_only() -> None:
     world = World(cell(said=9))
     sizes: list[int] = []
-    world.clock.at(2500.0, lambda: sizes.append(world.nodes[0].join.policy.group.size))
+    world.clock.at(2500.0, lambda: sizes.append(world.nodes[0].join.policy.fleet.cluster.view.size))
     world.play()
-    assert sizes == [9] and [node.join.policy.group.size for node in world.nodes] == [3, 3, 3]
-    assert [node.join.policy.group.node_index for node in world.nodes] == [0, 1, 2]
+    assert sizes == [9] and [node.join.policy.fleet.cluster.view.size for node in world.nodes] == [
+        3,
+        3,
+        3,
+    ]
+    assert [node.join.policy.fleet.cluster.view.node_index for node in world.nodes] == [0, 1, 2]
 
 
 def test_one_that_died_counts_as_one_that_may_live_and_is_back_when_it_is() -> None:
@@ -35,7 +39,7 @@
     seen: list[tuple[int, int]] = []
 
     def look() -> None:
-        group = world.nodes[1].join.policy.group
+        group = world.nodes[1].join.policy.fleet.cluster.view
         seen.append((group.size, group.possibly_alive))
 
     for at in (2500.0, 17_500.0, 21_900.0):
--- a/tests/net.py
+++ b/tests/net.py
@@ -262,8 +262,8 @@
         self.events: asyncio.Queue[object] = asyncio.Queue()
         handle = node.join.policy.handle
 
-        def spy(now: float, event: Any) -> Any:
-            actions = handle(now, event)
+        def spy(now_ms: float, event: Any) -> Any:
+            actions = handle(now_ms, event)
             self.events.put_nowait(event)
             return actions
 
--- a/tests/policy/test_carriers.py
+++ b/tests/policy/test_carriers.py
@@ -71,7 +71,10 @@
 def test_no_fallbacks_unless_asked_for_and_never_a_cold_one() -> None:
     assert sent(ask(policy(), 0)).fallbacks == ()
     made = policy(started=NOW - 100.0)
-    made.need, made.upkeep_at = 100.0, NOW  # none of them is answered: that is no burst
+    made.overload.concurrency.limit, made.schedule.refreshed_at = (
+        100.0,
+        NOW,
+    )  # none of them is answered: that is no burst
     for number in range(20):
         send = sent(made.handle(NOW, Request(number + 1, 0, NOW + 900.0, max_fallbacks=3)))
         assert set(send.fallbacks) <= {1}
@@ -79,7 +82,7 @@
 
 def test_where_sending_again_feeds_a_jam_there_are_no_fallbacks() -> None:
     made = policy()
-    made.no_link = 1.0  # connections fail: sending again feeds it
+    made.overload.error_rate.connect_failure_rate = 1.0  # connections fail: sending again feeds it
     assert sent(ask(made, 0, max_fallbacks=2)).fallbacks == ()
 
 
@@ -88,14 +91,19 @@
     send = sent(ask(made, 1, max_fallbacks=2))
     to = send.fallbacks[0]
     made.handle(NOW + 10, AttemptRerouted(1, 0, send.endpoint_id, AttemptResult.ERROR, 10.0, to))
-    assert made.flying == 1 and not made.servers[send.endpoint_id].open
-    assert (1, 1) in made.servers[to].open and made.servers[send.endpoint_id].health[1].fails > 0
+    assert (
+        made.overload.concurrency.current == 1
+        and not made.fleet.endpoints.by_id[send.endpoint_id].open_attempts
+    )
+    assert (1, 1) in made.fleet.endpoints.by_id[to].open_attempts and made.fleet.endpoints.by_id[
+        send.endpoint_id
+    ].health[1].failure_rate > 0
     # The first may have run: a second end leaves only the class's own group and window.
     made.random.random = lambda: 0.99  # type: ignore[method-assign]
     again = sent(made.handle(NOW + 20, AttemptEnded(1, to, False, AttemptResult.ERROR, 1, 10.0)))
     assert again.endpoint_id not in (send.endpoint_id, to)
     made.handle(NOW + 30, AttemptEnded(1, again.endpoint_id, True, AttemptResult.OK, 2, 10.0))
-    assert made.flying == 0 and not made.jobs
+    assert made.overload.concurrency.current == 0 and not made.lifecycle.requests
 
 
 def test_diverted_twice_or_for_nobody_changes_nothing() -> None:
@@ -109,7 +117,7 @@
     made.handle(
         NOW, AttemptRerouted(7, 0, send.endpoint_id, AttemptResult.ERROR, 1.0, send.fallbacks[0])
     )
-    assert made.flying == 1
+    assert made.overload.concurrency.current == 1
 
 
 def test_a_parked_end_is_learned_from_and_decides_nothing() -> None:
@@ -123,7 +131,9 @@
         == []
     )
     assert (
-        made.flying == 0 and 1 in made.jobs and made.servers[send.endpoint_id].health[0].fails > 0
+        made.overload.concurrency.current == 0
+        and 1 in made.lifecycle.requests
+        and made.fleet.endpoints.by_id[send.endpoint_id].health[0].failure_rate > 0
     )
     made.random.random = lambda: 0.99  # type: ignore[method-assign]
     assert sent(made.handle(NOW + 9, RetryDecisionDue(1, True))).endpoint_id != send.endpoint_id
@@ -147,7 +157,7 @@
     send = sent(ask(made, cls))
     made.handle(NOW + 5, AttemptEnded(1, send.endpoint_id, False, result, 0, 5.0, parked=True))
     assert [type(action) for action in made.handle(NOW + 6, RetryDecisionDue(1, False))] == [answer]
-    assert not made.jobs and made.handle(NOW + 7, RetryDecisionDue(1, False)) == []
+    assert not made.lifecycle.requests and made.handle(NOW + 7, RetryDecisionDue(1, False)) == []
 
 
 def test_a_parked_request_may_be_withdrawn() -> None:
@@ -156,7 +166,7 @@
     made.handle(
         NOW + 5, AttemptEnded(1, send.endpoint_id, False, AttemptResult.ERROR, 0, 5.0, parked=True)
     )
-    assert made.handle(NOW + 6, RequestCancelled(1)) == [] and not made.jobs
+    assert made.handle(NOW + 6, RequestCancelled(1)) == [] and not made.lifecycle.requests
 
 
 @pytest.mark.parametrize(("cls", "answer"), [(0, Send), (1, Send), (2, Fail), (3, Fail), (4, Fail)])
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -4,10 +4,12 @@
 
 import pytest
 
-from badgercart.policy import policy as rules
+from badgercart.policy import slow_start
 from badgercart.policy.actions import Send
 from badgercart.policy.events import AttemptResult, EndpointUpdate, UpdateKind
-from badgercart.policy.policy import BUDGET, Policy
+from badgercart.policy.overload import OverloadController
+from badgercart.policy.policy import Policy
+from badgercart.policy.settings import Settings
 from lab.ramp import Ramp, closest, play
 from tests.policy.support import SAFE, Stage, server, settings
 
@@ -34,16 +36,24 @@
     assert told.fallen == 0
 
 
+class NoOverload(OverloadController):
+    """Never tells of overload."""
+
+    def refresh_limit(self, passed_ms: float, fleet_slots: float, ready_count: int) -> None:
+        super().refresh_limit(passed_ms, fleet_slots, ready_count)
+        self.concurrency.limit = 1e9
+
+    def measure(self) -> None:
+        self.overload = self.shed_threshold = 0.0
+
+
 class Uncut(Policy):
     """Sends all that comes, as if nothing told it of overload: the most that a budget has to
     hold."""
 
-    def learn_need(self, passed: float) -> None:
-        super().learn_need(passed)
-        self.need = 1e9
-
-    def measure_overload(self) -> None:
-        self.x = self.cut = 0.0
+    def __init__(self, settings: Settings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.overload.__class__ = NoOverload
 
 
 @pytest.mark.parametrize("nodes", [2, 24, 60, 200])
@@ -55,7 +65,7 @@
 def test_a_budget_too_generous_is_seen_to_fell_cold_servers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(rules, "BUDGET", 2 * BUDGET)
+    monkeypatch.setattr(slow_start, "BUDGET_SHARE", 2 * slow_start.BUDGET_SHARE)
     assert play(plays(24, "all", load=2.0), Uncut).fallen > 0
 
 
@@ -77,8 +87,8 @@
     stage = Stage(settings(cluster_size=200, node_index=3, collapse_load_factor=3.0), servers=0)
     stage.list([server(number, started=stage.now) for number in range(40)], UpdateKind.SNAPSHOT)
     policy, far = stage.policy, set(range(40))
-    assert policy.span < 40
-    far -= set(policy.ours)
+    assert policy.fleet.subset.size < 40
+    far -= set(policy.fleet.subset.endpoint_ids)
     for _ in range(600):
         stage.advance(5.0)
         stage.request()
@@ -102,7 +112,7 @@
     few, many = sent(2), sent(20)
     # Answers of 50 ms at any age: 20 a second, whatever its warmth; three times that; one node of
     # two.
-    most = BUDGET * 3.0 * 20.0 * 10.0 / 2
+    most = slow_start.BUDGET_SHARE * 3.0 * 20.0 * 10.0 / 2
     assert 0.7 * most < few <= most + 1 and many <= 0.12 * few
 
 
@@ -111,8 +121,10 @@
     for _ in range(400):
         stage.now += 10.0
         stage.outcome(stage.request(), 0, AttemptResult.OK)
-    before = stage.policy.servers[0].recent
+    before = stage.policy.fleet.endpoints.by_id[0].recent_attempts
     stage.give(EndpointUpdate(UpdateKind.DELTA, 2, [server(0, started=stage.now)]))
-    peers = [stage.policy.servers[number].recent for number in (1, 2, 3)]
-    assert before > 0 and stage.policy.servers[0].recent == pytest.approx(sum([before, *peers]) / 4)
-    assert -1.0 <= stage.policy.servers[0].tokens <= 0.0  # nodes are out of step
+    peers = [stage.policy.fleet.endpoints.by_id[number].recent_attempts for number in (1, 2, 3)]
+    assert before > 0 and stage.policy.fleet.endpoints.by_id[0].recent_attempts == pytest.approx(
+        sum([before, *peers]) / 4
+    )
+    assert -1.0 <= stage.policy.fleet.endpoints.by_id[0].tokens <= 0.0  # nodes are out of step
--- a/tests/policy/test_company.py
+++ b/tests/policy/test_company.py
@@ -10,7 +10,8 @@
 
 from badgercart.policy.actions import Send
 from badgercart.policy.events import AttemptResult, ClusterView
-from badgercart.policy.policy import HEARSAY, SUSPECT_AT, Policy
+from badgercart.policy.outlier_detection import EJECT_FAILURE_RATE, REPORTED_RATE_CAP
+from badgercart.policy.policy import Policy
 from tests.policy.support import Stage, server
 from tests.policy.support import settings as terms
 
@@ -65,18 +66,22 @@
         stage.give(ClusterView(4, 0, 4, parts))
         for _ in range(30):
             stage.request()
-        return sum(stage.policy.offered[3:])
+        return sum(stage.policy.priority.offered[3:])
 
     assert beyond((1.0,)) < 1 < beyond(()) < beyond((0.1,))
 
 
 def test_hearsay_weighs_less_than_what_one_rests_for_and_our_own_eyes_win() -> None:
-    assert HEARSAY < SUSPECT_AT
+    assert REPORTED_RATE_CAP < EJECT_FAILURE_RATE
     stage = Stage(terms())
     stage.give(ClusterView(1, 0, 1, failure_reports=((2, 1.0), (99, 1.0))))
-    health = stage.policy.servers[2].health[0]
-    assert health.fails == HEARSAY and not health.rest_until and 99 not in stage.policy.servers
-    while stage.policy.servers[2].health[0].fails > 0.1:
+    health = stage.policy.fleet.endpoints.by_id[2].health[0]
+    assert (
+        health.failure_rate == REPORTED_RATE_CAP
+        and not health.ejected_until
+        and 99 not in stage.policy.fleet.endpoints.by_id
+    )
+    while stage.policy.fleet.endpoints.by_id[2].health[0].failure_rate > 0.1:
         number = stage.request()
         if (number, 0) in stage.open:
             stage.outcome(number, 0, AttemptResult.OK, 20.0)
@@ -93,4 +98,4 @@
 def test_settings_with_other_tenants_set_parts_aside() -> None:
     policy = Policy(terms(quotas_per_s=(40.0, 10.0)), 1)
     policy.handle(1.0, ClusterView(2, 0, 2, (0.5,)))
-    assert policy.divisors == [2, 2]
+    assert policy.quotas.divisors == [2, 2]
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -8,20 +8,35 @@
 
 from badgercart.policy.actions import Log, Send, SetTimer, Shed, Subscribe
 from badgercart.policy.endpoint import EndpointState
+from badgercart.policy.error_rate import PRIOR_SUCCESSES
 from badgercart.policy.events import AttemptEnded, AttemptResult, Request, UpdateKind
-from badgercart.policy.policy import ERRORS_FROM, ERRORS_FULL, PRIOR, Policy
+from badgercart.policy.overload import ERROR_RATE_FULL, ERROR_RATE_MIN
+from badgercart.policy.policy import Policy
 from tests.policy.support import KEYED, SAFE, START, UNSAFE, Stage, server, settings
 
 
+def refresh_overload(policy: Policy) -> None:
+    """Lay out the bands and measure overload, as if no time had passed."""
+    policy.priority.refresh()
+    policy.overload.refresh(0.0, policy.fleet.slots, len(policy.fleet.endpoints.ready))
+
+
+def refresh_limit(policy: Policy, passed_ms: float) -> None:
+    policy.overload.refresh_limit(passed_ms, policy.fleet.slots, len(policy.fleet.endpoints.ready))
+
+
 def overload(stage: Stage, x: float) -> None:
     """Put the module under a given overload by its errors, and keep the next upkeep away."""
-    stage.policy.in_flight = stage.policy.flying = 0
-    stage.policy.seen = 1000.0
-    stage.policy.failed = (ERRORS_FROM + x * (ERRORS_FULL - ERRORS_FROM)) * (1000.0 + PRIOR)
-    stage.policy.set_bands()
-    stage.policy.set_cut(0.0)
-    stage.policy.need = 1e9  # nothing is answered from here on: that is no burst
-    stage.policy.upkeep_at = stage.now
+    stage.policy.overload.concurrency.average = stage.policy.overload.concurrency.current = 0
+    stage.policy.overload.error_rate.attempts = 1000.0
+    stage.policy.overload.error_rate.failures = (
+        ERROR_RATE_MIN + x * (ERROR_RATE_FULL - ERROR_RATE_MIN)
+    ) * (1000.0 + PRIOR_SUCCESSES)
+    refresh_overload(stage.policy)
+    stage.policy.overload.concurrency.limit = (
+        1e9  # nothing is answered from here on: that is no burst
+    )
+    stage.policy.schedule.refreshed_at = stage.now
 
 
 def sent_to(stage: Stage) -> list[int]:
@@ -66,8 +81,8 @@
     assert refused[0] == 0  # worth ten times the others
     assert refused[1] + refused[2] > 300
     assert min(waits) > 0 and max(waits) <= 2000.0
-    low = [stage.policy.refuse_wait(1.0) for _ in range(200)]
-    high = [stage.policy.refuse_wait(90.0) for _ in range(200)]
+    low = [stage.policy.retries.retry_after_ms(1.0) for _ in range(200)]
+    high = [stage.policy.retries.retry_after_ms(90.0) for _ in range(200)]
     assert min(low) > max(high)
 
 
@@ -260,8 +275,8 @@
                 number, 0, AttemptResult.ERROR if sent_to(stage)[-1] < 3 else AttemptResult.OK
             )
         if step > 100:  # they are known by then
-            worst = max(worst, stage.policy.errors)
-    assert stage.policy.cut == 0.0
+            worst = max(worst, stage.policy.overload.error_rate.rate)
+    assert stage.policy.overload.shed_threshold == 0.0
     assert worst < 0.1
 
 
@@ -276,7 +291,7 @@
         if sent_to(stage)[-1] != 0:
             stage.outcome(number, 0, AttemptResult.OK)
     assert len([key for key in stage.open if stage.attempts[key[0]][0][1].id == 0]) <= 5
-    assert stage.policy.cut == 0.0
+    assert stage.policy.overload.shed_threshold == 0.0
 
 
 def test_a_stalled_server_gets_nothing_more() -> None:
@@ -293,7 +308,7 @@
     for request, attempt in list(stage.open):
         if stage.attempts[request][attempt][1].id != stuck:
             stage.outcome(request, attempt, AttemptResult.OK)
-    stage.now += 5 * max(stage.policy.usual)
+    stage.now += 5 * max(stage.policy.fleet.latency.typical_ms)
     for _ in range(3):
         stage.outcome(stage.request(due_in=5500.0), 0, AttemptResult.OK)
         stage.request(due_in=5500.0)
@@ -329,13 +344,13 @@
         number = stage.request()
         if (number, 0) in stage.open:
             stage.outcome(number, 0, AttemptResult.ERROR, 400.0)
-    assert stage.policy.cut > 50
+    assert stage.policy.overload.shed_threshold > 50
     for _ in range(2000):
         stage.now += 5
         number = stage.request()
         if (number, 0) in stage.open:
             stage.outcome(number, 0, AttemptResult.OK)
-    assert stage.policy.cut == 0.0
+    assert stage.policy.overload.shed_threshold == 0.0
 
 
 def test_a_cut_that_stops_all_is_not_fed_by_its_own_silence() -> None:
@@ -351,7 +366,7 @@
         if (number, 0) in stage.open:
             stage.outcome(number, 0, result, elapsed)
             served += result is AttemptResult.OK
-        cuts.append(stage.policy.cut)
+        cuts.append(stage.policy.overload.shed_threshold)
     assert max(cuts[:300]) > 90
     assert cuts[-1] < 1.0 and served > 200, (cuts[::20], served)
 
@@ -421,10 +436,10 @@
         stage.outcome(
             number, 0, AttemptResult.ERROR if sent_to(stage)[-1] == 0 else AttemptResult.OK
         )
-    assert stage.policy.servers[0].health[0].rest_until > 0
+    assert stage.policy.fleet.endpoints.by_id[0].health[0].ejected_until > 0
     stage.list([replace(server(0), started_ms=stage.now - 60_000.0)])
-    assert not stage.policy.servers[0].health[0].rest_until
-    assert stage.policy.servers[0].health[0].fails == 0.0
+    assert not stage.policy.fleet.endpoints.by_id[0].health[0].ejected_until
+    assert stage.policy.fleet.endpoints.by_id[0].health[0].failure_rate == 0.0
 
 
 def test_same_events_same_actions_and_instances_share_nothing() -> None:
@@ -450,9 +465,9 @@
     for new in range(3, 203):  # every server is replaced, time and again
         stage.list([server(new), server(new - 3, EndpointState.GONE)])
     stage.list([server(300, EndpointState.GONE)])  # never heard of before
-    assert set(stage.policy.servers) == {target.id, 200, 201, 202}
+    assert set(stage.policy.fleet.endpoints.by_id) == {target.id, 200, 201, 202}
     stage.outcome(number, 0, AttemptResult.OK)
-    assert set(stage.policy.servers) == {200, 201, 202}
+    assert set(stage.policy.fleet.endpoints.by_id) == {200, 201, 202}
     stage.give(
         AttemptEnded(number, target.id, True, AttemptResult.OK, 0, 5.0)
     )  # told twice: no error
@@ -489,7 +504,9 @@
         stage = Stage(
             settings(classes=(SAFE,), cluster_size=24, node_index=me, key_affinity=True), servers=80
         )
-        places.append([stage.policy.place(key, 0) for key in range(1, 200)])
+        places.append(
+            [stage.policy.fleet.virtual_nodes.endpoint_of(key, 0) for key in range(1, 200)]
+        )
     assert places[0] == places[1]
     assert not set(places[0]) & set(places[2])
 
@@ -567,7 +584,7 @@
     # All six draws fell on the one resting server of four, and a request was refused for it.
     stage = Stage(settings(classes=(UNSAFE,)), servers=12)
     for sick in range(11):
-        stage.policy.servers[sick].health[0].rest_until = stage.now + 60_000.0
+        stage.policy.fleet.endpoints.by_id[sick].health[0].ejected_until = stage.now + 60_000.0
     for _ in range(50):
         stage.outcome(stage.request(), 0, AttemptResult.OK)
     assert set(sent_to(stage)) == {11}
@@ -584,7 +601,7 @@
         number = stage.request()
         if (number, 0) in stage.open:
             stage.outcome(number, 0, AttemptResult.TIMEOUT, 240.0)
-        cuts.append(stage.policy.cut)
+        cuts.append(stage.policy.overload.shed_threshold)
     assert max(cuts[:16]) > 90
 
 
@@ -592,7 +609,7 @@
     # A floor of one request a node let 600 nodes hold nine for each core (ib2adee, simulated).
     stage = Stage(settings(classes=(SAFE,), cluster_size=600), servers=60)
     feed(stage, 5, 30, 60.0)
-    assert stage.policy.need < 0.8
+    assert stage.policy.overload.concurrency.limit < 0.8
     assert feed(stage, 5, 30, 60.0) == 0
 
 
@@ -621,7 +638,7 @@
         stage.outcome(
             stage.request(), 0, AttemptResult.UNREACHABLE if step % 3 else AttemptResult.OK
         )
-    assert stage.policy.cut == 0.0
+    assert stage.policy.overload.shed_threshold == 0.0
 
 
 def test_cold_budget_counts_what_peers_answer_not_what_is_thrown_at_them() -> None:
@@ -664,7 +681,7 @@
                 AttemptResult.ERROR if step % 2 else AttemptResult.OK,
                 2.0 if step % 2 else 60.0,
             )
-    assert stage.policy.cut == 0.0
+    assert stage.policy.overload.shed_threshold == 0.0
 
 
 def test_resets_at_once_neither_lift_the_cut_nor_rest_the_server() -> None:
@@ -683,8 +700,11 @@
             )
         if (number, 1) in stage.open:
             stage.outcome(number, 1, AttemptResult.OK)
-        assert stage.policy.cut < 1.0
-        assert not any(s.health[0].rest_until > stage.now for s in stage.policy.servers.values())
+        assert stage.policy.overload.shed_threshold < 1.0
+        assert not any(
+            s.health[0].ejected_until > stage.now
+            for s in stage.policy.fleet.endpoints.by_id.values()
+        )
 
 
 def test_a_request_whose_own_work_exceeds_its_time_is_refused_at_once() -> None:
@@ -744,7 +764,7 @@
             if (number, 0) in stage.open:
                 stage.now += 700.0 if step % 5 == 0 else 0.0
                 stage.outcome(number, 0, AttemptResult.OK, 700.0 if step % 5 == 0 else 60.0)
-        needs.append(stage.policy.need)
+        needs.append(stage.policy.overload.concurrency.limit)
     assert needs[1] > 1.5 * needs[0]
 
 
@@ -754,16 +774,16 @@
     feed(stage, 50, 10)
     needs = []
     for errors in (0.04, 0.06):
-        stage.policy.errors = errors
-        stage.policy.learn_need(0.001)
-        needs.append(stage.policy.need)
+        stage.policy.overload.error_rate.rate = errors
+        refresh_limit(stage.policy, 0.001)
+        needs.append(stage.policy.overload.concurrency.limit)
     assert needs[1] > 0.85 * needs[0]
 
 
 def test_a_young_node_knows_its_rate_at_once() -> None:
     stage = Stage(settings(classes=(SAFE,), cluster_size=20), servers=8)
     feed(stage, 50, 1)
-    assert 0.6 < stage.policy.rate * 1000 / 50 < 1.4
+    assert 0.6 < stage.policy.overload.throughput.rate * 1000 / 50 < 1.4
 
 
 def test_further_attempts_fade_where_no_connections_are_made() -> None:
@@ -775,7 +795,7 @@
         number = stage.request()
         while stage.open:
             stage.outcome(*next(iter(stage.open)), AttemptResult.UNREACHABLE, 5.0)
-    assert stage.policy.cut == 0.0
+    assert stage.policy.overload.shed_threshold == 0.0
     assert len(stage.attempts[number]) == 1
 
 
@@ -793,12 +813,14 @@
     for _ in range(20):
         stage.now += 12.5
         stage.request()
-    assert stage.policy.x > 0.5
+    assert stage.policy.overload.overload > 0.5
     for key in sorted(stage.open):
         stage.outcome(*key, AttemptResult.OK, 60.0)
     number = stage.request()
-    assert stage.policy.in_flight > 1.5 * stage.policy.need  # on average it is still full
-    assert stage.policy.x == 0.0 and stage.attempts[number] and burst
+    assert (
+        stage.policy.overload.concurrency.average > 1.5 * stage.policy.overload.concurrency.limit
+    )  # on average it is still full
+    assert stage.policy.overload.overload == 0.0 and stage.attempts[number] and burst
 
 
 def test_what_rests_is_no_part_of_the_need_until_it_proves_itself() -> None:
@@ -808,16 +830,16 @@
     stage = Stage(settings(), servers=8)
     policy = stage.policy
     feed(stage, 50, 1.0)
-    assert policy.warm == 8.0
+    assert policy.fleet.available_capacity == 8.0
     for sick in (0, 1, 2):  # the first for all three classes, the others for the one that is fed
-        for health in policy.servers[sick].health[: 1 if sick else 3]:
-            health.rest_until = stage.now + 500.0
-        policy.rested.add(sick)
+        for health in policy.fleet.endpoints.by_id[sick].health[: 1 if sick else 3]:
+            health.ejected_until = stage.now + 500.0
+        policy.fleet.outliers.ejected.add(sick)
     stage.advance(policy.settings.tick_ms * 20)
     stage.request()
-    assert policy.warm == pytest.approx(8 - 1 - 2 / 3)
+    assert policy.fleet.available_capacity == pytest.approx(8 - 1 - 2 / 3)
     feed(stage, 300, 5.0)
-    assert policy.warm == pytest.approx(
+    assert policy.fleet.available_capacity == pytest.approx(
         8 - 2 / 3
     )  # nothing shows what the first does to other classes
 
@@ -827,12 +849,12 @@
     # taken.
     stage = Stage(settings(key_affinity=True), servers=8)
     policy = stage.policy
-    places = {policy.place(7, 0), policy.place(7, 1)}
+    places = {policy.fleet.virtual_nodes.endpoint_of(7, number) for number in (0, 1)}
     for _ in range(24):
-        policy.keys_total, policy.need = (
+        policy.key_traffic.total, policy.overload.concurrency.limit = (
             1e6,
             8.0,
         )  # other keys draw far more: this one has no more places
         stage.request(key=7)
-    assert len(places) == 2 and set(sent_to(stage)) == set(policy.servers)
-    assert max(len(policy.servers[i].open) for i in places) <= 5
+    assert len(places) == 2 and set(sent_to(stage)) == set(policy.fleet.endpoints.by_id)
+    assert max(len(policy.fleet.endpoints.by_id[i].open_attempts) for i in places) <= 5
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -12,6 +12,7 @@
 from hypothesis import strategies as st
 
 from badgercart.policy.actions import Send
+from badgercart.policy.capacity import SizeIndex
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import (
     AttemptEnded,
@@ -21,19 +22,17 @@
     TimerFired,
     UpdateKind,
 )
-from badgercart.policy.hash_ring import BLOCK, Ring, Sizes
-from badgercart.policy.policy import (
-    BURST_FROM,
-    BURST_FULL,
-    FEW,
-    MASK,
-    NODES,
-    RING_POINTS,
-    SPARSE,
-    Policy,
-    mix,
+from badgercart.policy.fleet import Fleet
+from badgercart.policy.hash_ring import (
+    BLOCK_POINTS,
+    VIRTUAL_NODES,
+    HashRing,
 )
+from badgercart.policy.hashing import HASH_MASK, mix_hash
+from badgercart.policy.overload import BURST_FULL, BURST_MIN
+from badgercart.policy.policy import Policy
 from badgercart.policy.settings import Idempotency, RequestClass, Settings
+from badgercart.policy.subset import MIN_REQUESTS_PER_ENDPOINT, MIN_SUBSET_SIZE, NODES_PER_GROUP
 
 CLASSES = (
     RequestClass(400.0, 1000.0, 1.0, Idempotency.IDEMPOTENT),
@@ -46,71 +45,97 @@
     before."""
 
     def __init__(self, policy: Policy, strongest: float) -> None:
-        settings, servers = policy.settings, policy.servers
+        settings, servers = policy.settings, policy.fleet.endpoints.by_id
         self.ready = sorted(
-            (i for i, s in servers.items() if s.entry.state is EndpointState.READY), key=mix
+            (i for i, s in servers.items() if s.endpoint.state is EndpointState.READY), key=mix_hash
         )
         ready = [servers[i] for i in self.ready]
-        sparse = policy.need < SPARSE * len(ready)
-        groups = max(1, min(settings.cluster_size // NODES, len(ready) // FEW)) if sparse else 1
+        sparse = policy.overload.concurrency.limit < MIN_REQUESTS_PER_ENDPOINT * len(ready)
+        groups = (
+            max(1, min(settings.cluster_size // NODES_PER_GROUP, len(ready) // MIN_SUBSET_SIZE))
+            if sparse
+            else 1
+        )
         group = settings.node_index * groups // settings.cluster_size
         self.start = group * len(ready) // groups
         self.span = max(1, (group + 1) * len(ready) // groups - self.start)
         self.ours = self.ready[self.start : self.start + self.span]
-        works = [sum(h.rest_until == 0 for h in s.health) / len(s.health) for s in ready]
-        shares = [policy.cold_share(s) * part for s, part in zip(ready, works, strict=True)]
+        works = [sum(h.ejected_until == 0 for h in s.health) / len(s.health) for s in ready]
+        shares = [
+            policy.fleet.slow_start.capacity_share(s.endpoint, policy.now_ms) * part
+            for s, part in zip(ready, works, strict=True)
+        ]
         self.warm = max(sum(shares), 1.0)
 
         def strength(server: Any, strongest: float) -> float:
-            return float(server.entry.size / policy.kinds.get(server.entry.kind, 1.0) / strongest)
+            return float(
+                server.endpoint.size
+                / policy.fleet.latency.kind_ratios.get(server.endpoint.kind, 1.0)
+                / strongest
+            )
 
         self.strongest = strongest * (
             max((strength(s, strongest) for s in ready), default=1.0) or 1.0
         )
-        size = sum(s.entry.size for s in ready) / max(1, len(ready))
+        size = sum(s.endpoint.size for s in ready) / max(1, len(ready))
         self.slots = (size if 0.5 <= size <= 8 else 1.0) / settings.cluster_size
         self.mean_strength = sum(strength(s, self.strongest) for s in ready) / max(1, len(ready))
-        counts = {i: int(RING_POINTS * strength(servers[i], self.strongest)) + 1 for i in self.ours}
+        counts = {
+            i: int(VIRTUAL_NODES * strength(servers[i], self.strongest)) + 1 for i in self.ours
+        }
         self.ring = sorted(
-            (mix(i * 1000003 + point), i) for i in self.ours for point in range(counts[i])
+            (mix_hash(i * 1000003 + point), i) for i in self.ours for point in range(counts[i])
         )
 
     def place(self, key: int, number: int) -> int:
-        spot = bisect(self.ring, (mix(key + number * 0x632BE59BD9B4E019 & MASK), 0))
+        spot = bisect(self.ring, (mix_hash(key + number * 0x632BE59BD9B4E019 & HASH_MASK), 0))
         return self.ring[spot % len(self.ring)][1]
 
 
-class Measured(Policy):
-    """A policy whose every measure of the fleet is held against a whole look."""
+class MeasuredFleet(Fleet):
+    """A fleet whose every refresh is held against a whole look."""
 
+    policy: Policy
     looks = 0
 
-    def measure_fleet(self) -> None:
-        before = self.strongest
-        super().measure_fleet()
-        whole = WholeLook(self, before)
-        assert (self.ready, self.start, self.span, self.ours) == (
+    def refresh(self, concurrency_limit: float, now_ms: float) -> None:
+        before = self.capacity.strongest
+        super().refresh(concurrency_limit, now_ms)
+        whole, subset, nodes = WholeLook(self.policy, before), self.subset, self.virtual_nodes
+        assert (self.endpoints.ready, subset.start, subset.size, subset.endpoint_ids) == (
             whole.ready,
             whole.start,
             whole.span,
             whole.ours,
         )
-        for name in ("warm", "strongest", "slots", "mean_strength"):
-            assert getattr(self, name) == pytest.approx(getattr(whole, name), rel=1e-12), name
-        while self.unplaced:
-            self.place_points(1 << 30)
-        assert self.ring.points() == whole.ring
-        assert self.points.keys() == set(self.ours)
-        if self.ours:
-            assert all(self.place(key, 0) == whole.place(key, 0) for key in range(1, 40))
-        Measured.looks += 1
+        for name, kept, looked in (
+            ("available", self.available_capacity, whole.warm),
+            ("strongest", self.capacity.strongest, whole.strongest),
+            ("slots", self.capacity.slots_per_endpoint, whole.slots),
+            ("mean", self.capacity.mean_weight, whole.mean_strength),
+        ):
+            assert kept == pytest.approx(looked, rel=1e-12), name
+        while nodes.pending:
+            nodes.place(1 << 30)
+        assert nodes.ring.virtual_nodes() == whole.ring
+        assert nodes.counts.keys() == set(subset.endpoint_ids)
+        if subset.endpoint_ids:
+            assert all(nodes.endpoint_of(key, 0) == whole.place(key, 0) for key in range(1, 40))
+        MeasuredFleet.looks += 1
+
+
+def measured(settings: Settings, seed: int) -> Policy:
+    policy = Policy(settings, seed)
+    policy.fleet.__class__ = MeasuredFleet
+    policy.fleet.policy = policy  # type: ignore[attr-defined]
+    return policy
 
 
 def test_every_measure_equals_a_whole_look_through_random_days() -> None:
     for seed in range(60):
         rng = random.Random(seed)
         nodes = rng.choice((1, 3, 30))
-        policy = Measured(
+        policy = measured(
             Settings(
                 classes=CLASSES,
                 cluster_size=nodes,
@@ -179,7 +204,7 @@
                         now, AttemptEnded(asked, server, True, result, 0, rng.uniform(5, 600))
                     )
         assert fleet == {}
-    assert Measured.looks > 2000
+    assert MeasuredFleet.looks > 2000
 
 
 def test_a_long_list_is_placed_in_slices_and_ends_the_same() -> None:
@@ -188,15 +213,18 @@
         Endpoint(i, 0, i % 2, 0, EndpointState.READY, 1.0 + i % 7, 0.0) for i in range(1, 2001)
     ]
     policy.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
-    assert policy.unplaced and policy.ring.blocks
+    assert policy.fleet.virtual_nodes.pending and policy.fleet.virtual_nodes.ring.blocks
     # Requests are served from the part that is placed.
     assert isinstance(policy.handle(1.0, Request(1, 0, 900.0, key=5))[-1], Send)
     turns = 0
-    while policy.unplaced:
+    while policy.fleet.virtual_nodes.pending:
         policy.handle(2.0, TimerFired(0))
         turns += 1
     assert turns > 10
-    assert policy.ring.points() == WholeLook(policy, policy.strongest).ring
+    assert (
+        policy.fleet.virtual_nodes.ring.virtual_nodes()
+        == WholeLook(policy, policy.fleet.capacity.strongest).ring
+    )
 
 
 def test_a_key_draws_no_server_that_has_left_though_its_points_are_there_yet() -> None:
@@ -206,11 +234,13 @@
         policy = Policy(Settings(CLASSES, key_affinity=True, max_attempts=3), 1)
         entries = [Endpoint(i, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for i in range(1, 1001)]
         policy.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
-        while policy.unplaced:
-            policy.place_points(1 << 30)
+        while policy.fleet.virtual_nodes.pending:
+            policy.fleet.virtual_nodes.place(1 << 30)
         told = [Endpoint(i, 0, 0, 0, state, 2.0, 0.0) for i in range(1, 901)]
         policy.handle(1.0, EndpointUpdate(UpdateKind.DELTA, 2, told))
-        assert policy.unplaced and any(i <= 900 for _, i in policy.ring.points())
+        assert policy.fleet.virtual_nodes.pending and any(
+            i <= 900 for _, i in policy.fleet.virtual_nodes.ring.virtual_nodes()
+        )
         chosen = []
         for number in range(1, 41):
             for action in policy.handle(2.0, Request(number, 0, 900.0, key=number * 7919)):
@@ -227,7 +257,7 @@
 def test_a_ring_is_a_sorted_list_in_blocks(
     points: list[tuple[int, int]], rng: random.Random
 ) -> None:
-    ring, plain = Ring(), sorted(set(points))
+    ring, plain = HashRing(), sorted(set(points))
     half = len(plain) // 2
     shuffled = rng.sample(plain, len(plain))
     ring.extend(shuffled[:half])
@@ -235,24 +265,24 @@
     for point in shuffled[::3]:
         ring.remove(point)
         plain.remove(point)
-    assert ring.points() == plain and len(ring) == len(plain)
-    assert all(0 < len(block) < 2 * BLOCK for block in ring.blocks)
+    assert ring.virtual_nodes() == plain and len(ring) == len(plain)
+    assert all(0 < len(block) < 2 * BLOCK_POINTS for block in ring.blocks)
     if plain:
         for spot in range(0, 310, 7):
-            assert ring.after(spot) == plain[bisect(plain, (spot, 0)) % len(plain)][1]
+            assert ring.successor(spot) == plain[bisect(plain, (spot, 0)) % len(plain)][1]
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.floats(0, 10), max_size=300), st.floats(0.1, 5), st.floats(0.1, 5))
 def test_sizes_tell_whose_level_moved(sizes: list[float], old: float, new: float) -> None:
-    kept, top = Sizes(), max([*sizes, 1.0])
+    kept, top = SizeIndex(), max([*sizes, 1.0])
     kept.add([(size, number) for number, size in enumerate(sizes)])
 
     def level(scale: float) -> Any:
-        return lambda size: int(RING_POINTS * (size / top * min(1.0, scale / 5)))
+        return lambda size: int(VIRTUAL_NODES * (size / top * min(1.0, scale / 5)))
 
-    assert kept.moved((old, 1.0), level(old), RING_POINTS) == []
-    moved = set(kept.moved((new, 1.0), level(new), RING_POINTS))
+    assert kept.level_changes((old, 1.0), level(old), VIRTUAL_NODES) == []
+    moved = set(kept.level_changes((new, 1.0), level(new), VIRTUAL_NODES))
     assert (
         moved >= {n for n, size in enumerate(sizes) if level(old)(size) != level(new)(size)}
         or old == new
@@ -307,10 +337,10 @@
 
 def test_warmth_is_measured_between_lists() -> None:
     policy = cold_fleet(10, 0)
-    before = policy.warm
+    before = policy.fleet.available_capacity
     for step in range(20):
         policy.handle(1000.0 + 100.0 * step, Request(step + 1, 0, 5000.0))
-    assert before == pytest.approx(3.0) and policy.warm == pytest.approx(
+    assert before == pytest.approx(3.0) and policy.fleet.available_capacity == pytest.approx(
         10 * (0.3 + 0.7 * 1900 / 8000)
     )
 
@@ -320,22 +350,22 @@
     fleet."""
     policy = cold_fleet(0, 10)  # 30 slots, two nodes: 15 are needed
     first = sent(policy, 200)
-    assert BURST_FROM * 15 < len(first) <= BURST_FULL * 15 + 1
+    assert BURST_MIN * 15 < len(first) <= BURST_FULL * 15 + 1
     for action in first:
         policy.handle(
             1040.0, AttemptEnded(action.id, action.endpoint_id, True, AttemptResult.OK, 0, 30.0)
         )
-    assert policy.flying == 0 and len(sent(policy, 10, 1041.0, 500)) == 10
+    assert policy.overload.concurrency.current == 0 and len(sent(policy, 10, 1041.0, 500)) == 10
 
 
 def test_a_full_cut_that_leaves_servers_idle_fades_sooner() -> None:
     """What a jam has shown must not hold the node closed for long after it: nothing new can tell
     otherwise."""
     policy = cold_fleet(0, 10)
-    policy.failed, policy.seen = 25.0, 30.0
+    policy.overload.error_rate.failures, policy.overload.error_rate.attempts = 25.0, 30.0
     now, opened = 1001.0, 0.0
     for step in range(200):
         now += 10.0
         policy.handle(now, Request(1000 + step, 0, now + 1400.0))
-        opened = opened or (now if policy.x < 1.0 else 0.0)
+        opened = opened or (now if policy.overload.overload < 1.0 else 0.0)
     assert 0 < opened < 1400.0
--- a/tests/policy/test_planned.py
+++ b/tests/policy/test_planned.py
@@ -162,7 +162,13 @@
             for _ in range(rng.randint(1, 3))
         ]
         stage.list(list({line.id: line for line in lines}.values()))
-        found = {zone: set(there) for zone, there in stage.policy.zones.items() if there}
-        assert found == {zone: there for zone, there in stage.policy.inside.items() if there}
-        stage.policy.sort_zones()
-        assert found == {zone: set(there) for zone, there in stage.policy.zones.items()}
+        found = {
+            zone: set(there) for zone, there in stage.policy.fleet.locality.by_zone.items() if there
+        }
+        assert found == {
+            zone: there for zone, there in stage.policy.fleet.locality.members.items() if there
+        }
+        stage.policy.fleet.locality.sort_zones()
+        assert found == {
+            zone: set(there) for zone, there in stage.policy.fleet.locality.by_zone.items()
+        }
--- a/tests/policy/test_six_rules.py
+++ b/tests/policy/test_six_rules.py
@@ -37,7 +37,7 @@
     names = {cls: at for at, cls in live.items()}
     wanted = [cls for at, cls in enumerate(CLASSES) if number >> at & 1] or [UNSAFE]
     numbers, fresh = renumbered([str(c) for c in wanted], {str(c): at for c, at in names.items()},
-                                stage.policy.busy()[0])  # fmt: skip
+                                stage.policy.lifecycle.active_use()[0])  # fmt: skip
     now = {numbers[str(cls)]: cls for cls in wanted}
     terms = [*stage.config.classes, *[UNSAFE] * len(CLASSES)][
         : max(len(stage.config.classes), 1 + max(now))
@@ -143,8 +143,14 @@
         stage.open
     ):  # answers that still go on, and attempts nobody waits for any more
         stage.outcome(*key, AttemptResult.OK)
-    assert stage.policy.flying == 0 and not stage.policy.streams and not stage.policy.jobs
-    assert not any(s.open or s.uploads for s in stage.policy.servers.values())
+    assert (
+        stage.policy.overload.concurrency.current == 0
+        and not stage.policy.lifecycle.streaming
+        and not stage.policy.lifecycle.requests
+    )
+    assert not any(
+        s.open_attempts or s.uploads for s in stage.policy.fleet.endpoints.by_id.values()
+    )
 
 
 @pytest.mark.parametrize("cls", range(len(CLASSES)))
@@ -294,7 +300,7 @@
     for key in range(1, 300):
         stage.outcome(stage.request(0, key=key), 0, AttemptResult.OK)
         stage.now += 100
-    assert len(stage.policy.turns) < 150
+    assert len(stage.policy.key_queues.by_key) < 150
 
 
 def test_server_that_restarts_under_its_own_id_is_cold_again() -> None:
--- a/tests/policy/test_slopes.py
+++ b/tests/policy/test_slopes.py
@@ -18,7 +18,8 @@
 
 import pytest
 
-import badgercart.policy.policy
+from badgercart.policy import endpoints as endpoints_module
+from badgercart.policy import selection, subset
 from badgercart.policy.actions import Send
 from badgercart.policy.endpoint import Endpoint, EndpointState, EndpointStatistics
 from badgercart.policy.events import (
@@ -32,7 +33,12 @@
     SettingsChanged,
     UpdateKind,
 )
-from badgercart.policy.policy import SHARE_HALF, UPKEEP, Policy, mix
+from badgercart.policy.hash_ring import VIRTUAL_NODES
+from badgercart.policy.hashing import mix_hash
+from badgercart.policy.overload import REFRESH_INTERVAL_MS
+from badgercart.policy.policy import Policy
+from badgercart.policy.quotas import TenantQuotas
+from badgercart.policy.refresh import HALF_LIFE_MS
 from badgercart.policy.settings import Idempotency, RequestClass, Settings
 from benchmarks.scale.fit import Point, fit
 
@@ -94,7 +100,7 @@
 
 
 def entry(number: int, state: EndpointState = EndpointState.READY) -> Endpoint:
-    return Endpoint(mix(number + 1), number % 3, number % 2, 0, state, 1.0 + number % 2, 0.0)
+    return Endpoint(mix_hash(number + 1), number % 3, number % 2, 0, state, 1.0 + number % 2, 0.0)
 
 
 def fleet(servers: int = 20, tenants: int = 0, nodes: int = 1, **changes: Any) -> Policy:
@@ -111,8 +117,8 @@
     )
     policy = Policy(settings, 1)
     policy.handle(1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries(servers)))
-    while policy.unplaced:
-        policy.place_points(1 << 30)
+    while policy.fleet.virtual_nodes.pending:
+        policy.fleet.virtual_nodes.place(1 << 30)
     return policy
 
 
@@ -146,9 +152,9 @@
     """Else a flat slope would prove nothing."""
 
     class Looping(Policy):
-        def upkeep(self) -> None:
-            super().upkeep()
-            self.looked = [server.recent for server in self.servers.values()]
+        def refresh(self, now_ms: float) -> None:
+            super().refresh(now_ms)
+            self.looked = [server.recent_attempts for server in self.fleet.endpoints.by_id.values()]
 
     def cost(servers: int) -> int:
         policy = fleet(servers)
@@ -163,63 +169,68 @@
     def cost(tenants: int) -> int:
         policy = fleet(tenants=tenants)
         policy.handle(10.0, Request(1, 0, 1000.0, tenant=3))
-        return steps(policy, 10.0 + UPKEEP, Request(2, 0, 1100.0, tenant=3))
+        return steps(policy, 10.0 + REFRESH_INTERVAL_MS, Request(2, 0, 1100.0, tenant=3))
 
     is_flat(cost, (100, 1000, 10_000))
 
 
 def test_buckets_are_kept_for_tenants_with_something_in_them() -> None:
     policy = fleet(tenants=1000)
-    assert policy.buckets == {}
+    assert policy.quotas.buckets == {}
     for number in range(50):
         policy.handle(10.0, Request(number, 0, 1000.0, tenant=number * 7))
-    assert len(policy.buckets) == 50
+    assert len(policy.quotas.buckets) == 50
     policy.handle(3000.0, Request(90, 0, 4000.0, tenant=999))
     policy.handle(3001.0, ClusterView(1, 0, 2))
-    assert policy.buckets.keys() == {999}
+    assert policy.quotas.buckets.keys() == {999}
     for number in range(3000):
         policy.handle(3001.0 + number, Request(100 + number, 0, 9000.0, tenant=number % 1000))
-    assert len(policy.buckets) == 1000  # at most one a tenant
+    assert len(policy.quotas.buckets) == 1000  # at most one a tenant
     policy.handle(6001.0, SettingsChanged(policy.settings, frozenset({0})))
-    assert 0 < len(policy.buckets) < 100  # those with something in them yet
+    assert 0 < len(policy.quotas.buckets) < 100  # those with something in them yet
     settings = Settings(policy.settings.classes, quotas_per_s=(50.0,) * 10)
     policy.handle(6002.0, SettingsChanged(settings, frozenset({0})))
-    assert all(tenant < 10 for tenant in policy.buckets)  # none of a tenant that is none any longer
+    assert all(
+        tenant < 10 for tenant in policy.quotas.buckets
+    )  # none of a tenant that is none any longer
 
 
-class Eager(Policy):
-    """With buckets as they were: all of them leak with each upkeep, if only by nothing."""
+class EagerQuotas(TenantQuotas):
+    """With buckets as they were: all of them leak with each refresh, if only by nothing."""
 
-    def __init__(self, settings: Settings, seed: int) -> None:
+    def __init__(self) -> None:
+        super().__init__()
         self.full: list[float] = []
-        super().__init__(settings, seed)
 
-    def settle_terms(self, event: SettingsChanged) -> None:
-        super().settle_terms(event)
-        self.full = (self.full + [0.0] * len(event.settings.quotas_per_s))[
-            : len(event.settings.quotas_per_s)
-        ]
+    def apply_settings(self, event: SettingsChanged) -> None:
+        super().apply_settings(event)
+        tenants = len(event.settings.quotas_per_s)
+        self.full = (self.full + [0.0] * tenants)[:tenants]
         for i in event.reset_tenants:
             self.full[i] = 0.0
 
-    def upkeep(self) -> None:
-        passed = min(self.now - self.upkeep_at, 1000.0) if self.upkeep_at else UPKEEP * self.pace
-        used = zip(self.full, self.settings.quotas_per_s, self.divisors, strict=True)
-        self.full = [max(0.0, count - quota * (passed / 1000 / by)) for count, quota, by in used]
-        super().upkeep()
+    def leak(self, passed_ms: float) -> None:
+        used = zip(self.full, self.quotas_per_s, self.divisors, strict=True)
+        self.full = [max(0.0, count - quota * (passed_ms / 1000 / by)) for count, quota, by in used]
+        super().leak(passed_ms)
 
-    def used_by(self, tenant: int) -> float:
-        lazy = super().used_by(tenant)
+    def level(self, tenant: int) -> float:
+        lazy = super().level(tenant)
         assert lazy == pytest.approx(self.full[tenant], abs=1e-6)
         return self.full[tenant]
 
-    def on_request(self, request: Request) -> None:
-        before = self.now - self.upkeep_at >= UPKEEP * self.pace
-        held = None if before else self.full[request.tenant]
-        super().on_request(request)
-        held = self.full[request.tenant] if held is None else held
-        quota = self.settings.quotas_per_s[request.tenant] / self.divisors[request.tenant]
-        self.full[request.tenant] += not held > quota
+    def admit(self, tenant: int) -> bool:
+        held, admitted = self.full[tenant], super().admit(tenant)
+        self.full[tenant] += not held > self.quotas_per_s[tenant] / self.divisors[tenant]
+        return admitted
+
+
+def eager_policy(settings: Settings, seed: int) -> Policy:
+    policy, every = Policy(settings, seed), frozenset(range(len(settings.classes)))
+    policy.quotas = EagerQuotas()
+    policy.quotas.apply_settings(SettingsChanged(settings, every, every))
+    policy.quotas.divide(policy.fleet.cluster.view)
+    return policy
 
 
 def test_buckets_that_leak_when_looked_at_decide_as_those_that_leak_all_along() -> None:
@@ -236,7 +247,7 @@
             )
 
         settings = terms(tenants)
-        lazy, eager = Policy(settings, seed), Eager(settings, seed)
+        lazy, eager = Policy(settings, seed), eager_policy(settings, seed)
         now = 50_000.0 * rng.choice((0, 1))
         for number in range(600):
             now += rng.choice((0.0, rng.uniform(0, 30), rng.uniform(0, 30), rng.uniform(0, 3000)))
@@ -253,8 +264,8 @@
                 fresh = frozenset(i for i in range(tenants) if rng.random() < 0.3)
                 event = SettingsChanged(settings, frozenset({0}), reset_tenants=fresh)
             assert lazy.handle(now, event) == eager.handle(now, event)
-            assert lazy.offered == eager.offered
-        beyond += lazy.offered[1] > 1.0
+            assert lazy.priority.offered == eager.priority.offered
+        beyond += lazy.priority.offered[1] > 1.0
     assert beyond > 10  # some were beyond their quota: the other half of the rule was met, too
 
 
@@ -279,29 +290,37 @@
     rng, placed = random.Random(5), 0
     servers, nodes = 800, 600
     policy = fleet(servers, nodes=nodes, key_affinity=True)
-    assert policy.groups > badgercart.policy.policy.SCARCE
+    assert policy.fleet.subset.groups > subset.SMALL_PART_GROUPS
     now = 1.0
     for turn in range(60):
         now = serve(policy, now + rng.choice((0.0, 6000.0)), 5, 1 + 10 * turn)
-        policy.kinds[turn % 2] = rng.uniform(0.5, 2.0)
+        policy.fleet.latency.kind_ratios[turn % 2] = rng.uniform(0.5, 2.0)
         told = [
             entry(rng.randrange(servers), rng.choice((EndpointState.READY, EndpointState.DRAINING)))
             for _ in range(3)
         ]
         policy.handle(now, EndpointUpdate(UpdateKind.DELTA, 2, told))
-        while policy.unplaced:
-            policy.place_points(1 << 30)
-        strength = {i: policy.strength(policy.servers[i]) for i in policy.ours}
-        due = {i: int(badgercart.policy.policy.RING_POINTS * strength[i]) + 1 for i in policy.ours}
+        while policy.fleet.virtual_nodes.pending:
+            policy.fleet.virtual_nodes.place(1 << 30)
+        strength = {
+            i: policy.fleet.capacity.weight(policy.fleet.endpoints.by_id[i].endpoint)
+            for i in policy.fleet.subset.endpoint_ids
+        }
+        due = {i: int(VIRTUAL_NODES * strength[i]) + 1 for i in policy.fleet.subset.endpoint_ids}
         ring = sorted(
-            (mix(i * 1000003 + point), i) for i, count in due.items() for point in range(count)
+            (mix_hash(i * 1000003 + point), i) for i, count in due.items() for point in range(count)
+        )
+        assert (
+            policy.fleet.virtual_nodes.counts == due
+            and policy.fleet.virtual_nodes.ring.virtual_nodes() == ring
         )
-        assert policy.points == due and policy.ring.points() == ring
         if turn == 30:  # one group, and back: what was looked at meanwhile by sizes is known
             policy.handle(now, ClusterView(1, 0, 1))
-            while policy.unplaced:
-                policy.place_points(1 << 30)
-            assert policy.groups == 1 and len(policy.points) == len(policy.ready)
+            while policy.fleet.virtual_nodes.pending:
+                policy.fleet.virtual_nodes.place(1 << 30)
+            assert policy.fleet.subset.groups == 1 and len(
+                policy.fleet.virtual_nodes.counts
+            ) == len(policy.fleet.endpoints.ready)
             policy.handle(now, ClusterView(nodes, nodes // 2, nodes))
         placed += len(due)
     assert placed > 300
@@ -309,20 +328,23 @@
 
 def test_one_group_after_many_has_all_points_by_the_paces_of_then() -> None:
     policy = fleet(800, nodes=600)
-    before = dict(policy.kinds)
-    policy.kinds.update({0: 1.7, 1: 0.6})
+    before = dict(policy.fleet.latency.kind_ratios)
+    policy.fleet.latency.kind_ratios.update({0: 1.7, 1: 0.6})
     policy.handle(2.0, EndpointUpdate(UpdateKind.DELTA, 2, [entry(0, EndpointState.DRAINING)]))
     policy.handle(3.0, ClusterView(1, 0, 1))
-    while policy.unplaced:
-        policy.place_points(1 << 30)
-    policy.kinds.clear()
-    policy.kinds.update(before)
+    while policy.fleet.virtual_nodes.pending:
+        policy.fleet.virtual_nodes.place(1 << 30)
+    policy.fleet.latency.kind_ratios.clear()
+    policy.fleet.latency.kind_ratios.update(before)
     policy.handle(4.0, EndpointUpdate(UpdateKind.DELTA, 3, [entry(0)]))
-    while policy.unplaced:
-        policy.place_points(1 << 30)
-    strength = {i: policy.strength(policy.servers[i]) for i in policy.ready}
-    due = {i: int(badgercart.policy.policy.RING_POINTS * strength[i]) + 1 for i in policy.ready}
-    assert policy.groups == 1 and policy.points == due
+    while policy.fleet.virtual_nodes.pending:
+        policy.fleet.virtual_nodes.place(1 << 30)
+    strength = {
+        i: policy.fleet.capacity.weight(policy.fleet.endpoints.by_id[i].endpoint)
+        for i in policy.fleet.endpoints.ready
+    }
+    due = {i: int(VIRTUAL_NODES * strength[i]) + 1 for i in policy.fleet.endpoints.ready}
+    assert policy.fleet.subset.groups == 1 and policy.fleet.virtual_nodes.counts == due
 
 
 def test_nothing_copies_the_list_of_all_servers() -> None:
@@ -331,14 +353,19 @@
 
     def cost(servers: int) -> int:
         policy = fleet(servers)
-        hung = list(policy.ready)[1:]
-        policy.ready = policy.ours = Slices(policy.ready)
+        hung = list(policy.fleet.endpoints.ready)[1:]
+        policy.fleet.endpoints.ready = policy.fleet.subset.endpoint_ids = Slices(
+            policy.fleet.endpoints.ready
+        )
         Slices.copied = 0
         policy.handle(2.0, EndpointUpdate(UpdateKind.DELTA, 2, [entry(0, EndpointState.DRAINING)]))
-        assert isinstance(policy.ready, Slices)
+        assert isinstance(policy.fleet.endpoints.ready, Slices)
         policy.handle(3.0, Request(1, 0, 1000.0, max_fallbacks=2))
         for server_id in hung:
-            policy.servers[server_id].open[0, 0] = (policy.jobs[1], 0.0)  # draws go to the end
+            policy.fleet.endpoints.by_id[server_id].open_attempts[0, 0] = (
+                policy.lifecycle.requests[1],
+                0.0,
+            )  # draws go to the end
         policy.handle(4.0, Request(2, 0, 1000.0, max_fallbacks=2))
         return Slices.copied
 
@@ -356,12 +383,12 @@
     policy = fleet(size)
     for _ in range(20):
         state = policy.random.getstate()
-        drawn = list(policy.draw(0))[-size:]
+        drawn = list(policy.selector.candidates(0))[-size:]
         policy.random.setstate(state)
-        for _ in range(2 * min(badgercart.policy.policy.DRAW, 6)):
+        for _ in range(2 * min(selection.CANDIDATES, 6)):
             policy.random.random()
-        at = policy.ready.index(drawn[0])
-        assert drawn == policy.ready[at:] + policy.ready[:at]
+        at = policy.fleet.endpoints.ready.index(drawn[0])
+        assert drawn == policy.fleet.endpoints.ready[at:] + policy.fleet.endpoints.ready[:at]
 
 
 def test_points_are_placed_without_a_walk_over_those_that_were() -> None:
@@ -369,13 +396,16 @@
 
     def cost(servers: int) -> int:
         policy = fleet(20)
-        policy.unplaced = Dead(policy.unplaced)
+        policy.fleet.virtual_nodes.pending = Dead(policy.fleet.virtual_nodes.pending)
         Dead.walked = Dead.deleted = 0
         policy.handle(2.0, EndpointUpdate(UpdateKind.SNAPSHOT, 2, entries(servers)))
-        assert isinstance(policy.unplaced, Dead) and policy.unplaced
+        assert (
+            isinstance(policy.fleet.virtual_nodes.pending, Dead)
+            and policy.fleet.virtual_nodes.pending
+        )
         events = 0
-        while policy.unplaced:
-            policy.place_points(256)
+        while policy.fleet.virtual_nodes.pending:
+            policy.fleet.virtual_nodes.place(256)
             events += 1
         return (Dead.walked + 1) // events + 1
 
@@ -402,23 +432,23 @@
                 UpdateKind.DELTA, 2, [replace_state(policy, sent.endpoint_id, EndpointState.GONE)]
             ),
         )
-        assert policy.busy() == ({0}, {7})
+        assert policy.lifecycle.active_use() == ({0}, {7})
         policy.handle(5.0, AttemptEnded(1, sent.endpoint_id, True, AttemptResult.OK, 0, 3.0))
-        assert policy.busy() == (set(), set())
-        return count(policy.busy)
+        assert policy.lifecycle.active_use() == (set(), set())
+        return count(policy.lifecycle.active_use)
 
     is_flat(cost, SERVERS)
 
 
 def replace_state(policy: Policy, server_id: int, state: EndpointState) -> Endpoint:
-    return replace(policy.servers[server_id].entry, state=state)
+    return replace(policy.fleet.endpoints.by_id[server_id].endpoint, state=state)
 
 
 def test_a_halving_costs_a_look_at_the_servers_that_were_sent_to() -> None:
     def cost(servers: int) -> int:
         policy = fleet(servers, nodes=nodes_for(servers))
         now = serve(policy, 10.0, 20)
-        return steps(policy, now + SHARE_HALF, Request(5000, 0, now + SHARE_HALF + 1000.0))
+        return steps(policy, now + HALF_LIFE_MS, Request(5000, 0, now + HALF_LIFE_MS + 1000.0))
 
     is_flat(cost, SERVERS[2:] + (6400,))
 
@@ -426,9 +456,9 @@
 class Looking(Policy):
     """Looks at all servers where some were sent to, as it was."""
 
-    def upkeep(self) -> None:
-        self.touched = set(self.servers)
-        super().upkeep()
+    def refresh(self, now_ms: float) -> None:
+        self.fleet.endpoints.active = set(self.fleet.endpoints.by_id)
+        super().refresh(now_ms)
 
 
 def test_what_was_seen_of_servers_fades_as_if_all_were_looked_at() -> None:
@@ -441,7 +471,7 @@
         )
         policies = Policy(settings, seed), Looking(settings, seed)
         for policy in policies:
-            policy.known = {
+            policy.fleet.endpoints.restorable = {
                 entry(i).id: EndpointStatistics(0.0, 3.0, 9.0, (0.1,), (0.0,))
                 for i in range(40, 50)
             }
@@ -460,18 +490,22 @@
                 event = AttemptEnded(
                     number, server, True, AttemptResult.OK, 0, rng.uniform(5.0, 90.0)
                 )
-            before = policies[0].halved_at
+            before = policies[0].schedule.halved_at
             actions, others = (policy.handle(now, event) for policy in policies)
             assert actions == others
             out += [
                 (action.id, action.endpoint_id) for action in actions if isinstance(action, Send)
             ]
-            halvings += policies[0].halved_at != before
+            halvings += policies[0].schedule.halved_at != before
             seen = [
-                {i: (s.recent, s.slow) for i, s in policy.servers.items()} for policy in policies
+                {
+                    i: (s.recent_attempts, s.relative_latency)
+                    for i, s in policy.fleet.endpoints.by_id.items()
+                }
+                for policy in policies
             ]
             assert seen[0] == seen[1]
-        assert halvings > 5 and len(policies[0].touched) <= 50
+        assert halvings > 5 and len(policies[0].fleet.endpoints.active) <= 50
 
 
 def test_a_long_list_of_changes_scatters_only_what_came(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -482,16 +516,21 @@
         def counted(number: int) -> int:
             nonlocal calls
             calls += 1
-            return mix(number)
+            return mix_hash(number)
 
         told = [entry(number, EndpointState.DRAINING) for number in range(70)]
         told += [entry(servers + number) for number in range(70)]
-        monkeypatch.setattr(policy, "mark_points", lambda pace, changed: None)
-        monkeypatch.setattr(badgercart.policy.policy, "mix", counted)
+        monkeypatch.setattr(policy.fleet, "refresh", lambda limit, now_ms: None)
+        monkeypatch.setattr(endpoints_module, "mix_hash", counted)
         policy.handle(2.0, EndpointUpdate(UpdateKind.DELTA, 2, told))
-        monkeypatch.setattr(badgercart.policy.policy, "mix", mix)
-        assert policy.ready == sorted(policy.ready, key=mix) and len(policy.ready) == servers
-        assert policy.marks == [mix(server_id) for server_id in policy.ready]
+        monkeypatch.setattr(endpoints_module, "mix_hash", mix_hash)
+        assert (
+            policy.fleet.endpoints.ready == sorted(policy.fleet.endpoints.ready, key=mix_hash)
+            and len(policy.fleet.endpoints.ready) == servers
+        )
+        assert policy.fleet.endpoints.hashes == [
+            mix_hash(server_id) for server_id in policy.fleet.endpoints.ready
+        ]
         return calls
 
     assert [cost(servers) for servers in SERVERS[:3]] == [70, 70, 70]
--- a/tests/processor/test_drains.py
+++ b/tests/processor/test_drains.py
@@ -50,8 +50,8 @@
             first, second = await two_servers(bench)
             # 40 at once on the server that is left may be more than its need: the cut is another
             # matter here, and it follows the machine's pace.
-            bench.join.policy.set_cut = lambda passed: None  # type: ignore[method-assign]
-            bench.join.policy.need = 1e9
+            bench.join.policy.overload.refresh = lambda *told: ""  # type: ignore[method-assign]
+            bench.join.policy.overload.concurrency.limit = 1e9
             held: asyncio.Queue[str] = asyncio.Queue()
             release = asyncio.Event()
 
@@ -101,7 +101,7 @@
             assert await get(good, "r-9") == 200  # others are none the worse
             assert bench.calls.rows()["proxy-2"]["standing"] == "good"
             # The server that was used is the one that its load was counted for.
-            assert bench.join.policy.flying == 0
+            assert bench.join.policy.overload.concurrency.current == 0
             await proxy.stop()
             await good.stop()
             await bench.settled()
--- a/tests/processor/test_failures.py
+++ b/tests/processor/test_failures.py
@@ -45,8 +45,8 @@
         async with site_with_processor(servers=3) as bench, bench.proxy() as proxy:
             # 300 at once are a burst beyond three servers' need: what is cut is another matter
             # here.
-            bench.join.policy.set_cut = lambda passed: None  # type: ignore[method-assign]
-            bench.join.policy.need = 1e9
+            bench.join.policy.overload.refresh = lambda *told: ""  # type: ignore[method-assign]
+            bench.join.policy.overload.concurrency.limit = 1e9
             streams = [proxy.stream() for _ in range(300)]
             answers = await asyncio.gather(*(stream.ask(described("book")) for stream in streams))
             routed = [
@@ -54,7 +54,12 @@
                 for s, a in zip(streams, answers, strict=True)
                 if not a.HasField("immediate_response")
             ]
-            assert len(bench.calls.open) == len(routed) == bench.join.policy.flying > 50
+            assert (
+                len(bench.calls.open)
+                == len(routed)
+                == bench.join.policy.overload.concurrency.current
+                > 50
+            )
             await asyncio.gather(*(stream.respond(200) for stream in routed))
             await asyncio.gather(*(stream.half_close() for stream in streams))
             await bench.settled()
@@ -165,7 +170,7 @@
             await quiet.ask(described("pay", timeout="8000m"))
             await late.ask(described("pay", timeout="8000m"))
             assert (await bench.event(AttemptEnded, 2)).result == AttemptResult.TIMEOUT
-            assert bench.join.policy.flying == 0 and not bench.calls.open
+            assert bench.join.policy.overload.concurrency.current == 0 and not bench.calls.open
             assert (await late.respond(200)).HasField("response_headers")
             # A refusal by the proxy would promise that trying again does no harm.
             answer = await quiet.respond(503)
--- a/tests/processor/test_interleavings.py
+++ b/tests/processor/test_interleavings.py
@@ -296,8 +296,13 @@
             self.close()
         self.clockwork.advance(5000.0)
         assert not self.calls.open and not self.join.in_flight and not self.join.open_attempts
-        assert not self.join.policy.jobs and self.join.policy.flying == 0
-        assert not any(server.open for server in self.join.policy.servers.values())
+        assert (
+            not self.join.policy.lifecycle.requests
+            and self.join.policy.overload.concurrency.current == 0
+        )
+        assert not any(
+            server.open_attempts for server in self.join.policy.fleet.endpoints.by_id.values()
+        )
         assert all(proxy.unseen == 0 for proxy in self.calls.account.proxies.values())
         assert self.clockwork.set == 0, "a timer was left"
 
--- a/tests/processor/test_streams.py
+++ b/tests/processor/test_streams.py
@@ -200,7 +200,7 @@
         async with site_with_processor() as bench, bench.proxy() as proxy:
             stream = proxy.stream()
             await stream.ask(described("pay"))
-            assert bench.join.policy.flying == 1
+            assert bench.join.policy.overload.concurrency.current == 1
             if how == "cancelled":
                 stream.cancel()
             elif how == "half-closed":
@@ -240,19 +240,19 @@
 
 def hold_in_line(bench: Any) -> None:
     """Have the policy hold the next request back, as it does where requests of a key take turns."""
-    bench.join.policy.attempt = lambda job: None
+    bench.join.policy.lifecycle.attempt = lambda pending, now_ms: None
 
 
 def test_a_decision_that_comes_later_reaches_its_stream() -> None:
     async def test() -> None:
         async with site_with_processor() as bench, bench.proxy() as proxy:
             policy = bench.join.policy
-            attempt, held = policy.attempt, []
-            policy.attempt = held.append  # type: ignore[assignment]
+            attempt, held = policy.lifecycle.attempt, []
+            policy.lifecycle.attempt = lambda pending, now_ms: held.append(pending)  # type: ignore[method-assign]
             stream = proxy.stream()
             asking = asyncio.ensure_future(stream.ask(described(name="held")))
             await bench.event(Request)
-            policy.attempt = attempt  # type: ignore[method-assign]
+            policy.lifecycle.attempt = attempt  # type: ignore[method-assign]
             bench.join.dispatch(TimerFired(held[0].request.id))
             assert told_headers(await asking)[DESTINATION] == SERVERS[0]
             await stream.respond(200)
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -100,7 +100,10 @@
                 or self.processor.connections
             ):
                 await asyncio.sleep(0.001)
-        assert not self.join.policy.flying and not self.join.policy.jobs
+        assert (
+            not self.join.policy.overload.concurrency.current
+            and not self.join.policy.lifecycle.requests
+        )
         assert all(proxy.unseen == 0 for proxy in self.calls.account.proxies.values())
 
     def lists(self, *entries: dict[str, Any], reset: bool = False) -> None:
--- a/tests/reload/test_reload.py
+++ b/tests/reload/test_reload.py
@@ -152,9 +152,9 @@
     assert free.tenants == {b"a": 0, b"c": 1} and event.reset_tenants == {1}
     policy = Policy(old.settings, 1)
     policy.handle(0.0, Request(1, 0, 1000.0, tenant=1))
-    assert policy.used_by(1) == 1 and policy.busy()[1] <= {1}
+    assert policy.quotas.level(1) == 1 and policy.lifecycle.active_use()[1] <= {1}
     policy.handle(0.0, event)
-    assert [policy.used_by(i) for i in range(2)] == [
+    assert [policy.quotas.level(i) for i in range(2)] == [
         0.0,
         0.0,
     ]  # what the other used is not this one's
--- a/tests/policy/test_wire.py
+++ b/tests/simulator/test_codec.py
@@ -27,7 +27,9 @@
     UpdateKind,
 )
 from badgercart.policy.settings import Idempotency
-from badgercart.simulator.codec import Born, Decoder, Encoder, Killed, WireError, read_settings
+from badgercart.simulator.codec import Decoder, Encoder, InstanceKilled, InstanceStarted
+from badgercart.simulator.errors import WireError
+from badgercart.simulator.settings_reader import read_settings
 
 EVENTS = bytes.fromhex(
     "0000000c 00000104 40c06e2000000000 00000005"
@@ -156,7 +158,7 @@
     )
     (_, outcome), (_, killed) = Decoder().batch(frame)[2]
     assert outcome == AttemptEnded(0x000464905D3A91C4, 0x03124A07, True, 1, 0, 18.5, (0.5,))
-    assert isinstance(killed, Killed)
+    assert isinstance(killed, InstanceKilled)
 
 
 def test_born_brings_settings_and_passes_unknown_keys_over() -> None:
@@ -164,7 +166,7 @@
     head = struct.pack(">IIdI", 1, 116 + len(text), 1.0, 2)
     born = b"\x01" + struct.pack(">QII", 9, 0, len(text)) + bytes(31)
     [(_, event)] = Decoder().batch(head + EVENTS[20:68] + born + text)[2]
-    assert isinstance(event, Born)
+    assert isinstance(event, InstanceStarted)
     assert event.seed == 9
     assert event.settings.classes[0].idempotency is Idempotency.KEYED
     assert event.settings.polls_endpoints
--- a/tests/policy/test_benchlink.py
+++ b/tests/simulator/test_server.py
@@ -3,14 +3,16 @@
 from __future__ import annotations
 
 import io
+import json
+import struct
 import subprocess
 import sys
 
 import pytest
 
 from badgercart.policy.policy import Policy
-from badgercart.simulator import server as benchlink
-from tests.policy.test_wire import EVENTS
+from badgercart.simulator.server import serve
+from tests.simulator.test_codec import EVENTS, SETTINGS
 
 EMPTY = bytes.fromhex("00000001 00000014 40c06e2000000000 00000000")
 
@@ -51,8 +53,6 @@
 
 
 def test_exception_in_the_module_is_reported_as_fatal(monkeypatch: pytest.MonkeyPatch) -> None:
-    from tests.policy.test_wire import SETTINGS, json, struct
-
     def broken(self: Policy, now: float, event: object) -> list[object]:
         raise KeyError("broken on purpose")
 
@@ -62,7 +62,7 @@
     timer = b"\x07" + bytes(47)
     frame = struct.pack(">IIdI", 1, 164 + len(text), 1.0, 3) + EVENTS[20:68] + born + timer + text
     sink = io.BytesIO()
-    benchlink.serve(io.BytesIO(frame), sink)
+    serve(io.BytesIO(frame), sink)
     reply = sink.getvalue()
     assert reply[12 + 24] == 12
     assert b"KeyError: 'broken on purpose'" in reply
--- a/tests/statistics/test_memory.py
+++ b/tests/statistics/test_memory.py
@@ -28,16 +28,15 @@
 from badgercart.policy.statistics import PolicyStatistics, export_statistics, import_statistics
 from badgercart.statistics import store
 from badgercart.statistics.ageing import aged
+from badgercart.statistics.errors import NewerVersionError, SnapshotError
 from badgercart.statistics.snapshot import (
+    HEADER,
     MAGIC,
-    PREFIX,
     VERSION,
-    Newer,
-    SnapshotError,
     decode,
     encode,
-    give,
-    take,
+    make_snapshot,
+    statistics_of,
 )
 from tests.capture.support import SETTINGS, Saturday
 from tests.net import config
@@ -54,17 +53,17 @@
 SHARES = st.tuples(st.floats(0, 1), st.floats(0, 1))
 MEMORIES = st.builds(
     PolicyStatistics,
-    usual=st.lists(FLOATS, min_size=2, max_size=2),
+    typical_latency_ms=st.lists(FLOATS, min_size=2, max_size=2),
     offered=st.lists(FLOATS, min_size=4, max_size=4),
-    kinds=st.dictionaries(st.integers(0, 1), FLOATS),
-    least=FLOATS,
-    mean=FLOATS,
-    answers=st.floats(0, 100),
+    kind_ratios=st.dictionaries(st.integers(0, 1), FLOATS),
+    best_latency_ms=FLOATS,
+    mean_latency_ms=FLOATS,
+    samples=st.floats(0, 100),
     best_rate=FLOATS,
-    carried=FLOATS,
-    keys=st.dictionaries(st.integers(1, 1 << 60), FLOATS, max_size=5),
-    keys_total=FLOATS,
-    servers=st.dictionaries(
+    best_rate_per_endpoint=FLOATS,
+    key_counts=st.dictionaries(st.integers(1, 1 << 60), FLOATS, max_size=5),
+    keyed_requests=FLOATS,
+    endpoints=st.dictionaries(
         st.integers(1, 1 << 60),
         st.builds(
             EndpointStatistics,
@@ -111,10 +110,14 @@
     once = aged(memory, first + second, SETTINGS)
     twice = aged(aged(memory, first, SETTINGS), second, SETTINGS)
     marginal = {
-        key for key, count in {**once.keys, **twice.keys}.items() if abs(count - 0.5) < 1e-9
+        key
+        for key, count in {**once.key_counts, **twice.key_counts}.items()
+        if abs(count - 0.5) < 1e-9
     }
     for one in (once, twice):
-        one.keys = {key: count for key, count in one.keys.items() if key not in marginal}
+        one.key_counts = {
+            key: count for key, count in one.key_counts.items() if key not in marginal
+        }
     assert floats(once) == pytest.approx(floats(twice), rel=1e-9, abs=1e-12)
     assert floats(aged(memory, -5.0, SETTINGS)) == floats(aged(memory, 0.0, SETTINGS))
 
@@ -127,16 +130,25 @@
     policy, fresh = Policy(SETTINGS, 1), Policy(SETTINGS, 1)
     import_statistics(policy, aged(memory, 1e15, SETTINGS))
     lines = [
-        Endpoint(n, 0, n % 2, 0, EndpointState.READY, 2.0, 777.0) for n in (*memory.servers, 5, 6)
+        Endpoint(n, 0, n % 2, 0, EndpointState.READY, 2.0, 777.0) for n in (*memory.endpoints, 5, 6)
     ]
     for one in (policy, fresh):
         one.handle(1000.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, lines))
-    assert policy.usual == pytest.approx(fresh.usual) and policy.kinds.keys() <= {0, 1}
-    assert all(pace == pytest.approx(1.0) for pace in policy.kinds.values()) and policy.answers == 0
-    assert policy.best_rate == fresh.best_rate == 0 and not policy.key_counts and not policy.rested
-    for server in policy.servers.values():
-        assert server.slow == pytest.approx(1.0) and not any(
-            h.fails > 1e-9 or h.strikes for h in server.health
+    assert policy.fleet.latency.typical_ms == pytest.approx(
+        fresh.fleet.latency.typical_ms
+    ) and policy.fleet.latency.kind_ratios.keys() <= {0, 1}
+    assert (
+        all(pace == pytest.approx(1.0) for pace in policy.fleet.latency.kind_ratios.values())
+        and policy.overload.throughput.samples == 0
+    )
+    assert (
+        policy.overload.throughput.best_rate == fresh.overload.throughput.best_rate == 0
+        and not policy.key_traffic.counts
+        and not policy.fleet.outliers.ejected
+    )
+    for server in policy.fleet.endpoints.by_id.values():
+        assert server.relative_latency == pytest.approx(1.0) and not any(
+            h.failure_rate > 1e-9 or h.consecutive_ejections for h in server.health
         )
 
 
@@ -147,7 +159,7 @@
 ) -> None:
     policy, rng = Policy(SETTINGS, seed), random.Random(seed)
     import_statistics(policy, memory)
-    numbers = [*memory.servers, 11, 12]
+    numbers = [*memory.endpoints, 11, 12]
     states = {
         n: rng.choice((EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE))
         for n in numbers
@@ -174,23 +186,31 @@
     known = EndpointStatistics(777.0, 4.0, 3.0, (0.9, 0.1), (2.0, 0.0))
     policy = Policy(SETTINGS, 1)
     import_statistics(
-        policy, PolicyStatistics([90.0, 80.0], [1.0] * 4, servers={1: known, 2: known, 3: known})
+        policy, PolicyStatistics([90.0, 80.0], [1.0] * 4, endpoints={1: known, 2: known, 3: known})
     )
     entries = [
         Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, started)
         for n, started in ((1, 777.0), (2, 5000.0))
     ]
     policy.handle(6000.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
-    same, anew = policy.servers[1], policy.servers[2]
-    assert (same.slow, same.health[0].fails, same.health[0].strikes) == (4.0, 0.9, 2)
-    assert (anew.slow, anew.health[0].fails, anew.recent) == (1.0, 0.0, 0.0)
-    assert same.health[0].rest_until and policy.rested == {1}
+    same, anew = policy.fleet.endpoints.by_id[1], policy.fleet.endpoints.by_id[2]
+    assert (
+        same.relative_latency,
+        same.health[0].failure_rate,
+        same.health[0].consecutive_ejections,
+    ) == (4.0, 0.9, 2)
+    assert (anew.relative_latency, anew.health[0].failure_rate, anew.recent_attempts) == (
+        1.0,
+        0.0,
+        0.0,
+    )
+    assert same.health[0].ejected_until and policy.fleet.outliers.ejected == {1}
     gone = Endpoint(1, 0, 0, 0, EndpointState.GONE, 2.0, 777.0)
     policy.handle(6001.0, EndpointUpdate(UpdateKind.DELTA, 2, [gone]))
     policy.handle(
         6002.0, EndpointUpdate(UpdateKind.DELTA, 3, [replace(gone, state=EndpointState.READY)])
     )
-    assert policy.servers[1].slow == 1.0  # given back once
+    assert policy.fleet.endpoints.by_id[1].relative_latency == 1.0  # given back once
 
 
 def test_what_the_first_whole_list_does_not_name_is_forgotten() -> None:
@@ -200,7 +220,11 @@
     policy, fresh = Policy(SETTINGS, 1), Policy(SETTINGS, 1)
     import_statistics(
         policy,
-        PolicyStatistics(list(fresh.usual), [0.0] * 4, servers={n: known for n in range(1, 6)}),
+        PolicyStatistics(
+            list(fresh.fleet.latency.typical_ms),
+            [0.0] * 4,
+            endpoints={n: known for n in range(1, 6)},
+        ),
     )
     others = [Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, 777.0) for n in range(11, 16)]
     cached = [
@@ -208,52 +232,67 @@
     ]  # the list kept from before names one still
     for one in (policy, fresh):
         one.handle(6000.0, EndpointUpdate(UpdateKind.CACHED, 0, cached))
-    assert policy.servers[1].slow == 4.0
+    assert policy.fleet.endpoints.by_id[1].relative_latency == 4.0
     for one in (policy, fresh):
         one.handle(6001.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, others))
-    assert not policy.known and {s.slow for s in policy.servers.values()} == {1.0}
+    assert not policy.fleet.endpoints.restorable and {
+        s.relative_latency for s in policy.fleet.endpoints.by_id.values()
+    } == {1.0}
     back = Endpoint(2, 0, 0, 0, EndpointState.READY, 2.0, 777.0)
     policy.handle(3_600_000.0, EndpointUpdate(UpdateKind.DELTA, 2, [back]))
-    assert policy.servers[2].slow == 1.0 and not policy.rested
+    assert (
+        policy.fleet.endpoints.by_id[2].relative_latency == 1.0
+        and not policy.fleet.outliers.ejected
+    )
 
 
 def test_a_day_goes_through_a_file_and_back() -> None:
     made = day()
     memory = export_statistics(made.join.policy)
     assert (
-        max(known.relative_latency for known in memory.servers.values()) > 2 and memory.answers > 10
+        max(known.relative_latency for known in memory.endpoints.values()) > 2
+        and memory.samples > 10
     )
-    snapshot = take(memory, CONFIG, 1e12, 5e11)
-    back = give(decode(encode(snapshot)), CONFIG, 5e11)
+    snapshot = make_snapshot(memory, CONFIG, 1e12, 5e11)
+    back = statistics_of(decode(encode(snapshot)), CONFIG, 5e11)
     assert back == memory
     policy = Policy(SETTINGS, 2)
     import_statistics(policy, back)
-    assert policy.usual == made.join.policy.usual and policy.least == made.join.policy.least
+    assert (
+        policy.fleet.latency.typical_ms == made.join.policy.fleet.latency.typical_ms
+        and policy.overload.throughput.best_latency_ms
+        == made.join.policy.overload.throughput.best_latency_ms
+    )
     with pytest.raises(ValueError, match="it is of 1 classes"):
         import_statistics(policy, PolicyStatistics([1.0], [1.0, 1.0]))
 
 
 def test_classes_kinds_and_fleets_are_known_by_their_names() -> None:
-    snapshot = take(export_statistics(day().join.policy), CONFIG, 1e12, 0.0)
+    snapshot = make_snapshot(export_statistics(day().join.policy), CONFIG, 1e12, 0.0)
     turned = replace(CONFIG, classes={b"b": 0, b"a": 1}, kinds={"k1": 0, "k0": 1})
     with pytest.raises(SnapshotError, match="another fleet"):
-        give(snapshot, turned, 0.0)
+        statistics_of(snapshot, turned, 0.0)
     turned = replace(turned, kinds=CONFIG.kinds)
-    memory = give(snapshot, turned, 0.0)
-    assert memory.usual == [snapshot.classes["b"].usual, snapshot.classes["a"].usual]
-    other = give(snapshot, replace(CONFIG, classes={b"a": 0, b"new": 1}), 0.0)
-    assert other.usual[1] == SETTINGS.classes[1].latency_objective_ms / 4
-    assert all(known.failure_rates[1] == 0.0 for known in other.servers.values())
+    memory = statistics_of(snapshot, turned, 0.0)
+    assert memory.typical_latency_ms == [
+        snapshot.classes["b"].typical_latency_ms,
+        snapshot.classes["a"].typical_latency_ms,
+    ]
+    other = statistics_of(snapshot, replace(CONFIG, classes={b"a": 0, b"new": 1}), 0.0)
+    assert other.typical_latency_ms[1] == SETTINGS.classes[1].latency_objective_ms / 4
+    assert all(known.failure_rates[1] == 0.0 for known in other.endpoints.values())
 
 
 # The file.
 
 
 def packed(body: bytes, version: int = VERSION) -> bytes:
-    return PREFIX.pack(MAGIC, version, len(body), zlib.crc32(body)) + body
+    return HEADER.pack(MAGIC, version, len(body), zlib.crc32(body)) + body
 
 
-GOOD = msgspec.to_builtins(take(export_statistics(day(2, 100).join.policy), CONFIG, 1e12, 0.0))
+GOOD = msgspec.to_builtins(
+    make_snapshot(export_statistics(day(2, 100).join.policy), CONFIG, 1e12, 0.0)
+)
 
 
 @pytest.mark.parametrize(
@@ -291,7 +330,7 @@
 ) -> None:
     good = packed(msgspec.msgpack.encode(GOOD))
     assert decode(good).node == CONFIG.name
-    with pytest.raises(Newer, match="version 9"):
+    with pytest.raises(NewerVersionError, match="version 9"):
         decode(packed(b"later", 9))
     for spoilt, words in (
         (good[:-1], "bytes, not"),
@@ -305,7 +344,7 @@
     recorded = decode(
         (HERE / "version-1.learned").read_bytes()
     )  # every later version has to read it
-    assert recorded.servers and recorded.classes.keys() == {"a", "b"}
+    assert recorded.endpoints and recorded.classes.keys() == {"a", "b"}
     file, text, again = (tmp_path / name for name in ("learned", "a.json", "b"))
     file.write_bytes(good)
     assert (
@@ -491,16 +530,18 @@
         loaded = store.load(store.Folder(folder))
         assert loaded.snapshot is not None and not loaded.faults
         there = [
-            folder / name for name in (store.CURRENT, store.BEFORE) if (folder / name).exists()
+            folder / name
+            for name in (store.CURRENT_NAME, store.PREVIOUS_NAME)
+            if (folder / name).exists()
         ]
         assert there and all(path.stat().st_mode & 0o777 == 0o600 for path in there)
 
 
 def test_a_folder_is_one_process_s(tmp_path: Path) -> None:
-    lock = store.Lock(tmp_path)
+    lock = store.FolderLock(tmp_path)
     code = (
-        "from badgercart.statistics.store import Lock; from pathlib import Path; "
-        f"Lock(Path({str(tmp_path)!r}))"
+        "from badgercart.statistics.store import FolderLock; from pathlib import Path; "
+        f"FolderLock(Path({str(tmp_path)!r}))"
     )
     other = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
     assert other.returncode == 1 and "another node has this folder" in other.stderr
@@ -509,4 +550,4 @@
 
 
 def test_the_prefix_is_as_documented() -> None:
-    assert struct.calcsize(PREFIX.format) == 14 and packed(b"x")[:6] == b"BLRN\0\x01"
+    assert struct.calcsize(HEADER.format) == 14 and packed(b"x")[:6] == b"BLRN\0\x01"
--- a/tests/statistics/test_part.py
+++ b/tests/statistics/test_part.py
@@ -52,7 +52,7 @@
     def prepare(kept: Path) -> None:
         kept.mkdir()
         if content is not None:
-            (kept / store.CURRENT).write_bytes(content)
+            (kept / store.CURRENT_NAME).write_bytes(content)
 
     return prepare
 
@@ -73,7 +73,7 @@
     return prepare
 
 
-LATER = snapshot.PREFIX.pack(snapshot.MAGIC, 9, 0, 0)
+LATER = snapshot.HEADER.pack(snapshot.MAGIC, 9, 0, 0)
 
 
 def test_a_restarted_node_takes_back_what_it_learned(tmp_path: Path) -> None:
@@ -82,10 +82,10 @@
     kept = store.load(store.Folder(tmp_path / "kept")).snapshot
     assert (
         kept is not None
-        and len(kept.servers) == 3
-        and max(part.slow for part in kept.servers) > 1.5
+        and len(kept.endpoints) == 3
+        and max(part.relative_latency for part in kept.endpoints) > 1.5
     )
-    assert (tmp_path / "kept" / store.CURRENT).stat().st_mode & 0o777 == 0o600
+    assert (tmp_path / "kept" / store.CURRENT_NAME).stat().st_mode & 0o777 == 0o600
 
 
 @pytest.mark.parametrize(
@@ -120,7 +120,7 @@
 ) -> None:
     assert asyncio.run(run(tmp_path, 1, prepare)) == [told]
     if left is not None:
-        assert (tmp_path / "kept" / store.CURRENT).read_bytes() == left
+        assert (tmp_path / "kept" / store.CURRENT_NAME).read_bytes() == left
 
 
 def test_two_nodes_never_share_a_folder(tmp_path: Path) -> None:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from tests.net import WAIT, Agent, Client, Peer, field, held_back, request, stay_silent
-from tests.policy.test_wire import SETTINGS
+from tests.simulator.test_codec import SETTINGS
 
 COMMAND = [sys.executable, "-B", "-m", "badgercart"]
 
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -159,8 +159,8 @@
             assert (got, body) == (status, b"bad")
             assert sum(peer.requests.qsize() for peer in peers) == 1
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            servers = stand.node.join.policy.servers.values()
-            assert not any(health.fails for server in servers for health in server.health)
+            servers = stand.node.join.policy.fleet.endpoints.by_id.values()
+            assert not any(health.failure_rate for server in servers for health in server.health)
 
     run(test())
 
@@ -389,7 +389,11 @@
             assert set(pool.servers) == {stable_id(b"s-1"), stable_id(b"s-39")}
             client.writer.close()
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            assert set(pool.servers) == set(stand.node.join.policy.servers) == {stable_id(b"s-39")}
+            assert (
+                set(pool.servers)
+                == set(stand.node.join.policy.fleet.endpoints.by_id)
+                == {stable_id(b"s-39")}
+            )
             assert stand.node.roster.listed.keys() == {stable_id(b"s-39")}
 
     run(test())
--- a/tests/zones/test_keeper.py
+++ b/tests/zones/test_keeper.py
@@ -45,7 +45,10 @@
     assert len(plans) == 1 and not sum(result["breaches"].values())
     for node in played.nodes:
         policy = node.join.policy
-        assert policy.plan is not None and policy.plan.shares[0][node.zone] == 1.0
+        assert (
+            policy.fleet.locality.plan is not None
+            and policy.fleet.locality.plan.shares[0][node.zone] == 1.0
+        )
     assert 0 < keepers(played)[0].plans <= 6  # no plan after plan while nothing happens
 
 
@@ -61,7 +64,7 @@
 
     def look() -> None:
         seen["lost"] = [keeper.plan.lost for keeper in keepers(played) if keeper.plan is not None]
-        seen["row"] = played.nodes[1].join.policy.plan.shares[0]  # type: ignore[union-attr]
+        seen["row"] = played.nodes[1].join.policy.fleet.locality.plan.shares[0]  # type: ignore[union-attr]
 
     at(played, 10_000.0, look)
     played.play()
