--- a/badgercart/cluster/member.py
+++ b/badgercart/cluster/member.py
@@ -189,9 +189,11 @@
 def failing_endpoints(policy: Policy) -> dict[int, float]:
     """Return the endpoints that this node itself has ejected, with their error rates."""
     return {
-        endpoint_id: max(health.fails for health in policy.servers[endpoint_id].health)
-        for endpoint_id in policy.rested
-        if endpoint_id in policy.servers
+        endpoint_id: max(
+            health.failure_rate for health in policy.fleet.endpoints.by_id[endpoint_id].health
+        )
+        for endpoint_id in policy.fleet.outliers.ejected
+        if endpoint_id in policy.fleet.endpoints.by_id
     }
 
 
--- a/badgercart/zones/endpoint_capacity.py
+++ b/badgercart/zones/endpoint_capacity.py
@@ -41,18 +41,21 @@
     """
     zone_count = len(topology.zones)
     warm, cold, counts = [0.0] * zone_count, [0.0] * zone_count, [0] * zone_count
-    for endpoint_id in policy.ready:
-        server = policy.servers[endpoint_id]
-        zone = server.entry.zone
+    fleet = policy.fleet
+    for endpoint_id in fleet.endpoints.ready:
+        server = fleet.endpoints.by_id[endpoint_id]
+        zone = server.endpoint.zone
         if zone >= zone_count:
             continue
         counts[zone] += 1
-        share = policy.cold_share(server)
+        share = fleet.slow_start.capacity_share(server.endpoint, policy.now_ms)
         slots = warm if share >= 1.0 else cold
-        slots[zone] += slots_per_weight * server.entry.size * share
-    return EndpointCapacity(tuple(warm), tuple(cold), tuple(counts), tuple(policy.usual))
+        slots[zone] += slots_per_weight * server.endpoint.size * share
+    return EndpointCapacity(
+        tuple(warm), tuple(cold), tuple(counts), tuple(fleet.latency.typical_ms)
+    )
 
 
 def ticks_between_scans(policy: Policy) -> int:
     """Return how many ticks one scan serves, so that a long list costs no more in sum."""
-    return max(1, len(policy.ready) // ENDPOINTS_PER_SCAN)
+    return max(1, len(policy.fleet.endpoints.ready) // ENDPOINTS_PER_SCAN)
--- a/tests/reload/test_reload.py
+++ b/tests/reload/test_reload.py
@@ -154,10 +154,10 @@
     assert event.reset_tenants == {1}
     policy = Policy(old.settings, 1)
     policy.handle(0.0, Request(1, 0, 1000.0, tenant=1))
-    assert policy.used_by(1) == 1
-    assert policy.busy()[1] <= {1}
+    assert policy.quotas.level(1) == 1
+    assert policy.lifecycle.active_use()[1] <= {1}
     policy.handle(0.0, event)
-    assert [policy.used_by(i) for i in range(2)] == [
+    assert [policy.quotas.level(i) for i in range(2)] == [
         0.0,
         0.0,
     ]  # what the other used is not this one's
--- a/tests/zones/test_failover_controller.py
+++ b/tests/zones/test_failover_controller.py
@@ -53,8 +53,8 @@
     assert not sum(result["breaches"].values())
     for node in played.nodes:
         policy = node.join.policy
-        assert policy.plan is not None
-        assert policy.plan.shares[0][node.zone] == 1.0
+        assert policy.fleet.locality.plan is not None
+        assert policy.fleet.locality.plan.shares[0][node.zone] == 1.0
     # no plan after plan while nothing happens
     assert 0 < controllers(played)[0].history.plan_count <= 6
 
@@ -75,7 +75,7 @@
             for controller in controllers(played)
             if controller.planner.plan is not None
         ]
-        seen["row"] = played.nodes[1].join.policy.plan.shares[0]  # type: ignore[union-attr]
+        seen["row"] = played.nodes[1].join.policy.fleet.locality.plan.shares[0]  # type: ignore[union-attr]
 
     at(played, 10_000.0, look)
     played.play()
