--- a/lab/peers/base.py
+++ b/lab/peers/base.py
@@ -88,10 +88,16 @@
     )  # attempts: when they were sent, where
 
 
+class NoOverload:
+    """In the place of the policy's overload: these policies have no shed threshold."""
+
+    overload = shed_threshold = 0.0
+
+
 class Peer:
     """One node's policy, in the place of `badgercart.policy.Policy`."""
 
-    x = cut = 0.0  # it has no such cut
+    overload = NoOverload()
 
     def __init__(
         self,
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -278,7 +278,7 @@
 
         def start(plain: Any = plain, node: Any = node, usual: list[float] = usual) -> None:
             plain()
-            usual.append(node.join.policy.usual[0])
+            usual.append(node.join.policy.fleet.latency.typical_ms[0])
 
         node.start = start  # type: ignore[method-assign]
         world.play()
