--- a/badgercart/policy/capacity.py
+++ b/badgercart/policy/capacity.py
@@ -112,9 +112,8 @@
         self.sizes: dict[int, SizeIndex] = {}  # of the ready endpoints, by kind
         self.strongest = 1.0  # the largest size over the latency of its kind
         self.mean_weight = 1.0
-        self.slots_per_endpoint = (
-            1.0  # requests that an endpoint serves at once, this node's part of them
-        )
+        # Requests that an endpoint serves at once, this node's part of them.
+        self.slots_per_endpoint = 1.0
 
     def weight(self, endpoint: Endpoint) -> float:
         """Return what an endpoint can do, compared with the strongest one."""
--- a/badgercart/policy/error_rate.py
+++ b/badgercart/policy/error_rate.py
@@ -4,9 +4,8 @@
 
 MEMORY_ATTEMPTS = 33.0  # attempts that the share looks back over
 MEMORY_SHED = 100.0  # shed requests after which what was seen before them has faded
-PRIOR_SUCCESSES = (
-    4.0  # attempts taken as good beside those seen: a few chance failures are no overload
-)
+# Attempts taken as good beside those seen: a few chance failures are no overload.
+PRIOR_SUCCESSES = 4.0
 CONNECT_GAIN = 0.1  # weight of one attempt in the share without a connection
 
 
--- a/badgercart/policy/feedback.py
+++ b/badgercart/policy/feedback.py
@@ -13,9 +13,8 @@
 MAY_BE_QUICK = frozenset(
     {AttemptResult.ERROR, AttemptResult.RESET}
 )  # may come sooner than the work takes
-QUICK_FAILURE_WEIGHT = (
-    0.5  # of a failure that took the typical latency; 1 from twice that latency on
-)
+# Of a failure that took the typical latency; 1 from twice that latency on.
+QUICK_FAILURE_WEIGHT = 0.5
 
 
 class AttemptFeedback:
--- a/badgercart/policy/fleet.py
+++ b/badgercart/policy/fleet.py
@@ -37,9 +37,8 @@
     ) -> None:
         self._random = dice
         self._class_count = len(settings.classes)
-        self.available_capacity = (
-            1.0  # of the ready endpoints, without what is ejected, lost or still starting
-        )
+        # Of the ready endpoints, without what is ejected, lost or still starting.
+        self.available_capacity = 1.0
         self.cluster = Cluster(settings)
         self.latency = LatencyModel()
         self.endpoints = EndpointSet()
--- a/badgercart/policy/hash_ring.py
+++ b/badgercart/policy/hash_ring.py
@@ -20,9 +20,8 @@
 KEY_STEP = 0x632BE59BD9B4E019  # between the hashes of one key's places
 VIRTUAL_NODES = 16  # of the strongest endpoint: evens out the shares of the endpoints
 BULK_PLACEMENT_LIMIT = 2048  # virtual nodes that may be placed with one endpoint update
-PLACEMENTS_PER_EVENT = (
-    256  # of more, so many go with each event: an update must not hold up requests
-)
+# Of more, so many go with each event: an update must not hold up requests.
+PLACEMENTS_PER_EVENT = 256
 MIN_KEY_COUNT = 0.5  # recent requests below which a key is no longer counted
 SPREAD = 2.0  # endpoints that share a key, for each average endpoint's worth of requests it draws
 
--- a/badgercart/policy/overload.py
+++ b/badgercart/policy/overload.py
@@ -22,9 +22,8 @@
 MAX_FADE = 0.5  # of what was seen, at one refresh
 IN_FLIGHT_WINDOW_MS = 4000.0  # to average attempts in flight over, divided by the limit
 MAX_OVERSHOOT = 1.5  # over the best rate seen that may be tried while next to nothing fails
-IDLE_FADE_FACTOR = (
-    20.0  # what was seen fades faster while everything is shed and the endpoints are idle
-)
+# What was seen fades faster while everything is shed and the endpoints are idle.
+IDLE_FADE_FACTOR = 20.0
 IDLE_MIN_LIMIT = 8.0  # below this limit it is chance that nothing is in flight
 LOG_ON_THRESHOLD, LOG_OFF_THRESHOLD = 25.0, 1.0  # shed thresholds at which shedding is logged
 MAX_SCORE = 100.0
--- a/badgercart/policy/policy.py
+++ b/badgercart/policy/policy.py
@@ -48,9 +48,8 @@
 from badgercart.policy.settings import Settings
 from badgercart.policy.throughput import Throughput
 
-POLL_TOKEN = (
-    1 << 60
-)  # of the timer that asks for the endpoints; other timers' tokens are ids of requests
+# Of the timer that asks for the endpoints; other timers' tokens are ids of requests.
+POLL_TOKEN = 1 << 60
 
 
 class Policy:
--- a/badgercart/policy/retries.py
+++ b/badgercart/policy/retries.py
@@ -11,13 +11,10 @@
 from badgercart.policy.requests import PendingRequest
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-RETRY_AFTER_JITTER = (
-    0.9,
-    0.1,
-)  # least factor and spread: keeps clients' retries from coming due together
-MIN_LATENCY_SHARE = (
-    0.5  # of the typical latency: with less time left an attempt is not worth sending
-)
+# Least factor and spread: keeps clients' retries from coming due together.
+RETRY_AFTER_JITTER = 0.9, 0.1
+# Of the typical latency: with less time left an attempt is not worth sending.
+MIN_LATENCY_SHARE = 0.5
 MIN_TICKS = 2  # of the clock that an attempt is given at least
 NO_RETRY = frozenset({AttemptResult.TIMEOUT, AttemptResult.NOT_SENT})  # the request's time is over
 
--- a/badgercart/policy/selection.py
+++ b/badgercart/policy/selection.py
@@ -21,9 +21,8 @@
 OPEN_ATTEMPT_LOAD = 4  # what an open attempt weighs in a load
 RECENT_ATTEMPT_LOAD = 0.5  # the same of a recent attempt, over the mean of all endpoints
 MIN_ABILITY = 1e-6  # in place of 0, where a list gives no sizes
-CROWDED_FACTOR = (
-    IN_FLIGHT_FULL  # an endpoint with that multiple of its part is by itself in full overload
-)
+# An endpoint with that multiple of its part is by itself in full overload.
+CROWDED_FACTOR = IN_FLIGHT_FULL
 
 
 class EndpointSelector:
@@ -197,9 +196,8 @@
         """Return endpoint ids in the order to consider them: the key's, drawn ones, then all."""
         virtual_nodes, subset, settings = self._virtual_nodes, self._subset, self._settings
         if key and settings.key_affinity and virtual_nodes.ring.blocks:
-            settled = (
-                self._endpoints.settled
-            )  # virtual nodes of an endpoint that left may be there yet
+            # Virtual nodes of an endpoint that left may be there yet.
+            settled = self._endpoints.settled
             for endpoint_id in self._key_endpoints(key):
                 if endpoint_id in settled:
                     yield endpoint_id
--- a/badgercart/policy/settings.py
+++ b/badgercart/policy/settings.py
@@ -42,9 +42,8 @@
 
     latency_objective_ms: float
     deadline_ms: float
-    priority_weight: (
-        float  # what an answer within the objective is worth, compared with other classes
-    )
+    # What an answer within the objective is worth, compared with other classes.
+    priority_weight: float
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ms: float = 0.0  # from the first attempt that may have been executed
@@ -92,9 +91,8 @@
     key_cooldown_ms: float = 0.0  # serialized: after an attempt that may still be executing
     slow_start_min_capacity: float = 1.0  # the share of its capacity that an endpoint starts with
     slow_start_duration_ms: float = 0.0
-    collapse_load_factor: float = (
-        1.0  # of its capacity, above which an endpoint in slow start fails
-    )
+    # Of its capacity, above which an endpoint in slow start fails.
+    collapse_load_factor: float = 1.0
     collapse_window_ms: float = 1000.0  # within which that load comes from all nodes together
 
     def __post_init__(self) -> None:
--- a/badgercart/policy/slow_start.py
+++ b/badgercart/policy/slow_start.py
@@ -14,16 +14,13 @@
 from badgercart.policy.subset import Subset
 from badgercart.policy.throughput import Throughput
 
-BUDGET_SHARE = (
-    0.8  # of the rate that makes an endpoint collapse: sizes are rough, and it has no keys cached
-)
-BURST_SHARE = (
-    0.25  # of a node's part in the collapse window, the tokens that may gather; one at least
-)
+# Of the rate that makes an endpoint collapse: sizes are rough, and it has no keys cached.
+BUDGET_SHARE = 0.8
+# Of a node's part in the collapse window, the tokens that may gather; one at least.
+BURST_SHARE = 0.25
 MIN_SIZE, MAX_SIZE = 0.5, 8.0  # listed sizes that can be taken as requests served at once
-ALL_STARTING_SHARE = (
-    0.9  # of the ready endpoints in slow start, above which there are no warm ones to serve
-)
+# Of the ready endpoints in slow start, above which there are no warm ones to serve.
+ALL_STARTING_SHARE = 0.9
 
 
 class SlowStart:
@@ -94,9 +91,8 @@
             self._settings,
             self._cluster.view.possibly_alive,
         )
-        size = (
-            endpoint.size if MIN_SIZE <= endpoint.size <= MAX_SIZE else 1.0
-        )  # size 1 serves one at once
+        # Size 1 serves one at once.
+        size = endpoint.size if MIN_SIZE <= endpoint.size <= MAX_SIZE else 1.0
         rate = self._rate_per_ms(endpoint, size, now_ms)
         earned = (
             rate * len(self._endpoints.ready) / self._subset.size * (now_ms - tracked.tokens_at)
--- a/badgercart/policy/throughput.py
+++ b/badgercart/policy/throughput.py
@@ -4,17 +4,14 @@
 
 RATE_WINDOW_MS = 2000.0  # to average the rate of timely answers over
 BEST_RATE_WINDOW_MS = 20_000.0  # in which the best rate is forgotten
-BEST_LATENCY_DOUBLING_MS = (
-    100_000.0  # in which the best latency would double: it can follow slower work
-)
-LATENCY_SAMPLES = (
-    60.0  # the mean latency reaches back over so many, or over the rate's window if that is more
-)
+# In which the best latency would double: it can follow slower work.
+BEST_LATENCY_DOUBLING_MS = 100_000.0
+# The mean latency reaches back over so many, or over the rate's window if that is more.
+LATENCY_SAMPLES = 60.0
 MIN_SAMPLES = LATENCY_SAMPLES / 5  # on fewer nothing is based
 FAST_FACTOR = 1.3  # answers are fast while their mean latency is under this multiple of the best
-TRUSTED_SAMPLES = (
-    LATENCY_SAMPLES / 2
-)  # timely answers in the rate's window that can show slowness in time
+# Timely answers in the rate's window that can show slowness in time.
+TRUSTED_SAMPLES = LATENCY_SAMPLES / 2
 
 
 class Throughput:
--- a/badgercart/statistics/store.py
+++ b/badgercart/statistics/store.py
@@ -159,9 +159,8 @@
 
     snapshot: Snapshot | None
     faults: list[str]  # of files that could not be used, by name
-    has_newer_version: bool = (
-        False  # there is a file of a later version, which is not to be replaced
-    )
+    # There is a file of a later version, which is not to be replaced.
+    has_newer_version: bool = False
 
 
 def load(files: Files) -> LoadedSnapshot:
