--- a/badgercart/cluster/settings.py
+++ b/badgercart/cluster/settings.py
@@ -10,6 +10,7 @@
 from badgercart.app.component import Checked
 from badgercart.app.faults import Path
 from badgercart.app.model import Address, Listed, Name, Names, Table
+from badgercart.app.shared_settings import GroupSecret
 from badgercart.cluster.swim import Timing
 
 
@@ -42,11 +43,7 @@
     group: Name = Field(
         max_length=64, description="the group's name; nodes of other groups are strangers"
     )
-    secret: Name = Field(
-        min_length=16,
-        max_length=256,
-        description="the group's secret, by which its messages are known",
-    )
+    secret: GroupSecret
     seeds: Annotated[tuple[Address, ...], Listed, Strict(False)] = Field(
         (), max_length=64, description="members that a new one turns to"
     )
--- a/badgercart/discovery/etcd/settings.py
+++ b/badgercart/discovery/etcd/settings.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from typing import Literal
-
 from pydantic import Field
 
 from badgercart.app.model import LONG, Addresses, Name, Table
+from badgercart.app.shared_settings import DoubtfulAfterMs, StaleAfterMs, WhenStale
 
 
 class EtcdTls(Table, title="EtcdTls"):
@@ -56,13 +55,9 @@
     retry_most_ms: float = Field(
         2000.0, ge=1, le=LONG, description="the longest time before a new try (ms)"
     )
-    doubtful_after_ms: float = Field(
-        3000.0, ge=10, le=LONG, description="the age from which on the log says so (ms)"
-    )
-    stale_after_ms: float = Field(
-        10000.0, ge=10, le=LONG, description="the age from which on the list is stale (ms)"
-    )
-    when_stale: Literal["refuse", "go-on"] = Field("refuse", description="what happens then")
+    doubtful_after_ms: DoubtfulAfterMs = 3000.0
+    stale_after_ms: StaleAfterMs = 10000.0
+    when_stale: WhenStale = "refuse"
     guard_share: float = Field(
         0.5,
         ge=0,
--- a/badgercart/distribution/settings.py
+++ b/badgercart/distribution/settings.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Annotated, Literal
+from typing import Annotated
 
 from pydantic import Field
 
 from badgercart.app.component import Checked
 from badgercart.app.faults import Path
 from badgercart.app.model import LONG, Address, Addresses, Listed, Name, Table
+from badgercart.app.shared_settings import DoubtfulAfterMs, GroupSecret, StaleAfterMs, WhenStale
 
 SERVERS = "servers/"  # what the topic of a service's servers begins with
 
@@ -20,23 +21,15 @@
     group: Name = Field(
         max_length=64, description="the group's name; stores of other groups are strangers"
     )
-    secret: Name = Field(
-        min_length=16,
-        max_length=256,
-        description="the group's secret, by which its messages are known",
-    )
+    secret: GroupSecret
     stores: Addresses = Field(
         max_length=256,
         description="the host:port of each store; one is followed, in an order of each node's own",
     )
     service: Name = Field(max_length=190, description="whose servers: the topic `servers/SERVICE`")
-    doubtful_after_ms: float = Field(
-        3000.0, ge=10, le=LONG, description="the age from which on the log says so (ms)"
-    )
-    stale_after_ms: float = Field(
-        10000.0, ge=10, le=LONG, description="the age from which on the list is stale (ms)"
-    )
-    when_stale: Literal["refuse", "go-on"] = Field("refuse", description="what happens then")
+    doubtful_after_ms: DoubtfulAfterMs = 3000.0
+    stale_after_ms: StaleAfterMs = 10000.0
+    when_stale: WhenStale = "refuse"
     silence_ms: float = Field(
         1500.0, ge=10, le=LONG, description="a store that says nothing for so long is left (ms)"
     )
