--- a/badgercart/app/cli.py
+++ b/badgercart/app/cli.py
@@ -35,7 +35,7 @@
 class Commands(click.Group):
     """The program's own commands, and one group for each component that brings one."""
 
-    def brought(self) -> dict[str, str]:
+    def component_commands(self) -> dict[str, str]:
         """Return `module:name` by the group's name."""
         paths = [
             component.commands for component in declarations() if component.commands is not None
@@ -44,11 +44,11 @@
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands."""
-        return [*super().list_commands(ctx), *self.brought()]
+        return [*super().list_commands(ctx), *self.component_commands()]
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
         """Return the command with this name; that of a component is imported now."""
-        if (path := self.brought().get(name)) is None:
+        if (path := self.component_commands().get(name)) is None:
             return super().get_command(ctx, name)
         module, _, attribute = path.partition(":")
         command: click.Command = getattr(importlib.import_module(module), attribute)
@@ -79,11 +79,11 @@
 @FILE
 def serve(file: str) -> None:
     """Serve until a signal ends the process."""
-    what = loaded(file)
-    assert what.base is not None
-    sink = logs.open_sink(what.config.name, what.base.log)
+    installation = loaded(file)
+    assert installation.base is not None
+    sink = logs.open_sink(installation.config.name, installation.base.log)
     try:
-        uvloop.run(run(file, what))
+        uvloop.run(run(file, installation))
     except PartError as error:
         raise CommandError(str(error), Exit.USAGE) from error
     finally:
--- a/badgercart/app/log_events.py
+++ b/badgercart/app/log_events.py
@@ -18,13 +18,13 @@
     "stopped during the start",
     "SIGTERM came before all parts were up; those that were are closed.",
 )
-PART_HANGS = event(
+COMPONENT_HANGS = event(
     "part.hangs",
     logging.ERROR,
     "%(part)s did not drain in time and is closed as it stands",
     "What that part still held gets no answer; the others were drained. Report it.",
 )
-PART_FAILED = event(
+COMPONENT_FAILED = event(
     "part.failed",
     logging.ERROR,
     "%(part)s failed as it %(act)s",
--- a/badgercart/app/logs.py
+++ b/badgercart/app/logs.py
@@ -181,11 +181,11 @@
 class RequestLog:
     """Observes the request pipeline, and logs a line for each request."""
 
-    def __init__(self, config: Config, roster: EndpointTable) -> None:
+    def __init__(self, config: Config, endpoint_table: EndpointTable) -> None:
         """Take the names of classes and tenants from the configuration."""
         self.classes = [name.decode() for name in config.classes]
         self.tenants = [name.decode() for name in config.tenants]
-        self.roster = roster
+        self._endpoint_table = endpoint_table
 
     def request_finished(
         self,
@@ -197,17 +197,17 @@
         sends: int,
     ) -> None:
         """Log a request that is over."""
-        member = self.roster.listed.get(server)
+        endpoint = self._endpoint_table.listed.get(server)
         REQUEST_OVER(
             request_id=intake.request_name.decode("latin-1") or str(request_id),
             number=request_id,
             outcome=final.value,
             **{"class": self.classes[intake.class_index]},
             tenant=self.tenants[intake.tenant] if self.tenants else "",
-            server=member.name if member is not None else "",
+            server=endpoint.name if endpoint is not None else "",
             attempts=sends,
             took_ms=round(took, 1),
-            version=self.roster.version,
+            version=self._endpoint_table.version,
         )
 
 
@@ -222,10 +222,10 @@
     return sink
 
 
-def watch(join: RequestPipeline, settings: Log, requests: RequestLog) -> None:
+def watch(pipeline: RequestPipeline, settings: Log, requests: RequestLog) -> None:
     """Log each request where the level asks for it; elsewhere it costs nothing."""
-    others = tuple(observer for observer in join.observers if observer is not requests)
-    join.observers = (*others, requests) if settings.level == "debug" else others
+    others = tuple(observer for observer in pipeline.observers if observer is not requests)
+    pipeline.observers = (*others, requests) if settings.level == "debug" else others
 
 
 def set_level(settings: Log) -> None:
--- a/badgercart/app/run.py
+++ b/badgercart/app/run.py
@@ -32,13 +32,13 @@
 
 
 async def run(
-    path: str, what: Installation, started: Callable[[Site], None] = lambda _site: None
+    path: str, installation: Installation, started: Callable[[Site], None] = lambda _site: None
 ) -> None:
     """Serve until SIGTERM or SIGINT, which may also come during the start.
 
     Args:
         path: of the file, which SIGHUP reads anew.
-        what: what the file switches on.
+        installation: what the file switches on.
         started: called once all components are up.
 
     Raises:
@@ -47,10 +47,10 @@
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    site = Site(what, loop)
-    requests = logs.RequestLog(what.config, site.roster)
-    if what.base is not None:
-        logs.watch(site.join, what.base.log, requests)
+    site = Site(installation, loop)
+    requests = logs.RequestLog(installation.config, site.roster)
+    if installation.base is not None:
+        logs.watch(site.join, installation.base.log, requests)
     stopping = asyncio.ensure_future(stop.wait())
     starting = asyncio.ensure_future(site.start())
     await asyncio.wait((starting, stopping), return_when=asyncio.FIRST_COMPLETED)
--- a/badgercart/app/site.py
+++ b/badgercart/app/site.py
@@ -67,7 +67,7 @@
         reader = ListReader(config)
         self.roster = EndpointTable(reader, self.join)
         declared = what.declared()
-        holders = sum(part.sockets for part in declared)
+        holders = sum(component.sockets for component in declared)
         self.host = ComponentHost(
             config,
             self.join,
@@ -82,12 +82,12 @@
         self.register(self.host.metrics)
         self.steps = start_order(declared)
         self.parts: dict[str, Component] = {}
-        for part in (part for step in self.steps for part in step):
+        for component in (component for step in self.steps for component in step):
             try:
-                self.parts[part.name] = part.build(self.host, what.parts[part.name])
+                self.parts[component.name] = component.build(self.host, what.parts[component.name])
             except Exception as error:
                 self.close()
-                raise PartError(part.name, error) from error
+                raise PartError(component.name, error) from error
 
     def register(self, meters: MetricRegistry) -> None:
         """Register the metrics of every installation."""
@@ -210,9 +210,9 @@
 
     def remember(self, fresh: Installation) -> None:
         """Keep the settings that are in force now; those that need a restart stay the old ones."""
-        for part in self.what.declared():
-            if part.reloads and part.name in fresh.parts:
-                self.what.parts[part.name] = fresh.parts[part.name]
+        for component in self.what.declared():
+            if component.reloads and component.name in fresh.parts:
+                self.what.parts[component.name] = fresh.parts[component.name]
 
     async def drain(self) -> None:
         """Answer all requests in flight, then close. One deadline holds for all components."""
@@ -226,26 +226,27 @@
     async def drain_step(self, step: list[ComponentDeclaration], until: float) -> None:
         """Drain components together; those that hang beyond the deadline are cancelled."""
         tasks = {
-            asyncio.ensure_future(self.parts[part.name].drain(until)): part.name for part in step
+            asyncio.ensure_future(self.parts[component.name].drain(until)): component.name
+            for component in step
         }
         patience = max(0.0, until + GRACE - now_ms()) / 1000
         done, hanging = await asyncio.wait(tasks, timeout=patience)
         for task in done:
             if (error := task.exception()) is not None:
-                events.PART_FAILED(error, part=tasks[task], act="drained")
+                events.COMPONENT_FAILED(error, part=tasks[task], act="drained")
         for task in hanging:
-            events.PART_HANGS(part=tasks[task])
+            events.COMPONENT_HANGS(part=tasks[task])
             task.cancel()
         if hanging:
             await asyncio.wait(hanging, timeout=GRACE / 1000)
 
     def close(self) -> None:
         """Close all components, the last started first; a failure keeps no other one open."""
-        for name, part in reversed(self.parts.items()):
+        for name, component in reversed(self.parts.items()):
             try:
-                part.close()
+                component.close()
             except Exception:
-                events.PART_FAILED(True, part=name, act="closed")
+                events.COMPONENT_FAILED(True, part=name, act="closed")
 
 
 def differing(old: Any, new: Any, path: Path) -> Iterator[str]:
