--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -8,7 +8,6 @@
 
 import asyncio
 import json
-import random
 from collections.abc import Callable, Coroutine
 from typing import TYPE_CHECKING, Any, cast
 
@@ -18,10 +17,8 @@
     ComponentKind,
     ReloadError,
 )
-from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.frontends.http.requests import Page
-from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import AttemptResult
 from badgercart.zones.endpoint_capacity import (
     EndpointCapacity,
@@ -30,14 +27,15 @@
     ticks_between_scans,
 )
 from badgercart.zones.settings import ZonesSettings, check
+from badgercart.zones.topology import UNKNOWN_ZONE
 
 if TYPE_CHECKING:
     from badgercart.cluster.component import ClusterComponent
+    from badgercart.cluster.swim import Effect
     from badgercart.zones.traffic_plan import PlanInput
 
 # Numbers in a plan from which it is computed in another thread: it takes about 5 ms then.
 LARGE_PLAN_NUMBERS = 4000
-UNKNOWN_ZONE = -1
 
 
 class ZonesComponent:
@@ -47,7 +45,9 @@
         """Build the controller, and observe the pipeline from now on."""
         from badgercart.zones.change_logger import ChangeLogger
         from badgercart.zones.failover_controller import FailoverController
+        from badgercart.zones.health_check import ZoneHealthChecker
         from badgercart.zones.metrics import register_metrics
+        from badgercart.zones.outbox_driver import OutboxDriver
 
         config = host.config
         self._host, self._settings = host, settings
@@ -59,13 +59,14 @@
             [request_class.priority_weight for request_class in config.settings.classes],
             settings.failover_settings(config.settings.cluster_size),
         )
-        self.controller.outbox.on_ready = self._schedule_flush
+        self._outbox = OutboxDriver(self.controller.outbox, host.loop, self._run_effects)
+        self._health_checker = ZoneHealthChecker(
+            host, settings.probe_path, settings.probe_ms, self.controller.observer
+        )
         self._logger = ChangeLogger(self.controller, self._cluster.stamp)
         self._capacity = no_capacity(len(config.zones))
-        self._random = random.Random(f"{config.seed} zones")
         self._tick_count = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._flush_handle: asyncio.Handle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._place_endpoints(settings)
         host.pipeline.attempt_observers += (self,)
@@ -114,9 +115,9 @@
 
     def close(self) -> None:
         """Cancel all that is scheduled."""
-        for handle in (self._timer, self._flush_handle):
-            if handle is not None:
-                handle.cancel()
+        if self._timer is not None:
+            self._timer.cancel()
+        self._outbox.close()
         for task in self._tasks:
             task.cancel()
 
@@ -164,8 +165,8 @@
             self._host.pipeline.dispatch(update)
         self._answer_question(now)
         for zone in self.controller.observer.zones_to_check(now):
-            self._spawn(self._check_zone(zone))
-        self._flush()
+            self._spawn(self._health_checker.check(zone))
+        self._outbox.flush()
         self._logger.log(self._now())
 
     def _scan(self) -> EndpointCapacity:
@@ -193,44 +194,15 @@
         controller = self.controller
         plan = await self._host.loop.run_in_executor(None, controller.compute, question)
         controller.on_plan_computed(self._now(), plan)
-        self._schedule_flush()
-
-    async def _check_zone(self, zone: int) -> None:
-        """Check the health of one endpoint of a zone, drawn anew each time."""
-        from badgercart.zones.health_check import answers_http
-
-        endpoints = self._host.endpoint_table.listed.values()
-        candidates = [endpoint for endpoint in endpoints if is_candidate(endpoint, zone)]
-        healthy, endpoint_id = False, 0
-        if candidates:
-            endpoint = self._random.choice(candidates)
-            endpoint_id = endpoint.entry.id
-            healthy = await answers_http(
-                endpoint.address,
-                self._settings.probe_path,
-                self._settings.probe_ms,
-                self._host.config.source,
-            )
-        self.controller.observer.health_checked(self._now(), zone, endpoint_id, healthy)
+        self._outbox.schedule()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = self._host.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # The outbox.
-
-    def _schedule_flush(self) -> None:
-        """Send what waits once the present event is over, all of it at once."""
-        if self._flush_handle is None:
-            self._flush_handle = self._host.loop.call_soon(self._flush)
-
-    def _flush(self) -> None:
-        if self._flush_handle is not None:
-            self._flush_handle.cancel()
-            self._flush_handle = None
-        if self.controller.outbox:
-            self._cluster.driver.run(self.controller.outbox.take())
+    def _run_effects(self, effects: list[Effect]) -> None:
+        self._cluster.driver.run(effects)
 
     # Pages.
 
@@ -245,11 +217,6 @@
         return json.dumps(loss_forecast(self.controller)).encode()
 
 
-def is_candidate(endpoint: DiscoveredEndpoint, zone: int) -> bool:
-    """Return whether an endpoint may be checked for its zone."""
-    return endpoint.entry.zone == zone and endpoint.entry.state is EndpointState.READY
-
-
 COMPONENTS = (
     ComponentDeclaration(
         name="zones",
--- a/badgercart/zones/endpoint_zones.py
+++ b/badgercart/zones/endpoint_zones.py
@@ -7,8 +7,7 @@
 import netaddr
 
 from badgercart.zones.settings import NetworkZone
-
-UNKNOWN_ZONE = -1
+from badgercart.zones.topology import UNKNOWN_ZONE
 
 
 def zone_lookup(
--- a/badgercart/zones/topology.py
+++ b/badgercart/zones/topology.py
@@ -13,6 +13,7 @@
 # Costs between two zones of one region and of two, where the settings file gives none.
 INTRA_REGION_COST, INTER_REGION_COST = 1.0, 10.0
 MAX_ZONES = 64
+UNKNOWN_ZONE = -1  # index of a zone that is not known
 
 
 @dataclass(slots=True, frozen=True)
