--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -32,7 +32,6 @@
 if TYPE_CHECKING:
     from badgercart.cluster.component import ClusterComponent
     from badgercart.cluster.swim import Effect
-    from badgercart.zones.traffic_plan import PlanInput
 
 # Numbers in a plan from which it is computed in another thread: it takes about 5 ms then.
 LARGE_PLAN_NUMBERS = 4000
@@ -188,10 +187,12 @@
         if topology.row_count * len(topology.zones) ** 2 < LARGE_PLAN_NUMBERS:
             controller.on_plan_computed(now, controller.compute(scheduler.question))
         else:
-            self._spawn(self._compute_in_thread(scheduler.question))
+            self._spawn(self._compute_in_thread())
 
-    async def _compute_in_thread(self, question: PlanInput) -> None:
+    async def _compute_in_thread(self) -> None:
         controller = self.controller
+        question = controller.planner.scheduler.question
+        assert question is not None
         plan = await self._host.loop.run_in_executor(None, controller.compute, question)
         controller.on_plan_computed(self._now(), plan)
         self._outbox.schedule()
