--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -175,7 +175,9 @@
 
     It travels as a register update by one that has the cluster's secret; the node passes it on.
     """
-    from badgercart.cluster.codec import Packet, Sync
+    from badgercart.cluster.gossip_registers import RegisterUpdate
+    from badgercart.cluster.hybrid_logical_clock import HybridTimestamp
+    from badgercart.cluster.messages import Packet, Sync
     from badgercart.zones.operator_overrides import (
         OVERRIDES_TOPIC,
         OperatorOverride,
@@ -191,8 +193,9 @@
     )
     payload = encode_overrides(topology.digest, [wanted])
     writer = f"operator {zone}"[:MAX_AUTHOR_LENGTH]
-    post = (OVERRIDES_TOPIC, writer, now_ms, payload)
-    packet = Packet("operator", now_ms, 0, 1, (now_ms, 0), Sync(), (), (post,))
+    post = RegisterUpdate(OVERRIDES_TOPIC, writer, now_ms, payload)
+    timestamp = HybridTimestamp(now_ms, 0)
+    packet = Packet("operator", now_ms, 0, 1, timestamp, Sync(), (), (post,))
     return post in exchange(site, packet).posts
 
 
--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -30,8 +30,8 @@
 from badgercart.zones.topology import UNKNOWN_ZONE
 
 if TYPE_CHECKING:
-    from badgercart.cluster.component import ClusterComponent
-    from badgercart.cluster.swim import Effect
+    from badgercart.cluster.effects import Effect
+    from badgercart.cluster.service import ClusterComponent
 
 # Numbers in a plan from which it is computed in another thread: it takes about 5 ms then.
 LARGE_PLAN_NUMBERS = 4000
--- a/badgercart/zones/outbox.py
+++ b/badgercart/zones/outbox.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
+from badgercart.cluster.effects import Effect
 from badgercart.cluster.member import Member
-from badgercart.cluster.swim import Effect
 
 
 class Outbox:
--- a/badgercart/zones/outbox_driver.py
+++ b/badgercart/zones/outbox_driver.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from badgercart.cluster.swim import Effect
+from badgercart.cluster.effects import Effect
 from badgercart.zones.outbox import Outbox
 
 
