--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,9 +1,8 @@
-"""Nodes that know each other: detection, false alarms, bytes and healing in virtual time, and what
-it costs.
+"""Cluster membership: detection, false alarms, bytes and healing in virtual time, and its cost.
 
 `python -m benchmarks.peers [--most N]`: groups of 3, 10, 40, 100, … to N, five seeds each of the
 small ones; then the processor time of one node's protocol and codec at 100 peers as a share of a
-core, and the time of a decision with a company over that without, in one run.
+core, and the time of a decision with a cluster's view over that without, in one run.
 """
 
 from __future__ import annotations
@@ -34,6 +33,7 @@
 
 
 def joined(count: int, seed: int) -> SimulatedCluster:
+    """Return a cluster whose nodes know each other and have settled."""
     cluster = SimulatedCluster(count, seed, expected=count)
     cluster.run(LONG, cluster.agreed)
     cluster.run(cluster.now + SETTLED)
@@ -41,7 +41,7 @@
 
 
 def detection(count: int, seed: int) -> list[float]:
-    """ms from a death until each other node has buried it."""
+    """Return the times (ms) from a death until each other node declares it."""
     cluster = joined(count, seed)
     cluster.kill("n1")
     died = cluster.now
@@ -54,7 +54,10 @@
 
 
 def false_alarms(count: int, seed: int) -> tuple[int, int]:
-    """Healthy members buried, and any, in a minute in which one in ten nodes is slow."""
+    """Return how many healthy members, and how many in all, were declared dead.
+
+    That is in a minute in which one in ten nodes is slow.
+    """
     cluster = joined(count, seed)
     slow = random.Random(seed).sample(list(cluster.protocols), max(1, count // 10))
     for name in slow:
@@ -66,7 +69,7 @@
 
 
 def rates(count: int, seed: int) -> tuple[float, float]:
-    """Bytes a node a second at rest, and ms to one view after a split of 30 s."""
+    """Return bytes a node a second at rest, and ms to agreement after a split of 30 s."""
     cluster = joined(count, seed)
     before = sum(cluster.bytes_sent.values())
     cluster.run(cluster.now + LONG)
@@ -80,7 +83,7 @@
 
 
 def cost(count: int = 100) -> float:
-    """Processor time of one node's protocol and codec, as a share of a core."""
+    """Return the processor time of one node's protocol and codec, as a share of a core."""
     cluster = joined(count, 1)
     begun, since = time.process_time(), cluster.now
     cluster.run(since + 20_000)
@@ -89,8 +92,8 @@
     return (time.process_time() - begun) / count / 20.0
 
 
-def decisions(company: bool) -> float:
-    """us a decision of a policy that hears of its company ten times a second, or of none."""
+def decisions(clustered: bool) -> float:
+    """Return us a decision of a policy that is told of its cluster ten times a second, or never."""
     classes = (
         RequestClass(
             latency_objective_ms=400.0,
@@ -105,7 +108,7 @@
     now, told, begun = 1.0, 0.0, time.perf_counter()
     for number in range(1, 20_001):
         now += 1.0
-        if company and now - told >= 100.0:
+        if clustered and now - told >= 100.0:
             told = now
             policy.handle(now, ClusterView(10, 3, 10, (0.1 + (number % 7) / 100,), ((1, 0.2),)))
         for action in policy.handle(now, Request(number, 0, now + 1000)):
@@ -118,6 +121,7 @@
 
 
 def main() -> None:
+    """Print all figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--most", type=int, default=100, help="the largest group (100)")
     most = parser.parse_args().most
@@ -153,7 +157,7 @@
             f"{heal / 1000:.1f}",
         )
         print("|", " | ".join(map(str, row)), "|", flush=True)
-    print(f"protocol and codec at 100 peers: {cost():.4f} of a core")
+    print(f"machine and codec at 100 peers: {cost():.4f} of a core")
     pairs = [(decisions(False), decisions(True)) for _ in range(5)]
     without, with_ = (min(values) for values in zip(*pairs, strict=True))
     print(
--- a/tests/cluster/test_convergence.py
+++ b/tests/cluster/test_convergence.py
@@ -1,5 +1,4 @@
-"""Groups in virtual time: who is taken for dead and by whom, under loss, cuts, pauses, floods of
-joins."""
+"""Clusters in virtual time under loss, cuts, pauses and floods of joins."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -1,5 +1,4 @@
-"""The bytes that nodes exchange, against files of an earlier state: read to the same values,
-written alike.
+"""The bytes that nodes exchange, read and written as in files of an earlier state.
 
 Where the form of a message changes on purpose its version changes too, and a new file is added
 beside these.
--- a/tests/cluster/test_merging.py
+++ b/tests/cluster/test_merging.py
@@ -1,5 +1,4 @@
-"""Whatever comes in whatever order, views and results end the same; packets that are not ours are
-refused."""
+"""Records and updates merge in any order to the same; foreign packets are rejected."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_quota_sharing.py
+++ b/tests/cluster/test_quota_sharing.py
@@ -27,8 +27,7 @@
 
 
 def settled(rates: list[float], quota: float = 100.0) -> list[QuotaSharing]:
-    """Nodes that have all heard each other's use, requests a second of one tenant, over two
-    reports."""
+    """Return nodes that have all heard each other's use of one tenant, over two reports."""
     nodes = [QuotaSharing([quota], generation) for generation in range(len(rates))]
     for at in (1000.0, 2000.0):
         for node, rate in zip(nodes, rates, strict=True):
--- a/tests/cluster/test_scaling.py
+++ b/tests/cluster/test_scaling.py
@@ -31,7 +31,7 @@
 
 
 def bears(nodes: int, tenants: int, seconds: float, settled: float = SETTLED) -> dict[str, float]:
-    """What a node bears a second, at rest but for reports of use of so many tenants."""
+    """Return what a node bears a second, at rest but for usage reports of so many tenants."""
     cluster = HollowCluster(nodes, tenants)
     cluster.acquaint()
     cluster.run(settled * 1000)
