--- a/badgercart/admin/listener.py
+++ b/badgercart/admin/listener.py
@@ -9,9 +9,9 @@
 from badgercart.admin.log_events import OPEN
 from badgercart.admin.requests import Call, Desk
 from badgercart.config import Address
-from badgercart.core.descriptors import CONSOLE
+from badgercart.core.descriptors import ADMIN
 
-MAX_CALLERS = CONSOLE - 1  # connections at a time; their descriptors are kept back for them
+MAX_CALLERS = ADMIN - 1  # connections at a time; their descriptors are kept back for them
 PAUSE = 0.2  # s without accepting, where that fails
 CALL_TIME = 5.0  # s after which one that has made no whole call is closed
 
--- a/badgercart/app/component.py
+++ b/badgercart/app/component.py
@@ -20,7 +20,7 @@
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.metric_registry import MetricRegistry
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.discovery.entries import ListReader
+from badgercart.discovery.entries import CatalogUpdateReader
 from badgercart.frontends.http.requests import Page
 
 
@@ -64,7 +64,7 @@
     config: Config
     pipeline: RequestPipeline
     endpoint_table: EndpointTable
-    reader: ListReader
+    reader: CatalogUpdateReader
     loop: asyncio.AbstractEventLoop
     folder: str  # of the operator's file: what it names relative to itself
     share: float  # of the clients' and servers' descriptors, for each part that has such
--- a/badgercart/app/logs.py
+++ b/badgercart/app/logs.py
@@ -26,7 +26,7 @@
 from badgercart.app.model import Table
 from badgercart.config import Config
 from badgercart.core.endpoint_table import EndpointTable
-from badgercart.core.log_events import Sparse
+from badgercart.core.log_events import WarningThrottle
 from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.core.request_pipeline import RequestPipeline
 
@@ -106,7 +106,7 @@
         self.fd = fd
         terminal = settings.format == "auto" and os.isatty(fd)
         self.setFormatter(formatter(node, as_json=not terminal and settings.format != "console"))
-        self.addFilter(Sparse())
+        self.addFilter(WarningThrottle())
         self.waiting: queue.Queue[logging.LogRecord | None] = queue.Queue(settings.queue_lines)
         self.dropped = 0  # since it was last told
         self.broken = False  # nobody reads any more
@@ -136,7 +136,7 @@
     def dropped_line(count: int) -> logging.LogRecord:
         event = LINES_DROPPED
         record = logging.LogRecord(
-            "badgercart", event.level, "", 0, event.words, ({"count": count},), None
+            "badgercart", event.level, "", 0, event.message, ({"count": count},), None
         )
         record.event = event.name
         return record
@@ -208,8 +208,8 @@
 
 def watch(join: RequestPipeline, settings: Log, requests: RequestLog) -> None:
     """Have each request logged where the level asks for it; elsewhere it costs nothing."""
-    others = tuple(observer for observer in join.observers if observer is not requests)
-    join.observers = (*others, requests) if settings.level == "debug" else others
+    others = tuple(observer for observer in join.in_flight.observers if observer is not requests)
+    join.in_flight.observers = (*others, requests) if settings.level == "debug" else others
 
 
 def set_level(settings: Log) -> None:
--- a/badgercart/app/render.py
+++ b/badgercart/app/render.py
@@ -19,7 +19,7 @@
 from badgercart.app.locate import lines_of
 from badgercart.app.model import SCHEMA_NAME
 from badgercart.app.registry import declarations, load_events
-from badgercart.core.log_events import TABLE
+from badgercart.core.log_events import LOG_EVENTS
 
 SCHEMA = "https://json-schema.org/draft/2020-12/schema"
 
@@ -227,12 +227,12 @@
     """The table of log events of these subsystems, in the order of their names."""
     load_events()
     wanted = tuple(f"{prefix.strip()}." for prefix in prefixes.split(","))
-    found = [event for name, event in sorted(TABLE.items()) if name.startswith(wanted)]
+    found = [event for name, event in sorted(LOG_EVENTS.items()) if name.startswith(wanted)]
     if not found:
         raise LookupError(f"no event's name begins with {prefixes!r}")
     rows = ["| event | level | message | meaning and remedy |", "| --- | --- | --- | --- |"]
     for event in found:
-        words = re.sub(r"%\((\w+)\)[sd]", r"<\1>", event.words)
+        words = re.sub(r"%\((\w+)\)[sd]", r"<\1>", event.message)
         level = logging.getLevelName(event.level).lower()
         rows.append(f"| `{event.name}` | {level} | `{words}` | {event.meaning} |")
     return "\n".join(rows)
--- a/badgercart/app/site.py
+++ b/badgercart/app/site.py
@@ -25,7 +25,7 @@
 from badgercart.core.log_events import STOPPED
 from badgercart.core.metric_registry import MetricRegistry
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.discovery.entries import ListReader
+from badgercart.discovery.entries import CatalogUpdateReader
 from badgercart.frontends.http.requests import Page
 from badgercart.policy.endpoint import EndpointState
 
@@ -63,7 +63,7 @@
         config = what.config
         self.what = what
         self.join = RequestPipeline(config.settings, config.seed, loop)
-        reader = ListReader(config)
+        reader = CatalogUpdateReader(config)
         self.roster = EndpointTable(reader, self.join)
         declared = what.declared()
         holders = sum(part.sockets for part in declared)
@@ -102,10 +102,14 @@
             lambda: policy.x,
         )
         meters.gauge(
-            "badgercart_held", "Requests that are owed an answer.", lambda: len(join.in_flight)
+            "badgercart_held",
+            "Requests that are owed an answer.",
+            lambda: len(join.in_flight.requests),
         )
         meters.gauge(
-            "badgercart_attempts_out", "Attempts that are out.", lambda: len(join.open_attempts)
+            "badgercart_attempts_out",
+            "Attempts that are out.",
+            lambda: len(join.in_flight.attempts),
         )
         meters.gauge(
             "badgercart_need",
--- a/badgercart/capture/component.py
+++ b/badgercart/capture/component.py
@@ -38,7 +38,7 @@
             self.gap,
             self.failed,
         )
-        host.pipeline.decision_log = self.capture.tap
+        host.pipeline.driver.decision_log = self.capture.tap
         self.timer: asyncio.TimerHandle | None = None
         self.undo: list[Callable[[], None]] = []
         host.metrics.counter(
@@ -77,7 +77,7 @@
         self.leave()
 
     def leave(self) -> None:
-        self.host.pipeline.decision_log = None
+        self.host.pipeline.driver.decision_log = None
         while self.undo:
             self.undo.pop()()
 
@@ -91,7 +91,7 @@
     def close(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        if self.host.pipeline.decision_log is not None:
+        if self.host.pipeline.driver.decision_log is not None:
             self.leave()
             self.capture.close()
 
--- a/badgercart/capture/streams.py
+++ b/badgercart/capture/streams.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from badgercart.capture.codec import CodecError
-from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.discovery.freshness import Freshness, FreshnessRule
 from badgercart.frontends.processor.account import Account, Proxy
 from badgercart.frontends.processor.settings import OldAnswers
 
@@ -40,8 +40,8 @@
 
 def _load_freshness(state: Any) -> Freshness:
     rule, proved = state
-    made = Freshness(Rule(*rule))
-    made.proved = proved
+    made = Freshness(FreshnessRule(*rule))
+    made.proved_ms = proved
     return made
 
 
@@ -70,8 +70,15 @@
 FORMS: dict[type, Form] = {
     Freshness: Form(
         "freshness",
-        {"proof": Freshness.proof, "state": Freshness.state, "next_change": Freshness.next_change},
-        lambda machine: ((machine.rule.doubtful_after, machine.rule.stale_after), machine.proved),
+        {
+            "proof": Freshness.record_proof,
+            "state": Freshness.state,
+            "next_change": Freshness.next_change,
+        },
+        lambda machine: (
+            (machine.rule.doubtful_after_ms, machine.rule.stale_after_ms),
+            machine.proved_ms,
+        ),
         _load_freshness,
         lambda value: getattr(value, "value", value),
     ),
--- a/badgercart/cluster/component.py
+++ b/badgercart/cluster/component.py
@@ -85,7 +85,7 @@
             host.endpoint_table.override = self.member.rumours.amend
             host.endpoint_table.on_change.append(self.on_line)
         if "shares" in does:
-            host.pipeline.observers += (self,)
+            host.pipeline.in_flight.observers += (self,)
         self.register()
 
     def register(self) -> None:
--- a/badgercart/core/__init__.py
+++ b/badgercart/core/__init__.py
@@ -1,5 +1,6 @@
-"""The join between fronts, carriers, membership and the policy; its entry is ``join.Join``.
+"""The request pipeline between frontends, upstream transports, discovery and the policy.
 
-It knows no protocol: fronts hand in requests and owe answers, carriers carry out attempts,
-membership tells the server list. What they must offer is written in ``ports``.
+The core knows no protocol. Frontends hand in requests and owe responses, transports carry out
+attempts, discovery keeps the endpoint table; `ports` says what each must offer. Its entry is
+`request_pipeline.RequestPipeline`.
 """
--- a/badgercart/core/clock.py
+++ b/badgercart/core/clock.py
@@ -1,14 +1,14 @@
-"""The one clock that every event and deadline is told on."""
+"""The one clock of all events and deadlines."""
 
 from __future__ import annotations
 
 from time import monotonic
 
-# ms kept back from the time of a client, or of the process: answers must be out in time from a late
-# loop.
-MARGIN = 30.0
+# Kept back from a client's or the process's time, so that a response is out in time from a loop that
+# runs late.
+RESPONSE_MARGIN_MS = 30.0
 
 
 def now_ms() -> float:
-    """Milliseconds of the system's monotonic clock."""
+    """Return milliseconds on the system's monotonic clock."""
     return monotonic() * 1000
--- a/badgercart/core/endpoint_table.py
+++ b/badgercart/core/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The servers that the list names, by id and by address, and what every change of it sets off."""
+"""The endpoints that discovery names, by id and by address, and what each change of them causes."""
 
 from __future__ import annotations
 
@@ -7,43 +7,58 @@
 from typing import Any, Protocol
 
 from badgercart.config import Address
+from badgercart.core.errors import CoreError
 from badgercart.core.log_events import LIST_TAKEN
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import EndpointUpdate, UpdateKind
 
-# As operators read them in `list.taken`.
-KINDS = {
+# The words of the log event `list.taken`. Operators' alerts match them.
+LOGGED_KINDS = {
     UpdateKind.DELTA: "delta",
     UpdateKind.SNAPSHOT: "full",
     UpdateKind.CACHED: "cached",
     UpdateKind.FAILED: "failed",
 }
-STATES = {
+LOGGED_STATES = {
     EndpointState.READY: "ready",
     EndpointState.GONE: "gone",
     EndpointState.DRAINING: "draining",
 }
-MAX_LEFT = 1024  # servers remembered after they left: old answers may name them still
+MAX_LOGGED_ENDPOINTS = 4
+MAX_REMOVED = 1024  # endpoints remembered after they left: late responses may name them
+
+
+class UpdateRejectedError(CoreError, ValueError):
+    """The policy failed on an update; it is to be delivered again."""
+
+    def __init__(self, version: int) -> None:
+        """Keep the update's version."""
+        super().__init__(f"the policy could not take list {version}")
+        self.version = version
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveredEndpoint:
-    """A server of the list: what the policy is told of it, and what only carriers and people
-    need."""
+    """An endpoint as discovery lists it: the policy's entry, and what only the node needs."""
 
     entry: Endpoint
     address: Address
     name: str
-    address_text: str = field(init=False)  # its address as text
+    address_text: str = field(init=False)  # `host:port`
 
     def __post_init__(self) -> None:
+        """Word the address once, not with every use."""
         object.__setattr__(self, "address_text", f"{self.address[0]}:{self.address[1]}")
 
+    def in_state(self, state: EndpointState) -> DiscoveredEndpoint:
+        """Return the same endpoint in another state."""
+        return replace(self, entry=replace(self.entry, state=state))
+
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryUpdate:
-    """A whole list or its changes."""
+    """All endpoints, or those that changed."""
 
     kind: UpdateKind
     version: int
@@ -51,144 +66,165 @@
 
 
 class UpdateReader(Protocol):
+    """What reads updates in the form of the platform's discovery."""
+
     def read(self, raw: Mapping[str, Any], kind: UpdateKind | None = None) -> DiscoveryUpdate:
-        """ValueError if any line is bad: a list is taken whole or not at all."""
+        """Return an update.
+
+        Raises:
+            ValueError: any of its lines is malformed; an update is taken whole or not at all.
+        """
 
 
 class EndpointTable:
-    """Takes lists, tells carriers and fronts of each changed server, and then the policy."""
+    """Takes updates, and tells first the transports and frontends of each change, then the policy."""
 
-    def __init__(self, reader: UpdateReader, join: RequestPipeline) -> None:
+    def __init__(self, reader: UpdateReader, pipeline: RequestPipeline) -> None:
+        """Set up an empty table; `reader` reads what `accept` is given."""
         self.reader = reader
-        self.pipeline = join
+        self.pipeline = pipeline
         self.on_change: list[Callable[[DiscoveredEndpoint], None]] = []
-        # What is told of a server in place of its line in a list of that version.
+        # Returns what counts in place of an endpoint in an update of some version.
         self.override: Callable[[DiscoveredEndpoint, int], DiscoveredEndpoint] | None = None
-        self.has_update = False  # whether any list has come
-        self.suspended = False  # whether the list is too old to send anything by it
-        self.version = 0  # of the list
+        self.has_update = False
+        self.suspended = False  # the table is too old to send anything by it
+        self.version = 0
         self.listed: dict[int, DiscoveredEndpoint] = {}
-        self.removed: dict[int, DiscoveredEndpoint] = {}  # those that are gone, the longest first
-        self.draining_since: dict[int, float] = {}  # when it was told that one drains or is gone
-        self.ids_by_address: dict[
-            Address, int
-        ] = {}  # the last server that was listed at an address
+        self.removed: dict[int, DiscoveredEndpoint] = {}  # the longest removed first
+        self.draining_since: dict[int, float] = {}  # ms, also of those that are removed
+        self.ids_by_address: dict[Address, int] = {}  # the last endpoint listed at each address
 
     def accept(self, raw: Mapping[str, Any], kind: UpdateKind | None = None) -> int:
-        """Take over a list or its changes, and give its version; ValueError where the reader gives
-        it.
+        """Read an update, put it in force and return its version.
 
-        ValueError, too, where the policy broke over it: carriers have it then, and it is to come
-        again."""
+        Raises:
+            ValueError: the reader rejects it.
+            UpdateRejectedError: the policy failed on it. Transports have it by then.
+        """
         return self.accept_update(self.reader.read(raw, kind))
 
-    def accept_update(self, told: DiscoveryUpdate) -> int:
-        """As `take`, of lines that are read."""
-        self.apply(told)
-        if (
-            isinstance(self.pipeline.failed_event, EndpointUpdate)
-            and self.pipeline.failed_event.version == told.version
-        ):
-            self.pipeline.failed_event = None
-            raise ValueError(f"the policy could not take list {told.version}")
-        return told.version
-
-    def apply(self, told: DiscoveryUpdate) -> None:
-        """Take over a list or its changes, whole."""
+    def accept_update(self, update: DiscoveryUpdate) -> int:
+        """Put an update in force and return its version; raises UpdateRejectedError as `accept`."""
+        self.apply(update)
+        failed_event = self.pipeline.driver.failed_event
+        if isinstance(failed_event, EndpointUpdate) and failed_event.version == update.version:
+            self.pipeline.driver.failed_event = None
+            raise UpdateRejectedError(update.version)
+        return update.version
+
+    def apply(self, update: DiscoveryUpdate) -> None:
+        """Put an update in force, whole."""
         if self.override is not None:
-            lines = [self.override(member, told.version) for member in told.endpoints]
-            told = DiscoveryUpdate(told.kind, told.version, lines)
+            version = update.version
+            overridden = [self.override(endpoint, version) for endpoint in update.endpoints]
+            update = DiscoveryUpdate(update.kind, version, overridden)
         now = self.pipeline.clock()
-        if told.kind is not UpdateKind.DELTA:
-            named = {member.entry.id for member in told.endpoints}
-            for server_id in self.listed.keys() - named:
-                gone = self.listed[server_id]
-                gone = replace(gone, entry=replace(gone.entry, state=EndpointState.GONE))
-                self.record(
-                    gone if self.override is None else self.override(gone, told.version), now
-                )
-        for member in told.endpoints:
-            self.record(member, now)
-        if told.endpoints or told.kind is not UpdateKind.DELTA:
-            changed = ", ".join(f"{m.name} {STATES[m.entry.state]}" for m in told.endpoints[:4])
-            more = f" and {len(told.endpoints) - 4} more" if len(told.endpoints) > 4 else ""
-            LIST_TAKEN(
-                version=told.version,
-                kind=KINDS[told.kind],
-                changed=changed + more,
-                listed=len(self.listed),
-            )
+        is_delta = update.kind is UpdateKind.DELTA
+        if not is_delta:
+            self._remove_unlisted(update, now)
+        for endpoint in update.endpoints:
+            self._record(endpoint, now)
+        if update.endpoints or not is_delta:
+            self._log(update)
         self.has_update = True
-        self.version = told.version
+        self.version = update.version
         if not self.suspended:
-            self.pipeline.dispatch(
-                EndpointUpdate(told.kind, told.version, [member.entry for member in told.endpoints])
-            )
-        elif told.kind is not UpdateKind.DELTA or told.endpoints:
-            self.dispatch_suspended()
+            entries = [endpoint.entry for endpoint in update.endpoints]
+            self.pipeline.dispatch(EndpointUpdate(update.kind, update.version, entries))
+        elif update.endpoints or not is_delta:
+            self._dispatch_suspended()
 
-    def reapply(self, lines: list[DiscoveredEndpoint]) -> None:
-        """What is told of these servers has changed, though the list has not."""
-        self.apply(DiscoveryUpdate(UpdateKind.DELTA, self.version, lines))
+    def reapply(self, endpoints: list[DiscoveredEndpoint]) -> None:
+        """Put these endpoints in force again, whose override has changed."""
+        self.apply(DiscoveryUpdate(UpdateKind.DELTA, self.version, endpoints))
 
     def suspend(self, suspended: bool) -> None:
-        """Have nothing new sent by this list, or go on with it.
+        """Have nothing new sent by this table, or go on with it.
 
-        The policy is told that all drain: it keeps what it learned of them, refuses what it may
-        refuse, and fails the rest. Connections and attempts that are out stay as they are."""
+        The policy is told that all endpoints drain: it keeps its statistics of them, sheds what it
+        may shed, and fails the rest. Connections and open attempts stay as they are.
+        """
         if suspended == self.suspended:
             return
         self.suspended = suspended
         if suspended:
-            self.dispatch_suspended()
-        else:
-            entries = [member.entry for member in self.listed.values()]
-            self.pipeline.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, self.version, entries))
+            self._dispatch_suspended()
+            return
+        entries = [endpoint.entry for endpoint in self.listed.values()]
+        self.pipeline.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, self.version, entries))
+
+    def find_by_address(self, address: Address) -> DiscoveredEndpoint | None:
+        """Return the endpoint that is, or was last, listed at an address; None for none."""
+        endpoint_id = self.ids_by_address.get(address)
+        if endpoint_id is None:
+            return None
+        return self.listed.get(endpoint_id) or self.removed.get(endpoint_id)
 
-    def dispatch_suspended(self) -> None:
+    def _dispatch_suspended(self) -> None:
         entries = [
-            replace(member.entry, state=EndpointState.DRAINING)
-            for member in self.listed.values()
-            if member.entry.state is EndpointState.READY
+            endpoint.in_state(EndpointState.DRAINING).entry
+            for endpoint in self.listed.values()
+            if endpoint.entry.state is EndpointState.READY
         ]
         self.pipeline.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, self.version, entries))
 
-    def record(self, member: DiscoveredEndpoint, now: float) -> None:
-        """Take over one line."""
-        server_id, state = member.entry.id, member.entry.state
+    def _log(self, update: DiscoveryUpdate) -> None:
+        shown = update.endpoints[:MAX_LOGGED_ENDPOINTS]
+        changed = ", ".join(f"{one.name} {LOGGED_STATES[one.entry.state]}" for one in shown)
+        more = len(update.endpoints) - len(shown)
+        LIST_TAKEN(
+            version=update.version,
+            kind=LOGGED_KINDS[update.kind],
+            changed=changed + (f" and {more} more" if more else ""),
+            listed=len(self.listed),
+        )
+
+    def _remove_unlisted(self, update: DiscoveryUpdate, now: float) -> None:
+        """Remove every endpoint that an update of all endpoints does not name."""
+        named = {endpoint.entry.id for endpoint in update.endpoints}
+        for endpoint_id in self.listed.keys() - named:
+            gone = self.listed[endpoint_id].in_state(EndpointState.GONE)
+            if self.override is not None:
+                gone = self.override(gone, update.version)
+            self._record(gone, now)
+
+    def _record(self, endpoint: DiscoveredEndpoint, now: float) -> None:
+        """Take over one endpoint, and tell those that asked for changes."""
+        endpoint_id, state = endpoint.entry.id, endpoint.entry.state
         if state is EndpointState.GONE:
-            if self.listed.pop(server_id, None) is not None:
-                self.removed[server_id] = member
-                if len(self.removed) > MAX_LEFT:
-                    self.forget(next(iter(self.removed)))
+            self._remove(endpoint)
         else:
-            old = self.listed.get(server_id) or self.removed.get(server_id)
-            if (
-                old is not None
-                and old.address != member.address
-                and self.ids_by_address.get(old.address) == server_id
-            ):
-                del self.ids_by_address[old.address]
-            self.removed.pop(server_id, None)
-            self.listed[server_id] = member
-            self.ids_by_address[member.address] = server_id
+            self._list(endpoint)
         if state is EndpointState.READY:
-            self.draining_since.pop(server_id, None)
-        elif server_id in self.listed or server_id in self.removed:
-            self.draining_since.setdefault(server_id, now)
-        for tell in self.on_change:
-            tell(member)
-
-    def forget(self, server_id: int) -> None:
-        """Forget one that left long ago."""
-        member = self.removed.pop(server_id)
-        self.draining_since.pop(server_id, None)
-        if self.ids_by_address.get(member.address) == server_id:
-            del self.ids_by_address[member.address]
-
-    def find_by_address(self, address: Address) -> DiscoveredEndpoint | None:
-        """The server that is, or was last, listed at an address."""
-        server_id = self.ids_by_address.get(address)
-        if server_id is None:
-            return None
-        return self.listed.get(server_id) or self.removed.get(server_id)
+            self.draining_since.pop(endpoint_id, None)
+        elif endpoint_id in self.listed or endpoint_id in self.removed:
+            self.draining_since.setdefault(endpoint_id, now)
+        for on_change in self.on_change:
+            on_change(endpoint)
+
+    def _remove(self, endpoint: DiscoveredEndpoint) -> None:
+        if self.listed.pop(endpoint.entry.id, None) is None:
+            return
+        self.removed[endpoint.entry.id] = endpoint
+        if len(self.removed) > MAX_REMOVED:
+            self._forget(next(iter(self.removed)))
+
+    def _list(self, endpoint: DiscoveredEndpoint) -> None:
+        endpoint_id = endpoint.entry.id
+        known = self.listed.get(endpoint_id) or self.removed.get(endpoint_id)
+        if known is not None and known.address != endpoint.address:
+            self._release_address(known)
+        self.removed.pop(endpoint_id, None)
+        self.listed[endpoint_id] = endpoint
+        self.ids_by_address[endpoint.address] = endpoint_id
+
+    def _forget(self, endpoint_id: int) -> None:
+        """Keep nothing of an endpoint that was removed long ago."""
+        endpoint = self.removed.pop(endpoint_id)
+        self.draining_since.pop(endpoint_id, None)
+        self._release_address(endpoint)
+
+    def _release_address(self, endpoint: DiscoveredEndpoint) -> None:
+        """Forget that an endpoint was the last one listed at its address, if it was."""
+        if self.ids_by_address.get(endpoint.address) == endpoint.entry.id:
+            del self.ids_by_address[endpoint.address]
--- a/badgercart/core/metric_registry.py
+++ b/badgercart/core/metric_registry.py
@@ -1,7 +1,6 @@
-"""The port by which subsystems offer figures: a name, a meaning, and a function that reads the
-present value.
+"""The port by which subsystems offer metrics: a name, a meaning, and a function that reads a value.
 
-Whoever shows them asks when it wants to know, so that a figure costs nothing in between.
+Values are read when somebody asks, so that a metric costs nothing in between.
 """
 
 from __future__ import annotations
@@ -11,68 +10,101 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_LABELS = 64  # values of a figure's label; the rest is summed up as `other`
+from badgercart.core.errors import CoreError
+
+MAX_LABEL_VALUES = 64  # of one metric; the rest is summed up as `other`
 OTHER = "other"
 _NAME = re.compile(r"[a-z][a-z0-9_]*")
 
-Reading = float | Mapping[str, float]  # one value, or one for each value of the label
+# One value, or one for each value of the metric's label.
+MetricValue = float | Mapping[str, float]
+
+
+class MetricNameError(CoreError, ValueError):
+    """A name that is malformed or taken."""
+
+    def __init__(self, name: str, reason: str) -> None:
+        """Keep the name, and the reason in words."""
+        super().__init__(reason)
+        self.name = name
 
 
-class Kind(Enum):
+class MetricKind(Enum):
+    """Whether a value may fall."""
+
     COUNTER = "counter"  # only grows while the process runs
     GAUGE = "gauge"
 
 
 @dataclass(slots=True, frozen=True)
 class Metric:
+    """One metric and how to read it."""
+
     name: str  # with its unit: `badgercart_list_age_seconds`
-    about: str
-    kind: Kind
-    read: Callable[[], Reading]
+    description: str
+    kind: MetricKind
+    read: Callable[[], MetricValue]
     label: str | None = None
 
     def values(self) -> dict[str, float]:
-        """By the label's value, at most MAX_LABELS of them; `""` where there is no label."""
-        told = self.read()
-        if not isinstance(told, Mapping):
-            return {"": float(told)}
-        if len(told) <= MAX_LABELS:
-            return {key: float(value) for key, value in told.items()}
-        ranked = sorted(told.items(), key=lambda item: (-item[1], item[0]))
-        kept = {key: float(value) for key, value in ranked[: MAX_LABELS - 1]}
-        kept[OTHER] = kept.get(OTHER, 0.0) + float(
-            sum(value for _, value in ranked[MAX_LABELS - 1 :])
-        )
+        """Return the present values by the label's value; under `""` where there is no label.
+
+        Of more than MAX_LABEL_VALUES the largest are kept and the rest is summed up.
+        """
+        value = self.read()
+        if not isinstance(value, Mapping):
+            return {"": float(value)}
+        if len(value) <= MAX_LABEL_VALUES:
+            return {key: float(number) for key, number in value.items()}
+        ranked = sorted(value.items(), key=lambda item: (-item[1], item[0]))
+        kept = {key: float(number) for key, number in ranked[: MAX_LABEL_VALUES - 1]}
+        rest = sum(number for _, number in ranked[MAX_LABEL_VALUES - 1 :])
+        kept[OTHER] = kept.get(OTHER, 0.0) + float(rest)
         return kept
 
 
 class MetricRegistry:
-    """All figures of one installation."""
+    """All metrics of one installation, by name."""
 
     def __init__(self) -> None:
+        """Set up an empty registry."""
         self.metrics: dict[str, Metric] = {}
 
     def add(
         self,
-        kind: Kind,
+        kind: MetricKind,
         name: str,
-        about: str,
-        read: Callable[[], Reading],
+        description: str,
+        read: Callable[[], MetricValue],
         label: str | None = None,
     ) -> None:
-        """ValueError where the name is taken, or none."""
+        """Add a metric.
+
+        Raises:
+            MetricNameError: the name is malformed or taken.
+        """
         if not _NAME.fullmatch(name):
-            raise ValueError(f"{name!r} is no name of a figure")
+            raise MetricNameError(name, f"{name!r} is no name of a figure")
         if name in self.metrics:
-            raise ValueError(f"there are two figures {name}")
-        self.metrics[name] = Metric(name, about, kind, read, label)
+            raise MetricNameError(name, f"there are two figures {name}")
+        self.metrics[name] = Metric(name, description, kind, read, label)
 
     def counter(
-        self, name: str, about: str, read: Callable[[], Reading], label: str | None = None
+        self,
+        name: str,
+        description: str,
+        read: Callable[[], MetricValue],
+        label: str | None = None,
     ) -> None:
-        self.add(Kind.COUNTER, name, about, read, label)
+        """Add a counter; see `add`."""
+        self.add(MetricKind.COUNTER, name, description, read, label)
 
     def gauge(
-        self, name: str, about: str, read: Callable[[], Reading], label: str | None = None
+        self,
+        name: str,
+        description: str,
+        read: Callable[[], MetricValue],
+        label: str | None = None,
     ) -> None:
-        self.add(Kind.GAUGE, name, about, read, label)
+        """Add a gauge; see `add`."""
+        self.add(MetricKind.GAUGE, name, description, read, label)
--- a/badgercart/core/ports.py
+++ b/badgercart/core/ports.py
@@ -1,9 +1,10 @@
-"""What the join asks of fronts and carriers, and what it hands to each.
+"""What the request pipeline asks of frontends and transports, and what they hand to each other.
 
-A *front* owes an answer: it hands a request to the join with `Join.take` and is told exactly one of
-answered, refused or failed, unless it withdrew the request before. A *carrier* carries out an
-attempt that the policy has decided and reports its end, once, with `Join.ended`. Both may come from
-the same object: a calling proxy asks for a decision and carries it out itself.
+A *frontend* owes the response to a request. It hands the request in with `RequestPipeline.accept`
+and is told exactly one of response, shed or failure, unless it cancelled the request before. An
+*upstream transport* carries out the attempts that the policy decided and reports the end of each,
+once, with `RequestPipeline.attempt_ended`. One object may be both: a calling proxy asks for a
+decision and carries it out itself.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 from enum import StrEnum
 from typing import Any, Protocol
 
-from badgercart.core.streams import Opening, Sink
+from badgercart.core.streams import ResponseHead, ResponseSink
 from badgercart.policy.events import AttemptResult
 
 
 @dataclass(slots=True)
-class Answer:
-    """A server's whole answer."""
+class Response:
+    """An endpoint's response, received whole."""
 
     status: int
     body: bytes = b""
@@ -27,97 +28,105 @@
 
 
 class RequestOutcome(StrEnum):
-    """How a request ended for its client."""
+    """How a request ended for its client; the values are labels of metrics and log lines."""
 
     SERVED = "served"
-    CLIENT_ERROR = "faulty"  # a server found it at fault: its 4xx was passed on
-    SHED = "refused"  # not run
-    FAILED = "failed"  # may have run
-    CANCELLED = "withdrawn"  # its client went away
+    CLIENT_ERROR = "faulty"  # an endpoint's 4xx was passed on
+    SHED = "refused"  # not executed
+    FAILED = "failed"  # may have been executed
+    CANCELLED = "withdrawn"  # the client went away
 
 
 class RequestObserver(Protocol):
-    """Whoever watches requests come to their end. It must be quick, and change nothing."""
+    """What is told how requests end. It must be quick and change nothing."""
 
     def request_finished(
         self,
         request_id: int,
-        intake: IncomingRequest,
-        final: RequestOutcome,
-        took: float,
-        server: int,
-        sends: int,
+        request: IncomingRequest,
+        outcome: RequestOutcome,
+        elapsed_ms: float,
+        endpoint_id: int,
+        attempts: int,
     ) -> None:
-        """A request is over after `took` ms and so many sends; `server` gave the answer, 0: none
-        did."""
+        """Take note of a request's end.
+
+        `elapsed_ms` counts from when it was accepted, 0 where nobody observed that; `endpoint_id` is
+        the endpoint that gave the response, 0 where none did.
+        """
 
 
 class AttemptObserver(Protocol):
-    """Whoever watches attempts at servers. It must be quick, and change nothing."""
+    """What is told of attempts. It must be quick and change nothing."""
 
-    def attempt_sent(self, server_id: int) -> None:
-        """An attempt goes out."""
+    def attempt_sent(self, endpoint_id: int) -> None:
+        """Take note that an attempt goes out."""
 
-    def attempt_ended(self, server_id: int, result: AttemptResult, elapsed: float) -> None:
-        """An attempt has ended, `elapsed` ms after it was sent."""
+    def attempt_ended(self, endpoint_id: int, result: AttemptResult, elapsed_ms: float) -> None:
+        """Take note that an attempt ended, `elapsed_ms` after it was sent."""
 
 
 class Frontend(Protocol):
-    """Whoever owes the answer to one request. Each of the first three calls is the final one for
-    it."""
+    """What owes the response to one request. Each of the `on_` calls is the final one for it."""
+
+    def on_response(self, response: Response) -> None:
+        """Pass an endpoint's response on to the client."""
 
-    def on_answer(self, answer: Answer) -> None:
-        """A server has answered: pass it on."""
+    def on_shed(self, retry_after_ms: float) -> None:
+        """Tell the client that nothing was executed and that a retry does no harm.
 
-    def on_shed(self, wait: float) -> None:
-        """Not run, trying again does no harm; after `wait` ms, or when it likes where that is 0."""
+        `retry_after_ms` is when it should come back; 0 gives no advice.
+        """
 
-    def on_failure(self, broken: bool) -> None:
-        """Nothing is promised: the request may have run, or, where `broken`, the node itself
-        failed."""
+    def on_failure(self, internal_error: bool) -> None:
+        """Tell the client that its request may have been executed, or that the node itself failed."""
 
     def client_is_gone(self) -> bool:
-        """Whether its client has left, and that is seen only now: asked before each attempt is
-        written."""
+        """Return whether the client has left without this having been reported yet.
+
+        Asked before each attempt is written.
+        """
 
 
 class StreamingFrontend(Frontend, Protocol):
-    """One whose work may ask for answers that go on as they come."""
+    """A frontend whose payloads may ask for responses that are streamed."""
 
-    def on_response_started(self, opening: Opening) -> Sink:
-        """The final answer begins: where it goes."""
+    def on_response_started(self, head: ResponseHead) -> ResponseSink:
+        """Begin the final response to the client, and return where its body goes."""
 
 
 class UpstreamTransport(Protocol):
-    """Whoever carries out attempts. Every `send` ends in exactly one `Join.ended` with the same
-    numbers.
+    """What carries out attempts.
 
-    A carrier that can't send again by itself reports an end as parked, and calls `Join.resume` when
-    its own side asks for the next attempt or wants to know how the request ends. One that goes on
-    to a fallback by itself says so with `Join.diverted`; the next attempt then is out as if it had
-    been sent."""
+    Every `send` ends in exactly one `RequestPipeline.attempt_ended` with the same numbers. A
+    transport that can't retry by itself reports the end as parked, and calls
+    `RequestPipeline.retry_decision_due` when its own side asks for the next attempt or for how the
+    request ends. One that goes on to a fallback by itself reports that with
+    `RequestPipeline.attempt_rerouted`; the next attempt is open from then on.
+    """
 
-    def send(self, order: AttemptRequest) -> None: ...
+    def send(self, attempt: AttemptRequest) -> None:
+        """Begin an attempt."""
 
-    def cancel(self, request_id: int, number: int) -> None:
+    def cancel(self, request_id: int, attempt: int) -> None:
         """Stop waiting for an attempt; its end is reported as any other."""
 
-    def abandon_attempt(self, request_id: int, number: int) -> None:
-        """Its request is over: an attempt whose last byte has not gone out never goes out, and ends
-        so."""
+    def abandon_attempt(self, request_id: int, attempt: int) -> None:
+        """End an attempt of a completed request unless its last byte has been written."""
 
 
 class TimerHandle(Protocol):
     """A timer that is set."""
 
-    def cancel(self) -> object: ...
+    def cancel(self) -> object:
+        """Have the timer never ring."""
 
 
 class Timers(Protocol):
-    """What rings later: an event loop, or a test's own."""
+    """What calls back later: an event loop, or a test's own."""
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> TimerHandle:
-        """Call after `delay` s."""
+        """Call back after `delay` seconds."""
 
 
 @dataclass(slots=True)
@@ -125,35 +134,28 @@
     """An attempt as the policy decided it."""
 
     request_id: int
-    attempt: int  # of the request's attempts, from 0
+    attempt: int  # counted from 0 for each request
     endpoint_id: int
-    timeout_ms: (
-        float  # ms until the attempt has timed out, from now or from when its request is whole
-    )
-    payload: Any  # as the front handed it in
-    fallbacks: tuple[
-        int, ...
-    ] = ()  # servers that the carrier may turn to by itself, the first one first
+    timeout_ms: float  # from now, or from when the request is complete
+    payload: Any  # as the frontend handed it in
+    # Endpoints that the transport may go on to by itself, in this order.
+    fallbacks: tuple[int, ...] = ()
 
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A checked request as a front hands it in. Times are ms on `clock.now_ms`."""
+    """A valid request as a frontend hands it in. Times are milliseconds on `clock.now_ms`."""
 
     class_index: int
     tenant: int
     key: int  # 0: none
-    deadline: (
-        float  # the last moment for an answer to set out; infinite while the request is not whole
-    )
-    payload: Any  # what the carrier needs to carry it out
-    expected_work_ms: float = 0.0  # the client's guess at the work in ms, 0: none
-    is_client_retry: bool = False  # marked as the client's retry
-    max_fallbacks: int = 0  # how many servers beside the first the carrier can turn to by itself
-    possibly_executed: bool = (
-        False  # earlier attempts, of which this node knows nothing, may have run
-    )
-    reachable_endpoints: frozenset[int] | None = None  # the only servers that the carrier can reach
-    request_name: bytes = b""  # its Request-Id, for people
-    complete: bool = True  # else `Join.whole` follows
-    response_window_ms: float = 0.0  # ms from then on in which an answer may set out
+    deadline: float  # when a response must go out at the latest; infinite while incomplete
+    payload: Any  # what the transport needs to carry out attempts
+    expected_work_ms: float = 0.0  # the client's estimate, 0: none
+    is_client_retry: bool = False  # marked so by the client
+    max_fallbacks: int = 0  # endpoints beside the first that the transport can go on to by itself
+    possibly_executed: bool = False  # by earlier attempts that this node knows nothing of
+    reachable_endpoints: frozenset[int] | None = None  # of the transport; None: all
+    request_name: bytes = b""  # its Request-Id header, for people
+    complete: bool = True  # else `RequestPipeline.request_completed` follows
+    response_window_ms: float = 0.0  # time for a response, from when the request is complete
--- a/badgercart/core/request_pipeline.py
+++ b/badgercart/core/request_pipeline.py
@@ -1,315 +1,150 @@
-"""The join: turns what fronts, carriers and membership tell into events, and actions into what is
-done.
+"""The way of a request between frontends, the policy and the upstream transports.
 
-It decides nothing. Actions are carried out in the order in which the module gives them; events that
-arise meanwhile wait for their turn.
+Whatever happens to a request or an attempt is reported here, becomes an event for the policy, and
+the policy's actions are carried out. Nothing is decided here.
 """
 
 from __future__ import annotations
 
 import math
-from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any, cast
+from typing import cast
 
-from badgercart.core.clock import MARGIN, now_ms
-from badgercart.core.log_events import POLICY_FAILED, POLICY_SAID
+from badgercart.core.action_executor import ActionExecutor
+from badgercart.core.clock import RESPONSE_MARGIN_MS, now_ms
+from badgercart.core.in_flight import InFlightRequests
+from badgercart.core.policy_driver import PolicyDriver
 from badgercart.core.ports import (
-    Answer,
-    AttemptObserver,
-    AttemptRequest,
     Frontend,
     IncomingRequest,
-    RequestObserver,
     RequestOutcome,
+    Response,
     StreamingFrontend,
     Timers,
     UpstreamTransport,
 )
-from badgercart.core.streams import Opening, Sink
+from badgercart.core.streams import ResponseHead, ResponseSink
 from badgercart.policy import Policy
-from badgercart.policy.actions import (
-    Action,
-    CancelAttempt,
-    Fail,
-    Log,
-    Send,
-    SetTimer,
-    Shed,
-    Subscribe,
-)
 from badgercart.policy.events import (
     AttemptEnded,
     AttemptRerouted,
     AttemptResult,
-    ClusterView,
     DeadlineExceeded,
-    EndpointUpdate,
     Event,
-    HealthCheckResult,
-    PeerMessage,
     Request,
     RequestCancelled,
     RequestCompleted,
     ResponseStarted,
     RetryDecisionDue,
-    SettingsChanged,
     TimerFired,
-    TrafficPlan,
 )
 from badgercart.policy.settings import Settings
 
-# What operators read in `policy.failed` as the kind of the event that it was.
-KINDS: dict[type[Event], str] = {
-    EndpointUpdate: "ServerList",
-    Request: "Request",
-    RequestCompleted: "Whole",
-    ResponseStarted: "Began",
-    AttemptEnded: "Outcome",
-    AttemptRerouted: "Diverted",
-    RetryDecisionDue: "Resume",
-    HealthCheckResult: "ProbeResult",
-    TimerFired: "Timer",
-    PeerMessage: "PeerMessage",
-    RequestCancelled: "Withdrawn",
-    SettingsChanged: "Retuned",
-    ClusterView: "Company",
-    TrafficPlan: "Planned",
-    DeadlineExceeded: "Overdue",
-}
-
-# Told of each event and of what was decided by it, before that is done; None: the policy raised.
-DecisionLog = Callable[[float, Event, list[Action] | None], None]
-
-
-@dataclass(slots=True)
-class InFlightRequest:
-    """A request that is owed its final answer."""
-
-    frontend: Frontend
-    transport: UpstreamTransport
-    request: IncomingRequest
-    accepted_ms: float  # ms on the join's clock; 0: before anybody watched
-    attempts: int = 0
+TOO_MANY_REQUESTS = 429
 
 
 class RequestPipeline:
-    """All requests that are held and all attempts that are out, over every front and carrier."""
+    """The ports of the core: what frontends, transports and other subsystems call.
+
+    Its parts own the state: `in_flight` the requests and attempts, `driver` the queue of events,
+    `executor` the handlers of actions, `policy` every decision.
+    """
 
     def __init__(
         self, settings: Settings, seed: int, timers: Timers, clock: Callable[[], float] = now_ms
     ) -> None:
+        """Set up a pipeline with no request in flight.
+
+        Args:
+            settings: the policy's settings.
+            seed: of the policy's random draws.
+            timers: what calls back later, in seconds.
+            clock: milliseconds on a monotonic clock.
+        """
         self.timers = timers
         self.clock = clock
         self.policy = Policy(settings, seed)
-        self.in_flight: dict[int, InFlightRequest] = {}
-        self.open_attempts: dict[
-            tuple[int, int], UpstreamTransport
-        ] = {}  # attempts, also of requests that are over
-        self.last_id = 0
-        self.cancelled: dict[
-            int, InFlightRequest
-        ] = {}  # withdrawn, and the policy has yet to hear of it
-        self.events: deque[Event] = deque()
-        self.handling = False
-        self.failed_event: Event | None = None  # the last that the policy broke over
-        self.shutdown_deadline = math.inf  # ms, after which no answer goes out
-        self.observers: tuple[RequestObserver, ...] = ()
-        self.attempt_observers: tuple[AttemptObserver, ...] = ()
-        self.decision_log: DecisionLog | None = None
-        self.perform: dict[type[Action], Callable[[Any], None]] = {
-            Send: self.send,
-            Shed: self.shed,
-            Fail: self.fail,
-            CancelAttempt: self.cancel,
-            SetTimer: self.set_timer,
-            Log: self.log,
-            Subscribe: self.subscribe,
-        }
-
-    # Events in, actions out.
-
-    def dispatch(self, event: Event) -> None:
-        """Give the policy an event, after those that wait already."""
-        self.events.append(event)
-        self.process_events()
-
-    def process_events(self) -> None:
-        """Have the policy handle what waits, unless it is at it."""
-        if self.handling:
-            return
-        self.handling = True
-        try:
-            while self.events:
-                event = self.events.popleft()
-                now, decided = self.clock(), False
-                if isinstance(event, RequestCancelled):
-                    self.cancelled.pop(event.id, None)
-                try:
-                    actions = self.policy.handle(now, event)
-                    decided = True
-                    if self.decision_log is not None:
-                        self.decision_log(now, event, actions)
-                    for action in actions:
-                        self.perform[type(action)](action)
-                except Exception:
-                    if self.decision_log is not None and not decided:
-                        self.decision_log(now, event, None)
-                    self.failed_event = event
-                    # One request must not take the node down with it; it still is owed an answer.
-                    POLICY_FAILED(True, kind=KINDS[type(event)], request=getattr(event, "id", 0))
-                    if isinstance(
-                        event, Request | AttemptEnded | AttemptRerouted | RetryDecisionDue
-                    ):
-                        self.give_up(event.id)
-                    elif isinstance(event, TimerFired):
-                        self.give_up(event.token)
-        finally:
-            self.handling = False
-
-    def send(self, action: Send) -> None:
-        held = self.in_flight.get(action.id) or self.cancelled[action.id]
-        number, held.attempts = held.attempts, held.attempts + 1
-        limit = (
-            held.request.deadline - self.clock()
-            if held.request.complete
-            else held.request.response_window_ms
-        )
-        if action.timeout_ms:
-            limit = min(limit, action.timeout_ms)
-        self.open_attempts[action.id, number] = held.transport
-        if action.id in self.cancelled:  # its client left while this was being decided
-            self.attempt_ended(action.id, number, action.endpoint_id, AttemptResult.NOT_SENT, 0.0)
-            return
-        for watcher in self.attempt_observers:
-            watcher.attempt_sent(action.endpoint_id)
-        work = held.request.payload
-        held.transport.send(
-            AttemptRequest(action.id, number, action.endpoint_id, limit, work, action.fallbacks)
+        self.in_flight = InFlightRequests(clock)
+        self.executor = ActionExecutor(
+            self.in_flight, timers, clock, self.dispatch, self.attempt_ended
         )
-
-    def shed(self, action: Shed) -> None:
-        if (held := self.in_flight.pop(action.id, None)) is not None:
-            self.notify_completed(action.id, held, RequestOutcome.SHED)
-            self.abandon_attempts(action.id, held)
-            held.frontend.on_shed(action.retry_after_ms)
-
-    def fail(self, action: Fail) -> None:
-        self.end(action.id, broken=False)
-
-    def end(self, request_id: int, broken: bool) -> None:
-        if (held := self.in_flight.pop(request_id, None)) is not None:
-            self.notify_completed(request_id, held, RequestOutcome.FAILED)
-            self.abandon_attempts(request_id, held)
-            held.frontend.on_failure(broken)
-
-    def give_up(self, request_id: int) -> None:
-        """The policy broke over it: it has its answer, and the policy is to forget it."""
-        if request_id in self.in_flight:
-            self.end(request_id, broken=True)
-            self.events.append(RequestCancelled(request_id))
-
-    def abandon_attempts(self, request_id: int, held: InFlightRequest) -> None:
-        """A request is over: what has not gone out for it by now never does, whether or not work
-        may be cancelled."""
-        for number in range(held.attempts):
-            if (carrier := self.open_attempts.get((request_id, number))) is not None:
-                carrier.abandon_attempt(request_id, number)
-
-    def notify_completed(
-        self, request_id: int, held: InFlightRequest, final: RequestOutcome, server: int = 0
-    ) -> None:
-        took = self.clock() - held.accepted_ms if held.accepted_ms else 0.0
-        for observer in self.observers:
-            observer.request_finished(request_id, held.request, final, took, server, held.attempts)
-
-    def cancel(self, action: CancelAttempt) -> None:
-        if (carrier := self.open_attempts.get((action.id, action.attempt))) is not None:
-            carrier.cancel(action.id, action.attempt)
-
-    def set_timer(self, action: SetTimer) -> None:
-        # Rounded up: a timer that rings early finds nothing due and would be set again at once.
-        self.timers.call_later(
-            math.ceil(action.delay_ms) / 1000, self.dispatch, TimerFired(action.token)
+        self.driver = PolicyDriver(
+            self.policy,
+            clock,
+            self.executor.handlers,
+            before_cancellation=self._forget_cancelled,
+            recover=self._recover,
         )
+        self.shutdown_deadline = math.inf  # ms; no response goes out after it
 
-    def log(self, action: Log) -> None:
-        POLICY_SAID(text=action.text)
-
-    def subscribe(self, action: Subscribe) -> None:
-        """Nothing to do: membership follows the list from its start."""
+    def dispatch(self, event: Event) -> None:
+        """Give the policy an event, after those that wait already."""
+        self.driver.dispatch(event)
 
-    # From fronts.
+    # Called by frontends.
 
     def next_request_id(self) -> int:
-        """A number for a request that is about to be taken."""
-        self.last_id += 1
-        return self.last_id
-
-    def begin_shutdown(self, by: float) -> None:
-        """The process ends then (ms): what comes has no more time, and what is held is ended ahead
-        of it."""
-        self.shutdown_deadline = by - MARGIN
-        self.timers.call_later(
-            max(self.shutdown_deadline - self.clock(), 0.0) / 1000, self.end_all_requests
-        )
-
-    def end_all_requests(self) -> None:
-        """End all that is held: refused where it can't have run, else failed."""
-        for request_id, held in list(self.in_flight.items()):
-            self.abandon_attempts(request_id, held)  # what was not written is known not to have run
-            if request_id in self.in_flight:
-                self.dispatch(DeadlineExceeded(request_id))
-                self.end(request_id, broken=False)  # where the policy did not know it
+        """Return an id for a request that is about to be accepted."""
+        return self.in_flight.next_id()
 
     def accept(
-        self, request_id: int, intake: IncomingRequest, front: Frontend, carrier: UpstreamTransport
+        self,
+        request_id: int,
+        request: IncomingRequest,
+        frontend: Frontend,
+        transport: UpstreamTransport,
     ) -> None:
-        """Take on a request. The front may be told its answer before this returns."""
-        if intake.complete:
-            intake.deadline = min(intake.deadline, self.shutdown_deadline)
-        self.in_flight[request_id] = InFlightRequest(
-            front, carrier, intake, self.clock() if self.observers else 0.0
-        )
+        """Take on a request. The frontend may be told its response before this returns."""
+        if request.complete:
+            request.deadline = min(request.deadline, self.shutdown_deadline)
+        self.in_flight.add(request_id, request, frontend, transport)
         event = Request(
             id=request_id,
-            class_index=intake.class_index,
-            deadline=intake.deadline,
-            key=intake.key,
-            tenant=intake.tenant,
-            expected_work_ms=intake.expected_work_ms,
-            is_client_retry=intake.is_client_retry,
-            max_fallbacks=intake.max_fallbacks,
-            possibly_executed=intake.possibly_executed,
-            reachable_endpoints=intake.reachable_endpoints,
-            complete=intake.complete,
+            class_index=request.class_index,
+            deadline=request.deadline,
+            key=request.key,
+            tenant=request.tenant,
+            expected_work_ms=request.expected_work_ms,
+            is_client_retry=request.is_client_retry,
+            max_fallbacks=request.max_fallbacks,
+            possibly_executed=request.possibly_executed,
+            reachable_endpoints=request.reachable_endpoints,
+            complete=request.complete,
         )
-        self.dispatch(event)
+        self.driver.dispatch(event)
 
-    def request_completed(self, request_id: int, due: float) -> None:
-        """A request that was taken on before has come in whole."""
-        if (held := self.in_flight.get(request_id)) is not None:
-            held.request.complete, held.request.deadline = True, min(due, self.shutdown_deadline)
-            self.dispatch(RequestCompleted(request_id, held.request.deadline))
+    def request_completed(self, request_id: int, deadline: float) -> None:
+        """Report that the rest of a request that was accepted incomplete has been received."""
+        in_flight = self.in_flight.requests.get(request_id)
+        if in_flight is None:
+            return
+        request = in_flight.request
+        request.complete = True
+        request.deadline = min(deadline, self.shutdown_deadline)
+        self.driver.dispatch(RequestCompleted(request_id, request.deadline))
 
     def cancel_request(self, request_id: int) -> None:
-        """The client has gone away: nothing is owed any more."""
-        if (held := self.in_flight.pop(request_id, None)) is not None:
-            self.notify_completed(request_id, held, RequestOutcome.CANCELLED)
-            if self.handling:
-                self.cancelled[request_id] = held
-            self.abandon_attempts(request_id, held)
-            self.dispatch(RequestCancelled(request_id))
+        """Report that the client has gone: no response is owed any more."""
+        in_flight = self.in_flight.complete(request_id, RequestOutcome.CANCELLED)
+        if in_flight is None:
+            return
+        if self.driver.running:
+            self.in_flight.cancelled[request_id] = in_flight
+        self.in_flight.abandon_attempts(request_id, in_flight)
+        self.driver.dispatch(RequestCancelled(request_id))
 
-    # From carriers.
+    # Called by transports.
 
     def is_awaited(self, request_id: int) -> bool:
-        """Whether a request still waits, asked before an attempt for it is written. Its client may
-        have left with that unread: who has is withdrawn here."""
-        if (held := self.in_flight.get(request_id)) is None:
+        """Return whether a client still waits for a request.
+
+        Asked before an attempt is written. A client that has left without this having been read
+        yet is found out here, and its request is cancelled.
+        """
+        in_flight = self.in_flight.requests.get(request_id)
+        if in_flight is None:
             return False
-        if held.frontend.client_is_gone():
+        if in_flight.frontend.client_is_gone():
             self.cancel_request(request_id)
             return False
         return True
@@ -317,89 +152,150 @@
     def attempt_ended(
         self,
         request_id: int,
-        number: int,
-        server_id: int,
+        attempt: int,
+        endpoint_id: int,
         result: AttemptResult,
-        elapsed: float,
-        answer: Answer | None = None,
+        elapsed_ms: float,
+        response: Response | None = None,
         parked: bool = False,
-        spent: bool = False,
+        body_consumed: bool = False,
     ) -> None:
-        """An attempt has ended, `elapsed` ms after it was sent. Told twice, it counts once.
-
-        Where it is parked, the policy learns from it and decides nothing until `resume`."""
-        if self.open_attempts.pop((request_id, number), None) is None:
+        """Report the end of an attempt; a second report of the same attempt has no effect.
+
+        Args:
+            request_id: the request's id.
+            attempt: the attempt's number.
+            endpoint_id: the endpoint that the attempt went to.
+            result: how the attempt ended.
+            elapsed_ms: time since the attempt was sent.
+            response: the endpoint's response, where one was received whole.
+            parked: the policy learns from the attempt but decides nothing until
+                `retry_decision_due`.
+            body_consumed: the request's body was read and can't be sent again.
+        """
+        if self.in_flight.attempts.pop((request_id, attempt), None) is None:
             return
-        for watcher in self.attempt_observers:
-            watcher.attempt_ended(server_id, result, elapsed)
-        final = result is AttemptResult.OK
-        if answer is not None and 400 <= answer.status < 500 and answer.status != 429:
-            # The request is at fault, wherever it goes: it must neither go round the servers nor
-            # count against them, or one bad client would have them all taken for broken. 429 would
-            # be a refusal.
-            final, result = True, AttemptResult.CANCELLED
-        if final and answer is not None and (held := self.in_flight.pop(request_id, None)):
-            if self.observers:
-                self.notify_completed(
-                    request_id,
-                    held,
-                    RequestOutcome.SERVED if answer.status < 400 else RequestOutcome.CLIENT_ERROR,
-                    server_id,
-                )
-        else:
-            held = None
-        over = request_id not in self.in_flight
-        told = AttemptEnded(
-            request_id, server_id, over, result, number, elapsed, parked=parked, body_consumed=spent
+        for observer in self.in_flight.attempt_observers:
+            observer.attempt_ended(endpoint_id, result, elapsed_ms)
+        is_final = result is AttemptResult.OK
+        if response is not None and is_client_error(response.status):
+            # Every endpoint would respond so. Retries would have one bad client go round all
+            # endpoints and have each of them counted as failing.
+            is_final, result = True, AttemptResult.CANCELLED
+        answered = None
+        if is_final and response is not None:
+            answered = self.in_flight.complete(request_id, outcome_of(response), endpoint_id)
+        completed = request_id not in self.in_flight.requests
+        event = AttemptEnded(
+            request_id,
+            endpoint_id,
+            completed,
+            result,
+            attempt,
+            elapsed_ms,
+            parked=parked,
+            body_consumed=body_consumed,
         )
-        # Before the answer, which may bring the client's next request: to that, the attempt must
-        # not be out.
-        self.events.append(told)
-        if held is not None and answer is not None:
-            held.frontend.on_answer(answer)
-        self.process_events()
+        # Queued before the response goes out, which may bring the client's next request: the policy
+        # must not count this attempt as open when it handles that one.
+        self.driver.queue.append(event)
+        if answered is not None and response is not None:
+            answered.frontend.on_response(response)
+        self.driver.run()
 
     def response_started(
-        self, request_id: int, number: int, server_id: int, elapsed: float, opening: Opening
-    ) -> Sink | None:
-        """An attempt's answer begins: where it goes, as it comes; None where nobody waits for it
-        any more.
-
-        It is the request's final answer. The attempt ends by `ended`, as any other."""
-        if (request_id, number) not in self.open_attempts or (
-            held := self.in_flight.pop(request_id, None)
-        ) is None:
+        self,
+        request_id: int,
+        attempt: int,
+        endpoint_id: int,
+        elapsed_ms: float,
+        head: ResponseHead,
+    ) -> ResponseSink | None:
+        """Report that the response to an attempt begins to be streamed.
+
+        It is the request's final response; the attempt's end is reported by `attempt_ended`, as any
+        other. Returns where the body goes, None where nobody waits for it any more.
+        """
+        if (request_id, attempt) not in self.in_flight.attempts:
+            return None
+        in_flight = self.in_flight.complete(request_id, RequestOutcome.SERVED, endpoint_id)
+        if in_flight is None:
             return None
-        if self.observers:
-            self.notify_completed(request_id, held, RequestOutcome.SERVED, server_id)
-        sink = cast(StreamingFrontend, held.frontend).on_response_started(opening)
-        self.dispatch(ResponseStarted(request_id, number, server_id, elapsed))
+        sink = cast(StreamingFrontend, in_flight.frontend).on_response_started(head)
+        self.driver.dispatch(ResponseStarted(request_id, attempt, endpoint_id, elapsed_ms))
         return sink
 
     def attempt_rerouted(
         self,
         request_id: int,
-        number: int,
-        server_id: int,
+        attempt: int,
+        endpoint_id: int,
         result: AttemptResult,
-        elapsed: float,
-        to: int,
+        elapsed_ms: float,
+        next_endpoint_id: int,
     ) -> None:
-        """An attempt has ended, and its carrier went on to another server by itself."""
-        carrier, held = (
-            self.open_attempts.pop((request_id, number), None),
-            self.in_flight.get(request_id),
-        )
-        if carrier is None or held is None:
+        """Report that an attempt ended and its transport went on to another endpoint by itself."""
+        transport = self.in_flight.attempts.pop((request_id, attempt), None)
+        in_flight = self.in_flight.requests.get(request_id)
+        if transport is None or in_flight is None:
             return
-        for watcher in self.attempt_observers:
-            watcher.attempt_ended(server_id, result, elapsed)
-            watcher.attempt_sent(to)
-        self.open_attempts[request_id, held.attempts] = carrier
-        held.attempts += 1
-        self.dispatch(AttemptRerouted(request_id, number, server_id, result, elapsed, to))
-
-    def retry_decision_due(self, request_id: int, resend: bool) -> None:
-        """Have the policy decide on a request whose last end was parked."""
-        if request_id in self.in_flight:
-            self.dispatch(RetryDecisionDue(request_id, resend))
+        for observer in self.in_flight.attempt_observers:
+            observer.attempt_ended(endpoint_id, result, elapsed_ms)
+            observer.attempt_sent(next_endpoint_id)
+        self.in_flight.begin_attempt(request_id, in_flight)
+        self.driver.dispatch(
+            AttemptRerouted(request_id, attempt, endpoint_id, result, elapsed_ms, next_endpoint_id)
+        )
+
+    def retry_decision_due(self, request_id: int, may_retry: bool) -> None:
+        """Have the policy decide on a request whose last attempt was reported as parked."""
+        if request_id in self.in_flight.requests:
+            self.driver.dispatch(RetryDecisionDue(request_id, may_retry))
+
+    # Shutdown and recovery.
+
+    def begin_shutdown(self, deadline: float) -> None:
+        """Have every request answered before the process ends.
+
+        `deadline` is when it ends (ms). No later deadline counts, and what is still in flight ahead
+        of it is ended.
+        """
+        self.shutdown_deadline = deadline - RESPONSE_MARGIN_MS
+        left_ms = max(self.shutdown_deadline - self.clock(), 0.0)
+        self.timers.call_later(left_ms / 1000, self.end_all_requests)
+
+    def end_all_requests(self) -> None:
+        """End every request: shed it where it can't have been executed, else fail it."""
+        for request_id, in_flight in list(self.in_flight.requests.items()):
+            self.in_flight.abandon_attempts(request_id, in_flight)
+            if request_id in self.in_flight.requests:
+                self.driver.dispatch(DeadlineExceeded(request_id))
+                # Where the policy did not know the request, it is still in flight.
+                self.executor.fail_request(request_id, internal_error=False)
+
+    def _forget_cancelled(self, request_id: int) -> None:
+        self.in_flight.cancelled.pop(request_id, None)
+
+    def _recover(self, event: Event) -> None:
+        """Fail the request of an event that the policy raised on, and have the policy forget it."""
+        request_id = affected_request(event)
+        if request_id in self.in_flight.requests:
+            self.executor.fail_request(request_id, internal_error=True)
+            self.driver.queue.append(RequestCancelled(request_id))
+
+
+def is_client_error(status: int) -> bool:
+    """Return whether a response blames the request. 429 does not: it sheds the request."""
+    return 400 <= status < 500 and status != TOO_MANY_REQUESTS
+
+
+def outcome_of(response: Response) -> RequestOutcome:
+    """Return how a request ends whose final response is this one."""
+    return RequestOutcome.SERVED if response.status < 400 else RequestOutcome.CLIENT_ERROR
+
+
+def affected_request(event: Event) -> int:
+    """Return the id of the request that an event may leave without a response; 0 for none."""
+    if isinstance(event, Request | AttemptEnded | AttemptRerouted | RetryDecisionDue):
+        return event.id
+    return event.token if isinstance(event, TimerFired) else 0
--- a/badgercart/core/results.py
+++ b/badgercart/core/results.py
@@ -1,4 +1,4 @@
-"""What a server's whole answer says of its attempt.
+"""What an endpoint's response says of its attempt.
 
 Source: the protocol's page, section "Nodes to servers".
 """
@@ -8,8 +8,9 @@
 from badgercart.policy.events import AttemptResult
 
 
-def result_of(status: int, not_started: bool) -> AttemptResult:
-    """The outcome by status and the header Not-Started, whoever carried the attempt out."""
+def classify_response(status: int, not_started: bool) -> AttemptResult:
+    """Return the result of an attempt by its response's status and its header Not-Started."""
     if status == 200:
         return AttemptResult.OK
-    return AttemptResult.FULL if status in (503, 504) and not_started else AttemptResult.ERROR
+    shed = status in (503, 504) and not_started
+    return AttemptResult.FULL if shed else AttemptResult.ERROR
--- a/badgercart/core/streams.py
+++ b/badgercart/core/streams.py
@@ -1,8 +1,7 @@
-"""What passes through as it comes: a request's body on its way in, an answer on its way out. No
-I/O.
+"""Bodies that are streamed: a request's on its way in, a response's on its way out. No I/O.
 
-Whoever has bytes asks whether there is room for more; whoever makes room says so. Neither waits for
-the other.
+Flow control is by callbacks: a writer asks whether there is capacity for more, and is called back
+when there is again. Neither side waits for the other.
 """
 
 from __future__ import annotations
@@ -14,86 +13,94 @@
 
 
 @dataclass(slots=True)
-class Opening:
-    """The head of an answer that goes on as it comes."""
+class ResponseHead:
+    """The head of a response whose body is streamed."""
 
     status: int
     content_type: bytes
-    length: int | None  # of its body; None: it ends where it ends
+    length: int | None  # bytes of the body; None: it ends where the stream ends
 
 
-class Sink(Protocol):
-    """Where such an answer goes. After `done` or `broken` nothing more is told."""
+class ResponseSink(Protocol):
+    """Where a streamed body goes. Nothing is written after `finish` or `abort`."""
 
-    def part(self, data: bytes) -> bool:
-        """Bytes of the body; whether there is room for more, else `on_room` is called when there
-        is."""
+    def write(self, data: bytes) -> bool:
+        """Pass on a part of the body, and return whether there is capacity for more.
 
-    def done(self) -> None:
-        """That was all of it."""
+        Where there is none, the `on_capacity` of `subscribe` is called once there is.
+        """
 
-    def broken(self) -> None:
-        """There is no more, and it is not whole: its reader must be able to tell."""
+    def finish(self) -> None:
+        """End the body: it is whole."""
+
+    def abort(self) -> None:
+        """End the body short, in a way that its reader can tell."""
+
+    def subscribe(self, on_capacity: Callable[[], None], on_abort: Callable[[], None]) -> None:
+        """Set what is called when there is capacity again, and when the reader has gone."""
 
-    def watch(self, on_room: Callable[[], None], on_lost: Callable[[], None]) -> None:
-        """Whom to tell that there is room again, and that the reader has gone away."""
 
+def ignore() -> None:
+    """Do nothing: the callback of a stream that nobody listens to."""
 
-def nothing() -> None:
-    """Nobody listens."""
 
+class StreamedBody:
+    """The body of a request that is passed on while it is received. It can be read once."""
 
-class Upload:
-    """The body of a request that goes on as it comes. It can be read once."""
+    def __init__(self, length: int | None, window_bytes: Callable[[], int]) -> None:
+        """Set up an empty stream.
 
-    def __init__(self, length: int | None, window: Callable[[], int]) -> None:
-        """`length` of the whole body, None where it comes in chunks; `window`: bytes that may wait
-        here."""
+        Args:
+            length: bytes of the whole body, None where it comes in chunks.
+            window_bytes: returns how many bytes may wait to be read at present.
+        """
         self.length = length
-        self.window = window
-        self.parts: deque[bytes] = deque()
-        self.size = 0  # bytes that wait
-        self.spent = False  # some have been read: there is no second reading
-        self.whole = False  # all has come in
-        self.on_data: Callable[[], None] = nothing
-        self.on_room: Callable[[], None] = nothing
-        self.on_lost: Callable[[], None] = nothing
+        self.window_bytes = window_bytes
+        self.chunks: deque[bytes] = deque()
+        self.waiting_bytes = 0
+        self.consumed = False  # some of it was read: it can't be sent again
+        self.complete = False  # all of it was received
+        self.on_data: Callable[[], None] = ignore
+        self.on_capacity: Callable[[], None] = ignore
+        self.on_abort: Callable[[], None] = ignore
 
-    # Whoever brings it.
+    # Called by the frontend.
 
     def feed(self, data: bytes) -> bool:
-        """More of the body; whether there is room for still more."""
-        self.parts.append(data)
-        self.size += len(data)
+        """Add a part of the body, and return whether there is capacity for more."""
+        self.chunks.append(data)
+        self.waiting_bytes += len(data)
         self.on_data()
         return not self.full
 
     @property
     def full(self) -> bool:
-        return self.size >= self.window()
+        """Whether as much waits to be read as may."""
+        return self.waiting_bytes >= self.window_bytes()
 
     def finish(self) -> None:
-        self.whole = True
+        """Mark the body as received whole."""
+        self.complete = True
         self.on_data()
 
-    def abandon(self) -> None:
-        """The rest of it never comes."""
-        self.on_lost()
+    def abort(self) -> None:
+        """Report that the rest of the body never comes."""
+        self.on_abort()
 
-    # Whoever takes it on.
+    # Called by the transport.
 
     def read(self) -> bytes:
-        """All that waits; empty where nothing does."""
-        if not self.parts:
+        """Return all that waits; empty where nothing does."""
+        if not self.chunks:
             return b""
-        self.spent = True
-        data = b"".join(self.parts) if len(self.parts) > 1 else self.parts[0]
-        self.parts.clear()
-        self.size = 0
-        self.on_room()
+        self.consumed = True
+        data = b"".join(self.chunks) if len(self.chunks) > 1 else self.chunks[0]
+        self.chunks.clear()
+        self.waiting_bytes = 0
+        self.on_capacity()
         return data
 
     @property
-    def ended(self) -> bool:
+    def exhausted(self) -> bool:
         """Whether nothing is left to read, now or later."""
-        return self.whole and not self.parts
+        return self.complete and not self.chunks
--- a/badgercart/discovery/__init__.py
+++ b/badgercart/discovery/__init__.py
@@ -1,2 +1,1 @@
-"""Where the server list comes from: `entries` reads its lines, `catalog` follows the platform's
-service."""
+"""Endpoint discovery: the platform's catalog, endpoints listed in the settings file, and etcd."""
--- a/badgercart/discovery/component.py
+++ b/badgercart/discovery/component.py
@@ -1,5 +1,4 @@
-"""The server list as parts of an installation: the platform's catalog, and servers written in the
-file."""
+"""Discovery as components: the platform's catalog, and servers that the settings file lists."""
 
 from __future__ import annotations
 
@@ -13,10 +12,10 @@
 from badgercart.app.faults import Path
 from badgercart.app.model import Address, Listed, Name, Table
 from badgercart.config import Address as Pair
-from badgercart.discovery.catalog import Discovery
+from badgercart.discovery.catalog import CatalogClient
 
 
-class Server(Table, title="Server"):
+class Server(Table):
     """a server that is listed here, for trials and small installations"""
 
     name: Name = Field(description="its instance id")
@@ -27,7 +26,7 @@
     weight: float = Field(1.0, ge=0, le=1e6, description="its size beside the others")
 
     def line(self) -> dict[str, Any]:
-        """As a line of the platform's list."""
+        """Return the server as the platform's catalog words it."""
         return {
             "instanceId": self.name,
             "hostPort": f"{self.address[0]}:{self.address[1]}",
@@ -44,30 +43,36 @@
     """Follows the platform's catalog; SIGHUP moves it to another address."""
 
     def __init__(self, host: ComponentHost, address: Pair) -> None:
-        self.discovery = Discovery(
+        """Set up a client of the catalog at this address."""
+        self.client = CatalogClient(
             address, host.endpoint_table.accept, random.Random(host.config.seed), host.config.source
         )
 
     async def start(self) -> None:
-        self.discovery.start()
+        """Begin to call the catalog."""
+        self.client.start()
 
     def prepare(self, settings: Pair) -> Callable[[], None]:
-        return lambda: self.discovery.move(settings)
+        """Return what moves to another address."""
+        return lambda: self.client.move(settings)
 
     async def drain(self, until: float) -> None:
-        """The list is followed to the end: what is held may still be sent again."""
+        """Go on: requests in flight may still be sent again."""
 
     def close(self) -> None:
-        self.discovery.close()
+        """End all calls."""
+        self.client.close()
 
 
 class ListedComponent:
     """Servers as the file lists them; SIGHUP takes them anew."""
 
     def __init__(self, host: ComponentHost, servers: tuple[Server, ...]) -> None:
+        """Set up a list that is not in force yet."""
         self.host, self.servers, self.version = host, servers, 0
 
-    def take(self, servers: tuple[Server, ...]) -> None:
+    def accept(self, servers: tuple[Server, ...]) -> None:
+        """Put other servers in force."""
         self.servers, self.version = servers, self.version + 1
         lines = [server.line() for server in servers]
         self.host.endpoint_table.accept(
@@ -75,19 +80,22 @@
         )
 
     async def start(self) -> None:
-        self.take(self.servers)
+        """Put the servers in force."""
+        self.accept(self.servers)
 
     def prepare(self, settings: tuple[Server, ...]) -> Callable[[], None]:
-        return lambda: self.take(settings)
+        """Return what puts other servers in force."""
+        return lambda: self.accept(settings)
 
     async def drain(self, until: float) -> None:
-        """Nothing is held here."""
+        """Do nothing: no request is held here."""
 
     def close(self) -> None:
-        """Nor open."""
+        """Do nothing: nothing is open here."""
 
 
 def check_servers(servers: tuple[Server, ...], file: Checked) -> Iterator[tuple[Path, str]]:
+    """Yield where in the settings a server can't be used, and why."""
     seen: set[str] = set()
     for at, server in enumerate(servers):
         for key, value, known in (
--- a/badgercart/discovery/etcd/client.py
+++ b/badgercart/discovery/etcd/client.py
@@ -18,21 +18,25 @@
 from badgercart.discovery.etcd import follower as machine
 from badgercart.discovery.etcd import log_events as events
 from badgercart.discovery.etcd.settings import EtcdSettings
-from badgercart.discovery.freshness import Freshness, Rule, State
+from badgercart.discovery.freshness import Freshness, FreshnessRule, FreshnessState
 from badgercart.discovery.log_events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
 
-SAVE_EVERY = 5.0  # s between writes of the known file
+SAVE_INTERVAL_S = 5.0  # s between writes of the known file
 DELETE = kv_pb2.Event.DELETE
-MAX_MESSAGE = 64 << 20  # bytes of one answer
+MAX_MESSAGE_BYTES = 64 << 20  # bytes of one answer
 # A network that goes silent under a connection is noticed within these times even where nothing is
 # asked.
 KEEPALIVE = (("grpc.keepalive_time_ms", 2000), ("grpc.keepalive_timeout_ms", 1000))
 
 
-AGED = {State.FRESH: LIST_FRESH, State.DOUBTFUL: LIST_DOUBTFUL, State.STALE: LIST_STALE}
+FRESHNESS_EVENTS = {
+    FreshnessState.FRESH: LIST_FRESH,
+    FreshnessState.DOUBTFUL: LIST_DOUBTFUL,
+    FreshnessState.STALE: LIST_STALE,
+}
 
 
-class Ended(Exception):
+class StreamEndedError(Exception):
     """What was open has ended; why, for the follower."""
 
     def __init__(self, failure: machine.Failure, text: str) -> None:
@@ -68,7 +72,7 @@
     target = f"{address[0]}:{address[1]}"
     options = (
         *KEEPALIVE,
-        ("grpc.max_receive_message_length", MAX_MESSAGE),
+        ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
         ("grpc.use_local_subchannel_pool", 1),
         ("grpc.initial_reconnect_backoff_ms", 100),
         ("grpc.max_reconnect_backoff_ms", 1000),
@@ -90,11 +94,11 @@
     return str((await stub.Authenticate(request, timeout=settings.call_ms / 1000)).token)
 
 
-def header_of(header: Any) -> machine.Header:
-    return machine.Header(header.cluster_id, header.revision)
+def header_of(header: Any) -> machine.ResponseHeader:
+    return machine.ResponseHeader(header.cluster_id, header.revision)
 
 
-class EtcdSource:
+class EtcdDiscovery:
     """Keeps a roster's list and its age. `on_list` takes whole lists and changes, `on_state` their
     age."""
 
@@ -103,24 +107,28 @@
         settings: EtcdSettings,
         read: Callable[[dict[str, Any]], DiscoveredEndpoint],
         on_list: Callable[[DiscoveryUpdate], None],
-        on_state: Callable[[State], None],
+        on_state: Callable[[FreshnessState], None],
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
         self.settings = settings
-        self.on_list, self.on_state, self.clock = on_list, on_state, clock
-        self.follower = machine.Follower(settings, read, rng)
-        self.freshness = Freshness(Rule(settings.doubtful_after_ms, settings.stale_after_ms))
-        self.state = State.STALE
-        self.member = rng.randrange(len(settings.endpoints))  # nodes spread over the members
+        self.on_update, self.on_state, self.clock = on_list, on_state, clock
+        self.follower = machine.EtcdFollower(settings, read, rng)
+        self.freshness = Freshness(
+            FreshnessRule(settings.doubtful_after_ms, settings.stale_after_ms)
+        )
+        self.state = FreshnessState.STALE
+        self.endpoint_index = rng.randrange(
+            len(settings.endpoints)
+        )  # nodes spread over the members
         self.task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.saving: asyncio.Task[None] | None = None
-        self.asked = 0.0  # when the question was sent that waits for its answer; 0: none
-        self.heard = 0.0  # when the watch said anything last
+        self.save_task: asyncio.Task[None] | None = None
+        self.asked_ms = 0.0  # when the question was sent that waits for its answer; 0: none
+        self.heard_ms = 0.0  # when the watch said anything last
         self.failing = False
-        self.bytes = 0  # received in lists and changes
-        self.lists = 0  # whole lists fetched
+        self.received_bytes = 0  # received in lists and changes
+        self.snapshots = 0  # whole lists fetched
 
     # Life.
 
@@ -129,7 +137,7 @@
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     def close(self) -> None:
-        for job in (self.task, self.timer, self.saving):
+        for job in (self.task, self.timer, self.save_task):
             if job is not None:
                 job.cancel()
 
@@ -143,11 +151,11 @@
         self.settings = self.follower.settings = settings
         self.follower.prefix = settings.prefix.encode()
         self.follower.guard.share = settings.guard_share
-        self.follower.forget()
-        self.freshness.rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
-        self.look()
+        self.follower.reset()
+        self.freshness.rule = FreshnessRule(settings.doubtful_after_ms, settings.stale_after_ms)
+        self.update_state()
         self.on_state(self.state)  # what follows from the same state may be another thing now
-        self.member = 0
+        self.endpoint_index = 0
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     async def run(self) -> None:
@@ -155,94 +163,96 @@
             delay = 0.0
             try:
                 await self.follow()
-            except Ended as ended:
+            except StreamEndedError as ended:
                 if not self.failing:  # one line for each stretch of failures
                     events.FAILED(endpoint=self.endpoint, error=ended)
                 self.failing = True
-                delay = self.obey_wait(self.follower.failed(ended.failure))
-            except LeaveStream as left:
-                delay = self.wait(left.wait)
+                delay = self.carry_out_retry(self.follower.failed(ended.failure))
+            except RestartRequestedError as left:
+                delay = self.retry_delay(left.wait)
             except Exception:
                 # Whatever it was: a follower that dies of it would leave the node with its list for
                 # ever.
                 events.BROKEN(True)
-                self.follower.forget()
-                delay = self.obey_wait(self.follower.failed(machine.Failure.OTHER))
+                self.follower.reset()
+                delay = self.carry_out_retry(self.follower.failed(machine.Failure.OTHER))
             await asyncio.sleep(delay / 1000)
 
     @property
     def endpoint(self) -> str:
         """The member that is asked."""
-        return "{}:{}".format(*self.settings.endpoints[self.member])
+        return "{}:{}".format(*self.settings.endpoints[self.endpoint_index])
 
-    def obey_wait(self, orders: list[machine.Order]) -> float:
+    def carry_out_retry(self, orders: list[machine.Order]) -> float:
         (order,) = orders
-        assert isinstance(order, machine.Wait)
-        return self.wait(order)
+        assert isinstance(order, machine.RestartAfter)
+        return self.retry_delay(order)
 
-    def wait(self, order: machine.Wait) -> float:
-        if order.next_member:
-            self.member = (self.member + 1) % len(self.settings.endpoints)
-        return order.delay
+    def retry_delay(self, order: machine.RestartAfter) -> float:
+        if order.next_endpoint:
+            self.endpoint_index = (self.endpoint_index + 1) % len(self.settings.endpoints)
+        return order.delay_ms
 
     async def follow(self) -> None:
         """One connection, until it ends."""
         try:
-            channel = open_channel(self.settings, self.settings.endpoints[self.member])
+            channel = open_channel(self.settings, self.settings.endpoints[self.endpoint_index])
         except OSError as error:
-            raise Ended(machine.Failure.DENIED, f"{error.filename}: {error.strerror}") from None
-        self.asked = 0.0
+            raise StreamEndedError(
+                machine.Failure.DENIED, f"{error.filename}: {error.strerror}"
+            ) from None
+        self.asked_ms = 0.0
         try:
             token = await authenticate(self.settings, channel)
             # A member that is cut off from the others must not feed us its past.
             metadata = [("hasleader", "true"), *([("token", token)] if token else [])]
             orders = self.follower.begin()
             while True:
-                following = await self.obey(orders, channel, metadata)
+                following = await self.carry_out(orders, channel, metadata)
                 if following is None:
-                    raise Ended(machine.Failure.OTHER, "nothing more was asked for")
+                    raise StreamEndedError(machine.Failure.OTHER, "nothing more was asked for")
                 orders = following
         except grpc.RpcError as error:
-            raise Ended(
+            raise StreamEndedError(
                 failure_of(error), f"{error.code().name.lower()}: {error.details()}"
             ) from None
         except OSError as error:
-            raise Ended(machine.Failure.DENIED, str(error)) from None
+            raise StreamEndedError(machine.Failure.DENIED, str(error)) from None
         finally:
             await channel.close()
 
-    async def obey(
+    async def carry_out(
         self, orders: list[machine.Order], channel: Any, metadata: list[tuple[str, str]]
     ) -> list[machine.Order] | None:
         following: list[machine.Order] | None = None
         for order in orders:
-            if isinstance(order, machine.List):
-                following = await self.page(order, channel, metadata)
-            elif isinstance(order, machine.Watch):
+            if isinstance(order, machine.RequestPage):
+                following = await self.fetch_page(order, channel, metadata)
+            elif isinstance(order, machine.BeginWatch):
                 await self.watch(order, channel, metadata)
             else:
-                self.obey_now(order)
+                self.carry_out_locally(order)
         return following
 
-    def obey_now(self, order: machine.Order) -> None:
+    def carry_out_locally(self, order: machine.Order) -> None:
         """What needs no call."""
-        if isinstance(order, machine.Deliver):
-            self.on_list(order.told)
+        if isinstance(order, machine.DeliverUpdate):
+            self.on_update(order.update)
             self.save_later()
         elif isinstance(order, machine.Report):
             events.REPORT(text=order.text)
-        elif isinstance(order, machine.Proven):
-            self.proven()
-        elif isinstance(order, machine.Wait):
-            raise LeaveStream(order)
+        elif isinstance(order, machine.RecordProof):
+            self.record_proof()
+        elif isinstance(order, machine.RestartAfter):
+            raise RestartRequestedError(order)
 
     # Calls.
 
-    async def page(
-        self, order: machine.List, channel: Any, metadata: list[tuple[str, str]]
+    async def fetch_page(
+        self, order: machine.RequestPage, channel: Any, metadata: list[tuple[str, str]]
     ) -> list[machine.Order]:
         if not order.revision:
-            self.asked, self.lists = self.clock(), self.lists + 1
+            self.asked_ms, self.snapshots = self.clock(), self.snapshots + 1
         prefix = self.settings.prefix.encode()
         request = rpc_pb2.RangeRequest(
             key=order.start,
@@ -252,13 +262,13 @@
         )
         stub = rpc_pb2_grpc.KVStub(channel)
         answer = await stub.Range(request, metadata=metadata, timeout=self.settings.call_ms / 1000)
-        self.bytes += answer.ByteSize()
-        pairs = [machine.Pair(kv.key, kv.value, kv.mod_revision) for kv in answer.kvs]
-        page = machine.Page(header_of(answer.header), pairs, answer.more)
+        self.received_bytes += answer.ByteSize()
+        pairs = [machine.KeyValue(kv.key, kv.value, kv.mod_revision) for kv in answer.kvs]
+        page = machine.ListResponse(header_of(answer.header), pairs, answer.more)
         return self.follower.page(page, self.clock())
 
     async def watch(
-        self, order: machine.Watch, channel: Any, metadata: list[tuple[str, str]]
+        self, order: machine.BeginWatch, channel: Any, metadata: list[tuple[str, str]]
     ) -> None:
         prefix = self.settings.prefix.encode()
         call = rpc_pb2_grpc.WatchStub(channel).Watch(metadata=metadata)
@@ -274,7 +284,7 @@
         try:
             async with asyncio.timeout(self.settings.call_ms / 1000):
                 await call.write(rpc_pb2.WatchRequest(create_request=create))
-            self.asked = 0.0
+            self.asked_ms = 0.0
             asking = asyncio.ensure_future(self.ask_progress(call))
             while True:
                 reading = next_one = asyncio.ensure_future(call.read())
@@ -283,10 +293,10 @@
                     await asking  # raises what it found
                 answer = await next_one
                 if answer is grpc.aio.EOF:
-                    raise Ended(machine.Failure.UNREACHABLE, "the watch ended")
-                self.told(answer)
+                    raise StreamEndedError(machine.Failure.UNREACHABLE, "the watch ended")
+                self.receive(answer)
         except TimeoutError:
-            raise Ended(machine.Failure.UNREACHABLE, "the watch can't be had") from None
+            raise StreamEndedError(machine.Failure.UNREACHABLE, "the watch can't be had") from None
         finally:
             for task in (asking, reading):
                 if task is not None:
@@ -300,24 +310,24 @@
         # thousands of changes in one response, counts as one: else the watch would be left just as
         # they are read, and left again each time that they are sent anew.
         step = min(self.settings.progress_ms, self.settings.silence_ms / 4)
-        heard, quiet, ask_at = self.heard, 0.0, 0.0
+        heard, quiet, ask_at = self.heard_ms, 0.0, 0.0
         while True:
             if self.clock() >= ask_at:
                 # One that is not answered (etcd passes them over while a watch lags behind) stands:
                 # what is answered later proves the list as of the first of them.
-                self.asked = self.asked or self.clock()
+                self.asked_ms = self.asked_ms or self.clock()
                 await call.write(request)
                 ask_at = self.clock() + self.settings.progress_ms
             await asyncio.sleep(step / 1000)
-            quiet = quiet + step if self.asked and self.heard == heard else 0.0
-            heard = self.heard
+            quiet = quiet + step if self.asked_ms and self.heard_ms == heard else 0.0
+            heard = self.heard_ms
             if quiet >= self.settings.silence_ms:
-                raise Ended(machine.Failure.UNREACHABLE, "the watch is silent")
+                raise StreamEndedError(machine.Failure.UNREACHABLE, "the watch is silent")
 
-    def told(self, answer: Any) -> None:
+    def receive(self, answer: Any) -> None:
         """One watch response."""
-        self.bytes += answer.ByteSize()
-        self.heard = self.clock()
+        self.received_bytes += answer.ByteSize()
+        self.heard_ms = self.clock()
         header = header_of(answer.header)
         plain = not (answer.events or answer.created or answer.canceled or answer.fragment)
         if (
@@ -326,14 +336,14 @@
             orders = self.follower.progress(header)
         else:
             events = [
-                machine.Pair(
+                machine.KeyValue(
                     event.kv.key,
                     None if event.type == DELETE else event.kv.value,
                     event.kv.mod_revision,
                 )
                 for event in answer.events
             ]
-            change = machine.Change(
+            change = machine.WatchResponse(
                 header,
                 events,
                 answer.created,
@@ -344,27 +354,27 @@
             )
             orders = self.follower.change(change, self.clock())
         for order in orders:
-            self.obey_now(order)
+            self.carry_out_locally(order)
 
     # The age of the list.
 
-    def proven(self) -> None:
+    def record_proof(self) -> None:
         """What was asked for last has been answered: the list was whole when it was asked."""
-        if self.asked:
-            self.freshness.proof(self.asked)
-            self.asked = 0.0
+        if self.asked_ms:
+            self.freshness.record_proof(self.asked_ms)
+            self.asked_ms = 0.0
         if self.failing:
             events.ANSWERS(endpoint=self.endpoint)
             self.failing = False
-        self.look()
+        self.update_state()
 
-    def look(self) -> None:
+    def update_state(self) -> None:
         """Say a change of state, and wake up for the next one."""
         now = self.clock()
         state = self.freshness.state(now)
         if state is not self.state:
-            age = f"{self.freshness.age(now) / 1000:.1f}"
-            AGED[state](age=age, was=self.state.value, version=self.follower.revision)
+            age = f"{self.freshness.age_ms(now) / 1000:.1f}"
+            FRESHNESS_EVENTS[state](age=age, was=self.state.value, version=self.follower.revision)
             self.state = state
             self.on_state(state)
         if self.timer is not None:
@@ -373,12 +383,12 @@
         due = self.freshness.next_change(now)
         if due is not None:
             self.timer = asyncio.get_running_loop().call_later(
-                max(0.0, due - now) / 1000 + 0.001, self.look
+                max(0.0, due - now) / 1000 + 0.001, self.update_state
             )
 
     # The list as it was last held, for a start while etcd is away.
 
-    def known(self) -> dict[str, Any] | None:
+    def read_known_file(self) -> dict[str, Any] | None:
         """The known file, or None where there is none that can be used."""
         path = self.settings.known_file
         if path is None:
@@ -393,11 +403,13 @@
             return None
 
     def save_later(self) -> None:
-        if self.settings.known_file is not None and (self.saving is None or self.saving.done()):
-            self.saving = asyncio.ensure_future(self.save())
+        if self.settings.known_file is not None and (
+            self.save_task is None or self.save_task.done()
+        ):
+            self.save_task = asyncio.ensure_future(self.save())
 
     async def save(self) -> None:
-        await asyncio.sleep(SAVE_EVERY)
+        await asyncio.sleep(SAVE_INTERVAL_S)
         lines = [json.loads(value) for value in self.follower.values.values()]
         raw = {"generation": self.follower.revision, "reset": True, "instances": lines}
         try:
@@ -408,10 +420,10 @@
             events.KNOWN_UNWRITTEN(error=error)
 
 
-class LeaveStream(Exception):
+class RestartRequestedError(Exception):
     """The follower wants to begin again."""
 
-    def __init__(self, wait: machine.Wait) -> None:
+    def __init__(self, wait: machine.RestartAfter) -> None:
         super().__init__()
         self.wait = wait
 
--- a/badgercart/discovery/etcd/component.py
+++ b/badgercart/discovery/etcd/component.py
@@ -12,11 +12,11 @@
 from badgercart.core.endpoint_table import DiscoveryUpdate
 from badgercart.core.log_events import LIST_KNOWN_MALFORMED
 from badgercart.discovery.etcd.settings import EtcdSettings
-from badgercart.discovery.freshness import State
+from badgercart.discovery.freshness import FreshnessState
 from badgercart.policy.events import UpdateKind
 
 if TYPE_CHECKING:
-    from badgercart.discovery.etcd.client import EtcdSource
+    from badgercart.discovery.etcd.client import EtcdDiscovery
 
 LONG_LIST = 1000  # servers
 
@@ -26,13 +26,13 @@
 
     def __init__(self, host: ComponentHost, settings: EtcdSettings) -> None:
         from badgercart.discovery.etcd.client import (
-            EtcdSource,
+            EtcdDiscovery,
         )  # heavy: only where it is switched on
 
         self.roster = host.endpoint_table
-        self.source: EtcdSource = EtcdSource(
+        self.source: EtcdDiscovery = EtcdDiscovery(
             settings,
-            host.reader.read_member,
+            host.reader.read_endpoint,
             self.take,
             self.aged,
             host.pipeline.clock,
@@ -43,10 +43,10 @@
         host.metrics.gauge(
             "badgercart_list_age_seconds",
             "Time since the list was whole for sure.",
-            lambda: self.source.freshness.age(host.pipeline.clock()) / 1000,
+            lambda: self.source.freshness.age_ms(host.pipeline.clock()) / 1000,
         )
         host.metrics.counter(
-            "badgercart_etcd_lists", "Whole lists fetched from etcd.", lambda: self.source.lists
+            "badgercart_etcd_lists", "Whole lists fetched from etcd.", lambda: self.source.snapshots
         )
 
     def take(self, told: DiscoveryUpdate) -> None:
@@ -55,13 +55,15 @@
             # the collector would stop the loop for long to look at all of them again and again
             gc.freeze()
 
-    def aged(self, state: State) -> None:
+    def aged(self, state: FreshnessState) -> None:
         """The age of the list has passed a limit, or is as it should be again."""
-        self.roster.suspend(state is State.STALE and self.source.settings.when_stale == "refuse")
+        self.roster.suspend(
+            state is FreshnessState.STALE and self.source.settings.when_stale == "refuse"
+        )
 
     async def start(self) -> None:
         self.source.start()
-        if (known := self.source.known()) is not None:
+        if (known := self.source.read_known_file()) is not None:
             try:
                 self.roster.accept(known, UpdateKind.CACHED)
             except ValueError as error:
--- a/badgercart/discovery/etcd/follower.py
+++ b/badgercart/discovery/etcd/follower.py
@@ -28,12 +28,12 @@
 from enum import Enum
 
 from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate
-from badgercart.discovery.etcd.guard import OVERRIDE, Guard
+from badgercart.discovery.etcd.guard import OVERRIDE_KEY, ShrinkGuard
 from badgercart.discovery.etcd.settings import EtcdSettings
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import UpdateKind
 
-MAX_ENTRY = 64 << 10  # bytes of one value
+MAX_ENTRY_BYTES = 64 << 10  # bytes of one value
 MAX_ENTRIES = 100_000
 MAX_REPORTS = 1000  # keys whose fault is remembered, so that it is told once
 
@@ -42,13 +42,13 @@
 
 
 @dataclass(slots=True)
-class Header:
+class ResponseHeader:
     cluster: int
     revision: int
 
 
 @dataclass(slots=True)
-class Pair:
+class KeyValue:
     """A key as it stands; a deletion has no value."""
 
     key: bytes
@@ -57,21 +57,21 @@
 
 
 @dataclass(slots=True)
-class Page:
-    header: Header
-    pairs: list[Pair]
+class ListResponse:
+    header: ResponseHeader
+    pairs: list[KeyValue]
     more: bool
 
 
 @dataclass(slots=True)
-class Change:
+class WatchResponse:
     """A watch response."""
 
-    header: Header
-    events: list[Pair] = field(default_factory=list)
+    header: ResponseHeader
+    events: list[KeyValue] = field(default_factory=list)
     created: bool = False
     cancelled: bool = False
-    compacted: int = 0
+    compact_revision: int = 0
     fragment: bool = False
     reason: str = ""
 
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True)
-class List:
+class RequestPage:
     """Ask for a page: keys from here on, at a revision (0: the present one)."""
 
     start: bytes
@@ -98,27 +98,27 @@
 
 
 @dataclass(slots=True)
-class Watch:
+class BeginWatch:
     start: int  # revision
 
 
 @dataclass(slots=True)
-class Wait:
+class RestartAfter:
     """Leave what is open, then `begin` again."""
 
-    delay: float  # ms
-    next_member: bool  # at the next endpoint
+    delay_ms: float  # ms
+    next_endpoint: bool  # at the next endpoint
 
 
 @dataclass(slots=True)
-class Deliver:
+class DeliverUpdate:
     """Hand over, whole: the list or its changes at a revision."""
 
-    told: DiscoveryUpdate
+    update: DiscoveryUpdate
 
 
 @dataclass(slots=True)
-class Proven:
+class RecordProof:
     """The held list is whole as of when this was asked."""
 
 
@@ -127,7 +127,7 @@
     text: str
 
 
-Order = List | Watch | Wait | Deliver | Proven | Report
+Order = RequestPage | BeginWatch | RestartAfter | DeliverUpdate | RecordProof | Report
 
 
 class Phase(Enum):
@@ -136,7 +136,7 @@
     WATCHING = "watching"
 
 
-class Follower:
+class EtcdFollower:
     """`read` turns an entry's JSON into a member, or raises ValueError."""
 
     def __init__(
@@ -149,167 +149,179 @@
         self.prefix = settings.prefix.encode()
         self.read = read
         self.random = rng
-        self.guard = Guard(settings.guard_share)
+        self.guard = ShrinkGuard(settings.guard_share)
         self.phase = Phase.IDLE
         self.cluster: int | None = None
         self.revision = 0  # of the state that is held; 0: the whole list is wanted
-        self.high = 0  # the highest revision of this cluster that was held
-        self.members: dict[bytes, DiscoveredEndpoint] = {}  # by key, as etcd has them
+        self.highest_revision = 0  # the highest revision of this cluster that was held
+        self.endpoints: dict[bytes, DiscoveredEndpoint] = {}  # by key, as etcd has them
         self.values: dict[bytes, bytes] = {}  # the same entries as they are written
-        self.given: dict[int, DiscoveredEndpoint] = {}  # by id, as handed over
+        self.delivered: dict[int, DiscoveredEndpoint] = {}  # by id, as handed over
         self.missing: set[int] = (
             set()
         )  # of those, the ones that etcd has no more and the guard keeps
         self.owners: dict[int, bytes] = {}  # which key holds an id
-        self.touched: set[int] = set()  # ids that changed since the last hand-over
+        self.changed_ids: set[int] = set()  # ids that changed since the last hand-over
         self.override = False
-        self.bad: dict[bytes, str] = {}  # keys whose values are no entries
-        self.building: dict[bytes, Pair] = {}
-        self.build_at = 0  # the revision of the list under way
-        self.build_cluster = 0
-        self.pieces: list[Pair] = []  # fragments of one response
-        self.tries = 0  # in a row without anything good
+        self.malformed: dict[bytes, str] = {}  # keys whose values are no entries
+        self.building: dict[bytes, KeyValue] = {}
+        self.building_revision = 0  # the revision of the list under way
+        self.building_cluster = 0
+        self.fragments: list[KeyValue] = []  # fragments of one response
+        self.failures = 0  # in a row without anything good
 
     # Asking.
 
     def begin(self) -> list[Order]:
         """Nothing is open: what to ask for."""
         self.building.clear()
-        self.pieces.clear()
+        self.fragments.clear()
         if self.revision:
             self.phase = Phase.WATCHING
-            return [Watch(self.revision + 1)]
+            return [BeginWatch(self.revision + 1)]
         self.phase = Phase.LISTING
-        return [List(self.prefix, 0, self.settings.page)]
+        return [RequestPage(self.prefix, 0, self.settings.page)]
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Other endpoints, or an operator's word: believe whatever the next list says."""
-        self.cluster, self.revision, self.high, self.tries = None, 0, 0, 0
+        self.cluster, self.revision, self.highest_revision, self.failures = None, 0, 0, 0
 
     def failed(self, failure: Failure) -> list[Order]:
         """What was open has ended."""
         self.phase = Phase.IDLE
         if failure is Failure.COMPACTED:
             self.revision = 0
-            return self.again(next_member=False)
-        return self.again(next_member=failure is not Failure.OTHER or self.tries > 0)
+            return self.restart(next_member=False)
+        return self.restart(next_member=failure is not Failure.OTHER or self.failures > 0)
 
-    def again(self, next_member: bool) -> list[Order]:
+    def restart(self, next_member: bool) -> list[Order]:
         self.phase = Phase.IDLE
         delay = min(
-            self.settings.retry_first_ms * 2.0 ** min(self.tries, 16), self.settings.retry_most_ms
+            self.settings.retry_first_ms * 2.0 ** min(self.failures, 16),
+            self.settings.retry_most_ms,
         )
-        self.tries += 1
+        self.failures += 1
         # Nodes that lost etcd together must not come back together.
-        return [Wait(delay * (0.5 + self.random.random()), next_member)]
+        return [RestartAfter(delay * (0.5 + self.random.random()), next_member)]
 
     # The list.
 
-    def page(self, page: Page, now: float) -> list[Order]:
+    def page(self, page: ListResponse, now: float) -> list[Order]:
         header = page.header
-        if self.building and header.cluster != self.build_cluster:
-            return self.again(next_member=False)
+        if self.building and header.cluster != self.building_cluster:
+            return self.restart(next_member=False)
         if not self.building:
-            if header.cluster == self.cluster and header.revision < self.high:
+            if header.cluster == self.cluster and header.revision < self.highest_revision:
                 return [
                     Report(
-                        f"a list of revision {header.revision} is older than {self.high}: not taken"
+                        f"a list of revision {header.revision} is older than "
+                        f"{self.highest_revision}: not taken"
                     ),
-                    *self.again(next_member=True),
+                    *self.restart(next_member=True),
                 ]
-            self.build_at, self.build_cluster = header.revision, header.cluster
+            self.building_revision, self.building_cluster = header.revision, header.cluster
         for pair in page.pairs:
             self.building[pair.key] = pair
         if len(self.building) > MAX_ENTRIES:
             return [
                 Report(f"over {MAX_ENTRIES} entries under the prefix"),
-                *self.again(next_member=False),
+                *self.restart(next_member=False),
             ]
         if page.more and page.pairs:
-            return [List(page.pairs[-1].key + b"\0", self.build_at, self.settings.page)]
-        return self.listed(now)
+            return [
+                RequestPage(page.pairs[-1].key + b"\0", self.building_revision, self.settings.page)
+            ]
+        return self.list_complete(now)
 
-    def listed(self, now: float) -> list[Order]:
+    def list_complete(self, now: float) -> list[Order]:
         orders: list[Order] = []
-        if self.cluster is not None and self.cluster != self.build_cluster:
+        if self.cluster is not None and self.cluster != self.building_cluster:
             orders.append(
                 Report("another cluster answers (a restored backup?): its whole list is taken")
             )
         building, self.building = self.building, {}
-        for key in [key for key in self.members if key not in building]:
+        for key in [key for key in self.endpoints if key not in building]:
             self.delete(key)
         self.override = False
-        self.bad = {key: text for key, text in self.bad.items() if key in building}
+        self.malformed = {key: text for key, text in self.malformed.items() if key in building}
         for pair in building.values():
             orders += self.put(pair)
-        self.cluster, self.tries = self.build_cluster, 0
-        self.revision = self.high = self.build_at
+        self.cluster, self.failures = self.building_cluster, 0
+        self.revision = self.highest_revision = self.building_revision
         self.phase = Phase.WATCHING
-        return [*orders, *self.hand_over(now, whole=True), Proven(), Watch(self.revision + 1)]
+        return [
+            *orders,
+            *self.deliver(now, whole=True),
+            RecordProof(),
+            BeginWatch(self.revision + 1),
+        ]
 
     # The watch.
 
-    def change(self, change: Change, now: float) -> list[Order]:
+    def change(self, change: WatchResponse, now: float) -> list[Order]:
         """A watch response, whatever it says."""
         if change.header.cluster != self.cluster:
             self.revision = 0
             return [
                 Report("the watch is another cluster's (a restored backup?)"),
-                *self.again(next_member=False),
+                *self.restart(next_member=False),
             ]
         if change.cancelled:
-            if change.compacted:
+            if change.compact_revision:
                 self.revision = 0
                 return [
                     Report(
-                        f"history up to {change.compacted} is compacted away: the whole list is fetched"
+                        f"history up to {change.compact_revision} is compacted away: "
+                        "the whole list is fetched"
                     ),
-                    *self.again(next_member=False),
+                    *self.restart(next_member=False),
                 ]
             return [
                 Report(f"the watch was cancelled: {change.reason}"),
-                *self.again(next_member=True),
+                *self.restart(next_member=True),
             ]
-        self.pieces += [event for event in change.events if event.revision > self.revision]
+        self.fragments += [event for event in change.events if event.revision > self.revision]
         if change.fragment:
-            if len(self.pieces) > MAX_ENTRIES:
+            if len(self.fragments) > MAX_ENTRIES:
                 self.revision = 0
-                return [Report("a response without end"), *self.again(next_member=True)]
+                return [Report("a response without end"), *self.restart(next_member=True)]
             return []
-        events, self.pieces = self.pieces, []
+        events, self.fragments = self.fragments, []
         if not change.created:
-            self.tries = 0
+            self.failures = 0
         if not events:
             return []
         orders: list[Order] = []
         for event in events:  # of one key the last one holds
             orders += self.put(event) if event.value is not None else self.delete(event.key)
-        self.revision = self.high = max(event.revision for event in events)
-        return [*orders, *self.hand_over(now, whole=False)]
+        self.revision = self.highest_revision = max(event.revision for event in events)
+        return [*orders, *self.deliver(now, whole=False)]
 
-    def progress(self, header: Header) -> list[Order]:
+    def progress(self, header: ResponseHeader) -> list[Order]:
         """An answer to a question for progress: all up to its revision has been told."""
         if header.cluster != self.cluster:
             self.revision = 0
-            return self.again(next_member=False)
+            return self.restart(next_member=False)
         if header.revision < self.revision:
             return [
                 Report(f"a member at revision {header.revision} is behind {self.revision}"),
-                *self.again(next_member=True),
+                *self.restart(next_member=True),
             ]
-        self.revision = self.high = header.revision  # a later resume need not go further back
-        self.tries = 0
-        return [Proven()]
+        self.revision = self.highest_revision = (
+            header.revision
+        )  # a later resume need not go further back
+        self.failures = 0
+        return [RecordProof()]
 
     # Entries.
 
-    def put(self, pair: Pair) -> list[Order]:
+    def put(self, pair: KeyValue) -> list[Order]:
         name = pair.key[len(self.prefix) :]
-        if name == OVERRIDE.encode():
+        if name == OVERRIDE_KEY.encode():
             self.override = True
             return []
         try:
-            if pair.value is None or len(pair.value) > MAX_ENTRY:
+            if pair.value is None or len(pair.value) > MAX_ENTRY_BYTES:
                 raise ValueError("an empty or overlong value")
             raw = json.loads(pair.value)
             if not isinstance(raw, dict):
@@ -328,70 +340,73 @@
             RecursionError,
         ) as error:
             text = f"{error} is missing" if isinstance(error, KeyError) else str(error)
-            known = self.bad.get(pair.key)
-            if len(self.bad) < MAX_REPORTS:
-                self.bad[pair.key] = text
-            kept = "kept as it was" if pair.key in self.members else "left out"
+            known = self.malformed.get(pair.key)
+            if len(self.malformed) < MAX_REPORTS:
+                self.malformed[pair.key] = text
+            kept = "kept as it was" if pair.key in self.endpoints else "left out"
             shown = pair.key.decode("utf-8", "replace")
             return [] if known == text else [Report(f"{shown} is no entry and is {kept}: {text}")]
-        self.bad.pop(pair.key, None)
-        old = self.members.get(pair.key)
+        self.malformed.pop(pair.key, None)
+        old = self.endpoints.get(pair.key)
         if old is not None and old.entry.id != member.entry.id:
             self.owners.pop(old.entry.id, None)
-            self.touched.add(old.entry.id)
-        self.touched.add(member.entry.id)
+            self.changed_ids.add(old.entry.id)
+        self.changed_ids.add(member.entry.id)
         self.owners[member.entry.id] = pair.key
-        self.members[pair.key] = member
+        self.endpoints[pair.key] = member
         self.values[pair.key] = pair.value
         return []
 
     def delete(self, key: bytes) -> list[Order]:
-        if key[len(self.prefix) :] == OVERRIDE.encode():
+        if key[len(self.prefix) :] == OVERRIDE_KEY.encode():
             self.override = False
-        self.bad.pop(key, None)
+        self.malformed.pop(key, None)
         self.values.pop(key, None)
-        if (member := self.members.pop(key, None)) is not None:
+        if (member := self.endpoints.pop(key, None)) is not None:
             self.owners.pop(member.entry.id, None)
-            self.touched.add(member.entry.id)
+            self.changed_ids.add(member.entry.id)
         return []
 
-    def hand_over(self, now: float, whole: bool) -> list[Order]:
+    def deliver(self, now: float, whole: bool) -> list[Order]:
         """What differs from what was handed over, in one piece."""
         was = self.guard.holding
-        allowed = self.guard.allows(len(self.members), now, self.override)
+        allowed = self.guard.allows(len(self.endpoints), now, self.override)
         orders: list[Order] = []
         if was != self.guard.holding:
             orders.append(
                 Report(
-                    f"only {len(self.members)} of {len(self.given)} servers are left: the missing ones are "
-                    f"kept until more are listed or {self.settings.prefix}{OVERRIDE} is there"
+                    f"only {len(self.endpoints)} of {len(self.delivered)} servers are left: "
+                    "the missing ones are "
+                    f"kept until more are listed or {self.settings.prefix}{OVERRIDE_KEY} is there"
                     if self.guard.holding
                     else "the list is followed again as it is"
                 )
             )
         changed: list[DiscoveredEndpoint] = []
-        for server in self.touched:
-            member = self.members.get(self.owners.get(server, b""))
+        for server in self.changed_ids:
+            member = self.endpoints.get(self.owners.get(server, b""))
             if member is None:
-                self.missing |= {server} & self.given.keys()
+                self.missing |= {server} & self.delivered.keys()
                 continue
             self.missing.discard(server)
-            if self.given.get(server) != member:
-                self.given[server] = member
+            if self.delivered.get(server) != member:
+                self.delivered[server] = member
                 changed.append(member)
-        self.touched.clear()
+        self.changed_ids.clear()
         if allowed:
             for server in self.missing:
-                gone = self.given.pop(server)
+                gone = self.delivered.pop(server)
                 changed.append(replace(gone, entry=replace(gone.entry, state=EndpointState.GONE)))
             self.missing.clear()
         if whole:
             return [
                 *orders,
-                Deliver(
-                    DiscoveryUpdate(UpdateKind.SNAPSHOT, self.revision, list(self.given.values()))
+                DeliverUpdate(
+                    DiscoveryUpdate(
+                        UpdateKind.SNAPSHOT, self.revision, list(self.delivered.values())
+                    )
                 ),
             ]
         if changed:
-            orders.append(Deliver(DiscoveryUpdate(UpdateKind.DELTA, self.revision, changed)))
+            orders.append(DeliverUpdate(DiscoveryUpdate(UpdateKind.DELTA, self.revision, changed)))
         return orders
--- a/badgercart/discovery/etcd/guard.py
+++ b/badgercart/discovery/etcd/guard.py
@@ -11,12 +11,12 @@
 
 from collections import deque
 
-MEMORY = 60000.0  # ms
-LEAST = 3  # servers; a smaller fleet may well leave at once
-OVERRIDE = ".shrink-allowed"
+MEMORY_MS = 60000.0  # ms
+MIN_ENDPOINTS = 3  # servers; a smaller fleet may well leave at once
+OVERRIDE_KEY = ".shrink-allowed"
 
 
-class Guard:
+class ShrinkGuard:
     def __init__(self, share: float) -> None:
         self.share = share
         self.counts: deque[tuple[float, int]] = (
@@ -26,12 +26,12 @@
 
     def allows(self, listed: int, now: float, override: bool) -> bool:
         """Whether a list of so many servers may take effect as a whole."""
-        while self.counts and self.counts[0][0] <= now - MEMORY and not self.holding:
+        while self.counts and self.counts[0][0] <= now - MEMORY_MS and not self.holding:
             self.counts.popleft()
         most = self.counts[0][1] if self.counts else listed
         if override:
             self.counts.clear()
-        self.holding = not override and most >= LEAST and listed < self.share * most
+        self.holding = not override and most >= MIN_ENDPOINTS and listed < self.share * most
         if not self.holding:
             while self.counts and self.counts[-1][1] <= listed:
                 self.counts.pop()
--- a/badgercart/discovery/etcd/members.py
+++ b/badgercart/discovery/etcd/members.py
@@ -16,7 +16,7 @@
 from badgercart.app.exits import CommandError, Exit
 from badgercart.config import parse_address
 from badgercart.discovery.etcd.client import authenticate, open_channel, prefix_end
-from badgercart.discovery.etcd.guard import OVERRIDE
+from badgercart.discovery.etcd.guard import OVERRIDE_KEY
 from badgercart.discovery.etcd.settings import EtcdSettings
 
 PATIENCE = 5.0  # s for each call
@@ -200,7 +200,7 @@
         print(f"{'would set' if self.dry_run else 'sets'} the override {'on' if on else 'off'}")
         if self.dry_run:
             return 0
-        key = self.prefix + OVERRIDE.encode()
+        key = self.prefix + OVERRIDE_KEY.encode()
         if on:
             request = rpc_pb2.PutRequest(key=key, value=b"on")
             await self.kv.Put(request, metadata=self.metadata, timeout=PATIENCE)
@@ -213,7 +213,7 @@
 def line_of(kv: Any, prefix: bytes) -> dict[str, Any]:
     """An entry as a line, or its key with what is wrong with its value."""
     name = kv.key[len(prefix) :].decode("utf-8", "replace")
-    if name == OVERRIDE:
+    if name == OVERRIDE_KEY:
         return {"instanceId": name, "fault": "the list may shrink"}
     try:
         entry = checked_entry(kv.value.decode("utf-8", "replace"))
--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -30,7 +30,7 @@
 from badgercart.app.model import Table
 from badgercart.config import Address, Config
 from badgercart.core.clock import now_ms
-from badgercart.discovery.entries import ListReader
+from badgercart.discovery.entries import CatalogUpdateReader
 from badgercart.distribution.component import members_of, say_listening, store_driver
 from badgercart.distribution.driver import Client
 from badgercart.distribution.messages import (
@@ -180,7 +180,7 @@
     if topic.startswith(SERVERS):
         # Names of zones and kinds are the nodes' own: any will do here.
         names = cast(Config, type("Names", (), {"zones": {}, "kinds": {}}))
-        members_of(ListReader(names), entries, {})
+        members_of(CatalogUpdateReader(names), entries, {})
     return entries
 
 
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -15,8 +15,8 @@
 from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate
 from badgercart.core.identifiers import stable_id
-from badgercart.discovery.entries import ListReader
-from badgercart.discovery.freshness import Rule, State
+from badgercart.discovery.entries import CatalogUpdateReader
+from badgercart.discovery.freshness import FreshnessRule, FreshnessState
 from badgercart.discovery.log_events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
 from badgercart.distribution.settings import (
     SERVERS,
@@ -36,12 +36,18 @@
     from badgercart.distribution.messages import Entry, Status
 
 LONG_LIST = 1000  # servers
-AGED = {State.FRESH: LIST_FRESH, State.DOUBTFUL: LIST_DOUBTFUL, State.STALE: LIST_STALE}
+AGED = {
+    FreshnessState.FRESH: LIST_FRESH,
+    FreshnessState.DOUBTFUL: LIST_DOUBTFUL,
+    FreshnessState.STALE: LIST_STALE,
+}
 KEPT = ("group", "service")  # settings that take a restart
 
 
 def members_of(
-    reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, DiscoveredEndpoint]
+    reader: CatalogUpdateReader,
+    entries: tuple[Entry, ...],
+    listed: Mapping[int, DiscoveredEndpoint],
 ) -> list[DiscoveredEndpoint]:
     """The lines of a topic of servers. A key that is gone has left. ValueError where any line is
     none."""
@@ -55,7 +61,7 @@
             line = json.loads(value)
             if line["instanceId"] != key:
                 raise ValueError(f"instanceId is {line['instanceId']!r}")
-            members.append(reader.read_member(line))
+            members.append(reader.read_endpoint(line))
         except KeyError as error:
             raise ValueError(f"{key}: {error} is missing, or none that is known") from None
         except (TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
@@ -69,7 +75,7 @@
     def __init__(self, host: ComponentHost, settings: MembersSettings) -> None:
         self.host, self.settings = host, settings
         self.topic = SERVERS + settings.service
-        self.state = State.STALE
+        self.state = FreshnessState.STALE
         self.timer: asyncio.TimerHandle | None = None
         self.started = False
         self.refused: Counter[str] = Counter()  # by drivers before this one
@@ -95,7 +101,7 @@
         )
         # Each node has an order of stores and moments of its own, also where seeds are the same.
         rng = random.Random(f"{config.seed} {config.name} distribution")
-        rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
+        rule = FreshnessRule(settings.doubtful_after_ms, settings.stale_after_ms)
         follower = Follower(config.name, (self.topic,), len(settings.stores), timing, rng, rule)
         codec = Codec(settings.group, settings.secret.encode())
         return FollowerDriver(
@@ -168,7 +174,9 @@
         self.refused += driver.refused
         self.settings, self.driver = settings, self.build(settings)
         self.follower.succeed(old)
-        self.follower.freshness.rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
+        self.follower.freshness.rule = FreshnessRule(
+            settings.doubtful_after_ms, settings.stale_after_ms
+        )
         if self.started:
             self.aged()  # what follows from the same state may be another thing now
             self.driver.start()
@@ -205,7 +213,7 @@
         now, freshness = self.host.pipeline.clock(), self.follower.freshness
         state = freshness.state(now)
         if state is not self.state:
-            age = f"{freshness.age(now) / 1000:.1f}"
+            age = f"{freshness.age_ms(now) / 1000:.1f}"
             AGED[state](age=age, was=self.state.value, version=self.host.endpoint_table.version)
             self.state = state
             self.aged()
@@ -218,7 +226,7 @@
 
     def aged(self) -> None:
         self.host.endpoint_table.suspend(
-            self.state is State.STALE and self.settings.when_stale == "refuse"
+            self.state is FreshnessState.STALE and self.settings.when_stale == "refuse"
         )
 
     # For operators.
--- a/badgercart/distribution/follower.py
+++ b/badgercart/distribution/follower.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.discovery.freshness import Freshness, FreshnessRule
 from badgercart.distribution.effects import Close, Dial, Effect, Happened, Send, Take
 from badgercart.distribution.messages import (
     HEAD,
@@ -87,7 +87,7 @@
         stores: int,
         timing: Timing,
         rng: random.Random,
-        rule: Rule | None = None,
+        rule: FreshnessRule | None = None,
         most_bytes: int = MAX_BYTES,
     ) -> None:
         if len(set(topics)) != len(topics) or not 0 < len(topics) <= MAX_TOPICS:
@@ -111,7 +111,7 @@
             set()
         )  # topics told whole again on this connection for what they held
         self.unknown: set[str] = set()  # topics of which it was said that nobody has them
-        self.freshness = Freshness(rule or Rule())
+        self.freshness = Freshness(rule or FreshnessRule())
         self.connection = 0  # the one that counts; whatever comes of others is passed over
         self.store = -1  # where it leads
         self.up = self.greeted = False
@@ -138,7 +138,7 @@
 
     def age(self, now: float) -> float:
         """ms since all topics were whole for sure; infinite where they never were."""
-        return self.freshness.age(now)
+        return self.freshness.age_ms(now)
 
     def succeed(self, old: Follower) -> None:
         """Go on from what another held, whose connections are closed. For one that has not
@@ -367,7 +367,7 @@
         if not message.age >= 0:
             raise Left("malformed", f"an age of {message.age} ms")
         if not self.waits and not self.doubted and math.isfinite(message.age):
-            self.freshness.proof(now - message.age)
+            self.freshness.record_proof(now - message.age)
         if message.age >= self.timing.lag and len(self.order) > 1:
             self.move_at = min(self.move_at, self.later(now))
         else:
--- a/badgercart/frontends/graphql/frontend.py
+++ b/badgercart/frontends/graphql/frontend.py
@@ -12,14 +12,14 @@
 from graphql import FragmentDefinitionNode, OperationDefinitionNode, execute_sync, parse, print_ast
 
 from badgercart.config import Config
-from badgercart.core.clock import MARGIN, now_ms
-from badgercart.core.descriptors import Descriptors
+from badgercart.core.clock import RESPONSE_MARGIN_MS, now_ms
+from badgercart.core.descriptors import DescriptorBudget
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.identifiers import stable_id
-from badgercart.core.ports import Answer
 from badgercart.core.ports import AttemptRequest as Attempt
+from badgercart.core.ports import Response
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.core.requests import unknown_tenant
+from badgercart.core.requests import unknown_tenant_reason
 from badgercart.frontends.graphql.documents import Documents, Rejected
 from badgercart.frontends.graphql.execution import Execution, Order, PartCall
 from badgercart.frontends.graphql.log_events import LISTENING, PLAN_FAILED
@@ -39,12 +39,16 @@
     status_of,
 )
 from badgercart.frontends.graphql.settings import GraphqlSettings
-from badgercart.frontends.http.clients import ClientConnection, Listener
-from badgercart.frontends.http.requests import BadRequest, ClientRequest, Headers, Page
+from badgercart.frontends.http.client_connection import ClientConnection
+from badgercart.frontends.http.errors import BadRequestError
+from badgercart.frontends.http.headers import RequestHeaders
+from badgercart.frontends.http.listener import Listener
+from badgercart.frontends.http.requests import ClientRequest, Page
 from badgercart.policy.events import AttemptResult
 from badgercart.policy.settings import Idempotency
-from badgercart.upstream.connection_pool import ServerPool
-from badgercart.upstream.exchange import Message
+from badgercart.upstream.connection_pool import PoolSettings
+from badgercart.upstream.exchange import UpstreamRequest
+from badgercart.upstream.transport import AttemptCallbacks, HttpTransport
 
 MAX_KEY = 256  # bytes of a client's idempotency key
 
@@ -66,12 +70,12 @@
     def __init__(self, join: RequestPipeline) -> None:
         self.join = join
         self.calls: dict[tuple[int, int], PartCall] = {}
-        self.pool: ServerPool
+        self.transport: HttpTransport
 
     def send(self, order: Attempt) -> None:
         call: PartCall = order.payload
         self.calls[order.request_id, order.attempt] = call
-        self.pool.send(
+        self.transport.send(
             Attempt(
                 order.request_id,
                 order.attempt,
@@ -81,34 +85,34 @@
             )
         )
 
-    def cancel(self, request_id: int, number: int) -> None:
-        self.pool.cancel(request_id, number)
+    def cancel(self, request_id: int, attempt: int) -> None:
+        self.transport.cancel(request_id, attempt)
 
-    def abandon_attempt(self, request_id: int, number: int) -> None:
-        self.pool.abandon_attempt(request_id, number)
+    def abandon_attempt(self, request_id: int, attempt: int) -> None:
+        self.transport.abandon_attempt(request_id, attempt)
 
     def ended(
         self,
         request_id: int,
-        number: int,
-        server_id: int,
+        attempt: int,
+        endpoint_id: int,
         result: AttemptResult,
-        elapsed: float,
-        answer: Answer | None = None,
+        elapsed_ms: float,
+        response: Response | None = None,
         *,
-        spent: bool = False,
+        body_consumed: bool = False,
     ) -> None:
-        call = self.calls.pop((request_id, number), None)
-        if answer is None or call is None:
-            self.join.attempt_ended(request_id, number, server_id, result, elapsed)
+        call = self.calls.pop((request_id, attempt), None)
+        if response is None or call is None:
+            self.join.attempt_ended(request_id, attempt, endpoint_id, result, elapsed_ms)
             return
-        reply = read_reply(answer.status, result is AttemptResult.FULL, answer.body, call.keys)
+        reply = read_reply(response.status, result is AttemptResult.FULL, response.body, call.keys)
         if reply.data is not None or reply.final or call.reply is None:
             call.reply = reply
         # To the join: served, the request's own fault, or neither.
         status = 200 if reply.result is AttemptResult.OK else 400 if reply.final else 500
         self.join.attempt_ended(
-            request_id, number, server_id, reply.result, elapsed, Answer(status)
+            request_id, attempt, endpoint_id, reply.result, elapsed_ms, Response(status)
         )
 
 
@@ -147,65 +151,63 @@
         self.pages: Mapping[bytes, Page] = {}
         self.last = 0
         self.open: dict[int, Execution] = {}
-        clients, servers = Descriptors.of(config.sockets, parts=parts).split(share)
+        clients, servers = DescriptorBudget.for_roles(config.sockets, components=parts).split(share)
         self.carrier = GraphqlCarrier(join)
-        self.pool = self.carrier.pool = ServerPool(
+        self.transport = self.carrier.transport = HttpTransport(
             loop,
-            config.dial_timeout,
-            config.idle_timeout,
-            servers,
-            self.carrier.ended,
-            source=config.source,
-            wanted=join.is_awaited,
+            PoolSettings(config.dial_timeout, config.idle_timeout, servers, config.source),
+            AttemptCallbacks(self.carrier.ended, is_awaited=join.is_awaited),
         )
-        roster.on_change.append(self.pool.update)
+        roster.on_change.append(self.transport.pool.apply_endpoint)
         self.listener = Listener(loop, settings.listen, self, clients, self.read, bad_request)
 
     @property
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         return self.roster.has_update and not self.roster.suspended
 
     # From the listener.
 
-    def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
+    def read(
+        self, method: bytes, url: bytes, headers: RequestHeaders, body: bytes
+    ) -> ClientRequest:
         """What HTTP itself says of a request. The rest is read in its turn, and answered in
         words."""
         if url.partition(b"?")[0] != self.settings.path.encode():
-            raise BadRequest(404, f"GraphQL is served at {self.settings.path}")
+            raise BadRequestError(404, f"GraphQL is served at {self.settings.path}")
         if method not in (b"GET", b"POST"):
-            raise BadRequest(405, "GraphQL is asked by GET or POST", b"Allow: GET, POST\r\n")
+            raise BadRequestError(405, "GraphQL is asked by GET or POST", b"Allow: GET, POST\r\n")
         tenant = self.config.tenant(headers.tenant)
         if headers.fault:
-            raise BadRequest(400, headers.fault)
+            raise BadRequestError(400, headers.fault)
         if tenant is None:
-            raise BadRequest(400, unknown_tenant(headers.tenant))
-        if len(headers.key or b"") > MAX_KEY:
-            raise BadRequest(400, f"Idempotency-Key is over {MAX_KEY} bytes")
+            raise BadRequestError(400, unknown_tenant_reason(headers.tenant))
+        if len(headers.idempotency_key or b"") > MAX_KEY:
+            raise BadRequestError(400, f"Idempotency-Key is over {MAX_KEY} bytes")
         more: dict[bytes, bytes] = {}
-        for line in headers.lines:
+        for line in headers.forwarded_lines:
             name, _, value = line.partition(b":")
             if (lower := name.lower()) in (b"accept", b"content-type"):
                 more[lower] = more[lower] + b"," + value.strip() if lower in more else value.strip()
         self.last += 1
         accept, content_type = more.get(b"accept"), more.get(b"content-type")
         return GraphqlRequest(
-            message=Message(b"", body),
-            name=headers.request_id or b"g-%d" % self.last,
-            cls=0,
+            upstream_request=UpstreamRequest(b"", body),
+            request_name=headers.request_id or b"g-%d" % self.last,
+            class_index=0,
             tenant=tenant,
             key=0,
-            sent=now_ms(),
-            timeout=headers.timeout if headers.timeout is not None else self.deadline,
-            hint=0.0,
-            repeat=headers.repeat,
+            sent_ms=now_ms(),
+            timeout_ms=headers.timeout_ms if headers.timeout_ms is not None else self.deadline,
+            expected_work_ms=0.0,
+            is_client_retry=headers.is_client_retry,
             method=method.decode(),
             target=url.decode("latin-1"),
             content_type=content_type.decode("latin-1") if content_type is not None else None,
             accept=accept.decode("latin-1") if accept is not None else None,
-            client_key=(headers.key or b"").decode("latin-1"),
+            client_key=(headers.idempotency_key or b"").decode("latin-1"),
         )
 
-    def take(self, client: ClientConnection, request: ClientRequest) -> None:
+    def accept(self, client: ClientConnection, request: ClientRequest) -> None:
         assert isinstance(request, GraphqlRequest)
         media = RESPONSE_JSON
         try:
@@ -218,16 +220,16 @@
         except HttpError as bad:
             allow = f"Allow: {bad.allow}\r\n".encode() if bad.allow else b""
             told = {"errors": [error(str(bad), "BAD_REQUEST")]}
-            client.answer(bad.status, json.dumps(told).encode(), media.encode(), allow)
+            client.send_response(bad.status, json.dumps(told).encode(), media.encode(), allow)
             return
         except Rejected as rejected:
             told = {"errors": rejected.errors}
-            client.answer(status_of(media, told), json.dumps(told).encode(), media.encode())
+            client.send_response(status_of(media, told), json.dumps(told).encode(), media.encode())
             return
         except Exception:
             # One request must not take the node down with it.
-            PLAN_FAILED(True, request=request.name.decode("latin-1"))
-            client.on_failure(broken=True)
+            PLAN_FAILED(True, request=request.request_name.decode("latin-1"))
+            client.on_failure(internal_error=True)
             return
         client.request_id = number = self.join.next_request_id()
 
@@ -235,7 +237,7 @@
             self.open.pop(number, None)
             status = status_of(media, told, refused=wait is not None)
             after = b"Retry-After: %.3f\r\n" % (wait / 1000) if wait else b""
-            client.answer(status, json.dumps(told).encode(), media.encode(), after)
+            client.send_response(status, json.dumps(told).encode(), media.encode(), after)
 
         local = self.local(plan, operation, document, asked) if plan.local else None
         execution = Execution(
@@ -246,14 +248,14 @@
 
     def asked(self, request: GraphqlRequest) -> Asked:
         if request.method == "GET":
-            if request.message.body:
+            if request.upstream_request.body:
                 raise HttpError(400, "a GET has no body")
             return read_get(request.target)
-        return read_post(request.content_type, request.message.body)
+        return read_post(request.content_type, request.upstream_request.body)
 
     def orders(self, plan: Plan, request: GraphqlRequest) -> list[Order]:
         """The parts as requests to the core. Raises Rejected where one lacks its key."""
-        due = request.sent + request.timeout - MARGIN
+        due = request.sent_ms + request.timeout_ms - RESPONSE_MARGIN_MS
         return [
             Order(
                 part=part,
@@ -264,18 +266,18 @@
                 if part.affinity
                 else 0,
                 due=due,
-                name=b"%b.%d" % (request.name, number),
+                name=b"%b.%d" % (request.request_name, number),
             )
             for number, part in enumerate(plan.parts)
         ]
 
-    def message(self, plan: Plan, number: int, request: GraphqlRequest) -> Message:
+    def message(self, plan: Plan, number: int, request: GraphqlRequest) -> UpstreamRequest:
         part = plan.parts[number]
         lines = [
             f"POST {self.settings.path} HTTP/1.1\r\nHost: backend.local\r\n".encode(),
             b"Content-Type: application/json\r\n",
             b"Accept: application/graphql-response+json, application/json\r\n",
-            b"Request-Id: %b.%d\r\n" % (request.name, number),
+            b"Request-Id: %b.%d\r\n" % (request.request_name, number),
         ]
         if self.effects[self.classes[part.cls]] is Idempotency.KEYED:
             if not part.key:
@@ -287,7 +289,7 @@
                 lines.append(b"Tenant: %b\r\n" % name)
         body = json.dumps({"query": part.document, "variables": part.variables}).encode()
         lines.append(b"Content-Length: %d\r\n" % len(body))
-        return Message(b"".join(lines), body)
+        return UpstreamRequest(b"".join(lines), body)
 
     def local(
         self, plan: Plan, operation: OperationDefinitionNode, document: Any, asked: Asked
@@ -301,7 +303,7 @@
         done = execute_sync(self.schema, parse(print_ast(part)), variable_values=variables)
         return Outcome(plan.local, None, done.data, [dict(e.formatted) for e in done.errors or ()])
 
-    def withdraw(self, request_id: int) -> None:
+    def cancel(self, request_id: int) -> None:
         if (execution := self.open.pop(request_id, None)) is not None:
             execution.withdraw()
 
--- a/badgercart/frontends/http/__init__.py
+++ b/badgercart/frontends/http/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's clients over HTTP/1.1; its entry is ``clients.Listener``."""
+"""The frontend of the platform's clients over HTTP/1.1; its entry is `frontend.HttpFrontend`."""
--- a/badgercart/frontends/http/component.py
+++ b/badgercart/frontends/http/component.py
@@ -1,4 +1,4 @@
-"""The HTTP front as a part of an installation."""
+"""The HTTP frontend as a component of an installation."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from badgercart.core.metric_registry import MetricRegistry
 
 if TYPE_CHECKING:
-    from badgercart.frontends.http.clients import Listener
-    from badgercart.frontends.http.frontend import HttpFront
+    from badgercart.frontends.http.frontend import HttpFrontend
+    from badgercart.frontends.http.listener import Listener
 
 
-class HttpSettings(Table, title="HttpSettings"):
-    """a listener for HTTP/1.1 clients"""
+class HttpSettings(Table):
+    """a listener for HTTP/1.1 clients"""  # noqa: D403, D415
 
     listen: Address = Field(description="the host:port to listen on")
 
 
-def register(meters: MetricRegistry, name: str, listener: Listener) -> None:
-    """The figures of a listener for clients."""
-    meters.gauge(
+def register_metrics(registry: MetricRegistry, name: str, listener: Listener) -> None:
+    """Offer the metrics of a listener."""
+    registry.gauge(
         f"badgercart_{name}_connections",
         "Connections of clients.",
-        lambda: len(listener.connections),
+        lambda: len(listener.table.connections),
     )
-    meters.counter(
+    registry.counter(
         f"badgercart_{name}_turned_away",
         "Requests that could not be taken, by status.",
-        lambda: {str(status): count for status, count in listener.turned_away.items()},
+        lambda: {str(status): count for status, count in listener.rejected.items()},
         "status",
     )
 
@@ -42,34 +42,38 @@
     """Clients by the platform's protocol, and operators' pages on the same listener."""
 
     def __init__(self, host: ComponentHost, settings: HttpSettings) -> None:
-        from badgercart.frontends.http.frontend import HttpFront
-        from badgercart.frontends.http.requests import problem
+        """Set up a frontend that listens at the settings' address."""
+        # Loaded only where the component is used.
+        from badgercart.frontends.http.error_bodies import problem_document
+        from badgercart.frontends.http.frontend import HttpFrontend
 
-        config = replace(host.config, listen=settings.listen)
-        self.front: HttpFront = HttpFront(
-            config,
+        self.frontend: HttpFrontend = HttpFrontend(
+            replace(host.config, listen=settings.listen),
             host.pipeline,
             host.endpoint_table,
             host.loop,
             host.share,
             host.others,
             host.pages,
-            problem,
+            problem_document,
         )
-        register(host.metrics, "http", self.front.listener)
+        register_metrics(host.metrics, "http", self.frontend.listener)
 
     async def start(self) -> None:
-        self.front.start()
+        """Listen."""
+        self.frontend.start()
 
     def prepare(self, settings: HttpSettings) -> Callable[[], None] | None:
-        """Nothing here changes without a restart."""
+        """Return nothing to do: no setting here changes without a restart."""
         return None
 
     async def drain(self, until: float) -> None:
-        await self.front.drain(until)
+        """Accept what still comes and answer all requests, until then (ms) at most."""
+        await self.frontend.drain(until)
 
     def close(self) -> None:
-        self.front.close()
+        """Stop listening."""
+        self.frontend.close()
 
 
 COMPONENTS = (
--- a/badgercart/frontends/http/connection.py
+++ b/badgercart/frontends/http/connection.py
@@ -1,573 +1,423 @@
-"""One client's connection as a machine without I/O: bytes, answers and times in, bytes and requests
-out.
+"""One client's connection as a machine without I/O: bytes and responses in, bytes and requests out.
 
 Requests on a connection are answered one after the other. The machine reads no clock, opens nothing
-and waits for nothing; what it wants done it asks of its `Side`. Its legal moves stand in `MOVES`.
+and waits for nothing; what it wants done it asks of its `ConnectionDriver`. Its legal transitions
+stand in `TRANSITIONS`.
 """
 
 from __future__ import annotations
 
-import math
 from collections import deque
 from collections.abc import Callable, Mapping
 from enum import IntEnum
 from typing import Any, Protocol
 
-import httptools
-
-from badgercart.core.streams import Opening, Upload
-from badgercart.frontends.http.requests import (
-    MAX_REQUEST,
-    OWN,
-    PHRASES,
-    READ,
-    BadRequest,
-    ClientRequest,
-    Headers,
-    Health,
-    Item,
-    Page,
-)
-from badgercart.upstream.exchange import MAX_BODY, MAX_BULK, MAX_HEAD, OWS, over_framed
-
-MAX_WAITING = 8  # requests sent ahead on one connection, after which it is read no further
-SLICE = 4096  # bytes parsed at a time: what is read at once may hold hundreds of requests
-SLOWEST = 32_000.0  # bytes a second that a body comes in with at least, on average
-HEALTH_PATH = b"/_health"
-
-
-class State(IntEnum):  # hashed and compared for every request: as numbers, that costs nothing
+from badgercart.core.streams import ResponseHead
+from badgercart.frontends.http.errors import BadRequestError, IllegalTransitionError
+from badgercart.frontends.http.headers import RequestHeaders
+from badgercart.frontends.http.receiver import RequestReceiver
+from badgercart.frontends.http.requests import ClientRequest, Page, QueuedItem
+from badgercart.frontends.http.responses import LAST_CHUNK, chunk, streamed_head, whole_response
+
+MIN_BYTES_PER_S = 32_000.0  # that a body comes in with, on average
+
+
+class ConnectionState(IntEnum):  # hashed and compared for every request: numbers cost nothing
     """What a connection waits for."""
 
-    SILENT = 0  # connected, nothing heard
-    ARRIVING = 1  # a request has come in part
-    HELD = 2  # a request is being served
-    IDLE = 3  # between requests, or its client does not read its answers
-    ENDING = 4  # the last answer is written
+    NEW = 0  # connected, nothing received
+    RECEIVING = 1  # a request was received in part
+    SERVING = 2  # a request is being served
+    IDLE = 3  # between requests, or its client does not read its responses
+    CLOSING = 4  # the last response is written
     CLOSED = 5
-    UPLOADING = 6  # a request is being served that has come in part
+    STREAMING_REQUEST = 6  # a request is being served that was received in part
 
 
-MOVES: dict[State, frozenset[State]] = {
-    State.SILENT: frozenset((State.ARRIVING, State.HELD, State.ENDING, State.CLOSED)),
-    State.ARRIVING: frozenset((State.HELD, State.IDLE, State.ENDING, State.CLOSED)),
-    State.HELD: frozenset(
-        (State.ARRIVING, State.IDLE, State.ENDING, State.CLOSED, State.UPLOADING)
+TRANSITIONS: dict[ConnectionState, frozenset[ConnectionState]] = {
+    ConnectionState.NEW: frozenset(
+        (
+            ConnectionState.RECEIVING,
+            ConnectionState.SERVING,
+            ConnectionState.CLOSING,
+            ConnectionState.CLOSED,
+        )
+    ),
+    ConnectionState.RECEIVING: frozenset(
+        (
+            ConnectionState.SERVING,
+            ConnectionState.IDLE,
+            ConnectionState.CLOSING,
+            ConnectionState.CLOSED,
+        )
+    ),
+    ConnectionState.SERVING: frozenset(
+        (
+            ConnectionState.RECEIVING,
+            ConnectionState.IDLE,
+            ConnectionState.CLOSING,
+            ConnectionState.CLOSED,
+            ConnectionState.STREAMING_REQUEST,
+        )
     ),
-    State.UPLOADING: frozenset((State.HELD, State.ENDING, State.CLOSED)),
-    State.IDLE: frozenset((State.ARRIVING, State.HELD, State.ENDING, State.CLOSED)),
-    State.ENDING: frozenset((State.CLOSED,)),
-    State.CLOSED: frozenset(),
+    ConnectionState.STREAMING_REQUEST: frozenset(
+        (ConnectionState.SERVING, ConnectionState.CLOSING, ConnectionState.CLOSED)
+    ),
+    ConnectionState.IDLE: frozenset(
+        (
+            ConnectionState.RECEIVING,
+            ConnectionState.SERVING,
+            ConnectionState.CLOSING,
+            ConnectionState.CLOSED,
+        )
+    ),
+    ConnectionState.CLOSING: frozenset((ConnectionState.CLOSED,)),
+    ConnectionState.CLOSED: frozenset(),
 }
 
 
-class Side(Protocol):
-    """What a connection asks of its surroundings. None of these calls comes back into it but
-    `take`."""
+class ConnectionDriver(Protocol):
+    """What a connection asks of its surroundings.
+
+    Of these calls only `accept_request` calls back into the connection before it returns.
+    """
 
     @property
-    def keeps(self) -> bool:
-        """Whether connections are kept after their answers."""
+    def keeps_alive(self) -> bool:
+        """Whether connections are kept after their responses."""
 
     @property
-    def serves(self) -> bool:
-        """Whether the node can serve: what /_health says."""
+    def is_healthy(self) -> bool:
+        """Whether the node can serve: what the health check says."""
 
     @property
-    def bulk(self) -> bool:
-        """Whether bodies may go on as they come; else they are held whole, and bounded."""
+    def streams_bodies(self) -> bool:
+        """Whether bodies may be streamed; else they are buffered whole, and bounded."""
 
-    def hold(self) -> int:
-        """Bytes that a body may be held up to now."""
+    def buffer_limit_bytes(self) -> int:
+        """Return up to what size a body may be buffered at present."""
 
-    def window(self) -> int:
-        """Bytes of a body that may wait to go on."""
+    def window_bytes(self) -> int:
+        """Return how much of a streamed body may wait to be read."""
 
-    def later(self, call: Callable[[], None]) -> None:
-        """Call, but not from within this."""
+    def call_soon(self, call: Callable[[], None]) -> None:
+        """Call, but not before this returns."""
 
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """Return seconds on the clock of all events."""
 
-    def read(
-        self, method: bytes, url: bytes, headers: Headers, body: bytes
+    def parse_request(
+        self, method: bytes, target: bytes, headers: RequestHeaders, body: bytes
     ) -> ClientRequest | Page:
-        """A request into what is taken: whole, or with the rest of it to come. Raises
-        BadRequest."""
+        """Return what a request is accepted as: whole, or with the rest of its body to come.
 
-    def whole(self, request: ClientRequest) -> None:
-        """The rest of it has come."""
+        Raises:
+            BadRequestError: it can't be accepted.
+        """
 
-    def words(self, status: int, why: str) -> tuple[bytes, bytes]:
-        """Content type and body that say why."""
+    def request_completed(self, request: ClientRequest) -> None:
+        """Take note that the rest of a request was received."""
 
-    def take(self, request: ClientRequest) -> None:
-        """Serve a request. Its answer may come before this returns."""
+    def error_body(self, status: int, reason: str) -> tuple[bytes, bytes]:
+        """Return the content type and the body that say why a request is not accepted."""
+
+    def accept_request(self, request: ClientRequest) -> None:
+        """Serve a request. Its response may come before this returns."""
 
     @property
-    def write(self) -> Callable[[bytes], object]: ...
+    def write(self) -> Callable[[bytes], object]:
+        """What writes bytes to the client."""
 
-    def pause(self) -> None:
+    def pause_reading(self) -> None:
         """Read no further for now."""
 
-    def resume(self) -> None: ...
+    def resume_reading(self) -> None:
+        """Read on."""
 
-    def finish(self) -> None:
-        """Nothing more is written."""
+    def write_eof(self) -> None:
+        """End the writing side: nothing more is written."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the connection at once."""
 
 
-# Who waits, by what for, and since when (s): the longest first. Who is HELD waits for a server.
-Waits = Mapping[State, dict[Any, float]]
+# By state: who is in it, and since when (s), the longest first. A connection that is SERVING waits
+# for an endpoint, and is in none.
+WaitingSince = Mapping[ConnectionState, dict[Any, float]]
 
 
-class Connection:
-    """The machine. `now` is given with each event, in s on one clock that only goes forward."""
+class HttpConnection:
+    """The machine. `now` is given with each event, in seconds on one monotonic clock."""
 
     __slots__ = (
-        "__weakref__", "advancing", "backlog", "body", "busy", "chunks", "ended", "full", "headers", "heard",
-        "incoming", "keep", "names", "now", "parser", "paused", "reading", "request", "served", "side",
-        "since", "size", "stalled", "state", "upload", "url", "waiting", "waits",
-    )  # fmt: skip
-
-    def __init__(self, side: Side, now: float, names: set[bytes], waits: Waits) -> None:
-        """Shared by all connections of a listener: the names of open requests, and who waits for
-        what."""
-        self.side = side
-        self.names = names
-        self.waits = waits
-        self.now = now
-        self.state = State.SILENT
-        waits[State.SILENT][side] = now
-        self.parser = httptools.HttpRequestParser(self)
-        # What has come in whole and waits for its turn, and whether to keep the connection after
-        # it.
-        self.waiting: deque[tuple[Item, bool]] = deque()
-        self.backlog = b""  # read and not parsed, while enough requests wait
+        "__weakref__",
+        "advancing",
+        "chunked_response",
+        "driver",
+        "keep_alive",
+        "last_heard_s",
+        "now_s",
+        "open_names",
+        "queue",
+        "receiver",
+        "request",
+        "serving",
+        "state",
+        "waiting_since",
+        "writing_paused",
+    )
+
+    def __init__(
+        self,
+        driver: ConnectionDriver,
+        now: float,
+        open_names: set[bytes],
+        waiting_since: WaitingSince,
+    ) -> None:
+        """Set up a new connection.
+
+        Args:
+            driver: what carries out what the machine asks for.
+            now: when the connection was opened.
+            open_names: the Request-Ids of open requests, shared by a listener's connections.
+            waiting_since: who waits for what, shared likewise.
+        """
+        self.driver = driver
+        self.open_names = open_names
+        self.waiting_since = waiting_since
+        self.now_s = now
+        self.last_heard_s = now  # when something was last received, or the connection opened
+        self.state = ConnectionState.NEW
+        waiting_since[ConnectionState.NEW][driver] = now
+        self.receiver = RequestReceiver(self, now)
+        # What was received and waits for its turn, and whether to keep the connection after it.
+        self.queue: deque[tuple[QueuedItem, bool]] = deque()
         self.request: ClientRequest | None = None  # that is being served
-        self.busy = self.advancing = False
-        self.keep = True  # the connection, after the answer under way
-        self.ended = False  # nothing further is read on it
-        self.paused = self.full = False  # reading; writing
-        self.reading = False  # a request has come in part
-        self.served = False  # one has come in whole
-        self.heard = now  # when something last came, or the connection did
-        self.since = now  # when the one that comes in began, the first with the connection
-        self.url = b""
-        self.headers = Headers()
-        self.body = bytearray()
-        self.size = 0  # bytes of the request that comes in
-        self.upload: Upload | None = (
-            None  # the body of the one that comes in, where it goes on as it comes
-        )
-        self.incoming: ClientRequest | None = None  # that one
-        self.stalled = False  # it waits for room
-        self.chunks = False  # whether the answer under way goes out in chunks
+        self.serving = self.advancing = False
+        self.keep_alive = True  # after the response under way
+        self.chunked_response = False  # the response under way goes out in chunks
+        self.writing_paused = False
 
     # Events.
 
-    def received(self, data: bytes, now: float) -> None:
-        self.now = self.heard = now
-        if self.ended:
+    def receive_data(self, data: bytes, now: float) -> None:
+        """Take bytes of the client."""
+        self.now_s = self.last_heard_s = now
+        receiver = self.receiver
+        if receiver.input_ended:
             return
-        if (
-            self.headers.whole and self.state in self.waits
-        ):  # a body has the longer the more of it comes
-            self.since = min(now, self.since + len(data) / SLOWEST)
-            self.waits[self.state][self.side] = self.since
-        if self.backlog:
-            self.backlog += data
+        if receiver.headers.complete and self.state in self.waiting_since:
+            # A body has the more time the more of it comes.
+            earned_s = len(data) / MIN_BYTES_PER_S
+            receiver.request_since_s = min(now, receiver.request_since_s + earned_s)
+            self.waiting_since[self.state][self.driver] = receiver.request_since_s
+        if receiver.unparsed:
+            receiver.unparsed += data
         else:
-            self.parse(data)
-        self.next()
-
-    def room_again(self) -> None:
-        """The body that comes in has room to go on."""
-        if (
-            not self.stalled
-            or self.state is State.CLOSED
-            or (self.upload is not None and self.upload.full)
-        ):
+            receiver.parse(data)
+        self.serve_next()
+
+    def resume_body(self) -> None:
+        """Go on with a streamed body that had no capacity, if it has some now."""
+        receiver = self.receiver
+        if not receiver.body_stalled or self.state is ConnectionState.CLOSED:
             return
-        self.stalled = False
-        self.now = self.since = self.side.now()
-        if self.state in self.waits:
-            self.waits[self.state][self.side] = self.since
-        backlog, self.backlog = self.backlog, b""
-        self.parse(backlog)
-        self.next()
-
-    def overdue(self, now: float) -> None:
-        """The request that comes in has taken too long."""
-        self.now = now
-        self.refuse(408, "the request did not come in whole in time")
-        self.next()
-
-    def answer(
-        self, now: float, status: int, body: bytes, content_type: bytes, extra: bytes
+        if receiver.body_stream is not None and receiver.body_stream.full:
+            return
+        receiver.body_stalled = False
+        self.now_s = receiver.request_since_s = self.driver.now()
+        if self.state in self.waiting_since:
+            self.waiting_since[self.state][self.driver] = receiver.request_since_s
+        receiver.resume_parsing()
+        self.serve_next()
+
+    def request_timed_out(self, now: float) -> None:
+        """Reject the request that is being received: it has taken too long."""
+        self.now_s = now
+        self.receiver.reject(408, "the request did not come in whole in time")
+        self.serve_next()
+
+    def send_response(
+        self, now: float, status: int, body: bytes, content_type: bytes, extra_headers: bytes
     ) -> None:
-        """The final answer to the request under way, if its client is still there."""
-        if self.state is State.CLOSED:
+        """Write the final response to the request under way, if its client is still there."""
+        if self.state is ConnectionState.CLOSED:
             return
-        self.now = now
-        self.write_answer(status, body, content_type, extra)
-        self.next()
-
-    def unread(self) -> None:
-        """A client that does not read its answers gets no further ones."""
-        self.full = True
-
-    def read_again(self, now: float) -> None:
-        self.now = now
-        self.full = False
-        self.next()
-
-    def left(self, now: float) -> None:
-        """Its client has left: nothing of it is owed an answer any more. What is written may still
-        go out."""
-        self.owe_nothing(now)
-        self.busy = False
-        if self.state not in (State.ENDING, State.CLOSED):
-            self.move(State.ENDING)
-
-    def lost(self, now: float) -> None:
-        """The connection is gone, and all that waited on it with it."""
-        self.owe_nothing(now)
-        del (
-            self.parser
-        )  # it refers back to this connection: both would wait for the cyclic collector
-        self.move(State.CLOSED)
-        del self.side  # it refers back, too
-
-    def owe_nothing(self, now: float) -> None:
-        """Read nothing more, and answer nothing of what was."""
-        self.now = now
-        self.ended = True
-        self.upload = self.incoming = None
-        self.drop_waiting()
+        self.now_s = now
+        self._write_response(status, body, content_type, extra_headers)
+        self.serve_next()
+
+    def pause_writing(self) -> None:
+        """Serve nothing further: the client does not read its responses."""
+        self.writing_paused = True
+
+    def resume_writing(self, now: float) -> None:
+        """Go on serving."""
+        self.now_s = now
+        self.writing_paused = False
+        self.serve_next()
+
+    def client_left(self, now: float) -> None:
+        """Owe nothing any more: the client has ended its side. What is written may still go out."""
+        self._discard_requests(now)
+        self.serving = False
+        if self.state not in (ConnectionState.CLOSING, ConnectionState.CLOSED):
+            self.transition(ConnectionState.CLOSING)
+
+    def connection_lost(self, now: float) -> None:
+        """End: the connection is gone, and all that waited on it with it."""
+        self._discard_requests(now)
+        self.receiver.release()
+        self.transition(ConnectionState.CLOSED)
+        del self.driver  # it refers back
+
+    def _discard_requests(self, now: float) -> None:
+        """Read nothing more, and answer nothing of what was read."""
+        self.now_s = now
+        self.receiver.end_input()
+        self._discard_queue()
         self.release(self.request)
         self.request = None
 
     # States.
 
-    def move(self, state: State, since: float | None = None) -> None:
+    def transition(self, state: ConnectionState, since: float | None = None) -> None:
+        """Change the state; `since` is when the wait for it began, where not now.
+
+        Raises:
+            IllegalTransitionError: the present state rules it out.
+        """
         if state is self.state:
             return
-        if state not in MOVES[self.state]:
-            raise RuntimeError(
-                f"a client's connection can't go from {self.state.name} to {state.name}"
-            )
-        if (wait := self.waits.get(self.state)) is not None:
-            del wait[self.side]
+        if state not in TRANSITIONS[self.state]:
+            raise IllegalTransitionError(self.state.name, state.name)
+        waiting = self.waiting_since.get(self.state)
+        if waiting is not None:
+            del waiting[self.driver]
         self.state = state
-        if (wait := self.waits.get(state)) is not None:
-            wait[self.side] = self.now if since is None else since
-
-    def place(self) -> None:
-        """Say what the connection waits for."""
-        if self.busy:
-            if self.upload is None or self.ended:
-                self.move(State.HELD)
+        waiting = self.waiting_since.get(state)
+        if waiting is not None:
+            waiting[self.driver] = self.now_s if since is None else since
+
+    def _settle_state(self) -> None:
+        """Change to the state that says what the connection waits for."""
+        receiver = self.receiver
+        if self.serving:
+            if receiver.body_stream is None or receiver.input_ended:
+                self.transition(ConnectionState.SERVING)
             else:
-                self.move(State.UPLOADING, self.since)
-        elif self.ended and not self.waiting:
-            self.move(State.ENDING)
-        elif self.full or (self.served and not self.reading):
-            self.move(State.IDLE)
-        elif self.reading:
-            self.move(State.ARRIVING, self.since)
-
-    def release(self, item: Item | None) -> None:
+                self.transition(ConnectionState.STREAMING_REQUEST, receiver.request_since_s)
+        elif receiver.input_ended and not self.queue:
+            self.transition(ConnectionState.CLOSING)
+        elif self.writing_paused or (receiver.has_received and not receiver.receiving):
+            self.transition(ConnectionState.IDLE)
+        elif receiver.receiving:
+            self.transition(ConnectionState.RECEIVING, receiver.request_since_s)
+
+    def release(self, item: QueuedItem | None) -> None:
+        """Have the name of a request count as open no longer."""
         if isinstance(item, ClientRequest):
-            self.names.discard(item.name)
+            self.open_names.discard(item.request_name)
 
-    def drop_waiting(self) -> None:
-        for item, _ in self.waiting:
+    def _discard_queue(self) -> None:
+        for item, _ in self.queue:
             self.release(item)
-        self.waiting.clear()
-        self.backlog = b""
-
-    # Requests in.
-
-    def parse(self, data: bytes) -> None:
-        """Parse until enough requests wait; the rest is kept until they are answered, and reading
-        rests."""
-        at = 0
-        while at < len(data) and not self.ended:
-            if self.stalled or len(self.waiting) >= MAX_WAITING:
-                break
-            part = data[at : at + SLICE] if len(data) > SLICE else data
-            at += len(part)
-            self.size += len(part)
-            try:
-                self.parser.feed_data(part)
-            except httptools.HttpParserUpgrade:
-                # No upgrade is offered: the request is served as any other, and the last on its
-                # connection.
-                self.ended = True
-                if self.waiting:
-                    self.waiting[-1] = (self.waiting[-1][0], False)
-            except httptools.HttpParserError as error:
-                cause = error.__context__
-                if isinstance(cause, BadRequest):
-                    self.refuse(cause.status, cause.why, cause.extra)
-                else:
-                    self.refuse(400, f"this is no HTTP/1.1 request: {error}")
-                # it holds this frame, and this frame it: both would wait for the cyclic collector
-                del cause
-            else:
-                if self.size > MAX_HEAD:
-                    self.check_size()
-        self.backlog = b"" if self.ended else data[at:]
-        if not self.backlog:
-            self.read_on()
-        elif not self.paused:
-            self.paused = True
-            self.side.pause()
-
-    def check_size(self) -> None:
-        most = over_framed(self.headers.got) if self.side.bulk else MAX_REQUEST
-        if not self.headers.whole:
-            self.refuse(431, f"the head is over {MAX_HEAD} bytes")
-        elif self.size > most:
-            self.refuse(413, f"the request is over {most} bytes")
-
-    def read_on(self) -> None:
-        if self.paused:
-            self.paused = False
-            self.side.resume()
-
-    def refuse(self, status: int, why: str, extra: bytes = b"") -> None:
-        """Answer what came before, then this, and close: where the next request begins can't be
-        trusted."""
-        self.ended = True
-        if self.incoming is not None:
-            if self.incoming is self.request:  # it can't become whole, and so was never taken
-                self.side.break_off()
-                return
-            self.release(self.waiting.pop()[0])
-        self.forget()
-        self.waiting.append((BadRequest(status, why, extra), False))
-
-    def forget(self) -> None:
-        """Keep nothing of a request that has come in: the connection may stand idle for long."""
-        self.reading = False
-        self.size = 0
-        self.url = b""
-        self.headers, self.body = Headers(), bytearray()
-        self.upload = self.incoming = None
-
-    # What the parser finds.
-
-    def on_message_begin(self) -> None:
-        self.reading = True
-        if self.served:
-            self.since = self.now
-
-    def on_url(self, url: bytes) -> None:
-        self.url += url
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        headers = self.headers
-        headers.size += len(name) + len(value) + 4
-        if headers.size > MAX_HEAD:
-            raise BadRequest(431, f"the headers are over {MAX_HEAD} bytes")
-        if headers.whole:  # trailers come here too: they must not pass for headers
-            return
-        lower, value = name.lower(), value.strip(OWS)
-        if (read := READ.get(lower)) is not None:
-            read(headers, value)
-        if lower not in OWN:
-            headers.lines.append(b"%b: %b\r\n" % (name, value))
-
-    def on_headers_complete(self) -> None:
-        headers, version = self.headers, self.parser.get_http_version()
-        headers.whole = True
-        if version not in ("1.0", "1.1"):
-            raise BadRequest(505, "only HTTP/1.0 and HTTP/1.1 are spoken here")
-        # The parser passes over codings that it does not know, and HTTP/1.0 has none.
-        if headers.coding is not None and (
-            headers.coding.lower() != b"chunked" or version == "1.0"
-        ):
-            raise BadRequest(400, "Transfer-Encoding can only be chunked, and only in HTTP/1.1")
-        headers.old = version == "1.0"
-        if headers.length and headers.length > self.most:
-            raise BadRequest(413, f"the body is over {self.most} bytes")  # before the body has come
-        if headers.expects and not self.busy and not self.waiting:
-            self.side.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if headers.length and self.side.bulk and headers.length > self.side.hold():
-            self.begin_upload()
+        self.queue.clear()
+        self.receiver.unparsed = b""
 
-    @property
-    def most(self) -> int:
-        """Bytes of a body."""
-        return MAX_BULK if self.side.bulk else MAX_BODY
-
-    def on_body(self, body: bytes) -> None:
-        headers = self.headers
-        headers.got += len(body)
-        if headers.got > self.most:
-            raise BadRequest(413, f"the body is over {self.most} bytes")
-        if self.upload is None and self.side.bulk and headers.got > self.side.hold():
-            self.begin_upload()
-        if self.upload is None:
-            self.body += body
-        elif not self.upload.feed(body) and not self.stalled:
-            # Nothing is read until there is room: meanwhile it is not the client that is slow.
-            self.stalled, self.since = True, math.inf
-
-    def begin_upload(self) -> None:
-        """Take the request on though it is not whole: its body goes on as it comes."""
-        headers, side = self.headers, self.side
-        length = None if headers.coding is not None else headers.length
-        self.upload = Upload(length, side.window)
-        self.upload.on_room = lambda: side.later(self.room_again)
-        headers.upload = self.upload
-        item = self.take_in()
-        if not isinstance(item, ClientRequest):
-            raise BadRequest(413, "this has no body of such a size")
-        self.incoming = item
-        if self.body:
-            self.upload.feed(bytes(self.body))
-            self.body.clear()
-
-    def on_message_complete(self) -> None:
-        if self.upload is not None:
-            upload, request = self.upload, self.incoming
-            self.forget()
-            upload.finish()
-            if request is not None:
-                self.side.whole(request)
-            return
-        self.take_in()
-        self.forget()
+    # Serving.
 
-    def take_in(self) -> Item:
-        """A request's turn comes when those before it are answered."""
-        item = self.read_request()
-        if isinstance(item, ClientRequest):
-            # Two that are open under one name could not be told apart by the servers.
-            if item.name in self.names:
-                raise BadRequest(409, "a request of this Request-Id is open")
-            self.names.add(item.name)
-        self.waiting.append((item, self.parser.should_keep_alive()))
-        self.served = True
-        return item
-
-    def read_request(self) -> Item:
-        method = self.parser.get_method()
-        if self.url == HEALTH_PATH:
-            if method != b"GET":
-                raise BadRequest(405, "the health is asked for by GET", b"Allow: GET\r\n")
-            return Health()
-        return self.side.read(method, self.url, self.headers, bytes(self.body))
-
-    def next(self) -> None:
-        """Begin with the next request that has come in whole."""
-        if (
-            self.advancing
-        ):  # an answer given at once comes back here: a loop, or many would nest too deep
+    def serve_next(self) -> None:
+        """Serve what was received, one request after the other."""
+        if self.advancing:  # a response given at once comes back here: many would nest too deep
             return
         self.advancing = True
-        while not self.busy and not self.full:
-            if not self.waiting and self.backlog and not self.stalled:
-                backlog, self.backlog = self.backlog, b""
-                self.parse(backlog)
-            if not self.waiting:
+        while not self.serving and not self.writing_paused:
+            receiver = self.receiver
+            if not self.queue and receiver.unparsed and not receiver.body_stalled:
+                receiver.resume_parsing()
+            if not self.queue:
                 break
-            item, self.keep = self.waiting.popleft()
-            self.busy = True
-            self.begin(item)
+            item, self.keep_alive = self.queue.popleft()
+            self.serving = True
+            self._serve(item)
         self.advancing = False
-        if self.state is not State.CLOSED:
-            self.place()
+        if self.state is not ConnectionState.CLOSED:
+            self._settle_state()
 
-    def begin(self, item: Item) -> None:
-        self.move(State.HELD)
+    def _serve(self, item: QueuedItem) -> None:
+        self.transition(ConnectionState.SERVING)
         if isinstance(item, ClientRequest):
             self.request = item
-            self.side.take(item)
-        elif isinstance(item, BadRequest):
-            content_type, body = self.side.words(item.status, item.why)
-            self.write_answer(item.status, body, content_type, item.extra)
+            self.driver.accept_request(item)
+        elif isinstance(item, BadRequestError):
+            content_type, body = self.driver.error_body(item.status, item.reason)
+            self._write_response(item.status, body, content_type, item.extra_headers)
         elif isinstance(item, Page):
-            self.write_answer(200, item.body(), item.content_type, b"")
-        elif self.side.serves:
-            self.write_answer(200, b"ok\n", b"text/plain", b"")
+            self._write_response(200, item.body(), item.content_type, b"")
+        elif self.driver.is_healthy:
+            self._write_response(200, b"ok\n", b"text/plain", b"")
         else:
-            self.write_answer(503, b"", b"", b"")
+            self._write_response(503, b"", b"", b"")
 
-    # Answers out.
+    # Responses out.
 
-    def write_answer(self, status: int, body: bytes, content_type: bytes, extra: bytes) -> None:
+    def _write_response(
+        self, status: int, body: bytes, content_type: bytes, extra_headers: bytes
+    ) -> None:
         if self.request is not None:
-            self.names.discard(self.request.name)
+            self.open_names.discard(self.request.request_name)
             self.request = None
-        keep = self.keeps()
-        lines = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b" % (
-            status,
-            PHRASES.get(status, b""),
-            len(body),
-            extra,
-        )
-        if content_type:
-            lines += b"Content-Type: %b\r\n" % content_type
-        self.side.write(b"%b%b\r\n%b" % (lines, b"" if keep else b"Connection: close\r\n", body))
-        self.busy = False
-        if not keep:
-            self.end()
-
-    def keeps(self) -> bool:
-        """Whether the connection goes on after the answer under way.
-
-        A node that stops still owes an answer to what it has read: the connection ends with the
-        last. What is left of a request that is answered already is not read."""
-        keep = self.keep and (bool(self.waiting or self.backlog) or self.side.keeps)
-        return keep and self.upload is None
-
-    # Answers that go out as they come.
-
-    def begin_answer(self, now: float, opening: Opening) -> None:
-        if self.state is State.CLOSED:
+        keep_alive = self._keeps_alive()
+        self.driver.write(whole_response(status, body, content_type, extra_headers, keep_alive))
+        self.serving = False
+        if not keep_alive:
+            self._close()
+
+    def _keeps_alive(self) -> bool:
+        """Return whether the connection goes on after the response under way.
+
+        A node that stops still owes responses to what it has read: the connection ends with the
+        last. What is left of a request that is answered already is not read.
+        """
+        if not self.keep_alive or self.receiver.body_stream is not None:
+            return False
+        return bool(self.queue or self.receiver.unparsed) or self.driver.keeps_alive
+
+    def begin_streaming(self, now: float, head: ResponseHead) -> None:
+        """Write the head of a streamed response to the request under way."""
+        if self.state is ConnectionState.CLOSED:
             return
-        self.now = now
+        self.now_s = now
         request, self.request = self.request, None
-        old = request is not None and request.old
+        is_http_1_0 = request is not None and request.is_http_1_0
         self.release(request)
-        self.chunks = opening.length is None and not old
-        self.keep = self.keeps() and not (old and opening.length is None)
-        framing = b"Transfer-Encoding: chunked\r\n" if self.chunks else b""
-        if opening.length is not None:
-            framing = b"Content-Length: %d\r\n" % opening.length
-        if opening.content_type:
-            framing += b"Content-Type: %b\r\n" % opening.content_type
-        if not self.keep:
-            framing += b"Connection: close\r\n"
-        line = b"HTTP/1.1 %d %b\r\n" % (opening.status, PHRASES.get(opening.status, b""))
-        self.side.write(line + framing + b"\r\n")
-
-    def go_on(self, data: bytes) -> bool:
-        """Bytes of its body; whether there is room for more."""
-        if data and self.state is not State.CLOSED:
-            self.side.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunks else data)
-        return not self.full
-
-    def finish_answer(self, now: float) -> None:
-        if self.state is State.CLOSED:
+        self.chunked_response = head.length is None and not is_http_1_0
+        ends_with_connection = is_http_1_0 and head.length is None
+        self.keep_alive = self._keeps_alive() and not ends_with_connection
+        self.driver.write(streamed_head(head, self.chunked_response, self.keep_alive))
+
+    def write_chunk(self, data: bytes) -> bool:
+        """Write a part of a streamed response; return whether there is capacity for more."""
+        if data and self.state is not ConnectionState.CLOSED:
+            self.driver.write(chunk(data) if self.chunked_response else data)
+        return not self.writing_paused
+
+    def finish_streaming(self, now: float) -> None:
+        """End a streamed response."""
+        if self.state is ConnectionState.CLOSED:
             return
-        self.now = now
-        if self.chunks:
-            self.side.write(b"0\r\n\r\n")
-        self.busy = False
-        if not self.keep:
-            self.end()
-        self.next()
-
-    def end(self) -> None:
-        """After the last answer: a plain close with bytes unread would reset the connection under
-        it."""
-        self.ended = True
-        self.drop_waiting()
-        self.read_on()
-        self.side.finish()
+        self.now_s = now
+        if self.chunked_response:
+            self.driver.write(LAST_CHUNK)
+        self.serving = False
+        if not self.keep_alive:
+            self._close()
+        self.serve_next()
+
+    def _close(self) -> None:
+        """End after the last response: a plain close with bytes unread would reset it."""
+        self.receiver.input_ended = True
+        self._discard_queue()
+        self.receiver.resume_reading()
+        self.driver.write_eof()
--- a/badgercart/frontends/processor/description.py
+++ b/badgercart/frontends/processor/description.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from badgercart.config import Config
-from badgercart.core.requests import Classifier, InvalidRequestError
+from badgercart.core.requests import InvalidRequestError, RequestClassifier
 from badgercart.frontends.processor.settings import ProcessorSettings
 
 MAX_VALUE = 8192  # bytes of one header's value that is read
@@ -38,7 +38,7 @@
     """Reads descriptions by the operator's names of headers."""
 
     def __init__(self, config: Config, settings: ProcessorSettings) -> None:
-        self.classifier = Classifier(config)
+        self.classifier = RequestClassifier(config)
         self.deadlines = [cls.deadline_ms for cls in config.settings.classes]
         self.most = settings.max_headers
         self.names = names = settings.headers
@@ -64,7 +64,7 @@
         if method is None or target is None:
             raise InvalidRequestError(400, "no :method or no :path")
         names = self.names
-        found = self.classifier.read(
+        found = self.classifier.classify(
             method,
             target,
             _first(headers, names.request_id),
--- a/badgercart/metrics/component.py
+++ b/badgercart/metrics/component.py
@@ -9,11 +9,14 @@
 
 from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.model import Address, Table
-from badgercart.frontends.http.requests import BadRequest, ClientRequest, Headers, Page, problem
+from badgercart.frontends.http.error_bodies import problem_document
+from badgercart.frontends.http.errors import BadRequestError
+from badgercart.frontends.http.headers import RequestHeaders
+from badgercart.frontends.http.requests import ClientRequest, Page
 from badgercart.metrics.log_events import LISTENING
 
 if TYPE_CHECKING:
-    from badgercart.frontends.http.clients import ClientConnection
+    from badgercart.frontends.http.client_connection import ClientConnection
 
 PATH = b"/metrics"
 MAX_CONNECTIONS = 16  # of those who scrape: one more makes the longest idle one go
@@ -30,27 +33,29 @@
     watched."""
 
     def __init__(self, host: ComponentHost, settings: MetricsSettings) -> None:
-        from badgercart.frontends.http.clients import Listener
+        from badgercart.frontends.http.listener import Listener
         from badgercart.metrics.figures import CONTENT_TYPE, Figures
 
         config = host.config
         names = [name.decode() for name in config.classes]
         self.figures = Figures(names, config.settings.classes, host.metrics)
-        host.pipeline.observers += (self.figures,)
+        host.pipeline.in_flight.observers += (self.figures,)
         self.pages: Mapping[bytes, Page] = {PATH: Page(self.figures.page, CONTENT_TYPE)}
         self.stopping = False
-        self.healthy = True
+        self.is_healthy = True
         self.listener = Listener(
-            host.loop, settings.listen, self, MAX_CONNECTIONS, self.read, problem
+            host.loop, settings.listen, self, MAX_CONNECTIONS, self.read, problem_document
         )
 
-    def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
-        raise BadRequest(404, f"figures are at {PATH.decode()}")
+    def read(
+        self, method: bytes, url: bytes, headers: RequestHeaders, body: bytes
+    ) -> ClientRequest:
+        raise BadRequestError(404, f"figures are at {PATH.decode()}")
 
-    def take(self, client: ClientConnection, request: ClientRequest) -> None:
+    def accept(self, client: ClientConnection, request: ClientRequest) -> None:
         raise AssertionError("no request is taken here")
 
-    def withdraw(self, request_id: int) -> None:
+    def cancel(self, request_id: int) -> None:
         """There is none."""
 
     async def start(self) -> None:
--- a/badgercart/metrics/figures.py
+++ b/badgercart/metrics/figures.py
@@ -21,14 +21,14 @@
 )
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
-from badgercart.core.metric_registry import Kind, MetricRegistry
+from badgercart.core.metric_registry import MetricKind, MetricRegistry
 from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.policy.settings import RequestClass
 
 CONTENT_TYPE = CONTENT_TYPE_LATEST.encode()
 MAX_BUCKETS = 20
 SHARES = (0.1, 0.25, 0.5, 0.75, 1.0)  # of each class's aim
-FAMILIES = {Kind.COUNTER: CounterMetricFamily, Kind.GAUGE: GaugeMetricFamily}
+FAMILIES = {MetricKind.COUNTER: CounterMetricFamily, MetricKind.GAUGE: GaugeMetricFamily}
 
 
 def buckets(classes: Sequence[RequestClass]) -> tuple[float, ...]:
@@ -52,7 +52,7 @@
     def collect(self) -> Iterator[Metric]:
         for meter in self.meters.metrics.values():
             labels = [meter.label] if meter.label else []
-            family = FAMILIES[meter.kind](meter.name, meter.about, labels=labels)
+            family = FAMILIES[meter.kind](meter.name, meter.description, labels=labels)
             for value, reading in meter.values().items():
                 family.add_metric([value] if meter.label else [], reading)
             yield family
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -15,12 +15,12 @@
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.log_events import CONFIG_KEPT, CONFIG_READ, LIST_KNOWN_MALFORMED, STOPPED
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.discovery.backoff import Pace
-from badgercart.discovery.catalog import Discovery
-from badgercart.discovery.entries import ListReader
+from badgercart.discovery.backoff import CallPacing
+from badgercart.discovery.catalog import CatalogClient
+from badgercart.discovery.entries import CatalogUpdateReader
 from badgercart.ejection.ejections import Bans
-from badgercart.frontends.http.clients import ACCEPT_FOR
-from badgercart.frontends.http.frontend import HttpFront
+from badgercart.frontends.http.frontend import HttpFrontend
+from badgercart.frontends.http.listener import ACCEPT_AFTER_SIGTERM_S
 from badgercart.hot_restart.inherited_socket import inherited_socket
 from badgercart.hot_restart.log_events import ALONE, BESIDE
 from badgercart.hot_restart.process_lock import Lives
@@ -45,7 +45,7 @@
         self.config = config
         self.loop = loop
         self.join = RequestPipeline(config.settings, config.seed, loop)
-        self.reader = ListReader(config)
+        self.reader = CatalogUpdateReader(config)
         self.roster = EndpointTable(self.reader, self.join)
         self.inherited = None if config.inherited is None else inherited_socket(config.inherited)
         self.bans: Bans | None = None
@@ -53,8 +53,9 @@
         if config.console is not None and config.folder is not None:
             self.bans = Bans(self.roster, config.folder, loop, self.reader.unix_offset)
             self.door = Door(loop, config.console, NodeDesk(self.unready, self.bans))
-        self.front = HttpFront(config, self.join, self.roster, loop)
-        self.pool, self.listener = self.front.pool, self.front.listener
+        self.front = HttpFrontend(config, self.join, self.roster, loop)
+        self.transport, self.listener = self.front.transport, self.front.listener
+        self.pool = self.transport.pool
         self.lives: Lives | None = None
         self.handover: Handover | None = None
         if self.inherited is not None and config.folder is not None:
@@ -63,8 +64,8 @@
             self.handover.give(self.join.policy, config)
             if not self.lives.alone:
                 self.on_company(False)
-        self.discovery = Discovery(
-            config.discovery, self.take_list, random.Random(config.seed), pace=self.pace(config)
+        self.discovery = CatalogClient(
+            config.discovery, self.take_list, random.Random(config.seed), pacing=self.pace(config)
         )
         if config.known.get("instances"):
             try:
@@ -83,7 +84,7 @@
     async def start(self) -> None:
         """OSError where an address can't be had."""
         successor = self.lives is not None and not self.lives.alone
-        self.front.start(self.inherited, opened=not successor)
+        self.front.start(self.inherited, is_open=not successor)
         if successor:
             self.loop.call_later(LIST_PATIENCE, self.listener.open)
         self.discovery.start()
@@ -98,23 +99,27 @@
             await self.door.start()
 
     @staticmethod
-    def pace(config: Config) -> Pace:
+    def pace(config: Config) -> CallPacing:
         """The settings say whether lists are pushed to an agent of our own, or asked for at one
         service."""
-        return Pace.shared() if config.settings.polls_endpoints else Pace.agent(config.drain_grace)
+        return (
+            CallPacing.for_shared_service()
+            if config.settings.polls_endpoints
+            else CallPacing.for_local_agent(config.drain_grace)
+        )
 
     def unready(self) -> str:
         """Why the node can't serve; empty where it can."""
         if self.front.stopping:
             return "this process is ending"
-        if not self.front.healthy:
+        if not self.front.is_healthy:
             return "no server list has come yet"
-        return "" if self.listener.opened else "discovery has not answered yet"
+        return "" if self.listener.is_open else "discovery has not answered yet"
 
     def on_company(self, alone: bool) -> None:
         """Another process of this node has come, or the last one has gone."""
         (ALONE if alone else BESIDE)()
-        self.front.keep_to(1.0 if alone else SHARE)
+        self.front.set_share(1.0 if alone else SHARE)
 
     def reload(self, environ: Mapping[str, str]) -> None:
         """Put in force what the file has now, all of it that takes no restart, or nothing."""
@@ -125,25 +130,25 @@
             return
         old, lines = self.config, [member.entry for member in self.roster.listed.values()]
         classes, tenants = self.join.policy.busy()
-        read = list(self.listener.read_ahead())
+        read = list(self.listener.table.queued_requests())
         busy = Busy(
-            classes=classes | {request.cls for request in read},
+            classes=classes | {request.class_index for request in read},
             tenants=tenants | {request.tenant for request in read},
             zones={entry.zone for entry in lines},
             kinds={entry.kind for entry in lines},
-            read={request.cls for request in read},
+            read={request.class_index for request in read},
         )
         restart = ", ".join(wants_restart(old, new))
         self.config, event = retuned(old, new, busy)
         self.join.dispatch(event)
-        self.front.retune(self.config)
-        self.reader.rename(self.config)
+        self.front.reconfigure(self.config)
+        self.reader.use_names(self.config)
         CONFIG_READ(
             what=f": discovery at {new.discovery[0]}:{new.discovery[1]}, {len(new.classes)} classes, "
             f"{new.settings.max_attempts} attempts"
             + (f"; takes a restart: {restart}" if restart else "")
         )
-        self.discovery.pace = self.pace(self.config)
+        self.discovery.pacing = self.pace(self.config)
         renamed = (old.zones, old.kinds) != (self.config.zones, self.config.kinds)
         self.discovery.move(new.discovery, anew=renamed)
 
@@ -151,7 +156,7 @@
         """Answer all that is held, and what still comes, then end."""
         if self.handover is not None:
             self.handover.close()  # from now on the next process knows better
-        until = now_ms() + ACCEPT_FOR * 1000 + min(self.config.longest, KILLED_AFTER)
+        until = now_ms() + ACCEPT_AFTER_SIGTERM_S * 1000 + min(self.config.longest, KILLED_AFTER)
         self.join.begin_shutdown(until)
         if self.inherited is not None:
             await self.front.hand_over(until)
