--- a/badgercart/upstream/__init__.py
+++ b/badgercart/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Attempts over the node's own connections to the servers; its entry is ``pool.ServerPool``."""
+"""Attempts over HTTP/1.1 on pooled connections to endpoints; its entry is `transport.HttpTransport`."""
--- a/badgercart/upstream/attempts.py
+++ b/badgercart/upstream/attempts.py
@@ -1,34 +1,38 @@
-"""The life of one attempt, and how long servers keep idle connections. No I/O: tables and
-arithmetic."""
+"""The life of one attempt: its phases, and how it may end from each. No I/O: tables."""
 
 from __future__ import annotations
 
-import math
+import asyncio
+from dataclasses import dataclass
 from enum import IntEnum
+from typing import TYPE_CHECKING
 
 from badgercart.policy.events import AttemptResult
+from badgercart.upstream.errors import IllegalResultError
 
-# A server may close what stands idle sooner than it says, unseen until the next request is reset.
-# Where two in a row that were idle for longer than SHORT_IDLE are, the limit comes down; it grows
-# back step by step.
-IDLE_MARGIN = 2000.0  # ms before the server's own limit: its close must not cross a request of ours
-SHORT_IDLE, IDLE_GROWTH = 100.0, 1.1  # ms
+if TYPE_CHECKING:
+    from badgercart.upstream.connection import UpstreamConnection
+    from badgercart.upstream.connection_pool import UpstreamEndpoint
+    from badgercart.upstream.exchange import UpstreamRequest
 
 
-class At(IntEnum):
-    """Where an attempt is."""
+class AttemptPhase(IntEnum):
+    """How far an attempt has come."""
 
-    DIALLING = 0  # no byte has been sent
-    SENT = 1  # given to the transport: it may have run, unless some of it is still there
-    SENDING = 2  # the request comes in and goes on: it can't have run before its last byte
-    STREAMING = 3  # the answer has begun to go on
+    CONNECTING = 0  # no byte has been sent
+    SENT = 1  # given to the socket's transport: it may have been executed
+    UPLOADING = 2  # the request's body is streamed: it can't be executed before its last byte
+    STREAMING = 3  # the response is streamed
 
 
-# How an attempt may end from where it is. One that was not sent never ran, and one that was may
-# have.
-ENDS: dict[At, tuple[AttemptResult, ...]] = {
-    At.DIALLING: (AttemptResult.UNREACHABLE, AttemptResult.CANCELLED, AttemptResult.NOT_SENT),
-    At.SENT: (
+# What never was sent was never executed, and what was sent may have been.
+POSSIBLE_RESULTS: dict[AttemptPhase, tuple[AttemptResult, ...]] = {
+    AttemptPhase.CONNECTING: (
+        AttemptResult.UNREACHABLE,
+        AttemptResult.CANCELLED,
+        AttemptResult.NOT_SENT,
+    ),
+    AttemptPhase.SENT: (
         AttemptResult.OK,
         AttemptResult.ERROR,
         AttemptResult.FULL,
@@ -36,14 +40,14 @@
         AttemptResult.TIMEOUT,
         AttemptResult.CANCELLED,
     ),
-    At.SENDING: (
+    AttemptPhase.UPLOADING: (
         AttemptResult.OK,
         AttemptResult.ERROR,
         AttemptResult.FULL,
         AttemptResult.UNREACHABLE,
         AttemptResult.CANCELLED,
     ),
-    At.STREAMING: (
+    AttemptPhase.STREAMING: (
         AttemptResult.OK,
         AttemptResult.ERROR,
         AttemptResult.RESET,
@@ -51,58 +55,53 @@
         AttemptResult.CANCELLED,
     ),
 }
-OVERDUE = {
-    At.DIALLING: AttemptResult.UNREACHABLE,
-    At.SENT: AttemptResult.TIMEOUT,
-    At.SENDING: AttemptResult.UNREACHABLE,
-    At.STREAMING: AttemptResult.TIMEOUT,
+TIMEOUT_RESULTS = {
+    AttemptPhase.CONNECTING: AttemptResult.UNREACHABLE,
+    AttemptPhase.SENT: AttemptResult.TIMEOUT,
+    AttemptPhase.UPLOADING: AttemptResult.UNREACHABLE,
+    AttemptPhase.STREAMING: AttemptResult.TIMEOUT,
 }
-BROKEN = {
-    At.SENT: AttemptResult.RESET,
-    At.SENDING: AttemptResult.UNREACHABLE,
-    At.STREAMING: AttemptResult.RESET,
+DISCONNECT_RESULTS = {
+    AttemptPhase.SENT: AttemptResult.RESET,
+    AttemptPhase.UPLOADING: AttemptResult.UNREACHABLE,
+    AttemptPhase.STREAMING: AttemptResult.RESET,
 }
 
 
-def hindrance(wanted: bool, fit: bool, left: float) -> AttemptResult | None:
-    """Why an attempt that has not begun may not be written now, as the end that it has; None: it
-    may.
-
-    `wanted`: its request still waits; `fit`: its server may get something new; `left`: ms of its
-    time.
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt, from when the policy decided it to its end."""
+
+    request_id: int
+    attempt: int  # its number, counted from 0 for each request
+    endpoint: UpstreamEndpoint
+    version: int  # of the endpoint when the attempt was decided
+    request: UpstreamRequest
+    started_ms: float
+    deadline_ms: float  # infinite while the request's body is not complete
+    phase: AttemptPhase = AttemptPhase.CONNECTING
+    timed_out: bool = False
+    timeout_ms: float = 0.0  # where it counts from when the request is complete
+    timer: asyncio.TimerHandle | None = None
+    stream_timer: asyncio.TimerHandle | None = None  # when its response is streamed at the latest
+    connecting: asyncio.Task[None] | None = None
+    connection: UpstreamConnection | None = None
+
+
+def blocked_result(is_awaited: bool, is_usable: bool, left_ms: float) -> AttemptResult | None:
+    """Return how an attempt ends that may not be written now; None where it may.
+
+    Args:
+        is_awaited: a client still waits for its request.
+        is_usable: its endpoint and connection may get something new.
+        left_ms: what is left of its time.
     """
-    if not wanted:
+    if not is_awaited:
         return AttemptResult.NOT_SENT
-    return None if fit and left > 0 else AttemptResult.UNREACHABLE
-
-
-def check_end(at: At, result: AttemptResult) -> None:
-    """RuntimeError where an attempt can't end so from there."""
-    if result not in ENDS[at]:
-        raise RuntimeError(f"an attempt that is {at.name} can't end as {result.name}")
-
-
-class IdleLimit:
-    """For how long an idle connection is trusted, in ms, as learned from those that were dead."""
-
-    def __init__(self, told: float) -> None:
-        """`told`: the time after which servers say that they close one (ms)."""
-        self.told = math.nan
-        self.stale = 0  # connections in a row that were dead after standing idle
-        self.retell(told)
-
-    def retell(self, told: float) -> None:
-        """Servers say another time from now on; what was learned is void only then."""
-        if told != self.told:
-            self.told, self.stale = told, 0
-            self.most = self.ms = max(told - IDLE_MARGIN, told / 2)
+    return None if is_usable and left_ms > 0 else AttemptResult.UNREACHABLE
 
-    def reused(self, idled: float, alive: bool) -> None:
-        """A connection that had stood idle for so many ms was used again."""
-        if idled > SHORT_IDLE:
-            self.stale = 0 if alive else self.stale + 1
-            if self.stale > 1:
-                self.ms = min(self.ms, idled)
 
-    def grow(self) -> None:
-        self.ms = min(self.ms * IDLE_GROWTH, self.most)
+def check_result(phase: AttemptPhase, result: AttemptResult) -> None:
+    """Raise IllegalResultError where an attempt in this phase can't end so."""
+    if result not in POSSIBLE_RESULTS[phase]:
+        raise IllegalResultError(phase.name, result.name)
--- a/badgercart/upstream/exchange.py
+++ b/badgercart/upstream/exchange.py
@@ -1,6 +1,6 @@
-"""One connection to a server as a machine without I/O: a request out, its answer in, over and over.
+"""One connection to an endpoint as a machine without I/O: a request out, its response in, repeatedly.
 
-It reads no clock and holds no socket. Its legal moves stand in `MOVES`.
+It reads no clock and holds no socket. Its legal transitions stand in `TRANSITIONS`.
 Source: the protocol's page, section "Nodes to servers"; RFC 9112 for framing.
 """
 
@@ -12,273 +12,321 @@
 
 import httptools
 
-from badgercart.core.memory_budget import HOLD
-from badgercart.core.ports import Answer
-from badgercart.core.streams import Opening, Upload
+from badgercart.core.memory_budget import MAX_BUFFERED_BYTES
+from badgercart.core.ports import Response
+from badgercart.core.streams import ResponseHead, StreamedBody
+from badgercart.upstream.errors import IllegalTransitionError
 
-MAX_BODY = 65536  # bytes of a body where nothing passes through as it comes
-MAX_BULK = 64 << 20  # bytes of one that does
-MAX_HEAD = 16384  # bytes of status line and headers, those of interim answers included
-MAX_ANSWER = MAX_HEAD + 2 * MAX_BODY  # bytes of a whole answer, the framing of its body included
-# bytes of framing for each byte of a long body: chunks of one byte have 5, and extensions more
-MAX_FRAMING = 32
-MAX_INTERIM = 8  # answers 1xx ahead of the final one
-OWS = b" \t"  # may stand behind a field's value, and is no part of it (RFC 9110, section 5.5)
+MAX_BODY_BYTES = 65536  # of a body that is buffered whole
+MAX_STREAMED_BODY_BYTES = 64 << 20
+MAX_HEAD_BYTES = 16384  # status line and headers, with those of interim responses
+MAX_RESPONSE_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES  # with the framing of its body
+# Bytes of framing for each byte of a streamed body: a chunk of one byte has 5, and extensions more.
+MAX_FRAMING_FACTOR = 32
+MAX_INTERIM_RESPONSES = 8
+OPTIONAL_WHITESPACE = b" \t"  # around a field's value, and no part of it (RFC 9110, section 5.5)
 
 
 @dataclass(slots=True)
-class Message:
-    """A request as it goes on: all but its time-out, which each attempt writes anew."""
+class UpstreamRequest:
+    """A request as it is forwarded, without the time-out, which each attempt writes anew."""
 
     head: bytes  # request line and header lines
     body: bytes
-    upload: Upload | None = None  # the body, where it goes on as it comes
-    streams: bool = False  # whether its answer may
+    body_stream: StreamedBody | None = None  # the body, where it is streamed
+    accepts_streaming: bool = False  # whether its response may be streamed
 
 
-class State(IntEnum):  # hashed for every request: as numbers, that costs nothing
-    """What is expected of the server."""
+class ExchangeState(IntEnum):  # hashed for every request: as numbers, that costs nothing
+    """What is expected of the endpoint."""
 
-    IDLE = 0  # nothing: bytes that come now could pass for the next answer
-    ASKED = 1  # an answer
-    OVER = 2  # nothing ever: the connection is of no more use
+    IDLE = 0  # nothing: bytes that come now could pass for the next response
+    AWAITING_RESPONSE = 1
+    CLOSED = 2  # nothing ever: the connection is of no more use
 
 
-MOVES: dict[State, frozenset[State]] = {
-    State.IDLE: frozenset((State.ASKED, State.OVER)),
-    State.ASKED: frozenset((State.IDLE, State.OVER)),
-    State.OVER: frozenset(),
+TRANSITIONS: dict[ExchangeState, frozenset[ExchangeState]] = {
+    ExchangeState.IDLE: frozenset((ExchangeState.AWAITING_RESPONSE, ExchangeState.CLOSED)),
+    ExchangeState.AWAITING_RESPONSE: frozenset((ExchangeState.IDLE, ExchangeState.CLOSED)),
+    ExchangeState.CLOSED: frozenset(),
 }
 
 
-def over_framed(got: int) -> int:
-    """Bytes of a message, with so much of its body, beyond which its framing is no framing any
-    more."""
-    return 2 * MAX_HEAD + (1 + MAX_FRAMING) * got
-
-
-def illegal(old: State, new: State) -> RuntimeError:
-    return RuntimeError(f"a server's connection can't go from {old.name} to {new.name}")
+def max_message_bytes(body_bytes: int) -> int:
+    """Return how long a message with so much of its body may be, framing included."""
+    return 2 * MAX_HEAD_BYTES + (1 + MAX_FRAMING_FACTOR) * body_bytes
 
 
 @dataclass(slots=True)
-class Done:
-    """The answer came whole; where it had begun to go on, `answer` has no body."""
+class ResponseReceived:
+    """The response came whole; where it was streamed, its `response` has no body."""
 
-    answer: Answer
-    not_started: bool
-    keep: bool  # whether the connection can carry the next request
+    response: Response
+    not_started: bool  # its header Not-Started: the endpoint executed nothing
+    reusable: bool  # the connection can carry the next request
 
 
 @dataclass(slots=True)
-class Malformed:
-    """What came is no answer: why."""
+class MalformedResponse:
+    """What came is no response."""
 
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
-class Unasked:
+class UnexpectedData:
     """Something came though nothing was asked."""
 
 
-Found = Done | Malformed | Unasked
+ExchangeEvent = ResponseReceived | MalformedResponse | UnexpectedData
+
+
+def buffer_all() -> int:
+    """Return the largest limit of a buffered response."""
+    return MAX_BUFFERED_BYTES
 
 
 class Exchange:
-    """The machine. The parser refers back to it: `close` parts the two.
+    """The machine. The parser refers back to it: `release_parser` parts the two.
 
-    An answer is held until it is whole. Where it may go on as it comes, `opening` says that it is
-    time: then `begin` gives its head, and `pass_on` what has come of its body since."""
+    A response is buffered until it is whole. Where it may be streamed, `must_stream` says that it is
+    time: then `begin_streaming` gives its head, and `take_body` what has come of its body since.
+    """
 
     __slots__ = (
-        "__weakref__", "begun", "body", "chunked", "coding", "complete", "content_type", "got", "hold",
-        "interim", "keep", "length", "not_started", "parser", "size", "state", "stray", "streams", "upload",
-        "whole_head",
-    )  # fmt: skip
+        "__weakref__",
+        "accepts_streaming",
+        "body",
+        "body_bytes",
+        "body_stream",
+        "buffer_limit_bytes",
+        "chunked",
+        "complete",
+        "content_type",
+        "has_stray_bytes",
+        "has_transfer_coding",
+        "head_complete",
+        "interim_responses",
+        "keep_alive",
+        "length",
+        "not_started",
+        "parser",
+        "received_bytes",
+        "state",
+        "streaming",
+    )
 
     def __init__(self) -> None:
-        self.state = State.IDLE
+        """Set up the machine of a connection that has carried nothing."""
+        self.state = ExchangeState.IDLE
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self.body = bytearray()
-        self.size = 0  # bytes of the answer so far
-        self.got = 0  # of its body
-        self.interim = 0
-        self.whole_head = False
+        self.buffer_limit_bytes: Callable[[], int] = buffer_all
+        # Of the request.
+        self.body_stream: StreamedBody | None = None
+        self.accepts_streaming = False
+        # Of the response.
+        self.received_bytes = 0
+        self.interim_responses = 0
+        self.head_complete = False
         self.not_started = False
         self.content_type = b""
+        self.length: int | None = None  # of the body, where it is given
+        self.chunked = self.has_transfer_coding = False
+        self.body = bytearray()  # what was not taken yet
+        self.body_bytes = 0  # also of what was taken
+        self.streaming = False
         self.complete = False
-        self.keep = False
-        self.stray = False  # bytes came after the answer
-        self.length: int | None = None  # of the body, where it is told
-        self.chunked = self.coding = False
-        self.streams = self.begun = False  # whether the answer may go on as it comes, and does
-        self.hold: Callable[[], int] = lambda: HOLD  # how much of an answer may be held now
-        self.upload: Upload | None = None
-
-    def ask(self, message: Message, left: float) -> bytes:
-        """The bytes of a request whose attempt has so many ms left; of one that comes in, its
-        head."""
-        if State.ASKED not in MOVES[self.state]:
-            raise illegal(self.state, State.ASKED)
-        self.state = State.ASKED
-        self.complete = self.whole_head = self.begun = False
-        self.body.clear()  # what is left of the answer before must not pass for this one's
-        self.size = self.interim = self.got = 0
-        self.streams, self.upload = message.streams, message.upload
-        return b"%bRequest-Timeout: %dm\r\n\r\n%b" % (message.head, max(1, int(left)), message.body)
-
-    def upload_bytes(self) -> bytes:
-        """What has come of the request's body since, in its framing; the end of it, too."""
-        assert self.upload is not None
-        data = self.upload.read()
-        if self.upload.length is not None:
+        self.keep_alive = False
+        self.has_stray_bytes = False  # some came after the response
+
+    def begin_request(self, request: UpstreamRequest, left_ms: float) -> bytes:
+        """Return the bytes of a request whose attempt has so many ms left.
+
+        Of one whose body is streamed these are the head; `next_body_bytes` gives the rest.
+
+        Raises:
+            IllegalTransitionError: the connection is not idle.
+        """
+        if ExchangeState.AWAITING_RESPONSE not in TRANSITIONS[self.state]:
+            raise IllegalTransitionError(self.state.name, ExchangeState.AWAITING_RESPONSE.name)
+        self.state = ExchangeState.AWAITING_RESPONSE
+        self.complete = self.head_complete = self.streaming = False
+        self.body.clear()  # what is left of the last response must not pass for this one's
+        self.received_bytes = self.interim_responses = self.body_bytes = 0
+        self.accepts_streaming = request.accepts_streaming
+        self.body_stream = request.body_stream
+        timeout_ms = max(1, int(left_ms))
+        return b"%bRequest-Timeout: %dm\r\n\r\n%b" % (request.head, timeout_ms, request.body)
+
+    def next_body_bytes(self) -> bytes:
+        """Return what has come of the request's body since, in its framing, with its end."""
+        assert self.body_stream is not None
+        data = self.body_stream.read()
+        if self.body_stream.length is not None:
             return data
         chunk = b"%x\r\n%b\r\n" % (len(data), data) if data else b""
-        return chunk + b"0\r\n\r\n" if self.upload.ended else chunk
+        return chunk + b"0\r\n\r\n" if self.body_stream.exhausted else chunk
+
+    def receive_data(self, data: bytes) -> ExchangeEvent | None:
+        """Take bytes of the endpoint, and return what came of them.
 
-    def received(self, data: bytes) -> Found | None:
-        """What has come of it; None while the answer is not whole."""
-        if self.state is not State.ASKED:
+        Returns None while the response is not whole.
+        """
+        if self.state is not ExchangeState.AWAITING_RESPONSE:
             self.close()
-            return Unasked()
+            return UnexpectedData()
         assert self.parser is not None
-        self.size += len(data)
+        self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             if not self.complete:
-                return self.malformed(str(error.__context__ or error))
-            self.stray = True
+                return self._malformed(str(error.__context__ or error))
+            self.has_stray_bytes = True
         except httptools.HttpParserUpgrade:
-            return self.malformed("an upgrade")
+            return self._malformed("an upgrade")
         if self.complete:
-            return self.done(self.keep and not self.stray)
-        if not self.whole_head and self.size > MAX_HEAD:
-            return self.malformed("its head is over the limit")
-        if self.size > (over_framed(self.got) if self.streams else MAX_ANSWER):
-            return self.malformed("over the limit")
-        return None
-
-    def ended(self) -> Found | None:
-        """The server has ended its side: the end of an answer that has no other; None where it is
-        none."""
-        if (
-            self.state is not State.ASKED
-            or not self.whole_head
-            or self.chunked
-            or self.length is not None
-        ):
-            return None
-        return self.done(False)
+            return self._response(self.keep_alive and not self.has_stray_bytes)
+        return self._check_size()
 
-    def done(self, keep: bool) -> Done:
-        assert self.parser is not None
-        answer = Answer(self.parser.get_status_code(), bytes(self.body), self.content_type)
-        # What is left of the request would pass for the next one.
-        keep = keep and (self.upload is None or self.upload.ended)
-        self.state = State.IDLE if keep else State.OVER  # ASKED moves to either
-        return Done(answer, self.not_started, keep)
+    def receive_eof(self) -> ResponseReceived | None:
+        """Take the endpoint's end of the connection.
+
+        Returns the response where nothing else marks its end, and None where it is cut short.
+        """
+        if self.state is not ExchangeState.AWAITING_RESPONSE or not self.head_complete:
+            return None
+        if self.chunked or self.length is not None:
+            return None
+        return self._response(reusable=False)
 
     @property
-    def opening(self) -> bool:
-        """Whether the answer goes on as it comes from here: it has begun, and can't be held
-        whole."""
-        if not self.streams or self.begun or not self.body or self.state is not State.ASKED:
+    def must_stream(self) -> bool:
+        """Whether the response is to be streamed from here: it can't be buffered whole."""
+        if not self.accepts_streaming or self.streaming or not self.body:
             return False
-        return len(self.body) > self.hold() or (
-            self.length is not None and self.length > self.hold()
-        )
+        if self.state is not ExchangeState.AWAITING_RESPONSE:
+            return False
+        limit = self.buffer_limit_bytes()
+        return len(self.body) > limit or (self.length is not None and self.length > limit)
 
     @property
-    def may_open(self) -> bool:
-        """Whether it could, though it need not."""
+    def can_stream(self) -> bool:
+        """Whether the response could be streamed, though it need not."""
         return (
-            self.streams
-            and self.whole_head
-            and not self.begun
+            self.accepts_streaming
+            and self.head_complete
+            and not self.streaming
             and bool(self.body)
             and self.length is None
         )
 
-    def begin(self) -> Opening:
+    def begin_streaming(self) -> ResponseHead:
+        """Have the response streamed, and return its head."""
         assert self.parser is not None
-        self.begun = True
-        return Opening(self.parser.get_status_code(), self.content_type, self.length)
+        self.streaming = True
+        return ResponseHead(self.parser.get_status_code(), self.content_type, self.length)
 
-    def pass_on(self) -> bytes:
-        """What has come of the body and was not passed on yet."""
+    def take_body(self) -> bytes:
+        """Return what has come of the body and was not taken yet."""
         data = bytes(self.body)
         self.body.clear()
         return data
 
-    def malformed(self, why: str) -> Malformed:
-        self.close()
-        return Malformed(why)
-
     def close(self) -> None:
-        """The connection is gone or of no more use. Told again, it changes nothing."""
-        self.state = State.OVER  # which any state may move to
+        """Mark the connection as gone, or of no more use. A second call changes nothing."""
+        self.state = ExchangeState.CLOSED  # which any state may move to
 
-    def unlink(self) -> None:
-        """Part parser and machine, which refer to each other: both would wait for the cyclic
-        collector."""
+    def release_parser(self) -> None:
+        """Part parser and machine, which refer to each other and would wait for the collector."""
         self.parser = None
 
-    # What the parser finds.
+    def _response(self, reusable: bool) -> ResponseReceived:
+        assert self.parser is not None
+        status = self.parser.get_status_code()
+        response = Response(status, bytes(self.body), self.content_type)
+        # What is left of the request would pass for the next one.
+        sent = self.body_stream is None or self.body_stream.exhausted
+        reusable = reusable and sent
+        self.state = ExchangeState.IDLE if reusable else ExchangeState.CLOSED
+        return ResponseReceived(response, self.not_started, reusable)
+
+    def _check_size(self) -> MalformedResponse | None:
+        if not self.head_complete and self.received_bytes > MAX_HEAD_BYTES:
+            return self._malformed("its head is over the limit")
+        limit = MAX_RESPONSE_BYTES
+        if self.accepts_streaming:
+            limit = max_message_bytes(self.body_bytes)
+        return self._malformed("over the limit") if self.received_bytes > limit else None
+
+    def _malformed(self, reason: str) -> MalformedResponse:
+        self.close()
+        return MalformedResponse(reason)
+
+    @property
+    def _max_body_bytes(self) -> int:
+        return MAX_STREAMED_BODY_BYTES if self.accepts_streaming else MAX_BODY_BYTES
+
+    # Called by the parser. A ValueError reaches `receive_data` as a parser error.
 
     def on_message_begin(self) -> None:
+        """Begin a response, or an interim one."""
         if self.complete:
-            self.stray = True
+            self.has_stray_bytes = True
             return
         self.body.clear()
-        self.not_started = self.chunked = self.coding = False
+        self.not_started = self.chunked = self.has_transfer_coding = False
         self.length = None
         self.content_type = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.complete or self.whole_head:  # trailers must not pass for headers
+        """Take a header, but not a trailer, which must not pass for one."""
+        if self.complete or self.head_complete:
             return
-        lower, raw, value = name.lower(), value, value.strip(OWS)
+        lower, raw, value = name.lower(), value, value.strip(OPTIONAL_WHITESPACE)
         if lower == b"content-length":
             self.length = int(value)
-            if self.length > (MAX_BULK if self.streams else MAX_BODY):
-                raise ValueError(
-                    "a length over the limit"
-                )  # before the body comes, which may never end
+            if self.length > self._max_body_bytes:
+                # Found out before the body comes, which may never end.
+                raise ValueError("a length over the limit")
         elif lower == b"transfer-encoding":
             # The parser takes it for chunked with spaces behind it, not with a tab.
-            self.coding, self.chunked = True, raw.rstrip(b" ").lower() == b"chunked"
+            self.has_transfer_coding = True
+            self.chunked = raw.rstrip(b" ").lower() == b"chunked"
         elif lower == b"not-started":
             self.not_started = value == b"1"
         elif lower == b"content-type":
             self.content_type = value
 
-    def on_body(self, body: bytes) -> None:
-        if self.complete:
-            return
-        self.got += len(body)
-        if self.got > (MAX_BULK if self.streams else MAX_BODY):
-            raise ValueError("a body over the limit")  # reaches `received` as a parser error
-        self.body += body
-
     def on_headers_complete(self) -> None:
+        """End the head of a response, or of an interim one."""
         if self.complete or self.parser is None:
             return
         status = self.parser.get_status_code()
-        self.whole_head = status >= 200
-        if self.whole_head:
-            if self.coding and not self.chunked:
-                raise ValueError("a coding that is not spoken here")
-            self.streams = self.streams and status == 200  # nothing else is passed on as it comes
+        self.head_complete = status >= 200
+        if not self.head_complete:
+            return
+        if self.has_transfer_coding and not self.chunked:
+            raise ValueError("a coding that is not spoken here")
+        self.accepts_streaming = self.accepts_streaming and status == 200
+
+    def on_body(self, body: bytes) -> None:
+        """Take a part of the body."""
+        if self.complete:
+            return
+        self.body_bytes += len(body)
+        if self.body_bytes > self._max_body_bytes:
+            raise ValueError("a body over the limit")
+        self.body += body
 
     def on_message_complete(self) -> None:
+        """End a response, or an interim one."""
         if self.complete or self.parser is None:
             return
-        if not self.whole_head:
-            self.interim += 1
-            if self.interim > MAX_INTERIM:
+        if not self.head_complete:
+            self.interim_responses += 1
+            if self.interim_responses > MAX_INTERIM_RESPONSES:
                 raise ValueError("too many interim answers")
             return
         self.complete = True
-        self.keep = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -55,8 +55,8 @@
         self.verdicts: tuple[Any, ...] = ()
         self.states = [gate.state for gate in self.keeper.gates]
         self.place(settings)
-        host.pipeline.attempt_observers += (self,)
-        host.pipeline.observers += (self,)
+        host.pipeline.in_flight.attempt_observers += (self,)
+        host.pipeline.in_flight.observers += (self,)
         host.pages[b"/_zones"] = Page(self.page)
         host.pages[b"/_zones/if"] = Page(
             self.if_gone
@@ -79,7 +79,7 @@
                 return -1
             return next((zone for network, zone in networks if ip in network), -1)
 
-        self.host.reader.place = zone_of if networks else None
+        self.host.reader.zone_of_host = zone_of if networks else None
 
     def register(self) -> None:
         meters, keeper, names = self.host.metrics, self.keeper, list(self.host.config.zones)
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -14,7 +14,7 @@
 from badgercart.cluster.membership_table import MAX_MEMBERS
 from badgercart.cluster.uses import MAX_TENANTS as MOST_SHARED
 from badgercart.discovery.etcd.follower import MAX_ENTRIES
-from badgercart.discovery.list_framing import MOST as MOST_LIST
+from badgercart.discovery.list_framing import MAX_LIST_BYTES as MOST_LIST
 from badgercart.policy.policy import FEW, NODES
 from badgercart.reload.checks import MAX_CLASSES, MAX_TENANTS
 from badgercart.zones.failover_controller import LOOK
--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -22,7 +22,7 @@
 from badgercart.capture.replay import replay, segments
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.writer import Capture
-from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
+from badgercart.core.ports import AttemptRequest, IncomingRequest, Response
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import AttemptResult, EndpointUpdate, UpdateKind
@@ -53,7 +53,7 @@
             self.capture = Capture(
                 settings, folder, "n", self.join.policy, 1, self.lost, self.broken
             )
-            self.join.decision_log = self.capture.tap
+            self.join.driver.decision_log = self.capture.tap
         entries = [Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for n in range(1, 11)]
         self.join.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
 
@@ -71,7 +71,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None: ...
+    def on_response(self, answer: Response) -> None: ...
 
     def abandon_attempt(self, request_id: int, number: int) -> None: ...
 
@@ -88,7 +88,7 @@
             intake = IncomingRequest(0, 0, number % 500 + 1, self.now + 1300.0, None)
             self.join.accept(self.join.next_request_id(), intake, self, self)
             if (order := self.order) is not None:
-                answer = Answer(200)
+                answer = Response(200)
                 self.join.attempt_ended(
                     order.request_id,
                     order.attempt,
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -24,8 +24,8 @@
 from badgercart.core.clock import now_ms
 from badgercart.core.endpoint_table import DiscoveryUpdate, EndpointTable
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.discovery.entries import ListReader
-from badgercart.discovery.etcd.client import EtcdSource, prefix_end
+from badgercart.discovery.entries import CatalogUpdateReader
+from badgercart.discovery.etcd.client import EtcdDiscovery, prefix_end
 from badgercart.discovery.etcd.settings import EtcdSettings
 from badgercart.policy import Policy, Settings
 from badgercart.policy.endpoint import Endpoint, EndpointState
@@ -109,7 +109,7 @@
         self.join = RequestPipeline(
             Settings(classes=CLASSES, key_affinity=True), 1, asyncio.get_running_loop()
         )
-        reader = ListReader(base)
+        reader = CatalogUpdateReader(base)
         self.roster = EndpointTable(reader, self.join)
         self.delays: list[float] = []
         self.changes = 0
@@ -118,11 +118,11 @@
             self.sent = raw.get("sentAt", 0.0)
             if self.sent:
                 self.pending.append(self.sent)
-            return reader.read_member(raw)
+            return reader.read_endpoint(raw)
 
         self.pending: list[float] = []
         settings = EtcdSettings(endpoints=(("127.0.0.1", port),), guard_share=0.0)
-        self.source = EtcdSource(
+        self.source = EtcdDiscovery(
             settings, read, self.took, lambda state: None, now_ms, random.Random(1)
         )
 
@@ -179,7 +179,7 @@
     took = time.monotonic() - began
     grown = resident() - before
     print(
-        f"the whole list of {entries}: {took * 1000:.0f} ms, {follower.source.bytes / 1e6:.1f} MB, "
+        f"the whole list of {entries}: {took * 1000:.0f} ms, {follower.source.received_bytes / 1e6:.1f} MB, "
         f"{cpu() - used:.2f} s of a core, {grown:.0f} MiB"
     )
     delays: list[float] = []
@@ -213,20 +213,26 @@
 async def catch_up(entries: int) -> None:
     """The cost of a change from a watch response to the policy, beside reading the response
     alone."""
-    from badgercart.discovery.etcd.follower import Change, Deliver, Header, Page, Pair
-    from badgercart.discovery.etcd.follower import Follower as Machine
+    from badgercart.discovery.etcd.follower import (
+        DeliverUpdate,
+        KeyValue,
+        ListResponse,
+        ResponseHeader,
+        WatchResponse,
+    )
+    from badgercart.discovery.etcd.follower import EtcdFollower as Machine
 
     follower = Follower(1)
     machine = Machine(
         EtcdSettings(endpoints=(("127.0.0.1", 1),), guard_share=0.0),
-        ListReader(config(1)).read_member,
+        CatalogUpdateReader(config(1)).read_endpoint,
         random.Random(1),
     )
     machine.begin()
-    pairs = [Pair(key(n), entry(n), 1) for n in range(entries)]
-    for order in machine.page(Page(Header(1, 1), pairs, False), 0.0):
-        if isinstance(order, Deliver):
-            follower.roster.apply(order.told)
+    pairs = [KeyValue(key(n), entry(n), 1) for n in range(entries)]
+    for order in machine.page(ListResponse(ResponseHeader(1, 1), pairs, False), 0.0):
+        if isinstance(order, DeliverUpdate):
+            follower.roster.apply(order.update)
     while follower.join.policy.unplaced:  # the long list goes on the ring in slices
         follower.join.dispatch(TimerFired(0))
     answers = []
@@ -246,10 +252,12 @@
     start = time.perf_counter()
     for data in answers:
         answer = rpc_pb2.WatchResponse.FromString(data)
-        events = [Pair(e.kv.key, e.kv.value, e.kv.mod_revision) for e in answer.events]
-        for order in machine.change(Change(Header(1, answer.header.revision), events), 0.0):
-            if isinstance(order, Deliver):
-                follower.roster.apply(order.told)
+        events = [KeyValue(e.kv.key, e.kv.value, e.kv.mod_revision) for e in answer.events]
+        for order in machine.change(
+            WatchResponse(ResponseHeader(1, answer.header.revision), events), 0.0
+        ):
+            if isinstance(order, DeliverUpdate):
+                follower.roster.apply(order.update)
     whole = time.perf_counter() - start
     print(
         f"a change among {entries}: {whole:.3f} ms from response to policy, {alone:.3f} to read it alone"
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -30,7 +30,7 @@
 from badgercart.core.clock import now_ms
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.component import Server as Listed
-from badgercart.discovery.entries import ListReader
+from badgercart.discovery.entries import CatalogUpdateReader
 from badgercart.frontends.processor.component import ProcessorComponent
 from standins.fleet import operators_file
 from standins.scripted_proxy import (
@@ -262,7 +262,7 @@
         def client_is_gone(self) -> bool:
             return False
 
-        def on_answer(self, answer: Any) -> None: ...
+        def on_response(self, answer: Any) -> None: ...
         def on_shed(self, wait: float) -> None: ...
         def on_failure(self, broken: bool) -> None: ...
         def send(self, order: Any) -> None:
@@ -273,7 +273,7 @@
         def abandon_attempt(self, request_id: int, number: int) -> None: ...
 
     from badgercart.core.endpoint_table import EndpointTable
-    from badgercart.core.ports import Answer, IncomingRequest
+    from badgercart.core.ports import IncomingRequest, Response
     from badgercart.policy.events import AttemptResult
 
     class NoTimers:
@@ -283,7 +283,7 @@
     for count in FLEETS:
         what = installation(count)
         join = RequestPipeline(what.config.settings, 1, NoTimers())
-        roster = EndpointTable(ListReader(what.config), join)
+        roster = EndpointTable(CatalogUpdateReader(what.config), join)
         roster.accept(
             {
                 "generation": 1,
@@ -303,7 +303,7 @@
                 join.accept(request_id, intake, nobody, nobody)
                 order = nobody.order
                 join.attempt_ended(
-                    request_id, 0, order.endpoint_id, AttemptResult.OK, 50.0, Answer(200)
+                    request_id, 0, order.endpoint_id, AttemptResult.OK, 50.0, Response(200)
                 )
             best = min(best, (time.perf_counter() - start) / 2000)
         found[count] = best * 1e6
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -19,8 +19,8 @@
 from badgercart.config import Config
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.discovery.entries import ListReader
-from badgercart.discovery.list_framing import MOST, Texts, read
+from badgercart.discovery.entries import CatalogUpdateReader
+from badgercart.discovery.list_framing import MAX_LIST_BYTES, ListDecoder, parse_list
 from badgercart.policy.events import EndpointUpdate, Event
 from benchmarks.scale.configuration import config
 from benchmarks.scale.fit import Point, doublings
@@ -79,11 +79,11 @@
 def at(size: int, found: Found) -> None:
     whole = text(1, [line(number) for number in range(size)], True)
     found.note("whole list", "bytes", "one", size, len(whole))
-    reader, costs = ListReader(named()), dict[str, list[float]]()
+    reader, costs = CatalogUpdateReader(named()), dict[str, list[float]]()
     for _ in range(WHOLE_LISTS):
         ear = Ear()
         roster = EndpointTable(reader, cast(RequestPipeline, ear))
-        parsed, raw = spent(lambda: read(whole))
+        parsed, raw = spent(lambda: parse_list(whole))
         checked, told = spent(lambda raw=raw: reader.read(raw))  # type: ignore[misc]
         taken, _ = spent(lambda roster=roster, told=told: roster.apply(told))  # type: ignore[misc]
         again, _ = spent(lambda roster=roster, told=told: roster.apply(told))  # type: ignore[misc]
@@ -98,7 +98,7 @@
         costs.setdefault("whole list", []).append(parsed + checked + taken)
     for name, several in costs.items():
         found.note(name, "us", "median", size, statistics.median(several))
-    texts, lines = Texts(), []
+    texts, lines = ListDecoder(), []
     for turn in range(LINES):
         number = (turn // 2 * 7919) % size
         change = text(2 + turn, [line(number, "active" if turn % 2 else "leaving")], False) + b"\n"
@@ -116,14 +116,14 @@
 def grown(servers: int) -> int:
     """Bytes that a roster of this size takes in this process."""
     before = resident()
-    roster = EndpointTable(ListReader(named()), cast(RequestPipeline, Ear()))
+    roster = EndpointTable(CatalogUpdateReader(named()), cast(RequestPipeline, Ear()))
     roster.accept(json.loads(text(1, [line(number) for number in range(servers)], True)))
     return resident() - before
 
 
 def measure(most: int | None) -> list[Series]:
     largest = SERVERS if most is None else min(SERVERS, most)
-    found = Found("servers", bound_bytes=MOST)
+    found = Found("servers", bound_bytes=MAX_LIST_BYTES)
     for size in doublings(10, largest):
         at(size, found)
         print(f"lists: {size} servers", file=sys.stderr, flush=True)
--- a/lab/companions.py
+++ b/lab/companions.py
@@ -96,11 +96,11 @@
         machine = SwimProtocol(me, self.timing, seeds, rng, 0.0, self.expected)
         member = Member(machine, join.policy.settings.quotas_per_s, SHARE_MS, USES)
         one = self.there[number] = Companion(number, zone, join, member)
-        join.observers += (one,)
+        join.in_flight.observers += (one,)
         if self.net.day.fleet.zones != "off":
             one.keeper = self.keeper(member, zone, join)
             one.zones = {server_id: server.zone for server_id, server in self.servers.items()}
-            join.attempt_observers += (one,)
+            join.in_flight.attempt_observers += (one,)
             self.clock.after(LOOK * rng.random(), self.look, one)
         self.run(one, machine.start(self.clock.now))
         self.clock.after(SHARE_MS * rng.random(), self.round, one)
--- a/tests/app/test_adding.py
+++ b/tests/app/test_adding.py
@@ -50,7 +50,7 @@
         assert await asyncio.wait_for(reader.readline(), WAIT) == b"200 done\n"
         writer.close()
         await site.drain()
-        assert not site.join.in_flight and not site.join.open_attempts
+        assert not site.join.in_flight.requests and not site.join.in_flight.attempts
 
     run(test())
     path.write_text(FILE.format(port=1).replace("listen", "listens"))
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -11,7 +11,13 @@
 
 from badgercart.app.file import Installation
 from badgercart.app.site import Site
-from badgercart.core.metric_registry import MAX_LABELS, OTHER, Kind, Metric, MetricRegistry
+from badgercart.core.metric_registry import (
+    MAX_LABEL_VALUES,
+    OTHER,
+    Metric,
+    MetricKind,
+    MetricRegistry,
+)
 from badgercart.frontends.http.component import HttpSettings
 from badgercart.metrics.component import MetricsSettings
 from badgercart.metrics.figures import MAX_BUCKETS, buckets
@@ -81,8 +87,8 @@
 
 def test_open_labels_are_bounded_and_names_are_checked() -> None:
     told = {f"proxy-{n}": float(n) for n in range(500)}
-    found = Metric("a_total", "", Kind.COUNTER, lambda: told, "proxy").values()
-    assert len(found) == MAX_LABELS and sum(found.values()) == sum(told.values())
+    found = Metric("a_total", "", MetricKind.COUNTER, lambda: told, "proxy").values()
+    assert len(found) == MAX_LABEL_VALUES and sum(found.values()) == sum(told.values())
     assert found["proxy-499"] == 499.0 and OTHER in found
     meters = MetricRegistry()
     meters.gauge("a", "", lambda: 1.0)
--- a/tests/capture/golden_parts.py
+++ b/tests/capture/golden_parts.py
@@ -24,7 +24,7 @@
 )
 from badgercart.capture.format import VERSION, Index, Kind, closing, head, record
 from badgercart.capture.streams import snapshot, watch
-from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.discovery.freshness import Freshness, FreshnessRule
 from badgercart.frontends.processor.account import Account
 from badgercart.frontends.processor.settings import OldAnswers
 from badgercart.policy.actions import (
@@ -136,16 +136,16 @@
 def notes() -> list[bytes]:
     """Both machines, every one of their captured methods."""
     found: list[bytes] = []
-    freshness = Freshness(Rule(2500.0, 7500.0))
+    freshness = Freshness(FreshnessRule(2500.0, 7500.0))
     found.append(snapshot("list", freshness))
     undo = watch("list", freshness, found.append)
     freshness.state(10.0)
     freshness.next_change(10.0)
-    freshness.proof(1000.0)
+    freshness.record_proof(1000.0)
     for now in (1000.0, 4000.0, 9000.0):
         freshness.state(now)
         freshness.next_change(now)
-    freshness.rule = Rule(100.0, 200.0)
+    freshness.rule = FreshnessRule(100.0, 200.0)
     freshness.state(9000.0)
     undo()
     account = Account(OldAnswers(no_fallbacks_after=2, refuse_after=3))
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -167,7 +167,7 @@
     capture = writer.Capture(
         chosen, tmp_path, "n", day.join.policy, 2, gaps.append, failures_are_none
     )
-    day.join.decision_log = capture.tap
+    day.join.driver.decision_log = capture.tap
     with monkeypatch.context() as patch:
 
         def stalled(self: writer.Disk, segment: str, data: bytes) -> None:
@@ -208,7 +208,7 @@
         CaptureSettings.model_construct(folder=""), folder, "n", day.join.policy, 1, lambda lost: None,
         lambda error: (failures.append(error), setattr(day.join, "tap", None)),
     )  # fmt: skip
-    day.join.decision_log = capture.tap
+    day.join.driver.decision_log = capture.tap
     folder.rmdir()
     capture.flush()
     capture.disk.thread.join(5)
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -18,7 +18,7 @@
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.streams import Streams, snapshot, watch
 from badgercart.capture.writer import Capture
-from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.discovery.freshness import Freshness, FreshnessRule
 from badgercart.frontends.processor.account import Account
 from badgercart.frontends.processor.settings import OldAnswers
 from standins.demo import NodeProcess
@@ -35,14 +35,14 @@
 @settings(max_examples=100, deadline=None)
 @given(STEPS)
 def test_freshness_answers_the_same_when_it_is_played_back(steps: list[tuple[str, float]]) -> None:
-    machine, told = Freshness(Rule()), list[bytes]()
+    machine, told = Freshness(FreshnessRule()), list[bytes]()
     told.append(snapshot("list", machine))
     undo = watch("list", machine, told.append)
     for name, value in steps:
         if name == "proof":
-            machine.proof(value)
+            machine.record_proof(value)
         elif name == "rule":
-            machine.rule = Rule(1.0 + value, 2.0 + 2 * value)
+            machine.rule = FreshnessRule(1.0 + value, 2.0 + 2 * value)
         else:
             machine.state(value) if name == "state" else machine.next_change(value)
     undo()
@@ -75,22 +75,22 @@
 def test_notes_stand_between_the_policys_events_and_a_change_shows(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    day, freshness = Saturday(1), Freshness(Rule())
+    day, freshness = Saturday(1), Freshness(FreshnessRule())
     chosen = CaptureSettings.model_construct(folder="", segment_bytes=1 << 14)
     capture = Capture(chosen, tmp_path, "n", day.join.policy, 1, lambda lost: None, print)
-    day.join.decision_log = capture.tap
+    day.join.driver.decision_log = capture.tap
     capture.snapshots.append(lambda: snapshot("list", freshness))
     capture.note(snapshot("list", freshness))
     watch("list", freshness, capture.note)
     for _ in range(60):
-        freshness.proof(day.clockwork.now - 3500.0)
+        freshness.record_proof(day.clockwork.now - 3500.0)
         day.play(20)
         freshness.state(day.clockwork.now)
     capture.close()
     told = list(replay_all(segments([str(tmp_path)])))
     assert all(part.identical for part in told) and sum(part.notes for part in told) >= 120
     assert len(told) > 1 and told[1].notes  # a later segment begins with the state
-    monkeypatch.setattr(Freshness, "age", lambda self, now: 0.0)
+    monkeypatch.setattr(Freshness, "age_ms", lambda self, now: 0.0)
     told = list(replay_all(segments([str(tmp_path)])))
     assert any("list: state(" in fault for part in told for fault in part.faults)
 
@@ -142,7 +142,7 @@
         chosen = CaptureSettings.model_construct(folder="")
         policy = join.policy  # type: ignore[attr-defined]
         made.append(Capture(chosen, tmp_path, "n", policy, 1, lambda lost: None, print))
-        join.decision_log = made[0].tap  # type: ignore[attr-defined]
+        join.driver.decision_log = made[0].tap  # type: ignore[attr-defined]
 
     day = Saturday(1, tap)
     day.play(200)
--- a/tests/core/test_join.py
+++ b/tests/core/test_join.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from badgercart.core.clock import MARGIN
+from badgercart.core.clock import RESPONSE_MARGIN_MS
 from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import AttemptRequest, IncomingRequest
 from badgercart.core.request_pipeline import RequestPipeline
@@ -82,7 +82,9 @@
             await asyncio.wait_for(peer.ended.get(), WAIT)
             node = stand.node
             assert (
-                not node.join.in_flight and not node.pool.attempts and not node.listener.connections
+                not node.join.in_flight.requests
+                and not node.transport.attempts
+                and not node.listener.table.connections
             )
 
     run(test())
@@ -116,7 +118,7 @@
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request(timeout="3000m")))[0] == 200
             left = field(await peer.requests.get(), b"Request-Timeout")
-            assert left is not None and int(left[:-1]) <= 3000 - MARGIN
+            assert left is not None and int(left[:-1]) <= 3000 - RESPONSE_MARGIN_MS
 
     run(test())
 
@@ -136,7 +138,7 @@
             assert (await client.ask(request()))[0] == 500
             stand.node.join.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 200
-            assert not stand.node.join.in_flight
+            assert not stand.node.join.in_flight.requests
 
     run(test())
     assert "broken on purpose" in caplog.text
@@ -155,7 +157,7 @@
             assert (await client.ask(request()))[0] == 500
             policy.attempt = attempt  # type: ignore[method-assign]
             assert (await stand.event(RequestCancelled)).id == 1
-            assert not policy.jobs and not stand.node.join.in_flight
+            assert not policy.jobs and not stand.node.join.in_flight.requests
 
     run(test())
 
@@ -189,7 +191,7 @@
         AttemptResult.NOT_SENT,
         True,
     )
-    assert not (join.in_flight or join.open_attempts or join.cancelled)
+    assert not (join.in_flight.requests or join.in_flight.attempts or join.in_flight.cancelled)
 
 
 class NoCarrier:
@@ -210,8 +212,10 @@
             client = await stand.client()
             client.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            stand.node.join.end(stand.node.join.last_id, broken=False)
-            stand.node.pool.cancel(stand.node.join.last_id, 0)
+            stand.node.join.executor.fail_request(
+                stand.node.join.in_flight.last_id, internal_error=False
+            )
+            stand.node.transport.cancel(stand.node.join.in_flight.last_id, 0)
             assert (await client.answer())[0] == 502
             outcome: AttemptEnded = await stand.outcome()
             assert outcome.completed and outcome.result == AttemptResult.CANCELLED
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -55,13 +55,13 @@
             stand.agent.push(5, [peer.entry("s-1", "leaving")])
             stand.agent.lines.put_nowait(None)
             assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=5"
-            assert stand.node.pool.servers[stable_id(b"s-1")].state is EndpointState.DRAINING
+            assert stand.node.pool.endpoints[stable_id(b"s-1")].state is EndpointState.DRAINING
 
     run(test())
 
 
 def test_a_watch_that_falls_silent_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(catalog, "SILENCE", 0.05)
+    monkeypatch.setattr(catalog, "WATCH_SILENCE_S", 0.05)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -69,8 +69,8 @@
                 call = await asyncio.wait_for(stand.agent.calls.get(), WAIT)
                 assert call == "/catalog/members?watch=1&from=1"
             assert (
-                stand.node.front.healthy
-                and not stand.node.pool.servers.keys() - stand.node.roster.listed.keys()
+                stand.node.front.is_healthy
+                and not stand.node.pool.endpoints.keys() - stand.node.roster.listed.keys()
             )
 
     run(test())
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -487,7 +487,7 @@
     rig = Rig()
     rig.connect()
     rig.tell(*wholes(A, Topic(1)), Beat(math.inf))
-    assert rig.follower.age(rig.now) == math.inf and rig.follower.freshness.proved is None
+    assert rig.follower.age(rig.now) == math.inf and rig.follower.freshness.proved_ms is None
     rig.tell(Beat(40.0))
     assert rig.follower.age(rig.now) == 40
 
--- a/tests/distribution/test_golden.py
+++ b/tests/distribution/test_golden.py
@@ -19,7 +19,7 @@
 import pytest
 from click.testing import CliRunner
 
-from badgercart.core.log_events import TABLE
+from badgercart.core.log_events import LOG_EVENTS
 from badgercart.distribution import commands
 from badgercart.distribution import log_events as events
 from badgercart.distribution.driver import LENGTH, StoreDriver
@@ -316,8 +316,8 @@
 
 def test_events_are_called_and_worded_as_ever() -> None:
     said = [
-        f"{event.name} {event.level} {event.words}\n"
-        for event in TABLE.values()
+        f"{event.name} {event.level} {event.message}\n"
+        for event in LOG_EVENTS.values()
         if event.name.startswith(f"{events.LISTENING.name.partition('.')[0]}.")
     ]
     assert "".join(sorted(said)) == (GOLDEN / "events.txt").read_text()
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -27,7 +27,7 @@
 
     async def client_leaves(self) -> None:
         self.client.writer.transport.abort()
-        while self.stand.node.join.in_flight:
+        while self.stand.node.join.in_flight.requests:
             await asyncio.sleep(0)
         self.open()
 
@@ -108,7 +108,7 @@
                 await scene.gate.reached()
             else:
                 await asyncio.wait_for(peer.requests.get(), WAIT)
-                while where is HALF and not stand.node.pool.room.held:
+                while where is HALF and not stand.node.transport.memory_budget.buffered_bytes:
                     await asyncio.sleep(0)
             await end(scene)
             expected = answers[list(CLASSES).index(cls)]
@@ -117,11 +117,17 @@
                 assert status == expected and (b"Retry-After" in head) == (status == 503)
             join = stand.node.join
             if expected is None and not may_cancel and scene.writers:
-                assert join.open_attempts  # it may not be called back: it ends when its server does
+                assert (
+                    join.in_flight.attempts
+                )  # it may not be called back: it ends when its server does
                 scene.writers[0].transport.abort()
-            while join.open_attempts:
+            while join.in_flight.attempts:
                 await asyncio.sleep(0)
-            assert not join.in_flight and not join.policy.jobs and not stand.node.pool.attempts
+            assert (
+                not join.in_flight.requests
+                and not join.policy.jobs
+                and not stand.node.transport.attempts
+            )
             assert peer.requests.empty() and len(scene.writers) == (where is not DIALLING)
 
     run(test())
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -16,8 +16,8 @@
 import uvloop
 
 from badgercart.admin.listener import MAX_CALLERS
-from badgercart.core.descriptors import DISCOVERY, FILES, LISTENERS, PROGRAM, Descriptors
-from badgercart.discovery.backoff import MOST as MOST_CALLS
+from badgercart.core.descriptors import DISCOVERY, FILES, LISTENERS, PROGRAM, DescriptorBudget
+from badgercart.discovery.backoff import MAX_CALLS as MOST_CALLS
 from badgercart.upstream import connection_pool as pools
 from tests.net import WAIT, Agent, Client, Peer, request, run, running
 from tests.test_process import COMMAND, Process, raw_config
@@ -80,7 +80,7 @@
             door = int((await node.line(r"console.*127\.0\.0\.1:(\d+)"))[1])
             at_rest = held(process.pid)
             assert at_rest <= PROGRAM + LISTENERS + DISCOVERY + FILES
-            clients, _ = Descriptors.of(LIMIT, console=True).split()
+            clients, _ = DescriptorBudget.for_roles(LIMIT, admin=True).split()
             crowd = await idle(node.port, IDLE)
             async with asyncio.timeout(WAIT):
                 while held(process.pid) < at_rest + clients - DISCOVERY:
@@ -133,7 +133,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One that makes room for another holds its descriptor until it is closed."""
-    monkeypatch.setattr(pools, "REST", 0.0)
+    monkeypatch.setattr(pools, "REUSE_DELAY_MS", 0.0)
     dial = uvloop.Loop.create_connection
 
     async def test() -> None:
@@ -151,7 +151,7 @@
 
                     async def counted(self: Any, *args: Any, **more: Any) -> Any:
                         nonlocal most
-                        most = max(most, len(pool.connections) + pool.dials)
+                        most = max(most, len(pool.connections) + pool.connecting)
                         return await dial(self, *args, **more)
 
                     monkeypatch.setattr(uvloop.Loop, "create_connection", counted)
--- a/tests/ends/test_drain.py
+++ b/tests/ends/test_drain.py
@@ -10,10 +10,11 @@
 import pytest
 
 from badgercart import node as platform
-from badgercart.frontends.http import clients
 from badgercart.frontends.http import connection_eviction as crowd
-from badgercart.frontends.http.clients import Listener
-from badgercart.frontends.http.connection import State
+from badgercart.frontends.http import connection_table
+from badgercart.frontends.http import listener as listener_module
+from badgercart.frontends.http.connection import ConnectionState
+from badgercart.frontends.http.listener import Listener
 from badgercart.policy.events import Request
 from tests.ends.test_leaving import Gate
 from tests.net import WAIT, Client, Peer, Stand, held_back, request, run, running, stay_silent
@@ -22,8 +23,8 @@
 @pytest.fixture
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     """A process is killed 0.4 s after it was told to end, whatever its clients' time."""
-    monkeypatch.setattr(platform, "ACCEPT_FOR", 0.1)
-    monkeypatch.setattr(clients, "ACCEPT_FOR", 0.1)
+    monkeypatch.setattr(platform, "ACCEPT_AFTER_SIGTERM_S", 0.1)
+    monkeypatch.setattr(listener_module, "ACCEPT_AFTER_SIGTERM_S", 0.1)
     monkeypatch.setattr(platform, "KILLED_AFTER", 300.0)
 
 
@@ -46,7 +47,7 @@
             await (peer.requests.get() if gate is None else gate.reached())
             await stand.node.drain()
             assert (
-                not stand.node.join.in_flight and not stand.node.join.policy.jobs
+                not stand.node.join.in_flight.requests and not stand.node.join.policy.jobs
             )  # now the process would end
             status, head, _ = await client.answer()
             assert status == ANSWERS[cls][written]
@@ -65,7 +66,7 @@
         async with running(peer) as stand:
             client, data = await stand.client(), request()
             client.writer.write(data[:40])
-            while not stand.node.listener.arriving:
+            while not stand.node.listener.table.receiving:
                 await asyncio.sleep(0)
             ending = asyncio.ensure_future(stand.node.drain())
             await asyncio.sleep(0)
@@ -95,7 +96,7 @@
                 client.writer.write(request())
             ending = asyncio.ensure_future(stand.node.drain())
             await asyncio.sleep(0.15)  # longer than clients are accepted
-            assert len(listener.connections) == 1 and listener.socket is not None
+            assert len(listener.table.connections) == 1 and listener.socket is not None
             release.set()
             for client in busy + waiting:
                 assert (await client.answer())[0] in (200, 503)  # by the time that is left
@@ -106,7 +107,7 @@
 
 
 def evict(listener: Listener) -> None:
-    assert listener.make_room()
+    assert listener.table.evict_one()
 
 
 def sweep(listener: Listener) -> None:
@@ -114,36 +115,36 @@
 
 
 def close_idle(listener: Listener) -> None:
-    listener.close_idle()
+    listener.table.close_idle()
 
 
 def shrink(listener: Listener) -> None:
-    listener.keep_to(0)
-
-
-CROSSINGS: list[tuple[State, Callable[[Listener], None]]] = [
-    (State.SILENT, evict),
-    (State.SILENT, sweep),
-    (State.SILENT, close_idle),
-    (State.ARRIVING, evict),
-    (State.ARRIVING, sweep),
-    (State.IDLE, evict),
-    (State.IDLE, sweep),
-    (State.IDLE, close_idle),
-    (State.IDLE, shrink),
+    listener.set_limit(0)
+
+
+CROSSINGS: list[tuple[ConnectionState, Callable[[Listener], None]]] = [
+    (ConnectionState.NEW, evict),
+    (ConnectionState.NEW, sweep),
+    (ConnectionState.NEW, close_idle),
+    (ConnectionState.RECEIVING, evict),
+    (ConnectionState.RECEIVING, sweep),
+    (ConnectionState.IDLE, evict),
+    (ConnectionState.IDLE, sweep),
+    (ConnectionState.IDLE, close_idle),
+    (ConnectionState.IDLE, shrink),
 ]
 
 
-async def client_in(state: State, stand: Stand) -> tuple[Client, bytes]:
+async def client_in(state: ConnectionState, stand: Stand) -> tuple[Client, bytes]:
     """A client whose connection is in that state, and what it still has to send."""
-    before, data = len(stand.node.listener.waits[state]), request()
+    before, data = len(stand.node.listener.table.waiting_since[state]), request()
     client = await stand.client()
-    if state is State.IDLE:
+    if state is ConnectionState.IDLE:
         assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-    if state is State.ARRIVING:
+    if state is ConnectionState.RECEIVING:
         client.writer.write(data[:40])
         data = data[40:]
-    while len(stand.node.listener.waits[state]) == before:
+    while len(stand.node.listener.table.waiting_since[state]) == before:
         await asyncio.sleep(0)
     return client, data
 
@@ -152,7 +153,7 @@
     ("state", "end"), CROSSINGS, ids=lambda x: getattr(x, "name", "") or x.__name__
 )
 def test_a_request_that_lies_unread_is_not_lost_by_the_end_of_its_connection(
-    state: State, end: Callable[[Listener], None], monkeypatch: pytest.MonkeyPatch
+    state: ConnectionState, end: Callable[[Listener], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its last byte comes within the turn of the loop that would have ended its connection."""
 
@@ -160,9 +161,12 @@
         async with running(await Peer().start()) as stand:
             client, rest = await client_in(state, stand)
             other, _ = await client_in(state, stand)  # one that says nothing ends, as it should
-            monkeypatch.setattr(crowd, "ORDER", tuple((kind, -1.0) for kind, _ in crowd.ORDER))
-            for name in ("REQUEST_TIME", "KEEP_ALIVE", "GREETING"):
-                monkeypatch.setattr(clients, name, -1.0)
+            monkeypatch.setattr(
+                crowd, "EVICTION_ORDER", tuple((kind, -1.0) for kind, _ in crowd.EVICTION_ORDER)
+            )
+            for name in ("REQUEST_TIMEOUT_S", "KEEP_ALIVE_S", "GREETING_S"):
+                monkeypatch.setattr(connection_table, name, -1.0)
+            monkeypatch.setattr(listener_module, "GREETING_S", -1.0)
             sock: socket.socket = client.writer.get_extra_info("socket")
             sent = socket.fromfd(sock.fileno(), sock.family, sock.type)
             assert sent.send(rest) == len(rest)
@@ -182,6 +186,6 @@
             join.begin_shutdown(join.clock() - 1.0)
             client = await stand.client()
             assert (await client.ask(request()))[0] == 503  # at once: there is no time left
-            assert not join.in_flight
+            assert not join.in_flight.requests
 
     run(test())
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -15,13 +15,14 @@
 
 import pytest
 
-from badgercart.core.memory_budget import HOLD, WINDOW
-from badgercart.frontends.http.connection import MAX_WAITING
+from badgercart.core.memory_budget import MAX_BUFFERED_BYTES, MAX_WINDOW_BYTES
+from badgercart.frontends.http.receiver import MAX_QUEUED
 from badgercart.policy import policy as rules
 from badgercart.policy.events import AttemptEnded, Event, Request, TimerFired
 from badgercart.policy.settings import Settings
 from badgercart.upstream import connection_pool as pools
-from badgercart.upstream.connection_pool import ServerConnection, ServerPool
+from badgercart.upstream.connection import UpstreamConnection
+from badgercart.upstream.transport import HttpTransport
 from tests.net import CLASSES, OK, WAIT, Client, Peer, Stand, config, request, run, running
 
 MANY = 100
@@ -101,14 +102,14 @@
     def go_on_dialled(self) -> None:
         """They leave in the moment in which a connection to the server is up, before it is written
         on."""
-        put_on = ServerPool.put_on
+        write_attempt = HttpTransport.write_attempt
 
-        def dialled(pool: ServerPool, attempt: Any, connection: ServerConnection) -> None:
-            self.monkeypatch.setattr(ServerPool, "put_on", put_on)
+        def dialled(transport: HttpTransport, attempt: Any, connection: UpstreamConnection) -> None:
+            self.monkeypatch.setattr(HttpTransport, "write_attempt", write_attempt)
             self.go()
-            put_on(pool, attempt, connection)
+            write_attempt(transport, attempt, connection)
 
-        self.monkeypatch.setattr(ServerPool, "put_on", dialled)
+        self.monkeypatch.setattr(HttpTransport, "write_attempt", dialled)
 
     async def ready(self) -> None:
         """Connections stand idle, under both names of the server: what is sent again goes to the
@@ -130,7 +131,9 @@
     async def gone(self) -> None:
         """Nobody but who stays is there any more, and nothing is owed."""
         async with asyncio.timeout(WAIT):
-            while self.node.join.in_flight or len(self.node.listener.connections) > 1:
+            while (
+                self.node.join.in_flight.requests or len(self.node.listener.table.connections) > 1
+            ):
                 await asyncio.sleep(0.001)
 
     async def last(self) -> None:
@@ -186,7 +189,7 @@
 
 
 async def while_a_connection_comes_up(scene: Scene) -> None:
-    while scene.node.pool.close_an_idle_one():
+    while scene.node.pool.close_longest_idle():
         pass
     scene.go_on_dialled()
     scene.connect().sendall(request())
@@ -195,7 +198,7 @@
 
 async def while_a_connection_rests(scene: Scene) -> None:
     """Every one has just had an answer."""
-    scene.monkeypatch.setattr(pools, "REST", 50.0)
+    scene.monkeypatch.setattr(pools, "REUSE_DELAY_MS", 50.0)
     scene.go_on_dialled()
     scene.connect().sendall(request())
     await scene.stand.event(Request)
@@ -232,16 +235,16 @@
     # All of them are taken on, by one server, however long the machine takes over it.
     scene.monkeypatch.setattr(rules, "BURST_FULL", 1e9)
     scene.monkeypatch.setattr(rules, "IN_FLIGHT_FULL", 1e9)
-    held, gate, connect = 0, asyncio.Event(), ServerPool.connect
+    held, gate, connect = 0, asyncio.Event(), HttpTransport.connect
 
-    async def gated(pool: ServerPool, attempt: Any) -> None:
+    async def gated(transport: HttpTransport, attempt: Any) -> None:
         nonlocal held
         held += 1
         await gate.wait()
-        await connect(pool, attempt)
+        await connect(transport, attempt)
 
-    scene.monkeypatch.setattr(ServerPool, "connect", gated)
-    while scene.node.pool.close_an_idle_one():
+    scene.monkeypatch.setattr(HttpTransport, "connect", gated)
+    while scene.node.pool.close_longest_idle():
         pass
     for _ in range(MANY):
         scene.connect().sendall(request())
@@ -253,26 +256,26 @@
 
 async def with_reading_paused(scene: Scene) -> None:
     """More is sent ahead than is read; the server fails the first, and it would be sent again."""
-    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
+    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_QUEUED)))
     writer = await scene.begun()
-    assert scene.node.listener.unheard
+    assert scene.node.listener.table.paused
     scene.go_at(AttemptEnded)
     writer.transport.abort()
 
 
 async def with_reading_paused_and_its_next_read(scene: Scene) -> None:
-    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
+    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_QUEUED)))
     writer = await scene.begun()
-    assert scene.node.listener.unheard
+    assert scene.node.listener.table.paused
     scene.go_at(AttemptEnded)
     writer.write(OK)
 
 
 async def with_reading_paused_and_nothing_to_do(scene: Scene) -> None:
     """It is looked for: no other event tells of it."""
-    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
+    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_QUEUED)))
     writer = await scene.begun()
-    assert scene.node.listener.unheard
+    assert scene.node.listener.table.paused
     scene.go()
     await scene.gone()
     if not writer.transport.is_closing():  # else its attempt was cancelled
@@ -290,13 +293,13 @@
     whole = request("book", body=b"x" * 2000)
     sock = scene.connect()
     sock.sendall(whole[:-1000])
-    while not scene.node.listener.arriving:
+    while not scene.node.listener.table.receiving:
         await asyncio.sleep(0)
     scene.go_at(Request)
     sock.sendall(whole[-1000:])
 
 
-async def behind_a_slow_upload(scene: Scene, size: int = 3 * WINDOW) -> None:
+async def behind_a_slow_upload(scene: Scene, size: int = 3 * MAX_WINDOW_BYTES) -> None:
     """Its server reads nothing of it for now. It begins with the last byte, which must not come."""
     taken, read_on = asyncio.Event(), asyncio.Event()
 
@@ -314,31 +317,31 @@
 
     ended, pool = asyncio.Event(), scene.node.pool
     server = await asyncio.start_server(serve, sock=small_listener(), limit=4096)
-    for name in pool.servers.values():
+    for name in pool.endpoints.values():
         name.address = server.sockets[0].getsockname()
-    while pool.close_an_idle_one():
+    while pool.close_longest_idle():
         pass
-    made = ServerConnection.connection_made
+    made = UpstreamConnection.connection_made
 
-    def small(self: ServerConnection, transport: Any) -> None:
+    def small(self: UpstreamConnection, transport: Any) -> None:
         made(self, transport)
         own = transport.get_extra_info("socket")
         own.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-    scene.monkeypatch.setattr(ServerConnection, "connection_made", small)
+    scene.monkeypatch.setattr(UpstreamConnection, "connection_made", small)
     sock = scene.connect()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * WINDOW)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * MAX_WINDOW_BYTES)
     sock.setblocking(False)
     loop = asyncio.get_running_loop()
     sending = asyncio.ensure_future(loop.sock_sendall(sock, request("book", body=b"x" * size)))
     await asyncio.wait_for(taken.wait(), WAIT)
     await asyncio.wait_for(sending, WAIT)  # the system has taken all of it
-    if size > 2 * WINDOW:
-        while not scene.node.listener.unheard:
+    if size > 2 * MAX_WINDOW_BYTES:
+        while not scene.node.listener.table.paused:
             await asyncio.sleep(0)
         scene.go()  # its end lies behind what the node does not read now
     else:
-        (held,) = scene.node.join.in_flight.values()
+        (held,) = scene.node.join.in_flight.requests.values()
         while not held.request.complete:
             await asyncio.sleep(0)
         scene.go()
@@ -346,17 +349,17 @@
     read_on.set()
     await asyncio.wait_for(ended.wait(), WAIT)
     server.close()
-    for name in pool.servers.values():
+    for name in pool.endpoints.values():
         name.address = ("127.0.0.1", scene.peer.port)
 
 
 async def behind_an_upload_that_came_in_whole_and_in_part_went_on(scene: Scene) -> None:
-    await behind_a_slow_upload(scene, WINDOW + HOLD)
+    await behind_a_slow_upload(scene, MAX_WINDOW_BYTES + MAX_BUFFERED_BYTES)
 
 
 async def behind_an_upload_that_came_in_whole(scene: Scene) -> None:
     """All of it was read, and waits here for its server."""
-    await behind_a_slow_upload(scene, HOLD + 40_000)
+    await behind_a_slow_upload(scene, MAX_BUFFERED_BYTES + 40_000)
 
 
 def small_listener() -> socket.socket:
@@ -408,7 +411,7 @@
     monkeypatch: pytest.MonkeyPatch, case: Case, leave: Leave, may_cancel: bool
 ) -> None:
     monkeypatch.setattr(
-        pools, "REST", 0.0
+        pools, "REUSE_DELAY_MS", 0.0
     )  # else each attempt on a connection in use waits for a turn
 
     async def test() -> None:
@@ -429,14 +432,14 @@
                 await scene.last()
             got = [peer.requests.get_nowait() for _ in range(peer.requests.qsize())]
             assert len(got) >= 2 and not [head for head in got if not head.startswith(LAST)]
-            join, pool = stand.node.join, stand.node.pool
+            join, transport = stand.node.join, stand.node.transport
             async with asyncio.timeout(WAIT):
-                while join.open_attempts or pool.attempts or join.policy.jobs:
+                while join.in_flight.attempts or transport.attempts or join.policy.jobs:
                     await asyncio.sleep(0.001)
             assert (
-                not join.cancelled
-                and not stand.node.listener.open_ids
-                and not stand.node.listener.unheard
+                not join.in_flight.cancelled
+                and not stand.node.listener.table.open_names
+                and not stand.node.listener.table.paused
             )
 
     run(test())
@@ -444,7 +447,7 @@
 
 def test_the_connection_that_is_not_needed_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     """New ones are dear: both are used by who comes next."""
-    monkeypatch.setattr(pools, "REST", 0.0)
+    monkeypatch.setattr(pools, "REUSE_DELAY_MS", 0.0)
 
     async def test() -> None:
         peer = await Peer().start()
@@ -452,11 +455,11 @@
             scene = Scene(stand, peer, close, monkeypatch)
             scene.stay = await stand.client()
             await scene.ready()
-            idle = [len(server.idle) for server in stand.node.pool.servers.values()]
+            idle = [len(server.idle) for server in stand.node.pool.endpoints.values()]
             for _ in range(4):
                 await right_behind_its_request(scene)
                 await scene.last()
-            assert idle == [len(server.idle) for server in stand.node.pool.servers.values()]
+            assert idle == [len(server.idle) for server in stand.node.pool.endpoints.values()]
             assert sum(idle) == peer.connections >= 2
 
     run(test())
--- a/tests/ends/test_leaving.py
+++ b/tests/ends/test_leaving.py
@@ -10,8 +10,8 @@
 import pytest
 
 from badgercart.policy.events import AttemptResult, RequestCancelled
-from badgercart.upstream.attempts import hindrance
-from badgercart.upstream.connection_pool import Attempt, ServerPool
+from badgercart.upstream.attempts import Attempt, blocked_result
+from badgercart.upstream.transport import HttpTransport
 from tests.net import CLASSES, WAIT, Peer, config, held_back, request, run, running
 
 
@@ -20,14 +20,14 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.opened, self.held = asyncio.Event(), asyncio.Queue[Attempt]()
-        connect = ServerPool.connect
+        connect = HttpTransport.connect
 
-        async def gated(pool: ServerPool, attempt: Attempt) -> None:
+        async def gated(transport: HttpTransport, attempt: Attempt) -> None:
             self.held.put_nowait(attempt)
             await self.opened.wait()
-            await connect(pool, attempt)
+            await connect(transport, attempt)
 
-        monkeypatch.setattr(ServerPool, "connect", gated)
+        monkeypatch.setattr(HttpTransport, "connect", gated)
 
     def close(self) -> None:
         self.opened.clear()
@@ -70,16 +70,16 @@
                 written += peer.requests.qsize() - 1
                 while peer.requests.qsize():
                     peer.requests.get_nowait()
-                for server in stand.node.pool.servers.values():
+                for server in stand.node.pool.endpoints.values():
                     for connection in server.idle:
                         connection.transport.abort()
                 await asyncio.wait_for(peer.ended.get(), WAIT)
                 gate.close()
             assert written == 0
             assert (
-                not stand.node.pool.attempts
-                and not stand.node.join.open_attempts
-                and not stand.node.join.cancelled
+                not stand.node.transport.attempts
+                and not stand.node.join.in_flight.attempts
+                and not stand.node.join.in_flight.cancelled
             )
 
     run(test())
@@ -108,7 +108,7 @@
         async with running(peer, **settings(False)) as stand:
             client = await stand.client()
             client.writer.write(request())
-            while not stand.node.pool.dials:
+            while not stand.node.pool.connecting:
                 await asyncio.sleep(0)
             client.writer.close()
             assert (await stand.outcome()).result == AttemptResult.NOT_SENT
@@ -119,7 +119,7 @@
                 sock, _ = await asyncio.wait_for(loop.sock_accept(late), WAIT)
                 assert await asyncio.wait_for(loop.sock_recv(sock, 100), WAIT) == b""
                 sock.close()
-            assert not stand.node.pool.dials
+            assert not stand.node.pool.connecting
         late.close()
 
     run(test())
@@ -137,14 +137,14 @@
             client.writer.write(b"".join(request() for _ in range(60)))
             await asyncio.wait_for(peer.requests.get(), WAIT)
             async for connection in stand.connections(1):
-                assert connection.machine.paused
+                assert connection.http.receiver.reading_paused
             client.writer.close()
             await stand.event(RequestCancelled)
             release.set()
             other = await stand.client()
             assert (await other.ask(request()))[0] == 200
             assert peer.requests.qsize() == 1
-            assert not stand.node.listener.open_ids
+            assert not stand.node.listener.table.open_names
 
     run(test())
 
@@ -182,7 +182,7 @@
             assert connection.transport.get_write_buffer_size()
             sock.shutdown(socket.SHUT_WR)
             await stand.event(RequestCancelled)
-            assert not stand.node.join.in_flight
+            assert not stand.node.join.in_flight.requests
             gate.set()
             sock.close()
 
@@ -193,7 +193,7 @@
     for wanted in (True, False):
         for fit in (True, False):
             for left in (-1.0, 0.0, 1.0):
-                why = hindrance(wanted, fit, left)
+                why = blocked_result(wanted, fit, left)
                 assert (why is None) == (wanted and fit and left > 0)
                 assert why in (
                     None,
--- a/tests/ends/test_orders.py
+++ b/tests/ends/test_orders.py
@@ -19,14 +19,15 @@
 from hypothesis import strategies as st
 
 from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate, EndpointTable
-from badgercart.core.ports import Answer, IncomingRequest
+from badgercart.core.ports import IncomingRequest, Response
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import SettingsChanged, UpdateKind
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
-from badgercart.upstream import connection_pool as module
-from badgercart.upstream.connection_pool import ServerPool
-from badgercart.upstream.exchange import Message
+from badgercart.upstream import connection, connection_pool, transport
+from badgercart.upstream.connection_pool import PoolSettings
+from badgercart.upstream.exchange import UpstreamRequest
+from badgercart.upstream.transport import AttemptCallbacks, HttpTransport
 from tests.ends.virtual import Dial, Loop, Way
 
 CLASSES = (
@@ -82,7 +83,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None:
+    def on_response(self, answer: Response) -> None:
         assert answer.body.decode() in (f"r{self.number}", ""), "the answer of another"
         self.end("answered")
 
@@ -94,8 +95,8 @@
             assert not self.maybe, "refused though it may have run"
         self.end("refused")
 
-    def on_failure(self, broken: bool) -> None:
-        assert not broken
+    def on_failure(self, internal_error: bool) -> None:
+        assert not internal_error
         self.end("failed")
 
 
@@ -108,17 +109,17 @@
             CLASSES, may_cancel=may_cancel, max_attempts=3, max_retry_after_ms=100.0
         )
         self.join = RequestPipeline(self.settings, 7, loop, lambda: loop.now * 1000)
-        self.pool = ServerPool(
+        self.transport = HttpTransport(
             loop,
-            200.0,
-            5000.0,
-            64,
-            self.join.attempt_ended,
-            self.join.response_started,
-            wanted=self.join.in_flight.__contains__,
+            PoolSettings(200.0, 5000.0, 64),
+            AttemptCallbacks(
+                self.join.attempt_ended,
+                self.join.response_started,
+                self.join.in_flight.requests.__contains__,
+            ),
         )
         self.roster = EndpointTable(None, self.join)  # type: ignore[arg-type]
-        self.roster.on_change.append(self.pool.update)
+        self.roster.on_change.append(self.transport.pool.apply_endpoint)
         self.owed: dict[int, Owed] = {}
         self.ways: dict[int, tuple[Way, int]] = {}  # with a request on them, and which
         self.idle: list[Way] = []  # that have had an answer
@@ -158,14 +159,14 @@
         cls, patience = number % len(CLASSES), (60.0, 250.0, 600.0)[number // 7 % 3]
         request = self.join.next_request_id()
         owed = self.owed[request] = Owed(self, request, cls)
-        message = Message(b"GET /x HTTP/1.1\r\nRequest-Id: %d\r\n" % request, b"")
+        message = UpstreamRequest(b"GET /x HTTP/1.1\r\nRequest-Id: %d\r\n" % request, b"")
         due = self.join.clock() + patience
         self.join.accept(
-            request, IncomingRequest(cls, 0, number % 5, due, message), owed, self.pool
+            request, IncomingRequest(cls, 0, number % 5, due, message), owed, self.transport
         )
 
     def leave_client(self, number: int) -> None:
-        if held := sorted(self.join.in_flight):
+        if held := sorted(self.join.in_flight.requests):
             request = held[number % len(held)]
             self.owed[request].end("left")
             self.join.cancel_request(request)
@@ -234,7 +235,7 @@
 
     def gone(self) -> None:
         """The process would end now: what comes later is turned away at once."""
-        assert not self.join.in_flight, "still owed as the process ends"
+        assert not self.join.in_flight.requests, "still owed as the process ends"
 
 
 STEPS: tuple[Callable[[World, int], None], ...] = (
@@ -254,16 +255,24 @@
                 await asyncio.sleep(0)
     await asyncio.sleep(2.0)  # longer than any request has
     assert all(len(owed.ends) == 1 for owed in world.owed.values())
-    assert not world.join.in_flight and not world.join.cancelled and not world.join.events
+    assert (
+        not world.join.in_flight.requests
+        and not world.join.in_flight.cancelled
+        and not world.join.driver.queue
+    )
     assert not world.join.policy.jobs
     for _ in range(200):  # attempts that nobody may cancel end by their own time
-        if not world.pool.attempts:
+        if not world.transport.attempts:
             break
         await asyncio.sleep(0.1)
-    assert not world.pool.attempts and not world.join.open_attempts and not world.pool.dials
+    assert (
+        not world.transport.attempts
+        and not world.join.in_flight.attempts
+        and not world.transport.pool.connecting
+    )
     servers = world.join.policy.servers.values()
     assert world.join.policy.flying == 0 and not any(s.open or s.uploads for s in servers)
-    assert all(not server.out for server in world.pool.servers.values())
+    assert all(not server.open_attempts for server in world.transport.pool.endpoints.values())
     return world
 
 
@@ -276,7 +285,8 @@
     steps = [(chance.randrange(len(STEPS) + 4), chance.randrange(10**6)) for _ in range(count)]
     with pytest.MonkeyPatch.context() as patch:
         loop = Loop()
-        patch.setattr(module, "now_ms", lambda: loop.now * 1000)
+        for module in (connection, connection_pool, transport):
+            patch.setattr(module, "now_ms", lambda: loop.now * 1000)
         faults: list[dict[str, Any]] = []
         loop.set_exception_handler(lambda _, context: faults.append(context))
         try:
--- a/tests/ends/test_ready.py
+++ b/tests/ends/test_ready.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from badgercart.discovery.backoff import MOST, PATIENCE, Pace
-from badgercart.discovery.catalog import Discovery
+from badgercart.discovery.backoff import FIRST_CALL_PATIENCE_S, MAX_CALLS, CallPacing
+from badgercart.discovery.catalog import CatalogClient
 from tests.ends.discovery import InTurn, Service
 from tests.ends.test_told import entry, on_a_clock
 from tests.ends.virtual import Loop
@@ -71,7 +71,7 @@
             return take
 
         followers = [
-            Discovery(("d", 1), taking(node), random.Random(node)) for node in range(nodes)
+            CatalogClient(("d", 1), taking(node), random.Random(node)) for node in range(nodes)
         ]
         for follower in followers:
             follower.start()
@@ -89,14 +89,16 @@
 
     async def test(loop: Loop) -> None:
         service = Service(loop, 1, {"s-1": entry("s-1")}, faults=["silent"] * 99)
-        follower = Discovery(("d", 1), lambda raw: 1, random.Random(1), pace=Pace.shared())
+        follower = CatalogClient(
+            ("d", 1), lambda raw: 1, random.Random(1), pacing=CallPacing.for_shared_service()
+        )
         follower.start()
         await asyncio.sleep(SOON)
         (first,) = service.lines
         while not first.ended:
-            assert len(service.lines) <= MOST
+            assert len(service.lines) <= MAX_CALLS
             await asyncio.sleep(0.1)
-        assert PATIENCE < loop.now - 1000.0 < PATIENCE + 2.0
+        assert FIRST_CALL_PATIENCE_S < loop.now - 1000.0 < FIRST_CALL_PATIENCE_S + 2.0
         follower.close()
 
     on_a_clock(test)
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_suspects.py
@@ -17,8 +17,8 @@
 
 from badgercart import node as platform
 from badgercart.core.identifiers import stable_id
-from badgercart.discovery.catalog import Discovery, Pace
-from badgercart.frontends.http import clients
+from badgercart.discovery.catalog import CallPacing, CatalogClient
+from badgercart.frontends.http import listener as listener_module
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import EndpointUpdate
 from tests.ends.test_leaving import Gate
@@ -58,7 +58,7 @@
 ) -> None:
     """The listener closes at once: nothing but the reader keeps the process, until the system has
     it all."""
-    monkeypatch.setattr(clients, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(listener_module, "ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(platform, "ACCEPT_FOR", 0.0)
 
     async def test() -> None:
@@ -101,7 +101,7 @@
 ) -> None:
     """Its transport is made in the next turn of the loop; until then it belongs to the listener
     alone."""
-    monkeypatch.setattr(clients, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(listener_module, "ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(platform, "ACCEPT_FOR", 0.0)
 
     async def test() -> None:
@@ -112,9 +112,9 @@
             )  # in this turn, behind the loop's back
             sock.sendall(request())
             listener.accept()
-            (client,) = listener.connections
+            (client,) = listener.table.connections
             assert not hasattr(client, "machine")
-            listener.stop()
+            listener.stop_listening()
             await stand.node.drain()
             sock.settimeout(WAIT)
             assert b"200 OK" in sock.recv(1000) and sock.recv(1000) == b""
@@ -132,8 +132,11 @@
     loop = Loop()
 
     async def test() -> None:
-        discovery = Discovery(
-            ("127.0.0.1", 1), lambda raw: 0, random.Random(seed), pace=Pace.agent(grace)
+        discovery = CatalogClient(
+            ("127.0.0.1", 1),
+            lambda raw: 0,
+            random.Random(seed),
+            pacing=CallPacing.for_local_agent(grace),
         )
         discovery.start()
         times = [loop.time()]
@@ -217,7 +220,7 @@
             other = next(i for i, task in enumerate(gets) if not task.done())
             name = f"s-{other + 1}"
             stand.agent.push(2, [peers[other].entry(name, "leaving")])
-            while stand.node.pool.servers[stable_id(name.encode())].state is EndpointState.READY:
+            while stand.node.pool.endpoints[stable_id(name.encode())].state is EndpointState.READY:
                 await asyncio.sleep(0)
             drained.set()
             assert (await client.answer())[0] == 503
@@ -268,13 +271,13 @@
             client = await stand.client()
             client.writer.write(request(cls))
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            (attempt,) = stand.node.pool.attempts.values()
+            (attempt,) = stand.node.transport.attempts.values()
             if answers:
                 raw = writers[0].get_extra_info("socket")
                 socket.socket(fileno=os.dup(raw.fileno())).sendall(OK)
-            left = attempt.deadline / 1000 - time.monotonic()
+            left = attempt.deadline_ms / 1000 - time.monotonic()
             time.sleep(left + 0.3)
             assert (await client.answer())[0] == (200 if answers else status)
-            assert not stand.node.join.in_flight
+            assert not stand.node.join.in_flight.requests
 
     run(test())
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -23,9 +23,9 @@
 from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import AttemptRequest, IncomingRequest
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.discovery.backoff import MOST, RETRY_FIRST, Pace, Tries
-from badgercart.discovery.catalog import SILENCE, Discovery
-from badgercart.discovery.entries import ListReader
+from badgercart.discovery.backoff import FIRST_RETRY_S, MAX_CALLS, Backoff, CallPacing
+from badgercart.discovery.catalog import WATCH_SILENCE_S, CatalogClient
+from badgercart.discovery.entries import CatalogUpdateReader
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import AttemptResult, UpdateKind
 from tests.ends.discovery import Service
@@ -168,14 +168,16 @@
         self.loop, self.begun = loop, loop.now
         self.config = config(1)
         self.join = RequestPipeline(self.config.settings, 7, loop, lambda: loop.now * 1000)
-        self.roster = EndpointTable(ListReader(self.config), self.join)
+        self.roster = EndpointTable(CatalogUpdateReader(self.config), self.join)
         self.roster.on_change.append(lambda member: self.note())
         self.carrier = Carrier(self)
         self.taken = math.inf  # when the change was taken up
         self.change: dict[str, Any] | None = None
         self.service = Service(loop, 1, {e["instanceId"]: e for e in listed})
-        self.pace = Pace.agent(GRACE * 1000) if pushed else Pace.shared()
-        self.discovery = Discovery(("d", 1), self.roster.accept, Fixed(dice), pace=self.pace)
+        self.pace = (
+            CallPacing.for_local_agent(GRACE * 1000) if pushed else CallPacing.for_shared_service()
+        )
+        self.discovery = CatalogClient(("d", 1), self.roster.accept, Fixed(dice), pacing=self.pace)
 
     def know(self) -> None:
         told = {"generation": 1, "reset": True, "instances": list(self.service.members.values())}
@@ -346,7 +348,7 @@
     async def test(loop: Loop) -> None:
         service = Service(loop, 1, {"s-1": entry("s-1")})
         followers = [
-            Discovery(("d", 1), lambda raw: int(raw["generation"]), random.Random(seed))
+            CatalogClient(("d", 1), lambda raw: int(raw["generation"]), random.Random(seed))
             for seed in range(nodes)
         ]
         for follower in followers:
@@ -361,8 +363,8 @@
         before = len(service.calls)
         await asyncio.sleep(time)
         assert (len(service.calls) - before) / nodes / time < RATES[fault]
-        assert all(len(follower.calls) <= MOST for follower in followers)
-        assert len(service.lines) <= MOST * nodes
+        assert all(len(follower.calls) <= MAX_CALLS for follower in followers)
+        assert len(service.lines) <= MAX_CALLS * nodes
         for follower in followers:
             follower.close()
         await asyncio.sleep(0.01)
@@ -371,27 +373,38 @@
     on_a_clock(test)
 
 
-@pytest.mark.parametrize("pace", [Pace.shared(), Pace.agent(500.0), Pace.agent(2000.0)])
-def test_the_worst_sums_are_within_the_time(pace: Pace) -> None:
+@pytest.mark.parametrize(
+    "pace",
+    [
+        CallPacing.for_shared_service(),
+        CallPacing.for_local_agent(500.0),
+        CallPacing.for_local_agent(2000.0),
+    ],
+)
+def test_the_worst_sums_are_within_the_time(pace: CallPacing) -> None:
     """From the constants: a silent watch or an outage, and two calls behind it that say nothing."""
-    call, rest, pause = (1.25 * pace.call, 1.25 * pace.rest, 1.5 * pace.retry)
-    assert SILENCE + 1.5 * RETRY_FIRST + 2 * call < TOLD - 0.4
+    call, rest, pause = (
+        1.25 * pace.parallel_after_s,
+        1.25 * pace.late_parallel_after_s,
+        1.5 * pace.max_retry_s,
+    )
+    assert WATCH_SILENCE_S + 1.5 * FIRST_RETRY_S + 2 * call < TOLD - 0.4
     assert max(rest, pause) + 2 * rest < TOLD - 0.3
 
 
 def test_early_calls_come_soon_and_later_ones_spare_the_service() -> None:
-    pace, tries = Pace.shared(), Tries(Fixed(0.0))
-    assert [tries.beside(pace) for _ in range(4)] == [1.0, 1.0, 1.5, 1.5]
-    tries.heard()
-    assert tries.beside(pace) == 1.0
-    tries = Tries(Fixed(0.5))
-    assert [tries.pause(pace) for _ in range(7)] == [0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
-    tries.lived(0.9, pace)  # a watch that always ends at once is no news
-    assert tries.pause(pace) == 1.0
-    tries.lived(1.0, pace)
-    assert tries.pause(pace) == 0.05
+    pace, tries = CallPacing.for_shared_service(), Backoff(Fixed(0.0))
+    assert [tries.parallel_delay(pace) for _ in range(4)] == [1.0, 1.0, 1.5, 1.5]
+    tries.update_received()
+    assert tries.parallel_delay(pace) == 1.0
+    tries = Backoff(Fixed(0.5))
+    assert [tries.retry_delay(pace) for _ in range(7)] == [0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
+    tries.watch_ended(0.9, pace)  # a watch that always ends at once is no news
+    assert tries.retry_delay(pace) == 1.0
+    tries.watch_ended(1.0, pace)
+    assert tries.retry_delay(pace) == 0.05
 
 
 def test_the_descriptors_kept_for_discovery_are_enough() -> None:
     """For the calls that are open at once, and one that is just closing."""
-    assert descriptors.DISCOVERY >= MOST + 1
+    assert descriptors.DISCOVERY >= MAX_CALLS + 1
--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -12,8 +12,8 @@
 
 from badgercart.core.identifiers import stable_id
 from badgercart.discovery import catalog
-from badgercart.discovery.backoff import RETRY_FIRST, Pace
-from badgercart.discovery.catalog import SILENCE
+from badgercart.discovery.backoff import FIRST_RETRY_S, CallPacing
+from badgercart.discovery.catalog import WATCH_SILENCE_S
 from badgercart.policy.endpoint import EndpointState
 from tests.net import WAIT, Agent, Peer, request, run, running
 
@@ -113,8 +113,8 @@
 def test_whatever_ends_a_watch_what_it_missed_is_heard(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(catalog, "SILENCE", 0.2)
-    monkeypatch.setattr(catalog, "RATE", 64_000_000)
+    monkeypatch.setattr(catalog, "WATCH_SILENCE_S", 0.2)
+    monkeypatch.setattr(catalog, "MIN_BYTES_PER_S", 64_000_000)
 
     async def test() -> None:
         peer, other = await Peer().start(), await Peer().start()
@@ -135,7 +135,7 @@
                     stand.node.discovery.task is not None and not stand.node.discovery.task.done()
                 )
                 await asyncio.sleep(0.001)
-            assert stand.node.pool.servers[stable_id(b"s-1")].state is EndpointState.DRAINING
+            assert stand.node.pool.endpoints[stable_id(b"s-1")].state is EndpointState.DRAINING
             calls = [agent.calls.get_nowait() for _ in range(agent.calls.qsize())]
             assert calls.count("/catalog/members") == wholes
             assert len(calls) == number + wholes + 1
@@ -159,7 +159,7 @@
                 stand.agent.lines.put_nowait(json.dumps(line, indent=indent).encode() + b"\n")
             while stand.node.roster.version < 4:
                 await asyncio.sleep(0)
-            assert stand.node.pool.servers[stable_id(b"s-1")].state is EndpointState.DRAINING
+            assert stand.node.pool.endpoints[stable_id(b"s-1")].state is EndpointState.DRAINING
             assert calls.empty()
 
     run(test())
@@ -168,7 +168,7 @@
 def test_a_whole_list_that_trickles_is_given_up_and_asked_for_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(catalog, "RATE", 64_000_000)
+    monkeypatch.setattr(catalog, "MIN_BYTES_PER_S", 64_000_000)
 
     async def endless(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await trickle(b" ")(reader, writer)
@@ -186,13 +186,16 @@
 
 def test_the_times_of_an_agent_leave_room_within_the_grace() -> None:
     for grace in (250.0, 500.0, 2000.0):
-        pace = Pace.agent(grace)
+        pace = CallPacing.for_local_agent(grace)
         assert (
-            pace.call + 1.5 * pace.retry < grace / 1000
+            pace.parallel_after_s + 1.5 * pace.max_retry_s < grace / 1000
         )  # a call that hangs as it comes back, and a pause
     told, grace = 6.0, 0.5
-    for pace in (Pace.agent(500.0), Pace.shared()):
-        assert SILENCE + pace.call + 1.5 * RETRY_FIRST < told + grace - pace.call
+    for pace in (CallPacing.for_local_agent(500.0), CallPacing.for_shared_service()):
+        assert (
+            WATCH_SILENCE_S + pace.parallel_after_s + 1.5 * FIRST_RETRY_S
+            < told + grace - pace.parallel_after_s
+        )
 
 
 def test_a_list_that_the_policy_breaks_over_is_asked_for_again_whole(
--- a/tests/ends/virtual.py
+++ b/tests/ends/virtual.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from badgercart.upstream.connection_pool import ServerConnection
+from badgercart.upstream.connection import UpstreamConnection
 
 
 class Still(selectors.BaseSelector):
@@ -68,7 +68,7 @@
 class Dial:
     """A connection that comes up when the test has it do so."""
 
-    def __init__(self, loop: Loop, factory: Callable[[], ServerConnection], port: int) -> None:
+    def __init__(self, loop: Loop, factory: Callable[[], UpstreamConnection], port: int) -> None:
         self.loop, self.factory, self.port = loop, factory, port
         self.up: asyncio.Future[Any] = loop.create_future()
 
@@ -91,7 +91,7 @@
     def __init__(
         self,
         loop: Loop,
-        protocol: ServerConnection,
+        protocol: UpstreamConnection,
         port: int,
         on_write: Callable[[Way, bytes], None],
     ) -> None:
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -18,8 +18,8 @@
 
 from badgercart.app.file import Installation
 from badgercart.app.site import Site
-from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
-from badgercart.discovery.freshness import State
+from badgercart.core.ports import AttemptRequest, IncomingRequest, Response
+from badgercart.discovery.freshness import FreshnessState
 from badgercart.policy.events import AttemptResult
 from standins.etcd import Etcd
 from tests.etcd.test_following import PREFIX
@@ -52,7 +52,7 @@
     def send(self, order: AttemptRequest) -> None:
         self.sends += 1
         roster, source, now = self.site.roster, self.site.parts["etcd"].source, self.join.clock()
-        if source.state is State.STALE:
+        if source.state is FreshnessState.STALE:
             self.faults.append("sent by a stale list")
         # The state is told by a timer; what the ages say at this very moment must agree with it.
         if source.freshness.age(now) > source.settings.stale_after_ms + 100.0:
@@ -68,7 +68,7 @@
             order.endpoint_id,
             AttemptResult.OK,
             1.0,
-            Answer(200),
+            Response(200),
         )
         self.join.timers.call_later(0, self.join.attempt_ended, *elapsed)
 
@@ -79,7 +79,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None: ...
+    def on_response(self, answer: Response) -> None: ...
 
     def on_shed(self, wait: float) -> None:
         self.refusals += 1
@@ -185,7 +185,7 @@
         async with asyncio.timeout(WAIT):
             while (
                 site.parts["etcd"].source is None
-                or site.parts["etcd"].source.state is not State.FRESH
+                or site.parts["etcd"].source.state is not FreshnessState.FRESH
                 or listed(site) != held(etcd)
             ):
                 await asyncio.sleep(0.005)
@@ -195,7 +195,7 @@
         asking.cancel()
         site.close()
         await etcd.stop()
-    assert traffic.faults == [] and not site.join.in_flight
+    assert traffic.faults == [] and not site.join.in_flight.requests
 
 
 def listed(site: Site) -> dict[str, str]:
--- a/tests/frontends/test_connection.py
+++ b/tests/frontends/test_connection.py
@@ -14,17 +14,15 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from badgercart.core.identifiers import stable_id
-from badgercart.core.requests import Classifier, InvalidRequestError
+from badgercart.core.requests import InvalidRequestError, RequestClassifier
 from badgercart.frontends.graphql.requests import bad_request
-from badgercart.frontends.http.connection import MAX_WAITING, MOVES, Connection, State
-from badgercart.frontends.http.requests import (
-    BadRequest,
-    ClientRequest,
-    Headers,
-    Message,
-    platform_requests,
-    problem,
-)
+from badgercart.frontends.http.connection import TRANSITIONS, ConnectionState, HttpConnection
+from badgercart.frontends.http.error_bodies import problem_document
+from badgercart.frontends.http.errors import BadRequestError
+from badgercart.frontends.http.headers import RequestHeaders
+from badgercart.frontends.http.receiver import MAX_QUEUED
+from badgercart.frontends.http.requests import ClientRequest, platform_request_parser
+from badgercart.upstream.exchange import UpstreamRequest
 from tests.net import config, request
 
 
@@ -32,29 +30,31 @@
     """What the machine asks for, noted down. Requests are answered at once where `eager`."""
 
     def __init__(self) -> None:
-        self.keeps = self.serves = True
+        self.keeps_alive = self.is_healthy = True
         self.out = b""
         self.taken: deque[ClientRequest] = deque()
         self.reading, self.finished, self.eager = True, False, False
         self.asked = 0
-        self.bulk = False
-        self.machine: Connection
-
-    def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
-        if headers.fault or url == b"/bad":
-            raise BadRequest(400, headers.fault or "odd")
+        self.streams_bodies = False
+        self.machine: HttpConnection
+
+    def parse_request(
+        self, method: bytes, target: bytes, headers: RequestHeaders, body: bytes
+    ) -> ClientRequest:
+        if headers.fault or target == b"/bad":
+            raise BadRequestError(400, headers.fault or "odd")
         name = headers.request_id or b""
         return ClientRequest(
-            Message(b"", body), name, 0, 0, stable_id(url), 0.0, 1000.0, 0.0, False
+            UpstreamRequest(b"", body), name, 0, 0, stable_id(target), 0.0, 1000.0, 0.0, False
         )
 
-    def words(self, status: int, why: str) -> tuple[bytes, bytes]:
-        return b"text/plain", why.encode()
+    def error_body(self, status: int, reason: str) -> tuple[bytes, bytes]:
+        return b"text/plain", reason.encode()
 
-    def take(self, taken: ClientRequest) -> None:
+    def accept_request(self, taken: ClientRequest) -> None:
         self.asked += 1
         if self.eager:
-            self.machine.answer(self.machine.now, 200, b"", b"", b"")
+            self.machine.send_response(self.machine.now_s, 200, b"", b"", b"")
         else:
             self.taken.append(taken)
 
@@ -62,15 +62,15 @@
         assert not self.finished, "nothing is written after the last answer"
         self.out += data
 
-    def pause(self) -> None:
+    def pause_reading(self) -> None:
         assert self.reading
         self.reading = False
 
-    def resume(self) -> None:
+    def resume_reading(self) -> None:
         assert not self.reading
         self.reading = True
 
-    def finish(self) -> None:
+    def write_eof(self) -> None:
         assert not self.finished
         self.finished = True
 
@@ -87,10 +87,14 @@
         super().__init__()
         self.now = 0.0
         self.side, self.names = Surroundings(), set[bytes]()
-        self.waits: dict[State, dict[Any, float]] = {
-            state: {} for state in State if state not in (State.HELD, State.CLOSED)
+        self.waits: dict[ConnectionState, dict[Any, float]] = {
+            state: {}
+            for state in ConnectionState
+            if state not in (ConnectionState.SERVING, ConnectionState.CLOSED)
         }
-        self.machine = self.side.machine = Connection(self.side, self.now, self.names, self.waits)
+        self.machine = self.side.machine = HttpConnection(
+            self.side, self.now, self.names, self.waits
+        )
         self.rest = b""
         self.gone = False
         self.sent = 0
@@ -113,45 +117,45 @@
         data = b"".join(pieces)
         at = int(len(data) * cut)
         self.rest = data[at:]
-        self.machine.received(data[:at], self.later())
+        self.machine.receive_data(data[:at], self.later())
 
     @precondition(lambda self: not self.gone and self.rest)
     @rule()
     def send_the_rest(self) -> None:
         rest, self.rest = self.rest, b""
-        self.machine.received(rest, self.later())
+        self.machine.receive_data(rest, self.later())
 
     @precondition(lambda self: not self.gone and self.side.taken)
     @rule(status=st.sampled_from((200, 503, 502)))
     def answer(self, status: int) -> None:
         self.side.taken.popleft()
-        self.machine.answer(self.later(), status, b"", b"", b"")
+        self.machine.send_response(self.later(), status, b"", b"", b"")
 
     @precondition(
         lambda self: not self.gone and self.side.out
     )  # what was not written can't stay unread
     @rule(full=st.booleans())
     def reading_client(self, full: bool) -> None:
-        if full and not self.machine.full:
-            self.machine.unread()
-        elif not full and self.machine.full:
-            self.machine.read_again(self.later())
+        if full and not self.machine.writing_paused:
+            self.machine.pause_writing()
+        elif not full and self.machine.writing_paused:
+            self.machine.resume_writing(self.later())
 
-    @precondition(lambda self: not self.gone and self.machine.state is State.ARRIVING)
+    @precondition(lambda self: not self.gone and self.machine.state is ConnectionState.RECEIVING)
     @rule()
     def overdue(self) -> None:
-        self.machine.overdue(self.later())
+        self.machine.request_timed_out(self.later())
 
     @rule(keeps=st.booleans(), eager=st.booleans())
     def listener(self, keeps: bool, eager: bool) -> None:
-        self.side.keeps, self.side.eager = keeps, eager
+        self.side.keeps_alive, self.side.eager = keeps, eager
 
     @precondition(lambda self: not self.gone)
     @rule()
     def lose(self) -> None:
-        self.machine.lost(self.later())
+        self.machine.connection_lost(self.later())
         self.gone = True
-        self.machine.answer(
+        self.machine.send_response(
             self.later(), 200, b"", b"", b""
         )  # one that comes too late changes nothing
 
@@ -159,19 +163,25 @@
     def one_answer_each_and_bounds(self) -> None:
         machine, side = self.machine, self.side
         assert len(side.taken) <= 1, "one request is served at a time"
-        assert len(machine.waiting) <= MAX_WAITING + 4096 // 40
-        assert self.gone or machine.busy == bool(side.taken)
+        assert len(machine.queue) <= MAX_QUEUED + 4096 // 40
+        assert self.gone or machine.serving == bool(side.taken)
         if self.gone:
-            assert not self.names and not any(self.waits.values()) and machine.state is State.CLOSED
+            assert (
+                not self.names
+                and not any(self.waits.values())
+                and machine.state is ConnectionState.CLOSED
+            )
             return
-        held = {taken.name for taken in side.taken}
-        waiting = {item.name for item, _ in machine.waiting if isinstance(item, ClientRequest)}
+        held = {taken.request_name for taken in side.taken}
+        waiting = {
+            item.request_name for item, _ in machine.queue if isinstance(item, ClientRequest)
+        }
         assert self.names == held | waiting
         where = [state for state, wait in self.waits.items() if side in wait]
-        assert where == ([] if machine.state is State.HELD else [machine.state])
-        assert (machine.state is State.HELD) == machine.busy
-        if machine.state is State.ENDING:
-            assert side.finished and side.reading and not machine.waiting
+        assert where == ([] if machine.state is ConnectionState.SERVING else [machine.state])
+        assert (machine.state is ConnectionState.SERVING) == machine.serving
+        if machine.state is ConnectionState.CLOSING:
+            assert side.finished and side.reading and not machine.queue
 
     def teardown(self) -> None:
         while self.side.taken and not self.gone:
@@ -185,11 +195,11 @@
 
 
 def test_a_move_that_is_not_in_the_table_is_an_error() -> None:
-    machine = Connection(Surroundings(), 0.0, set(), {state: {} for state in State})
-    machine.state = State.ENDING
-    with pytest.raises(RuntimeError, match="can't go from ENDING to ARRIVING"):
-        machine.move(State.ARRIVING)
-    assert set(MOVES) == set(State) and not MOVES[State.CLOSED]
+    machine = HttpConnection(Surroundings(), 0.0, set(), {state: {} for state in ConnectionState})
+    machine.state = ConnectionState.CLOSING
+    with pytest.raises(RuntimeError, match="can't go from CLOSING to RECEIVING"):
+        machine.transition(ConnectionState.RECEIVING)
+    assert set(TRANSITIONS) == set(ConnectionState) and not TRANSITIONS[ConnectionState.CLOSED]
 
 
 @pytest.mark.parametrize(
@@ -206,9 +216,11 @@
 )
 def test_each_fault_of_the_headers_has_its_words(more: dict[str, str], words: str) -> None:
     side = Surroundings()
-    side.read = platform_requests(config(1))  # type: ignore[assignment]
-    side.words = problem  # type: ignore[method-assign]
-    Connection(side, 0.0, set(), {state: {} for state in State}).received(request(**more), 1.0)
+    side.parse_request = platform_request_parser(config(1))  # type: ignore[assignment]
+    side.error_body = problem_document  # type: ignore[method-assign]
+    HttpConnection(side, 0.0, set(), {state: {} for state in ConnectionState}).receive_data(
+        request(**more), 1.0
+    )
     head, _, body = side.out.partition(b"\r\n\r\n")
     assert b"Content-Type: application/problem+json" in head and side.finished
     told = json.loads(body)
@@ -218,12 +230,12 @@
 def test_a_default_tenant_takes_requests_without_the_header_and_others_are_named() -> None:
     plain = replace(config(1), tenants={b"a": 0, b"b": 1})
     with pytest.raises(InvalidRequestError, match="no Tenant header, and no default_tenant is set"):
-        Classifier(plain).read(b"GET", b"/find/1", b"r", None, None)
+        RequestClassifier(plain).classify(b"GET", b"/find/1", b"r", None, None)
     with pytest.raises(InvalidRequestError, match="there is no tenant 'x'"):
-        Classifier(plain).read(b"GET", b"/find/1", b"r", b"x", None)
+        RequestClassifier(plain).classify(b"GET", b"/find/1", b"r", b"x", None)
     filled = replace(plain, default_tenant=b"b")
-    assert Classifier(filled).read(b"GET", b"/find/1", b"r", None, None).tenant == 1
-    assert Classifier(filled).read(b"GET", b"/find/1", b"r", b"a", None).tenant == 0
+    assert RequestClassifier(filled).classify(b"GET", b"/find/1", b"r", None, None).tenant == 1
+    assert RequestClassifier(filled).classify(b"GET", b"/find/1", b"r", b"a", None).tenant == 0
 
 
 def test_graphql_words_a_bad_request_as_an_error() -> None:
--- a/tests/frontends/test_golden.py
+++ b/tests/frontends/test_golden.py
@@ -10,18 +10,13 @@
 import pytest
 
 from badgercart.core.memory_budget import MemoryBudget
-from badgercart.core.ports import Answer
-from badgercart.core.streams import Opening
+from badgercart.core.ports import Response
+from badgercart.core.streams import ResponseHead
 from badgercart.frontends.graphql.requests import bad_request
-from badgercart.frontends.http.clients import ClientConnection, Listener
-from badgercart.frontends.http.requests import (
-    ClientRequest,
-    Page,
-    Words,
-    no_words,
-    platform_requests,
-    problem,
-)
+from badgercart.frontends.http.client_connection import ClientConnection
+from badgercart.frontends.http.error_bodies import ErrorBody, no_error_body, problem_document
+from badgercart.frontends.http.listener import Listener
+from badgercart.frontends.http.requests import ClientRequest, Page, platform_request_parser
 from tests.golden import differences
 from tests.net import config
 
@@ -75,28 +70,28 @@
     """What takes requests; each is kept, and answered by the test."""
 
     def __init__(self) -> None:
-        self.stopping, self.healthy = False, True
+        self.stopping, self.is_healthy = False, True
         self.pages: Mapping[bytes, Page] = {
             b"/metrics": Page(lambda: b"up 1\n", b"text/plain; version=0.0.4")
         }
         self.taken: list[ClientRequest] = []
 
-    def take(self, client: ClientConnection, request: ClientRequest) -> None:
+    def accept(self, client: ClientConnection, request: ClientRequest) -> None:
         self.taken.append(request)
 
-    def whole(self, client: ClientConnection, request: ClientRequest) -> None: ...
+    def request_completed(self, client: ClientConnection, request: ClientRequest) -> None: ...
 
-    def withdraw(self, request_id: int) -> None: ...
+    def cancel(self, request_id: int) -> None: ...
 
 
 class Stand:
     """One connection on a listener that opens nothing."""
 
-    def __init__(self, words: Words = no_words, streams: bool = True) -> None:
+    def __init__(self, words: ErrorBody = no_error_body, streams: bool = True) -> None:
         loop: Any = StillLoop()
         self.taker = Taker()
         room = MemoryBudget(8 << 20) if streams else None
-        read = platform_requests(config(1, tenants={b"acme": 0}), streams=True)
+        read = platform_request_parser(config(1, tenants={b"acme": 0}), accepts_streaming=True)
         listener = Listener(loop, ("127.0.0.1", 0), self.taker, 30, read, words, room)
         self.listener = listener
         self.client = ClientConnection(listener)
@@ -104,7 +99,7 @@
         self.client.connection_made(self.wire)
 
     def hear(self, data: bytes) -> Stand:
-        self.client.machine.received(data, 100.0)
+        self.client.http.receive_data(data, 100.0)
         return self
 
     def got(self) -> bytes:
@@ -158,32 +153,32 @@
 }
 
 
-def turned_away(words: Words, streams: bool) -> dict[str, bytes]:
+def turned_away(words: ErrorBody, streams: bool) -> dict[str, bytes]:
     pieces = {}
     for name, data in TURNED_AWAY.items():
         stand = Stand(words, streams).hear(data)
         assert not stand.taker.taken
         pieces[name] = stand.got()
     twice = Stand(words, streams).hear(head() + head())
-    twice.client.on_answer(Answer(200, b"one"))
+    twice.client.on_response(Response(200, b"one"))
     pieces["an id that is open"] = twice.got()
     late = Stand(words, streams).hear(head()[:40])
-    late.client.machine.overdue(104.0)
+    late.client.http.request_timed_out(104.0)
     pieces["a request that does not come in whole"] = late.got()
     return pieces
 
 
-def answers(words: Words) -> dict[str, bytes]:
+def answers(words: ErrorBody) -> dict[str, bytes]:
     pieces = {}
     for name, answer in {
-        "served": Answer(200, b"done", b"application/json"),
-        "served without type": Answer(200, b"done"),
-        "empty": Answer(204),
-        "the request's fault": Answer(404, b"no such ride", b"text/plain"),
-        "an unknown status": Answer(499, b"x"),
+        "served": Response(200, b"done", b"application/json"),
+        "served without type": Response(200, b"done"),
+        "empty": Response(204),
+        "the request's fault": Response(404, b"no such ride", b"text/plain"),
+        "an unknown status": Response(499, b"x"),
     }.items():
         stand = Stand(words).hear(head())
-        stand.client.on_answer(answer)
+        stand.client.on_response(answer)
         pieces[name] = stand.got()
     for wait in (0.0, 0.4, 250.0, 250.4, 1234.5678, 60_000.0):
         stand = Stand(words).hear(head())
@@ -206,7 +201,7 @@
         "an upgrade": head("GET /find/cab7 HTTP/1.1", "Connection: upgrade", "Upgrade: websocket"),
     }.items():
         stand = Stand().hear(data)
-        stand.client.on_answer(Answer(200, b"done"))
+        stand.client.on_response(Response(200, b"done"))
         pieces[name] = stand.got()
     stand = Stand().hear(head())
     stand.taker.stopping = True
@@ -214,7 +209,7 @@
     pieces["a node that stops"] = stand.got()
     stand = Stand().hear(head())
     stand.listener.limit = 0
-    stand.client.on_answer(Answer(200, b"done"))
+    stand.client.on_response(Response(200, b"done"))
     pieces["a crowd"] = stand.got()
     return pieces
 
@@ -223,7 +218,7 @@
     pieces = {"health": Stand().hear(b"GET /_health HTTP/1.1\r\n\r\n").got()}
     for name in ("no list", "stopping"):
         stand = Stand()
-        stand.taker.healthy, stand.taker.stopping = name != "no list", name == "stopping"
+        stand.taker.is_healthy, stand.taker.stopping = name != "no list", name == "stopping"
         pieces[f"health, {name}"] = stand.hear(b"GET /_health HTTP/1.1\r\n\r\n").got()
     pieces["a page"] = Stand().hear(b"GET /metrics HTTP/1.1\r\n\r\n").got()
     pieces["a go-ahead"] = (
@@ -237,26 +232,26 @@
     for version in ("1.1", "1.0"):
         for length in (None, 9):
             stand = Stand().hear(head(f"GET /find/cab7 HTTP/{version}"))
-            sink = stand.client.on_response_started(Opening(200, b"text/csv", length))
-            sink.part(b"a,b\n")
-            sink.part(b"")
-            sink.part(b"c,d\n\n")
-            sink.done()
+            sink = stand.client.on_response_started(ResponseHead(200, b"text/csv", length))
+            sink.write(b"a,b\n")
+            sink.write(b"")
+            sink.write(b"c,d\n\n")
+            sink.finish()
             pieces[f"HTTP/{version}, length {length}"] = stand.got()
     stand = Stand().hear(head())
-    sink = stand.client.on_response_started(Opening(200, b"", None))
-    sink.part(b"a")
-    sink.broken()
+    sink = stand.client.on_response_started(ResponseHead(200, b"", None))
+    sink.write(b"a")
+    sink.abort()
     pieces["broken off"] = stand.got()
     return pieces
 
 
 GROUPS: dict[str, Callable[[], dict[str, bytes]]] = {
-    "turned-away-node": lambda: turned_away(no_words, True),
-    "turned-away-problem": lambda: turned_away(problem, False),
+    "turned-away-node": lambda: turned_away(no_error_body, True),
+    "turned-away-problem": lambda: turned_away(problem_document, False),
     "turned-away-graphql": lambda: turned_away(bad_request, False),
-    "answers-node": lambda: answers(no_words),
-    "answers-problem": lambda: answers(problem),
+    "answers-node": lambda: answers(no_error_body),
+    "answers-problem": lambda: answers(problem_document),
     "answers-graphql": lambda: answers(bad_request),
     "ends": ends,
     "pages": pages,
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 
 from badgercart.core.identifiers import stable_id
-from badgercart.frontends.http import clients
-from badgercart.frontends.http import connection as machine
 from badgercart.frontends.http import connection_eviction as crowd
+from badgercart.frontends.http import connection_table, receiver
+from badgercart.frontends.http import listener as listener_module
 from badgercart.policy.events import EndpointUpdate, Request, RequestCancelled
 from badgercart.upstream import connection_pool as pool
 from tests.net import (
@@ -185,7 +185,7 @@
             assert (got, field(head, b"Connection")) == (status, b"close")
             assert await client.end() == b""
             assert (await (await stand.client()).ask(request()))[0] == 200
-            assert peer.requests.qsize() == 1 and not stand.node.listener.open_ids
+            assert peer.requests.qsize() == 1 and not stand.node.listener.table.open_names
 
     run(test())
 
@@ -216,7 +216,7 @@
 
 def test_at_the_limit_the_longest_idle_client_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        pool, "REST", 0.0
+        pool, "REUSE_DELAY_MS", 0.0
     )  # so many requests, one after the other, on one connection
 
     async def test() -> None:
@@ -229,14 +229,16 @@
             assert (await newest.ask(request()))[0] == 200
             assert await crowd[0].end() == b""
             assert (await crowd[1].ask(request()))[0] == 200
-            assert len(stand.node.listener.connections) == limit
+            assert len(stand.node.listener.table.connections) == limit
 
     run(test())
 
 
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nobody has to have been silent for any time before it makes room."""
-    monkeypatch.setattr(crowd, "ORDER", tuple((state, 0.0) for state, _ in crowd.ORDER))
+    monkeypatch.setattr(
+        crowd, "EVICTION_ORDER", tuple((state, 0.0) for state, _ in crowd.EVICTION_ORDER)
+    )
 
 
 def test_those_that_never_spoke_make_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -248,13 +250,13 @@
             assert (await usual.ask(request()))[0] == 200
             limit = stand.node.listener.limit
             silent = [await stand.client() for _ in range(limit - 1)]
-            while len(stand.node.listener.silent) < limit - 1:
+            while len(stand.node.listener.table.new) < limit - 1:
                 await asyncio.sleep(0)
             newest = await stand.client()
             assert (await newest.ask(request()))[0] == 200
             assert await silent[0].end() == b""
             assert (await usual.ask(request()))[0] == 200
-            assert len(stand.node.listener.connections) == limit
+            assert len(stand.node.listener.table.connections) == limit
 
     run(test())
 
@@ -270,10 +272,10 @@
             slow = [await stand.client() for _ in range(limit)]
             for client in slow:
                 client.writer.write(b"GET /find/1 HTTP/1.1\r\n")
-            while len(stand.node.listener.arriving) < limit:
+            while len(stand.node.listener.table.receiving) < limit:
                 await asyncio.sleep(0)
             assert (await (await stand.client()).ask(request()))[0] == 200
-            assert len(stand.node.listener.connections) <= limit
+            assert len(stand.node.listener.table.connections) <= limit
 
     run(test())
 
@@ -307,7 +309,7 @@
                 client.writer.write(request())
             for _ in range(3):
                 await stand.event(Request)
-            assert len(listener.connections) == 3 and not listener.accepting
+            assert len(listener.table.connections) == 3 and not listener.accepting
             release.set()
             for client in crowd[:3]:
                 assert (await client.answer())[0] == 200
@@ -353,14 +355,14 @@
             blank.writer.write(b"\r\n\r\n")
             half.writer.write(request()[:-2])
             listener = stand.node.listener
-            while len(listener.silent) != 2 or len(listener.arriving) != 1:
+            while len(listener.table.new) != 2 or len(listener.table.receiving) != 1:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(clients, "REQUEST_TIME", 0.0)
+            monkeypatch.setattr(connection_table, "REQUEST_TIMEOUT_S", 0.0)
             listener.sweep()
             assert await silent.end() == b"" and await blank.end() == b""
             assert (await half.answer())[0] == 408
             assert await half.end() == b""
-            assert not listener.silent and not listener.arriving
+            assert not listener.table.new and not listener.table.receiving
 
     run(test())
 
@@ -372,7 +374,7 @@
             assert (await client.ask(request()))[0] == 200
             stand.node.listener.sweep()
             assert (await client.ask(request()))[0] == 200
-            monkeypatch.setattr(clients, "KEEP_ALIVE", 0.0)
+            monkeypatch.setattr(connection_table, "KEEP_ALIVE_S", 0.0)
             stand.node.listener.sweep()
             assert await client.end() == b""
 
@@ -395,7 +397,7 @@
             release.set()
             assert (await first.answer())[0] == 200
             assert (await third.ask(data))[0] == 200
-            assert not stand.node.listener.open_ids
+            assert not stand.node.listener.table.open_names
 
     run(test())
 
@@ -407,10 +409,10 @@
             client = await stand.client()
             client.writer.write(request() + request() + request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            assert len(stand.node.listener.open_ids) == 3
+            assert len(stand.node.listener.table.open_names) == 3
             client.writer.close()
             await stand.event(RequestCancelled)
-            assert not stand.node.listener.open_ids
+            assert not stand.node.listener.table.open_names
 
     run(test())
 
@@ -424,12 +426,15 @@
             client = await stand.client()
             client.writer.write(b"".join(request() for _ in range(400)))
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            (connection,) = stand.node.listener.connections
-            assert len(stand.node.listener.open_ids) <= machine.MAX_WAITING + machine.SLICE // 100
+            (connection,) = stand.node.listener.table.connections
+            assert (
+                len(stand.node.listener.table.open_names)
+                <= receiver.MAX_QUEUED + receiver.PARSE_BYTES // 100
+            )
             release.set()
             for _ in range(400):
                 assert (await client.answer())[0] == 200
-            assert not connection.machine.waiting and not connection.machine.backlog
+            assert not connection.http.queue and not connection.http.receiver.unparsed
 
     run(test())
 
@@ -449,7 +454,7 @@
 def test_a_client_that_reads_its_last_answer_late_still_gets_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "LINGER", 0.0)
+    monkeypatch.setattr(connection_table, "LINGER_S", 0.0)
     big = b"x" * 60_000
     script = answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(big), big))
 
@@ -459,7 +464,7 @@
             client.writer.transport.pause_reading()
             client.writer.write(b"".join(request() for _ in range(300)) + b"nonsense\r\n\r\n")
             (connection,) = [c async for c in stand.connections(1)]
-            while not connection.machine.full:
+            while not connection.http.writing_paused:
                 await asyncio.sleep(0)
             stand.node.listener.sweep()
             client.writer.transport.resume_reading()
@@ -501,13 +506,13 @@
             client.writer.transport.pause_reading()
             client.writer.write(b"".join(request() for _ in range(300)))
             (connection,) = [c async for c in stand.connections(1)]
-            while not connection.machine.full:
+            while not connection.http.writing_paused:
                 await asyncio.sleep(0)
-            assert connection in stand.node.listener.idle  # until it reads, or for KEEP_ALIVE
-            taken = stand.node.join.last_id
+            assert connection in stand.node.listener.table.idle  # until it reads, or for KEEP_ALIVE
+            taken = stand.node.join.in_flight.last_id
             for _ in range(50):
                 await asyncio.sleep(0)
-            assert stand.node.join.last_id == taken < 300
+            assert stand.node.join.in_flight.last_id == taken < 300
             client.writer.transport.resume_reading()
             for _ in range(300):
                 assert (await client.answer())[2] == big
@@ -532,7 +537,7 @@
                         await client.answer()
                     client.writer.close()
                     async with asyncio.timeout(WAIT):
-                        while stand.node.listener.connections or gone() is not None:
+                        while stand.node.listener.table.connections or gone() is not None:
                             await asyncio.sleep(0.001)
             finally:
                 gc.enable()
@@ -541,10 +546,10 @@
 
 
 def test_a_request_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "REQUEST_TIME", 0.05)
+    monkeypatch.setattr(connection_table, "REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        monkeypatch.setattr(clients, "SWEEP", 0.05)
+        monkeypatch.setattr(listener_module, "SWEEP_INTERVAL_S", 0.05)
         async with running(await Peer().start()) as stand:
             client = await stand.client()
             assert (await client.ask(b"GET /find/1 HTTP/1.1\r\nHost:"))[0] == 408
@@ -557,8 +562,8 @@
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             assert (await (await stand.client()).ask(request()))[0] == 200
-            (client,) = stand.node.listener.connections
-            (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle
+            (client,) = stand.node.listener.table.connections
+            (server,) = stand.node.pool.endpoints[stable_id(b"s-1")].idle
             for connection in (client, server):
                 sock = connection.transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -582,7 +587,7 @@
                 await rude.end()
             assert peer.requests.empty()
             assert (await (await stand.client()).ask(request()))[0] == 200
-            assert not stand.node.join.in_flight
+            assert not stand.node.join.in_flight.requests
 
     run(test())
 
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -148,7 +148,9 @@
         async with desk(server, **changes) as front:
             await test(front, server)
             assert (
-                not front.join.in_flight and not front.join.open_attempts and not front.front.open
+                not front.join.in_flight.requests
+                and not front.join.in_flight.attempts
+                and not front.front.open
             )
 
     run(whole())
--- a/tests/net.py
+++ b/tests/net.py
@@ -14,14 +14,14 @@
 
 from badgercart.config import Config
 from badgercart.core.identifiers import stable_id
-from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
-from badgercart.core.request_pipeline import InFlightRequest
+from badgercart.core.in_flight import InFlightRequest
+from badgercart.core.ports import AttemptRequest, IncomingRequest, Response
 from badgercart.discovery.component import Server
-from badgercart.frontends.http.clients import ClientConnection
+from badgercart.frontends.http.client_connection import ClientConnection
 from badgercart.node import Node
 from badgercart.policy.events import AttemptEnded
 from badgercart.policy.settings import Idempotency, RequestClass, Settings
-from badgercart.upstream.exchange import Message
+from badgercart.upstream.exchange import UpstreamRequest
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 CLASSES = {
@@ -246,7 +246,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None: ...
+    def on_response(self, answer: Response) -> None: ...
 
     def on_shed(self, wait: float) -> None: ...
 
@@ -283,21 +283,25 @@
     async def connections(self, number: int) -> AsyncIterator[ClientConnection]:
         """The node's connections, once there are so many."""
         async with asyncio.timeout(WAIT):
-            while len(self.node.listener.connections) != number:
+            while len(self.node.listener.table.connections) != number:
                 await asyncio.sleep(0)
-        for connection in self.node.listener.connections:
+        for connection in self.node.listener.table.connections:
             yield connection
 
     def send(self, request_id: int, name: str) -> None:
         """An attempt that the policy knows nothing of."""
-        join, pool = self.node.join, self.node.pool
-        join.open_attempts[request_id, 0] = pool
-        join.in_flight[request_id] = InFlightRequest(
-            Nobody(), pool, IncomingRequest(0, 0, 0, math.inf, None), 0.0, 1
+        join, transport = self.node.join, self.node.transport
+        join.in_flight.attempts[request_id, 0] = transport
+        join.in_flight.requests[request_id] = InFlightRequest(
+            Nobody(), transport, IncomingRequest(0, 0, 0, math.inf, None), 0.0, 1
         )
-        pool.send(
+        transport.send(
             AttemptRequest(
-                request_id, 0, stable_id(name.encode()), 5000.0, Message(request()[:-2], b"")
+                request_id,
+                0,
+                stable_id(name.encode()),
+                5000.0,
+                UpstreamRequest(request()[:-2], b""),
             )
         )
 
--- a/tests/processor/test_interleavings.py
+++ b/tests/processor/test_interleavings.py
@@ -295,7 +295,11 @@
         while self.streams:
             self.close()
         self.clockwork.advance(5000.0)
-        assert not self.calls.open and not self.join.in_flight and not self.join.open_attempts
+        assert (
+            not self.calls.open
+            and not self.join.in_flight.requests
+            and not self.join.in_flight.attempts
+        )
         assert not self.join.policy.jobs and self.join.policy.flying == 0
         assert not any(server.open for server in self.join.policy.servers.values())
         assert all(proxy.unseen == 0 for proxy in self.calls.account.proxies.values())
@@ -324,7 +328,7 @@
             world.step()
         world.finish()
         assert sorted(world.ends) == list(
-            range(1, world.join.last_id + 1)
+            range(1, world.join.in_flight.last_id + 1)
         ), "a call that never ended"
         assert all(len(ends) == 1 for ends in world.ends.values()), "a call that ended twice"
     except BaseException:
@@ -359,4 +363,8 @@
             world.calls.response(stream, Phase(200), None, world.clockwork.now)
         assert replies[1:] == [Pass()]
         world.calls.closed(stream, world.clockwork.now)
-        assert not world.join.open_attempts and not world.join.in_flight and machine.MARGIN > 0
+        assert (
+            not world.join.in_flight.attempts
+            and not world.join.in_flight.requests
+            and machine.MARGIN > 0
+        )
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -94,8 +94,8 @@
         """Nothing is held, out or open any more."""
         async with asyncio.timeout(WAIT):
             while (
-                self.join.in_flight
-                or self.join.open_attempts
+                self.join.in_flight.requests
+                or self.join.in_flight.attempts
                 or self.calls.open
                 or self.processor.connections
             ):
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -15,7 +15,7 @@
 from badgercart.policy.actions import Send
 from badgercart.policy.events import AttemptResult, EndpointUpdate, Request
 from badgercart.upstream import connection_pool as pool
-from badgercart.upstream.connection_pool import ServerConnection
+from badgercart.upstream.connection import UpstreamConnection
 from tests.net import (
     OK,
     WAIT,
@@ -142,7 +142,7 @@
             assert (field(head, b"Retry-After") is None) == (
                 status == 200
             )  # who is refused is told when
-            assert not stand.node.join.in_flight and not stand.node.pool.attempts
+            assert not stand.node.join.in_flight.requests and not stand.node.transport.attempts
 
     run(test())
 
@@ -180,7 +180,7 @@
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
-            stand.node.pool.servers[stable_id(b"s-1")].address = ("a" * 70 + ".\udc80", 9)
+            stand.node.pool.endpoints[stable_id(b"s-1")].address = ("a" * 70 + ".\udc80", 9)
             status, _, _ = await (await stand.client()).ask(request())
             assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
 
@@ -234,7 +234,7 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             node, client = stand.node, await stand.client()
-            send = node.join.send
+            send = node.join.executor.send
 
             def drained_at_once(action: Send) -> None:
                 send(action)
@@ -242,7 +242,7 @@
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}
                 )
 
-            node.join.perform[Send] = drained_at_once
+            node.join.executor.handlers[Send] = drained_at_once
             status, _, _ = await client.ask(request())
             assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
             await asyncio.wait_for(peer.ended.get(), WAIT)
@@ -261,7 +261,7 @@
             while (await stand.event(EndpointUpdate)).version != 2:
                 pass
             await asyncio.wait_for(peer.ended.get(), WAIT)
-            assert not stand.node.pool.servers[stable_id(b"s-1")].idle
+            assert not stand.node.pool.endpoints[stable_id(b"s-1")].idle
 
     run(test())
 
@@ -295,7 +295,7 @@
     behind: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The next attempt may take a connection in the turn of the loop in which something came on it.
-    monkeypatch.setattr(pool, "REST", 0.0)
+    monkeypatch.setattr(pool, "REUSE_DELAY_MS", 0.0)
     writers: list[asyncio.StreamWriter] = []
 
     async def test() -> None:
@@ -312,7 +312,7 @@
                 os.write(sock.fileno(), behind)
             else:
                 socket.socket(fileno=os.dup(sock.fileno())).shutdown(socket.SHUT_WR)
-            assert not connection.quiet()
+            assert not connection.is_quiet()
             stand.send(77, "s-1")
             assert connection.attempt is None and connection.transport.is_closing()
             assert (await stand.outcome()).result == AttemptResult.OK
@@ -326,7 +326,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        pool, "REST", 500.0
+        pool, "REUSE_DELAY_MS", 500.0
     )  # so that a slow machine has the second one come within it
     writers: list[asyncio.StreamWriter] = []
 
@@ -350,7 +350,7 @@
 def test_a_connection_that_rests_is_kept_where_its_attempt_is_given_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(pool, "REST", 500.0)
+    monkeypatch.setattr(pool, "REUSE_DELAY_MS", 500.0)
 
     async def test() -> None:
         peer = await Peer().start()
@@ -359,11 +359,11 @@
             assert (await client.ask(request()))[0] == 200
             client.writer.write(request())
             await stand.outcome()
-            while not stand.node.pool.attempts:
+            while not stand.node.transport.attempts:
                 await asyncio.sleep(0)
             client.writer.close()
             assert (await stand.outcome()).result == AttemptResult.NOT_SENT
-            while not stand.node.pool.servers[stable_id(b"s-1")].idle:
+            while not stand.node.pool.endpoints[stable_id(b"s-1")].idle:
                 await asyncio.sleep(0)
             assert peer.connections == 1 and peer.requests.qsize() == 1
 
@@ -386,10 +386,12 @@
                         "instances": [new, peer.entry(f"s-{generation - 1}", "left")],
                     }
                 )
-            assert set(pool.servers) == {stable_id(b"s-1"), stable_id(b"s-39")}
+            assert set(pool.endpoints) == {stable_id(b"s-1"), stable_id(b"s-39")}
             client.writer.close()
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            assert set(pool.servers) == set(stand.node.join.policy.servers) == {stable_id(b"s-39")}
+            assert (
+                set(pool.endpoints) == set(stand.node.join.policy.servers) == {stable_id(b"s-39")}
+            )
             assert stand.node.roster.listed.keys() == {stable_id(b"s-39")}
 
     run(test())
@@ -407,7 +409,7 @@
             stand.send(3, "s-3")
             assert (await stand.outcome()).result == AttemptResult.OK
             await asyncio.wait_for(peers[1].ended.get(), WAIT)
-            assert len(pool.servers[stable_id(b"s-1")].idle) == 1
+            assert len(pool.endpoints[stable_id(b"s-1")].idle) == 1
 
     run(test())
 
@@ -417,14 +419,14 @@
         peer = await Peer(answer(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))).start()
         async with running(peer) as stand:
             pool, gone = stand.node.pool, []
-            made = ServerConnection.connection_made
+            made = UpstreamConnection.connection_made
 
-            def noted(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
+            def noted(self: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
                 gone.append(weakref.ref(self))
                 made(self, transport)
 
             with pytest.MonkeyPatch.context() as patch:
-                patch.setattr(ServerConnection, "connection_made", noted)
+                patch.setattr(UpstreamConnection, "connection_made", noted)
                 gc.collect()
                 gc.disable()
                 try:
@@ -457,31 +459,32 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             pool, client = stand.node.pool, await stand.client()
-            send = stand.node.join.send
+            transport = stand.node.transport
+            send = stand.node.join.executor.send
 
             def cancelled_at_once(action: Send) -> None:
                 send(action)
-                asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
+                asyncio.get_running_loop().call_soon(transport.cancel, action.id, 0)
 
-            stand.node.join.perform[Send] = cancelled_at_once
+            stand.node.join.executor.handlers[Send] = cancelled_at_once
             assert (await client.ask(request()))[0] == 503
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            stand.node.join.perform[Send] = send
+            stand.node.join.executor.handlers[Send] = send
             assert (await client.ask(request()))[0] == 200
-            assert pool.dials == 0 and len(pool.connections) == 1 and not pool.attempts
+            assert pool.connecting == 0 and len(pool.connections) == 1 and not transport.attempts
 
     run(test())
 
 
 def test_a_cancel_just_as_the_connection_is_up_closes_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = ServerConnection.connection_made
+    made = UpstreamConnection.connection_made
 
-    def cancelled_then(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
+    def cancelled_then(self: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
-        for request_id, number in list(self.pool.attempts):
-            self.pool.cancel(request_id, number)
+        for request_id, number in list(self.owner.attempts):
+            self.owner.cancel(request_id, number)
 
-    monkeypatch.setattr(ServerConnection, "connection_made", cancelled_then)
+    monkeypatch.setattr(UpstreamConnection, "connection_made", cancelled_then)
 
     async def test() -> None:
         peer = await Peer().start()
@@ -527,7 +530,7 @@
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             pool = stand.node.pool
-            most = pool.idle_limit.ms
+            most = pool.idle_time_limit.limit_ms
             for idled, alive in (
                 (50.0, False),
                 (50.0, False),
@@ -535,13 +538,13 @@
                 (140.0, True),
                 (150.0, False),
             ):
-                pool.idle_limit.reused(idled, alive)
-            assert pool.idle_limit.ms == most  # chance, or not for standing idle
-            pool.idle_limit.reused(140.0, False)
-            assert pool.idle_limit.ms == 140.0
+                pool.idle_time_limit.record_reuse(idled, alive)
+            assert pool.idle_time_limit.limit_ms == most  # chance, or not for standing idle
+            pool.idle_time_limit.record_reuse(140.0, False)
+            assert pool.idle_time_limit.limit_ms == 140.0
             for _ in range(100):
-                pool.sweep()
-            assert pool.idle_limit.ms == most
+                stand.node.transport.sweep()
+            assert pool.idle_time_limit.limit_ms == most
 
     run(test())
 
@@ -561,10 +564,10 @@
             client, pool = await stand.client(), stand.node.pool
             for _ in range(2):
                 assert (await client.ask(request()))[0] == 200
-                (connection,) = pool.servers[stable_id(b"s-1")].idle
-                connection.idle_since -= 1000.0
+                (connection,) = pool.endpoints[stable_id(b"s-1")].idle
+                connection.idle_since_ms -= 1000.0
                 assert (await client.ask(request()))[0] == 503
-            assert 1000.0 <= pool.idle_limit.ms < 5000.0
+            assert 1000.0 <= pool.idle_time_limit.limit_ms < 5000.0
 
     run(test())
 
