--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -44,7 +44,7 @@
         }
         site = Site(Installation(config(1), parts), asyncio.get_running_loop())
         await site.start()
-        http = site.parts["http"].front.listener.address  # type: ignore[attr-defined]
+        http = site.parts["http"].frontend.listener.address  # type: ignore[attr-defined]
         metrics = site.parts["metrics"].listener.address  # type: ignore[attr-defined]
 
         async def page() -> dict[str, float]:
--- a/tests/distribution/test_part.py
+++ b/tests/distribution/test_part.py
@@ -79,7 +79,7 @@
     """A running site and what it believes."""
 
     def __init__(self, site: Site) -> None:
-        self.site, self.http = site, site.parts["http"].front  # type: ignore[attr-defined]
+        self.site, self.http = site, site.parts["http"].frontend  # type: ignore[attr-defined]
         part = site.parts["distribution"]
         assert isinstance(part, DistributedDiscoveryComponent)
         self.part = part
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_suspects.py
@@ -59,7 +59,7 @@
     """The listener closes at once: nothing but the reader keeps the process, until the system has
     it all."""
     monkeypatch.setattr(listener_module, "ACCEPT_AFTER_SIGTERM_S", 0.0)
-    monkeypatch.setattr(platform, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(platform, "ACCEPT_AFTER_SIGTERM_S", 0.0)
 
     async def test() -> None:
         big = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
@@ -102,7 +102,7 @@
     """Its transport is made in the next turn of the loop; until then it belongs to the listener
     alone."""
     monkeypatch.setattr(listener_module, "ACCEPT_AFTER_SIGTERM_S", 0.0)
-    monkeypatch.setattr(platform, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(platform, "ACCEPT_AFTER_SIGTERM_S", 0.0)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -49,7 +49,7 @@
         self.site, self.source, self.http = (
             site,
             site.parts["etcd"].source,
-            site.parts["http"].front,
+            site.parts["http"].frontend,
         )
 
     def listed(self) -> dict[str, str]:
