--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -55,7 +55,7 @@
         if source.state is FreshnessState.STALE:
             self.faults.append("sent by a stale list")
         # The state is told by a timer; what the ages say at this very moment must agree with it.
-        if source.freshness.age(now) > source.settings.stale_after_ms + 100.0:
+        if source.freshness.age_ms(now) > source.settings.stale_after_ms + 100.0:
             self.faults.append("the list is older than its state says")
         told = roster.draining_since.get(order.endpoint_id)
         if told is not None and now - told > GRACE:
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -129,7 +129,7 @@
             assert await node.ask() == 200 and other.requests.qsize() == 1
             await etcd.delete(PREFIX + "a")
             await node.lists(b="ready")
-            assert node.source.lists == 1  # all of it over one watch
+            assert node.source.snapshots == 1  # all of it over one watch
 
     run(test())
 
@@ -161,7 +161,7 @@
                 await etcd.wake()
                 await node.lists(a="ready", b="ready")
                 await node.state(FreshnessState.FRESH)
-                assert node.source.lists == 1  # resumed, not listed again
+                assert node.source.snapshots == 1  # resumed, not listed again
 
     run(test())
 
@@ -201,7 +201,7 @@
                 etcd.store.range = range_  # type: ignore[method-assign]
                 await etcd.start(etcd.port)
                 await node.lists(**{"b" * number: "ready" for number in range(1, 9)}, z="ready")
-                assert node.source.lists == 3
+                assert node.source.snapshots == 3
 
     run(test())
 
@@ -214,8 +214,8 @@
             async with following(etcd) as node:
                 await node.lists(a="ready")
                 versions = []
-                took = node.source.on_list
-                node.source.on_list = lambda told: (versions.append(told.version), took(told))[1]  # type: ignore[func-returns-value]
+                took = node.source.on_update
+                node.source.on_update = lambda told: (versions.append(told.version), took(told))[1]  # type: ignore[func-returns-value]
                 etcd.cut_fragment = 2
                 revision = await etcd.txn(
                     *(
@@ -245,10 +245,10 @@
                 assert node.source.task is not None
                 node.source.task.cancel()
                 await asyncio.wait((node.source.task,))
-                node.source.follower.revision, node.source.member = 0, 1
+                node.source.follower.revision, node.source.endpoint_index = 0, 1
                 old.old_revision = 2  # when only `a` was there
                 node.source.task = asyncio.ensure_future(node.source.run())
-                await node.until(lambda: node.source.lists == 3)
+                await node.until(lambda: node.source.snapshots == 3)
                 await node.state(FreshnessState.FRESH)
                 assert node.listed() == {"b": "ready"}
 
@@ -295,8 +295,8 @@
                     lambda: len(node.listed()) == COUNT and "dead" not in node.listed()
                 )
                 seen = []
-                took = node.source.on_list
-                node.source.on_list = lambda told: (took(told), seen.append(len(node.listed())))[0]  # type: ignore[func-returns-value]
+                took = node.source.on_update
+                node.source.on_update = lambda told: (took(told), seen.append(len(node.listed())))[0]  # type: ignore[func-returns-value]
                 gone = rpc_pb2.DeleteRangeRequest(
                     key=f"{PREFIX}s".encode(), range_end=f"{PREFIX}t".encode()
                 )
--- a/tests/processor/test_interleavings.py
+++ b/tests/processor/test_interleavings.py
@@ -308,7 +308,7 @@
 
 def follow(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     world = World(seed)
-    for name in ("on_answer", "on_shed", "on_failure"):
+    for name in ("on_response", "on_shed", "on_failure"):
         told = getattr(Call, name)
 
         def counted(self: Call, value: Any, told: Any = told, name: str = name) -> None:
@@ -366,5 +366,5 @@
         assert (
             not world.join.in_flight.attempts
             and not world.join.in_flight.requests
-            and machine.MARGIN > 0
+            and machine.RESPONSE_MARGIN_MS > 0
         )
