--- a/badgercart/core/request_pipeline.py
+++ b/badgercart/core/request_pipeline.py
@@ -47,7 +47,7 @@
     """The ports of the core: what frontends, transports and other subsystems call.
 
     Its parts own the state: `in_flight` the requests and attempts, `driver` the queue of events,
-    `executor` the handlers of actions, `policy` every decision.
+    `executor` the handlers of actions. The driver's policy makes every decision.
     """
 
     def __init__(
@@ -63,13 +63,12 @@
         """
         self.timers = timers
         self.clock = clock
-        self.policy = Policy(settings, seed)
         self.in_flight = InFlightRequests(clock)
         self.executor = ActionExecutor(
             self.in_flight, timers, clock, self.dispatch, self.attempt_ended
         )
         self.driver = PolicyDriver(
-            self.policy,
+            Policy(settings, seed),
             clock,
             self.executor.handlers,
             before_cancellation=self._forget_cancelled,
@@ -77,6 +76,11 @@
         )
         self.shutdown_deadline = math.inf  # ms; no response goes out after it
 
+    @property
+    def policy(self) -> Policy:
+        """What decides; the driver owns it."""
+        return self.driver.policy
+
     def dispatch(self, event: Event) -> None:
         """Give the policy an event, after those that wait already."""
         self.driver.dispatch(event)
--- a/lab/peers/__init__.py
+++ b/lab/peers/__init__.py
@@ -35,4 +35,4 @@
         join.policy.settings, seed, PICKERS[picker], LIMITS[limit]() if limit else None,
         RetryBudget(day.node.retry_budget),
     )  # fmt: skip
-    join.policy = cast(Policy, peer)  # it has what the join asks of one: `handle`
+    join.driver.policy = cast(Policy, peer)  # it has what the join asks of one: `handle`
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -296,7 +296,9 @@
                 )
                 seen = []
                 took = node.source.on_update
-                node.source.on_update = lambda told: (took(told), seen.append(len(node.listed())))[0]  # type: ignore[func-returns-value]
+                node.source.on_update = lambda told: (took(told), seen.append(len(node.listed())))[
+                    0
+                ]  # type: ignore[func-returns-value]
                 gone = rpc_pb2.DeleteRangeRequest(
                     key=f"{PREFIX}s".encode(), range_end=f"{PREFIX}t".encode()
                 )
