--- a/badgercart/frontends/graphql/settings.py
+++ b/badgercart/frontends/graphql/settings.py
@@ -12,7 +12,7 @@
 
 
 class Limits(Table, title="Limits"):
-    """what a document may cost; each limit is checked before the document is validated or planned"""  # noqa: E501 - shown to operators as one line
+    """what a document may cost; each limit is checked before the document is validated or planned"""
 
     document: int = Field(16384, ge=1, le=MOST, description="its size (bytes)")
     tokens: int = Field(2000, ge=1, le=MOST, description="its tokens")
--- a/badgercart/policy/endpoints.py
+++ b/badgercart/policy/endpoints.py
@@ -49,7 +49,8 @@
 class EndpointChanges:
     """Ready endpoints that came, went, or are listed otherwise.
 
-    Three lists and not a list of objects: the first update of a large fleet changes all endpoints at once.
+    Three lists and not a list of objects: the first update of a large fleet changes all endpoints
+    at once.
     """
 
     endpoint_ids: list[int] = field(default_factory=list)
--- a/badgercart/policy/feedback.py
+++ b/badgercart/policy/feedback.py
@@ -56,8 +56,10 @@
         self._outliers.record_success(tracked, class_index)
 
     def _failure_weight(self, result: int, class_index: int, elapsed_ms: float) -> float:
-        """Return the weight of a failure in the error rate: what loads no endpoint is no
-        overload."""
+        """Return the weight of a failure in the error rate.
+
+        A failure that put no load on an endpoint is no sign of overload.
+        """
         if result == AttemptResult.UNREACHABLE:
             return 0.0
         if result in MAY_BE_QUICK:
--- a/badgercart/policy/latency.py
+++ b/badgercart/policy/latency.py
@@ -51,8 +51,11 @@
         self.typical_ms[class_index] += gain * (elapsed_ms - self.typical_ms[class_index])
 
     def record_ratio(self, kind: int, class_index: int, elapsed_ms: float) -> float:
-        """Learn how slow a kind is, and return the latency over the typical one of class and
-        kind."""
+        """Learn how slow a kind of machine is.
+
+        Returns:
+            The latency over the typical one of class and kind.
+        """
         ratio = min(elapsed_ms / self.typical_ms[class_index], MAX_RATIO)
         kind_ratio = self.kind_ratios.get(kind, 1.0)
         self.kind_ratios[kind] = kind_ratio + KIND_GAIN * (ratio - kind_ratio)
--- a/badgercart/policy/outlier_detection.py
+++ b/badgercart/policy/outlier_detection.py
@@ -1,5 +1,4 @@
-"""Outlier detection: an endpoint that fails far more than the fleet is ejected, then tried. No
-I/O."""
+"""Outlier detection: an endpoint that fails far more than the fleet is ejected, then tried."""
 
 from __future__ import annotations
 
--- a/lab/simulated_cluster.py
+++ b/lab/simulated_cluster.py
@@ -73,7 +73,7 @@
         join: whether nodes have seeds.
     """
 
-    def __init__(  # noqa: PLR0913  (each is a dimension of an experiment)
+    def __init__(
         self,
         count: int,
         seed: int = 1,
