--- a/badgercart/app/asking.py
+++ b/badgercart/app/asking.py
@@ -21,7 +21,7 @@
         self.node, self.problem = node, problem
 
 
-def page_of(node: str, path: str) -> dict[str, Any]:
+def fetch_page(node: str, path: str) -> dict[str, Any]:
     """Return a page of the node at HOST:PORT.
 
     Raises:
--- a/badgercart/app/base.py
+++ b/badgercart/app/base.py
@@ -11,7 +11,7 @@
 
 from badgercart.app.faults import Fault
 from badgercart.app.logs import Log
-from badgercart.app.model import LONG, Listed, Name, Names, Table
+from badgercart.app.model import MAX_DURATION_MS, Listed, Name, Names, Table
 from badgercart.config import Config, held_to
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
@@ -55,12 +55,12 @@
         1.0, ge=0.01, le=1, description="the share of its capacity with which a server starts"
     )
     ramp_ms: float = Field(
-        0.0, ge=0, le=LONG, description="the time in which a started server is warm (ms)"
+        0.0, ge=0, le=MAX_DURATION_MS, description="the time in which a started server is warm (ms)"
     )
     drain_grace_ms: float = Field(
         500.0,
         ge=50,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the time after which nothing new goes to a draining server (ms)",
     )
     warm_keys: bool = Field(
@@ -70,12 +70,15 @@
         False, description="whether 'turned away' is said also of work that had begun"
     )
     dial_timeout_ms: float = Field(
-        200.0, ge=1, le=LONG, description="the time for a connection to a server to come up (ms)"
+        200.0,
+        ge=1,
+        le=MAX_DURATION_MS,
+        description="the time for a connection to a server to come up (ms)",
     )
     idle_ms: float = Field(
         15000.0,
         ge=10,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the time after which servers close a connection that carries nothing (ms)",
     )
 
@@ -87,7 +90,7 @@
     max_retry_after_ms: float = Field(
         600.0,
         ge=0,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the longest time for which a refused client is sent away (ms)",
     )
     cancel: bool = Field(
@@ -103,10 +106,12 @@
 
     name: Name = Field(description="the first part of its requests' paths")
     aim_ms: float = Field(
-        ge=1, le=LONG, description="the time within which an answer has its whole worth (ms)"
+        ge=1,
+        le=MAX_DURATION_MS,
+        description="the time within which an answer has its whole worth (ms)",
     )
     deadline_ms: float = Field(
-        ge=1, le=LONG, description="the time after which clients give up (ms)"
+        ge=1, le=MAX_DURATION_MS, description="the time after which clients give up (ms)"
     )
     worth: float = Field(ge=0, le=1e6, description="what one is worth beside the others")
     effect: Literal["safe", "keyed", "unsafe"] = Field(description="what repeating one does")
@@ -114,7 +119,10 @@
         "all", description="keyed: the servers that drop its repeats"
     )
     window_ms: float = Field(
-        0.0, ge=0, le=LONG, description="keyed: the time for which repeats are dropped (ms)"
+        0.0,
+        ge=0,
+        le=MAX_DURATION_MS,
+        description="keyed: the time for which repeats are dropped (ms)",
     )
     late_value: float = Field(
         0.0, ge=0, le=1, description="the part of its worth left after the aim"
--- a/badgercart/app/cli.py
+++ b/badgercart/app/cli.py
@@ -19,12 +19,12 @@
 
 from badgercart.app import logs, render
 from badgercart.app.console import show_table
-from badgercart.app.exits import CommandError, Exit
-from badgercart.app.faults import FileError
-from badgercart.app.file import Installation, load
+from badgercart.app.exits import CommandError, ExitStatus
+from badgercart.app.faults import SettingsFileError
+from badgercart.app.file import Installation, load_installation
 from badgercart.app.registry import declarations
 from badgercart.app.run import run
-from badgercart.app.site import PartError
+from badgercart.app.site import ComponentStartError
 
 NAME = "badgercart"
 COMPLETE = "_BADGERCART_COMPLETE"  # the variable by which a shell asks for completions
@@ -69,10 +69,10 @@
 def loaded(path: str) -> Installation:
     """Return what a file switches on; print what is wrong with it and exit otherwise."""
     try:
-        return load(path)
-    except FileError as error:
+        return load_installation(path)
+    except SettingsFileError as error:
         click.echo(str(error), err=True)
-        raise click.exceptions.Exit(Exit.USAGE) from error
+        raise click.exceptions.Exit(ExitStatus.USAGE) from error
 
 
 @cli.command(help="Start what an operator's file switches on.")
@@ -84,8 +84,8 @@
     sink = logs.open_sink(installation.config.name, installation.base.log)
     try:
         uvloop.run(run(file, installation))
-    except PartError as error:
-        raise CommandError(str(error), Exit.USAGE) from error
+    except ComponentStartError as error:
+        raise CommandError(str(error), ExitStatus.USAGE) from error
     finally:
         logs.close_sink(sink)
 
@@ -118,9 +118,9 @@
     """Print the settings in force and where each came from."""
     try:
         rows = render.effective(file, os.environ)
-    except FileError as error:
+    except SettingsFileError as error:
         click.echo(str(error), err=True)
-        raise click.exceptions.Exit(Exit.USAGE) from error
+        raise click.exceptions.Exit(ExitStatus.USAGE) from error
     if as_json:
         click.echo(
             json.dumps({key: {"value": value, "from": origin} for key, value, origin in rows})
@@ -141,7 +141,7 @@
     try:
         click.echo(render.default_table(name))
     except LookupError as error:
-        raise CommandError(str(error.args[0]), Exit.USAGE) from error
+        raise CommandError(str(error.args[0]), ExitStatus.USAGE) from error
 
 
 @config.command(
@@ -164,7 +164,7 @@
     for path in stale:
         click.echo(f"{path}: {'out of date' if only_check else 'written'}")
     if stale and only_check:
-        raise click.exceptions.Exit(Exit.FAILED)
+        raise click.exceptions.Exit(ExitStatus.FAILED)
 
 
 def _renewed(path: Path, text: str) -> str:
@@ -172,7 +172,7 @@
         return render.page(text)
     except LookupError as error:
         words = f"{path}: {error.args[0]}"
-        raise CommandError(words, Exit.USAGE) from error
+        raise CommandError(words, ExitStatus.USAGE) from error
 
 
 @cli.command(help='A script that completes commands: `eval "$(badgercart completion bash)"`.')
@@ -192,8 +192,8 @@
         error.show()
         return error.exit_code
     except click.exceptions.Abort:
-        return Exit.DONE  # interrupted by its user
+        return ExitStatus.DONE  # interrupted by its user
     except BrokenPipeError:
         sys.stderr.close()
-        return Exit.FAILED
-    return done if isinstance(done, int) else Exit.DONE
+        return ExitStatus.FAILED
+    return done if isinstance(done, int) else ExitStatus.DONE
--- a/badgercart/app/component.py
+++ b/badgercart/app/component.py
@@ -84,25 +84,25 @@
     pages: dict[bytes, Page] = field(default_factory=dict)  # for operators, by path
     metrics: MetricRegistry = field(default_factory=MetricRegistry)  # for operators
     # Protocol machines that decide beside the policy, by name.
-    machines: dict[str, object] = field(default_factory=dict)
+    protocol_machines: dict[str, object] = field(default_factory=dict)
     # What components offer to those that need them, by name.
     services: dict[str, object] = field(default_factory=dict)
     list_state: Callable[[], str] = lambda: "of no known age"
 
 
 @dataclass(slots=True, frozen=True)
-class Checked:
+class CheckedFile:
     """A file whose tables are valid each for itself."""
 
     base: Base
     folder: str  # of the file
-    on: dict[str, Any]  # settings of the components that are switched on, by name
+    enabled: dict[str, Any]  # settings of the components that are switched on, by name
 
 
-Check = Callable[[Any, Checked], Iterator[tuple[Path, str]]]
+Check = Callable[[Any, CheckedFile], Iterator[tuple[Path, str]]]
 
 
-def no_check(_settings: Any, _file: Checked) -> Iterator[tuple[Path, str]]:
+def no_check(_settings: Any, _file: CheckedFile) -> Iterator[tuple[Path, str]]:
     """Find nothing wrong."""
     return iter(())
 
--- a/badgercart/app/document.py
+++ b/badgercart/app/document.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from badgercart.app.errors import FileTooLargeError, NoSuchSettingError
-from badgercart.app.faults import FileError, Path, Problem, dotted
+from badgercart.app.faults import Path, Problem, SettingsFileError, dotted
 
 MAX_FILE = 1 << 20  # bytes
 PREFIX = "BADGERCART__"
@@ -51,7 +51,7 @@
             problems.append(Problem(0, dotted(target), words))
         document.origins[target] = variable
     if problems:
-        raise FileError(path, problems)
+        raise SettingsFileError(path, problems)
     return document
 
 
@@ -60,9 +60,9 @@
         text = _text(path)
         return Document(path, text, tomllib.loads(text))
     except OSError as error:
-        raise FileError(path, [Problem(0, "", error.strerror or str(error))]) from error
+        raise SettingsFileError(path, [Problem(0, "", error.strerror or str(error))]) from error
     except (ValueError, RecursionError) as error:  # also what is no UTF-8 and no TOML
-        raise FileError(path, [Problem(0, "", str(error))]) from error
+        raise SettingsFileError(path, [Problem(0, "", str(error))]) from error
 
 
 def _text(path: str) -> str:
--- a/badgercart/app/exits.py
+++ b/badgercart/app/exits.py
@@ -8,7 +8,7 @@
 import click
 
 
-class Exit(IntEnum):
+class ExitStatus(IntEnum):
     """The exit statuses."""
 
     DONE = 0
@@ -19,7 +19,7 @@
 class CommandError(click.ClickException):
     """What can't be done, in one line, and the status that says so."""
 
-    def __init__(self, text: str, status: Exit = Exit.FAILED) -> None:
+    def __init__(self, text: str, status: ExitStatus = ExitStatus.FAILED) -> None:
         """Keep the line and the exit status."""
         super().__init__(text)
         # click declares a class variable, and reads it of the instance
--- a/badgercart/app/faults.py
+++ b/badgercart/app/faults.py
@@ -33,7 +33,7 @@
         return f"{place}{self.key}: {self.words}" if self.key else f"{place}{self.words}"
 
 
-class FileError(AppError):
+class SettingsFileError(AppError):
     """A file that can't be used."""
 
     def __init__(self, path: str, problems: list[Problem]) -> None:
--- a/badgercart/app/file.py
+++ b/badgercart/app/file.py
@@ -15,13 +15,13 @@
 from badgercart.app import document
 from badgercart.app.base import Base, check, config_of
 from badgercart.app.component import (
-    Checked,
+    CheckedFile,
     ComponentDeclaration,
     ComponentKind,
     start_order,
 )
 from badgercart.app.errors import OrderError
-from badgercart.app.faults import Fault, FileError, below, many, of_model, problem
+from badgercart.app.faults import Fault, SettingsFileError, below, many, of_model, problem
 from badgercart.app.locate import lines_of
 from badgercart.app.model import Table
 from badgercart.app.registry import declarations
@@ -35,14 +35,18 @@
     """What an operator's file switches on."""
 
     config: Config
-    parts: dict[str, Any]  # settings of the components that are on, by name
+    component_settings: dict[str, Any]  # settings of the components that are on, by name
     folder: str = "."  # the file's: what it names relative to itself
     base: Base | None = None  # the tables behind the configuration; None where there was no file
-    known: tuple[ComponentDeclaration, ...] = field(default_factory=declarations)
+    known_components: tuple[ComponentDeclaration, ...] = field(default_factory=declarations)
 
-    def declared(self) -> list[ComponentDeclaration]:
+    def enabled_components(self) -> list[ComponentDeclaration]:
         """Return the components that are on."""
-        return [component for component in self.known if component.name in self.parts]
+        return [
+            component
+            for component in self.known_components
+            if component.name in self.component_settings
+        ]
 
 
 @cache
@@ -73,7 +77,7 @@
     return value if value != () else None
 
 
-def load(
+def load_installation(
     path: str,
     environ: Mapping[str, str] | None = None,
     known: tuple[ComponentDeclaration, ...] | None = None,
@@ -113,23 +117,23 @@
     folder = str(FilePath(read.path).parent)
     found = [*check(root), *_check_whole(known, on), *_check_libraries(known, on)]
     if not found:
-        found = list(_check_components(known, Checked(root, folder, on)))
+        found = list(_check_components(known, CheckedFile(root, folder, on)))
     if found:
         raise _error(read, found)
     return Installation(config_of(root), on, folder, root, known), root
 
 
-def _check_components(known: Sequence[ComponentDeclaration], file: Checked) -> Iterator[Fault]:
+def _check_components(known: Sequence[ComponentDeclaration], file: CheckedFile) -> Iterator[Fault]:
     """Yield what each component finds wrong with its settings."""
     for component in known:
-        if component.name in file.on:
-            for place, words in component.check(file.on[component.name], file):
+        if component.name in file.enabled:
+            for place, words in component.check(file.enabled[component.name], file):
                 yield component.key + place, words
 
 
-def _error(read: document.Document, found: list[Fault]) -> FileError:
+def _error(read: document.Document, found: list[Fault]) -> SettingsFileError:
     lines = lines_of(read.text)
-    return FileError(
+    return SettingsFileError(
         read.path, [problem(place, words, lines, read.origins) for place, words in found]
     )
 
--- a/badgercart/app/model.py
+++ b/badgercart/app/model.py
@@ -27,7 +27,7 @@
 from badgercart.config import parse_address
 
 SCHEMA_NAME = "x-schema-name"  # the mark of a definition that carries its literal name
-LONG = 3_600_000.0  # ms; no time that is set here is longer than an hour
+MAX_DURATION_MS = 3_600_000.0  # ms; no time that is set here is longer than an hour
 TOKEN = r"^[A-Za-z0-9!#$%&'*+\-.^_`|~]+$"  # RFC 9110, section 5.6.2
 
 T = TypeVar("T")
--- a/badgercart/app/run.py
+++ b/badgercart/app/run.py
@@ -8,18 +8,18 @@
 from collections.abc import Callable
 
 from badgercart.app import logs
-from badgercart.app.faults import FileError
-from badgercart.app.file import Installation, load
+from badgercart.app.faults import SettingsFileError
+from badgercart.app.file import Installation, load_installation
 from badgercart.app.log_events import STOPPED_EARLY
-from badgercart.app.site import Site
+from badgercart.app.site import Application
 from badgercart.core.log_events import CONFIG_KEPT, CONFIG_READ
 
 
-def reload(site: Site, path: str, requests: logs.RequestLog) -> None:
+def reload(site: Application, path: str, requests: logs.RequestLog) -> None:
     """Read the file anew, as SIGHUP asks for; one that is wrong changes nothing."""
     try:
-        fresh = load(path, known=site.what.known)
-    except FileError as error:
+        fresh = load_installation(path, known=site.installation.known_components)
+    except SettingsFileError as error:
         CONFIG_KEPT(faults=str(error).replace("\n", "; "))
         return
     if faults := site.reload(fresh):
@@ -27,12 +27,14 @@
         return
     if fresh.base is not None:
         logs.set_level(fresh.base.log)
-        logs.watch(site.join, fresh.base.log, requests)
+        logs.watch(site.pipeline, fresh.base.log, requests)
     CONFIG_READ(what="")
 
 
 async def run(
-    path: str, installation: Installation, started: Callable[[Site], None] = lambda _site: None
+    path: str,
+    installation: Installation,
+    started: Callable[[Application], None] = lambda _site: None,
 ) -> None:
     """Serve until SIGTERM or SIGINT, which may also come during the start.
 
@@ -47,10 +49,10 @@
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    site = Site(installation, loop)
-    requests = logs.RequestLog(installation.config, site.roster)
+    site = Application(installation, loop)
+    requests = logs.RequestLog(installation.config, site.endpoint_table)
     if installation.base is not None:
-        logs.watch(site.join, installation.base.log, requests)
+        logs.watch(site.pipeline, installation.base.log, requests)
     stopping = asyncio.ensure_future(stop.wait())
     starting = asyncio.ensure_future(site.start())
     await asyncio.wait((starting, stopping), return_when=asyncio.FIRST_COMPLETED)
--- a/badgercart/app/shared_settings.py
+++ b/badgercart/app/shared_settings.py
@@ -6,14 +6,16 @@
 
 from pydantic import Field
 
-from badgercart.app.model import LONG, Name
+from badgercart.app.model import MAX_DURATION_MS, Name
 
 # How old an endpoint list may be.
 DoubtfulAfterMs = Annotated[
-    float, Field(ge=10, le=LONG, description="the age from which on the log says so (ms)")
+    float,
+    Field(ge=10, le=MAX_DURATION_MS, description="the age from which on the log says so (ms)"),
 ]
 StaleAfterMs = Annotated[
-    float, Field(ge=10, le=LONG, description="the age from which on the list is stale (ms)")
+    float,
+    Field(ge=10, le=MAX_DURATION_MS, description="the age from which on the list is stale (ms)"),
 ]
 WhenStale = Annotated[Literal["refuse", "go-on"], Field(description="what happens then")]
 
--- a/badgercart/app/site.py
+++ b/badgercart/app/site.py
@@ -43,7 +43,7 @@
 }
 
 
-class PartError(AppError):
+class ComponentStartError(AppError):
     """A component that does not start."""
 
     def __init__(self, name: str, cause: BaseException) -> None:
@@ -52,7 +52,7 @@
         self.name = name
 
 
-class Site:
+class Application:
     """All components of one installation; it knows none of them by name."""
 
     def __init__(self, what: Installation, loop: asyncio.AbstractEventLoop) -> None:
@@ -62,16 +62,16 @@
             PartError: one of them can't be built; those before it are closed again.
         """
         config = what.config
-        self.what = what
-        self.join = RequestPipeline(config.settings, config.seed, loop)
+        self.installation = what
+        self.pipeline = RequestPipeline(config.settings, config.seed, loop)
         reader = ListReader(config)
-        self.roster = EndpointTable(reader, self.join)
-        declared = what.declared()
+        self.endpoint_table = EndpointTable(reader, self.pipeline)
+        declared = what.enabled_components()
         holders = sum(component.sockets for component in declared)
         self.host = ComponentHost(
             config,
-            self.join,
-            self.roster,
+            self.pipeline,
+            self.endpoint_table,
             reader,
             loop,
             what.folder,
@@ -81,17 +81,19 @@
         self.host.pages[b"/_members"] = Page(self.members_page)
         self.register(self.host.metrics)
         self.steps = start_order(declared)
-        self.parts: dict[str, Component] = {}
+        self.components: dict[str, Component] = {}
         for component in (component for step in self.steps for component in step):
             try:
-                self.parts[component.name] = component.build(self.host, what.parts[component.name])
+                self.components[component.name] = component.build(
+                    self.host, what.component_settings[component.name]
+                )
             except Exception as error:
                 self.close()
-                raise PartError(component.name, error) from error
+                raise ComponentStartError(component.name, error) from error
 
     def register(self, meters: MetricRegistry) -> None:
         """Register the metrics of every installation."""
-        join, policy, listed = self.join, self.join.policy, self.roster.listed
+        join, policy, listed = self.pipeline, self.pipeline.policy, self.endpoint_table.listed
         meters.gauge(
             "badgercart_cut",
             "The score below which requests are refused, 0 to 100.",
@@ -120,12 +122,14 @@
             "state",
         )
         meters.gauge(
-            "badgercart_list_version", "The version of the list.", lambda: self.roster.version
+            "badgercart_list_version",
+            "The version of the list.",
+            lambda: self.endpoint_table.version,
         )
         meters.gauge(
             "badgercart_list_suspended",
             "1 while the list is too old to send anything by it.",
-            lambda: float(self.roster.suspended),
+            lambda: float(self.endpoint_table.suspended),
         )
 
     def members_page(self) -> bytes:
@@ -133,10 +137,10 @@
         names = {EndpointState.READY: "active", EndpointState.DRAINING: "leaving"}
         lines = [
             {"instanceId": m.name, "hostPort": m.address_text, "lifecycle": names[m.entry.state]}
-            for m in self.roster.listed.values()
+            for m in self.endpoint_table.listed.values()
         ]
         page = {
-            "generation": self.roster.version,
+            "generation": self.endpoint_table.version,
             "state": self.host.list_state(),
             "instances": lines,
         }
@@ -157,9 +161,9 @@
 
     async def _start_component(self, name: str) -> None:
         try:
-            await self.parts[name].start()
+            await self.components[name].start()
         except Exception as error:
-            raise PartError(name, error) from error
+            raise ComponentStartError(name, error) from error
 
     def reload(self, fresh: Installation) -> list[str]:
         """Put new settings in force: of all components, or of none if one can't take its own.
@@ -172,11 +176,11 @@
         """
         commits: list[Callable[[], None]] = []
         faults = []
-        for name, component in self.parts.items():
-            if name not in fresh.parts:
+        for name, component in self.components.items():
+            if name not in fresh.component_settings:
                 continue
             try:
-                commit = component.prepare(fresh.parts[name])
+                commit = component.prepare(fresh.component_settings[name])
             except ReloadError as error:
                 faults.append(f"{name}: {error}")
                 continue
@@ -193,14 +197,17 @@
 
     def needs_restart(self, fresh: Installation) -> Iterator[str]:
         """Yield the settings that differ from those in force and that SIGHUP does not change."""
-        old = self.what
+        old = self.installation
         if old.base is not None and fresh.base is not None:
             for name in Base.model_fields.keys() - {"log"}:  # those of no component
                 yield from differing(
                     getattr(old.base, name), getattr(fresh.base, name), (name.rstrip("_"),)
                 )
-        for component in self.what.known:
-            was, now = old.parts.get(component.name), fresh.parts.get(component.name)
+        for component in self.installation.known_components:
+            was, now = (
+                old.component_settings.get(component.name),
+                fresh.component_settings.get(component.name),
+            )
             if (was is None) != (now is None):
                 yield dotted(component.key)
             elif component.reloads != ("*",):
@@ -210,14 +217,16 @@
 
     def remember(self, fresh: Installation) -> None:
         """Keep the settings that are in force now; those that need a restart stay the old ones."""
-        for component in self.what.declared():
-            if component.reloads and component.name in fresh.parts:
-                self.what.parts[component.name] = fresh.parts[component.name]
+        for component in self.installation.enabled_components():
+            if component.reloads and component.name in fresh.component_settings:
+                self.installation.component_settings[component.name] = fresh.component_settings[
+                    component.name
+                ]
 
     async def drain(self) -> None:
         """Answer all requests in flight, then close. One deadline holds for all components."""
-        until = now_ms() + ACCEPT_FOR + self.what.config.longest
-        self.join.begin_shutdown(until)
+        until = now_ms() + ACCEPT_FOR + self.installation.config.longest
+        self.pipeline.begin_shutdown(until)
         for step in reversed(self.steps):
             await self.drain_step(step, until)
         self.close()
@@ -226,7 +235,7 @@
     async def drain_step(self, step: list[ComponentDeclaration], until: float) -> None:
         """Drain components together; those that hang beyond the deadline are cancelled."""
         tasks = {
-            asyncio.ensure_future(self.parts[component.name].drain(until)): component.name
+            asyncio.ensure_future(self.components[component.name].drain(until)): component.name
             for component in step
         }
         patience = max(0.0, until + GRACE - now_ms()) / 1000
@@ -242,7 +251,7 @@
 
     def close(self) -> None:
         """Close all components, the last started first; a failure keeps no other one open."""
-        for name, component in reversed(self.parts.items()):
+        for name, component in reversed(self.components.items()):
             try:
                 component.close()
             except Exception:
--- a/badgercart/capture/commands.py
+++ b/badgercart/capture/commands.py
@@ -13,7 +13,7 @@
 from rich.progress import track
 
 from badgercart.app.console import show_table
-from badgercart.app.exits import CommandError, Exit
+from badgercart.app.exits import CommandError, ExitStatus
 
 FILES = click.argument("files", nargs=-1, required=True, metavar="FILE|FOLDER...")
 JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object a segment.")
@@ -24,7 +24,7 @@
 
     paths = find_segments(files)
     if not paths:
-        raise CommandError(f"{', '.join(files)}: there is no segment", Exit.USAGE)
+        raise CommandError(f"{', '.join(files)}: there is no segment", ExitStatus.USAGE)
     return paths
 
 
@@ -109,7 +109,7 @@
         )
         click.echo(f"{path}: {count} records, {words}")
         bad += ending is not SegmentEnding.WHOLE
-    raise click.exceptions.Exit(Exit.FAILED if bad else Exit.DONE)
+    raise click.exceptions.Exit(ExitStatus.FAILED if bad else ExitStatus.DONE)
 
 
 @capture.command()
@@ -179,7 +179,7 @@
     )
     if others and bad:
         show_change([path for path in paths if path.name in others])
-    raise click.exceptions.Exit(Exit.FAILED if bad else Exit.DONE)
+    raise click.exceptions.Exit(ExitStatus.FAILED if bad else ExitStatus.DONE)
 
 
 def quiet() -> bool:
@@ -310,4 +310,4 @@
         raise CommandError(str(error)) from None
     for line in lines:
         click.echo(line)
-    raise click.exceptions.Exit(Exit.FAILED if lines else Exit.DONE)
+    raise click.exceptions.Exit(ExitStatus.FAILED if lines else ExitStatus.DONE)
--- a/badgercart/capture/component.py
+++ b/badgercart/capture/component.py
@@ -8,7 +8,7 @@
 from pathlib import Path as FilePath
 from typing import TYPE_CHECKING
 
-from badgercart.app.component import Checked, ComponentDeclaration, ComponentHost, ComponentKind
+from badgercart.app.component import CheckedFile, ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.faults import Path
 from badgercart.capture.log_events import GAP, OFF, WRITING
 from badgercart.capture.settings import CaptureSettings
@@ -55,7 +55,7 @@
         """Have the other deciding machines on the same tap; they are all made by now."""
         from badgercart.capture.streams import record_calls, state_note
 
-        for name, machine in self.host.machines.items():
+        for name, machine in self.host.protocol_machines.items():
             self.capture.snapshots.append(partial(state_note, name, machine))
             self.capture.note(state_note(name, machine))
             self.undo.append(record_calls(name, machine, self.capture.note))
@@ -103,7 +103,7 @@
             self.capture.close()
 
 
-def check(settings: CaptureSettings, file: Checked) -> Iterator[tuple[Path, str]]:
+def check(settings: CaptureSettings, file: CheckedFile) -> Iterator[tuple[Path, str]]:
     """Give what is wrong with settings, by their path."""
     if settings.keep_bytes < 2 * settings.segment_bytes:
         yield ("keep_bytes",), "holds no two segments"
--- a/badgercart/cluster/admin_page.py
+++ b/badgercart/cluster/admin_page.py
@@ -9,22 +9,22 @@
 from typing import Any
 
 from badgercart.cluster.event_log import STATUS_WORDS, ClusterEventLog
-from badgercart.cluster.member import Member
+from badgercart.cluster.member import ClusterMember
 from badgercart.cluster.membership_table import MemberState
 from badgercart.cluster.packet_gate import PacketGate
 
 
 def cluster_page(
-    now_ms: float, member: Member, gate: PacketGate, event_log: ClusterEventLog
+    now_ms: float, member: ClusterMember, gate: PacketGate, event_log: ClusterEventLog
 ) -> bytes:
     """Return the page as JSON."""
-    protocol, quorum, view = member.machine, member.machine.standing(), member.last_view
-    states = sorted(protocol.view.beliefs.values(), key=lambda state: state.claim.name)
+    protocol, quorum, view = member.protocol, member.protocol.quorum(), member.last_view
+    states = sorted(protocol.table.members.values(), key=lambda state: state.record.name)
     page = {
-        "name": protocol.me.name,
+        "name": protocol.local_record.name,
         "level": str(quorum.level),
-        "live": len(quorum.live),
-        "may_live": quorum.may_live,
+        "live": len(quorum.reachable),
+        "may_live": quorum.possibly_alive,
         "unwell": protocol.context.health.score,
         "stands_back": protocol.yields_name,
         "members": [_member_fields(state, now_ms) for state in states],
@@ -38,7 +38,7 @@
 
 
 def _member_fields(state: MemberState, now_ms: float) -> dict[str, Any]:
-    record = state.claim
+    record = state.record
     host, port = record.address
     return {
         "name": record.name,
--- a/badgercart/cluster/anti_entropy.py
+++ b/badgercart/cluster/anti_entropy.py
@@ -75,7 +75,7 @@
         self.stale = True
         members = self.context.peers.sample(1)
         if members:
-            self.sync_with(members[0].claim.address)
+            self.sync_with(members[0].record.address)
         elif self.seeds:
             self.sync_with(self.context.rng.choice(self.seeds))
 
@@ -85,7 +85,7 @@
 
     def _sync_with_random(self) -> None:
         # As in memberlist: else the push-pulls of a large cluster would be both more and larger.
-        members = max(len(self.context.table.beliefs), 1)
+        members = max(len(self.context.table.members), 1)
         scale = max(1.0, math.log2(members / SYNC_SCALE_THRESHOLD) + 1)
         interval_ms = self.context.timing.sync_interval_ms * scale
         self.context.timers.after(interval_ms, self._sync_with_random)
@@ -93,7 +93,7 @@
 
     def _sync_with_members(self, members: Iterable[MemberState]) -> None:
         for state in members:
-            self.sync_with(state.claim.address)
+            self.sync_with(state.record.address)
 
     def _retry_unreachable(self) -> None:
         """Try to reach a seed and one of the dead, and forget those that are dead for long."""
@@ -105,7 +105,7 @@
         if dead:
             state = context.rng.choice(dead)
             ping = Ping(self.sender.next_sequence())
-            self.sender.send(state.claim.address, ping, state.claim)
+            self.sender.send(state.record.address, ping, state.record)
 
     def _retry_seed(self) -> None:
         """Turn to a seed that is not reachable.
@@ -123,8 +123,8 @@
         """Forget members unreachable beyond their retention; return the dead that are left."""
         table, now_ms = self.context.table, self.context.timers.now_ms
         retention_ms = self.context.timing.dead_retention_ms
-        states = [table.beliefs[name] for name in table.unreachable]
-        expired = {s.claim.name for s in states if now_ms - s.since_ms >= retention_ms}
+        states = [table.members[name] for name in table.unreachable]
+        expired = {s.record.name for s in states if now_ms - s.since_ms >= retention_ms}
         for name in expired - {self.context.local.name}:
             table.remove(name)
         if expired:
@@ -132,5 +132,5 @@
         return [
             state
             for state in states
-            if state.status is MemberStatus.DEAD and state.claim.name not in expired
+            if state.status is MemberStatus.DEAD and state.record.name not in expired
         ]
--- a/badgercart/cluster/codec.py
+++ b/badgercart/cluster/codec.py
@@ -58,7 +58,7 @@
         record.incarnation,
         int(record.status),
         *record.address,
-        record.boot,
+        record.generation,
         record.zone,
         record.region,
         record.accuser,
@@ -124,7 +124,7 @@
                 packet.timestamp,
                 packet.body,
                 [_to_wire(record) for record in packet.records],
-                list(packet.posts),
+                list(packet.updates),
             )
         )
         return MAGIC + bytes((PROTOCOL_VERSION,)) + self.tag(payload) + payload
--- a/badgercart/cluster/commands.py
+++ b/badgercart/cluster/commands.py
@@ -12,9 +12,9 @@
 
 import click
 
-from badgercart.app.asking import PATIENCE, page_of
+from badgercart.app.asking import PATIENCE, fetch_page
 from badgercart.app.console import show_table
-from badgercart.app.exits import CommandError, Exit
+from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.cluster.codec import MAX_SYNC_BYTES, PacketCodec
 from badgercart.cluster.errors import PacketRejectedError
 from badgercart.cluster.hybrid_logical_clock import HybridTimestamp
@@ -30,7 +30,7 @@
 
 def ask(node: str) -> dict[str, Any]:
     """Return the page of a node's HTTP listener about its cluster. Raises CommandError."""
-    return page_of(node, "/_peers")
+    return fetch_page(node, "/_peers")
 
 
 def show(page: dict[str, Any]) -> None:
@@ -112,23 +112,23 @@
     The others take over its parts at once. It joins again with its next start.
     """
     site = loaded(file, "peers")
-    name, group = site.config.name, site.parts["peers"].group
+    name, group = site.config.name, site.component_settings["peers"].group
     answer = exchange(site, Packet(name, 0, 0, 1, HybridTimestamp(0, 0), Leave()))
     click.echo(f"{name} has left {group}; it knew {len(answer.records) - 1} others")
 
 
 def loaded(file: str, part: str) -> Installation:
     """Return what a file says that has a component's table. Raises CommandError."""
-    from badgercart.app.faults import FileError
-    from badgercart.app.file import load
+    from badgercart.app.faults import SettingsFileError
+    from badgercart.app.file import load_installation
 
     try:
-        what = load(file)
-    except FileError as error:
-        raise CommandError(str(error), Exit.USAGE) from error
-    if part not in what.parts:
+        what = load_installation(file)
+    except SettingsFileError as error:
+        raise CommandError(str(error), ExitStatus.USAGE) from error
+    if part not in what.component_settings:
         words = f"{file}: has no [{part}]"
-        raise CommandError(words, Exit.USAGE)
+        raise CommandError(words, ExitStatus.USAGE)
     return what
 
 
@@ -137,7 +137,7 @@
 
     Raises CommandError where there is none.
     """
-    settings: ClusterSettings = site.parts["peers"]
+    settings: ClusterSettings = site.component_settings["peers"]
     try:
         return asyncio.run(ask_member(settings, packet))
     except (OSError, TimeoutError, asyncio.IncompleteReadError, PacketRejectedError) as error:
--- a/badgercart/cluster/context.py
+++ b/badgercart/cluster/context.py
@@ -54,7 +54,7 @@
     def reachable(self) -> list[MemberState]:
         """Return all others that are alive or suspected."""
         states = self._table.with_status(*REACHABLE)
-        return [state for state in states if state.claim.name != self._local.name]
+        return [state for state in states if state.record.name != self._local.name]
 
     def sample(self, count: int, excluding: str = "") -> list[MemberState]:
         """Return `count` reachable others by chance, or all there are, without the one named."""
--- a/badgercart/cluster/dissemination.py
+++ b/badgercart/cluster/dissemination.py
@@ -35,7 +35,7 @@
         for state in self.context.peers.sample(self.context.timing.gossip_fanout):
             if not len(self.sender.queue):
                 break
-            self.sender.send(state.claim.address, Gossip())
+            self.sender.send(state.record.address, Gossip())
 
     def receive(self, updates: Iterable[RegisterUpdate]) -> bool:
         """Take over another node's updates; return whether one is to be passed on at once."""
--- a/badgercart/cluster/driver.py
+++ b/badgercart/cluster/driver.py
@@ -110,6 +110,6 @@
 
     def _leave(self, packet: Packet, reply: Reply) -> None:
         """Leave the cluster for an operator, whose packet has this node's own name."""
-        if packet.sender == self.protocol.me.name:
+        if packet.sender == self.protocol.local_record.name:
             self.run(self.protocol.leave(self.clock()))
             reply(self.protocol.anti_entropy.full_state())
--- a/badgercart/cluster/event_log.py
+++ b/badgercart/cluster/event_log.py
@@ -41,7 +41,7 @@
             log_events.PROCESS_PAUSED(gap_ms=round(effect.gap_ms), **self.stamp())
 
     def _member_changed(self, state: MemberState) -> None:
-        record, stamp = state.claim, self.stamp()
+        record, stamp = state.record, self.stamp()
         fields = {
             "peer": record.name,
             "status": STATUS_WORDS[record.status],
@@ -54,7 +54,7 @@
 
     def _name_conflict(self, conflict: NameConflict) -> None:
         log_events.NAME_CONFLICT(
-            name=self._protocol.me.name,
+            name=self._protocol.local_record.name,
             does="stands back" if conflict.yields else "goes on",
             boot=conflict.generation,
             **self.stamp(),
--- a/badgercart/cluster/hybrid_logical_clock.py
+++ b/badgercart/cluster/hybrid_logical_clock.py
@@ -19,18 +19,18 @@
     """Timestamps that never go back. Another node's clock pulls this one along, within a bound.
 
     Args:
-        wall: gives the Unix time in ms.
+        wall_clock_ms: gives the Unix time in ms.
     """
 
-    __slots__ = ("latest", "wall")
+    __slots__ = ("latest", "wall_clock_ms")
 
-    def __init__(self, wall: Callable[[], float]) -> None:
-        self.wall = wall
+    def __init__(self, wall_clock_ms: Callable[[], float]) -> None:
+        self.wall_clock_ms = wall_clock_ms
         self.latest = HybridTimestamp(0, 0)
 
     def tick(self) -> HybridTimestamp:
         """Return the timestamp of a local event, such as a message that is sent."""
-        wall_ms = int(self.wall())
+        wall_ms = int(self.wall_clock_ms())
         if wall_ms > self.latest.wall_ms:
             self.latest = HybridTimestamp(wall_ms, 0)
         else:
@@ -42,7 +42,7 @@
 
         A remote timestamp too far ahead of the wall clock is ignored.
         """
-        wall_ms = int(self.wall())
+        wall_ms = int(self.wall_clock_ms())
         if remote.wall_ms > wall_ms + MAX_CLOCK_LEAD_MS:
             return self.tick()
         latest_ms = max(wall_ms, self.latest.wall_ms, remote.wall_ms)
--- a/badgercart/cluster/member.py
+++ b/badgercart/cluster/member.py
@@ -41,7 +41,7 @@
 NO_ENDPOINTS = EndpointList()
 
 
-class Member:
+class ClusterMember:
     """A membership protocol, and the features that are switched on.
 
     Args:
@@ -52,35 +52,39 @@
     """
 
     def __init__(
-        self, machine: SwimProtocol, quotas: Sequence[float], share_ms: float, uses: Iterable[str]
+        self,
+        protocol: SwimProtocol,
+        quotas: Sequence[float],
+        base_report_interval_ms: float,
+        features: Iterable[str],
     ) -> None:
-        self.machine, self.features = machine, frozenset(uses)
-        self.name = machine.me.name
-        self.share_ms = share_ms
-        self.quota_sharing = QuotaSharing(quotas, machine.me.boot)
+        self.protocol, self.features = protocol, frozenset(features)
+        self.name = protocol.local_record.name
+        self.base_report_interval_ms = base_report_interval_ms
+        self.quota_sharing = QuotaSharing(quotas, protocol.local_record.generation)
         self.drain_gossip = DrainGossip()
         self.failure_reports = FailureReports(FAILURE_LIFETIME_MS)
         self.last_view: ClusterView | None = None
         self._version = 0  # of the registers' updates
-        self.out: dict[str, bytes] = {}  # by topic
+        self.published: dict[str, bytes] = {}  # by topic
         self._listeners: dict[str, Listener] = {}  # of other subsystems, by topic
         for topic in (USAGE_TOPIC, *DRAIN_TOPICS, FAILURE_TOPIC):
-            machine.board.declare(topic)
+            protocol.registers.declare(topic)
 
     @property
-    def every(self) -> float:
+    def report_interval_ms(self) -> float:
         """The time (ms) between two reports.
 
         It grows with the cluster, so that a link carries no more.
         """
-        members = len(self.machine.view.beliefs)
+        members = len(self.protocol.table.members)
         forwarded = members * transmit_limit(members)
-        return self.share_ms * max(1.0, forwarded / MAX_FORWARDED_REPORTS)
+        return self.base_report_interval_ms * max(1.0, forwarded / MAX_FORWARDED_REPORTS)
 
     # Registers.
 
-    def listen(
-        self, topic: str, hear: Listener, urgent: bool = False, direct: bool = False
+    def subscribe(
+        self, topic: str, listener: Listener, urgent: bool = False, direct: bool = False
     ) -> None:
         """Have another subsystem told of the updates on a topic of its own.
 
@@ -90,25 +94,27 @@
             urgent: whether updates are passed on as they come, not with the next round.
             direct: whether updates are for the node that they are sent to alone.
         """
-        self.machine.board.declare(topic, urgent, direct)
-        self._listeners[topic] = hear
+        self.protocol.registers.declare(topic, urgent, direct)
+        self._listeners[topic] = listener
 
-    def say(self, now_ms: float, topic: str, value: bytes, to: str = "") -> list[Effect]:
+    def send_value(
+        self, now_ms: float, topic: str, value: bytes, recipient: str = ""
+    ) -> list[Effect]:
         """Publish an update for another subsystem, to all nodes or to one."""
-        if to:
-            return self.machine.send_update(now_ms, to, self._update(now_ms, topic, value))
+        if recipient:
+            return self.protocol.send_update(now_ms, recipient, self._update(now_ms, topic, value))
         return self.publish(now_ms, topic, value)
 
     def publish(self, now_ms: float, topic: str, value: bytes) -> list[Effect]:
         """Publish a value to all nodes, unless it is that of the last call."""
-        if self.out.get(topic) == value:
+        if self.published.get(topic) == value:
             return []
-        self.out[topic] = value
-        return self.machine.publish(now_ms, self._update(now_ms, topic, value))
+        self.published[topic] = value
+        return self.protocol.publish(now_ms, self._update(now_ms, topic, value))
 
     def _update(self, now_ms: float, topic: str, value: bytes) -> RegisterUpdate:
         """Return an update with a version above all that this name has published before."""
-        self._version = max(self._version + 1, int(now_ms + self.machine.wall_offset_ms))
+        self._version = max(self._version + 1, int(now_ms + self.protocol.wall_offset_ms))
         return RegisterUpdate(topic, self.name, self._version, value)
 
     def receive(
@@ -165,8 +171,8 @@
 
     def view_change(self, now_ms: float) -> ClusterView | None:
         """Return the cluster's view for the policy, or None if it has not changed."""
-        quorum = self.machine.standing()
-        others = [name for name in quorum.live if name != self.name]
+        quorum = self.protocol.quorum()
+        others = [name for name in quorum.reachable if name != self.name]
         self.quota_sharing.retain(others)
         self.failure_reports.retain(others)
         view = self._cluster_view(quorum, others, now_ms)
@@ -178,7 +184,7 @@
     def _cluster_view(self, quorum: QuorumState, others: list[str], now_ms: float) -> ClusterView:
         shares: tuple[float, ...] = ()
         if QUOTA_SHARING in self.features:
-            stale_after_ms = MAX_MISSED_REPORTS * self.every
+            stale_after_ms = MAX_MISSED_REPORTS * self.report_interval_ms
             shares = self.quota_sharing.quota_shares(self.name, quorum, now_ms, stale_after_ms)
         reports: tuple[tuple[int, float], ...] = ()
         if FAILURE_REPORTS in self.features:
@@ -207,6 +213,6 @@
 
     Without a majority the node counts itself as one of all that may be alive.
     """
-    size = len(quorum.live) if quorum.majority else quorum.may_live
-    index = quorum.live.index(local_name)
-    return ClusterView(size, index, quorum.may_live, quota_shares, failure_reports)
+    size = len(quorum.reachable) if quorum.has_majority else quorum.possibly_alive
+    index = quorum.reachable.index(local_name)
+    return ClusterView(size, index, quorum.possibly_alive, quota_shares, failure_reports)
--- a/badgercart/cluster/membership.py
+++ b/badgercart/cluster/membership.py
@@ -49,7 +49,7 @@
         if record.name == local.name and record.precedence != local.precedence:
             self._merge_local_name(record)
             return
-        if record.name not in table.beliefs and record.status not in REACHABLE:
+        if record.name not in table.members and record.status not in REACHABLE:
             return  # members that were forgotten would come back with every push-pull
         if record.status is MemberStatus.SUSPECT:
             self._confirm_suspicion(record)
@@ -58,7 +58,7 @@
             self._state_changed(*change)
 
     def _state_changed(self, before: MemberState | None, after: MemberState) -> None:
-        record = after.claim
+        record = after.record
         self.suspicions.end(record.name)
         if record.status is MemberStatus.SUSPECT:
             self._begin_suspicion(record)
@@ -81,13 +81,13 @@
         local = self.context.local
         if record.precedence <= local.record.precedence:
             return  # what this node was before a restart, or said itself
-        if record.boot != local.record.boot:
+        if record.generation != local.record.generation:
             self._merge_rival(record)
             if self.conflicts.yields:
                 return
         if local.leaving:
             return
-        if record.boot == local.record.boot and record.status is not MemberStatus.ALIVE:
+        if record.generation == local.record.generation and record.status is not MemberStatus.ALIVE:
             self.context.health.adjust(1)  # Lifeguard: a node that is accused may be slow itself
         local.refute(record.incarnation)
         self._announce_local()
@@ -95,11 +95,11 @@
     def stale_sender(self, incarnation: int, generation: int) -> None:
         """Take it that a process of this node's name was heard at that incarnation."""
         local = self.context.local.record
-        self._merge_local_name(replace(local, incarnation=incarnation, boot=generation))
+        self._merge_local_name(replace(local, incarnation=incarnation, generation=generation))
 
     def _merge_rival(self, record: MembershipRecord) -> None:
         local = self.context.local
-        conflict = self.conflicts.observe(record, local.record.boot)
+        conflict = self.conflicts.observe(record, local.record.generation)
         if conflict is None:
             return
         self.context.effects.add(conflict)
@@ -118,15 +118,15 @@
         self._announce_local()
         fanout = GOODBYE_FANOUT * self.context.timing.gossip_fanout
         for state in self.context.peers.sample(fanout):
-            self.sender.send(state.claim.address, Gossip())
+            self.sender.send(state.record.address, Gossip())
 
     # Suspicion.
 
     def suspect(self, name: str) -> None:
         """Accuse a member that did not answer a probe."""
-        state = self.context.table.beliefs.get(name)
+        state = self.context.table.members.get(name)
         if state is not None and state.status in REACHABLE:
-            self._accuse(state.claim, MemberStatus.SUSPECT)
+            self._accuse(state.record, MemberStatus.SUSPECT)
 
     def _accuse(self, record: MembershipRecord, status: MemberStatus) -> None:
         local_name = self.context.local.name
@@ -151,6 +151,6 @@
         self.sender.broadcast_record(record)
 
     def _declare_dead_if_expired(self, name: str) -> None:
-        state = self.context.table.beliefs.get(name)
+        state = self.context.table.members.get(name)
         if state is not None and self.suspicions.has_expired(name, self.context.timers.now_ms):
-            self._accuse(state.claim, MemberStatus.DEAD)
+            self._accuse(state.record, MemberStatus.DEAD)
--- a/badgercart/cluster/membership_table.py
+++ b/badgercart/cluster/membership_table.py
@@ -36,7 +36,7 @@
     incarnation: int  # raised by the member alone, to refute what is said of it
     status: MemberStatus
     address: Address
-    boot: int  # of the process; grows with the time of its start
+    generation: int  # of the process; grows with the time of its start
     zone: str = ""
     region: str = ""
     accuser: str = field(default="", compare=False)  # who suspected it or declared it dead
@@ -51,7 +51,7 @@
         return (
             self.incarnation,
             int(self.status),
-            self.boot,
+            self.generation,
             self.address,
             self.zone,
             self.region,
@@ -62,14 +62,14 @@
 class MemberState:
     """A record that is in force at this node."""
 
-    claim: MembershipRecord
+    record: MembershipRecord
     since_ms: float  # of its status, on the node's clock
     reporter: str  # the node that told this one
 
     @property
     def status(self) -> MemberStatus:
         """The status that the record gives."""
-        return self.claim.status
+        return self.record.status
 
 
 class NameSet:
@@ -111,7 +111,7 @@
     """The states of all members by name, the node's own among them."""
 
     def __init__(self, max_members: int = MAX_MEMBERS) -> None:
-        self.beliefs: dict[str, MemberState] = {}
+        self.members: dict[str, MemberState] = {}
         self.max_members = max_members
         self.rejected = 0  # records of new names beyond the bound
         self.reachable = NameSet()
@@ -126,38 +126,38 @@
 
         Returns the states before and after, or None if nothing changed.
         """
-        before = self.beliefs.get(record.name)
-        if before is not None and record.precedence <= before.claim.precedence:
+        before = self.members.get(record.name)
+        if before is not None and record.precedence <= before.record.precedence:
             return None
-        if before is None and len(self.beliefs) >= self.max_members:
+        if before is None and len(self.members) >= self.max_members:
             self.rejected += 1
             return None
         same_status = before is not None and before.status is record.status
         since_ms = before.since_ms if before is not None and same_status else now_ms
         after = MemberState(record, since_ms, reporter)
-        self.beliefs[record.name] = after
+        self.members[record.name] = after
         self._reindex(before, after)
         return before, after
 
     def remove(self, name: str) -> None:
         """Forget a member, if it is known."""
-        self._reindex(self.beliefs.pop(name, None), None)
+        self._reindex(self.members.pop(name, None), None)
 
     def _reindex(self, before: MemberState | None, after: MemberState | None) -> None:
         """Keep the sets of reachable and unreachable names in step with a changed state."""
         was_reachable = before is not None and before.status in REACHABLE
         is_reachable = after is not None and after.status in REACHABLE
         if before is not None and was_reachable:
-            self._release_address(before.claim.address)
+            self._release_address(before.record.address)
             if not is_reachable:
-                self.reachable.remove(before.claim.name)
+                self.reachable.remove(before.record.name)
         elif before is not None:
-            self.unreachable.pop(before.claim.name, None)
+            self.unreachable.pop(before.record.name, None)
         if after is not None and is_reachable:
-            self.reachable_addresses[after.claim.address] += 1
-            self.reachable.add(after.claim.name)
+            self.reachable_addresses[after.record.address] += 1
+            self.reachable.add(after.record.name)
         elif after is not None:
-            self.unreachable[after.claim.name] = None
+            self.unreachable[after.record.name] = None
 
     def _release_address(self, address: Address) -> None:
         self.reachable_addresses[address] -= 1
@@ -173,19 +173,19 @@
         """
         drawn = self.reachable.sample(count + len(excluding), rng)
         self.examined += len(drawn)
-        return [self.beliefs[name] for name in drawn if name not in excluding][:count]
+        return [self.members[name] for name in drawn if name not in excluding][:count]
 
     def with_status(self, *statuses: MemberStatus) -> Iterator[MemberState]:
         """Return the members of these statuses, by a look at all members.
 
         Where a few suffice, `reachable`, `unreachable` and `sample` cost less.
         """
-        self.examined += len(self.beliefs)
-        return (state for state in self.beliefs.values() if state.status in statuses)
+        self.examined += len(self.members)
+        return (state for state in self.members.values() if state.status in statuses)
 
     def records(self) -> list[MembershipRecord]:
         """Return the record in force of each member."""
-        return [state.claim for state in self.beliefs.values()]
+        return [state.record for state in self.members.values()]
 
 
 def refute(record: MembershipRecord, incarnation: int) -> MembershipRecord:
--- a/badgercart/cluster/messages.py
+++ b/badgercart/cluster/messages.py
@@ -76,4 +76,4 @@
     timestamp: HybridTimestamp
     body: Body
     records: tuple[MembershipRecord, ...] = ()
-    posts: tuple[RegisterUpdate, ...] = ()
+    updates: tuple[RegisterUpdate, ...] = ()
--- a/badgercart/cluster/name_conflicts.py
+++ b/badgercart/cluster/name_conflicts.py
@@ -25,15 +25,15 @@
     def observe(self, record: MembershipRecord, local_generation: int) -> NameConflict | None:
         """Take a record of another process under this name; return the conflict if it shows one."""
         if record.status in (MemberStatus.DEAD, MemberStatus.LEFT):
-            if self.incarnations.pop(record.boot, None) is not None:
+            if self.incarnations.pop(record.generation, None) is not None:
                 self.yields = False
             return None
-        first_incarnation = self.incarnations.get(record.boot)
+        first_incarnation = self.incarnations.get(record.generation)
         if first_incarnation is None:
             if len(self.incarnations) < MAX_RIVALS:
-                self.incarnations[record.boot] = record.incarnation
+                self.incarnations[record.generation] = record.incarnation
             return None
         if record.incarnation <= first_incarnation or self.yields:
             return None
-        self.yields = record.boot > local_generation
-        return NameConflict(record.boot, self.yields)
+        self.yields = record.generation > local_generation
+        return NameConflict(record.generation, self.yields)
--- a/badgercart/cluster/packet_receiver.py
+++ b/badgercart/cluster/packet_receiver.py
@@ -60,7 +60,7 @@
     def is_new(self, packet: Packet) -> bool:
         """Return whether a packet is another process's and was not received before."""
         local = self.context.local.record
-        if packet.sender == local.name and packet.generation == local.boot:
+        if packet.sender == local.name and packet.generation == local.generation:
             return False
         return self.replay_filter.accept(packet.sender, packet.generation, packet.serial)
 
@@ -70,7 +70,7 @@
             return
         for record in packet.records:
             self.membership.merge(record, packet.sender)
-        urgent = self.dissemination.receive(packet.posts)
+        urgent = self.dissemination.receive(packet.updates)
         self._handlers[type(packet.body)](packet.body, source)
         if urgent:
             self.dissemination.spread()
@@ -80,12 +80,12 @@
         if packet.sender == self.context.local.name:
             self.membership.stale_sender(packet.incarnation, packet.generation)
             return False
-        state = self.context.table.beliefs.get(packet.sender)
+        state = self.context.table.members.get(packet.sender)
         if state is None:
             return True
-        known = state.claim
-        if (packet.incarnation, packet.generation) < (known.incarnation, known.boot):
-            self._answer_stale_sender(StaleSender(known.incarnation, known.boot), source)
+        known = state.record
+        if (packet.incarnation, packet.generation) < (known.incarnation, known.generation):
+            self._answer_stale_sender(StaleSender(known.incarnation, known.generation), source)
             return False
         if state.status is not MemberStatus.ALIVE and packet.incarnation == known.incarnation:
             self.sender.send(source, Gossip(), known)  # it doesn't know yet what is said of it
@@ -110,7 +110,7 @@
 
     def _on_stale_sender(self, body: StaleSender, _: Address) -> None:
         local = self.context.local.record
-        if (body.incarnation, body.generation) > (local.incarnation, local.boot):
+        if (body.incarnation, body.generation) > (local.incarnation, local.generation):
             self.membership.stale_sender(body.incarnation, body.generation)
 
     def _on_sync(self, _body: Sync, _: Address) -> None:
--- a/badgercart/cluster/packet_sender.py
+++ b/badgercart/cluster/packet_sender.py
@@ -51,7 +51,7 @@
         local, timestamp = self._context.local.record, self._clock.tick()
         return Packet(
             local.name,
-            local.boot,
+            local.generation,
             local.incarnation,
             self._serial,
             timestamp,
@@ -81,7 +81,7 @@
         if first is not None:
             capacity_bytes -= record_size_bytes(first)
             records.append(first)
-        queued = self.queue.take(capacity_bytes, len(self._context.table.beliefs))
+        queued = self.queue.take(capacity_bytes, len(self._context.table.members))
         records += [item for item in queued if isinstance(item, MembershipRecord)]
         updates += tuple(item for item in queued if isinstance(item, RegisterUpdate))
         packet = self.packet(body, tuple(records), updates)
--- a/badgercart/cluster/probing.py
+++ b/badgercart/cluster/probing.py
@@ -90,7 +90,7 @@
 
     def _next_target(self) -> MemberState | None:
         while (name := self._next_in_round()) is not None:
-            state = self.context.table.beliefs.get(name)
+            state = self.context.table.members.get(name)
             if state is None or name == self.context.local.name:
                 continue
             if state.status in REACHABLE:
@@ -100,31 +100,31 @@
     def _next_in_round(self) -> str | None:
         """Return the next name; each round has an order of its own (SWIM, section 4.3)."""
         if not self._round:
-            self._round = [state.claim.name for state in self.context.peers.reachable()]
+            self._round = [state.record.name for state in self.context.peers.reachable()]
             self.context.rng.shuffle(self._round)
         return self._round.pop() if self._round else None
 
     def _send_probe(self, target: MemberState) -> None:
         context = self.context
-        self.probe = Probe(target.claim.name, self.sender.next_sequence())
-        first = target.claim if target.status is MemberStatus.SUSPECT else None
-        self.sender.send(target.claim.address, Ping(self.probe.sequence), first)
+        self.probe = Probe(target.record.name, self.sender.next_sequence())
+        first = target.record if target.status is MemberStatus.SUSPECT else None
+        self.sender.send(target.record.address, Ping(self.probe.sequence), first)
         timeout_ms = context.health.scale(context.timing.probe_timeout_ms)
         context.timers.after(timeout_ms, partial(self._probe_indirectly, self.probe))
 
     def _probe_indirectly(self, probe: Probe) -> None:
         """Ask some members to probe one that has not answered yet."""
-        state = self.context.table.beliefs.get(probe.name)
+        state = self.context.table.members.get(probe.name)
         if probe is not self.probe or probe.acknowledged or state is None:
             return
         timing = self.context.timing
         helpers = self.context.peers.sample(timing.indirect_probes, excluding=probe.name)
         probe.helpers = len(helpers)
-        host, port = state.claim.address
+        host, port = state.record.address
         timeout_ms = timing.probe_timeout_ms * RELAY_TIMEOUT_SHARE
         request = PingRequest(probe.sequence, probe.name, host, port, timeout_ms)
         for helper in helpers:
-            self.sender.send(helper.claim.address, request)
+            self.sender.send(helper.record.address, request)
 
 
 @dataclass(slots=True, frozen=True)
--- a/badgercart/cluster/quorum.py
+++ b/badgercart/cluster/quorum.py
@@ -25,11 +25,11 @@
     """What a node can count on at a moment."""
 
     level: QuorumLevel
-    live: tuple[str, ...]  # reachable members by name, the node itself among them
-    may_live: int  # those and all that may only be cut off
+    reachable: tuple[str, ...]  # reachable members by name, the node itself among them
+    possibly_alive: int  # those and all that may only be cut off
 
     @property
-    def majority(self) -> bool:
+    def has_majority(self) -> bool:
         """Whether the node is in a part of the cluster that holds more than half of it."""
         return self.level in (QuorumLevel.ALL, QuorumLevel.MAJORITY)
 
@@ -63,13 +63,13 @@
     not announce that they leave, not what gossip says at the moment: a half that declared the other
     dead must not take itself for all. Suspects count as reachable, but not for the level.
     """
-    live = {local_name} | {state.claim.name for state in table.with_status(*REACHABLE)}
-    alive = {local_name} | {state.claim.name for state in table.with_status(MemberStatus.ALIVE)}
+    live = {local_name} | {state.record.name for state in table.with_status(*REACHABLE)}
+    alive = {local_name} | {state.record.name for state in table.with_status(MemberStatus.ALIVE)}
     possibly_cut_off = sum(
         now_ms - state.since_ms < rule.dead_retention_ms
         for state in table.with_status(MemberStatus.DEAD)
     )
-    left = sum(state.claim.name != local_name for state in table.with_status(MemberStatus.LEFT))
+    left = sum(state.record.name != local_name for state in table.with_status(MemberStatus.LEFT))
     possibly_alive = max(len(live) + possibly_cut_off, rule.expected_size - left)
     level = quorum_level(len(alive), possibly_alive)
     return QuorumState(level, tuple(sorted(live)), possibly_alive)
@@ -77,4 +77,4 @@
 
 def isolated(local_name: str, quorum: QuorumState) -> QuorumState:
     """Return the state of a node that must count on nobody, whoever is reachable."""
-    return QuorumState(QuorumLevel.ISOLATED, (local_name,), quorum.may_live)
+    return QuorumState(QuorumLevel.ISOLATED, (local_name,), quorum.possibly_alive)
--- a/badgercart/cluster/quota_sharing.py
+++ b/badgercart/cluster/quota_sharing.py
@@ -169,10 +169,12 @@
 
         What a node reported more than `stale_after_ms` ago is too old to lend its share.
         """
-        if not quorum.majority:
-            return (1 / quorum.may_live,) * len(self.quotas_per_s)
-        usages = [self.node_usage(name, local_name, now_ms, stale_after_ms) for name in quorum.live]
-        index = quorum.live.index(local_name)
+        if not quorum.has_majority:
+            return (1 / quorum.possibly_alive,) * len(self.quotas_per_s)
+        usages = [
+            self.node_usage(name, local_name, now_ms, stale_after_ms) for name in quorum.reachable
+        ]
+        index = quorum.reachable.index(local_name)
         return tuple(self._share(tenant, usages, index) for tenant in range(len(self.quotas_per_s)))
 
     def node_usage(
--- a/badgercart/cluster/service.py
+++ b/badgercart/cluster/service.py
@@ -20,7 +20,7 @@
 from badgercart.cluster.effects import Effect, RegisterChanged
 from badgercart.cluster.event_log import ClusterEventLog
 from badgercart.cluster.features import DRAIN_GOSSIP, QUOTA_SHARING
-from badgercart.cluster.member import EndpointList, Member
+from badgercart.cluster.member import ClusterMember, EndpointList
 from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
 from badgercart.cluster.packet_gate import PacketGate
 from badgercart.cluster.quorum import QuorumState
@@ -74,7 +74,7 @@
 class DrainAnnouncer:
     """Collects changed entries of the node's own list, and announces its drains."""
 
-    def __init__(self, host: ComponentHost, member: Member, driver: ClusterDriver) -> None:
+    def __init__(self, host: ComponentHost, member: ClusterMember, driver: ClusterDriver) -> None:
         self._host, self._member, self._driver = host, member, driver
         self._changed: list[DiscoveredEndpoint] = []  # since drains were announced last
         host.endpoint_table.override = member.drain_gossip.override
@@ -100,13 +100,15 @@
 class ViewReporter:
     """Tells the log and the policy of the cluster, where that has changed."""
 
-    def __init__(self, host: ComponentHost, member: Member, event_log: ClusterEventLog) -> None:
+    def __init__(
+        self, host: ComponentHost, member: ClusterMember, event_log: ClusterEventLog
+    ) -> None:
         self._host, self._member, self._event_log = host, member, event_log
         self._logged: dict[str, Any] = {}
 
     def report(self) -> None:
         """Log a change of the quorum, and dispatch a changed view to the policy."""
-        self._log_quorum(self._member.machine.standing())
+        self._log_quorum(self._member.protocol.quorum())
         pipeline = self._host.pipeline
         view = self._member.view_change(pipeline.clock())
         if view is not None:
@@ -116,8 +118,8 @@
     def _log_quorum(self, quorum: QuorumState) -> None:
         fields = {
             "standing": str(quorum.level),
-            "live": len(quorum.live),
-            "may_live": quorum.may_live,
+            "live": len(quorum.reachable),
+            "may_live": quorum.possibly_alive,
         }
         if fields != self._logged:
             self._logged = fields
@@ -129,16 +131,16 @@
 
     def __init__(self, host: ComponentHost, settings: ClusterSettings) -> None:
         self.host, self.settings = host, settings
-        self.machine = build_protocol(host, settings)
+        self.protocol = build_protocol(host, settings)
         codec = PacketCodec(settings.group, settings.secret.encode())
         gate = PacketGate(codec, AddressAllowlist(settings.allow))
         clock = host.pipeline.clock
         self.driver = ClusterDriver(
-            host.loop, clock, self.machine, gate, settings.listen, self.apply
+            host.loop, clock, self.protocol, gate, settings.listen, self.apply
         )
         quotas = host.config.settings.quotas_per_s
-        self.member = Member(self.machine, quotas, settings.share_ms, settings.uses)
-        self.event_log = ClusterEventLog(self.machine)
+        self.member = ClusterMember(self.protocol, quotas, settings.share_ms, settings.uses)
+        self.event_log = ClusterEventLog(self.protocol)
         self._views = ViewReporter(host, self.member, self.event_log)
         self._timer: asyncio.TimerHandle | None = None
         features = self.member.features
@@ -154,15 +156,15 @@
         self._register_metrics(gate)
 
     def _register_metrics(self, gate: PacketGate) -> None:
-        metrics, protocol = self.host.metrics, self.machine
+        metrics, protocol = self.host.metrics, self.protocol
         health, queue = protocol.context.health, protocol.sender.queue
         metrics.gauge(
-            "badgercart_peers_live", "Nodes in reach.", lambda: len(protocol.standing().live)
+            "badgercart_peers_live", "Nodes in reach.", lambda: len(protocol.quorum().reachable)
         )
         metrics.gauge(
             "badgercart_peers_may_live",
             "Nodes that may live.",
-            lambda: protocol.standing().may_live,
+            lambda: protocol.quorum().possibly_alive,
         )
         metrics.gauge("badgercart_peers_unwell", "Local health, 0 is well.", lambda: health.score)
         metrics.gauge("badgercart_peers_queue", "News to be passed on.", lambda: len(queue))
@@ -180,7 +182,7 @@
         """Listen, and begin to report. Raises OSError if the address can't be had."""
         await self.driver.start()
         host, port = self.driver.listen
-        name, group = self.machine.me.name, self.settings.group
+        name, group = self.protocol.local_record.name, self.settings.group
         log_events.LISTENING(host=host, port=port, name=name, group=group)
         self._report()
 
@@ -192,7 +194,7 @@
         """Leave the cluster, so that others take over this node's shares at once."""
         if self._timer is not None:
             self._timer.cancel()
-        self.driver.run(self.machine.leave(self.host.pipeline.clock()))
+        self.driver.run(self.protocol.leave(self.host.pipeline.clock()))
         await asyncio.sleep(self.settings.gossip_ms / 1000)  # those that were told pass it on
 
     def close(self) -> None:
@@ -244,7 +246,7 @@
 
     def _report(self) -> None:
         """Report to other nodes, and take what follows from their reports."""
-        delay_s = self.member.every / 1000
+        delay_s = self.member.report_interval_ms / 1000
         self._timer = self.host.loop.call_later(delay_s, self._report)
         pipeline = self.host.pipeline
         self.driver.run(self.member.report(pipeline.clock(), pipeline.policy))
--- a/badgercart/cluster/settings.py
+++ b/badgercart/cluster/settings.py
@@ -10,7 +10,7 @@
 
 from pydantic import AfterValidator, Field, Strict
 
-from badgercart.app.component import Checked
+from badgercart.app.component import CheckedFile
 from badgercart.app.faults import Path
 from badgercart.app.model import Address, Listed, Name, Names, Table
 from badgercart.app.shared_settings import GroupSecret
@@ -103,7 +103,7 @@
         )
 
 
-def check(settings: ClusterSettings, _file: Checked) -> Iterator[tuple[Path, str]]:
+def check(settings: ClusterSettings, _file: CheckedFile) -> Iterator[tuple[Path, str]]:
     """Yield what only several settings together can get wrong."""
     if settings.patience_ms >= settings.period_ms:
         yield ("patience_ms",), "is not below period_ms"
--- a/badgercart/cluster/swim.py
+++ b/badgercart/cluster/swim.py
@@ -44,13 +44,13 @@
 
     def __init__(
         self,
-        me: MembershipRecord,
+        local_record: MembershipRecord,
         timing: SwimTiming,
         bootstrap: Bootstrap,
         rng: random.Random,
         wall_offset_ms: float = 0.0,
     ) -> None:
-        local, table, timers = LocalNode(me), MembershipTable(), TimerQueue()
+        local, table, timers = LocalNode(local_record), MembershipTable(), TimerQueue()
         self.context = ProtocolContext(
             local,
             timing,
@@ -62,10 +62,10 @@
             EffectBuffer(),
         )
         self.wall_offset_ms = wall_offset_ms
-        self.clock = HybridLogicalClock(lambda: timers.now_ms + wall_offset_ms)
-        self.sender = PacketSender(self.context, self.clock)
+        self.hybrid_clock = HybridLogicalClock(lambda: timers.now_ms + wall_offset_ms)
+        self.sender = PacketSender(self.context, self.hybrid_clock)
         self.dissemination = Dissemination(self.context, self.sender)
-        others = [seed for seed in bootstrap.seeds if seed != me.address]
+        others = [seed for seed in bootstrap.seeds if seed != local_record.address]
         self.anti_entropy = AntiEntropy(
             self.context, self.sender, self.dissemination.registers, others
         )
@@ -87,28 +87,28 @@
             self.anti_entropy,
         )
         self._expected_size, self._started_ms = bootstrap.expected_size, 0.0
-        self.membership.merge(me, me.name)
+        self.membership.merge(local_record, local_record.name)
         self.context.effects.take()
 
     # What the node knows.
 
     @property
-    def me(self) -> MembershipRecord:
+    def local_record(self) -> MembershipRecord:
         """What this node says of itself."""
         return self.context.local.record
 
     @property
-    def view(self) -> MembershipTable:
+    def table(self) -> MembershipTable:
         """The states of all members."""
         return self.context.table
 
     @property
-    def board(self) -> GossipRegisters:
+    def registers(self) -> GossipRegisters:
         """The registers carried between nodes."""
         return self.dissemination.registers
 
     @property
-    def now(self) -> float:
+    def now_ms(self) -> float:
         """The time (ms) at which the protocol was last called."""
         return self.context.timers.now_ms
 
@@ -122,20 +122,20 @@
         """Whether this node stands back for another process of its name."""
         return self.membership.conflicts.yields
 
-    def standing(self) -> QuorumState:
+    def quorum(self) -> QuorumState:
         """Return what the node can count on now."""
         context, timing = self.context, self.context.timing
         # The configured size counts only until the node has seen who is there.
-        starting = self.now - self._started_ms < timing.expected_size_ms
+        starting = self.now_ms - self._started_ms < timing.expected_size_ms
         rule = QuorumRule(timing.dead_retention_ms, self._expected_size if starting else 1)
-        state = assess_quorum(context.table, context.local.name, self.now, rule)
+        state = assess_quorum(context.table, context.local.name, self.now_ms, rule)
         if self.yields_name or self.anti_entropy.stale or context.local.leaving:
             return isolated(context.local.name, state)
         return state
 
     def timestamp(self) -> HybridTimestamp:
         """Return a hybrid timestamp for an event of this node's own."""
-        return self.clock.tick()
+        return self.hybrid_clock.tick()
 
     # What the driver calls.
 
@@ -156,7 +156,7 @@
     def receive(self, now_ms: float, packet: Packet, source: Address) -> list[Effect]:
         """Take a packet, unless it was received before."""
         self._advance(now_ms)
-        self.clock.observe(packet.timestamp)
+        self.hybrid_clock.observe(packet.timestamp)
         if not self.receiver.is_new(packet):
             return []
         self.receiver.receive(packet, source)
@@ -184,9 +184,9 @@
     def send_update(self, now_ms: float, recipient: str, update: RegisterUpdate) -> list[Effect]:
         """Send one member an update at once; it may be lost."""
         self.context.timers.advance(now_ms)
-        state = self.view.beliefs.get(recipient)
+        state = self.table.members.get(recipient)
         if state is not None:
-            self.sender.send(state.claim.address, Gossip(), updates=(update,))
+            self.sender.send(state.record.address, Gossip(), updates=(update,))
         return self.context.effects.take()
 
     def _advance(self, now_ms: float) -> None:
--- a/badgercart/discovery/component.py
+++ b/badgercart/discovery/component.py
@@ -9,7 +9,7 @@
 
 from pydantic import Field
 
-from badgercart.app.component import Checked, ComponentDeclaration, ComponentHost, ComponentKind
+from badgercart.app.component import CheckedFile, ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.faults import Path
 from badgercart.app.model import Address, Listed, Name, Table
 from badgercart.config import Address as Pair
@@ -87,7 +87,7 @@
         """Nor open."""
 
 
-def check_servers(servers: tuple[Server, ...], file: Checked) -> Iterator[tuple[Path, str]]:
+def check_servers(servers: tuple[Server, ...], file: CheckedFile) -> Iterator[tuple[Path, str]]:
     seen: set[str] = set()
     for at, server in enumerate(servers):
         for key, value, known in (
--- a/badgercart/discovery/etcd/commands.py
+++ b/badgercart/discovery/etcd/commands.py
@@ -13,7 +13,7 @@
 
 import click
 
-from badgercart.app.exits import CommandError, Exit
+from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.config import parse_address
 from badgercart.discovery.etcd.settings import EtcdSettings, EtcdTls
 
@@ -39,7 +39,7 @@
         try:
             status = asyncio.run(Members(self.settings, dry_run).run(act))
         except KeyboardInterrupt:
-            status = Exit.DONE
+            status = ExitStatus.DONE
         raise click.exceptions.Exit(status)
 
 
@@ -71,7 +71,7 @@
     try:
         endpoints = tuple(parse_address(text) for text in etcd.split(","))
     except ValueError as error:
-        raise CommandError(f"--etcd: {error}", Exit.USAGE) from None
+        raise CommandError(f"--etcd: {error}", ExitStatus.USAGE) from None
     ctx.obj = Access(
         EtcdSettings(
             endpoints=endpoints,
--- a/badgercart/discovery/etcd/component.py
+++ b/badgercart/discovery/etcd/component.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
 
-from badgercart.app.component import Checked, ComponentDeclaration, ComponentHost, ComponentKind
+from badgercart.app.component import CheckedFile, ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.faults import Path
 from badgercart.core.endpoint_table import DiscoveryUpdate
 from badgercart.core.log_events import LIST_KNOWN_MALFORMED
@@ -38,7 +38,7 @@
             host.pipeline.clock,
             random.Random(host.config.seed),
         )
-        host.machines["etcd.freshness"] = self.source.freshness
+        host.protocol_machines["etcd.freshness"] = self.source.freshness
         host.list_state = lambda: self.source.state.value
         host.metrics.gauge(
             "badgercart_list_age_seconds",
@@ -77,7 +77,7 @@
         self.source.close()
 
 
-def check(settings: EtcdSettings, file: Checked) -> Iterator[tuple[Path, str]]:
+def check(settings: EtcdSettings, file: CheckedFile) -> Iterator[tuple[Path, str]]:
     if (settings.user is None) != (settings.password_file is None):
         yield ("user",), "user and password_file go together"
     if settings.doubtful_after_ms > settings.stale_after_ms:
--- a/badgercart/discovery/etcd/members.py
+++ b/badgercart/discovery/etcd/members.py
@@ -11,9 +11,9 @@
 import grpc.aio
 from aetcd.rpc import kv_pb2, rpc_pb2, rpc_pb2_grpc
 
-from badgercart.app.asking import page_of
+from badgercart.app.asking import fetch_page
 from badgercart.app.console import show_table
-from badgercart.app.exits import CommandError, Exit
+from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.config import parse_address
 from badgercart.discovery.etcd.client import authenticate, open_channel, prefix_end
 from badgercart.discovery.etcd.guard import OVERRIDE
@@ -29,23 +29,23 @@
     try:
         raw = json.loads(text)
     except ValueError as error:
-        raise CommandError(f"the entry is no JSON: {error}", Exit.USAGE) from None
+        raise CommandError(f"the entry is no JSON: {error}", ExitStatus.USAGE) from None
     if not isinstance(raw, dict):
-        raise CommandError("the entry is no JSON object", Exit.USAGE)
+        raise CommandError("the entry is no JSON object", ExitStatus.USAGE)
     name = raw.get("instanceId")
     if not isinstance(name, str) or not name or "/" in name:
-        raise CommandError(f"instanceId: {name!r} is no name", Exit.USAGE)
+        raise CommandError(f"instanceId: {name!r} is no name", ExitStatus.USAGE)
     try:
         parse_address(str(raw.get("hostPort")))
     except ValueError as error:
-        raise CommandError(f"hostPort: {error}", Exit.USAGE) from None
+        raise CommandError(f"hostPort: {error}", ExitStatus.USAGE) from None
     if raw.setdefault("lifecycle", "active") not in LIFECYCLES:
         raise CommandError(
-            f"lifecycle: {raw['lifecycle']!r} is none of {', '.join(LIFECYCLES)}", Exit.USAGE
+            f"lifecycle: {raw['lifecycle']!r} is none of {', '.join(LIFECYCLES)}", ExitStatus.USAGE
         )
     weight = raw.setdefault("weight", 1.0)
     if isinstance(weight, bool) or not isinstance(weight, int | float) or not 0 <= weight <= 1e6:
-        raise CommandError(f"weight: {weight!r} is not within 0 to 1e6", Exit.USAGE)
+        raise CommandError(f"weight: {weight!r} is not within 0 to 1e6", ExitStatus.USAGE)
     return raw
 
 
@@ -108,13 +108,13 @@
         lines = [line_of(kv, self.prefix) for kv in await self.entries()]
         if node is not None:
             return self.compare(
-                [line for line in lines if "fault" not in line], page_of(node, "/_members")
+                [line for line in lines if "fault" not in line], fetch_page(node, "/_members")
             )
         if as_json:
             print("\n".join(map(json.dumps, lines)))
         else:
             show_table(COLUMNS, [row_of(line) for line in lines])
-        return Exit.DONE
+        return ExitStatus.DONE
 
     def compare(self, lines: list[dict[str, Any]], told: dict[str, Any]) -> int:
         here = {line["instanceId"]: (line["hostPort"], line["lifecycle"]) for line in lines}
--- a/badgercart/discovery/etcd/settings.py
+++ b/badgercart/discovery/etcd/settings.py
@@ -4,7 +4,7 @@
 
 from pydantic import Field
 
-from badgercart.app.model import LONG, Addresses, Name, Table
+from badgercart.app.model import MAX_DURATION_MS, Addresses, Name, Table
 from badgercart.app.shared_settings import DoubtfulAfterMs, StaleAfterMs, WhenStale
 
 
@@ -34,26 +34,29 @@
     progress_ms: float = Field(
         1000.0,
         ge=10,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the time between questions whether the watch is whole (ms)",
     )
     silence_ms: float = Field(
         2500.0,
         ge=10,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the time for an answer to one (ms), after which the connection is given up",
     )
     call_ms: float = Field(
-        5000.0, ge=10, le=LONG, description="the time for a connection and for each page (ms)"
+        5000.0,
+        ge=10,
+        le=MAX_DURATION_MS,
+        description="the time for a connection and for each page (ms)",
     )
     retry_first_ms: float = Field(
         50.0,
         ge=1,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the time before the first new try (ms), doubled with each, with jitter",
     )
     retry_most_ms: float = Field(
-        2000.0, ge=1, le=LONG, description="the longest time before a new try (ms)"
+        2000.0, ge=1, le=MAX_DURATION_MS, description="the longest time before a new try (ms)"
     )
     doubtful_after_ms: DoubtfulAfterMs = 3000.0
     stale_after_ms: StaleAfterMs = 10000.0
--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -16,8 +16,8 @@
 from badgercart.app import logs
 from badgercart.app.asking import PATIENCE
 from badgercart.app.console import show_table
-from badgercart.app.exits import CommandError, Exit
-from badgercart.app.faults import FileError
+from badgercart.app.exits import CommandError, ExitStatus
+from badgercart.app.faults import SettingsFileError
 from badgercart.config import Address
 from badgercart.distribution.client import Client
 from badgercart.distribution.entry_file import MAX_FILE_BYTES, parse_entries
@@ -108,7 +108,7 @@
         check_message(proposal)
     except (ValueError, FrameError) as error:
         detail = f"{entries_file.name}: {error}"
-        raise CommandError(detail, Exit.USAGE) from error
+        raise CommandError(detail, ExitStatus.USAGE) from error
     return proposal
 
 
@@ -135,7 +135,7 @@
     """Show a topic."""
     if not topic or len(topic) > MAX_NAME_LENGTH or not topic.isprintable():
         detail = f"{topic[:40]!r} is no topic"
-        raise CommandError(detail, Exit.USAGE)
+        raise CommandError(detail, ExitStatus.USAGE)
     found = load_group(file).ask_in_turn(lambda client: _fetch_topic(client, topic))
     values = {key: _decode_value(value) for key, value in sorted(found.entries.items())}
     if as_json:
@@ -278,11 +278,11 @@
 def _load_replica(path: str) -> ReplicaFile:
     try:
         settings = load_replica_file(path)
-    except FileError as error:
-        raise CommandError(str(error), Exit.USAGE) from error
+    except SettingsFileError as error:
+        raise CommandError(str(error), ExitStatus.USAGE) from error
     if settings is None:
         detail = (
             f"{path}: has more than [distribution] and [log]: an installation is run by `serve`"
         )
-        raise CommandError(detail, Exit.USAGE)
+        raise CommandError(detail, ExitStatus.USAGE)
     return settings
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -66,7 +66,7 @@
         self._refused_before: Counter[str] = Counter()  # by earlier drivers
         self.driver = self._build_driver(settings)
         host.list_state = lambda: self.state.value
-        host.machines["distribution.freshness"] = self.follower.freshness
+        host.protocol_machines["distribution.freshness"] = self.follower.freshness
         host.pages[b"/_distribution"] = Page(self._render_page)
         self._register_metrics()
 
--- a/badgercart/distribution/group_client.py
+++ b/badgercart/distribution/group_client.py
@@ -8,9 +8,9 @@
 from typing import TypeVar
 
 from badgercart.app.asking import PATIENCE
-from badgercart.app.exits import CommandError, Exit
-from badgercart.app.faults import FileError
-from badgercart.app.file import load
+from badgercart.app.exits import CommandError, ExitStatus
+from badgercart.app.faults import SettingsFileError
+from badgercart.app.file import load_installation
 from badgercart.config import Address
 from badgercart.distribution.client import Client
 from badgercart.distribution.errors import DistributionError, FrameError
@@ -67,9 +67,13 @@
     """Return the group of a node's file, or of a replica's. Raises CommandError."""
     try:
         file = load_replica_file(path)
-        parts = {"distribution-store": file.distribution} if file else load(path).parts
-    except FileError as error:
-        raise CommandError(str(error), Exit.USAGE) from error
+        parts = (
+            {"distribution-store": file.distribution}
+            if file
+            else load_installation(path).component_settings
+        )
+    except SettingsFileError as error:
+        raise CommandError(str(error), ExitStatus.USAGE) from error
     replica, node = parts.get("distribution-store"), parts.get("distribution")
     if isinstance(replica, ReplicaSettings):
         addresses = {entry.name: entry.address for entry in replica.store}
@@ -78,7 +82,7 @@
         addresses = {f"{host}:{port}": (host, port) for host, port in node.stores}
         return GroupClient(node.group, node.secret, addresses)
     detail = f"{path}: has neither [members.distribution] nor [distribution]"
-    raise CommandError(detail, Exit.USAGE)
+    raise CommandError(detail, ExitStatus.USAGE)
 
 
 def describe_error(error: BaseException) -> str:
--- a/badgercart/distribution/replica_file.py
+++ b/badgercart/distribution/replica_file.py
@@ -7,7 +7,7 @@
 from pydantic import Field, ValidationError
 
 from badgercart.app import document
-from badgercart.app.faults import FileError, Path, of_model, problem
+from badgercart.app.faults import Path, SettingsFileError, of_model, problem
 from badgercart.app.locate import lines_of
 from badgercart.app.logs import Log
 from badgercart.app.model import Table
@@ -40,5 +40,5 @@
     if found:
         lines = lines_of(read.text)
         problems = [problem(key, detail, lines, read.origins) for key, detail in found]
-        raise FileError(path, problems)
+        raise SettingsFileError(path, problems)
     return file
--- a/badgercart/distribution/replica_process.py
+++ b/badgercart/distribution/replica_process.py
@@ -5,7 +5,7 @@
 import asyncio
 import signal
 
-from badgercart.app.exits import CommandError, Exit
+from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.core.clock import now_ms
 from badgercart.distribution.component import build_replica_driver, log_listening
 from badgercart.distribution.errors import JournalError
@@ -50,4 +50,4 @@
 
 
 def _not_started(settings: ReplicaSettings, error: Exception) -> CommandError:
-    return CommandError(f"the store {settings.name} does not start: {error}", Exit.USAGE)
+    return CommandError(f"the store {settings.name} does not start: {error}", ExitStatus.USAGE)
--- a/badgercart/distribution/settings.py
+++ b/badgercart/distribution/settings.py
@@ -10,9 +10,9 @@
 
 from pydantic import Field
 
-from badgercart.app.component import Checked
+from badgercart.app.component import CheckedFile
 from badgercart.app.faults import Path
-from badgercart.app.model import LONG, Address, Addresses, Listed, Name, Table
+from badgercart.app.model import MAX_DURATION_MS, Address, Addresses, Listed, Name, Table
 from badgercart.app.shared_settings import DoubtfulAfterMs, GroupSecret, StaleAfterMs, WhenStale
 
 SERVERS_PREFIX = "servers/"  # what the topic of a service's servers begins with
@@ -34,23 +34,33 @@
     stale_after_ms: StaleAfterMs = 10000.0
     when_stale: WhenStale = "refuse"
     silence_ms: float = Field(
-        1500.0, ge=10, le=LONG, description="a store that says nothing for so long is left (ms)"
+        1500.0,
+        ge=10,
+        le=MAX_DURATION_MS,
+        description="a store that says nothing for so long is left (ms)",
+    )
+    dial_ms: float = Field(
+        1000.0, ge=10, le=MAX_DURATION_MS, description="the time for a connection (ms)"
     )
-    dial_ms: float = Field(1000.0, ge=10, le=LONG, description="the time for a connection (ms)")
     answer_ms: float = Field(
-        5000.0, ge=10, le=LONG, description="the time for the next part of what was asked for (ms)"
+        5000.0,
+        ge=10,
+        le=MAX_DURATION_MS,
+        description="the time for the next part of what was asked for (ms)",
     )
     window_ms: float = Field(
         2000.0,
         ge=1,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="a lost store is replaced at a moment drawn from this time (ms), doubled with each try",
     )
-    window_most_ms: float = Field(30000.0, ge=1, le=LONG, description="the longest window (ms)")
+    window_most_ms: float = Field(
+        30000.0, ge=1, le=MAX_DURATION_MS, description="the longest window (ms)"
+    )
     lag_ms: float = Field(
         3000.0,
         ge=10,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="a store that knew of no leader for so long is left, within the window (ms)",
     )
 
@@ -98,7 +108,7 @@
 
 def check_follower(
     settings: FollowerSettings,
-    file: Checked,  # noqa: ARG001 - the signature of all checks
+    file: CheckedFile,  # noqa: ARG001 - the signature of all checks
 ) -> Iterator[tuple[Path, str]]:
     """Yield what only several settings together can get wrong, by key."""
     if settings.doubtful_after_ms > settings.stale_after_ms:
@@ -111,7 +121,7 @@
 
 def check_replica(
     settings: ReplicaSettings,
-    file: Checked,  # noqa: ARG001 - the signature of all checks
+    file: CheckedFile,  # noqa: ARG001 - the signature of all checks
 ) -> Iterator[tuple[Path, str]]:
     """Yield what only several settings together can get wrong, by key."""
     yield from replica_faults(settings)
--- a/badgercart/frontends/graphql/component.py
+++ b/badgercart/frontends/graphql/component.py
@@ -7,7 +7,7 @@
 from pathlib import Path as FilePath
 from typing import TYPE_CHECKING
 
-from badgercart.app.component import Checked, ComponentDeclaration, ComponentHost, ComponentKind
+from badgercart.app.component import CheckedFile, ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.faults import Path
 from badgercart.frontends.graphql.settings import GraphqlSettings
 from badgercart.frontends.http.component import register
@@ -52,7 +52,7 @@
         self.front.close()
 
 
-def check(settings: GraphqlSettings, file: Checked) -> Iterator[tuple[Path, str]]:
+def check(settings: GraphqlSettings, file: CheckedFile) -> Iterator[tuple[Path, str]]:
     """The map against the schema."""
     from badgercart.frontends.graphql.mapping import faults, read_schema
 
--- a/badgercart/frontends/processor/component.py
+++ b/badgercart/frontends/processor/component.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from badgercart.app.component import (
-    Checked,
+    CheckedFile,
     ComponentDeclaration,
     ComponentHost,
     ComponentKind,
@@ -30,7 +30,7 @@
         self.front: Processor = Processor(
             host.config, settings, host.pipeline, host.endpoint_table, host.loop
         )
-        host.machines["processor.account"] = self.front.calls.account
+        host.protocol_machines["processor.account"] = self.front.calls.account
 
         front, meters = self.front, host.metrics
         meters.gauge(
@@ -70,7 +70,7 @@
         self.front.close()
 
 
-def check(settings: ProcessorSettings, file: Checked) -> Iterator[tuple[Path, str]]:
+def check(settings: ProcessorSettings, file: CheckedFile) -> Iterator[tuple[Path, str]]:
     if settings.answer_age_ms > file.base.fleet.drain_grace_ms:
         yield ("answer_age_ms",), "is longer than fleet.drain_grace_ms"
     if settings.old_answers.refuse_after < settings.old_answers.no_fallbacks_after:
--- a/badgercart/frontends/processor/settings.py
+++ b/badgercart/frontends/processor/settings.py
@@ -6,7 +6,7 @@
 
 from pydantic import Field
 
-from badgercart.app.model import LONG, Address, Headers, Name, Table
+from badgercart.app.model import MAX_DURATION_MS, Address, Headers, Name, Table
 
 Streams = Annotated[int, Field(ge=1, le=100_000)]
 
@@ -49,14 +49,20 @@
     """what happens to a proxy that uses answers beyond their age"""
 
     window_ms: float = Field(
-        60000.0, ge=1000, le=LONG, description="the time over which uses are counted (ms)"
+        60000.0,
+        ge=1000,
+        le=MAX_DURATION_MS,
+        description="the time over which uses are counted (ms)",
     )
     no_fallbacks_after: int = Field(
         3, ge=1, le=100_000, description="uses after which it gets no fallbacks"
     )
     refuse_after: int = Field(10, ge=1, le=100_000, description="uses after which it is refused")
     refuse_for_ms: float = Field(
-        10000.0, ge=100, le=LONG, description="the time for which it then is refused (ms)"
+        10000.0,
+        ge=100,
+        le=MAX_DURATION_MS,
+        description="the time for which it then is refused (ms)",
     )
 
 
@@ -83,7 +89,7 @@
     first_message_ms: float = Field(
         60000.0,
         ge=100,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the time for a stream to ask (ms), after which it is ended",
     )
     answer_age_ms: float = Field(
@@ -102,13 +108,13 @@
     later_wait_ms: float = Field(
         250.0,
         ge=1,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the time for which a request waits to be asked again (ms)",
     )
     late_ms: float = Field(
         50.0,
         ge=1,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the time after an attempt's limit for the proxy to tell its end (ms)",
     )
     whole_retry_after: bool = Field(
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -48,13 +48,15 @@
         self.reader = ListReader(config)
         self.roster = EndpointTable(self.reader, self.join)
         self.inherited = None if config.inherited is None else inherited_socket(config.inherited)
-        self.bans: AdministrativeEjections | None = None
-        self.door: AdminListener | None = None
+        self.ejections: AdministrativeEjections | None = None
+        self.admin_listener: AdminListener | None = None
         if config.console is not None and config.folder is not None:
-            self.bans = AdministrativeEjections(
+            self.ejections = AdministrativeEjections(
                 self.roster, config.folder, loop, self.reader.unix_offset
             )
-            self.door = AdminListener(loop, config.console, NodeHandlers(self.unready, self.bans))
+            self.admin_listener = AdminListener(
+                loop, config.console, NodeHandlers(self.unready, self.ejections)
+            )
         self.front = HttpFront(config, self.join, self.roster, loop)
         self.pool, self.listener = self.front.pool, self.front.listener
         self.lives: Lives | None = None
@@ -89,15 +91,15 @@
         if successor:
             self.loop.call_later(LIST_PATIENCE, self.listener.open)
         self.discovery.start()
-        if self.bans is not None:
-            self.bans.start()
+        if self.ejections is not None:
+            self.ejections.start()
         if self.lives is not None:
             self.lives.start()
         if self.handover is not None:
             policy, config = self.join.policy, lambda: self.config
             self.loop.call_later(HANDOVER_FROM, self.handover.keep, policy, config, self.loop)
-        if self.door is not None:
-            await self.door.start()
+        if self.admin_listener is not None:
+            await self.admin_listener.start()
 
     @staticmethod
     def pace(config: Config) -> Pace:
@@ -165,10 +167,10 @@
     def close(self) -> None:
         self.front.close()
         self.discovery.close()
-        if self.door is not None:
-            self.door.close()
-        if self.bans is not None:
-            self.bans.close()
+        if self.admin_listener is not None:
+            self.admin_listener.close()
+        if self.ejections is not None:
+            self.ejections.close()
         if self.lives is not None:
             self.lives.close()
         if self.handover is not None:
--- a/badgercart/reload/numbers.py
+++ b/badgercart/reload/numbers.py
@@ -8,7 +8,7 @@
 Name = TypeVar("Name", bytes, str)
 
 
-def renumbered(
+def assign_indexes(
     names: Iterable[Name], old: Mapping[Name, int], busy: Container[int]
 ) -> tuple[dict[Name, int], list[int]]:
     """Return indexes for names, in their order, and those of them that begin anew.
--- a/badgercart/reload/reconfiguration.py
+++ b/badgercart/reload/reconfiguration.py
@@ -11,7 +11,7 @@
 from badgercart.config import Config
 from badgercart.policy.events import SettingsChanged
 from badgercart.policy.settings import RequestClass, Settings
-from badgercart.reload.numbers import renumbered
+from badgercart.reload.numbers import assign_indexes
 
 
 @dataclass(slots=True, frozen=True)
@@ -83,10 +83,10 @@
         or index not in in_use.read
         or new.settings.classes[new.classes[name]] == old.settings.classes[index]
     }
-    classes, reset_classes = renumbered(new.classes, unchanged, in_use.classes)
-    tenants, reset_tenants = renumbered(new.tenants, old.tenants, in_use.tenants)
-    zones, _ = renumbered(new.zones, old.zones, in_use.zones)
-    kinds, _ = renumbered(new.kinds, old.kinds, in_use.kinds)
+    classes, reset_classes = assign_indexes(new.classes, unchanged, in_use.classes)
+    tenants, reset_tenants = assign_indexes(new.tenants, old.tenants, in_use.tenants)
+    zones, _ = assign_indexes(new.zones, old.zones, in_use.zones)
+    kinds, _ = assign_indexes(new.kinds, old.kinds, in_use.kinds)
     return _Indexes(classes, reset_classes, tenants, reset_tenants, zones, kinds)
 
 
--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -12,9 +12,9 @@
 
 import click
 
-from badgercart.app.asking import page_of
+from badgercart.app.asking import fetch_page
 from badgercart.app.console import show_table
-from badgercart.app.exits import CommandError, Exit
+from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.cluster.commands import exchange, loaded
 from badgercart.zones.traffic_plan import SHARES_PER_ROW
 
@@ -29,7 +29,7 @@
 
 def ask(node: str) -> dict[str, Any]:
     """Return the page `/_zones` of a node's HTTP frontend. Raises CommandError."""
-    return page_of(node, "/_zones")
+    return fetch_page(node, "/_zones")
 
 
 @click.group(
@@ -123,7 +123,7 @@
 @click.argument("zone")
 def forecast(node: str, zone: str) -> None:
     """Show what would happen if a zone went now."""
-    page = page_of(node, "/_zones/if")
+    page = fetch_page(node, "/_zones/if")
     if zone not in page:
         raise UnknownZoneError(zone, tuple(page), node)
     found = page[zone]
@@ -145,7 +145,7 @@
 
     def __init__(self, zone: str, known: tuple[str, ...]) -> None:
         """Name the zones of the file."""
-        super().__init__(f"{zone!r} is none of {', '.join(known)}", Exit.USAGE)
+        super().__init__(f"{zone!r} is none of {', '.join(known)}", ExitStatus.USAGE)
 
 
 class OverrideNotTakenError(CommandError):
@@ -185,7 +185,9 @@
     )
 
     config = site.config
-    topology = site.parts["zones"].topology(config.zones, config.classes, config.tenants)
+    topology = site.component_settings["zones"].topology(
+        config.zones, config.classes, config.tenants
+    )
     now_ms = int(time.time() * 1000)
     expires_ms = now_ms + int(for_s * 1000)
     wanted = OperatorOverride(
@@ -196,7 +198,7 @@
     post = RegisterUpdate(OVERRIDES_TOPIC, writer, now_ms, payload)
     timestamp = HybridTimestamp(now_ms, 0)
     packet = Packet("operator", now_ms, 0, 1, timestamp, Sync(), (), (post,))
-    return post in exchange(site, packet).posts
+    return post in exchange(site, packet).updates
 
 
 def _add_override_command(action: str, help_text: str) -> None:
--- a/badgercart/zones/failover_controller.py
+++ b/badgercart/zones/failover_controller.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable, Sequence
 
-from badgercart.cluster.member import Member
+from badgercart.cluster.member import ClusterMember
 from badgercart.policy.events import TrafficPlan
 from badgercart.zones.change_history import (
     ChangeHistory,
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        member: Member,
+        member: ClusterMember,
         topology: Topology,
         zone: int,
         weights: Sequence[float],
@@ -85,7 +85,7 @@
         self.conditions = ZoneConditions(topology, settings.recovery, self.overrides)
         self.consensus = PlanConsensus(
             member.name,
-            member.machine.me.boot,
+            member.protocol.local_record.generation,
             settings.lease,
             lambda data: decode_plan(data, self.topology),
             self.wall_ms,
@@ -98,16 +98,16 @@
 
     def _listen(self) -> None:
         member = self.member
-        member.listen(REPORT_TOPIC, self._on_report)
-        member.listen(OVERRIDES_TOPIC, self.on_overrides, urgent=True)
+        member.subscribe(REPORT_TOPIC, self._on_report)
+        member.subscribe(OVERRIDES_TOPIC, self.on_overrides, urgent=True)
         for topic in (*CHUNK_TOPICS, *COMMIT_TOPICS, ROUND_TOPIC):
-            member.listen(topic, self._receiver_of(topic), urgent=True)
+            member.subscribe(topic, self._receiver_of(topic), urgent=True)
         for topic in (VOTE_TOPIC, REQUEST_TOPIC):
-            member.listen(topic, self._receiver_of(topic), direct=True)
+            member.subscribe(topic, self._receiver_of(topic), direct=True)
 
     def wall_ms(self) -> float:
         """Return the time in Unix ms."""
-        return self.member.machine.clock.wall()
+        return self.member.protocol.hybrid_clock.wall_clock_ms()
 
     def relocate(self, now: float, topology: Topology, zone: int) -> None:
         """Go by another topology from now on: what rests on the old one is void."""
@@ -129,11 +129,11 @@
 
     def _on_report(self, now: float, author: str, payload: bytes) -> None:
         """Take over a report, where the cluster knows its author's zone."""
-        belief = self.member.machine.view.beliefs.get(author)
+        belief = self.member.protocol.table.members.get(author)
         if author == self.member.name or belief is None:
             return
-        if belief.claim.zone in self.topology.zones:
-            zone = self.topology.zones.index(belief.claim.zone)
+        if belief.record.zone in self.topology.zones:
+            zone = self.topology.zones.index(belief.record.zone)
             self.conditions.reports.record(author, zone, payload, now)
 
     def on_overrides(self, _now: float, _author: str, payload: bytes) -> None:
@@ -145,7 +145,7 @@
             self.conditions.reports.rejected_count += 1
             return
         for override in recorded:
-            self.history.record(OverrideRecorded(self.member.machine.now, override))
+            self.history.record(OverrideRecorded(self.member.protocol.now_ms, override))
 
     def _apply(self, now: float, effects: list[Effect]) -> None:
         """Carry out effects of the consensus."""
@@ -170,17 +170,17 @@
         self.overrides.expire(self.wall_ms())
         self._apply(now, self.consensus.tick(now))
         self._report(now, capacity)
-        quorum = self.member.machine.standing()
-        self.conditions.reports.retain(quorum.live)
+        quorum = self.member.protocol.quorum()
+        self.conditions.reports.retain(quorum.reachable)
         max_age_ms = self.settings.max_report_age_ms * self._interval_factor
         self.conditions.update(now, capacity, max_age_ms)
         self.planner.tick(now, quorum, self.conditions.plan_input)
-        return self.policy_update(len(quorum.live), quorum.may_live)
+        return self.policy_update(len(quorum.reachable), quorum.possibly_alive)
 
     @property
     def _interval_factor(self) -> float:
         """How many times less often a member of a large cluster reports."""
-        return self.member.every / self.member.share_ms
+        return self.member.report_interval_ms / self.member.base_report_interval_ms
 
     def _report(self, now: float, capacity: EndpointCapacity) -> None:
         """Report what this node observes, where that is due."""
--- a/badgercart/zones/outbox.py
+++ b/badgercart/zones/outbox.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from badgercart.cluster.effects import Effect
-from badgercart.cluster.member import Member
+from badgercart.cluster.member import ClusterMember
 
 
 class Outbox:
     """Collects effects of the cluster protocol."""
 
-    def __init__(self, member: Member) -> None:
+    def __init__(self, member: ClusterMember) -> None:
         """Begin empty. `on_ready` may be set to what is called when messages wait."""
         self._member = member
         self._effects: list[Effect] = []
@@ -23,7 +23,7 @@
 
     def add(self, now: float, topic: str, payload: bytes, recipient: str = "") -> None:
         """Add a message to every node, or only to `recipient` where it is named."""
-        self._effects += self._member.say(now, topic, payload, recipient)
+        self._effects += self._member.send_value(now, topic, payload, recipient)
 
     def take(self) -> list[Effect]:
         """Return what waits, and forget it."""
--- a/badgercart/zones/planner.py
+++ b/badgercart/zones/planner.py
@@ -65,12 +65,12 @@
         """Return whether this node is the one to make plans now."""
         if self._is_shared:
             return True
-        self._electorate = max(quorum.may_live, self._settings.electorate)
-        if not quorum.majority or 2 * len(quorum.live) <= self._electorate:
+        self._electorate = max(quorum.possibly_alive, self._settings.electorate)
+        if not quorum.has_majority or 2 * len(quorum.reachable) <= self._electorate:
             return False
         if self._consensus.proposal is not None:
             return True
-        return self._consensus.may_propose(now, quorum.live.index(self._name))
+        return self._consensus.may_propose(now, quorum.reachable.index(self._name))
 
     def compute(self, topology: Topology, situation: PlanInput, reason: str) -> Plan:
         """Return the plan for a situation; pure, so that another thread may do it."""
--- a/badgercart/zones/settings.py
+++ b/badgercart/zones/settings.py
@@ -7,9 +7,9 @@
 
 from pydantic import Field
 
-from badgercart.app.component import Checked
+from badgercart.app.component import CheckedFile
 from badgercart.app.faults import Path
-from badgercart.app.model import LONG, Listed, Name, Names, Table
+from badgercart.app.model import MAX_DURATION_MS, Listed, Name, Names, Table
 from badgercart.cluster.settings import Network
 from badgercart.zones.circuit_breaker import RecoverySettings
 from badgercart.zones.consensus_state import LeaseSettings
@@ -100,24 +100,30 @@
         description="the part of a zone's capacity left to all nodes together that have no plan",
     )
     lease_ms: float = Field(
-        4000.0, ge=200, le=LONG, description="for how long a plan holds once a node took it (ms)"
+        4000.0,
+        ge=200,
+        le=MAX_DURATION_MS,
+        description="for how long a plan holds once a node took it (ms)",
     )
     renew_ms: float = Field(
-        1000.0, ge=50, le=LONG, description="the time between two renewals (ms)"
+        1000.0, ge=50, le=MAX_DURATION_MS, description="the time between two renewals (ms)"
     )
     patience_ms: float = Field(
         2000.0,
         ge=100,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the silence of a proposer after which the next one steps in (ms)",
     )
     tell_ms: float = Field(
-        500.0, ge=50, le=LONG, description="the time between two reports of evidence (ms)"
+        500.0,
+        ge=50,
+        le=MAX_DURATION_MS,
+        description="the time between two reports of evidence (ms)",
     )
     hold_ms: float = Field(
         3000.0,
         ge=0,
-        le=LONG,
+        le=MAX_DURATION_MS,
         description="the time a zone must be well before it gets anything again (ms)",
     )
     step: float = Field(
@@ -173,7 +179,7 @@
         )
 
 
-def check(settings: ZonesSettings, file: Checked) -> Iterator[Fault]:
+def check(settings: ZonesSettings, file: CheckedFile) -> Iterator[Fault]:
     """Yield what only several settings together can get wrong."""
     base = file.base
     zones = base.fleet.zones
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -24,9 +24,9 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 from envoy.service.ext_proc.v3 import external_processor_pb2_grpc as ext_proc_grpc
 
-from badgercart.app.file import Installation, load
+from badgercart.app.file import Installation, load_installation
 from badgercart.app.run import run
-from badgercart.app.site import Site
+from badgercart.app.site import Application
 from badgercart.core.clock import now_ms
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.component import Server as Listed
@@ -62,8 +62,12 @@
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(operators_file("127.0.0.1:1", max_streams=20000, max_connection_streams=20000))
         file.flush()
-        what = load(file.name)
-    return Installation(what.config, what.parts | {"server": listed(servers)}, known=what.known)
+        what = load_installation(file.name)
+    return Installation(
+        what.config,
+        what.component_settings | {"server": listed(servers)},
+        known_components=what.known_components,
+    )
 
 
 # The servers, each in a process of its own.
@@ -93,8 +97,8 @@
 async def processor(servers: int) -> None:
     """What `serve` starts."""
 
-    def started(site: Site) -> None:
-        part = site.parts["processor"]
+    def started(site: Application) -> None:
+        part = site.components["processor"]
         assert isinstance(part, ProcessorComponent)
         print(part.front.address[1], flush=True)
 
--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -140,7 +140,12 @@
     file = folder / "file.toml"
     file.write_text(toml(classes, tenants))
     sizes.found.note("operator's file", "bytes", "one", size, file.stat().st_size)
-    sizes.spend("operator's file: read and check", size, lambda: operators.load(str(file), {}), 1)
+    sizes.spend(
+        "operator's file: read and check",
+        size,
+        lambda: operators.load_installation(str(file), {}),
+        1,
+    )
 
 
 def give_policy(sizes: Sizes, size: int, old: Config, event: Any) -> None:
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -27,7 +27,7 @@
 from badgercart.cluster.effects import Effect, RegisterChanged
 from badgercart.cluster.gossip_registers import RegisterUpdate
 from badgercart.cluster.hybrid_logical_clock import HybridTimestamp
-from badgercart.cluster.member import Member
+from badgercart.cluster.member import ClusterMember
 from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
 from badgercart.cluster.messages import Gossip, Packet, Sync
 from badgercart.cluster.quota_sharing import USAGE_TOPIC, QuotaSharing
@@ -79,13 +79,13 @@
         self.spent = 0  # ns of protocol, uses and codec
         self.messages: Counter[str] = Counter()
         self.bytes_in: Counter[str] = Counter()
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, ClusterMember] = {}
         self.tenants = tenants
         super().__init__(count, seed, timing, expected=count)
         self.topics = (USAGE_TOPIC,) if tenants else ()
         for name, protocol in self.protocols.items():
             if tenants:
-                member = Member(protocol, [100.0] * tenants, SHARE_MS, ("shares",))
+                member = ClusterMember(protocol, [100.0] * tenants, SHARE_MS, ("shares",))
                 self.members[name] = member
                 self.schedule(self.random.random() * SHARE_MS, self.report, name, member)
 
@@ -100,11 +100,11 @@
 
     def acquaint(self) -> None:
         """Have all know all, as after a push-pull with one who knew them."""
-        records = tuple(protocol.me for protocol in self.protocols.values())
+        records = tuple(protocol.local_record for protocol in self.protocols.values())
         me = records[0]
         for protocol in list(self.protocols.values())[1:]:
             serial = self.protocols[me.name].sender.next_sequence()
-            packet = Packet(me.name, me.boot, 0, serial, NO_TIME, Sync(), records)
+            packet = Packet(me.name, me.generation, 0, serial, NO_TIME, Sync(), records)
             protocol.receive(self.now, packet, me.address)
             protocol.sender.queue.clear()  # it is no news to anybody
         first = self.protocols[me.name]
@@ -123,16 +123,16 @@
         self.run_effects(name, effects)
         self.arm(name)
 
-    def report(self, name: str, member: Member) -> None:
+    def report(self, name: str, member: ClusterMember) -> None:
         """Do one round of reports as `ClusterComponent` does, and set the next."""
-        if self.protocols[name] is not member.machine or not self.up[name]:
+        if self.protocols[name] is not member.protocol or not self.up[name]:
             return
         for tenant in self.random.sample(range(self.tenants), min(BUSY, self.tenants)):
             member.quota_sharing.count_request(tenant)
         with self.metered():
             effects = member.publish(self.now, USAGE_TOPIC, member.quota_sharing.report(self.now))
             member.view_change(self.now)
-            every = member.every
+            every = member.report_interval_ms
         self.run_effects(name, effects)
         self.schedule(self.now + every, self.report, name, member)
 
@@ -160,7 +160,7 @@
         data = self.encoded(name, packet)
         to = self.addresses.get(address)
         if to is not None:
-            source = self.protocols[name].me.address
+            source = self.protocols[name].local_record.address
             self.schedule(
                 self.now + self.one_way_delay_ms(), self.received, to, data, source, MTU_BYTES
             )
@@ -195,7 +195,7 @@
         with self.metered():
             asked = self.codec.decode(data, MAX_SYNC_BYTES)
             answer, effects = self.protocols[to].answer_sync(
-                self.now, asked, self.protocols[name].me.address
+                self.now, asked, self.protocols[name].local_record.address
             )
         back = self.encoded(to, answer)
         self.run_effects(to, effects)
@@ -205,7 +205,7 @@
             self.received,
             name,
             back,
-            self.protocols[to].me.address,
+            self.protocols[to].local_record.address,
             MAX_SYNC_BYTES,
         )
 
@@ -220,7 +220,7 @@
     def looked(self) -> int:
         """Return how many member states and queued items were examined."""
         return sum(
-            protocol.view.examined + protocol.sender.queue.examined
+            protocol.table.examined + protocol.sender.queue.examined
             for protocol in self.protocols.values()
         )
 
@@ -270,7 +270,7 @@
         cluster.run(cluster.now + STEP)
     found["settled"] = cluster.now / 1000
     rest = cluster.mark()
-    every = max((member.every for member in cluster.members.values()), default=0.0)
+    every = max((member.report_interval_ms for member in cluster.members.values()), default=0.0)
     cluster.run(cluster.now + max(LEAST_REST, 2 * every))
     found |= rates(cluster, rest)
     if tenants:
@@ -297,7 +297,7 @@
         heard = member.quota_sharing.peer_usage
         kept.append(sum(len(s.counts) for told in heard.values() for s in told.samples))
         ages += [cluster.now - told.received_ms for other, told in heard.items() if other != name]
-    every = statistics.fmean(member.every for member in cluster.members.values())
+    every = statistics.fmean(member.report_interval_ms for member in cluster.members.values())
     return {
         "entries of use": statistics.fmean(kept),
         "age of use": statistics.median(ages) / 1000 if ages else float("nan"),
@@ -308,7 +308,7 @@
 # One node by itself, which has heard of all others.
 
 
-def informed(members: int, tenants: int) -> Member:
+def informed(members: int, tenants: int) -> ClusterMember:
     """Return a node that knows so many others, and two usage reports from each."""
     codec = PacketCodec("lab", b"a secret of the lab alone")
     records = [
@@ -327,9 +327,9 @@
     protocol = SwimProtocol(
         me, SwimTiming(), Bootstrap((), members), random.Random(1), START_UNIX_MS
     )
-    member = Member(protocol, [100.0] * tenants, SHARE_MS, ("shares",))
+    member = ClusterMember(protocol, [100.0] * tenants, SHARE_MS, ("shares",))
     data = codec.encode(
-        Packet(records[0].name, records[0].boot, 0, 1, NO_TIME, Sync(), tuple(records))
+        Packet(records[0].name, records[0].generation, 0, 1, NO_TIME, Sync(), tuple(records))
     )
     protocol.receive(1.0, codec.decode(data, MAX_SYNC_BYTES), records[0].address)
     for serial in (2, 3):
@@ -350,7 +350,7 @@
     gc.collect()
     kept = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    codec, protocol = PacketCodec("lab", b"a secret of the lab alone"), member.machine
+    codec, protocol = PacketCodec("lab", b"a secret of the lab alone"), member.protocol
 
     def round_of_use() -> None:
         member.last_view = None
@@ -361,7 +361,9 @@
         codec.encode(protocol.anti_entropy.full_state())
         heard = codec.decode(data, len(data))
         protocol.receive(
-            5.0, replace(heard, serial=protocol.sender.next_sequence()), protocol.me.address
+            5.0,
+            replace(heard, serial=protocol.sender.next_sequence()),
+            protocol.local_record.address,
         )
 
     data = codec.encode(replace(protocol.anti_entropy.full_state(), sender="another", generation=0))
@@ -384,10 +386,10 @@
 
 
 def _use(record: MembershipRecord, serial: int, tenants: int) -> Packet:
-    sharing = QuotaSharing([100.0] * tenants, record.boot)
+    sharing = QuotaSharing([100.0] * tenants, record.generation)
     sharing.counts = [serial * 1000 + tenant for tenant in range(tenants)]
     update = RegisterUpdate(USAGE_TOPIC, record.name, serial, sharing.report(1000.0 * serial))
-    return Packet(record.name, record.boot, 0, serial, NO_TIME, Gossip(), (), (update,))
+    return Packet(record.name, record.generation, 0, serial, NO_TIME, Gossip(), (), (update,))
 
 
 # The runs.
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -12,8 +12,8 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
 from badgercart.app.console import show_table
-from badgercart.app.exits import CommandError, Exit
-from badgercart.app.faults import FileError
+from badgercart.app.exits import CommandError, ExitStatus
+from badgercart.app.faults import SettingsFileError
 from lab.peers import NAMES, OURS
 from lab.settings import Cell, Day, cells
 from lab.settings import load as load_day
@@ -28,9 +28,9 @@
 def loaded(path: str) -> Day:
     try:
         return load_day(path, NAMES)
-    except FileError as error:
+    except SettingsFileError as error:
         click.echo(str(error), err=True)
-        raise click.exceptions.Exit(Exit.USAGE) from None
+        raise click.exceptions.Exit(ExitStatus.USAGE) from None
 
 
 def bar() -> Progress:
@@ -69,7 +69,7 @@
 
     day = loaded(file)
     if policy not in NAMES:
-        raise CommandError(f"{policy!r} is none of {', '.join(NAMES)}", Exit.USAGE)
+        raise CommandError(f"{policy!r} is none of {', '.join(NAMES)}", ExitStatus.USAGE)
     with bar() as shown:
         task = shown.add_task(day.experiment.name, total=100)
         result = play(
@@ -80,7 +80,7 @@
     else:
         tell(day, result)
     if sum(result["breaches"].values()):
-        raise click.exceptions.Exit(Exit.FAILED)
+        raise click.exceptions.Exit(ExitStatus.FAILED)
 
 
 def tell(day: Day, result: dict[str, Any]) -> None:
@@ -158,7 +158,7 @@
     else:
         show_table(COLUMNS, rows(found, base))
     if any(told.breaches for told in found):
-        raise click.exceptions.Exit(Exit.FAILED)
+        raise click.exceptions.Exit(ExitStatus.FAILED)
 
 
 @cli.command()
@@ -196,7 +196,7 @@
             values = " ".join(f"{key}={value}" for key, value in told.values)
             table.append((values or "-", str(told.share), str(difference), verdict(difference)))
     if not table:
-        raise CommandError(f"{file} does not have both {one!r} and {other!r}", Exit.USAGE)
+        raise CommandError(f"{file} does not have both {one!r} and {other!r}", ExitStatus.USAGE)
     show_table(("setting", one, f"less {other}", "verdict"), table)
 
 
@@ -260,7 +260,7 @@
         recorded(day, seed, processes, as_json)
         return
     if not addresses:
-        raise CommandError("an address to send to, or --record", Exit.USAGE)
+        raise CommandError("an address to send to, or --record", ExitStatus.USAGE)
     from badgercart.config import parse_address
     from lab.load.driver import BEHIND, drive, measured
 
@@ -268,7 +268,7 @@
         try:
             parse_address(address)
         except ValueError as error:
-            raise CommandError(str(error), Exit.USAGE) from None
+            raise CommandError(str(error), ExitStatus.USAGE) from None
     told = drive(addresses, day, seed, way, processes, connections)
     result = measured(day, seed, told).plain()
     result |= {"requests": len(told.sent), "behind": told.behind, "worst_lag_ms": told.worst_lag}
@@ -281,7 +281,7 @@
         click.echo(
             f"the schedule was not kept: {words}, the worst by {told.worst_lag:.0f} ms", err=True
         )
-        raise click.exceptions.Exit(Exit.FAILED)
+        raise click.exceptions.Exit(ExitStatus.FAILED)
 
 
 def recorded(day: Day, seed: int, processes: int, as_json: bool) -> None:
@@ -318,9 +318,9 @@
 
     try:
         wanted = load(file)
-    except FileError as error:
+    except SettingsFileError as error:
         click.echo(str(error), err=True)
-        raise click.exceptions.Exit(Exit.USAGE) from None
+        raise click.exceptions.Exit(ExitStatus.USAGE) from None
     if in_model:
         from lab.model import play
         from lab.trial.inmodel import day_of
@@ -329,7 +329,7 @@
         result = play(Cell(day, OURS, wanted.trial.seed))
         tell(day, result)
         if sum(result["breaches"].values()):
-            raise click.exceptions.Exit(Exit.FAILED)
+            raise click.exceptions.Exit(ExitStatus.FAILED)
         return
     told = asyncio.run(trial(wanted, results_of(file, results)))
     click.echo(
@@ -345,7 +345,7 @@
     for words in told["broken"]:
         click.echo(words)
     if told["broken"]:
-        raise click.exceptions.Exit(Exit.FAILED)
+        raise click.exceptions.Exit(ExitStatus.FAILED)
 
 
 @cli.command()
@@ -360,7 +360,7 @@
     try:
         rows = read(Path(results), EVENTS)
     except RecordsError as error:
-        raise CommandError(str(error), Exit.USAGE) from None
+        raise CommandError(str(error), ExitStatus.USAGE) from None
     for line in lines(rows, node, about):
         click.echo(line)
 
@@ -373,8 +373,8 @@
         error.show()
         return error.exit_code
     except click.exceptions.Abort:
-        return Exit.FAILED
-    return done if isinstance(done, int) else Exit.DONE
+        return ExitStatus.FAILED
+    return done if isinstance(done, int) else ExitStatus.DONE
 
 
 if __name__ == "__main__":
--- a/lab/companions.py
+++ b/lab/companions.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from badgercart.cluster.effects import Effect, RegisterChanged, SendDatagram, StartSync
-from badgercart.cluster.member import Member
+from badgercart.cluster.member import ClusterMember
 from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
 from badgercart.cluster.messages import Packet
 from badgercart.cluster.swim import SwimProtocol
@@ -41,7 +41,7 @@
     number: int
     zone: int
     join: RequestPipeline
-    member: Member
+    member: ClusterMember
     controller: FailoverController | None = None
     zones: dict[int, int] = field(default_factory=dict)  # by server
     looks: int = 0
@@ -102,7 +102,7 @@
         rng = random.Random(f"{self.seed} companion {number} {self.boots}")
         bootstrap = Bootstrap(tuple(address(seed) for seed in range(3)), self.expected)
         machine = SwimProtocol(me, self.timing, bootstrap, rng)
-        member = Member(machine, join.policy.settings.quotas_per_s, SHARE_MS, USES)
+        member = ClusterMember(machine, join.policy.settings.quotas_per_s, SHARE_MS, USES)
         one = self.there[number] = Companion(number, zone, join, member)
         join.observers += (one,)
         if self.net.day.fleet.zones != "off":
@@ -113,7 +113,9 @@
         self.run(one, machine.start(self.clock.now))
         self.clock.after(SHARE_MS * rng.random(), self.round, one)
 
-    def controller(self, member: Member, zone: int, join: RequestPipeline) -> FailoverController:
+    def controller(
+        self, member: ClusterMember, zone: int, join: RequestPipeline
+    ) -> FailoverController:
         day = self.net.day
         names = [f"z{number}" for number in range(day.net.zones)]
         regions = {name: f"r{day.region(number)}" for number, name in enumerate(names)}
@@ -185,7 +187,7 @@
     def round(self, one: Companion) -> None:
         if self.lives(one) and not self.held(one, self.round, one):
             self.run(one, one.member.report(self.clock.now, one.join.policy))
-            self.clock.after(one.member.every, self.round, one)
+            self.clock.after(one.member.report_interval_ms, self.round, one)
 
     def run(self, one: Companion, effects: list[Effect]) -> None:
         """Carry out what a machine wants."""
@@ -200,7 +202,7 @@
             one.join.dispatch(event)
         if one.controller is not None and one.controller.outbox:
             self.run(one, one.controller.outbox.take())
-        machine = one.member.machine
+        machine = one.member.protocol
         self.clock.at(machine.due_ms, self.ring, one, machine.due_ms)
 
     def held(self, one: Companion, what: Callable[..., None], *arguments: object) -> bool:
@@ -211,7 +213,7 @@
         return True
 
     def ring(self, one: Companion, due: float) -> None:
-        machine = one.member.machine
+        machine = one.member.protocol
         if self.held(one, self.ring, one, due):
             return
         if self.lives(one) and machine.due_ms == due <= self.clock.now:
@@ -225,7 +227,9 @@
         packet: Packet,
         loss: float,
     ) -> None:
-        other = next((o for o in self.there.values() if o.member.machine.me.address == to), None)
+        other = next(
+            (o for o in self.there.values() if o.member.protocol.local_record.address == to), None
+        )
         if other is None or (one.number, other.number) in self.net.between:
             return
         if not self.net.parted(one.zone, other.zone) and not (loss and self.chance() < loss):
@@ -233,12 +237,12 @@
 
     def deliver(self, one: Companion, other: Companion, packet: Packet) -> None:
         if self.lives(other) and not self.held(other, self.deliver, one, other, packet):
-            source = one.member.machine.me.address
-            self.run(other, other.member.machine.receive(self.clock.now, packet, source))
+            source = one.member.protocol.local_record.address
+            self.run(other, other.member.protocol.receive(self.clock.now, packet, source))
 
     def asked(self, one: Companion, other: Companion, packet: Packet) -> None:
         if self.lives(other) and not self.held(other, self.asked, one, other, packet):
-            source = one.member.machine.me.address
-            answer, effects = other.member.machine.answer_sync(self.clock.now, packet, source)
+            source = one.member.protocol.local_record.address
+            answer, effects = other.member.protocol.answer_sync(self.clock.now, packet, source)
             self.run(other, effects)
             self.carry(other, source, self.deliver, answer, 0.0)
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -12,7 +12,7 @@
 from pydantic import Field, ValidationError
 
 from badgercart.app import document
-from badgercart.app.faults import FileError, Path, of_model, problem
+from badgercart.app.faults import Path, SettingsFileError, of_model, problem
 from badgercart.app.locate import lines_of
 from badgercart.app.model import Listed, Name, Names, Table
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
@@ -353,9 +353,9 @@
         )
 
 
-def _faults(read: document.Document, found: list[tuple[Path, str]]) -> FileError:
+def _faults(read: document.Document, found: list[tuple[Path, str]]) -> SettingsFileError:
     lines = lines_of(read.text)
-    return FileError(
+    return SettingsFileError(
         read.path, [problem(place, words, lines, read.origins) for place, words in found]
     )
 
--- a/lab/simulated_cluster.py
+++ b/lab/simulated_cluster.py
@@ -121,7 +121,7 @@
         rng = random.Random(f"{self.seed} {name} {self.started_processes}")
         protocol = SwimProtocol(me, self.timing, bootstrap, rng, wall)
         for topic in self.topics:
-            protocol.board.declare(topic)
+            protocol.registers.declare(topic)
         self.protocols[name], self.up[name], self.addresses[address] = protocol, True, name
         self.run_effects(name, protocol.start(self.now))
         self.arm(name)
@@ -203,7 +203,7 @@
         """Keep what a node's protocol tells."""
         if isinstance(effect, MemberChanged):
             state = effect.after
-            change = ObservedChange(self.now, name, state.claim.name, state.status, state.reporter)
+            change = ObservedChange(self.now, name, state.record.name, state.status, state.reporter)
             self.changes.append(change)
         elif isinstance(effect, RegisterChanged):
             self.register_changes.append((self.now, name, effect))
@@ -222,7 +222,7 @@
             return
         if self.random.random() < network.loss_share:
             return
-        source = self.protocols[name].me.address
+        source = self.protocols[name].local_record.address
         for _ in range(2 if self.random.random() < network.duplicate_share else 1):
             arrival = self.now + self.one_way_delay_ms() + self.delays_ms.get(to, 0.0)
             self.schedule(arrival, self.deliver_packet, to, packet, source)
@@ -255,13 +255,15 @@
         """Answer a push-pull, if both sides still run."""
         if not self.up[to] or to in self.paused or self.protocols[name] is not asking:
             return
-        answer, effects = self.protocols[to].answer_sync(self.now, packet, asking.me.address)
+        answer, effects = self.protocols[to].answer_sync(
+            self.now, packet, asking.local_record.address
+        )
         self.bytes_sent[name] += len(self.codec.encode(packet))
         self.bytes_sent[to] += len(self.codec.encode(answer))
         self.run_effects(to, effects)
         self.rearm(to)
         arrival = self.now + self.one_way_delay_ms()
-        source = self.protocols[to].me.address
+        source = self.protocols[to].local_record.address
         self.schedule(arrival, self.deliver_packet, name, answer, source)
 
     def run(self, until: float, stop: Callable[[], bool] | None = None) -> float:
@@ -285,7 +287,7 @@
 
     def statuses(self, observer: str) -> dict[str, MemberStatus]:
         """Return the status of each member by one node's table."""
-        states = self.protocols[observer].view.beliefs
+        states = self.protocols[observer].table.members
         return {name: state.status for name, state in states.items()}
 
     def agreed(self) -> bool:
@@ -297,17 +299,17 @@
         first = names.index(self.last_disagreeing) if self.last_disagreeing in running else 0
         for name in names[first:] + names[:first]:
             self.tables_compared += 1
-            states = self.protocols[name].view.beliefs.values()
-            if {s.claim.name for s in states if s.status is MemberStatus.ALIVE} != running:
+            states = self.protocols[name].table.members.values()
+            if {s.record.name for s in states if s.status is MemberStatus.ALIVE} != running:
                 self.last_disagreeing = name
                 return False
         return True
 
     def all_declared_dead(self, name: str) -> bool:
         """Return whether all that run take a node for dead."""
-        tables = [self.protocols[other].view.beliefs for other, up in self.up.items() if up]
+        tables = [self.protocols[other].table.members for other, up in self.up.items() if up]
         return all(name in states and states[name].status is MemberStatus.DEAD for states in tables)
 
     def quorum_level(self, name: str) -> QuorumLevel:
         """Return the quorum level by one node's knowledge."""
-        return self.protocols[name].standing().level
+        return self.protocols[name].quorum().level
--- a/lab/trial/script.py
+++ b/lab/trial/script.py
@@ -12,7 +12,7 @@
 from pydantic import Field, ValidationError
 
 from badgercart.app import document
-from badgercart.app.faults import FileError, of_model, problem
+from badgercart.app.faults import SettingsFileError, of_model, problem
 from badgercart.app.locate import lines_of
 from badgercart.app.model import Listed, Name, Names, Table
 from lab.settings import BEFALLS_NODES, ZONED, Share
@@ -99,8 +99,8 @@
     read = document.read(path, os.environ)
     lines = lines_of(read.text)
 
-    def faults(found: list[tuple[tuple[str | int, ...], str]]) -> FileError:
-        return FileError(
+    def faults(found: list[tuple[tuple[str | int, ...], str]]) -> SettingsFileError:
+        return SettingsFileError(
             read.path, [problem(place, words, lines, read.origins) for place, words in found]
         )
 
--- a/tests/admin/test_listener.py
+++ b/tests/admin/test_listener.py
@@ -11,8 +11,8 @@
 
 
 async def call(stand: Stand, target: str, method: str = "POST") -> int:
-    assert stand.node.door is not None
-    client = Client(*await asyncio.open_connection(*stand.node.door.address))
+    assert stand.node.admin_listener is not None
+    client = Client(*await asyncio.open_connection(*stand.node.admin_listener.address))
     status, _, _ = await client.ask(f"{method} {target} HTTP/1.1\r\nHost: n\r\n\r\n".encode())
     assert await client.end() == b""
     client.writer.close()
@@ -66,7 +66,7 @@
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer, sockets=64, **console(tmp_path)) as stand:
-            door = stand.node.door
+            door = stand.node.admin_listener
             assert door is not None
             clients = [await stand.client() for _ in range(40)]
             idlers = [
--- a/tests/app/test_adding.py
+++ b/tests/app/test_adding.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from badgercart.app.faults import FileError
-from badgercart.app.file import load
+from badgercart.app.faults import SettingsFileError
+from badgercart.app.file import load_installation
 from badgercart.app.registry import declarations
-from badgercart.app.site import Site
+from badgercart.app.site import Application
 from tests.net import WAIT, Peer, run
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "ADDING.md"
@@ -43,19 +43,19 @@
     async def test() -> None:
         peer = await Peer().start()
         path.write_text(FILE.format(port=peer.port))
-        site = Site(load(str(path), {}, known), asyncio.get_running_loop())
+        site = Application(load_installation(str(path), {}, known), asyncio.get_running_loop())
         await site.start()
-        port = site.parts["line"].server.sockets[0].getsockname()[1]  # type: ignore[attr-defined]
+        port = site.components["line"].server.sockets[0].getsockname()[1]  # type: ignore[attr-defined]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"find cab7 8000\n")
         assert await asyncio.wait_for(reader.readline(), WAIT) == b"200 done\n"
         writer.close()
         await site.drain()
-        assert not site.join.in_flight
-        assert not site.join.open_attempts
+        assert not site.pipeline.in_flight
+        assert not site.pipeline.open_attempts
 
     run(test())
     path.write_text(FILE.format(port=1).replace("listen", "listens"))
-    with pytest.raises(FileError) as caught:
-        load(str(path), {}, known)
+    with pytest.raises(SettingsFileError) as caught:
+        load_installation(str(path), {}, known)
     assert [p.key for p in caught.value.problems] == ["fronts.line", "fronts.line.listens"]
--- a/tests/app/test_file.py
+++ b/tests/app/test_file.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.app.file import FileError, load
+from badgercart.app.file import SettingsFileError, load_installation
 from badgercart.app.locate import lines_of
 from badgercart.distribution.replica_file import load_replica_file
 from badgercart.policy.settings import DeduplicationScope, Idempotency
@@ -46,24 +46,24 @@
 def faults(tmp_path: Path, text: str) -> list[tuple[int, str, str]]:
     path = tmp_path / "site.toml"
     path.write_text(text)
-    with pytest.raises(FileError) as caught:
-        load(str(path))
+    with pytest.raises(SettingsFileError) as caught:
+        load_installation(str(path))
     return [(problem.line, problem.key, problem.words) for problem in caught.value.problems]
 
 
 def test_a_good_file_becomes_an_installation(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text(GOOD)
-    what = load(str(path))
+    what = load_installation(str(path))
     assert [cls.idempotency for cls in what.config.settings.classes] == [
         Idempotency.IDEMPOTENT,
         Idempotency.KEYED,
     ]
     assert what.config.settings.classes[1].deduplication_scope is DeduplicationScope.ZONE
     assert what.config.classes == {b"find": 0, b"book": 1}
-    assert what.parts.keys() == {"http", "server"}
-    assert what.parts["http"].listen == ("127.0.0.1", 0)
-    assert what.parts["server"][0].line()["hostPort"] == "127.0.0.1:7001"
+    assert what.component_settings.keys() == {"http", "server"}
+    assert what.component_settings["http"].listen == ("127.0.0.1", 0)
+    assert what.component_settings["server"][0].line()["hostPort"] == "127.0.0.1:7001"
 
 
 @pytest.mark.parametrize("path", sorted(ROOT.glob("deploy/*.toml")), ids=lambda path: path.name)
@@ -71,7 +71,7 @@
     if path.name == "distribution-store.toml":  # of a process that is a store alone
         assert load_replica_file(str(path)) is not None
     elif path.name != "balancer.toml":  # the platform's own form
-        load(str(path))
+        load_installation(str(path))
 
 
 @pytest.mark.parametrize(
@@ -159,11 +159,11 @@
     for data in (b"\xff\xfe", b"a = ", b"[" * 5000, b"x" * (1 << 20) + b"=1"):
         path = tmp_path / "site.toml"
         path.write_bytes(data)
-        with pytest.raises(FileError) as caught:
-            load(str(path))
+        with pytest.raises(SettingsFileError) as caught:
+            load_installation(str(path))
         assert len(caught.value.problems) == 1
-    with pytest.raises(FileError, match="No such file"):
-        load(str(tmp_path / "none.toml"))
+    with pytest.raises(SettingsFileError, match="No such file"):
+        load_installation(str(tmp_path / "none.toml"))
 
 
 def test_check_names_a_fault_and_exits_with_its_status(tmp_path: Path) -> None:
@@ -213,5 +213,5 @@
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(text)
         file.flush()
-        with pytest.raises(FileError):
-            load(file.name)
+        with pytest.raises(SettingsFileError):
+            load_installation(file.name)
--- a/tests/app/test_golden_metrics.py
+++ b/tests/app/test_golden_metrics.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from badgercart.app.file import load
-from badgercart.app.site import Site
+from badgercart.app.file import load_installation
+from badgercart.app.site import Application
 from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from tests.app.test_file import GOOD, ROOT
@@ -55,13 +55,15 @@
     )
 
     async def page() -> bytes:
-        site = Site(load(str(tmp_path / "site.toml"), {}), asyncio.get_running_loop())
+        site = Application(
+            load_installation(str(tmp_path / "site.toml"), {}), asyncio.get_running_loop()
+        )
         for state in EndpointState:
             entry = Endpoint(int(state), 0, 0, 0, state, 1.0, 0.0)
-            site.roster.listed[int(state)] = DiscoveredEndpoint(
+            site.endpoint_table.listed[int(state)] = DiscoveredEndpoint(
                 entry, ("127.0.0.1", 1), f"s{state}"
             )
-        told: bytes = site.parts["metrics"].page.render()  # type: ignore[attr-defined]
+        told: bytes = site.components["metrics"].page.render()  # type: ignore[attr-defined]
         site.close()
         return told
 
--- a/tests/app/test_hostile.py
+++ b/tests/app/test_hostile.py
@@ -15,8 +15,8 @@
 from badgercart.app import render
 from badgercart.app.cli import main
 from badgercart.app.document import MAX_FILE
-from badgercart.app.faults import FileError
-from badgercart.app.file import load
+from badgercart.app.faults import SettingsFileError
+from badgercart.app.file import load_installation
 from tests.app.test_file import GOOD, ROOT, faults
 
 PARTS = ("http", "processor", "graphql", "etcd", "metrics")
@@ -60,11 +60,11 @@
         "BADGERCART__METRICS__LISTEN": "127.0.0.1:0",
         "OTHER": "x",
     }
-    what = load(str(path), environ)
+    what = load_installation(str(path), environ)
     assert what.config.settings.classes[0].priority_weight == 3.5
     assert what.config.name == "north"
     assert what.config.zones == {"a": 0, "c": 1}
-    assert what.parts["metrics"].listen == (
+    assert what.component_settings["metrics"].listen == (
         "127.0.0.1",
         0,
     )
@@ -77,8 +77,8 @@
     ):
         if name == "NODE__NAME__X":
             path.write_text('[node]\nname = "a"\n' + GOOD)
-        with pytest.raises(FileError) as caught:
-            load(str(path), {f"BADGERCART__{name}": value})
+        with pytest.raises(SettingsFileError) as caught:
+            load_installation(str(path), {f"BADGERCART__{name}": value})
         (problem,) = caught.value.problems
         assert problem.key == key
         assert words in problem.words
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -10,7 +10,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from badgercart.app.file import Installation
-from badgercart.app.site import Site
+from badgercart.app.site import Application
 from badgercart.core.metric_registry import MAX_LABELS, OTHER, Kind, Metric, MetricRegistry
 from badgercart.frontends.http.component import HttpSettings
 from badgercart.metrics.component import MetricsSettings
@@ -36,10 +36,10 @@
             "metrics": MetricsSettings(listen=address),
             "server": (listed(peer.entry("s-1")),),
         }
-        site = Site(Installation(config(1), parts), asyncio.get_running_loop())
+        site = Application(Installation(config(1), parts), asyncio.get_running_loop())
         await site.start()
-        http = site.parts["http"].front.listener.address  # type: ignore[attr-defined]
-        metrics = site.parts["metrics"].listener.address  # type: ignore[attr-defined]
+        http = site.components["http"].front.listener.address  # type: ignore[attr-defined]
+        metrics = site.components["metrics"].listener.address  # type: ignore[attr-defined]
 
         async def page() -> dict[str, float]:
             client = Client(*await asyncio.open_connection(*metrics))
--- a/tests/app/test_site.py
+++ b/tests/app/test_site.py
@@ -21,11 +21,11 @@
     start_order,
 )
 from badgercart.app.errors import OrderError
-from badgercart.app.faults import FileError
-from badgercart.app.file import Installation, load
+from badgercart.app.faults import SettingsFileError
+from badgercart.app.file import Installation, load_installation
 from badgercart.app.model import Table
 from badgercart.app.run import run as serve
-from badgercart.app.site import PartError, Site
+from badgercart.app.site import Application, ComponentStartError
 from tests.net import WAIT, config, run
 
 
@@ -93,13 +93,15 @@
         list=(),
         extra=("front",),
     )
-    return Installation(config(1), {part.name: NumberedSettings() for part in known}, known=known)
+    return Installation(
+        config(1), {part.name: NumberedSettings() for part in known}, known_components=known
+    )
 
 
 def test_components_start_by_need_and_end_in_the_reverse_order() -> None:
     async def test() -> None:
         log: list[str] = []
-        site = Site(installation(log), asyncio.get_running_loop())
+        site = Application(installation(log), asyncio.get_running_loop())
         await site.start()
         await site.drain()
         order = ["list", "front", "extra"]
@@ -116,12 +118,14 @@
 ) -> None:
     async def test() -> None:
         log: list[str] = []
-        site = Site(installation(log, start_front=fault), asyncio.get_running_loop())
-        with pytest.raises(PartError, match=f"front does not start: {fault}"):
+        site = Application(installation(log, start_front=fault), asyncio.get_running_loop())
+        with pytest.raises(ComponentStartError, match=f"front does not start: {fault}"):
             await site.start()
         assert log == ["start list", "start front", "close extra", "close front", "close list"]
-        with pytest.raises(PartError, match="extra does not start: no disk"):
-            Site(installation(log, build_extra=OSError("no disk")), asyncio.get_running_loop())
+        with pytest.raises(ComponentStartError, match="extra does not start: no disk"):
+            Application(
+                installation(log, build_extra=OSError("no disk")), asyncio.get_running_loop()
+            )
         assert log[-2:] == ["close front", "close list"]
 
     run(test())
@@ -140,7 +144,7 @@
             "drain_extra": RuntimeError("odd"),
             "close_front": RuntimeError("odd"),
         }
-        site = Site(installation(log, **faults), asyncio.get_running_loop())
+        site = Application(installation(log, **faults), asyncio.get_running_loop())
         await site.start()
         async with asyncio.timeout(WAIT):
             await site.drain()
@@ -178,19 +182,19 @@
 def test_a_reload_is_all_or_none_and_names_every_fault() -> None:
     async def test() -> None:
         what = installation([])
-        site = Site(what, asyncio.get_running_loop())
+        site = Application(what, asyncio.get_running_loop())
         await site.start()
         wrong = dict.fromkeys(("front", "extra"), NumberedSettings(number=-1)) | {
             "list": NumberedSettings(number=7)
         }
-        assert site.reload(replace(what, parts=wrong)) == [
+        assert site.reload(replace(what, component_settings=wrong)) == [
             "front: -1 is below 0",
             "extra: -1 is below 0",
         ]
-        assert site.parts["list"].number == 0  # type: ignore[attr-defined]
+        assert site.components["list"].number == 0  # type: ignore[attr-defined]
         good = dict.fromkeys(wrong, NumberedSettings(number=7))
-        assert site.reload(replace(what, parts=good)) == []
-        assert {part.number for part in site.parts.values()} == {7}  # type: ignore[attr-defined]
+        assert site.reload(replace(what, component_settings=good)) == []
+        assert {part.number for part in site.components.values()} == {7}  # type: ignore[attr-defined]
         site.close()
 
     run(test())
@@ -211,5 +215,5 @@
     path.write_text(
         '[list]\n[front]\n[[class]]\nname = "a"\naim_ms = 1\ndeadline_ms = 2\nworth = 1\neffect = "safe"\n'
     )
-    with pytest.raises(FileError, match="front needs extra, which is not switched on"):
-        load(str(path), {}, known)
+    with pytest.raises(SettingsFileError, match="front needs extra, which is not switched on"):
+        load_installation(str(path), {}, known)
--- a/tests/cluster/test_convergence.py
+++ b/tests/cluster/test_convergence.py
@@ -54,7 +54,7 @@
     cluster.run(cluster.now + 30_000)
     assert {cluster.quorum_level(name) for name in names[:4]} == {QuorumLevel.MINORITY}
     assert {cluster.quorum_level(name) for name in names[4:]} == {QuorumLevel.MAJORITY}
-    assert {cluster.protocols[name].standing().may_live for name in names} == {9}
+    assert {cluster.protocols[name].quorum().possibly_alive for name in names} == {9}
     cluster.heal()
     healed = cluster.now
     assert cluster.run(cluster.now + BOUND, cluster.agreed) - healed < 20_000
@@ -110,13 +110,13 @@
     cluster.run(cluster.now + 20_000)
     others = [name for name in cluster.protocols if name != "n1"]
     assert all(cluster.statuses(name)["n1"] is MemberStatus.DEAD for name in others)
-    woken, before = cluster.now, cluster.protocols["n1"].me.incarnation
+    woken, before = cluster.now, cluster.protocols["n1"].local_record.incarnation
     cluster.resume("n1")
     assert (
         cluster.pauses and cluster.quorum_level("n1") is QuorumLevel.ISOLATED
     )  # until somebody has told it what is
     cluster.run(cluster.now + BOUND, cluster.agreed)
-    assert cluster.agreed() and cluster.protocols["n1"].me.incarnation > before
+    assert cluster.agreed() and cluster.protocols["n1"].local_record.incarnation > before
     assert deaths(cluster, woken) <= {"n1"}
     cluster.run(cluster.now + 5_000)
     assert cluster.quorum_level("n1") is QuorumLevel.ALL
@@ -146,26 +146,26 @@
     cluster.run(cluster.now + 20_000)
     assert cluster.agreed() and not cluster.conflicts
     assert {
-        cluster.protocols[name].view.beliefs["n2"].claim.boot for name in cluster.protocols
-    } == {cluster.protocols["n2"].me.boot}
+        cluster.protocols[name].table.members["n2"].record.generation for name in cluster.protocols
+    } == {cluster.protocols["n2"].local_record.generation}
 
 
 def test_two_processes_of_one_name_both_report_it_and_the_older_yields() -> None:
     cluster = joined(5)
     old = cluster.protocols["n1"]
     impostor = cluster.add("n1b", 5)  # on an address of its own
-    impostor.context.local.record = impostor.me.__class__(
-        "n1", 0, MemberStatus.ALIVE, impostor.me.address, impostor.me.boot
+    impostor.context.local.record = impostor.local_record.__class__(
+        "n1", 0, MemberStatus.ALIVE, impostor.local_record.address, impostor.local_record.generation
     )
-    impostor.view.beliefs.pop("n1b")
-    impostor.membership.merge(impostor.me, "n1")
+    impostor.table.members.pop("n1b")
+    impostor.membership.merge(impostor.local_record, "n1")
     cluster.run(cluster.now + 20_000)
     assert {name for name, _ in cluster.conflicts} == {"n1", "n1b"}
     assert old.yields_name and not impostor.yields_name
-    assert old.standing().level is QuorumLevel.ISOLATED
+    assert old.quorum().level is QuorumLevel.ISOLATED
     cluster.kill("n1b")
     cluster.run(cluster.now + BOUND)
-    assert not old.yields_name and old.standing().level is not QuorumLevel.ISOLATED
+    assert not old.yields_name and old.quorum().level is not QuorumLevel.ISOLATED
 
 
 def test_the_cluster_holds_with_a_third_of_datagrams_lost_repeated_or_reordered() -> None:
@@ -190,14 +190,14 @@
     cluster.run(cluster.now + 5000)
     assert (
         cluster.quorum_level("n0") is QuorumLevel.ALL
-        and cluster.protocols["n0"].standing().may_live == 3
+        and cluster.protocols["n0"].quorum().possibly_alive == 3
     )
     for name in ("n3", "n4"):
         cluster.kill(name)
     cluster.run(cluster.now + BOUND)
     assert (
         cluster.quorum_level("n0") is QuorumLevel.ISOLATED
-        and cluster.protocols["n0"].standing().may_live == 3
+        and cluster.protocols["n0"].quorum().possibly_alive == 3
     )
 
 
@@ -229,15 +229,17 @@
 def test_stale_and_repeated_packets_change_nothing() -> None:
     cluster = joined(4)
     protocol, other = cluster.protocols["n0"], cluster.protocols["n1"]
-    source = other.me.address
-    ping, gone = other.sender.packet(Ping(1)), replace(other.me, status=MemberStatus.DEAD)
+    source = other.local_record.address
+    ping, gone = other.sender.packet(Ping(1)), replace(other.local_record, status=MemberStatus.DEAD)
     accusation = other.sender.packet(Gossip(), (gone,))
     assert [effect.packet.body for effect in protocol.receive(cluster.now, ping, source)] == [
         Ack(1)
     ]
     assert protocol.receive(cluster.now, ping, source) == []
-    other.context.local.record = replace(other.me, incarnation=other.me.incarnation + 1)
-    protocol.receive(cluster.now, other.sender.packet(Gossip(), (other.me,)), source)
+    other.context.local.record = replace(
+        other.local_record, incarnation=other.local_record.incarnation + 1
+    )
+    protocol.receive(cluster.now, other.sender.packet(Gossip(), (other.local_record,)), source)
     (answer,) = protocol.receive(cluster.now, accusation, source)  # of the incarnation before
     assert isinstance(answer, SendDatagram) and isinstance(answer.packet.body, StaleSender)
     assert cluster.statuses("n0")["n1"] is MemberStatus.ALIVE
@@ -253,13 +255,17 @@
             ("127.9.9.9", 1),
         )
     for number in range(MAX_RELAYED + 50):
-        asking = other.sender.packet(PingRequest(number, "n1", *other.me.address, 500.0))
-        protocol.receive(cluster.now, asking, other.me.address)
+        asking = other.sender.packet(PingRequest(number, "n1", *other.local_record.address, 500.0))
+        protocol.receive(cluster.now, asking, other.local_record.address)
     for boot in range(1, MAX_RIVALS + 20):
         rival = replace(
-            protocol.me, boot=protocol.me.boot + boot, incarnation=protocol.me.incarnation + 1
+            protocol.local_record,
+            generation=protocol.local_record.generation + boot,
+            incarnation=protocol.local_record.incarnation + 1,
+        )
+        protocol.receive(
+            cluster.now, other.sender.packet(Gossip(), (rival,)), other.local_record.address
         )
-        protocol.receive(cluster.now, other.sender.packet(Gossip(), (rival,)), other.me.address)
     assert (
         len(protocol.receiver.replay_filter) <= MAX_REPLAY_WINDOWS
         and len(protocol.receiver.relay) <= MAX_RELAYED
--- a/tests/cluster/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -15,8 +15,8 @@
 import msgspec
 import pytest
 
-from badgercart.app.file import load
-from badgercart.app.site import Site
+from badgercart.app.file import load_installation
+from badgercart.app.site import Application
 from badgercart.cluster.codec import PacketCodec
 from badgercart.cluster.drain_gossip import DrainGossip
 from badgercart.cluster.effects import Effect, SendDatagram, StartSync
@@ -153,8 +153,8 @@
         random.Random("golden"),
         1_790_000_000_000.0,
     )
-    protocol.board.declare("use")
-    protocol.board.declare("urgent", urgent=True)
+    protocol.registers.declare("use")
+    protocol.registers.declare("urgent", urgent=True)
     sent: list[str] = []
 
     def keep(now: float, effects: list[Effect]) -> None:
@@ -235,14 +235,14 @@
 def test_the_page_of_a_node_that_is_not_started_yet_is_as_before() -> None:
     async def page() -> bytes:
         path = Path(__file__).parent.parent.parent / "deploy" / "peers.toml"
-        site = Site(load(str(path), {}), asyncio.get_running_loop())
-        protocol = site.parts["peers"].machine  # type: ignore[attr-defined]
+        site = Application(load_installation(str(path), {}), asyncio.get_running_loop())
+        protocol = site.components["peers"].protocol  # type: ignore[attr-defined]
         for record in (replace(RECORDS[2], status=MemberStatus.ALIVE, incarnation=8), *RECORDS[:3]):
             protocol.membership.merge(record, "n1")
         protocol.membership.merge(
             MembershipRecord("n1", 4, MemberStatus.LEFT, ("127.0.0.1", 7946), BOOT), "n1"
         )
-        site.parts["peers"].apply(protocol.context.effects.take())  # type: ignore[attr-defined]
+        site.components["peers"].apply(protocol.context.effects.take())  # type: ignore[attr-defined]
         body = site.host.pages[b"/_peers"].body()
         site.close()
         return body
--- a/tests/cluster/test_member.py
+++ b/tests/cluster/test_member.py
@@ -10,7 +10,7 @@
 from badgercart.cluster.drain_gossip import DrainGossip
 from badgercart.cluster.effects import RegisterChanged
 from badgercart.cluster.failure_reports import FailureReports
-from badgercart.cluster.member import Member, cluster_view
+from badgercart.cluster.member import ClusterMember, cluster_view
 from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
 from badgercart.cluster.quorum import QuorumLevel, QuorumState, quorum_level
 from badgercart.cluster.quota_sharing import QuotaSharing, UsageReport
@@ -70,21 +70,23 @@
         Bootstrap(),
         random.Random(1),
     )
-    cluster_member = Member(protocol, [100.0], 500.0, ("shares",))
-    least = cluster_member.every
+    cluster_member = ClusterMember(protocol, [100.0], 500.0, ("shares",))
+    least = cluster_member.report_interval_ms
     for number in range(1, 100):
         protocol.membership.merge(
             MembershipRecord(f"n{number}", 0, MemberStatus.ALIVE, ("127.0.0.1", 80 + number), 1),
             f"n{number}",
         )
     # So many are passed on by each node that a link bears no more than in a group of eight.
-    assert least == 500.0 and cluster_member.every == pytest.approx(500.0 * 100 * 12 / 64)
-    for at in (0.0, cluster_member.every):
+    assert least == 500.0 and cluster_member.report_interval_ms == pytest.approx(
+        500.0 * 100 * 12 / 64
+    )
+    for at in (0.0, cluster_member.report_interval_ms):
         post = RegisterChanged(
             "use", "n1", int(at) + 1, msgspec.msgpack.encode(UsageReport(1, at, [int(at)]))
         )
         cluster_member.receive(at, post)
     usage = cluster_member.quota_sharing.node_usage(
-        "n1", "n0", 2.5 * cluster_member.every, 4 * cluster_member.every
+        "n1", "n0", 2.5 * cluster_member.report_interval_ms, 4 * cluster_member.report_interval_ms
     )
     assert usage.demand(0, 100.0 / 1000 / 100) == pytest.approx(1.2)
--- a/tests/cluster/test_merging.py
+++ b/tests/cluster/test_merging.py
@@ -49,7 +49,7 @@
                 part.merge(record, 0.0, "")
             for record in part.records() * 2:
                 table.merge(record, 0.0, "")
-        return {name: state.claim.precedence for name, state in table.beliefs.items()}
+        return {name: state.record.precedence for name, state in table.members.items()}
 
     shuffled = rng.sample(told, len(told))
     assert (
@@ -82,7 +82,7 @@
         table.merge(MembershipRecord(name, 0, MemberStatus.ALIVE, ("h", 1), 1), 0.0, "")
         registers.merge(RegisterUpdate("x", name, 1, b""))
         queue.enqueue(name, name, 1)
-    assert len(table.beliefs) == len(registers.updates) == len(queue) == 2
+    assert len(table.members) == len(registers.updates) == len(queue) == 2
     assert table.rejected == registers.rejected == 1
     assert not registers.merge(
         RegisterUpdate("x", "a", 2, bytes(MAX_VALUE_BYTES + 1))
--- a/tests/cluster/test_scaling.py
+++ b/tests/cluster/test_scaling.py
@@ -61,8 +61,8 @@
 def test_a_fanout_that_grows_with_the_cluster_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def spread(dissemination: Dissemination) -> None:
         context = dissemination.context
-        for state in context.peers.sample(len(context.table.beliefs) // 4):
-            dissemination.sender.send(state.claim.address, Gossip())
+        for state in context.peers.sample(len(context.table.members) // 4):
+            dissemination.sender.send(state.record.address, Gossip())
 
     monkeypatch.setattr(Dissemination, "spread", spread)
     assert growth("messages", seconds=3.0, settled=1.0)["messages"] > FLAT
@@ -70,7 +70,7 @@
 
 def test_examining_all_members_for_each_packet_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def sample(peers: PeerSampler, count: int, excluding: str = "") -> list[MemberState]:
-        others = [state for state in peers.reachable() if state.claim.name != excluding]
+        others = [state for state in peers.reachable() if state.record.name != excluding]
         return peers.rng.sample(others, min(count, len(others)))
 
     monkeypatch.setattr(PeerSampler, "sample", sample)
@@ -148,15 +148,15 @@
             table.merge(
                 MembershipRecord(name, step // 9, status, ("h", port), rng.randrange(3)), 0.0, ""
             )
-        live = {b.claim.name for b in table.with_status(MemberStatus.ALIVE, MemberStatus.SUSPECT)}
+        live = {b.record.name for b in table.with_status(MemberStatus.ALIVE, MemberStatus.SUSPECT)}
         assert sorted(table.reachable.names) == sorted(live) and all(
             table.reachable.names[at] == n for n, at in table.reachable.positions.items()
         )
         assert set(table.unreachable) == {
-            b.claim.name for b in table.with_status(MemberStatus.DEAD, MemberStatus.LEFT)
+            b.record.name for b in table.with_status(MemberStatus.DEAD, MemberStatus.LEFT)
         }
-        assert set(table.reachable_addresses) == {table.beliefs[n].claim.address for n in live}
-        drawn = [b.claim.name for b in table.sample(3, rng, (name,))]
+        assert set(table.reachable_addresses) == {table.members[n].record.address for n in live}
+        drawn = [b.record.name for b in table.sample(3, rng, (name,))]
         assert len(set(drawn)) == len(drawn) == min(3, len(live - {name})) and set(
             drawn
         ) <= live - {name}
@@ -168,9 +168,9 @@
         table.merge(
             MembershipRecord(f"n{number}", 0, MemberStatus.ALIVE, ("h", number + 1), 1), 0.0, ""
         )
-    counts = dict.fromkeys(table.beliefs, 0)
+    counts = dict.fromkeys(table.members, 0)
     for _ in range(10_000):
         for state in table.sample(3, rng, ("n7",)):
-            counts[state.claim.name] += 1
+            counts[state.record.name] += 1
     assert table.examined == 4 * 10_000 and counts.pop("n7") == 0
     assert min(counts.values()) > 8 and max(counts.values()) < 60  # 30 on average
--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -17,9 +17,9 @@
 import pytest
 
 from badgercart.app.cli import main as command_line
-from badgercart.app.faults import FileError
-from badgercart.app.file import Installation, load
-from badgercart.app.site import Site
+from badgercart.app.faults import SettingsFileError
+from badgercart.app.file import Installation, load_installation
+from badgercart.app.site import Application
 from badgercart.config import Address
 from badgercart.core.clock import now_ms
 from badgercart.discovery.freshness import State
@@ -84,14 +84,16 @@
 class Node:
     """A running site and what it believes."""
 
-    def __init__(self, site: Site) -> None:
-        self.site, self.http = site, site.parts["http"].front  # type: ignore[attr-defined]
-        part = site.parts["distribution"]
+    def __init__(self, site: Application) -> None:
+        self.site, self.http = site, site.components["http"].front  # type: ignore[attr-defined]
+        part = site.components["distribution"]
         assert isinstance(part, DistributedDiscoveryComponent)
         self.part = part
 
     def listed(self) -> dict[str, str]:
-        return {m.name: m.entry.state.name.lower() for m in self.site.roster.listed.values()}
+        return {
+            m.name: m.entry.state.name.lower() for m in self.site.endpoint_table.listed.values()
+        }
 
     async def until(self, condition: Callable[[], Any]) -> None:
         async with asyncio.timeout(WAIT):
@@ -126,7 +128,7 @@
         "http": HttpSettings(listen=("127.0.0.1", 0)),
         "distribution": node_settings(*stores, **changes),
     }
-    site = Site(Installation(config(1), parts), asyncio.get_running_loop())
+    site = Application(Installation(config(1), parts), asyncio.get_running_loop())
     await site.start()
     try:
         yield Node(site)
@@ -217,7 +219,7 @@
             lines.write_text('{"a": null}')
             assert (await command(capsys, "put", path, TOPIC, "--file", str(lines)))[0] == 0
             await n.lists(b="ready")
-            assert n.site.roster.version == 3 and n.part.follower.topics.change_count == 3
+            assert n.site.endpoint_table.version == 3 and n.part.follower.topics.change_count == 3
 
     run(test())
 
@@ -247,7 +249,7 @@
                 "b": "ready",
             }
             assert await n.ask() == (503 if when_stale == "refuse" else 200)
-            assert n.site.roster.suspended is (when_stale == "refuse")
+            assert n.site.endpoint_table.suspended is (when_stale == "refuse")
             s = await started(tmp_path / "s", s.listen[1])
             await put(s, line("b", peer, "leaving"))
             await n.lists(a="ready", b="draining")
@@ -328,7 +330,7 @@
         async with store(tmp_path / "s") as s, node(s.listen) as n:
             await put(s, line("a"))
             await n.lists(a="ready")
-            policy = n.site.join.policy
+            policy = n.site.pipeline.policy
             handle = policy.handle
             broken: list[Any] = []
 
@@ -363,8 +365,10 @@
             fresh = node_settings(
                 moved.listen, when_stale="go-on", service="other", stale_after_ms=700.0, group="g2"
             )
-            known = n.site.what
-            installation = Installation(known.config, known.parts | {"distribution": fresh})
+            known = n.site.installation
+            installation = Installation(
+                known.config, known.component_settings | {"distribution": fresh}
+            )
             assert n.site.reload(installation) == [] and not old.is_open and not old.links
             await put(moved, line("b"))
             await n.lists(a="ready", b="ready")
@@ -372,7 +376,7 @@
             assert n.part.follower.topics.change_count == 2
             moved.close()
             await n.state(State.STALE)
-            assert not n.site.roster.suspended
+            assert not n.site.endpoint_table.suspended
             again = n.part.driver
             assert (
                 n.site.reload(installation) == [] and n.part.driver is again
@@ -393,11 +397,11 @@
             "distribution-store": store_settings(Path("store"), port),
         }
         what = Installation(config(1), parts, folder=str(tmp_path))
-        site = Site(what, asyncio.get_running_loop())
+        site = Application(what, asyncio.get_running_loop())
         await site.start()
         n = Node(site)
         assert (tmp_path / "store" / "snapshot").exists() or any((tmp_path / "store").iterdir())
-        driver = site.parts["distribution-store"].driver  # type: ignore[attr-defined]
+        driver = site.components["distribution-store"].driver  # type: ignore[attr-defined]
         await put(driver, line("a"))
         await n.lists(a="ready")
         await n.state(State.FRESH)
@@ -415,7 +419,7 @@
         assert meters["badgercart_store_leading"].values() == {"": 1.0}
         assert meters["badgercart_store_followers"].values() == {"": 1.0}
         assert 0 <= meters["badgercart_list_age_seconds"].values()[""] < 1
-        second = Site(what, asyncio.get_running_loop())
+        second = Application(what, asyncio.get_running_loop())
         with pytest.raises(
             Exception, match="distribution-store does not start: .*another process has it"
         ):
@@ -601,14 +605,14 @@
     text = STORE_FILE.format(port=7401)
     assert old in text
     path.write_text(text.replace(old, new))
-    with pytest.raises(FileError) as caught:
+    with pytest.raises(SettingsFileError) as caught:
         load_replica_file(str(path))
     assert words in str(caught.value)
     assert command_line(["distribution", "store", str(path)]) == 2
     assert words in capsys.readouterr().err
     path.write_text(NODE_FILE.format(stores='"h:1"') + text.replace(old, new))
-    with pytest.raises(FileError, match=words.rpartition(": ")[2]):
-        load(str(path))  # the same in an installation
+    with pytest.raises(SettingsFileError, match=words.rpartition(": ")[2]):
+        load_installation(str(path))  # the same in an installation
 
 
 @pytest.mark.parametrize(
@@ -638,10 +642,10 @@
 ) -> None:
     path = tmp_path / "node.toml"
     path.write_text(NODE_FILE.format(stores='"h:1"'))
-    load(str(path))
+    load_installation(str(path))
     path.write_text(NODE_FILE.format(stores='"h:1"').replace(old, new))
-    with pytest.raises(FileError, match=words):
-        load(str(path))
+    with pytest.raises(SettingsFileError, match=words):
+        load_installation(str(path))
 
 
 def test_a_file_without_stores_is_no_file_for_the_commands(
@@ -730,6 +734,6 @@
             assert (
                 result["age_ms"] is None and result["store"] is None and result["state"] == "stale"
             )
-            assert n.part.follower.age_ms(now_ms()) == math.inf and n.site.roster.suspended
+            assert n.part.follower.age_ms(now_ms()) == math.inf and n.site.endpoint_table.suspended
 
     run(test())
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -170,7 +170,7 @@
         async with running(
             await Peer().start(), console=("127.0.0.1", 0), folder=tmp_path
         ) as stand:
-            door = stand.node.door
+            door = stand.node.admin_listener
             assert door is not None
             await asyncio.wait_for(stand.agent.calls.get(), WAIT)
             socks = [socket.create_connection(door.address) for _ in range(CALLERS)]
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from badgercart.app.file import Installation
-from badgercart.app.site import Site
+from badgercart.app.site import Application
 from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
 from badgercart.discovery.freshness import State
 from badgercart.policy.events import AttemptResult
@@ -38,8 +38,8 @@
 class Traffic:
     """Requests without end, each answered as soon as it is sent; every send is checked."""
 
-    def __init__(self, site: Site) -> None:
-        self.site, self.join = site, site.join
+    def __init__(self, site: Application) -> None:
+        self.site, self.join = site, site.pipeline
         self.sends = self.refusals = 0
         self.faults: list[str] = []
 
@@ -51,7 +51,11 @@
 
     def send(self, order: AttemptRequest) -> None:
         self.sends += 1
-        roster, source, now = self.site.roster, self.site.parts["etcd"].source, self.join.clock()
+        roster, source, now = (
+            self.site.endpoint_table,
+            self.site.components["etcd"].source,
+            self.join.clock(),
+        )
         if source.state is State.STALE:
             self.faults.append("sent by a stale list")
         # The state is told by a timer; what the ages say at this very moment must agree with it.
@@ -167,7 +171,7 @@
         await etcd.put(PREFIX + name, json.dumps(line))
     chosen = etcd_settings(etcd, guard_share=0.0, stale_after_ms=400.0, page=2)
     what = Installation(config(1), {"etcd": chosen})
-    site = Site(what, asyncio.get_running_loop())
+    site = Application(what, asyncio.get_running_loop())
     await site.start()
     traffic, story = Traffic(site), Story(etcd, seed)
 
@@ -184,8 +188,8 @@
         await story.mend()
         async with asyncio.timeout(WAIT):
             while (
-                site.parts["etcd"].source is None
-                or site.parts["etcd"].source.state is not State.FRESH
+                site.components["etcd"].source is None
+                or site.components["etcd"].source.state is not State.FRESH
                 or listed(site) != held(etcd)
             ):
                 await asyncio.sleep(0.005)
@@ -195,12 +199,12 @@
         asking.cancel()
         site.close()
         await etcd.stop()
-    assert traffic.faults == [] and not site.join.in_flight
+    assert traffic.faults == [] and not site.pipeline.in_flight
 
 
-def listed(site: Site) -> dict[str, str]:
+def listed(site: Application) -> dict[str, str]:
     names = {0: "active", 2: "leaving"}
-    return {m.name: names[int(m.entry.state)] for m in site.roster.listed.values()}
+    return {m.name: names[int(m.entry.state)] for m in site.endpoint_table.listed.values()}
 
 
 def held(etcd: Etcd) -> dict[str, Any]:
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -17,7 +17,7 @@
 
 from badgercart.app.cli import main as command_line
 from badgercart.app.file import Installation
-from badgercart.app.site import Site
+from badgercart.app.site import Application
 from badgercart.core.identifiers import stable_id
 from badgercart.discovery.etcd import client
 from badgercart.discovery.etcd.settings import EtcdSettings, EtcdTls
@@ -45,15 +45,17 @@
 class Following:
     """A running site and what it believes."""
 
-    def __init__(self, site: Site) -> None:
+    def __init__(self, site: Application) -> None:
         self.site, self.source, self.http = (
             site,
-            site.parts["etcd"].source,
-            site.parts["http"].front,
+            site.components["etcd"].source,
+            site.components["http"].front,
         )
 
     def listed(self) -> dict[str, str]:
-        return {m.name: m.entry.state.name.lower() for m in self.site.roster.listed.values()}
+        return {
+            m.name: m.entry.state.name.lower() for m in self.site.endpoint_table.listed.values()
+        }
 
     async def until(self, condition: Any) -> None:
         async with asyncio.timeout(WAIT):
@@ -92,7 +94,7 @@
 async def following(*etcds: Etcd, **changes: Any) -> AsyncIterator[Following]:
     http = HttpSettings(listen=("127.0.0.1", 0))
     what = Installation(config(1), {"http": http, "etcd": settings(*etcds, **changes)})
-    site = Site(what, asyncio.get_running_loop())
+    site = Application(what, asyncio.get_running_loop())
     await site.start()
     try:
         yield Following(site)
@@ -363,7 +365,7 @@
             async with following(etcd) as node:
                 await node.state(State.FRESH)
                 assert await node.ask() == 200
-                known = node.site.join.policy.fleet.endpoints.by_id[stable_id(b"a")]
+                known = node.site.pipeline.policy.fleet.endpoints.by_id[stable_id(b"a")]
                 etcd.frozen = True
                 await node.state(State.STALE)
                 sent = peer.requests.qsize()
@@ -375,7 +377,7 @@
                 await etcd.wake()
                 await node.state(State.FRESH)
                 assert await node.ask() == 200 and await node.health() == 200
-                assert node.site.join.policy.fleet.endpoints.by_id[stable_id(b"a")] is known
+                assert node.site.pipeline.policy.fleet.endpoints.by_id[stable_id(b"a")] is known
 
     run(test())
 
@@ -521,7 +523,7 @@
                 await etcd.put(PREFIX + "z", entry("z"))
                 await node.lists(a="ready", z="ready")
                 assert (
-                    node.site.join.policy.fleet.endpoints.by_id[stable_id(b"a")].endpoint.state
+                    node.site.pipeline.policy.fleet.endpoints.by_id[stable_id(b"a")].endpoint.state
                     is ServerState.READY
                 )
 
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -15,7 +15,7 @@
 import pytest
 
 from badgercart.app.file import Installation
-from badgercart.app.site import Site
+from badgercart.app.site import Application
 from badgercart.frontends.graphql.documents import Cache
 from badgercart.frontends.graphql.settings import GraphqlSettings
 from badgercart.policy.events import AttemptEnded, AttemptResult, Request, RequestCancelled
@@ -82,9 +82,9 @@
 class Desk(Recorder):
     """A running site with a GraphQL front."""
 
-    def __init__(self, site: Site) -> None:
-        super().__init__(site.join)
-        self.site, self.front = site, site.parts["graphql"].front
+    def __init__(self, site: Application) -> None:
+        super().__init__(site.pipeline)
+        self.site, self.front = site, site.components["graphql"].front
 
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection(*self.front.listener.address))
@@ -119,7 +119,7 @@
     names = {b"cab-lookup": 0, b"ride-assign": 1}
     what = Installation(
         config=replace(base, settings=replace(base.settings, classes=CLASSES), classes=names),
-        parts={
+        component_settings={
             "graphql": GraphqlSettings.model_validate(
                 {"listen": "127.0.0.1:0", "schema": str(dispatch.SCHEMA_FILE), "field": FIELDS}
                 | changes
@@ -127,7 +127,7 @@
             "server": tuple(listed(server.entry(f"s-{n}")) for n, server in enumerate(servers, 1)),
         },
     )
-    site = Site(what, asyncio.get_running_loop())
+    site = Application(what, asyncio.get_running_loop())
     await site.start()
     try:
         yield Desk(site)
--- a/tests/graphql/test_mapping.py
+++ b/tests/graphql/test_mapping.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from badgercart.app.file import FileError, load
+from badgercart.app.file import SettingsFileError, load_installation
 from standins.fleet import operators_file
 from standins.graphql import SCHEMA_FILE
 
@@ -18,8 +18,8 @@
 def test_a_good_map_is_taken(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text(text(str(SCHEMA_FILE)))
-    what = load(str(path))
-    assert what.parts["graphql"].by_field["Mutation.rideAssign"].key == "key"
+    what = load_installation(str(path))
+    assert what.component_settings["graphql"].by_field["Mutation.rideAssign"].key == "key"
 
 
 LOOKUP, ASSIGN = '"Query.cabLookup"\nclass = ', '"Mutation.rideAssign"\nclass = '
@@ -44,8 +44,8 @@
     path, good = tmp_path / "site.toml", text(str(SCHEMA_FILE))
     assert old in good
     path.write_text(good.replace(old, new, 1))
-    with pytest.raises(FileError) as caught:
-        load(str(path))
+    with pytest.raises(SettingsFileError) as caught:
+        load_installation(str(path))
     assert any(words in p.words and p.line and p.key.endswith(key) for p in caught.value.problems)
 
 
@@ -68,8 +68,8 @@
     (tmp_path / "s.graphql").write_text(schema)
     path = tmp_path / "site.toml"
     path.write_text(text("s.graphql"))  # beside the file
-    with pytest.raises(FileError, match=words):
-        load(str(path))
+    with pytest.raises(SettingsFileError, match=words):
+        load_installation(str(path))
 
 
 def test_a_schema_or_a_list_that_is_missing_is_told(tmp_path: Path) -> None:
@@ -77,8 +77,8 @@
     path.write_text(
         text("none.graphql").replace("[fronts.graphql]", '[fronts.graphql]\nallow_list = "no.json"')
     )
-    with pytest.raises(FileError) as caught:
-        load(str(path))
+    with pytest.raises(SettingsFileError) as caught:
+        load_installation(str(path))
     assert [p.key for p in caught.value.problems] == [
         "fronts.graphql.allow_list",
         "fronts.graphql.schema",
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.app.faults import FileError
+from badgercart.app.faults import SettingsFileError
 from lab.__main__ import main
 from lab.measure import Measure
 from lab.peers import NAMES, make
@@ -70,7 +70,7 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     path = written(tmp_path, GOOD.replace(*change))
-    with pytest.raises(FileError) as caught:
+    with pytest.raises(SettingsFileError) as caught:
         load(path, NAMES)
     assert words in str(caught.value) and f"line {line}" in str(caught.value), str(caught.value)
     assert main(["sweep", path]) == 2 and words in capsys.readouterr().err
--- a/tests/policy/test_six_rules.py
+++ b/tests/policy/test_six_rules.py
@@ -13,7 +13,7 @@
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import AttemptResult, EndpointUpdate, RequestCancelled, UpdateKind
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass
-from badgercart.reload.numbers import renumbered
+from badgercart.reload.numbers import assign_indexes
 from tests.policy.support import KEYED, SAFE, UNSAFE, Stage, server, settings
 
 ZONED = replace(KEYED, deduplication_scope=DeduplicationScope.ZONE, deduplication_window_ms=300.0)
@@ -36,7 +36,7 @@
     """Other classes, attempts and shares: some classes go, some come, also under an old number."""
     names = {cls: at for at, cls in live.items()}
     wanted = [cls for at, cls in enumerate(CLASSES) if number >> at & 1] or [UNSAFE]
-    numbers, fresh = renumbered([str(c) for c in wanted], {str(c): at for c, at in names.items()},
+    numbers, fresh = assign_indexes([str(c) for c in wanted], {str(c): at for c, at in names.items()},
                                 stage.policy.lifecycle.active_use()[0])  # fmt: skip
     now = {numbers[str(cls)]: cls for cls in wanted}
     terms = [*stage.config.classes, *[UNSAFE] * len(CLASSES)][
--- a/tests/processor/test_failures.py
+++ b/tests/processor/test_failures.py
@@ -373,11 +373,13 @@
             # A new authority on both sides, and half of a file in between.
             key = (tmp_path / "server.key").read_bytes()
             (tmp_path / "server.key").write_bytes(key[:40])
-            assert bench.site.reload(bench.site.what)[0].startswith("processor: the certificate: ")
+            assert bench.site.reload(bench.site.installation)[0].startswith(
+                "processor: the certificate: "
+            )
             assert await asked(bench, pem(ca[1]), north) == SERVERS[0]
             written(tmp_path, "server", other_ca)
             (tmp_path / "ca.pem").write_bytes(pem(other_ca[1]))
-            assert bench.site.reload(bench.site.what) == []
+            assert bench.site.reload(bench.site.installation) == []
             assert await asked(bench, pem(other_ca[1]), stranger) == SERVERS[0]
             assert await asked(bench, pem(other_ca[1]), north) == "UNAVAILABLE"
 
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from badgercart.app.file import Installation
-from badgercart.app.site import Site
+from badgercart.app.site import Application
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.frontends.processor.settings import ProcessorSettings
 from badgercart.policy.events import Event
@@ -84,9 +84,9 @@
 class Bench(Recorder):
     """A running site with a processor."""
 
-    def __init__(self, site: Site) -> None:
-        super().__init__(site.join)
-        self.site, self.processor = site, site.parts["processor"].front
+    def __init__(self, site: Application) -> None:
+        super().__init__(site.pipeline)
+        self.site, self.processor = site, site.components["processor"].front
         self.calls = self.processor.calls
         self.address = "{}:{}".format(*self.processor.address)
 
@@ -107,7 +107,9 @@
         assert all(proxy.unseen == 0 for proxy in self.calls.account.proxies.values())
 
     def lists(self, *entries: dict[str, Any], reset: bool = False) -> None:
-        self.site.roster.accept({"generation": 2, "reset": reset, "instances": list(entries)})
+        self.site.endpoint_table.accept(
+            {"generation": 2, "reset": reset, "instances": list(entries)}
+        )
 
     def proxy(self, name: str = "p-1", **changes: Any) -> ScriptedProxy:
         return ScriptedProxy(self.address, name, **changes)
@@ -128,10 +130,10 @@
         "server": tuple(listed(entry(number)) for number in range(1, servers + 1)),
     }
     what = Installation(replace(base, settings=settings, drain_grace=grace), parts)
-    site = Site(what, asyncio.get_running_loop())
+    site = Application(what, asyncio.get_running_loop())
     await site.start()
     try:
         yield Bench(site)
     finally:
-        await site.parts["processor"].front.server.stop(0)
+        await site.components["processor"].front.server.stop(0)
         site.close()
--- a/tests/reload/test_checks.py
+++ b/tests/reload/test_checks.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from badgercart.reload.checks import MAX_CLASSES, OPTIONAL_KEYS, faults, load
-from badgercart.reload.numbers import renumbered
+from badgercart.reload.numbers import assign_indexes
 from tests.test_process import raw_config
 
 
@@ -108,7 +108,7 @@
 ) -> None:
     numbers: dict[str, int] = {}
     for names, busy in steps:
-        new, fresh = renumbered(sorted(names), numbers, busy)
+        new, fresh = assign_indexes(sorted(names), numbers, busy)
         assert new.keys() == names
         assert len(set(new.values())) == len(new)
         for name, number in new.items():
--- a/tests/trial/test_script.py
+++ b/tests/trial/test_script.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from badgercart.app.faults import FileError
+from badgercart.app.faults import SettingsFileError
 from lab.__main__ import main
 from lab.model import play
 from lab.settings import Cell
@@ -52,7 +52,7 @@
     tmp_path: Path, old: str, new: str, line: int, words: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = written(tmp_path, GOOD.replace(old, new, 1))
-    with pytest.raises(FileError) as caught:
+    with pytest.raises(SettingsFileError) as caught:
         load(path)
     assert words in str(caught.value) and f"line {line}" in str(caught.value), str(caught.value)
     assert main(["trial", path]) == 2 and words in capsys.readouterr().err
--- a/tests/zones/test_failover_controller.py
+++ b/tests/zones/test_failover_controller.py
@@ -151,7 +151,7 @@
     receive(DRAIN, now + 2, now - 1)
     overrides.expire(controller.wall_ms())
     assert overrides.by_zone == {}
-    assert OVERRIDES_TOPIC in controller.member.machine.board.urgent
+    assert OVERRIDES_TOPIC in controller.member.protocol.registers.urgent
 
 
 def test_too_many_plans_keep_the_safer_one() -> None:
--- a/tests/zones/test_golden.py
+++ b/tests/zones/test_golden.py
@@ -201,7 +201,7 @@
 
 
 def test_the_pages_of_a_node_are_as_they_were(controller: FailoverController) -> None:
-    now = controller.member.machine.now
+    now = controller.member.protocol.now_ms
     held_to("page.json", json.dumps(status_page(controller, now), indent=1).encode())
     held_to("if.json", json.dumps(loss_forecast(controller), indent=1).encode())
 
@@ -209,10 +209,12 @@
 def test_what_a_node_reports_of_zones_travels_in_the_same_bytes(
     controller: FailoverController,
 ) -> None:
-    topics = sorted(topic for topic in controller.member.out if topic.startswith("zones."))
+    topics = sorted(topic for topic in controller.member.published if topic.startswith("zones."))
     held_to(
         "posts.txt",
-        "".join(f"{topic} {controller.member.out[topic].hex()}\n" for topic in topics).encode(),
+        "".join(
+            f"{topic} {controller.member.published[topic].hex()}\n" for topic in topics
+        ).encode(),
     )
 
 
@@ -257,7 +259,7 @@
     sent = []
 
     def exchange(site: Any, packet: Any) -> Any:
-        sent.extend(packet.posts)
+        sent.extend(packet.updates)
         return packet
 
     monkeypatch.setattr(commands, "exchange", exchange)
--- a/tests/zones/test_outbox_driver.py
+++ b/tests/zones/test_outbox_driver.py
@@ -13,7 +13,7 @@
 class Speaker:
     """A cluster member whose every message is one effect."""
 
-    def say(self, now: float, topic: str, payload: bytes, recipient: str) -> list[Any]:
+    def send_value(self, now: float, topic: str, payload: bytes, recipient: str) -> list[Any]:
         return [(now, topic, payload, recipient)]
 
 
--- a/tests/zones/test_settings.py
+++ b/tests/zones/test_settings.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from badgercart.app.faults import FileError
-from badgercart.app.file import load
+from badgercart.app.faults import SettingsFileError
+from badgercart.app.file import load_installation
 from badgercart.zones.settings import ZonesSettings
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "zones.toml"
 
 
 def test_the_example_is_a_topology_of_two_regions() -> None:
-    site = load(str(EXAMPLE))
-    settings: ZonesSettings = site.parts["zones"]
+    site = load_installation(str(EXAMPLE))
+    settings: ZonesSettings = site.component_settings["zones"]
     topology = settings.topology(site.config.zones, site.config.classes, site.config.tenants)
     assert topology.zones == ("angyalfold", "kelenfold", "szeged")
     assert topology.regions == (
@@ -56,6 +56,6 @@
     assert old in text
     path = tmp_path / "zones.toml"
     path.write_text(text.replace(old, new, 1))
-    with pytest.raises(FileError) as caught:
-        load(str(path))
+    with pytest.raises(SettingsFileError) as caught:
+        load_installation(str(path))
     assert words in str(caught.value)
