--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -716,8 +716,8 @@
 
 def test_an_installation_without_it_imports_no_library_of_it(tmp_path: Path) -> None:
     code = (
-        "import sys; from badgercart.app.file import load; "
-        f"load({str(ROOT / 'deploy' / 'etcd.toml')!r}); "
+        "import sys; from badgercart.app.file import load_installation; "
+        f"load_installation({str(ROOT / 'deploy' / 'etcd.toml')!r}); "
         "print(sorted(m for m in sys.modules if m.startswith('badgercart.distribution.')))"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
