--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -25,7 +25,7 @@
 from badgercart.distribution.group_client import (
     CONNECTION_ERRORS,
     GroupClient,
-    UnableReplicaError,
+    ReplicaCannotServeError,
     describe_error,
     load_group,
 )
@@ -49,9 +49,9 @@
 from badgercart.distribution.topic import Topic
 
 REQUEST_ID = 1  # there is one request on a connection
-MAYBE_COMMITTED = "it may be in force or not: look with `distribution get`"
-FILE = click.argument("file", metavar="FILE.toml")
-TOPIC = click.argument("topic")
+MAYBE_COMMITTED_HINT = "it may be in force or not: look with `distribution get`"
+FILE_ARGUMENT = click.argument("file", metavar="FILE.toml")
+TOPIC_ARGUMENT = click.argument("topic")
 
 GROUP_HELP = "Changes told by stores; FILE.toml is a node's or a store's."
 PUT_HELP = """Put entries into TOPIC: all of them at once, in force everywhere or nowhere.
@@ -74,8 +74,8 @@
 
 
 @distribution.command(help=PUT_HELP)
-@FILE
-@TOPIC
+@FILE_ARGUMENT
+@TOPIC_ARGUMENT
 @click.option(
     "--file",
     "entries_file",
@@ -93,9 +93,9 @@
     """Propose a change and wait until it is committed or has failed."""
     group = load_group(file)
     proposal = _read_proposal(topic, entries_file, expected)
-    response = group.ask_in_turn(lambda client: _propose(client, proposal))
+    response = group.request_in_turn(lambda client: _propose(client, proposal))
     if response.error:
-        hint = MAYBE_COMMITTED if response.error == "unknown" else "nothing was changed"
+        hint = MAYBE_COMMITTED_HINT if response.error == "unknown" else "nothing was changed"
         detail = f"{topic}: {response.error}: {response.detail}; {hint}"
         raise CommandError(detail)
     click.echo(f"{topic}: in force as number {response.version}")
@@ -119,24 +119,24 @@
             pass
     except (TimeoutError, OSError, asyncio.IncompleteReadError) as error:
         # What was sent may be committed: another replica must not be asked to do it again.
-        detail = f"{describe_error(error)}; {MAYBE_COMMITTED}"
+        detail = f"{describe_error(error)}; {MAYBE_COMMITTED_HINT}"
         raise CommandError(detail) from error
     if response.error == "not-leading":
         detail = f"it does not lead; {response.detail or 'nobody it knows'} does"
-        raise UnableReplicaError(detail)
+        raise ReplicaCannotServeError(detail)
     return response
 
 
 @distribution.command(help=GET_HELP)
-@FILE
-@TOPIC
+@FILE_ARGUMENT
+@TOPIC_ARGUMENT
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def get(file: str, topic: str, as_json: bool) -> None:
     """Show a topic."""
     if not topic or len(topic) > MAX_NAME_LENGTH or not topic.isprintable():
         detail = f"{topic[:40]!r} is no topic"
         raise CommandError(detail, ExitStatus.USAGE)
-    found = load_group(file).ask_in_turn(lambda client: _fetch_topic(client, topic))
+    found = load_group(file).request_in_turn(lambda client: _fetch_topic(client, topic))
     values = {key: _decode_value(value) for key, value in sorted(found.entries.items())}
     if as_json:
         click.echo(json.dumps({"topic": topic, "number": found.version, "entries": values}))
@@ -155,7 +155,7 @@
                 detail = f"{topic}: {message.detail}"
                 raise CommandError(detail)
             detail = f"{message.kind}: {message.detail}"
-            raise UnableReplicaError(detail)
+            raise ReplicaCannotServeError(detail)
         if isinstance(message, Snapshot):
             entries += message.entries
             if message.part == message.parts:
@@ -166,7 +166,7 @@
     topic = Topic(last_part.version, entries)
     if topic.digest != last_part.digest:
         detail = "its digest is wrong"
-        raise UnableReplicaError(detail)
+        raise ReplicaCannotServeError(detail)
     return topic
 
 
@@ -181,13 +181,13 @@
 
 
 @distribution.command(help=STATUS_HELP)
-@FILE
+@FILE_ARGUMENT
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def status(file: str, as_json: bool) -> None:
     """Show the state of each replica."""
     group = load_group(file)
     found = asyncio.run(_fetch_all(group))
-    rows = {name: row(each) for name, each in found.items()}
+    rows = {name: status_columns(each) for name, each in found.items()}
     if as_json:
         click.echo(json.dumps(rows))
     else:
@@ -237,7 +237,7 @@
 )
 
 
-def row(found: Status | str) -> dict[str, Any]:
+def status_columns(found: Status | str) -> dict[str, Any]:
     """Return what is shown of a replica, by column; a text is why there is no status."""
     if isinstance(found, str):
         return {"error": found}
@@ -256,7 +256,7 @@
 
 
 @distribution.command(help=STORE_HELP)
-@FILE
+@FILE_ARGUMENT
 @click.option("--check", "only_check", is_flag=True, help="Say whether the file is good, and end.")
 def store(file: str, only_check: bool) -> None:
     """Run a replica alone."""
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -37,13 +37,13 @@
     from badgercart.distribution.replica_driver import ReplicaDriver
 
 # Servers in a snapshot from which on the collector is kept from looking at all of them again.
-LONG_LIST = 1000
+GC_FREEZE_MIN_SERVERS = 1000
 STATE_EVENTS = {
     State.FRESH: LIST_FRESH,
     State.DOUBTFUL: LIST_DOUBTFUL,
     State.STALE: LIST_STALE,
 }
-RESTART_SETTINGS = ("group", "service")  # which a reload leaves as they are
+RESTART_ONLY_SETTINGS = ("group", "service")  # which a reload leaves as they are
 
 
 class DistributedDiscoveryComponent:
@@ -155,7 +155,7 @@
 
     def prepare(self, settings: FollowerSettings) -> Callable[[], None]:
         """Return what puts new settings in force, but for those that take a restart."""
-        kept = {name: getattr(self.settings, name) for name in RESTART_SETTINGS}
+        kept = {name: getattr(self.settings, name) for name in RESTART_ONLY_SETTINGS}
         return lambda: self.reload(settings.model_copy(update=kept))
 
     def reload(self, settings: FollowerSettings) -> None:
@@ -166,7 +166,7 @@
         old_driver.close()
         self._refused_before += old_driver.refused
         self.settings, self.driver = settings, self._build_driver(settings)
-        self.follower.succeed(old_follower)
+        self.follower.take_over_from(old_follower)
         rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
         self.follower.freshness.rule = rule
         if self._is_started:
@@ -203,7 +203,7 @@
             now_ms = self._host.pipeline.clock()
             self.driver.perform(self.follower.request_resend(now_ms, update.topic))
             return
-        if update.is_snapshot and len(servers) >= LONG_LIST:
+        if update.is_snapshot and len(servers) >= GC_FREEZE_MIN_SERVERS:
             gc.freeze()  # each full collection would stop the loop to look at all of them
 
     def _check_freshness(self) -> None:
--- a/badgercart/distribution/connections.py
+++ b/badgercart/distribution/connections.py
@@ -66,12 +66,12 @@
         return names
 
     @staticmethod
-    def overdue(connection: Connection, now_ms: float, timeout_ms: float) -> str:
+    def timeout_reason(connection: Connection, now_ms: float, timeout_ms: float) -> str:
         """Tell what a connection has failed to say in time; empty: nothing."""
         if not connection.name:
-            late = now_ms - connection.opened_at_ms >= timeout_ms
-            return "it has not said Hello" if late else ""
-        if connection.peer is None or connection.peer.reply_owed_since_ms is None:
+            has_timed_out = now_ms - connection.opened_at_ms >= timeout_ms
+            return "it has not said Hello" if has_timed_out else ""
+        if connection.peer is None or connection.peer.awaiting_reply_since_ms is None:
             return ""
-        late = now_ms - connection.peer.reply_owed_since_ms >= timeout_ms
-        return f"{connection.name!r} has not answered" if late else ""
+        has_timed_out = now_ms - connection.peer.awaiting_reply_since_ms >= timeout_ms
+        return f"{connection.name!r} has not answered" if has_timed_out else ""
--- a/badgercart/distribution/driver.py
+++ b/badgercart/distribution/driver.py
@@ -93,10 +93,10 @@
             self._queue.clear()
         self._cancel_timer()
         if self.is_open:
-            self._performed()
+            self._after_effects()
             self._set_timer()
 
-    def _performed(self) -> None:
+    def _after_effects(self) -> None:
         """Do what follows from the machine's state, once all its effects are carried out."""
 
     def _set_timer(self) -> None:
@@ -183,7 +183,7 @@
         self.perform(self._machine.received(self.clock(), link.number, message))
 
     def link_stalled(self, link: Link) -> None:
-        """Note that more waits to be written to a link than `link.HIGH_WATER_BYTES`."""
+        """Note that more waits to be written to a link than `link.WRITE_HIGH_WATER_BYTES`."""
 
     def link_writable(self, link: Link) -> None:
         """Note that this has been written."""
--- a/badgercart/distribution/entry_file.py
+++ b/badgercart/distribution/entry_file.py
@@ -12,7 +12,7 @@
 from badgercart.distribution.settings import SERVERS_PREFIX
 
 MAX_FILE_BYTES = 64 << 20
-KEY_FIELD = "instanceId"  # of a server in a list
+SERVER_KEY_FIELD = "instanceId"  # of a server in a list
 
 
 class EntryFileError(ValueError):
@@ -44,13 +44,13 @@
 
 def _parse_json(text: bytes) -> Any:
     try:
-        return json.loads(text, parse_constant=_refuse_constant)
+        return json.loads(text, parse_constant=_reject_constant)
     except RecursionError as error:
         detail = "it is nested too deeply"
         raise EntryFileError(detail) from error
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     detail = f"{name} is no number"
     raise EntryFileError(detail)
 
@@ -66,10 +66,10 @@
 def _servers_by_key(servers: list[Any]) -> dict[str, Any]:
     values: dict[str, Any] = {}
     for position, server in enumerate(servers):
-        if not isinstance(server, dict) or not isinstance(server.get(KEY_FIELD), str):
+        if not isinstance(server, dict) or not isinstance(server.get(SERVER_KEY_FIELD), str):
             detail = f"[{position}]: it is no line with an instanceId"
             raise EntryFileError(detail)
-        key = server[KEY_FIELD]
+        key = server[SERVER_KEY_FIELD]
         if key in values:
             detail = f"[{position}]: {key!r} stands there twice"
             raise EntryFileError(detail)
--- a/badgercart/distribution/followed_topics.py
+++ b/badgercart/distribution/followed_topics.py
@@ -6,7 +6,7 @@
 
 from badgercart.distribution.errors import ReplicaAbandonedError
 from badgercart.distribution.messages import (
-    HEAD_BYTES,
+    FRAME_HEADER_BYTES,
     MAX_FRAME_BYTES,
     MAX_TOPICS,
     RESEND,
@@ -84,7 +84,7 @@
             detail = f"with change {delta.version} of {delta.topic}, over {self.max_bytes} bytes"
             raise ReplicaAbandonedError("oversized", detail)
         self.by_name[delta.topic].apply(delta.entries)
-        self._changed(delta.topic, size_bytes)
+        self._record_change(delta.topic, size_bytes)
 
     def replace(self, name: str, topic: Topic, size_bytes: int) -> None:
         """Put a whole topic in force.
@@ -98,12 +98,12 @@
             )
         self.by_name[name] = topic
         self.doubted.discard(name)
-        self._changed(name, size_bytes)
+        self._record_change(name, size_bytes)
 
     def _fits(self, name: str, size_bytes: int) -> bool:
         return self.total_bytes - self._sizes[name] + size_bytes <= self.max_bytes
 
-    def _changed(self, name: str, size_bytes: int) -> None:
+    def _record_change(self, name: str, size_bytes: int) -> None:
         self.total_bytes += size_bytes - self._sizes[name]
         self._sizes[name] = size_bytes
         self.unknown.discard(name)
@@ -120,7 +120,7 @@
                 size_bytes += key_bytes + len(value)
         return size_bytes
 
-    def adopt(self, other: FollowedTopics) -> None:
+    def take_over_from(self, other: FollowedTopics) -> None:
         """Go on from what another had in force; this must not have begun."""
         for name, topic in other.by_name.items():
             if name in self.by_name:
@@ -137,6 +137,6 @@
         detail = f"{len(names)} topics are not 1 to {MAX_TOPICS} different ones"
         raise ValueError(detail)
     names_bytes = sum(len(name.encode()) + 2 * ENTRY_FRAMING_BYTES for name in names)
-    if names_bytes > MAX_FRAME_BYTES - HEAD_BYTES - ENTRY_FRAMING_BYTES:
+    if names_bytes > MAX_FRAME_BYTES - FRAME_HEADER_BYTES - ENTRY_FRAMING_BYTES:
         detail = f"the names of {len(names)} topics are more than one frame holds"
         raise ValueError(detail)
--- a/badgercart/distribution/follower.py
+++ b/badgercart/distribution/follower.py
@@ -27,7 +27,7 @@
 from badgercart.distribution.replica_selector import FollowerTiming, ReplicaSelector
 from badgercart.distribution.topic_sync import TopicSync
 
-MAX_BYTES = 96 << 20  # of keys and values in force, and as many of unfinished snapshots
+MAX_TOPIC_BYTES = 96 << 20  # of keys and values in force, and as many of unfinished snapshots
 
 # Rejections that are counted by their own kind; others are counted as `refused`.
 REJECTION_KINDS = frozenset({"behind", "too-many"})
@@ -41,9 +41,9 @@
     replica: int
     last_received_ms: float  # when the replica was dialled, connected or spoke last
     last_progress_ms: float = 0.0  # when what is awaited came nearer
-    leave_at_ms: float = math.inf  # when a replica that lags is left
+    abandon_at_ms: float = math.inf  # when a replica that lags is left
     sync: TopicSync | None = None  # once it is connected
-    is_greeted: bool = False
+    hello_received: bool = False
 
 
 class Follower:
@@ -91,7 +91,7 @@
             ValueError: the topics are more than one subscription can name.
         """
         self.name = name
-        self.topics = FollowedTopics(topics, MAX_BYTES)
+        self.topics = FollowedTopics(topics, MAX_TOPIC_BYTES)
         self._selector = selector
         self._timing = timing
         self.freshness = Freshness(rule or Rule())
@@ -120,7 +120,7 @@
         if session.sync.awaited:
             answer_due_ms = session.last_progress_ms + timing.answer_timeout_ms
         silence_due_ms = session.last_received_ms + timing.silence_timeout_ms
-        return min(silence_due_ms, answer_due_ms, session.leave_at_ms)
+        return min(silence_due_ms, answer_due_ms, session.abandon_at_ms)
 
     @property
     def is_connected(self) -> bool:
@@ -131,15 +131,15 @@
     def followed_replica(self) -> int | None:
         """The replica that has greeted this follower; None: there is none now."""
         session = self.session
-        return session.replica if session is not None and session.is_greeted else None
+        return session.replica if session is not None and session.hello_received else None
 
     def age_ms(self, now_ms: float) -> float:
         """Return the time since all topics were certainly whole; infinite where they never were."""
         return self.freshness.age(now_ms)
 
-    def succeed(self, predecessor: Follower) -> None:
+    def take_over_from(self, predecessor: Follower) -> None:
         """Go on from what another follower had, which is closed; this one must not have begun."""
-        self.topics.adopt(predecessor.topics)
+        self.topics.take_over_from(predecessor.topics)
         self.freshness = predecessor.freshness
         self.dial_count = predecessor.dial_count
         self.faults = predecessor.faults
@@ -159,17 +159,17 @@
             return self._dial(now_ms)
         if session.sync is None:
             detail = f"no connection after {timing.connect_timeout_ms:.0f} ms"
-            return self._leave(now_ms, session, "hangs", detail)
+            return self._abandon_replica(now_ms, session, "hangs", detail)
         if now_ms >= session.last_received_ms + timing.silence_timeout_ms:
             detail = f"no word for {timing.silence_timeout_ms:.0f} ms"
-            return self._leave(now_ms, session, "silent", detail)
-        if now_ms >= session.leave_at_ms:
+            return self._abandon_replica(now_ms, session, "silent", detail)
+        if now_ms >= session.abandon_at_ms:
             # It was kept until now since it still sends what it hears: the next is dialled at once.
             detail = f"it knew of no leader for over {timing.max_lag_ms:.0f} ms"
-            return [*self._leave(now_ms, session, "lags", detail), *self._dial(now_ms)]
+            return [*self._abandon_replica(now_ms, session, "lags", detail), *self._dial(now_ms)]
         topic = min(session.sync.awaited)
         detail = f"nothing on {topic} for {timing.answer_timeout_ms:.0f} ms"
-        return self._leave(now_ms, session, "no-answer", detail)
+        return self._abandon_replica(now_ms, session, "no-answer", detail)
 
     def connected(self, now_ms: float, connection: int) -> list[Effect]:
         """Greet a replica and subscribe, now that the connection is up."""
@@ -187,7 +187,7 @@
         if session is None:
             return []
         detail = "the connection ended"
-        return self._leave(now_ms, session, "closed", detail, is_open=False)
+        return self._abandon_replica(now_ms, session, "closed", detail, is_open=False)
 
     def received(self, now_ms: float, connection: int, message: Message) -> list[Effect]:
         """Take a message."""
@@ -197,14 +197,16 @@
         silence_ms = now_ms - session.last_received_ms
         if now_ms >= session.last_received_ms + self._timing.silence_timeout_ms:
             # This process or the link stood still: what lay in a buffer would pass for new.
-            return self._leave(now_ms, session, "silent", f"no word for {silence_ms:.0f} ms")
+            return self._abandon_replica(
+                now_ms, session, "silent", f"no word for {silence_ms:.0f} ms"
+            )
         session.last_received_ms = now_ms
         try:
             return self._handle(now_ms, session, session.sync, message)
         except TopicGapError as gap:
             return self._resubscribe(now_ms, session, session.sync, gap)
         except ReplicaAbandonedError as reason:
-            return self._leave(now_ms, session, reason.kind, reason.detail)
+            return self._abandon_replica(now_ms, session, reason.kind, reason.detail)
 
     def request_resend(self, now_ms: float, topic: str) -> list[Effect]:
         """Have a topic sent again whose entries can't be used, once on one connection.
@@ -231,13 +233,13 @@
         self._dial_at_ms = math.inf
         return [Dial(replica, self.dial_count)]
 
-    def _leave(
+    def _abandon_replica(
         self, now_ms: float, session: Session, kind: str, detail: str, is_open: bool = True
     ) -> list[Effect]:
         """Give up a connection and turn to the next replica, at a time drawn from the window."""
         self.session = None
-        self._dial_at_ms = self._selector.draw_time_ms(now_ms)
-        self._selector.fail()
+        self._dial_at_ms = self._selector.draw_reconnect_time_ms(now_ms)
+        self._selector.record_failure()
         self.faults[kind] += 1
         lost = LogEvent("lost", {"store": session.replica, "kind": kind, "error": detail})
         if is_open:
@@ -251,7 +253,7 @@
         try:
             sync.add_gap(gap)
         except ReplicaAbandonedError as reason:
-            return self._leave(now_ms, session, reason.kind, reason.detail)
+            return self._abandon_replica(now_ms, session, reason.kind, reason.detail)
         session.last_progress_ms = now_ms
         fields = {"topic": gap.topic, "kind": gap.kind, "error": gap.detail}
         subscribe = self.topics.subscription()
@@ -262,8 +264,8 @@
     def _handle(
         self, now_ms: float, session: Session, sync: TopicSync, message: Message
     ) -> list[Effect]:
-        if not session.is_greeted:
-            return self._handle_greeting(session, message)
+        if not session.hello_received:
+            return self._handle_hello(session, message)
         handler = self._handlers.get(type(message))
         if handler is None:
             label = MESSAGE_LABELS[type(message)]
@@ -271,13 +273,13 @@
         return handler(now_ms, session, sync, message)
 
     @staticmethod
-    def _handle_greeting(session: Session, message: Message) -> list[Effect]:
+    def _handle_hello(session: Session, message: Message) -> list[Effect]:
         if not isinstance(message, Hello):
             label = MESSAGE_LABELS[type(message)]
             raise ReplicaAbandonedError("unasked", f"a {label} before any greeting")
         if not message.is_replica:
             raise ReplicaAbandonedError("no-store", f"{message.name} is no store")
-        session.is_greeted = True
+        session.hello_received = True
         return [LogEvent("following", {"store": session.replica, "name": message.name})]
 
     @staticmethod
@@ -307,12 +309,12 @@
         if sync.is_complete and math.isfinite(age_ms):
             self.freshness.proof(now_ms - age_ms)
         if age_ms >= self._timing.max_lag_ms and self._selector.has_alternative:
-            leave_at_ms = self._selector.draw_time_ms(now_ms)
-            session.leave_at_ms = min(session.leave_at_ms, leave_at_ms)
+            abandon_at_ms = self._selector.draw_reconnect_time_ms(now_ms)
+            session.abandon_at_ms = min(session.abandon_at_ms, abandon_at_ms)
             return []
-        session.leave_at_ms = math.inf
+        session.abandon_at_ms = math.inf
         if sync.is_complete:
-            self._selector.succeed()
+            self._selector.record_success()
         return []
 
     @staticmethod
@@ -322,6 +324,6 @@
         if rejection.kind != "unknown-topic":
             kind = rejection.kind if rejection.kind in REJECTION_KINDS else "refused"
             raise ReplicaAbandonedError(kind, rejection.detail)
-        is_news = sync.is_newly_unknown(rejection)
+        is_news = sync.mark_unknown(rejection)
         session.last_progress_ms = now_ms
         return [LogEvent("unknown-topic", {"topic": rejection.topic})] if is_news else []
--- a/badgercart/distribution/follower_driver.py
+++ b/badgercart/distribution/follower_driver.py
@@ -74,7 +74,7 @@
             fields["store"] = f"{host}:{port}"
         log_events.log(LogEvent(effect.name, fields))
 
-    def _performed(self) -> None:
+    def _after_effects(self) -> None:
         if self.on_event is not None:
             self.on_event()
 
--- a/badgercart/distribution/group_client.py
+++ b/badgercart/distribution/group_client.py
@@ -23,7 +23,7 @@
 CONNECTION_ERRORS = (OSError, TimeoutError, asyncio.IncompleteReadError, FrameError)
 
 
-class UnableReplicaError(DistributionError):
+class ReplicaCannotServeError(DistributionError):
     """A replica can't do what it was asked for; another one might."""
 
 
@@ -39,24 +39,25 @@
         """Return a connection to a replica, as a context manager."""
         return Client(address, Codec(self.name, self.secret.encode()))
 
-    def ask_in_turn(self, ask: Callable[[Client], Awaitable[T]]) -> T:
+    def request_in_turn(self, send_request: Callable[[Client], Awaitable[T]]) -> T:
         """Return what the first replica answers that is able to.
 
         Args:
-            ask: asks one replica; raises UnableReplicaError where the next is to be asked.
+            send_request: sends the request to one replica; raises ReplicaCannotServeError where the next
+                replica is to be tried.
 
         Raises:
             CommandError: none is able to.
         """
-        return asyncio.run(self._ask_in_turn(ask))
+        return asyncio.run(self._request_in_turn(send_request))
 
-    async def _ask_in_turn(self, ask: Callable[[Client], Awaitable[T]]) -> T:
+    async def _request_in_turn(self, send_request: Callable[[Client], Awaitable[T]]) -> T:
         failures = []
         for name, address in self.addresses.items():
             try:
                 async with asyncio.timeout(PATIENCE), self.connect(address) as client:
-                    return await ask(client)
-            except UnableReplicaError as error:
+                    return await send_request(client)
+            except ReplicaCannotServeError as error:
                 failures.append(f"{name}: {error}")
             except CONNECTION_ERRORS as error:
                 failures.append(f"{name}: {describe_error(error)}")
--- a/badgercart/distribution/journal.py
+++ b/badgercart/distribution/journal.py
@@ -108,7 +108,7 @@
         else:
             self._create_journal()  # the first start, or one that got no further
             recovered = start
-        self._remove_leftovers()
+        self._remove_stale_files()
         return recovered
 
     @property
@@ -139,7 +139,7 @@
             os.fsync(self._journal_fd)
         self.journal_bytes = length_bytes
 
-    def _remove_leftovers(self) -> None:
+    def _remove_stale_files(self) -> None:
         """Remove what a crash left of a compaction."""
         for path in self.folder.iterdir():
             is_old = path.name.startswith(JOURNAL_PREFIX) and path.name != self._journal_name
--- a/badgercart/distribution/journal_format.py
+++ b/badgercart/distribution/journal_format.py
@@ -13,7 +13,7 @@
 from badgercart.distribution.effects import Persist, RecoveredState
 from badgercart.distribution.errors import JournalError
 from badgercart.distribution.messages import Change, Entry
-from badgercart.distribution.record_file import HEAD_BYTES, decode_record
+from badgercart.distribution.record_file import RECORD_HEADER_BYTES, decode_record
 from badgercart.distribution.topic import Topic
 
 FORMAT_VERSION = 1
@@ -122,7 +122,7 @@
         JournalError: the file is spoilt, of another format, or contradicts itself.
     """
     body = decode_record(data)
-    if body is None or HEAD_BYTES + len(body) != len(data):
+    if body is None or RECORD_HEADER_BYTES + len(body) != len(data):
         raise JournalError(name, "it is spoilt")
     try:
         record = _decode_snapshot(body)
--- a/badgercart/distribution/link.py
+++ b/badgercart/distribution/link.py
@@ -11,8 +11,10 @@
 from badgercart.distribution.messages import MAX_FRAME_BYTES, Codec, Message
 
 FRAME_LENGTH = struct.Struct("!I")
-HIGH_WATER_BYTES = 256 << 10  # waiting to be written, above which the machine sends nothing more
-MAX_WAITING_BYTES = 4 << 20  # a connection for which more waits is closed
+WRITE_HIGH_WATER_BYTES = (
+    256 << 10
+)  # waiting to be written, above which the machine sends nothing more
+MAX_WRITE_BUFFER_BYTES = 4 << 20  # a connection for which more waits is closed
 STALL_TIMEOUT_S = 10.0  # in which what waits has to go, and sent bytes to be acknowledged
 FLUSH_TIMEOUT_S = 1.0  # for the last messages to a connection that is closed
 
@@ -67,7 +69,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set bounds and hand the connection over."""
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(HIGH_WATER_BYTES)
+        self.transport.set_write_buffer_limits(WRITE_HIGH_WATER_BYTES)
         address = transport.get_extra_info("peername") or ("?", "?")
         self.remote = f"{address[0]}:{address[1]}"
         sock = transport.get_extra_info("socket")
@@ -109,7 +111,7 @@
 
     def pause_writing(self) -> None:
         """Stop the machine, and set a time for what waits."""
-        detail = f"over {HIGH_WATER_BYTES} bytes are not read in {STALL_TIMEOUT_S:.0f} s"
+        detail = f"over {WRITE_HIGH_WATER_BYTES} bytes are not read in {STALL_TIMEOUT_S:.0f} s"
         self._stall_timer = self._owner.loop.call_later(
             STALL_TIMEOUT_S, self._owner.refuse, self, "slow", detail
         )
@@ -134,8 +136,8 @@
         if self.is_closed or self.transport is None or self.transport.is_closing():
             return
         self.transport.write(FRAME_LENGTH.pack(len(frame)) + frame)
-        if self.transport.get_write_buffer_size() > MAX_WAITING_BYTES:
-            self._owner.refuse(self, "slow", f"over {MAX_WAITING_BYTES} bytes wait to be read")
+        if self.transport.get_write_buffer_size() > MAX_WRITE_BUFFER_BYTES:
+            self._owner.refuse(self, "slow", f"over {MAX_WRITE_BUFFER_BYTES} bytes wait to be read")
 
     def close(self) -> None:
         """Send what waits, for `FLUSH_TIMEOUT_S` at most, and let go."""
--- a/badgercart/distribution/messages.py
+++ b/badgercart/distribution/messages.py
@@ -23,7 +23,7 @@
 PROTOCOL_VERSION = 1
 MAGIC = b"bd"
 HASH_BYTES = 16
-HEAD_BYTES = len(MAGIC) + 1 + HASH_BYTES
+FRAME_HEADER_BYTES = len(MAGIC) + 1 + HASH_BYTES
 MAX_FRAME_BYTES = 1 << 20  # with its head; what is larger comes in parts
 MAX_VALUE_BYTES = 64 << 10
 MAX_ENTRIES = 4096  # of one change, which is committed whole or not at all
@@ -367,31 +367,31 @@
         """Return a frame. Raises FrameError where the other end would refuse it."""
         check_message(message)
         data = _encode(message)
-        if HEAD_BYTES + len(data) > MAX_FRAME_BYTES:
-            detail = f"{HEAD_BYTES + len(data)} bytes are more than {MAX_FRAME_BYTES}"
+        if FRAME_HEADER_BYTES + len(data) > MAX_FRAME_BYTES:
+            detail = f"{FRAME_HEADER_BYTES + len(data)} bytes are more than {MAX_FRAME_BYTES}"
             raise FrameError("oversized", detail)
         return MAGIC + bytes((PROTOCOL_VERSION,)) + self.hash(data) + data
 
     def decode(self, frame: bytes) -> Message:
         """Return the message of a frame. Raises FrameError."""
-        self._check_head(frame)
+        self._check_header(frame)
         try:
-            message = _decode(frame[HEAD_BYTES:])
+            message = _decode(frame[FRAME_HEADER_BYTES:])
         except msgspec.MsgspecError as error:
             raise FrameError("malformed", str(error)) from error
         check_message(message)
         return message
 
-    def _check_head(self, frame: bytes) -> None:
+    def _check_header(self, frame: bytes) -> None:
         if len(frame) > MAX_FRAME_BYTES:
             detail = f"{len(frame)} bytes are more than {MAX_FRAME_BYTES}"
             raise FrameError("oversized", detail)
-        if len(frame) <= HEAD_BYTES or not frame.startswith(MAGIC):
+        if len(frame) <= FRAME_HEADER_BYTES or not frame.startswith(MAGIC):
             raise FrameError("stray", "it is none of this protocol's frames")
         version = frame[len(MAGIC)]
         if version != PROTOCOL_VERSION:
             detail = f"it is of version {version}, this process speaks {PROTOCOL_VERSION}"
             raise FrameError("version", detail)
-        hash_in_frame = frame[len(MAGIC) + 1 : HEAD_BYTES]
-        if not hmac.compare_digest(hash_in_frame, self.hash(frame[HEAD_BYTES:])):
+        hash_in_frame = frame[len(MAGIC) + 1 : FRAME_HEADER_BYTES]
+        if not hmac.compare_digest(hash_in_frame, self.hash(frame[FRAME_HEADER_BYTES:])):
             raise FrameError("forged", "its hash is not this group's")
--- a/badgercart/distribution/proposals.py
+++ b/badgercart/distribution/proposals.py
@@ -84,7 +84,7 @@
         committed = self._topics.by_name.get(topic)
         return None if committed is None else committed.entries.get(key)
 
-    def knows(self, topic: str) -> bool:
+    def has_topic(self, topic: str) -> bool:
         """Tell whether there is, or will be, such a topic."""
         return topic in self._topics.by_name or topic in self.projected
 
@@ -155,7 +155,7 @@
             raise ProposalRejectedError("conflict", detail)
 
     def _check_topic_count(self, proposal: Propose) -> None:
-        if self.uncommitted.knows(proposal.topic):
+        if self.uncommitted.has_topic(proposal.topic):
             return
         count = self.uncommitted.topic_count()
         if count >= self._limits.max_topics:
@@ -163,21 +163,21 @@
 
     def _check_entry_count(self, proposal: Propose) -> None:
         """Check the entries of all topics, with each proposed one counted as if it were new."""
-        most = self._limits.max_entries
+        max_entries = self._limits.max_entries
         count = self._topics.entry_count + self.uncommitted.entry_count + len(proposal.entries)
-        if count > most:
+        if count > max_entries:
             raise ProposalRejectedError(
-                "too-many", f"there would be more than {most} entries in all"
+                "too-many", f"there would be more than {max_entries} entries in all"
             )
 
-    def changes_nothing(self, proposal: Propose) -> bool:
+    def is_no_op(self, proposal: Propose) -> bool:
         """Tell whether all proposed values are there, or will be once the log is committed."""
         proposed = {entry.key: entry.value for entry in proposal.entries}
         return all(
             self.uncommitted.value(proposal.topic, key) == value for key, value in proposed.items()
         )
 
-    def wait(self, log_index: int, proposal: PendingProposal) -> None:
+    def add_pending(self, log_index: int, proposal: PendingProposal) -> None:
         """Have a proposal decided with the change at a log index."""
         self.by_index.setdefault(log_index, []).append(proposal)
         self.count += 1
@@ -214,17 +214,17 @@
         try:
             self._check(proposal)
         except ProposalRejectedError as rejected:
-            self._answer(connection, proposal, rejected.kind, rejected.detail)
+            self._respond(connection, proposal, rejected.kind, rejected.detail)
             return
-        if self._proposals.changes_nothing(proposal):
+        if self._proposals.is_no_op(proposal):
             index = self._index_of_current_value(proposal.topic)
             if index <= self._raft.state.log.commit_index:
-                self._answer(connection, proposal, "", "")
+                self._respond(connection, proposal, "", "")
                 return
         else:
             index = self._raft.append(proposal.topic, proposal.entries)
         pending = PendingProposal(connection, proposal.request_id, proposal.topic)
-        self._proposals.wait(index, pending)
+        self._proposals.add_pending(index, pending)
         self._raft.replicate()
 
     def _check(self, proposal: Propose) -> None:
@@ -243,7 +243,7 @@
             return self._raft.state.term_start_index
         return projected.log_index
 
-    def _answer(self, connection: int, proposal: Propose, error: str, detail: str) -> None:
+    def _respond(self, connection: int, proposal: Propose, error: str, detail: str) -> None:
         version = self._topics.version(proposal.topic)
         response = ProposeResponse(proposal.request_id, version, error, detail)
         self._effects.send(connection, response)
--- a/badgercart/distribution/publisher.py
+++ b/badgercart/distribution/publisher.py
@@ -1,7 +1,7 @@
 """Publishes committed changes of topics to those who have subscribed to them. No I/O.
 
 A subscriber that is a little behind gets the deltas it lacks, from a bounded history; otherwise a
-snapshot of the topic. No more than `BURST_BYTES` are built for a connection in one event: the rest
+snapshot of the topic. No more than `MAX_BURST_BYTES` are built for a connection in one event: the rest
 follows with later events, each from what the subscriber was sent last.
 """
 
@@ -23,7 +23,7 @@
 from badgercart.distribution.subscriptions import Subscriber, Subscriptions
 from badgercart.distribution.topic import ENTRY_FRAMING_BYTES, Topic, TopicTable, framed_size
 
-BURST_BYTES = 256 << 10  # for one connection and event; the message that passes it is the last
+MAX_BURST_BYTES = 256 << 10  # for one connection and event; the message that passes it is the last
 
 
 class Publisher:
@@ -34,17 +34,17 @@
         subscriptions: who has subscribed to what.
         history: the last deltas.
         ready: connections that have something to be sent and room for it.
-        visited: subscribers that were looked at for changes, since the start.
+        visited_count: subscribers that were looked at for changes, since the start.
     """
 
-    __slots__ = ("_sent_bytes", "history", "ready", "subscriptions", "topics", "visited")
+    __slots__ = ("_sent_bytes", "history", "ready", "subscriptions", "topics", "visited_count")
 
     def __init__(self, topics: TopicTable, limits: ReplicaLimits) -> None:
         self.topics = topics
         self.subscriptions = Subscriptions(limits)
         self.history = DeltaHistory(limits)
         self.ready: dict[int, None] = {}
-        self.visited = 0
+        self.visited_count = 0
         self._sent_bytes: dict[int, int] = {}  # in the current event, by connection
 
     def end_event(self) -> None:
@@ -63,15 +63,15 @@
         subscribers = self.subscriptions.subscribers
         for connection in self.subscriptions.by_topic.get(change.topic, ()):
             subscriber = subscribers[connection]
-            self.visited += 1
+            self.visited_count += 1
             sent_version = subscriber.sent_versions[change.topic]
             lacks_nothing_else = sent_version == topic.version - 1 and not subscriber.pending
             if topic.version <= sent_version:
-                self._caught_up(subscriber, change.topic, topic)
+                self._check_caught_up(subscriber, change.topic, topic)
             elif (
                 lacks_nothing_else
                 and not subscriber.stalled
-                and self._take_burst(connection, size_bytes)
+                and self._reserve_burst(connection, size_bytes)
             ):
                 subscriber.sent_versions[change.topic] = topic.version
                 effects.append(Send(connection, delta))
@@ -79,7 +79,7 @@
                 self._enqueue(subscriber, change.topic)
         return effects
 
-    def _caught_up(self, subscriber: Subscriber, name: str, topic: Topic) -> None:
+    def _check_caught_up(self, subscriber: Subscriber, name: str, topic: Topic) -> None:
         """Compare a topic with that of a subscriber that was ahead of this replica.
 
         Where the same version has another digest, the subscriber's is not the group's.
@@ -102,7 +102,7 @@
                 if topic.version > sent_version:
                     self._enqueue(subscriber, name)
                 else:
-                    self._caught_up(subscriber, name, topic)
+                    self._check_caught_up(subscriber, name, topic)
 
     # Subscribers.
 
@@ -171,12 +171,12 @@
             effects += self._send_pending(now_ms, self.subscriptions.subscribers[connection])
         return effects
 
-    def heartbeats(self, now_ms: float, known_ms: float) -> list[Effect]:
+    def heartbeats(self, now_ms: float, complete_at_ms: float) -> list[Effect]:
         """Tell each subscriber how old what it was sent is.
 
         Args:
             now_ms: the time of this event.
-            known_ms: when this replica last knew that it had everything.
+            complete_at_ms: when this replica last knew that it had everything.
         """
         effects: list[Effect] = []
         for subscriber in self.subscriptions.subscribers.values():
@@ -185,16 +185,16 @@
             if not subscriber.pending:
                 subscriber.complete_at_ms = now_ms
             if subscriber.complete_at_ms > float("-inf"):
-                age_ms = max(0.0, now_ms - min(known_ms, subscriber.complete_at_ms))
+                age_ms = max(0.0, now_ms - min(complete_at_ms, subscriber.complete_at_ms))
                 effects.append(Send(subscriber.connection, Heartbeat(age_ms)))
         return effects
 
     # Bursts.
 
-    def _take_burst(self, connection: int, size_bytes: int) -> bool:
+    def _reserve_burst(self, connection: int, size_bytes: int) -> bool:
         """Count a message into the burst of a connection, unless that is over."""
         sent_bytes = self._sent_bytes.get(connection, 0)
-        if sent_bytes >= BURST_BYTES:
+        if sent_bytes >= MAX_BURST_BYTES:
             return False
         self._sent_bytes[connection] = sent_bytes + size_bytes + ENTRY_FRAMING_BYTES
         return True
@@ -203,10 +203,10 @@
         """Send a subscriber one burst of what it lacks."""
         connection = subscriber.connection
         effects: list[Effect] = []
-        while subscriber.pending and self._sent_bytes.get(connection, 0) < BURST_BYTES:
+        while subscriber.pending and self._sent_bytes.get(connection, 0) < MAX_BURST_BYTES:
             message = self._next_message(subscriber)
             effects.append(Send(connection, message))
-            self._take_burst(connection, framed_size(message.entries))
+            self._reserve_burst(connection, framed_size(message.entries))
         if subscriber.pending and not subscriber.stalled:
             self.ready[connection] = None
         else:
--- a/badgercart/distribution/raft/elections.py
+++ b/badgercart/distribution/raft/elections.py
@@ -36,7 +36,7 @@
         "_timeout_ms",
         "_transitions",
         "deadline_ms",
-        "leader_heard_at_ms",
+        "leader_contact_at_ms",
         "votes",
     )
 
@@ -52,7 +52,7 @@
         self._random = rng
         self._transitions = transitions
         self.deadline_ms = math.inf  # when this replica asks for votes unless it hears a leader
-        self.leader_heard_at_ms = -math.inf
+        self.leader_contact_at_ms = -math.inf
         self.votes: set[str] = set()  # of those who would have, or have, this replica as leader
 
     def start(self) -> None:
@@ -62,7 +62,7 @@
         that long.
         """
         state = self._state
-        self.leader_heard_at_ms = state.now_ms
+        self.leader_contact_at_ms = state.now_ms
         if state.group.voters == (state.group.local,):
             self.campaign()
         else:
@@ -77,9 +77,9 @@
         """Set no deadline, as the leader."""
         self.deadline_ms = math.inf
 
-    def heard_leader(self) -> None:
+    def record_leader_contact(self) -> None:
         """Note a message of this term's leader."""
-        self.leader_heard_at_ms = self._state.now_ms
+        self.leader_contact_at_ms = self._state.now_ms
         self.reset_deadline()
 
     def pre_campaign(self) -> None:
@@ -128,16 +128,16 @@
             self._answer_vote(peer, request)
 
     def _has_leader(self) -> bool:
-        silence_ms = self._state.now_ms - self.leader_heard_at_ms
+        silence_ms = self._state.now_ms - self.leader_contact_at_ms
         return self._state.is_leader or silence_ms < self._timeout_ms
 
-    def _holds_our_log(self, request: VoteRequest) -> bool:
+    def _is_up_to_date(self, request: VoteRequest) -> bool:
         log = self._state.log
         return (request.last_term, request.last_index) >= (log.last_term, log.last_index)
 
     def _answer_pre_vote(self, peer: Peer, request: VoteRequest) -> None:
         state = self._state
-        granted = self._holds_our_log(request) and request.term > state.term
+        granted = self._is_up_to_date(request) and request.term > state.term
         term = request.term if granted else state.term
         state.send(peer, VoteResponse(term, granted, True))
 
@@ -147,7 +147,7 @@
         if request.term > state.term:
             self._transitions.become_follower(request.term, "")
         granted = (
-            self._holds_our_log(request)
+            self._is_up_to_date(request)
             and request.term == state.term
             and state.voted_for in ("", peer.name)
         )
--- a/badgercart/distribution/raft/lease.py
+++ b/badgercart/distribution/raft/lease.py
@@ -64,8 +64,8 @@
     def _last_complete_ms(self) -> float:
         state = self._state
         # Until a change of its own term is committed, a leader doesn't know what was.
-        knows = state.is_leader and state.log.commit_index >= state.term_start_index
-        if not knows:
+        knows_committed = state.is_leader and state.log.commit_index >= state.term_start_index
+        if not knows_committed:
             return self.complete_at_ms
         return max(self.complete_at_ms, self._lease.quorum_contact_ms())
 
--- a/badgercart/distribution/raft/log.py
+++ b/badgercart/distribution/raft/log.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from badgercart.distribution.messages import MAX_ENTRIES, Change
-from badgercart.distribution.topic import PART_BYTES, framed_size
+from badgercart.distribution.topic import MAX_PART_BYTES, framed_size
 
 CHANGE_FRAMING_BYTES = 64  # of one change or topic beside its name and entries, at most
 
@@ -77,7 +77,7 @@
         """Return the changes behind an index, as many as fit one frame; at least one."""
         start = index - self.compacted_index
         batch: list[Change] = []
-        bytes_left = PART_BYTES
+        bytes_left = MAX_PART_BYTES
         for change in self.changes[start : start + MAX_ENTRIES]:
             bytes_left -= framed_size(change.entries)
             bytes_left -= len(change.topic.encode()) + CHANGE_FRAMING_BYTES
@@ -98,16 +98,19 @@
 
         Waiting for twice as many keeps the cost of moving the list away from each commit.
         """
-        held = self.commit_index - self.compacted_index
-        if held <= 2 * self.max_changes and self.committed_bytes <= 2 * self.max_bytes:
+        committed_count = self.commit_index - self.compacted_index
+        if committed_count <= 2 * self.max_changes and self.committed_bytes <= 2 * self.max_bytes:
             return
-        dropped = 0
-        while held - dropped > self.max_changes or self.committed_bytes > self.max_bytes:
-            self.committed_bytes -= framed_size(self.changes[dropped].entries)
-            dropped += 1
-        self.compacted_term = self.changes[dropped - 1].term
-        self.compacted_index += dropped
-        del self.changes[:dropped]
+        dropped_count = 0
+        while (
+            committed_count - dropped_count > self.max_changes
+            or self.committed_bytes > self.max_bytes
+        ):
+            self.committed_bytes -= framed_size(self.changes[dropped_count].entries)
+            dropped_count += 1
+        self.compacted_term = self.changes[dropped_count - 1].term
+        self.compacted_index += dropped_count
+        del self.changes[:dropped_count]
 
     def install_snapshot(self, index: int, term: int) -> None:
         """Begin behind a snapshot, and keep the changes behind it if the log agrees with it."""
--- a/badgercart/distribution/raft/log_receiver.py
+++ b/badgercart/distribution/raft/log_receiver.py
@@ -69,7 +69,7 @@
             self._transitions.become_follower(term, peer.name)
         if is_later:
             state.persist_term()
-        self._elections.heard_leader()
+        self._elections.record_leader_contact()
         return True
 
     def _commit(self, leader_commit_index: int) -> None:
@@ -99,7 +99,7 @@
         if message.after_index > log.commit_index:
             self._respond(peer, rejected=True)
             return
-        self._store(peer, message.changes)
+        self._append_new_changes(peer, message.changes)
         end_index = message.after_index + len(message.changes)
         self.verified_index = max(self.verified_index, end_index)
         self._commit(message.commit_index)
@@ -108,7 +108,7 @@
             self._age.observe(peer.leader_acked_at_ms - message.age_ms)
         self._respond(peer, rejected=False)
 
-    def _store(self, peer: Peer, changes: tuple[Change, ...]) -> None:
+    def _append_new_changes(self, peer: Peer, changes: tuple[Change, ...]) -> None:
         """Replace the log from the first change on that it doesn't hold.
 
         What follows changes that it does hold stays: it may have come in a later message, and be
--- a/badgercart/distribution/raft/replication.py
+++ b/badgercart/distribution/raft/replication.py
@@ -18,7 +18,7 @@
     One message at a time waits for a peer's response: the next one rests on what that says.
     """
 
-    __slots__ = ("_age", "_interval_ms", "_lease", "_state", "heartbeat_due_ms")
+    __slots__ = ("_age", "_heartbeat_interval_ms", "_lease", "_state", "heartbeat_due_ms")
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._state = state
         self._lease = lease
         self._age = age
-        self._interval_ms = heartbeat_interval_ms
+        self._heartbeat_interval_ms = heartbeat_interval_ms
         self.heartbeat_due_ms = math.inf
 
     def begin(self) -> None:
@@ -50,7 +50,7 @@
 
     def schedule_heartbeat(self) -> None:
         """Have the next heartbeat sent an interval from now."""
-        self.heartbeat_due_ms = self._state.now_ms + self._interval_ms
+        self.heartbeat_due_ms = self._state.now_ms + self._heartbeat_interval_ms
 
     def broadcast(self, heartbeat: bool = False) -> None:
         """Send each peer what it lacks, or else a heartbeat if one is wanted."""
@@ -113,7 +113,7 @@
 
     def handle_append_response(self, peer: Peer, response: AppendResponse) -> None:
         """Note what a peer has and go on from there. Raises ConnectionRejectedError."""
-        self._check(peer, response)
+        self._check_response(peer, response)
         progress = peer.progress
         progress.in_flight = False
         self._lease.acknowledge(peer.name, progress.sent_at_ms)
@@ -132,7 +132,7 @@
             progress.snapshot_parts = None
             self.send_to(peer)
 
-    def _check(self, peer: Peer, response: AppendResponse) -> None:
+    def _check_response(self, peer: Peer, response: AppendResponse) -> None:
         indices = response.match_index, response.commit_index
         possible = min(indices) >= 0 and max(indices) <= self._state.log.last_index
         if not peer.progress.in_flight or not possible:
--- a/badgercart/distribution/raft/snapshot.py
+++ b/badgercart/distribution/raft/snapshot.py
@@ -8,7 +8,7 @@
 from badgercart.distribution.messages import InstallSnapshot, TopicPart
 from badgercart.distribution.raft.log import CHANGE_FRAMING_BYTES
 from badgercart.distribution.replica_config import ReplicaLimits
-from badgercart.distribution.topic import PART_BYTES, Topic, framed_size
+from badgercart.distribution.topic import MAX_PART_BYTES, Topic, framed_size
 
 
 def snapshot_parts(
@@ -23,14 +23,14 @@
         last_term: the term of the change at that index.
     """
     groups: list[list[TopicPart]] = [[]]
-    bytes_left = PART_BYTES
+    bytes_left = MAX_PART_BYTES
     for name, topic in topics.items():
         for entries in topic.parts():
-            takes = framed_size(entries) + len(name.encode()) + CHANGE_FRAMING_BYTES
-            if takes > bytes_left and groups[-1]:
+            size_bytes = framed_size(entries) + len(name.encode()) + CHANGE_FRAMING_BYTES
+            if size_bytes > bytes_left and groups[-1]:
                 groups.append([])
-                bytes_left = PART_BYTES
-            bytes_left -= takes
+                bytes_left = MAX_PART_BYTES
+            bytes_left -= size_bytes
             groups[-1].append(TopicPart(name, topic.version, topic.digest, entries))
     return iter(
         [
@@ -63,14 +63,16 @@
     def add(self, part: InstallSnapshot, limits: ReplicaLimits) -> None:
         """Add a part. Raises SnapshotError."""
         self._last_part = part
-        for each in part.topics:
-            declared = self._declared.setdefault(each.topic, (each.version, each.digest))
-            if declared != (each.version, each.digest):
-                detail = f"{each.topic!r} has two numbers or digests"
+        for topic_part in part.topics:
+            declared = self._declared.setdefault(
+                topic_part.topic, (topic_part.version, topic_part.digest)
+            )
+            if declared != (topic_part.version, topic_part.digest):
+                detail = f"{topic_part.topic!r} has two numbers or digests"
                 raise SnapshotError(detail)
-            topic = self.topics.setdefault(each.topic, Topic(each.version))
-            topic.put(each.entries)
-            self._entry_count += len(each.entries)
+            topic = self.topics.setdefault(topic_part.topic, Topic(topic_part.version))
+            topic.put(topic_part.entries)
+            self._entry_count += len(topic_part.entries)
         if len(self.topics) > limits.max_topics or self._entry_count > limits.max_entries:
             detail = f"more than {limits.max_topics} topics or {limits.max_entries} entries"
             raise SnapshotError(detail)
--- a/badgercart/distribution/raft/state.py
+++ b/badgercart/distribution/raft/state.py
@@ -80,7 +80,7 @@
     name: str
     connection: int
     stalled: bool = False  # more waits to be written to it than the driver holds
-    reply_owed_since_ms: float | None = None
+    awaiting_reply_since_ms: float | None = None
     leader_acked_at_ms: float | None = None  # when it was last answered as this term's leader
     progress: Progress = field(default_factory=Progress)
 
@@ -174,11 +174,11 @@
 
     def request(self, peer: Peer, message: Message) -> None:
         """Send a message that has to be answered."""
-        if peer.reply_owed_since_ms is None:
-            peer.reply_owed_since_ms = self.now_ms
+        if peer.awaiting_reply_since_ms is None:
+            peer.awaiting_reply_since_ms = self.now_ms
         self.send(peer, message)
 
-    def recoverable(self, topics: dict[str, Topic]) -> RecoveredState:
+    def recoverable_state(self, topics: dict[str, Topic]) -> RecoveredState:
         """Return what a restart has to find, given the topics as of the commit index."""
         log = self.log
         return RecoveredState(
@@ -193,4 +193,4 @@
 
     def persist_snapshot(self, topics: dict[str, Topic]) -> None:
         """Have topics and log on disk in place of all that was kept before."""
-        self.effects.add(PersistSnapshot(self.recoverable(topics)))
+        self.effects.add(PersistSnapshot(self.recoverable_state(topics)))
--- a/badgercart/distribution/record_file.py
+++ b/badgercart/distribution/record_file.py
@@ -12,7 +12,7 @@
 
 from badgercart.distribution.errors import JournalError
 
-HEAD_BYTES = 12  # before a record's body
+RECORD_HEADER_BYTES = 12  # before a record's body
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,19 +32,19 @@
 def decode_record(data: bytes, position: int = 0) -> bytes | None:
     """Return the body of the whole record that begins at a position; None where there is none."""
     length = _body_length(data, position)
-    if length is None or position + HEAD_BYTES + length > len(data):
+    if length is None or position + RECORD_HEADER_BYTES + length > len(data):
         return None
-    body = data[position + HEAD_BYTES : position + HEAD_BYTES + length]
+    body = data[position + RECORD_HEADER_BYTES : position + RECORD_HEADER_BYTES + length]
     body_crc = int.from_bytes(data[position + 4 : position + 8])
     return body if zlib.crc32(body) == body_crc else None
 
 
 def _body_length(data: bytes, position: int) -> int | None:
     """Return the length in the head at a position; None where there is no whole head."""
-    if len(data) - position < HEAD_BYTES:
+    if len(data) - position < RECORD_HEADER_BYTES:
         return None
     head = data[position : position + 8]
-    head_crc = int.from_bytes(data[position + 8 : position + HEAD_BYTES])
+    head_crc = int.from_bytes(data[position + 8 : position + RECORD_HEADER_BYTES])
     return int.from_bytes(head[:4]) if zlib.crc32(head) == head_crc else None
 
 
@@ -62,7 +62,7 @@
             _check_nothing_follows(data, position, name)
             break
         bodies.append(body)
-        position += HEAD_BYTES + len(body)
+        position += RECORD_HEADER_BYTES + len(body)
     return Records(bodies, position)
 
 
@@ -70,7 +70,7 @@
     """Raise JournalError where a whole record stands behind the spoilt one at a position."""
     length = _body_length(data, position)
     # A whole head says where the next record begins; else it may begin anywhere.
-    first = position + 1 if length is None else position + HEAD_BYTES + length
+    first = position + 1 if length is None else position + RECORD_HEADER_BYTES + length
     for candidate in range(first, len(data)):
         if decode_record(data, candidate) is not None:
             detail = (
--- a/badgercart/distribution/replica.py
+++ b/badgercart/distribution/replica.py
@@ -100,7 +100,7 @@
 
         The topics are the replica's own: they have to be written before its next event.
         """
-        return self.raft.state.recoverable(self.topics)
+        return self.raft.state.recoverable_state(self.topics)
 
     # Events.
 
@@ -118,9 +118,9 @@
         now_ms = self.raft.state.now_ms
         if now_ms >= self._heartbeat_due_ms:
             self._heartbeat_due_ms = now_ms + self._timing.subscriber_heartbeat_interval_ms
-            known_ms = now_ms - self.age_ms(now_ms)
-            self._effects.extend(self.publisher.heartbeats(now_ms, known_ms))
-            self._close_overdue()
+            complete_at_ms = now_ms - self.age_ms(now_ms)
+            self._effects.extend(self.publisher.heartbeats(now_ms, complete_at_ms))
+            self._close_timed_out()
         self._effects.extend(self.publisher.send_ready(now_ms))
         return self._end_event()
 
@@ -187,8 +187,8 @@
         self.connections.by_number[connection.number] = connection
         identified = len(self.raft.state.peers) + len(self.publisher.subscriptions.subscribers)
         unidentified = len(self.connections.by_number) - identified
-        most = self._limits.max_unidentified_connections + len(self.group.members)
-        if unidentified > most:
+        max_unidentified = self._limits.max_unidentified_connections + len(self.group.members)
+        if unidentified > max_unidentified:
             detail = f"{unidentified} connections have not said what they are for"
             self._close(connection.number, ConnectionRejectedError("too-many", detail))
         else:
@@ -209,10 +209,10 @@
         if connection.peer is not None:
             self.raft.peer_disconnected(connection.peer)
 
-    def _close_overdue(self) -> None:
+    def _close_timed_out(self) -> None:
         now_ms, timeout_ms = self.raft.state.now_ms, self._timing.reply_timeout_ms
         for connection in list(self.connections.by_number.values()):
-            detail = self.connections.overdue(connection, now_ms, timeout_ms)
+            detail = self.connections.timeout_reason(connection, now_ms, timeout_ms)
             if detail:
                 self._close(connection.number, ConnectionRejectedError("silent", detail))
 
@@ -225,7 +225,7 @@
             detail = f"{MESSAGE_LABELS[type(message)]} came before Hello"
             raise ConnectionRejectedError("stray", detail)
         elif source.peer is not None:
-            source.peer.reply_owed_since_ms = None
+            source.peer.awaiting_reply_since_ms = None
             self.raft.receive(source.peer, message)
         else:
             self._handle_request(source, message)
--- a/badgercart/distribution/replica_driver.py
+++ b/badgercart/distribution/replica_driver.py
@@ -20,7 +20,9 @@
 from badgercart.distribution.replica import Replica
 
 DIAL_TIMEOUT_S = 1.0
-DIAL_RETRY_S = (0.2, 1.0)  # before another replica is dialled again, drawn from between these
+# The pause before another replica is dialled again is drawn from between these.
+MIN_DIAL_RETRY_S = 0.2
+MAX_DIAL_RETRY_S = 1.0
 
 # Roles as operators know them, on the wire and in metrics.
 ROLE_LABELS = {
@@ -119,7 +121,7 @@
             self._count_refused(link, effect.kind, effect.detail)
         super()._handle_close(effect)
 
-    def _performed(self) -> None:
+    def _after_effects(self) -> None:
         if self.disk.needs_compaction:
             try:
                 self.disk.compact(self.replica.recoverable_state())
@@ -152,7 +154,7 @@
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(DIAL_TIMEOUT_S):
                 await self.loop.create_connection(lambda: link, *self._addresses[name])
-        await asyncio.sleep(self._random.uniform(*DIAL_RETRY_S))
+        await asyncio.sleep(self._random.uniform(MIN_DIAL_RETRY_S, MAX_DIAL_RETRY_S))
         del self._dials[name]
         if self.is_open:
             self.perform([])
--- a/badgercart/distribution/replica_selector.py
+++ b/badgercart/distribution/replica_selector.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-MAX_DOUBLINGS = 32  # of the window; more would be past any bound
+MAX_WINDOW_DOUBLINGS = 32  # of the window; more would be past any bound
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,17 +52,17 @@
         """Whether there is another replica."""
         return len(self.order) > 1
 
-    def draw_time_ms(self, now_ms: float) -> float:
+    def draw_reconnect_time_ms(self, now_ms: float) -> float:
         """Return a time drawn from the window that begins now."""
         timing = self._timing
-        window_ms = timing.reconnect_window_ms * 2.0 ** min(self.failures, MAX_DOUBLINGS)
+        window_ms = timing.reconnect_window_ms * 2.0 ** min(self.failures, MAX_WINDOW_DOUBLINGS)
         return now_ms + self._random.uniform(0.0, min(window_ms, timing.max_reconnect_window_ms))
 
-    def fail(self) -> None:
+    def record_failure(self) -> None:
         """Turn to the next replica, after this one was lost or left."""
         self.failures += 1
         self._position = (self._position + 1) % len(self.order)
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Begin anew with the shortest window."""
         self.failures = 0
--- a/badgercart/distribution/state_machine.py
+++ b/badgercart/distribution/state_machine.py
@@ -41,9 +41,9 @@
         self._proposals.uncommitted.remove(change)
         for proposal in self._proposals.take_decided(change.index):
             version = self._publisher.topics.version(proposal.topic)
-            self._answer(proposal, version, "", "")
+            self._respond(proposal, version, "", "")
 
-    def _answer(self, proposal: PendingProposal, version: int, error: str, detail: str) -> None:
+    def _respond(self, proposal: PendingProposal, version: int, error: str, detail: str) -> None:
         if self._connections.is_open(proposal.connection):
             response = ProposeResponse(proposal.request_id, version, error, detail)
             self._effects.send(proposal.connection, response)
@@ -65,5 +65,5 @@
     def leadership_lost(self) -> None:
         """Answer all pending proposals with `unknown`: each may yet be committed or not."""
         for proposal in self._proposals.take_all():
-            self._answer(proposal, 0, "unknown", "the term ended before it was decided")
+            self._respond(proposal, 0, "unknown", "the term ended before it was decided")
         self._proposals.uncommitted.clear()
--- a/badgercart/distribution/topic.py
+++ b/badgercart/distribution/topic.py
@@ -14,7 +14,7 @@
 
 DIGEST_MASK = (1 << 64) - 1
 # Keys and values in one part of a snapshot, which leaves room for its framing.
-PART_BYTES = MAX_FRAME_BYTES // 2
+MAX_PART_BYTES = MAX_FRAME_BYTES // 2
 ENTRY_FRAMING_BYTES = 16  # of one entry, its lengths included, at most
 
 
@@ -74,7 +74,7 @@
         part_bytes = 0
         for key, value in self.entries.items():
             entry_bytes = len(key.encode()) + len(value) + ENTRY_FRAMING_BYTES
-            is_full = part_bytes + entry_bytes > PART_BYTES or len(part) >= MAX_ENTRIES
+            is_full = part_bytes + entry_bytes > MAX_PART_BYTES or len(part) >= MAX_ENTRIES
             if part and is_full:
                 yield tuple(part)
                 part, part_bytes = [], 0
--- a/badgercart/distribution/topic_sync.py
+++ b/badgercart/distribution/topic_sync.py
@@ -51,7 +51,7 @@
         "_assemblies",
         "_faults",
         "_gap_count",
-        "_resent",
+        "_resent_topics",
         "_topics",
         "assembled_bytes",
         "awaited",
@@ -62,7 +62,9 @@
         self._faults = faults
         self._assemblies: dict[str, _SnapshotAssembly] = {}
         self._gap_count = 0
-        self._resent: set[str] = set()  # topics sent again because their entries were unusable
+        self._resent_topics: set[str] = (
+            set()
+        )  # topics sent again because their entries were unusable
         self.assembled_bytes = 0
         empty = {name for name, topic in topics.by_name.items() if not topic.version}
         self.awaited = empty | topics.doubted
@@ -88,9 +90,9 @@
 
     def may_resend(self, name: str) -> bool:
         """Tell, once for each topic, whether it may be asked for again for unusable entries."""
-        if name in self._resent:
+        if name in self._resent_topics:
             return False
-        self._resent.add(name)
+        self._resent_topics.add(name)
         return True
 
     # Deltas.
@@ -197,7 +199,7 @@
 
     # Rejections.
 
-    def is_newly_unknown(self, rejection: Rejection) -> bool:
+    def mark_unknown(self, rejection: Rejection) -> bool:
         """Take that the replica has no such topic, and tell whether that is news.
 
         Raises:
--- a/tests/distribution/mutants.py
+++ b/tests/distribution/mutants.py
@@ -117,8 +117,8 @@
     ),
     "a new leader knows no age before its first change is committed": Mutation(
         "raft.lease",
-        "knows = state.is_leader and state.log.commit_index >= state.term_start_index",
-        "knows = state.is_leader",
+        "knows_committed = state.is_leader and state.log.commit_index >= state.term_start_index",
+        "knows_committed = state.is_leader",
     ),
 }
 
--- a/tests/distribution/test_driver.py
+++ b/tests/distribution/test_driver.py
@@ -23,8 +23,8 @@
 from badgercart.distribution.journal import Journal
 from badgercart.distribution.link import (
     FRAME_LENGTH,
-    HIGH_WATER_BYTES,
-    MAX_WAITING_BYTES,
+    MAX_WRITE_BUFFER_BYTES,
+    WRITE_HIGH_WATER_BYTES,
     Link,
 )
 from badgercart.distribution.messages import (
@@ -422,7 +422,7 @@
                 await put(store, topics[-1], k0=str(number))
                 assert link.transport is not None
                 peak = max(peak, link.transport.get_write_buffer_size())
-            assert HIGH_WATER_BYTES < peak < MAX_WAITING_BYTES / 2
+            assert WRITE_HIGH_WATER_BYTES < peak < MAX_WRITE_BUFFER_BYTES / 2
             had: dict[str, Topic] = {}
             client = Client(store.listen, CODEC)
             client.reader = reader
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -706,7 +706,7 @@
         Entry(k, v) for k, v in state.entries.items()
     )
     fresh = follower_of("n", (A, B), 1, TIMING, random.Random(1))
-    fresh.succeed(rig.follower)
+    fresh.take_over_from(rig.follower)
     assert (
         fresh.topics.total_bytes == rig.follower.topics.total_bytes
         and fresh.topics.by_name[A] is rig.follower.topics.by_name[A]
--- a/tests/distribution/test_golden.py
+++ b/tests/distribution/test_golden.py
@@ -279,16 +279,16 @@
 
 def test_a_stores_row_is_as_ever() -> None:
     told = Status("store-1", "leading", "store-1", 3, 9, 10, 215, 2, 40, 1.54)
-    assert json.dumps(commands.row(told)) == (
+    assert json.dumps(commands.status_columns(told)) == (
         '{"name": "store-1", "role": "leading", "leader": "store-1", "term": 3, "committed": 9, '
         '"last": 10, "followers": 215, "topics": 2, "entries": 40, "age_ms": 1.5}'
     )
     never = Status("store-2", "following", "", 3, 9, 10, 0, 2, 40, math.inf)
-    assert json.dumps(commands.row(never)) == (
+    assert json.dumps(commands.status_columns(never)) == (
         '{"name": "store-2", "role": "following", "leader": "", "term": 3, "committed": 9, '
         '"last": 10, "followers": 0, "topics": 2, "entries": 40, "age_ms": null}'
     )
-    assert commands.row("no answer in 5 s") == {"error": "no answer in 5 s"}
+    assert commands.status_columns("no answer in 5 s") == {"error": "no answer in 5 s"}
 
 
 def test_roles_are_told_as_ever(tmp_path: Path) -> None:
--- a/tests/distribution/test_messages.py
+++ b/tests/distribution/test_messages.py
@@ -11,7 +11,7 @@
 
 from badgercart.distribution.errors import FrameError
 from badgercart.distribution.messages import (
-    HEAD_BYTES,
+    FRAME_HEADER_BYTES,
     MAGIC,
     MAX_ENTRIES,
     MAX_FRAME_BYTES,
@@ -88,7 +88,7 @@
     assert refusal(good, Codec("budapest", b"another sixteen bytes")) == "forged"
     assert refusal(good[:2] + bytes((PROTOCOL_VERSION + 1,)) + good[3:]) == "version"
     assert refusal(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n") == "stray"
-    assert refusal(b"") == "stray" and refusal(good[:HEAD_BYTES]) == "stray"
+    assert refusal(b"") == "stray" and refusal(good[:FRAME_HEADER_BYTES]) == "stray"
     assert refusal(good + bytes(MAX_FRAME_BYTES)) == "oversized"
     for at in range(3, len(good)):  # any bit of the hash or of what it is of
         assert refusal(good[:at] + bytes((good[at] ^ 1,)) + good[at + 1 :]) == "forged"
--- a/tests/distribution/test_proposals.py
+++ b/tests/distribution/test_proposals.py
@@ -32,12 +32,12 @@
 
 def test_values_that_are_there_or_will_be_change_nothing() -> None:
     made = proposals()
-    assert made.changes_nothing(propose("t", "k", b"1"))
+    assert made.is_no_op(propose("t", "k", b"1"))
     change = Change(1, 10, "t", (Entry("k", None), Entry("l", b"2")))
     made.uncommitted.add(change)
-    assert made.changes_nothing(propose("t", "k", None))
-    assert made.changes_nothing(propose("t", "l", b"2"))
-    assert not made.changes_nothing(propose("t", "k", b"1"))
+    assert made.is_no_op(propose("t", "k", None))
+    assert made.is_no_op(propose("t", "l", b"2"))
+    assert not made.is_no_op(propose("t", "k", b"1"))
     made.uncommitted.remove(change)
     assert made.uncommitted.projected == {} and made.uncommitted.byte_count == 0
 
@@ -54,9 +54,9 @@
 def test_pending_proposals_are_taken_by_index_or_all_at_once() -> None:
     made = proposals()
     first, second, third = (PendingProposal(1, number, "t") for number in (1, 2, 3))
-    made.wait(10, first)
-    made.wait(10, second)
-    made.wait(11, third)
+    made.add_pending(10, first)
+    made.add_pending(10, second)
+    made.add_pending(11, third)
     assert made.take_decided(10) == [first, second] and made.count == 1
     assert made.take_decided(10) == []
     assert made.take_all() == [third] and made.count == 0 and not made.by_index
--- a/tests/distribution/test_replica_publishing.py
+++ b/tests/distribution/test_replica_publishing.py
@@ -184,9 +184,9 @@
             subscribe_on(replica, connection, (f"t{connection}", 0, 0))
         for connection in range(2000, 2005):
             subscribe_on(replica, connection, ("t0", 0, 0))
-        before = replica.publisher.visited
+        before = replica.publisher.visited_count
         effects = propose(replica, "t0", ("k", b"new"))
-        costs[others] = replica.publisher.visited - before, len(effects)
+        costs[others] = replica.publisher.visited_count - before, len(effects)
         assert not replica.publisher.ready
     assert costs[10] == costs[1000] == (5, 7)  # five deltas, one Persist, one response
 
@@ -229,7 +229,7 @@
 def test_a_heartbeat_between_two_bursts_dates_from_when_all_was_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(publisher, "BURST_BYTES", 1)
+    monkeypatch.setattr(publisher, "MAX_BURST_BYTES", 1)
     replica = single_replica(topics="tu")
     subscribe_on(replica, 1, ("t", 0, 0), ("u", 0, 0))
     messages_to(replica.tick(2.0), 1)
@@ -275,7 +275,7 @@
 def test_one_event_builds_at_most_one_burst_for_a_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(publisher, "BURST_BYTES", 1000)
+    monkeypatch.setattr(publisher, "MAX_BURST_BYTES", 1000)
     names = [f"t{n}" for n in range(50)]
     replica = single_replica()
     for name in names:
@@ -304,7 +304,7 @@
 def test_many_changes_committed_at_once_are_sent_in_bursts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(publisher, "BURST_BYTES", 1000)
+    monkeypatch.setattr(publisher, "MAX_BURST_BYTES", 1000)
     replica = led_replica(RecoveredState(), Replica)
     say_hello(replica, 5)
     replica.received(0.0, 5, subscribe(("t", 0, 0)))
@@ -325,7 +325,7 @@
 def test_a_long_snapshot_is_completed_despite_changes_and_stalls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(publisher, "BURST_BYTES", 1)
+    monkeypatch.setattr(publisher, "MAX_BURST_BYTES", 1)
     replica = single_replica()
     for number in range(20):
         propose(replica, "t", *((f"{number} {n}", bytes(60_000)) for n in range(4)))
--- a/tests/distribution/test_replica_selector.py
+++ b/tests/distribution/test_replica_selector.py
@@ -14,7 +14,7 @@
     tried = []
     for _ in range(8):
         tried.append(selector.current)
-        selector.fail()
+        selector.record_failure()
     assert sorted(tried[:4]) == [0, 1, 2, 3] and tried[:4] == tried[4:] == selector.order
 
 
@@ -22,13 +22,13 @@
     selector = ReplicaSelector(2, TIMING, random.Random(1))
 
     def longest_wait_ms() -> float:
-        return max(selector.draw_time_ms(5000.0) - 5000.0 for _ in range(2000))
+        return max(selector.draw_reconnect_time_ms(5000.0) - 5000.0 for _ in range(2000))
 
     for bound_ms in (100.0, 200.0, 400.0, 800.0, 1000.0, 1000.0):
         assert 0.95 * bound_ms < longest_wait_ms() <= bound_ms
-        selector.fail()
+        selector.record_failure()
     for _ in range(100):
-        selector.fail()
+        selector.record_failure()
     assert longest_wait_ms() <= 1000.0
-    selector.succeed()
+    selector.record_success()
     assert longest_wait_ms() <= 100.0
