--- a/badgercart/distribution/raft/elections.py
+++ b/badgercart/distribution/raft/elections.py
@@ -11,23 +11,29 @@
 
 
 class RoleTransitions(Protocol):
-    """Changes of term and role, which concern all parts of a node."""
+    """Changes of term and role, which affect all parts of a Raft node."""
 
     def begin_term(self, term: int, voted_for: str) -> None:
-        """Enter a later term; the caller has to persist it."""
+        """Enter a later term. The caller must persist it."""
 
     def become_follower(self, term: int, leader: str) -> None:
-        """Follow in this term or a later one; the caller has to persist a later one."""
+        """Follow in this term or a later one. The caller must persist a later term."""
 
     def become_leader(self) -> None:
-        """Lead the current term."""
+        """Become the leader of the current term."""
 
 
 class Elections:
-    """Decides when this replica stands for leader, and for whom it votes.
+    """Decides when this replica becomes a candidate, and for which candidate it votes.
 
-    At most one vote is given a term, only for a log that holds at least all of this one's, and none
-    while a leader was heard within the election timeout.
+    A replica grants at most one vote per term, and only to a candidate whose log is at least as up
+    to date as its own. It grants no vote within the election timeout after its last contact with a
+    leader.
+
+    Attributes:
+        deadline_ms: when this replica starts a pre-vote unless a leader contacts it before.
+        leader_contact_at_ms: when a message of the current term's leader came last.
+        votes: the replicas that granted their vote or pre-vote in the current election.
     """
 
     __slots__ = (
@@ -51,15 +57,15 @@
         self._timeout_ms = timeout_ms
         self._random = rng
         self._transitions = transitions
-        self.deadline_ms = math.inf  # when this replica asks for votes unless it hears a leader
+        self.deadline_ms = math.inf
         self.leader_contact_at_ms = -math.inf
-        self.votes: set[str] = set()  # of those who would have, or have, this replica as leader
+        self.votes: set[str] = set()
 
     def start(self) -> None:
-        """Begin after a start.
+        """Begin after the process has started.
 
-        A vote that was given before may be of use to a leader whose lease runs: none is given for
-        that long.
+        A vote granted before the restart may support a leader whose lease still runs, so the start
+        counts as contact with a leader: no vote is granted for one election timeout.
         """
         state = self._state
         self.leader_contact_at_ms = state.now_ms
@@ -69,26 +75,26 @@
             self.reset_deadline()
 
     def reset_deadline(self) -> None:
-        """Wait for a leader, for a random time; a learner waits for ever."""
+        """Draw a new election timeout. A learner has none: it never becomes a candidate."""
         timeout_ms = self._timeout_ms * (1 + self._random.random())
         self.deadline_ms = self._state.now_ms + timeout_ms if self._state.is_voter else math.inf
 
     def stop_waiting(self) -> None:
-        """Set no deadline, as the leader."""
+        """Clear the election deadline, since this replica leads."""
         self.deadline_ms = math.inf
 
     def record_leader_contact(self) -> None:
-        """Note a message of this term's leader."""
+        """Record a message from the leader of the current term."""
         self.leader_contact_at_ms = self._state.now_ms
         self.reset_deadline()
 
     def pre_campaign(self) -> None:
-        """Ask whether a majority would vote for this replica, which changes no term."""
+        """Start a pre-vote: ask whether a majority would vote for this replica, in the same term."""
         self._state.role, self._state.leader = Role.PRE_CANDIDATE, ""
         self._request_votes()
 
     def campaign(self) -> None:
-        """Stand for leader in a new term, with the own vote on disk before another is asked for."""
+        """Start an election in a new term. The own vote is persisted before requests are sent."""
         state = self._state
         state.role, state.leader = Role.CANDIDATE, ""
         self._transitions.begin_term(state.term + 1, state.group.local)
@@ -108,7 +114,7 @@
                 self.request_vote(peer)
 
     def request_vote(self, peer: Peer) -> None:
-        """Ask a peer for its vote or pre-vote, if it has one."""
+        """Request the vote or pre-vote of a peer. Learners are skipped."""
         state = self._state
         if not state.group.is_voter(peer.name):
             return
@@ -118,7 +124,7 @@
         state.request(peer, VoteRequest(term, log.last_term, log.last_index, pre_vote))
 
     def handle_vote_request(self, peer: Peer, request: VoteRequest) -> None:
-        """Answer a peer that asks for a vote or a pre-vote."""
+        """Respond to a request for a vote or a pre-vote."""
         state = self._state
         if self._has_leader() or not state.is_voter or not state.group.is_voter(peer.name):
             state.send(peer, VoteResponse(state.term, False, request.pre_vote))
@@ -159,11 +165,11 @@
         state.send(peer, VoteResponse(state.term, granted, False))
 
     def handle_vote_response(self, peer: Peer, response: VoteResponse) -> None:
-        """Count a vote or pre-vote for this replica."""
+        """Count a granted vote or pre-vote, or step down if the response has a later term."""
         state = self._state
-        # A granted pre-vote names the term that was asked for, which nobody has begun.
-        begun = not (response.pre_vote and response.granted)
-        if response.term > state.term and begun:
+        # A granted pre-vote carries the requested term, which no replica has entered yet.
+        is_entered_term = not (response.pre_vote and response.granted)
+        if response.term > state.term and is_entered_term:
             self._transitions.become_follower(response.term, "")
             state.persist_term()
             return
--- a/badgercart/distribution/raft/lease.py
+++ b/badgercart/distribution/raft/lease.py
@@ -1,4 +1,4 @@
-"""The leader's lease: its contact with a majority of the voters; and the age of what a node has."""
+"""The leader's lease, and the age of a replica's data."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class LeaderLease:
-    """Knows when a majority of the voters last took this replica for the leader of its term.
+    """Tracks when a majority of the voters last acknowledged this replica as leader of its term.
 
-    A leader whose lease has expired steps down: others may have elected another by then.
+    A leader whose lease has expired steps down, because the other voters may have elected another
+    leader by then.
     """
 
     __slots__ = ("_acknowledged_ms", "_duration_ms", "_elected_at_ms", "_state")
@@ -22,16 +23,16 @@
         self._acknowledged_ms: dict[str, float] = {}
 
     def begin(self) -> None:
-        """Start over with an election that was just won."""
+        """Start a new lease after an election that was just won."""
         self._elected_at_ms = self._state.now_ms
         self._acknowledged_ms.clear()
 
     def acknowledge(self, peer: str, sent_at_ms: float) -> None:
-        """Note that a peer has answered what was sent to it at that time."""
+        """Record that a peer has acknowledged the message sent to it at that time."""
         self._acknowledged_ms[peer] = sent_at_ms
 
     def quorum_contact_ms(self) -> float:
-        """Return the time at which a majority of the voters certainly had this leader."""
+        """Return the latest time at which a majority of the voters certainly followed this leader."""
         group = self._state.group
         contacts = [
             self._state.now_ms
@@ -42,13 +43,13 @@
         return sorted(contacts, reverse=True)[len(group.voters) // 2]
 
     def expired(self) -> bool:
-        """Tell whether this replica leads without a majority having answered for a lease."""
+        """Return whether this replica leads but no majority answered within the lease duration."""
         state = self._state
         return state.is_leader and state.now_ms - self.quorum_contact_ms() >= self._duration_ms
 
 
 class DataAge:
-    """Knows when this replica last had every change that was committed anywhere."""
+    """Tracks when this replica last had every change that was committed anywhere in the group."""
 
     __slots__ = ("_lease", "_state", "complete_at_ms")
 
@@ -58,22 +59,22 @@
         self.complete_at_ms = -math.inf
 
     def age_ms(self, now_ms: float) -> float:
-        """Return the time since then; infinite where it was never known."""
+        """Return the time since the data was last known to be complete; infinite if it never was."""
         return max(0.0, now_ms - self._last_complete_ms())
 
     def _last_complete_ms(self) -> float:
         state = self._state
-        # Until a change of its own term is committed, a leader doesn't know what was.
+        # A leader knows the commit index only once a change of its own term is committed.
         knows_committed = state.is_leader and state.log.commit_index >= state.term_start_index
         if not knows_committed:
             return self.complete_at_ms
         return max(self.complete_at_ms, self._lease.quorum_contact_ms())
 
     def observe(self, complete_at_ms: float) -> None:
-        """Note a time at which this replica had everything."""
+        """Record a time at which this replica had every committed change."""
         self.complete_at_ms = max(self.complete_at_ms, complete_at_ms)
 
     def leadership_lost(self) -> None:
-        """Keep what the lease proves, which is gone with the leader's role."""
+        """Store the time that the lease proves, before the lease ends with the leader role."""
         now_ms = self._state.now_ms
         self.complete_at_ms = now_ms - self.age_ms(now_ms)
--- a/badgercart/distribution/raft/log.py
+++ b/badgercart/distribution/raft/log.py
@@ -1,18 +1,28 @@
-"""The replicated log in memory: changes behind a compacted prefix, and the commit index."""
+"""The replicated log in memory: the changes after a compacted prefix, and the commit index."""
 
 from __future__ import annotations
 
 from badgercart.distribution.messages import MAX_ENTRIES, Change
 from badgercart.distribution.topic import MAX_PART_BYTES, framed_size
 
-CHANGE_FRAMING_BYTES = 64  # of one change or topic beside its name and entries, at most
+# Upper bound for the encoding of one change or topic, without its name and entries.
+CHANGE_FRAMING_BYTES = 64
 
 
 class RaftLog:
     """Changes in the order of their log indices, which start at 1.
 
-    Changes up to `compacted_index` are no longer held. Those up to `commit_index` are committed and
-    never change.
+    Changes up to `compacted_index` are no longer stored. Changes up to `commit_index` are committed
+    and are never replaced.
+
+    Attributes:
+        changes: the stored changes, from `compacted_index` + 1 on.
+        commit_index: the log index of the newest committed change.
+        committed_bytes: the size of the committed changes that are still stored.
+        compacted_index: the log index of the newest change that is no longer stored.
+        compacted_term: the term of the change at `compacted_index`.
+        max_bytes: the size of the committed changes that a compaction keeps.
+        max_changes: the number of committed changes that a compaction keeps.
     """
 
     __slots__ = (
@@ -28,19 +38,19 @@
     def __init__(
         self, compacted_index: int, compacted_term: int, max_changes: int, max_bytes: int
     ) -> None:
-        """Make an empty log.
+        """Create an empty log.
 
         Args:
-            compacted_index: the log index behind which it begins.
+            compacted_index: the log index after which the log begins.
             compacted_term: the term of the change at that index.
-            max_changes: committed changes that are kept for other replicas.
-            max_bytes: the same, in bytes of their entries.
+            max_changes: how many committed changes are kept for replicas that lag behind.
+            max_bytes: the same limit in bytes of entries.
         """
         self.compacted_index = compacted_index
         self.compacted_term = compacted_term
         self.changes: list[Change] = []
         self.commit_index = compacted_index
-        self.committed_bytes = 0  # of the committed changes that are still held
+        self.committed_bytes = 0
         self.max_changes = max_changes
         self.max_bytes = max_bytes
 
@@ -55,26 +65,26 @@
         return self.term_at(self.last_index)
 
     def term_at(self, index: int) -> int:
-        """Return the term of a change that is held, or of the last one that was compacted."""
+        """Return the term of a stored change, or of the last one that was compacted."""
         if index == self.compacted_index:
             return self.compacted_term
         return self.changes[index - self.compacted_index - 1].term
 
     def matches(self, index: int, term: int) -> bool:
-        """Tell whether the log has a change of that term at that index."""
+        """Return whether the log has a change of that term at that index."""
         return index <= self.last_index and self.term_at(index) == term
 
     def replace_tail(self, after_index: int, changes: tuple[Change, ...]) -> None:
-        """Drop all changes behind an index and put these in their place."""
+        """Replace all changes after an index with these."""
         del self.changes[after_index - self.compacted_index :]
         self.changes += changes
 
     def uncommitted(self) -> list[Change]:
-        """Return the changes that may still be replaced."""
+        """Return the changes that are not committed and may still be replaced."""
         return self.changes[self.commit_index - self.compacted_index :]
 
     def batch_after(self, index: int) -> tuple[Change, ...]:
-        """Return the changes behind an index, as many as fit one frame; at least one."""
+        """Return the changes after an index: as many as fit one frame, but at least one."""
         start = index - self.compacted_index
         batch: list[Change] = []
         bytes_left = MAX_PART_BYTES
@@ -87,16 +97,16 @@
         return tuple(batch)
 
     def commit_next(self) -> Change:
-        """Commit one more change and return it."""
+        """Commit the next change and return it."""
         change = self.changes[self.commit_index - self.compacted_index]
         self.commit_index += 1
         self.committed_bytes += framed_size(change.entries)
         return change
 
     def compact(self) -> None:
-        """Drop old committed changes where twice as many are held as are to be kept.
+        """Drop old committed changes once twice as many are stored as should be kept.
 
-        Waiting for twice as many keeps the cost of moving the list away from each commit.
+        Dropping them in bulk spreads the cost of moving the list over many commits.
         """
         committed_count = self.commit_index - self.compacted_index
         if committed_count <= 2 * self.max_changes and self.committed_bytes <= 2 * self.max_bytes:
@@ -113,7 +123,7 @@
         del self.changes[:dropped_count]
 
     def install_snapshot(self, index: int, term: int) -> None:
-        """Begin behind a snapshot, and keep the changes behind it if the log agrees with it."""
+        """Start the log after a snapshot, and keep the changes after it if the log matches it."""
         tail: list[Change] = []
         if self.matches(index, term):
             tail = self.changes[index - self.compacted_index :]
--- a/badgercart/distribution/raft/log_receiver.py
+++ b/badgercart/distribution/raft/log_receiver.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication: what is taken from a leader."""
+"""The follower's side of log replication."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class LogReceiver:
-    """Takes changes and snapshots from the leader of the current term.
+    """Receives changes and snapshots from the leader of the current term.
 
     Attributes:
-        assembler: an unfinished snapshot.
-        verified_index: up to which this log is known to be the leader's.
+        assembler: the parts received of an unfinished snapshot; None without one.
+        verified_index: the log index up to which this log is known to match the leader's.
     """
 
     __slots__ = (
@@ -42,20 +42,23 @@
         self.verified_index = state.log.commit_index
 
     def begin_term(self) -> None:
-        """Forget what an earlier leader had sent; only what is committed is any leader's."""
+        """Discard state of the earlier leader: only committed changes are in every leader's log."""
         self.verified_index = self._state.log.commit_index
         self.assembler = None
         for peer in self._state.peers.values():
             peer.leader_acked_at_ms = None
 
     def drop_snapshot(self) -> None:
-        """Forget the parts of an unfinished snapshot."""
+        """Discard the parts of an unfinished snapshot."""
         self.assembler = None
 
     def _accept_leader(self, peer: Peer, term: int) -> bool:
-        """Follow who leads this term or a later one; who leads an earlier one is told the term.
+        """Follow a leader of this term or a later one, and reject a leader of an earlier one.
 
-        Raises ConnectionRejectedError where a peer claims a term that this replica leads.
+        The rejection carries the current term.
+
+        Raises:
+            ConnectionRejectedError: the peer claims to lead a term that this replica leads.
         """
         state = self._state
         if term < state.term:
@@ -73,7 +76,7 @@
         return True
 
     def _commit(self, leader_commit_index: int) -> None:
-        """Commit what the leader has committed, as far as this log is known to be its."""
+        """Commit what the leader has committed, as far as this log is known to match its log."""
         self._state.commit_to(min(leader_commit_index, self.verified_index))
 
     def _respond(self, peer: Peer, rejected: bool) -> None:
@@ -84,7 +87,7 @@
         state.send(peer, response)
 
     def handle_append(self, peer: Peer, message: AppendEntries) -> None:
-        """Take the changes that this log lacks. Raises ConnectionRejectedError."""
+        """Append the changes that this log lacks. Raises ConnectionRejectedError."""
         expected = range(message.after_index + 1, message.after_index + 1 + len(message.changes))
         if any(
             change.index != index for change, index in zip(message.changes, expected, strict=True)
@@ -103,16 +106,20 @@
         end_index = message.after_index + len(message.changes)
         self.verified_index = max(self.verified_index, end_index)
         self._commit(message.commit_index)
-        # It was sent after our last response had come, and was that old then, at most.
+        # The leader sent this message after it got our previous response. So the data was at most
+        # `age_ms` old when that response was sent.
         if peer.leader_acked_at_ms is not None and log.commit_index >= message.commit_index:
             self._age.observe(peer.leader_acked_at_ms - message.age_ms)
         self._respond(peer, rejected=False)
 
     def _append_new_changes(self, peer: Peer, changes: tuple[Change, ...]) -> None:
-        """Replace the log from the first change on that it doesn't hold.
+        """Replace the tail of the log from the first change that differs.
+
+        Changes after the ones that match stay: they may have come in a later message, and may be
+        committed.
 
-        What follows changes that it does hold stays: it may have come in a later message, and be
-        committed. Raises ConnectionRejectedError where a committed change would be replaced.
+        Raises:
+            ConnectionRejectedError: a committed change would be replaced.
         """
         log = self._state.log
         for position, change in enumerate(changes):
@@ -127,9 +134,10 @@
             break
 
     def handle_snapshot(self, peer: Peer, part: InstallSnapshot) -> None:
-        """Take a part of all topics, which are installed with the last.
+        """Receive a part of a snapshot of all topics; the last part installs the snapshot.
 
-        Raises ConnectionRejectedError.
+        Raises:
+            ConnectionRejectedError: the snapshot is invalid, or the sender can't be the leader.
         """
         if not self._accept_leader(peer, part.term):
             return
@@ -155,7 +163,7 @@
         self._respond(peer, rejected=False)
 
     def _assembler_for(self, part: InstallSnapshot) -> SnapshotAssembler | None:
-        """Return what a part belongs to; None where it doesn't follow the part before."""
+        """Return the assembler that a part belongs to; None if it doesn't follow the last part."""
         if part.part == 1 and 0 < part.parts <= self._state.limits.max_snapshot_parts:
             self.assembler = SnapshotAssembler(part)
             return self.assembler
--- a/badgercart/distribution/raft/node.py
+++ b/badgercart/distribution/raft/node.py
@@ -1,4 +1,4 @@
-"""One replica's part in Raft: roles, terms and the order in which its parts act."""
+"""The Raft node of one replica: its roles and terms, and the coordination of its parts."""
 
 from __future__ import annotations
 
@@ -29,15 +29,17 @@
 class RaftNode:
     """Raft (Ongaro, Ousterhout, 2014) with pre-votes and a leader lease, without I/O.
 
-    What it promises, and what keeps each promise:
+    Its guarantees, and how each is kept:
 
-    - One leader a term: a vote is on disk before it is said, and there is one a term.
-    - A leader has every committed change: votes go only to a log that holds at least the voter's.
-    - A committed change stays: a majority has it on disk in the term of the leader that wrote it,
-      and every change before it.
-    - A leader that a majority has not answered for a lease steps down.
+    - There is at most one leader per term: a replica grants one vote per term, and persists it
+      before it sends it.
+    - A leader has every committed change: votes go only to a candidate whose log is at least as up
+      to date as the voter's.
+    - A committed change is never lost: a majority has it on disk, with every change before it, in
+      the term of the leader that wrote it.
+    - A leader steps down if no majority has responded within the lease duration.
 
-    Effects are put into the queue in the order in which they have to be carried out.
+    Effects are queued in the order in which they must be executed.
     """
 
     def __init__(self, state: RaftState, timing: ReplicaTiming, rng: random.Random) -> None:
@@ -57,13 +59,13 @@
 
     @property
     def due_ms(self) -> float:
-        """When `tick` has something to do."""
+        """When `tick` has to be called next."""
         return min(self.elections.deadline_ms, self.replication.heartbeat_due_ms)
 
     # Events.
 
     def tick(self) -> None:
-        """Do what the time demands: step down, ask for votes, send heartbeats."""
+        """Handle expired timers: step down, start a pre-vote, send heartbeats."""
         self.check_lease()
         if self.state.now_ms >= self.elections.deadline_ms:
             self.elections.pre_campaign()
@@ -72,13 +74,13 @@
             self.replication.broadcast(heartbeat=True)
 
     def check_lease(self) -> None:
-        """Step down if the lease has expired. To be called before anything rests on leadership."""
+        """Step down if the lease has expired. Must be called before any step that needs to lead."""
         if self.lease.expired():
             self.state.effects.log_event("store-stands-down", {"term": self.state.term})
             self.become_follower(self.state.term, "")
 
     def receive(self, peer: Peer, message: Message) -> None:
-        """Take a message of a peer. Raises ConnectionRejectedError where it can't be."""
+        """Handle a message from a peer. Raises ConnectionRejectedError if it is invalid."""
         handler = self._handlers.get(type(message))
         if handler is None:
             detail = f"{MESSAGE_LABELS[type(message)]} is not for a store to say"
@@ -86,7 +88,7 @@
         handler(peer, message)
 
     def peer_connected(self, peer: Peer) -> None:
-        """Begin with a peer that has just said Hello."""
+        """Add a peer that has just sent its Hello."""
         self.state.peers[peer.name] = peer
         if self.state.is_leader:
             self.replication.send_to(peer, heartbeat=True)
@@ -94,7 +96,7 @@
             self.elections.request_vote(peer)
 
     def peer_disconnected(self, peer: Peer) -> None:
-        """Forget a peer whose connection is gone."""
+        """Remove a peer whose connection is gone."""
         if self.state.peers.get(peer.name) is not peer:
             return
         del self.state.peers[peer.name]
@@ -112,7 +114,7 @@
     # Proposals.
 
     def append(self, topic: str, entries: tuple[Entry, ...]) -> int:
-        """Put a change into the log, as the leader, and return its log index."""
+        """Append a change to the log, as the leader, and return its log index."""
         state = self.state
         change = Change(state.term, state.log.last_index + 1, topic, entries)
         state.append(state.log.last_index, (change,))
@@ -120,23 +122,23 @@
         return change.index
 
     def replicate(self, heartbeat: bool = False) -> None:
-        """Commit what can be, and send the peers what they lack."""
+        """Commit what a majority has persisted, and send the peers the changes that they lack."""
         self.replication.advance_commit_index()
         self.replication.broadcast(heartbeat)
 
     # Roles.
 
     def begin_term(self, term: int, voted_for: str) -> None:
-        """Enter a later term; the caller has to persist it."""
+        """Enter a later term. The caller must persist it."""
         self.state.term, self.state.voted_for = term, voted_for
         self.receiver.begin_term()
 
     def become_follower(self, term: int, leader: str) -> None:
-        """Follow in this term or a later one; the caller has to persist a later one.
+        """Follow in this term or a later one. The caller must persist a later term.
 
         Args:
             term: the term to follow in.
-            leader: its leader; empty where nobody is known to lead.
+            leader: the leader of that term; empty if it is not known.
         """
         state = self.state
         if term > state.term:
@@ -157,9 +159,9 @@
         self.elections.reset_deadline()
 
     def become_leader(self) -> None:
-        """Lead the term that was won, and begin it with a change of nothing.
+        """Lead the current term, and append an empty change to the log.
 
-        That change is needed to commit what earlier leaders left in the log.
+        The empty change is needed to commit the changes that earlier leaders left in the log.
         """
         state = self.state
         state.role, state.leader = Role.LEADER, state.group.local
--- a/badgercart/distribution/raft/replication.py
+++ b/badgercart/distribution/raft/replication.py
@@ -1,4 +1,4 @@
-"""The leader's side of replication: what each peer is sent, and which changes are committed."""
+"""The leader's side of log replication: sends changes to peers and advances the commit index."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 class Replication:
     """Sends the log, or a snapshot, to all peers while this replica leads.
 
-    One message at a time waits for a peer's response: the next one rests on what that says.
+    At most one message per peer is in flight, because the next one depends on the response to it.
+
+    Attributes:
+        heartbeat_due_ms: when the next heartbeat has to be sent; infinite while not leading.
     """
 
     __slots__ = ("_age", "_heartbeat_interval_ms", "_lease", "_state", "heartbeat_due_ms")
@@ -34,36 +37,37 @@
         self.heartbeat_due_ms = math.inf
 
     def begin(self) -> None:
-        """Start over as the leader of a new term."""
+        """Start replication as the leader of a new term."""
         self.schedule_heartbeat()
         for peer in self._state.peers.values():
             peer.progress.begin_term()
 
     def end(self) -> None:
-        """Stop, since leadership was lost."""
+        """Stop sending heartbeats, since leadership was lost."""
         self.heartbeat_due_ms = math.inf
 
     def forget_progress(self) -> None:
-        """Forget what the peers have, which counts for the ended term alone."""
+        """Discard the progress of all peers, which is valid only for the term that ended."""
         for peer in self._state.peers.values():
             peer.progress.end_term()
 
     def schedule_heartbeat(self) -> None:
-        """Have the next heartbeat sent an interval from now."""
+        """Schedule the next heartbeat one interval from now."""
         self.heartbeat_due_ms = self._state.now_ms + self._heartbeat_interval_ms
 
     def broadcast(self, heartbeat: bool = False) -> None:
-        """Send each peer what it lacks, or else a heartbeat if one is wanted."""
+        """Send each peer the changes that it lacks, or a heartbeat if requested."""
         for peer in self._state.peers.values():
             self.send_to(peer, heartbeat)
 
     def send_to(self, peer: Peer, heartbeat: bool = False) -> None:
-        """Send a peer what it lacks, or else a heartbeat if one is wanted."""
+        """Send a peer the changes that it lacks, or a heartbeat if requested."""
         log, progress = self._state.log, peer.progress
         if not self._state.is_leader or progress.in_flight or peer.stalled:
             return
         if progress.commit_index is None:
-            self._send_append(peer, log.commit_index, ())  # its response says where its log ends
+            # The response to an empty message tells the peer's commit index.
+            self._send_append(peer, log.commit_index, ())
             return
         after_index = max(progress.commit_index, min(log.commit_index, progress.match_index))
         if after_index < log.compacted_index:
@@ -86,9 +90,9 @@
         self._state.request(peer, message)
 
     def _send_snapshot(self, peer: Peer, heartbeat: bool) -> None:
-        """Send the next part of all topics.
+        """Send the next part of a snapshot of all topics.
 
-        Each snapshot under way holds a copy of all topics, so only some are under way at a time.
+        Each snapshot in progress keeps a copy of all topics, so their number is limited.
         """
         progress = peer.progress
         if progress.snapshot_parts is None and self._may_begin_snapshot():
@@ -112,7 +116,7 @@
         return snapshot_parts(state.machine.topics, state.term, index, state.log.term_at(index))
 
     def handle_append_response(self, peer: Peer, response: AppendResponse) -> None:
-        """Note what a peer has and go on from there. Raises ConnectionRejectedError."""
+        """Update the progress of a peer and send what follows. Raises ConnectionRejectedError."""
         self._check_response(peer, response)
         progress = peer.progress
         progress.in_flight = False
@@ -139,9 +143,10 @@
             raise ConnectionRejectedError("stray", f"{peer.name!r} says what can't be of its log")
 
     def advance_commit_index(self) -> bool:
-        """Commit what a majority of the voters has on disk, and tell whether that was anything.
+        """Commit what a majority of the voters has on disk; return whether anything was committed.
 
-        Only a change of the leader's own term commits what is before it (Raft, 5.4.2).
+        Changes of earlier terms are committed only together with a later change of the leader's own
+        term (Raft paper, section 5.4.2).
         """
         log = self._state.log
         matches = [self._match_index(voter) for voter in self._state.group.voters]
--- a/badgercart/distribution/raft/snapshot.py
+++ b/badgercart/distribution/raft/snapshot.py
@@ -1,4 +1,4 @@
-"""All topics of a replica in parts, for a peer that is too far behind for the log."""
+"""Snapshots of all topics, sent in parts to a peer that needs changes no longer in the log."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 def snapshot_parts(
     topics: dict[str, Topic], term: int, last_index: int, last_term: int
 ) -> Iterator[InstallSnapshot]:
-    """Split all topics into messages that fit a frame each.
+    """Split all topics into messages that each fit one frame.
 
     Args:
-        topics: all topics as of `last_index`; they may change once this has returned.
+        topics: all topics as of `last_index`; the caller may change them after the call.
         term: the term of the leader that sends the snapshot.
-        last_index: the log index that the topics are as of.
+        last_index: the log index of the last change that the topics contain.
         last_term: the term of the change at that index.
     """
     groups: list[list[TopicPart]] = [[]]
@@ -41,22 +41,23 @@
 
 
 class SnapshotAssembler:
-    """Puts the parts of one snapshot together.
+    """Assembles the parts of one snapshot.
 
     Attributes:
-        topics: what has come of each topic, complete once the last part was added.
+        topics: the topics received so far, complete once the last part was added.
     """
 
     __slots__ = ("_declared", "_entry_count", "_last_part", "topics")
 
     def __init__(self, first: InstallSnapshot) -> None:
         self._last_part = first
-        self._declared: dict[str, tuple[int, int]] = {}  # version and digest that each should have
+        # The version and digest that the parts state for each topic.
+        self._declared: dict[str, tuple[int, int]] = {}
         self._entry_count = 0
         self.topics: dict[str, Topic] = {}
 
     def continues_with(self, part: InstallSnapshot) -> bool:
-        """Tell whether a part is the next one of the same snapshot."""
+        """Return whether a part is the next one of the same snapshot."""
         last = self._last_part
         return part.part == last.part + 1 and _identity(part) == _identity(last)
 
@@ -78,7 +79,7 @@
             raise SnapshotError(detail)
 
     def verify(self, current: dict[str, Topic]) -> None:
-        """Check the whole against its digests and against what is here. Raises SnapshotError."""
+        """Check the digests, and that no current topic is newer or absent. Raises SnapshotError."""
         for name, topic in self.topics.items():
             if topic.digest != self._declared[name][1]:
                 detail = f"{name!r} has another digest than it should have"
--- a/badgercart/distribution/raft/state.py
+++ b/badgercart/distribution/raft/state.py
@@ -29,7 +29,7 @@
 
 
 class StateMachine(Protocol):
-    """What committed changes are applied to, and who has to know of leadership."""
+    """Applies committed changes, and is notified of changes of leadership."""
 
     @property
     def topics(self) -> dict[str, Topic]:
@@ -42,54 +42,86 @@
         """Replace all topics."""
 
     def change_appended(self, change: Change) -> None:
-        """Note a change that this leader has put into its log."""
+        """Handle a change that this leader has appended to its log."""
 
     def leadership_gained(self, uncommitted: list[Change]) -> None:
-        """Prepare for proposals, with the changes that earlier leaders left."""
+        """Prepare for proposals, given the uncommitted changes that earlier leaders left."""
 
     def leadership_lost(self) -> None:
-        """Answer all proposals that are not committed."""
+        """Respond to all proposals that are not committed."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of one peer's log, in this term."""
+    """A leader's knowledge of one peer's log in the current term.
+
+    Attributes:
+        commit_index: the peer's commit index; None until the peer has reported it.
+        match_index: the log index up to which the peer's log matches the leader's.
+        sent_commit_index: the leader's commit index in the last message to the peer.
+        in_flight: whether a message waits for a response; there is one at a time.
+        sent_at_ms: when that message was sent.
+        snapshot_parts: the remaining parts of a snapshot in progress; None without one.
+    """
 
-    commit_index: int | None = None  # that the peer has; None: it has not said so yet
-    match_index: int = 0  # up to which its log is the same as the leader's
-    sent_commit_index: int = 0  # the leader's commit index that it was sent last
-    in_flight: bool = False  # one message at a time waits for a response
-    sent_at_ms: float = 0.0  # of that message
-    snapshot_parts: Iterator[InstallSnapshot] | None = None  # that are left to send
+    commit_index: int | None = None
+    match_index: int = 0
+    sent_commit_index: int = 0
+    in_flight: bool = False
+    sent_at_ms: float = 0.0
+    snapshot_parts: Iterator[InstallSnapshot] | None = None
 
     def begin_term(self) -> None:
-        """Forget what was known, for a new leader."""
+        """Reset the progress for a new leader."""
         self.sent_commit_index = 0
         self.end_term()
 
     def end_term(self) -> None:
-        """Forget what was known and drop the copy of a snapshot, once leadership is lost."""
+        """Reset the progress and release the copy of a snapshot, once leadership is lost."""
         self.commit_index, self.match_index = None, 0
         self.in_flight, self.snapshot_parts = False, None
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another replica of the group, on the connection over which it has said Hello."""
+    """Another replica of the group, on the connection over which it sent its Hello.
+
+    Attributes:
+        name: its name.
+        connection: the number of the connection.
+        stalled: whether its write buffer is over the driver's high-water mark.
+        awaiting_reply_since_ms: when the oldest request without a reply was sent; None without one.
+        leader_acked_at_ms: when this replica last acknowledged it as leader of the current term.
+        progress: its replication progress, while this replica leads.
+    """
 
     name: str
     connection: int
-    stalled: bool = False  # more waits to be written to it than the driver holds
+    stalled: bool = False
     awaiting_reply_since_ms: float | None = None
-    leader_acked_at_ms: float | None = None  # when it was last answered as this term's leader
+    leader_acked_at_ms: float | None = None
     progress: Progress = field(default_factory=Progress)
 
 
 class RaftState:
     """Term, vote, role, log and peers of one replica, with the time of the current event.
 
-    Whatever changes what a restart has to find again goes through `persist_term`, `append` or
+    All changes of state that has to survive a restart go through `persist_term`, `append` or
     `commit_to`.
+
+    Attributes:
+        group: the replicas of the group.
+        limits: bounds of the log and of snapshots.
+        machine: the state machine that committed changes are applied to.
+        effects: the queue of effects.
+        now_ms: the time of the current event.
+        term: the current term.
+        voted_for: the replica that got this one's vote in the current term; empty: none.
+        log: the replicated log.
+        role: the role in the current term.
+        leader: the name of the current term's leader; empty: not known.
+        term_start_index: while leading, the log index of the first change of the current term.
+        peers: connected replicas by name, in the order of their connections.
     """
 
     __slots__ = (
@@ -115,7 +147,7 @@
         effects: EffectQueue,
         limits: ReplicaLimits,
     ) -> None:
-        """Go on from what was recovered, whose committed changes are applied to the machine."""
+        """Continue from recovered state, and apply its committed changes to the state machine."""
         self.group = group
         self.limits = limits
         self.machine = machine
@@ -130,14 +162,14 @@
         )
         self.log.changes += recovered.changes
         self.role = Role.FOLLOWER
-        self.leader = ""  # the name of this term's leader; empty: not known
-        self.term_start_index = 0  # of the first change of our own term, as leader
-        self.peers: dict[str, Peer] = {}  # by name, in the order in which they came
+        self.leader = ""
+        self.term_start_index = 0
+        self.peers: dict[str, Peer] = {}
         self.commit_to(recovered.commit_index)
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads its term, as far as it knows."""
+        """Whether this replica leads the current term, as far as it knows."""
         return self.role is Role.LEADER
 
     @property
@@ -146,15 +178,15 @@
         return self.group.is_voter(self.group.local)
 
     def is_majority(self, count: int) -> bool:
-        """Tell whether so many voters are more than half of them."""
+        """Return whether this many voters are more than half of all voters."""
         return 2 * count > len(self.group.voters)
 
     def persist_term(self) -> None:
-        """Have the term and the vote on disk before any later effect."""
+        """Persist the term and the vote before any later effect."""
         self._persist(self.log.last_index, ())
 
     def append(self, after_index: int, changes: tuple[Change, ...]) -> None:
-        """Replace what the log has behind an index, and have that on disk before any later effect."""
+        """Replace the log after an index, and persist that before any later effect."""
         self.log.replace_tail(after_index, changes)
         self._persist(after_index, changes)
 
@@ -173,13 +205,13 @@
         self.effects.send(peer.connection, message)
 
     def request(self, peer: Peer, message: Message) -> None:
-        """Send a message that has to be answered."""
+        """Send a message that requires a reply."""
         if peer.awaiting_reply_since_ms is None:
             peer.awaiting_reply_since_ms = self.now_ms
         self.send(peer, message)
 
     def recoverable_state(self, topics: dict[str, Topic]) -> RecoveredState:
-        """Return what a restart has to find, given the topics as of the commit index."""
+        """Return the state to persist for a restart, given the topics as of the commit index."""
         log = self.log
         return RecoveredState(
             term=self.term,
@@ -192,5 +224,5 @@
         )
 
     def persist_snapshot(self, topics: dict[str, Topic]) -> None:
-        """Have topics and log on disk in place of all that was kept before."""
+        """Persist topics and log in place of everything that was persisted before."""
         self.effects.add(PersistSnapshot(self.recoverable_state(topics)))
