--- a/badgercart/distribution/client.py
+++ b/badgercart/distribution/client.py
@@ -10,11 +10,12 @@
 from badgercart.distribution.link import FRAME_LENGTH
 from badgercart.distribution.messages import MAX_FRAME_BYTES, Codec, Hello, Message
 
-OPERATOR_NAME = "operator"  # in the client's Hello
+# The name in the client's Hello.
+OPERATOR_NAME = "operator"
 
 
 class Client:
-    """A connection to one replica, as a context manager."""
+    """An operator's connection to one replica, as a context manager."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -34,17 +35,17 @@
             await self.writer.wait_closed()
 
     def write(self, message: Message) -> None:
-        """Send a message. Raises FrameError where it exceeds a bound."""
+        """Send a message. Raises FrameError if it exceeds a limit."""
         frame = self._codec.encode(message)
         self.writer.write(FRAME_LENGTH.pack(len(frame)) + frame)
 
     async def read(self) -> Message:
-        """Return the next message that is no Hello.
+        """Return the next message other than Hello.
 
         Raises:
-            FrameError: what came is no message of the group.
+            FrameError: the received frame is invalid or of another group.
             OSError: the connection failed.
-            asyncio.IncompleteReadError: it was closed.
+            asyncio.IncompleteReadError: the replica closed the connection.
         """
         while True:
             message = await self._read_any()
--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -1,6 +1,7 @@
-"""`badgercart distribution`: put entries into topics, look at them and at the replicas, run a replica.
+"""The `badgercart distribution` commands: change and show topics, show replicas, run a replica.
 
-Exit status: 0 done; 1 it could not be done, or nobody leads; 2 a wrong command line, file or entry.
+Exit status: 0 on success; 1 if the request failed or no replica leads; 2 for an invalid command
+line, file or entry.
 """
 
 from __future__ import annotations
@@ -48,7 +49,8 @@
 from badgercart.distribution.replica_file import ReplicaFile, load_replica_file
 from badgercart.distribution.topic import Topic
 
-REQUEST_ID = 1  # there is one request on a connection
+# Each connection carries a single request.
+REQUEST_ID = 1
 MAYBE_COMMITTED_HINT = "it may be in force or not: look with `distribution get`"
 FILE_ARGUMENT = click.argument("file", metavar="FILE.toml")
 TOPIC_ARGUMENT = click.argument("topic")
@@ -67,7 +69,7 @@
 
 @click.group(help=GROUP_HELP)
 def distribution() -> None:
-    """Group the commands."""
+    """Group the commands of the distribution."""
 
 
 # Entries.
@@ -118,7 +120,7 @@
         while not isinstance(response := await client.read(), ProposeResponse):
             pass
     except (TimeoutError, OSError, asyncio.IncompleteReadError) as error:
-        # What was sent may be committed: another replica must not be asked to do it again.
+        # The proposal may be committed, so it must not be sent to another replica as well.
         detail = f"{describe_error(error)}; {MAYBE_COMMITTED_HINT}"
         raise CommandError(detail) from error
     if response.error == "not-leading":
@@ -205,7 +207,7 @@
 
 
 async def _fetch_all(group: GroupClient) -> dict[str, Status | str]:
-    """Return the status of each replica, or why it has none, by name."""
+    """Return by name the status of each replica, or the error if it could not be fetched."""
     addresses = group.addresses
     found = await asyncio.gather(*(_fetch(group, address) for address in addresses.values()))
     return dict(zip(addresses, found, strict=True))
@@ -222,7 +224,7 @@
         return describe_error(error)
 
 
-# Columns as operators know them, in the order in which they are shown.
+# Column names shown to operators, in display order.
 STATUS_COLUMNS = (
     "name",
     "role",
@@ -238,7 +240,7 @@
 
 
 def status_columns(found: Status | str) -> dict[str, Any]:
-    """Return what is shown of a replica, by column; a text is why there is no status."""
+    """Return the values shown for a replica by column; `found` is its status or an error."""
     if isinstance(found, str):
         return {"error": found}
     return {
@@ -259,7 +261,7 @@
 @FILE_ARGUMENT
 @click.option("--check", "only_check", is_flag=True, help="Say whether the file is good, and end.")
 def store(file: str, only_check: bool) -> None:
-    """Run a replica alone."""
+    """Run a replica in a process of its own."""
     settings = _load_replica(file)
     if only_check:
         click.echo(f"{file}: good")
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -1,6 +1,7 @@
-"""The components of this package: a node's server list from replicas, and a replica.
+"""The components of this package: discovery of servers from replicas, and a replica.
 
-Libraries are imported when a component is built, so that an installation without it needs none.
+Libraries are imported when a component is built, so that an installation without the component
+does not need them.
 """
 
 from __future__ import annotations
@@ -36,24 +37,25 @@
     from badgercart.distribution.messages import Status
     from badgercart.distribution.replica_driver import ReplicaDriver
 
-# Servers in a snapshot from which on the collector is kept from looking at all of them again.
+# From this size of a snapshot on, its servers are excluded from garbage collection.
 GC_FREEZE_MIN_SERVERS = 1000
 STATE_EVENTS = {
     State.FRESH: LIST_FRESH,
     State.DOUBTFUL: LIST_DOUBTFUL,
     State.STALE: LIST_STALE,
 }
-RESTART_ONLY_SETTINGS = ("group", "service")  # which a reload leaves as they are
+# Changes of these settings take effect only after a restart.
+RESTART_ONLY_SETTINGS = ("group", "service")
 
 
 class DistributedDiscoveryComponent:
-    """The list of one service from replicas, with its age.
+    """Discovers the servers of one service from replicas, and tracks the age of the list.
 
     Attributes:
-        settings: as they are in force.
+        settings: the current settings.
         topic: the followed topic.
-        state: how fresh the list is, as last logged.
-        driver: the follower on its connection; another one after a reload.
+        state: the freshness of the list, as last logged.
+        driver: runs the follower on its connection; replaced by each reload.
     """
 
     def __init__(self, host: ComponentHost, settings: FollowerSettings) -> None:
@@ -63,7 +65,7 @@
         self._host = host
         self._timer: asyncio.TimerHandle | None = None
         self._is_started = False
-        self._refused_before: Counter[str] = Counter()  # by earlier drivers
+        self._refused_before: Counter[str] = Counter()  # counts of replaced drivers
         self.driver = self._build_driver(settings)
         host.list_state = lambda: self.state.value
         host.protocol_machines["distribution.freshness"] = self.follower.freshness
@@ -86,7 +88,8 @@
             max_reconnect_window_ms=settings.window_most_ms,
             max_lag_ms=settings.lag_ms,
         )
-        # The name gives each node an order and times of its own, also where seeds are the same.
+        # The node's name is part of the seed: nodes with the same seed setting must still draw
+        # different orders of replicas and different reconnect times.
         rng = random.Random(f"{config.seed} {config.name} distribution")
         selector = ReplicaSelector(len(settings.stores), timing, rng)
         rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
@@ -100,7 +103,7 @@
 
     @property
     def follower(self) -> Follower:
-        """The follower that runs now."""
+        """The current follower."""
         return self.driver.follower
 
     def _register_metrics(self) -> None:
@@ -145,21 +148,21 @@
     def _refused(self) -> Counter[str]:
         return self._refused_before + self.driver.refused
 
-    # Life.
+    # Lifecycle.
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow a replica."""
         self._is_started = True
         self._apply_freshness()
         self.driver.start()
 
     def prepare(self, settings: FollowerSettings) -> Callable[[], None]:
-        """Return what puts new settings in force, but for those that take a restart."""
+        """Return a function that applies new settings, except those that need a restart."""
         kept = {name: getattr(self.settings, name) for name in RESTART_ONLY_SETTINGS}
         return lambda: self.reload(settings.model_copy(update=kept))
 
     def reload(self, settings: FollowerSettings) -> None:
-        """Follow other replicas, with another secret or timing; the list stays, and its age."""
+        """Replace the follower after a change of settings; the list and its age are kept."""
         if settings == self.settings:
             return
         old_follower, old_driver = self.follower, self.driver
@@ -170,14 +173,15 @@
         rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
         self.follower.freshness.rule = rule
         if self._is_started:
-            self._apply_freshness()  # `when_stale` may have changed
+            # The setting `when_stale` may have changed.
+            self._apply_freshness()
             self.driver.start()
 
     async def drain(self, until: float) -> None:
-        """Go on following: requests that are in flight may still be sent again."""
+        """Keep following: requests in flight may still be retried on newly listed servers."""
 
     def close(self) -> None:
-        """Let go of everything at once."""
+        """Close the connections and timers at once."""
         self._cancel_timer()
         self.driver.close()
 
@@ -189,7 +193,7 @@
     # The list.
 
     def _apply_update(self, update: UpdateTopic) -> None:
-        """Put an update in force, or request a snapshot where it can't be used."""
+        """Apply an update to the endpoint table, or request a snapshot if it is invalid."""
         from badgercart.distribution import log_events
         from badgercart.distribution.server_list import read_servers
 
@@ -204,10 +208,11 @@
             self.driver.perform(self.follower.request_resend(now_ms, update.topic))
             return
         if update.is_snapshot and len(servers) >= GC_FREEZE_MIN_SERVERS:
-            gc.freeze()  # each full collection would stop the loop to look at all of them
+            # Otherwise each full collection would block the event loop to traverse all servers.
+            gc.freeze()
 
     def _check_freshness(self) -> None:
-        """Log a change of the list's state, and come back for the next one."""
+        """Log a change of the list's freshness, and set the timer for the next change."""
         now_ms, freshness = self._host.pipeline.clock(), self.follower.freshness
         state = freshness.state(now_ms)
         if state is not self.state:
@@ -260,17 +265,17 @@
     loop: asyncio.AbstractEventLoop,
     clock: Callable[[], float],
 ) -> ReplicaDriver:
-    """Build a replica of what its folder holds.
+    """Build a replica from the persisted state in its folder.
 
     Args:
-        settings: the replica's.
-        folder: that the settings' folder is relative to.
+        settings: the replica's settings.
+        folder: the folder that a relative `folder` setting refers to.
         loop: the event loop.
         clock: the time in ms.
 
     Raises:
         OSError: the folder can't be used.
-        JournalError: another process has it, or what it holds can't be trusted.
+        JournalError: another process uses the folder, or its files are corrupt.
     """
     from badgercart.distribution.driver import Runtime
     from badgercart.distribution.journal import Journal
@@ -296,7 +301,8 @@
         subscriber_heartbeat_interval_ms=settings.beat_ms,
         reply_timeout_ms=settings.patience_ms,
     )
-    rng = random.Random()  # no two replicas may draw the same election timeouts
+    # Unseeded: no two replicas may draw the same election timeouts.
+    rng = random.Random()
     limits = ReplicaLimits(max_subscribers=settings.most_followers)
     replica = Replica(group, timing, rng, recovered, limits)
     addresses = {entry.name: entry.address for entry in settings.store}
@@ -307,7 +313,7 @@
 
 
 def log_listening(settings: ReplicaSettings, driver: ReplicaDriver) -> None:
-    """Log that a replica is up."""
+    """Log that a replica has started and listens."""
     from badgercart.distribution import log_events
 
     (host, port), replica = driver.listen, driver.replica
@@ -322,7 +328,7 @@
 
 
 class ReplicaComponent:
-    """One replica, in a process that may do other things."""
+    """A replica that shares its process with other components."""
 
     def __init__(self, host: ComponentHost, settings: ReplicaSettings) -> None:
         self.driver: ReplicaDriver | None = None
@@ -367,21 +373,21 @@
         return float(figure(self.driver.status())) if self.driver else 0.0
 
     async def start(self) -> None:
-        """Recover and listen. Raises OSError and JournalError."""
+        """Recover the persisted state and listen. Raises OSError and JournalError."""
         host, settings = self._host, self._settings
         self.driver = build_replica_driver(settings, host.folder, host.loop, host.pipeline.clock)
         await self.driver.start()
         log_listening(settings, self.driver)
 
     def prepare(self, settings: ReplicaSettings) -> Callable[[], None] | None:  # noqa: ARG002
-        """Change nothing: the other replicas know this one by its settings."""
+        """Return None, no reload: the settings have to match those of the other replicas."""
         return None
 
     async def drain(self, until: float) -> None:
-        """Do nothing: no request is held here, and nodes turn to other replicas."""
+        """Do nothing: there are no requests to finish, and nodes reconnect to other replicas."""
 
     def close(self) -> None:
-        """Let go of everything at once."""
+        """Close the replica's connections and files at once."""
         if self.driver is not None:
             self.driver.close()
 
--- a/badgercart/distribution/connections.py
+++ b/badgercart/distribution/connections.py
@@ -1,4 +1,4 @@
-"""The connections of a replica, and what each was found to be."""
+"""The connections of a replica, and the process at the other end of each."""
 
 from __future__ import annotations
 
@@ -12,13 +12,22 @@
 
 @dataclass(slots=True)
 class Connection:
-    """One connection, of another replica, a follower or an operator."""
+    """One connection to another replica, a follower or an operator.
+
+    Attributes:
+        number: identifies the connection.
+        opened_at_ms: when it was opened.
+        dialled: the name of the replica that was dialled; empty for an accepted connection.
+        name: the name in the received Hello; empty before that.
+        peer: the replica at the other end; None for followers and operators.
+        stalled: whether its write buffer is over the driver's high-water mark.
+    """
 
     number: int
     opened_at_ms: float
-    dialled: str = ""  # the replica that was dialled; empty: it came in
-    name: str = ""  # from its Hello; empty: it has not said that yet
-    peer: Peer | None = None  # where it is another replica's
+    dialled: str = ""
+    name: str = ""
+    peer: Peer | None = None
     stalled: bool = False
 
 
@@ -32,11 +41,11 @@
         self.by_number: dict[int, Connection] = {}
 
     def is_open(self, number: int) -> bool:
-        """Tell whether there is such a connection."""
+        """Return whether a connection is open."""
         return number in self.by_number
 
     def identify(self, connection: Connection, hello: Hello) -> None:
-        """Learn from a Hello whose connection this is. Raises ConnectionRejectedError."""
+        """Set the name and the peer of a connection by its Hello. Raises ConnectionRejectedError."""
         self._check_hello(connection, hello)
         connection.name = hello.name
         if hello.is_replica:
@@ -54,20 +63,20 @@
             raise ConnectionRejectedError("stray", detail)
 
     def set_stalled(self, connection: Connection, stalled: bool) -> None:
-        """Note whether more waits to be written to a connection than the driver holds."""
+        """Record whether a connection's write buffer is over the high-water mark."""
         connection.stalled = stalled
         if connection.peer is not None:
             connection.peer.stalled = stalled
 
     def dialled_or_connected(self) -> set[str]:
-        """Return the names of the replicas that need not be dialled."""
+        """Return the names of the replicas that are connected or being dialled."""
         names = {connection.dialled for connection in self.by_number.values()}
         names |= {each.peer.name for each in self.by_number.values() if each.peer is not None}
         return names
 
     @staticmethod
     def timeout_reason(connection: Connection, now_ms: float, timeout_ms: float) -> str:
-        """Tell what a connection has failed to say in time; empty: nothing."""
+        """Return which message of a connection has timed out, as a text; empty: none."""
         if not connection.name:
             has_timed_out = now_ms - connection.opened_at_ms >= timeout_ms
             return "it has not said Hello" if has_timed_out else ""
--- a/badgercart/distribution/delta_history.py
+++ b/badgercart/distribution/delta_history.py
@@ -1,4 +1,4 @@
-"""The last deltas of each topic, for subscribers that are a little behind."""
+"""The latest deltas of each topic, for subscribers that lag by a few versions."""
 
 from __future__ import annotations
 
@@ -9,19 +9,24 @@
 
 
 class DeltaHistory:
-    """Deltas in the order in which they came, bounded for each topic and for all together."""
+    """Deltas in order of arrival, limited for each topic and in total.
+
+    Attributes:
+        by_topic: deltas by topic, the oldest first; topics without deltas are absent.
+        sizes: bytes of each delta by topic and version, the oldest first.
+        total_bytes: bytes of all deltas.
+    """
 
     __slots__ = ("_limits", "by_topic", "sizes", "total_bytes")
 
     def __init__(self, limits: ReplicaLimits) -> None:
         self._limits = limits
-        self.by_topic: dict[str, deque[Delta]] = {}  # without empty ones
-        # Bytes of each delta by topic and version, the oldest first.
+        self.by_topic: dict[str, deque[Delta]] = {}
         self.sizes: OrderedDict[tuple[str, int], int] = OrderedDict()
         self.total_bytes = 0
 
     def add(self, delta: Delta, size_bytes: int) -> None:
-        """Add the newest delta of its topic and drop what exceeds a limit."""
+        """Add the newest delta of its topic, and drop the oldest ones over a limit."""
         deltas = self.by_topic.setdefault(delta.topic, deque())
         deltas.append(delta)
         self.sizes[delta.topic, delta.version] = size_bytes
@@ -43,9 +48,9 @@
             del self.by_topic[topic]
 
     def delta_after(self, topic: str, version: int) -> Delta | None:
-        """Return the delta that follows a version of a topic; None where it is no longer held.
+        """Return the delta that follows a version of a topic; None if it was dropped.
 
-        The version must be older than the topic's.
+        The version must be older than the topic's current one.
         """
         deltas = self.by_topic.get(topic)
         if not deltas or deltas[0].version > version + 1:
@@ -53,7 +58,7 @@
         return deltas[version + 1 - deltas[0].version]
 
     def clear(self) -> None:
-        """Drop all, where topics have changed by no delta."""
+        """Drop all deltas, after topics were replaced by a snapshot."""
         self.by_topic.clear()
         self.sizes.clear()
         self.total_bytes = 0
--- a/badgercart/distribution/driver.py
+++ b/badgercart/distribution/driver.py
@@ -1,4 +1,4 @@
-"""Runs a machine on connections: one timer, effects in their order."""
+"""Runs a state machine on TCP connections: executes its effects in order and sets its timer."""
 
 from __future__ import annotations
 
@@ -18,46 +18,52 @@
 
 @dataclass(slots=True, frozen=True)
 class Runtime:
-    """What a driver runs on."""
+    """The environment of a driver.
+
+    Attributes:
+        loop: the event loop.
+        clock: returns the time in ms.
+        codec: encodes and decodes the messages of the group.
+    """
 
     loop: asyncio.AbstractEventLoop
-    clock: Callable[[], float]  # the time in ms
-    codec: Codec  # of the group
+    clock: Callable[[], float]
+    codec: Codec
 
 
 class Machine(Protocol):
-    """What a replica and a follower have in common."""
+    """The interface that `Replica` and `Follower` share."""
 
     @property
     def due_ms(self) -> float:
-        """When `tick` has something to do."""
+        """When `tick` has to be called next."""
 
     def start(self, now_ms: float) -> list[Effect]:
-        """Begin."""
+        """Start, and return the first effects."""
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Do what the time demands."""
+        """Handle expired timers."""
 
     def closed(self, now_ms: float, connection: int) -> list[Effect]:
-        """Forget a connection that is gone."""
+        """Handle the end of a connection."""
 
     def received(self, now_ms: float, connection: int, message: Message) -> list[Effect]:
-        """Take a message."""
+        """Handle a received message."""
 
 
 class Driver:
-    """One machine on connections.
+    """Runs one state machine on TCP connections.
 
-    Effects are carried out in their order, also those of events that happen meanwhile.
+    Effects are executed in order. Effects of events that occur meanwhile are queued behind them.
 
     Attributes:
         links: open connections by number.
-        refused: frames and connections that were refused, by kind.
-        is_open: whether the machine runs.
+        refused: counts of refused frames and connections, by kind.
+        is_open: whether the driver was started and not closed.
     """
 
     def __init__(self, runtime: Runtime, machine: Machine) -> None:
-        """Make a driver that has not begun."""
+        """Create a driver that is not started."""
         self.loop = runtime.loop
         self.clock = runtime.clock
         self.codec = runtime.codec
@@ -76,10 +82,10 @@
             LogEvent: self._handle_log_event,
         }
 
-    # The machine.
+    # The state machine.
 
     def perform(self, effects: list[Effect]) -> None:
-        """Carry out what the machine wants, and set the timer for what it wants next."""
+        """Execute effects, and set the timer for the state machine's next tick."""
         self._queue.extend(effects)
         if self._is_performing:
             return
@@ -97,7 +103,7 @@
             self._set_timer()
 
     def _after_effects(self) -> None:
-        """Do what follows from the machine's state, once all its effects are carried out."""
+        """React to the state machine's new state, after all its effects were executed."""
 
     def _set_timer(self) -> None:
         due_ms = self._machine.due_ms
@@ -128,7 +134,8 @@
 
     def send(self, link: Link, message: Message) -> None:
         """Send a message to a connection."""
-        if message is not self._last_frame[0]:  # one delta goes to many subscribers
+        # A delta goes to many subscribers, so the last encoded frame is cached.
+        if message is not self._last_frame[0]:
             try:
                 self._last_frame = message, self.codec.encode(message)
             except FrameError as error:
@@ -137,13 +144,13 @@
         link.write(self._last_frame[1])
 
     def start_task(self, task: asyncio.Task[None]) -> asyncio.Task[None]:
-        """Keep a task until it is done; `close` cancels it."""
+        """Keep a reference to a task until it is done; `close` cancels it."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def close(self) -> None:
-        """End all connections, the timer and the tasks."""
+        """Close all connections, and cancel the timer and the tasks."""
         self.is_open = False
         self._cancel_timer()
         for link in list(self.links.values()):
@@ -155,19 +162,19 @@
     # Links.
 
     def link_opened(self, link: Link) -> None:
-        """Take a connection that is up, unless this is closed."""
+        """Add a connection that is established, or abort it if the driver is closed."""
         if self.is_open:
             self.links[link.number] = link
         else:
             link.abort()
 
     def link_lost(self, link: Link) -> None:
-        """Tell the machine of a connection that is gone, unless it has closed it itself."""
+        """Notify the state machine of a lost connection, unless it closed the connection itself."""
         if self.links.pop(link.number, None) is not None:
             self.perform(self._machine.closed(self.clock(), link.number))
 
     def refuse(self, link: Link, kind: str, detail: str) -> None:
-        """End the connection of a stranger, of who sends spoilt frames, and of who doesn't read."""
+        """Abort a connection that fails authentication, sends invalid frames or doesn't read."""
         if link.is_closed:
             return
         self._count_refused(link, kind, detail)
@@ -179,11 +186,11 @@
         log_events.REFUSED(source=link.remote, kind=kind, words=detail)
 
     def message_received(self, link: Link, message: Message) -> None:
-        """Have the machine take a message."""
+        """Pass a message to the state machine."""
         self.perform(self._machine.received(self.clock(), link.number, message))
 
     def link_stalled(self, link: Link) -> None:
-        """Note that more waits to be written to a link than `link.WRITE_HIGH_WATER_BYTES`."""
+        """Handle that a link's write buffer is over `link.WRITE_HIGH_WATER_BYTES`."""
 
     def link_writable(self, link: Link) -> None:
-        """Note that this has been written."""
+        """Handle that a stalled link's write buffer has drained."""
--- a/badgercart/distribution/effects.py
+++ b/badgercart/distribution/effects.py
@@ -1,4 +1,4 @@
-"""What the machines of this package want done. Drivers carry it out in the order given."""
+"""Effects that the state machines of this package request. Drivers execute them in order."""
 
 from __future__ import annotations
 
@@ -11,15 +11,25 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoveredState:
-    """Everything that a replica has on disk: topics as of a log index, and the log behind it."""
+    """A replica's persisted state: the topics as of a log index, and the log after it.
+
+    Attributes:
+        term: the current term.
+        voted_for: the replica that got the vote in this term; empty: none.
+        commit_index: a log index known to be committed; later changes may be committed as well.
+        snapshot_index: the log index that the topics are as of, at most `commit_index`.
+        snapshot_term: the term of the change at `snapshot_index`.
+        topics: the topics by name.
+        changes: the changes from `snapshot_index` + 1 on, without a gap.
+    """
 
     term: int = 0
-    voted_for: str = ""  # in this term; empty: nobody
-    commit_index: int = 0  # known to be committed; later changes may be, too
-    snapshot_index: int = 0  # that the topics are as of, `commit_index` at most
+    voted_for: str = ""
+    commit_index: int = 0
+    snapshot_index: int = 0
     snapshot_term: int = 0
     topics: dict[str, Topic] = field(default_factory=dict)
-    changes: tuple[Change, ...] = ()  # from `snapshot_index` + 1 on, without a gap
+    changes: tuple[Change, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Close:
-    """Close a connection, for a reason: one word for counters, a sentence for people."""
+    """Close a connection. The kind is counted, and the detail is logged."""
 
     connection: int
     kind: str
@@ -41,13 +51,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Persist:
-    """Have this on disk before any later effect.
+    """Write to disk before any later effect is executed.
+
+    The changes replace all changes after `after_index` that were persisted before.
 
-    Changes behind `after_index` that were persisted before are void: these take their place.
+    Attributes:
+        term: the current term.
+        voted_for: the replica that got the vote in this term; empty: none.
+        after_index: the log index after which the changes belong.
+        changes: the new tail of the log.
+        commit_index: the current commit index.
     """
 
     term: int
-    voted_for: str  # in this term; empty: nobody
+    voted_for: str
     after_index: int
     changes: tuple[Change, ...]
     commit_index: int
@@ -55,9 +72,9 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistSnapshot:
-    """Have this on disk before any later effect, in place of all that was persisted before.
+    """Write to disk before any later effect, in place of everything that was persisted before.
 
-    The topics are the replica's own: they have to be written before its next event.
+    The topics are not copied: they must be written before the replica's next event.
     """
 
     state: RecoveredState
@@ -65,7 +82,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Dial:
-    """Connect to a replica, by its position in the settings; `connected` or `closed` answers."""
+    """Connect to a replica, given by its position in the settings.
+
+    The driver calls `connected` or `closed` with the result.
+    """
 
     replica: int
     connection: int
@@ -73,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UpdateTopic:
-    """Put a new version of a followed topic in force: all of it, or the entries that changed."""
+    """Apply a new version of a followed topic: all entries of a snapshot, or those that changed."""
 
     topic: str
     version: int
@@ -83,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """Log an event of `events`, by its name without the subsystem, with these fields."""
+    """Log an event of `log_events`, by its name without the `distribution.` prefix."""
 
     name: str
     fields: dict[str, Any] = field(default_factory=dict)
@@ -93,7 +113,7 @@
 
 
 class EffectQueue:
-    """The effects of the current event, in their order."""
+    """The effects of the current event, in order."""
 
     __slots__ = ("_effects",)
 
@@ -101,22 +121,22 @@
         self._effects: list[Effect] = []
 
     def add(self, effect: Effect) -> None:
-        """Add one more effect."""
+        """Append an effect."""
         self._effects.append(effect)
 
     def extend(self, effects: list[Effect]) -> None:
-        """Add more effects."""
+        """Append several effects."""
         self._effects += effects
 
     def send(self, connection: int, message: Message) -> None:
-        """Add a message to be sent."""
+        """Append a `Send` effect."""
         self._effects.append(Send(connection, message))
 
     def log_event(self, name: str, fields: dict[str, Any]) -> None:
-        """Add an event to be logged."""
+        """Append a `LogEvent` effect."""
         self._effects.append(LogEvent(name, fields))
 
     def take(self) -> list[Effect]:
-        """Return all effects and begin anew."""
+        """Return all effects and empty the queue."""
         effects, self._effects = self._effects, []
         return effects
--- a/badgercart/distribution/entry_file.py
+++ b/badgercart/distribution/entry_file.py
@@ -1,4 +1,4 @@
-"""Entries for a topic, as operators write them: JSON lists or objects."""
+"""Parses entries of a topic from a file that an operator wrote: a JSON list or object."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from badgercart.distribution.settings import SERVERS_PREFIX
 
 MAX_FILE_BYTES = 64 << 20
-SERVER_KEY_FIELD = "instanceId"  # of a server in a list
+# The field of a listed server that is the key of its entry.
+SERVER_KEY_FIELD = "instanceId"
 
 
 class EntryFileError(ValueError):
-    """What an operator wrote can't be put into a topic."""
+    """The file has no valid entries for the topic."""
 
 
 def parse_entries(text: bytes, topic: str) -> tuple[Entry, ...]:
     """Return the entries of a list of servers, or of an object of values by key.
 
-    Null stands for a key that is to be removed. Servers are checked as a node reads them.
+    A null value removes its key. Servers are validated with the reader that nodes use.
 
     Raises:
-        ValueError: the text is neither, too long, or a value is not what the topic holds.
+        ValueError: the text is too long or of another form, or a value is invalid for the topic.
     """
     if len(text) > MAX_FILE_BYTES:
         detail = f"over {MAX_FILE_BYTES} bytes"
@@ -36,7 +37,7 @@
         for key, value in values.items()
     )
     if topic.startswith(SERVERS_PREFIX):
-        # Names of zones and kinds are the nodes' own: any will do here.
+        # Zones and kinds are configured per node, so any name is accepted here.
         names = cast(Config, type("Names", (), {"zones": {}, "kinds": {}}))
         read_servers(ListReader(names), entries, {})
     return entries
--- a/badgercart/distribution/errors.py
+++ b/badgercart/distribution/errors.py
@@ -1,18 +1,18 @@
-"""Errors of this package. Each carries a kind, one word for counters, and a detail for people."""
+"""Errors of this package. Most have a kind, which is counted, and a detail, which is logged."""
 
 from __future__ import annotations
 
 
 class DistributionError(Exception):
-    """Base of all errors of this package."""
+    """The base class of all errors of this package."""
 
 
 class KindedError(DistributionError):
-    """An error with a kind, by which it is counted, and a detail, which is logged or sent.
+    """An error with a kind and a detail.
 
     Attributes:
-        kind: one word, such as `malformed`; the same for all errors of one cause.
-        detail: a sentence for people.
+        kind: a fixed word by which errors are counted, such as `malformed`.
+        detail: a description, which is logged or sent.
     """
 
     def __init__(self, kind: str, detail: str) -> None:
@@ -22,11 +22,11 @@
 
 
 class FrameError(KindedError):
-    """A frame or message is not taken, or must not be sent."""
+    """A frame or message is invalid, and is neither accepted nor sent."""
 
 
 class ConnectionRejectedError(KindedError):
-    """A connection has to be closed for what its other end said or failed to say."""
+    """A connection must be closed because of an invalid or missing message."""
 
 
 class SubscriptionRejectedError(KindedError):
@@ -34,15 +34,15 @@
 
 
 class ProposalRejectedError(KindedError):
-    """A proposed change was not put into the log."""
+    """A proposed change was not appended to the log."""
 
 
 class ReplicaAbandonedError(KindedError):
-    """A follower has to leave the replica that it follows."""
+    """A follower must disconnect from the replica that it follows."""
 
 
 class TopicGapError(KindedError):
-    """What came of a followed topic doesn't follow what is here, so it has to be sent again."""
+    """A message doesn't continue a followed topic, which must be requested again."""
 
     def __init__(self, kind: str, topic: str, detail: str) -> None:
         super().__init__(kind, detail)
@@ -50,15 +50,15 @@
 
 
 class SnapshotError(DistributionError):
-    """A snapshot contradicts itself, exceeds a limit, or is older than what is here."""
+    """A snapshot is inconsistent, exceeds a limit, or is older than the current topics."""
 
 
 class JournalError(DistributionError):
-    """Stored data can't be trusted, or the disk has failed: the replica must not start, or go on.
+    """Persisted data is corrupt, or the disk has failed: the replica must not start or continue.
 
     Attributes:
-        file: the name of a file in the replica's folder, or the folder.
-        detail: what is wrong with it.
+        file: the name of a file in the replica's folder, or the folder itself.
+        detail: a description of the fault.
     """
 
     def __init__(self, file: str, detail: str) -> None:
--- a/badgercart/distribution/followed_topics.py
+++ b/badgercart/distribution/followed_topics.py
@@ -1,4 +1,4 @@
-"""The topics that a follower has in force."""
+"""The current topics of a follower."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class FollowedTopics:
-    """Topics by name, their sizes, and what is known to be wrong with them.
+    """Topics by name, their sizes, and which of them may be wrong.
 
     Attributes:
-        by_name: the topics in force.
-        doubted: topics that may be wrong, so that no delta makes them right.
-        unknown: topics that no replica has, as far as is known.
-        total_bytes: keys and values of all topics, with their framing.
-        max_bytes: the most of that.
-        change_count: changes and snapshots put in force.
+        by_name: the current topics.
+        doubted: topics whose content may be wrong, so that only a snapshot can repair them.
+        unknown: topics that no replica is known to have.
+        total_bytes: the size of all keys and values with their framing.
+        max_bytes: the limit of `total_bytes`.
+        change_count: the number of deltas and snapshots that were applied.
     """
 
     __slots__ = (
@@ -41,10 +41,10 @@
     )
 
     def __init__(self, names: tuple[str, ...], max_bytes: int) -> None:
-        """Begin with nothing of any topic.
+        """Create empty topics.
 
         Raises:
-            ValueError: the topics are more than one subscription can name.
+            ValueError: there are no topics, duplicates, or more than one subscription can name.
         """
         _check_names(names)
         self.by_name: dict[str, Topic] = {name: Topic() for name in names}
@@ -56,14 +56,14 @@
         self.change_count = 0
 
     def get(self, name: str) -> Topic:
-        """Return a topic. Raises ReplicaAbandonedError where it is not followed."""
+        """Return a topic. Raises ReplicaAbandonedError if it is not followed."""
         topic = self.by_name.get(name)
         if topic is None:
             raise ReplicaAbandonedError("unasked", f"{name} was not asked for")
         return topic
 
     def subscription(self) -> Subscribe:
-        """Return what is to be subscribed to, from what is in force."""
+        """Return a subscription to all topics from their current versions."""
         return Subscribe(
             tuple(
                 TopicVersion(name, RESEND, 0)
@@ -74,10 +74,10 @@
         )
 
     def apply(self, delta: Delta) -> None:
-        """Put the next change of a topic in force.
+        """Apply the next delta of a topic.
 
         Raises:
-            ReplicaAbandonedError: there would be too much in force.
+            ReplicaAbandonedError: the topics would exceed `max_bytes`.
         """
         size_bytes = self._size_after(delta.topic, delta.entries)
         if not self._fits(delta.topic, size_bytes):
@@ -87,10 +87,10 @@
         self._record_change(delta.topic, size_bytes)
 
     def replace(self, name: str, topic: Topic, size_bytes: int) -> None:
-        """Put a whole topic in force.
+        """Replace a topic by a complete snapshot.
 
         Raises:
-            ReplicaAbandonedError: there would be too much in force.
+            ReplicaAbandonedError: the topics would exceed `max_bytes`.
         """
         if not self._fits(name, size_bytes):
             raise ReplicaAbandonedError(
@@ -121,7 +121,7 @@
         return size_bytes
 
     def take_over_from(self, other: FollowedTopics) -> None:
-        """Go on from what another had in force; this must not have begun."""
+        """Take the topics of a replaced follower; must be called before this one is used."""
         for name, topic in other.by_name.items():
             if name in self.by_name:
                 self.by_name[name], self._sizes[name] = topic, other._sizes[name]
@@ -132,7 +132,7 @@
 
 
 def _check_names(names: tuple[str, ...]) -> None:
-    """Raise ValueError where the names don't fit one subscription."""
+    """Raise ValueError if the names don't fit one subscription."""
     if len(set(names)) != len(names) or not 0 < len(names) <= MAX_TOPICS:
         detail = f"{len(names)} topics are not 1 to {MAX_TOPICS} different ones"
         raise ValueError(detail)
--- a/badgercart/distribution/follower.py
+++ b/badgercart/distribution/follower.py
@@ -1,7 +1,7 @@
-"""A node's side of the distribution as a machine: events with their time in, effects out. No I/O.
+"""The follower of a node as a state machine: it takes timed events and returns effects. No I/O.
 
-It has one connection at a time, to one of the replicas. Times are in ms, on a clock that only goes
-forward; the driver calls `tick` when `due_ms` says so.
+A follower has one connection at a time, to one of the replicas. Times are in ms on a monotonic
+clock. The driver calls `tick` at `due_ms`.
 """
 
 from __future__ import annotations
@@ -27,34 +27,46 @@
 from badgercart.distribution.replica_selector import FollowerTiming, ReplicaSelector
 from badgercart.distribution.topic_sync import TopicSync
 
-MAX_TOPIC_BYTES = 96 << 20  # of keys and values in force, and as many of unfinished snapshots
+# The limit for keys and values of the current topics, and for those of unfinished snapshots.
+MAX_TOPIC_BYTES = 96 << 20
 
-# Rejections that are counted by their own kind; others are counted as `refused`.
+# Kinds of rejections that are counted as such; all others are counted as `refused`.
 REJECTION_KINDS = frozenset({"behind", "too-many"})
 
 
 @dataclass(slots=True)
 class Session:
-    """One connection to a replica, from the dial on."""
+    """One connection to a replica, from the dial on.
+
+    Attributes:
+        connection: the number of the connection.
+        replica: the position of the replica in the settings.
+        last_received_ms: when the replica was dialled, connected or sent its last message.
+        last_progress_ms: when awaited topics were last requested or received in part.
+        abandon_at_ms: when a replica that lags is abandoned; infinite unless it lags.
+        sync: the synchronization of the topics; None until connected.
+        hello_received: whether the replica has sent its Hello.
+    """
 
     connection: int
     replica: int
-    last_received_ms: float  # when the replica was dialled, connected or spoke last
-    last_progress_ms: float = 0.0  # when what is awaited came nearer
-    abandon_at_ms: float = math.inf  # when a replica that lags is left
-    sync: TopicSync | None = None  # once it is connected
+    last_received_ms: float
+    last_progress_ms: float = 0.0
+    abandon_at_ms: float = math.inf
+    sync: TopicSync | None = None
     hello_received: bool = False
 
 
 class Follower:
-    """Follows some topics of one node.
+    """Keeps the topics of one node up to date from one replica at a time.
 
     Attributes:
-        topics: what is in force.
-        freshness: since when it is known to be whole.
-        session: the connection that counts; None between two. What comes of others is passed over.
-        dial_count: connections that were dialled.
-        faults: replicas left and messages refused, by kind.
+        name: the node's name.
+        topics: the current topics.
+        freshness: when the topics were last known to be complete.
+        session: the current connection; None between two. Events of other connections are ignored.
+        dial_count: the number of dialled connections.
+        faults: counts of abandoned replicas and rejected messages, by kind.
     """
 
     __slots__ = (
@@ -78,17 +90,17 @@
         timing: FollowerTiming,
         rule: Rule | None = None,
     ) -> None:
-        """Make a follower that has not begun.
+        """Create a follower that is not started.
 
         Args:
-            name: the node's name, for people.
+            name: the node's name, shown to operators.
             topics: the names of the topics to follow.
-            selector: goes around the replicas.
+            selector: selects the replica to connect to.
             timing: timeouts.
-            rule: the ages from which on what is in force is doubtful or stale.
+            rule: the ages from which on the topics are doubtful or stale.
 
         Raises:
-            ValueError: the topics are more than one subscription can name.
+            ValueError: there are no topics, duplicates, or more than one subscription can name.
         """
         self.name = name
         self.topics = FollowedTopics(topics, MAX_TOPIC_BYTES)
@@ -106,11 +118,11 @@
             Rejection: self._handle_rejection,
         }
 
-    # What may be looked at between events.
+    # State that may be read between events.
 
     @property
     def due_ms(self) -> float:
-        """When `tick` has something to do."""
+        """When `tick` has to be called next."""
         session, timing = self.session, self._timing
         if session is None:
             return self._dial_at_ms
@@ -124,21 +136,21 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether the connection to a replica is up."""
+        """Whether the connection to a replica is established."""
         return self.session is not None and self.session.sync is not None
 
     @property
     def followed_replica(self) -> int | None:
-        """The replica that has greeted this follower; None: there is none now."""
+        """The position of the connected replica that has sent its Hello; None without one."""
         session = self.session
         return session.replica if session is not None and session.hello_received else None
 
     def age_ms(self, now_ms: float) -> float:
-        """Return the time since all topics were certainly whole; infinite where they never were."""
+        """Return the time since all topics were known to be complete; infinite if they never were."""
         return self.freshness.age(now_ms)
 
     def take_over_from(self, predecessor: Follower) -> None:
-        """Go on from what another follower had, which is closed; this one must not have begun."""
+        """Continue with the state of another, closed follower; call it before `start`."""
         self.topics.take_over_from(predecessor.topics)
         self.freshness = predecessor.freshness
         self.dial_count = predecessor.dial_count
@@ -147,11 +159,11 @@
     # Events.
 
     def start(self, now_ms: float) -> list[Effect]:
-        """Begin."""
+        """Dial the first replica."""
         return self._dial(now_ms)
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Do what the time demands."""
+        """Handle expired timers: dial a replica, or abandon the current one."""
         if now_ms < self.due_ms:
             return []
         session, timing = self.session, self._timing
@@ -164,7 +176,7 @@
             detail = f"no word for {timing.silence_timeout_ms:.0f} ms"
             return self._abandon_replica(now_ms, session, "silent", detail)
         if now_ms >= session.abandon_at_ms:
-            # It was kept until now since it still sends what it hears: the next is dialled at once.
+            # Until now the replica still sent updates, so its successor is dialled without a delay.
             detail = f"it knew of no leader for over {timing.max_lag_ms:.0f} ms"
             return [*self._abandon_replica(now_ms, session, "lags", detail), *self._dial(now_ms)]
         topic = min(session.sync.awaited)
@@ -172,7 +184,7 @@
         return self._abandon_replica(now_ms, session, "no-answer", detail)
 
     def connected(self, now_ms: float, connection: int) -> list[Effect]:
-        """Greet a replica and subscribe, now that the connection is up."""
+        """Send Hello and subscribe, once the connection is established."""
         session = self._session_of(connection)
         if session is None or session.sync is not None:
             return []
@@ -182,7 +194,7 @@
         return [Send(connection, Hello(self.name, False)), Send(connection, subscribe)]
 
     def closed(self, now_ms: float, connection: int) -> list[Effect]:
-        """Turn to another replica, now that the connection is gone."""
+        """Schedule a connection to another replica, after the connection was lost."""
         session = self._session_of(connection)
         if session is None:
             return []
@@ -190,13 +202,13 @@
         return self._abandon_replica(now_ms, session, "closed", detail, is_open=False)
 
     def received(self, now_ms: float, connection: int, message: Message) -> list[Effect]:
-        """Take a message."""
+        """Handle a received message."""
         session = self._session_of(connection)
         if session is None or session.sync is None:
             return []
         silence_ms = now_ms - session.last_received_ms
         if now_ms >= session.last_received_ms + self._timing.silence_timeout_ms:
-            # This process or the link stood still: what lay in a buffer would pass for new.
+            # This process or the network was stalled: buffered messages would seem to be fresh.
             return self._abandon_replica(
                 now_ms, session, "silent", f"no word for {silence_ms:.0f} ms"
             )
@@ -209,9 +221,10 @@
             return self._abandon_replica(now_ms, session, reason.kind, reason.detail)
 
     def request_resend(self, now_ms: float, topic: str) -> list[Effect]:
-        """Have a topic sent again whose entries can't be used, once on one connection.
+        """Request a snapshot of a topic whose entries are unusable, once per connection.
 
-        Where it comes no better, its next change has it sent again. Nothing is proven meanwhile.
+        If the snapshot is unusable as well, the topic's next delta triggers another request. Until
+        the topic is usable, heartbeats don't prove the topics fresh.
         """
         self.topics.doubted.add(topic)
         session = self.session
@@ -236,7 +249,7 @@
     def _abandon_replica(
         self, now_ms: float, session: Session, kind: str, detail: str, is_open: bool = True
     ) -> list[Effect]:
-        """Give up a connection and turn to the next replica, at a time drawn from the window."""
+        """Abandon a connection, and dial the next replica at a time drawn from the window."""
         self.session = None
         self._dial_at_ms = self._selector.draw_reconnect_time_ms(now_ms)
         self._selector.record_failure()
@@ -249,7 +262,7 @@
     def _resubscribe(
         self, now_ms: float, session: Session, sync: TopicSync, gap: TopicGapError
     ) -> list[Effect]:
-        """Ask again for a topic: for what is missing, or for a snapshot where it is in doubt."""
+        """Request the missing changes of a topic, or a snapshot if its content is doubted."""
         try:
             sync.add_gap(gap)
         except ReplicaAbandonedError as reason:
@@ -259,7 +272,7 @@
         subscribe = self.topics.subscription()
         return [LogEvent("gap", fields), Send(session.connection, subscribe)]
 
-    # Messages. They raise TopicGapError and ReplicaAbandonedError.
+    # Messages. The handlers raise TopicGapError and ReplicaAbandonedError.
 
     def _handle(
         self, now_ms: float, session: Session, sync: TopicSync, message: Message
@@ -324,6 +337,6 @@
         if rejection.kind != "unknown-topic":
             kind = rejection.kind if rejection.kind in REJECTION_KINDS else "refused"
             raise ReplicaAbandonedError(kind, rejection.detail)
-        is_news = sync.mark_unknown(rejection)
+        is_newly_unknown = sync.mark_unknown(rejection)
         session.last_progress_ms = now_ms
-        return [LogEvent("unknown-topic", {"topic": rejection.topic})] if is_news else []
+        return [LogEvent("unknown-topic", {"topic": rejection.topic})] if is_newly_unknown else []
--- a/badgercart/distribution/follower_driver.py
+++ b/badgercart/distribution/follower_driver.py
@@ -1,4 +1,4 @@
-"""A follower on sockets."""
+"""Runs a follower on a TCP connection."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class FollowerDriver(Driver):
-    """One follower and the connection that it wants.
+    """Runs one follower: dials replicas for it and passes its updates on.
 
     Attributes:
-        follower: the machine.
-        on_event: called after each event, when the topics may have been proven fresh.
-        local_host: the address to connect from; None: any.
+        follower: the state machine.
+        on_event: called after each event, because the event may have proven the topics fresh.
+        local_host: the local address to connect from; None: any.
     """
 
     def __init__(
@@ -30,13 +30,13 @@
         replicas: tuple[Address, ...],
         on_update: Callable[[UpdateTopic], None],
     ) -> None:
-        """Make a driver that has not begun.
+        """Create a driver that is not started.
 
         Args:
-            runtime: what it runs on.
-            follower: the machine.
-            replicas: their addresses, in the order of the settings.
-            on_update: called with each update that is in force.
+            runtime: the environment of the driver.
+            follower: the state machine.
+            replicas: the addresses of the replicas, in the order of the settings.
+            on_update: called with each applied update.
         """
         super().__init__(runtime, follower)
         self.follower = follower
@@ -48,7 +48,7 @@
         self._handlers[UpdateTopic] = on_update
 
     def start(self) -> None:
-        """Begin."""
+        """Start the follower."""
         self.is_open = True
         self.perform(self.follower.start(self.clock()))
 
@@ -62,7 +62,8 @@
     def _handle_close(self, effect: Close) -> None:
         task = self._dials.pop(effect.connection, None)
         if task is not None:
-            task.cancel()  # the connection is not up yet
+            # The connection is not established yet.
+            task.cancel()
         super()._handle_close(effect)
 
     def _handle_log_event(self, effect: LogEvent) -> None:
@@ -81,12 +82,12 @@
     # Links.
 
     def link_opened(self, link: Link) -> None:
-        """Tell the follower of a connection that is up."""
+        """Notify the follower of an established connection."""
         super().link_opened(link)
         self.perform(self.follower.connected(self.clock(), link.number))
 
     async def dial(self, effect: Dial) -> None:
-        """Connect to a replica."""
+        """Connect to a replica, and notify the follower if that fails."""
         link = Link(self, effect.connection)
         address = self._replicas[effect.replica]
         local = None if self.local_host is None else (self.local_host, 0)
--- a/badgercart/distribution/group_client.py
+++ b/badgercart/distribution/group_client.py
@@ -1,4 +1,4 @@
-"""An operator's way to the replicas of a group, by a node's or a replica's file."""
+"""Connects operators to the replicas of a group, given a node's or a replica's settings file."""
 
 from __future__ import annotations
 
@@ -24,30 +24,36 @@
 
 
 class ReplicaCannotServeError(DistributionError):
-    """A replica can't do what it was asked for; another one might."""
+    """A replica can't serve a request that another replica may be able to serve."""
 
 
 @dataclass(slots=True, frozen=True)
 class GroupClient:
-    """Connects to the replicas of a group."""
+    """Connects to the replicas of a group.
+
+    Attributes:
+        name: the group's name.
+        secret: the group's secret.
+        addresses: the replicas' addresses by name, or by address if the file has no names.
+    """
 
     name: str
     secret: str
-    addresses: dict[str, Address]  # by name, or by address where the file has no names
+    addresses: dict[str, Address]
 
     def connect(self, address: Address) -> Client:
         """Return a connection to a replica, as a context manager."""
         return Client(address, Codec(self.name, self.secret.encode()))
 
     def request_in_turn(self, send_request: Callable[[Client], Awaitable[T]]) -> T:
-        """Return what the first replica answers that is able to.
+        """Return the response of the first replica that can serve a request.
 
         Args:
             send_request: sends the request to one replica; raises ReplicaCannotServeError where the next
                 replica is to be tried.
 
         Raises:
-            CommandError: none is able to.
+            CommandError: no replica can serve it.
         """
         return asyncio.run(self._request_in_turn(send_request))
 
@@ -65,7 +71,7 @@
 
 
 def load_group(path: str) -> GroupClient:
-    """Return the group of a node's file, or of a replica's. Raises CommandError."""
+    """Return the group from a node's or a replica's settings file. Raises CommandError."""
     try:
         file = load_replica_file(path)
         parts = (
@@ -87,7 +93,7 @@
 
 
 def describe_error(error: BaseException) -> str:
-    """Return what went wrong with a connection, for people."""
+    """Return a description of a connection error."""
     if isinstance(error, asyncio.IncompleteReadError):
         return "it ended the connection: is the group's secret right?"
     if isinstance(error, TimeoutError):
--- a/badgercart/distribution/journal.py
+++ b/badgercart/distribution/journal.py
@@ -1,10 +1,10 @@
-"""What a replica keeps on disk: a snapshot of all topics, and a journal of what came after it.
+"""The persistent state of a replica: a snapshot of all topics, and a journal of later changes.
 
-One `Persist` is one record (see `record_file`), written and synced before `persist` returns.
+Each `Persist` is one record (see `record_file`), written and synced before `persist` returns.
 
-A snapshot is written beside the old one, synced and renamed. The journal behind it has the
-snapshot's generation in its name, and exists before the rename. So there is one whole snapshot with
-its journal at each moment.
+A new snapshot is written to a separate file, synced and renamed. Its journal has the snapshot's
+generation in its name, and is created before the rename. So there is a complete snapshot with its
+journal at any time.
 """
 
 from __future__ import annotations
@@ -28,57 +28,64 @@
 
 SNAPSHOT_NAME = "snapshot"
 NEW_SNAPSHOT_NAME = "snapshot.new"
-JOURNAL_PREFIX = "journal."  # followed by the generation
+# The generation follows.
+JOURNAL_PREFIX = "journal."
 LOCK_NAME = "lock"
-MIN_COMPACTION_BYTES = 1 << 20  # a smaller journal is not compacted
+# Smaller journals are not compacted.
+MIN_COMPACTION_BYTES = 1 << 20
 
 
 class Disk(Protocol):
-    """What carries out `Persist` and `PersistSnapshot`; see `Journal`."""
+    """The interface of `Journal`, which executes `Persist` and `PersistSnapshot` effects."""
 
     def recover(self) -> RecoveredState:
-        """Return what was persisted before."""
+        """Return the persisted state."""
 
     def persist(self, effect: Persist | PersistSnapshot) -> None:
-        """Have it on disk on return."""
+        """Write an effect to disk before returning."""
 
     @property
     def needs_compaction(self) -> bool:
-        """Whether `compact` is wanted."""
+        """Whether `compact` should be called."""
 
     def compact(self, state: RecoveredState) -> None:
-        """Keep this in place of all that was persisted before."""
+        """Replace everything that was persisted by this state."""
 
     def close(self) -> None:
-        """Let go of all files."""
+        """Close all files and release the lock."""
 
 
 class Journal:
-    """The files of a replica's folder, which no other process can open meanwhile.
+    """The files of a replica's folder, which is locked against other processes.
 
-    After an OSError of the disk it is not known what was written: from then on all calls raise
-    JournalError, and a new process has to recover.
+    After an OSError of the disk it is unknown what was written. From then on all calls raise
+    JournalError, and a new process has to recover the state.
+
+    Attributes:
+        folder: the replica's folder.
+        journal_bytes: the length of the current journal.
     """
 
     def __init__(self, folder: Path, min_compaction_bytes: int = MIN_COMPACTION_BYTES) -> None:
-        """Lock the folder, which is made if need be.
+        """Lock the folder, which is created if it doesn't exist.
 
         Raises:
-            JournalError: another process has the folder.
+            JournalError: another process uses the folder.
             OSError: the folder can't be used.
         """
         self.folder = folder
         self._min_compaction_bytes = min_compaction_bytes
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self._lock_fd = _lock(folder)
-        self._journal_fd = -1  # open for appending
+        self._journal_fd = -1
         self._generation = 0
         self.journal_bytes = 0
         self._snapshot_bytes = 0
-        self._failure = ""  # why nothing can be persisted any more
+        # The reason why nothing can be persisted any more; empty: none.
+        self._failure = ""
 
     def close(self) -> None:
-        """Let go of all files."""
+        """Close all files and release the lock."""
         if self._journal_fd >= 0:
             os.close(self._journal_fd)
         os.close(self._lock_fd)
@@ -87,11 +94,11 @@
     # Reading.
 
     def recover(self) -> RecoveredState:
-        """Return what a process that had this folder before has persisted.
+        """Return the state that an earlier process persisted in this folder.
 
         Raises:
-            JournalError: what is there can't be trusted.
-            OSError: it can't be read.
+            JournalError: the files are corrupt or inconsistent.
+            OSError: the files can't be read.
         """
         start = self._load_snapshot()
         name = self._journal_name
@@ -106,7 +113,8 @@
         elif self._generation:
             raise JournalError(name, "its first record is spoilt")
         else:
-            self._create_journal()  # the first start, or one that got no further
+            # This is the first start, or the first start crashed before it wrote its header.
+            self._create_journal()
             recovered = start
         self._remove_stale_files()
         return recovered
@@ -131,7 +139,7 @@
             return None
 
     def _open_journal(self, length_bytes: int) -> None:
-        """Go on behind the whole records, and cut off what a crash left behind them."""
+        """Open the journal for appending, and truncate an incomplete record after a crash."""
         path = self.folder / self._journal_name
         self._journal_fd = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
         if length_bytes < os.fstat(self._journal_fd).st_size:
@@ -140,7 +148,7 @@
         self.journal_bytes = length_bytes
 
     def _remove_stale_files(self) -> None:
-        """Remove what a crash left of a compaction."""
+        """Remove files of a compaction that was interrupted by a crash."""
         for path in self.folder.iterdir():
             is_old = path.name.startswith(JOURNAL_PREFIX) and path.name != self._journal_name
             if is_old or path.name == NEW_SNAPSHOT_NAME:
@@ -149,11 +157,11 @@
     # Writing.
 
     def persist(self, effect: Persist | PersistSnapshot) -> None:
-        """Have it on disk on return.
+        """Write an effect to disk before returning.
 
         Raises:
             OSError: the disk has failed.
-            JournalError: it had failed before, or this is closed or was not recovered.
+            JournalError: the disk failed before, or the journal is closed or not recovered.
         """
         if isinstance(effect, PersistSnapshot):
             self.compact(effect.state)
@@ -168,11 +176,11 @@
 
     @property
     def needs_compaction(self) -> bool:
-        """Whether the journal is longer than twice the snapshot."""
+        """Whether the journal is longer than twice the snapshot and the minimum for compaction."""
         return self.journal_bytes > max(self._min_compaction_bytes, 2 * self._snapshot_bytes)
 
     def compact(self, state: RecoveredState) -> None:
-        """Keep this in place of all that was persisted before. Raises as `persist`."""
+        """Replace everything that was persisted by this state. Raises the same as `persist`."""
         self._check_usable()
         body = encode_snapshot(state, self._generation + 1)
         old_fd, old_name = self._journal_fd, self._journal_name
@@ -205,7 +213,7 @@
         return length_bytes
 
     def _create_journal(self) -> None:
-        """Create this generation's journal, with its first record."""
+        """Create the journal of the current generation, with its header record."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
         self._journal_fd = os.open(self.folder / self._journal_name, flags, 0o600)
         self.journal_bytes = _write_record(self._journal_fd, encode_header(self._generation))
@@ -231,7 +239,7 @@
 
 
 def _write_record(fd: int, body: bytes) -> int:
-    """Write a record and return how many bytes it takes."""
+    """Write a record and return its length in bytes."""
     data = memoryview(encode_record(body))
     rest = data
     while rest:
--- a/badgercart/distribution/journal_format.py
+++ b/badgercart/distribution/journal_format.py
@@ -1,7 +1,8 @@
-"""What the bodies of a journal's records hold, and what they come to. No I/O.
+"""The format of journal and snapshot records, and the replay of a journal. No I/O.
 
-The first record of a journal names its format and generation; each further one is a `Persist`. A
-snapshot is one record in a file of its own. All are MessagePack arrays of fields in their order.
+The first record of a journal is its header, with the format version and the generation; each
+further record is a `Persist`. A snapshot is one record in a file of its own. All records are
+MessagePack arrays of the fields in their order of declaration.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class JournalHeader(msgspec.Struct, array_like=True, frozen=True):
-    """The first record of a journal."""
+    """The header, which is the first record of a journal."""
 
     format_version: int
     generation: int
@@ -37,7 +38,10 @@
 
 
 class SnapshotRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A `RecoveredState`, with the generation of the journal behind it."""
+    """A `RecoveredState`, with the generation of the journal that continues it.
+
+    The values of `topics` are version, digest and entries.
+    """
 
     format_version: int
     generation: int
@@ -46,7 +50,7 @@
     commit_index: int
     snapshot_index: int
     snapshot_term: int
-    topics: dict[str, tuple[int, int, dict[str, bytes]]]  # version, digest, entries
+    topics: dict[str, tuple[int, int, dict[str, bytes]]]
     changes: tuple[Change, ...]
 
 
@@ -57,12 +61,12 @@
 
 
 def encode_header(generation: int) -> bytes:
-    """Return the body of a journal's first record."""
+    """Return the body of a journal's header."""
     return encode(JournalHeader(FORMAT_VERSION, generation))
 
 
 def encode_persist(effect: Persist) -> bytes:
-    """Return the body of a further record."""
+    """Return the body of a `Persist` record."""
     return encode(
         PersistRecord(
             effect.term,
@@ -95,10 +99,10 @@
 
 
 def decode_journal(bodies: list[bytes], generation: int, name: str) -> list[Persist]:
-    """Return what the records of a journal hold, of which there must be at least one.
+    """Decode the records of a journal, of which there must be at least one.
 
     Raises:
-        JournalError: they are of another format or generation, or spoilt.
+        JournalError: a record is malformed, or the header has another version or generation.
     """
     try:
         header = _decode_header(bodies[0])
@@ -116,10 +120,10 @@
 
 
 def decode_snapshot(data: bytes, name: str) -> tuple[int, RecoveredState]:
-    """Return the generation of the journal behind a snapshot file, and what the snapshot holds.
+    """Decode a snapshot file; return the generation of its journal, and the state.
 
     Raises:
-        JournalError: the file is spoilt, of another format, or contradicts itself.
+        JournalError: the file is corrupt, of another format version, or inconsistent.
     """
     body = decode_record(data)
     if body is None or RECORD_HEADER_BYTES + len(body) != len(data):
@@ -166,19 +170,24 @@
 def replay(
     start: RecoveredState, persisted: Iterable[Persist], name: str = "journal"
 ) -> RecoveredState:
-    """Return what a snapshot, and all that was persisted since, come to.
+    """Apply all persisted records to the state of a snapshot, and return the result.
+
+    Args:
+        start: the state of the snapshot.
+        persisted: the records since then, in order.
+        name: the journal's file name, for errors.
 
     Raises:
-        JournalError: a record does not follow what was before it; `name` is the file's.
+        JournalError: a record does not continue the state before it.
     """
     state = _Replay(start, name)
-    for number, each in enumerate(persisted, 1):
-        state.apply(each, number)
+    for number, record in enumerate(persisted, 1):
+        state.apply(record, number)
     return state.result()
 
 
 class _Replay:
-    """A log under reconstruction."""
+    """The log while it is reconstructed from records."""
 
     def __init__(self, start: RecoveredState, name: str) -> None:
         self.start = start
@@ -192,7 +201,7 @@
         return self.start.snapshot_index + len(self.changes)
 
     def apply(self, persist: Persist, number: int) -> None:
-        """Apply the record of that number."""
+        """Apply one record; its number is used in errors."""
         if persist.changes:
             self._replace_tail(persist, number)
         last_index = self.last_index
@@ -221,7 +230,7 @@
             self.changes.append(change)
 
     def result(self) -> RecoveredState:
-        """Return what all records come to."""
+        """Return the state after all records."""
         start = self.start
         return RecoveredState(
             self.term,
--- a/badgercart/distribution/link.py
+++ b/badgercart/distribution/link.py
@@ -1,4 +1,4 @@
-"""One TCP connection that carries frames behind their lengths."""
+"""A TCP connection that carries length-prefixed frames."""
 
 from __future__ import annotations
 
@@ -11,47 +11,50 @@
 from badgercart.distribution.messages import MAX_FRAME_BYTES, Codec, Message
 
 FRAME_LENGTH = struct.Struct("!I")
-WRITE_HIGH_WATER_BYTES = (
-    256 << 10
-)  # waiting to be written, above which the machine sends nothing more
-MAX_WRITE_BUFFER_BYTES = 4 << 20  # a connection for which more waits is closed
-STALL_TIMEOUT_S = 10.0  # in which what waits has to go, and sent bytes to be acknowledged
-FLUSH_TIMEOUT_S = 1.0  # for the last messages to a connection that is closed
+# Above this size of its write buffer a connection is stalled: the state machine sends no more.
+WRITE_HIGH_WATER_BYTES = 256 << 10
+# Above this size of its write buffer a connection is closed.
+MAX_WRITE_BUFFER_BYTES = 4 << 20
+# A connection is closed if it stays stalled, or sent bytes stay unacknowledged, for this long.
+STALL_TIMEOUT_S = 10.0
+# The time to send the last messages of a connection that is being closed.
+FLUSH_TIMEOUT_S = 1.0
 
 
 class LinkOwner(Protocol):
-    """The driver to which a link belongs."""
+    """The interface of the driver that owns a link."""
 
     loop: asyncio.AbstractEventLoop
     codec: Codec
 
     def link_opened(self, link: Link) -> None:
-        """Take a connection that is up."""
+        """Handle an established connection."""
 
     def link_lost(self, link: Link) -> None:
-        """Forget a connection that is gone."""
+        """Handle the loss of a connection."""
 
     def refuse(self, link: Link, kind: str, detail: str) -> None:
-        """Close a connection for what it sent or doesn't read."""
+        """Close a connection that sends invalid frames or doesn't read."""
 
     def message_received(self, link: Link, message: Message) -> None:
-        """Take a message."""
+        """Handle a received message."""
 
     def link_stalled(self, link: Link) -> None:
-        """Send nothing more, until `link_writable`."""
+        """Stop sending to the link until `link_writable`."""
 
     def link_writable(self, link: Link) -> None:
-        """Go on with a link that was stalled."""
+        """Resume sending to a link that was stalled."""
 
 
 class Link(asyncio.Protocol):
     """One connection.
 
     Attributes:
-        number: by which the machine knows it.
-        replica: the replica that was dialled; empty where the connection came in.
-        remote: the other end's address, for people.
-        is_closed: whether the owner is done with it; what still comes is ignored.
+        number: identifies the connection in events and effects.
+        replica: the name of the dialled replica; empty for other connections.
+        remote: the address of the other end, for the log.
+        is_closed: whether the connection is closed; data received after that is ignored.
+        transport: the transport; None until connected.
     """
 
     def __init__(self, owner: LinkOwner, number: int, replica: str = "") -> None:
@@ -64,10 +67,10 @@
         self._buffer = bytearray()
         self._stall_timer: asyncio.TimerHandle | None = None
 
-    # The loop's calls.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set bounds and hand the connection over."""
+        """Set buffer limits and timeouts, and notify the owner."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(WRITE_HIGH_WATER_BYTES)
         address = transport.get_extra_info("peername") or ("?", "?")
@@ -79,7 +82,7 @@
         self._owner.link_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take all whole frames."""
+        """Decode all complete frames and pass them to the owner."""
         self._buffer += data
         position = 0
         try:
@@ -97,7 +100,7 @@
             del self._buffer[:position]
 
     def _frame_at(self, position: int) -> bytes | None:
-        """Return the frame at a position of the buffer; None where it is not whole yet."""
+        """Return the frame at a position of the buffer; None if it is incomplete."""
         start = position + FRAME_LENGTH.size
         if len(self._buffer) < start:
             return None
@@ -110,7 +113,7 @@
         return bytes(self._buffer[start : start + length])
 
     def pause_writing(self) -> None:
-        """Stop the machine, and set a time for what waits."""
+        """Handle a full write buffer: notify the owner and start the stall timeout."""
         detail = f"over {WRITE_HIGH_WATER_BYTES} bytes are not read in {STALL_TIMEOUT_S:.0f} s"
         self._stall_timer = self._owner.loop.call_later(
             STALL_TIMEOUT_S, self._owner.refuse, self, "slow", detail
@@ -118,21 +121,21 @@
         self._owner.link_stalled(self)
 
     def resume_writing(self) -> None:
-        """Have the machine go on."""
+        """Handle a drained write buffer: cancel the stall timeout and notify the owner."""
         self._cancel_stall_timer()
         self._owner.link_writable(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Tell the owner, unless it has closed this itself."""
+        """Notify the owner, unless it closed the connection itself."""
         self._cancel_stall_timer()
         if not self.is_closed:
             self.is_closed = True
             self._owner.link_lost(self)
 
-    # The owner's calls.
+    # Methods for the owner.
 
     def write(self, frame: bytes) -> None:
-        """Send a frame. The link is refused where too much waits to be written."""
+        """Send a frame. The link is refused if its write buffer is over the limit."""
         if self.is_closed or self.transport is None or self.transport.is_closing():
             return
         self.transport.write(FRAME_LENGTH.pack(len(frame)) + frame)
@@ -140,14 +143,14 @@
             self._owner.refuse(self, "slow", f"over {MAX_WRITE_BUFFER_BYTES} bytes wait to be read")
 
     def close(self) -> None:
-        """Send what waits, for `FLUSH_TIMEOUT_S` at most, and let go."""
+        """Close the connection after its write buffer is sent, or after `FLUSH_TIMEOUT_S`."""
         self._end()
         if self.transport is not None:
             self.transport.close()
             self._owner.loop.call_later(FLUSH_TIMEOUT_S, self.transport.abort)
 
     def abort(self) -> None:
-        """Let go at once."""
+        """Close the connection at once."""
         self._end()
         if self.transport is not None:
             self.transport.abort()
--- a/badgercart/distribution/log_events.py
+++ b/badgercart/distribution/log_events.py
@@ -1,4 +1,4 @@
-"""Log events of replicas and followers, with what operators are told to do."""
+"""Log events of replicas and followers, with advice for operators."""
 
 from __future__ import annotations
 
@@ -93,5 +93,5 @@
 
 
 def log(event: LogEvent) -> None:
-    """Log what a machine wants logged."""
+    """Log an event that a state machine requested."""
     TABLE[f"distribution.{event.name.replace('-', '_')}"](**event.fields)
