--- a/badgercart/distribution/connections.py
+++ b/badgercart/distribution/connections.py
@@ -45,7 +45,7 @@
         return number in self.by_number
 
     def identify(self, connection: Connection, hello: Hello) -> None:
-        """Set the name and the peer of a connection by its Hello. Raises ConnectionRejectedError."""
+        """Identify the other end of a connection by its Hello. Raises ConnectionRejectedError."""
         self._check_hello(connection, hello)
         connection.name = hello.name
         if hello.is_replica:
--- a/badgercart/distribution/follower.py
+++ b/badgercart/distribution/follower.py
@@ -146,7 +146,7 @@
         return session.replica if session is not None and session.hello_received else None
 
     def age_ms(self, now_ms: float) -> float:
-        """Return the time since all topics were known to be complete; infinite if they never were."""
+        """Return the time since all topics were known to be complete; infinite if never."""
         return self.freshness.age(now_ms)
 
     def take_over_from(self, predecessor: Follower) -> None:
--- a/badgercart/distribution/group_client.py
+++ b/badgercart/distribution/group_client.py
@@ -49,8 +49,8 @@
         """Return the response of the first replica that can serve a request.
 
         Args:
-            send_request: sends the request to one replica; raises ReplicaCannotServeError where the next
-                replica is to be tried.
+            send_request: sends the request to one replica; raises ReplicaCannotServeError if another
+                replica should be tried.
 
         Raises:
             CommandError: no replica can serve it.
--- a/badgercart/distribution/messages.py
+++ b/badgercart/distribution/messages.py
@@ -1,12 +1,13 @@
 """Messages between replicas, followers and operators: versioned, bounded, authenticated. No I/O.
 
-A frame is `bd`, the protocol's version, a keyed hash of all that follows, and MessagePack. A frame
-of another group, version or size is refused before anything of it is decoded. On TCP a frame stands
-behind its length, 4 bytes in network order.
-
-A message is an array of its tag and its fields in their order, so that no name of a class or a
-field is on the wire. Tags and the values of `kind`, `error` and `role` fields are literals of this
-protocol.
+A frame consists of the magic bytes `bd`, the protocol version, a keyed hash of the rest, and a
+message in MessagePack. A frame of another group or version, or one that is too large, is refused
+before its message is decoded. On TCP each frame is preceded by its length, which has 4 bytes in
+network order.
+
+A message is an array of its tag and its fields in order of declaration, so names of classes and
+fields are not on the wire. Tags and the values of the `kind`, `error` and `role` fields are
+literals of this protocol.
 """
 
 from __future__ import annotations
@@ -24,36 +25,48 @@
 MAGIC = b"bd"
 HASH_BYTES = 16
 FRAME_HEADER_BYTES = len(MAGIC) + 1 + HASH_BYTES
-MAX_FRAME_BYTES = 1 << 20  # with its head; what is larger comes in parts
+# The limit includes the frame header. Larger snapshots are sent in parts.
+MAX_FRAME_BYTES = 1 << 20
 MAX_VALUE_BYTES = 64 << 10
-MAX_ENTRIES = 4096  # of one change, which is committed whole or not at all
-MAX_TOPICS = 4096  # of one subscription
-MAX_NAME_LENGTH = 200  # characters of a topic, a key, a name
-RESEND = -1  # in place of a version: what the subscriber has may be wrong, so no delta helps
-ANY_VERSION = -1  # in place of an expected version
+# The limit of one change, which is committed completely or not at all.
+MAX_ENTRIES = 4096
+# The limit of one subscription.
+MAX_TOPICS = 4096
+# The limit in characters of a topic, a key or a name.
+MAX_NAME_LENGTH = 200
+# In place of a version: the subscriber's content may be wrong, so it needs a snapshot, not deltas.
+RESEND = -1
+# In place of an expected version.
+ANY_VERSION = -1
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """A key of a topic with its new value; None removes it."""
+    """A key of a topic with its new value; None removes the key."""
 
     key: str
     value: bytes | None
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
-    """A change of one topic, at one log index: all of its entries or none.
+    """An atomic change of one topic, which is one entry of the replicated log.
+
+    An empty topic name makes it a no-op, with which a leader begins its term.
 
-    Without a topic it changes nothing: a leader begins its term with one of these.
+    Attributes:
+        term: the term of the leader that appended it.
+        index: the log index, from 1.
+        topic: the name of the topic.
+        entries: the entries to set or remove.
     """
 
-    term: int  # of the leader that put it into the log
-    index: int  # in the log, from 1
+    term: int
+    index: int
     topic: str
     entries: tuple[Entry, ...]
 
 
 class TopicPart(msgspec.Struct, array_like=True, frozen=True):
-    """Some entries of a topic that has this version and digest."""
+    """Some entries of a topic, with the version and digest of the complete topic."""
 
     topic: str
     version: int
@@ -62,9 +75,10 @@
 
 
 class TopicVersion(msgspec.Struct, array_like=True, frozen=True):
-    """What a subscriber has of a topic.
+    """The version and digest that a subscriber has of a topic.
 
-    Version 0 with digest 0 is nothing; `RESEND` with digest 0 asks for a snapshot in any case.
+    Version 0 with digest 0 means that it has nothing. `RESEND` with digest 0 requests a snapshot in
+    any case.
     """
 
     topic: str
@@ -76,16 +90,19 @@
 
 
 class Hello(msgspec.Struct, tag="h", array_like=True, frozen=True):
-    """The first message on each connection, from both ends. A follower's name is for people."""
+    """The first message on each connection, from both ends.
+
+    The name of a follower is only shown to operators.
+    """
 
     name: str
     is_replica: bool
 
 
 class VoteRequest(msgspec.Struct, tag="vq", array_like=True, frozen=True):
-    """Ask for a vote in a term, by a replica whose log ends there.
+    """Request a vote in a term, for a candidate whose log ends at the given term and index.
 
-    With `pre_vote` it asks whether a vote would be given, and no term is begun.
+    With `pre_vote` it only asks whether the vote would be granted, and the term is not entered.
     """
 
     term: int
@@ -95,7 +112,7 @@
 
 
 class VoteResponse(msgspec.Struct, tag="v", array_like=True, frozen=True):
-    """The answer to a VoteRequest, with the term that was granted, or the voter's."""
+    """The response to a VoteRequest, with the requested term if granted, else the voter's term."""
 
     term: int
     granted: bool
@@ -103,40 +120,51 @@
 
 
 class AppendEntries(msgspec.Struct, tag="a", array_like=True, frozen=True):
-    """The leader's log behind an index that the receiver has committed; or, empty, a heartbeat.
+    """The leader's changes after an index that the receiver has committed; empty as a heartbeat.
 
-    What the receiver has said to match may be committed by this very message.
+    Changes that the receiver has acknowledged may be committed by the same message.
+
+    Attributes:
+        term: the leader's term.
+        after_index: the log index after which the changes follow.
+        changes: the changes.
+        commit_index: the leader's commit index.
+        age_ms: the time since a majority of the voters last certainly followed this leader.
     """
 
     term: int
     after_index: int
     changes: tuple[Change, ...]
-    commit_index: int  # the leader's
-    age_ms: float = 0.0  # since a majority of the voters certainly had this leader
+    commit_index: int
+    age_ms: float = 0.0
 
 
 class AppendResponse(msgspec.Struct, tag="d", array_like=True, frozen=True):
-    """The log matches the leader's up to an index.
+    """The response to AppendEntries or InstallSnapshot.
 
-    Where it is `rejected`, the leader has to send everything behind `commit_index` again.
+    Attributes:
+        term: the receiver's term.
+        match_index: the log index up to which the receiver's log matches the leader's.
+        commit_index: the receiver's commit index.
+        rejected: whether the leader must send everything after `commit_index` again.
     """
 
     term: int
     match_index: int
-    commit_index: int  # the receiver's
+    commit_index: int
     rejected: bool
 
 
 class InstallSnapshot(msgspec.Struct, tag="s", array_like=True, frozen=True):
-    """A part of all topics as of a log index, for a replica that is too far behind for the log.
+    """A part of a snapshot of all topics, for a replica that needs changes no longer in the log.
 
-    Parts come in order, and are installed with the last.
+    Parts are sent in order, numbered from 1, and are installed with the last one.
     """
 
     term: int
     last_index: int
     last_term: int
-    part: int  # from 1
+    part: int
     parts: int
     topics: tuple[TopicPart, ...]
 
@@ -145,24 +173,31 @@
 
 
 class Subscribe(msgspec.Struct, tag="f", array_like=True, frozen=True):
-    """Subscribe to these topics, from what the subscriber has; replaces a subscription before."""
+    """Subscribe to topics from the versions that the subscriber has.
+
+    It replaces an earlier subscription of the connection.
+    """
 
     topics: tuple[TopicVersion, ...]
 
 
 class Snapshot(msgspec.Struct, tag="w", array_like=True, frozen=True):
-    """A part of a topic. Parts come in order, and are in force with the last if the digest fits."""
+    """A part of a snapshot of one topic.
+
+    Parts are sent in order, numbered from 1. The subscriber applies the snapshot with the last
+    part, if its digest is right.
+    """
 
     topic: str
     version: int
     digest: int
-    part: int  # from 1
+    part: int
     parts: int
     entries: tuple[Entry, ...]
 
 
 class Delta(msgspec.Struct, tag="c", array_like=True, frozen=True):
-    """The entries that take a topic to this version and digest, from the version before."""
+    """The entries that change a topic from the previous version to this version and digest."""
 
     topic: str
     version: int
@@ -171,23 +206,23 @@
 
 
 class Heartbeat(msgspec.Struct, tag="b", array_like=True, frozen=True):
-    """Everything that was subscribed to was sent, as of that long ago.
+    """Confirms that the subscriber was sent all changes committed up to `age_ms` ago.
 
-    The age is infinite where the replica hasn't known a leader with a majority since its start.
+    The age is infinite if the replica has not followed a leader with a majority since its start.
     """
 
     age_ms: float
 
 
 class Rejection(msgspec.Struct, tag="n", array_like=True, frozen=True):
-    """Something that was subscribed to can't be had.
+    """Rejects a subscription, or one topic of it; then `topic` is its name, else empty.
 
-    Kinds: `unknown-topic`; `behind`, where the replica has an older version than the subscriber;
-    `too-many`, where it takes no further subscriber.
+    Kinds: `unknown-topic`; `behind`, if the replica has an older version than the subscriber;
+    `too-many`, if a limit of subscribers or subscriptions is reached.
     """
 
     kind: str
-    topic: str  # empty where it is not about one
+    topic: str
     detail: str
 
 
@@ -195,20 +230,27 @@
 
 
 class Propose(msgspec.Struct, tag="p", array_like=True, frozen=True):
-    """Put entries into a topic, if it has the expected version."""
+    """Propose a change of a topic, if the topic has the expected version.
 
-    request_id: int  # by which the response is known
+    Attributes:
+        request_id: identifies the response.
+        topic: the name of the topic.
+        entries: the entries to set or remove.
+        expected_version: the version that the topic must have, or ANY_VERSION.
+    """
+
+    request_id: int
     topic: str
     entries: tuple[Entry, ...]
-    expected_version: int  # or ANY_VERSION
+    expected_version: int
 
 
 class ProposeResponse(msgspec.Struct, tag="q", array_like=True, frozen=True):
-    """The proposal is committed as this version of its topic, or has failed with an error.
+    """The result of a proposal: the version of the topic that contains it, or an error.
 
-    Errors: `not-leading`, with the leader's name as detail if it is known; `conflict`, where the
-    topic has another version than expected; `too-many`; `oversized`; `unknown`, where the term
-    ended before it was decided, so that it may yet be committed or not.
+    Errors: `not-leading`, with the leader's name as detail if it is known; `conflict`, if the topic
+    has another version than expected; `too-many`; `oversized`; `unknown`, if the term ended before
+    the proposal was decided, so that it may or may not be committed later.
     """
 
     request_id: int
@@ -218,22 +260,35 @@
 
 
 class StatusRequest(msgspec.Struct, tag="sq", array_like=True, frozen=True):
-    """Ask for a Status. The driver answers it; the replica's machine doesn't know of it."""
+    """Request a Status. The driver responds to it, not the replica's state machine."""
 
 
 class Status(msgspec.Struct, tag="st", array_like=True, frozen=True):
-    """The state of a replica, for operators."""
+    """The state of a replica, for operators.
+
+    Attributes:
+        name: the replica's name.
+        role: its role, see `replica_driver.ROLE_LABELS`.
+        leader: the name of the current term's leader; empty: not known.
+        term: the current term.
+        commit_index: the commit index.
+        last_index: the log index of the newest change.
+        subscribers: the number of subscribers.
+        topics: the number of topics.
+        entries: the number of entries of all topics.
+        age_ms: the time since the replica was last known to have every committed change.
+    """
 
     name: str
-    role: str  # see `driver.ROLE_LABELS`
-    leader: str  # as far as is known; empty: nobody
+    role: str
+    leader: str
     term: int
     commit_index: int
     last_index: int
     subscribers: int
     topics: int
     entries: int
-    age_ms: float  # since it knew that it had everything
+    age_ms: float
 
 
 Message = (
@@ -254,7 +309,7 @@
     | Status
 )
 
-# What messages are called in the log, where operators know them by these words.
+# The names of messages in log texts, as operators know them.
 MESSAGE_LABELS: dict[type[Message], str] = {
     Hello: "Hello",
     VoteRequest: "VoteRequest",
@@ -278,7 +333,7 @@
 
 
 def check_message(message: Message) -> None:
-    """Raise FrameError where a message exceeds a bound that its types don't show."""
+    """Raise FrameError if a message exceeds a limit that its types don't express."""
     check = _CHECKS.get(type(message))
     if check is not None:
         check(message)
@@ -313,8 +368,8 @@
     if len(message.topics) > MAX_TOPICS:
         detail = f"{len(message.topics)} topics are more than {MAX_TOPICS}"
         raise FrameError("oversized", detail)
-    for wanted in message.topics:
-        _check_name(wanted.topic)
+    for topic_version in message.topics:
+        _check_name(topic_version.topic)
 
 
 _CHECKS: dict[type[Message], Callable[[Any], None]] = {
@@ -347,10 +402,10 @@
 
 
 class Codec:
-    """Turns messages of one group into frames and back.
+    """Encodes messages of one group as frames, and decodes them.
 
     Args:
-        group: the group's name, which is part of each hash.
+        group: the group's name, which is part of the hashed data.
         secret: the group's secret, from which the key of the hash is derived.
     """
 
@@ -364,7 +419,7 @@
         return hashlib.blake2b(data, digest_size=HASH_BYTES, key=self._key).digest()
 
     def encode(self, message: Message) -> bytes:
-        """Return a frame. Raises FrameError where the other end would refuse it."""
+        """Return the frame of a message. Raises FrameError if the receiver would refuse it."""
         check_message(message)
         data = _encode(message)
         if FRAME_HEADER_BYTES + len(data) > MAX_FRAME_BYTES:
--- a/badgercart/distribution/proposals.py
+++ b/badgercart/distribution/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of operators: which are admitted, and who waits for which log index. No I/O."""
+"""Proposals of operators: admission, and tracking until they are committed. No I/O."""
 
 from __future__ import annotations
 
@@ -18,21 +18,33 @@
 from badgercart.distribution.replica_config import ReplicaLimits
 from badgercart.distribution.topic import TopicTable, framed_size
 
-# One change, which leaves room for its framing in every message that carries it.
+# The limit of one change. The rest of a frame is left for the framing of each message with it.
 MAX_CHANGE_BYTES = MAX_FRAME_BYTES - 4096
 
 
 @dataclass(slots=True)
 class ProjectedTopic:
-    """What a topic will be once the leader's whole log is committed."""
+    """The future state of a topic, once the leader's complete log is committed.
 
-    log_index: int  # of its last change
+    Attributes:
+        log_index: the log index of the topic's last change.
+        version: the future version.
+        entries: the uncommitted values by key; None for a removed key.
+    """
+
+    log_index: int
     version: int
-    entries: dict[str, bytes | None] = field(default_factory=dict)  # that are not committed yet
+    entries: dict[str, bytes | None] = field(default_factory=dict)
 
 
 class UncommittedChanges:
-    """The changes in a leader's log that are not committed, as they will change the topics."""
+    """The uncommitted changes of a leader's log, and the future state of the topics.
+
+    Attributes:
+        byte_count: the size of the entries of all uncommitted changes.
+        entry_count: the number of these entries.
+        projected: the future state of the topics with uncommitted changes.
+    """
 
     __slots__ = ("_topics", "byte_count", "entry_count", "projected")
 
@@ -67,17 +79,17 @@
             del self.projected[change.topic]
 
     def clear(self) -> None:
-        """Forget all, since this replica no longer leads."""
+        """Remove all changes, since this replica no longer leads."""
         self.projected.clear()
         self.byte_count = self.entry_count = 0
 
     def version(self, topic: str) -> int:
-        """Return the version that a topic will have."""
+        """Return the future version of a topic."""
         projected = self.projected.get(topic)
         return self._topics.version(topic) if projected is None else projected.version
 
     def value(self, topic: str, key: str) -> bytes | None:
-        """Return the value that a key will have; None: none."""
+        """Return the future value of a key; None if it will not exist."""
         projected = self.projected.get(topic)
         if projected is not None and key in projected.entries:
             return projected.entries[key]
@@ -85,18 +97,18 @@
         return None if committed is None else committed.entries.get(key)
 
     def has_topic(self, topic: str) -> bool:
-        """Tell whether there is, or will be, such a topic."""
+        """Return whether a topic exists or will exist."""
         return topic in self._topics.by_name or topic in self.projected
 
     def topic_count(self) -> int:
-        """Return how many topics there will be."""
+        """Return the future number of topics."""
         committed = self._topics.by_name
         return len(committed) + sum(name not in committed for name in self.projected)
 
 
 @dataclass(slots=True, frozen=True)
 class PendingProposal:
-    """A proposal whose change is in the log but not committed."""
+    """A proposal that is decided with a change that is in the log but not committed."""
 
     connection: int
     request_id: int
@@ -104,12 +116,12 @@
 
 
 class Proposals:
-    """The proposals of a leader that wait to be decided.
+    """The pending proposals of a leader.
 
     Attributes:
-        uncommitted: the changes that they, and earlier leaders, have put into the log.
-        by_index: pending proposals by the log index at which they are decided.
-        count: how many there are.
+        uncommitted: the uncommitted changes in the log, also those of earlier leaders.
+        by_index: pending proposals by the log index whose commit decides them.
+        count: the number of pending proposals.
     """
 
     __slots__ = ("_limits", "_topics", "by_index", "count", "uncommitted")
@@ -122,7 +134,7 @@
         self.count = 0
 
     def check(self, proposal: Propose) -> None:
-        """Raise ProposalRejectedError where a proposal can't be admitted."""
+        """Raise ProposalRejectedError if a proposal can't be admitted."""
         size_bytes = framed_size(proposal.entries)
         self._check_size(proposal, size_bytes)
         self._check_pending(size_bytes)
@@ -162,7 +174,7 @@
             raise ProposalRejectedError("too-many", f"there are {count} topics, the most")
 
     def _check_entry_count(self, proposal: Propose) -> None:
-        """Check the entries of all topics, with each proposed one counted as if it were new."""
+        """Check the limit of entries of all topics, counting each proposed entry as a new one."""
         max_entries = self._limits.max_entries
         count = self._topics.entry_count + self.uncommitted.entry_count + len(proposal.entries)
         if count > max_entries:
@@ -171,25 +183,25 @@
             )
 
     def is_no_op(self, proposal: Propose) -> bool:
-        """Tell whether all proposed values are there, or will be once the log is committed."""
+        """Return whether all proposed values exist, or will once the log is committed."""
         proposed = {entry.key: entry.value for entry in proposal.entries}
         return all(
             self.uncommitted.value(proposal.topic, key) == value for key, value in proposed.items()
         )
 
     def add_pending(self, log_index: int, proposal: PendingProposal) -> None:
-        """Have a proposal decided with the change at a log index."""
+        """Add a proposal that is decided with the change at a log index."""
         self.by_index.setdefault(log_index, []).append(proposal)
         self.count += 1
 
     def take_decided(self, log_index: int) -> list[PendingProposal]:
-        """Take the proposals that are decided with the change at a log index."""
+        """Remove and return the proposals that are decided with the change at a log index."""
         decided = self.by_index.pop(log_index, [])
         self.count -= len(decided)
         return decided
 
     def take_all(self) -> list[PendingProposal]:
-        """Take all proposals, which this replica can't decide any more."""
+        """Remove and return all proposals, after this replica has lost leadership."""
         pending = [proposal for proposals in self.by_index.values() for proposal in proposals]
         self.by_index.clear()
         self.count = 0
@@ -197,7 +209,7 @@
 
 
 class ProposalService:
-    """Answers proposals, and has the admitted ones replicated."""
+    """Handles proposals: rejects them, or appends their changes to the log."""
 
     __slots__ = ("_effects", "_proposals", "_raft", "_topics")
 
@@ -210,7 +222,7 @@
         self._effects = effects
 
     def handle(self, connection: int, proposal: Propose) -> None:
-        """Put a change into the log, or answer why not."""
+        """Append the change of a proposal to the log, or respond at once."""
         try:
             self._check(proposal)
         except ProposalRejectedError as rejected:
@@ -233,10 +245,10 @@
         self._proposals.check(proposal)
 
     def _index_of_current_value(self, topic: str) -> int:
-        """Return the log index that has to be committed for a topic to be as it is projected.
+        """Return the log index whose commit makes the projected state of a topic final.
 
-        Without a change under way that is the first of the leader's term: before it is committed,
-        a later leader may have another view of the topic.
+        Without an uncommitted change of the topic this is the first change of the leader's term:
+        before that is committed, a later leader may have another state of the topic.
         """
         projected = self._proposals.uncommitted.projected.get(topic)
         if projected is None:
--- a/badgercart/distribution/publisher.py
+++ b/badgercart/distribution/publisher.py
@@ -1,8 +1,8 @@
-"""Publishes committed changes of topics to those who have subscribed to them. No I/O.
+"""Publishes committed changes of topics to their subscribers. No I/O.
 
-A subscriber that is a little behind gets the deltas it lacks, from a bounded history; otherwise a
-snapshot of the topic. No more than `MAX_BURST_BYTES` are built for a connection in one event: the rest
-follows with later events, each from what the subscriber was sent last.
+A subscriber that lags by a few versions gets the missing deltas from a bounded history; otherwise
+it gets a snapshot of the topic. At most about `MAX_BURST_BYTES` are built for a connection in one
+event. Later events continue from the version that the subscriber was sent last.
 """
 
 from __future__ import annotations
@@ -23,7 +23,8 @@
 from badgercart.distribution.subscriptions import Subscriber, Subscriptions
 from badgercart.distribution.topic import ENTRY_FRAMING_BYTES, Topic, TopicTable, framed_size
 
-MAX_BURST_BYTES = 256 << 10  # for one connection and event; the message that passes it is the last
+# The limit for one connection in one event. The message that exceeds it is still sent, as the last.
+MAX_BURST_BYTES = 256 << 10
 
 
 class Publisher:
@@ -31,10 +32,10 @@
 
     Attributes:
         topics: all topics as of the commit index.
-        subscriptions: who has subscribed to what.
-        history: the last deltas.
-        ready: connections that have something to be sent and room for it.
-        visited_count: subscribers that were looked at for changes, since the start.
+        subscriptions: the subscribers and their topics.
+        history: the latest deltas.
+        ready: connections with pending topics that are not stalled.
+        visited_count: how many subscribers were checked for changes since the start.
     """
 
     __slots__ = ("_sent_bytes", "history", "ready", "subscriptions", "topics", "visited_count")
@@ -45,16 +46,20 @@
         self.history = DeltaHistory(limits)
         self.ready: dict[int, None] = {}
         self.visited_count = 0
-        self._sent_bytes: dict[int, int] = {}  # in the current event, by connection
+        # Bytes built in the current event, by connection.
+        self._sent_bytes: dict[int, int] = {}
 
     def end_event(self) -> None:
-        """Begin to count bursts anew: what was built is the driver's now."""
+        """Reset the size of all bursts, whose messages were handed to the driver."""
         self._sent_bytes.clear()
 
     # Changes.
 
     def apply(self, change: Change) -> list[Effect]:
-        """Apply a committed change to its topic and send it to those who lack nothing else."""
+        """Apply a committed change, and send it to subscribers that have the previous version.
+
+        For other subscribers the topic becomes pending.
+        """
         topic = self.topics.apply(change)
         delta = Delta(change.topic, topic.version, topic.digest, change.entries)
         size_bytes = framed_size(change.entries)
@@ -82,7 +87,8 @@
     def _check_caught_up(self, subscriber: Subscriber, name: str, topic: Topic) -> None:
         """Compare a topic with that of a subscriber that was ahead of this replica.
 
-        Where the same version has another digest, the subscriber's is not the group's.
+        If the same version has another digest, the subscriber's content is not the group's, and it
+        gets a snapshot.
         """
         if topic.version != subscriber.sent_versions[name]:
             return
@@ -91,7 +97,7 @@
             self._enqueue(subscriber, name)
 
     def replace_topics(self, topics: dict[str, Topic]) -> None:
-        """Replace all topics, each at least at its version before."""
+        """Replace all topics. No topic may have an older version than before."""
         self.topics.replace(topics)
         self.history.clear()
         for subscriber in self.subscriptions.subscribers.values():
@@ -107,9 +113,10 @@
     # Subscribers.
 
     def subscribe(self, now_ms: float, connection: int, message: Subscribe) -> list[Effect]:
-        """Replace the subscription of a connection and send what it lacks.
+        """Replace the subscription of a connection, and send the changes that it lacks.
 
-        Raises SubscriptionRejectedError, with the subscription before left as it was.
+        Raises:
+            SubscriptionRejectedError: a limit is exceeded; the earlier subscription is kept.
         """
         self.subscriptions.check(connection, message)
         self.unsubscribe(connection)
@@ -140,7 +147,7 @@
         return []
 
     def unsubscribe(self, connection: int) -> None:
-        """Forget a subscriber, if there is one on that connection."""
+        """Remove the subscriber of a connection, if there is one."""
         self.ready.pop(connection, None)
         self.subscriptions.remove(connection)
 
@@ -150,14 +157,14 @@
             self.ready[subscriber.connection] = None
 
     def pause(self, connection: int) -> None:
-        """Send a subscriber nothing until `resume`."""
+        """Stop sending to a subscriber until `resume`."""
         subscriber = self.subscriptions.subscribers.get(connection)
         if subscriber is not None:
             subscriber.stalled = True
             self.ready.pop(connection, None)
 
     def resume(self, now_ms: float, connection: int) -> list[Effect]:
-        """Go on with a subscriber that has room again."""
+        """Resume sending to a subscriber that was paused."""
         subscriber = self.subscriptions.subscribers.get(connection)
         if subscriber is None:
             return []
@@ -165,18 +172,18 @@
         return self._send_pending(now_ms, subscriber)
 
     def send_ready(self, now_ms: float) -> list[Effect]:
-        """Go on with all who have something to be sent and room for it."""
+        """Send a burst to each connection with pending topics that is not stalled."""
         effects: list[Effect] = []
         for connection in list(self.ready):
             effects += self._send_pending(now_ms, self.subscriptions.subscribers[connection])
         return effects
 
     def heartbeats(self, now_ms: float, complete_at_ms: float) -> list[Effect]:
-        """Tell each subscriber how old what it was sent is.
+        """Send each subscriber the age of the data that it was sent.
 
         Args:
             now_ms: the time of this event.
-            complete_at_ms: when this replica last knew that it had everything.
+            complete_at_ms: when this replica was last known to have every committed change.
         """
         effects: list[Effect] = []
         for subscriber in self.subscriptions.subscribers.values():
@@ -192,7 +199,7 @@
     # Bursts.
 
     def _reserve_burst(self, connection: int, size_bytes: int) -> bool:
-        """Count a message into the burst of a connection, unless that is over."""
+        """Add a message to the current burst of a connection; False if the burst is full."""
         sent_bytes = self._sent_bytes.get(connection, 0)
         if sent_bytes >= MAX_BURST_BYTES:
             return False
@@ -200,7 +207,7 @@
         return True
 
     def _send_pending(self, now_ms: float, subscriber: Subscriber) -> list[Effect]:
-        """Send a subscriber one burst of what it lacks."""
+        """Send a subscriber one burst of the changes that it lacks."""
         connection = subscriber.connection
         effects: list[Effect] = []
         while subscriber.pending and self._sent_bytes.get(connection, 0) < MAX_BURST_BYTES:
@@ -216,7 +223,7 @@
         return effects
 
     def _next_message(self, subscriber: Subscriber) -> Snapshot | Delta:
-        """Take the next message for a subscriber that has pending topics."""
+        """Return the next message for a subscriber with pending topics, and update its progress."""
         name = next(iter(subscriber.pending))
         message = self._message_for(subscriber, name)
         if not subscriber.snapshot_parts:
--- a/badgercart/distribution/raft/elections.py
+++ b/badgercart/distribution/raft/elections.py
@@ -89,7 +89,7 @@
         self.reset_deadline()
 
     def pre_campaign(self) -> None:
-        """Start a pre-vote: ask whether a majority would vote for this replica, in the same term."""
+        """Start a pre-vote, which asks whether a majority would vote and changes no term."""
         self._state.role, self._state.leader = Role.PRE_CANDIDATE, ""
         self._request_votes()
 
--- a/badgercart/distribution/raft/lease.py
+++ b/badgercart/distribution/raft/lease.py
@@ -32,7 +32,7 @@
         self._acknowledged_ms[peer] = sent_at_ms
 
     def quorum_contact_ms(self) -> float:
-        """Return the latest time at which a majority of the voters certainly followed this leader."""
+        """Return the latest time at which a majority of voters certainly followed this leader."""
         group = self._state.group
         contacts = [
             self._state.now_ms
@@ -59,7 +59,7 @@
         self.complete_at_ms = -math.inf
 
     def age_ms(self, now_ms: float) -> float:
-        """Return the time since the data was last known to be complete; infinite if it never was."""
+        """Return the time since the data was known to be complete; infinite if it never was."""
         return max(0.0, now_ms - self._last_complete_ms())
 
     def _last_complete_ms(self) -> float:
--- a/badgercart/distribution/record_file.py
+++ b/badgercart/distribution/record_file.py
@@ -1,8 +1,8 @@
-"""Records in a file: bodies behind a checked head, so that a crash can be told from damage.
+"""A file format of checksummed records, which distinguishes crashes from corruption.
 
-A record is the length of its body, the CRC32 of the body, the CRC32 of these eight bytes, and the
-body. A crash spoils the last record alone, which is then cut off. A spoilt record with a whole one
-behind it was not left by a crash, and nothing of the file is trusted.
+A record consists of the length of its body, the CRC32 of the body, the CRC32 of these eight bytes,
+and the body. A crash can only leave the last record incomplete, which is then truncated. An invalid
+record followed by a valid one is not the result of a crash, so the file is rejected as corrupt.
 """
 
 from __future__ import annotations
@@ -12,25 +12,30 @@
 
 from badgercart.distribution.errors import JournalError
 
-RECORD_HEADER_BYTES = 12  # before a record's body
+RECORD_HEADER_BYTES = 12
 
 
 @dataclass(slots=True, frozen=True)
 class Records:
-    """The whole records at the beginning of a file."""
+    """The valid records at the beginning of a file.
+
+    Attributes:
+        bodies: the bodies of the records.
+        length_bytes: the size of these records, without an incomplete one at the end.
+    """
 
     bodies: list[bytes]
-    length_bytes: int  # that they take; what a crash left behind them is not counted
+    length_bytes: int
 
 
 def encode_record(body: bytes) -> bytes:
-    """Return a record."""
+    """Return the record of a body."""
     head = len(body).to_bytes(4) + zlib.crc32(body).to_bytes(4)
     return head + zlib.crc32(head).to_bytes(4) + body
 
 
 def decode_record(data: bytes, position: int = 0) -> bytes | None:
-    """Return the body of the whole record that begins at a position; None where there is none."""
+    """Return the body of the valid record at a position; None if there is none."""
     length = _body_length(data, position)
     if length is None or position + RECORD_HEADER_BYTES + length > len(data):
         return None
@@ -40,7 +45,7 @@
 
 
 def _body_length(data: bytes, position: int) -> int | None:
-    """Return the length in the head at a position; None where there is no whole head."""
+    """Return the body length in the record header at a position; None if it is invalid."""
     if len(data) - position < RECORD_HEADER_BYTES:
         return None
     head = data[position : position + 8]
@@ -49,10 +54,10 @@
 
 
 def read_records(data: bytes, name: str) -> Records:
-    """Return the records of a file.
+    """Return the valid records of a file, whose name is used in errors.
 
     Raises:
-        JournalError: a whole record stands behind a spoilt one; `name` is the file's.
+        JournalError: a valid record follows an invalid one.
     """
     bodies: list[bytes] = []
     position = 0
@@ -67,9 +72,9 @@
 
 
 def _check_nothing_follows(data: bytes, position: int, name: str) -> None:
-    """Raise JournalError where a whole record stands behind the spoilt one at a position."""
+    """Raise JournalError if a valid record follows the invalid one at a position."""
     length = _body_length(data, position)
-    # A whole head says where the next record begins; else it may begin anywhere.
+    # A valid header tells where the next record begins; otherwise it may begin at any byte.
     first = position + 1 if length is None else position + RECORD_HEADER_BYTES + length
     for candidate in range(first, len(data)):
         if decode_record(data, candidate) is not None:
--- a/badgercart/distribution/replica.py
+++ b/badgercart/distribution/replica.py
@@ -1,7 +1,7 @@
-"""One replica: its Raft node, what serves subscribers and operators, its connections. No I/O.
+"""One replica: its Raft node, its service for subscribers and operators, its connections. No I/O.
 
-Every call is an event with its time in ms, on any clock that only goes forward, and returns what
-has to be done, in order: a message may rest on what is persisted before it.
+Each call is an event with its time in ms on a monotonic clock. It returns effects, which must be
+executed in order, because a message may depend on state that an earlier effect persists.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 
 
 class Replica:
-    """Keeps topics together with the other replicas of its group, and publishes them.
+    """Replicates topics with the other replicas of its group, and publishes them.
 
     Attributes:
-        group: the replicas, and which of them this is.
+        group: the replicas of the group, and the name of this one.
         raft: the Raft node that decides which changes are committed.
-        publisher: what sends committed changes to subscribers.
-        proposals: the operators' changes that wait to be decided.
+        publisher: sends committed changes to subscribers.
+        proposals: the pending proposals of operators.
         connections: all open connections.
     """
 
@@ -50,7 +50,7 @@
         recovered: RecoveredState,
         limits: ReplicaLimits | None = None,
     ) -> None:
-        """Go on from what was recovered, which is the replica's own from now on."""
+        """Continue from recovered state, which the replica owns from now on."""
         limits = ReplicaLimits() if limits is None else limits
         topics = TopicTable(recovered.topics)
         self.group = group
@@ -64,55 +64,59 @@
         self.raft = RaftNode(
             RaftState(group, recovered, machine, self._effects, limits), timing, rng
         )
-        self._heartbeat_due_ms = math.inf  # to subscribers
+        # When the next heartbeat to subscribers is due.
+        self._heartbeat_due_ms = math.inf
         self._proposal_service = ProposalService(self.proposals, self.raft, topics, self._effects)
         self._handlers: dict[type[Message], Callable[[Connection, Any], None]] = {
             Subscribe: self._handle_subscribe,
             Propose: self._handle_propose,
         }
 
-    # What may be looked at between events.
+    # State that may be read between events.
 
     @property
     def topics(self) -> dict[str, Topic]:
-        """All topics as of the commit index, not to be changed."""
+        """All topics as of the commit index, which the caller must not change."""
         return self.publisher.topics.by_name
 
     @property
     def due_ms(self) -> float:
-        """When `tick` has something to do."""
+        """When `tick` has to be called next."""
         if self.publisher.ready:
             return self.raft.state.now_ms
         return min(self.raft.due_ms, self._heartbeat_due_ms)
 
     def age_ms(self, now_ms: float) -> float:
-        """Return the time since this replica certainly had everything; inf where it never did."""
+        """Return the time since this replica was known to be complete; infinite if it never was."""
         return self.raft.age.age_ms(now_ms)
 
     def replicas_to_dial(self) -> tuple[str, ...]:
-        """Return the replicas that this one has to connect to: those behind it by name."""
+        """Return the replicas to connect to: those later in name order and not connected.
+
+        So each pair of replicas is connected by only one of them.
+        """
         reached = self.connections.dialled_or_connected()
         local = self.group.local
         return tuple(name for name in self.group.members if name > local and name not in reached)
 
     def recoverable_state(self) -> RecoveredState:
-        """Return what a restart has to find, for a compaction of the journal.
+        """Return the state to persist for a restart, for a compaction of the journal.
 
-        The topics are the replica's own: they have to be written before its next event.
+        The topics are not copied: they must be written before the replica's next event.
         """
         return self.raft.state.recoverable_state(self.topics)
 
     # Events.
 
     def start(self, now_ms: float) -> list[Effect]:
-        """Begin."""
+        """Start the replica."""
         self.raft.state.now_ms = now_ms
         self._heartbeat_due_ms = now_ms + self._timing.subscriber_heartbeat_interval_ms
         self.raft.elections.start()
         return self._end_event()
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Do what the time demands."""
+        """Handle expired timers."""
         self._advance_clock(now_ms)
         self.raft.tick()
         now_ms = self.raft.state.now_ms
@@ -125,25 +129,26 @@
         return self._end_event()
 
     def connected(self, now_ms: float, connection: int, replica: str) -> list[Effect]:
-        """Take a connection to another replica that was dialled from here."""
+        """Add a connection to another replica that this one has dialled."""
         return self._open(now_ms, Connection(connection, now_ms, dialled=replica))
 
     def accepted(self, now_ms: float, connection: int) -> list[Effect]:
-        """Take a connection that came in: its Hello tells whose it is."""
+        """Add an accepted connection, whose Hello identifies the other end."""
         return self._open(now_ms, Connection(connection, now_ms))
 
     def closed(self, now_ms: float, connection: int) -> list[Effect]:
-        """Forget a connection that is gone, whoever closed it."""
+        """Remove a connection that either end has closed."""
         self._advance_clock(now_ms)
         self._forget(connection)
         return self._end_event()
 
     def received(self, now_ms: float, connection: int, message: Message) -> list[Effect]:
-        """Take a message."""
+        """Handle a received message."""
         self._advance_clock(now_ms)
         self.raft.check_lease()
         source = self.connections.by_number.get(connection)
-        if source is not None:  # else it was closed from here
+        # Without an entry the connection was closed by this replica.
+        if source is not None:
             try:
                 self._handle(source, message)
             except ConnectionRejectedError as rejected:
@@ -151,7 +156,7 @@
         return self._end_event()
 
     def writable(self, now_ms: float, connection: int) -> list[Effect]:
-        """Go on with a connection that was stalled and has room again."""
+        """Resume sending to a connection that was stalled."""
         self._advance_clock(now_ms)
         source = self.connections.by_number.get(connection)
         if source is not None:
@@ -164,7 +169,7 @@
         return self._end_event()
 
     def stalled(self, now_ms: float, connection: int) -> list[Effect]:
-        """Send nothing more to a connection, until it is writable again."""
+        """Stop sending to a connection until it is writable again."""
         self._advance_clock(now_ms)
         source = self.connections.by_number.get(connection)
         if source is not None:
@@ -216,7 +221,7 @@
             if detail:
                 self._close(connection.number, ConnectionRejectedError("silent", detail))
 
-    # Messages. They raise ConnectionRejectedError where the connection has to be closed.
+    # Messages. Handlers raise ConnectionRejectedError if the connection must be closed.
 
     def _handle(self, source: Connection, message: Message) -> None:
         if isinstance(message, Hello):
@@ -244,7 +249,7 @@
             self.raft.peer_connected(source.peer)
 
     def _replace_peer(self, peer: Peer) -> None:
-        """Close an earlier connection of a replica, which has begun anew."""
+        """Close the earlier connection of a replica that has connected again."""
         replaced = self.raft.state.peers.get(peer.name)
         if replaced is not None:
             detail = f"{peer.name!r} has a newer connection"
--- a/badgercart/distribution/replica_driver.py
+++ b/badgercart/distribution/replica_driver.py
@@ -1,4 +1,4 @@
-"""A replica on sockets and a disk."""
+"""Runs a replica on TCP connections and a disk."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 MIN_DIAL_RETRY_S = 0.2
 MAX_DIAL_RETRY_S = 1.0
 
-# Roles as operators know them, on the wire and in metrics.
+# The names of roles on the wire and in the output for operators.
 ROLE_LABELS = {
     Role.FOLLOWER: "following",
     Role.PRE_CANDIDATE: "pre-candidate",
@@ -35,21 +35,22 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicaAddresses:
-    """Where a replica listens, and where it reaches the others."""
+    """The address on which a replica listens, and the addresses of the other replicas."""
 
     listen: Address
     by_name: Mapping[str, Address]
 
 
 class ReplicaDriver(Driver):
-    """One replica: its listener, its connections to the others, its disk.
+    """Runs one replica: its listener, its connections to other replicas and its disk.
 
-    A disk that fails ends it: the replica must not forget what it said that it had persisted.
+    A disk failure stops the replica, because it must not lose state that it has acknowledged.
 
     Attributes:
-        replica: the machine.
-        listen: the address for all connections; with the real port once this has started.
-        on_failure: called with the error when the disk has failed, once all is closed.
+        replica: the state machine.
+        disk: executes `Persist` and `PersistSnapshot` effects.
+        listen: the address of the listener; after `start` with the real port.
+        on_failure: called with the error after the disk has failed and all is closed.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         addresses: ReplicaAddresses,
         rng: random.Random,
     ) -> None:
-        """Make a driver that has not begun; dials are spread by `rng`."""
+        """Create a driver that is not started; `rng` draws the pauses between dials."""
         super().__init__(runtime, replica)
         self.replica = replica
         self.disk = disk
@@ -76,14 +77,17 @@
         self._handlers[PersistSnapshot] = self._handle_persist
 
     async def start(self) -> None:
-        """Listen and begin. Raises OSError where the address can't be had."""
+        """Listen and start the replica. Raises OSError if the address can't be used."""
         self._server = await self.loop.create_server(self.accept, *self.listen)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.listen, self.is_open = (host, port), True
         self.perform(self.replica.start(self.clock()))
 
     def close(self) -> None:
-        """End everything, the disk once: its descriptors may be another's afterwards."""
+        """Close everything.
+
+        The disk is closed only once, because its file descriptors may be reused afterwards.
+        """
         super().close()
         if self._server is not None:
             self._server.close()
@@ -141,7 +145,7 @@
     # Links.
 
     def accept(self) -> Link:
-        """Return the link of a connection that comes in."""
+        """Create the link of an accepted connection."""
         return self._new_link("")
 
     def _new_link(self, replica: str) -> Link:
@@ -149,7 +153,7 @@
         return Link(self, self._last_number, replica)
 
     async def _dial(self, name: str) -> None:
-        """Try to reach another replica once, and pause also where it is closed at once."""
+        """Dial another replica once, then pause, also if the connection is closed at once."""
         link = self._new_link(name)
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(DIAL_TIMEOUT_S):
@@ -160,7 +164,7 @@
             self.perform([])
 
     def link_opened(self, link: Link) -> None:
-        """Tell the replica of a connection that is up."""
+        """Notify the replica of an established connection."""
         super().link_opened(link)
         if link.replica:
             self.perform(self.replica.connected(self.clock(), link.number, link.replica))
@@ -168,16 +172,16 @@
             self.perform(self.replica.accepted(self.clock(), link.number))
 
     def message_received(self, link: Link, message: Message) -> None:
-        """Answer a request for the status; the replica takes all else."""
+        """Respond to a status request, and pass other messages to the replica."""
         if isinstance(message, StatusRequest):
             self.send(link, self.status())
         else:
             super().message_received(link, message)
 
     def link_stalled(self, link: Link) -> None:
-        """Have the replica send nothing more."""
+        """Notify the replica that a connection is stalled."""
         self.perform(self.replica.stalled(self.clock(), link.number))
 
     def link_writable(self, link: Link) -> None:
-        """Have the replica go on."""
+        """Notify the replica that a connection is writable again."""
         self.perform(self.replica.writable(self.clock(), link.number))
--- a/badgercart/distribution/replica_file.py
+++ b/badgercart/distribution/replica_file.py
@@ -1,4 +1,4 @@
-"""The file of a process that is a replica and nothing else."""
+"""The settings file of a process that runs only a replica."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 def load_replica_file(path: str) -> ReplicaFile | None:
-    """Return the settings of a replica's file; None where it is a whole installation's.
+    """Return the settings of a replica's file; None if it is the file of an installation.
 
     Raises:
-        FileError: the file can't be read, or a setting is wrong.
+        SettingsFileError: the file can't be read, or a setting is invalid.
     """
     read = document.read(path, os.environ)
     if not read.raw.keys() <= ReplicaFile.model_fields.keys() or "distribution" not in read.raw:
--- a/badgercart/distribution/replica_process.py
+++ b/badgercart/distribution/replica_process.py
@@ -1,4 +1,4 @@
-"""A process that is a replica and nothing else."""
+"""The main function of a process that runs only a replica."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     """Run a replica until SIGTERM or SIGINT.
 
     Args:
-        settings: the replica's.
-        folder: that the settings' folder is relative to.
+        settings: the replica's settings.
+        folder: the folder that a relative `folder` setting refers to.
 
     Raises:
-        CommandError: it can't start, or its disk has failed.
+        CommandError: the replica can't start, or its disk has failed.
     """
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/badgercart/distribution/replica_selector.py
+++ b/badgercart/distribution/replica_selector.py
@@ -1,32 +1,44 @@
-"""Which replica a follower turns to, and when."""
+"""Selects the replica that a follower connects to, and the time of the connection."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 
-MAX_WINDOW_DOUBLINGS = 32  # of the window; more would be past any bound
+# More doublings would exceed any maximum of the window.
+MAX_WINDOW_DOUBLINGS = 32
 
 
 @dataclass(slots=True, frozen=True)
 class FollowerTiming:
-    """Timeouts and intervals of a follower."""
+    """Timeouts and intervals of a follower.
+
+    Attributes:
+        silence_timeout_ms: a replica that sends no message for this long is abandoned.
+        connect_timeout_ms: the timeout of a dial.
+        answer_timeout_ms: the timeout for the next message about awaited topics.
+        reconnect_window_ms: a lost replica is replaced at a time drawn uniformly from this window.
+        max_reconnect_window_ms: the limit of the window, which each failure doubles.
+        max_lag_ms: a replica without a leader for this long is abandoned within the window.
+    """
 
-    silence_timeout_ms: float = 1500.0  # a replica that says nothing for that long is left
+    silence_timeout_ms: float = 1500.0
     connect_timeout_ms: float = 1000.0
-    answer_timeout_ms: float = 5000.0  # for the next message on what was subscribed to
-    reconnect_window_ms: float = 2000.0  # a lost replica is replaced at a time drawn from all of it
-    max_reconnect_window_ms: float = 30_000.0  # after failures, each of which doubles the window
-    max_lag_ms: float = (
-        3000.0  # a replica without a leader for that long is left, within the window
-    )
+    answer_timeout_ms: float = 5000.0
+    reconnect_window_ms: float = 2000.0
+    max_reconnect_window_ms: float = 30_000.0
+    max_lag_ms: float = 3000.0
 
 
 class ReplicaSelector:
-    """Goes around all replicas in an order drawn for this follower alone.
+    """Selects replicas in round-robin order, shuffled for each follower.
+
+    Each follower draws its reconnect times from the complete window, so that thousands of followers
+    that lose a replica at the same time don't connect to the next one together.
 
-    Each follower draws its times from the whole window, so that thousands that lose a replica at
-    once don't come to the next one together.
+    Attributes:
+        failures: the number of connections since the last success.
+        order: the positions of the replicas in the order of selection.
     """
 
     __slots__ = ("_position", "_random", "_timing", "failures", "order")
@@ -40,11 +52,11 @@
         self.order = list(range(count))
         rng.shuffle(self.order)
         self._position = 0
-        self.failures = 0  # connections in a row that proved nothing
+        self.failures = 0
 
     @property
     def current(self) -> int:
-        """The replica to be followed."""
+        """The position of the selected replica."""
         return self.order[self._position]
 
     @property
@@ -53,16 +65,16 @@
         return len(self.order) > 1
 
     def draw_reconnect_time_ms(self, now_ms: float) -> float:
-        """Return a time drawn from the window that begins now."""
+        """Return a time drawn uniformly from the reconnect window that begins now."""
         timing = self._timing
         window_ms = timing.reconnect_window_ms * 2.0 ** min(self.failures, MAX_WINDOW_DOUBLINGS)
         return now_ms + self._random.uniform(0.0, min(window_ms, timing.max_reconnect_window_ms))
 
     def record_failure(self) -> None:
-        """Turn to the next replica, after this one was lost or left."""
+        """Select the next replica, after the current one was lost or abandoned."""
         self.failures += 1
         self._position = (self._position + 1) % len(self.order)
 
     def record_success(self) -> None:
-        """Begin anew with the shortest window."""
+        """Reset the reconnect window, after a connection has proven the topics fresh."""
         self.failures = 0
--- a/badgercart/distribution/server_list.py
+++ b/badgercart/distribution/server_list.py
@@ -1,4 +1,4 @@
-"""Reads the entries of a topic of servers as endpoints."""
+"""Decodes the entries of a topic of servers as discovered endpoints."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 def read_servers(
     reader: ListReader, entries: tuple[Entry, ...], listed: Mapping[int, DiscoveredEndpoint]
 ) -> list[DiscoveredEndpoint]:
-    """Return what the entries of a topic say of servers. A key without a value is gone.
+    """Return the servers of the entries. A listed server whose value is removed becomes gone.
 
     Args:
-        reader: reads the values.
-        entries: the entries; the last of a key counts.
-        listed: servers that are listed now, by stable id.
+        reader: decodes the values.
+        entries: the entries; the last entry of a key counts.
+        listed: the currently listed servers, by stable id.
 
     Raises:
-        ValueError: a value is not a server's, or not that of its key.
+        ValueError: a value is not a valid server, or its id differs from its key.
     """
     servers = []
     for key, value in {entry.key: entry.value for entry in entries}.items():
--- a/badgercart/distribution/settings.py
+++ b/badgercart/distribution/settings.py
@@ -1,6 +1,7 @@
 """Settings of a node that follows replicas, and of a replica.
 
-Class docstrings and descriptions are shown to operators, and titles are names in the schema.
+Class docstrings and descriptions are shown to operators, and titles are names in the schema, so
+their texts must not change.
 """
 
 from __future__ import annotations
@@ -15,7 +16,8 @@
 from badgercart.app.model import MAX_DURATION_MS, Address, Addresses, Listed, Name, Table
 from badgercart.app.shared_settings import DoubtfulAfterMs, GroupSecret, StaleAfterMs, WhenStale
 
-SERVERS_PREFIX = "servers/"  # what the topic of a service's servers begins with
+# The prefix of topics with servers; the name of the service follows.
+SERVERS_PREFIX = "servers/"
 
 
 class FollowerSettings(Table, title="MembersSettings"):
@@ -110,7 +112,7 @@
     settings: FollowerSettings,
     file: CheckedFile,  # noqa: ARG001 - the signature of all checks
 ) -> Iterator[tuple[Path, str]]:
-    """Yield what only several settings together can get wrong, by key."""
+    """Yield the faults of combinations of settings, each with the key of a setting."""
     if settings.doubtful_after_ms > settings.stale_after_ms:
         yield ("doubtful_after_ms",), "is later than stale_after_ms"
     if len(set(settings.stores)) != len(settings.stores):
@@ -123,12 +125,12 @@
     settings: ReplicaSettings,
     file: CheckedFile,  # noqa: ARG001 - the signature of all checks
 ) -> Iterator[tuple[Path, str]]:
-    """Yield what only several settings together can get wrong, by key."""
+    """Yield the faults of combinations of settings, each with the key of a setting."""
     yield from replica_faults(settings)
 
 
 def replica_faults(settings: ReplicaSettings) -> Iterator[tuple[Path, str]]:
-    """Yield what only several settings together can get wrong, by key."""
+    """Yield the faults of combinations of settings, each with the key of a setting."""
     if settings.election_ms < 3 * settings.heartbeat_ms:
         yield (
             ("election_ms",),
@@ -138,9 +140,9 @@
         yield ("store",), "is missing: [[distribution.store]] for each store of the group"
         return
     names: set[str] = set()
-    for at, entry in enumerate(settings.store):
+    for position, entry in enumerate(settings.store):
         if entry.name in names:
-            yield ("store", at, "name"), f"{entry.name!r} stands here twice"
+            yield ("store", position, "name"), f"{entry.name!r} stands here twice"
         names.add(entry.name)
     if settings.name not in names:
         yield ("name",), f"{settings.name!r} is none of the stores"
--- a/badgercart/distribution/state_machine.py
+++ b/badgercart/distribution/state_machine.py
@@ -1,4 +1,4 @@
-"""Applies committed changes to the topics, and answers the proposals that wait for them."""
+"""Applies committed changes to the topics, and responds to their proposals."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TopicStateMachine:
-    """The state machine of a replica's Raft node, see `raft.state.StateMachine`."""
+    """The state machine of a replica's Raft node; implements `raft.state.StateMachine`."""
 
     __slots__ = ("_connections", "_effects", "_proposals", "_publisher")
 
@@ -33,7 +33,7 @@
         return self._publisher.topics.by_name
 
     def apply(self, change: Change, is_leader: bool) -> None:
-        """Apply a committed change, publish it, and answer who has proposed it here."""
+        """Apply a committed change, publish it, and respond to its proposals on this replica."""
         if change.topic:
             self._effects.extend(self._publisher.apply(change))
         if not is_leader:
@@ -49,21 +49,21 @@
             self._effects.send(proposal.connection, response)
 
     def install_snapshot(self, topics: dict[str, Topic]) -> None:
-        """Replace all topics and publish what changed."""
+        """Replace all topics and publish the differences."""
         self._publisher.replace_topics(topics)
 
     def change_appended(self, change: Change) -> None:
-        """Count in a change that this leader has put into its log."""
+        """Track a change that this leader has appended to its log."""
         self._proposals.uncommitted.add(change)
 
     def leadership_gained(self, uncommitted: list[Change]) -> None:
-        """Count in the changes that earlier leaders left uncommitted."""
+        """Track the uncommitted changes that earlier leaders left."""
         self._proposals.uncommitted.clear()
         for change in uncommitted:
             self._proposals.uncommitted.add(change)
 
     def leadership_lost(self) -> None:
-        """Answer all pending proposals with `unknown`: each may yet be committed or not."""
+        """Respond `unknown` to all pending proposals: each may or may not be committed later."""
         for proposal in self._proposals.take_all():
             self._respond(proposal, 0, "unknown", "the term ended before it was decided")
         self._proposals.uncommitted.clear()
--- a/badgercart/distribution/topic.py
+++ b/badgercart/distribution/topic.py
@@ -1,8 +1,8 @@
-"""A topic: its entries, the version that its last change gave it, and a digest of its entries.
+"""A topic: its entries, its version, and a digest of its entries.
 
-The digest is the sum, modulo 2**64, of a hash of each key with its value. It is the same for the
-same entries, in whatever order they came, and costs a change no look at the others. It finds
-mistakes; it keeps nobody out, which the keyed hash of each frame does.
+The digest is the sum, modulo 2**64, of a hash of each key with its value. It depends only on the
+entries, not on their order, and a change updates it without reading the other entries. The digest
+detects faults but is no protection against forgery; the keyed hash of each frame is.
 """
 
 from __future__ import annotations
@@ -13,27 +13,28 @@
 from badgercart.distribution.messages import MAX_ENTRIES, MAX_FRAME_BYTES, Change, Entry
 
 DIGEST_MASK = (1 << 64) - 1
-# Keys and values in one part of a snapshot, which leaves room for its framing.
+# The limit of keys and values in one part of a snapshot. The rest of a frame is left for framing.
 MAX_PART_BYTES = MAX_FRAME_BYTES // 2
-ENTRY_FRAMING_BYTES = 16  # of one entry, its lengths included, at most
+# Upper bound for the encoding of one entry, without its key and value.
+ENTRY_FRAMING_BYTES = 16
 
 
 def entry_digest(key: str, value: bytes) -> int:
-    """Return 64 bits of hash of a key with its value."""
+    """Return a 64-bit hash of a key with its value."""
     key_bytes = key.encode()
     data = len(key_bytes).to_bytes(4) + key_bytes + value
     return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest())
 
 
 def framed_size(entries: Iterable[Entry]) -> int:
-    """Return how many bytes entries take in a frame, at most."""
+    """Return an upper bound for the size of entries in a frame, in bytes."""
     return sum(
         len(entry.key.encode()) + len(entry.value or b"") + ENTRY_FRAMING_BYTES for entry in entries
     )
 
 
 class Topic:
-    """Entries by key, as of one version. Whoever keeps topics bounds their entries."""
+    """Entries by key, as of one version. Callers limit the number and size of the entries."""
 
     __slots__ = ("digest", "entries", "version")
 
@@ -43,7 +44,7 @@
         self.put(entries)
 
     def put(self, entries: Iterable[Entry]) -> None:
-        """Set or remove entries without a new version."""
+        """Set or remove entries without changing the version."""
         for entry in entries:
             replaced = self.entries.pop(entry.key, None)
             if replaced is not None:
@@ -53,12 +54,12 @@
                 self.digest = (self.digest + entry_digest(entry.key, entry.value)) & DIGEST_MASK
 
     def apply(self, entries: Iterable[Entry]) -> None:
-        """Set or remove entries, which makes the next version."""
+        """Set or remove entries and increment the version."""
         self.put(entries)
         self.version += 1
 
     def digest_with(self, entries: Iterable[Entry]) -> int:
-        """Return the digest that these entries would give. The last value of a key counts."""
+        """Return the digest after a change with these entries. The last value of a key counts."""
         digest = self.digest
         for key, value in {entry.key: entry.value for entry in entries}.items():
             replaced = self.entries.get(key)
@@ -69,7 +70,7 @@
         return digest & DIGEST_MASK
 
     def parts(self) -> Iterator[tuple[Entry, ...]]:
-        """Yield all entries in parts that fit a frame; one empty part where there are none."""
+        """Yield all entries in parts that fit a frame; one empty part if there are no entries."""
         part: list[Entry] = []
         part_bytes = 0
         for key, value in self.entries.items():
@@ -85,7 +86,7 @@
 
 
 class TopicTable:
-    """All topics by name, with the number of their entries."""
+    """All topics by name, and the total number of their entries."""
 
     __slots__ = ("by_name", "entry_count")
 
@@ -93,12 +94,12 @@
         self.replace(topics)
 
     def replace(self, topics: dict[str, Topic]) -> None:
-        """Hold these topics in place of all others."""
+        """Replace all topics."""
         self.by_name = topics
         self.entry_count = sum(len(topic.entries) for topic in topics.values())
 
     def apply(self, change: Change) -> Topic:
-        """Apply a change to its topic, which is made if need be, and return that."""
+        """Apply a change to its topic, which is created if missing, and return the topic."""
         topic = self.by_name.get(change.topic)
         if topic is None:
             topic = self.by_name[change.topic] = Topic()
@@ -108,6 +109,6 @@
         return topic
 
     def version(self, name: str) -> int:
-        """Return the version of a topic; 0 where there is none."""
+        """Return the version of a topic; 0 if it doesn't exist."""
         topic = self.by_name.get(name)
         return 0 if topic is None else topic.version
--- a/badgercart/distribution/topic_sync.py
+++ b/badgercart/distribution/topic_sync.py
@@ -1,7 +1,7 @@
 """Brings the topics of a follower up to date over one connection.
 
-A topic changes only by a snapshot whose digest fits, or by the very next delta. Anything else
-leaves it as it is.
+A topic changes only by a complete snapshot with the right digest, or by the delta of the next
+version. All other messages leave it unchanged.
 """
 
 from __future__ import annotations
@@ -15,13 +15,15 @@
 from badgercart.distribution.messages import Delta, Entry, Rejection, Snapshot
 from badgercart.distribution.topic import Topic, framed_size
 
-MAX_SNAPSHOT_PARTS = 4096  # of one topic
-MAX_GAPS = 8  # on one connection, before another replica is turned to
+# The limit of the snapshot of one topic.
+MAX_SNAPSHOT_PARTS = 4096
+# After more gaps on one connection the replica is abandoned.
+MAX_GAPS = 8
 
 
 @dataclass(slots=True)
 class _SnapshotAssembly:
-    """A snapshot of a topic of which some parts have come."""
+    """A snapshot of a topic that is partly received."""
 
     version: int
     digest: int
@@ -31,7 +33,7 @@
     size_bytes: int = 0
 
     def continues_with(self, part: Snapshot) -> bool:
-        """Tell whether a part is the next one of this snapshot."""
+        """Return whether a part is the next one of this snapshot."""
         return (
             part.part == self.next_part
             and (part.version, part.digest, part.parts) == (self.version, self.digest, self.parts)
@@ -40,11 +42,11 @@
 
 
 class TopicSync:
-    """What one connection owes, and what has come of it.
+    """The synchronization of a follower's topics over one connection.
 
     Attributes:
-        awaited: topics for which an answer is owed.
-        assembled_bytes: keys and values of all unfinished snapshots, with their framing.
+        awaited: topics that were requested and not completely received.
+        assembled_bytes: the size of all unfinished snapshots, with their framing.
     """
 
     __slots__ = (
@@ -62,20 +64,19 @@
         self._faults = faults
         self._assemblies: dict[str, _SnapshotAssembly] = {}
         self._gap_count = 0
-        self._resent_topics: set[str] = (
-            set()
-        )  # topics sent again because their entries were unusable
+        # Topics that were requested again because their entries were unusable.
+        self._resent_topics: set[str] = set()
         self.assembled_bytes = 0
         empty = {name for name, topic in topics.by_name.items() if not topic.version}
         self.awaited = empty | topics.doubted
 
     @property
     def is_complete(self) -> bool:
-        """Whether all topics are right, as of the replica's last message."""
+        """Whether all topics are complete as of the replica's last message."""
         return not self.awaited and not self._topics.doubted
 
     def add_gap(self, gap: TopicGapError) -> None:
-        """Await a topic that will be asked for again.
+        """Record that a topic will be requested again because of a gap.
 
         Raises:
             ReplicaAbandonedError: there were too many gaps on this connection.
@@ -89,7 +90,7 @@
         self.awaited.add(gap.topic)
 
     def may_resend(self, name: str) -> bool:
-        """Tell, once for each topic, whether it may be asked for again for unusable entries."""
+        """Return whether a topic with unusable entries may be requested again: once each."""
         if name in self._resent_topics:
             return False
         self._resent_topics.add(name)
@@ -98,16 +99,17 @@
     # Deltas.
 
     def apply_delta(self, delta: Delta) -> UpdateTopic | None:
-        """Put a delta in force; None where it is passed over.
+        """Apply a delta; return None if it is ignored.
 
         Raises:
-            TopicGapError: the topic has to be asked for again.
-            ReplicaAbandonedError: the replica has to be left.
+            TopicGapError: the topic must be requested again.
+            ReplicaAbandonedError: the replica must be abandoned.
         """
         name, topic = delta.topic, self._topics.get(delta.topic)
         if name in self._topics.doubted:
             if name in self.awaited:
-                return None  # a snapshot is on its way, and nothing else helps
+                # Only the requested snapshot can repair the topic.
+                return None
             raise TopicGapError("unusable", name, f"change {delta.version} may mend it")
         if delta.version != topic.version + 1:
             self._check_repeated(delta, topic)
@@ -121,9 +123,11 @@
         return UpdateTopic(name, delta.version, False, delta.entries)
 
     def _check_repeated(self, delta: Delta, topic: Topic) -> None:
-        """Pass over a delta that was sent before a new subscription was read, or again for that.
+        """Ignore a delta that was sent before, or repeated because of, a new subscription.
 
-        Raises TopicGapError or ReplicaAbandonedError where it is neither.
+        Raises:
+            TopicGapError: changes are missing before the delta.
+            ReplicaAbandonedError: the delta is old although nothing was requested again.
         """
         name = delta.topic
         if name in self.awaited:
@@ -137,11 +141,11 @@
     # Snapshots.
 
     def add_snapshot_part(self, part: Snapshot) -> UpdateTopic | None:
-        """Take a part of a snapshot, which is put in force with the last; None before.
+        """Add a part of a snapshot, and apply the snapshot with the last; return None before.
 
         Raises:
-            TopicGapError: the topic has to be asked for again.
-            ReplicaAbandonedError: the replica has to be left.
+            TopicGapError: the topic must be requested again.
+            ReplicaAbandonedError: the replica must be abandoned.
         """
         name, topic = part.topic, self._topics.get(part.topic)
         if part.version < topic.version:
@@ -188,7 +192,8 @@
         is_doubted = name in self._topics.doubted
         self._topics.replace(name, topic, assembly.size_bytes)
         if topic.version == current.version and topic.digest != current.digest and not is_doubted:
-            self._faults["other"] += 1  # what was here is not the group's history
+            # The replaced content was not part of the group's history.
+            self._faults["other"] += 1
         self.awaited.discard(name)
         return UpdateTopic(name, topic.version, True, tuple(assembly.entries))
 
@@ -200,10 +205,10 @@
     # Rejections.
 
     def mark_unknown(self, rejection: Rejection) -> bool:
-        """Take that the replica has no such topic, and tell whether that is news.
+        """Record that the replica doesn't have a topic; return whether that was not known.
 
         Raises:
-            ReplicaAbandonedError: the topic is here, so the replica knows less.
+            ReplicaAbandonedError: the follower has the topic, so the replica lags behind it.
         """
         name, topic = rejection.topic, self._topics.get(rejection.topic)
         if topic.version:
