--- a/tests/distribution/mutants.py
+++ b/tests/distribution/mutants.py
@@ -1,4 +1,4 @@
-"""Replicas without one rule each, made from the program's own source, and plays drawn for them."""
+"""Mutants of the replica, each without one rule of Raft, and random steps to find them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from badgercart.distribution.replica import Replica
 
 PACKAGE = "badgercart.distribution"
-# What a replica is made of, each behind what it imports.
+# The modules of a replica, each after the modules that it imports.
 MODULES = (
     "raft.log",
     "raft.state",
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """What stands in the source of a module, and what stands there instead."""
+    """A replacement of one piece of the source of a module."""
 
     module: str
     old: str
@@ -58,7 +58,7 @@
         "        if (state.term, state.voted_for) != before:\n            state.persist_term()\n",
         "",
     ),
-    "a vote only for a log that holds ours": Mutation(
+    "a vote only for a log that is up to date": Mutation(
         "raft.elections",
         "return (request.last_term, request.last_index) >= (log.last_term, log.last_index)",
         "return True",
@@ -98,24 +98,24 @@
         "            tail = self.changes[index - self.compacted_index :]\n",
         "            tail = []\n",
     ),
-    "a new term forgets what an earlier leader had sent": Mutation(
+    "a new term discards what an earlier leader had sent": Mutation(
         "raft.node",
         '            self.begin_term(term, "")\n',
         "            verified_index = self.receiver.verified_index\n"
         '            self.begin_term(term, "")\n'
         "            self.receiver.verified_index = verified_index\n",
     ),
-    "the age dates from the response before": Mutation(
+    "the age is counted from the previous response": Mutation(
         "raft.log_receiver",
         "self._age.observe(peer.leader_acked_at_ms - message.age_ms)",
         "self._age.observe(self._state.now_ms)",
     ),
-    "a leader's age dates from its lease": Mutation(
+    "a leader's age is counted from its lease": Mutation(
         "raft.lease",
         "return max(0.0, now_ms - self._last_complete_ms())",
         "return 0.0 if self._state.is_leader else max(0.0, now_ms - self.complete_at_ms)",
     ),
-    "a new leader knows no age before its first change is committed": Mutation(
+    "a new leader has no age before its first change is committed": Mutation(
         "raft.lease",
         "knows_committed = state.is_leader and state.log.commit_index >= state.term_start_index",
         "knows_committed = state.is_leader",
@@ -124,43 +124,43 @@
 
 
 def source_of(name: str) -> str:
-    """The source of one of MODULES."""
+    """Return the source of one of MODULES."""
     file = importlib.import_module(f"{PACKAGE}.{name}").__file__
     assert file is not None
     return Path(file).read_text()
 
 
 @contextmanager
-def modules_put_back() -> Iterator[None]:
-    """Have all of MODULES be what they were, afterwards."""
+def restored_modules() -> Iterator[None]:
+    """Restore all of MODULES in `sys.modules` on exit."""
     names = [f"{PACKAGE}.{name}" for name in MODULES]
-    had = {name: importlib.import_module(name) for name in names}
+    originals = {name: importlib.import_module(name) for name in names}
     try:
         yield
     finally:
-        sys.modules.update(had)
+        sys.modules.update(originals)
 
 
 def mutant(rule: str) -> type[Replica]:
-    """The replica without this rule."""
+    """Return the replica class without a rule."""
     mutation = MUTATIONS[rule]
     count = source_of(mutation.module).count(mutation.old)
-    assert count == 1, f"{rule}: {mutation.old!r} stands {count} times in the source"
+    assert count == 1, f"{rule}: {mutation.old!r} occurs {count} times in the source"
     sources = {name: source_of(name) for name in MODULES}
     sources[mutation.module] = sources[mutation.module].replace(mutation.old, mutation.new)
-    with modules_put_back():
+    with restored_modules():
         for name in MODULES:
             module = ModuleType(f"{PACKAGE}.{name}")
             sys.modules[module.__name__] = module
             code = compile(sources[name], f"<{name} without: {rule}>", "exec")
             exec(code, module.__dict__)
-        made = sys.modules[f"{PACKAGE}.replica"].Replica
-    assert isinstance(made, type) and made is not Replica
-    return made
+        mutated_class = sys.modules[f"{PACKAGE}.replica"].Replica
+    assert isinstance(mutated_class, type) and mutated_class is not Replica
+    return mutated_class
 
 
-def draw(seed: int, length: int = 60) -> list[Any]:
-    """Steps of `test_properties.step`, with the leader in trouble more often than by chance."""
+def draw_steps(seed: int, length: int = 60) -> list[Any]:
+    """Draw steps for `test_properties.run_step` in which faults often hit the leader."""
     rng = random.Random(seed)
     kinds = ["propose to the leader"] * 6 + ["crash the leader"] * 3 + ["isolate the leader"] * 2
     kinds += [
@@ -175,21 +175,21 @@
         "run",
     ]
     kinds += ["cut", "break"]
-    told: list[Any] = []
+    steps: list[Any] = []
     for _ in range(length):
         kind = rng.choice(kinds)
-        what: tuple[Any, ...] = (kind,)
+        step: tuple[Any, ...] = (kind,)
         if kind == "propose to the leader":
-            what = kind, rng.choice("ab"), rng.randint(1, 4)
+            step = kind, rng.choice("ab"), rng.randint(1, 4)
         elif kind == "crash the leader":
-            what = kind, rng.randint(0, 6)
+            step = kind, rng.randint(0, 6)
         elif kind in ("restart", "kill"):
-            what = kind, rng.randint(0, 4)
+            step = kind, rng.randint(0, 4)
         elif kind in ("cut", "break"):
-            what = kind, rng.randint(0, 4), rng.randint(0, 4)
+            step = kind, rng.randint(0, 4), rng.randint(0, 4)
         elif kind == "crash":
-            what = kind, rng.randint(0, 4), rng.randint(0, 6)
+            step = kind, rng.randint(0, 4), rng.randint(0, 6)
         elif kind == "run":
-            what = kind, rng.choice([400.0, 1500.0, 4000.0])
-        told.append((what, rng.choice([0.0, 5.0, 20.0, 100.0, 1200.0, 2500.0])))
-    return told
+            step = kind, rng.choice([400.0, 1500.0, 4000.0])
+        steps.append((step, rng.choice([0.0, 5.0, 20.0, 100.0, 1200.0, 2500.0])))
+    return steps
--- a/tests/distribution/raft/support.py
+++ b/tests/distribution/raft/support.py
@@ -1,4 +1,4 @@
-"""A Raft state with a recording state machine, for tests of single parts."""
+"""A Raft state with a recording state machine, for tests of the parts of a node."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 
 
 def change(index: int, term: int = 1, size_bytes: int = 1) -> Change:
-    """A change of topic `t` with one entry of that size."""
+    """Return a change of topic `t` with one entry of that size."""
     return Change(term, index, "t", (Entry("k", bytes(size_bytes)),))
 
 
 class RecordingMachine:
-    """A state machine that notes what it is told."""
+    """A state machine that records its calls."""
 
     def __init__(self) -> None:
         self.topics: dict[str, Topic] = {}
-        self.applied: list[tuple[int, bool]] = []  # log indices, and whether the replica led
-        self.leading: list[str] = []
+        # Log indices of applied changes, and whether the replica was leading.
+        self.applied: list[tuple[int, bool]] = []
+        self.leadership_events: list[str] = []
 
     def apply(self, change: Change, is_leader: bool) -> None:
         self.applied.append((change.index, is_leader))
@@ -31,13 +32,13 @@
         self.topics = topics
 
     def change_appended(self, change: Change) -> None:
-        self.leading.append(f"appended {change.index}")
+        self.leadership_events.append(f"appended {change.index}")
 
     def leadership_gained(self, uncommitted: list[Change]) -> None:
-        self.leading.append(f"gained {[change.index for change in uncommitted]}")
+        self.leadership_events.append(f"gained {[change.index for change in uncommitted]}")
 
     def leadership_lost(self) -> None:
-        self.leading.append("lost")
+        self.leadership_events.append("lost")
 
 
 def raft_state(
@@ -45,7 +46,7 @@
     group: ReplicaGroup | None = None,
     limits: ReplicaLimits | None = None,
 ) -> tuple[RaftState, RecordingMachine, EffectQueue]:
-    """The state of replica `a` of three."""
+    """Return the state of replica `a` of three, its state machine and its effects."""
     machine, effects = RecordingMachine(), EffectQueue()
     state = RaftState(
         group or ReplicaGroup("a", VOTERS, VOTERS),
--- a/tests/distribution/raft/test_lease.py
+++ b/tests/distribution/raft/test_lease.py
@@ -1,4 +1,4 @@
-"""The leader's lease and the age of the data, by the voters' answers alone."""
+"""The leader's lease and the age of the data, derived from the voters' responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def leading(*voters: str) -> tuple[RaftState, LeaderLease]:
-    """Replica `a`, elected at 1000 ms."""
+    """Return the state and lease of replica `a`, elected at 1000 ms with a lease of 500 ms."""
     state, _, _ = raft_state(group=ReplicaGroup("a", voters, voters))
     state.role, state.now_ms = Role.LEADER, 1000.0
     lease = LeaderLease(state, duration_ms=500.0)
@@ -47,7 +47,7 @@
     assert lease.quorum_contact_ms() == 1e9 and not lease.expired()
 
 
-def test_a_leader_knows_its_age_from_the_first_change_of_its_term_on() -> None:
+def test_a_leader_has_an_age_once_the_first_change_of_its_term_is_committed() -> None:
     state, lease = leading("a", "b", "c")
     state.term_start_index = 1
     age = DataAge(state, lease)
--- a/tests/distribution/raft/test_snapshot.py
+++ b/tests/distribution/raft/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of all topics: parts that fit frames, and what becomes of them at the other end."""
+"""Snapshots of all topics: parts that fit frames, and their assembly by the receiver."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return assembler
 
 
-def test_all_topics_come_through_in_parts_that_fit_frames() -> None:
+def test_all_topics_are_assembled_from_parts_that_fit_frames() -> None:
     sent = topics()
     parts = list(snapshot_parts(sent, 5, 90, 4))
     assert [(part.part, part.parts) for part in parts] == [(1, 3), (2, 3), (3, 3)]
@@ -54,7 +54,7 @@
         assert not assembler.continues_with(list(other)[1])
 
 
-def test_limits_and_older_topics_are_refused() -> None:
+def test_snapshots_over_a_limit_or_with_older_topics_are_rejected() -> None:
     parts = list(snapshot_parts(topics(), 5, 90, 4))
     with pytest.raises(SnapshotError, match="more than 2 topics"):
         assembled(parts, ReplicaLimits(max_topics=2))
--- a/tests/distribution/scenarios.py
+++ b/tests/distribution/scenarios.py
@@ -1,4 +1,4 @@
-"""The shortest sequences of events that fail without one of Raft's rules."""
+"""Short scenarios, each of which fails without one of Raft's rules."""
 
 from __future__ import annotations
 
@@ -20,57 +20,59 @@
 from badgercart.distribution.topic import Topic
 from tests.distribution.simulation import Group
 
-LARGE = [
-    Entry(f"key {number}", bytes(64 << 10)) for number in range(8)
-]  # more than one frame's piece
+# More than one message of the log holds.
+LARGE_ENTRIES = [Entry(f"key {number}", bytes(64 << 10)) for number in range(8)]
 
 
 def elect(group: Group, name: str, *voters: str) -> None:
-    """Have a store lead, with these voters alone to help it; all others' clocks stand still."""
+    """Make a replica lead with the votes of these voters; the clocks of all others are stopped."""
     group.cuts.clear()
-    apart = [other for other in group.names if other not in (name, *voters)]
-    for other in apart:
+    isolated = [other for other in group.names if other not in (name, *voters)]
+    for other in isolated:
         group.isolate(other)
-    group.deliver_waiting()
-    group.ticking = {name}
+    group.deliver_queued()
+    group.ticking_replicas = {name}
     assert group.run(30_000.0, lambda: group.state(name).is_leader), group.describe()
 
 
-def value(group: Group, word: str) -> list[Entry]:
-    return [*LARGE[1:], Entry("key 0", word.encode().ljust(64 << 10))]
+def large_entries(group: Group, text: str) -> list[Entry]:
+    return [*LARGE_ENTRIES[1:], Entry("key 0", text.encode().ljust(64 << 10))]
 
 
 def figure_8(replica_class: type[Replica] = Replica) -> None:
-    """Raft's figure 8: a change of an earlier term may be replaced though a majority has it."""
+    """Raft's figure 8: a change of an earlier term may be replaced although a majority has it."""
     group = Group(5, replica_class=replica_class)
-    group.run(200.0)  # all are connected
+    # All replicas connect.
+    group.run(200.0)
     s1, s2, s3, s4, s5 = group.names
-    # (a) s1 leads, and gets its change to s2 alone.
+    # (a) s1 leads and replicates its change only to s2.
     elect(group, s1, s2, s3, s4, s5)
     assert group.run(
         2000.0, lambda: all(group.state(name).log.last_index == 1 for name in group.names)
     )
-    group.drops = lambda source, to, message: isinstance(message, AppendEntries) and to != s2
-    group.operator.propose(s1, "t", value(group, "first"))
+    group.drop_message = lambda source, to, message: isinstance(message, AppendEntries) and to != s2
+    group.operator.propose(s1, "t", large_entries(group, "first"))
     assert group.run(1000.0, lambda: group.state(s2).log.last_index == 2)
     group.kill(s1)
-    # (b) s5 leads by s3 and s4, and writes its own at the same index; nobody gets it.
-    group.drops = lambda source, to, message: isinstance(message, AppendEntries) and source == s5
+    # (b) s5 leads with s3 and s4, and appends another change at the same index for itself only.
+    group.drop_message = (
+        lambda source, to, message: isinstance(message, AppendEntries) and source == s5
+    )
     elect(group, s5, s3, s4)
     assert group.state(s5).log.last_index == 2
     group.kill(s5)
-    # (c) s1 is back, leads, and gets its old change to s3 too, but nothing of its new term.
+    # (c) s1 restarts, leads and replicates its old change to s3, but none of its new term.
     group.restart(s1)
     group.restart(s5)
     group.kill(s5)
-    new = group.state(s1).term + 2
+    next_term = group.state(s1).term + 2
 
-    def held(source: str, to: str, message: Message) -> bool:
+    def is_of_later_term(source: str, to: str, message: Message) -> bool:
         return isinstance(message, AppendEntries) and any(
-            change.term > new - 2 for change in message.changes
+            change.term > next_term - 2 for change in message.changes
         )
 
-    group.drops = held
+    group.drop_message = is_of_later_term
     elect(group, s1, s2, s3, s4)
     group.run(1000.0, lambda: group.state(s3).log.last_index == 2)
     assert (
@@ -78,53 +80,54 @@
         and group.state(s3).log.changes[-1].term < group.state(s1).term
     )
     group.run(100.0)
-    # (d) s5 leads by s2, s3 and s4, whose logs end in an earlier term than its own, and
-    # replaces it.
+    # (d) s5 leads with s2, s3 and s4, whose logs end in an earlier term than its own, and
+    # replaces the old change.
     group.kill(s1)
-    group.drops = lambda source, to, message: False
+    group.drop_message = lambda source, to, message: False
     group.restart(s5)
     elect(group, s5, s2, s3, s4)
     group.run(1000.0)
-    group.ticking = None
-    group.settle()
+    group.ticking_replicas = None
+    group.restore_and_converge()
 
 
-def vote_forgotten(replica_class: type[Replica] = Replica) -> None:
-    """A voter that restarts after its vote must not give another in that term."""
+def restart_after_vote(replica_class: type[Replica] = Replica) -> None:
+    """A voter that restarts after its vote must not grant another vote in that term."""
     group = Group(3, replica_class=replica_class)
     group.run(200.0)
     s1, s2, s3 = group.names
-    group.drops = lambda source, to, message: isinstance(message, AppendEntries)
+    group.drop_message = lambda source, to, message: isinstance(message, AppendEntries)
     elect(group, s1, s2)
     group.kill(s2)
     group.restart(s2)
     group.heal()
     group.isolate(s1)
-    group.ticking = {s3}
+    group.ticking_replicas = {s3}
     group.run(6000.0, lambda: group.state(s3).is_leader)
-    group.ticking = None
-    group.drops = lambda source, to, message: False
-    group.settle()
+    group.ticking_replicas = None
+    group.drop_message = lambda source, to, message: False
+    group.restore_and_converge()
 
 
-def two_ask_at_once(replica_class: type[Replica] = Replica) -> None:
-    """Two stand for the same term, and one voter is asked by both."""
+def concurrent_candidates(replica_class: type[Replica] = Replica) -> None:
+    """Two candidates of the same term request the vote of one voter."""
     group = Group(3, replica_class=replica_class)
     group.run(200.0)
     s1, _, s3 = group.names
     group.cuts |= {(s1, s3), (s3, s1)}
-    group.run(850.0)  # nobody's lease runs any more, and nobody has stood yet
+    # No lease is left, and no replica has started an election yet.
+    group.run(850.0)
     for name in (s1, s3):
-        group.replica(name).raft.elections.deadline_ms = group.now
+        group.replica(name).raft.elections.deadline_ms = group.now_ms
         group.set_timer(group.process(name))
-    group.drops = lambda source, to, message: isinstance(message, AppendEntries)
+    group.drop_message = lambda source, to, message: isinstance(message, AppendEntries)
     group.run(200.0)
-    group.drops = lambda source, to, message: False
-    group.settle()
+    group.drop_message = lambda source, to, message: False
+    group.restore_and_converge()
 
 
-def tail_shortened(replica_class: type[Replica] = Replica) -> None:
-    """A later leader's first piece of the log must not cut off what was in force behind it."""
+def shorter_append_after_commit(replica_class: type[Replica] = Replica) -> None:
+    """The first message of a later leader must not truncate committed changes after it."""
     group = Group(3, replica_class=replica_class)
     group.run(200.0)
     s1, s2, s3 = group.names
@@ -133,35 +136,35 @@
         2000.0, lambda: all(group.state(name).log.commit_index == 1 for name in group.names)
     )
     group.isolate(s3)
-    group.operator.propose(s1, "t", value(group, "one"))
-    group.operator.propose(s1, "t", value(group, "two"))
+    group.operator.propose(s1, "t", large_entries(group, "one"))
+    group.operator.propose(s1, "t", large_entries(group, "two"))
     assert group.run(1000.0, lambda: group.state(s1).log.commit_index == 3)
     group.kill(s1)
     group.restart(s1)
     assert (group.state(s1).log.commit_index, group.state(s1).log.last_index) == (1, 3)
 
-    def second(source: str, to: str, message: Message) -> bool:
+    def is_after_second_change(source: str, to: str, message: Message) -> bool:
         return isinstance(message, AppendEntries) and any(
             change.index > 2 for change in message.changes
         )
 
-    group.drops = second
+    group.drop_message = is_after_second_change
     elect(group, s2, s1)
     assert group.run(1000.0, lambda: group.replica(s1).raft.receiver.verified_index == 2)
     group.kill(s2)
-    group.drops = lambda source, to, message: False
+    group.drop_message = lambda source, to, message: False
     elect(group, s1, s3)
     group.run(1000.0)
-    group.ticking = None
-    group.settle()
+    group.ticking_replicas = None
+    group.restore_and_converge()
 
 
-def led_replica(
+def replica_with_leader(
     recovered: RecoveredState,
     replica_class: type[Replica] = Replica,
     limits: ReplicaLimits | None = None,
 ) -> Replica:
-    """One of three, with another that leads it on connection 1."""
+    """Return replica b of three, with the leader a on connection 1."""
     names = ("a", "b", "c")
     replica = replica_class(
         ReplicaGroup("b", names, names), ReplicaTiming(), random.Random(1), recovered, limits
@@ -176,9 +179,9 @@
     return Change(term, index, "t", (Entry("k", b"%d" % index),))
 
 
-def earlier_term(replica_class: type[Replica] = Replica) -> None:
-    """A leader of an earlier term is answered with the term, and changes nothing."""
-    replica = led_replica(
+def append_of_earlier_term(replica_class: type[Replica] = Replica) -> None:
+    """A leader of an earlier term is rejected with the current term, and changes nothing."""
+    replica = replica_with_leader(
         RecoveredState(3, "c", 1, 0, 0, {}, (change(1, 1), change(3, 2))), replica_class
     )
     effects = replica.received(1.0, 1, AppendEntries(2, 1, (change(2, 2),), 2))
@@ -189,10 +192,10 @@
     )
 
 
-def tail_behind_state(replica_class: type[Replica] = Replica) -> None:
-    """Changes behind a snapshot stay where the log agrees with it at its index."""
+def snapshot_before_log_tail(replica_class: type[Replica] = Replica) -> None:
+    """Changes after a snapshot stay if the log matches the snapshot at its index."""
     log = tuple(change(1, index) for index in range(1, 6))
-    replica = led_replica(RecoveredState(1, "", 1, 0, 0, {}, log), replica_class)
+    replica = replica_with_leader(RecoveredState(1, "", 1, 0, 0, {}, log), replica_class)
     topic = Topic(4, (Entry("k", b"4"),))
     part = InstallSnapshot(2, 4, 1, 1, 1, (TopicPart("t", 4, topic.digest, (Entry("k", b"4"),)),))
     effects = replica.received(1.0, 1, part)
@@ -207,9 +210,9 @@
 
 SCENARIOS = (
     figure_8,
-    vote_forgotten,
-    two_ask_at_once,
-    tail_shortened,
-    earlier_term,
-    tail_behind_state,
+    restart_after_vote,
+    concurrent_candidates,
+    shorter_append_after_commit,
+    append_of_earlier_term,
+    snapshot_before_log_tail,
 )
--- a/tests/distribution/simulation.py
+++ b/tests/distribution/simulation.py
@@ -1,7 +1,8 @@
-"""Replicas with hollow followers on a virtual clock, and a network with delays and cuts.
+"""Simulates replicas and followers on a virtual clock, with network delays and partitions.
 
-A connection is TCP's: in order, whole, and where a way is cut what is said waits until it is healed
-or the connection ends. After each call to a store the group checks what always has to hold.
+Connections behave like TCP: messages arrive in order and complete. While a direction is cut, messages
+wait until it is healed or the connection ends. After each event of a replica the group checks the
+invariants of Raft and of published topics.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
 CODEC = Codec("a group", b"its secret")
 
 
-def copied(state: RecoveredState) -> RecoveredState:
+def copy_state(state: RecoveredState) -> RecoveredState:
     topics = {
         name: Topic(topic.version, [Entry(*pair) for pair in topic.entries.items()])
         for name, topic in state.topics.items()
@@ -64,15 +65,15 @@
 
 
 class MemoryDisk:
-    """What a Journal does, in memory. `needs_compaction` as often as the test likes."""
+    """A Journal in memory that needs a compaction after `max_records` records."""
 
-    def __init__(self, most: int = 8) -> None:
-        self.most = most
+    def __init__(self, max_records: int = 8) -> None:
+        self.max_records = max_records
         self.start = RecoveredState()
         self.persisted: list[Persist] = []
 
     def recover(self) -> RecoveredState:
-        return replay(copied(self.start), self.persisted)
+        return replay(copy_state(self.start), self.persisted)
 
     def persist(self, effect: Persist | PersistSnapshot) -> None:
         if isinstance(effect, PersistSnapshot):
@@ -82,30 +83,37 @@
 
     @property
     def needs_compaction(self) -> bool:
-        return len(self.persisted) > self.most
+        return len(self.persisted) > self.max_records
 
     def compact(self, state: RecoveredState) -> None:
-        self.start, self.persisted = copied(state), []
+        self.start, self.persisted = copy_state(state), []
 
     def close(self) -> None: ...
 
 
 @dataclass(eq=False)
-class End:
-    """One side of a connection."""
+class ConnectionEnd:
+    """One end of a connection.
+
+    Attributes:
+        owner: the process at this end.
+        number: identifies the connection for its owner.
+        other: the other end.
+        open: whether it is not closed.
+        accepted: whether the owner has accepted it; nothing is received before.
+        queue: messages in transit with the times of arrival and of sending; None is the close.
+    """
 
     owner: Process
     number: int
-    other: End | None = None
+    other: ConnectionEnd | None = None
     open: bool = True
-    accepted: bool = True  # by its owner: nothing is read before
-    queue: deque[tuple[float, float, Message | None]] = field(
-        default_factory=deque
-    )  # that comes; None: it is closed
+    accepted: bool = True
+    queue: deque[tuple[float, float, Message | None]] = field(default_factory=deque)
 
 
 class Process:
-    """A store or a hollow follower."""
+    """A simulated process: a replica, a follower or the operator."""
 
     name: str
     alive = True
@@ -113,16 +121,16 @@
 
     def __init__(self, group: Group, name: str) -> None:
         self.group, self.name = group, name
-        self.ends: dict[int, End] = {}
+        self.ends: dict[int, ConnectionEnd] = {}
 
-    def accepted(self, end: End) -> None: ...
-    def received(self, end: End, message: Message) -> None: ...
-    def closed(self, end: End) -> None: ...
+    def accepted(self, end: ConnectionEnd) -> None: ...
+    def received(self, end: ConnectionEnd, message: Message) -> None: ...
+    def closed(self, end: ConnectionEnd) -> None: ...
     def resumed(self) -> None: ...
 
 
-class Watched:
-    """A state machine with another `apply`."""
+class RecordingStateMachine:
+    """A state machine whose `apply` is replaced by a recording one."""
 
     def __init__(self, machine: StateMachine, apply: Callable[[Change, bool], None]) -> None:
         self._machine = machine
@@ -136,10 +144,13 @@
     def __init__(self, group: Group, name: str) -> None:
         super().__init__(group, name)
         self.disk: Disk = group.disk_class()
-        self.crash_in = -1  # effects that are carried out before it crashes; -1: it doesn't
+        # The process crashes after this many more effects; -1: it doesn't crash.
+        self.effects_until_crash = -1
         self.log_events: list[LogEvent] = []
-        self.checked = 0  # the log index up to which this replica was checked against the others
-        self.fresh: list[Change] = []  # that came to be in force since
+        # The log index up to which this replica was checked against the others.
+        self.checked_index = 0
+        # The changes committed since that check.
+        self.new_commits: list[Change] = []
         self.dialled: set[str] = set()
         self.start_replica()
 
@@ -147,7 +158,9 @@
         group = self.group
         self.alive, self.ends, self.dialled = True, {}, set()
         recovered = self.disk.recover()
-        self.fresh = list(recovered.changes[: recovered.commit_index - recovered.snapshot_index])
+        self.new_commits = list(
+            recovered.changes[: recovered.commit_index - recovered.snapshot_index]
+        )
         self.replica = group.replica_class(
             ReplicaGroup(self.name, group.voters, group.names),
             group.timing,
@@ -155,29 +168,30 @@
             recovered,
             group.limits,
         )
-        self.checked = recovered.snapshot_index
-        self.watch(self.replica.raft.state)
-        self.do(self.replica.start(group.now))
+        self.checked_index = recovered.snapshot_index
+        self.record_commits(self.replica.raft.state)
+        self.execute(self.replica.start(group.now_ms))
 
-    def watch(self, state: RaftState) -> None:
-        """Note each change that is committed from now on."""
+    def record_commits(self, state: RaftState) -> None:
+        """Record each change that is committed from now on."""
         apply = state.machine.apply
 
         def watched(change: Change, is_leader: bool) -> None:
-            self.fresh.append(change)
+            self.new_commits.append(change)
             apply(change, is_leader)
 
-        state.machine = Watched(state.machine, watched)
+        state.machine = RecordingStateMachine(state.machine, watched)
 
-    def do(self, effects: list[Effect]) -> None:
-        for at, effect in enumerate(effects):
-            if self.crash_in == 0:
-                self.crash_in = -1
-                if not any(isinstance(e, Persist | PersistSnapshot) for e in effects[at:]):
-                    self.group.check(self)  # what it says is in force rests on what is on its disk
+    def execute(self, effects: list[Effect]) -> None:
+        for position, effect in enumerate(effects):
+            if self.effects_until_crash == 0:
+                self.effects_until_crash = -1
+                # What it reports as committed is valid only if nothing is left to persist.
+                if not any(isinstance(e, Persist | PersistSnapshot) for e in effects[position:]):
+                    self.group.check(self)
                 self.group.kill(self.name)
                 return
-            self.crash_in -= self.crash_in > 0
+            self.effects_until_crash -= self.effects_until_crash > 0
             if isinstance(effect, Persist | PersistSnapshot):
                 self.disk.persist(effect)
             elif isinstance(effect, Send):
@@ -193,7 +207,7 @@
         for name in self.replica.replicas_to_dial():
             if name not in self.dialled:
                 self.dialled.add(name)
-                self.group.at(self.group.delay(), self.dial, name, self.replica)
+                self.group.schedule(self.group.network_delay_ms(), self.dial, name, self.replica)
 
     def dial(self, name: str, replica: Replica) -> None:
         if replica is not self.replica or not self.alive:
@@ -205,28 +219,28 @@
         cut = {(self.name, name), (name, self.name)} & self.group.cuts
         if not other.alive or cut:
             self.dialled.add(name)
-            self.group.at(100.0, self.dial, name, replica)
+            self.group.schedule(100.0, self.dial, name, replica)
             return
         end = self.group.connect(self, other)
-        self.do(self.replica.connected(self.group.now, end.number, name))
+        self.execute(self.replica.connected(self.group.now_ms, end.number, name))
 
-    def accepted(self, end: End) -> None:
-        self.do(self.replica.accepted(self.group.now, end.number))
+    def accepted(self, end: ConnectionEnd) -> None:
+        self.execute(self.replica.accepted(self.group.now_ms, end.number))
 
-    def received(self, end: End, message: Message) -> None:
-        self.do(self.replica.received(self.group.now, end.number, message))
+    def received(self, end: ConnectionEnd, message: Message) -> None:
+        self.execute(self.replica.received(self.group.now_ms, end.number, message))
 
-    def closed(self, end: End) -> None:
-        self.do(self.replica.closed(self.group.now, end.number))
+    def closed(self, end: ConnectionEnd) -> None:
+        self.execute(self.replica.closed(self.group.now_ms, end.number))
 
     def tick(self) -> None:
-        self.do(self.replica.tick(self.group.now))
+        self.execute(self.replica.tick(self.group.now_ms))
 
     resumed = tick
 
 
-class Hollow(Process):
-    """A follower that holds every message against what it knows."""
+class SimulatedFollower(Process):
+    """A follower that checks every message against its own state."""
 
     def __init__(self, group: Group, name: str, replica: str, topics: Iterable[str]) -> None:
         super().__init__(group, name)
@@ -234,7 +248,7 @@
         self.topics = {topic: Topic() for topic in topics}
         self.assembling: dict[str, tuple[Snapshot, Topic]] = {}
         self.received_messages: list[Message] = []
-        self.age = self.age_at = float("-inf")
+        self.age_ms = self.age_at_ms = float("-inf")
         self.dial()
 
     def dial(self) -> None:
@@ -245,29 +259,29 @@
             not other.alive
             or {(self.name, self.replica), (self.replica, self.name)} & self.group.cuts
         ):
-            self.group.at(100.0, self.dial)
+            self.group.schedule(100.0, self.dial)
             return
         end = self.group.connect(self, other)
         self.assembling.clear()
         self.group.send(end, Hello(self.name, False))
         self.subscribe(end)
 
-    def subscribe(self, end: End) -> None:
-        asked = tuple(
+    def subscribe(self, end: ConnectionEnd) -> None:
+        topic_versions = tuple(
             TopicVersion(name, topic.version, topic.digest) for name, topic in self.topics.items()
         )
-        self.group.send(end, Subscribe(asked))
+        self.group.send(end, Subscribe(topic_versions))
 
-    def closed(self, end: End) -> None:
-        self.group.at(100.0, self.dial)
+    def closed(self, end: ConnectionEnd) -> None:
+        self.group.schedule(100.0, self.dial)
 
-    def received(self, end: End, message: Message) -> None:
+    def received(self, end: ConnectionEnd, message: Message) -> None:
         self.received_messages.append(message)
         if isinstance(message, Delta):
             topic = self.topics[message.topic]
             assert (
                 message.topic not in self.assembling
-            ), "a change came between the parts of its topic"
+            ), "a delta came between the parts of a snapshot of its topic"
             assert message.version == topic.version + 1, (self.name, message, topic.version)
             topic.apply(message.entries)
             assert topic.digest == message.digest
@@ -289,41 +303,41 @@
                 self.topics[message.topic] = had[1]
                 self.group.check_topic(self.name, message.topic, had[1])
         elif isinstance(message, Heartbeat):
-            self.age, self.age_at = message.age_ms, self.group.now
+            self.age_ms, self.age_at_ms = message.age_ms, self.group.now_ms
             self.group.check_heartbeat(self, message)
 
 
 class Operator(Process):
-    """Proposes, and remembers what was answered."""
+    """An operator that records its proposals and their responses."""
 
     def __init__(self, group: Group) -> None:
         super().__init__(group, "operator")
-        self.asked: dict[int, tuple[str, Propose]] = {}
-        self.answers: dict[int, ProposeResponse] = {}
-        self.serials = itertools.count(1)
-        self.lines: dict[str, End] = {}
+        self.proposals: dict[int, tuple[str, Propose]] = {}
+        self.responses: dict[int, ProposeResponse] = {}
+        self.request_ids = itertools.count(1)
+        self.connections: dict[str, ConnectionEnd] = {}
 
     def propose(self, store: str, topic: str, entries: Iterable[Entry], expected: int = -1) -> int:
-        serial = next(self.serials)
+        request_id = next(self.request_ids)
         process = self.group.processes[store]
         if not process.alive:
-            return serial
-        line = self.lines.get(store)
-        if line is None or not line.open:
-            line = self.lines[store] = self.group.connect(self, process)
-            self.group.send(line, Hello(self.name, False))
-        asked = Propose(serial, topic, tuple(entries), expected)
-        self.asked[serial] = store, asked
-        self.group.send(line, asked)
-        return serial
-
-    def received(self, end: End, message: Message) -> None:
+            return request_id
+        connection = self.connections.get(store)
+        if connection is None or not connection.open:
+            connection = self.connections[store] = self.group.connect(self, process)
+            self.group.send(connection, Hello(self.name, False))
+        proposal = Propose(request_id, topic, tuple(entries), expected)
+        self.proposals[request_id] = store, proposal
+        self.group.send(connection, proposal)
+        return request_id
+
+    def received(self, end: ConnectionEnd, message: Message) -> None:
         if isinstance(message, ProposeResponse):
-            assert message.request_id not in self.answers, "answered twice"
-            self.answers[message.request_id] = message
+            assert message.request_id not in self.responses, "the proposal got two responses"
+            self.responses[message.request_id] = message
             if not message.error:
-                _, asked = self.asked[message.request_id]
-                self.group.check_answer(asked, message)
+                _, proposal = self.proposals[message.request_id]
+                self.group.check_answer(proposal, message)
 
 
 class Group:
@@ -336,37 +350,40 @@
         disk_class: Callable[[], Disk] = MemoryDisk,
         limits: ReplicaLimits | None = None,
     ) -> None:
-        self.now = 0.0
+        self.now_ms = 0.0
         self.rng = random.Random(seed)
         self.timing = ReplicaTiming()
         self.replica_class, self.disk_class, self.limits = replica_class, disk_class, limits
         self.names = tuple(f"s{number}" for number in range(1, count + learners + 1))
         self.voters = self.names[:count]
         self.events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
-        self.order = itertools.count()
-        self.sent_at_ms = 0.0  # when the message that is being received was sent
-        self.numbers = itertools.count(1)
-        self.cuts: set[tuple[str, str]] = set()  # from, to
-        self.drops: Callable[[str, str, Message], bool] = lambda source, to, message: False
-        self.ticking: set[str] | None = None  # stores whose clocks run; None: all
+        self.event_numbers = itertools.count()
+        # When the message that is being received was sent.
+        self.sent_at_ms = 0.0
+        self.connection_numbers = itertools.count(1)
+        # The directions that are cut, as pairs of sender and receiver.
+        self.cuts: set[tuple[str, str]] = set()
+        self.drop_message: Callable[[str, str, Message], bool] = lambda source, to, message: False
+        # The replicas whose clocks run; None: all.
+        self.ticking_replicas: set[str] | None = None
         self.timers: dict[str, float] = {}
-        # What was seen, of all stores together.
-        self.committed: dict[int, Change] = {}  # all that was in force anywhere
+        # The history of the group: all changes committed on any replica, by log index.
+        self.committed: dict[int, Change] = {}
         self.leaders: dict[int, str] = {}
         self.digests: dict[str, dict[int, int]] = {}
-        self.changes: dict[str, list[Change]] = {}  # in force, by topic
-        self.replayed = 0
+        # Committed changes by topic.
+        self.changes: dict[str, list[Change]] = {}
+        self.replayed_count = 0
         self.replayed_topics: dict[str, Topic] = {}
-        self.known_at: list[tuple[float, int]] = [
-            (0.0, 0)
-        ]  # when the newest committed log index was first seen
+        # When each log index was first seen as the newest committed one.
+        self.commit_times: list[tuple[float, int]] = [(0.0, 0)]
         self.processes: dict[str, Process] = {}
         for name in self.names:
             self.processes[name] = ReplicaProcess(self, name)
         self.operator = Operator(self)
         self.processes["operator"] = self.operator
 
-    # Looking.
+    # Access to processes.
 
     def process(self, name: str) -> ReplicaProcess:
         process = self.processes[name]
@@ -380,7 +397,7 @@
         return self.replica(name).raft.state
 
     @property
-    def running(self) -> list[ReplicaProcess]:
+    def running_replicas(self) -> list[ReplicaProcess]:
         return [
             self.process(n)
             for n in self.names
@@ -388,87 +405,95 @@
         ]
 
     def leader(self) -> str:
-        """The leader of the latest term among those that run; empty: none leads."""
-        leaders = [p.name for p in self.running if self.state(p.name).is_leader]
+        """Return the leader of the latest term among the running replicas; empty without one."""
+        leaders = [p.name for p in self.running_replicas if self.state(p.name).is_leader]
         return max(leaders, key=lambda name: self.state(name).term) if leaders else ""
 
     # Time and network.
 
-    def at(self, after: float, call: Callable[..., None], *arguments: object) -> None:
-        heapq.heappush(self.events, (self.now + after, next(self.order), call, arguments))
+    def schedule(self, delay_ms: float, callback: Callable[..., None], *arguments: object) -> None:
+        heapq.heappush(
+            self.events, (self.now_ms + delay_ms, next(self.event_numbers), callback, arguments)
+        )
 
-    def delay(self) -> float:
+    def network_delay_ms(self) -> float:
         return self.rng.uniform(1.0, 20.0)
 
-    def run(self, ms: float, until: Callable[[], bool] | None = None) -> bool:
-        """For so long, or until something holds; whether it does."""
-        end = self.now + ms
+    def run(self, duration_ms: float, until: Callable[[], bool] | None = None) -> bool:
+        """Run for a duration, or until a condition holds; return whether it holds."""
+        end = self.now_ms + duration_ms
         while self.events and self.events[0][0] <= end:
             if until is not None and until():
                 return True
-            self.now, _, call, arguments = heapq.heappop(self.events)
-            call(*arguments)
+            self.now_ms, _, callback, arguments = heapq.heappop(self.events)
+            callback(*arguments)
         if until is not None and until():
             return True
-        self.now = end
+        self.now_ms = end
         return False
 
     def set_timer(self, process: ReplicaProcess) -> None:
-        due = max(self.now, process.replica.due_ms)
-        if due != float("inf") and self.timers.get(process.name) != due:
-            self.timers[process.name] = due
-            self.at(due - self.now, self.timer, process, process.replica, due)
+        due_ms = max(self.now_ms, process.replica.due_ms)
+        if due_ms != float("inf") and self.timers.get(process.name) != due_ms:
+            self.timers[process.name] = due_ms
+            self.schedule(due_ms - self.now_ms, self.handle_timer, process, process.replica, due_ms)
 
-    def timer(self, process: ReplicaProcess, replica: Replica, due: float) -> None:
-        if process.replica is not replica or self.timers.get(process.name) != due:
+    def handle_timer(self, process: ReplicaProcess, replica: Replica, due_ms: float) -> None:
+        if process.replica is not replica or self.timers.get(process.name) != due_ms:
             return
         del self.timers[process.name]
         if not process.alive or process.paused:
             return
-        if self.ticking is not None and process.name not in self.ticking:
-            self.timers[process.name] = self.now + 50.0
-            self.at(50.0, self.timer, process, replica, self.now + 50.0)
+        if self.ticking_replicas is not None and process.name not in self.ticking_replicas:
+            self.timers[process.name] = self.now_ms + 50.0
+            self.schedule(50.0, self.handle_timer, process, replica, self.now_ms + 50.0)
             return
         process.tick()
 
-    def connect(self, source: Process, to: Process) -> End:
-        a, b = End(source, next(self.numbers)), End(to, next(self.numbers))
+    def connect(self, source: Process, to: Process) -> ConnectionEnd:
+        a, b = (
+            ConnectionEnd(source, next(self.connection_numbers)),
+            ConnectionEnd(to, next(self.connection_numbers)),
+        )
         a.other, b.other, b.accepted = b, a, False
         source.ends[a.number] = a
         to.ends[b.number] = b
-        self.at(0.0, self.arrive, b)
+        self.schedule(0.0, self.accept_connection, b)
         return a
 
-    def arrive(self, end: End) -> None:
-        """A connection came in."""
+    def accept_connection(self, end: ConnectionEnd) -> None:
+        """Accept a connection, once its process runs."""
         if end.owner.alive and end.open:
             if end.owner.paused:
-                self.at(50.0, self.arrive, end)
+                self.schedule(50.0, self.accept_connection, end)
             else:
                 end.accepted = True
                 end.owner.accepted(end)
                 self.deliver(end)
 
-    def send(self, end: End, message: Message) -> None:
+    def send(self, end: ConnectionEnd, message: Message) -> None:
         message = CODEC.decode(CODEC.encode(message))
-        assert end.open, f"{end.owner.name} writes to a connection that is closed: {message}"
+        assert end.open, f"{end.owner.name} sends on a closed connection: {message}"
         other = end.other
         assert other is not None
-        if self.drops(end.owner.name, other.owner.name, message):
+        if self.drop_message(end.owner.name, other.owner.name, message):
             return
-        when = max(self.now + self.delay(), other.queue[-1][0] if other.queue else 0.0)
-        other.queue.append((when, self.now, message))
-        self.at(when - self.now, self.deliver, other)
+        at_ms = max(
+            self.now_ms + self.network_delay_ms(), other.queue[-1][0] if other.queue else 0.0
+        )
+        other.queue.append((at_ms, self.now_ms, message))
+        self.schedule(at_ms - self.now_ms, self.deliver, other)
 
-    def deliver(self, end: End) -> None:
-        """What has come, as long as the way is open and the process runs."""
+    def deliver(self, end: ConnectionEnd) -> None:
+        """Deliver the messages that have arrived, unless the direction is cut or the process paused."""
         assert end.other is not None
-        while end.queue and end.open and end.queue[0][0] <= self.now:
+        while end.queue and end.open and end.queue[0][0] <= self.now_ms:
             owner = end.owner
             if not owner.alive:
                 return
             if owner.paused or not end.accepted or (end.other.owner.name, owner.name) in self.cuts:
-                return  # waking and healing deliver
+                # `wake` and `heal` deliver them later.
+                return
             _, self.sent_at_ms, message = end.queue.popleft()
             if message is None:
                 end.open = False
@@ -477,31 +502,33 @@
                 return
             owner.received(end, message)
 
-    def close(self, end: End) -> None:
-        """By its owner."""
+    def close(self, end: ConnectionEnd) -> None:
+        """Close a connection on behalf of its owner."""
         end.open = False
         end.owner.ends.pop(end.number, None)
         other = end.other
         assert other is not None
         if other.open:
-            when = max(self.now + self.delay(), other.queue[-1][0] if other.queue else 0.0)
-            other.queue.append((when, self.now, None))
-            self.at(when - self.now, self.deliver, other)
+            at_ms = max(
+                self.now_ms + self.network_delay_ms(), other.queue[-1][0] if other.queue else 0.0
+            )
+            other.queue.append((at_ms, self.now_ms, None))
+            self.schedule(at_ms - self.now_ms, self.deliver, other)
 
-    def deliver_waiting(self) -> None:
-        """Deliver what has waited."""
+    def deliver_queued(self) -> None:
+        """Schedule the delivery of all queued messages."""
         for process in list(self.processes.values()):
             if process.alive and not process.paused:
                 for end in list(process.ends.values()):
-                    self.at(0.0, self.deliver, end)
+                    self.schedule(0.0, self.deliver, end)
 
-    # What befalls it.
+    # Faults and their repair.
 
     def cut(self, source: str, to: str) -> None:
         self.cuts.add((source, to))
 
     def isolate(self, *names: str) -> None:
-        """Cut off both ways from all others."""
+        """Cut both directions between these processes and all others."""
         for name in names:
             for other in self.processes:
                 if other not in names:
@@ -509,10 +536,10 @@
 
     def heal(self) -> None:
         self.cuts.clear()
-        self.deliver_waiting()
+        self.deliver_queued()
 
-    def break_between(self, one: str, other: str) -> None:
-        """Their connections end."""
+    def break_connections(self, one: str, other: str) -> None:
+        """Close the connections between two processes."""
         for end in list(self.processes[one].ends.values()):
             assert end.other is not None
             if end.other.owner.name == other:
@@ -540,18 +567,19 @@
         if process.paused:
             process.paused = False
             for end in list(process.ends.values()):
-                self.deliver(end)  # as the kernel has it: what came first is read first
+                # As with a real socket, buffered messages are read before the next tick.
+                self.deliver(end)
             if process.alive:
                 process.resumed()
 
     def restore_all(self) -> None:
-        """All run, all are in reach."""
+        """Restart and wake all replicas, and heal the network."""
         for name in self.names:
             self.wake(name)
             self.restart(name)
         self.heal()
 
-    # What always has to hold.
+    # Invariants.
 
     def check(self, process: ReplicaProcess) -> None:
         name, state = process.name, process.replica.raft.state
@@ -559,22 +587,22 @@
         if state.is_leader:
             leader = self.leaders.setdefault(state.term, name)
             assert leader == name, f"{leader} and {name} both lead term {state.term}"
-        assert process.checked <= commit_index, f"{name} took back what was committed"
-        changed = process.checked < commit_index
-        process.checked = commit_index
-        fresh, process.fresh = process.fresh, []
-        for change in fresh:
+        assert process.checked_index <= commit_index, f"the commit index of {name} went back"
+        changed = process.checked_index < commit_index
+        process.checked_index = commit_index
+        new_commits, process.new_commits = process.new_commits, []
+        for change in new_commits:
             had = self.committed.setdefault(change.index, change)
-            assert had == change, f"{had} is in force and, at {name}, {change}"
-            if change.index > self.known_at[-1][1]:
-                self.known_at.append((self.now, change.index))
+            assert had == change, f"{had} is committed, but {change} at {name}"
+            if change.index > self.commit_times[-1][1]:
+                self.commit_times.append((self.now_ms, change.index))
         if changed:
             for topic_name, topic in process.replica.topics.items():
                 self.check_topic(name, topic_name, topic)
 
     def replay(self) -> None:
-        while (change := self.committed.get(self.replayed + 1)) is not None:
-            self.replayed += 1
+        while (change := self.committed.get(self.replayed_count + 1)) is not None:
+            self.replayed_count += 1
             if change.topic:
                 topic = self.replayed_topics.setdefault(change.topic, Topic())
                 topic.apply(change.entries)
@@ -582,33 +610,33 @@
                 self.digests.setdefault(change.topic, {})[topic.version] = topic.digest
 
     def check_topic(self, who: str, name: str, topic: Topic) -> None:
-        """What somebody has of a topic is what was in force as of that number."""
+        """Check that a topic has the committed content of its version."""
         self.replay()
         if topic.version:
             assert (
                 self.digests.get(name, {}).get(topic.version) == topic.digest
-            ), f"{who} has {name!r} otherwise"
+            ), f"{who} has other content of {name!r}"
 
-    def check_answer(self, asked: Propose, answer: ProposeResponse) -> None:
-        """What was answered as in force is so, as of this number."""
+    def check_answer(self, proposal: Propose, answer: ProposeResponse) -> None:
+        """Check that a proposal reported as committed is contained in the reported version."""
         self.replay()
-        changes = self.changes.get(asked.topic, [])
-        assert answer.version <= len(changes), f"{answer} was never in force"
-        wanted = {entry.key: entry.value for entry in asked.entries}
+        changes = self.changes.get(proposal.topic, [])
+        assert answer.version <= len(changes), f"the version of {answer} was never committed"
+        expected_values = {entry.key: entry.value for entry in proposal.entries}
         for change in reversed(changes[: answer.version]):
             for entry in reversed(change.entries):
-                if entry.key in wanted:
+                if entry.key in expected_values:
                     assert (
-                        wanted.pop(entry.key) == entry.value
+                        expected_values.pop(entry.key) == entry.value
                     ), f"{answer}: {entry.key} is {entry.value!r}"
         assert not any(
-            value is not None for value in wanted.values()
-        ), f"{answer}: {wanted} are not there"
+            value is not None for value in expected_values.values()
+        ), f"{answer}: {expected_values} are missing"
 
-    def check_heartbeat(self, follower: Hollow, heartbeat: Heartbeat) -> None:
-        """Check that everything committed `age_ms` before the heartbeat was sent has been received."""
-        before = self.sent_at_ms - heartbeat.age_ms
-        index = max((i for when, i in self.known_at if when < before), default=0)
+    def check_heartbeat(self, follower: SimulatedFollower, heartbeat: Heartbeat) -> None:
+        """Check that a follower has all changes committed `age_ms` before the heartbeat was sent."""
+        committed_before_ms = self.sent_at_ms - heartbeat.age_ms
+        index = max((i for at_ms, i in self.commit_times if at_ms < committed_before_ms), default=0)
         numbers: dict[str, int] = {}
         for log_index in range(1, index + 1):
             change = self.committed[log_index]
@@ -620,19 +648,19 @@
                 f"it has number {topic.version}, {numbers[name]} was committed"
             )
 
-    def settle(self, ms: float = 12_000.0) -> None:
-        """Restore everything, and check that all have all and that nothing was lost."""
+    def restore_and_converge(self, duration_ms: float = 12_000.0) -> None:
+        """Restore the group, and check that all converge and no committed change was lost."""
         self.restore_all()
-        assert self.run(ms, self.settled), self.describe()
-        followers = [p for p in self.processes.values() if isinstance(p, Hollow)]
-        for answered, answer in self.operator.answers.items():
+        assert self.run(duration_ms, self.has_converged), self.describe()
+        followers = [p for p in self.processes.values() if isinstance(p, SimulatedFollower)]
+        for answered, answer in self.operator.responses.items():
             if not answer.error:
-                self.check_answer(self.operator.asked[answered][1], answer)
+                self.check_answer(self.operator.proposals[answered][1], answer)
         for follower in followers:
             for name, topic in follower.topics.items():
                 self.check_topic(follower.name, name, topic)
 
-    def settled(self) -> bool:
+    def has_converged(self) -> bool:
         leader = self.leader()
         if not leader:
             return False
@@ -644,12 +672,14 @@
         return all(
             topic.version == self.replica(follower.replica).publisher.topics.version(name)
             for follower in self.processes.values()
-            if isinstance(follower, Hollow)
+            if isinstance(follower, SimulatedFollower)
             for name, topic in follower.topics.items()
         )
 
     def describe(self) -> str:
-        lines = [f"at {self.now:.0f} ms, {max(self.committed, default=0)} changes were committed"]
+        lines = [
+            f"at {self.now_ms:.0f} ms, {max(self.committed, default=0)} changes were committed"
+        ]
         for name in self.names:
             state = self.state(name)
             lines.append(
@@ -658,7 +688,7 @@
                 f"peers {sorted(state.peers)} leader {state.leader!r}"
             )
         for process in self.processes.values():
-            if isinstance(process, Hollow):
+            if isinstance(process, SimulatedFollower):
                 versions = {name: topic.version for name, topic in process.topics.items()}
                 lines.append(
                     f"{process.name} at {process.replica}: {versions} open {len(process.ends)}"
--- a/tests/distribution/support.py
+++ b/tests/distribution/support.py
@@ -1,4 +1,4 @@
-"""Replicas in a state that tests need, and short ways to talk to them."""
+"""Helpers to create replicas in a certain state, and to exchange messages with them."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 def subscribe(*topics: tuple[str, int, int]) -> Subscribe:
-    """A subscription to topics, by name, version and digest."""
+    """Return a subscription to topics, each given by name, version and digest."""
     return Subscribe(tuple(TopicVersion(*topic) for topic in topics))
 
 
 def topic_parts(*parts: tuple[str, int, int, tuple[Entry, ...]]) -> tuple[TopicPart, ...]:
-    """Parts of topics, by name, version, digest and entries."""
+    """Return parts of topics, each given by name, version, digest and entries."""
     return tuple(TopicPart(*part) for part in parts)
 
 
@@ -37,31 +37,36 @@
 
 
 def single_replica(limits: ReplicaLimits | None = None, topics: Iterable[str] = ()) -> Replica:
-    """The only voter, with an operator on connection 0."""
-    told = {name: Topic(1, (Entry("k", b"v"),)) for name in topics}
-    recovered = RecoveredState(1, "a", 1, 1, 1, told, ())
+    """Return the only voter of a group, with an operator on connection 0."""
+    initial_topics = {name: Topic(1, (Entry("k", b"v"),)) for name in topics}
+    recovered = RecoveredState(1, "a", 1, 1, 1, initial_topics, ())
     group = ReplicaGroup("a", ("a",), ("a",))
     replica = Replica(group, ReplicaTiming(), random.Random(1), recovered, limits)
     replica.start(0.0)
-    say_hello(replica, 0)
+    connect_client(replica, 0)
     return replica
 
 
-def say_hello(replica: Replica, connection: int) -> None:
+def connect_client(replica: Replica, connection: int) -> None:
     replica.accepted(0.0, connection)
     replica.received(0.0, connection, Hello(f"node-{connection}", False))
 
 
 def messages_to(effects: list[Effect], connection: int) -> list[Message]:
-    messages = [e.message for e in effects if isinstance(e, Send) and e.connection == connection]
+    messages = [
+        effect.message
+        for effect in effects
+        if isinstance(effect, Send) and effect.connection == connection
+    ]
     for message in messages:
-        CODEC.encode(message)  # it fits
+        # Check that each message fits a frame.
+        CODEC.encode(message)
     return messages
 
 
 def subscribe_on(replica: Replica, connection: int, *topics: tuple[str, int, int]) -> list[Message]:
     if connection not in replica.connections.by_number:
-        say_hello(replica, connection)
+        connect_client(replica, connection)
     return messages_to(replica.received(1.0, connection, subscribe(*topics)), connection)
 
 
@@ -78,12 +83,12 @@
     return message
 
 
-def closed_in(effects: list[Effect]) -> list[tuple[int, str]]:
-    return [(e.connection, e.kind) for e in effects if isinstance(e, Close)]
+def closed_connections(effects: list[Effect]) -> list[tuple[int, str]]:
+    return [(effect.connection, effect.kind) for effect in effects if isinstance(effect, Close)]
 
 
 def leader_of_four(limits: ReplicaLimits) -> Replica:
-    """A replica of four that leads, with two that lag far behind on connections 2 and 3."""
+    """Return the leader of four replicas, two of which lag far behind, on connections 2 and 3."""
     names = ("a", "b", "c", "d")
     topics = {f"t{n}": Topic(1, (Entry("k", bytes(60_000)),)) for n in range(30)}
     recovered = RecoveredState(5, "", 1000, 1000, 5, topics)
--- a/tests/distribution/test_journal.py
+++ b/tests/distribution/test_journal.py
@@ -20,9 +20,9 @@
 from badgercart.distribution.replica import Replica
 from badgercart.distribution.replica_config import ReplicaGroup, ReplicaTiming
 from badgercart.distribution.topic import Topic
-from tests.distribution.mutants import draw
+from tests.distribution.mutants import draw_steps
 from tests.distribution.scenarios import change
-from tests.distribution.test_properties import SMALL, play
+from tests.distribution.test_properties import SMALL_LIMITS, run_steps
 
 KEPT = (
     Persist(1, "", 0, (), 0),
@@ -403,4 +403,4 @@
         def __getattr__(self, name: str) -> Any:
             return getattr(self.journal, name)
 
-    play(3, 0, SMALL, seed, draw(seed), disk_class=Reopened)  # type: ignore[arg-type]
+    run_steps(3, 0, SMALL_LIMITS, seed, draw_steps(seed), disk_class=Reopened)  # type: ignore[arg-type]
--- a/tests/distribution/test_replica_connections.py
+++ b/tests/distribution/test_replica_connections.py
@@ -1,4 +1,4 @@
-"""Connections of a replica: who may speak when, and who is disconnected."""
+"""Connections of a replica: which messages are allowed, and which connections are closed."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 )
 from badgercart.distribution.replica import Replica
 from badgercart.distribution.replica_config import ReplicaGroup, ReplicaLimits, ReplicaTiming
-from tests.distribution.scenarios import change, led_replica
+from tests.distribution.scenarios import change, replica_with_leader
 from tests.distribution.support import (
-    closed_in,
+    closed_connections,
+    connect_client,
     leader_of_four,
     messages_to,
     propose,
-    say_hello,
 )
 
 
 def test_a_message_out_of_place_closes_the_connection() -> None:
     names = ("a", "b", "c")
-    for hello, message, words in (
+    for hello, message, expected_text in (
         (None, Subscribe(()), "came before Hello"),
         (Hello("n", False), Hello("n", False), "said Hello twice"),
         (Hello("n", False), AppendEntries(1, 0, (), 0), "not for a follower"),
@@ -41,16 +41,20 @@
         replica.accepted(0.0, 1)
         if hello is not None:
             replica.received(0.0, 1, hello)
-        (close,) = (e for e in replica.received(0.0, 1, message) if isinstance(e, Close))
+        (close,) = (
+            effect for effect in replica.received(0.0, 1, message) if isinstance(effect, Close)
+        )
         assert (
-            words in close.detail
+            expected_text in close.detail
             and not replica.connections.by_number
             and not replica.raft.state.peers
         )
-        assert replica.received(0.0, 1, message) == [], "what comes behind it is not read"
+        assert (
+            replica.received(0.0, 1, message) == []
+        ), "later messages of the connection are ignored"
 
 
-def test_a_replica_dials_those_behind_it_by_name_and_checks_who_answers() -> None:
+def test_a_replica_dials_replicas_with_later_names_and_checks_their_hello() -> None:
     names = ("a", "b", "c")
     replica = Replica(
         ReplicaGroup("b", names, names), ReplicaTiming(), random.Random(1), RecoveredState()
@@ -59,29 +63,31 @@
     assert replica.replicas_to_dial() == ("c",)
     replica.connected(0.0, 1, "c")
     assert replica.replicas_to_dial() == ()
-    (close,) = (e for e in replica.received(0.0, 1, Hello("a", True)) if isinstance(e, Close))
+    (close,) = (
+        effect for effect in replica.received(0.0, 1, Hello("a", True)) if isinstance(effect, Close)
+    )
     assert "answers where 'c' was dialled" in close.detail
     assert replica.replicas_to_dial() == ("c",)
 
 
 def test_a_newer_connection_of_a_peer_replaces_its_old_one() -> None:
-    replica = led_replica(RecoveredState(), Replica)
+    replica = replica_with_leader(RecoveredState(), Replica)
     replica.accepted(0.0, 2)
-    assert closed_in(replica.received(0.0, 2, Hello("a", True))) == [(1, "replaced")]
+    assert closed_connections(replica.received(0.0, 2, Hello("a", True))) == [(1, "replaced")]
     assert replica.raft.state.peers["a"].connection == 2
     assert replica.closed(0.0, 1) == [] and replica.raft.state.peers["a"].connection == 2
 
 
 def test_a_peer_that_does_not_respond_is_disconnected() -> None:
     replica = leader_of_four(ReplicaLimits())
-    ends = []
-    for now in range(3100, 10_000, 100):
+    closed = []
+    for now_ms in range(3100, 10_000, 100):
         for connection in (2, 3):
             peer = replica.connections.by_number[connection].peer
             assert peer is not None
             if peer.progress.in_flight:
                 replica.received(
-                    float(now),
+                    float(now_ms),
                     connection,
                     AppendResponse(
                         6,
@@ -90,19 +96,22 @@
                         False,
                     ),
                 )
-        ends += closed_in(replica.tick(float(now)))
-    assert ends == [(4, "silent")] and replica.raft.state.is_leader
+        closed += closed_connections(replica.tick(float(now_ms)))
+    assert closed == [(4, "silent")] and replica.raft.state.is_leader
 
 
 def test_an_impossible_response_closes_the_connection() -> None:
     for index, committed in ((5000, 0), (0, 5000), (-1, 0), (0, -1)):
         replica = leader_of_four(ReplicaLimits())
         effects = replica.received(3001.0, 2, AppendResponse(6, index, committed, True))
-        assert closed_in(effects) == [(2, "stray")] and "b" not in replica.raft.state.peers
+        assert closed_connections(effects) == [(2, "stray")] and "b" not in replica.raft.state.peers
     for index in (1000, 1001):
-        assert closed_in(replica.received(3001.0, 3, AppendResponse(6, index, 1000, False))) == []
+        assert (
+            closed_connections(replica.received(3001.0, 3, AppendResponse(6, index, 1000, False)))
+            == []
+        )
     effects = replica.received(3001.0, 3, AppendResponse(6, 1001, 1000, False))
-    assert closed_in(effects) == [(3, "stray")], "nothing was asked"
+    assert closed_connections(effects) == [(3, "stray")], "no request was in flight"
 
 
 def test_a_stalled_peer_is_sent_nothing_until_it_is_writable() -> None:
@@ -112,7 +121,7 @@
     for connection in (2, 3):
         replica.received(3001.0, connection, AppendResponse(6, 1001, 1001, False))
     replica.stalled(3002.0, 2)
-    say_hello(replica, 0)
+    connect_client(replica, 0)
     effects = propose(replica, "t0", ("k", b"new"))
     assert not messages_to(effects, 2) and messages_to(effects, 3)
     assert not messages_to(replica.tick(3200.0), 2)
--- a/tests/distribution/test_replica_proposals.py
+++ b/tests/distribution/test_replica_proposals.py
@@ -1,4 +1,4 @@
-"""What a replica answers to proposals, and the bounds of what is pending."""
+"""The responses of a replica to proposals, and the limits of pending proposals."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 def test_a_proposal_with_another_expected_version_is_a_conflict() -> None:
     replica = single_replica()
     assert response_in(propose(replica, "t", ("k", b"1"), expected=0)).version == 1
-    refused = response_in(propose(replica, "t", ("k", b"2"), expected=0))
-    assert (refused.error, refused.version) == ("conflict", 1)
+    rejected = response_in(propose(replica, "t", ("k", b"2"), expected=0))
+    assert (rejected.error, rejected.version) == ("conflict", 1)
     assert replica.topics["t"].entries == {"k": b"1"}
     assert response_in(propose(replica, "t", ("k", b"2"), expected=1)).version == 2
 
@@ -30,11 +30,11 @@
 def test_a_proposal_that_changes_nothing_is_answered_with_the_current_version() -> None:
     replica = single_replica()
     propose(replica, "t", ("k", b"1"), ("l", b"2"))
-    last = replica.raft.state.log.last_index
-    for same in ((("k", b"1"),), (("m", None),), (), (("k", b"7"), ("k", b"1"))):
-        assert response_in(propose(replica, "t", *same)) == ProposeResponse(5, 1, "", "")
+    last_index = replica.raft.state.log.last_index
+    for no_op in ((("k", b"1"),), (("m", None),), (), (("k", b"7"), ("k", b"1"))):
+        assert response_in(propose(replica, "t", *no_op)) == ProposeResponse(5, 1, "", "")
     assert response_in(propose(replica, "none", ("k", None))) == ProposeResponse(5, 0, "", "")
-    assert replica.raft.state.log.last_index == last and "none" not in replica.topics
+    assert replica.raft.state.log.last_index == last_index and "none" not in replica.topics
 
 
 def test_pending_proposals_count_for_the_next_one() -> None:
@@ -45,33 +45,33 @@
     one = operator.propose(leader, "t", [Entry("k", b"1")], 0)
     two = operator.propose(leader, "t", [Entry("k", b"2")], 0)
     three = operator.propose(leader, "t", [Entry("k", b"3")], 1)
-    same = operator.propose(leader, "t", [Entry("k", b"3")])
+    no_op = operator.propose(leader, "t", [Entry("k", b"3")])
     group.run(500.0)
-    answers_by_id = operator.answers
-    assert (answers_by_id[one].error, answers_by_id[one].version) == ("", 1)
-    assert answers_by_id[two].error == "conflict"
-    assert (answers_by_id[three].error, answers_by_id[three].version) == ("", 2)
-    assert (answers_by_id[same].error, answers_by_id[same].version) == (
+    responses = operator.responses
+    assert (responses[one].error, responses[one].version) == ("", 1)
+    assert responses[two].error == "conflict"
+    assert (responses[three].error, responses[three].version) == ("", 2)
+    assert (responses[no_op].error, responses[no_op].version) == (
         "",
         2,
-    ), "when it is in force, not before"
+    ), "the response comes once the value is committed, not before"
 
 
 def test_an_oversized_change_is_refused_and_the_largest_fits_all_messages() -> None:
     group = Group(3)
     assert group.run(5000.0, lambda: bool(group.leader()))
     group.run(500.0)
-    most_entries = [Entry(f"key {number:02}", bytes(65_000)) for number in range(16)]
-    bytes_left = MAX_CHANGE_BYTES - framed_size(most_entries) - len("last") - 16
-    most = [*most_entries, Entry("last", bytes(bytes_left))]
-    assert framed_size(most) == MAX_CHANGE_BYTES
-    fits = group.operator.propose(group.leader(), "t" * 200, most)
-    over = group.operator.propose(
-        group.leader(), "t", [*most_entries, Entry("last", bytes(bytes_left + 1))]
+    full_entries = [Entry(f"key {number:02}", bytes(65_000)) for number in range(16)]
+    bytes_left = MAX_CHANGE_BYTES - framed_size(full_entries) - len("last") - 16
+    largest = [*full_entries, Entry("last", bytes(bytes_left))]
+    assert framed_size(largest) == MAX_CHANGE_BYTES
+    fitting_request = group.operator.propose(group.leader(), "t" * 200, largest)
+    oversized_request = group.operator.propose(
+        group.leader(), "t", [*full_entries, Entry("last", bytes(bytes_left + 1))]
     )
     group.run(1000.0)
-    assert group.operator.answers[fits].error == ""
-    assert group.operator.answers[over].error == "oversized"
+    assert group.operator.responses[fitting_request].error == ""
+    assert group.operator.responses[oversized_request].error == "oversized"
     assert all(group.replica(name).publisher.topics.version("t" * 200) == 1 for name in group.names)
     replica = single_replica()
     assert (
@@ -92,12 +92,16 @@
         for name in group.names:
             if name != leader:
                 group.pause(name)
-        serials = [
+        request_ids = [
             group.operator.propose(leader, "t", [Entry(f"k{n}", bytes(100))]) for n in range(5)
         ]
         group.run(100.0)
-        assert [s for s in serials if s in group.operator.answers] == serials[3:]
-        assert {group.operator.answers[s].error for s in serials[3:]} == {"too-many"}
+        assert [
+            request_id for request_id in request_ids if request_id in group.operator.responses
+        ] == request_ids[3:]
+        assert {group.operator.responses[request_id].error for request_id in request_ids[3:]} == {
+            "too-many"
+        }
         replica = group.replica(leader)
         assert (
             replica.proposals.count == 3 and sum(map(len, replica.proposals.by_index.values())) == 3
@@ -105,7 +109,11 @@
         for name in group.names:
             group.wake(name)
         group.run(300.0)
-        assert [group.operator.answers[s].error for s in serials[:3]] == ["", "", ""]
+        assert [group.operator.responses[request_id].error for request_id in request_ids[:3]] == [
+            "",
+            "",
+            "",
+        ]
         assert (
             replica.proposals.count,
             replica.proposals.uncommitted.byte_count,
@@ -123,5 +131,5 @@
     assert response_in(propose(replica, "a", ("n", b"1"))).error == "too-many"
     assert (
         response_in(propose(replica, "a", ("l", None))).error == "too-many"
-    ), "it is counted as if it were new"
+    ), "a removed entry is counted like a new one"
     assert sorted(replica.topics) == ["a", "b"] and replica.publisher.topics.entry_count == 5
--- a/tests/distribution/test_replica_replication.py
+++ b/tests/distribution/test_replica_replication.py
@@ -1,4 +1,4 @@
-"""The log, and how other replicas are brought up to date."""
+"""The log of a replica, and how it brings other replicas up to date."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from badgercart.distribution.replica import Replica
 from badgercart.distribution.replica_config import ReplicaLimits
 from badgercart.distribution.topic import Topic
-from tests.distribution.scenarios import change, led_replica
+from tests.distribution.scenarios import change, replica_with_leader
 from tests.distribution.support import (
-    closed_in,
+    closed_connections,
     leader_of_four,
     messages_to,
     propose,
@@ -45,7 +45,7 @@
     assert replica.raft.state.log.commit_index - replica.raft.state.log.compacted_index >= 7
 
 
-def test_few_peers_get_a_snapshot_at_a_time_one_part_a_response() -> None:
+def test_concurrent_snapshots_are_bounded_and_sent_one_part_per_response() -> None:
     replica = leader_of_four(ReplicaLimits(max_concurrent_snapshots=1))
     first = messages_to(replica.received(3001.0, 2, AppendResponse(6, 0, 0, True)), 2)
     assert [type(m) for m in first] == [InstallSnapshot]
@@ -57,7 +57,7 @@
     effects = replica.tick(3100.0)
     assert [type(m) for m in messages_to(effects, 3)] == [
         AppendEntries
-    ], "a sign of life all the same"
+    ], "a replica that waits for its snapshot still gets heartbeats"
     assert messages_to(effects, 2) == [], "a peer that has not responded is sent nothing more"
     parts = [m for m in first if isinstance(m, InstallSnapshot)]
     while len(parts) < parts[0].parts:
@@ -89,7 +89,7 @@
 
 
 def test_a_snapshot_is_installed_with_its_last_part_and_not_before() -> None:
-    replica = led_replica(RecoveredState(1, "", 1, 0, 0, {}, (change(1, 1),)), Replica)
+    replica = replica_with_leader(RecoveredState(1, "", 1, 0, 0, {}, (change(1, 1),)), Replica)
     one, two = snapshot_of_two_parts()
     effects = replica.received(1.0, 1, one)
     assert (
@@ -103,21 +103,21 @@
     )
 
 
-def test_an_unfinished_snapshot_is_dropped_by_what_interrupts_it() -> None:
+def test_an_unfinished_snapshot_is_dropped_when_it_is_interrupted() -> None:
     one, two = snapshot_of_two_parts()
-    for between in ("part", "term", "vote", "close", "append"):
-        replica = led_replica(RecoveredState(1, "", 1, 0, 0, {}, (change(1, 1),)), Replica)
+    for interruption in ("part", "term", "vote", "close", "append"):
+        replica = replica_with_leader(RecoveredState(1, "", 1, 0, 0, {}, (change(1, 1),)), Replica)
         connection = 1
         replica.received(1.0, 1, one)
         assert replica.raft.receiver.assembler is not None
-        if between == "part":
+        if interruption == "part":
             effects = replica.received(1.0, 1, InstallSnapshot(2, 9, 1, 3, 2, ()))
-        elif between == "term":
+        elif interruption == "term":
             effects = replica.received(1.0, 1, snapshot_of_two_parts(term=3)[1])
-        elif between == "vote":
+        elif interruption == "vote":
             replica.received(1001.0, 1, VoteRequest(3, 9, 9, False))
             effects = []
-        elif between == "append":
+        elif interruption == "append":
             effects = replica.received(1.0, 1, AppendEntries(2, 1, (), 1))
         else:
             replica.closed(1.0, 1)
@@ -125,11 +125,11 @@
             replica.received(1.0, 2, Hello("a", True))
             connection, effects = 2, []
         assert replica.raft.receiver.assembler is None
-        if between != "append" and effects:
+        if interruption != "append" and effects:
             assert isinstance(effects[-1], Send)
             response = effects[-1].message
             assert isinstance(response, AppendResponse) and response.rejected
-        if between not in ("term", "vote"):
+        if interruption not in ("term", "vote"):
             effects = replica.received(2.0, connection, two)
             assert effects[-1] == Send(connection, AppendResponse(2, 1, 1, True))
         assert replica.raft.state.log.commit_index == 1 and replica.topics["t"].version == 1
@@ -137,7 +137,7 @@
 
 def test_a_damaged_snapshot_changes_nothing_and_closes_the_connection() -> None:
     old = Topic(7, (Entry("k", b"7"),))
-    for topics, parts, words in (
+    for topics, parts, expected_text in (
         ({}, snapshot_of_two_parts(digest=5), "another digest"),
         ({"t": old}, snapshot_of_two_parts(), "older than here"),
         ({"u": old}, snapshot_of_two_parts(), "older than here"),
@@ -150,12 +150,12 @@
             "two numbers or digests",
         ),
     ):
-        replica = led_replica(RecoveredState(1, "", 1, 1, 1, dict(topics)), Replica)
+        replica = replica_with_leader(RecoveredState(1, "", 1, 1, 1, dict(topics)), Replica)
         replica.received(1.0, 1, parts[0])
         effects = replica.received(1.0, 1, parts[1])
-        assert closed_in(effects) == [(1, "spoilt")]
+        assert closed_connections(effects) == [(1, "spoilt")]
         (event,) = (e for e in effects if isinstance(e, LogEvent))
-        assert event.name == "store-state-refused" and words in event.fields["why"]
+        assert event.name == "store-state-refused" and expected_text in event.fields["why"]
         assert (
             replica.raft.state.log.commit_index == 1
             and replica.topics == topics
@@ -169,12 +169,12 @@
         (ReplicaLimits(max_topics=3), InstallSnapshot(2, 9, 1, 1, 2, many)),
         (ReplicaLimits(max_entries=3), InstallSnapshot(2, 9, 1, 1, 2, many)),
     ):
-        replica = led_replica(RecoveredState(), limits=limits)
+        replica = replica_with_leader(RecoveredState(), limits=limits)
         assert (
-            closed_in(replica.received(1.0, 1, part)) == [(1, "spoilt")]
+            closed_connections(replica.received(1.0, 1, part)) == [(1, "spoilt")]
             and replica.raft.receiver.assembler is None
         )
-    replica = led_replica(RecoveredState(), limits=ReplicaLimits(max_snapshot_parts=3))
+    replica = replica_with_leader(RecoveredState(), limits=ReplicaLimits(max_snapshot_parts=3))
     effects = replica.received(1.0, 1, InstallSnapshot(2, 9, 1, 1, 4, many))
     assert (
         effects[-1] == Send(1, AppendResponse(2, 0, 0, True))
--- a/tests/distribution/test_replica_selector.py
+++ b/tests/distribution/test_replica_selector.py
@@ -1,4 +1,4 @@
-"""Which replica is turned to, and how long a follower waits before it."""
+"""The selection of replicas, and the delay before a follower reconnects."""
 
 from __future__ import annotations
 
