--- a/badgercart/cluster/broadcast_queue.py
+++ b/badgercart/cluster/broadcast_queue.py
@@ -37,7 +37,7 @@
         ] = []  # the next one to send is last
         self.max_items = max_items
         self.sequence = 0
-        self.examined = 0  # items looked at, over all packets
+        self.examined_count = 0  # items looked at, over all packets
 
     def __len__(self) -> int:
         return len(self.items)
@@ -82,7 +82,7 @@
             position -= 1
             key = self.transmission_order[position][2]
             item = self.items[key]
-            self.examined += 1
+            self.examined_count += 1
             if item.size_bytes > capacity_bytes:
                 misfits += 1
                 continue
--- a/badgercart/cluster/commands.py
+++ b/badgercart/cluster/commands.py
@@ -28,7 +28,7 @@
 NODE = click.argument("node", metavar="HOST:PORT")
 
 
-def ask(node: str) -> dict[str, Any]:
+def fetch_cluster_page(node: str) -> dict[str, Any]:
     """Return the page of a node's HTTP listener about its cluster. Raises CommandError."""
     return fetch_page(node, "/_peers")
 
@@ -64,7 +64,7 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def list_(node: str, as_json: bool) -> None:
     """Who is there, who has failed, and how much of the group the node can vouch for."""
-    page = ask(node)
+    page = fetch_cluster_page(node)
     if as_json:
         click.echo(json.dumps(page))
     else:
@@ -86,7 +86,7 @@
         if looks:
             time.sleep(every)
         looks += 1
-        for change in ask(node)["changes"]:
+        for change in fetch_cluster_page(node)["changes"]:
             if hlc(change) > hlc({"hlc": last}):
                 last = change["hlc"]
                 click.echo(describe(change))
@@ -171,7 +171,7 @@
 @click.argument("name")
 def why(node: str, name: str) -> None:
     """Why the node believes of NAME what it does: every change it remembers, and by whose word."""
-    page = ask(node)
+    page = fetch_cluster_page(node)
     member = next((m for m in page["members"] if m["name"] == name), None)
     if member is None:
         known = ", ".join(m["name"] for m in page["members"])
--- a/badgercart/cluster/membership_table.py
+++ b/badgercart/cluster/membership_table.py
@@ -117,7 +117,7 @@
         self.reachable = NameSet()
         self.reachable_addresses: Counter[Address] = Counter()
         self.unreachable: dict[str, None] = {}  # names of the dead and those that left
-        self.examined = 0  # states looked at, over all calls
+        self.examined_count = 0  # states looked at, over all calls
 
     def merge(
         self, record: MembershipRecord, now_ms: float, reporter: str
@@ -172,7 +172,7 @@
         The cost goes by how many are drawn, not by how many are known.
         """
         drawn = self.reachable.sample(count + len(excluding), rng)
-        self.examined += len(drawn)
+        self.examined_count += len(drawn)
         return [self.members[name] for name in drawn if name not in excluding][:count]
 
     def with_status(self, *statuses: MemberStatus) -> Iterator[MemberState]:
@@ -180,7 +180,7 @@
 
         Where a few suffice, `reachable`, `unreachable` and `sample` cost less.
         """
-        self.examined += len(self.members)
+        self.examined_count += len(self.members)
         return (state for state in self.members.values() if state.status in statuses)
 
     def records(self) -> list[MembershipRecord]:
--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -27,7 +27,7 @@
 FILE = click.argument("file", metavar="FILE.toml")
 
 
-def ask(node: str) -> dict[str, Any]:
+def fetch_zones_page(node: str) -> dict[str, Any]:
     """Return the page `/_zones` of a node's HTTP frontend. Raises CommandError."""
     return fetch_page(node, "/_zones")
 
@@ -44,7 +44,7 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def show(node: str, as_json: bool) -> None:
     """Show each zone as the node knows it, and the plan in force."""
-    page = ask(node)
+    page = fetch_zones_page(node)
     if as_json:
         click.echo(json.dumps(page))
         return
@@ -83,7 +83,7 @@
 @NODE
 def plan(node: str) -> None:
     """Show the plan in force, by zone and row."""
-    page = ask(node)
+    page = fetch_zones_page(node)
     click.echo(heading(page))
     names = [zone["zone"] for zone in page["zones"]]
     rows = []
@@ -99,7 +99,7 @@
 @NODE
 def why(node: str) -> None:
     """Show the latest changes of what is in force at the node."""
-    for change in ask(node)["changes"]:
+    for change in fetch_zones_page(node)["changes"]:
         click.echo(describe_change(change))
 
 
--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -180,20 +180,20 @@
     def _answer_question(self, now: float) -> None:
         """Compute the plan that is wanted, a large one in another thread."""
         controller, scheduler = self.controller, self.controller.planner.scheduler
-        if scheduler.question is None or scheduler.computing:
+        if scheduler.requested_input is None or scheduler.computing:
             return
         scheduler.computing = True
         topology = controller.topology
         if topology.row_count * len(topology.zones) ** 2 < LARGE_PLAN_NUMBERS:
-            controller.on_plan_computed(now, controller.compute(scheduler.question))
+            controller.on_plan_computed(now, controller.compute(scheduler.requested_input))
         else:
             self._spawn(self._compute_in_thread())
 
     async def _compute_in_thread(self) -> None:
         controller = self.controller
-        question = controller.planner.scheduler.question
-        assert question is not None
-        plan = await self._host.loop.run_in_executor(None, controller.compute, question)
+        requested_input = controller.planner.scheduler.requested_input
+        assert requested_input is not None
+        plan = await self._host.loop.run_in_executor(None, controller.compute, requested_input)
         controller.on_plan_computed(self._now(), plan)
         self._outbox.schedule()
 
--- a/badgercart/zones/plan_scheduler.py
+++ b/badgercart/zones/plan_scheduler.py
@@ -18,7 +18,7 @@
         self._refilled_at = 0.0
         self._considered_at = 0.0
         self._planned_at = float("-inf")
-        self.question: PlanInput | None = None  # of which a plan is wanted
+        self.requested_input: PlanInput | None = None  # of which a plan is wanted
         self.computing = False  # whether somebody computes that plan
         self.exhausted = False  # whether the last plan had to wait for the budget
 
@@ -30,16 +30,16 @@
 
     def consider(self, now: float, situation: PlanInput | None, current: Plan | None) -> None:
         """Want a plan of a situation: at once where the current one counts on what has gone."""
-        if self.question is not None:
+        if self.requested_input is not None:
             return
         urgent = current is not None and situation is not None and contradicts(current, situation)
         due = now - self._considered_at >= self._settle_ms / CONSIDERATIONS_PER_SETTLE
         if urgent or current is None or due:
-            self._considered_at, self.question = now, situation
+            self._considered_at, self.requested_input = now, situation
 
     def answered(self) -> None:
         """Take over that the plan is computed."""
-        self.question, self.computing = None, False
+        self.requested_input, self.computing = None, False
 
     def admits(self, now: float, situation: PlanInput, current: Plan, plan: Plan) -> bool:
         """Return whether a plan may replace the current one now.
@@ -65,7 +65,7 @@
 
     def reset(self) -> None:
         """Want no plan any more."""
-        self.question = None
+        self.requested_input = None
 
 
 def contradicts(plan: Plan, situation: PlanInput) -> bool:
--- a/badgercart/zones/settings.py
+++ b/badgercart/zones/settings.py
@@ -146,7 +146,7 @@
         """Return the controller's settings, for a cluster that should have so many nodes."""
         return FailoverSettings(
             mode=PlanningMode(self.mode),
-            limits=UtilizationLimits(target=self.head, planned=1 - self.blind),
+            limits=UtilizationLimits(target_share=self.head, planned_share=1 - self.blind),
             lease=LeaseSettings(
                 lease_ms=self.lease_ms,
                 margin_ms=min(MAX_LEASE_MARGIN_MS, self.lease_ms / 10),
--- a/badgercart/zones/traffic_plan.py
+++ b/badgercart/zones/traffic_plan.py
@@ -36,9 +36,9 @@
 class UtilizationLimits:
     """How full zones are planned to be, as shares of their capacity."""
 
-    target: float = 0.8  # while nearer zones have room
-    planned: float = 0.9  # in all; the rest is left to nodes without a plan
-    maximum: float = 1.0  # for what would be shed otherwise, since it has no home zone
+    target_share: float = 0.8  # while nearer zones have room
+    planned_share: float = 0.9  # in all; the rest is left to nodes without a plan
+    max_share: float = 1.0  # for what would be shed otherwise, since it has no home zone
 
 
 @dataclass(slots=True, frozen=True)
@@ -130,7 +130,7 @@
         allocation.place(row)
     zones = zip(situation.capacity, situation.local_capacity, allocation.load, strict=True)
     spare = tuple(
-        max(0, int(1000 * (limits.planned * min(capacity, local) - load)))
+        max(0, int(1000 * (limits.planned_share * min(capacity, local) - load)))
         for capacity, local, load in zones
     )
     lost = tuple(zone for zone, local in enumerate(situation.local_capacity) if local <= 0)
@@ -180,7 +180,7 @@
     def place(self, row: int) -> None:
         """Place all zones' requests of one row."""
         remaining = [rows[row] for rows in self.demand]
-        for limit in (self.limits.target, self.limits.planned, self.limits.maximum):
+        for limit in (self.limits.target_share, self.limits.planned_share, self.limits.max_share):
             for source in self.zones:
                 remaining[source] -= self._place_at_home(source, row, remaining[source], limit)
             for cost in self.costs:
@@ -212,7 +212,7 @@
         The policy sheds what is too much, by measurement. Only where requests of other zones, which
         weigh more, take the place, as much as they take is shed by the plan.
         """
-        full = self.limits.maximum * self.situation.local_capacity[source]
+        full = self.limits.max_share * self.situation.local_capacity[source]
         excess = self.load[source] + amount - full
         return amount - min(amount, max(excess, 0.0), self.foreign_load[source])
 
@@ -252,7 +252,7 @@
         for source in self.zones:
             if remaining[source] <= MIN_DEMAND / 100:
                 continue
-            if limit > self.limits.planned and self._has_home(source):
+            if limit > self.limits.planned_share and self._has_home(source):
                 continue  # above the planned maximum goes only what has no home zone
             rooms = [(zone, self._room(zone, limit)) for zone in self._targets(row, cost, source)]
             total = sum(room for _, room in rooms)
--- a/benchmarks/capacity/storms.py
+++ b/benchmarks/capacity/storms.py
@@ -104,7 +104,7 @@
 def busier(name: str, parts: float) -> Storm:
     """One of so many parts of all servers is lost, and its traffic goes to the others."""
     load = assumed("busy") * parts / (parts - 1)
-    full = UtilizationLimits().planned
+    full = UtilizationLimits().planned_share
     return Storm(
         f"the load on the others, one {name} lost",
         (
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -220,7 +220,7 @@
     def looked(self) -> int:
         """Return how many member states and queued items were examined."""
         return sum(
-            protocol.table.examined + protocol.sender.queue.examined
+            protocol.table.examined_count + protocol.sender.queue.examined_count
             for protocol in self.protocols.values()
         )
 
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -15,7 +15,7 @@
 import time
 from pathlib import Path
 
-from badgercart.cluster.commands import ask
+from badgercart.cluster.commands import fetch_cluster_page
 from lab.trial.checkers import broken
 from lab.trial.world import Shape, World
 
@@ -111,7 +111,7 @@
             while True:
                 running = [n for n in names if n not in world.down]
                 told = await asyncio.gather(
-                    *(asyncio.to_thread(ask, world.nodes[n].front) for n in running)
+                    *(asyncio.to_thread(fetch_cluster_page, world.nodes[n].front) for n in running)
                 )
                 sums = [sum(parts) for parts in zip(*(t["parts"] for t in told), strict=True)]
                 found.setdefault(now[0], []).extend((min(sums), max(sums)))
--- a/lab/companions.py
+++ b/lab/companions.py
@@ -139,7 +139,7 @@
             capacity = scan_endpoints(policy, controller.topology, self.serves)
         if (event := controller.tick(now, capacity)) is not None:
             one.join.dispatch(event)
-        if (question := controller.planner.scheduler.question) is not None:
+        if (question := controller.planner.scheduler.requested_input) is not None:
             controller.on_plan_computed(now, controller.compute(question))
         for zone in controller.observer.zones_to_check(now):
             self.probe(one, controller, zone)
--- a/tests/cluster/test_scaling.py
+++ b/tests/cluster/test_scaling.py
@@ -100,7 +100,7 @@
         queue.enqueue(number, number, size)
     for _ in range(50):
         assert queue.take(1200, 1000)
-    return queue.examined / 50
+    return queue.examined_count / 50
 
 
 @pytest.mark.parametrize("size", [70, 500])
@@ -172,5 +172,5 @@
     for _ in range(10_000):
         for state in table.sample(3, rng, ("n7",)):
             counts[state.record.name] += 1
-    assert table.examined == 4 * 10_000 and counts.pop("n7") == 0
+    assert table.examined_count == 4 * 10_000 and counts.pop("n7") == 0
     assert min(counts.values()) > 8 and max(counts.values()) < 60  # 30 on average
--- a/tests/trial/test_peers.py
+++ b/tests/trial/test_peers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from badgercart.app.cli import main
-from badgercart.cluster.commands import ask
+from badgercart.cluster.commands import fetch_cluster_page
 from lab.trial.world import Shape, World
 from tests.trial.support import saying, trial
 
@@ -153,11 +153,11 @@
     async def script(world: World) -> None:
         await world.group(3)
         await world.traffic(110, 3.0, nodes=["n0"])
-        told = await asyncio.to_thread(ask, world.nodes["n0"].front)
+        told = await asyncio.to_thread(fetch_cluster_page, world.nodes["n0"].front)
         assert (
             told["level"] == "whole" and sum(told["parts"]) / len(told["parts"]) > 0.6
         )  # a third of it without peers
-        other = await asyncio.to_thread(ask, world.nodes["n1"].front)
+        other = await asyncio.to_thread(fetch_cluster_page, world.nodes["n1"].front)
         assert sum(other["parts"]) / len(other["parts"]) < 0.3
         changes = {change["peer"] for change in told["changes"]}
         assert changes == {"n1", "n2"} and len(told["members"]) == 3
@@ -202,7 +202,7 @@
         mark = world.marks()
         await asyncio.gather(*(world.kill(name) for name in gone))
         await world.level("some", left, mark)  # three of six are no majority
-        told = await asyncio.to_thread(ask, world.nodes["n0"].front)
+        told = await asyncio.to_thread(fetch_cluster_page, world.nodes["n0"].front)
         assert told["may_live"] == 6 and set(told["parts"]) == {1 / 6}
         mark = world.marks()
         await asyncio.gather(*(world.start_again(name) for name in gone))
--- a/tests/trial/test_zones.py
+++ b/tests/trial/test_zones.py
@@ -12,7 +12,7 @@
 import pytest
 
 from badgercart.app.cli import main
-from badgercart.zones.commands import ask
+from badgercart.zones.commands import fetch_zones_page
 from lab.trial.world import Shape, World
 from tests.trial.support import saying
 from tests.trial.support import trial as play
@@ -64,7 +64,7 @@
         told = await world.in_force(names, mark, lambda e: "b is dark" in e["why"])
         assert len({e["plan"] for e in told if e["epoch"] == told[0]["epoch"]}) == 1
         moved = time.monotonic()
-        page = await asyncio.to_thread(ask, world.nodes["n1"].front)  # of zone b
+        page = await asyncio.to_thread(fetch_zones_page, world.nodes["n1"].front)  # of zone b
         assert page["zones"][1]["gate"] == "shut" and sum(map(sum, page["parts"][1])) > 0
         await asyncio.sleep(1.0)
         mark, back = world.marks(), time.monotonic()
@@ -88,7 +88,7 @@
     tmp_path: Path,
 ) -> None:
     async def script(world: World) -> None:
-        page = await asyncio.to_thread(ask, world.nodes["n0"].front)
+        page = await asyncio.to_thread(fetch_zones_page, world.nodes["n0"].front)
         first = page["proposer"]
         others = [name for name in world.nodes if name != first]
         mark = world.marks()
@@ -116,7 +116,7 @@
         mark = world.marks()
         world.split(["n0", "n2"], ["n1", "n3"])
         await asyncio.gather(*(world.nodes[n].until("zones.lapsed", since=mark[n]) for n in names))
-        page = await asyncio.to_thread(ask, world.nodes["n0"].front)
+        page = await asyncio.to_thread(fetch_zones_page, world.nodes["n0"].front)
         assert page["epoch"] == 0 and page["zones"][0]["share"] == [1.0] * 4  # near only
         since = time.monotonic()
         await asyncio.sleep(1.0)
@@ -210,7 +210,9 @@
             node.signal(signal.SIGHUP)
             await node.until("zones.lapsed", lambda e: "geography" in e["why"], mark[name])
         await world.in_force(names, mark)
-        pages = await asyncio.gather(*(asyncio.to_thread(ask, world.nodes[n].front) for n in names))
+        pages = await asyncio.gather(
+            *(asyncio.to_thread(fetch_zones_page, world.nodes[n].front) for n in names)
+        )
         assert len({page["map"] for page in pages}) == 1
         assert pages[0]["zones"][0]["region"] == pages[0]["zones"][1]["region"] == "r"
         await traffic
--- a/tests/zones/test_plan_scheduler.py
+++ b/tests/zones/test_plan_scheduler.py
@@ -32,10 +32,10 @@
     ):
         made = scheduler()
         made.consider(10.0, situation, current)
-        assert (made.question is not None) is wanted
+        assert (made.requested_input is not None) is wanted
     made = scheduler()
     made.consider(250.0, WELL, plan_for(WELL))  # four times in the settling time
-    assert made.question == WELL
+    assert made.requested_input == WELL
 
 
 def test_a_plan_that_changes_little_or_too_soon_is_not_admitted() -> None:
--- a/tests/zones/test_traffic_plan.py
+++ b/tests/zones/test_traffic_plan.py
@@ -66,7 +66,7 @@
     rounding = sum(map(sum, now.demand)) / SHARES_PER_ROW + 0.01
     # no zone gets more of others' traffic than it can carry
     for zone, amount in enumerate(foreign):
-        assert amount <= LIMITS.maximum * now.capacity[zone] + rounding
+        assert amount <= LIMITS.max_share * now.capacity[zone] + rounding
 
 
 @settings(max_examples=100, deadline=None)
