--- a/badgercart/cluster/__init__.py
+++ b/badgercart/cluster/__init__.py
@@ -1,7 +1,7 @@
-"""Cluster membership: who is alive, who has failed, and what each node may count on meanwhile.
+"""Cluster membership: which nodes are alive, which have failed, and whether there is a quorum.
 
-`swim.py` is the membership protocol and does no I/O; `driver.py` runs it on sockets. It knows no
-endpoint lists, zones or requests: other subsystems have their values carried by
-`gossip_registers.py`, and `member.py` turns what is known into the policy's view of the cluster.
-The entry is `component.py`.
+`swim.py` implements the membership protocol without I/O; `driver.py` runs it on sockets. The
+protocol does not depend on endpoint lists, zones or requests: other subsystems replicate their
+values through `gossip_registers.py`, and `member.py` derives the policy's view of the cluster.
+The entry point is `component.py`.
 """
--- a/badgercart/cluster/admin_page.py
+++ b/badgercart/cluster/admin_page.py
@@ -1,6 +1,6 @@
-"""The page at `/_peers`, which `badgercart peers` reads.
+"""The admin page at `/_peers`, which the command `badgercart peers` reads.
 
-Its names are an interface to operators.
+The JSON keys are an interface to operators and must not change.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 def cluster_page(
     now_ms: float, member: ClusterMember, gate: PacketGate, event_log: ClusterEventLog
 ) -> bytes:
-    """Return the page as JSON."""
+    """Return the page as encoded JSON."""
     protocol, quorum, view = member.protocol, member.protocol.quorum(), member.last_view
     states = sorted(protocol.table.members.values(), key=lambda state: state.record.name)
     page = {
--- a/badgercart/cluster/allowlist.py
+++ b/badgercart/cluster/allowlist.py
@@ -1,17 +1,18 @@
-"""Which addresses may be other nodes."""
+"""The networks from which other nodes may send packets."""
 
 from __future__ import annotations
 
 import netaddr
 
+# Cached lookups; the cache is emptied when it is full.
 MAX_CACHED_HOSTS = 4096
 
 
 class AddressAllowlist:
-    """A set of networks; each host is looked up once.
+    """A set of networks, with a cache of the hosts that were looked up.
 
     Args:
-        networks: as `10.1.0.0/16`.
+        networks: in CIDR notation, such as `10.1.0.0/16`.
     """
 
     def __init__(self, networks: tuple[str, ...]) -> None:
--- a/badgercart/cluster/anti_entropy.py
+++ b/badgercart/cluster/anti_entropy.py
@@ -1,6 +1,6 @@
-"""Push-pull: two nodes exchange all they know. No I/O.
+"""Push-pull anti-entropy: two nodes exchange their complete state. No I/O.
 
-By that a node joins, a cluster heals, and what gossip missed by chance is made up for.
+Nodes join the cluster and partitions heal by push-pulls, which also repair what gossip missed.
 """
 
 from __future__ import annotations
@@ -17,16 +17,17 @@
 from badgercart.cluster.packet_sender import PacketSender
 from badgercart.config import Address
 
-SYNC_SCALE_THRESHOLD = 32  # members from which push-pulls are rarer, by memberlist's rule
+# Cluster size above which push-pulls become less frequent, as in memberlist.
+SYNC_SCALE_THRESHOLD_MEMBERS = 32
 
 
 @dataclass(slots=True, eq=False)
 class AntiEntropy:
-    """Decides when to exchange everything with whom, and forgets members that are dead for long.
+    """Schedules push-pulls, and removes members that have been unreachable for too long.
 
     Attributes:
-        seeds: addresses that a new node turns to.
-        stale: whether this process stood still and nobody has told it the present state since.
+        seeds: addresses that a new node contacts to join.
+        stale: whether this process was paused and has not received another node's state since.
     """
 
     context: ProtocolContext
@@ -37,7 +38,7 @@
     _heal_scheduled: bool = field(default=False)
 
     def start(self) -> None:
-        """Set the timers, and join by one of the seeds."""
+        """Set the timers, and join through a random seed."""
         timing, rng, timers = self.context.timing, self.context.rng, self.context.timers
         timers.after(timing.retry_interval_ms * (0.5 + 0.5 * rng.random()), self._retry_unreachable)
         timers.after(timing.sync_interval_ms * (0.5 + 0.5 * rng.random()), self._sync_with_random)
@@ -45,33 +46,33 @@
             self.sync_with(rng.choice(self.seeds))
 
     def full_state(self) -> Packet:
-        """Return one side of a push-pull."""
+        """Return a packet with all records and updates: one direction of a push-pull."""
         local = self.context.local.record
         others = (r for r in self.context.table.records() if r.name != local.name)
         return self.sender.packet(Sync(), (*others, local), tuple(self.registers.updates.values()))
 
     def sync_with(self, address: Address) -> None:
-        """Begin a push-pull with the node at an address."""
+        """Start a push-pull with the node at an address."""
         self.sender.start_sync(address, self.full_state())
 
     def member_returned(self, address: Address) -> None:
-        """Exchange everything with one that was taken for dead.
+        """Schedule a push-pull with a member that was declared dead and is alive again.
 
-        What was cut off is back, and knows more than gossip is sure to bring. One exchange is under
-        way at a time.
+        The member may return from a partition with more state than gossip reliably spreads. At most
+        one such push-pull is scheduled at a time.
         """
         if self._heal_scheduled:
             return
         self._heal_scheduled = True
         delay_ms = self.context.rng.random() * self.context.timing.retry_interval_ms
-        self.context.timers.after(delay_ms, partial(self._heal, address))
+        self.context.timers.after(delay_ms, partial(self._sync_with_returned, address))
 
-    def _heal(self, address: Address) -> None:
+    def _sync_with_returned(self, address: Address) -> None:
         self._heal_scheduled = False
         self.sync_with(address)
 
     def process_paused(self) -> None:
-        """Ask for the present state after this process stood still."""
+        """Request the current state from another node after this process was paused."""
         self.stale = True
         members = self.context.peers.sample(1)
         if members:
@@ -80,13 +81,14 @@
             self.sync_with(self.context.rng.choice(self.seeds))
 
     def sync_received(self) -> None:
-        """Take it that another node has told its state."""
+        """Record that another node has sent its complete state."""
         self.stale = False
 
     def _sync_with_random(self) -> None:
-        # As in memberlist: else the push-pulls of a large cluster would be both more and larger.
+        # As in memberlist: otherwise, the push-pulls of a growing cluster would become both more
+        # frequent in total and larger.
         members = max(len(self.context.table.members), 1)
-        scale = max(1.0, math.log2(members / SYNC_SCALE_THRESHOLD) + 1)
+        scale = max(1.0, math.log2(members / SYNC_SCALE_THRESHOLD_MEMBERS) + 1)
         interval_ms = self.context.timing.sync_interval_ms * scale
         self.context.timers.after(interval_ms, self._sync_with_random)
         self._sync_with_members(self.context.peers.sample(1))
@@ -96,7 +98,7 @@
             self.sync_with(state.record.address)
 
     def _retry_unreachable(self) -> None:
-        """Try to reach a seed and one of the dead, and forget those that are dead for long."""
+        """Contact an unreachable seed and a dead member, and remove expired members."""
         context = self.context
         interval_ms = context.timing.retry_interval_ms * (0.5 + context.rng.random())
         context.timers.after(interval_ms, self._retry_unreachable)
@@ -108,9 +110,9 @@
             self.sender.send(state.record.address, ping, state.record)
 
     def _retry_seed(self) -> None:
-        """Turn to a seed that is not reachable.
+        """Contact a seed that is not a reachable member.
 
-        Clusters that formed apart know nothing of each other.
+        Clusters that formed separately have no other way to discover each other.
         """
         reachable = self.context.table.reachable_addresses
         missing = [seed for seed in self.seeds if seed not in reachable]
@@ -120,7 +122,7 @@
             self._sync_with_members(self.context.peers.sample(1))
 
     def _forget_expired(self) -> list[MemberState]:
-        """Forget members unreachable beyond their retention; return the dead that are left."""
+        """Remove members that were unreachable beyond the retention; return the other dead ones."""
         table, now_ms = self.context.table, self.context.timers.now_ms
         retention_ms = self.context.timing.dead_retention_ms
         states = [table.members[name] for name in table.unreachable]
--- a/badgercart/cluster/codec.py
+++ b/badgercart/cluster/codec.py
@@ -1,9 +1,9 @@
-"""The wire format of messages between nodes: versioned, within one MTU, authenticated. No I/O.
+"""The wire format of messages between nodes: versioned, authenticated, within one MTU. No I/O.
 
-A packet is `bc`, the protocol's version, a keyed hash of all that follows, and a MessagePack array.
-Whatever isn't of this cluster, this version and this size is rejected before any of it is read.
-Nothing here is taken from the name of a class or field: the arrays hold values by position, and
-bodies have tags of one letter.
+A packet consists of `bc`, the protocol version, a keyed hash of the payload, and the payload as a
+MessagePack array. A packet of another cluster, another version or excessive size is rejected before
+its payload is decoded. No class or field name is part of the format: the arrays hold values by
+position, and each body has a one-letter tag.
 """
 
 from __future__ import annotations
@@ -22,12 +22,16 @@
 
 PROTOCOL_VERSION = 1
 MAGIC = b"bc"
-TAG_BYTES = 16  # of the keyed hash
+# Size of the keyed hash.
+TAG_BYTES = 16
 HEADER_BYTES = len(MAGIC) + 1 + TAG_BYTES
 KEY_BYTES = 32
-KEY_CONTEXT = b"badgercart-peers"  # tells this use of the cluster's secret from others
-MTU_BYTES = 1400  # of a datagram: with its headers below the 1,500 of Ethernet
-MAX_SYNC_BYTES = 1 << 20  # of one side of a push-pull: 4,096 members and all registers
+# Separates this use of the cluster's secret from other uses.
+KEY_CONTEXT = b"badgercart-peers"
+# Maximum datagram size; with the IP and UDP headers it stays below the 1,500 bytes of Ethernet.
+MTU_BYTES = 1400
+# Maximum size of one direction of a push-pull, for 4,096 members and all registers.
+MAX_SYNC_BYTES = 1 << 20
 MAX_RECORDS = 4096
 MAX_NAME_CHARS = 64
 MAX_PORT = 65_535
@@ -66,7 +70,10 @@
 
 
 def _from_wire(values: _WireRecord) -> MembershipRecord:
-    """Return a record whose values are all within bounds. Raises PacketRejectedError."""
+    """Return the record if all its values are within bounds.
+
+    Raises PacketRejectedError.
+    """
     name, incarnation, status, host, port, generation, zone, region, accuser = values
     for text in (name, host, zone, region, accuser):
         if len(text) > MAX_NAME_CHARS or not text.isprintable():
@@ -95,11 +102,11 @@
 
 
 class PacketCodec:
-    """Packets of one cluster, to bytes and back.
+    """Encodes and decodes the packets of one cluster.
 
     Args:
         group: the cluster's name.
-        secret: known to its members alone.
+        secret: shared by its members only.
     """
 
     __slots__ = ("_group", "_key")
@@ -114,7 +121,7 @@
         return hashlib.blake2b(message, digest_size=TAG_BYTES, key=self._key).digest()
 
     def encode(self, packet: Packet) -> bytes:
-        """Return the bytes of a packet."""
+        """Return a packet as bytes."""
         payload = _encode(
             _WirePacket(
                 packet.sender,
@@ -130,7 +137,7 @@
         return MAGIC + bytes((PROTOCOL_VERSION,)) + self.tag(payload) + payload
 
     def decode(self, data: bytes, max_bytes: int = MTU_BYTES) -> Packet:
-        """Return the packet of some bytes. Raises PacketRejectedError, with nothing taken."""
+        """Decode a packet completely or not at all. Raises PacketRejectedError."""
         wire = self._parse(self._authenticated_payload(data, max_bytes))
         return Packet(
             wire.sender,
@@ -144,7 +151,7 @@
         )
 
     def _authenticated_payload(self, data: bytes, max_bytes: int) -> bytes:
-        """Return what follows the header, which shows that it is of this cluster and version."""
+        """Check the header for size, version and cluster; return the payload after it."""
         if len(data) > max_bytes:
             detail = f"{len(data)} bytes are more than {max_bytes}"
             raise PacketRejectedError(RejectionReason.OVERSIZED, detail)
@@ -172,10 +179,10 @@
 
 
 def record_size_bytes(record: MembershipRecord) -> int:
-    """Return how many bytes of a packet a record takes."""
+    """Return the encoded size of a record."""
     return len(_encode(_to_wire(record)))
 
 
 def update_size_bytes(update: RegisterUpdate) -> int:
-    """Return how many bytes of a packet an update takes."""
+    """Return the encoded size of an update."""
     return len(_encode(update))
--- a/badgercart/cluster/commands.py
+++ b/badgercart/cluster/commands.py
@@ -1,6 +1,7 @@
-"""`badgercart peers`: what a node knows of the others of its cluster, and why.
+"""The command `badgercart peers`: what a node knows about the members of its cluster, and why.
 
-Exit status: 0 done; 1 the node can't be asked, or knows no such name.
+The docstrings of the click commands are their help texts. Exit status: 0 for success; 1 if the node
+does not respond or does not know the name.
 """
 
 from __future__ import annotations
@@ -25,19 +26,19 @@
 if TYPE_CHECKING:
     from badgercart.app.file import Installation
 
-NODE = click.argument("node", metavar="HOST:PORT")
+NODE_ARGUMENT = click.argument("node", metavar="HOST:PORT")
 
 
 def fetch_cluster_page(node: str) -> dict[str, Any]:
-    """Return the page of a node's HTTP listener about its cluster. Raises CommandError."""
+    """Return the page `/_peers` of a node's HTTP frontend. Raises CommandError."""
     return fetch_page(node, "/_peers")
 
 
-def show(page: dict[str, Any]) -> None:
-    """Print the members of a page."""
-    yields = ", stands back for another process of its name" if page["stands_back"] else ""
+def print_members(page: dict[str, Any]) -> None:
+    """Print the members that a page lists."""
+    yields_note = ", stands back for another process of its name" if page["stands_back"] else ""
     reach = f"{page['live']} of {page['may_live']} in reach"
-    click.echo(f"{page['name']}: {reach}, {page['level']}{yields}")
+    click.echo(f"{page['name']}: {reach}, {page['level']}{yields_note}")
     columns = (
         "name",
         "status",
@@ -60,7 +61,7 @@
 
 
 @peers.command("list")
-@NODE
+@NODE_ARGUMENT
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def list_(node: str, as_json: bool) -> None:
     """Who is there, who has failed, and how much of the group the node can vouch for."""
@@ -68,11 +69,11 @@
     if as_json:
         click.echo(json.dumps(page))
     else:
-        show(page)
+        print_members(page)
 
 
 @peers.command()
-@NODE
+@NODE_ARGUMENT
 @click.option(
     "--every", default=1.0, show_default=True, type=click.FloatRange(0.1, 3600), help="Seconds."
 )
@@ -81,24 +82,24 @@
 )
 def watch(node: str, every: float, times: int) -> None:
     """Each change of what the node believes, as it comes."""
-    last, looks = "", 0
-    while not times or looks < times:
-        if looks:
+    last, polls = "", 0
+    while not times or polls < times:
+        if polls:
             time.sleep(every)
-        looks += 1
+        polls += 1
         for change in fetch_cluster_page(node)["changes"]:
-            if hlc(change) > hlc({"hlc": last}):
+            if hybrid_timestamp(change) > hybrid_timestamp({"hlc": last}):
                 last = change["hlc"]
-                click.echo(describe(change))
+                click.echo(describe_change(change))
 
 
-def hlc(change: dict[str, Any]) -> tuple[int, ...]:
-    """Return the hybrid timestamp of a change, to compare it with others."""
+def hybrid_timestamp(change: dict[str, Any]) -> tuple[int, ...]:
+    """Return the hybrid timestamp of a change, for comparison with others."""
     return tuple(int(part) for part in change["hlc"].split(".")) if change["hlc"] else (0, 0)
 
 
-def describe(change: dict[str, Any]) -> str:
-    """Return a change as a line for people."""
+def describe_change(change: dict[str, Any]) -> str:
+    """Return a change as one line of text."""
     accuser = f", first accused by {change['accuser']}" if change["accuser"] else ""
     state = f"{change['peer']} {change['status']} by the word of {change['word']}"
     return f"{change['hlc']}  {state}{accuser} (incarnation {change['incarnation']})"
@@ -111,42 +112,44 @@
 
     The others take over its parts at once. It joins again with its next start.
     """
-    site = loaded(file, "peers")
-    name, group = site.config.name, site.component_settings["peers"].group
-    answer = exchange(site, Packet(name, 0, 0, 1, HybridTimestamp(0, 0), Leave()))
+    installation = load_with_component(file, "peers")
+    name, group = installation.config.name, installation.component_settings["peers"].group
+    answer = exchange_packet(installation, Packet(name, 0, 0, 1, HybridTimestamp(0, 0), Leave()))
     click.echo(f"{name} has left {group}; it knew {len(answer.records) - 1} others")
 
 
-def loaded(file: str, part: str) -> Installation:
-    """Return what a file says that has a component's table. Raises CommandError."""
+def load_with_component(file: str, component: str) -> Installation:
+    """Load a settings file that must configure a component. Raises CommandError."""
     from badgercart.app.faults import SettingsFileError
     from badgercart.app.file import load_installation
 
     try:
-        what = load_installation(file)
+        installation = load_installation(file)
     except SettingsFileError as error:
         raise CommandError(str(error), ExitStatus.USAGE) from error
-    if part not in what.component_settings:
-        words = f"{file}: has no [{part}]"
-        raise CommandError(words, ExitStatus.USAGE)
-    return what
+    if component not in installation.component_settings:
+        message = f"{file}: has no [{component}]"
+        raise CommandError(message, ExitStatus.USAGE)
+    return installation
 
 
-def exchange(site: Installation, packet: Packet) -> Packet:
-    """Send a packet to a file's node by the cluster's secret, and return its answer.
+def exchange_packet(installation: Installation, packet: Packet) -> Packet:
+    """Send a packet to an installation's node, and return the reply.
 
-    Raises CommandError where there is none.
+    The packet is authenticated by the cluster's secret. Raises CommandError if there is no reply.
     """
-    settings: ClusterSettings = site.component_settings["peers"]
+    settings: ClusterSettings = installation.component_settings["peers"]
     try:
-        return asyncio.run(ask_member(settings, packet))
+        return asyncio.run(exchange_with_member(settings, packet))
     except (OSError, TimeoutError, asyncio.IncompleteReadError, PacketRejectedError) as error:
-        words = f"the node {site.config.name} does not answer: {error or type(error).__name__}"
-        raise CommandError(words) from error
+        message = (
+            f"the node {installation.config.name} does not answer: {error or type(error).__name__}"
+        )
+        raise CommandError(message) from error
 
 
-async def ask_member(settings: ClusterSettings, packet: Packet) -> Packet:
-    """Send a packet to a node and return its answer.
+async def exchange_with_member(settings: ClusterSettings, packet: Packet) -> Packet:
+    """Send a packet to a node over TCP, and return its reply.
 
     Raises OSError, TimeoutError, asyncio.IncompleteReadError and PacketRejectedError.
     """
@@ -167,7 +170,7 @@
 
 
 @peers.command()
-@NODE
+@NODE_ARGUMENT
 @click.argument("name")
 def why(node: str, name: str) -> None:
     """Why the node believes of NAME what it does: every change it remembers, and by whose word."""
@@ -175,10 +178,10 @@
     member = next((m for m in page["members"] if m["name"] == name), None)
     if member is None:
         known = ", ".join(m["name"] for m in page["members"])
-        words = f"{node} knows no {name}; known are {known}"
-        raise CommandError(words)
+        message = f"{node} knows no {name}; known are {known}"
+        raise CommandError(message)
     since = f"{member['status']} for {member['since_s']} s"
     click.echo(f"{name}: {since}, by the word of {member['word']}")
     for change in page["changes"]:
         if change["peer"] == name:
-            click.echo(describe(change))
+            click.echo(describe_change(change))
--- a/badgercart/cluster/component.py
+++ b/badgercart/cluster/component.py
@@ -1,4 +1,4 @@
-"""Nodes that know each other, as a component of an installation."""
+"""Cluster membership as a component of an installation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def build(host: ComponentHost, settings: ClusterSettings) -> ClusterComponent:
-    """Return the running component; its libraries are imported only where it is on."""
+    """Return the component; its libraries are imported only where it is enabled."""
     from badgercart.cluster.service import ClusterComponent
 
     return ClusterComponent(host, settings)
--- a/badgercart/cluster/context.py
+++ b/badgercart/cluster/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the membership protocol share at one node. No I/O."""
+"""State that the parts of the membership protocol share on one node. No I/O."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class LocalNode:
-    """What this node says of itself."""
+    """This node's own membership record, and whether the node is leaving the cluster."""
 
     __slots__ = ("leaving", "record")
 
@@ -34,17 +34,17 @@
         return self.record.name
 
     def refute(self, incarnation: int) -> None:
-        """Win over whatever is said of this node at `incarnation`."""
+        """Raise this node's incarnation above `incarnation` to refute records of it."""
         self.record = refute(self.record, incarnation)
 
     def leave(self) -> None:
-        """Say that this node leaves the cluster; nothing is refuted from now on."""
+        """Mark this node as having left; it refutes nothing from now on."""
         self.leaving = True
         self.record = replace(self.record, status=MemberStatus.LEFT)
 
 
 class PeerSampler:
-    """Chooses among the other members."""
+    """Selects other members, all or at random."""
 
     __slots__ = ("_local", "_table", "rng")
 
@@ -52,19 +52,19 @@
         self._local, self._table, self.rng = local, table, rng
 
     def reachable(self) -> list[MemberState]:
-        """Return all others that are alive or suspected."""
+        """Return all other members that are alive or suspected."""
         states = self._table.with_status(*REACHABLE)
         return [state for state in states if state.record.name != self._local.name]
 
     def sample(self, count: int, excluding: str = "") -> list[MemberState]:
-        """Return `count` reachable others by chance, or all there are, without the one named."""
+        """Return up to `count` reachable other members at random, without the excluded one."""
         names = (self._local.name, excluding) if excluding else (self._local.name,)
         return self._table.sample(count, self.rng, names)
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class ProtocolContext:
-    """The state that several parts read; each object in it has one writer or guards itself."""
+    """The shared state; each object has a single writer or maintains its own invariants."""
 
     local: LocalNode
     timing: SwimTiming
--- a/badgercart/cluster/datagram_socket.py
+++ b/badgercart/cluster/datagram_socket.py
@@ -1,4 +1,4 @@
-"""The socket for datagrams between nodes."""
+"""The UDP socket for datagrams between nodes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 from badgercart.cluster.codec import MTU_BYTES
 from badgercart.config import Address
 
-MAX_READS_PER_WAKEUP = 32  # datagrams, before the loop turns to requests again
-MAX_DATAGRAMS_PER_S = 4000  # that are looked at: a flood costs a bounded share of the core
-PAUSE_S = 0.02  # for which the socket is left alone when that is used up
+# Datagrams read in one callback, before the event loop serves requests again.
+MAX_READS_PER_WAKEUP = 32
+# Rate limit of received datagrams, so that a flood uses a bounded share of the CPU core.
+MAX_DATAGRAMS_PER_S = 4000
+# Pause between reads once the rate limit is reached.
+READ_PAUSE_S = 0.02
 
 
 class DatagramBudget:
-    """A token bucket of the datagrams that may be read, which holds those of one second."""
+    """A token bucket that limits received datagrams; its capacity is the limit of one second."""
 
     __slots__ = ("_refilled_s", "_tokens")
 
@@ -24,23 +27,23 @@
         self._tokens, self._refilled_s = float(MAX_DATAGRAMS_PER_S), now_s
 
     def refill(self, now_s: float) -> None:
-        """Add what the time since the last call brings."""
+        """Add the tokens earned since the last call."""
         refilled = self._tokens + (now_s - self._refilled_s) * MAX_DATAGRAMS_PER_S
         self._tokens = min(refilled, float(MAX_DATAGRAMS_PER_S))
         self._refilled_s = now_s
 
     @property
     def exhausted(self) -> bool:
-        """Whether no datagram may be read now."""
+        """Whether no token is left."""
         return self._tokens < 1
 
     def spend(self) -> None:
-        """Count a datagram."""
+        """Take a token for a received datagram."""
         self._tokens -= 1
 
 
 class DatagramSocket:
-    """Reads within a rate, and hands each datagram with its source to `receive`."""
+    """A rate-limited socket that passes each datagram and its source to `receive`."""
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         address: Address,
         receive: Callable[[bytes, Address], None],
     ) -> None:
-        """Bind the socket. Raises OSError if the address can't be had."""
+        """Bind the socket. Raises OSError if the address is not available."""
         self._loop, self._receive = loop, receive
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
@@ -58,17 +61,18 @@
         self._resume()
 
     def close(self) -> None:
-        """Stop to read and close the socket."""
+        """Stop reading, and close the socket."""
         if not self._closed:
             self._closed = True
             self._loop.remove_reader(self._socket.fileno())
             self._socket.close()
 
     def send(self, data: bytes, address: Address) -> bool:
-        """Send a datagram; return whether the system took it."""
+        """Send a datagram; return whether the operating system accepted it."""
         if self._closed:
             return False
-        with contextlib.suppress(OSError):  # a full buffer or no route: lost, as datagrams may be
+        # A full buffer or a missing route loses the datagram, which the protocol tolerates.
+        with contextlib.suppress(OSError):
             self._socket.sendto(data, address)
             return True
         return False
@@ -78,18 +82,18 @@
             self._loop.add_reader(self._socket.fileno(), self._readable)
 
     def _readable(self) -> None:
-        """Read some of what waits, within the rate."""
+        """Read a batch of datagrams within the rate limit."""
         self._budget.refill(self._loop.time())
         for _ in range(MAX_READS_PER_WAKEUP):
             if self._budget.exhausted:
                 self._loop.remove_reader(self._socket.fileno())
-                self._loop.call_later(PAUSE_S, self._resume)
+                self._loop.call_later(READ_PAUSE_S, self._resume)
                 return
             try:
                 data, source = self._socket.recvfrom(MTU_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                continue  # an error that an earlier datagram met
+                continue  # an error reported for a datagram that was sent earlier
             self._budget.spend()
             self._receive(data, source)
--- a/badgercart/cluster/dissemination.py
+++ b/badgercart/cluster/dissemination.py
@@ -1,4 +1,4 @@
-"""Gossip: passing on records and register updates in rounds (SWIM, section 4.1). No I/O."""
+"""Gossip: records and register updates are spread in rounds (SWIM, section 4.1). No I/O."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class Dissemination:
-    """Owns the registers, and sends what waits in the queue to a few members each round."""
+    """Owns the registers, and sends queued broadcasts to a few random members each round."""
 
     def __init__(self, context: ProtocolContext, sender: PacketSender) -> None:
         self.context, self.sender = context, sender
         self.registers = GossipRegisters()
 
     def start(self) -> None:
-        """Set the timer of the first round."""
+        """Schedule the first round."""
         context = self.context
         delay_ms = context.timing.gossip_interval_ms * context.rng.random()
         context.timers.after(delay_ms, self._run_round)
@@ -29,7 +29,7 @@
         self.spread()
 
     def spread(self) -> None:
-        """Send what waits to a few members by chance."""
+        """Send queued broadcasts to a few random members."""
         if not len(self.sender.queue):
             return
         for state in self.context.peers.sample(self.context.timing.gossip_fanout):
@@ -38,7 +38,7 @@
             self.sender.send(state.record.address, Gossip())
 
     def receive(self, updates: Iterable[RegisterUpdate]) -> bool:
-        """Take over another node's updates; return whether one is to be passed on at once."""
+        """Merge another node's updates; return whether a new one must be spread immediately."""
         registers, urgent = self.registers, False
         for update in updates:
             if not registers.merge(update):
@@ -50,7 +50,7 @@
         return urgent
 
     def publish(self, update: RegisterUpdate) -> None:
-        """Have every node told of a value of this node's own, in place of an earlier one."""
+        """Broadcast an update of one of this node's own registers to all nodes."""
         if self.registers.merge(update):
             self.sender.broadcast_update(update)
             if update.topic in self.registers.urgent:
--- a/badgercart/cluster/drain_gossip.py
+++ b/badgercart/cluster/drain_gossip.py
@@ -1,4 +1,4 @@
-"""Drains that another node's endpoint list had first. No I/O."""
+"""Drains of endpoints that another node's newer endpoint list contains. No I/O."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.policy.endpoint import EndpointState
 
-MAX_DRAINS = 1024  # that are known by gossip, or announced to others
-MAX_ENTRIES_PER_UPDATE = 16
-DRAIN_TOPICS = tuple(f"drains.{number}" for number in range(8))  # registers of one node
-ANNOUNCED_FOR_MS = 60_000.0  # lists are later than that only if they are lost
-MAX_GOSSIPED_SHARE = 0.34  # of the listed endpoints that gossip alone may take out
+# Maximum drains received by gossip, and maximum drains announced to other nodes.
+MAX_DRAINS = 1024
+MAX_DRAINS_PER_UPDATE = 16
+DRAIN_TOPICS = tuple(f"drains.{number}" for number in range(8))
+# How long a drain is announced. An endpoint list that takes longer to arrive was lost.
+ANNOUNCEMENT_LIFETIME_MS = 60_000.0
+# Maximum share of the listed endpoints that gossip alone may drain.
+MAX_GOSSIPED_SHARE = 0.34
 
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """An endpoint that drains or is gone, by an endpoint list of that version."""
+    """An endpoint that is draining or gone in the endpoint list of this version."""
 
     endpoint_id: int
     list_version: int
@@ -27,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Announcement:
-    """A drain of the local list that others are told of."""
+    """A drain of the local list that is announced to other nodes."""
 
     since_ms: float
     drain: Drain
@@ -43,25 +46,31 @@
 
 
 class DrainGossip:
-    """Takes endpoints out that other nodes' lists drain; it never brings one back.
+    """Drains endpoints that other nodes' lists drain; it never makes an endpoint ready.
 
-    A gossiped drain ends when the local list is as late as the one that it is from, which has the
-    drain or a later state.
+    A gossiped drain ends when the local list reaches the version that the drain is from: that
+    version contains the drain or a later state.
+
+    Attributes:
+        gossiped: the drains in force that only gossip has reported, by endpoint.
+        overridden: the local list's entries of these endpoints.
+        announced: the drains that are announced to other nodes, by endpoint.
+        rejected: malformed updates, and drains beyond the maximum share.
     """
 
     def __init__(self) -> None:
         self.gossiped: dict[int, Drain] = {}
-        self.overridden: dict[int, DiscoveredEndpoint] = {}  # what the local list says of these
+        self.overridden: dict[int, DiscoveredEndpoint] = {}
         self.announced: dict[int, Announcement] = {}
         self.rejected = 0
 
-    # What the local list says, for others.
+    # Drains of the local list, announced to other nodes.
 
     def record_local(self, endpoint: DiscoveredEndpoint, list_version: int, now_ms: float) -> None:
-        """Take a changed entry of the local list, to announce it if the endpoint drains."""
+        """Record a changed entry of the local list, and announce it if the endpoint drains."""
         endpoint_id = endpoint.entry.id
         if endpoint_id in self.overridden:
-            return  # the change is that of a gossiped drain
+            return  # the entry changed because of a gossiped drain
         self.announced.pop(endpoint_id, None)
         if endpoint.entry.state is EndpointState.READY:
             return
@@ -70,27 +79,27 @@
         self.announced[endpoint_id] = Announcement(now_ms, Drain(endpoint_id, list_version))
 
     def announcements(self, now_ms: float) -> list[bytes]:
-        """Return the values of the registers: the newest drains, some to each."""
+        """Return the register values: the drains, newest first, split by the maximum size."""
         self.announced = {
             endpoint_id: announcement
             for endpoint_id, announcement in self.announced.items()
-            if now_ms - announcement.since_ms < ANNOUNCED_FOR_MS
+            if now_ms - announcement.since_ms < ANNOUNCEMENT_LIFETIME_MS
         }
         newest = [announcement.drain for announcement in reversed(self.announced.values())]
-        starts = range(0, len(newest), MAX_ENTRIES_PER_UPDATE)
-        values = [_encode(newest[at : at + MAX_ENTRIES_PER_UPDATE]) for at in starts]
+        starts = range(0, len(newest), MAX_DRAINS_PER_UPDATE)
+        values = [_encode(newest[start : start + MAX_DRAINS_PER_UPDATE]) for start in starts]
         return values[: len(DRAIN_TOPICS)]
 
-    # What other nodes say, for the local list.
+    # Drains that other nodes announce, applied to the local list.
 
     def receive(
         self, value: bytes, list_version: int, listed: dict[int, DiscoveredEndpoint]
     ) -> list[DiscoveredEndpoint]:
-        """Take over another node's drains; return the entries to apply again.
+        """Merge another node's drains; return the entries to apply again.
 
         Args:
-            value: of its register.
-            list_version: of the local list.
+            value: the value of the other node's register.
+            list_version: the version of the local list.
             listed: the local list by endpoint.
         """
         try:
@@ -99,9 +108,9 @@
             self.rejected += 1
             return []
         changed = []
-        for drain in drains[:MAX_ENTRIES_PER_UPDATE]:
+        for drain in drains[:MAX_DRAINS_PER_UPDATE]:
             endpoint = listed.get(drain.endpoint_id)
-            if endpoint is None or not self._is_news(drain, endpoint, list_version):
+            if endpoint is None or not self._is_new(drain, endpoint, list_version):
                 continue
             if len(self.gossiped) >= self._capacity(len(listed)):
                 self.rejected += 1
@@ -110,7 +119,7 @@
             changed.append(endpoint)
         return changed
 
-    def _is_news(self, drain: Drain, endpoint: DiscoveredEndpoint, list_version: int) -> bool:
+    def _is_new(self, drain: Drain, endpoint: DiscoveredEndpoint, list_version: int) -> bool:
         before = self.gossiped.get(drain.endpoint_id)
         if before is not None and before.list_version >= drain.list_version:
             return False
@@ -118,11 +127,11 @@
 
     @staticmethod
     def _capacity(listed: int) -> int:
-        """Return how many endpoints gossip may take out of a list of so many."""
+        """Return how many endpoints of a list gossip may drain."""
         return min(MAX_DRAINS, max(1, int(MAX_GOSSIPED_SHARE * listed)))
 
     def override(self, endpoint: DiscoveredEndpoint, list_version: int) -> DiscoveredEndpoint:
-        """Return what is in force in place of an entry of a list of that version."""
+        """Return the entry in force for an entry of a list of this version."""
         endpoint_id, entry = endpoint.entry.id, endpoint.entry
         drain = self.gossiped.get(endpoint_id)
         if drain is not None and list_version >= drain.list_version:
@@ -135,7 +144,7 @@
         return replace(endpoint, entry=replace(entry, state=EndpointState.DRAINING))
 
     def expire(self, list_version: int) -> list[DiscoveredEndpoint]:
-        """End the drains that the local list has caught up with; return its entries for them."""
+        """End the drains that the local list has caught up with; return its entries to restore."""
         expired = [
             endpoint_id
             for endpoint_id, drain in self.gossiped.items()
@@ -143,5 +152,7 @@
         ]
         for endpoint_id in expired:
             del self.gossiped[endpoint_id]
-        restored = [i for i in self.overridden if i not in self.gossiped]
+        restored = [
+            endpoint_id for endpoint_id in self.overridden if endpoint_id not in self.gossiped
+        ]
         return [self.overridden.pop(endpoint_id) for endpoint_id in restored]
--- a/badgercart/cluster/driver.py
+++ b/badgercart/cluster/driver.py
@@ -18,15 +18,15 @@
 
 @dataclass(slots=True, eq=False)
 class ClusterDriver:
-    """One protocol on sockets.
+    """The sockets and the timer of one membership protocol.
 
     Attributes:
-        loop: that it runs on.
-        clock: gives the node's time in ms.
-        protocol: what is run.
-        gate: encodes and decodes its packets.
-        listen: the address, whose port may be 0 until `start`.
-        on_effects: called with the effects that are no packets.
+        loop: the event loop.
+        clock: returns the node's monotonic time in ms.
+        protocol: the protocol to run.
+        gate: encodes and decodes the packets.
+        listen: the address to listen on; a port of 0 is replaced by the chosen one in `start`.
+        on_effects: called with the effects that do not send a packet.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -45,13 +45,13 @@
         self._client = SyncClient(self.loop, self.gate, self._sync_answered)
 
     async def start(self) -> None:
-        """Listen and begin. Raises OSError if the address can't be had."""
+        """Listen and start the protocol. Raises OSError if the address is not available."""
         self.listen = await self.server.start(self.listen)
         self._datagrams = DatagramSocket(self.loop, self.listen, self._datagram_received)
         self.run(self.protocol.start(self.clock()))
 
     def close(self) -> None:
-        """Close all sockets and cancel what is under way."""
+        """Close all sockets, and cancel the timer and all push-pulls."""
         if self._timer is not None:
             self._timer.cancel()
         if self._datagrams is not None:
@@ -61,7 +61,7 @@
         self._client.close()
 
     def run(self, effects: list[Effect]) -> None:
-        """Carry out what the protocol asks for, and set the timer for its next tick."""
+        """Execute the protocol's effects, and set the timer for its next tick."""
         others: list[Effect] = []
         for effect in effects:
             if isinstance(effect, SendDatagram):
@@ -100,7 +100,7 @@
             self.run(self.protocol.receive(self.clock(), packet, source))
 
     def _respond(self, packet: Packet, source: Address, reply: Reply) -> None:
-        """Answer a packet that came by TCP."""
+        """Reply to a packet that was received over TCP."""
         if isinstance(packet.body, Leave):
             self._leave(packet, reply)
         elif isinstance(packet.body, Sync):
@@ -109,7 +109,7 @@
             self.run(effects)
 
     def _leave(self, packet: Packet, reply: Reply) -> None:
-        """Leave the cluster for an operator, whose packet has this node's own name."""
+        """Leave the cluster at an operator's request, which bears this node's own name."""
         if packet.sender == self.protocol.local_record.name:
             self.run(self.protocol.leave(self.clock()))
             reply(self.protocol.anti_entropy.full_state())
--- a/badgercart/cluster/effects.py
+++ b/badgercart/cluster/effects.py
@@ -1,4 +1,4 @@
-"""What the membership protocol asks its driver to do, or tells it. No I/O."""
+"""Effects: what the membership protocol returns for its driver to execute. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendDatagram:
-    """Send a packet, which may be lost."""
+    """Send a packet as a datagram, which may be lost."""
 
     address: Address
     packet: Packet
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartSync:
-    """Open a connection, send the packet, and have the protocol receive what comes back."""
+    """Open a TCP connection, send the packet, and pass the reply to the protocol."""
 
     address: Address
     packet: Packet
@@ -45,15 +45,20 @@
 
 @dataclass(slots=True, frozen=True)
 class NameConflict:
-    """Another process has this node's name."""
+    """Another process uses this node's name.
 
-    generation: int  # of the other process
-    yields: bool  # whether this one stops taking part in shared work
+    Attributes:
+        generation: the generation of the other process.
+        yields: whether this process stops taking part in shared work.
+    """
+
+    generation: int
+    yields: bool
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessPaused:
-    """This process stood still, so that what it knew is old."""
+    """This process was paused, so its state is stale."""
 
     gap_ms: float
 
@@ -62,7 +67,7 @@
 
 
 class EffectBuffer:
-    """Effects in their order, until the caller takes them."""
+    """Effects in order, until the caller takes them."""
 
     __slots__ = ("_effects",)
 
@@ -70,7 +75,7 @@
         self._effects: list[Effect] = []
 
     def add(self, effect: Effect) -> None:
-        """Add an effect to those that are taken next."""
+        """Append an effect."""
         self._effects.append(effect)
 
     def take(self) -> list[Effect]:
--- a/badgercart/cluster/errors.py
+++ b/badgercart/cluster/errors.py
@@ -10,7 +10,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a packet isn't taken: the kinds of the log and of the admin page."""
+    """Why a packet is rejected; the log and the admin page show the values."""
 
     OVERSIZED = "oversized"
     STRAY = "stray"
@@ -21,11 +21,11 @@
 
 
 class PacketRejectedError(ClusterError):
-    """A packet that isn't taken.
+    """A packet that is rejected.
 
     Attributes:
-        reason: for figures.
-        detail: for people.
+        reason: the kind of rejection, for counters.
+        detail: what is wrong with the packet, for operators.
     """
 
     def __init__(self, reason: RejectionReason, detail: str) -> None:
--- a/badgercart/cluster/event_log.py
+++ b/badgercart/cluster/event_log.py
@@ -1,4 +1,4 @@
-"""Says in the log what the membership protocol finds, and keeps it for `badgercart peers why`."""
+"""Logs membership changes, and keeps the latest for the page and `badgercart peers why`."""
 
 from __future__ import annotations
 
@@ -10,8 +10,10 @@
 from badgercart.cluster.membership_table import MemberState, MemberStatus
 from badgercart.cluster.swim import SwimProtocol
 
-MAX_CHANGES = 512  # that are kept
-STATUS_WORDS = {  # as the page and the log have them
+# Membership changes that are kept; the oldest are dropped first.
+MAX_RECORDED_CHANGES = 512
+# The words for a member's status on the admin page and in the log.
+STATUS_WORDS = {
     MemberStatus.ALIVE: "alive",
     MemberStatus.SUSPECT: "suspect",
     MemberStatus.DEAD: "dead",
@@ -20,11 +22,11 @@
 
 
 class ClusterEventLog:
-    """Logs effects, each with a hybrid timestamp, and owns the list of the last changes."""
+    """Logs effects, each with a hybrid timestamp, and owns the list of the latest changes."""
 
     def __init__(self, protocol: SwimProtocol) -> None:
         self._protocol = protocol
-        self.changes: deque[dict[str, Any]] = deque(maxlen=MAX_CHANGES)
+        self.changes: deque[dict[str, Any]] = deque(maxlen=MAX_RECORDED_CHANGES)
 
     def stamp(self) -> dict[str, Any]:
         """Return the field of a log event that holds its hybrid timestamp."""
@@ -32,7 +34,7 @@
         return {"hlc": f"{wall_ms}.{counter}"}
 
     def record(self, effect: Effect) -> None:
-        """Log an effect, if it is one that operators are told of."""
+        """Log an effect if it has a log event."""
         if isinstance(effect, MemberChanged):
             self._member_changed(effect.after)
         elif isinstance(effect, NameConflict):
--- a/badgercart/cluster/failure_reports.py
+++ b/badgercart/cluster/failure_reports.py
@@ -1,4 +1,4 @@
-"""Endpoints that other nodes find failing. No I/O."""
+"""Reports of failing endpoints by other nodes. No I/O."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 import msgspec
 
 FAILURE_TOPIC = "failing"
-MAX_ENTRIES_PER_UPDATE = 16
-MIN_REPORTERS = 2  # nodes that must agree
+MAX_ENDPOINTS_PER_REPORT = 16
+# Nodes that must report an endpoint before it counts as failing.
+MIN_REPORTERS = 2
 
 _decode: Callable[[bytes], list[tuple[int, float]]] = msgspec.msgpack.Decoder(
     list[tuple[int, float]]
@@ -18,20 +19,20 @@
 
 @dataclass(slots=True, frozen=True)
 class FailureReport:
-    """A node's error rates by endpoint, 0 to 1."""
+    """The error rates (0 to 1) that a node reported, by endpoint."""
 
     received_ms: float
     error_rates: dict[int, float]
 
 
 class FailureReports:
-    """How failing others find an endpoint.
+    """The failure level of endpoints according to other nodes.
 
-    That is the second highest of their rates, so that one node alone can't take out an endpoint,
-    and it fades with time.
+    The level is the second highest of the reported rates, so that a single node cannot cause an
+    ejection. It decays linearly with the age of the reports.
 
     Args:
-        lifetime_ms: in which a report fades to nothing.
+        lifetime_ms: the age at which a report has decayed to 0.
     """
 
     def __init__(self, lifetime_ms: float) -> None:
@@ -40,24 +41,28 @@
         self.rejected = 0
 
     def report(self, error_rates: dict[int, float]) -> bytes:
-        """Return what others are told: the endpoints that fail most."""
-        worst = sorted(error_rates.items(), key=lambda pair: -pair[1])[:MAX_ENTRIES_PER_UPDATE]
+        """Return this node's report: the endpoints with the highest error rates."""
+        worst = sorted(error_rates.items(), key=lambda pair: -pair[1])[:MAX_ENDPOINTS_PER_REPORT]
         return msgspec.msgpack.encode(
             [(endpoint_id, round(rate, 2)) for endpoint_id, rate in worst]
         )
 
     def receive(self, author: str, value: bytes, now_ms: float) -> None:
-        """Take over another node's report; one that is malformed is counted and ignored."""
+        """Record another node's report; a malformed one is counted and ignored."""
         try:
             entries = _decode(value)
         except msgspec.MsgspecError:
             self.rejected += 1
             return
-        valid = {i: rate for i, rate in entries[:MAX_ENTRIES_PER_UPDATE] if 0 <= rate <= 1}
+        valid = {
+            endpoint_id: rate
+            for endpoint_id, rate in entries[:MAX_ENDPOINTS_PER_REPORT]
+            if 0 <= rate <= 1
+        }
         self.reports[author] = FailureReport(now_ms, valid)
 
     def levels(self, authors: Iterable[str], now_ms: float) -> tuple[tuple[int, float], ...]:
-        """Return the endpoints that at least two of these nodes find failing, and how much."""
+        """Return the endpoints that at least two of these nodes report, with their levels."""
         rates: dict[int, list[float]] = {}
         for author in authors:
             report = self.reports.get(author)
@@ -73,9 +78,11 @@
             for endpoint_id, found in rates.items()
             if len(found) >= MIN_REPORTERS
         }
-        return tuple(sorted((i, rate) for i, rate in agreed.items() if rate > 0))
+        return tuple(
+            sorted((endpoint_id, rate) for endpoint_id, rate in agreed.items() if rate > 0)
+        )
 
     def retain(self, names: Iterable[str]) -> None:
-        """Forget the reports of all other nodes."""
+        """Drop the reports of all nodes but these."""
         retained = set(names)
         self.reports = {name: report for name, report in self.reports.items() if name in retained}
--- a/badgercart/cluster/features.py
+++ b/badgercart/cluster/features.py
@@ -1,4 +1,4 @@
-"""The features that use the cluster, by the names that the settings give them."""
+"""The features that use the cluster; the values are the names in the settings file."""
 
 from __future__ import annotations
 
--- a/badgercart/cluster/gossip_registers.py
+++ b/badgercart/cluster/gossip_registers.py
@@ -1,7 +1,8 @@
-"""Gossip registers: the latest value of each author on each topic, carried to every node. No I/O.
+"""Gossip registers: the latest value of each author on each topic, on every node. No I/O.
 
-An update has a version that only grows; the higher one wins, so that updates merge in any order to
-the same registers. Membership carries the updates of other subsystems and reads none of them.
+Each update has a version that only grows, and the highest version wins: updates merge to the same
+registers in any order. The membership protocol replicates the values of other subsystems without
+interpreting them.
 """
 
 from __future__ import annotations
@@ -10,7 +11,8 @@
 from typing import NamedTuple
 
 MAX_REGISTERS = 16_384
-MAX_VALUE_BYTES = 512  # fits a datagram beside its header and some records
+# A value of this size fits into a datagram together with the header and some records.
+MAX_VALUE_BYTES = 512
 MAX_VERSION = (1 << 63) - 1
 
 
@@ -24,23 +26,33 @@
 
 
 class GossipRegisters:
-    """The latest updates by topic and author."""
+    """The latest updates by topic and author.
+
+    Attributes:
+        updates: the update in force by topic and author.
+        topics: the declared topics.
+        urgent: topics whose updates are forwarded immediately.
+        direct: topics whose updates are for the recipient only.
+        rejected: updates that were invalid or beyond the maximum number of registers.
+    """
 
     def __init__(self, max_registers: int = MAX_REGISTERS) -> None:
         self.updates: dict[tuple[str, str], RegisterUpdate] = {}
         self.topics: set[str] = set()
-        self.urgent: set[str] = set()  # topics that are passed on as they come
-        self.direct: set[str] = set()  # topics that are for the recipient alone
+        self.urgent: set[str] = set()
+        self.direct: set[str] = set()
         self.max_registers = max_registers
         self.rejected = 0
 
     def declare(self, topic: str, urgent: bool = False, direct: bool = False) -> None:
-        """Have a topic carried. Others are not, since nodes' versions may differ in their topics.
+        """Accept updates on a topic.
+
+        Updates on other topics are rejected, since nodes of another version may use other topics.
 
         Args:
-            topic: its name.
-            urgent: whether updates are passed on at once instead of with the next round of gossip.
-            direct: whether updates are for the node that they are sent to alone.
+            topic: the name of the topic.
+            urgent: whether updates are forwarded immediately instead of in the next gossip round.
+            direct: whether updates are for the recipient only, and not forwarded.
         """
         self.topics.add(topic)
         if urgent:
@@ -49,7 +61,7 @@
             self.direct.add(topic)
 
     def merge(self, update: RegisterUpdate) -> bool:
-        """Take over an update; return whether it is new."""
+        """Merge an update; return whether it is new."""
         if not self._is_valid(update):
             self.rejected += 1
             return False
@@ -71,7 +83,7 @@
         )
 
     def remove_authors(self, authors: Iterable[str]) -> None:
-        """Forget all registers of these authors."""
+        """Remove all registers of these authors."""
         removed = set(authors)
         for key in [key for key in self.updates if key[1] in removed]:
             del self.updates[key]
--- a/badgercart/cluster/hybrid_logical_clock.py
+++ b/badgercart/cluster/hybrid_logical_clock.py
@@ -1,25 +1,31 @@
-"""Hybrid logical clocks (Kulkarni et al. 2014): an order of all nodes' events by causality."""
+"""Hybrid logical clocks (Kulkarni et al. 2014), which order the events of all nodes causally."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-MAX_CLOCK_LEAD_MS = 60_000  # by which another node's clock may pull ours ahead of the wall clock
+# How far a received timestamp may advance this clock ahead of the wall clock.
+MAX_CLOCK_LEAD_MS = 60_000
 
 
 class HybridTimestamp(NamedTuple):
-    """A point in the order of all nodes' events."""
+    """A position in the order of all nodes' events.
 
-    wall_ms: int  # Unix time
-    counter: int  # tells events of one millisecond apart
+    Attributes:
+        wall_ms: Unix time in ms.
+        counter: distinguishes events of the same millisecond.
+    """
+
+    wall_ms: int
+    counter: int
 
 
 class HybridLogicalClock:
-    """Timestamps that never go back. Another node's clock pulls this one along, within a bound.
+    """A clock whose timestamps only grow; received timestamps advance it, within a bound.
 
     Args:
-        wall_clock_ms: gives the Unix time in ms.
+        wall_clock_ms: returns the Unix time in ms.
     """
 
     __slots__ = ("latest", "wall_clock_ms")
@@ -29,7 +35,7 @@
         self.latest = HybridTimestamp(0, 0)
 
     def tick(self) -> HybridTimestamp:
-        """Return the timestamp of a local event, such as a message that is sent."""
+        """Return the timestamp of a local event, such as sending a message."""
         wall_ms = int(self.wall_clock_ms())
         if wall_ms > self.latest.wall_ms:
             self.latest = HybridTimestamp(wall_ms, 0)
@@ -38,7 +44,7 @@
         return self.latest
 
     def observe(self, remote: HybridTimestamp) -> HybridTimestamp:
-        """Return the timestamp of a received message, which is later than the one that it bears.
+        """Return a timestamp for receiving a message, later than the message's own timestamp.
 
         A remote timestamp too far ahead of the wall clock is ignored.
         """
--- a/badgercart/cluster/local_health.py
+++ b/badgercart/cluster/local_health.py
@@ -4,22 +4,23 @@
 
 from dataclasses import dataclass
 
-MAX_HEALTH_SCORE = 8  # S in the paper
+# S in the paper.
+MAX_HEALTH_SCORE = 8
 
 
 @dataclass(slots=True)
 class LocalHealth:
-    """How far this node is itself slow or cut off.
+    """How likely this node itself is slow or partitioned.
 
-    The higher its score, the slower it accuses others.
+    The higher the score, the longer it waits before it suspects other members. 0 is healthy.
     """
 
-    score: int = 0  # 0: healthy
+    score: int = 0
 
     def adjust(self, change: int) -> None:
-        """Add to the score, within 0 and `MAX_HEALTH_SCORE`."""
+        """Change the score, within 0 and `MAX_HEALTH_SCORE`."""
         self.score = min(max(self.score + change, 0), MAX_HEALTH_SCORE)
 
     def scale(self, duration_ms: float) -> float:
-        """Return a wait as long as the score asks."""
+        """Return a duration multiplied according to the score."""
         return duration_ms * (self.score + 1)
--- a/badgercart/cluster/log_events.py
+++ b/badgercart/cluster/log_events.py
@@ -1,7 +1,7 @@
 """The log events of the cluster package.
 
-Each has a hybrid timestamp, by which all nodes' events are put in order. Names, fields and texts
-are an interface to operators.
+Each event has a hybrid timestamp, which orders the events of all nodes. Names, fields and texts are
+an interface to operators and must not change.
 """
 
 from __future__ import annotations
@@ -26,29 +26,29 @@
     "peers.level",
     logging.INFO,
     "in reach %(live)d of %(may_live)d nodes that may live: %(standing)s",
-    "How much of its group the node can vouch for. `some` and `alone`: it keeps to an even part of all that "
-    "may live, and lends and borrows nothing. Look at the network between the nodes.",
+    "How much of its group the node can vouch for. `some` and `alone`: it keeps to an even part "
+    "of all that may live, and lends and borrows nothing. Look at the network between the nodes.",
 )
 NAME_CONFLICT = event(
     "peers.conflict",
     logging.ERROR,
     "another process has the name %(name)s; this one %(does)s",
-    "Two processes run under one name: stop one, or name it otherwise. The one that began first stands back "
-    "from shared work until the other is gone.",
+    "Two processes run under one name: stop one, or name it otherwise. The one that began first "
+    "stands back from shared work until the other is gone.",
 )
 PROCESS_PAUSED = event(
     "peers.paused",
     logging.WARNING,
     "this process stood still for %(gap_ms)d ms",
-    "It was stopped or starved. It buries nobody for its own silence, and counts on nobody until one has "
-    "told it what is.",
+    "It was stopped or starved. It buries nobody for its own silence, and counts on nobody until "
+    "one has told it what is.",
 )
 PACKET_REJECTED = event(
     "peers.refused",
     logging.WARNING,
     "a packet from %(source)s is refused, %(kind)s: %(words)s",
-    "`forged`: of another group or secret; `version`: a node of another version of the protocol; `stranger`: "
-    "from outside `allow`; `oversized`, `stray`, `malformed`: none of ours.",
+    "`forged`: of another group or secret; `version`: a node of another version of the protocol; "
+    "`stranger`: from outside `allow`; `oversized`, `stray`, `malformed`: none of ours.",
 )
 ENDPOINT_DRAINED = event(
     "peers.drained",
--- a/badgercart/cluster/member.py
+++ b/badgercart/cluster/member.py
@@ -1,7 +1,7 @@
-"""One member of a cluster and the features that use what it knows. No I/O.
+"""One member of a cluster, and the features that use the membership protocol. No I/O.
 
-The same in a node and in the lab's model: reports to other nodes out, their updates in, and the
-cluster's view for the policy out.
+A node and the lab's model use the same class: it publishes reports, receives the updates of other
+nodes, and returns the view of the cluster for the policy.
 """
 
 from __future__ import annotations
@@ -22,9 +22,12 @@
 from badgercart.policy.events import ClusterView
 from badgercart.policy.policy import Policy
 
-MAX_MISSED_REPORTS = 4  # after which a node counts as one that wants its even share
-MAX_FORWARDED_REPORTS = 64  # that a node passes on between two of its own
-FAILURE_LIFETIME_MS = 10_000.0  # in which another node's report of a failing endpoint fades
+# Reports that a node may miss before its usage is stale and it is assigned at least its even share.
+MAX_MISSED_REPORTS = 4
+# Reports that a node forwards for others in the interval between two of its own reports.
+MAX_FORWARDED_REPORTS = 64
+# The age at which another node's report of a failing endpoint has decayed to 0.
+FAILURE_LIFETIME_MS = 10_000.0
 
 Listener = Callable[[float, str, bytes], None]
 """Called with the time (ms), the author and the value of an update."""
@@ -32,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """The node's own list of endpoints."""
+    """The node's own endpoint list with its version."""
 
     version: int = 0
     listed: dict[int, DiscoveredEndpoint] | None = None
@@ -42,13 +45,16 @@
 
 
 class ClusterMember:
-    """A membership protocol, and the features that are switched on.
+    """A membership protocol with the features that are enabled.
 
     Args:
-        machine: the protocol.
-        quotas: by tenant, requests a second.
-        share_ms: the time between two reports in a small cluster.
-        uses: the names of the features that are on.
+        protocol: the membership protocol.
+        quotas: the quota of each tenant in requests per second.
+        base_report_interval_ms: the interval between two reports in a small cluster.
+        features: the names of the enabled features.
+
+    Attributes:
+        published: the value published last, by topic.
     """
 
     def __init__(
@@ -65,34 +71,34 @@
         self.drain_gossip = DrainGossip()
         self.failure_reports = FailureReports(FAILURE_LIFETIME_MS)
         self.last_view: ClusterView | None = None
-        self._version = 0  # of the registers' updates
-        self.published: dict[str, bytes] = {}  # by topic
-        self._listeners: dict[str, Listener] = {}  # of other subsystems, by topic
+        self._version = 0  # of the latest update
+        self.published: dict[str, bytes] = {}
+        self._listeners: dict[str, Listener] = {}  # by topic
         for topic in (USAGE_TOPIC, *DRAIN_TOPICS, FAILURE_TOPIC):
             protocol.registers.declare(topic)
 
     @property
     def report_interval_ms(self) -> float:
-        """The time (ms) between two reports.
+        """The interval between two reports (ms).
 
-        It grows with the cluster, so that a link carries no more.
+        It grows with the cluster, so that the traffic on a link does not.
         """
         members = len(self.protocol.table.members)
         forwarded = members * transmit_limit(members)
         return self.base_report_interval_ms * max(1.0, forwarded / MAX_FORWARDED_REPORTS)
 
-    # Registers.
+    # Registers of other subsystems.
 
     def subscribe(
         self, topic: str, listener: Listener, urgent: bool = False, direct: bool = False
     ) -> None:
-        """Have another subsystem told of the updates on a topic of its own.
+        """Declare another subsystem's topic, and call a listener with its updates.
 
         Args:
-            topic: its name.
-            hear: called with each update.
-            urgent: whether updates are passed on as they come, not with the next round.
-            direct: whether updates are for the node that they are sent to alone.
+            topic: the name of the topic.
+            listener: called with each update.
+            urgent: whether updates are forwarded immediately instead of in the next gossip round.
+            direct: whether updates are for the recipient only, and not forwarded.
         """
         self.protocol.registers.declare(topic, urgent, direct)
         self._listeners[topic] = listener
@@ -106,21 +112,21 @@
         return self.publish(now_ms, topic, value)
 
     def publish(self, now_ms: float, topic: str, value: bytes) -> list[Effect]:
-        """Publish a value to all nodes, unless it is that of the last call."""
+        """Publish a value to all nodes, unless it is unchanged."""
         if self.published.get(topic) == value:
             return []
         self.published[topic] = value
         return self.protocol.publish(now_ms, self._update(now_ms, topic, value))
 
     def _update(self, now_ms: float, topic: str, value: bytes) -> RegisterUpdate:
-        """Return an update with a version above all that this name has published before."""
+        """Return an update whose version is above all that nodes of this name have published."""
         self._version = max(self._version + 1, int(now_ms + self.protocol.wall_offset_ms))
         return RegisterUpdate(topic, self.name, self._version, value)
 
     def receive(
         self, now_ms: float, change: RegisterChanged, endpoints: EndpointList = NO_ENDPOINTS
     ) -> list[DiscoveredEndpoint]:
-        """Take over another node's update; return the entries of the list to apply again."""
+        """Process another node's update; return the endpoint entries to apply again."""
         listener = self._listeners.get(change.topic)
         if listener is not None:
             listener(now_ms, change.author, change.value)
@@ -137,10 +143,10 @@
             return []
         return self.drain_gossip.receive(value, endpoints.version, endpoints.listed)
 
-    # What other nodes are told.
+    # Reports to other nodes.
 
     def report(self, now_ms: float, policy: Policy) -> list[Effect]:
-        """Publish this node's use, and the endpoints that it finds failing."""
+        """Publish this node's usage, and the endpoints that it has ejected as failing."""
         effects: list[Effect] = []
         if QUOTA_SHARING in self.features:
             effects += self.publish(now_ms, USAGE_TOPIC, self.quota_sharing.report(now_ms))
@@ -155,9 +161,9 @@
         """Publish the drains of the local list after some of its entries changed.
 
         Args:
-            now_ms: the time.
-            list_version: of the list as it is now.
-            changed: the entries that changed.
+            now_ms: the current time.
+            list_version: the current version of the list.
+            changed: the changed entries.
         """
         for endpoint in changed:
             self.drain_gossip.record_local(endpoint, list_version, now_ms)
@@ -167,10 +173,10 @@
             effects += self.publish(now_ms, topic, value)
         return effects
 
-    # What the policy is told.
+    # The view of the cluster for the policy.
 
     def view_change(self, now_ms: float) -> ClusterView | None:
-        """Return the cluster's view for the policy, or None if it has not changed."""
+        """Return the view of the cluster for the policy, or None if it has not changed."""
         quorum = self.protocol.quorum()
         others = [name for name in quorum.reachable if name != self.name]
         self.quota_sharing.retain(others)
@@ -193,7 +199,7 @@
 
 
 def failing_endpoints(policy: Policy) -> dict[int, float]:
-    """Return the endpoints that this node itself has ejected, with their error rates."""
+    """Return the error rates of the endpoints that this node itself has ejected."""
     return {
         endpoint_id: max(
             health.failure_rate for health in policy.fleet.endpoints.by_id[endpoint_id].health
@@ -209,9 +215,9 @@
     quota_shares: tuple[float, ...],
     failure_reports: tuple[tuple[int, float], ...],
 ) -> ClusterView:
-    """Return what the policy is told.
+    """Return the view of the cluster for the policy.
 
-    Without a majority the node counts itself as one of all that may be alive.
+    Without a majority, the cluster size is the number of all members that may be alive.
     """
     size = len(quorum.reachable) if quorum.has_majority else quorum.possibly_alive
     index = quorum.reachable.index(local_name)
--- a/badgercart/cluster/membership.py
+++ b/badgercart/cluster/membership.py
@@ -1,4 +1,4 @@
-"""Takes over what others say of members, and says what this node finds. No I/O.
+"""Merges the records of other nodes, and issues this node's own accusations. No I/O.
 
 The rules are those of SWIM, section 4.2.
 """
@@ -23,16 +23,17 @@
 from badgercart.cluster.suspicion import SuspicionTracker
 from badgercart.config import Address
 
-GOODBYE_FANOUT = 2  # times that of gossip: members that are told that this node leaves
+# Factor of the gossip fanout that gives how many members this node notifies when it leaves.
+LEAVE_FANOUT_MULTIPLIER = 2
 
 
 @dataclass(slots=True, eq=False)
 class Membership:
-    """The one writer of the membership table, of the local record, and of suspicions.
+    """The only writer of the membership table, the local record and the suspicions.
 
     Attributes:
         on_join: called with the name of each new member.
-        on_return: called with the address of each member that was dead and is alive.
+        on_return: called with the address of each member that was declared dead and is alive again.
     """
 
     context: ProtocolContext
@@ -43,14 +44,15 @@
     conflicts: NameConflicts = field(default_factory=NameConflicts)
 
     def merge(self, record: MembershipRecord, reporter: str) -> None:
-        """Take over a record if it wins, and pass on what is news."""
+        """Merge a record, and broadcast it if it changes this node's table."""
         context = self.context
         local, table = context.local.record, context.table
         if record.name == local.name and record.precedence != local.precedence:
             self._merge_local_name(record)
             return
         if record.name not in table.members and record.status not in REACHABLE:
-            return  # members that were forgotten would come back with every push-pull
+            # Otherwise, every push-pull would bring back members that were removed.
+            return
         if record.status is MemberStatus.SUSPECT:
             self._confirm_suspicion(record)
         change = table.merge(record, context.timers.now_ms, reporter)
@@ -74,13 +76,14 @@
         if name != self.context.local.name:
             self.on_join(name)
 
-    # What is said of this node.
+    # Records of this node by others.
 
     def _merge_local_name(self, record: MembershipRecord) -> None:
-        """Refute what others say of this node, unless it yields its name to another process."""
+        """Refute a record of this node's name, unless this node yields to another process."""
         local = self.context.local
         if record.precedence <= local.record.precedence:
-            return  # what this node was before a restart, or said itself
+            # A record of an earlier process of this node, or one that this node issued itself.
+            return
         if record.generation != local.record.generation:
             self._merge_rival(record)
             if self.conflicts.yields:
@@ -88,12 +91,13 @@
         if local.leaving:
             return
         if record.generation == local.record.generation and record.status is not MemberStatus.ALIVE:
-            self.context.health.adjust(1)  # Lifeguard: a node that is accused may be slow itself
+            # Lifeguard: a node that is accused may itself be slow.
+            self.context.health.adjust(1)
         local.refute(record.incarnation)
         self._announce_local()
 
     def stale_sender(self, incarnation: int, generation: int) -> None:
-        """Take it that a process of this node's name was heard at that incarnation."""
+        """Process a report that a process of this node's name has this incarnation."""
         local = self.context.local.record
         self._merge_local_name(replace(local, incarnation=incarnation, generation=generation))
 
@@ -103,7 +107,8 @@
         if conflict is None:
             return
         self.context.effects.add(conflict)
-        if conflict.yields:  # outdo the other once more, so that it hears of this one too
+        # Supersede the other record once more, so that the other process detects the conflict too.
+        if conflict.yields:
             local.refute(record.incarnation)
             self.sender.broadcast_record(local.record)
 
@@ -113,17 +118,17 @@
         self.sender.broadcast_record(local.record)
 
     def leave(self) -> None:
-        """Tell a few members that this node leaves; they pass it on."""
+        """Notify a few members that this node leaves; they forward it by gossip."""
         self.context.local.leave()
         self._announce_local()
-        fanout = GOODBYE_FANOUT * self.context.timing.gossip_fanout
+        fanout = LEAVE_FANOUT_MULTIPLIER * self.context.timing.gossip_fanout
         for state in self.context.peers.sample(fanout):
             self.sender.send(state.record.address, Gossip())
 
     # Suspicion.
 
     def suspect(self, name: str) -> None:
-        """Accuse a member that did not answer a probe."""
+        """Suspect a member that did not acknowledge a probe."""
         state = self.context.table.members.get(name)
         if state is not None and state.status in REACHABLE:
             self._accuse(state.record, MemberStatus.SUSPECT)
@@ -141,7 +146,7 @@
         context.timers.after(delay_ms, partial(self._declare_dead_if_expired, record.name))
 
     def _confirm_suspicion(self, record: MembershipRecord) -> None:
-        """Shorten a suspicion that one more member shares."""
+        """Count a further accuser of a suspect, which shortens the suspicion."""
         suspicion = self.suspicions.confirm(record)
         if suspicion is None:
             return
--- a/badgercart/cluster/membership_table.py
+++ b/badgercart/cluster/membership_table.py
@@ -1,4 +1,4 @@
-"""What a node knows of the others: records that merge in any order to the same table. No I/O."""
+"""The membership table: records that merge to the same table in any order. No I/O."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 from badgercart.config import Address
 
-MAX_MEMBERS = 4096  # names in a table; a cluster has some hundreds
+# Members in a table; a cluster has some hundreds.
+MAX_MEMBERS = 4096
 
 
 class MemberStatus(IntEnum):
-    """The state of a member, in the order in which states win at one incarnation.
+    """The status of a member; at the same incarnation, the higher number wins.
 
     The numbers are part of the wire format.
     """
@@ -22,31 +23,43 @@
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # announced by the member itself
+    # Announced by the member itself.
+    LEFT = 3
 
 
-REACHABLE = (MemberStatus.ALIVE, MemberStatus.SUSPECT)  # probed, gossiped to, and asked
+# Members of these statuses are probed, gossiped to, and asked for indirect probes.
+REACHABLE = (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipRecord:
-    """A statement about a member, as it travels between nodes."""
+    """A statement about a member, as it is sent between nodes.
+
+    Attributes:
+        name: the member's name.
+        incarnation: a counter that only the member itself raises, to refute accusations.
+        status: the member's status.
+        address: where other nodes reach the member.
+        generation: identifies the member's process; grows with the time of its start.
+        zone: the member's zone, or empty.
+        region: the member's region, or empty.
+        accuser: the node that suspected the member or declared it dead.
+    """
 
     name: str
-    incarnation: int  # raised by the member alone, to refute what is said of it
+    incarnation: int
     status: MemberStatus
     address: Address
-    generation: int  # of the process; grows with the time of its start
+    generation: int
     zone: str = ""
     region: str = ""
-    accuser: str = field(default="", compare=False)  # who suspected it or declared it dead
+    accuser: str = field(default="", compare=False)
 
     @property
     def precedence(self) -> tuple[int, int, int, Address, str, str]:
-        """The place of the record in a total order of all records of one member.
+        """The sort key in a total order of all records of one member; the largest record wins.
 
-        The largest wins, whatever came first. Incarnation and status are ordered as in SWIM; the
-        other fields only make records comparable that are equal in these.
+        Incarnation and status are ordered as in SWIM; the other fields break ties.
         """
         return (
             self.incarnation,
@@ -60,20 +73,26 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberState:
-    """A record that is in force at this node."""
+    """The record of a member that is in force on this node.
+
+    Attributes:
+        record: the record.
+        since_ms: when the member's status changed, on this node's clock.
+        reporter: the node from which this node received the record.
+    """
 
     record: MembershipRecord
-    since_ms: float  # of its status, on the node's clock
-    reporter: str  # the node that told this one
+    since_ms: float
+    reporter: str
 
     @property
     def status(self) -> MemberStatus:
-        """The status that the record gives."""
+        """The member's status according to the record."""
         return self.record.status
 
 
 class NameSet:
-    """Names in no order, of which some can be drawn by chance without a look at the others."""
+    """An unordered set of names that can be sampled without iterating over all of them."""
 
     __slots__ = ("names", "positions")
 
@@ -88,41 +107,50 @@
         return name in self.positions
 
     def add(self, name: str) -> None:
-        """Add a name; one that is there already stays where it is."""
+        """Add a name, unless it is in the set already."""
         if name not in self.positions:
             self.positions[name] = len(self.names)
             self.names.append(name)
 
     def remove(self, name: str) -> None:
-        """Remove a name, with the last one moved to its place.
+        """Remove a name, and move the last name to its position.
 
-        Raises KeyError if it isn't there.
+        Raises KeyError if the name is not in the set.
         """
         position, last = self.positions.pop(name), self.names.pop()
         if last != name:
             self.names[position], self.positions[last] = last, position
 
     def sample(self, count: int, rng: random.Random) -> list[str]:
-        """Return `count` different names by chance, or all there are."""
+        """Return up to `count` different names at random."""
         return rng.sample(self.names, min(count, len(self.names)))
 
 
 class MembershipTable:
-    """The states of all members by name, the node's own among them."""
+    """The states of all members by name, including the node itself.
+
+    Attributes:
+        members: the states by name.
+        rejected: records of new members beyond `max_members`.
+        reachable: the names of the members that are alive or suspected.
+        reachable_addresses: how many reachable members have each address.
+        unreachable: the names of the members that are dead or have left, in insertion order.
+        examined_count: member states that were examined, over all calls.
+    """
 
     def __init__(self, max_members: int = MAX_MEMBERS) -> None:
         self.members: dict[str, MemberState] = {}
         self.max_members = max_members
-        self.rejected = 0  # records of new names beyond the bound
+        self.rejected = 0
         self.reachable = NameSet()
         self.reachable_addresses: Counter[Address] = Counter()
-        self.unreachable: dict[str, None] = {}  # names of the dead and those that left
-        self.examined_count = 0  # states looked at, over all calls
+        self.unreachable: dict[str, None] = {}
+        self.examined_count = 0
 
     def merge(
         self, record: MembershipRecord, now_ms: float, reporter: str
     ) -> tuple[MemberState | None, MemberState] | None:
-        """Take over a record that wins over the one in force.
+        """Merge a record, which replaces the one in force if its precedence is higher.
 
         Returns the states before and after, or None if nothing changed.
         """
@@ -140,11 +168,11 @@
         return before, after
 
     def remove(self, name: str) -> None:
-        """Forget a member, if it is known."""
+        """Remove a member, if it is in the table."""
         self._reindex(self.members.pop(name, None), None)
 
     def _reindex(self, before: MemberState | None, after: MemberState | None) -> None:
-        """Keep the sets of reachable and unreachable names in step with a changed state."""
+        """Update the sets of reachable and unreachable names for a changed state."""
         was_reachable = before is not None and before.status in REACHABLE
         is_reachable = after is not None and after.status in REACHABLE
         if before is not None and was_reachable:
@@ -167,18 +195,18 @@
     def sample(
         self, count: int, rng: random.Random, excluding: tuple[str, ...] = ()
     ) -> list[MemberState]:
-        """Return `count` reachable members by chance, or all there are.
+        """Return up to `count` reachable members at random.
 
-        The cost goes by how many are drawn, not by how many are known.
+        The cost depends on `count`, not on the size of the table.
         """
         drawn = self.reachable.sample(count + len(excluding), rng)
         self.examined_count += len(drawn)
         return [self.members[name] for name in drawn if name not in excluding][:count]
 
     def with_status(self, *statuses: MemberStatus) -> Iterator[MemberState]:
-        """Return the members of these statuses, by a look at all members.
+        """Return the members of these statuses; this examines all members.
 
-        Where a few suffice, `reachable`, `unreachable` and `sample` cost less.
+        `reachable`, `unreachable` and `sample` are cheaper where they suffice.
         """
         self.examined_count += len(self.members)
         return (state for state in self.members.values() if state.status in statuses)
@@ -189,6 +217,6 @@
 
 
 def refute(record: MembershipRecord, incarnation: int) -> MembershipRecord:
-    """Return a live member's record that wins over whatever is said of it at `incarnation`."""
+    """Return the record with an incarnation above `incarnation`, which refutes an accusation."""
     raised = max(record.incarnation, incarnation) + 1
     return replace(record, status=MemberStatus.ALIVE, incarnation=raised)
--- a/badgercart/cluster/messages.py
+++ b/badgercart/cluster/messages.py
@@ -1,7 +1,7 @@
-"""Messages between nodes, as the protocol knows them. The codec maps them to bytes.
+"""The messages between nodes. The codec maps them to bytes.
 
-The bodies are MessagePack arrays that begin with the tag given here; the order of their fields is
-the wire format.
+Each body is a MessagePack array that begins with the tag given here; the order of the fields is
+part of the wire format.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class PingRequest(msgspec.Struct, tag="r", array_like=True, frozen=True):
-    """Asks for a probe of another member; answered by `Ack`, or by `Nack` after the timeout."""
+    """Requests a probe of another member; answered by `Ack`, or by `Nack` after the timeout."""
 
     sequence: int
     name: str
@@ -32,13 +32,13 @@
 
 
 class Ack(msgspec.Struct, tag="a", array_like=True, frozen=True):
-    """Answers a probe, or tells that an indirect one was answered."""
+    """Acknowledges a probe, or reports that an indirect probe was acknowledged."""
 
     sequence: int
 
 
 class Nack(msgspec.Struct, tag="n", array_like=True, frozen=True):
-    """Tells that the sender is alive, and that the member it was asked to probe did not answer."""
+    """Reports that an indirect probe was not acknowledged; shows that the sender is alive."""
 
     sequence: int
 
@@ -48,14 +48,14 @@
 
 
 class StaleSender(msgspec.Struct, tag="b", array_like=True, frozen=True):
-    """Tells a sender that its incarnation or process isn't the latest known under its name."""
+    """Informs a sender that a later incarnation or process is known under its name."""
 
     incarnation: int
     generation: int
 
 
 class Sync(msgspec.Struct, tag="s", array_like=True, frozen=True):
-    """One side of a push-pull over TCP, with all records and updates that the sender has."""
+    """One direction of a push-pull over TCP, with all records and updates of the sender."""
 
 
 class Leave(msgspec.Struct, tag="l", array_like=True, frozen=True):
@@ -67,12 +67,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Packet:
-    """A message with its sender and what is piggybacked on it."""
+    """A message with its sender and the records and updates piggybacked on it.
+
+    Attributes:
+        sender: the sender's name.
+        generation: identifies the sender's process.
+        incarnation: the sender's incarnation.
+        serial: the number of the packet in its process; each serial is accepted once.
+        timestamp: the sender's hybrid timestamp.
+        body: the message.
+        records: membership records.
+        updates: register updates.
+    """
 
     sender: str
-    generation: int  # of the sender's process
+    generation: int
     incarnation: int
-    serial: int  # of this process's packets: each is taken once
+    serial: int
     timestamp: HybridTimestamp
     body: Body
     records: tuple[MembershipRecord, ...] = ()
--- a/badgercart/cluster/name_conflicts.py
+++ b/badgercart/cluster/name_conflicts.py
@@ -1,29 +1,34 @@
-"""Finds other processes that have this node's name. No I/O."""
+"""Detects other processes that use this node's name. No I/O."""
 
 from __future__ import annotations
 
 from badgercart.cluster.effects import NameConflict
 from badgercart.cluster.membership_table import MembershipRecord, MemberStatus
 
-MAX_RIVALS = 8  # other processes of this node's name that are remembered
+# Other processes of this node's name that are tracked.
+MAX_RIVALS = 8
 
 
 class NameConflicts:
-    """The other processes that were heard under this node's name.
+    """The other processes that were observed under this node's name.
 
-    One that raises its incarnation answers what this node says of itself, so it is alive. The
-    process that began first yields: it stops taking part in shared work until the other is dead or
-    has left.
+    A process that raises its incarnation is reacting to this node's own records, so it is alive.
+    The process that started first yields: it stops taking part in shared work until the other one
+    is dead or has left.
+
+    Attributes:
+        incarnations: the incarnation at which each other process was first observed, by generation.
+        yields: whether this process yields to another one.
     """
 
     __slots__ = ("incarnations", "yields")
 
     def __init__(self) -> None:
-        self.incarnations: dict[int, int] = {}  # at which each process was first heard
+        self.incarnations: dict[int, int] = {}
         self.yields = False
 
     def observe(self, record: MembershipRecord, local_generation: int) -> NameConflict | None:
-        """Take a record of another process under this name; return the conflict if it shows one."""
+        """Process a record of another process of this name; return a conflict if it proves one."""
         if record.status in (MemberStatus.DEAD, MemberStatus.LEFT):
             if self.incarnations.pop(record.generation, None) is not None:
                 self.yields = False
--- a/badgercart/cluster/packet_gate.py
+++ b/badgercart/cluster/packet_gate.py
@@ -1,4 +1,4 @@
-"""The one way of bytes into and out of the protocol: encoded, checked, and counted."""
+"""The gate that encodes, authenticates and counts all packets of a node."""
 
 from __future__ import annotations
 
@@ -13,20 +13,27 @@
 
 
 class PacketGate:
-    """Decodes what may be taken and owns the counters of a node's traffic."""
+    """Encodes and decodes packets, and owns the traffic counters.
+
+    Attributes:
+        allowed: the addresses from which packets are accepted.
+        rejected: rejected packets by reason.
+        bytes_out: bytes sent.
+        bytes_in: bytes received.
+    """
 
     def __init__(self, codec: PacketCodec, allowed: AddressAllowlist) -> None:
         self._codec = codec
         self.allowed = allowed
-        self.rejected: Counter[str] = Counter()  # by reason
+        self.rejected: Counter[str] = Counter()
         self.bytes_out = self.bytes_in = 0
 
     def encode(self, packet: Packet) -> bytes:
-        """Return the bytes of a packet."""
+        """Return a packet as bytes."""
         return self._codec.encode(packet)
 
     def decode(self, data: bytes, source: Address, max_bytes: int) -> Packet | None:
-        """Return a packet; one that isn't taken is counted and logged, and None is returned."""
+        """Return the packet, or None if it is rejected, which is counted and logged."""
         try:
             return self._checked(data, source, max_bytes)
         except PacketRejectedError as error:
--- a/badgercart/cluster/packet_receiver.py
+++ b/badgercart/cluster/packet_receiver.py
@@ -1,4 +1,4 @@
-"""Takes packets from other nodes: once each, and only from a sender's latest process. No I/O."""
+"""Receives packets: each one once, and only from a sender's latest process. No I/O."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, eq=False)
 class PacketReceiver:
-    """Passes what packets hold to the parts of the protocol, by a table from body to handler."""
+    """Dispatches the content of packets to the parts of the protocol by the type of the body."""
 
     context: ProtocolContext
     sender: PacketSender
@@ -53,19 +53,20 @@
             Nack: self._on_nack,
             StaleSender: self._on_stale_sender,
             Sync: self._on_sync,
-            Gossip: self._on_nothing,
-            Leave: self._on_nothing,  # the driver's business
+            Gossip: self._on_empty_body,
+            # The driver handles an operator's request to leave.
+            Leave: self._on_empty_body,
         }
 
     def is_new(self, packet: Packet) -> bool:
-        """Return whether a packet is another process's and was not received before."""
+        """Return whether a packet is of another process and was not received before."""
         local = self.context.local.record
         if packet.sender == local.name and packet.generation == local.generation:
             return False
         return self.replay_filter.accept(packet.sender, packet.generation, packet.serial)
 
     def receive(self, packet: Packet, source: Address) -> None:
-        """Take a packet that is new."""
+        """Process a packet that is new."""
         if not isinstance(packet.body, Sync) and not self._is_current(packet, source):
             return
         for record in packet.records:
@@ -76,7 +77,7 @@
             self.dissemination.spread()
 
     def _is_current(self, packet: Packet, source: Address) -> bool:
-        """Return whether the sender is its latest incarnation; one that is not is told so."""
+        """Return whether the sender is current; inform a sender that is not."""
         if packet.sender == self.context.local.name:
             self.membership.stale_sender(packet.incarnation, packet.generation)
             return False
@@ -88,11 +89,12 @@
             self._answer_stale_sender(StaleSender(known.incarnation, known.generation), source)
             return False
         if state.status is not MemberStatus.ALIVE and packet.incarnation == known.incarnation:
-            self.sender.send(source, Gossip(), known)  # it doesn't know yet what is said of it
+            # The sender does not know of the accusation yet, and may refute it.
+            self.sender.send(source, Gossip(), known)
         return True
 
     def _answer_stale_sender(self, body: StaleSender, source: Address) -> None:
-        """Tell a sender that it is not current, and nothing else."""
+        """Inform a sender that it is not current, without piggybacked records."""
         self.context.effects.add(SendDatagram(source, self.sender.packet(body)))
 
     def _on_ping(self, body: Ping, source: Address) -> None:
@@ -116,5 +118,5 @@
     def _on_sync(self, _body: Sync, _: Address) -> None:
         self.anti_entropy.sync_received()
 
-    def _on_nothing(self, _body: Gossip | Leave, _: Address) -> None:
-        """Do nothing: all that counts is piggybacked."""
+    def _on_empty_body(self, _body: Gossip | Leave, _: Address) -> None:
+        """Do nothing: the packet consists of its piggybacked records and updates."""
--- a/badgercart/cluster/packet_sender.py
+++ b/badgercart/cluster/packet_sender.py
@@ -1,4 +1,4 @@
-"""Builds packets, with as much of what waits to be passed on as they have capacity for. No I/O."""
+"""Builds packets and piggybacks queued broadcasts on them. No I/O."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 from badgercart.cluster.messages import Body, Packet
 from badgercart.config import Address
 
-PIGGYBACK_BYTES = MTU_BYTES - 200  # what a datagram has beside its header and body
-MAX_QUEUED = 4 * MAX_MEMBERS  # broadcasts that wait
+# Capacity of a datagram for records and updates; 200 bytes are reserved for its header and body.
+PIGGYBACK_BYTES = MTU_BYTES - 200
+MAX_QUEUED_BROADCASTS = 4 * MAX_MEMBERS
 
 
 class PacketSender:
@@ -21,22 +22,22 @@
 
     def __init__(self, context: ProtocolContext, clock: HybridLogicalClock) -> None:
         self._context, self._clock = context, clock
-        self.queue = BroadcastQueue(MAX_QUEUED)
+        self.queue = BroadcastQueue(MAX_QUEUED_BROADCASTS)
         self._serial = 0
         self._sequence = 0
 
     def next_sequence(self) -> int:
-        """Return a number for a probe, by which its answer is known."""
+        """Return a number for a probe, which identifies its acknowledgement."""
         self._sequence += 1
         return self._sequence
 
     def broadcast_record(self, record: MembershipRecord) -> None:
-        """Have a record piggybacked on packets until all members should have heard of it."""
+        """Queue a record, to be piggybacked until all members should have received it."""
         key = "record", record.name, record.accuser
         self.queue.enqueue(key, record, record_size_bytes(record))
 
     def broadcast_update(self, update: RegisterUpdate) -> None:
-        """Have a register's update piggybacked on packets, in place of an older one."""
+        """Queue a register update; it replaces a queued older one of the same register."""
         key = "update", update.topic, update.author
         self.queue.enqueue(key, update, update_size_bytes(update))
 
@@ -46,7 +47,7 @@
         records: tuple[MembershipRecord, ...] = (),
         updates: tuple[RegisterUpdate, ...] = (),
     ) -> Packet:
-        """Return a packet of this node with the next serial."""
+        """Build a packet of this node with the next serial."""
         self._serial += 1
         local, timestamp = self._context.local.record, self._clock.tick()
         return Packet(
@@ -67,14 +68,14 @@
         first: MembershipRecord | None = None,
         updates: tuple[RegisterUpdate, ...] = (),
     ) -> None:
-        """Send a datagram with what it has capacity for of the queue.
+        """Send a datagram, filled with queued broadcasts up to its capacity.
 
         Args:
-            address: where to.
+            address: the destination.
             body: the message.
-            first: a record that goes before those in the queue, as a suspect's own does
-                (Lifeguard's buddy system).
-            updates: updates that go before those in the queue.
+            first: a record that is sent before those in the queue, such as the accusation that a
+                suspect must learn of (Lifeguard's buddy system).
+            updates: updates that are sent before those in the queue.
         """
         capacity_bytes = PIGGYBACK_BYTES - sum(map(update_size_bytes, updates))
         records = []
@@ -88,5 +89,5 @@
         self._context.effects.add(SendDatagram(address, packet))
 
     def start_sync(self, address: Address, packet: Packet) -> None:
-        """Begin a push-pull with another node."""
+        """Start a push-pull with another node."""
         self._context.effects.add(StartSync(address, packet))
--- a/badgercart/cluster/probing.py
+++ b/badgercart/cluster/probing.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detection: one member is probed each period, directly and by others. No I/O."""
+"""SWIM failure detection: one member is probed each period, directly and indirectly. No I/O."""
 
 from __future__ import annotations
 
@@ -12,59 +12,69 @@
 from badgercart.cluster.packet_sender import PacketSender
 from badgercart.config import Address
 
-MAX_RELAYED = 1024  # probes for other nodes that are under way
-RELAY_TIMEOUT_SHARE = (
-    0.8  # of the probe timeout: what a helper has, so that its `Nack` comes in time
-)
+# Indirect probes for other nodes that may be in flight at once.
+MAX_RELAYED_PROBES = 1024
+# Share of the probe timeout that a helper waits, so that its `Nack` arrives in time.
+RELAY_TIMEOUT_SHARE = 0.8
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of the present period."""
+    """The probe of the current period.
+
+    Attributes:
+        name: the probed member.
+        sequence: the number by which acknowledgements are matched.
+        helpers: how many members were asked for an indirect probe.
+        nacks: how many helpers sent a `Nack`.
+        acknowledged: whether a direct or indirect probe was acknowledged.
+    """
 
     name: str
     sequence: int
-    helpers: int = 0  # members that were asked to probe it too
-    nacks: int = 0  # of the helpers' that came
+    helpers: int = 0
+    nacks: int = 0
     acknowledged: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Prober:
-    """Probes every member once a round, and accuses those that don't answer.
+    """Probes every member once per round, and suspects those that do not acknowledge.
 
     Attributes:
-        suspect: called with the name of a member that did not answer.
+        suspect: called with the name of a member that did not acknowledge.
+        probe: the probe of the current period.
     """
 
     context: ProtocolContext
     sender: PacketSender
     suspect: Callable[[str], None]
     probe: Probe | None = None
-    _round: list[str] = field(default_factory=list)  # who is probed next is last
+    # The rest of the current round; the next member to probe is last.
+    _round: list[str] = field(default_factory=list)
 
     def start(self) -> None:
-        """Set the timer of the first period."""
+        """Schedule the first probe period."""
         delay_ms = self.context.timing.probe_period_ms * self.context.rng.random()
         self.context.timers.after(delay_ms, self._begin_period)
 
     def add_member(self, name: str) -> None:
-        """Have a new member probed at a random place of the present round."""
+        """Insert a new member at a random position of the current round."""
         self._round.insert(self.context.rng.randint(0, len(self._round)), name)
 
     def abandon(self) -> None:
-        """Give up the present probe without a verdict."""
+        """Abandon the current probe without a result."""
         self.probe = None
 
     def receive_ack(self, sequence: int) -> bool:
-        """Return whether an answer is that to the present probe."""
+        """Record an acknowledgement; return whether it belongs to the current probe."""
         if self.probe is None or sequence != self.probe.sequence:
             return False
         self.probe.acknowledged = True
         return True
 
     def receive_nack(self, sequence: int) -> None:
-        """Count a helper that got no answer either, but is itself reachable."""
+        """Count a helper that got no acknowledgement, but is itself reachable."""
         if self.probe is not None and sequence == self.probe.sequence:
             self.probe.nacks += 1
 
@@ -80,11 +90,11 @@
             self._send_probe(target)
 
     def _conclude(self, probe: Probe) -> None:
-        """Accuse a member that did not answer, and take what its silence says of this node."""
+        """Evaluate a finished probe, and adjust this node's own health score."""
         if probe.acknowledged:
             self.context.health.adjust(-1)
             return
-        # Helpers that did not even send a `Nack` are a sign that this node is cut off itself.
+        # Helpers that did not even send a `Nack` indicate that this node itself is partitioned.
         self.context.health.adjust(probe.helpers - probe.nacks if probe.helpers else 1)
         self.suspect(probe.name)
 
@@ -98,7 +108,7 @@
         return None
 
     def _next_in_round(self) -> str | None:
-        """Return the next name; each round has an order of its own (SWIM, section 4.3)."""
+        """Return the next name; each round has a new random order (SWIM, section 4.3)."""
         if not self._round:
             self._round = [state.record.name for state in self.context.peers.reachable()]
             self.context.rng.shuffle(self._round)
@@ -113,7 +123,7 @@
         context.timers.after(timeout_ms, partial(self._probe_indirectly, self.probe))
 
     def _probe_indirectly(self, probe: Probe) -> None:
-        """Ask some members to probe one that has not answered yet."""
+        """Ask some members to probe a member that has not acknowledged yet."""
         state = self.context.table.members.get(probe.name)
         if probe is not self.probe or probe.acknowledged or state is None:
             return
@@ -129,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RelayedProbe:
-    """Who asked for a probe, and by which number of its own."""
+    """The node that requested an indirect probe, and the sequence number of its request."""
 
     requester: Address
     sequence: int
@@ -137,18 +147,19 @@
 
 @dataclass(slots=True, eq=False)
 class ProbeRelay:
-    """Probes members for other nodes."""
+    """Probes members on behalf of other nodes."""
 
     context: ProtocolContext
     sender: PacketSender
-    _relayed: dict[int, RelayedProbe] = field(default_factory=dict)  # by this node's numbers
+    # By the sequence numbers of this node's own probes.
+    _relayed: dict[int, RelayedProbe] = field(default_factory=dict)
 
     def __len__(self) -> int:
         return len(self._relayed)
 
     def receive_request(self, request: PingRequest, requester: Address) -> None:
-        """Probe a member, and tell who asked what came of it."""
-        if len(self._relayed) >= MAX_RELAYED:
+        """Probe a member, and report the result to the requester."""
+        if len(self._relayed) >= MAX_RELAYED_PROBES:
             return
         sequence = self.sender.next_sequence()
         self._relayed[sequence] = RelayedProbe(requester, request.sequence)
@@ -157,7 +168,7 @@
         self.context.timers.after(timeout_ms, partial(self._expire, sequence))
 
     def receive_ack(self, sequence: int) -> None:
-        """Pass on an answer to who asked for it."""
+        """Forward an acknowledgement to the requester."""
         relayed = self._relayed.pop(sequence, None)
         if relayed is not None:
             self.sender.send(relayed.requester, Ack(relayed.sequence))
--- a/badgercart/cluster/quorum.py
+++ b/badgercart/cluster/quorum.py
@@ -1,4 +1,4 @@
-"""How much of its cluster a node reaches, against the largest cluster that it has seen. No I/O."""
+"""The quorum: how much of the largest cluster it has seen a node can reach. No I/O."""
 
 from __future__ import annotations
 
@@ -9,35 +9,43 @@
 
 
 class QuorumLevel(StrEnum):
-    """What a node may decide by itself, from most to least.
+    """How much of the cluster a node reaches, from most to least.
 
-    The values are those of the log, the admin page and the commands.
+    The log, the admin page and the commands show the values.
     """
 
-    ALL = "whole"  # every member that may be alive is reachable
-    MAJORITY = "most"  # more than half of them: no other part of the cluster can have it
+    # Every member that may be alive is reachable.
+    ALL = "whole"
+    # More than half of them are reachable; no other partition can have a majority.
+    MAJORITY = "most"
     MINORITY = "some"
     ISOLATED = "alone"
 
 
 @dataclass(slots=True, frozen=True)
 class QuorumState:
-    """What a node can count on at a moment."""
+    """The quorum of a node at a point in time.
+
+    Attributes:
+        level: how much of the cluster the node reaches.
+        reachable: the names of the reachable members in sorted order, including the node itself.
+        possibly_alive: the number of reachable members and of those that may only be partitioned.
+    """
 
     level: QuorumLevel
-    reachable: tuple[str, ...]  # reachable members by name, the node itself among them
-    possibly_alive: int  # those and all that may only be cut off
+    reachable: tuple[str, ...]
+    possibly_alive: int
 
     @property
     def has_majority(self) -> bool:
-        """Whether the node is in a part of the cluster that holds more than half of it."""
+        """Whether the node is in a partition with more than half of the cluster."""
         return self.level in (QuorumLevel.ALL, QuorumLevel.MAJORITY)
 
 
 def quorum_level(reachable: int, cluster_size: int) -> QuorumLevel:
-    """Return the level where `reachable` of `cluster_size` possibly alive are reachable.
+    """Return the level for `reachable` of `cluster_size` members that may be alive.
 
-    Both counts have the node itself in them.
+    Both counts include the node itself.
     """
     if reachable >= cluster_size:
         return QuorumLevel.ALL
@@ -48,33 +56,38 @@
 
 @dataclass(slots=True, frozen=True)
 class QuorumRule:
-    """How the size of the cluster is determined, against which reachable members count."""
+    """How the cluster size is determined that reachable members are compared with.
+
+    Attributes:
+        dead_retention_ms: how long a dead member may still be alive beyond a partition.
+        expected_size: the minimum cluster size while too few members have been seen.
+    """
 
-    dead_retention_ms: float  # for which a silent member that was seen may still be alive
-    expected_size: int = 1  # the least size, where too little has been seen yet
+    dead_retention_ms: float
+    expected_size: int = 1
 
 
 def assess_quorum(
     table: MembershipTable, local_name: str, now_ms: float, rule: QuorumRule
 ) -> QuorumState:
-    """Return what the node can count on.
+    """Return the quorum of a node.
 
-    The size of the cluster is that of the union of all members seen within the retention that did
-    not announce that they leave, not what gossip says at the moment: a half that declared the other
-    dead must not take itself for all. Suspects count as reachable, but not for the level.
+    The cluster size counts all members seen within the retention that did not announce that they
+    leave, not only the currently reachable ones: a partition that declared the rest dead must not
+    take itself for the complete cluster. Suspects count as reachable, but not for the level.
     """
-    live = {local_name} | {state.record.name for state in table.with_status(*REACHABLE)}
+    reachable = {local_name} | {state.record.name for state in table.with_status(*REACHABLE)}
     alive = {local_name} | {state.record.name for state in table.with_status(MemberStatus.ALIVE)}
-    possibly_cut_off = sum(
+    possibly_partitioned = sum(
         now_ms - state.since_ms < rule.dead_retention_ms
         for state in table.with_status(MemberStatus.DEAD)
     )
     left = sum(state.record.name != local_name for state in table.with_status(MemberStatus.LEFT))
-    possibly_alive = max(len(live) + possibly_cut_off, rule.expected_size - left)
+    possibly_alive = max(len(reachable) + possibly_partitioned, rule.expected_size - left)
     level = quorum_level(len(alive), possibly_alive)
-    return QuorumState(level, tuple(sorted(live)), possibly_alive)
+    return QuorumState(level, tuple(sorted(reachable)), possibly_alive)
 
 
 def isolated(local_name: str, quorum: QuorumState) -> QuorumState:
-    """Return the state of a node that must count on nobody, whoever is reachable."""
+    """Return the quorum of a node that must not rely on any other member, reachable or not."""
     return QuorumState(QuorumLevel.ISOLATED, (local_name,), quorum.possibly_alive)
--- a/badgercart/cluster/replay_filter.py
+++ b/badgercart/cluster/replay_filter.py
@@ -1,31 +1,38 @@
-"""Takes each packet once, whatever the network repeats or reorders (RFC 4303, 3.4.3). No I/O."""
+"""Replay protection with a sliding window of serials (RFC 4303, section 3.4.3). No I/O."""
 
 from __future__ import annotations
 
 from badgercart.cluster.membership_table import MAX_MEMBERS
 
-WINDOW_SIZE = 64  # serials behind the highest that may still come
-MAX_REPLAY_WINDOWS = 2 * MAX_MEMBERS  # processes whose serials are remembered
+# Serials up to the highest received one that are tracked; older ones are rejected.
+WINDOW_SIZE_SERIALS = 64
+# Processes whose serials are tracked.
+MAX_REPLAY_WINDOWS = 2 * MAX_MEMBERS
 
 
 class ReplayWindow:
-    """Which serials of one process were accepted."""
+    """The serials that were accepted from one process.
+
+    Attributes:
+        highest: the highest accepted serial.
+        seen: a bit mask of the latest serials; the lowest bit is the highest serial.
+    """
 
     __slots__ = ("highest", "seen")
 
     def __init__(self) -> None:
         self.highest = -1
-        self.seen = 0  # a bit for each of the last serials
+        self.seen = 0
 
     def accept(self, serial: int) -> bool:
-        """Return whether a serial is new, and remember it. One that is too old counts as seen."""
+        """Return whether a serial is new, and record it. One that is too old counts as seen."""
         if serial > self.highest:
-            shift = min(serial - self.highest, WINDOW_SIZE)
-            self.seen = (self.seen << shift | 1) & (1 << WINDOW_SIZE) - 1
+            shift = min(serial - self.highest, WINDOW_SIZE_SERIALS)
+            self.seen = (self.seen << shift | 1) & (1 << WINDOW_SIZE_SERIALS) - 1
             self.highest = serial
             return True
         age = self.highest - serial
-        bit = 1 << age if age < WINDOW_SIZE else 0
+        bit = 1 << age if age < WINDOW_SIZE_SERIALS else 0
         if not bit or self.seen & bit:
             return False
         self.seen |= bit
@@ -33,7 +40,7 @@
 
 
 class ReplayFilter:
-    """The windows of all processes that were heard; the one that was added first makes room."""
+    """The replay windows of all known processes; the oldest one is dropped when it is full."""
 
     __slots__ = ("_windows",)
 
@@ -44,7 +51,7 @@
         return len(self._windows)
 
     def accept(self, sender: str, generation: int, serial: int) -> bool:
-        """Return whether a packet of that process and serial is new, and remember it."""
+        """Return whether a packet of this process and serial is new, and record it."""
         window = self._windows.get((sender, generation))
         if window is None:
             if len(self._windows) >= MAX_REPLAY_WINDOWS:
--- a/badgercart/cluster/service.py
+++ b/badgercart/cluster/service.py
@@ -1,4 +1,4 @@
-"""The cluster package on a node: the protocol on sockets, and its effects on the node."""
+"""Cluster membership as a running component: connects the protocol with the rest of the node."""
 
 from __future__ import annotations
 
@@ -31,11 +31,12 @@
 from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.frontends.http.requests import Page
 
-GENERATION_RANDOM_BITS = 10  # that tell processes apart that start in one millisecond
+# Distinguish processes that start in the same millisecond.
+GENERATION_RANDOM_BITS = 10
 
 
-def place_of(settings: ClusterSettings, host: str) -> tuple[str, str]:
-    """Return zone and region of an address by the networks in the file; empty where none fits."""
+def zone_and_region_of(settings: ClusterSettings, host: str) -> tuple[str, str]:
+    """Return the zone and region of the first configured network with this host, or empty ones."""
     for place in settings.place:
         if netaddr.IPAddress(host) in netaddr.IPNetwork(place.network):
             return place.zone, place.region
@@ -43,19 +44,19 @@
 
 
 def new_generation() -> int:
-    """Return a number for this process, above those of earlier ones."""
+    """Return a generation for this process, above those of earlier processes."""
     unix_ms = int(time.time() * 1000)
     return unix_ms << GENERATION_RANDOM_BITS | secrets.randbits(GENERATION_RANDOM_BITS)
 
 
 def local_record(host: ComponentHost, settings: ClusterSettings) -> MembershipRecord:
-    """Return what the node says of itself as it starts."""
+    """Return the node's own membership record at its start."""
     config = host.config
     address = settings.advertise or settings.listen
-    zone, region = place_of(settings, address[0])
+    zone, region = zone_and_region_of(settings, address[0])
     if not zone:
-        own = config.settings.zone
-        zone = next((name for name, index in config.zones.items() if index == own), "")
+        own_index = config.settings.zone
+        zone = next((name for name, index in config.zones.items() if index == own_index), "")
     alive = MemberStatus.ALIVE
     return MembershipRecord(config.name, 0, alive, address, new_generation(), zone, region)
 
@@ -72,22 +73,22 @@
 
 
 class DrainAnnouncer:
-    """Collects changed entries of the node's own list, and announces its drains."""
+    """Collects changed entries of the node's own endpoint list, and announces its drains."""
 
     def __init__(self, host: ComponentHost, member: ClusterMember, driver: ClusterDriver) -> None:
         self._host, self._member, self._driver = host, member, driver
-        self._changed: list[DiscoveredEndpoint] = []  # since drains were announced last
+        self._changed: list[DiscoveredEndpoint] = []  # since the last announcement
         host.endpoint_table.override = member.drain_gossip.override
         host.endpoint_table.on_change.append(self._endpoint_changed)
 
     def _endpoint_changed(self, endpoint: DiscoveredEndpoint) -> None:
         if not self._changed:
-            # By then the table knows by which version of the list the entries hold.
+            # The table learns the version of the list only after all changed entries.
             self._host.loop.call_soon(self.announce)
         self._changed.append(endpoint)
 
     def announce(self) -> None:
-        """Tell other nodes, and end gossiped drains that the list has caught up with."""
+        """Announce drains, and end gossiped drains that the local list has caught up with."""
         changed, self._changed = self._changed, []
         table = self._host.endpoint_table
         now_ms = self._host.pipeline.clock()
@@ -98,7 +99,7 @@
 
 
 class ViewReporter:
-    """Tells the log and the policy of the cluster, where that has changed."""
+    """Logs changes of the quorum, and dispatches changed views to the policy."""
 
     def __init__(
         self, host: ComponentHost, member: ClusterMember, event_log: ClusterEventLog
@@ -176,43 +177,44 @@
             "badgercart_peers_refused", "Packets refused.", lambda: gate.rejected.total()
         )
 
-    # The component's life.
+    # Lifecycle.
 
     async def start(self) -> None:
-        """Listen, and begin to report. Raises OSError if the address can't be had."""
+        """Listen, and start to report. Raises OSError if the address is not available."""
         await self.driver.start()
         host, port = self.driver.listen
         name, group = self.protocol.local_record.name, self.settings.group
         log_events.LISTENING(host=host, port=port, name=name, group=group)
         self._report()
 
-    def prepare(self, settings: ClusterSettings) -> Callable[[], None] | None:
-        """Return None: other nodes know this one by its settings, which take a restart."""
+    def prepare(self, _settings: ClusterSettings) -> Callable[[], None] | None:
+        """Return None: other nodes rely on these settings, so a change needs a restart."""
         return None
 
-    async def drain(self, until: float) -> None:
-        """Leave the cluster, so that others take over this node's shares at once."""
+    async def drain(self, _until: float) -> None:
+        """Leave the cluster, so that other nodes take over this node's shares immediately."""
         if self._timer is not None:
             self._timer.cancel()
         self.driver.run(self.protocol.leave(self.host.pipeline.clock()))
-        await asyncio.sleep(self.settings.gossip_ms / 1000)  # those that were told pass it on
+        # Wait until the notified members have forwarded it.
+        await asyncio.sleep(self.settings.gossip_ms / 1000)
 
     def close(self) -> None:
-        """Let go of timer and sockets."""
+        """Cancel the timer, and close the sockets."""
         if self._timer is not None:
             self._timer.cancel()
         self.driver.close()
 
-    # What the protocol says.
+    # Effects of the protocol.
 
     def apply(self, effects: list[Effect]) -> None:
-        """Take the effects that are no packets."""
+        """Process the effects that do not send a packet."""
         for effect in effects:
             if isinstance(effect, RegisterChanged):
                 self._register_changed(effect)
             else:
                 self.event_log.record(effect)
-        # Reports of use alone wait for the next round.
+        # Register updates alone wait for the next report to be evaluated.
         if not all(isinstance(effect, RegisterChanged) for effect in effects):
             self._views.report()
 
@@ -230,22 +232,22 @@
         """Return the field of a log event that holds its hybrid timestamp."""
         return self.event_log.stamp()
 
-    # What other nodes are told.
+    # Reports to other nodes.
 
-    def request_finished(  # noqa: PLR0913  (a port of core)
+    def request_finished(
         self,
-        request_id: int,
-        intake: IncomingRequest,
-        final: RequestOutcome,
-        took: float,
-        server: int,
-        sends: int,
+        _request_id: int,
+        request: IncomingRequest,
+        _outcome: RequestOutcome,
+        _elapsed_ms: float,
+        _endpoint_id: int,
+        _attempts: int,
     ) -> None:
-        """Count a request of its tenant."""
-        self.member.quota_sharing.count_request(intake.tenant)
+        """Count the request for its tenant."""
+        self.member.quota_sharing.count_request(request.tenant)
 
     def _report(self) -> None:
-        """Report to other nodes, and take what follows from their reports."""
+        """Report to other nodes, and update the policy's view of the cluster."""
         delay_s = self.member.report_interval_ms / 1000
         self._timer = self.host.loop.call_later(delay_s, self._report)
         pipeline = self.host.pipeline
--- a/badgercart/cluster/settings.py
+++ b/badgercart/cluster/settings.py
@@ -1,6 +1,6 @@
 """The settings of the cluster package.
 
-Keys and descriptions are an interface to operators; the docstrings of the tables are part of it.
+Keys, descriptions and the docstrings of the tables are an interface to operators.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 def _network(value: str) -> str:
-    import netaddr  # loaded only where the component is on
+    import netaddr  # only where the component is enabled
 
     try:
         netaddr.IPNetwork(value)
     except (netaddr.AddrFormatError, ValueError) as error:
-        words = f"{value!r} is no network such as 10.1.0.0/16"
-        raise ValueError(words) from error
+        message = f"{value!r} is no network such as 10.1.0.0/16"
+        raise ValueError(message) from error
     return value
 
 
@@ -83,7 +83,9 @@
         60.0,
         ge=0,
         le=86_400,
-        description="the time from its start for which a node counts on as many as `node.nodes` says (s)",
+        description=(
+            "the time from its start for which a node counts on as many as `node.nodes` says (s)"
+        ),
     )
     share_ms: float = Field(
         500.0, ge=50, le=60_000, description="the time between two reports of use (ms)"
@@ -91,7 +93,7 @@
     uses: Names = Field(FEATURES, description="what is done with it: shares, drains, hearsay")
 
     def timing(self) -> SwimTiming:
-        """Return the settings as the protocol has them."""
+        """Return the protocol's timing settings."""
         return SwimTiming(
             probe_period_ms=self.period_ms,
             probe_timeout_ms=self.patience_ms,
@@ -104,11 +106,11 @@
 
 
 def check(settings: ClusterSettings, _file: CheckedFile) -> Iterator[tuple[Path, str]]:
-    """Yield what only several settings together can get wrong."""
+    """Yield the faults that involve more than one setting."""
     if settings.patience_ms >= settings.period_ms:
         yield ("patience_ms",), "is not below period_ms"
     if settings.advertise is None and settings.listen[0] in ("0.0.0.0", "::"):
         yield ("advertise",), "is missing: others can't reach an address that stands for all"
-    for at, use in enumerate(settings.uses):
-        if use not in FEATURES:
-            yield ("uses", at), f"{use!r} is none of {', '.join(FEATURES)}"
+    for index, feature in enumerate(settings.uses):
+        if feature not in FEATURES:
+            yield ("uses", index), f"{feature!r} is none of {', '.join(FEATURES)}"
--- a/badgercart/cluster/suspicion.py
+++ b/badgercart/cluster/suspicion.py
@@ -1,6 +1,6 @@
-"""How long a suspect has to refute: the longer the fewer accuse it. No I/O.
+"""Suspicion timeouts, which are longer the fewer members accuse a suspect. No I/O.
 
-That is Lifeguard's dynamic suspicion timeout, section IV-B of its paper.
+This is Lifeguard's dynamic suspicion timeout, section IV-B of its paper.
 """
 
 from __future__ import annotations
@@ -11,11 +11,12 @@
 from badgercart.cluster.membership_table import MembershipRecord
 from badgercart.cluster.timing import SwimTiming
 
-MAX_CONFIRMATIONS = 3  # accusers beside the first, after which the time is shortest; K in the paper
+# Accusers besides the first one at which the timeout reaches its minimum; K in the paper.
+MAX_CONFIRMATIONS = 3
 
 
 def min_suspicion_ms(members: int, probe_period_ms: float, multiplier: float) -> float:
-    """Return the least time to refute.
+    """Return the minimum suspicion timeout.
 
     It is `multiplier` probe periods for each power of ten of members.
     """
@@ -24,17 +25,27 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """One member that is suspected at one incarnation."""
+    """The suspicion of one member at one incarnation.
+
+    Attributes:
+        incarnation: the incarnation of the suspect.
+        started_ms: when the suspicion started.
+        min_ms: the minimum timeout.
+        max_ms: the timeout without confirmations.
+        expected_confirmations: accusers besides the first one at which the timeout reaches its
+            minimum; fewer than `MAX_CONFIRMATIONS` in a very small cluster.
+        accusers: the names of the accusers.
+    """
 
     incarnation: int
     started_ms: float
     min_ms: float
     max_ms: float
-    expected_confirmations: int = MAX_CONFIRMATIONS  # fewer where the cluster is too small
+    expected_confirmations: int = MAX_CONFIRMATIONS
     accusers: set[str] = field(default_factory=set)
 
     def confirm(self, accuser: str) -> bool:
-        """Count an accuser; return whether it is news that should be passed on."""
+        """Count an accuser; return whether it is new and should be broadcast."""
         if accuser in self.accusers or len(self.accusers) > self.expected_confirmations:
             return False
         self.accusers.add(accuser)
@@ -42,7 +53,7 @@
 
     @property
     def expires_ms(self) -> float:
-        """When the suspect is declared dead, unless it refutes."""
+        """When the suspect is declared dead unless it refutes the suspicion."""
         if self.expected_confirmations < 1:
             return self.started_ms + self.min_ms
         confirmations = max(0, len(self.accusers) - 1)
@@ -52,7 +63,7 @@
 
 
 class SuspicionTracker:
-    """The suspicions that run, by the suspect's name."""
+    """The current suspicions by the name of the suspect."""
 
     __slots__ = ("_suspicions", "_timing")
 
@@ -61,7 +72,7 @@
         self._suspicions: dict[str, Suspicion] = {}
 
     def begin(self, record: MembershipRecord, members: int, now_ms: float) -> Suspicion:
-        """Suspect a member in a cluster of so many, by the record of its first accuser."""
+        """Start a suspicion with the record of the first accuser; `members` is the cluster size."""
         timing = self._timing
         min_ms = min_suspicion_ms(members, timing.probe_period_ms, timing.suspicion_multiplier)
         max_ms = min_ms * timing.max_suspicion_multiplier
@@ -72,7 +83,7 @@
         return suspicion
 
     def confirm(self, record: MembershipRecord) -> Suspicion | None:
-        """Count a further accuser of a suspect; return the suspicion if that is news, else None."""
+        """Count a further accuser; return the suspicion if the accuser is new, else None."""
         suspicion = self._suspicions.get(record.name)
         if suspicion is None or record.incarnation != suspicion.incarnation:
             return None
@@ -83,11 +94,11 @@
         self._suspicions.pop(name, None)
 
     def has_expired(self, name: str, now_ms: float) -> bool:
-        """Return whether a member is suspected and had its time to refute."""
+        """Return whether a member is suspected and its suspicion timeout has passed."""
         suspicion = self._suspicions.get(name)
         return suspicion is not None and now_ms >= suspicion.expires_ms
 
     def postpone(self, gap_ms: float) -> None:
-        """Give all suspects `gap_ms` more, in which this process stood still."""
+        """Extend all suspicions by the time that this process was paused."""
         for suspicion in self._suspicions.values():
             suspicion.started_ms += gap_ms
--- a/badgercart/cluster/swim.py
+++ b/badgercart/cluster/swim.py
@@ -1,8 +1,9 @@
-"""The membership protocol of one node: calls with their time in, effects out. No I/O.
+"""The membership protocol of one node. No I/O: each call takes the time and returns effects.
 
-SWIM (Das, Gupta, Motivala 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey 2018), push-
-pulls for joining and healing, and a check that tells a restart from two processes of one name.
-Times are ms on a clock of the node's own; the driver calls `tick` when `due_ms` says so.
+It is SWIM (Das, Gupta, Motivala 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey 2018),
+push-pulls for joining and for healing partitions, and a check that distinguishes a restart from two
+processes with the same name. Times are in ms on the node's own monotonic clock; the driver calls
+`tick` at `due_ms`.
 """
 
 from __future__ import annotations
@@ -28,18 +29,19 @@
 from badgercart.cluster.timing import Bootstrap, SwimTiming
 from badgercart.config import Address
 
-PAUSE_PERIODS = 2  # probe periods by which a timer is late only if the process stood still
+# A timer that is late by more than this many probe periods shows that the process was paused.
+PAUSE_THRESHOLD_PERIODS = 2
 
 
 class SwimProtocol:
-    """One member of a cluster. It wires the parts together and owns none of their state.
+    """One member of a cluster. It connects the parts of the protocol and owns none of their state.
 
     Args:
-        me: this node's record as it starts.
+        local_record: this node's record at its start.
         timing: intervals and counts.
-        bootstrap: what it is told of the cluster.
-        rng: all of the protocol's chance.
-        wall_offset_ms: Unix time at the time 0 of the node's clock.
+        bootstrap: the configured seeds and cluster size.
+        rng: the source of all random choices.
+        wall_offset_ms: the Unix time (ms) at time 0 of the node's clock.
     """
 
     def __init__(
@@ -90,11 +92,11 @@
         self.membership.merge(local_record, local_record.name)
         self.context.effects.take()
 
-    # What the node knows.
+    # State.
 
     @property
     def local_record(self) -> MembershipRecord:
-        """What this node says of itself."""
+        """This node's own membership record."""
         return self.context.local.record
 
     @property
@@ -104,28 +106,28 @@
 
     @property
     def registers(self) -> GossipRegisters:
-        """The registers carried between nodes."""
+        """The registers that are replicated between nodes."""
         return self.dissemination.registers
 
     @property
     def now_ms(self) -> float:
-        """The time (ms) at which the protocol was last called."""
+        """The time (ms) of the latest call."""
         return self.context.timers.now_ms
 
     @property
     def due_ms(self) -> float:
-        """When the next `tick` is wanted."""
+        """When the next `tick` is due (ms)."""
         return self.context.timers.due_ms
 
     @property
     def yields_name(self) -> bool:
-        """Whether this node stands back for another process of its name."""
+        """Whether this node yields to another process with its name."""
         return self.membership.conflicts.yields
 
     def quorum(self) -> QuorumState:
-        """Return what the node can count on now."""
+        """Return the node's current quorum."""
         context, timing = self.context, self.context.timing
-        # The configured size counts only until the node has seen who is there.
+        # The configured size only counts until the node has had time to see all members.
         starting = self.now_ms - self._started_ms < timing.expected_size_ms
         rule = QuorumRule(timing.dead_retention_ms, self._expected_size if starting else 1)
         state = assess_quorum(context.table, context.local.name, self.now_ms, rule)
@@ -134,13 +136,13 @@
         return state
 
     def timestamp(self) -> HybridTimestamp:
-        """Return a hybrid timestamp for an event of this node's own."""
+        """Return a hybrid timestamp for a local event."""
         return self.hybrid_clock.tick()
 
-    # What the driver calls.
+    # Calls of the driver.
 
     def start(self, now_ms: float) -> list[Effect]:
-        """Begin to probe and gossip, and join by a seed."""
+        """Start to probe and gossip, and join through a seed."""
         self.context.timers.now_ms = self._started_ms = now_ms
         self.prober.start()
         self.dissemination.start()
@@ -148,13 +150,13 @@
         return self.context.effects.take()
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Do what is due. A tick that comes far too late means that this process stood still."""
+        """Run the timers that are due. A very late tick shows that this process was paused."""
         self._advance(now_ms)
         self.context.timers.run_due()
         return self.context.effects.take()
 
     def receive(self, now_ms: float, packet: Packet, source: Address) -> list[Effect]:
-        """Take a packet, unless it was received before."""
+        """Process a packet, unless it was received before."""
         self._advance(now_ms)
         self.hybrid_clock.observe(packet.timestamp)
         if not self.receiver.is_new(packet):
@@ -165,24 +167,24 @@
     def answer_sync(
         self, now_ms: float, packet: Packet, source: Address
     ) -> tuple[Packet, list[Effect]]:
-        """Take one side of a push-pull; return the other, and what follows."""
+        """Process a push-pull request; return the reply and the effects."""
         effects = self.receive(now_ms, packet, source)
         return self.anti_entropy.full_state(), effects
 
     def leave(self, now_ms: float) -> list[Effect]:
-        """Leave the cluster, and tell a few members."""
+        """Leave the cluster, and notify a few members."""
         self.context.timers.advance(now_ms)
         self.membership.leave()
         return self.context.effects.take()
 
     def publish(self, now_ms: float, update: RegisterUpdate) -> list[Effect]:
-        """Have every node told of an update of this node's own registers."""
+        """Broadcast an update of one of this node's own registers."""
         self.context.timers.advance(now_ms)
         self.dissemination.publish(update)
         return self.context.effects.take()
 
     def send_update(self, now_ms: float, recipient: str, update: RegisterUpdate) -> list[Effect]:
-        """Send one member an update at once; it may be lost."""
+        """Send an update to one member immediately; it may be lost."""
         self.context.timers.advance(now_ms)
         state = self.table.members.get(recipient)
         if state is not None:
@@ -190,16 +192,16 @@
         return self.context.effects.take()
 
     def _advance(self, now_ms: float) -> None:
-        """Set the clock, and notice a gap in which this process stood still."""
+        """Set the clock, and detect a pause of this process."""
         gap_ms = now_ms - self.due_ms
-        if gap_ms > PAUSE_PERIODS * self.context.timing.probe_period_ms:
+        if gap_ms > PAUSE_THRESHOLD_PERIODS * self.context.timing.probe_period_ms:
             self._process_paused(now_ms, gap_ms)
         self.context.timers.advance(now_ms)
 
     def _process_paused(self, now_ms: float, gap_ms: float) -> None:
-        """Have every wait begin again where it stopped.
+        """Extend all timers and suspicions by the time that this process was paused.
 
-        That nobody was heard meanwhile proves nothing against them.
+        Silence of other members during the pause is no evidence that they failed.
         """
         context = self.context
         context.timers.postpone(gap_ms)
--- a/badgercart/cluster/sync_streams.py
+++ b/badgercart/cluster/sync_streams.py
@@ -1,4 +1,4 @@
-"""Push-pulls over TCP: a packet each way on a connection of its own, behind its length."""
+"""Push-pulls over TCP: one length-prefixed packet in each direction on a new connection."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 from badgercart.cluster.packet_gate import PacketGate
 from badgercart.config import Address
 
-FRAME_LENGTH = struct.Struct("!I")  # bytes that follow
-MAX_CONCURRENT_SYNCS = 8  # on either side
+# The prefix of a packet: its size in bytes.
+FRAME_LENGTH = struct.Struct("!I")
+# Push-pulls at once, for the client and for the server each.
+MAX_CONCURRENT_SYNCS = 8
 SYNC_TIMEOUT_S = 2.0
 
 Reply = Callable[[Packet], None]
 
 
 class _PacketStream:
-    """Packets on one connection."""
+    """Length-prefixed packets on one connection."""
 
     __slots__ = ("_gate", "_reader", "_writer")
 
@@ -35,19 +37,20 @@
         self._writer.write(FRAME_LENGTH.pack(len(data)) + data)
 
     async def read(self, source: Address) -> Packet | None:
-        """Return a packet, or None if it isn't taken."""
+        """Return the next packet, or None if it is rejected."""
         return self._gate.decode(await self._read_frame(), source, MAX_SYNC_BYTES)
 
     async def _read_frame(self) -> bytes:
         (length,) = FRAME_LENGTH.unpack(await self._reader.readexactly(FRAME_LENGTH.size))
         if length > MAX_SYNC_BYTES:
-            return bytes(MAX_SYNC_BYTES + 1)  # rejected as oversized, with nothing of it read
+            # The gate rejects this as oversized; nothing of the packet is read.
+            return bytes(MAX_SYNC_BYTES + 1)
         self._gate.bytes_in += length
         return await self._reader.readexactly(length)
 
 
 class SyncClient:
-    """Begins push-pulls, and hands what comes back with its source to `receive`."""
+    """Starts push-pulls, and passes each reply and its source to `receive`."""
 
     def __init__(
         self,
@@ -59,7 +62,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, packet: Packet, address: Address, local_host: str) -> None:
-        """Send a packet to a node, unless too many push-pulls are under way."""
+        """Send a packet to a node, unless too many push-pulls are in flight."""
         if len(self._tasks) >= MAX_CONCURRENT_SYNCS:
             return
         task = self._loop.create_task(self._exchange(packet, address, local_host))
@@ -73,11 +76,11 @@
 
     async def _exchange(self, packet: Packet, address: Address, local_host: str) -> None:
         with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
-            answer = await self._ask(packet, address, local_host)
-            if answer is not None:
-                self._receive(answer, address)
+            reply = await self._request(packet, address, local_host)
+            if reply is not None:
+                self._receive(reply, address)
 
-    async def _ask(self, packet: Packet, address: Address, local_host: str) -> Packet | None:
+    async def _request(self, packet: Packet, address: Address, local_host: str) -> Packet | None:
         async with asyncio.timeout(SYNC_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(
                 *address, limit=MAX_SYNC_BYTES, local_addr=(local_host, 0)
@@ -91,26 +94,26 @@
 
 
 class SyncServer:
-    """Serves other nodes' connections, one exchange each.
+    """Serves the connections of other nodes, one push-pull each.
 
     Args:
-        gate: decodes packets.
-        respond: called with a packet, its source, and the function that sends the answer.
+        gate: encodes and decodes the packets.
+        respond: called with a packet, its source, and the function that sends the reply.
     """
 
     def __init__(self, gate: PacketGate, respond: Callable[[Packet, Address, Reply], None]) -> None:
         self._gate, self._respond = gate, respond
         self._server: asyncio.Server | None = None
-        self.connections = 0  # that are served now
+        self.connections = 0  # open connections
 
     async def start(self, address: Address) -> Address:
-        """Listen; return the address, whose port is chosen if it was 0. Raises OSError."""
+        """Listen; return the address with the chosen port if it was 0. Raises OSError."""
         self._server = await asyncio.start_server(self._serve, *address, limit=MAX_SYNC_BYTES)
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections."""
         if self._server is not None:
             self._server.close()
 
@@ -121,16 +124,16 @@
             return
         self.connections += 1
         try:
-            # The task is cancelled as the process ends, which asyncio would log as an error.
+            # The task is cancelled at the end of the process; asyncio would log that as an error.
             with contextlib.suppress(
                 OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.CancelledError
             ):
-                await self._answer(_PacketStream(self._gate, reader, writer), writer, source)
+                await self._respond_once(_PacketStream(self._gate, reader, writer), writer, source)
         finally:
             self.connections -= 1
             writer.close()
 
-    async def _answer(
+    async def _respond_once(
         self, stream: _PacketStream, writer: asyncio.StreamWriter, source: Address
     ) -> None:
         async with asyncio.timeout(SYNC_TIMEOUT_S):
--- a/badgercart/cluster/timers.py
+++ b/badgercart/cluster/timers.py
@@ -8,9 +8,10 @@
 
 
 class TimerQueue:
-    """Callbacks by their time; those of one time run in the order in which they were set.
+    """Callbacks by due time; callbacks due at the same time run in the order they were added.
 
-    `now_ms` is the node's own monotonic clock as the caller last told it.
+    Attributes:
+        now_ms: the node's monotonic clock, as advanced by the caller.
     """
 
     __slots__ = ("_count", "_timers", "now_ms")
@@ -22,7 +23,7 @@
 
     @property
     def due_ms(self) -> float:
-        """When the next callback is due; infinity if none is set."""
+        """When the next callback is due (ms); infinity if there is none."""
         return self._timers[0][0] if self._timers else math.inf
 
     def advance(self, now_ms: float) -> None:
@@ -30,16 +31,18 @@
         self.now_ms = max(self.now_ms, now_ms)
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Have `callback` run once `delay_ms` have passed."""
+        """Schedule a callback after a delay."""
         self._count += 1
         heapq.heappush(self._timers, (self.now_ms + delay_ms, self._count, callback))
 
     def run_due(self) -> None:
-        """Run all callbacks that are due, those among them that are set meanwhile too."""
+        """Run all callbacks that are due, including those that are added meanwhile."""
         while self._timers and self._timers[0][0] <= self.now_ms:
             heapq.heappop(self._timers)[2]()
 
     def postpone(self, gap_ms: float) -> None:
-        """Have every timer ring `gap_ms` later."""
-        self._timers = [(at + gap_ms, count, callback) for at, count, callback in self._timers]
+        """Postpone all callbacks by `gap_ms`."""
+        self._timers = [
+            (due_ms + gap_ms, count, callback) for due_ms, count, callback in self._timers
+        ]
         heapq.heapify(self._timers)
--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -15,7 +15,7 @@
 from badgercart.app.asking import fetch_page
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, ExitStatus
-from badgercart.cluster.commands import exchange, loaded
+from badgercart.cluster.commands import exchange_packet, load_with_component
 from badgercart.zones.traffic_plan import SHARES_PER_ROW
 
 if TYPE_CHECKING:
@@ -162,15 +162,17 @@
     Raises:
         CommandError: the node can't be asked or did not take it, or the zone is not known.
     """
-    site = loaded(file, "zones")
-    if zone not in site.config.zones:
-        raise WrongZoneError(zone, tuple(site.config.zones))
-    if not send_override(site, action, zone, for_s, author or getpass.getuser()):
+    installation = load_with_component(file, "zones")
+    if zone not in installation.config.zones:
+        raise WrongZoneError(zone, tuple(installation.config.zones))
+    if not send_override(installation, action, zone, for_s, author or getpass.getuser()):
         raise OverrideNotTakenError(file)
     click.echo(f"{action} {zone}" + (f" for {for_s:g} s" if action != "release" else ""))
 
 
-def send_override(site: Installation, action: str, zone: str, for_s: float, author: str) -> bool:
+def send_override(
+    installation: Installation, action: str, zone: str, for_s: float, author: str
+) -> bool:
     """Send an override to the node of a file, and return whether it has it now.
 
     It travels as a register update by one that has the cluster's secret; the node passes it on.
@@ -184,8 +186,8 @@
         encode_overrides,
     )
 
-    config = site.config
-    topology = site.component_settings["zones"].topology(
+    config = installation.config
+    topology = installation.component_settings["zones"].topology(
         config.zones, config.classes, config.tenants
     )
     now_ms = int(time.time() * 1000)
@@ -195,10 +197,10 @@
     )
     payload = encode_overrides(topology.digest, [wanted])
     writer = f"operator {zone}"[:MAX_AUTHOR_LENGTH]
-    post = RegisterUpdate(OVERRIDES_TOPIC, writer, now_ms, payload)
+    update = RegisterUpdate(OVERRIDES_TOPIC, writer, now_ms, payload)
     timestamp = HybridTimestamp(now_ms, 0)
-    packet = Packet("operator", now_ms, 0, 1, timestamp, Sync(), (), (post,))
-    return post in exchange(site, packet).updates
+    packet = Packet("operator", now_ms, 0, 1, timestamp, Sync(), (), (update,))
+    return update in exchange_packet(installation, packet).updates
 
 
 def _add_override_command(action: str, help_text: str) -> None:
--- a/tests/cluster/__init__.py
+++ b/tests/cluster/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the cluster package."""
--- a/tests/cluster/test_driver.py
+++ b/tests/cluster/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver's sockets: what ends with the process says nothing."""
+"""Sockets of the driver at the end of the process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from badgercart.cluster.timing import Bootstrap, SwimTiming
 
 
-def test_a_connection_open_as_the_process_ends_logs_no_error() -> None:
+def test_an_open_connection_at_process_end_logs_no_error() -> None:
+    """The event loop must not log the cancelled task of an open connection as an error."""
     errors: list[dict[str, Any]] = []
 
     async def run() -> None:
@@ -44,7 +45,7 @@
         while not driver.server.connections:
             await asyncio.sleep(0)
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
-            task.cancel()  # as asyncio.run does in the end
+            task.cancel()  # as asyncio.run does at its end
         while driver.server.connections:
             await asyncio.sleep(0)
         await asyncio.sleep(0)
--- a/tests/cluster/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -1,7 +1,7 @@
-"""The bytes that nodes exchange, read and written as in files of an earlier state.
+"""Compatibility of the wire format and the admin page with golden files of an earlier version.
 
-Where the form of a message changes on purpose its version changes too, and a new file is added
-beside these.
+If the format of a message changes on purpose, its version must change too, and a new golden file is
+added to these.
 """
 
 from __future__ import annotations
@@ -40,16 +40,18 @@
 from badgercart.cluster.swim import SwimProtocol
 from badgercart.cluster.timing import Bootstrap, SwimTiming
 from badgercart.config import Address
-from badgercart.core.endpoint_table import DiscoveredEndpoint as Line
+from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.policy.endpoint import Endpoint, EndpointState
 
 GOLDEN = Path(__file__).parent / "golden"
 CODEC = PacketCodec("budapest", b"a secret of sixteen or more")
-BOOT = 1_790_000_000_000 << 10 | 7
+GENERATION = 1_790_000_000_000 << 10 | 7
 RECORDS = (
-    MembershipRecord("n1", 3, MemberStatus.ALIVE, ("127.0.0.1", 7946), BOOT, "a", "east", ""),
-    MembershipRecord("n2", 0, MemberStatus.SUSPECT, ("127.0.0.2", 7947), BOOT + 1, "b", "", "n1"),
-    MembershipRecord("n3", 9, MemberStatus.DEAD, ("127.0.0.3", 7948), BOOT + 2, "", "", "n2"),
+    MembershipRecord("n1", 3, MemberStatus.ALIVE, ("127.0.0.1", 7946), GENERATION, "a", "east", ""),
+    MembershipRecord(
+        "n2", 0, MemberStatus.SUSPECT, ("127.0.0.2", 7947), GENERATION + 1, "b", "", "n1"
+    ),
+    MembershipRecord("n3", 9, MemberStatus.DEAD, ("127.0.0.3", 7948), GENERATION + 2, "", "", "n2"),
     MembershipRecord("zürich-4", 1, MemberStatus.LEFT, ("::1", 65535), 0, "c", "west", "zürich-4"),
 )
 UPDATES = (
@@ -62,92 +64,100 @@
     "ack": Ack(3),
     "nack": Nack(4),
     "gossip": Gossip(),
-    "behind": StaleSender(5, BOOT + 9),
+    "behind": StaleSender(5, GENERATION + 9),
     "sync": Sync(),
     "leave": Leave(),
 }
-BODY_BYTES = {  # as MessagePack, by hand
+# The decoded MessagePack arrays of the bodies.
+BODY_ARRAYS = {
     "ping": ["p", 1],
     "ping-request": ["r", 2, "n2", "127.0.0.2", 7947, 400.0],
     "ack": ["a", 3],
     "nack": ["n", 4],
     "gossip": ["g"],
-    "behind": ["b", 5, BOOT + 9],
+    "behind": ["b", 5, GENERATION + 9],
     "sync": ["s"],
     "leave": ["l"],
 }
-CARRIED = [
-    ["n1", 3, 0, "127.0.0.1", 7946, BOOT, "a", "east", ""],
-    ["n2", 0, 1, "127.0.0.2", 7947, BOOT + 1, "b", "", "n1"],
-    ["n3", 9, 2, "127.0.0.3", 7948, BOOT + 2, "", "", "n2"],
+RECORD_ARRAYS = [
+    ["n1", 3, 0, "127.0.0.1", 7946, GENERATION, "a", "east", ""],
+    ["n2", 0, 1, "127.0.0.2", 7947, GENERATION + 1, "b", "", "n1"],
+    ["n3", 9, 2, "127.0.0.3", 7948, GENERATION + 2, "", "", "n2"],
     ["zürich-4", 1, 3, "::1", 65535, 0, "c", "west", "zürich-4"],
 ]
 
 
 @pytest.mark.parametrize("kind", BODIES)
-def test_a_packet_of_each_kind_is_written_and_read_as_before(kind: str) -> None:
-    whole = kind in ("gossip", "sync")
+def test_each_kind_of_packet_matches_its_golden_file(kind: str) -> None:
+    """A node of the previous version must understand the packets, and this one its packets."""
+    has_piggyback = kind in ("gossip", "sync")
     packet = Packet(
-        "n1", BOOT, 3, 77, HybridTimestamp(1_790_000_000_123, 4), BODIES[kind],
-        RECORDS if whole else (), UPDATES if whole else (),
+        "n1", GENERATION, 3, 77, HybridTimestamp(1_790_000_000_123, 4), BODIES[kind],
+        RECORDS if has_piggyback else (), UPDATES if has_piggyback else (),
     )  # fmt: skip
-    kept = (GOLDEN / f"packet-{kind}.bin").read_bytes()
-    assert CODEC.encode(packet) == kept
-    assert CODEC.decode(kept) == packet
-    assert kept[:3] == b"bc\x01"
-    assert msgspec.msgpack.decode(kept[19:]) == [
-        "n1", BOOT, 3, 77, [1_790_000_000_123, 4], BODY_BYTES[kind],
-        CARRIED if whole else [], [list(update) for update in UPDATES] if whole else [],
+    golden = (GOLDEN / f"packet-{kind}.bin").read_bytes()
+    assert CODEC.encode(packet) == golden
+    assert CODEC.decode(golden) == packet
+    assert golden[:3] == b"bc\x01"
+    assert msgspec.msgpack.decode(golden[19:]) == [
+        "n1", GENERATION, 3, 77, [1_790_000_000_123, 4], BODY_ARRAYS[kind],
+        RECORD_ARRAYS if has_piggyback else [],
+        [list(update) for update in UPDATES] if has_piggyback else [],
     ]  # fmt: skip
 
 
-def test_a_usage_report_is_written_and_read_as_before() -> None:
-    shares = QuotaSharing([10.0, 20.0], BOOT)
+def test_a_usage_report_matches_its_golden_file() -> None:
+    """Usage reports must be compatible with the previous version."""
+    sharing = QuotaSharing([10.0, 20.0], GENERATION)
     for tenant in (0, 0, 1):
-        shares.count_request(tenant)
-    kept = (GOLDEN / "update-use.bin").read_bytes()
-    assert shares.report(1234.5) == kept
-    assert msgspec.msgpack.decode(kept) == [BOOT, 1234.5, [2, 1]]
-    other = QuotaSharing([10.0, 20.0], BOOT + 1)
-    other.receive("n1", kept, 0.0)
-    other.receive("n1", msgspec.msgpack.encode([BOOT, 2234.5, [7, 1]]), 1000.0)
-    assert other.rejected == 0 and [len(heard.samples) for heard in other.peer_usage.values()] == [
+        sharing.count_request(tenant)
+    golden = (GOLDEN / "update-use.bin").read_bytes()
+    assert sharing.report(1234.5) == golden
+    assert msgspec.msgpack.decode(golden) == [GENERATION, 1234.5, [2, 1]]
+    other = QuotaSharing([10.0, 20.0], GENERATION + 1)
+    other.receive("n1", golden, 0.0)
+    other.receive("n1", msgspec.msgpack.encode([GENERATION, 2234.5, [7, 1]]), 1000.0)
+    assert other.rejected == 0 and [len(usage.samples) for usage in other.peer_usage.values()] == [
         2
     ]
     assert other.peer_usage["n1"].rate(0) == 0.005
 
 
-def line(number: int, state: EndpointState) -> Line:
-    return Line(Endpoint(number, 0, 0, 0, state, 1.0, 0.0), ("127.0.0.1", 80), f"s{number}")
+def endpoint(number: int, state: EndpointState) -> DiscoveredEndpoint:
+    """Return an endpoint list entry."""
+    return DiscoveredEndpoint(
+        Endpoint(number, 0, 0, 0, state, 1.0, 0.0), ("127.0.0.1", 80), f"s{number}"
+    )
 
 
-def test_a_drain_update_is_written_and_read_as_before() -> None:
+def test_a_drain_update_matches_its_golden_file() -> None:
+    """Announced drains must be compatible with the previous version."""
     gossip = DrainGossip()
-    gossip.record_local(line(3, EndpointState.DRAINING), 41, 0.0)
-    gossip.record_local(line(70_000, EndpointState.GONE), 42, 0.0)
-    kept = (GOLDEN / "update-drains.bin").read_bytes()
-    assert gossip.announcements(0.0) == [kept]
-    assert msgspec.msgpack.decode(kept) == [[70_000, 42], [3, 41]]
+    gossip.record_local(endpoint(3, EndpointState.DRAINING), 41, 0.0)
+    gossip.record_local(endpoint(70_000, EndpointState.GONE), 42, 0.0)
+    golden = (GOLDEN / "update-drains.bin").read_bytes()
+    assert gossip.announcements(0.0) == [golden]
+    assert msgspec.msgpack.decode(golden) == [[70_000, 42], [3, 41]]
     other = DrainGossip()
-    listed = {number: line(number, EndpointState.READY) for number in range(1, 10)}
-    assert [found.name for found in other.receive(kept, 40, listed)] == ["s3"]
+    listed = {number: endpoint(number, EndpointState.READY) for number in range(1, 10)}
+    assert [found.name for found in other.receive(golden, 40, listed)] == ["s3"]
 
 
-def test_a_failure_report_is_written_and_read_as_before() -> None:
+def test_a_failure_report_matches_its_golden_file() -> None:
+    """Failure reports must be compatible with the previous version."""
     reports = FailureReports(1000.0)
-    kept = (GOLDEN / "update-failing.bin").read_bytes()
-    assert reports.report({5: 0.25, 3: 0.987}) == kept
-    assert msgspec.msgpack.decode(kept) == [[3, 0.99], [5, 0.25]]
+    golden = (GOLDEN / "update-failing.bin").read_bytes()
+    assert reports.report({5: 0.25, 3: 0.987}) == golden
+    assert msgspec.msgpack.decode(golden) == [[3, 0.99], [5, 0.25]]
     for author in ("n1", "n2"):
-        reports.receive(author, kept, 0.0)
+        reports.receive(author, golden, 0.0)
     assert reports.levels(["n1", "n2"], 0.0) == ((3, 0.99), (5, 0.25))
 
 
-def test_a_node_sends_the_packets_that_it_sent_before() -> None:
-    """Fifty seconds of a node that hears one other: bytes, addresses and times of all that it
-    sends."""
+def test_a_node_sends_the_same_packets_at_the_same_times() -> None:
+    """Fifty seconds of a node with one peer: bytes, addresses and times of all packets sent."""
     protocol = SwimProtocol(
-        MembershipRecord("n0", 0, MemberStatus.ALIVE, ("127.0.0.1", 7946), BOOT, "a", "east"),
+        MembershipRecord("n0", 0, MemberStatus.ALIVE, ("127.0.0.1", 7946), GENERATION, "a", "east"),
         SwimTiming(),
         Bootstrap((("127.0.0.1", 7946), ("127.0.0.9", 7946)), 3),
         random.Random("golden"),
@@ -157,94 +167,101 @@
     protocol.registers.declare("urgent", urgent=True)
     sent: list[str] = []
 
-    def keep(now: float, effects: list[Effect]) -> None:
+    def record_effects(now_ms: float, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendDatagram | StartSync):
-                way = "datagram" if isinstance(effect, SendDatagram) else "stream"
+                transport = "datagram" if isinstance(effect, SendDatagram) else "stream"
                 host, port = effect.address
-                sent.append(f"{now:.3f} {way} {host}:{port} {CODEC.encode(effect.packet).hex()}")
+                sent.append(
+                    f"{now_ms:.3f} {transport} {host}:{port} "
+                    f"{CODEC.encode(effect.packet).hex()}"
+                )
             else:
-                sent.append(f"{now:.3f} no packet")
+                sent.append(f"{now_ms:.3f} no packet")
 
-    def until(end: float) -> None:
-        while protocol.due_ms <= end:
-            now = protocol.due_ms
-            keep(now, protocol.tick(now))
+    def tick_until(end_ms: float) -> None:
+        while protocol.due_ms <= end_ms:
+            now_ms = protocol.due_ms
+            record_effects(now_ms, protocol.tick(now_ms))
 
     other: Address = ("127.0.0.2", 7946)
     clock = HybridLogicalClock(lambda: 1_790_000_000_500.0)
 
-    def hear(
-        now: float,
+    def receive(
+        now_ms: float,
         serial: int,
         body: Body,
         records: tuple[MembershipRecord, ...] = (),
         *updates: RegisterUpdate,
     ) -> None:
-        packet = Packet("n1", BOOT + 1, 0, serial, clock.tick(), body, records, updates)
-        keep(now, protocol.receive(now, packet, other))
-
-    n1 = MembershipRecord("n1", 0, MemberStatus.ALIVE, other, BOOT + 1, "b")
-    n2 = MembershipRecord("n2", 0, MemberStatus.ALIVE, ("127.0.0.3", 7946), BOOT + 2, "c")
-    keep(0.0, protocol.start(0.0))
-    until(300.0)
-    hear(310.0, 1, Sync(), (n1, n2))
-    until(700.0)
-    hear(710.0, 2, Ping(9), (), RegisterUpdate("use", "n1", 1, b"x"))
-    hear(720.0, 3, PingRequest(10, "n2", "127.0.0.3", 7946, 400.0))
-    hear(730.0, 4, Gossip(), (), RegisterUpdate("urgent", "n1", 1, b"y"))
-    hear(
+        packet = Packet("n1", GENERATION + 1, 0, serial, clock.tick(), body, records, updates)
+        record_effects(now_ms, protocol.receive(now_ms, packet, other))
+
+    n1 = MembershipRecord("n1", 0, MemberStatus.ALIVE, other, GENERATION + 1, "b")
+    n2 = MembershipRecord("n2", 0, MemberStatus.ALIVE, ("127.0.0.3", 7946), GENERATION + 2, "c")
+    record_effects(0.0, protocol.start(0.0))
+    tick_until(300.0)
+    receive(310.0, 1, Sync(), (n1, n2))
+    tick_until(700.0)
+    receive(710.0, 2, Ping(9), (), RegisterUpdate("use", "n1", 1, b"x"))
+    receive(720.0, 3, PingRequest(10, "n2", "127.0.0.3", 7946, 400.0))
+    receive(730.0, 4, Gossip(), (), RegisterUpdate("urgent", "n1", 1, b"y"))
+    receive(
         740.0,
         5,
         Gossip(),
         (
             MembershipRecord(
-                "n0", 0, MemberStatus.SUSPECT, ("127.0.0.1", 7946), BOOT, "a", "east", "n1"
+                "n0", 0, MemberStatus.SUSPECT, ("127.0.0.1", 7946), GENERATION, "a", "east", "n1"
             ),
         ),
     )
-    until(1500.0)
-    hear(1510.0, 6, StaleSender(7, BOOT))
-    hear(
+    tick_until(1500.0)
+    receive(1510.0, 6, StaleSender(7, GENERATION))
+    receive(
         1520.0,
         7,
         Gossip(),
-        (MembershipRecord("n0", 20, MemberStatus.ALIVE, ("127.0.0.5", 7946), BOOT + 50),),
+        (MembershipRecord("n0", 20, MemberStatus.ALIVE, ("127.0.0.5", 7946), GENERATION + 50),),
     )
-    hear(
+    receive(
         1530.0,
         8,
         Gossip(),
-        (MembershipRecord("n0", 21, MemberStatus.ALIVE, ("127.0.0.5", 7946), BOOT + 50),),
+        (MembershipRecord("n0", 21, MemberStatus.ALIVE, ("127.0.0.5", 7946), GENERATION + 50),),
     )
-    keep(1600.0, protocol.publish(1600.0, RegisterUpdate("use", "n0", 5, b"ours")))
-    keep(1610.0, protocol.send_update(1610.0, "n1", RegisterUpdate("use", "n0", 6, b"yours")))
-    until(20_000.0)
-    keep(40_000.0, protocol.tick(40_000.0))  # it stood still
-    until(50_000.0)
-    hear(
+    record_effects(1600.0, protocol.publish(1600.0, RegisterUpdate("use", "n0", 5, b"ours")))
+    record_effects(
+        1610.0, protocol.send_update(1610.0, "n1", RegisterUpdate("use", "n0", 6, b"yours"))
+    )
+    tick_until(20_000.0)
+    record_effects(40_000.0, protocol.tick(40_000.0))  # after a pause of the process
+    tick_until(50_000.0)
+    receive(
         50_005.0,
         9,
         Gossip(),
-        (MembershipRecord("n1", 30, MemberStatus.ALIVE, other, BOOT + 1, "b"),),
+        (MembershipRecord("n1", 30, MemberStatus.ALIVE, other, GENERATION + 1, "b"),),
     )
-    keep(50_010.0, protocol.leave(50_010.0))
+    record_effects(50_010.0, protocol.leave(50_010.0))
     assert sent == (GOLDEN / "node.txt").read_text().splitlines()
 
 
-def test_the_page_of_a_node_that_is_not_started_yet_is_as_before() -> None:
+def test_the_admin_page_matches_its_golden_file() -> None:
+    """Operators' tools read the page's keys; the node has not started yet."""
+
     async def page() -> bytes:
         path = Path(__file__).parent.parent.parent / "deploy" / "peers.toml"
-        site = Application(load_installation(str(path), {}), asyncio.get_running_loop())
-        protocol = site.components["peers"].protocol  # type: ignore[attr-defined]
+        application = Application(load_installation(str(path), {}), asyncio.get_running_loop())
+        protocol = application.components["peers"].protocol  # type: ignore[attr-defined]
         for record in (replace(RECORDS[2], status=MemberStatus.ALIVE, incarnation=8), *RECORDS[:3]):
             protocol.membership.merge(record, "n1")
         protocol.membership.merge(
-            MembershipRecord("n1", 4, MemberStatus.LEFT, ("127.0.0.1", 7946), BOOT), "n1"
+            MembershipRecord("n1", 4, MemberStatus.LEFT, ("127.0.0.1", 7946), GENERATION), "n1"
         )
-        site.components["peers"].apply(protocol.context.effects.take())  # type: ignore[attr-defined]
-        body = site.host.pages[b"/_peers"].body()
-        site.close()
+        application.components["peers"].apply(protocol.context.effects.take())  # type: ignore[attr-defined]
+        body = application.host.pages[b"/_peers"].body()
+        application.close()
         return body
 
     page_fields = json.loads(asyncio.run(page()))
--- a/tests/cluster/test_member.py
+++ b/tests/cluster/test_member.py
@@ -1,4 +1,4 @@
-"""One member: what it reports, and what the policy is told."""
+"""One member: its reports, and the view of the cluster for the policy."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reach", "size", "may_live", "level"),
+    ("reachable", "size", "possibly_alive", "level"),
     [
         (3, 3, 3, QuorumLevel.ALL),
         (2, 2, 3, QuorumLevel.MAJORITY),
@@ -32,21 +32,23 @@
         (1, 3, 3, QuorumLevel.ISOLATED),
     ],
 )
-def test_without_a_majority_a_node_counts_itself_as_one_of_all_possibly_alive(
-    reach: int, size: int, may_live: int, level: QuorumLevel
+def test_without_a_majority_the_cluster_size_is_all_possibly_alive(
+    reachable: int, size: int, possibly_alive: int, level: QuorumLevel
 ) -> None:
-    names = tuple(f"n{number}" for number in range(reach))
-    there = QuorumState(quorum_level(reach, may_live), names, may_live)
-    event = cluster_view("n0", there, (0.5,), ())
-    assert (there.level, event.size, event.possibly_alive, event.node_index) == (
+    """A node in a minority must not use a larger part of shared limits than before."""
+    names = tuple(f"n{number}" for number in range(reachable))
+    quorum = QuorumState(quorum_level(reachable, possibly_alive), names, possibly_alive)
+    view = cluster_view("n0", quorum, (0.5,), ())
+    assert (quorum.level, view.size, view.possibly_alive, view.node_index) == (
         level,
         size,
-        may_live,
+        possibly_alive,
         0,
     )
 
 
 def test_random_update_values_never_raise() -> None:
+    """Malformed register values of other nodes are ignored instead of raising."""
     rng = random.Random(1)
     listed = {
         number: DiscoveredEndpoint(
@@ -63,7 +65,8 @@
     assert len(sharing.peer_usage) <= 1 and len(gossip.gossiped) <= 3
 
 
-def test_in_a_large_cluster_reports_are_rarer_and_not_stale_for_that() -> None:
+def test_in_a_large_cluster_reports_are_less_frequent_but_not_stale() -> None:
+    """The report interval grows with the cluster, and the staleness limit grows with it."""
     protocol = SwimProtocol(
         MembershipRecord("n0", 0, MemberStatus.ALIVE, HOST, 1),
         SwimTiming(),
@@ -71,21 +74,24 @@
         random.Random(1),
     )
     cluster_member = ClusterMember(protocol, [100.0], 500.0, ("shares",))
-    least = cluster_member.report_interval_ms
+    min_interval_ms = cluster_member.report_interval_ms
     for number in range(1, 100):
         protocol.membership.merge(
             MembershipRecord(f"n{number}", 0, MemberStatus.ALIVE, ("127.0.0.1", 80 + number), 1),
             f"n{number}",
         )
-    # So many are passed on by each node that a link bears no more than in a group of eight.
-    assert least == 500.0 and cluster_member.report_interval_ms == pytest.approx(
+    # The interval keeps the traffic of a link at that of a cluster of eight nodes.
+    assert min_interval_ms == 500.0 and cluster_member.report_interval_ms == pytest.approx(
         500.0 * 100 * 12 / 64
     )
-    for at in (0.0, cluster_member.report_interval_ms):
-        post = RegisterChanged(
-            "use", "n1", int(at) + 1, msgspec.msgpack.encode(UsageReport(1, at, [int(at)]))
+    for sent_ms in (0.0, cluster_member.report_interval_ms):
+        change = RegisterChanged(
+            "use",
+            "n1",
+            int(sent_ms) + 1,
+            msgspec.msgpack.encode(UsageReport(1, sent_ms, [int(sent_ms)])),
         )
-        cluster_member.receive(at, post)
+        cluster_member.receive(sent_ms, change)
     usage = cluster_member.quota_sharing.node_usage(
         "n1", "n0", 2.5 * cluster_member.report_interval_ms, 4 * cluster_member.report_interval_ms
     )
--- a/tests/cluster/test_protocol_parts.py
+++ b/tests/cluster/test_protocol_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the protocol by themselves: timers, suspicions, conflicts, probes, replays."""
+"""Unit tests of timers, suspicions, name conflicts, probes, replays and the rate limit."""
 
 from __future__ import annotations
 
@@ -24,14 +24,17 @@
 TIMING = SwimTiming(probe_period_ms=1000.0, probe_timeout_ms=500.0)
 
 
-def record(number: int, status: MemberStatus = MemberStatus.ALIVE, **more: int) -> MembershipRecord:
-    incarnation, generation = more.get("incarnation", 0), more.get("generation", 1)
+def record(
+    number: int, status: MemberStatus = MemberStatus.ALIVE, **numbers: int
+) -> MembershipRecord:
+    """Return a membership record of the node with this number."""
+    incarnation, generation = numbers.get("incarnation", 0), numbers.get("generation", 1)
     address = ("127.0.0.1", 100 + number)
     return MembershipRecord(f"n{number}", incarnation, status, address, generation)
 
 
 def context_of(members: int) -> ProtocolContext:
-    """Return the context of the node n0, which knows n1, n2, ..."""
+    """Return the context of the node n0 in a cluster of n0, n1, n2, and so on."""
     local, table, rng = LocalNode(record(0)), MembershipTable(), random.Random(1)
     for number in range(members):
         table.merge(record(number), 0.0, "n0")
@@ -41,43 +44,49 @@
 
 
 def sender_of(context: ProtocolContext) -> PacketSender:
+    """Return a packet sender with a wall clock that stands still."""
     return PacketSender(context, HybridLogicalClock(lambda: 0.0))
 
 
 def bodies(effects: list[Effect]) -> list[object]:
+    """Return the bodies of the datagrams among these effects."""
     return [effect.packet.body for effect in effects if isinstance(effect, SendDatagram)]
 
 
-def test_timers_run_in_the_order_of_their_times_and_of_their_setting() -> None:
-    timers, rung = TimerQueue(), []
+def test_timers_run_in_order_of_due_time_then_of_creation() -> None:
+    """Postponed timers keep their order and run later."""
+    timers, called = TimerQueue(), []
     for delay_ms, name in ((20.0, "c"), (10.0, "a"), (10.0, "b")):
-        timers.after(delay_ms, lambda name=name: rung.append(name))  # type: ignore[misc]
+        timers.after(delay_ms, lambda name=name: called.append(name))  # type: ignore[misc]
     timers.advance(10.0)
     timers.run_due()
-    assert rung == ["a", "b"] and timers.due_ms == 20.0
+    assert called == ["a", "b"] and timers.due_ms == 20.0
     timers.postpone(5.0)
     timers.advance(20.0)
     timers.run_due()
-    assert rung == ["a", "b"] and timers.due_ms == 25.0
+    assert called == ["a", "b"] and timers.due_ms == 25.0
 
 
-def test_a_suspicion_is_shorter_the_more_members_share_it() -> None:
+def test_a_suspicion_is_shorter_with_more_accusers() -> None:
+    """A second accuser shortens a suspicion; the same accuser again does not."""
     tracker = SuspicionTracker(TIMING)
     suspect = record(1, MemberStatus.SUSPECT)
-    alone_ms = tracker.begin(suspect, 10, 0.0).expires_ms
+    unconfirmed_ms = tracker.begin(suspect, 10, 0.0).expires_ms
     accusation = MembershipRecord("n1", 0, MemberStatus.SUSPECT, ("h", 1), 1, accuser="n2")
-    shared = tracker.confirm(accusation)
-    assert shared is not None and shared.expires_ms < alone_ms
+    confirmed = tracker.confirm(accusation)
+    assert confirmed is not None and confirmed.expires_ms < unconfirmed_ms
     assert tracker.confirm(accusation) is None  # the same accuser again
-    assert not tracker.has_expired("n1", shared.expires_ms - 1)
-    assert tracker.has_expired("n1", shared.expires_ms)
+    assert not tracker.has_expired("n1", confirmed.expires_ms - 1)
+    assert tracker.has_expired("n1", confirmed.expires_ms)
     tracker.end("n1")
-    assert not tracker.has_expired("n1", alone_ms)
+    assert not tracker.has_expired("n1", unconfirmed_ms)
 
 
-def test_a_rival_is_one_that_answers_and_the_process_that_began_first_yields() -> None:
+def test_a_rival_raises_its_incarnation_and_the_older_process_yields() -> None:
+    """A rival that raises its incarnation is alive; it stops being one when it is dead."""
     conflicts = NameConflicts()
-    assert conflicts.observe(record(0, generation=9), 5) is None  # perhaps what it was before
+    # A first record may be of an earlier process of this node.
+    assert conflicts.observe(record(0, generation=9), 5) is None
     conflict = conflicts.observe(record(0, generation=9, incarnation=1), 5)
     assert conflict is not None and conflict.generation == 9
     assert conflict.yields and conflicts.yields
@@ -88,8 +97,9 @@
     assert conflict is not None and not conflict.yields
 
 
-@pytest.mark.parametrize("answered", [True, False])
-def test_a_member_is_suspected_only_if_no_probe_of_a_period_is_answered(answered: bool) -> None:
+@pytest.mark.parametrize("acknowledged", [True, False])
+def test_a_member_is_suspected_only_without_any_acknowledgement(acknowledged: bool) -> None:
+    """An acknowledgement of an indirect probe suffices within the period."""
     context = context_of(4)
     suspected: list[str] = []
     prober = Prober(context, sender_of(context), suspected.append)
@@ -100,17 +110,19 @@
     assert isinstance(ping, Ping) and prober.probe is not None
     probed = prober.probe.name
     context.timers.advance(context.timers.due_ms)
-    context.timers.run_due()  # the timeout: others are asked
+    context.timers.run_due()  # the timeout, after which indirect probes are requested
     assert [type(body) for body in bodies(context.effects.take())] == [PingRequest, PingRequest]
-    if answered:
+    if acknowledged:
         assert prober.receive_ack(ping.sequence)
     context.timers.advance(context.timers.due_ms)
     context.timers.run_due()
-    assert suspected == ([] if answered else [probed])
-    assert context.health.score == (0 if answered else 2)  # two helpers sent no `Nack`
+    assert suspected == ([] if acknowledged else [probed])
+    # Without an acknowledgement, the score is 2: neither helper sent a `Nack`.
+    assert context.health.score == (0 if acknowledged else 2)
 
 
-def test_a_relay_tells_who_asked_of_an_answer_and_of_its_lack() -> None:
+def test_a_relay_reports_acknowledgements_and_timeouts() -> None:
+    """The requester gets an `Ack` or, after the timeout, a `Nack` with its own number."""
     context = context_of(3)
     relay = ProbeRelay(context, sender_of(context))
     requester = ("127.0.0.1", 102)
@@ -125,7 +137,8 @@
     assert bodies(context.effects.take()) == [Nack(8)] and len(relay) == 0
 
 
-def test_the_replay_filter_takes_a_serial_once_for_each_process_and_is_bounded() -> None:
+def test_the_replay_filter_accepts_a_serial_once_per_process() -> None:
+    """A restarted process may use its serials again, and the number of windows is bounded."""
     accepted = ReplayFilter()
     assert accepted.accept("a", 1, 5) and not accepted.accept("a", 1, 5)
     assert accepted.accept("a", 2, 5) and accepted.accept("b", 1, 5)
@@ -134,7 +147,8 @@
     assert len(accepted) == MAX_REPLAY_WINDOWS
 
 
-def test_datagrams_are_read_within_the_rate() -> None:
+def test_datagrams_are_read_within_the_rate_limit() -> None:
+    """After the burst of one second, only the refilled tokens may be used."""
     budget = DatagramBudget(0.0)
     for _ in range(MAX_DATAGRAMS_PER_S):
         budget.spend()
--- a/tests/cluster/test_scaling.py
+++ b/tests/cluster/test_scaling.py
@@ -1,7 +1,7 @@
-"""What one node bears does not grow with the group, by counts: messages, bytes, entries looked at.
+"""The load of one node must not grow with the cluster: messages, bytes and examined entries.
 
-In benchmarks/scale/peers.py the same groups are played to 1,024; here from 20 to 80, acquainted at
-once.
+benchmarks/scale/peers.py simulates the same clusters with up to 1,024 nodes; here they have 20 and
+80 nodes, which know each other from the start.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import pytest
 
-from badgercart.cluster.broadcast_queue import MAX_MISFITS, BroadcastQueue
+from badgercart.cluster.broadcast_queue import MAX_SKIPPED_BROADCASTS, BroadcastQueue
 from badgercart.cluster.context import PeerSampler
 from badgercart.cluster.dissemination import Dissemination
 from badgercart.cluster.membership_table import (
@@ -23,121 +23,148 @@
 from benchmarks.scale.peers import HollowCluster, rates
 from lab.simulated_cluster import SimulatedCluster
 
-FEW, MANY = 20, 80
-# times what it is in the small group, at most; a cost that grows with the group would be 4 times
-FLAT = 1.3
-SETTLED = 6.0  # s
-A_ROUND = 80.0  # s in which each probes all others of the large group
+SMALL_CLUSTER_NODES = 20
+LARGE_CLUSTER_NODES = 80
+# Maximum load in the large cluster as a multiple of that in the small one. A load that grows with
+# the cluster would be 4 times as high.
+MAX_GROWTH_FACTOR = 1.3
+SETTLE_S = 6.0
+# Time in which each node probes all other nodes of the large cluster.
+PROBE_ROUND_S = 80.0
 
 
-def bears(nodes: int, tenants: int, seconds: float, settled: float = SETTLED) -> dict[str, float]:
-    """Return what a node bears a second, at rest but for usage reports of so many tenants."""
+def load_per_s(
+    nodes: int, tenants: int, duration_s: float, settle_s: float = SETTLE_S
+) -> dict[str, float]:
+    """Return the load of a node per second; it is idle but for usage reports of the tenants."""
     cluster = HollowCluster(nodes, tenants)
     cluster.acquaint()
-    cluster.run(settled * 1000)
+    cluster.run(settle_s * 1000)
     mark = cluster.mark()
-    cluster.run(cluster.now + seconds * 1000)
+    cluster.run(cluster.now + duration_s * 1000)
     assert cluster.agreed()
     return rates(cluster, mark)
 
 
 def growth(
-    *names: str, tenants: int = 0, seconds: float = A_ROUND, settled: float = SETTLED
+    *names: str,
+    tenants: int = 0,
+    duration_s: float = PROBE_ROUND_S,
+    settle_s: float = SETTLE_S,
 ) -> dict[str, float]:
-    few, many = (bears(nodes, tenants, seconds, settled) for nodes in (FEW, MANY))
-    return {name: many[name] / few[name] for name in names}
+    """Return the load in the large cluster as a multiple of that in the small one, by name."""
+    small, large = (
+        load_per_s(nodes, tenants, duration_s, settle_s)
+        for nodes in (SMALL_CLUSTER_NODES, LARGE_CLUSTER_NODES)
+    )
+    return {name: large[name] / small[name] for name in names}
 
 
-def test_an_idle_nodes_cost_does_not_grow_with_the_cluster() -> None:
-    grown = growth("messages", "looked")
-    assert max(grown.values()) < FLAT, grown
+def test_the_load_of_an_idle_node_does_not_grow_with_the_cluster() -> None:
+    """Probing and gossip cost the same in a cluster four times as large."""
+    factors = growth("messages", "looked")
+    assert max(factors.values()) < MAX_GROWTH_FACTOR, factors
 
 
-def test_the_cost_of_usage_reports_does_not_grow_with_the_cluster() -> None:
-    grown = growth("messages", "bytes out", "bytes in", "looked", tenants=3, seconds=10.0)
-    assert max(grown.values()) < FLAT, grown
+def test_the_load_of_usage_reports_does_not_grow_with_the_cluster() -> None:
+    """Usage reports cost the same in a cluster four times as large."""
+    factors = growth("messages", "bytes out", "bytes in", "looked", tenants=3, duration_s=10.0)
+    assert max(factors.values()) < MAX_GROWTH_FACTOR, factors
 
 
 def test_a_fanout_that_grows_with_the_cluster_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The measurement of this module detects a gossip fanout that grows with the cluster."""
+
     def spread(dissemination: Dissemination) -> None:
         context = dissemination.context
         for state in context.peers.sample(len(context.table.members) // 4):
             dissemination.sender.send(state.record.address, Gossip())
 
     monkeypatch.setattr(Dissemination, "spread", spread)
-    assert growth("messages", seconds=3.0, settled=1.0)["messages"] > FLAT
+    assert growth("messages", duration_s=3.0, settle_s=1.0)["messages"] > MAX_GROWTH_FACTOR
 
 
 def test_examining_all_members_for_each_packet_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The measurement of this module detects sampling that examines all members."""
+
     def sample(peers: PeerSampler, count: int, excluding: str = "") -> list[MemberState]:
         others = [state for state in peers.reachable() if state.record.name != excluding]
         return peers.rng.sample(others, min(count, len(others)))
 
     monkeypatch.setattr(PeerSampler, "sample", sample)
-    assert growth("looked", tenants=10, seconds=5.0)["looked"] > FLAT
+    assert growth("looked", tenants=10, duration_s=5.0)["looked"] > MAX_GROWTH_FACTOR
 
 
-# The parts by themselves.
+# Single data structures.
 
 
-def test_checking_agreement_asks_one_table_while_that_one_disagrees() -> None:
-    cluster, looks = SimulatedCluster(40, 2, expected=40), 0
+def test_checking_agreement_compares_one_table_while_it_disagrees() -> None:
+    """The simulation's check for convergence must not compare all tables each time."""
+    cluster, checks = SimulatedCluster(40, 2, expected=40), 0
 
     def agreed() -> bool:
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
         return cluster.agreed()
 
     cluster.run(60_000, agreed)
-    assert cluster.agreed() and looks > 20
-    assert cluster.tables_compared <= looks + 4 * 40  # some turns round all of them
+    assert cluster.agreed() and checks > 20
+    # One table per check, and all 40 tables a few times.
+    assert cluster.tables_compared <= checks + 4 * 40
 
 
-def looked_at(waiting: int, size: int) -> float:
-    """Items that a packet costs a look at while so many wait."""
+def examined_per_packet(queued: int, size_bytes: int) -> float:
+    """Return how many broadcasts are examined for one packet with so many queued."""
     queue = BroadcastQueue(20_000)
-    for number in range(waiting):
-        queue.enqueue(number, number, size)
+    for number in range(queued):
+        queue.enqueue(number, number, size_bytes)
     for _ in range(50):
         assert queue.take(1200, 1000)
     return queue.examined_count / 50
 
 
-@pytest.mark.parametrize("size", [70, 500])
-def test_a_packet_costs_by_what_fits_not_by_what_waits(size: int) -> None:
-    assert looked_at(10_000, size) == looked_at(1000, size) <= 1200 // size + MAX_MISFITS
+@pytest.mark.parametrize("size_bytes", [70, 500])
+def test_the_cost_of_a_packet_does_not_depend_on_the_queue_length(size_bytes: int) -> None:
+    """Filling a packet examines what fits and a bounded number of larger broadcasts."""
+    assert (
+        examined_per_packet(10_000, size_bytes)
+        == examined_per_packet(1000, size_bytes)
+        <= 1200 // size_bytes + MAX_SKIPPED_BROADCASTS
+    )
 
 
-def test_items_go_the_least_passed_on_first_and_the_newest_of_those() -> None:
-    """Against the plain way: everything that waits sorted for each packet."""
+def test_broadcasts_are_sent_least_transmitted_first_then_newest() -> None:
+    """The queue behaves like a reference that sorts all broadcasts for each packet."""
     rng = random.Random(5)
-    queue, plain, order, most = BroadcastQueue(60), {}, 0, 60
+    # The reference is a dictionary from key to size, transmissions and sequence.
+    queue, reference, sequence, max_items = BroadcastQueue(60), {}, 0, 60
     for _ in range(4000):
         if rng.random() < 0.5:
-            key, size, order = rng.randrange(90), rng.choice([60, 80, 300]), order + 1
-            plain.pop(key, None)
-            if len(plain) >= most:
-                del plain[max(plain, key=lambda k: (plain[k][1], -plain[k][2]))]
-            plain[key] = [size, 0, order]
-            queue.enqueue(key, key, size)
+            key, size_bytes, sequence = rng.randrange(90), rng.choice([60, 80, 300]), sequence + 1
+            reference.pop(key, None)
+            if len(reference) >= max_items:
+                del reference[max(reference, key=lambda k: (reference[k][1], -reference[k][2]))]
+            reference[key] = [size_bytes, 0, sequence]
+            queue.enqueue(key, key, size_bytes)
         else:
-            room, wanted, misfits = 1200, [], 0
-            for key, item in sorted(plain.items(), key=lambda pair: (pair[1][1], -pair[1][2])):
-                if misfits == MAX_MISFITS:
+            capacity_bytes, expected, skipped = 1200, [], 0
+            for key, item in sorted(reference.items(), key=lambda pair: (pair[1][1], -pair[1][2])):
+                if skipped == MAX_SKIPPED_BROADCASTS:
                     break
-                if item[0] > room:
-                    misfits += 1
+                if item[0] > capacity_bytes:
+                    skipped += 1
                     continue
-                room -= item[0]
-                wanted.append(key)
+                capacity_bytes -= item[0]
+                expected.append(key)
                 item[1] += 1
                 if item[1] >= 4:
-                    del plain[key]
-            assert queue.take(1200, 9) == wanted
-        assert len(queue) == len(queue.transmission_order) == len(plain)
+                    del reference[key]
+            assert queue.take(1200, 9) == expected
+        assert len(queue) == len(queue.transmission_order) == len(reference)
 
 
 def test_reachable_and_unreachable_sets_follow_every_change_of_a_table() -> None:
+    """The indexes by reachability, name and address always match the table's members."""
     rng, table = random.Random(3), MembershipTable(40)
     for step in range(3000):
         name = f"n{rng.randrange(50)}"
@@ -148,21 +175,28 @@
             table.merge(
                 MembershipRecord(name, step // 9, status, ("h", port), rng.randrange(3)), 0.0, ""
             )
-        live = {b.record.name for b in table.with_status(MemberStatus.ALIVE, MemberStatus.SUSPECT)}
-        assert sorted(table.reachable.names) == sorted(live) and all(
-            table.reachable.names[at] == n for n, at in table.reachable.positions.items()
+        reachable = {
+            state.record.name
+            for state in table.with_status(MemberStatus.ALIVE, MemberStatus.SUSPECT)
+        }
+        assert sorted(table.reachable.names) == sorted(reachable) and all(
+            table.reachable.names[position] == name
+            for name, position in table.reachable.positions.items()
         )
         assert set(table.unreachable) == {
-            b.record.name for b in table.with_status(MemberStatus.DEAD, MemberStatus.LEFT)
+            state.record.name for state in table.with_status(MemberStatus.DEAD, MemberStatus.LEFT)
+        }
+        assert set(table.reachable_addresses) == {
+            table.members[name].record.address for name in reachable
         }
-        assert set(table.reachable_addresses) == {table.members[n].record.address for n in live}
-        drawn = [b.record.name for b in table.sample(3, rng, (name,))]
-        assert len(set(drawn)) == len(drawn) == min(3, len(live - {name})) and set(
-            drawn
-        ) <= live - {name}
+        sampled = [state.record.name for state in table.sample(3, rng, (name,))]
+        assert len(set(sampled)) == len(sampled) == min(3, len(reachable - {name})) and set(
+            sampled
+        ) <= reachable - {name}
 
 
-def test_who_is_drawn_costs_by_how_many_are_drawn_and_all_are_drawn_alike() -> None:
+def test_the_cost_of_sampling_depends_on_the_count_and_is_uniform() -> None:
+    """Sampling 3 of 1,000 members examines 4 states, and selects all members equally often."""
     rng, table = random.Random(4), MembershipTable()
     for number in range(1000):
         table.merge(
--- a/tests/zones/test_golden.py
+++ b/tests/zones/test_golden.py
@@ -258,11 +258,11 @@
 ) -> None:
     sent = []
 
-    def exchange(site: Any, packet: Any) -> Any:
+    def exchange_packet(installation: Any, packet: Any) -> Any:
         sent.extend(packet.updates)
         return packet
 
-    monkeypatch.setattr(commands, "exchange", exchange)
+    monkeypatch.setattr(commands, "exchange_packet", exchange_packet)
     monkeypatch.setattr(commands.time, "time", lambda: WALL_MS / 1000)
     monkeypatch.chdir(ROOT)
     for words in (["drain", "szeged", "--for", "60"], ["pin", "kelenfold"], ["release", "szeged"]):
