--- a/badgercart/__main__.py
+++ b/badgercart/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the node, passes signals on to it, and ends."""
+"""The program: starts the node, handles signals, and ends."""
 
 from __future__ import annotations
 
@@ -17,28 +17,30 @@
 
 
 async def serve(config: Config) -> None:
+    """Run a node until SIGTERM or SIGINT, then drain it."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     node = Node(config, loop)
     loop.add_signal_handler(signal.SIGHUP, node.reload, os.environ)
     gc.collect()
-    gc.freeze()  # what is there now stays: the collector need not look at it again
+    gc.freeze()  # excludes from collection what exists by now, since it stays until the end
     await node.start()
     await stop.wait()
     await node.drain()
 
 
 def main() -> int:
-    signal.signal(
-        signal.SIGHUP, signal.SIG_IGN
-    )  # until there is a node that can read its file anew
+    """Run the program and return its exit code."""
+    # SIGHUP is ignored until there is a node that can reload its configuration.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
     )
     logging.getLogger().handlers[0].addFilter(Sparse())
     if len(sys.argv) > 1 or "_BADGERCART_COMPLETE" in os.environ:
-        try:  # the platform's node has no use for it, nor for its libraries
+        # Imported here, since the platform's node runs without the command line and its libraries.
+        try:
             from badgercart.app.cli import main as command_line
         except ModuleNotFoundError as error:
             print(f"badgercart: {error}: pip install 'badgercart[operator]'", file=sys.stderr)
--- a/badgercart/app/base.py
+++ b/badgercart/app/base.py
@@ -12,7 +12,7 @@
 from badgercart.app.faults import Fault
 from badgercart.app.logs import Log
 from badgercart.app.model import MAX_DURATION_MS, Listed, Name, Names, Table
-from badgercart.config import Config, held_to
+from badgercart.config import Config, effective_descriptor_limit
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 
@@ -243,7 +243,7 @@
         listen=("", 0),
         discovery=("", 0),
         seed=int(node.seed, 16) if node.seed else secrets.randbits(64),
-        sockets=held_to(node.sockets),
+        sockets=effective_descriptor_limit(node.sockets),
         known=known,
         settings=settings,
         classes={cls.name.encode(): i for i, cls in enumerate(base.class_)},
--- a/badgercart/app/component.py
+++ b/badgercart/app/component.py
@@ -21,7 +21,7 @@
 from badgercart.core.metric_registry import MetricRegistry
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.entries import ListReader
-from badgercart.frontends.http.requests import Page
+from badgercart.frontends.http.requests import OperatorPage
 
 
 class ReloadError(AppError):
@@ -81,7 +81,7 @@
     folder: str  # of the operator's file: what it names relative to itself
     share: float  # of the clients' and servers' descriptors, for each component that has such
     others: int = 0  # components that have none of those
-    pages: dict[bytes, Page] = field(default_factory=dict)  # for operators, by path
+    pages: dict[bytes, OperatorPage] = field(default_factory=dict)  # for operators, by path
     metrics: MetricRegistry = field(default_factory=MetricRegistry)  # for operators
     # Protocol machines that decide beside the policy, by name.
     protocol_machines: dict[str, object] = field(default_factory=dict)
--- a/badgercart/app/site.py
+++ b/badgercart/app/site.py
@@ -29,7 +29,7 @@
 from badgercart.core.metric_registry import MetricRegistry
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.entries import ListReader
-from badgercart.frontends.http.requests import Page
+from badgercart.frontends.http.requests import OperatorPage
 from badgercart.policy.endpoint import EndpointState
 
 ACCEPT_FOR = 600.0  # ms after SIGTERM during which clients may still come
@@ -78,7 +78,7 @@
             1 / max(1, holders),
             len(declared) - holders,
         )
-        self.host.pages[b"/_members"] = Page(self.members_page)
+        self.host.pages[b"/_members"] = OperatorPage(self.members_page)
         self.register(self.host.metrics)
         self.steps = start_order(declared)
         self.components: dict[str, Component] = {}
@@ -225,7 +225,7 @@
 
     async def drain(self) -> None:
         """Answer all requests in flight, then close. One deadline holds for all components."""
-        until = now_ms() + ACCEPT_FOR + self.installation.config.longest
+        until = now_ms() + ACCEPT_FOR + self.installation.config.longest_deadline_ms
         self.pipeline.begin_shutdown(until)
         for step in reversed(self.steps):
             await self.drain_step(step, until)
--- a/badgercart/cluster/service.py
+++ b/badgercart/cluster/service.py
@@ -29,7 +29,7 @@
 from badgercart.cluster.timing import Bootstrap
 from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.core.ports import IncomingRequest, RequestOutcome
-from badgercart.frontends.http.requests import Page
+from badgercart.frontends.http.requests import OperatorPage
 
 GENERATION_RANDOM_BITS = 10  # that tell processes apart that start in one millisecond
 
@@ -149,7 +149,7 @@
         )
         if QUOTA_SHARING in features:
             host.pipeline.observers += (self,)
-        host.pages[b"/_peers"] = Page(
+        host.pages[b"/_peers"] = OperatorPage(
             lambda: cluster_page(clock(), self.member, gate, self.event_log)
         )
         host.services["peers"] = self
--- a/badgercart/config.py
+++ b/badgercart/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: the ROUTER_* variables and the JSON file that they name."""
+"""The platform node's configuration: the ROUTER_* variables and the JSON file that they name."""
 
 from __future__ import annotations
 
@@ -16,55 +16,56 @@
 from badgercart.simulator.settings_reader import read_settings
 
 Address = tuple[str, int]
-INHERITED = "ROUTER_INHERITED_FD"
+INHERITED_FD_VARIABLE = "ROUTER_INHERITED_FD"
 
 
 class ConfigError(Exception):
-    """A configuration that a node can't start with: what is wrong, in one line."""
+    """A configuration that a node can't start with. The message is one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The configuration of one node."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # file descriptors that the process may hold
-    known: dict[str, Any]  # the server list as this node last had it; empty: none
+    sockets: int  # the limit of file descriptors
+    known: dict[str, Any]  # the endpoint list that this node had last; empty if there is none
     settings: Settings
-    classes: dict[bytes, int]  # numbers of the names, in the order of the settings
+    # Indexes by name, in the order of the settings.
+    classes: dict[bytes, int]
     tenants: dict[bytes, int]
     kinds: dict[str, int]
     zones: dict[str, int]
     dial_timeout: float  # ms
-    idle_timeout: float  # ms after which a server closes a connection that carries nothing
-    drain_grace: float = 500.0  # ms after which nothing new goes to a draining server
-    default_tenant: bytes | None = (
-        None  # whom requests without a tenant count for; None: they are bad
-    )
-    console: Address | None = None  # where operators call; None: nowhere
-    inherited: int | None = None  # the descriptor of the listening socket that the platform holds
-    memory_mb: float = 192.0  # that the process may take
+    idle_timeout: float  # ms after which a server closes an idle connection
+    drain_grace: float = 500.0  # ms after which a draining server gets no new requests
+    # The tenant of requests without a tenant header; None: they are rejected.
+    default_tenant: bytes | None = None
+    console: Address | None = None  # of the admin listener; None: there is none
+    inherited: int | None = None  # file descriptor of the listening socket, if the platform has it
+    memory_mb: float = 192.0  # the limit of the process's memory
     folder: Path | None = None  # shared by the processes of this node
-    source: str | None = (
-        None  # the address that connections set out from; None: the system's choice
-    )
-    key_secret: bytes = b""  # by which requests' keys are hashed; the same at all nodes
+    # The source address of connections to servers; None: the system chooses.
+    source: str | None = None
+    key_secret: bytes = b""  # for hashing the keys of requests; the same at all nodes
 
-    raw: dict[str, Any] = field(default_factory=dict, compare=False)  # the file
+    raw: dict[str, Any] = field(default_factory=dict, compare=False)  # the parsed file
 
-    def tenant(self, name: bytes | None) -> int | None:
-        """The number of a tenant; None where there is none of this name, 0 where there are no
-        tenants."""
+    def tenant_index(self, name: bytes | None) -> int | None:
+        """Return a tenant's index; None for an unknown name, 0 if no tenants are configured."""
         return self.tenants.get(name or self.default_tenant or b"") if self.tenants else 0
 
     @property
-    def longest(self) -> float:
-        """The longest that any client waits, in ms."""
+    def longest_deadline_ms(self) -> float:
+        """The longest deadline of all request classes."""
         return max(cls.deadline_ms for cls in self.settings.classes)
 
 
 def parse_address(text: str) -> Address:
+    """Parse `host:port`. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) < 65536:
         raise ValueError(f"{text!r} is no host:port")
@@ -72,28 +73,31 @@
 
 
 def parse_descriptor(text: str) -> int:
+    """Parse a file descriptor's number. Raises ValueError."""
     if not text.isdecimal() or not 2 < int(text) < 1 << 20:
-        raise ValueError(f"{INHERITED}: {text!r} is no descriptor")
+        raise ValueError(f"{INHERITED_FD_VARIABLE}: {text!r} is no descriptor")
     return int(text)
 
 
-def held_to(told: int) -> int:
-    """Descriptors that the process may hold: what it is told, or what the system lets it, if that
-    is less."""
+def effective_descriptor_limit(configured: int) -> int:
+    """Return the configured limit of file descriptors, or the system's if that is lower."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return told if soft == resource.RLIM_INFINITY else min(told, soft)
+    return configured if soft == resource.RLIM_INFINITY else min(configured, soft)
 
 
-def descriptors(told: int, console: bool) -> int:
-    """The same, checked: ValueError where they are too few."""
+def checked_descriptor_limit(configured: int, console: bool) -> int:
+    """Return the effective limit of file descriptors. Raises ValueError if it is too low."""
     try:
-        return Descriptors.of(held_to(told), console).limit
+        return Descriptors.of(effective_descriptor_limit(configured), console).limit
     except TooFewError as error:
         raise ValueError(f"limits.sockets: {error}") from None
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """The node's configuration. The variables win over what the file repeats of them."""
+    """Read the configuration. A variable overrides the same value in the file.
+
+    Raises ConfigError.
+    """
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set")
@@ -105,14 +109,14 @@
             raise ValueError(fault)
         console, descriptor = (
             environ.get("ROUTER_CONSOLE") or raw.get("console"),
-            environ.get(INHERITED),
+            environ.get(INHERITED_FD_VARIABLE),
         )
         return Config(
             name=str(environ.get("ROUTER_NAME") or raw["name"]),
             listen=parse_address(environ.get("ROUTER_LISTEN") or raw["listen"]),
             discovery=parse_address(environ.get("ROUTER_DISCOVERY") or raw["discovery"]),
             seed=int(raw["seed"], 16),
-            sockets=descriptors(int(raw["limits"]["sockets"]), bool(console)),
+            sockets=checked_descriptor_limit(int(raw["limits"]["sockets"]), bool(console)),
             memory_mb=float(raw["limits"]["memory_mb"]),
             known=dict(raw.get("known") or {}),
             settings=read_settings(json.dumps(settings).encode()),
@@ -143,9 +147,11 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def reread(environ: Mapping[str, str], old: Config) -> Config:
-    """The file as it is now, held against the one in force. Its discovery wins over
-    ROUTER_DISCOVERY."""
+def reload_config(environ: Mapping[str, str], old: Config) -> Config:
+    """Read the file again and check it against the configuration in use.
+
+    The discovery address of the file overrides ROUTER_DISCOVERY here. Raises ConfigError.
+    """
     new = read_config({k: v for k, v in environ.items() if k != "ROUTER_DISCOVERY"})
     for fault in faults(new.raw, old.raw):
         raise ConfigError(f"{environ['ROUTER_CONFIG']}: {fault}")
--- a/badgercart/core/requests.py
+++ b/badgercart/core/requests.py
@@ -45,7 +45,7 @@
 
     def __init__(self, config: Config) -> None:
         self.classes = config.classes
-        self.tenant, self.secret = config.tenant, config.key_secret
+        self.tenant, self.secret = config.tenant_index, config.key_secret
         self.effects = [cls.idempotency for cls in config.settings.classes]
 
     def read(
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -26,7 +26,7 @@
     check_follower,
     check_replica,
 )
-from badgercart.frontends.http.requests import Page
+from badgercart.frontends.http.requests import OperatorPage
 from badgercart.policy.events import UpdateKind
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         self.driver = self._build_driver(settings)
         host.list_state = lambda: self.state.value
         host.protocol_machines["distribution.freshness"] = self.follower.freshness
-        host.pages[b"/_distribution"] = Page(self._render_page)
+        host.pages[b"/_distribution"] = OperatorPage(self._render_page)
         self._register_metrics()
 
     def _build_driver(self, settings: FollowerSettings) -> FollowerDriver:
--- a/badgercart/frontends/__init__.py
+++ b/badgercart/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Whoever owes an answer: one package for each way in which requests come."""
+"""The frontends: one package for each protocol by which requests come."""
--- a/badgercart/frontends/graphql/component.py
+++ b/badgercart/frontends/graphql/component.py
@@ -10,7 +10,7 @@
 from badgercart.app.component import CheckedFile, ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.faults import Path
 from badgercart.frontends.graphql.settings import GraphqlSettings
-from badgercart.frontends.http.component import register
+from badgercart.frontends.http.component import register_listener_metrics
 from badgercart.policy.settings import Idempotency
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
             FilePath(host.folder),
         )
 
-        register(host.metrics, "graphql", self.front.listener)
+        register_listener_metrics(host.metrics, "graphql", self.front.listener)
 
     async def start(self) -> None:
         self.front.start()
--- a/badgercart/frontends/graphql/frontend.py
+++ b/badgercart/frontends/graphql/frontend.py
@@ -40,7 +40,12 @@
 )
 from badgercart.frontends.graphql.settings import GraphqlSettings
 from badgercart.frontends.http.clients import ClientConnection, Listener
-from badgercart.frontends.http.requests import BadRequest, ClientRequest, Headers, Page
+from badgercart.frontends.http.requests import (
+    BadRequestError,
+    ClientRequest,
+    OperatorPage,
+    RequestHeaders,
+)
 from badgercart.policy.events import AttemptResult
 from badgercart.policy.settings import Idempotency
 from badgercart.upstream.connection_pool import ServerPool
@@ -142,9 +147,9 @@
         )
         self.classes = {name.decode(): number for name, number in config.classes.items()}
         self.effects = [cls.idempotency for cls in config.settings.classes]
-        self.deadline = config.longest
+        self.deadline = config.longest_deadline_ms
         self.stopping = False
-        self.pages: Mapping[bytes, Page] = {}
+        self.pages: Mapping[bytes, OperatorPage] = {}
         self.last = 0
         self.open: dict[int, Execution] = {}
         clients, servers = Descriptors.of(config.sockets, parts=parts).split(share)
@@ -167,22 +172,24 @@
 
     # From the listener.
 
-    def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
+    def read(
+        self, method: bytes, url: bytes, headers: RequestHeaders, body: bytes
+    ) -> ClientRequest:
         """What HTTP itself says of a request. The rest is read in its turn, and answered in
         words."""
         if url.partition(b"?")[0] != self.settings.path.encode():
-            raise BadRequest(404, f"GraphQL is served at {self.settings.path}")
+            raise BadRequestError(404, f"GraphQL is served at {self.settings.path}")
         if method not in (b"GET", b"POST"):
-            raise BadRequest(405, "GraphQL is asked by GET or POST", b"Allow: GET, POST\r\n")
-        tenant = self.config.tenant(headers.tenant)
+            raise BadRequestError(405, "GraphQL is asked by GET or POST", b"Allow: GET, POST\r\n")
+        tenant = self.config.tenant_index(headers.tenant)
         if headers.fault:
-            raise BadRequest(400, headers.fault)
+            raise BadRequestError(400, headers.fault)
         if tenant is None:
-            raise BadRequest(400, unknown_tenant(headers.tenant))
-        if len(headers.key or b"") > MAX_KEY:
-            raise BadRequest(400, f"Idempotency-Key is over {MAX_KEY} bytes")
+            raise BadRequestError(400, unknown_tenant(headers.tenant))
+        if len(headers.idempotency_key or b"") > MAX_KEY:
+            raise BadRequestError(400, f"Idempotency-Key is over {MAX_KEY} bytes")
         more: dict[bytes, bytes] = {}
-        for line in headers.lines:
+        for line in headers.forwarded_lines:
             name, _, value = line.partition(b":")
             if (lower := name.lower()) in (b"accept", b"content-type"):
                 more[lower] = more[lower] + b"," + value.strip() if lower in more else value.strip()
@@ -190,22 +197,22 @@
         accept, content_type = more.get(b"accept"), more.get(b"content-type")
         return GraphqlRequest(
             message=Message(b"", body),
-            name=headers.request_id or b"g-%d" % self.last,
-            cls=0,
+            request_name=headers.request_id or b"g-%d" % self.last,
+            class_index=0,
             tenant=tenant,
             key=0,
-            sent=now_ms(),
-            timeout=headers.timeout if headers.timeout is not None else self.deadline,
-            hint=0.0,
-            repeat=headers.repeat,
+            sent_ms=now_ms(),
+            timeout_ms=headers.timeout_ms if headers.timeout_ms is not None else self.deadline,
+            expected_work_ms=0.0,
+            is_client_retry=headers.is_client_retry,
             method=method.decode(),
             target=url.decode("latin-1"),
             content_type=content_type.decode("latin-1") if content_type is not None else None,
             accept=accept.decode("latin-1") if accept is not None else None,
-            client_key=(headers.key or b"").decode("latin-1"),
+            client_key=(headers.idempotency_key or b"").decode("latin-1"),
         )
 
-    def take(self, client: ClientConnection, request: ClientRequest) -> None:
+    def handle_request(self, client: ClientConnection, request: ClientRequest) -> None:
         assert isinstance(request, GraphqlRequest)
         media = RESPONSE_JSON
         try:
@@ -218,15 +225,15 @@
         except HttpError as bad:
             allow = f"Allow: {bad.allow}\r\n".encode() if bad.allow else b""
             told = {"errors": [error(str(bad), "BAD_REQUEST")]}
-            client.answer(bad.status, json.dumps(told).encode(), media.encode(), allow)
+            client.respond(bad.status, json.dumps(told).encode(), media.encode(), allow)
             return
         except Rejected as rejected:
             told = {"errors": rejected.errors}
-            client.answer(status_of(media, told), json.dumps(told).encode(), media.encode())
+            client.respond(status_of(media, told), json.dumps(told).encode(), media.encode())
             return
         except Exception:
             # One request must not take the node down with it.
-            PLAN_FAILED(True, request=request.name.decode("latin-1"))
+            PLAN_FAILED(True, request=request.request_name.decode("latin-1"))
             client.on_failure(broken=True)
             return
         client.request_id = number = self.join.next_request_id()
@@ -235,7 +242,7 @@
             self.open.pop(number, None)
             status = status_of(media, told, refused=wait is not None)
             after = b"Retry-After: %.3f\r\n" % (wait / 1000) if wait else b""
-            client.answer(status, json.dumps(told).encode(), media.encode(), after)
+            client.respond(status, json.dumps(told).encode(), media.encode(), after)
 
         local = self.local(plan, operation, document, asked) if plan.local else None
         execution = Execution(
@@ -253,7 +260,7 @@
 
     def orders(self, plan: Plan, request: GraphqlRequest) -> list[Order]:
         """The parts as requests to the core. Raises Rejected where one lacks its key."""
-        due = request.sent + request.timeout - MARGIN
+        due = request.sent_ms + request.timeout_ms - MARGIN
         return [
             Order(
                 part=part,
@@ -264,7 +271,7 @@
                 if part.affinity
                 else 0,
                 due=due,
-                name=b"%b.%d" % (request.name, number),
+                name=b"%b.%d" % (request.request_name, number),
             )
             for number, part in enumerate(plan.parts)
         ]
@@ -275,7 +282,7 @@
             f"POST {self.settings.path} HTTP/1.1\r\nHost: backend.local\r\n".encode(),
             b"Content-Type: application/json\r\n",
             b"Accept: application/graphql-response+json, application/json\r\n",
-            b"Request-Id: %b.%d\r\n" % (request.name, number),
+            b"Request-Id: %b.%d\r\n" % (request.request_name, number),
         ]
         if self.effects[self.classes[part.cls]] is Idempotency.KEYED:
             if not part.key:
@@ -301,7 +308,7 @@
         done = execute_sync(self.schema, parse(print_ast(part)), variable_values=variables)
         return Outcome(plan.local, None, done.data, [dict(e.formatted) for e in done.errors or ()])
 
-    def withdraw(self, request_id: int) -> None:
+    def cancel_request(self, request_id: int) -> None:
         if (execution := self.open.pop(request_id, None)) is not None:
             execution.withdraw()
 
--- a/badgercart/frontends/http/__init__.py
+++ b/badgercart/frontends/http/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's clients over HTTP/1.1; its entry is ``clients.Listener``."""
+"""The HTTP/1.1 frontend. Its entry point is `clients.Listener`."""
--- a/badgercart/frontends/http/clients.py
+++ b/badgercart/frontends/http/clients.py
@@ -1,5 +1,4 @@
-"""Drives clients' connections over asyncio: the listener, its limits, and what has waited for too
-long."""
+"""Client connections over asyncio: the listener, its connection limit, and timeouts."""
 
 from __future__ import annotations
 
@@ -17,528 +16,628 @@
 from badgercart.core.memory_budget import HOLD, MemoryBudget
 from badgercart.core.ports import Answer
 from badgercart.core.streams import Opening, Sink, Upload, nothing
-from badgercart.frontends.http.connection import Connection, State
-from badgercart.frontends.http.connection_eviction import GREETING, makes_room
+from badgercart.frontends.http.connection import ConnectionState, ConnectionStateMachine
+from badgercart.frontends.http.connection_eviction import (
+    FIRST_BYTE_GRACE_S,
+    choose_connection_to_evict,
+)
 from badgercart.frontends.http.log_events import ACCEPT_FAILED
 from badgercart.frontends.http.requests import (
-    BadRequest,
+    BadRequestError,
     ClientRequest,
-    Headers,
-    Page,
-    Read,
-    Words,
-    no_words,
-)
-
-REQUEST_TIME = (
-    3.0  # s for a request's head, the first from the connection's start; a body has what it needs
+    ErrorBodyFormatter,
+    OperatorPage,
+    RequestHeaders,
+    RequestReader,
+    empty_error_body,
 )
-KEEP_ALIVE = 10.0  # s that a connection may stand idle between requests
-LINGER = 1.0  # s to discard what still comes after an answer that ends the connection
-SWEEP = 0.2  # s between looks for connections whose time is up
-ACCEPTS = 64  # connections taken over in one go, before those that are there are read
-ACCEPT_FOR = 0.6  # s after SIGTERM during which new connections are accepted
-QUIET = 0.6  # s of standing idle after which a process that is replaced closes a connection
-LATE = 1.2  # s after which it closes those that are used, too, between two requests
-LOOK = 0.1  # s between looks whether a client has left whose connection is not read now
-LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-DRAIN_LOOK = 0.02  # s between looks whether all clients are answered
 
-
-class Handler(Protocol):
-    """What takes the requests."""
+# The time to receive the headers of a request, for the first one from the connection's start. A
+# body has as much more as its size allows (connection.MIN_BODY_RATE_BYTES_PER_S).
+REQUEST_TIMEOUT_S = 3.0
+KEEP_ALIVE_TIMEOUT_S = 10.0  # for a connection that is idle between requests
+# After a response that ends the connection, input is discarded for this time.
+LINGER_S = 1.0
+TIMEOUT_CHECK_INTERVAL_S = 0.2
+# Connections accepted at a time, before those that are already open are read.
+MAX_ACCEPTS_PER_EVENT = 64
+DRAIN_ACCEPT_S = 0.6  # how long new connections are accepted after SIGTERM
+# A process that is being replaced closes a connection that has been idle for this time,
+HANDOVER_IDLE_S = 0.6
+# and from this time on every connection between two requests.
+HANDOVER_CLOSE_ALL_AFTER_S = 1.2
+# How often connections that are not read are checked for clients that have left.
+DISCONNECT_CHECK_INTERVAL_S = 0.1
+DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+DRAIN_CHECK_INTERVAL_S = 0.02
+LISTEN_BACKLOG = 1024  # connections
+
+
+class RequestHandler(Protocol):
+    """Serves the requests of a listener."""
 
     stopping: bool
-    pages: Mapping[bytes, Page]
+    pages: Mapping[bytes, OperatorPage]
 
     @property
-    def healthy(self) -> bool: ...
+    def healthy(self) -> bool:
+        """Whether requests can be served."""
 
-    def take(self, client: ClientConnection, request: ClientRequest) -> None:
-        """Take on a request and give the connection its number."""
+    def handle_request(self, client: ClientConnection, request: ClientRequest) -> None:
+        """Serve a request. Sets the connection's `request_id`, unless it responds immediately."""
 
-    def withdraw(self, request_id: int) -> None:
-        """The client has gone away."""
+    def cancel_request(self, request_id: int) -> None:
+        """Handle that a request's client has left."""
 
 
-class BulkHandler(Handler, Protocol):
-    """One that takes requests that are not whole."""
+class StreamingRequestHandler(RequestHandler, Protocol):
+    """A handler that accepts requests before their bodies are complete."""
 
-    def whole(self, client: ClientConnection, request: ClientRequest) -> None:
-        """A request that was taken on before has come in whole."""
+    def request_completed(self, client: ClientConnection, request: ClientRequest) -> None:
+        """Handle that the body of a request has been received completely."""
 
 
-Wait = dict["ClientConnection", float]  # and since when
+# Connections, each with the time (s, on the loop's clock) since when its client is waited for.
+SinceByConnection = dict["ClientConnection", float]
 
 
 class Listener:
-    """All connections of clients. Each that waits for its client is in one of the waits."""
+    """A listening socket and its client connections.
+
+    A connection that waits for its client is in one of the maps of `waiting_since`.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
-        handler: Handler,
-        limit: int,
-        read: Read,
-        words: Words = no_words,
-        room: MemoryBudget | None = None,  # for what goes on as it comes; None: nothing does
+        handler: RequestHandler,
+        max_connections: int,
+        request_reader: RequestReader,
+        error_body: ErrorBodyFormatter = empty_error_body,
+        # For streamed bodies; None if none are streamed.
+        memory_budget: MemoryBudget | None = None,
     ) -> None:
-        self.room = room
+        self.memory_budget = memory_budget
         self.loop = loop
-        self.listen = address
-        self.read = read
-        self.words = words
-        self.turned_away: Counter[int] = (
-            Counter()
-        )  # requests that could not be taken, by their status
+        self.listen_address = address
+        self.request_reader = request_reader
+        self.error_body = error_body
+        self.rejected_requests: Counter[int] = Counter()  # by status
         self.handler = handler
-        self.limit = limit
-        self.connections: set[ClientConnection] = set()  # also those that are about to close
-        self.open_ids: set[bytes] = set()  # of requests that have come and are not answered
-        # Since when, the longest first.
-        self.silent: Wait = {}
-        self.arriving: Wait = {}
-        self.idle: Wait = {}
-        self.ending: Wait = {}
-        self.uploading: Wait = {}
-        self.waits: dict[State, Wait] = {
-            State.SILENT: self.silent,
-            State.ARRIVING: self.arriving,
-            State.IDLE: self.idle,
-            State.ENDING: self.ending,
-            State.UPLOADING: self.uploading,
+        self.max_connections = max_connections
+        self.connections: set[ClientConnection] = set()  # including those that are being closed
+        self.open_request_names: set[bytes] = set()  # Request-Ids that are not answered yet
+        # By state, the longest waiting first.
+        self.new: SinceByConnection = {}
+        self.receiving: SinceByConnection = {}
+        self.idle: SinceByConnection = {}
+        self.closing: SinceByConnection = {}
+        self.uploading: SinceByConnection = {}
+        self.waiting_since: dict[ConnectionState, SinceByConnection] = {
+            ConnectionState.NEW: self.new,
+            ConnectionState.RECEIVING: self.receiving,
+            ConnectionState.IDLE: self.idle,
+            ConnectionState.CLOSING: self.closing,
+            ConnectionState.UPLOADING: self.uploading,
         }
-        # Connections that are not read now, whose ends the loop does not see.
-        self.unheard: set[ClientConnection] = set()
-        self.looking: asyncio.TimerHandle | None = None
+        # Connections whose reading is paused: the event loop does not notice when they end.
+        self.paused_clients: set[ClientConnection] = set()
+        self.disconnect_timer: asyncio.TimerHandle | None = None
         self.socket: socket.socket | None = None
-        self.opened = True  # whether it may accept
-        self.accepting = False
-        self.evicted: ClientConnection | None = (
-            None  # the last that had to make room, until it is gone
-        )
-        self.timer: asyncio.TimerHandle | None = None
+        self.opened = True  # whether connections may be accepted
+        self.accepting = False  # whether the event loop watches the socket
+        # The connection evicted last, until it is closed.
+        self.evicted: ClientConnection | None = None
+        self.timeout_timer: asyncio.TimerHandle | None = None
 
     def start(self, inherited: socket.socket | None = None, opened: bool = True) -> None:
-        """Serve on a socket that listens already, or on the address. Until it is opened, clients
-        wait."""
+        """Listen on an inherited socket, or else on the address.
+
+        Clients wait in the backlog until the listener is opened.
+        """
         if inherited is None:
-            host, port = self.listen
+            host, port = self.listen_address
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
-            inherited = socket.create_server((host, port), family=family, backlog=1024)
+            inherited = socket.create_server((host, port), family=family, backlog=LISTEN_BACKLOG)
         self.socket = inherited
         self.socket.setblocking(False)
         self.opened = opened
-        self.resume()
-        self.sweep()
+        self.resume_accepting()
+        self.check_timeouts()
 
     def open(self) -> None:
-        """Take connections from now on."""
+        """Accept connections from now on."""
         self.opened = True
-        self.resume()
+        self.resume_accepting()
 
-    def keep_to(self, limit: int) -> None:
-        """Have another limit of connections; those over it that nobody needs make room."""
-        self.limit = limit
-        spare = [client for client in self.idle if not self.spared(client)]
+    def set_max_connections(self, limit: int) -> None:
+        """Change the connection limit, and close idle connections above it."""
+        self.max_connections = limit
+        spare = [client for client in self.idle if not self.is_protected(client)]
         for client in spare[: max(0, len(self.connections) - limit)]:
             client.transport.close()
 
     @property
     def address(self) -> tuple[str, int]:
+        """Host and port of the listening socket."""
         assert self.socket is not None
         host, port = self.socket.getsockname()[:2]
         return host, port
 
-    def stop(self) -> None:
-        """Take no new connections."""
+    def stop_accepting(self) -> None:
+        """Close the listening socket."""
         if self.socket is not None:
-            self.pause()
+            self.pause_accepting()
             self.socket.close()
             self.socket = None
 
     async def drain(self, until: float) -> None:
-        """Take what still comes for a while, then see clients answered, until then (ms) at most."""
-        # A client that has been told the connection closes, or sees it close, comes back elsewhere.
+        """Accept connections for a while longer, then wait until all clients are answered.
+
+        It ends at `until` (ms) at the latest.
+        """
+        # A client that is told that its connection closes, or sees it close, connects elsewhere.
         self.close_idle()
-        await asyncio.sleep(ACCEPT_FOR)
-        # Who has not sent its whole request by now can't keep the node from ending.
+        await asyncio.sleep(DRAIN_ACCEPT_S)
+        # From now on a client that has not sent its request completely can't delay the end.
         while (self.socket is not None or self.connections) and now_ms() < until:
-            if self.emptied():
-                self.stop()  # what waited in the backlog would be reset with it
+            if self.accept_backlog():
+                # Closing the socket would reset any connection that is left in its backlog.
+                self.stop_accepting()
             self.close_idle()
-            await asyncio.sleep(DRAIN_LOOK)
-        self.stop()
-
-    def emptied(self) -> bool:
-        """Take over all that waits in the backlog, as far as there is room; whether nothing is
-        left."""
-        while self.socket is not None and len(self.connections) < self.limit:
-            had = len(self.connections)
-            if self.accept():
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
+        self.stop_accepting()
+
+    def accept_backlog(self) -> bool:
+        """Accept all connections in the backlog, up to the limit; return whether none is left."""
+        while self.socket is not None and len(self.connections) < self.max_connections:
+            count = len(self.connections)
+            if self.accept_connections():
                 return True
-            if len(self.connections) == had:  # no descriptors
+            if len(self.connections) == count:  # there are no file descriptors
                 return False
         return self.socket is None
 
     async def hand_over(self, until: float) -> None:
-        """Leave new connections to another process, then see clients answered, until then (ms) at
-        most.
-
-        A client that is answered is told that the connection closes. One that asks nothing keeps it
-        for a while: each close can cross a request, and the longer it stood idle the less likely
-        that is."""
-        self.stop()
-        begun = self.loop.time()
+        """Leave new connections to another process, then wait until all clients are answered.
+
+        It ends at `until` (ms) at the latest. A client that is answered is told that the connection
+        closes. An idle connection is kept for a while: closing it can cross with a request, which
+        is the less likely the longer the connection has been idle.
+        """
+        self.stop_accepting()
+        started_s = self.loop.time()
         while self.connections and now_ms() < until:
-            now = self.loop.time()
-            quiet = now - QUIET if now - begun < LATE else now
-            for client in self.overdue(self.idle, min(quiet, now - GREETING)):
-                if now - begun > QUIET and not self.asks(client):
+            now_s = self.loop.time()
+            idle_before_s = (
+                now_s - HANDOVER_IDLE_S if now_s - started_s < HANDOVER_CLOSE_ALL_AFTER_S else now_s
+            )
+            for client in self.waiting_before(
+                self.idle, min(idle_before_s, now_s - FIRST_BYTE_GRACE_S)
+            ):
+                if now_s - started_s > HANDOVER_IDLE_S and not self.has_unread_input(client):
                     client.transport.close()
-            await asyncio.sleep(DRAIN_LOOK)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     def close(self) -> None:
-        self.stop()
-        for timer in (self.timer, self.looking):
+        """Close the listening socket and stop the timers."""
+        self.stop_accepting()
+        for timer in (self.timeout_timer, self.disconnect_timer):
             if timer is not None:
                 timer.cancel()
 
-    # The loop's own server accepts without a limit and ends for good where descriptors have run
-    # out, so the listening socket is read here: at the limit, clients wait in its backlog.
+    # asyncio's own server accepts without a limit, and stops for good when file descriptors run
+    # out. So the listening socket is read here: at the limit, clients wait in its backlog.
 
-    def pause(self) -> None:
+    def pause_accepting(self) -> None:
+        """Stop accepting for now."""
         if self.accepting and self.socket is not None:
             self.loop.remove_reader(self.socket)
         self.accepting = False
 
-    def resume(self) -> None:
+    def resume_accepting(self) -> None:
+        """Accept connections if the listener is open."""
         if self.socket is not None and self.opened and not self.accepting:
             self.accepting = True
-            self.loop.add_reader(self.socket, self.accept)
+            self.loop.add_reader(self.socket, self.accept_connections)
 
-    def accept(self) -> bool:
-        """Take over connections that wait; whether none is left."""
+    def accept_connections(self) -> bool:
+        """Accept connections from the backlog; return whether none is left."""
         assert self.socket is not None
-        # One waits, or the loop would not have called. A close takes effect in the loop's next
-        # turn, which comes back here.
-        if len(self.connections) >= self.limit and not self.make_room():
-            self.pause()
-            self.loop.call_later(GREETING, self.resume)
-        for _ in range(min(ACCEPTS, self.limit - len(self.connections))):
+        # A connection is waiting, or the event loop would not have called. If one is evicted for
+        # it, that takes effect in the next iteration of the loop, which calls again.
+        if len(self.connections) >= self.max_connections and not self.evict_one():
+            self.pause_accepting()
+            self.loop.call_later(FIRST_BYTE_GRACE_S, self.resume_accepting)
+        for _ in range(min(MAX_ACCEPTS_PER_EVENT, self.max_connections - len(self.connections))):
             try:
                 sock, _ = self.socket.accept()
             except (BlockingIOError, InterruptedError):
                 return True
             except OSError as error:
-                if error.errno == errno.ECONNABORTED:  # the client was quicker
+                if error.errno == errno.ECONNABORTED:  # the client has left already
                     continue
                 ACCEPT_FAILED(error=error)
-                self.pause()  # no descriptor or memory now; the next sweep tries again
+                # There is no file descriptor or memory now; the next timeout check tries again.
+                self.pause_accepting()
                 return False
             sock.setblocking(False)
             client = ClientConnection(self)
-            self.connections.add(client)  # from here on, so that many at once do not pass the limit
-            self.loop.create_task(self.take_over(sock, client))
+            # It counts from here on, so that many accepted at once do not exceed the limit.
+            self.connections.add(client)
+            self.loop.create_task(self.connect_client(sock, client))
         return False
 
-    async def take_over(self, sock: socket.socket, client: ClientConnection) -> None:
+    async def connect_client(self, sock: socket.socket, client: ClientConnection) -> None:
+        """Attach an accepted socket to its connection."""
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
-        except OSError:  # gone already
+        except OSError:  # the client has left already
             sock.close()
             self.connections.discard(client)
 
-    def make_room(self) -> bool:
-        """Close a connection that no request needs: one that says nothing before one that did its
-        work."""
+    def evict_one(self) -> bool:
+        """Close a connection that no request needs; return whether there is one.
+
+        A client that never sent anything is evicted before one that has been served.
+        """
         if self.evicted in self.connections:
-            return True  # it is on its way out
-        client = makes_room(self.waits, self.silent_since, self.spared, self.loop.time())
+            return True  # it is still being closed
+        client = choose_connection_to_evict(
+            self.waiting_since, self.silent_since_s, self.is_protected, self.loop.time()
+        )
         if client is not None:
             client.transport.abort()
             self.evicted = client
             return True
         return False
 
-    def silent_since(self, client: ClientConnection) -> float:
-        """When it was last heard, or had its answer (s)."""
-        return max(client.machine.heard, self.waits[client.machine.state][client])
+    def silent_since_s(self, client: ClientConnection) -> float:
+        """Return when a client last sent something or, if later, was last answered (s)."""
+        return max(client.machine.last_received_s, self.waiting_since[client.machine.state][client])
 
-    def spared(self, client: ClientConnection) -> bool:
-        """Whether it is closing anyway, has yet to read an answer, or has sent what is not read
-        yet."""
+    def is_protected(self, client: ClientConnection) -> bool:
+        """Return whether a connection must not be evicted.
+
+        That is one that is being closed already, that has a response to send, or whose client has
+        sent something that is not read yet.
+        """
         transport = client.transport
-        return transport.is_closing() or transport.get_write_buffer_size() > 0 or self.asks(client)
+        return (
+            transport.is_closing()
+            or transport.get_write_buffer_size() > 0
+            or self.has_unread_input(client)
+        )
+
+    def has_unread_input(self, client: ClientConnection) -> bool:
+        """Return whether there is input that the event loop reads in its next iteration.
 
-    def asks(self, client: ClientConnection) -> bool:
-        """Whether something has come that the loop reads in its next turn, and that an end now
-        would lose."""
-        return client not in self.unheard and client.unread()
+        Closing the connection now would lose it.
+        """
+        return client not in self.paused_clients and client.has_unread_input()
 
     @property
-    def crowd(self) -> int:
-        """Some clients ask once and keep their connection: where so many stand idle, no more are
-        kept."""
-        return self.limit // 3
-
-    def rest(self, client: ClientConnection) -> None:
-        """A connection is not read for a while: whether its client leaves is looked for."""
-        self.unheard.add(client)
-        if self.looking is None:
-            self.looking = self.loop.call_later(LOOK, self.look)
-
-    def look(self) -> None:
-        for client in [client for client in self.unheard if client.left()]:
-            self.unheard.discard(client)
+    def max_idle_connections(self) -> int:
+        """How many idle connections are kept: some clients send one request and stay connected."""
+        return self.max_connections // 3
+
+    def watch_paused_client(self, client: ClientConnection) -> None:
+        """Check regularly whether the client leaves while its connection is not read."""
+        self.paused_clients.add(client)
+        if self.disconnect_timer is None:
+            self.disconnect_timer = self.loop.call_later(
+                DISCONNECT_CHECK_INTERVAL_S, self.check_disconnects
+            )
+
+    def check_disconnects(self) -> None:
+        """Close paused connections whose clients have left."""
+        for client in [client for client in self.paused_clients if client.has_disconnected()]:
+            self.paused_clients.discard(client)
             client.transport.abort()
-        self.looking = self.loop.call_later(LOOK, self.look) if self.unheard else None
+        self.disconnect_timer = (
+            self.loop.call_later(DISCONNECT_CHECK_INTERVAL_S, self.check_disconnects)
+            if self.paused_clients
+            else None
+        )
 
-    def read_ahead(self) -> Iterator[ClientRequest]:
-        """Requests that were read, and whose turn has not come."""
+    def pending_requests(self) -> Iterator[ClientRequest]:
+        """Yield the requests that have been read and are not served yet."""
         for client in self.connections:
-            if hasattr(client, "machine"):  # else nothing has been read
+            if hasattr(client, "machine"):  # else its transport does not exist yet
                 yield from (
-                    item for item, _ in client.machine.waiting if isinstance(item, ClientRequest)
+                    item for item, _ in client.machine.pending if isinstance(item, ClientRequest)
                 )
 
-    def lost(self, client: ClientConnection) -> None:
+    def connection_lost(self, client: ClientConnection) -> None:
+        """Forget a closed connection."""
         self.connections.discard(client)
-        self.unheard.discard(client)
+        self.paused_clients.discard(client)
         if client is self.evicted:
             self.evicted = None
-        self.resume()
+        self.resume_accepting()
 
     def close_idle(self) -> None:
-        """What a new client is about to send is still heard, and so is what has come and was not
-        read yet."""
-        for client in [*self.overdue(self.silent, self.loop.time() - GREETING), *self.idle]:
-            if not self.asks(client):
+        """Close connections that wait for a request, unless one is about to be read.
+
+        New connections are given time to send their first request.
+        """
+        for client in [
+            *self.waiting_before(self.new, self.loop.time() - FIRST_BYTE_GRACE_S),
+            *self.idle,
+        ]:
+            if not self.has_unread_input(client):
                 client.transport.close()
 
-    def sweep(self) -> None:
-        """End what has waited for its client for too long; one timer serves all connections."""
-        self.timer = self.loop.call_later(SWEEP, self.sweep)
-        self.resume()
-        now = self.loop.time()
-        for client in self.overdue(self.arriving, now - REQUEST_TIME):
-            if not self.asks(client):
-                client.machine.overdue(now)
-        # A client that does not read its answer has longer than one that has it, but must not stay
-        # for ever.
-        for client in self.overdue(self.uploading, now - REQUEST_TIME):
-            if not self.asks(client):
-                client.transport.abort()  # its request is withdrawn
-        told = [
-            c
-            for c in self.overdue(self.ending, now - LINGER)
-            if not c.transport.get_write_buffer_size()
+    def check_timeouts(self) -> None:
+        """End connections whose clients have exceeded a timeout.
+
+        One timer serves all connections.
+        """
+        self.timeout_timer = self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self.check_timeouts)
+        self.resume_accepting()
+        now_s = self.loop.time()
+        for client in self.waiting_before(self.receiving, now_s - REQUEST_TIMEOUT_S):
+            if not self.has_unread_input(client):
+                client.machine.request_timed_out(now_s)
+        for client in self.waiting_before(self.uploading, now_s - REQUEST_TIMEOUT_S):
+            if not self.has_unread_input(client):
+                client.transport.abort()  # this cancels its request
+        # A client that has not read its last response has longer than one that has, but not
+        # forever.
+        sent = [
+            client
+            for client in self.waiting_before(self.closing, now_s - LINGER_S)
+            if not client.transport.get_write_buffer_size()
         ]
-        for client in (*told, *self.overdue(self.ending, now - KEEP_ALIVE)):
+        for client in (*sent, *self.waiting_before(self.closing, now_s - KEEP_ALIVE_TIMEOUT_S)):
             client.transport.abort()
         for client in (
-            *self.overdue(self.silent, now - REQUEST_TIME),
-            *self.overdue(self.idle, now - KEEP_ALIVE),
+            *self.waiting_before(self.new, now_s - REQUEST_TIMEOUT_S),
+            *self.waiting_before(self.idle, now_s - KEEP_ALIVE_TIMEOUT_S),
         ):
-            if not self.asks(client):
+            if not self.has_unread_input(client):
                 client.transport.abort()
 
     @staticmethod
-    def overdue(wait: Wait, before: float) -> list[ClientConnection]:
-        return [client for client, since in wait.items() if since < before]
+    def waiting_before(waiting: SinceByConnection, before_s: float) -> list[ClientConnection]:
+        """Return the connections whose clients have been waited for since before a time."""
+        return [client for client, since_s in waiting.items() if since_s < before_s]
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One connection of a client, and the front that owes the answer to its request."""
+    """One client connection.
+
+    It is the asyncio protocol of the connection, the driver of its state machine, and the frontend
+    that receives the outcome of its current request.
+    """
 
     transport: asyncio.Transport
-    machine: Connection
+    machine: ConnectionStateMachine
 
     def __init__(self, listener: Listener) -> None:
         self.listener = listener
-        self.request_id = 0  # the number of the request under way; 0: none
-        # Of an answer that goes on as it comes: whom to tell of room, and of the client's end.
+        self.request_id = 0  # the number of the current request; 0 if there is none
+        # Callbacks of a streamed response: when there is capacity again, when the client leaves.
         self.on_room = self.on_lost = nothing
 
-    # From the transport.
+    # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with
-        # TCP_NODELAY set.
+        """Start the connection."""
+        # A cast, since uvloop's transports do not derive from asyncio's. They set TCP_NODELAY.
         self.transport = cast(asyncio.Transport, transport)
         listener = self.listener
-        self.machine = Connection(self, listener.loop.time(), listener.open_ids, listener.waits)
-        # The transport's own: a call less for every answer.
+        self.machine = ConnectionStateMachine(
+            self, listener.loop.time(), listener.open_request_names, listener.waiting_since
+        )
+        # The transport's own method, which saves a call for each response.
         self.write: Callable[[bytes], object] = self.transport.write
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel the current request."""
         upload = self.machine.upload
-        self.machine.lost(self.listener.loop.time())
-        self.listener.lost(self)
-        self.withdraw(upload)
+        self.machine.connection_lost(self.listener.loop.time())
+        self.listener.connection_lost(self)
+        self.cancel_request(upload)
 
     def eof_received(self) -> None:
-        """A client that ends its side has left, by the protocol. The close that follows may take
-        its time."""
+        """Cancel the current request: by the protocol, a client that closes its side has left.
+
+        The end of the connection, which follows, may take its time.
+        """
         upload = self.machine.upload
-        self.machine.left(self.listener.loop.time())
-        self.withdraw(upload)
+        self.machine.client_left(self.listener.loop.time())
+        self.cancel_request(upload)
 
-    def withdraw(self, upload: Upload | None) -> None:
-        """Nothing is owed here any more."""
+    def cancel_request(self, upload: Upload | None) -> None:
+        """Cancel the current request, including its streamed body or response."""
         on_lost, self.on_lost, self.on_room = self.on_lost, nothing, nothing
         on_lost()
         if self.request_id:
             request_id, self.request_id = self.request_id, 0
-            self.listener.handler.withdraw(request_id)
-        if (
-            upload is not None
-        ):  # also where the attempt must not be cancelled: it can only wait for ever
+            self.listener.handler.cancel_request(request_id)
+        # Even where the attempt must not be cancelled: it could only wait forever for the rest.
+        if upload is not None:
             upload.abandon()
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Return the buffer to read into."""
         return reading.buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Handle bytes from the client."""
         self.machine.received(reading.taken(nbytes), self.listener.loop.time())
 
     def pause_writing(self) -> None:
-        self.machine.unread()
+        """Handle that the client does not read its responses."""
+        self.machine.writing_blocked()
 
     def resume_writing(self) -> None:
-        self.machine.read_again(self.listener.loop.time())
+        """Handle that the client has read its responses."""
+        self.machine.writing_unblocked(self.listener.loop.time())
         self.on_room()
 
-    def unread(self) -> bool:
-        """Whether something has come that the loop has not read yet."""
-        return self.shows(select.POLLIN)
+    def has_unread_input(self) -> bool:
+        """Return whether there is input that the event loop has not read yet."""
+        return self.poll_socket(select.POLLIN)
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has left or the connection is broken.
 
-    def left(self) -> bool:
-        """Whether the client has left, or the connection is broken, behind whatever lies unread."""
-        return self.shows(LEFT)
+        That holds even if there is unread input before the end.
+        """
+        return self.poll_socket(DISCONNECT_EVENTS)
 
-    def shows(self, events: int) -> bool:
+    def poll_socket(self, events: int) -> bool:
+        """Return whether any of these poll events is set on the socket."""
         if self.transport.is_closing():
             return False
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), events)
         return bool(poll.poll(0))
 
-    # From the join.
+    # Calls of the request pipeline.
 
     def client_is_gone(self) -> bool:
-        return self.transport.is_closing() or self.left()
+        """Return whether the client has left."""
+        return self.transport.is_closing() or self.has_disconnected()
 
     def on_answer(self, answer: Answer) -> None:
+        """Pass on a server's response."""
         self.request_id = 0
-        self.machine.answer(
+        self.machine.respond(
             self.listener.loop.time(), answer.status, answer.body, answer.content_type, b""
         )
 
     def on_response_started(self, opening: Opening) -> Sink:
+        """Begin a streamed response."""
         self.request_id = 0
-        self.transport.set_write_buffer_limits(high=self.window())
-        self.machine.begin_answer(self.listener.loop.time(), opening)
+        self.transport.set_write_buffer_limits(high=self.stream_window_bytes())
+        self.machine.start_response(self.listener.loop.time(), opening)
         return self
 
-    # An answer that goes on as it comes.
+    # A streamed response.
 
     def watch(self, on_room: Callable[[], None], on_lost: Callable[[], None]) -> None:
+        """Set the callbacks for capacity and for the client's leaving."""
         self.on_room, self.on_lost = on_room, on_lost
 
     def part(self, data: bytes) -> bool:
-        return self.machine.go_on(data)
+        """Write a part of the body; return whether there is capacity for more."""
+        return self.machine.write_body(data)
 
     def done(self) -> None:
+        """End the response."""
         self.on_room = self.on_lost = nothing
-        self.machine.finish_answer(self.listener.loop.time())
+        self.machine.finish_response(self.listener.loop.time())
 
     def broken(self) -> None:
+        """Close the connection, so that the client notices that its response is incomplete."""
         self.on_room = self.on_lost = nothing
         self.transport.abort()
 
     def on_shed(self, wait: float) -> None:
-        content_type, body = self.listener.words(503, "not run; trying again does no harm")
-        after = b"Retry-After: %.3f\r\n" % (wait / 1000) if wait else b""
-        self.answer(503, body, content_type, after)
+        """Answer a request that was shed; the client may retry after `wait` ms."""
+        content_type, body = self.listener.error_body(503, "not run; trying again does no harm")
+        retry_after = b"Retry-After: %.3f\r\n" % (wait / 1000) if wait else b""
+        self.respond(503, body, content_type, retry_after)
 
     def on_failure(self, broken: bool) -> None:
-        status, why = (500, "the node failed") if broken else (502, "failed; it may have run")
-        content_type, body = self.listener.words(status, why)
-        self.answer(status, body, content_type)
+        """Answer a request that failed; `broken`: by an error of the node itself."""
+        status, reason = (500, "the node failed") if broken else (502, "failed; it may have run")
+        content_type, body = self.listener.error_body(status, reason)
+        self.respond(status, body, content_type)
 
-    def answer(
-        self, status: int, body: bytes = b"", content_type: bytes = b"", extra: bytes = b""
+    def respond(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", extra_headers: bytes = b""
     ) -> None:
-        """Write the final answer to the request under way."""
+        """Write the final response to the current request."""
         self.request_id = 0
-        self.machine.answer(self.listener.loop.time(), status, body, content_type, extra)
+        self.machine.respond(self.listener.loop.time(), status, body, content_type, extra_headers)
 
-    # From the machine.
+    # Calls of the state machine.
 
     @property
-    def keeps(self) -> bool:
+    def keeps_connections(self) -> bool:
+        """Whether connections are kept open after a response."""
         listener = self.listener
-        return not (listener.handler.stopping or len(listener.idle) >= listener.crowd)
+        return not (
+            listener.handler.stopping or len(listener.idle) >= listener.max_idle_connections
+        )
 
     @property
-    def serves(self) -> bool:
+    def can_serve(self) -> bool:
+        """Whether the node can serve requests, as /_health reports it."""
         return self.listener.handler.healthy and not self.listener.handler.stopping
 
     @property
-    def bulk(self) -> bool:
-        return self.listener.room is not None
+    def streams_bodies(self) -> bool:
+        """Whether request bodies may be streamed."""
+        return self.listener.memory_budget is not None
 
-    def hold(self) -> int:
-        return HOLD if self.listener.room is None else self.listener.room.hold
+    def body_buffer_bytes(self) -> int:
+        """Return up to which size a body is buffered at present."""
+        return HOLD if self.listener.memory_budget is None else self.listener.memory_budget.hold
 
-    def window(self) -> int:
-        return HOLD if self.listener.room is None else self.listener.room.window
+    def stream_window_bytes(self) -> int:
+        """Return how many bytes of a streamed body may wait to be forwarded."""
+        return HOLD if self.listener.memory_budget is None else self.listener.memory_budget.window
 
-    def later(self, call: Callable[[], None]) -> None:
-        self.listener.loop.call_soon(call)
+    def call_soon(self, callback: Callable[[], None]) -> None:
+        """Call back in the next iteration of the event loop."""
+        self.listener.loop.call_soon(callback)
 
-    def now(self) -> float:
+    def now_s(self) -> float:
+        """Return the time on the loop's clock."""
         return self.listener.loop.time()
 
-    def read(
-        self, method: bytes, url: bytes, headers: Headers, body: bytes
-    ) -> ClientRequest | Page:
+    def read_request(
+        self, method: bytes, url: bytes, headers: RequestHeaders, body: bytes
+    ) -> ClientRequest | OperatorPage:
+        """Check a request, or return the page that it asks for. Raises BadRequestError."""
         if (page := self.listener.handler.pages.get(url)) is not None:
             if method != b"GET":
-                raise BadRequest(405, "a page is asked for by GET", b"Allow: GET\r\n")
+                raise BadRequestError(405, "a page is asked for by GET", b"Allow: GET\r\n")
             return page
-        return self.listener.read(method, url, headers, body)
+        return self.listener.request_reader(method, url, headers, body)
 
-    def whole(self, request: ClientRequest) -> None:
-        request.sent = now_ms()
+    def request_completed(self, request: ClientRequest) -> None:
+        """Handle that the body of a request has been received completely."""
+        request.sent_ms = now_ms()
         if self.request_id:
-            cast(BulkHandler, self.listener.handler).whole(self, request)
-
-    def words(self, status: int, why: str) -> tuple[bytes, bytes]:
-        self.listener.turned_away[status] += 1
-        return self.listener.words(status, why)
-
-    def take(self, request: ClientRequest) -> None:
-        if self in self.listener.unheard and self.left():
-            self.transport.abort()  # its end comes in the next turn, and nobody waits until then
+            cast(StreamingRequestHandler, self.listener.handler).request_completed(self, request)
+
+    def error_body(self, status: int, reason: str) -> tuple[bytes, bytes]:
+        """Count a rejected request; return content type and body of the response."""
+        self.listener.rejected_requests[status] += 1
+        return self.listener.error_body(status, reason)
+
+    def handle_request(self, request: ClientRequest) -> None:
+        """Serve a request, unless its client has left."""
+        # The event loop would notice the end only in its next iteration.
+        if self in self.listener.paused_clients and self.has_disconnected():
+            self.transport.abort()
             return
-        self.listener.handler.take(self, request)
+        self.listener.handler.handle_request(self, request)
 
-    def pause(self) -> None:
+    def pause_reading(self) -> None:
+        """Stop reading until `resume_reading`."""
         self.transport.pause_reading()
-        self.listener.rest(self)
+        self.listener.watch_paused_client(self)
 
-    def resume(self) -> None:
-        self.listener.unheard.discard(self)
+    def resume_reading(self) -> None:
+        """Continue to read."""
+        self.listener.paused_clients.discard(self)
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
+        """Close the connection immediately."""
         self.transport.abort()
 
-    def finish(self) -> None:
+    def finish_writing(self) -> None:
+        """Close the connection after what has been written."""
         if not self.transport.is_closing() and self.transport.can_write_eof():
             self.transport.write_eof()
         else:
--- a/badgercart/frontends/http/component.py
+++ b/badgercart/frontends/http/component.py
@@ -1,4 +1,4 @@
-"""The HTTP front as a part of an installation."""
+"""The HTTP frontend, as a component of an installation."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 
 if TYPE_CHECKING:
     from badgercart.frontends.http.clients import Listener
-    from badgercart.frontends.http.frontend import HttpFront
+    from badgercart.frontends.http.frontend import HttpFrontend
 
 
 class HttpSettings(Table, title="HttpSettings"):
-    """a listener for HTTP/1.1 clients"""
+    """a listener for HTTP/1.1 clients"""  # noqa: D400
 
     listen: Address = Field(description="the host:port to listen on")
 
 
-def register(meters: MetricRegistry, name: str, listener: Listener) -> None:
-    """The figures of a listener for clients."""
-    meters.gauge(
+def register_listener_metrics(registry: MetricRegistry, name: str, listener: Listener) -> None:
+    """Register the metrics of a listener for clients; `name` is a part of their names."""
+    registry.gauge(
         f"badgercart_{name}_connections",
         "Connections of clients.",
         lambda: len(listener.connections),
     )
-    meters.counter(
+    registry.counter(
         f"badgercart_{name}_turned_away",
         "Requests that could not be taken, by status.",
-        lambda: {str(status): count for status, count in listener.turned_away.items()},
+        lambda: {str(status): count for status, count in listener.rejected_requests.items()},
         "status",
     )
 
 
 class HttpComponent:
-    """Clients by the platform's protocol, and operators' pages on the same listener."""
+    """A listener for clients of the platform's protocol; it also serves operators' pages."""
 
     def __init__(self, host: ComponentHost, settings: HttpSettings) -> None:
-        from badgercart.frontends.http.frontend import HttpFront
-        from badgercart.frontends.http.requests import problem
+        from badgercart.frontends.http.frontend import HttpFrontend
+        from badgercart.frontends.http.requests import problem_document
 
         config = replace(host.config, listen=settings.listen)
-        self.front: HttpFront = HttpFront(
+        self.frontend: HttpFrontend = HttpFrontend(
             config,
             host.pipeline,
             host.endpoint_table,
@@ -54,22 +54,25 @@
             host.share,
             host.others,
             host.pages,
-            problem,
+            problem_document,
         )
-        register(host.metrics, "http", self.front.listener)
+        register_listener_metrics(host.metrics, "http", self.frontend.listener)
 
     async def start(self) -> None:
-        self.front.start()
+        """Listen. Raises OSError if the address can't be used."""
+        self.frontend.start()
 
     def prepare(self, settings: HttpSettings) -> Callable[[], None] | None:
-        """Nothing here changes without a restart."""
+        """Return None: nothing here changes without a restart."""
         return None
 
     async def drain(self, until: float) -> None:
-        await self.front.drain(until)
+        """Answer all requests; ends at `until` (ms) at the latest."""
+        await self.frontend.drain(until)
 
     def close(self) -> None:
-        self.front.close()
+        """Close the listener."""
+        self.frontend.close()
 
 
 COMPONENTS = (
--- a/badgercart/frontends/http/connection.py
+++ b/badgercart/frontends/http/connection.py
@@ -1,8 +1,8 @@
-"""One client's connection as a machine without I/O: bytes, answers and times in, bytes and requests
-out.
+"""The state machine of one client connection, without I/O.
 
-Requests on a connection are answered one after the other. The machine reads no clock, opens nothing
-and waits for nothing; what it wants done it asks of its `Side`. Its legal moves stand in `MOVES`.
+Bytes, responses and times come in; bytes and requests go out. Requests on a connection are answered
+one after the other. The machine reads no clock, opens nothing and waits for nothing: it asks its
+`ConnectionDriver` for all of that. Its transitions are listed in `ALLOWED_TRANSITIONS`.
 """
 
 from __future__ import annotations
@@ -17,557 +17,666 @@
 
 from badgercart.core.streams import Opening, Upload
 from badgercart.frontends.http.requests import (
-    MAX_REQUEST,
-    OWN,
-    PHRASES,
-    READ,
-    BadRequest,
+    HEADER_READERS,
+    MAX_REQUEST_BYTES,
+    REASON_PHRASES,
+    UNFORWARDED_HEADERS,
+    BadRequestError,
     ClientRequest,
-    Headers,
-    Health,
-    Item,
-    Page,
+    HealthCheck,
+    OperatorPage,
+    ParsedRequest,
+    RequestHeaders,
 )
 from badgercart.upstream.exchange import MAX_BODY, MAX_BULK, MAX_HEAD, OWS, over_framed
 
-MAX_WAITING = 8  # requests sent ahead on one connection, after which it is read no further
-SLICE = 4096  # bytes parsed at a time: what is read at once may hold hundreds of requests
-SLOWEST = 32_000.0  # bytes a second that a body comes in with at least, on average
+# After this many pipelined requests a connection is not read until some of them are answered.
+MAX_PIPELINED_REQUESTS = 8
+# Input is parsed in pieces of this size, since one read may return hundreds of requests.
+PARSE_CHUNK_BYTES = 4096
+MIN_BODY_RATE_BYTES_PER_S = 32_000.0  # on average; a slower body times out
 HEALTH_PATH = b"/_health"
 
 
-class State(IntEnum):  # hashed and compared for every request: as numbers, that costs nothing
-    """What a connection waits for."""
+class ConnectionState(IntEnum):
+    """What a connection waits for.
 
-    SILENT = 0  # connected, nothing heard
-    ARRIVING = 1  # a request has come in part
-    HELD = 2  # a request is being served
-    IDLE = 3  # between requests, or its client does not read its answers
-    ENDING = 4  # the last answer is written
+    It is hashed and compared for every request, which is faster with integers.
+    """
+
+    NEW = 0  # nothing received yet
+    RECEIVING = 1  # a request has been received in part
+    SERVING = 2  # a request is being served
+    IDLE = 3  # between requests, or the client does not read its responses
+    CLOSING = 4  # the last response is written
     CLOSED = 5
-    UPLOADING = 6  # a request is being served that has come in part
+    UPLOADING = 6  # a request is being served whose body is still being received
 
 
-MOVES: dict[State, frozenset[State]] = {
-    State.SILENT: frozenset((State.ARRIVING, State.HELD, State.ENDING, State.CLOSED)),
-    State.ARRIVING: frozenset((State.HELD, State.IDLE, State.ENDING, State.CLOSED)),
-    State.HELD: frozenset(
-        (State.ARRIVING, State.IDLE, State.ENDING, State.CLOSED, State.UPLOADING)
+ALLOWED_TRANSITIONS: dict[ConnectionState, frozenset[ConnectionState]] = {
+    ConnectionState.NEW: frozenset(
+        (
+            ConnectionState.RECEIVING,
+            ConnectionState.SERVING,
+            ConnectionState.CLOSING,
+            ConnectionState.CLOSED,
+        )
+    ),
+    ConnectionState.RECEIVING: frozenset(
+        (
+            ConnectionState.SERVING,
+            ConnectionState.IDLE,
+            ConnectionState.CLOSING,
+            ConnectionState.CLOSED,
+        )
+    ),
+    ConnectionState.SERVING: frozenset(
+        (
+            ConnectionState.RECEIVING,
+            ConnectionState.IDLE,
+            ConnectionState.CLOSING,
+            ConnectionState.CLOSED,
+            ConnectionState.UPLOADING,
+        )
+    ),
+    ConnectionState.UPLOADING: frozenset(
+        (ConnectionState.SERVING, ConnectionState.CLOSING, ConnectionState.CLOSED)
+    ),
+    ConnectionState.IDLE: frozenset(
+        (
+            ConnectionState.RECEIVING,
+            ConnectionState.SERVING,
+            ConnectionState.CLOSING,
+            ConnectionState.CLOSED,
+        )
     ),
-    State.UPLOADING: frozenset((State.HELD, State.ENDING, State.CLOSED)),
-    State.IDLE: frozenset((State.ARRIVING, State.HELD, State.ENDING, State.CLOSED)),
-    State.ENDING: frozenset((State.CLOSED,)),
-    State.CLOSED: frozenset(),
+    ConnectionState.CLOSING: frozenset((ConnectionState.CLOSED,)),
+    ConnectionState.CLOSED: frozenset(),
 }
 
 
-class Side(Protocol):
-    """What a connection asks of its surroundings. None of these calls comes back into it but
-    `take`."""
+class ConnectionDriver(Protocol):
+    """Does the I/O of a connection.
+
+    Only `handle_request` may call back into the state machine before it returns.
+    """
 
     @property
-    def keeps(self) -> bool:
-        """Whether connections are kept after their answers."""
+    def keeps_connections(self) -> bool:
+        """Whether connections are kept open after a response."""
 
     @property
-    def serves(self) -> bool:
-        """Whether the node can serve: what /_health says."""
+    def can_serve(self) -> bool:
+        """Whether the node can serve requests, as /_health reports it."""
 
     @property
-    def bulk(self) -> bool:
-        """Whether bodies may go on as they come; else they are held whole, and bounded."""
+    def streams_bodies(self) -> bool:
+        """Whether request bodies may be streamed; otherwise they are buffered, up to a limit."""
 
-    def hold(self) -> int:
-        """Bytes that a body may be held up to now."""
+    def body_buffer_bytes(self) -> int:
+        """Return up to which size a body is buffered at present."""
 
-    def window(self) -> int:
-        """Bytes of a body that may wait to go on."""
+    def stream_window_bytes(self) -> int:
+        """Return how many bytes of a streamed body may wait to be forwarded."""
 
-    def later(self, call: Callable[[], None]) -> None:
-        """Call, but not from within this."""
+    def call_soon(self, callback: Callable[[], None]) -> None:
+        """Call back after the current event has been handled."""
 
-    def now(self) -> float: ...
+    def now_s(self) -> float:
+        """Return the time on the clock of all events."""
 
-    def read(
-        self, method: bytes, url: bytes, headers: Headers, body: bytes
-    ) -> ClientRequest | Page:
-        """A request into what is taken: whole, or with the rest of it to come. Raises
-        BadRequest."""
+    def read_request(
+        self, method: bytes, url: bytes, headers: RequestHeaders, body: bytes
+    ) -> ClientRequest | OperatorPage:
+        """Check a request, whose body may still be being received. Raises BadRequestError."""
 
-    def whole(self, request: ClientRequest) -> None:
-        """The rest of it has come."""
+    def request_completed(self, request: ClientRequest) -> None:
+        """Receive the notice that the body of a request has been received completely."""
 
-    def words(self, status: int, why: str) -> tuple[bytes, bytes]:
-        """Content type and body that say why."""
+    def error_body(self, status: int, reason: str) -> tuple[bytes, bytes]:
+        """Return content type and body of an error response."""
 
-    def take(self, request: ClientRequest) -> None:
-        """Serve a request. Its answer may come before this returns."""
+    def handle_request(self, request: ClientRequest) -> None:
+        """Serve a request. Its response may come before this returns."""
 
     @property
-    def write(self) -> Callable[[bytes], object]: ...
+    def write(self) -> Callable[[bytes], object]:
+        """The function that writes to the connection."""
 
-    def pause(self) -> None:
-        """Read no further for now."""
+    def pause_reading(self) -> None:
+        """Stop reading until `resume_reading`."""
 
-    def resume(self) -> None: ...
+    def resume_reading(self) -> None:
+        """Continue to read."""
 
-    def finish(self) -> None:
-        """Nothing more is written."""
+    def finish_writing(self) -> None:
+        """Close the connection after what has been written."""
+
+    def abort(self) -> None:
+        """Close the connection immediately."""
 
-    def break_off(self) -> None:
-        """End the connection at once."""
 
+# The connections that wait for their client, by state, each with the time (s) since when: the
+# longest waiting first. A connection that is SERVING waits for a server and is not in it.
+WaitingSince = Mapping[ConnectionState, dict[Any, float]]
 
-# Who waits, by what for, and since when (s): the longest first. Who is HELD waits for a server.
-Waits = Mapping[State, dict[Any, float]]
 
+class ConnectionStateMachine:
+    """One client connection.
 
-class Connection:
-    """The machine. `now` is given with each event, in s on one clock that only goes forward."""
+    `now_s` is given with each event, in seconds on one monotonic clock.
+    """
 
     __slots__ = (
-        "__weakref__", "advancing", "backlog", "body", "busy", "chunks", "ended", "full", "headers", "heard",
-        "incoming", "keep", "names", "now", "parser", "paused", "reading", "request", "served", "side",
-        "since", "size", "stalled", "state", "upload", "url", "waiting", "waits",
+        "__weakref__", "advancing", "body", "chunked_response", "driver", "has_received_request", "headers",
+        "input_ended", "is_serving", "keep_alive", "last_received_s", "now_s", "open_request_names", "parser",
+        "pending", "reading_paused", "receiving", "receiving_since_s", "request", "request_bytes", "state",
+        "streaming_request", "unparsed", "upload", "upload_stalled", "url", "waiting_since", "write_blocked",
     )  # fmt: skip
 
-    def __init__(self, side: Side, now: float, names: set[bytes], waits: Waits) -> None:
-        """Shared by all connections of a listener: the names of open requests, and who waits for
-        what."""
-        self.side = side
-        self.names = names
-        self.waits = waits
-        self.now = now
-        self.state = State.SILENT
-        waits[State.SILENT][side] = now
+    def __init__(
+        self,
+        driver: ConnectionDriver,
+        now_s: float,
+        open_request_names: set[bytes],
+        waiting_since: WaitingSince,
+    ) -> None:
+        """Start a connection.
+
+        `open_request_names` and `waiting_since` are shared by all connections of a listener.
+        """
+        self.driver = driver
+        self.open_request_names = open_request_names
+        self.waiting_since = waiting_since
+        self.now_s = now_s
+        self.state = ConnectionState.NEW
+        waiting_since[ConnectionState.NEW][driver] = now_s
         self.parser = httptools.HttpRequestParser(self)
-        # What has come in whole and waits for its turn, and whether to keep the connection after
-        # it.
-        self.waiting: deque[tuple[Item, bool]] = deque()
-        self.backlog = b""  # read and not parsed, while enough requests wait
-        self.request: ClientRequest | None = None  # that is being served
-        self.busy = self.advancing = False
-        self.keep = True  # the connection, after the answer under way
-        self.ended = False  # nothing further is read on it
-        self.paused = self.full = False  # reading; writing
-        self.reading = False  # a request has come in part
-        self.served = False  # one has come in whole
-        self.heard = now  # when something last came, or the connection did
-        self.since = now  # when the one that comes in began, the first with the connection
+        # Received requests that are not served yet, each with whether the connection is kept open
+        # after it.
+        self.pending: deque[tuple[ParsedRequest, bool]] = deque()
+        self.unparsed = b""  # input that is not parsed while enough requests are pending
+        self.request: ClientRequest | None = None  # the one being served
+        self.is_serving = self.advancing = False
+        self.keep_alive = True  # whether the connection is kept open after the current response
+        self.input_ended = False  # nothing more is read
+        self.reading_paused = self.write_blocked = False
+        self.receiving = False  # a request has been received in part
+        self.has_received_request = False  # at least one, completely
+        self.last_received_s = (
+            now_s  # when bytes were last received; at first, the connection's start
+        )
+        # When the request being received began; for the first one, when the connection did.
+        self.receiving_since_s = now_s
         self.url = b""
-        self.headers = Headers()
+        self.headers = RequestHeaders()
         self.body = bytearray()
-        self.size = 0  # bytes of the request that comes in
-        self.upload: Upload | None = (
-            None  # the body of the one that comes in, where it goes on as it comes
-        )
-        self.incoming: ClientRequest | None = None  # that one
-        self.stalled = False  # it waits for room
-        self.chunks = False  # whether the answer under way goes out in chunks
+        self.request_bytes = 0  # received of the current request
+        # The body of the request being received and the request itself, if the body is streamed.
+        self.upload: Upload | None = None
+        self.streaming_request: ClientRequest | None = None
+        self.upload_stalled = False  # the streamed body waits for capacity
+        self.chunked_response = False  # the current response uses chunked encoding
 
     # Events.
 
-    def received(self, data: bytes, now: float) -> None:
-        self.now = self.heard = now
-        if self.ended:
+    def received(self, data: bytes, now_s: float) -> None:
+        """Handle bytes from the client."""
+        self.now_s = self.last_received_s = now_s
+        if self.input_ended:
             return
-        if (
-            self.headers.whole and self.state in self.waits
-        ):  # a body has the longer the more of it comes
-            self.since = min(now, self.since + len(data) / SLOWEST)
-            self.waits[self.state][self.side] = self.since
-        if self.backlog:
-            self.backlog += data
+        # A body may take longer the more of it has been received.
+        if self.headers.complete and self.state in self.waiting_since:
+            self.receiving_since_s = min(
+                now_s, self.receiving_since_s + len(data) / MIN_BODY_RATE_BYTES_PER_S
+            )
+            self.waiting_since[self.state][self.driver] = self.receiving_since_s
+        if self.unparsed:
+            self.unparsed += data
         else:
             self.parse(data)
-        self.next()
+        self.serve_pending()
 
-    def room_again(self) -> None:
-        """The body that comes in has room to go on."""
+    def resume_upload(self) -> None:
+        """Continue to receive a streamed body, which has capacity again."""
         if (
-            not self.stalled
-            or self.state is State.CLOSED
+            not self.upload_stalled
+            or self.state is ConnectionState.CLOSED
             or (self.upload is not None and self.upload.full)
         ):
             return
-        self.stalled = False
-        self.now = self.since = self.side.now()
-        if self.state in self.waits:
-            self.waits[self.state][self.side] = self.since
-        backlog, self.backlog = self.backlog, b""
-        self.parse(backlog)
-        self.next()
-
-    def overdue(self, now: float) -> None:
-        """The request that comes in has taken too long."""
-        self.now = now
-        self.refuse(408, "the request did not come in whole in time")
-        self.next()
-
-    def answer(
-        self, now: float, status: int, body: bytes, content_type: bytes, extra: bytes
+        self.upload_stalled = False
+        self.now_s = self.receiving_since_s = self.driver.now_s()
+        if self.state in self.waiting_since:
+            self.waiting_since[self.state][self.driver] = self.receiving_since_s
+        unparsed, self.unparsed = self.unparsed, b""
+        self.parse(unparsed)
+        self.serve_pending()
+
+    def request_timed_out(self, now_s: float) -> None:
+        """Reject the request being received, which has taken too long."""
+        self.now_s = now_s
+        self.reject(408, "the request did not come in whole in time")
+        self.serve_pending()
+
+    def respond(
+        self, now_s: float, status: int, body: bytes, content_type: bytes, extra_headers: bytes
     ) -> None:
-        """The final answer to the request under way, if its client is still there."""
-        if self.state is State.CLOSED:
+        """Answer the current request with its final response, if the connection is still open."""
+        if self.state is ConnectionState.CLOSED:
             return
-        self.now = now
-        self.write_answer(status, body, content_type, extra)
-        self.next()
-
-    def unread(self) -> None:
-        """A client that does not read its answers gets no further ones."""
-        self.full = True
-
-    def read_again(self, now: float) -> None:
-        self.now = now
-        self.full = False
-        self.next()
-
-    def left(self, now: float) -> None:
-        """Its client has left: nothing of it is owed an answer any more. What is written may still
-        go out."""
-        self.owe_nothing(now)
-        self.busy = False
-        if self.state not in (State.ENDING, State.CLOSED):
-            self.move(State.ENDING)
-
-    def lost(self, now: float) -> None:
-        """The connection is gone, and all that waited on it with it."""
-        self.owe_nothing(now)
-        del (
-            self.parser
-        )  # it refers back to this connection: both would wait for the cyclic collector
-        self.move(State.CLOSED)
-        del self.side  # it refers back, too
-
-    def owe_nothing(self, now: float) -> None:
-        """Read nothing more, and answer nothing of what was."""
-        self.now = now
-        self.ended = True
-        self.upload = self.incoming = None
-        self.drop_waiting()
-        self.release(self.request)
+        self.now_s = now_s
+        self.write_response(status, body, content_type, extra_headers)
+        self.serve_pending()
+
+    def writing_blocked(self) -> None:
+        """Serve no more requests until the client reads its responses."""
+        self.write_blocked = True
+
+    def writing_unblocked(self, now_s: float) -> None:
+        """Continue to serve requests: the client has read its responses."""
+        self.now_s = now_s
+        self.write_blocked = False
+        self.serve_pending()
+
+    def client_left(self, now_s: float) -> None:
+        """Drop all requests: the client has closed its side.
+
+        Bytes that are already written may still be sent.
+        """
+        self.drop_requests(now_s)
+        self.is_serving = False
+        if self.state not in (ConnectionState.CLOSING, ConnectionState.CLOSED):
+            self.transition(ConnectionState.CLOSING)
+
+    def connection_lost(self, now_s: float) -> None:
+        """Drop all requests: the connection is closed."""
+        self.drop_requests(now_s)
+        # Parser and driver refer back to this object: without these deletions all of them would
+        # stay until the cyclic garbage collector runs.
+        del self.parser
+        self.transition(ConnectionState.CLOSED)
+        del self.driver
+
+    def drop_requests(self, now_s: float) -> None:
+        """Stop reading, and drop the current request and the pending ones."""
+        self.now_s = now_s
+        self.input_ended = True
+        self.upload = self.streaming_request = None
+        self.drop_pending()
+        self.release_name(self.request)
         self.request = None
 
     # States.
 
-    def move(self, state: State, since: float | None = None) -> None:
+    def transition(self, state: ConnectionState, since_s: float | None = None) -> None:
+        """Change the state; `since_s`: since when the client is waited for, if not since now."""
         if state is self.state:
             return
-        if state not in MOVES[self.state]:
+        if state not in ALLOWED_TRANSITIONS[self.state]:
             raise RuntimeError(
                 f"a client's connection can't go from {self.state.name} to {state.name}"
             )
-        if (wait := self.waits.get(self.state)) is not None:
-            del wait[self.side]
+        if (waiting := self.waiting_since.get(self.state)) is not None:
+            del waiting[self.driver]
         self.state = state
-        if (wait := self.waits.get(state)) is not None:
-            wait[self.side] = self.now if since is None else since
-
-    def place(self) -> None:
-        """Say what the connection waits for."""
-        if self.busy:
-            if self.upload is None or self.ended:
-                self.move(State.HELD)
+        if (waiting := self.waiting_since.get(state)) is not None:
+            waiting[self.driver] = self.now_s if since_s is None else since_s
+
+    def update_state(self) -> None:
+        """Set the state by what the connection waits for now."""
+        if self.is_serving:
+            if self.upload is None or self.input_ended:
+                self.transition(ConnectionState.SERVING)
             else:
-                self.move(State.UPLOADING, self.since)
-        elif self.ended and not self.waiting:
-            self.move(State.ENDING)
-        elif self.full or (self.served and not self.reading):
-            self.move(State.IDLE)
-        elif self.reading:
-            self.move(State.ARRIVING, self.since)
-
-    def release(self, item: Item | None) -> None:
-        if isinstance(item, ClientRequest):
-            self.names.discard(item.name)
-
-    def drop_waiting(self) -> None:
-        for item, _ in self.waiting:
-            self.release(item)
-        self.waiting.clear()
-        self.backlog = b""
+                self.transition(ConnectionState.UPLOADING, self.receiving_since_s)
+        elif self.input_ended and not self.pending:
+            self.transition(ConnectionState.CLOSING)
+        elif self.write_blocked or (self.has_received_request and not self.receiving):
+            self.transition(ConnectionState.IDLE)
+        elif self.receiving:
+            self.transition(ConnectionState.RECEIVING, self.receiving_since_s)
+
+    def release_name(self, request: ParsedRequest | None) -> None:
+        """Allow the Request-Id of a request to be used again."""
+        if isinstance(request, ClientRequest):
+            self.open_request_names.discard(request.request_name)
+
+    def drop_pending(self) -> None:
+        """Drop requests that are not being served yet, and unparsed input."""
+        for request, _ in self.pending:
+            self.release_name(request)
+        self.pending.clear()
+        self.unparsed = b""
 
     # Requests in.
 
     def parse(self, data: bytes) -> None:
-        """Parse until enough requests wait; the rest is kept until they are answered, and reading
-        rests."""
+        """Parse until enough requests are pending.
+
+        The rest is kept until they are answered, and reading is paused.
+        """
         at = 0
-        while at < len(data) and not self.ended:
-            if self.stalled or len(self.waiting) >= MAX_WAITING:
+        while at < len(data) and not self.input_ended:
+            if self.upload_stalled or len(self.pending) >= MAX_PIPELINED_REQUESTS:
                 break
-            part = data[at : at + SLICE] if len(data) > SLICE else data
+            part = data[at : at + PARSE_CHUNK_BYTES] if len(data) > PARSE_CHUNK_BYTES else data
             at += len(part)
-            self.size += len(part)
+            self.request_bytes += len(part)
             try:
                 self.parser.feed_data(part)
             except httptools.HttpParserUpgrade:
-                # No upgrade is offered: the request is served as any other, and the last on its
+                # Upgrades are not supported: the request is served without one, as the last on its
                 # connection.
-                self.ended = True
-                if self.waiting:
-                    self.waiting[-1] = (self.waiting[-1][0], False)
+                self.input_ended = True
+                if self.pending:
+                    self.pending[-1] = (self.pending[-1][0], False)
             except httptools.HttpParserError as error:
                 cause = error.__context__
-                if isinstance(cause, BadRequest):
-                    self.refuse(cause.status, cause.why, cause.extra)
+                if isinstance(cause, BadRequestError):
+                    self.reject(cause.status, cause.reason, cause.extra_headers)
                 else:
-                    self.refuse(400, f"this is no HTTP/1.1 request: {error}")
-                # it holds this frame, and this frame it: both would wait for the cyclic collector
+                    self.reject(400, f"this is no HTTP/1.1 request: {error}")
+                # The error and this frame refer to each other: without the deletion both would
+                # stay until the cyclic garbage collector runs.
                 del cause
             else:
-                if self.size > MAX_HEAD:
-                    self.check_size()
-        self.backlog = b"" if self.ended else data[at:]
-        if not self.backlog:
-            self.read_on()
-        elif not self.paused:
-            self.paused = True
-            self.side.pause()
-
-    def check_size(self) -> None:
-        most = over_framed(self.headers.got) if self.side.bulk else MAX_REQUEST
-        if not self.headers.whole:
-            self.refuse(431, f"the head is over {MAX_HEAD} bytes")
-        elif self.size > most:
-            self.refuse(413, f"the request is over {most} bytes")
-
-    def read_on(self) -> None:
-        if self.paused:
-            self.paused = False
-            self.side.resume()
-
-    def refuse(self, status: int, why: str, extra: bytes = b"") -> None:
-        """Answer what came before, then this, and close: where the next request begins can't be
-        trusted."""
-        self.ended = True
-        if self.incoming is not None:
-            if self.incoming is self.request:  # it can't become whole, and so was never taken
-                self.side.break_off()
+                if self.request_bytes > MAX_HEAD:
+                    self.check_request_size()
+        self.unparsed = b"" if self.input_ended else data[at:]
+        if not self.unparsed:
+            self.resume_reading()
+        elif not self.reading_paused:
+            self.reading_paused = True
+            self.driver.pause_reading()
+
+    def check_request_size(self) -> None:
+        """Reject the request being received if it is too large."""
+        max_bytes = (
+            over_framed(self.headers.body_bytes)
+            if self.driver.streams_bodies
+            else MAX_REQUEST_BYTES
+        )
+        if not self.headers.complete:
+            self.reject(431, f"the head is over {MAX_HEAD} bytes")
+        elif self.request_bytes > max_bytes:
+            self.reject(413, f"the request is over {max_bytes} bytes")
+
+    def resume_reading(self) -> None:
+        """Resume reading if it is paused."""
+        if self.reading_paused:
+            self.reading_paused = False
+            self.driver.resume_reading()
+
+    def reject(self, status: int, reason: str, extra_headers: bytes = b"") -> None:
+        """Answer earlier requests, then reject the one being received, and close.
+
+        The connection is of no more use: where the next request begins can't be trusted.
+        """
+        self.input_ended = True
+        if self.streaming_request is not None:
+            # The request is already being served, but can't become complete any more, so it is
+            # never executed.
+            if self.streaming_request is self.request:
+                self.driver.abort()
                 return
-            self.release(self.waiting.pop()[0])
-        self.forget()
-        self.waiting.append((BadRequest(status, why, extra), False))
-
-    def forget(self) -> None:
-        """Keep nothing of a request that has come in: the connection may stand idle for long."""
-        self.reading = False
-        self.size = 0
+            self.release_name(self.pending.pop()[0])
+        self.reset_request()
+        self.pending.append((BadRequestError(status, reason, extra_headers), False))
+
+    def reset_request(self) -> None:
+        """Free the memory of the request received last, since the connection may be idle long."""
+        self.receiving = False
+        self.request_bytes = 0
         self.url = b""
-        self.headers, self.body = Headers(), bytearray()
-        self.upload = self.incoming = None
+        self.headers, self.body = RequestHeaders(), bytearray()
+        self.upload = self.streaming_request = None
 
-    # What the parser finds.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        self.reading = True
-        if self.served:
-            self.since = self.now
+        """Handle the begin of a request."""
+        self.receiving = True
+        if self.has_received_request:
+            self.receiving_since_s = self.now_s
 
     def on_url(self, url: bytes) -> None:
+        """Handle a part of the request target."""
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Handle a header field or a trailer field."""
         headers = self.headers
-        headers.size += len(name) + len(value) + 4
-        if headers.size > MAX_HEAD:
-            raise BadRequest(431, f"the headers are over {MAX_HEAD} bytes")
-        if headers.whole:  # trailers come here too: they must not pass for headers
+        headers.header_bytes += len(name) + len(value) + 4
+        if headers.header_bytes > MAX_HEAD:
+            raise BadRequestError(431, f"the headers are over {MAX_HEAD} bytes")
+        if headers.complete:  # a trailer field, which must not be taken for a header
             return
         lower, value = name.lower(), value.strip(OWS)
-        if (read := READ.get(lower)) is not None:
+        if (read := HEADER_READERS.get(lower)) is not None:
             read(headers, value)
-        if lower not in OWN:
-            headers.lines.append(b"%b: %b\r\n" % (name, value))
+        if lower not in UNFORWARDED_HEADERS:
+            headers.forwarded_lines.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
+        """Check the header section, before any of the body is received."""
         headers, version = self.headers, self.parser.get_http_version()
-        headers.whole = True
+        headers.complete = True
         if version not in ("1.0", "1.1"):
-            raise BadRequest(505, "only HTTP/1.0 and HTTP/1.1 are spoken here")
-        # The parser passes over codings that it does not know, and HTTP/1.0 has none.
-        if headers.coding is not None and (
-            headers.coding.lower() != b"chunked" or version == "1.0"
+            raise BadRequestError(505, "only HTTP/1.0 and HTTP/1.1 are spoken here")
+        # The parser ignores transfer encodings that it does not know; HTTP/1.0 has none.
+        if headers.transfer_encoding is not None and (
+            headers.transfer_encoding.lower() != b"chunked" or version == "1.0"
         ):
-            raise BadRequest(400, "Transfer-Encoding can only be chunked, and only in HTTP/1.1")
-        headers.old = version == "1.0"
-        if headers.length and headers.length > self.most:
-            raise BadRequest(413, f"the body is over {self.most} bytes")  # before the body has come
-        if headers.expects and not self.busy and not self.waiting:
-            self.side.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if headers.length and self.side.bulk and headers.length > self.side.hold():
-            self.begin_upload()
+            raise BadRequestError(
+                400, "Transfer-Encoding can only be chunked, and only in HTTP/1.1"
+            )
+        headers.is_http10 = version == "1.0"
+        if headers.content_length and headers.content_length > self.max_body_bytes:
+            raise BadRequestError(413, f"the body is over {self.max_body_bytes} bytes")
+        if headers.expects_continue and not self.is_serving and not self.pending:
+            self.driver.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+        if (
+            headers.content_length
+            and self.driver.streams_bodies
+            and headers.content_length > self.driver.body_buffer_bytes()
+        ):
+            self.start_upload()
 
     @property
-    def most(self) -> int:
-        """Bytes of a body."""
-        return MAX_BULK if self.side.bulk else MAX_BODY
+    def max_body_bytes(self) -> int:
+        """The maximum size of a request body."""
+        return MAX_BULK if self.driver.streams_bodies else MAX_BODY
 
     def on_body(self, body: bytes) -> None:
+        """Handle a part of the body."""
         headers = self.headers
-        headers.got += len(body)
-        if headers.got > self.most:
-            raise BadRequest(413, f"the body is over {self.most} bytes")
-        if self.upload is None and self.side.bulk and headers.got > self.side.hold():
-            self.begin_upload()
+        headers.body_bytes += len(body)
+        if headers.body_bytes > self.max_body_bytes:
+            raise BadRequestError(413, f"the body is over {self.max_body_bytes} bytes")
+        if (
+            self.upload is None
+            and self.driver.streams_bodies
+            and headers.body_bytes > self.driver.body_buffer_bytes()
+        ):
+            self.start_upload()
         if self.upload is None:
             self.body += body
-        elif not self.upload.feed(body) and not self.stalled:
-            # Nothing is read until there is room: meanwhile it is not the client that is slow.
-            self.stalled, self.since = True, math.inf
-
-    def begin_upload(self) -> None:
-        """Take the request on though it is not whole: its body goes on as it comes."""
-        headers, side = self.headers, self.side
-        length = None if headers.coding is not None else headers.length
-        self.upload = Upload(length, side.window)
-        self.upload.on_room = lambda: side.later(self.room_again)
+        elif not self.upload.feed(body) and not self.upload_stalled:
+            # Reading stops until there is capacity. The client is not the slow side meanwhile, so
+            # its request does not time out.
+            self.upload_stalled, self.receiving_since_s = True, math.inf
+
+    def start_upload(self) -> None:
+        """Enqueue the request before it is complete; its body is streamed."""
+        headers, driver = self.headers, self.driver
+        length = None if headers.transfer_encoding is not None else headers.content_length
+        self.upload = Upload(length, driver.stream_window_bytes)
+        self.upload.on_room = lambda: driver.call_soon(self.resume_upload)
         headers.upload = self.upload
-        item = self.take_in()
-        if not isinstance(item, ClientRequest):
-            raise BadRequest(413, "this has no body of such a size")
-        self.incoming = item
+        request = self.enqueue_request()
+        if not isinstance(request, ClientRequest):
+            raise BadRequestError(413, "this has no body of such a size")
+        self.streaming_request = request
         if self.body:
             self.upload.feed(bytes(self.body))
             self.body.clear()
 
     def on_message_complete(self) -> None:
+        """Handle the end of a request."""
         if self.upload is not None:
-            upload, request = self.upload, self.incoming
-            self.forget()
+            upload, request = self.upload, self.streaming_request
+            self.reset_request()
             upload.finish()
             if request is not None:
-                self.side.whole(request)
+                self.driver.request_completed(request)
             return
-        self.take_in()
-        self.forget()
-
-    def take_in(self) -> Item:
-        """A request's turn comes when those before it are answered."""
-        item = self.read_request()
-        if isinstance(item, ClientRequest):
-            # Two that are open under one name could not be told apart by the servers.
-            if item.name in self.names:
-                raise BadRequest(409, "a request of this Request-Id is open")
-            self.names.add(item.name)
-        self.waiting.append((item, self.parser.should_keep_alive()))
-        self.served = True
-        return item
-
-    def read_request(self) -> Item:
+        self.enqueue_request()
+        self.reset_request()
+
+    def enqueue_request(self) -> ParsedRequest:
+        """Add the request to the pending ones; it is served after those before it."""
+        request = self.read_request()
+        if isinstance(request, ClientRequest):
+            # The servers could not tell apart two open requests with the same Request-Id.
+            if request.request_name in self.open_request_names:
+                raise BadRequestError(409, "a request of this Request-Id is open")
+            self.open_request_names.add(request.request_name)
+        self.pending.append((request, self.parser.should_keep_alive()))
+        self.has_received_request = True
+        return request
+
+    def read_request(self) -> ParsedRequest:
+        """Check the request. Raises BadRequestError."""
         method = self.parser.get_method()
         if self.url == HEALTH_PATH:
             if method != b"GET":
-                raise BadRequest(405, "the health is asked for by GET", b"Allow: GET\r\n")
-            return Health()
-        return self.side.read(method, self.url, self.headers, bytes(self.body))
-
-    def next(self) -> None:
-        """Begin with the next request that has come in whole."""
-        if (
-            self.advancing
-        ):  # an answer given at once comes back here: a loop, or many would nest too deep
+                raise BadRequestError(405, "the health is asked for by GET", b"Allow: GET\r\n")
+            return HealthCheck()
+        return self.driver.read_request(method, self.url, self.headers, bytes(self.body))
+
+    def serve_pending(self) -> None:
+        """Serve pending requests until one of them waits for its response."""
+        # A response that is given immediately calls this again. The loop below continues then:
+        # many such responses would exceed the recursion limit.
+        if self.advancing:
             return
         self.advancing = True
-        while not self.busy and not self.full:
-            if not self.waiting and self.backlog and not self.stalled:
-                backlog, self.backlog = self.backlog, b""
-                self.parse(backlog)
-            if not self.waiting:
+        while not self.is_serving and not self.write_blocked:
+            if not self.pending and self.unparsed and not self.upload_stalled:
+                unparsed, self.unparsed = self.unparsed, b""
+                self.parse(unparsed)
+            if not self.pending:
                 break
-            item, self.keep = self.waiting.popleft()
-            self.busy = True
-            self.begin(item)
+            request, self.keep_alive = self.pending.popleft()
+            self.is_serving = True
+            self.serve(request)
         self.advancing = False
-        if self.state is not State.CLOSED:
-            self.place()
-
-    def begin(self, item: Item) -> None:
-        self.move(State.HELD)
-        if isinstance(item, ClientRequest):
-            self.request = item
-            self.side.take(item)
-        elif isinstance(item, BadRequest):
-            content_type, body = self.side.words(item.status, item.why)
-            self.write_answer(item.status, body, content_type, item.extra)
-        elif isinstance(item, Page):
-            self.write_answer(200, item.body(), item.content_type, b"")
-        elif self.side.serves:
-            self.write_answer(200, b"ok\n", b"text/plain", b"")
+        if self.state is not ConnectionState.CLOSED:
+            self.update_state()
+
+    def serve(self, request: ParsedRequest) -> None:
+        """Serve one request."""
+        self.transition(ConnectionState.SERVING)
+        if isinstance(request, ClientRequest):
+            self.request = request
+            self.driver.handle_request(request)
+        elif isinstance(request, BadRequestError):
+            content_type, body = self.driver.error_body(request.status, request.reason)
+            self.write_response(request.status, body, content_type, request.extra_headers)
+        elif isinstance(request, OperatorPage):
+            self.write_response(200, request.render(), request.content_type, b"")
+        elif self.driver.can_serve:
+            self.write_response(200, b"ok\n", b"text/plain", b"")
         else:
-            self.write_answer(503, b"", b"", b"")
+            self.write_response(503, b"", b"", b"")
 
-    # Answers out.
+    # Responses out.
 
-    def write_answer(self, status: int, body: bytes, content_type: bytes, extra: bytes) -> None:
+    def write_response(
+        self, status: int, body: bytes, content_type: bytes, extra_headers: bytes
+    ) -> None:
+        """Write a complete response to the current request."""
         if self.request is not None:
-            self.names.discard(self.request.name)
+            self.open_request_names.discard(self.request.request_name)
             self.request = None
-        keep = self.keeps()
+        keep_alive = self.should_keep_alive()
         lines = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b" % (
             status,
-            PHRASES.get(status, b""),
+            REASON_PHRASES.get(status, b""),
             len(body),
-            extra,
+            extra_headers,
         )
         if content_type:
             lines += b"Content-Type: %b\r\n" % content_type
-        self.side.write(b"%b%b\r\n%b" % (lines, b"" if keep else b"Connection: close\r\n", body))
-        self.busy = False
-        if not keep:
-            self.end()
-
-    def keeps(self) -> bool:
-        """Whether the connection goes on after the answer under way.
-
-        A node that stops still owes an answer to what it has read: the connection ends with the
-        last. What is left of a request that is answered already is not read."""
-        keep = self.keep and (bool(self.waiting or self.backlog) or self.side.keeps)
-        return keep and self.upload is None
+        self.driver.write(
+            b"%b%b\r\n%b" % (lines, b"" if keep_alive else b"Connection: close\r\n", body)
+        )
+        self.is_serving = False
+        if not keep_alive:
+            self.finish()
+
+    def should_keep_alive(self) -> bool:
+        """Return whether the connection is kept open after the current response.
+
+        A node that is stopping still answers the requests that it has read: the connection ends
+        with the last of them. If a request is answered before its body is complete, the rest of the
+        body is not read, so the connection can't be kept.
+        """
+        keep_alive = self.keep_alive and (
+            bool(self.pending or self.unparsed) or self.driver.keeps_connections
+        )
+        return keep_alive and self.upload is None
 
-    # Answers that go out as they come.
+    # Streamed responses.
 
-    def begin_answer(self, now: float, opening: Opening) -> None:
-        if self.state is State.CLOSED:
+    def start_response(self, now_s: float, opening: Opening) -> None:
+        """Write the header section of a streamed response."""
+        if self.state is ConnectionState.CLOSED:
             return
-        self.now = now
+        self.now_s = now_s
         request, self.request = self.request, None
-        old = request is not None and request.old
-        self.release(request)
-        self.chunks = opening.length is None and not old
-        self.keep = self.keeps() and not (old and opening.length is None)
-        framing = b"Transfer-Encoding: chunked\r\n" if self.chunks else b""
+        is_http10 = request is not None and request.is_http10
+        self.release_name(request)
+        self.chunked_response = opening.length is None and not is_http10
+        self.keep_alive = self.should_keep_alive() and not (is_http10 and opening.length is None)
+        framing = b"Transfer-Encoding: chunked\r\n" if self.chunked_response else b""
         if opening.length is not None:
             framing = b"Content-Length: %d\r\n" % opening.length
         if opening.content_type:
             framing += b"Content-Type: %b\r\n" % opening.content_type
-        if not self.keep:
+        if not self.keep_alive:
             framing += b"Connection: close\r\n"
-        line = b"HTTP/1.1 %d %b\r\n" % (opening.status, PHRASES.get(opening.status, b""))
-        self.side.write(line + framing + b"\r\n")
-
-    def go_on(self, data: bytes) -> bool:
-        """Bytes of its body; whether there is room for more."""
-        if data and self.state is not State.CLOSED:
-            self.side.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunks else data)
-        return not self.full
+        line = b"HTTP/1.1 %d %b\r\n" % (opening.status, REASON_PHRASES.get(opening.status, b""))
+        self.driver.write(line + framing + b"\r\n")
+
+    def write_body(self, data: bytes) -> bool:
+        """Write a part of a streamed body; return whether there is capacity for more."""
+        if data and self.state is not ConnectionState.CLOSED:
+            self.driver.write(
+                b"%x\r\n%b\r\n" % (len(data), data) if self.chunked_response else data
+            )
+        return not self.write_blocked
 
-    def finish_answer(self, now: float) -> None:
-        if self.state is State.CLOSED:
+    def finish_response(self, now_s: float) -> None:
+        """End a streamed response."""
+        if self.state is ConnectionState.CLOSED:
             return
-        self.now = now
-        if self.chunks:
-            self.side.write(b"0\r\n\r\n")
-        self.busy = False
-        if not self.keep:
-            self.end()
-        self.next()
-
-    def end(self) -> None:
-        """After the last answer: a plain close with bytes unread would reset the connection under
-        it."""
-        self.ended = True
-        self.drop_waiting()
-        self.read_on()
-        self.side.finish()
+        self.now_s = now_s
+        if self.chunked_response:
+            self.driver.write(b"0\r\n\r\n")
+        self.is_serving = False
+        if not self.keep_alive:
+            self.finish()
+        self.serve_pending()
+
+    def finish(self) -> None:
+        """Close the connection after its last response.
+
+        Input is still read and discarded: a close with unread input would reset the connection, and
+        the client could lose the response.
+        """
+        self.input_ended = True
+        self.drop_pending()
+        self.resume_reading()
+        self.driver.finish_writing()
--- a/badgercart/frontends/http/connection_eviction.py
+++ b/badgercart/frontends/http/connection_eviction.py
@@ -1,9 +1,9 @@
-"""Who makes room where a new client comes and the limit of connections is reached. No I/O.
+"""Selects the client connection to close when a new client comes at the connection limit. No I/O.
 
-A client at work is never asked to. Of the others those go first that no request needs: who never
-spoke, then who has its last answer, then who stood idle for long; then whoever fell silent within a
-request, the longest silent first, since a slow client goes on writing and one that only holds its
-place does not.
+Connections with a request in progress are never closed. Of the others, those that no request needs
+go first: a client that never sent a byte, then one that has its last response, then one that has
+been idle for long. After them come clients that stopped in the middle of a request, the longest
+silent first: a slow client continues to send, and one that only holds its connection does not.
 """
 
 from __future__ import annotations
@@ -11,43 +11,54 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TypeVar
 
-from badgercart.frontends.http.connection import State
+from badgercart.frontends.http.connection import ConnectionState
 
-GREETING = (
-    0.05  # s in which a new client is sure to be heard, before it may have to make room for others
-)
-HASTE = 0.3  # s of silence in the middle of a request after which its client may have to make room
-SETTLED = 2.0  # s of standing idle after which its client has hardly any use for a connection
+# The first bytes of a new client are read within this time; before, it is not evicted.
+FIRST_BYTE_GRACE_S = 0.05
+# A client that is silent in the middle of a request may be evicted after this time.
+STALLED_REQUEST_GRACE_S = 0.3
+# A client that has been idle for this long is unlikely to use its connection again.
+LONG_IDLE_S = 2.0
 
 Client = TypeVar("Client")
 
-# In this order: what a client waits for, and how long it must have waited in silence (s).
-ORDER: tuple[tuple[State, float], ...] = (
-    (State.SILENT, GREETING),
-    (State.ENDING, GREETING),
-    (State.IDLE, SETTLED),
-    (State.ARRIVING, HASTE),
-    (State.IDLE, 0.0),
+# The order in which connections are evicted: by state, with the minimum time of silence in s.
+EVICTION_ORDER: tuple[tuple[ConnectionState, float], ...] = (
+    (ConnectionState.NEW, FIRST_BYTE_GRACE_S),
+    (ConnectionState.CLOSING, FIRST_BYTE_GRACE_S),
+    (ConnectionState.IDLE, LONG_IDLE_S),
+    (ConnectionState.RECEIVING, STALLED_REQUEST_GRACE_S),
+    (ConnectionState.IDLE, 0.0),
 )
 
 
-def makes_room(
-    waits: Mapping[State, Iterable[Client]],
-    silent_since: Callable[[Client], float],
-    spared: Callable[[Client], Any],
-    now: float,
+def choose_connection_to_evict(
+    waiting_since: Mapping[ConnectionState, Iterable[Client]],
+    silent_since_s: Callable[[Client], float],
+    is_protected: Callable[[Client], Any],
+    now_s: float,
 ) -> Client | None:
-    """Whose connection is to be closed; None where all are at work or were heard just now.
-
-    `silent_since`: when a client was last heard, or came (s); `spared`: who can't be closed now."""
-    for state, least in ORDER:
-        found, longest = None, now - least
-        for client in waits[state]:
-            since = silent_since(client)
-            # Of those that are as long silent the first one: a loop's clock may stand still for
-            # many of them.
-            if (since < longest or (found is None and since <= longest)) and not spared(client):
-                found, longest = client, since
+    """Choose the connection to close.
+
+    Args:
+        waiting_since: the connections that wait for their client, by state.
+        silent_since_s: returns when a client last sent something or, if later, was last answered.
+        is_protected: returns whether a connection must not be closed now.
+        now_s: the time on the same clock.
+
+    Returns:
+        The connection, or None if all are in use or their clients have sent something recently.
+    """
+    for state, min_silence_s in EVICTION_ORDER:
+        found, longest_s = None, now_s - min_silence_s
+        for client in waiting_since[state]:
+            since_s = silent_since_s(client)
+            # Of connections that are equally long silent the first one is chosen: many can have
+            # the same time, since the event loop's clock stands still within an iteration.
+            if (
+                since_s < longest_s or (found is None and since_s <= longest_s)
+            ) and not is_protected(client):
+                found, longest_s = client, since_s
         if found is not None:
             return found
     return None
--- a/badgercart/frontends/http/frontend.py
+++ b/badgercart/frontends/http/frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP front on the join: its clients' requests go out over the server pool."""
+"""The HTTP frontend: its clients' requests go through the pipeline to the server pool."""
 
 from __future__ import annotations
 
@@ -18,111 +18,138 @@
 from badgercart.frontends.http.log_events import HANDING_OVER, LISTENING, STOPPING
 from badgercart.frontends.http.requests import (
     ClientRequest,
-    Page,
-    Words,
-    no_words,
-    platform_requests,
+    ErrorBodyFormatter,
+    OperatorPage,
+    empty_error_body,
+    platform_request_reader,
 )
 from badgercart.upstream.connection_pool import ServerPool
 
-LEAST = 8  # descriptors on either side, beside another process
+# File descriptors that clients and servers have each at least, beside another process.
+MIN_SHARED_DESCRIPTORS = 8
 
 
-class HttpFront:
-    """A listener for HTTP clients and the connections to the servers, within one limit of
-    descriptors."""
+class HttpFrontend:
+    """A listener for HTTP clients and a pool of connections to servers.
+
+    Both share one limit of file descriptors.
+
+    Args:
+        config: the node's configuration.
+        pipeline: where requests go.
+        endpoint_table: the endpoints, whose changes the server pool follows.
+        loop: the event loop.
+        share: the part of the file descriptors for clients and servers (0 to 1).
+        other_components: how many other components with own descriptors the process has.
+        pages: pages for operators, by path.
+        error_body: formats the body of an error response.
+    """
 
     def __init__(
         self,
         config: Config,
-        join: RequestPipeline,
-        roster: EndpointTable,
+        pipeline: RequestPipeline,
+        endpoint_table: EndpointTable,
         loop: asyncio.AbstractEventLoop,
-        share: float = 1.0,  # of the descriptors that clients and servers have
-        parts: int = 0,  # others in the process, which have descriptors of their own
-        pages: Mapping[bytes, Page] | None = None,  # what operators may ask for, by path
-        words: Words = no_words,  # in which requests that can't be taken are told why
+        share: float = 1.0,
+        other_components: int = 0,
+        pages: Mapping[bytes, OperatorPage] | None = None,
+        error_body: ErrorBodyFormatter = empty_error_body,
     ) -> None:
         self.config = config
-        self.join = join
-        self.roster = roster
+        self.pipeline = pipeline
+        self.endpoint_table = endpoint_table
         self.stopping = False
-        ledger = Descriptors.of(config.sockets, config.console is not None, parts)
-        self.room = clients, servers = ledger.split(share)
-        self.bulk = MemoryBudget(budget_bytes(config.memory_mb))
+        descriptors = Descriptors.of(config.sockets, config.console is not None, other_components)
+        self.descriptor_limits = clients, servers = descriptors.split(share)
+        self.memory_budget = MemoryBudget(budget_bytes(config.memory_mb))
         self.pool = ServerPool(
-            loop, config.dial_timeout, config.idle_timeout, servers, join.attempt_ended,
-            join.response_started, self.bulk, config.source, join.is_awaited,
+            loop, config.dial_timeout, config.idle_timeout, servers, pipeline.attempt_ended,
+            pipeline.response_started, self.memory_budget, config.source, pipeline.is_awaited,
         )  # fmt: skip
-        roster.on_change.append(self.pool.update)
-        read = platform_requests(config, streams=True)
-        self.listener = Listener(loop, config.listen, self, clients, read, words, self.bulk)
-        self.pages: Mapping[bytes, Page] = {} if pages is None else pages
+        endpoint_table.on_change.append(self.pool.update)
+        reader = platform_request_reader(config, stream_responses=True)
+        self.listener = Listener(
+            loop, config.listen, self, clients, reader, error_body, self.memory_budget
+        )
+        self.pages: Mapping[bytes, OperatorPage] = {} if pages is None else pages
 
     @property
     def healthy(self) -> bool:
-        return self.roster.has_update and not self.roster.suspended
+        """Whether requests can be served: there is an endpoint list that is not suspended."""
+        return self.endpoint_table.has_update and not self.endpoint_table.suspended
 
-    def take(self, client: ClientConnection, request: ClientRequest) -> None:
-        client.request_id = self.join.next_request_id()
+    def handle_request(self, client: ClientConnection, request: ClientRequest) -> None:
+        """Hand a request to the pipeline."""
+        client.request_id = self.pipeline.next_request_id()
         upload = request.message.upload
-        whole = upload is None or upload.whole
-        intake = IncomingRequest(
-            class_index=request.cls,
+        complete = upload is None or upload.whole
+        incoming = IncomingRequest(
+            class_index=request.class_index,
             tenant=request.tenant,
             key=request.key,
-            deadline=self.due(request) if whole else math.inf,
+            deadline=self.deadline_ms(request) if complete else math.inf,
             payload=request.message,
-            expected_work_ms=request.hint,
-            is_client_retry=request.repeat,
-            request_name=request.name,
-            complete=whole,
-            response_window_ms=request.timeout - MARGIN,
+            expected_work_ms=request.expected_work_ms,
+            is_client_retry=request.is_client_retry,
+            request_name=request.request_name,
+            complete=complete,
+            response_window_ms=request.timeout_ms - MARGIN,
         )
-        self.join.accept(client.request_id, intake, client, self.pool)
+        self.pipeline.accept(client.request_id, incoming, client, self.pool)
 
-    def due(self, request: ClientRequest) -> float:
-        return request.sent + request.timeout - MARGIN
+    def deadline_ms(self, request: ClientRequest) -> float:
+        """Return the latest time for a response to be sent."""
+        return request.sent_ms + request.timeout_ms - MARGIN
 
-    def whole(self, client: ClientConnection, request: ClientRequest) -> None:
-        self.join.request_completed(client.request_id, self.due(request))
+    def request_completed(self, client: ClientConnection, request: ClientRequest) -> None:
+        """Handle that the body of a request has been received completely."""
+        self.pipeline.request_completed(client.request_id, self.deadline_ms(request))
 
-    def withdraw(self, request_id: int) -> None:
-        self.join.cancel_request(request_id)
+    def cancel_request(self, request_id: int) -> None:
+        """Cancel a request whose client has left."""
+        self.pipeline.cancel_request(request_id)
 
     def start(self, inherited: socket.socket | None = None, opened: bool = True) -> None:
-        """Serve on a socket that listens already, or on the configured address; once opened, if not
-        now."""
+        """Listen on an inherited socket, or else on the configured address.
+
+        Clients wait until the listener is opened.
+        """
         self.listener.start(inherited, opened)
         host, port = self.listener.address
         LISTENING(name=self.config.name, host=host, port=port)
 
-    def retune(self, config: Config) -> None:
-        """Go by another configuration: requests that have come in whole keep what was read of
-        them."""
+    def apply_config(self, config: Config) -> None:
+        """Use another configuration. Requests that are already received keep the old one."""
         self.config = config
-        self.listener.read = platform_requests(config, streams=True)
+        self.listener.request_reader = platform_request_reader(config, stream_responses=True)
         self.pool.retune(config.dial_timeout, config.idle_timeout)
 
-    def keep_to(self, part: float) -> None:
-        """Hold only this part of the descriptors, from now on."""
-        clients, servers = (max(int(room * part), min(LEAST, room)) for room in self.room)
-        self.bulk.total = int(budget_bytes(self.config.memory_mb) * part)
-        self.listener.keep_to(clients)
+    def set_resource_share(self, share: float) -> None:
+        """Use only this part (0 to 1) of the file descriptors and the memory from now on."""
+        clients, servers = (
+            max(int(limit * share), min(MIN_SHARED_DESCRIPTORS, limit))
+            for limit in self.descriptor_limits
+        )
+        self.memory_budget.total = int(budget_bytes(self.config.memory_mb) * share)
+        self.listener.set_max_connections(clients)
         self.pool.keep_to(servers)
 
     async def drain(self, until: float) -> None:
-        """Take what still comes and answer all that is held, until then (ms) at most."""
+        """Accept requests for a while, then answer all; ends at `until` (ms) at the latest."""
         self.stopping = True
-        STOPPING(held=len(self.join.in_flight))
+        STOPPING(held=len(self.pipeline.in_flight))
         await self.listener.drain(until)
 
     async def hand_over(self, until: float) -> None:
-        """Leave new connections to another process, and answer on those that are here, until then
-        (ms)."""
+        """Leave new connections to another process, and answer those that are open.
+
+        It ends at `until` (ms) at the latest.
+        """
         self.stopping = True
-        HANDING_OVER(held=len(self.join.in_flight), connections=len(self.listener.connections))
+        HANDING_OVER(held=len(self.pipeline.in_flight), connections=len(self.listener.connections))
         await self.listener.hand_over(until)
 
     def close(self) -> None:
+        """Close the listener."""
         self.listener.close()
--- a/badgercart/frontends/http/log_events.py
+++ b/badgercart/frontends/http/log_events.py
@@ -1,4 +1,4 @@
-"""What the HTTP front says in the log."""
+"""The log events of the HTTP frontend."""
 
 from __future__ import annotations
 
--- a/badgercart/frontends/http/requests.py
+++ b/badgercart/frontends/http/requests.py
@@ -1,6 +1,7 @@
-"""What a client's request says, and in which words one that can't be taken is turned away. No I/O.
+"""Parsed requests of HTTP clients, and the bodies of error responses. No I/O.
 
-Source: the protocol's page, section "Clients to nodes"; RFC 9110 for fields, RFC 9457 for problems.
+Sources: the protocol documentation, section "Clients to nodes"; RFC 9110 for header fields;
+RFC 9457 for problem documents.
 """
 
 from __future__ import annotations
@@ -20,215 +21,242 @@
 from badgercart.core.streams import Upload
 from badgercart.upstream.exchange import MAX_BODY, MAX_HEAD, Message
 
-MAX_REQUEST = MAX_HEAD + 2 * MAX_BODY  # bytes of a whole request, the framing of its body included
-MAX_WHY = 200  # characters of a reason that go into an answer
+# The size of a request that is buffered completely, including the framing of its body.
+MAX_REQUEST_BYTES = MAX_HEAD + 2 * MAX_BODY
+MAX_REASON_CHARS = 200  # of the reason that an error response states
 
-PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
-_TIMEOUT = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])")
-_DIGITS = re.compile(rb"\d{1,9}")
-OWN = frozenset(  # headers that concern one connection only, or that each attempt writes anew
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+_TIMEOUT_PATTERN = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])")
+_DIGITS_PATTERN = re.compile(rb"\d{1,9}")
+# Headers that concern one connection only, or that are written anew for each attempt.
+UNFORWARDED_HEADERS = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
      b"expect", b"content-length", b"request-timeout")
 )  # fmt: skip
 
 
-class BadRequest(Exception):
-    """A request that can't be taken: the status, why, and header lines that go with it."""
+class BadRequestError(Exception):
+    """A request that is rejected.
 
-    def __init__(self, status: int, why: str, extra: bytes = b"") -> None:
-        super().__init__(why)
-        self.status, self.why, self.extra = status, why, extra
+    Args:
+        status: the HTTP status of the response.
+        reason: why the request is rejected.
+        extra_headers: complete header lines to add to the response.
+    """
+
+    def __init__(self, status: int, reason: str, extra_headers: bytes = b"") -> None:
+        super().__init__(reason)
+        self.status, self.reason, self.extra_headers = status, reason, extra_headers
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A checked request."""
+    """A valid request of a client."""
 
     message: Message
-    name: bytes  # its Request-Id
-    cls: int
+    request_name: bytes  # the Request-Id header
+    class_index: int
     tenant: int
     key: int
-    sent: float  # as near as the node can tell
-    timeout: float  # ms from then until the client gives up
-    hint: float  # the client's guess at the work in ms, 0: none
-    repeat: bool  # marked as the client's retry
-    old: bool = field(default=False, kw_only=True)  # of HTTP/1.0, which knows no chunks
+    sent_ms: float  # when the client sent the request, as near as the node can tell
+    timeout_ms: float  # after `sent_ms` the client gives up
+    expected_work_ms: float  # the client's estimate; 0 if it gives none
+    is_client_retry: bool  # marked by the client as its own retry
+    is_http10: bool = field(default=False, kw_only=True)  # HTTP/1.0 has no chunked encoding
 
 
-class Health:
-    """The front asks whether the node can serve."""
+class HealthCheck:
+    """A request that asks whether the node can serve."""
 
 
 @dataclass(slots=True, frozen=True)
-class Page:
-    """What operators may ask a listener for."""
+class OperatorPage:
+    """A page for operators on a listener for clients."""
 
-    body: Callable[[], bytes]
+    render: Callable[[], bytes]
     content_type: bytes = b"application/json"
 
 
-Item = ClientRequest | BadRequest | Health | Page
+ParsedRequest = ClientRequest | BadRequestError | HealthCheck | OperatorPage
 
 
-class Headers:
-    """The headers of one request: what the node reads of them, and the lines that go on."""
+class RequestHeaders:
+    """The headers of one request: the fields that the node reads, and the lines to forward."""
 
     __slots__ = (
-        "coding", "expects", "fault", "got", "hint", "key", "length", "lines", "old", "repeat", "request_id",
-        "size", "tenant", "timeout", "upload", "whole",
+        "body_bytes", "complete", "content_length", "expected_work_ms", "expects_continue",
+        "fault", "forwarded_lines", "header_bytes", "idempotency_key", "is_client_retry", "is_http10",
+        "request_id", "tenant", "timeout_ms", "transfer_encoding", "upload",
     )  # fmt: skip
 
     def __init__(self) -> None:
-        self.lines: list[bytes] = []
-        self.size = self.length = 0
-        self.got = 0  # bytes of the body
-        self.expects = self.whole = False
-        self.upload: Upload | None = (
-            None  # what the rest of the body comes by, where it is not whole
-        )
-        self.old = False  # of HTTP/1.0, which knows no chunks
-        self.fault = ""  # what is wrong with them, the first of it
+        self.forwarded_lines: list[bytes] = []
+        self.header_bytes = self.content_length = 0
+        self.body_bytes = 0  # received so far
+        self.expects_continue = self.complete = False
+        # The body, where it is streamed; None where it is buffered.
+        self.upload: Upload | None = None
+        self.is_http10 = False  # HTTP/1.0 has no chunked encoding
+        self.fault = ""  # the first error in the headers; empty if there is none
         self.request_id: bytes | None = None
         self.tenant: bytes | None = None
-        self.key: bytes | None = None
-        self.coding: bytes | None = None
-        self.timeout: float | None = None
-        self.hint, self.repeat = 0.0, False
+        self.idempotency_key: bytes | None = None
+        self.transfer_encoding: bytes | None = None
+        self.timeout_ms: float | None = None
+        self.expected_work_ms, self.is_client_retry = 0.0, False
 
-    def blame(self, why: str) -> None:
-        self.fault = self.fault or why
+    def record_fault(self, reason: str) -> None:
+        """Record an error in the headers; only the first one is kept."""
+        self.fault = self.fault or reason
 
-    # One for each field that the node reads.
+    # One method for each field that the node reads.
 
     def read_request_id(self, value: bytes) -> None:
+        """Read `Request-Id`."""
         if self.request_id is not None:
-            self.blame("Request-Id stands there twice")
+            self.record_fault("Request-Id stands there twice")
         self.request_id = value
 
     def read_tenant(self, value: bytes) -> None:
+        """Read `Tenant`."""
         if self.tenant is not None:
-            self.blame("Tenant stands there twice")
+            self.record_fault("Tenant stands there twice")
         self.tenant = value
 
-    def read_key(self, value: bytes) -> None:
-        if self.key is not None:
-            self.blame("Idempotency-Key stands there twice")
+    def read_idempotency_key(self, value: bytes) -> None:
+        """Read `Idempotency-Key`, which must not be empty."""
+        if self.idempotency_key is not None:
+            self.record_fault("Idempotency-Key stands there twice")
         elif not value:
-            self.blame("Idempotency-Key is empty")
-        self.key = value
+            self.record_fault("Idempotency-Key is empty")
+        self.idempotency_key = value
 
     def read_timeout(self, value: bytes) -> None:
-        match = _TIMEOUT.fullmatch(value)
-        if self.timeout is not None:
-            self.blame("Request-Timeout stands there twice")
+        """Read `Request-Timeout`: a number with the unit m (milliseconds) or u (microseconds)."""
+        match = _TIMEOUT_PATTERN.fullmatch(value)
+        if self.timeout_ms is not None:
+            self.record_fault("Request-Timeout stands there twice")
         elif match is None:
-            self.blame("Request-Timeout is no number with a unit, as 480m (ms) or 1500u (µs)")
+            self.record_fault(
+                "Request-Timeout is no number with a unit, as 480m (ms) or 1500u (µs)"
+            )
         else:
-            self.timeout = float(match[1]) / (1 if match[2] == b"m" else 1000)
+            self.timeout_ms = float(match[1]) / (1 if match[2] == b"m" else 1000)
 
-    def read_length(self, value: bytes) -> None:
-        self.length = int(value)  # the parser has refused all but digits
+    def read_content_length(self, value: bytes) -> None:
+        """Read `Content-Length`; the parser has rejected anything but digits."""
+        self.content_length = int(value)
 
-    def read_coding(self, value: bytes) -> None:
-        if self.coding is not None:
-            self.blame("Transfer-Encoding stands there twice")
-        self.coding = value
+    def read_transfer_encoding(self, value: bytes) -> None:
+        """Read `Transfer-Encoding`."""
+        if self.transfer_encoding is not None:
+            self.record_fault("Transfer-Encoding stands there twice")
+        self.transfer_encoding = value
 
-    def read_hint(self, value: bytes) -> None:
-        self.hint = (
-            int(value) / 1000 if _DIGITS.fullmatch(value) else 0.0
-        )  # a guess may be left out
+    def read_work_hint(self, value: bytes) -> None:
+        """Read `Work-Hint` in microseconds; it is optional, so an invalid one is ignored."""
+        self.expected_work_ms = int(value) / 1000 if _DIGITS_PATTERN.fullmatch(value) else 0.0
 
-    def read_repeat(self, value: bytes) -> None:
-        self.repeat = value == b"1"
+    def read_client_retry(self, value: bytes) -> None:
+        """Read `Client-Retry`."""
+        self.is_client_retry = value == b"1"
 
     def read_expect(self, value: bytes) -> None:
-        self.expects = value.lower() == b"100-continue"
-
-
-READ: dict[bytes, Callable[[Headers, bytes], None]] = {
-    b"request-id": Headers.read_request_id,
-    b"tenant": Headers.read_tenant,
-    b"idempotency-key": Headers.read_key,
-    b"request-timeout": Headers.read_timeout,
-    b"content-length": Headers.read_length,
-    b"transfer-encoding": Headers.read_coding,
-    b"work-hint": Headers.read_hint,
-    b"client-retry": Headers.read_repeat,
-    b"expect": Headers.read_expect,
+        """Read `Expect`."""
+        self.expects_continue = value.lower() == b"100-continue"
+
+
+HEADER_READERS: dict[bytes, Callable[[RequestHeaders, bytes], None]] = {
+    b"request-id": RequestHeaders.read_request_id,
+    b"tenant": RequestHeaders.read_tenant,
+    b"idempotency-key": RequestHeaders.read_idempotency_key,
+    b"request-timeout": RequestHeaders.read_timeout,
+    b"content-length": RequestHeaders.read_content_length,
+    b"transfer-encoding": RequestHeaders.read_transfer_encoding,
+    b"work-hint": RequestHeaders.read_work_hint,
+    b"client-retry": RequestHeaders.read_client_retry,
+    b"expect": RequestHeaders.read_expect,
 }
 
-# Method, target, headers and body of a request into what is taken; BadRequest where it can't be.
-Read = Callable[[bytes, bytes, Headers, bytes], ClientRequest]
+# Checks a request given by method, target, headers and body. Raises BadRequestError.
+RequestReader = Callable[[bytes, bytes, RequestHeaders, bytes], ClientRequest]
+
 
+def platform_request_reader(config: Config, stream_responses: bool = False) -> RequestReader:
+    """Return a reader for requests of the platform's protocol.
 
-def platform_requests(config: Config, streams: bool = False) -> Read:
-    """Reads requests of the platform's protocol; whether long answers to them go on as they
-    come."""
+    `stream_responses`: whether long responses to them may be streamed.
+    """
     classifier = Classifier(config)
 
-    def read(method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
+    def read(method: bytes, url: bytes, headers: RequestHeaders, body: bytes) -> ClientRequest:
         upload = headers.upload
         if headers.fault:
-            raise BadRequest(400, headers.fault)
-        if headers.timeout is None:
-            raise BadRequest(400, "no Request-Timeout")
+            raise BadRequestError(400, headers.fault)
+        if headers.timeout_ms is None:
+            raise BadRequestError(400, "no Request-Timeout")
         if (body or upload is not None) and method == b"GET":
-            raise BadRequest(400, "a GET has no body")
+            raise BadRequestError(400, "a GET has no body")
         if not url.startswith(b"/"):
             url = origin_form(url)
         try:
-            found = classifier.read(method, url, headers.request_id, headers.tenant, headers.key)
+            found = classifier.read(
+                method, url, headers.request_id, headers.tenant, headers.idempotency_key
+            )
         except InvalidRequestError as error:
             allow = b"Allow: %b\r\n" % error.allow if error.allow else b""
-            raise BadRequest(error.status, str(error), allow) from None
+            raise BadRequestError(error.status, str(error), allow) from None
         if upload is not None and upload.length is None:
-            headers.lines.append(b"Transfer-Encoding: chunked\r\n")
+            headers.forwarded_lines.append(b"Transfer-Encoding: chunked\r\n")
         elif method == b"POST":
             length = len(body) if upload is None or upload.length is None else upload.length
-            headers.lines.append(b"Content-Length: %d\r\n" % length)
-        head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.lines))
+            headers.forwarded_lines.append(b"Content-Length: %d\r\n" % length)
+        head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.forwarded_lines))
         return ClientRequest(
-            message=Message(head, body if upload is None else b"", upload, streams),
-            name=found.request_name,
-            cls=found.class_index,
+            message=Message(head, body if upload is None else b"", upload, stream_responses),
+            request_name=found.request_name,
+            class_index=found.class_index,
             tenant=found.tenant,
             key=found.key,
-            sent=now_ms(),
-            timeout=headers.timeout,
-            hint=headers.hint,
-            repeat=headers.repeat,
-            old=headers.old,
+            sent_ms=now_ms(),
+            timeout_ms=headers.timeout_ms,
+            expected_work_ms=headers.expected_work_ms,
+            is_client_retry=headers.is_client_retry,
+            is_http10=headers.is_http10,
         )
 
     return read
 
 
 def origin_form(url: bytes) -> bytes:
-    """The path and query of a target in absolute form (RFC 9112, section 3.2.2)."""
+    """Return path and query of a target in absolute form (RFC 9112, section 3.2.2)."""
     try:
         parts = httptools.parse_url(url)
     except httptools.HttpParserInvalidURLError:
-        raise BadRequest(400, "the target is neither a path nor a URL") from None
+        raise BadRequestError(400, "the target is neither a path nor a URL") from None
     if parts.schema is None or parts.schema.lower() not in (b"http", b"https"):
-        raise BadRequest(400, "no path from the root")
+        raise BadRequestError(400, "no path from the root")
     query = b"?" + parts.query if parts.query else b""
     return (parts.path or b"/") + query
 
 
-# In which words: the status and the reason into a content type and a body.
-Words = Callable[[int, str], tuple[bytes, bytes]]
+# Returns content type and body of an error response with this status and reason.
+ErrorBodyFormatter = Callable[[int, str], tuple[bytes, bytes]]
 
 
-def no_words(status: int, why: str) -> tuple[bytes, bytes]:
-    """The platform's node says it by the status alone."""
+def empty_error_body(status: int, reason: str) -> tuple[bytes, bytes]:
+    """Return no body: the platform's protocol reports an error by the status alone."""
     return b"", b""
 
 
-@lru_cache(maxsize=256)  # the same few reasons over and over
-def problem(status: int, why: str) -> tuple[bytes, bytes]:
-    """A problem document (RFC 9457, section 3)."""
-    title = PHRASES.get(status, b"").decode()
-    told = {"type": "about:blank", "title": title, "status": status, "detail": why[:MAX_WHY]}
-    return b"application/problem+json", json.dumps(told).encode()
+@lru_cache(maxsize=256)  # the same few reasons occur again and again
+def problem_document(status: int, reason: str) -> tuple[bytes, bytes]:
+    """Return a problem document (RFC 9457, section 3)."""
+    title = REASON_PHRASES.get(status, b"").decode()
+    problem = {
+        "type": "about:blank",
+        "title": title,
+        "status": status,
+        "detail": reason[:MAX_REASON_CHARS],
+    }
+    return b"application/problem+json", json.dumps(problem).encode()
--- a/badgercart/frontends/processor/component.py
+++ b/badgercart/frontends/processor/component.py
@@ -27,12 +27,12 @@
             Processor,
         )  # heavy: only where it is switched on
 
-        self.front: Processor = Processor(
+        self.frontend: Processor = Processor(
             host.config, settings, host.pipeline, host.endpoint_table, host.loop
         )
-        host.protocol_machines["processor.account"] = self.front.calls.account
+        host.protocol_machines["processor.account"] = self.frontend.calls.account
 
-        front, meters = self.front, host.metrics
+        front, meters = self.frontend, host.metrics
         meters.gauge(
             "badgercart_processor_streams", "Streams that are open.", lambda: len(front.connections)
         )
@@ -49,25 +49,25 @@
         )
 
     async def start(self) -> None:
-        await self.front.start()
+        await self.frontend.start()
 
     def prepare(self, settings: ProcessorSettings) -> Callable[[], None] | None:
         from badgercart.frontends.processor.server import TlsError, read_tls
 
-        tls = self.front.settings.tls
+        tls = self.frontend.settings.tls
         if tls is None:
             return None
         try:
             certificate = read_tls(tls)
         except TlsError as error:
             raise ReloadError(f"the certificate: {error}") from None
-        return lambda: self.front.replace_certificate(certificate)
+        return lambda: self.frontend.replace_certificate(certificate)
 
     async def drain(self, until: float) -> None:
-        await self.front.drain(until)
+        await self.frontend.drain(until)
 
     def close(self) -> None:
-        self.front.close()
+        self.frontend.close()
 
 
 def check(settings: ProcessorSettings, file: CheckedFile) -> Iterator[tuple[Path, str]]:
--- a/badgercart/frontends/processor/server.py
+++ b/badgercart/frontends/processor/server.py
@@ -93,7 +93,7 @@
         self.loop = loop
         self.calls = Calls(settings, join, roster, config.drain_grace)
         self.describer = Describer(config, settings)
-        self.deadline = config.longest / 1000
+        self.deadline = config.longest_deadline_ms / 1000
         self.connections: set[Connection] = set()
         self.timer: asyncio.TimerHandle | None = None
         self.certificate: Any = read_tls(settings.tls) if settings.tls else None
--- a/badgercart/metrics/component.py
+++ b/badgercart/metrics/component.py
@@ -9,7 +9,13 @@
 
 from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.model import Address, Table
-from badgercart.frontends.http.requests import BadRequest, ClientRequest, Headers, Page, problem
+from badgercart.frontends.http.requests import (
+    BadRequestError,
+    ClientRequest,
+    OperatorPage,
+    RequestHeaders,
+    problem_document,
+)
 from badgercart.metrics.log_events import LISTENING
 
 if TYPE_CHECKING:
@@ -40,22 +46,26 @@
         requests = RequestMetrics(names, config.settings.classes)
         self.page = MetricsPage(host.metrics, requests)
         host.pipeline.observers += (requests,)
-        self.pages: Mapping[bytes, Page] = {PATH: Page(self.page.render, CONTENT_TYPE)}
+        self.pages: Mapping[bytes, OperatorPage] = {
+            PATH: OperatorPage(self.page.render, CONTENT_TYPE)
+        }
         self.stopping = False
         self.healthy = True
         self.listener = Listener(
-            host.loop, settings.listen, self, MAX_CONNECTIONS, self.read, problem
+            host.loop, settings.listen, self, MAX_CONNECTIONS, self.read, problem_document
         )
 
-    def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
-        """Raise BadRequest: there is nothing but the page."""
-        raise BadRequest(404, f"figures are at {PATH.decode()}")
+    def read(
+        self, method: bytes, url: bytes, headers: RequestHeaders, body: bytes
+    ) -> ClientRequest:
+        """Raise BadRequestError: there is nothing but the page."""
+        raise BadRequestError(404, f"figures are at {PATH.decode()}")
 
-    def take(self, client: ClientConnection, request: ClientRequest) -> None:
+    def handle_request(self, client: ClientConnection, request: ClientRequest) -> None:
         """Raise AssertionError, since no request is read."""
         raise AssertionError
 
-    def withdraw(self, request_id: int) -> None:
+    def cancel_request(self, request_id: int) -> None:
         """Do nothing, since there is no request."""
 
     async def start(self) -> None:
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -1,5 +1,7 @@
-"""The platform's node: HTTP front, catalog and console on one join; start, reload, drain, hand
-over."""
+"""The platform's node: start, reload, drain and handover.
+
+It has an HTTP frontend, endpoint discovery and an admin listener, all on one request pipeline.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +12,7 @@
 
 from badgercart.admin.handlers import NodeHandlers
 from badgercart.admin.listener import AdminListener
-from badgercart.config import Config, ConfigError, reread
+from badgercart.config import Config, ConfigError, reload_config
 from badgercart.core.clock import now_ms
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.log_events import CONFIG_KEPT, CONFIG_READ, LIST_KNOWN_MALFORMED, STOPPED
@@ -19,8 +21,8 @@
 from badgercart.discovery.catalog import Discovery
 from badgercart.discovery.entries import ListReader
 from badgercart.ejection.ejections import AdministrativeEjections
-from badgercart.frontends.http.clients import ACCEPT_FOR
-from badgercart.frontends.http.frontend import HttpFront
+from badgercart.frontends.http.clients import DRAIN_ACCEPT_S
+from badgercart.frontends.http.frontend import HttpFrontend
 from badgercart.hot_restart.inherited_socket import inherited_socket
 from badgercart.hot_restart.log_events import ALONE, BESIDE
 from badgercart.hot_restart.process_lock import Lives
@@ -28,150 +30,176 @@
 from badgercart.policy.events import UpdateKind
 from badgercart.reload.reconfiguration import IndexesInUse, reconfigure, settings_needing_restart
 
-LIST_PATIENCE = (
-    2.5  # s that a successor waits for discovery, after which it serves by the list that it has
-)
-HANDOVER_FROM = 2.0  # s from its start until a process has learned what is worth keeping
-# ms: SIGKILL comes no sooner than the longest deadline and 0.7 s, but no deadline counts for more
-# than this.
-KILLED_AFTER = 3000.0
-SHARE = 0.5  # of the limits, for each of two processes that live together
+# A process that replaces another waits this long for discovery; then it serves with the endpoint
+# list that it has.
+DISCOVERY_WAIT_S = 2.5
+# After this time a process has learned enough for its state to be worth keeping.
+STATE_TRANSFER_DELAY_S = 2.0
+# SIGKILL follows SIGTERM after the longest deadline and 0.7 s at the earliest, but a deadline
+# counts for this at most.
+MAX_DRAIN_MS = 3000.0
+# The part of its limits that each process uses while two of them run side by side.
+SIDE_BY_SIDE_SHARE = 0.5
 
 
 class Node:
+    """One process of the platform's node."""
+
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
-        """ConfigError where the inherited descriptor is none, OSError where the folder can't be
-        used."""
+        """Build the node without starting it.
+
+        Raises:
+            ConfigError: the inherited file descriptor can't be used.
+            OSError: the shared folder can't be used.
+        """
         self.config = config
         self.loop = loop
-        self.join = RequestPipeline(config.settings, config.seed, loop)
-        self.reader = ListReader(config)
-        self.roster = EndpointTable(self.reader, self.join)
+        self.pipeline = RequestPipeline(config.settings, config.seed, loop)
+        self.list_reader = ListReader(config)
+        self.endpoint_table = EndpointTable(self.list_reader, self.pipeline)
         self.inherited = None if config.inherited is None else inherited_socket(config.inherited)
         self.ejections: AdministrativeEjections | None = None
         self.admin_listener: AdminListener | None = None
         if config.console is not None and config.folder is not None:
             self.ejections = AdministrativeEjections(
-                self.roster, config.folder, loop, self.reader.unix_offset
+                self.endpoint_table, config.folder, loop, self.list_reader.unix_offset
             )
             self.admin_listener = AdminListener(
-                loop, config.console, NodeHandlers(self.unready, self.ejections)
+                loop, config.console, NodeHandlers(self.not_ready_reason, self.ejections)
             )
-        self.front = HttpFront(config, self.join, self.roster, loop)
-        self.pool, self.listener = self.front.pool, self.front.listener
-        self.lives: Lives | None = None
-        self.handover: Handover | None = None
+        self.frontend = HttpFrontend(config, self.pipeline, self.endpoint_table, loop)
+        self.pool, self.listener = self.frontend.pool, self.frontend.listener
+        self.process_lock: Lives | None = None
+        self.state_transfer: Handover | None = None
         if self.inherited is not None and config.folder is not None:
-            self.lives = Lives(config.folder, loop, self.on_company)
-            self.handover = Handover(config.folder, self.reader.unix_offset)
-            self.handover.give(self.join.policy, config)
-            if not self.lives.alone:
-                self.on_company(False)
+            self.process_lock = Lives(config.folder, loop, self.on_alone_changed)
+            self.state_transfer = Handover(config.folder, self.list_reader.unix_offset)
+            self.state_transfer.give(self.pipeline.policy, config)
+            if not self.process_lock.alone:
+                self.on_alone_changed(False)
         self.discovery = Discovery(
-            config.discovery, self.take_list, random.Random(config.seed), pace=self.pace(config)
+            config.discovery,
+            self.apply_endpoint_list,
+            random.Random(config.seed),
+            pace=self.polling_pace(config),
         )
         if config.known.get("instances"):
             try:
-                self.discovery.version = self.take_list(config.known, UpdateKind.CACHED)
+                self.discovery.version = self.apply_endpoint_list(config.known, UpdateKind.CACHED)
             except ValueError as error:
                 LIST_KNOWN_MALFORMED(error=error)
 
-    def take_list(self, raw: dict[str, Any], kind: UpdateKind | None = None) -> int:
-        """Take over a list or its changes; ValueError, and nothing taken, if any line of it is
-        bad."""
-        version = self.roster.accept(raw, kind)
+    def apply_endpoint_list(self, raw: dict[str, Any], kind: UpdateKind | None = None) -> int:
+        """Apply an endpoint list or a delta, and return its version.
+
+        Raises ValueError, without any change, if an entry of it is invalid.
+        """
+        version = self.endpoint_table.accept(raw, kind)
         if kind is None:
             self.listener.open()
         return version
 
     async def start(self) -> None:
-        """OSError where an address can't be had."""
-        successor = self.lives is not None and not self.lives.alone
-        self.front.start(self.inherited, opened=not successor)
+        """Start all parts. Raises OSError if an address can't be used."""
+        successor = self.process_lock is not None and not self.process_lock.alone
+        self.frontend.start(self.inherited, opened=not successor)
         if successor:
-            self.loop.call_later(LIST_PATIENCE, self.listener.open)
+            self.loop.call_later(DISCOVERY_WAIT_S, self.listener.open)
         self.discovery.start()
         if self.ejections is not None:
             self.ejections.start()
-        if self.lives is not None:
-            self.lives.start()
-        if self.handover is not None:
-            policy, config = self.join.policy, lambda: self.config
-            self.loop.call_later(HANDOVER_FROM, self.handover.keep, policy, config, self.loop)
+        if self.process_lock is not None:
+            self.process_lock.start()
+        if self.state_transfer is not None:
+            policy, config = self.pipeline.policy, lambda: self.config
+            self.loop.call_later(
+                STATE_TRANSFER_DELAY_S, self.state_transfer.keep, policy, config, self.loop
+            )
         if self.admin_listener is not None:
             await self.admin_listener.start()
 
     @staticmethod
-    def pace(config: Config) -> Pace:
-        """The settings say whether lists are pushed to an agent of our own, or asked for at one
-        service."""
+    def polling_pace(config: Config) -> Pace:
+        """Return how often discovery is called.
+
+        Depending on the settings, discovery is either an agent of this node, to which lists are
+        pushed, or one service that all nodes poll.
+        """
         return Pace.shared() if config.settings.polls_endpoints else Pace.agent(config.drain_grace)
 
-    def unready(self) -> str:
-        """Why the node can't serve; empty where it can."""
-        if self.front.stopping:
+    def not_ready_reason(self) -> str:
+        """Return why the node can't serve requests; empty if it can."""
+        if self.frontend.stopping:
             return "this process is ending"
-        if not self.front.healthy:
+        if not self.frontend.healthy:
             return "no server list has come yet"
         return "" if self.listener.opened else "discovery has not answered yet"
 
-    def on_company(self, alone: bool) -> None:
-        """Another process of this node has come, or the last one has gone."""
+    def on_alone_changed(self, alone: bool) -> None:
+        """Handle that another process of this node has started, or that the last one has ended."""
         (ALONE if alone else BESIDE)()
-        self.front.keep_to(1.0 if alone else SHARE)
+        self.frontend.set_resource_share(1.0 if alone else SIDE_BY_SIDE_SHARE)
 
     def reload(self, environ: Mapping[str, str]) -> None:
-        """Put in force what the file has now, all of it that takes no restart, or nothing."""
+        """Read the configuration file again and apply all changes that need no restart.
+
+        If the file is invalid, nothing changes.
+        """
         try:
-            new = reread(environ, self.config)
+            new = reload_config(environ, self.config)
         except ConfigError as error:
             CONFIG_KEPT(faults=error)
             return
-        old, lines = self.config, [member.entry for member in self.roster.listed.values()]
-        classes, tenants = self.join.policy.lifecycle.active_use()
-        read = list(self.listener.read_ahead())
-        busy = IndexesInUse(
-            classes=classes | {request.cls for request in read},
-            tenants=tenants | {request.tenant for request in read},
-            zones={entry.zone for entry in lines},
-            kinds={entry.kind for entry in lines},
-            read={request.cls for request in read},
+        old, entries = self.config, [member.entry for member in self.endpoint_table.listed.values()]
+        classes, tenants = self.pipeline.policy.lifecycle.active_use()
+        pending = list(self.listener.pending_requests())
+        in_use = IndexesInUse(
+            classes=classes | {request.class_index for request in pending},
+            tenants=tenants | {request.tenant for request in pending},
+            zones={entry.zone for entry in entries},
+            kinds={entry.kind for entry in entries},
+            read={request.class_index for request in pending},
         )
         restart = ", ".join(settings_needing_restart(old, new))
-        self.config, event = reconfigure(old, new, busy)
-        self.join.dispatch(event)
-        self.front.retune(self.config)
-        self.reader.rename(self.config)
+        self.config, event = reconfigure(old, new, in_use)
+        self.pipeline.dispatch(event)
+        self.frontend.apply_config(self.config)
+        self.list_reader.rename(self.config)
         CONFIG_READ(
             what=f": discovery at {new.discovery[0]}:{new.discovery[1]}, {len(new.classes)} classes, "
             f"{new.settings.max_attempts} attempts"
             + (f"; takes a restart: {restart}" if restart else "")
         )
-        self.discovery.pace = self.pace(self.config)
+        self.discovery.pace = self.polling_pace(self.config)
         renamed = (old.zones, old.kinds) != (self.config.zones, self.config.kinds)
         self.discovery.move(new.discovery, anew=renamed)
 
     async def drain(self) -> None:
-        """Answer all that is held, and what still comes, then end."""
-        if self.handover is not None:
-            self.handover.close()  # from now on the next process knows better
-        until = now_ms() + ACCEPT_FOR * 1000 + min(self.config.longest, KILLED_AFTER)
-        self.join.begin_shutdown(until)
+        """Answer all requests, including those that still come, then close the node."""
+        if self.state_transfer is not None:
+            # From now on the state of the next process is more recent.
+            self.state_transfer.close()
+        until = (
+            now_ms() + DRAIN_ACCEPT_S * 1000 + min(self.config.longest_deadline_ms, MAX_DRAIN_MS)
+        )
+        self.pipeline.begin_shutdown(until)
         if self.inherited is not None:
-            await self.front.hand_over(until)
+            await self.frontend.hand_over(until)
         else:
-            await self.front.drain(until)
-        self.close()  # the list is followed to the end: what is held may still be sent again
+            await self.frontend.drain(until)
+        # Discovery runs until here, since requests may be retried until they are answered.
+        self.close()
         STOPPED()
 
     def close(self) -> None:
-        self.front.close()
+        """Close all parts."""
+        self.frontend.close()
         self.discovery.close()
         if self.admin_listener is not None:
             self.admin_listener.close()
         if self.ejections is not None:
             self.ejections.close()
-        if self.lives is not None:
-            self.lives.close()
-        if self.handover is not None:
-            self.handover.close()
+        if self.process_lock is not None:
+            self.process_lock.close()
+        if self.state_transfer is not None:
+            self.state_transfer.close()
--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -18,7 +18,7 @@
     ReloadError,
 )
 from badgercart.core.ports import IncomingRequest, RequestOutcome
-from badgercart.frontends.http.requests import Page
+from badgercart.frontends.http.requests import OperatorPage
 from badgercart.policy.events import AttemptResult
 from badgercart.zones.endpoint_capacity import (
     EndpointCapacity,
@@ -70,9 +70,9 @@
         self._place_endpoints(settings)
         host.pipeline.attempt_observers += (self,)
         host.pipeline.observers += (self,)
-        host.pages[b"/_zones"] = Page(self._status_page)
+        host.pages[b"/_zones"] = OperatorPage(self._status_page)
         # A page of its own, since it computes a plan for each zone.
-        host.pages[b"/_zones/if"] = Page(self._forecast_page)
+        host.pages[b"/_zones/if"] = OperatorPage(self._forecast_page)
         register_metrics(host.metrics, self.controller, list(config.zones))
 
     def _place_endpoints(self, settings: ZonesSettings) -> None:
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -100,7 +100,7 @@
     def started(site: Application) -> None:
         part = site.components["processor"]
         assert isinstance(part, ProcessorComponent)
-        print(part.front.address[1], flush=True)
+        print(part.frontend.address[1], flush=True)
 
     await run("", installation(servers), started)
 
--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from badgercart.app import file as operators
-from badgercart.config import Config, read_config, reread
+from badgercart.config import Config, read_config, reload_config
 from badgercart.policy import Policy
 from badgercart.policy.events import EndpointUpdate, UpdateKind
 from badgercart.reload import checks
@@ -130,7 +130,7 @@
     sizes.spend("settings", size, lambda: read_settings(settings))
     old = sizes.spend("start: read whole", size, lambda: read_config(environ))
     if old is not None:
-        new = sizes.spend("reload: read and check", size, lambda: reread(environ, old))
+        new = sizes.spend("reload: read and check", size, lambda: reload_config(environ, old))
         if new is not None and (
             told := sizes.spend(
                 "reload: renumber", size, lambda: reconfigure(old, new, IndexesInUse())
--- a/tests/admin/test_listener.py
+++ b/tests/admin/test_listener.py
@@ -43,19 +43,24 @@
             ):
                 version += 1
                 stand.agent.push(version, lines, reset=len(lines) > 1)
-                while stand.node.roster.version != version:
+                while stand.node.endpoint_table.version != version:
                     await asyncio.sleep(0)
                 for _ in range(10):
                     assert (await client.ask(request()))[0] == 200
                 assert first.requests.empty()
             assert await call(stand, "/-/servers/s-1/enable") == 200
-            server = stand.node.join.policy.fleet.endpoints.by_id[
-                next(iter(stand.node.roster.listed))
+            server = stand.node.pipeline.policy.fleet.endpoints.by_id[
+                next(iter(stand.node.endpoint_table.listed))
             ]
             while first.requests.empty():  # it is cold, and used again
                 assert (await client.ask(request()))[0] == 200
             assert server.endpoint.state is EndpointState.READY
-            assert stand.node.roster.find_by_address(("127.0.0.1", first.port)).entry.started_ms > 0  # type: ignore[union-attr]
+            assert (
+                stand.node.endpoint_table.find_by_address(
+                    ("127.0.0.1", first.port)
+                ).entry.started_ms
+                > 0
+            )  # type: ignore[union-attr]
 
     run(test())
 
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -38,7 +38,7 @@
         }
         site = Application(Installation(config(1), parts), asyncio.get_running_loop())
         await site.start()
-        http = site.components["http"].front.listener.address  # type: ignore[attr-defined]
+        http = site.components["http"].frontend.listener.address  # type: ignore[attr-defined]
         metrics = site.components["metrics"].listener.address  # type: ignore[attr-defined]
 
         async def page() -> dict[str, float]:
--- a/tests/bulk/test_streams.py
+++ b/tests/bulk/test_streams.py
@@ -96,7 +96,11 @@
                 assert await body_of(client.reader, head) == LONG
                 assert isinstance(await stand.event(ResponseStarted), ResponseStarted)
                 assert (await stand.outcome()).result is AttemptResult.OK
-                assert stand.node.front.bulk.streams == stand.node.front.bulk.held == 0
+                assert (
+                    stand.node.frontend.memory_budget.streams
+                    == stand.node.frontend.memory_budget.held
+                    == 0
+                )
                 if field(head, b"Connection") == b"close":
                     client = await stand.client()
                 if form in ("length", "chunks", "interim"):  # the connection is used again
@@ -212,7 +216,10 @@
                 reader.readexactly(HOLD), WAIT
             )  # though the rest has not come
             (attempt,) = stand.node.pool.attempts.values()
-            assert attempt.timer is None and not stand.node.join.policy.overload.concurrency.current
+            assert (
+                attempt.timer is None
+                and not stand.node.pipeline.policy.overload.concurrency.current
+            )
             client.writer.write(body[2 * HOLD :])
             assert isinstance(await stand.event(RequestCompleted), RequestCompleted)
             rest = (
@@ -223,7 +230,7 @@
             assert rest == LONG[HOLD:] or form == "chunks"
             while attempt.timer is None:
                 await asyncio.sleep(0)
-            assert stand.node.join.policy.overload.concurrency.current == 1
+            assert stand.node.pipeline.policy.overload.concurrency.current == 1
             assert int(field(got, b"Request-Timeout")[:-1]) <= 5000  # type: ignore[index]
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
             assert (await client.answer())[2] == b"done"
@@ -279,8 +286,8 @@
 def test_a_client_that_stops_in_the_middle_of_a_long_request_is_given_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "REQUEST_TIME", 0.2)
-    monkeypatch.setattr(clients, "SWEEP", 0.01)
+    monkeypatch.setattr(clients, "REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         server = await Raw().start()
@@ -292,7 +299,7 @@
             assert await client.end() == b""
             await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
             assert (await stand.outcome()).result is AttemptResult.CANCELLED
-            assert not stand.node.join.in_flight and not stand.node.pool.attempts
+            assert not stand.node.pipeline.in_flight and not stand.node.pool.attempts
 
     run(test())
 
@@ -316,8 +323,8 @@
                 client.writer.transport.abort()
             await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
             assert (await stand.outcome()).result is AttemptResult.CANCELLED
-            assert not stand.node.join.in_flight and not stand.node.pool.attempts
-            assert not stand.node.listener.open_ids
+            assert not stand.node.pipeline.in_flight and not stand.node.pool.attempts
+            assert not stand.node.listener.open_request_names
 
     run(test())
 
@@ -367,7 +374,7 @@
                 head = await head_of(client.reader)
                 client.writer.transport.pause_reading()
                 readers.append((client, head))
-            room: MemoryBudget = stand.node.front.bulk
+            room: MemoryBudget = stand.node.frontend.memory_budget
             paused = lambda: [c for c in stand.node.pool.connections if c.paused]  # noqa: E731
             async with asyncio.timeout(WAIT):
                 while len(paused()) < count:
--- a/tests/core/test_join.py
+++ b/tests/core/test_join.py
@@ -82,7 +82,9 @@
             await asyncio.wait_for(peer.ended.get(), WAIT)
             node = stand.node
             assert (
-                not node.join.in_flight and not node.pool.attempts and not node.listener.connections
+                not node.pipeline.in_flight
+                and not node.pool.attempts
+                and not node.listener.connections
             )
 
     run(test())
@@ -127,16 +129,16 @@
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
-            handle = stand.node.join.policy.handle
+            handle = stand.node.pipeline.policy.handle
 
             def broken(now: float, event: object) -> Any:
                 raise RuntimeError("broken on purpose")
 
-            stand.node.join.policy.handle = broken  # type: ignore[method-assign]
+            stand.node.pipeline.policy.handle = broken  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 500
-            stand.node.join.policy.handle = handle  # type: ignore[method-assign]
+            stand.node.pipeline.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 200
-            assert not stand.node.join.in_flight
+            assert not stand.node.pipeline.in_flight
 
     run(test())
     assert "broken on purpose" in caplog.text
@@ -145,7 +147,7 @@
 def test_a_policy_that_breaks_over_a_request_forgets_it() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            client, policy = await stand.client(), stand.node.join.policy
+            client, policy = await stand.client(), stand.node.pipeline.policy
             attempt = policy.lifecycle.attempt
 
             def broken(pending: object, now_ms: float) -> None:
@@ -155,7 +157,7 @@
             assert (await client.ask(request()))[0] == 500
             policy.lifecycle.attempt = attempt  # type: ignore[method-assign]
             assert (await stand.event(RequestCancelled)).id == 1
-            assert not policy.lifecycle.requests and not stand.node.join.in_flight
+            assert not policy.lifecycle.requests and not stand.node.pipeline.in_flight
 
     run(test())
 
@@ -210,8 +212,8 @@
             client = await stand.client()
             client.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            stand.node.join.end(stand.node.join.last_id, broken=False)
-            stand.node.pool.cancel(stand.node.join.last_id, 0)
+            stand.node.pipeline.end(stand.node.pipeline.last_id, broken=False)
+            stand.node.pool.cancel(stand.node.pipeline.last_id, 0)
             assert (await client.answer())[0] == 502
             outcome: AttemptEnded = await stand.outcome()
             assert outcome.completed and outcome.result == AttemptResult.CANCELLED
@@ -233,7 +235,7 @@
     async def test() -> None:
         peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
-            stand.node.join.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
+            stand.node.pipeline.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
             data = request("book")
             assert (await (await stand.client()).ask(data))[0] == 503
             for peer in peers:
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -69,8 +69,8 @@
                 call = await asyncio.wait_for(stand.agent.calls.get(), WAIT)
                 assert call == "/catalog/members?watch=1&from=1"
             assert (
-                stand.node.front.healthy
-                and not stand.node.pool.servers.keys() - stand.node.roster.listed.keys()
+                stand.node.frontend.healthy
+                and not stand.node.pool.servers.keys() - stand.node.endpoint_table.listed.keys()
             )
 
     run(test())
--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -85,7 +85,7 @@
     """A running site and what it believes."""
 
     def __init__(self, site: Application) -> None:
-        self.site, self.http = site, site.components["http"].front  # type: ignore[attr-defined]
+        self.site, self.http = site, site.components["http"].frontend  # type: ignore[attr-defined]
         part = site.components["distribution"]
         assert isinstance(part, DistributedDiscoveryComponent)
         self.part = part
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -27,7 +27,7 @@
 
     async def client_leaves(self) -> None:
         self.client.writer.transport.abort()
-        while self.stand.node.join.in_flight:
+        while self.stand.node.pipeline.in_flight:
             await asyncio.sleep(0)
         self.open()
 
@@ -115,7 +115,7 @@
             if expected is not None:
                 status, head, _ = await scene.client.answer()
                 assert status == expected and (b"Retry-After" in head) == (status == 503)
-            join = stand.node.join
+            join = stand.node.pipeline
             if expected is None and not may_cancel and scene.writers:
                 assert join.open_attempts  # it may not be called back: it ends when its server does
                 scene.writers[0].transport.abort()
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -16,7 +16,7 @@
 import pytest
 
 from badgercart.core.memory_budget import HOLD, WINDOW
-from badgercart.frontends.http.connection import MAX_WAITING
+from badgercart.frontends.http.connection import MAX_PIPELINED_REQUESTS
 from badgercart.policy import overload
 from badgercart.policy.events import AttemptEnded, Event, Request, TimerFired
 from badgercart.policy.settings import Settings
@@ -87,7 +87,7 @@
 
     def go_at(self, *kinds: type[Event], go: Callable[[], None] | None = None) -> None:
         """They leave in the moment in which the policy is told such an event, before it decides."""
-        policy, go = self.node.join.policy, go or self.go
+        policy, go = self.node.pipeline.policy, go or self.go
         handle = policy.handle
 
         def told(now: float, event: Event) -> Any:
@@ -130,7 +130,7 @@
     async def gone(self) -> None:
         """Nobody but who stays is there any more, and nothing is owed."""
         async with asyncio.timeout(WAIT):
-            while self.node.join.in_flight or len(self.node.listener.connections) > 1:
+            while self.node.pipeline.in_flight or len(self.node.listener.connections) > 1:
                 await asyncio.sleep(0.001)
 
     async def last(self) -> None:
@@ -253,26 +253,26 @@
 
 async def with_reading_paused(scene: Scene) -> None:
     """More is sent ahead than is read; the server fails the first, and it would be sent again."""
-    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
+    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_PIPELINED_REQUESTS)))
     writer = await scene.begun()
-    assert scene.node.listener.unheard
+    assert scene.node.listener.paused_clients
     scene.go_at(AttemptEnded)
     writer.transport.abort()
 
 
 async def with_reading_paused_and_its_next_read(scene: Scene) -> None:
-    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
+    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_PIPELINED_REQUESTS)))
     writer = await scene.begun()
-    assert scene.node.listener.unheard
+    assert scene.node.listener.paused_clients
     scene.go_at(AttemptEnded)
     writer.write(OK)
 
 
 async def with_reading_paused_and_nothing_to_do(scene: Scene) -> None:
     """It is looked for: no other event tells of it."""
-    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
+    scene.connect().sendall(b"".join(request() for _ in range(8 * MAX_PIPELINED_REQUESTS)))
     writer = await scene.begun()
-    assert scene.node.listener.unheard
+    assert scene.node.listener.paused_clients
     scene.go()
     await scene.gone()
     if not writer.transport.is_closing():  # else its attempt was cancelled
@@ -290,7 +290,7 @@
     whole = request("book", body=b"x" * 2000)
     sock = scene.connect()
     sock.sendall(whole[:-1000])
-    while not scene.node.listener.arriving:
+    while not scene.node.listener.receiving:
         await asyncio.sleep(0)
     scene.go_at(Request)
     sock.sendall(whole[-1000:])
@@ -334,11 +334,11 @@
     await asyncio.wait_for(taken.wait(), WAIT)
     await asyncio.wait_for(sending, WAIT)  # the system has taken all of it
     if size > 2 * WINDOW:
-        while not scene.node.listener.unheard:
+        while not scene.node.listener.paused_clients:
             await asyncio.sleep(0)
         scene.go()  # its end lies behind what the node does not read now
     else:
-        (held,) = scene.node.join.in_flight.values()
+        (held,) = scene.node.pipeline.in_flight.values()
         while not held.request.complete:
             await asyncio.sleep(0)
         scene.go()
@@ -429,14 +429,14 @@
                 await scene.last()
             got = [peer.requests.get_nowait() for _ in range(peer.requests.qsize())]
             assert len(got) >= 2 and not [head for head in got if not head.startswith(LAST)]
-            join, pool = stand.node.join, stand.node.pool
+            join, pool = stand.node.pipeline, stand.node.pool
             async with asyncio.timeout(WAIT):
                 while join.open_attempts or pool.attempts or join.policy.lifecycle.requests:
                     await asyncio.sleep(0.001)
             assert (
                 not join.cancelled
-                and not stand.node.listener.open_ids
-                and not stand.node.listener.unheard
+                and not stand.node.listener.open_request_names
+                and not stand.node.listener.paused_clients
             )
 
     run(test())
--- a/tests/ends/test_leaving.py
+++ b/tests/ends/test_leaving.py
@@ -78,8 +78,8 @@
             assert written == 0
             assert (
                 not stand.node.pool.attempts
-                and not stand.node.join.open_attempts
-                and not stand.node.join.cancelled
+                and not stand.node.pipeline.open_attempts
+                and not stand.node.pipeline.cancelled
             )
 
     run(test())
@@ -137,14 +137,14 @@
             client.writer.write(b"".join(request() for _ in range(60)))
             await asyncio.wait_for(peer.requests.get(), WAIT)
             async for connection in stand.connections(1):
-                assert connection.machine.paused
+                assert connection.machine.reading_paused
             client.writer.close()
             await stand.event(RequestCancelled)
             release.set()
             other = await stand.client()
             assert (await other.ask(request()))[0] == 200
             assert peer.requests.qsize() == 1
-            assert not stand.node.listener.open_ids
+            assert not stand.node.listener.open_request_names
 
     run(test())
 
@@ -182,7 +182,7 @@
             assert connection.transport.get_write_buffer_size()
             sock.shutdown(socket.SHUT_WR)
             await stand.event(RequestCancelled)
-            assert not stand.node.join.in_flight
+            assert not stand.node.pipeline.in_flight
             gate.set()
             sock.close()
 
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_suspects.py
@@ -58,8 +58,8 @@
 ) -> None:
     """The listener closes at once: nothing but the reader keeps the process, until the system has
     it all."""
-    monkeypatch.setattr(clients, "ACCEPT_FOR", 0.0)
-    monkeypatch.setattr(platform, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(clients, "DRAIN_ACCEPT_S", 0.0)
+    monkeypatch.setattr(platform, "DRAIN_ACCEPT_S", 0.0)
 
     async def test() -> None:
         big = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
@@ -101,8 +101,8 @@
 ) -> None:
     """Its transport is made in the next turn of the loop; until then it belongs to the listener
     alone."""
-    monkeypatch.setattr(clients, "ACCEPT_FOR", 0.0)
-    monkeypatch.setattr(platform, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(clients, "DRAIN_ACCEPT_S", 0.0)
+    monkeypatch.setattr(platform, "DRAIN_ACCEPT_S", 0.0)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -111,10 +111,10 @@
                 listener.address
             )  # in this turn, behind the loop's back
             sock.sendall(request())
-            listener.accept()
+            listener.accept_connections()
             (client,) = listener.connections
             assert not hasattr(client, "machine")
-            listener.stop()
+            listener.stop_accepting()
             await stand.node.drain()
             sock.settimeout(WAIT)
             assert b"200 OK" in sock.recv(1000) and sock.recv(1000) == b""
@@ -163,7 +163,7 @@
         agent = await Scripted([old.entry("s-1", "leaving"), new.entry("s-2")], [hang]).start()
         agent.push(2, [old.entry("s-1", "leaving"), new.entry("s-2")])
         async with running(old, new, agent=agent) as stand:
-            while stand.node.roster.version < 2:
+            while stand.node.endpoint_table.version < 2:
                 await asyncio.sleep(0.001)
             client = await stand.client()
             for _ in range(8):
@@ -179,7 +179,7 @@
         nowhere = await Scripted([], [hang, says(HEAD), *[hang] * 20]).start()
         async with running(old, new) as stand:
             stand.agent.push(2, [old.entry("s-1", "leaving")])
-            while stand.node.roster.version < 2:
+            while stand.node.endpoint_table.version < 2:
                 await asyncio.sleep(0)
             stand.node.discovery.move(("127.0.0.1", nowhere.port))
             for _ in range(3):
@@ -190,7 +190,7 @@
             assert (old.requests.qsize(), new.requests.qsize()) == (0, 6)
             stand.agent.whole = {"generation": 3, "reset": True, "instances": [old.entry("s-1")]}
             stand.node.discovery.move(("127.0.0.1", stand.agent.port))
-            while stand.node.roster.version < 3:
+            while stand.node.endpoint_table.version < 3:
                 await asyncio.sleep(0)
             assert (await client.ask(request()))[0] == 200
             assert old.requests.qsize() == 1
@@ -275,6 +275,6 @@
             left = attempt.deadline / 1000 - time.monotonic()
             time.sleep(left + 0.3)
             assert (await client.answer())[0] == (200 if answers else status)
-            assert not stand.node.join.in_flight
+            assert not stand.node.pipeline.in_flight
 
     run(test())
--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -130,7 +130,7 @@
             "instances": [peer.entry("s-1"), other.entry("s-2")],
         }
         async with running(peer, other, agent=agent, known=known) as stand:
-            while stand.node.roster.version < 3:
+            while stand.node.endpoint_table.version < 3:
                 assert (
                     stand.node.discovery.task is not None and not stand.node.discovery.task.done()
                 )
@@ -157,7 +157,7 @@
                     "instances": [peer.entry("s-1", state)],
                 }
                 stand.agent.lines.put_nowait(json.dumps(line, indent=indent).encode() + b"\n")
-            while stand.node.roster.version < 4:
+            while stand.node.endpoint_table.version < 4:
                 await asyncio.sleep(0)
             assert stand.node.pool.servers[stable_id(b"s-1")].state is EndpointState.DRAINING
             assert calls.empty()
@@ -177,7 +177,7 @@
         peer = await Peer().start()
         agent = await Scripted([peer.entry()], [endless]).start()
         async with running(peer, agent=agent, known={}) as stand:
-            while stand.node.roster.version < 2:
+            while stand.node.endpoint_table.version < 2:
                 await asyncio.sleep(0.001)
             assert [agent.calls.get_nowait() for _ in range(2)] == ["/catalog/members"] * 2
 
@@ -207,7 +207,7 @@
                 await asyncio.wait_for(stand.agent.calls.get(), WAIT)
                 == "/catalog/members?watch=1&from=1"
             )
-            policy, left = stand.node.join.policy, 1
+            policy, left = stand.node.pipeline.policy, 1
             settle = policy.fleet.settle
 
             def broken() -> None:
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -49,7 +49,7 @@
         self.site, self.source, self.http = (
             site,
             site.components["etcd"].source,
-            site.components["http"].front,
+            site.components["http"].frontend,
         )
 
     def listed(self) -> dict[str, str]:
