--- a/tests/frontends/test_connection.py
+++ b/tests/frontends/test_connection.py
@@ -1,5 +1,7 @@
-"""The machine of a client's connection, in any order of events: one answer each, legal moves
-only."""
+"""Tests the state machine of a client connection with events in any order.
+
+Each request gets one response, and only allowed transitions occur.
+"""
 
 from __future__ import annotations
 
@@ -16,184 +18,226 @@
 from badgercart.core.identifiers import stable_id
 from badgercart.core.requests import Classifier, InvalidRequestError
 from badgercart.frontends.graphql.requests import bad_request
-from badgercart.frontends.http.connection import MAX_WAITING, MOVES, Connection, State
+from badgercart.frontends.http.connection import (
+    ALLOWED_TRANSITIONS,
+    MAX_PIPELINED_REQUESTS,
+    ConnectionState,
+    ConnectionStateMachine,
+)
 from badgercart.frontends.http.requests import (
-    BadRequest,
+    BadRequestError,
     ClientRequest,
-    Headers,
     Message,
-    platform_requests,
-    problem,
+    RequestHeaders,
+    platform_request_reader,
+    problem_document,
 )
 from tests.net import config, request
 
 
-class Surroundings:
-    """What the machine asks for, noted down. Requests are answered at once where `eager`."""
+class RecordingDriver:
+    """Records what the state machine asks for; answers requests immediately if `eager`."""
 
     def __init__(self) -> None:
-        self.keeps = self.serves = True
-        self.out = b""
-        self.taken: deque[ClientRequest] = deque()
-        self.reading, self.finished, self.eager = True, False, False
-        self.asked = 0
-        self.bulk = False
-        self.machine: Connection
-
-    def read(self, method: bytes, url: bytes, headers: Headers, body: bytes) -> ClientRequest:
+        self.keeps_connections = self.can_serve = True
+        self.written = b""
+        self.open_requests: deque[ClientRequest] = deque()
+        self.is_reading, self.finished, self.eager = True, False, False
+        self.request_count = 0
+        self.streams_bodies = False
+        self.machine: ConnectionStateMachine
+
+    def read_request(
+        self, method: bytes, url: bytes, headers: RequestHeaders, body: bytes
+    ) -> ClientRequest:
+        """Accept any request but those for /bad and those with invalid headers."""
         if headers.fault or url == b"/bad":
-            raise BadRequest(400, headers.fault or "odd")
+            raise BadRequestError(400, headers.fault or "odd")
         name = headers.request_id or b""
         return ClientRequest(
             Message(b"", body), name, 0, 0, stable_id(url), 0.0, 1000.0, 0.0, False
         )
 
-    def words(self, status: int, why: str) -> tuple[bytes, bytes]:
-        return b"text/plain", why.encode()
+    def error_body(self, status: int, reason: str) -> tuple[bytes, bytes]:
+        """Return the reason as text."""
+        return b"text/plain", reason.encode()
 
-    def take(self, taken: ClientRequest) -> None:
-        self.asked += 1
+    def handle_request(self, received: ClientRequest) -> None:
+        """Answer the request, or keep it for the test."""
+        self.request_count += 1
         if self.eager:
-            self.machine.answer(self.machine.now, 200, b"", b"", b"")
+            self.machine.respond(self.machine.now_s, 200, b"", b"", b"")
         else:
-            self.taken.append(taken)
+            self.open_requests.append(received)
 
     def write(self, data: bytes) -> None:
-        assert not self.finished, "nothing is written after the last answer"
-        self.out += data
-
-    def pause(self) -> None:
-        assert self.reading
-        self.reading = False
-
-    def resume(self) -> None:
-        assert not self.reading
-        self.reading = True
-
-    def finish(self) -> None:
+        """Record bytes, none of which may follow the last response."""
+        assert not self.finished, "nothing is written after the last response"
+        self.written += data
+
+    def pause_reading(self) -> None:
+        """Check that reading was not paused."""
+        assert self.is_reading
+        self.is_reading = False
+
+    def resume_reading(self) -> None:
+        """Check that reading was paused."""
+        assert not self.is_reading
+        self.is_reading = True
+
+    def finish_writing(self) -> None:
+        """Check that this is called once."""
         assert not self.finished
         self.finished = True
 
     @property
-    def answers(self) -> int:
-        return self.out.count(b"HTTP/1.1 ") - self.out.count(b"HTTP/1.1 100 ")
+    def response_count(self) -> int:
+        """How many final responses have been written."""
+        return self.written.count(b"HTTP/1.1 ") - self.written.count(b"HTTP/1.1 100 ")
+
 
+class AnyEventOrder(RuleBasedStateMachine):
+    """Generates events in any order.
 
-class AnyOrder(RuleBasedStateMachine):
-    """Bytes in any pieces, answers, floods, a client that does not read, a listener that stops, an
-    end."""
+    These are bytes cut anywhere, many pipelined requests, responses, a client that does not read, a
+    listener that stops, and the end of the connection.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.now = 0.0
-        self.side, self.names = Surroundings(), set[bytes]()
-        self.waits: dict[State, dict[Any, float]] = {
-            state: {} for state in State if state not in (State.HELD, State.CLOSED)
+        self.now_s = 0.0
+        self.driver, self.open_request_names = RecordingDriver(), set[bytes]()
+        self.waiting_since: dict[ConnectionState, dict[Any, float]] = {
+            state: {}
+            for state in ConnectionState
+            if state not in (ConnectionState.SERVING, ConnectionState.CLOSED)
         }
-        self.machine = self.side.machine = Connection(self.side, self.now, self.names, self.waits)
-        self.rest = b""
-        self.gone = False
-        self.sent = 0
+        self.machine = self.driver.machine = ConnectionStateMachine(
+            self.driver, self.now_s, self.open_request_names, self.waiting_since
+        )
+        self.unsent = b""
+        self.lost = False
+        self.sent_count = 0
 
-    def later(self) -> float:
-        self.now += 1.0
-        return self.now
+    def advance(self) -> float:
+        """Advance the clock and return the time."""
+        self.now_s += 1.0
+        return self.now_s
 
-    @precondition(lambda self: not self.gone and self.side.reading and not self.rest)
+    @precondition(lambda self: not self.lost and self.driver.is_reading and not self.unsent)
     @rule(count=st.integers(1, 12), bad=st.booleans(), cut=st.floats(0, 1), twice=st.booleans())
     def send(self, count: int, bad: bool, cut: float, twice: bool) -> None:
+        """Send requests, the last of them perhaps in part."""
         pieces = []
         for _ in range(count):
-            self.sent += 1
-            pieces.append(b"GET /find/1 HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\n\r\n" % self.sent)
+            self.sent_count += 1
+            pieces.append(
+                b"GET /find/1 HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\n\r\n" % self.sent_count
+            )
         if twice:
             pieces[-1] = pieces[0]
         if bad:
             pieces[len(pieces) // 2] = b"GET /bad HTTP/1.1\r\nHost: x\r\n\r\n"
         data = b"".join(pieces)
         at = int(len(data) * cut)
-        self.rest = data[at:]
-        self.machine.received(data[:at], self.later())
+        self.unsent = data[at:]
+        self.machine.received(data[:at], self.advance())
 
-    @precondition(lambda self: not self.gone and self.rest)
+    @precondition(lambda self: not self.lost and self.unsent)
     @rule()
     def send_the_rest(self) -> None:
-        rest, self.rest = self.rest, b""
-        self.machine.received(rest, self.later())
+        """Send what was cut off."""
+        unsent, self.unsent = self.unsent, b""
+        self.machine.received(unsent, self.advance())
 
-    @precondition(lambda self: not self.gone and self.side.taken)
+    @precondition(lambda self: not self.lost and self.driver.open_requests)
     @rule(status=st.sampled_from((200, 503, 502)))
-    def answer(self, status: int) -> None:
-        self.side.taken.popleft()
-        self.machine.answer(self.later(), status, b"", b"", b"")
-
-    @precondition(
-        lambda self: not self.gone and self.side.out
-    )  # what was not written can't stay unread
-    @rule(full=st.booleans())
-    def reading_client(self, full: bool) -> None:
-        if full and not self.machine.full:
-            self.machine.unread()
-        elif not full and self.machine.full:
-            self.machine.read_again(self.later())
-
-    @precondition(lambda self: not self.gone and self.machine.state is State.ARRIVING)
+    def respond(self, status: int) -> None:
+        """Answer the request that is being served."""
+        self.driver.open_requests.popleft()
+        self.machine.respond(self.advance(), status, b"", b"", b"")
+
+    # Only written bytes can be left unread.
+    @precondition(lambda self: not self.lost and self.driver.written)
+    @rule(blocked=st.booleans())
+    def change_writing(self, blocked: bool) -> None:
+        """Let the client stop or continue to read its responses."""
+        if blocked and not self.machine.write_blocked:
+            self.machine.writing_blocked()
+        elif not blocked and self.machine.write_blocked:
+            self.machine.writing_unblocked(self.advance())
+
+    @precondition(lambda self: not self.lost and self.machine.state is ConnectionState.RECEIVING)
     @rule()
-    def overdue(self) -> None:
-        self.machine.overdue(self.later())
+    def time_out(self) -> None:
+        """Let the request being received exceed its time."""
+        self.machine.request_timed_out(self.advance())
 
     @rule(keeps=st.booleans(), eager=st.booleans())
-    def listener(self, keeps: bool, eager: bool) -> None:
-        self.side.keeps, self.side.eager = keeps, eager
+    def change_driver(self, keeps: bool, eager: bool) -> None:
+        """Change whether connections are kept and requests are answered immediately."""
+        self.driver.keeps_connections, self.driver.eager = keeps, eager
 
-    @precondition(lambda self: not self.gone)
+    @precondition(lambda self: not self.lost)
     @rule()
     def lose(self) -> None:
-        self.machine.lost(self.later())
-        self.gone = True
-        self.machine.answer(
-            self.later(), 200, b"", b"", b""
-        )  # one that comes too late changes nothing
+        """End the connection; a response after that changes nothing."""
+        self.machine.connection_lost(self.advance())
+        self.lost = True
+        self.machine.respond(self.advance(), 200, b"", b"", b"")
 
     @invariant()
-    def one_answer_each_and_bounds(self) -> None:
-        machine, side = self.machine, self.side
-        assert len(side.taken) <= 1, "one request is served at a time"
-        assert len(machine.waiting) <= MAX_WAITING + 4096 // 40
-        assert self.gone or machine.busy == bool(side.taken)
-        if self.gone:
-            assert not self.names and not any(self.waits.values()) and machine.state is State.CLOSED
+    def one_response_each_and_limits(self) -> None:
+        """Check the state machine against its driver."""
+        machine, driver = self.machine, self.driver
+        assert len(driver.open_requests) <= 1, "one request is served at a time"
+        assert len(machine.pending) <= MAX_PIPELINED_REQUESTS + 4096 // 40
+        assert self.lost or machine.is_serving == bool(driver.open_requests)
+        if self.lost:
+            assert (
+                not self.open_request_names
+                and not any(self.waiting_since.values())
+                and machine.state is ConnectionState.CLOSED
+            )
             return
-        held = {taken.name for taken in side.taken}
-        waiting = {item.name for item, _ in machine.waiting if isinstance(item, ClientRequest)}
-        assert self.names == held | waiting
-        where = [state for state, wait in self.waits.items() if side in wait]
-        assert where == ([] if machine.state is State.HELD else [machine.state])
-        assert (machine.state is State.HELD) == machine.busy
-        if machine.state is State.ENDING:
-            assert side.finished and side.reading and not machine.waiting
+        served = {received.request_name for received in driver.open_requests}
+        pending = {
+            item.request_name for item, _ in machine.pending if isinstance(item, ClientRequest)
+        }
+        assert self.open_request_names == served | pending
+        where = [state for state, waiting in self.waiting_since.items() if driver in waiting]
+        assert where == ([] if machine.state is ConnectionState.SERVING else [machine.state])
+        assert (machine.state is ConnectionState.SERVING) == machine.is_serving
+        if machine.state is ConnectionState.CLOSING:
+            assert driver.finished and driver.is_reading and not machine.pending
 
     def teardown(self) -> None:
-        while self.side.taken and not self.gone:
-            self.answer(200)
-        if not self.gone:
-            assert self.side.answers >= self.side.asked  # and what was turned away
+        """Answer open requests; rejected ones have got responses, too."""
+        while self.driver.open_requests and not self.lost:
+            self.respond(200)
+        if not self.lost:
+            assert self.driver.response_count >= self.driver.request_count
 
 
-AnyOrder.TestCase.settings = settings(max_examples=150, stateful_step_count=30, deadline=None)
-test_any_order = AnyOrder.TestCase
+AnyEventOrder.TestCase.settings = settings(max_examples=150, stateful_step_count=30, deadline=None)
+test_any_event_order = AnyEventOrder.TestCase
 
 
-def test_a_move_that_is_not_in_the_table_is_an_error() -> None:
-    machine = Connection(Surroundings(), 0.0, set(), {state: {} for state in State})
-    machine.state = State.ENDING
-    with pytest.raises(RuntimeError, match="can't go from ENDING to ARRIVING"):
-        machine.move(State.ARRIVING)
-    assert set(MOVES) == set(State) and not MOVES[State.CLOSED]
+def test_a_transition_that_is_not_allowed_is_an_error() -> None:
+    machine = ConnectionStateMachine(
+        RecordingDriver(), 0.0, set(), {state: {} for state in ConnectionState}
+    )
+    machine.state = ConnectionState.CLOSING
+    with pytest.raises(RuntimeError, match="can't go from CLOSING to RECEIVING"):
+        machine.transition(ConnectionState.RECEIVING)
+    assert (
+        set(ALLOWED_TRANSITIONS) == set(ConnectionState)
+        and not ALLOWED_TRANSITIONS[ConnectionState.CLOSED]
+    )
 
 
 @pytest.mark.parametrize(
-    ("more", "words"),
+    ("headers", "reason"),
     [
         ({"Request_ID": "twice"}, "Request-Id stands there twice"),
         ({"Tenant": "a", "tenant": "b"}, "Tenant stands there twice"),
@@ -204,30 +248,34 @@
         ),
     ],
 )
-def test_each_fault_of_the_headers_has_its_words(more: dict[str, str], words: str) -> None:
-    side = Surroundings()
-    side.read = platform_requests(config(1))  # type: ignore[assignment]
-    side.words = problem  # type: ignore[method-assign]
-    Connection(side, 0.0, set(), {state: {} for state in State}).received(request(**more), 1.0)
-    head, _, body = side.out.partition(b"\r\n\r\n")
-    assert b"Content-Type: application/problem+json" in head and side.finished
-    told = json.loads(body)
-    assert (told["status"], told["title"], told["detail"]) == (400, "Bad Request", words)
-
-
-def test_a_default_tenant_takes_requests_without_the_header_and_others_are_named() -> None:
+def test_each_header_fault_is_reported_in_a_problem_document(
+    headers: dict[str, str], reason: str
+) -> None:
+    driver = RecordingDriver()
+    driver.read_request = platform_request_reader(config(1))  # type: ignore[assignment]
+    driver.error_body = problem_document  # type: ignore[method-assign]
+    ConnectionStateMachine(driver, 0.0, set(), {state: {} for state in ConnectionState}).received(
+        request(**headers), 1.0
+    )
+    head, _, body = driver.written.partition(b"\r\n\r\n")
+    assert b"Content-Type: application/problem+json" in head and driver.finished
+    problem = json.loads(body)
+    assert (problem["status"], problem["title"], problem["detail"]) == (400, "Bad Request", reason)
+
+
+def test_a_request_without_a_tenant_counts_for_the_default_tenant() -> None:
     plain = replace(config(1), tenants={b"a": 0, b"b": 1})
     with pytest.raises(InvalidRequestError, match="no Tenant header, and no default_tenant is set"):
         Classifier(plain).read(b"GET", b"/find/1", b"r", None, None)
     with pytest.raises(InvalidRequestError, match="there is no tenant 'x'"):
         Classifier(plain).read(b"GET", b"/find/1", b"r", b"x", None)
-    filled = replace(plain, default_tenant=b"b")
-    assert Classifier(filled).read(b"GET", b"/find/1", b"r", None, None).tenant == 1
-    assert Classifier(filled).read(b"GET", b"/find/1", b"r", b"a", None).tenant == 0
+    with_default = replace(plain, default_tenant=b"b")
+    assert Classifier(with_default).read(b"GET", b"/find/1", b"r", None, None).tenant == 1
+    assert Classifier(with_default).read(b"GET", b"/find/1", b"r", b"a", None).tenant == 0
 
 
-def test_graphql_words_a_bad_request_as_an_error() -> None:
-    media, body = bad_request(400, "w" * 1000)
-    (told,) = json.loads(body)["errors"]
-    assert media == b"application/json" and told["extensions"]["code"] == "BAD_REQUEST"
-    assert told["message"] == "w" * 200
+def test_graphql_reports_a_bad_request_as_a_graphql_error() -> None:
+    media_type, body = bad_request(400, "w" * 1000)
+    (error,) = json.loads(body)["errors"]
+    assert media_type == b"application/json" and error["extensions"]["code"] == "BAD_REQUEST"
+    assert error["message"] == "w" * 200
--- a/tests/frontends/test_golden.py
+++ b/tests/frontends/test_golden.py
@@ -16,11 +16,11 @@
 from badgercart.frontends.http.clients import ClientConnection, Listener
 from badgercart.frontends.http.requests import (
     ClientRequest,
-    Page,
-    Words,
-    no_words,
-    platform_requests,
-    problem,
+    ErrorBodyFormatter,
+    OperatorPage,
+    empty_error_body,
+    platform_request_reader,
+    problem_document,
 )
 from tests.golden import differences
 from tests.net import config
@@ -76,27 +76,27 @@
 
     def __init__(self) -> None:
         self.stopping, self.healthy = False, True
-        self.pages: Mapping[bytes, Page] = {
-            b"/metrics": Page(lambda: b"up 1\n", b"text/plain; version=0.0.4")
+        self.pages: Mapping[bytes, OperatorPage] = {
+            b"/metrics": OperatorPage(lambda: b"up 1\n", b"text/plain; version=0.0.4")
         }
         self.taken: list[ClientRequest] = []
 
-    def take(self, client: ClientConnection, request: ClientRequest) -> None:
+    def handle_request(self, client: ClientConnection, request: ClientRequest) -> None:
         self.taken.append(request)
 
-    def whole(self, client: ClientConnection, request: ClientRequest) -> None: ...
+    def request_completed(self, client: ClientConnection, request: ClientRequest) -> None: ...
 
-    def withdraw(self, request_id: int) -> None: ...
+    def cancel_request(self, request_id: int) -> None: ...
 
 
 class Stand:
     """One connection on a listener that opens nothing."""
 
-    def __init__(self, words: Words = no_words, streams: bool = True) -> None:
+    def __init__(self, words: ErrorBodyFormatter = empty_error_body, streams: bool = True) -> None:
         loop: Any = StillLoop()
         self.taker = Taker()
         room = MemoryBudget(8 << 20) if streams else None
-        read = platform_requests(config(1, tenants={b"acme": 0}), streams=True)
+        read = platform_request_reader(config(1, tenants={b"acme": 0}), stream_responses=True)
         listener = Listener(loop, ("127.0.0.1", 0), self.taker, 30, read, words, room)
         self.listener = listener
         self.client = ClientConnection(listener)
@@ -158,7 +158,7 @@
 }
 
 
-def turned_away(words: Words, streams: bool) -> dict[str, bytes]:
+def turned_away(words: ErrorBodyFormatter, streams: bool) -> dict[str, bytes]:
     pieces = {}
     for name, data in TURNED_AWAY.items():
         stand = Stand(words, streams).hear(data)
@@ -168,12 +168,12 @@
     twice.client.on_answer(Answer(200, b"one"))
     pieces["an id that is open"] = twice.got()
     late = Stand(words, streams).hear(head()[:40])
-    late.client.machine.overdue(104.0)
+    late.client.machine.request_timed_out(104.0)
     pieces["a request that does not come in whole"] = late.got()
     return pieces
 
 
-def answers(words: Words) -> dict[str, bytes]:
+def answers(words: ErrorBodyFormatter) -> dict[str, bytes]:
     pieces = {}
     for name, answer in {
         "served": Answer(200, b"done", b"application/json"),
@@ -213,7 +213,7 @@
     stand.client.on_shed(100.0)
     pieces["a node that stops"] = stand.got()
     stand = Stand().hear(head())
-    stand.listener.limit = 0
+    stand.listener.max_connections = 0
     stand.client.on_answer(Answer(200, b"done"))
     pieces["a crowd"] = stand.got()
     return pieces
@@ -252,11 +252,11 @@
 
 
 GROUPS: dict[str, Callable[[], dict[str, bytes]]] = {
-    "turned-away-node": lambda: turned_away(no_words, True),
-    "turned-away-problem": lambda: turned_away(problem, False),
+    "turned-away-node": lambda: turned_away(empty_error_body, True),
+    "turned-away-problem": lambda: turned_away(problem_document, False),
     "turned-away-graphql": lambda: turned_away(bad_request, False),
-    "answers-node": lambda: answers(no_words),
-    "answers-problem": lambda: answers(problem),
+    "answers-node": lambda: answers(empty_error_body),
+    "answers-problem": lambda: answers(problem_document),
     "answers-graphql": lambda: answers(bad_request),
     "ends": ends,
     "pages": pages,
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -69,7 +69,7 @@
             client = await stand.client()
             client.writer.write(request() + request() + request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            stand.node.front.stopping = True
+            stand.node.frontend.stopping = True
             release.set()
             for connection in (None, None, b"close"):
                 status, head, _ = await client.answer()
@@ -185,7 +185,7 @@
             assert (got, field(head, b"Connection")) == (status, b"close")
             assert await client.end() == b""
             assert (await (await stand.client()).ask(request()))[0] == 200
-            assert peer.requests.qsize() == 1 and not stand.node.listener.open_ids
+            assert peer.requests.qsize() == 1 and not stand.node.listener.open_request_names
 
     run(test())
 
@@ -208,7 +208,7 @@
             client = await stand.client()
             await stand.event(EndpointUpdate)
             assert (await client.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
-            stand.node.roster.has_update = False
+            stand.node.endpoint_table.has_update = False
             assert (await client.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
 
     run(test())
@@ -221,7 +221,7 @@
 
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            limit = stand.node.listener.limit
+            limit = stand.node.listener.max_connections
             crowd = [await stand.client() for _ in range(limit)]
             for client in crowd:
                 assert (await client.ask(request()))[0] == 200
@@ -236,7 +236,9 @@
 
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nobody has to have been silent for any time before it makes room."""
-    monkeypatch.setattr(crowd, "ORDER", tuple((state, 0.0) for state, _ in crowd.ORDER))
+    monkeypatch.setattr(
+        crowd, "EVICTION_ORDER", tuple((state, 0.0) for state, _ in crowd.EVICTION_ORDER)
+    )
 
 
 def test_those_that_never_spoke_make_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -246,9 +248,9 @@
         async with running(await Peer().start(), sockets=96) as stand:
             usual = await stand.client()
             assert (await usual.ask(request()))[0] == 200
-            limit = stand.node.listener.limit
+            limit = stand.node.listener.max_connections
             silent = [await stand.client() for _ in range(limit - 1)]
-            while len(stand.node.listener.silent) < limit - 1:
+            while len(stand.node.listener.new) < limit - 1:
                 await asyncio.sleep(0)
             newest = await stand.client()
             assert (await newest.ask(request()))[0] == 200
@@ -266,11 +268,11 @@
 
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            limit = stand.node.listener.limit
+            limit = stand.node.listener.max_connections
             slow = [await stand.client() for _ in range(limit)]
             for client in slow:
                 client.writer.write(b"GET /find/1 HTTP/1.1\r\n")
-            while len(stand.node.listener.arriving) < limit:
+            while len(stand.node.listener.receiving) < limit:
                 await asyncio.sleep(0)
             assert (await (await stand.client()).ask(request()))[0] == 200
             assert len(stand.node.listener.connections) <= limit
@@ -284,7 +286,7 @@
     # connections).
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            stand.node.listener.limit = 6
+            stand.node.listener.max_connections = 6
             crowd = [await stand.client() for _ in range(4)]
             ends = [field((await client.ask(request()))[1], b"Connection") for client in crowd]
             assert ends == [None, None, b"close", b"close"]
@@ -301,7 +303,7 @@
         peers = [await Peer(held_back(release)).start() for _ in range(3)]
         async with running(*peers, sockets=96) as stand:
             listener = stand.node.listener
-            listener.limit = 3
+            listener.max_connections = 3
             crowd = [await stand.client() for _ in range(5)]
             for client in crowd:
                 client.writer.write(request())
@@ -340,7 +342,7 @@
             await asyncio.wait_for(calls.get(), WAIT)
             assert not listener.accepting and calls.empty()
             monkeypatch.setattr(listener, "socket", real)
-            listener.sweep()
+            listener.check_timeouts()
             assert (await client.answer())[0] == 200
 
     run(test())
@@ -353,14 +355,14 @@
             blank.writer.write(b"\r\n\r\n")
             half.writer.write(request()[:-2])
             listener = stand.node.listener
-            while len(listener.silent) != 2 or len(listener.arriving) != 1:
+            while len(listener.new) != 2 or len(listener.receiving) != 1:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(clients, "REQUEST_TIME", 0.0)
-            listener.sweep()
+            monkeypatch.setattr(clients, "REQUEST_TIMEOUT_S", 0.0)
+            listener.check_timeouts()
             assert await silent.end() == b"" and await blank.end() == b""
             assert (await half.answer())[0] == 408
             assert await half.end() == b""
-            assert not listener.silent and not listener.arriving
+            assert not listener.new and not listener.receiving
 
     run(test())
 
@@ -370,10 +372,10 @@
         async with running(await Peer().start()) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
-            stand.node.listener.sweep()
+            stand.node.listener.check_timeouts()
             assert (await client.ask(request()))[0] == 200
-            monkeypatch.setattr(clients, "KEEP_ALIVE", 0.0)
-            stand.node.listener.sweep()
+            monkeypatch.setattr(clients, "KEEP_ALIVE_TIMEOUT_S", 0.0)
+            stand.node.listener.check_timeouts()
             assert await client.end() == b""
 
     run(test())
@@ -395,7 +397,7 @@
             release.set()
             assert (await first.answer())[0] == 200
             assert (await third.ask(data))[0] == 200
-            assert not stand.node.listener.open_ids
+            assert not stand.node.listener.open_request_names
 
     run(test())
 
@@ -407,10 +409,10 @@
             client = await stand.client()
             client.writer.write(request() + request() + request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            assert len(stand.node.listener.open_ids) == 3
+            assert len(stand.node.listener.open_request_names) == 3
             client.writer.close()
             await stand.event(RequestCancelled)
-            assert not stand.node.listener.open_ids
+            assert not stand.node.listener.open_request_names
 
     run(test())
 
@@ -425,11 +427,14 @@
             client.writer.write(b"".join(request() for _ in range(400)))
             await asyncio.wait_for(peer.requests.get(), WAIT)
             (connection,) = stand.node.listener.connections
-            assert len(stand.node.listener.open_ids) <= machine.MAX_WAITING + machine.SLICE // 100
+            assert (
+                len(stand.node.listener.open_request_names)
+                <= machine.MAX_PIPELINED_REQUESTS + machine.PARSE_CHUNK_BYTES // 100
+            )
             release.set()
             for _ in range(400):
                 assert (await client.answer())[0] == 200
-            assert not connection.machine.waiting and not connection.machine.backlog
+            assert not connection.machine.pending and not connection.machine.unparsed
 
     run(test())
 
@@ -449,7 +454,7 @@
 def test_a_client_that_reads_its_last_answer_late_still_gets_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "LINGER", 0.0)
+    monkeypatch.setattr(clients, "LINGER_S", 0.0)
     big = b"x" * 60_000
     script = answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(big), big))
 
@@ -459,14 +464,14 @@
             client.writer.transport.pause_reading()
             client.writer.write(b"".join(request() for _ in range(300)) + b"nonsense\r\n\r\n")
             (connection,) = [c async for c in stand.connections(1)]
-            while not connection.machine.full:
+            while not connection.machine.write_blocked:
                 await asyncio.sleep(0)
-            stand.node.listener.sweep()
+            stand.node.listener.check_timeouts()
             client.writer.transport.resume_reading()
             for _ in range(300):
                 assert (await client.answer())[2] == big
             assert (await client.answer())[0] == 400
-            stand.node.listener.sweep()
+            stand.node.listener.check_timeouts()
             assert await client.end() == b""
 
     run(test())
@@ -501,13 +506,15 @@
             client.writer.transport.pause_reading()
             client.writer.write(b"".join(request() for _ in range(300)))
             (connection,) = [c async for c in stand.connections(1)]
-            while not connection.machine.full:
+            while not connection.machine.write_blocked:
                 await asyncio.sleep(0)
-            assert connection in stand.node.listener.idle  # until it reads, or for KEEP_ALIVE
-            taken = stand.node.join.last_id
+            assert (
+                connection in stand.node.listener.idle
+            )  # until it reads, or for KEEP_ALIVE_TIMEOUT_S
+            taken = stand.node.pipeline.last_id
             for _ in range(50):
                 await asyncio.sleep(0)
-            assert stand.node.join.last_id == taken < 300
+            assert stand.node.pipeline.last_id == taken < 300
             client.writer.transport.resume_reading()
             for _ in range(300):
                 assert (await client.answer())[2] == big
@@ -541,10 +548,10 @@
 
 
 def test_a_request_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "REQUEST_TIME", 0.05)
+    monkeypatch.setattr(clients, "REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        monkeypatch.setattr(clients, "SWEEP", 0.05)
+        monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.05)
         async with running(await Peer().start()) as stand:
             client = await stand.client()
             assert (await client.ask(b"GET /find/1 HTTP/1.1\r\nHost:"))[0] == 408
@@ -582,7 +589,7 @@
                 await rude.end()
             assert peer.requests.empty()
             assert (await (await stand.client()).ask(request()))[0] == 200
-            assert not stand.node.join.in_flight
+            assert not stand.node.pipeline.in_flight
 
     run(test())
 
--- a/tests/net.py
+++ b/tests/net.py
@@ -260,14 +260,14 @@
         self.node = node
         self.agent = agent
         self.events: asyncio.Queue[object] = asyncio.Queue()
-        handle = node.join.policy.handle
+        handle = node.pipeline.policy.handle
 
         def spy(now_ms: float, event: Any) -> Any:
             actions = handle(now_ms, event)
             self.events.put_nowait(event)
             return actions
 
-        node.join.policy.handle = spy  # type: ignore[method-assign]
+        node.pipeline.policy.handle = spy  # type: ignore[method-assign]
 
     async def event(self, kind: type) -> Any:
         """The next event of a kind that the policy is told."""
@@ -290,7 +290,7 @@
 
     def send(self, request_id: int, name: str) -> None:
         """An attempt that the policy knows nothing of."""
-        join, pool = self.node.join, self.node.pool
+        join, pool = self.node.pipeline, self.node.pool
         join.open_attempts[request_id, 0] = pool
         join.in_flight[request_id] = InFlightRequest(
             Nobody(), pool, IncomingRequest(0, 0, 0, math.inf, None), 0.0, 1
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -86,7 +86,7 @@
 
     def __init__(self, site: Application) -> None:
         super().__init__(site.pipeline)
-        self.site, self.processor = site, site.components["processor"].front
+        self.site, self.processor = site, site.components["processor"].frontend
         self.calls = self.processor.calls
         self.address = "{}:{}".format(*self.processor.address)
 
@@ -135,5 +135,5 @@
     try:
         yield Bench(site)
     finally:
-        await site.components["processor"].front.server.stop(0)
+        await site.components["processor"].frontend.server.stop(0)
         site.close()
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -142,7 +142,7 @@
             assert (field(head, b"Retry-After") is None) == (
                 status == 200
             )  # who is refused is told when
-            assert not stand.node.join.in_flight and not stand.node.pool.attempts
+            assert not stand.node.pipeline.in_flight and not stand.node.pool.attempts
 
     run(test())
 
@@ -159,7 +159,7 @@
             assert (got, body) == (status, b"bad")
             assert sum(peer.requests.qsize() for peer in peers) == 1
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            servers = stand.node.join.policy.fleet.endpoints.by_id.values()
+            servers = stand.node.pipeline.policy.fleet.endpoints.by_id.values()
             assert not any(health.failure_rate for server in servers for health in server.health)
 
     run(test())
@@ -234,15 +234,15 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             node, client = stand.node, await stand.client()
-            send = node.join.send
+            send = node.pipeline.send
 
             def drained_at_once(action: Send) -> None:
                 send(action)
-                stand.node.take_list(
+                stand.node.apply_endpoint_list(
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}
                 )
 
-            node.join.perform[Send] = drained_at_once
+            node.pipeline.perform[Send] = drained_at_once
             status, _, _ = await client.ask(request())
             assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
             await asyncio.wait_for(peer.ended.get(), WAIT)
@@ -379,7 +379,7 @@
             await asyncio.wait_for(peer.requests.get(), WAIT)
             for generation in range(2, 40):  # some at the address of one that has gone
                 new = peer.entry(f"s-{generation}")
-                stand.node.take_list(
+                stand.node.apply_endpoint_list(
                     {
                         "generation": generation,
                         "reset": False,
@@ -391,10 +391,10 @@
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
             assert (
                 set(pool.servers)
-                == set(stand.node.join.policy.fleet.endpoints.by_id)
+                == set(stand.node.pipeline.policy.fleet.endpoints.by_id)
                 == {stable_id(b"s-39")}
             )
-            assert stand.node.roster.listed.keys() == {stable_id(b"s-39")}
+            assert stand.node.endpoint_table.listed.keys() == {stable_id(b"s-39")}
 
     run(test())
 
@@ -461,16 +461,16 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             pool, client = stand.node.pool, await stand.client()
-            send = stand.node.join.send
+            send = stand.node.pipeline.send
 
             def cancelled_at_once(action: Send) -> None:
                 send(action)
                 asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
 
-            stand.node.join.perform[Send] = cancelled_at_once
+            stand.node.pipeline.perform[Send] = cancelled_at_once
             assert (await client.ask(request()))[0] == 503
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            stand.node.join.perform[Send] = send
+            stand.node.pipeline.perform[Send] = send
             assert (await client.ask(request()))[0] == 200
             assert pool.dials == 0 and len(pool.connections) == 1 and not pool.attempts
 
