--- a/tests/bulk/test_streams.py
+++ b/tests/bulk/test_streams.py
@@ -1,4 +1,7 @@
-"""Bodies that are too long to be held: they go on as they come, both ways, and a break shows."""
+"""Tests of request and response bodies that are too long to be buffered, and so are streamed.
+
+If such a body breaks off, its reader notices that.
+"""
 
 from __future__ import annotations
 
@@ -13,31 +16,33 @@
 from badgercart.frontends.http import clients
 from badgercart.policy.events import AttemptEnded, AttemptResult, RequestCompleted, ResponseStarted
 from badgercart.policy.settings import Settings
-from badgercart.upstream import connection_pool as pool_module
+from badgercart.upstream import connection_pool
 from tests.net import WAIT, Client, Peer, Stand, config, field, request, run, running
 
-LONG = random.Random(5).randbytes(5 * HOLD + 321)
+LONG_BODY = random.Random(5).randbytes(5 * HOLD + 321)
 
 
-def framed(body: bytes, chunk: int) -> bytes:
-    parts = [body[at : at + chunk] for at in range(0, len(body), chunk)]
+def chunked(body: bytes, chunk_bytes: int) -> bytes:
+    """Return a body in chunked encoding, with chunk extensions and a trailer."""
+    parts = [body[at : at + chunk_bytes] for at in range(0, len(body), chunk_bytes)]
     return (
         b"".join(b"%x;n=v\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\nT: u\r\n\r\n"
     )
 
 
-class Raw:
-    """A server that hands out its connections: what comes is read, and what goes is written, by
-    hand."""
+class ManualServer:
+    """A server whose connections the test reads and writes itself."""
 
     def __init__(self) -> None:
-        self.calls: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = (
+        self.connections: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = (
             asyncio.Queue()
         )
 
-    async def start(self) -> Raw:
+    async def start(self) -> ManualServer:
+        """Listen on a free port."""
+
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.calls.put_nowait((reader, writer))
+            self.connections.put_nowait((reader, writer))
 
         self.server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self.port: int = self.server.sockets[0].getsockname()[1]
@@ -45,16 +50,18 @@
 
     entry = Peer.entry
 
-    async def call(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.wait_for(self.calls.get(), WAIT)
+    async def connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Return the next connection."""
+        return await asyncio.wait_for(self.connections.get(), WAIT)
 
 
-async def head_of(reader: asyncio.StreamReader) -> bytes:
+async def read_head(reader: asyncio.StreamReader) -> bytes:
+    """Read a header section."""
     return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), WAIT)
 
 
-async def body_of(reader: asyncio.StreamReader, head: bytes) -> bytes:
-    """A whole body, by its framing."""
+async def read_body(reader: asyncio.StreamReader, head: bytes) -> bytes:
+    """Read a complete body by its framing."""
     async with asyncio.timeout(WAIT):
         if (length := field(head, b"Content-Length")) is not None:
             return await reader.readexactly(int(length))
@@ -67,33 +74,33 @@
         return body
 
 
-ANSWERS = {
-    "length": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LONG), LONG),
-    "chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + framed(LONG, 1000),
-    "close": b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\n" + LONG,
-    "old": b"HTTP/1.0 200 OK\r\n\r\n" + LONG,
+RESPONSES = {
+    "length": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LONG_BODY), LONG_BODY),
+    "chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG_BODY, 1000),
+    "close": b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\n" + LONG_BODY,
+    "old": b"HTTP/1.0 200 OK\r\n\r\n" + LONG_BODY,
     "interim": b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    + framed(LONG, 70_000),
+    + chunked(LONG_BODY, 70_000),
 }
 
 
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
-@pytest.mark.parametrize("form", ANSWERS)
-def test_a_long_answer_comes_whole_in_every_form(form: str, version: bytes) -> None:
+@pytest.mark.parametrize("form", RESPONSES)
+def test_a_streamed_response_arrives_completely_in_each_framing(form: str, version: bytes) -> None:
     async def test() -> None:
-        server = await Raw().start()
+        server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             for _ in range(2):
                 client.writer.write(request().replace(b"HTTP/1.1", version))
-                reader, writer = await server.call()
-                await head_of(reader)
-                writer.write(ANSWERS[form])
+                reader, writer = await server.connection()
+                await read_head(reader)
+                writer.write(RESPONSES[form])
                 if form in ("close", "old"):
                     writer.close()
-                head = await head_of(client.reader)
+                head = await read_head(client.reader)
                 assert head.startswith(b"HTTP/1.1 200")
-                assert await body_of(client.reader, head) == LONG
+                assert await read_body(client.reader, head) == LONG_BODY
                 assert isinstance(await stand.event(ResponseStarted), ResponseStarted)
                 assert (await stand.outcome()).result is AttemptResult.OK
                 assert (
@@ -103,27 +110,27 @@
                 )
                 if field(head, b"Connection") == b"close":
                     client = await stand.client()
-                if form in ("length", "chunks", "interim"):  # the connection is used again
-                    server.calls.put_nowait((reader, writer))
+                if form in ("length", "chunks", "interim"):  # the server's connection is reused
+                    server.connections.put_nowait((reader, writer))
 
     run(test())
 
 
-def test_the_first_bytes_of_a_long_answer_do_not_wait_for_the_last() -> None:
+def test_the_first_bytes_of_a_streamed_response_are_forwarded_before_the_last() -> None:
     async def test() -> None:
-        server = await Raw().start()
+        server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
             for framing in (b"Content-Length: 100000", b"Transfer-Encoding: chunked"):
                 client = await stand.client()
                 client.writer.write(request())
-                reader, writer = await server.call()
-                await head_of(reader)
+                reader, writer = await server.connection()
+                await read_head(reader)
                 first = b"a" if framing.startswith(b"Con") else b"1\r\na\r\n"
                 writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n%b" % (framing, first))
-                head = await head_of(client.reader)  # before anything more is given
+                head = await read_head(client.reader)  # before the server sends more
                 assert framing in head
                 assert (await client.reader.readexactly(len(first))) == first
-                client.writer.close()  # who has gone away gets nothing more
+                client.writer.close()  # ends the server's connection, too
                 assert await asyncio.wait_for(reader.read(), WAIT) == b""
                 assert (await stand.outcome()).result is AttemptResult.CANCELLED
 
@@ -131,60 +138,62 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
-def test_a_break_in_a_long_answer_shows_and_counts_against_its_server(form: str) -> None:
+def test_a_streamed_response_that_breaks_off_is_noticed_and_counts_against_its_server(
+    form: str,
+) -> None:
     async def test() -> None:
-        server = await Raw().start()
+        server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             client.writer.write(request())
-            reader, writer = await server.call()
-            await head_of(reader)
-            writer.write(ANSWERS[form][: 3 * HOLD])
-            head = await head_of(client.reader)
+            reader, writer = await server.connection()
+            await read_head(reader)
+            writer.write(RESPONSES[form][: 3 * HOLD])
+            head = await read_head(client.reader)
             writer.transport.abort()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await body_of(client.reader, head)
+                await read_body(client.reader, head)
             assert (await stand.outcome()).result is AttemptResult.RESET
-            assert server.calls.empty()  # no other attempt
+            assert server.connections.empty()  # there is no retry
 
     run(test())
 
 
-def test_a_short_answer_that_breaks_is_asked_for_again() -> None:
+def test_a_request_is_retried_if_its_buffered_response_breaks_off() -> None:
     async def test() -> None:
-        server = await Raw().start()
+        server = await ManualServer().start()
         async with running(server, server, attempts=2) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             client.writer.write(request())
-            reader, writer = await server.call()
-            await head_of(reader)
+            reader, writer = await server.connection()
+            await read_head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal")
             await writer.drain()
             writer.transport.abort()
-            reader, writer = await server.call()
-            await head_of(reader)
+            reader, writer = await server.connection()
+            await read_head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
             assert (await client.answer())[2] == b"done"
 
     run(test())
 
 
-def test_an_attempt_that_times_out_passes_on_nothing_of_the_answer_before_it() -> None:
-    # A connection's old answer went out as the begin of the next: the bench's day bulk+slow+pieces,
-    # 'lost'.
+def test_an_attempt_that_times_out_forwards_nothing_of_the_previous_response() -> None:
+    # A fault once sent the previous response of a server's connection as the begin of the next one.
+    # It was found by the benchmark day bulk+slow+pieces, in its count 'lost'.
     async def test() -> None:
-        server = await Raw().start()
+        server = await ManualServer().start()
         async with running(server, aim=200.0) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             client.writer.write(request())
-            reader, writer = await server.call()
-            await head_of(reader)
+            reader, writer = await server.connection()
+            await read_head(reader)
             writer.write(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nold\r\n0\r\n\r\n"
             )
             assert (await client.answer())[0] == 200
             client.writer.write(request(timeout="150m"))
-            await head_of(reader)
+            await read_head(reader)
             status, _, body = await client.answer()
             assert status == 503 and b"old" not in body
 
@@ -192,29 +201,29 @@
 
 
 UPLOADS = {
-    "length": lambda: (b"Content-Length: %d\r\n" % len(LONG), LONG),
-    "chunks": lambda: (b"Transfer-Encoding: chunked\r\n", framed(LONG, 999)),
+    "length": lambda: (b"Content-Length: %d\r\n" % len(LONG_BODY), LONG_BODY),
+    "chunks": lambda: (b"Transfer-Encoding: chunked\r\n", chunked(LONG_BODY, 999)),
 }
 
 
-def upload(form: str, cls: str = "pay", **more: Any) -> tuple[bytes, bytes]:
+def upload(form: str, class_name: str = "pay", **headers: Any) -> tuple[bytes, bytes]:
+    """Return header section and body of a long request."""
     line, body = UPLOADS[form]()
-    return request(cls, **more).replace(b"Content-Length: 0\r\n", line), body
+    return request(class_name, **headers).replace(b"Content-Length: 0\r\n", line), body
 
 
 @pytest.mark.parametrize("form", UPLOADS)
-def test_a_long_request_goes_on_as_it_comes_and_its_time_counts_from_its_end(form: str) -> None:
+def test_a_long_request_is_streamed_and_its_timeout_starts_at_its_end(form: str) -> None:
     async def test() -> None:
-        server = await Raw().start()
+        server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             head, body = upload(form, timeout="5000m")
             client.writer.write(head + body[: 2 * HOLD])
-            reader, writer = await server.call()
-            got = await head_of(reader)
-            assert await asyncio.wait_for(
-                reader.readexactly(HOLD), WAIT
-            )  # though the rest has not come
+            reader, writer = await server.connection()
+            got = await read_head(reader)
+            # The begin of the body is forwarded before the rest has been received.
+            assert await asyncio.wait_for(reader.readexactly(HOLD), WAIT)
             (attempt,) = stand.node.pool.attempts.values()
             assert (
                 attempt.timer is None
@@ -227,55 +236,55 @@
                 if form == "length"
                 else b""
             )
-            assert rest == LONG[HOLD:] or form == "chunks"
+            assert rest == LONG_BODY[HOLD:] or form == "chunks"
             while attempt.timer is None:
                 await asyncio.sleep(0)
             assert stand.node.pipeline.policy.overload.concurrency.current == 1
             assert int(field(got, b"Request-Timeout")[:-1]) <= 5000  # type: ignore[index]
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
             assert (await client.answer())[2] == b"done"
-            if form == "length":  # both connections are used again
+            if form == "length":  # both connections are reused
                 client.writer.write(request())
-                await head_of(reader)
+                await read_head(reader)
 
     run(test())
 
 
-def test_a_long_request_in_chunks_arrives_as_it_was() -> None:
+def test_a_long_chunked_request_arrives_unchanged() -> None:
     async def test() -> None:
-        server = await Raw().start()
+        server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             head, body = upload("chunks", "book")
             asked = asyncio.ensure_future(client.ask(head + body))
-            reader, writer = await server.call()
-            got = await head_of(reader)
-            assert await body_of(reader, got) == LONG
+            reader, writer = await server.connection()
+            got = await read_head(reader)
+            assert await read_body(reader, got) == LONG_BODY
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
             assert (await asked)[2] == b"done"
 
     run(test())
 
 
-def test_a_long_request_of_which_nothing_went_on_is_sent_again_else_refused() -> None:
+def test_a_streamed_request_is_retried_only_if_none_of_it_was_forwarded() -> None:
     async def test() -> None:
-        gone, server = await Raw().start(), await Raw().start()
-        gone.server.close()
-        for seed in range(4):  # whichever server it goes to first
-            async with running(gone, server, attempts=3, seed=seed) as stand:  # type: ignore[arg-type]
+        unreachable, server = await ManualServer().start(), await ManualServer().start()
+        unreachable.server.close()
+        for seed in range(4):  # either server may be the first
+            async with running(unreachable, server, attempts=3, seed=seed) as stand:  # type: ignore[arg-type]
                 client = await stand.client()
                 head, body = upload("length")
                 client.writer.write(head + body[: 2 * HOLD])
-                reader, writer = await server.call()
-                await head_of(reader)
+                reader, writer = await server.connection()
+                await read_head(reader)
                 await reader.readexactly(HOLD)
-                writer.transport.abort()  # before the request's last byte: it never ran
+                writer.transport.abort()  # before the last byte: the request was not executed
                 status, answer_head, _ = await client.answer()
                 assert (status, field(answer_head, b"Connection")) == (503, b"close")
-                outcome = await spent(stand)
+                outcome = await body_consuming_attempt(stand)
                 assert outcome.result is AttemptResult.UNREACHABLE
 
-    async def spent(stand: Stand) -> AttemptEnded:
+    async def body_consuming_attempt(stand: Stand) -> AttemptEnded:
         while not (outcome := await stand.outcome()).body_consumed:
             pass
         return outcome
@@ -283,19 +292,19 @@
     run(test())
 
 
-def test_a_client_that_stops_in_the_middle_of_a_long_request_is_given_up(
+def test_a_client_that_stops_within_a_streamed_request_times_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(clients, "REQUEST_TIMEOUT_S", 0.2)
     monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
-        server = await Raw().start()
+        server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             head, body = upload("length")
             client.writer.write(head + body[: HOLD // 16])
-            reader, _ = await server.call()
+            reader, _ = await server.connection()
             assert await client.end() == b""
             await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
             assert (await stand.outcome()).result is AttemptResult.CANCELLED
@@ -304,19 +313,21 @@
     run(test())
 
 
-@pytest.mark.parametrize("cancels", [True, False])
-@pytest.mark.parametrize("way", ["spoilt", "gone"])
-def test_a_long_request_that_can_not_become_whole_holds_nothing(way: str, cancels: bool) -> None:
+@pytest.mark.parametrize("may_cancel", [True, False])
+@pytest.mark.parametrize("end", ["malformed", "disconnect"])
+def test_a_streamed_request_that_cannot_become_complete_is_released(
+    end: str, may_cancel: bool
+) -> None:
     async def test() -> None:
-        server, classes = await Raw().start(), config(1).settings.classes
-        allowed = Settings(classes=classes, may_cancel=cancels)
-        async with running(server, settings=allowed) as stand:  # type: ignore[arg-type]
+        server, classes = await ManualServer().start(), config(1).settings.classes
+        changed = Settings(classes=classes, may_cancel=may_cancel)
+        async with running(server, settings=changed) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             head, _ = upload("chunks")
-            client.writer.write(head + framed(LONG, 999)[: 2 * HOLD])
-            reader, _ = await server.call()
+            client.writer.write(head + chunked(LONG_BODY, 999)[: 2 * HOLD])
+            reader, _ = await server.connection()
             await reader.readexactly(HOLD)
-            if way == "spoilt":
+            if end == "malformed":
                 client.writer.write(b"\r\nno chunk\r\n" * 200)
                 assert await client.end() == b""
             else:
@@ -329,70 +340,73 @@
     run(test())
 
 
-def test_a_server_that_stands_still_in_the_middle_is_given_up(
+def test_a_server_that_stops_within_a_streamed_response_times_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(pool_module, "SILENCE", 50.0)
-    monkeypatch.setattr(pool_module, "SWEEP", 0.01)
+    monkeypatch.setattr(connection_pool, "SILENCE", 50.0)
+    monkeypatch.setattr(connection_pool, "SWEEP", 0.01)
 
     async def test() -> None:
-        server = await Raw().start()
+        server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             client.writer.write(request())
-            reader, writer = await server.call()
-            await head_of(reader)
-            writer.write(ANSWERS["length"][:HOLD])
+            reader, writer = await server.connection()
+            await read_head(reader)
+            writer.write(RESPONSES["length"][:HOLD])
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await body_of(client.reader, await head_of(client.reader))
+                await read_body(client.reader, await read_head(client.reader))
             assert (await stand.outcome()).result is AttemptResult.TIMEOUT
 
     run(test())
 
 
-def test_many_long_answers_to_slow_readers_keep_memory_flat() -> None:
+def test_many_streamed_responses_to_slow_readers_use_bounded_memory() -> None:
     count, size = 50, 32 << 20
 
     async def test() -> None:
-        server = await Raw().start()
+        server = await ManualServer().start()
         async with running(server, memory_mb=32.0) as stand:  # type: ignore[arg-type]
             readers = []
             block = bytes(1 << 20)
 
-            async def give() -> None:
-                reader, writer = await server.call()
-                await head_of(reader)
+            async def send_response() -> None:
+                reader, writer = await server.connection()
+                await read_head(reader)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
                 for _ in range(size >> 20):
                     writer.write(block)
                     await writer.drain()
 
-            gives = [asyncio.ensure_future(give()) for _ in range(count)]
+            sends = [asyncio.ensure_future(send_response()) for _ in range(count)]
             for _ in range(count):
                 client = await stand.client()
                 client.writer.write(request())
-                head = await head_of(client.reader)
+                head = await read_head(client.reader)
                 client.writer.transport.pause_reading()
                 readers.append((client, head))
-            room: MemoryBudget = stand.node.frontend.memory_budget
+            budget: MemoryBudget = stand.node.frontend.memory_budget
             paused = lambda: [c for c in stand.node.pool.connections if c.paused]  # noqa: E731
             async with asyncio.timeout(WAIT):
                 while len(paused()) < count:
                     await asyncio.sleep(0.01)
-            waits = [c.transport.get_write_buffer_size() for c in stand.node.listener.connections]
-            # Each is ahead of its reader by its window and what was read at once at most.
-            assert room.streams == count and sum(waits) <= count * (room.window + 2 * 65536)
-            for task in gives:
+            buffered = [
+                c.transport.get_write_buffer_size() for c in stand.node.listener.connections
+            ]
+            # Each buffers its window at most, and beyond it what a single read returned.
+            assert budget.streams == count and sum(buffered) <= count * (budget.window + 2 * 65536)
+            for task in sends:
                 task.cancel()
             for client, _ in readers:
                 client.writer.transport.abort()
 
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     run(test())
-    assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 250_000  # kB, of 1.6 GB
+    # In kB; the responses have 1.6 GB together.
+    assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 250_000
 
 
-def test_forms_of_a_request_that_are_rare_and_right() -> None:
+def test_rare_but_valid_forms_of_a_request_are_accepted() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -402,9 +416,8 @@
             )
             assert (await client.ask(absolute))[0] == 200
             assert (await peer.requests.get()).startswith(b"GET /find/cab7?x=1 HTTP/1.1\r\n")
-            spaced = request().replace(
-                b"8000m\r\n", b"8000m \t\r\n"
-            )  # white space behind a value is none of it
+            # White space after a value is not a part of it.
+            spaced = request().replace(b"8000m\r\n", b"8000m \t\r\n")
             assert (await client.ask(spaced))[0] == 200
             assert b"m \t" not in await peer.requests.get()
 
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -20,7 +20,7 @@
 from badgercart.discovery.backoff import MOST as MOST_CALLS
 from badgercart.upstream import connection_pool as pools
 from tests.net import WAIT, Agent, Client, Peer, request, run, running
-from tests.test_process import COMMAND, Process, raw_config
+from tests.test_process import COMMAND, NodeProcess, raw_config
 
 LIMIT, IDLE, CALLERS = 96, 400, 60
 
@@ -74,7 +74,7 @@
             stderr=asyncio.subprocess.PIPE,
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (system, system)),
         )
-        node = Process(process)
+        node = NodeProcess(process)
         try:
             node.port = int((await node.line(r"listens on 127\.0\.0\.1:(\d+)"))[1])
             door = int((await node.line(r"console.*127\.0\.0\.1:(\d+)"))[1])
--- a/tests/frontends/test_golden.py
+++ b/tests/frontends/test_golden.py
@@ -1,5 +1,8 @@
-"""The bytes of every answer that a client can get, by each form of the listener, against golden
-files."""
+"""Tests the bytes of each response that a client can get against golden files.
+
+The listener is used in each of its forms: with empty error bodies, with problem documents, and with
+GraphQL errors.
+"""
 
 from __future__ import annotations
 
@@ -28,99 +31,122 @@
 GOLDEN = Path(__file__).parent / "golden"
 
 
-class StillLoop:
-    """A loop whose clock stands; what it is to call later is never called."""
+class StoppedClockLoop:
+    """An event loop whose clock is stopped, and whose timers never expire."""
 
     def time(self) -> float:
+        """Return the same time always."""
         return 100.0
 
     def call_later(self, *_: Any) -> Any:
+        """Ignore the timer."""
         return None
 
-    def call_soon(self, call: Callable[[], None]) -> None:
-        call()
+    def call_soon(self, callback: Callable[[], None]) -> None:
+        """Call back immediately."""
+        callback()
 
 
-class Wire:
-    """A transport that keeps what is written."""
+class FakeTransport:
+    """Records what is written."""
 
     def __init__(self) -> None:
-        self.out = b""
-        self.ended = False
+        self.written = b""
+        self.closed = False
 
     def write(self, data: bytes) -> None:
-        self.out += data
+        """Record bytes."""
+        self.written += data
 
     def is_closing(self) -> bool:
-        return self.ended
+        """Return whether the connection was aborted."""
+        return self.closed
 
     def can_write_eof(self) -> bool:
+        """Return that the writing side can be closed by itself."""
         return True
 
     def write_eof(self) -> None:
-        self.out += b"<end>"
+        """Record the end of the writing side."""
+        self.written += b"<end>"
 
     def abort(self) -> None:
-        self.ended = True
-        self.out += b"<abort>"
+        """Record the abort."""
+        self.closed = True
+        self.written += b"<abort>"
 
-    def pause_reading(self) -> None: ...
+    def pause_reading(self) -> None:
+        """Do nothing."""
 
-    def resume_reading(self) -> None: ...
+    def resume_reading(self) -> None:
+        """Do nothing."""
 
-    def set_write_buffer_limits(self, high: int) -> None: ...
+    def set_write_buffer_limits(self, high: int) -> None:
+        """Do nothing."""
 
 
-class Taker:
-    """What takes requests; each is kept, and answered by the test."""
+class RecordingHandler:
+    """Records requests, which the test answers."""
 
     def __init__(self) -> None:
         self.stopping, self.healthy = False, True
         self.pages: Mapping[bytes, OperatorPage] = {
             b"/metrics": OperatorPage(lambda: b"up 1\n", b"text/plain; version=0.0.4")
         }
-        self.taken: list[ClientRequest] = []
+        self.requests: list[ClientRequest] = []
 
     def handle_request(self, client: ClientConnection, request: ClientRequest) -> None:
-        self.taken.append(request)
+        """Record a request."""
+        self.requests.append(request)
 
-    def request_completed(self, client: ClientConnection, request: ClientRequest) -> None: ...
+    def request_completed(self, client: ClientConnection, request: ClientRequest) -> None:
+        """Do nothing."""
 
-    def cancel_request(self, request_id: int) -> None: ...
+    def cancel_request(self, request_id: int) -> None:
+        """Do nothing."""
 
 
-class Stand:
-    """One connection on a listener that opens nothing."""
+class ConnectionHarness:
+    """One connection of a listener that has no socket."""
 
-    def __init__(self, words: ErrorBodyFormatter = empty_error_body, streams: bool = True) -> None:
-        loop: Any = StillLoop()
-        self.taker = Taker()
-        room = MemoryBudget(8 << 20) if streams else None
-        read = platform_request_reader(config(1, tenants={b"acme": 0}), stream_responses=True)
-        listener = Listener(loop, ("127.0.0.1", 0), self.taker, 30, read, words, room)
+    def __init__(
+        self, error_body: ErrorBodyFormatter = empty_error_body, streams: bool = True
+    ) -> None:
+        loop: Any = StoppedClockLoop()
+        self.handler = RecordingHandler()
+        memory_budget = MemoryBudget(8 << 20) if streams else None
+        reader = platform_request_reader(config(1, tenants={b"acme": 0}), stream_responses=True)
+        listener = Listener(
+            loop, ("127.0.0.1", 0), self.handler, 30, reader, error_body, memory_budget
+        )
         self.listener = listener
         self.client = ClientConnection(listener)
-        self.wire: Any = Wire()
-        self.client.connection_made(self.wire)
+        self.transport: Any = FakeTransport()
+        self.client.connection_made(self.transport)
 
-    def hear(self, data: bytes) -> Stand:
+    def receive(self, data: bytes) -> ConnectionHarness:
+        """Handle bytes from the client."""
         self.client.machine.received(data, 100.0)
         return self
 
-    def got(self) -> bytes:
-        out, self.wire.out = self.wire.out, b""
-        return bytes(out)
+    def take_written(self) -> bytes:
+        """Return what has been written since the last call."""
+        written, self.transport.written = self.transport.written, b""
+        return bytes(written)
 
 
 def head(line: str = "GET /find/cab7 HTTP/1.1", *more: str, without: str = "") -> bytes:
-    """A request of the class `find` with what it must have, and lines that follow."""
+    """Return a header section with the required headers and more lines.
+
+    `without`: the begin of a required header line to leave out.
+    """
     lines = [line, "Host: x", "Request-Id: r1", "Request-Timeout: 800m", "Tenant: acme"]
     lines = [text for text in lines if not without or not text.startswith(without)]
     return ("\r\n".join([*lines, *more]) + "\r\n\r\n").encode()
 
 
 POST = "POST /pay/7 HTTP/1.1"
-TURNED_AWAY: dict[str, bytes] = {
+REJECTED_REQUESTS: dict[str, bytes] = {
     "no request": b"nonsense\r\n\r\n",
     "no id": head(without="Request-Id"),
     "empty id": head("GET /find/cab7 HTTP/1.1", "Request-Id:", without="Request-Id"),
@@ -158,22 +184,24 @@
 }
 
 
-def turned_away(words: ErrorBodyFormatter, streams: bool) -> dict[str, bytes]:
+def rejection_pieces(error_body: ErrorBodyFormatter, streams: bool) -> dict[str, bytes]:
+    """Return the response to each kind of rejected request."""
     pieces = {}
-    for name, data in TURNED_AWAY.items():
-        stand = Stand(words, streams).hear(data)
-        assert not stand.taker.taken
-        pieces[name] = stand.got()
-    twice = Stand(words, streams).hear(head() + head())
+    for name, data in REJECTED_REQUESTS.items():
+        harness = ConnectionHarness(error_body, streams).receive(data)
+        assert not harness.handler.requests
+        pieces[name] = harness.take_written()
+    twice = ConnectionHarness(error_body, streams).receive(head() + head())
     twice.client.on_answer(Answer(200, b"one"))
-    pieces["an id that is open"] = twice.got()
-    late = Stand(words, streams).hear(head()[:40])
+    pieces["an id that is open"] = twice.take_written()
+    late = ConnectionHarness(error_body, streams).receive(head()[:40])
     late.client.machine.request_timed_out(104.0)
-    pieces["a request that does not come in whole"] = late.got()
+    pieces["a request that does not come in whole"] = late.take_written()
     return pieces
 
 
-def answers(words: ErrorBodyFormatter) -> dict[str, bytes]:
+def response_pieces(error_body: ErrorBodyFormatter) -> dict[str, bytes]:
+    """Return the response for each outcome of a request."""
     pieces = {}
     for name, answer in {
         "served": Answer(200, b"done", b"application/json"),
@@ -182,22 +210,22 @@
         "the request's fault": Answer(404, b"no such ride", b"text/plain"),
         "an unknown status": Answer(499, b"x"),
     }.items():
-        stand = Stand(words).hear(head())
-        stand.client.on_answer(answer)
-        pieces[name] = stand.got()
+        harness = ConnectionHarness(error_body).receive(head())
+        harness.client.on_answer(answer)
+        pieces[name] = harness.take_written()
     for wait in (0.0, 0.4, 250.0, 250.4, 1234.5678, 60_000.0):
-        stand = Stand(words).hear(head())
-        stand.client.on_shed(wait)
-        pieces[f"refused, {wait} ms"] = stand.got()
+        harness = ConnectionHarness(error_body).receive(head())
+        harness.client.on_shed(wait)
+        pieces[f"refused, {wait} ms"] = harness.take_written()
     for broken in (False, True):
-        stand = Stand(words).hear(head())
-        stand.client.on_failure(broken)
-        pieces["the node failed" if broken else "failed"] = stand.got()
+        harness = ConnectionHarness(error_body).receive(head())
+        harness.client.on_failure(broken)
+        pieces["the node failed" if broken else "failed"] = harness.take_written()
     return pieces
 
 
-def ends() -> dict[str, bytes]:
-    """Whether the connection goes on."""
+def keep_alive_pieces() -> dict[str, bytes]:
+    """Return responses that keep the connection, and responses that close it."""
     pieces = {}
     for name, data in {
         "close asked for": head("GET /find/cab7 HTTP/1.1", "Connection: close"),
@@ -205,62 +233,68 @@
         "HTTP/1.0, kept": head("GET /find/cab7 HTTP/1.0", "Connection: keep-alive"),
         "an upgrade": head("GET /find/cab7 HTTP/1.1", "Connection: upgrade", "Upgrade: websocket"),
     }.items():
-        stand = Stand().hear(data)
-        stand.client.on_answer(Answer(200, b"done"))
-        pieces[name] = stand.got()
-    stand = Stand().hear(head())
-    stand.taker.stopping = True
-    stand.client.on_shed(100.0)
-    pieces["a node that stops"] = stand.got()
-    stand = Stand().hear(head())
-    stand.listener.max_connections = 0
-    stand.client.on_answer(Answer(200, b"done"))
-    pieces["a crowd"] = stand.got()
+        harness = ConnectionHarness().receive(data)
+        harness.client.on_answer(Answer(200, b"done"))
+        pieces[name] = harness.take_written()
+    harness = ConnectionHarness().receive(head())
+    harness.handler.stopping = True
+    harness.client.on_shed(100.0)
+    pieces["a node that stops"] = harness.take_written()
+    harness = ConnectionHarness().receive(head())
+    harness.listener.max_connections = 0
+    harness.client.on_answer(Answer(200, b"done"))
+    pieces["a crowd"] = harness.take_written()
     return pieces
 
 
-def pages() -> dict[str, bytes]:
-    pieces = {"health": Stand().hear(b"GET /_health HTTP/1.1\r\n\r\n").got()}
+def page_pieces() -> dict[str, bytes]:
+    """Return the responses for /_health, an operators' page and Expect: 100-continue."""
+    pieces = {
+        "health": ConnectionHarness().receive(b"GET /_health HTTP/1.1\r\n\r\n").take_written()
+    }
     for name in ("no list", "stopping"):
-        stand = Stand()
-        stand.taker.healthy, stand.taker.stopping = name != "no list", name == "stopping"
-        pieces[f"health, {name}"] = stand.hear(b"GET /_health HTTP/1.1\r\n\r\n").got()
-    pieces["a page"] = Stand().hear(b"GET /metrics HTTP/1.1\r\n\r\n").got()
+        harness = ConnectionHarness()
+        harness.handler.healthy, harness.handler.stopping = name != "no list", name == "stopping"
+        pieces[f"health, {name}"] = harness.receive(b"GET /_health HTTP/1.1\r\n\r\n").take_written()
+    pieces["a page"] = ConnectionHarness().receive(b"GET /metrics HTTP/1.1\r\n\r\n").take_written()
     pieces["a go-ahead"] = (
-        Stand().hear(head(POST, "Content-Length: 4", "Expect: 100-continue")).got()
+        ConnectionHarness()
+        .receive(head(POST, "Content-Length: 4", "Expect: 100-continue"))
+        .take_written()
     )
     return pieces
 
 
-def long_answers() -> dict[str, bytes]:
+def streamed_response_pieces() -> dict[str, bytes]:
+    """Return streamed responses, with and without a known length."""
     pieces = {}
     for version in ("1.1", "1.0"):
         for length in (None, 9):
-            stand = Stand().hear(head(f"GET /find/cab7 HTTP/{version}"))
-            sink = stand.client.on_response_started(Opening(200, b"text/csv", length))
+            harness = ConnectionHarness().receive(head(f"GET /find/cab7 HTTP/{version}"))
+            sink = harness.client.on_response_started(Opening(200, b"text/csv", length))
             sink.part(b"a,b\n")
             sink.part(b"")
             sink.part(b"c,d\n\n")
             sink.done()
-            pieces[f"HTTP/{version}, length {length}"] = stand.got()
-    stand = Stand().hear(head())
-    sink = stand.client.on_response_started(Opening(200, b"", None))
+            pieces[f"HTTP/{version}, length {length}"] = harness.take_written()
+    harness = ConnectionHarness().receive(head())
+    sink = harness.client.on_response_started(Opening(200, b"", None))
     sink.part(b"a")
     sink.broken()
-    pieces["broken off"] = stand.got()
+    pieces["broken off"] = harness.take_written()
     return pieces
 
 
 GROUPS: dict[str, Callable[[], dict[str, bytes]]] = {
-    "turned-away-node": lambda: turned_away(empty_error_body, True),
-    "turned-away-problem": lambda: turned_away(problem_document, False),
-    "turned-away-graphql": lambda: turned_away(bad_request, False),
-    "answers-node": lambda: answers(empty_error_body),
-    "answers-problem": lambda: answers(problem_document),
-    "answers-graphql": lambda: answers(bad_request),
-    "ends": ends,
-    "pages": pages,
-    "long": long_answers,
+    "turned-away-node": lambda: rejection_pieces(empty_error_body, True),
+    "turned-away-problem": lambda: rejection_pieces(problem_document, False),
+    "turned-away-graphql": lambda: rejection_pieces(bad_request, False),
+    "answers-node": lambda: response_pieces(empty_error_body),
+    "answers-problem": lambda: response_pieces(problem_document),
+    "answers-graphql": lambda: response_pieces(bad_request),
+    "ends": keep_alive_pieces,
+    "pages": page_pieces,
+    "long": streamed_response_pieces,
 }
 
 
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -1,4 +1,7 @@
-"""The side of the clients: what is taken, what is turned away, and when a connection ends."""
+"""Tests of the HTTP frontend over sockets.
+
+They cover accepted and rejected requests, the connection limit, and the end of connections.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +18,9 @@
 from hypothesis import strategies as st
 
 from badgercart.core.identifiers import stable_id
-from badgercart.frontends.http import clients
-from badgercart.frontends.http import connection as machine
-from badgercart.frontends.http import connection_eviction as crowd
+from badgercart.frontends.http import clients, connection, connection_eviction
 from badgercart.policy.events import EndpointUpdate, Request, RequestCancelled
-from badgercart.upstream import connection_pool as pool
+from badgercart.upstream import connection_pool
 from tests.net import (
     WAIT,
     Peer,
@@ -33,7 +34,7 @@
 )
 
 
-def test_a_request_for_an_upgrade_is_served_as_any_other_and_the_last() -> None:
+def test_an_upgrade_request_is_served_without_upgrade_as_the_last_on_its_connection() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
@@ -71,15 +72,15 @@
             await asyncio.wait_for(peer.requests.get(), WAIT)
             stand.node.frontend.stopping = True
             release.set()
-            for connection in (None, None, b"close"):
+            for connection_header in (None, None, b"close"):
                 status, head, _ = await client.answer()
-                assert (status, field(head, b"Connection")) == (200, connection)
+                assert (status, field(head, b"Connection")) == (200, connection_header)
             assert await client.end() == b""
 
     run(test())
 
 
-def test_many_answers_at_once_do_not_nest() -> None:
+def test_many_immediate_responses_do_not_exceed_the_recursion_limit() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
@@ -90,7 +91,7 @@
     run(test())
 
 
-BAD = [
+BAD_REQUESTS = [
     (b"nonsense\r\n\r\n", 400),
     (request().replace(b"Request-Id", b"X-Id"), 400),
     (request().replace(b"Request-Timeout", b"X-Timeout"), 400),
@@ -117,20 +118,24 @@
 ]
 
 
-LENGTH, CHUNKED, LAST = b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n", b"0\r\n\r\n"
+CONTENT_LENGTH, CHUNKED, LAST_CHUNK = (
+    b"Content-Length: 5\r\n",
+    b"Transfer-Encoding: chunked\r\n",
+    b"0\r\n\r\n",
+)
 
 
-def framed(*lines: bytes, body: bytes = LAST) -> bytes:
-    """A request whose framing is these lines."""
+def framed(*lines: bytes, body: bytes = LAST_CHUNK) -> bytes:
+    """Return a request with these header lines for its framing."""
     return request("pay").replace(b"Content-Length: 0\r\n", b"".join(lines)) + body
 
 
-# What two readers could cut at different places would hide a request in another's body.
-BAD += [
-    (framed(LENGTH, CHUNKED), 400),
-    (framed(CHUNKED, LENGTH), 400),
-    (framed(LENGTH, LENGTH, body=b"12345"), 400),
-    (framed(LENGTH, b"Content-Length: 6\r\n", body=b"123456"), 400),
+# Framing that two parsers could read differently allows request smuggling.
+BAD_REQUESTS += [
+    (framed(CONTENT_LENGTH, CHUNKED), 400),
+    (framed(CHUNKED, CONTENT_LENGTH), 400),
+    (framed(CONTENT_LENGTH, CONTENT_LENGTH, body=b"12345"), 400),
+    (framed(CONTENT_LENGTH, b"Content-Length: 6\r\n", body=b"123456"), 400),
     (framed(b"Content-Length: 5, 5\r\n", body=b"12345"), 400),
     (framed(b"Content-Length: -5\r\n"), 400),
     (framed(b"Content-Length: +5\r\n", body=b"12345"), 400),
@@ -148,16 +153,16 @@
     (framed(b"Transfer-Encoding: identity\r\n"), 400),
     (framed(b"Transfer-Encoding : chunked\r\n"), 400),
     (framed(b"Transfer-Encoding:\r\n chunked\r\n"), 400),
-    (framed(CHUNKED, body=b"-1\r\n\r\n" + LAST), 400),
-    (framed(CHUNKED, body=b"+5\r\n12345\r\n" + LAST), 400),
-    (framed(CHUNKED, body=b"0x5\r\n12345\r\n" + LAST), 400),
-    (framed(CHUNKED, body=b"5\r\n123456\r\n" + LAST), 400),
+    (framed(CHUNKED, body=b"-1\r\n\r\n" + LAST_CHUNK), 400),
+    (framed(CHUNKED, body=b"+5\r\n12345\r\n" + LAST_CHUNK), 400),
+    (framed(CHUNKED, body=b"0x5\r\n12345\r\n" + LAST_CHUNK), 400),
+    (framed(CHUNKED, body=b"5\r\n123456\r\n" + LAST_CHUNK), 400),
     (framed(CHUNKED, body=b"5\n12345\n0\n\n"), 400),
     (framed(CHUNKED, body=b"1" * 40 + b"\r\n"), 400),
     (
-        framed(LENGTH, body=b"12345")
+        framed(CONTENT_LENGTH, body=b"12345")
         .replace(b"HTTP/1.1", b"HTTP/1.0")
-        .replace(LENGTH, LENGTH + CHUNKED),
+        .replace(CONTENT_LENGTH, CONTENT_LENGTH + CHUNKED),
         400,
     ),
     (framed(CHUNKED).replace(b"HTTP/1.1", b"HTTP/1.0"), 400),
@@ -174,13 +179,13 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "status"), BAD, ids=range(len(BAD)))
-def test_bad_input_is_told_and_goes_to_no_server(data: bytes, status: int) -> None:
+@pytest.mark.parametrize(("data", "status"), BAD_REQUESTS, ids=range(len(BAD_REQUESTS)))
+def test_a_bad_request_is_rejected_and_reaches_no_server(data: bytes, status: int) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
             client = await stand.client()
-            # What comes behind it on the connection is not read: it may be a part of the bad one.
+            # The second request is not read: its bytes could belong to the bad one.
             got, head, _ = await client.ask(data + request())
             assert (got, field(head, b"Connection")) == (status, b"close")
             assert await client.end() == b""
@@ -190,7 +195,7 @@
     run(test())
 
 
-def test_a_client_that_waits_for_a_go_ahead_gets_it() -> None:
+def test_expect_100_continue_is_answered() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
@@ -201,7 +206,7 @@
     run(test())
 
 
-def test_health_waits_for_a_list() -> None:
+def test_health_is_ok_only_with_an_endpoint_list() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer, known={}) as stand:
@@ -214,40 +219,45 @@
     run(test())
 
 
-def test_at_the_limit_the_longest_idle_client_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(
-        pool, "REST", 0.0
-    )  # so many requests, one after the other, on one connection
+def test_at_the_limit_the_longest_idle_connection_is_evicted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Without the cooldown, one connection serves many requests one after the other.
+    monkeypatch.setattr(connection_pool, "REST", 0.0)
 
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
             limit = stand.node.listener.max_connections
-            crowd = [await stand.client() for _ in range(limit)]
-            for client in crowd:
+            open_clients = [await stand.client() for _ in range(limit)]
+            for client in open_clients:
                 assert (await client.ask(request()))[0] == 200
             newest = await stand.client()
             assert (await newest.ask(request()))[0] == 200
-            assert await crowd[0].end() == b""
-            assert (await crowd[1].ask(request()))[0] == 200
+            assert await open_clients[0].end() == b""
+            assert (await open_clients[1].ask(request()))[0] == 200
             assert len(stand.node.listener.connections) == limit
 
     run(test())
 
 
-def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nobody has to have been silent for any time before it makes room."""
+def disable_eviction_grace(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Allow the eviction of connections however short they have been silent."""
     monkeypatch.setattr(
-        crowd, "EVICTION_ORDER", tuple((state, 0.0) for state, _ in crowd.EVICTION_ORDER)
+        connection_eviction,
+        "EVICTION_ORDER",
+        tuple((state, 0.0) for state, _ in connection_eviction.EVICTION_ORDER),
     )
 
 
-def test_those_that_never_spoke_make_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    at_once(monkeypatch)
+def test_connections_that_never_sent_anything_are_evicted_first(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    disable_eviction_grace(monkeypatch)
 
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            usual = await stand.client()
-            assert (await usual.ask(request()))[0] == 200
+            regular = await stand.client()
+            assert (await regular.ask(request()))[0] == 200
             limit = stand.node.listener.max_connections
             silent = [await stand.client() for _ in range(limit - 1)]
             while len(stand.node.listener.new) < limit - 1:
@@ -255,16 +265,16 @@
             newest = await stand.client()
             assert (await newest.ask(request()))[0] == 200
             assert await silent[0].end() == b""
-            assert (await usual.ask(request()))[0] == 200
+            assert (await regular.ask(request()))[0] == 200
             assert len(stand.node.listener.connections) == limit
 
     run(test())
 
 
-def test_those_that_never_finish_their_request_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    # 50 requests of usual clients were not taken up on a day on which 200 others had sent half a
-    # head each.
-    at_once(monkeypatch)
+def test_connections_with_unfinished_requests_are_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
+    # 200 clients that each sent half a header section once kept 50 requests of other clients from
+    # being accepted.
+    disable_eviction_grace(monkeypatch)
 
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
@@ -280,23 +290,24 @@
     run(test())
 
 
-def test_where_many_stand_idle_further_connections_end_with_their_answer() -> None:
-    # Clients that asked once and kept their connection left others none to ask on: 6 in 10 requests
-    # of a day were never taken up, with 128 connections idle (incident r2136ee, a count of the
-    # connections).
+def test_connections_above_the_idle_limit_close_after_their_response() -> None:
+    # Clients that send one request and keep their connection could use up the limit: with 128 idle
+    # connections, 6 in 10 requests were never accepted (incident r2136ee).
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             stand.node.listener.max_connections = 6
-            crowd = [await stand.client() for _ in range(4)]
-            ends = [field((await client.ask(request()))[1], b"Connection") for client in crowd]
+            open_clients = [await stand.client() for _ in range(4)]
+            ends = [
+                field((await client.ask(request()))[1], b"Connection") for client in open_clients
+            ]
             assert ends == [None, None, b"close", b"close"]
-            assert await crowd[3].end() == b""
-            assert (await crowd[0].ask(request()))[0] == 200
+            assert await open_clients[3].end() == b""
+            assert (await open_clients[0].ask(request()))[0] == 200
 
     run(test())
 
 
-def test_the_limit_holds_when_none_is_idle_and_the_next_is_served_in_its_turn() -> None:
+def test_the_limit_holds_if_no_connection_is_idle_and_waiting_clients_are_served_later() -> None:
     release = asyncio.Event()
 
     async def test() -> None:
@@ -304,23 +315,23 @@
         async with running(*peers, sockets=96) as stand:
             listener = stand.node.listener
             listener.max_connections = 3
-            crowd = [await stand.client() for _ in range(5)]
-            for client in crowd:
+            open_clients = [await stand.client() for _ in range(5)]
+            for client in open_clients:
                 client.writer.write(request())
             for _ in range(3):
                 await stand.event(Request)
             assert len(listener.connections) == 3 and not listener.accepting
             release.set()
-            for client in crowd[:3]:
+            for client in open_clients[:3]:
                 assert (await client.answer())[0] == 200
                 client.writer.close()
-            for client in crowd[3:]:
+            for client in open_clients[3:]:
                 assert (await client.answer())[0] == 200
 
     run(test())
 
 
-def test_a_lack_of_descriptors_neither_ends_nor_spins_the_listener(
+def test_without_file_descriptors_the_listener_neither_stops_nor_loops(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -328,7 +339,7 @@
             listener = stand.node.listener
             real, calls = listener.socket, asyncio.Queue[int]()
 
-            class Full:
+            class SocketWithoutDescriptors:
                 def accept(self) -> None:
                     calls.put_nowait(1)
                     raise OSError(errno.EMFILE, "too many open files")
@@ -336,7 +347,7 @@
                 def __getattr__(self, name: str) -> Any:
                     return getattr(real, name)
 
-            monkeypatch.setattr(listener, "socket", Full())
+            monkeypatch.setattr(listener, "socket", SocketWithoutDescriptors())
             client = await stand.client()
             client.writer.write(request())
             await asyncio.wait_for(calls.get(), WAIT)
@@ -348,26 +359,28 @@
     run(test())
 
 
-def test_silent_and_slow_clients_are_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_and_slow_clients_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            silent, blank, half = [await stand.client() for _ in range(3)]
+            silent, blank, partial = [await stand.client() for _ in range(3)]
             blank.writer.write(b"\r\n\r\n")
-            half.writer.write(request()[:-2])
+            partial.writer.write(request()[:-2])
             listener = stand.node.listener
             while len(listener.new) != 2 or len(listener.receiving) != 1:
                 await asyncio.sleep(0)
             monkeypatch.setattr(clients, "REQUEST_TIMEOUT_S", 0.0)
             listener.check_timeouts()
             assert await silent.end() == b"" and await blank.end() == b""
-            assert (await half.answer())[0] == 408
-            assert await half.end() == b""
+            assert (await partial.answer())[0] == 408
+            assert await partial.end() == b""
             assert not listener.new and not listener.receiving
 
     run(test())
 
 
-def test_a_connection_that_stands_idle_for_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idle_connection_is_closed_after_the_keep_alive_timeout(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
@@ -381,7 +394,7 @@
     run(test())
 
 
-def test_an_id_that_is_open_is_turned_away_and_free_again_after_the_answer() -> None:
+def test_a_request_id_in_use_is_rejected_until_its_request_is_answered() -> None:
     release = asyncio.Event()
 
     async def test() -> None:
@@ -402,7 +415,7 @@
     run(test())
 
 
-def test_ids_of_requests_that_wait_are_free_when_their_client_goes_away() -> None:
+def test_request_ids_of_pending_requests_are_released_when_the_client_leaves() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
@@ -417,7 +430,7 @@
     run(test())
 
 
-def test_of_hundreds_of_requests_read_at_once_few_are_taken_up_at_a_time() -> None:
+def test_of_hundreds_of_pipelined_requests_few_are_parsed_at_a_time() -> None:
     release = asyncio.Event()
 
     async def test() -> None:
@@ -426,20 +439,20 @@
             client = await stand.client()
             client.writer.write(b"".join(request() for _ in range(400)))
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            (connection,) = stand.node.listener.connections
+            (client_connection,) = stand.node.listener.connections
             assert (
                 len(stand.node.listener.open_request_names)
-                <= machine.MAX_PIPELINED_REQUESTS + machine.PARSE_CHUNK_BYTES // 100
+                <= connection.MAX_PIPELINED_REQUESTS + connection.PARSE_CHUNK_BYTES // 100
             )
             release.set()
             for _ in range(400):
                 assert (await client.answer())[0] == 200
-            assert not connection.machine.pending and not connection.machine.unparsed
+            assert not client_connection.machine.pending and not client_connection.machine.unparsed
 
     run(test())
 
 
-def test_the_answer_arrives_though_the_client_goes_on_sending() -> None:
+def test_the_response_arrives_though_the_client_continues_to_send() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
@@ -451,7 +464,7 @@
     run(test())
 
 
-def test_a_client_that_reads_its_last_answer_late_still_gets_it(
+def test_a_client_that_reads_its_last_response_late_still_gets_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(clients, "LINGER_S", 0.0)
@@ -463,8 +476,8 @@
             client = await stand.client()
             client.writer.transport.pause_reading()
             client.writer.write(b"".join(request() for _ in range(300)) + b"nonsense\r\n\r\n")
-            (connection,) = [c async for c in stand.connections(1)]
-            while not connection.machine.write_blocked:
+            (client_connection,) = [c async for c in stand.connections(1)]
+            while not client_connection.machine.write_blocked:
                 await asyncio.sleep(0)
             stand.node.listener.check_timeouts()
             client.writer.transport.resume_reading()
@@ -477,7 +490,7 @@
     run(test())
 
 
-def test_trailers_do_not_pass_for_headers() -> None:
+def test_trailer_fields_are_not_taken_for_headers() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -494,7 +507,7 @@
     run(test())
 
 
-def test_a_client_that_does_not_read_gets_no_further_answers() -> None:
+def test_no_more_requests_are_served_while_the_client_does_not_read() -> None:
     big = b"x" * 60_000
 
     async def test() -> None:
@@ -505,12 +518,11 @@
             client = await stand.client()
             client.writer.transport.pause_reading()
             client.writer.write(b"".join(request() for _ in range(300)))
-            (connection,) = [c async for c in stand.connections(1)]
-            while not connection.machine.write_blocked:
+            (client_connection,) = [c async for c in stand.connections(1)]
+            while not client_connection.machine.write_blocked:
                 await asyncio.sleep(0)
-            assert (
-                connection in stand.node.listener.idle
-            )  # until it reads, or for KEEP_ALIVE_TIMEOUT_S
+            # It is idle until the client reads, or until the keep-alive timeout.
+            assert client_connection in stand.node.listener.idle
             taken = stand.node.pipeline.last_id
             for _ in range(50):
                 await asyncio.sleep(0)
@@ -522,7 +534,7 @@
     run(test())
 
 
-def test_a_closed_connection_leaves_nothing_to_the_cyclic_collector() -> None:
+def test_a_closed_connection_leaves_no_reference_cycle() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -532,9 +544,9 @@
                 for data in (request(), b"nonsense\r\n\r\n", request("unknown"), request()[:40]):
                     client = await stand.client()
                     client.writer.write(data)
-                    (connection,) = [c async for c in stand.connections(1)]
-                    gone = weakref.ref(connection)
-                    del connection
+                    (client_connection,) = [c async for c in stand.connections(1)]
+                    gone = weakref.ref(client_connection)
+                    del client_connection
                     if data.endswith(b"\r\n\r\n"):
                         await client.answer()
                     client.writer.close()
@@ -547,7 +559,7 @@
     run(test())
 
 
-def test_a_request_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_never_ends_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(clients, "REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -560,14 +572,14 @@
     run(test())
 
 
-def test_small_writes_are_not_held_back() -> None:
+def test_both_sides_set_tcp_nodelay() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             assert (await (await stand.client()).ask(request()))[0] == 200
             (client,) = stand.node.listener.connections
             (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle
-            for connection in (client, server):
-                sock = connection.transport.get_extra_info("socket")
+            for either in (client, server):
+                sock = either.transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     run(test())
@@ -578,15 +590,15 @@
                                       b"Content-Length: 3", b"Request-Id: 1", b"\x00", b"a", b"Upgrade: x",
                                       b"Connection: upgrade", b"Transfer-Encoding: chunked"])
                      | st.binary(max_size=20), max_size=30).map(b"".join))  # fmt: skip
-def test_no_bytes_of_a_client_bring_the_node_down(data: bytes) -> None:
+def test_no_input_of_a_client_stops_the_node(data: bytes) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
-            rude = await stand.client()
-            rude.writer.write(data)
-            rude.writer.write_eof()
-            with suppress(ConnectionError):  # a reset is as good an end
-                await rude.end()
+            malformed = await stand.client()
+            malformed.writer.write(data)
+            malformed.writer.write_eof()
+            with suppress(ConnectionError):  # the connection may also end by a reset
+                await malformed.end()
             assert peer.requests.empty()
             assert (await (await stand.client()).ask(request()))[0] == 200
             assert not stand.node.pipeline.in_flight
@@ -596,7 +608,7 @@
 
 @settings(max_examples=20, derandomize=True, database=None, deadline=None)
 @given(cuts=st.lists(st.integers(min_value=1, max_value=200), max_size=8))
-def test_a_request_may_come_in_pieces(cuts: list[int]) -> None:
+def test_a_request_may_arrive_in_pieces(cuts: list[int]) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
--- a/tests/hot_restart/test_replacing.py
+++ b/tests/hot_restart/test_replacing.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from tests.net import WAIT, Agent, Client, Peer, field, held_back, request
-from tests.test_process import COMMAND, Process, raw_config
+from tests.test_process import COMMAND, NodeProcess, raw_config
 
 
 class Platform:
@@ -30,9 +30,9 @@
         self.path = folder / "config.json"
         told = {"discovery": f"127.0.0.1:{agent.port}", "listen": f"127.0.0.1:{self.port}"}
         self.path.write_text(json.dumps(raw_config() | told))
-        self.processes: list[Process] = []
+        self.processes: list[NodeProcess] = []
 
-    async def start(self) -> Process:
+    async def start(self) -> NodeProcess:
         environ = {
             "ROUTER_CONFIG": str(self.path),
             "ROUTER_INHERITED_FD": str(self.sock.fileno()),
@@ -45,14 +45,14 @@
             stderr=subprocess.PIPE,
             pass_fds=[self.sock.fileno()],
         )
-        node = Process(process)
+        node = NodeProcess(process)
         self.processes.append(node)
         node.port = int((await node.line(r"console listens on 127\.0\.0\.1:(\d+)"))[1])
         while await self.call(node, "/-/ready", "GET") != 200:
             await asyncio.sleep(0.01)
         return node
 
-    async def call(self, node: Process, target: str, method: str = "POST") -> int:
+    async def call(self, node: NodeProcess, target: str, method: str = "POST") -> int:
         client = await node.client()
         status, _, _ = await client.ask(f"{method} {target} HTTP/1.1\r\n\r\n".encode())
         client.writer.close()
@@ -61,7 +61,7 @@
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    async def end(self, node: Process) -> int:
+    async def end(self, node: NodeProcess) -> int:
         node.process.send_signal(signal.SIGTERM)
         return await asyncio.wait_for(node.process.wait(), WAIT)
 
--- a/tests/reload/test_reload.py
+++ b/tests/reload/test_reload.py
@@ -17,7 +17,7 @@
 from badgercart.policy.events import Request
 from badgercart.reload.reconfiguration import IndexesInUse, reconfigure
 from tests.net import WAIT, Agent, Client, Peer, config, hang_up, held_back, request
-from tests.test_process import Process, raw_config, started
+from tests.test_process import NodeProcess, raw_config, running_process
 
 
 def classes(*named: tuple[str, str]) -> list[dict[str, Any]]:
@@ -27,7 +27,7 @@
     ]
 
 
-async def hup(node: Process, path: Path, discovery: int, **changes: Any) -> str:
+async def hup(node: NodeProcess, path: Path, discovery: int, **changes: Any) -> str:
     raw = raw_config() | {"discovery": f"127.0.0.1:{discovery}"}
     raw["settings"] |= changes
     path.write_text(json.dumps(raw))
@@ -42,7 +42,7 @@
         peer = await Peer(held_back(release)).start()
         agent = await Agent([peer.entry()]).start()
         path = tmp_path / "config.json"
-        async with started(path, agent.port) as node:
+        async with running_process(path, agent.port) as node:
             held = await node.client()
             held.writer.write(request("find"))
             await asyncio.wait_for(peer.requests.get(), WAIT)
@@ -73,7 +73,7 @@
         peer = await Peer(hang_up).start()
         agent = await Agent([peer.entry()]).start()
         path = tmp_path / "config.json"
-        async with started(path, agent.port) as node:
+        async with running_process(path, agent.port) as node:
 
             async def sends(asked: bytes) -> int:
                 client: Client = await node.client()
@@ -110,7 +110,7 @@
         peers = [await Peer(script).start() for _ in range(3)]
         agent = await Agent([peer.entry(f"s-{i}") for i, peer in enumerate(peers)]).start()
         path = tmp_path / "config.json"
-        async with started(path, agent.port) as node:
+        async with running_process(path, agent.port) as node:
             both = classes(("find", "free"), ("pay", "single_shot"))
             assert await hup(node, path, agent.port, Classes=both) == "configuration read"
             client = await node.client()
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The command that the README begins with comes up with all its fronts, and ends."""
+"""Tests that the demos named in README.md start, do their work and end."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from pathlib import Path
 
 
-def test_the_demo_comes_up_and_names_its_fronts() -> None:
+def test_the_demo_starts_all_frontends() -> None:
     command = [sys.executable, "-B", "-m", "standins.demo", "--json", "--seconds", "0.2"]
     root = Path(__file__).parent.parent
     done = subprocess.run(command, capture_output=True, text=True, cwd=root, timeout=120)
     assert done.returncode == 0, done.stderr
-    told = json.loads(done.stdout.splitlines()[0])
-    assert {"http", "processor", "graphql"} <= told.keys()
+    addresses = json.loads(done.stdout.splitlines()[0])
+    assert {"http", "processor", "graphql"} <= addresses.keys()
 
 
-def test_three_nodes_are_cut_apart_and_heal_before_your_eyes() -> None:
+def test_the_trial_demo_partitions_three_nodes_and_heals_them() -> None:
     command = [sys.executable, "-B", "-m", "lab.trial.demo", "--json"]
     root = Path(__file__).parent.parent
     done = subprocess.run(command, capture_output=True, text=True, cwd=root, timeout=120)
     assert done.returncode == 0, done.stderr
-    told = json.loads(done.stdout)
-    cut, healed = (
+    report = json.loads(done.stdout)
+    partitioned, healed = (
         {"n0": "alone", "n1": "most", "n2": "most"},
         dict.fromkeys(("n0", "n1", "n2"), "whole"),
     )
-    assert told["levels"] == [cut, healed]
-    assert told["broken"] == [] and told["outcomes"]["served"] > 500
+    assert report["levels"] == [partitioned, healed]
+    assert report["broken"] == [] and report["outcomes"]["served"] > 500
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The node as a process: its start, its configuration, and its planned end."""
+"""Tests of the node as a process: its start, its configuration, and its planned end."""
 
 from __future__ import annotations
 
@@ -24,7 +24,14 @@
 
 
 def raw_config() -> dict[str, Any]:
-    find = {"Name": "find", "Aim": 5000.0, "Deadline": 9000.0, "Idempotency": "free", "Worth": 1.0}
+    """Return the content of a configuration file."""
+    find_class = {
+        "Name": "find",
+        "Aim": 5000.0,
+        "Deadline": 9000.0,
+        "Idempotency": "free",
+        "Worth": 1.0,
+    }
     allowed = {**SETTINGS["Allowed"], "DialTimeout": 5000.0, "ConnIdle": 15000.0}  # type: ignore[dict-item]
     return {
         "name": "n0",
@@ -32,12 +39,12 @@
         "discovery": "127.0.0.1:1",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": {**SETTINGS, "Classes": [find], "Allowed": allowed, "Customers": []},
+        "settings": {**SETTINGS, "Classes": [find_class], "Allowed": allowed, "Customers": []},
     }
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "expected"),
     [
         ({"listen": "127.0.0.1"}, "no host:port"),
         ({"seed": "xyz"}, "xyz"),
@@ -49,8 +56,8 @@
         ("[]", "list"),
     ],
 )
-def test_a_bad_configuration_ends_with_one_plain_line(
-    tmp_path: Path, change: Any, words: str
+def test_an_invalid_configuration_is_reported_in_one_line(
+    tmp_path: Path, change: Any, expected: str
 ) -> None:
     path = tmp_path / "config.json"
     path.write_text(
@@ -61,18 +68,18 @@
         environ["ROUTER_CONFIG"] = str(path)
     done = subprocess.run(COMMAND, env=environ, capture_output=True, text=True, check=False)
     assert (done.returncode, done.stdout) == (2, "")
-    assert words in done.stderr and done.stderr.count("\n") == 1
+    assert expected in done.stderr and done.stderr.count("\n") == 1
 
 
-class Process:
-    """The node as a program of its own, with what it logs."""
+class NodeProcess:
+    """A node in a process of its own, and the lines that it logs."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
         self.lines: list[str] = []
 
     async def line(self, pattern: str) -> re.Match[str]:
-        """The next line of the log that matches."""
+        """Return the next line of the log that matches."""
         assert self.process.stderr is not None
         while True:
             line = (await asyncio.wait_for(self.process.stderr.readline(), WAIT)).decode()
@@ -82,22 +89,27 @@
                 return match
 
     async def listening(self) -> None:
+        """Wait until the node listens and has its first endpoint list."""
         self.port = int((await self.line(r"listens on 127\.0\.0\.1:(\d+)"))[1])
         await self.line("list 1")
 
     async def client(self) -> Client:
+        """Connect to the node."""
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
 
 @asynccontextmanager
-async def started(path: Path, discovery: int, **variables: str) -> AsyncIterator[Process]:
+async def running_process(
+    path: Path, discovery: int, **variables: str
+) -> AsyncIterator[NodeProcess]:
+    """Run a node with this configuration file, discovery port and environment."""
     path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{discovery}"}))
     process = await asyncio.create_subprocess_exec(
         *COMMAND,
         env=os.environ | {"ROUTER_CONFIG": str(path)} | variables,
         stderr=asyncio.subprocess.PIPE,
     )
-    node = Process(process)
+    node = NodeProcess(process)
     try:
         await node.listening()
         yield node
@@ -107,7 +119,7 @@
             await process.wait()
 
 
-def test_sighup_moves_to_the_discovery_that_the_file_names(tmp_path: Path) -> None:
+def test_sighup_switches_to_the_discovery_address_in_the_file(tmp_path: Path) -> None:
     async def test() -> None:
         old, new = await Peer().start(), await Peer().start()
         first, second = (
@@ -115,19 +127,19 @@
             await Agent([new.entry("s-2")], 7).start(),
         )
         path = tmp_path / "config.json"
-        # The variable wins at the start; from the signal on the file does.
+        # At the start the variable overrides the file; at a reload the file's address is used.
         variable = {"ROUTER_DISCOVERY": f"127.0.0.1:{first.port}"}
-        async with started(path, 1, **variable) as node:
+        async with running_process(path, 1, **variable) as node:
             while "watch" not in await asyncio.wait_for(first.calls.get(), WAIT):
                 pass
-            for half in (
+            for invalid in (
                 "{",
                 "",
                 json.dumps(raw_config())[:200],
                 "[" * 100_000,
                 json.dumps({"discovery": 1}),
             ):
-                path.write_text(half)
+                path.write_text(invalid)
                 node.process.send_signal(signal.SIGHUP)
                 await node.line("ERROR the configuration stays as it was")
             client = await node.client()
@@ -135,15 +147,15 @@
             path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{second.port}"}))
             node.process.send_signal(signal.SIGHUP)
             assert await asyncio.wait_for(second.calls.get(), WAIT) == "/catalog/members"
-            await asyncio.wait_for(first.ended.get(), WAIT)  # of the first whole list
-            await asyncio.wait_for(first.ended.get(), WAIT)  # of the watch
+            await asyncio.wait_for(first.ended.get(), WAIT)  # the call for the snapshot
+            await asyncio.wait_for(first.ended.get(), WAIT)  # the watch
             assert (
                 await asyncio.wait_for(second.calls.get(), WAIT)
                 == "/catalog/members?watch=1&from=7"
             )
             assert (await client.ask(request()))[0] == 200
             assert (old.requests.qsize(), new.requests.qsize()) == (1, 1)
-            node.process.send_signal(signal.SIGHUP)  # nothing new: the watch stays
+            node.process.send_signal(signal.SIGHUP)  # the address is the same, so the watch stays
             await node.line("configuration read")
             second.push(8, [old.entry()], reset=True)
             await node.line("list 8")
@@ -152,25 +164,25 @@
     uvloop.run(test())
 
 
-def test_sigterm_answers_what_is_held_and_what_still_comes(tmp_path: Path) -> None:
+def test_sigterm_answers_open_requests_and_those_that_still_come(tmp_path: Path) -> None:
     release = asyncio.Event()
 
     async def test() -> None:
         peer = await Peer(held_back(release)).start()
         agent = await Agent([peer.entry()]).start()
-        async with started(tmp_path / "config.json", agent.port) as node:
-            holder, idle = await node.client(), await node.client()
+        async with running_process(tmp_path / "config.json", agent.port) as node:
+            busy, idle = await node.client(), await node.client()
             assert (await idle.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-            holder.writer.write(request())
+            busy.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
             node.process.send_signal(signal.SIGTERM)
             assert await idle.end() == b""  # an idle connection is closed
-            node.process.send_signal(signal.SIGHUP)  # harmless by now
-            late = await node.client()  # new ones are still taken
+            node.process.send_signal(signal.SIGHUP)  # is ignored while draining
+            late = await node.client()  # new connections are still accepted
             late.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
             release.set()
-            for waiting in (holder, late):
+            for waiting in (busy, late):
                 status, head, _ = await waiting.answer()
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 waiting.writer.close()
@@ -179,13 +191,13 @@
     uvloop.run(test())
 
 
-def test_sigterm_twice_and_a_hung_server_still_end_with_an_answer(tmp_path: Path) -> None:
-    """Its request has longer than the process: it is answered by then all the same."""
+def test_with_a_hung_server_sigterm_twice_still_ends_with_a_response(tmp_path: Path) -> None:
+    """The request's timeout is longer than the drain, so it is answered before its timeout."""
 
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         agent = await Agent([peer.entry()]).start()
-        async with started(tmp_path / "config.json", agent.port) as node:
+        async with running_process(tmp_path / "config.json", agent.port) as node:
             client = await node.client()
             client.writer.write(request(timeout="60000m"))
             await asyncio.wait_for(peer.requests.get(), WAIT)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""Tests that the example in README.md runs as printed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 
-def test_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     code = re.search(r"```python\n(.*?)```", text, re.S)
     assert code
