--- a/badgercart/cluster/service.py
+++ b/badgercart/cluster/service.py
@@ -29,7 +29,7 @@
 from badgercart.cluster.timing import Bootstrap
 from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.core.ports import IncomingRequest, RequestOutcome
-from badgercart.frontends.http.requests import Page
+from badgercart.frontends.http.requests import OperatorPage
 
 # Distinguish processes that start in the same millisecond.
 GENERATION_RANDOM_BITS = 10
@@ -150,7 +150,7 @@
         )
         if QUOTA_SHARING in features:
             host.pipeline.observers += (self,)
-        host.pages[b"/_peers"] = Page(
+        host.pages[b"/_peers"] = OperatorPage(
             lambda: cluster_page(clock(), self.member, gate, self.event_log)
         )
         host.services["peers"] = self
