--- a/badgercart/capture/streams.py
+++ b/badgercart/capture/streams.py
@@ -18,7 +18,7 @@
 
 from badgercart.capture.codec import CodecError
 from badgercart.discovery.freshness import Freshness, Rule
-from badgercart.frontends.processor.account import Account, Proxy
+from badgercart.frontends.processor.account import OldAnswerTracker, ProxyRecord
 from badgercart.frontends.processor.settings import OldAnswers
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -45,12 +45,12 @@
     return made
 
 
-def _save_account(account: Account) -> Any:
+def _save_account(account: OldAnswerTracker) -> Any:
     rule = account.rule.model_dump()
     return rule, [_save_proxy(proxy) for proxy in account.proxies.values()]
 
 
-def _save_proxy(proxy: Proxy) -> list[Any]:
+def _save_proxy(proxy: ProxyRecord) -> list[Any]:
     return [
         proxy.name,
         proxy.answered,
@@ -61,17 +61,17 @@
         proxy.lost,
         proxy.old,
         proxy.drained,
-        list(proxy.uses),
-        proxy.refused_until,
+        list(proxy.old_use_times_ms),
+        proxy.refused_until_ms,
     ]
 
 
-def _load_account(state: Any) -> Account:
+def _load_account(state: Any) -> OldAnswerTracker:
     rule, proxies = state
-    account = Account(OldAnswers.model_validate(rule))
+    account = OldAnswerTracker(OldAnswers.model_validate(rule))
     for row in proxies:
-        proxy = Proxy(*row)
-        proxy.uses = deque(proxy.uses)
+        proxy = ProxyRecord(*row)
+        proxy.old_use_times_ms = deque(proxy.old_use_times_ms)
         account.proxies[proxy.name] = proxy
     return account
 
@@ -84,12 +84,18 @@
         _load_freshness,
         lambda value: getattr(value, "value", value),
     ),
-    Account: MachineCodec(
+    OldAnswerTracker: MachineCodec(
         "account",
-        {"proxy": Account.proxy, "standing": Account.standing, "used_old": Account.used_old},
+        {
+            "proxy": OldAnswerTracker.find_or_add,
+            "standing": OldAnswerTracker.standing,
+            "used_old": OldAnswerTracker.record_old_use,
+        },
         _save_account,
         _load_account,
-        lambda value: value.name if isinstance(value, Proxy) else getattr(value, "value", value),
+        lambda value: value.name
+        if isinstance(value, ProxyRecord)
+        else getattr(value, "value", value),
         lambda machine, method, value: machine.proxies[value]
         if method != "proxy" and type(value) is str
         else value,
--- a/badgercart/frontends/processor/machine.py
+++ b/badgercart/frontends/processor/machine.py
@@ -34,7 +34,7 @@
 from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest, TimerHandle
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.core.requests import InvalidRequestError
-from badgercart.frontends.processor.account import Account, Proxy, Standing
+from badgercart.frontends.processor.account import OldAnswerTracker, ProxyRecord, Standing
 from badgercart.frontends.processor.description import Described
 from badgercart.frontends.processor.log_events import OLD_ANSWERS
 from badgercart.frontends.processor.outcomes import Phase, harmless, read_end
@@ -128,7 +128,7 @@
     )  # fmt: skip
 
     def __init__(
-        self, calls: Calls, described: Described, stream: Stream, proxy: Proxy, now: float
+        self, calls: Calls, described: Described, stream: Stream, proxy: ProxyRecord, now: float
     ) -> None:
         self.calls = calls
         self.described = described
@@ -202,7 +202,7 @@
         self.drain_grace = drain_grace
         self.join = join
         self.roster = roster
-        self.account = Account(settings.old_answers)
+        self.account = OldAnswerTracker(settings.old_answers)
         self.refusable = [cls.client_may_retry for cls in join.policy.settings.classes]
         self.open: dict[bytes, Call] = {}
         self.finals: OrderedDict[bytes, tuple[float, Immediate | None]] = (
@@ -219,7 +219,7 @@
         if stream.at is not At.FRESH:
             raise Illegal(f"request headers {stream.at.value}")
         stream.at = At.ASKED
-        proxy = self.account.proxy(stream.proxy)
+        proxy = self.account.find_or_add(stream.proxy)
         call = self.open.get(described.name)
         if call is not None:
             if described.attempt <= 1:
@@ -238,7 +238,9 @@
         standing = self.account.standing(proxy, now)
         if standing is Standing.REFUSED and (not resumed or self.refusable[described.cls]):
             proxy.refused += 1
-            stream.decide(Immediate(503, proxy.refused_until - now, "this proxy uses old answers"))
+            stream.decide(
+                Immediate(503, proxy.refused_until_ms - now, "this proxy uses old answers")
+            )
             return
         call = Call(self, described, stream, proxy, now)
         self.open[described.name] = call
@@ -450,7 +452,7 @@
         leaving = self.roster.draining_since.get(at)
         drained = leaving is not None and now - leaving > self.drain_grace
         before = self.account.standing(proxy, now)
-        after = self.account.used_old(proxy, drained, now)
+        after = self.account.record_old_use(proxy, drained, now)
         if before is not after:
             OLD_ANSWERS(proxy=proxy.name, standing=after.value, was=before.value)
         if gone:
--- a/tests/capture/golden_parts.py
+++ b/tests/capture/golden_parts.py
@@ -32,7 +32,7 @@
 )
 from badgercart.capture.streams import record_calls, state_note
 from badgercart.discovery.freshness import Freshness, Rule
-from badgercart.frontends.processor.account import Account
+from badgercart.frontends.processor.account import OldAnswerTracker
 from badgercart.frontends.processor.settings import OldAnswers
 from badgercart.policy.actions import (
     Action,
@@ -155,15 +155,15 @@
     freshness.rule = Rule(100.0, 200.0)
     freshness.state(9000.0)
     undo()
-    account = Account(OldAnswers(no_fallbacks_after=2, refuse_after=3))
-    account.used_old(account.proxy("edge-1"), True, 5.0)
+    account = OldAnswerTracker(OldAnswers(no_fallbacks_after=2, refuse_after=3))
+    account.record_old_use(account.find_or_add("edge-1"), True, 5.0)
     found.append(state_note("account", account))
     undo = record_calls("account", account, found.append)
-    proxy = account.proxy("edge-1")
+    proxy = account.find_or_add("edge-1")
     for now in (6.0, 7.0, 8.0):
-        account.used_old(proxy, False, now)
+        account.record_old_use(proxy, False, now)
         account.standing(proxy, now + 0.5)
-    account.standing(account.proxy("edge-2"), 9.0)
+    account.standing(account.find_or_add("edge-2"), 9.0)
     undo()
     found += [state_note("account", account), state_note("list", freshness)]
     return found
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -19,7 +19,7 @@
 from badgercart.capture.streams import NoteReplayer, record_calls, state_note
 from badgercart.capture.writer import CaptureWriter
 from badgercart.discovery.freshness import Freshness, Rule
-from badgercart.frontends.processor.account import Account
+from badgercart.frontends.processor.account import OldAnswerTracker
 from badgercart.frontends.processor.settings import OldAnswers
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
@@ -54,18 +54,21 @@
 def test_an_account_is_played_back_and_another_answer_is_told(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    account, told = Account(OldAnswers(no_fallbacks_after=2, refuse_after=4)), list[bytes]()
-    proxy = account.proxy("a")
-    account.used_old(proxy, False, 5.0)
+    account, told = (
+        OldAnswerTracker(OldAnswers(no_fallbacks_after=2, refuse_after=4)),
+        list[bytes](),
+    )
+    proxy = account.find_or_add("a")
+    account.record_old_use(proxy, False, 5.0)
     told.append(state_note("account", account))
     record_calls("account", account, told.append)
     for now in range(10, 3000, 100):
-        account.proxy("b" if now % 300 == 10 else "a")
-        account.used_old(proxy, now % 200 == 10, float(now))
+        account.find_or_add("b" if now % 300 == 10 else "a")
+        account.record_old_use(proxy, now % 200 == 10, float(now))
         account.standing(proxy, now + 50.0)
     streams = NoteReplayer()
     assert not any(streams.play(note) for note in told) and len(told) > 80
-    monkeypatch.setattr(Account, "used_old", Account.standing)
+    monkeypatch.setattr(OldAnswerTracker, "record_old_use", OldAnswerTracker.standing)
     streams = NoteReplayer()
     with pytest.raises(CodecError):
         for note in told:
--- a/tests/processor/test_golden.py
+++ b/tests/processor/test_golden.py
@@ -13,7 +13,7 @@
 import pytest
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 
-from badgercart.frontends.processor.account import Account, Standing
+from badgercart.frontends.processor.account import OldAnswerTracker, Standing
 from badgercart.frontends.processor.machine import Immediate, Pass, Route, Skip
 from badgercart.frontends.processor.messages import write
 from badgercart.frontends.processor.settings import OldAnswers
@@ -52,10 +52,10 @@
 
 def rows() -> dict[str, bytes]:
     """The page of proxies: each count under its name."""
-    account = Account(
+    account = OldAnswerTracker(
         OldAnswers(window_ms=1000.0, no_fallbacks_after=3, refuse_after=5, refuse_for_ms=200.0)
     )
-    proxy = account.proxy("north")
+    proxy = account.find_or_add("north")
     proxy.answered, proxy.unseen, proxy.first, proxy.fallback, proxy.lost = 1, 2, 3, 4, 5
     proxy.old, proxy.drained, proxy.refused = 6, 7, 8
     standings = {"good": Standing.GOOD, "none": Standing.NO_FALLBACKS, "refused": Standing.REFUSED}
