--- a/badgercart/frontends/processor/__init__.py
+++ b/badgercart/frontends/processor/__init__.py
@@ -1,8 +1,9 @@
-"""An external processor: proxies ask, for each request, where it goes and whether it goes.
+"""An external processor: proxies ask it for each request where to send it, and whether.
 
-Envoy's protocol (`envoy.service.ext_proc.v3.ExternalProcessor`), answers worded as the Endpoint
-Picker Protocol of the Kubernetes Gateway API inference extension words them. `machine` holds the
-life of a stream and of a request over several streams, `outcomes` what a response phase proves,
-`account` who uses old answers, `description` what a request is; none of them does I/O. `server` is
-the entry: it drives them with grpcio, which is imported only there and in `messages`.
+The protocol is Envoy's (`envoy.service.ext_proc.v3.ExternalProcessor`); answers use the names of the
+Endpoint Picker Protocol of the Kubernetes Gateway API inference extension. `machine` has the state
+machines of a stream, and of a request over several streams; `outcomes` tells what a response phase
+proves; `account` tracks who uses old answers; `description` reads a request's description. None of
+them does I/O. `server` is the entry point: it drives them with grpcio, which is imported only
+there, in `ask` and in `messages`.
 """
--- a/badgercart/frontends/processor/commands.py
+++ b/badgercart/frontends/processor/commands.py
@@ -1,4 +1,4 @@
-"""`badgercart processor`: what a running external processor says of its proxies."""
+"""The command `badgercart processor`: the status of a running external processor."""
 
 from __future__ import annotations
 
@@ -34,18 +34,19 @@
 @click.option("--cert", metavar="PEM", help="This client's certificate.")
 @click.option("--key", metavar="PEM", help="And its key.")
 def proxies(address: str, as_json: bool, ca: str | None, cert: str | None, key: str | None) -> None:
-    """The account of each calling proxy."""
-    from badgercart.frontends.processor.ask import AskError, ask  # heavy
+    """The account of each calling proxy."""  # noqa: D401
+    # Imported here, since it loads grpcio.
+    from badgercart.frontends.processor.ask import StatusError, fetch_status
 
     try:
-        told = ask(address, ca, cert, key)
-    except AskError as error:
+        status = fetch_status(address, ca, cert, key)
+    except StatusError as error:
         raise CommandError(f"{address}: {error}") from None
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(status))
         return
     rows = [
-        (name, *(str(row[column]) for column in COLUMNS)) for name, row in told["proxies"].items()
+        (name, *(str(row[column]) for column in COLUMNS)) for name, row in status["proxies"].items()
     ]
     show_table(("proxy", *COLUMNS), rows)
-    click.echo(f"{told['open']} calls open")
+    click.echo(f"{status['open']} calls open")
--- a/badgercart/frontends/processor/component.py
+++ b/badgercart/frontends/processor/component.py
@@ -1,4 +1,4 @@
-"""The external processor as a part of an installation."""
+"""The external processor, as a component of an installation."""
 
 from __future__ import annotations
 
@@ -16,42 +16,45 @@
 from badgercart.frontends.processor.settings import ProcessorSettings
 
 if TYPE_CHECKING:
-    from badgercart.frontends.processor.server import Processor
+    from badgercart.frontends.processor.server import ProcessorServer
 
 
 class ProcessorComponent:
-    """Proxies that ask; SIGHUP reads the PEM files of its certificate anew."""
+    """An external processor. SIGHUP reloads the PEM files of its certificate."""
 
     def __init__(self, host: ComponentHost, settings: ProcessorSettings) -> None:
-        from badgercart.frontends.processor.server import (
-            Processor,
-        )  # heavy: only where it is switched on
+        # Imported here, since it loads grpcio.
+        from badgercart.frontends.processor.server import ProcessorServer
 
-        self.frontend: Processor = Processor(
+        self.frontend: ProcessorServer = ProcessorServer(
             host.config, settings, host.pipeline, host.endpoint_table, host.loop
         )
-        host.protocol_machines["processor.account"] = self.frontend.calls.account
+        host.protocol_machines["processor.account"] = self.frontend.calls.old_answers
 
-        front, meters = self.frontend, host.metrics
-        meters.gauge(
-            "badgercart_processor_streams", "Streams that are open.", lambda: len(front.connections)
+        frontend, registry = self.frontend, host.metrics
+        registry.gauge(
+            "badgercart_processor_streams",
+            "Streams that are open.",
+            lambda: len(frontend.connections),
         )
-        meters.gauge(
+        registry.gauge(
             "badgercart_processor_calls",
             "Requests of proxies that are open.",
-            lambda: len(front.calls.open),
+            lambda: len(frontend.calls.open),
         )
-        meters.counter(
+        registry.counter(
             "badgercart_processor_old_answers",
             "Uses of answers beyond their age, by proxy.",
-            lambda: {name: proxy.old for name, proxy in front.calls.account.proxies.items()},
+            lambda: {name: proxy.old for name, proxy in frontend.calls.old_answers.proxies.items()},
             "proxy",
         )
 
     async def start(self) -> None:
+        """Listen. Raises OSError if the address can't be used."""
         await self.frontend.start()
 
     def prepare(self, settings: ProcessorSettings) -> Callable[[], None] | None:
+        """Load the certificate again; return what puts it into use. Raises ReloadError."""
         from badgercart.frontends.processor.server import TlsError, read_tls
 
         tls = self.frontend.settings.tls
@@ -64,13 +67,16 @@
         return lambda: self.frontend.replace_certificate(certificate)
 
     async def drain(self, until: float) -> None:
+        """Finish all calls; ends at `until` (ms) at the latest."""
         await self.frontend.drain(until)
 
     def close(self) -> None:
+        """Stop the timer."""
         self.frontend.close()
 
 
 def check(settings: ProcessorSettings, file: CheckedFile) -> Iterator[tuple[Path, str]]:
+    """Yield the settings that contradict others, each with a message."""
     if settings.answer_age_ms > file.base.fleet.drain_grace_ms:
         yield ("answer_age_ms",), "is longer than fleet.drain_grace_ms"
     if settings.old_answers.refuse_after < settings.old_answers.no_fallbacks_after:
--- a/badgercart/frontends/processor/description.py
+++ b/badgercart/frontends/processor/description.py
@@ -1,7 +1,7 @@
-"""What a proxy says of a request, read from the headers that it sends along. No I/O.
+"""Reads a request's description from the headers that a proxy sends. No I/O.
 
-Sources: the platform's protocol, section "Clients to nodes"; Envoy's "HTTP header manipulation" for
-`x-request-id`, `x-envoy-expected-rq-timeout-ms` and `x-envoy-attempt-count`.
+Sources: the protocol documentation, section "Clients to nodes"; Envoy's "HTTP header manipulation"
+for `x-request-id`, `x-envoy-expected-rq-timeout-ms` and `x-envoy-attempt-count`.
 """
 
 from __future__ import annotations
@@ -14,51 +14,52 @@
 from badgercart.core.requests import Classifier, InvalidRequestError
 from badgercart.frontends.processor.settings import ProcessorSettings
 
-MAX_VALUE = 8192  # bytes of one header's value that is read
-MAX_TIMEOUT = 600_000.0  # ms; nobody waits for longer
-_TIMEOUT = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])")
-_MS = re.compile(rb"\d{1,9}")
+MAX_VALUE_BYTES = 8192  # of one header's value
+MAX_TIMEOUT_MS = 600_000.0  # no client waits longer
+_TIMEOUT_PATTERN = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])")
+_DIGITS_PATTERN = re.compile(rb"\d{1,9}")
 
 
 @dataclass(slots=True)
-class Described:
+class RequestDescription:
     """A request as the calling proxy describes it."""
 
-    name: bytes  # its id, the same for all attempts
-    cls: int
+    request_name: bytes  # its id, the same for all attempts
+    class_index: int
     tenant: int
     key: int
-    timeout: float  # ms that are left
+    timeout_ms: float  # the time that is left
     attempt: int  # from 1
-    hint: float  # ms, 0: none
-    repeat: bool
+    expected_work_ms: float  # the client's estimate; 0 if it gives none
+    is_client_retry: bool
 
 
-class Describer:
-    """Reads descriptions by the operator's names of headers."""
+class DescriptionReader:
+    """Reads descriptions from the headers that the operator's settings name."""
 
     def __init__(self, config: Config, settings: ProcessorSettings) -> None:
         self.classifier = Classifier(config)
-        self.deadlines = [cls.deadline_ms for cls in config.settings.classes]
-        self.most = settings.max_headers
+        self.deadlines_ms = [cls.deadline_ms for cls in config.settings.classes]
+        self.max_headers = settings.max_headers
         self.names = names = settings.headers
         fields = (names.request_id, names.tenant, names.idempotency_key, names.timeout, names.timeout_ms,
                   names.attempt, names.work_hint, names.retry)  # fmt: skip
-        # The others are not even read.
+        # Only these headers are read.
         self.wanted = frozenset((":method", ":path", *(name for field in fields for name in field)))
 
-    def read(self, wanted: Iterable[tuple[str, bytes]], count: int) -> Described:
-        """Of `count` headers the wanted ones, names in lower case.
+    def read(self, wanted: Iterable[tuple[str, bytes]], count: int) -> RequestDescription:
+        """Read a description from the wanted headers of a request with `count` headers.
 
-        Raises BadDescription with the status and the words that say what was wrong."""
-        if count > self.most:
-            raise InvalidRequestError(431, f"over {self.most} headers")
+        Header names are in lower case. Raises InvalidRequestError.
+        """
+        if count > self.max_headers:
+            raise InvalidRequestError(431, f"over {self.max_headers} headers")
         headers: dict[str, bytes] = {}
         for name, value in wanted:
             if name in headers:
                 raise InvalidRequestError(400, f"{name} stands there twice")
-            if len(value) > MAX_VALUE:
-                raise InvalidRequestError(431, f"{name} is over {MAX_VALUE} bytes")
+            if len(value) > MAX_VALUE_BYTES:
+                raise InvalidRequestError(431, f"{name} is over {MAX_VALUE_BYTES} bytes")
             headers[name] = value
         method, target = headers.get(":method"), headers.get(":path")
         if method is None or target is None:
@@ -71,41 +72,47 @@
             _first(headers, names.tenant),
             _first(headers, names.idempotency_key),
         )
-        hint = _first(headers, names.work_hint)
-        return Described(
-            name=found.request_name,
-            cls=found.class_index,
+        work_hint = _first(headers, names.work_hint)
+        return RequestDescription(
+            request_name=found.request_name,
+            class_index=found.class_index,
             tenant=found.tenant,
             key=found.key,
-            timeout=self.time_left(headers, found.class_index),
+            timeout_ms=self.remaining_time_ms(headers, found.class_index),
             attempt=self.attempt_number(headers),
-            hint=int(hint) / 1000
-            if hint and _MS.fullmatch(hint)
-            else 0.0,  # a guess may be left out
-            repeat=_first(headers, names.retry) == b"1",
+            # The hint is optional, so an invalid one is ignored.
+            expected_work_ms=int(work_hint) / 1000
+            if work_hint and _DIGITS_PATTERN.fullmatch(work_hint)
+            else 0.0,
+            is_client_retry=_first(headers, names.retry) == b"1",
         )
 
-    def time_left(self, headers: dict[str, bytes], cls: int) -> float:
-        """The client's own header first, then the proxy's, then what the class allows."""
+    def remaining_time_ms(self, headers: dict[str, bytes], class_index: int) -> float:
+        """Return the time that is left for a request.
+
+        The client's own header is used first, then the proxy's, then the deadline of the class.
+        Raises InvalidRequestError.
+        """
         if (value := _first(headers, self.names.timeout)) is not None:
-            match = _TIMEOUT.fullmatch(value)
+            match = _TIMEOUT_PATTERN.fullmatch(value)
             if match is None:
                 raise InvalidRequestError(
                     400, "the time-out is no number with a unit (480m or 1500u)"
                 )
-            return min(float(match[1]) / (1 if match[2] == b"m" else 1000), MAX_TIMEOUT)
+            return min(float(match[1]) / (1 if match[2] == b"m" else 1000), MAX_TIMEOUT_MS)
         if (value := _first(headers, self.names.timeout_ms)) is not None:
-            if not _MS.fullmatch(value):
+            if not _DIGITS_PATTERN.fullmatch(value):
                 raise InvalidRequestError(400, "the expected time-out is no number of milliseconds")
-            if int(value):  # 0 switches the proxy's time-out off
-                return min(float(value), MAX_TIMEOUT)
-        return self.deadlines[cls]
+            if int(value):  # 0 means that the proxy has no timeout
+                return min(float(value), MAX_TIMEOUT_MS)
+        return self.deadlines_ms[class_index]
 
     def attempt_number(self, headers: dict[str, bytes]) -> int:
+        """Return the number of the attempt, from 1. Raises InvalidRequestError."""
         value = _first(headers, self.names.attempt)
         if value is None:
             return 1
-        if not _MS.fullmatch(value) or int(value) < 1:
+        if not _DIGITS_PATTERN.fullmatch(value) or int(value) < 1:
             raise InvalidRequestError(400, "the attempt count is no number from 1")
         return int(value)
 
--- a/badgercart/frontends/processor/log_events.py
+++ b/badgercart/frontends/processor/log_events.py
@@ -1,4 +1,4 @@
-"""What the external processor says in the log."""
+"""The log events of the external processor."""
 
 from __future__ import annotations
 
--- a/badgercart/frontends/processor/machine.py
+++ b/badgercart/frontends/processor/machine.py
@@ -1,22 +1,22 @@
-"""The life of a stream, and of a request over one or more streams. No I/O: events in, replies out.
+"""The state machines of a stream, and of a request over one or more streams. No I/O.
 
-A stream describes one attempt: the proxy sends request headers, is told where to go or that it must
-not go, and sends the response headers of what came of it. A *call* is one request of a client, by
-its id: usually one stream, more where the proxy comes back for a further attempt. Toward the join a
-call is both front and carrier: it is owed the decision, and the proxy carries it out.
+A stream describes one attempt: the proxy sends the request headers, gets a route or an immediate
+response, and sends the response headers of the attempt. A *call* is one request of a client, by its
+id: usually one stream, more if the proxy comes back for another attempt. To the request pipeline a
+call is both frontend and upstream transport: it receives the decision, and the proxy executes it.
 
-    call:  WAITING  the policy has not decided yet
-           OUT      the proxy was told where to go; an attempt is out
-           PARKED   the attempt ended, and the proxy may come back for another
-           OVER     answered, refused, failed or left; remembered by its id until its time is up
+    call:  WAITING         the policy has not decided yet
+           IN_FLIGHT       the proxy has a route; an attempt is open
+           AWAITING_RETRY  the attempt has ended, and the proxy may come back for another one
+           FINISHED        answered, shed, failed or cancelled; remembered by its id for its deadline
 
-    stream, by what comes:   FRESH       ASKED (WAITING)     TOLD (OUT)     ENDED
-        request headers      ask         illegal             illegal        illegal
-        response headers     pass        give up, pass       end of attempt illegal
-        body, trailers       skip        skip                skip           skip
-        an empty message     illegal     illegal             illegal        illegal
+    stream, by message:  NEW      WAITING (call WAITING)   DECIDED (IN_FLIGHT)  ENDED
+        request headers  start    error                    error                error
+        response headers pass on  cancel, pass on          end of the attempt   error
+        body, trailers   pass on  pass on                  pass on              pass on
+        an empty message error    error                    error                error
 
-What is illegal ends the stream, as if its proxy had gone; other streams go on.
+A message that is an error ends its stream, as if its proxy had gone; other streams continue.
 """
 
 from __future__ import annotations
@@ -35,523 +35,595 @@
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.core.requests import InvalidRequestError
 from badgercart.frontends.processor.account import OldAnswerTracker, ProxyRecord, Standing
-from badgercart.frontends.processor.description import Described
+from badgercart.frontends.processor.description import RequestDescription
 from badgercart.frontends.processor.log_events import OLD_ANSWERS
-from badgercart.frontends.processor.outcomes import Phase, harmless, read_end
+from badgercart.frontends.processor.outcomes import (
+    ResponsePhase,
+    classify_response,
+    is_safe_to_retry,
+)
 from badgercart.frontends.processor.settings import ProcessorSettings
 from badgercart.policy.events import AttemptResult
 
+CONNECTION_FAILURE_FLAG_BIT = 5  # Envoy's response flag UF
+
 # Replies.
 
 
 @dataclass(slots=True)
-class Route:
-    """Go to the first of these, or where it can't be had to the next."""
+class RouteReply:
+    """Send the request to the first endpoint, or if that is unreachable to the next."""
 
     endpoints: tuple[str, ...]
-    age: float  # ms for which this may be used
-    limit: float  # ms for the whole attempt
+    max_age_ms: float  # how long this answer may be used
+    timeout_ms: float  # for the whole attempt
 
 
 @dataclass(slots=True)
-class Immediate:
-    """Answer the client at once."""
+class ImmediateReply:
+    """Answer the client immediately."""
 
     status: int
-    wait: float = 0.0  # ms until the client should come back; 0: no advice
-    why: str = ""
+    retry_after_ms: float = 0.0  # 0: the response has no Retry-After
+    reason: str = ""
     allow: bytes = b""
 
 
 @dataclass(slots=True, frozen=True)
-class Pass:
-    """Let the response through, under another status where one is given."""
+class PassReply:
+    """Pass the response on, with another status unless that is 0."""
 
     status: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Skip:
-    """Let a body or trailers through."""
+class SkipReply:
+    """Pass a body or trailers on."""
 
     kind: str
 
 
-Reply = Route | Immediate | Pass | Skip
+Reply = RouteReply | ImmediateReply | PassReply | SkipReply
+
 
+class ProtocolError(Exception):
+    """A message that the protocol does not allow at this point."""
 
-class Illegal(Exception):
-    """A message that the protocol does not allow here."""
 
+class StreamState(Enum):
+    """How far a stream has come. The values are parts of error messages."""
 
-class At(Enum):
-    FRESH = "before its request headers"
-    ASKED = "before the answer to its request headers"
-    TOLD = "after that answer"
+    NEW = "before its request headers"
+    WAITING = "before the answer to its request headers"
+    DECIDED = "after that answer"
     ENDED = "after its response headers"
 
 
 class Stream:
-    """One stream. Whoever drives it takes its replies as they come."""
+    """One stream. Its replies go to the callback `reply`."""
 
-    __slots__ = ("at", "call", "guarded", "proxy", "reply", "verdict")
+    __slots__ = ("call", "final_reply", "proxy", "reply", "retry_unsafe", "state")
 
     def __init__(self, proxy: str, reply: Callable[[Reply], None]) -> None:
         self.proxy = proxy
         self.reply = reply
-        self.at = At.FRESH
+        self.state = StreamState.NEW
         self.call: Call | None = None
-        self.guarded = False  # told where to go, with what may not be refused once it may have run
-        self.verdict: Immediate | None = (
-            None  # how its request ended before its response headers came
-        )
+        # A request is routed that must not be shed once it may have been executed.
+        self.retry_unsafe = False
+        # How its request ended, if that was before its response headers came.
+        self.final_reply: ImmediateReply | None = None
 
     def decide(self, reply: Reply) -> None:
-        """The answer to its request headers."""
-        self.at = At.TOLD
+        """Answer the request headers."""
+        self.state = StreamState.DECIDED
         self.reply(reply)
 
 
-class Step(Enum):
+class CallState(Enum):
+    """How far a call has come."""
+
     WAITING = 1
-    OUT = 2
-    PARKED = 3
-    OVER = 4
+    IN_FLIGHT = 2
+    AWAITING_RETRY = 3
+    FINISHED = 4
 
 
 class Call:
     """One request over its streams."""
 
     __slots__ = (
-        "calls", "described", "due", "endpoint", "number", "order", "proxy", "refusable", "sent", "step",
-        "stream", "timer", "told", "verdict",
+        "attempt", "calls", "client_may_retry", "deadline_ms", "description", "final_reply", "first_endpoint",
+        "proxy", "request_id", "response_unseen", "sent_ms", "state", "stream", "timer",
     )  # fmt: skip
 
     def __init__(
-        self, calls: Calls, described: Described, stream: Stream, proxy: ProxyRecord, now: float
+        self,
+        calls: Calls,
+        description: RequestDescription,
+        stream: Stream,
+        proxy: ProxyRecord,
+        now_ms: float,
     ) -> None:
         self.calls = calls
-        self.described = described
+        self.description = description
         self.proxy = proxy
-        self.stream: Stream | None = stream  # the one that its present attempt is on
-        self.number = 0  # the join's
-        self.due = now + described.timeout - MARGIN
-        self.refusable = calls.refusable[described.cls]
-        self.order: AttemptRequest | None = None
-        self.sent = 0.0
-        self.endpoint = ""  # the first that the proxy was told
-        self.step = Step.WAITING
+        self.stream: Stream | None = stream  # of the current attempt
+        self.request_id = 0  # in the pipeline
+        self.deadline_ms = now_ms + description.timeout_ms - MARGIN
+        self.client_may_retry = calls.client_may_retry[description.class_index]
+        self.attempt: AttemptRequest | None = None
+        self.sent_ms = 0.0
+        self.first_endpoint = ""  # of the route
+        self.state = CallState.WAITING
         self.timer: TimerHandle | None = None
-        self.told = False  # an answer is out of which nothing has been seen
-        self.verdict: Immediate | None = None
+        self.response_unseen = False  # it is routed, and there is no response phase yet
+        self.final_reply: ImmediateReply | None = None
 
-    # As the join's front.
+    # As a frontend of the pipeline.
 
     def on_answer(self, answer: Answer) -> None:
-        self.calls.over(self, Immediate(409, why="already answered"))
+        """Finish the call: the client has its response."""
+        self.calls.finish_call(self, ImmediateReply(409, reason="already answered"))
 
     def on_shed(self, wait: float) -> None:
-        self.conclude(Immediate(503, wait, "refused: trying again does no harm"))
+        """Finish the call: the request is shed, and the client may retry after `wait` ms."""
+        self.conclude(ImmediateReply(503, wait, "refused: trying again does no harm"))
 
     def on_failure(self, broken: bool) -> None:
-        self.conclude(Immediate(500, why="broken") if broken else Immediate(502, why="failed"))
+        """Finish the call: the request failed; `broken`: by an error of the node itself."""
+        self.conclude(
+            ImmediateReply(500, reason="broken") if broken else ImmediateReply(502, reason="failed")
+        )
 
     def client_is_gone(self) -> bool:
-        """It is the proxy that knows of its clients, and ends their streams."""
+        """Return False: the proxy knows its clients, and ends their streams."""
         return False
 
-    def conclude(self, verdict: Immediate) -> None:
-        """The final answer: to the stream that waits for it, else kept for the stream's response
-        headers."""
-        self.verdict = verdict
-        self.proxy.refused += verdict.status == 503
+    def conclude(self, reply: ImmediateReply) -> None:
+        """Finish the call with a reply.
+
+        If its stream does not wait for one, the reply is kept for the response headers.
+        """
+        self.final_reply = reply
+        self.proxy.refused += reply.status == 503
         stream = self.stream
-        self.calls.over(self, verdict)
-        if stream is not None and stream.at is At.ASKED:
-            stream.decide(verdict)
+        self.calls.finish_call(self, reply)
+        if stream is not None and stream.state is StreamState.WAITING:
+            stream.decide(reply)
         elif stream is not None:
-            stream.verdict = verdict
+            stream.final_reply = reply
 
-    # As the join's carrier.
+    # As an upstream transport of the pipeline.
 
-    def send(self, order: AttemptRequest) -> None:
-        self.calls.route(self, order)
+    def send(self, attempt: AttemptRequest) -> None:
+        """Reply with the route of an attempt."""
+        self.calls.route(self, attempt)
 
-    def cancel(self, request_id: int, number: int) -> None:
-        """There is no way to call a proxy back: the attempt may run on, and nobody waits for it."""
-        if self.order is not None and self.order.attempt == number:
+    def cancel(self, request_id: int, attempt_number: int) -> None:
+        """End an attempt for the pipeline; the proxy can't be told, so it may be executed still."""
+        if self.attempt is not None and self.attempt.attempt == attempt_number:
             self.calls.end_attempt(self, AttemptResult.CANCELLED)
 
-    def abandon_attempt(self, request_id: int, number: int) -> None:
-        """The proxy has the attempt as soon as it is decided, and knows itself that its client
-        left."""
+    def abandon_attempt(self, request_id: int, attempt_number: int) -> None:
+        """Do nothing: the proxy has the attempt already, and knows if its client has left."""
 
 
 class Calls:
-    """All calls and streams of one processor. `now` is given with each event, in ms of the join's
-    clock."""
+    """All calls and streams of one processor.
+
+    `now_ms` is given with each event, on the pipeline's clock.
+    """
 
     def __init__(
         self,
         settings: ProcessorSettings,
-        join: RequestPipeline,
-        roster: EndpointTable,
-        drain_grace: float = 500.0,  # ms
+        pipeline: RequestPipeline,
+        endpoint_table: EndpointTable,
+        drain_grace_ms: float = 500.0,
     ) -> None:
         self.settings = settings
-        self.drain_grace = drain_grace
-        self.join = join
-        self.roster = roster
-        self.account = OldAnswerTracker(settings.old_answers)
-        self.refusable = [cls.client_may_retry for cls in join.policy.settings.classes]
+        self.drain_grace_ms = drain_grace_ms
+        self.pipeline = pipeline
+        self.endpoint_table = endpoint_table
+        self.old_answers = OldAnswerTracker(settings.old_answers)
+        self.client_may_retry = [cls.client_may_retry for cls in pipeline.policy.settings.classes]
         self.open: dict[bytes, Call] = {}
-        self.finals: OrderedDict[bytes, tuple[float, Immediate | None]] = (
-            OrderedDict()
-        )  # until when, which
+        # Finished calls, by id: until when they are remembered, and their final reply.
+        self.finished: OrderedDict[bytes, tuple[float, ImmediateReply | None]] = OrderedDict()
 
-    # What comes on streams.
+    # Events of streams.
 
-    def request(
-        self, stream: Stream, described: Described, now: float, subset: tuple[str, ...] = ()
+    def request_headers_received(
+        self,
+        stream: Stream,
+        description: RequestDescription,
+        now_ms: float,
+        subset: tuple[str, ...] = (),
     ) -> None:
-        """Request headers that can be used, and the only endpoints that will do, if the proxy names
-        any."""
-        if stream.at is not At.FRESH:
-            raise Illegal(f"request headers {stream.at.value}")
-        stream.at = At.ASKED
-        proxy = self.account.find_or_add(stream.proxy)
-        call = self.open.get(described.name)
+        """Handle valid request headers.
+
+        `subset`: the endpoints that the proxy accepts; empty if it accepts any. Raises
+        ProtocolError.
+        """
+        if stream.state is not StreamState.NEW:
+            raise ProtocolError(f"request headers {stream.state.value}")
+        stream.state = StreamState.WAITING
+        proxy = self.old_answers.find_or_add(stream.proxy)
+        call = self.open.get(description.request_name)
         if call is not None:
-            if described.attempt <= 1:
-                # Two requests under one id could not be told apart by the servers.
-                stream.decide(Immediate(409, why="a request of this id is open"))
+            if description.attempt <= 1:
+                # The servers could not tell apart two requests with the same id.
+                stream.decide(ImmediateReply(409, reason="a request of this id is open"))
             else:
-                self.again(call, stream, now)
+                self.start_next_attempt(call, stream, now_ms)
             return
         resumed = False
-        if described.attempt > 1:
-            until, final = self.finals.get(described.name, (0.0, None))
-            if final is not None and now < until:
-                stream.decide(final)
+        if description.attempt > 1:
+            until_ms, final_reply = self.finished.get(description.request_name, (0.0, None))
+            if final_reply is not None and now_ms < until_ms:
+                stream.decide(final_reply)
                 return
             resumed = True
-        standing = self.account.standing(proxy, now)
-        if standing is Standing.REFUSED and (not resumed or self.refusable[described.cls]):
+        standing = self.old_answers.standing(proxy, now_ms)
+        if standing is Standing.REFUSED and (
+            not resumed or self.client_may_retry[description.class_index]
+        ):
             proxy.refused += 1
             stream.decide(
-                Immediate(503, proxy.refused_until_ms - now, "this proxy uses old answers")
+                ImmediateReply(503, proxy.refused_until_ms - now_ms, "this proxy uses old answers")
             )
             return
-        call = Call(self, described, stream, proxy, now)
-        self.open[described.name] = call
+        call = Call(self, description, stream, proxy, now_ms)
+        self.open[description.request_name] = call
         stream.call = call
-        call.number = self.join.next_request_id()
-        intake = IncomingRequest(
-            class_index=described.cls,
-            tenant=described.tenant,
-            key=described.key,
-            deadline=call.due,
+        call.request_id = self.pipeline.next_request_id()
+        incoming = IncomingRequest(
+            class_index=description.class_index,
+            tenant=description.tenant,
+            key=description.key,
+            deadline=call.deadline_ms,
             payload=call,
-            expected_work_ms=described.hint,
-            is_client_retry=described.repeat,
+            expected_work_ms=description.expected_work_ms,
+            is_client_retry=description.is_client_retry,
             max_fallbacks=self.settings.fallbacks if standing is Standing.GOOD else 0,
             possibly_executed=resumed,
-            reachable_endpoints=self.among(subset) if subset else None,
-            request_name=described.name,
+            reachable_endpoints=self.endpoint_ids(subset) if subset else None,
+            request_name=description.request_name,
         )
-        self.join.accept(call.number, intake, call, call)
-
-    def among(self, subset: tuple[str, ...]) -> frozenset[int]:
-        found = map(self.member, subset)
-        return frozenset(member.entry.id for member in found if member is not None)
-
-    def bad_request(self, stream: Stream, error: InvalidRequestError) -> None:
-        """Request headers that can't be used: no server hears of them."""
-        if stream.at is not At.FRESH:
-            raise Illegal(f"request headers {stream.at.value}")
-        stream.decide(Immediate(error.status, why=str(error), allow=error.allow))
-
-    def again(self, call: Call, stream: Stream, now: float) -> None:
-        """The proxy comes back with a further attempt: first the end of the one before, then a
-        decision."""
-        old = call.stream
-        if call.step is Step.WAITING:
-            # It never was told where to go, so nothing ended; the decision goes to the newer
-            # stream.
-            self.adopt(call, stream)
-            if old is not None:
-                old.call = None
-                old.decide(Immediate(409, why="asked again on another stream"))
+        self.pipeline.accept(call.request_id, incoming, call, call)
+
+    def endpoint_ids(self, addresses: tuple[str, ...]) -> frozenset[int]:
+        """Return the ids of the endpoints with these addresses, as far as they are known."""
+        found = map(self.find_endpoint, addresses)
+        return frozenset(endpoint.entry.id for endpoint in found if endpoint is not None)
+
+    def reject_request(self, stream: Stream, error: InvalidRequestError) -> None:
+        """Answer invalid request headers, of which the policy learns nothing."""
+        if stream.state is not StreamState.NEW:
+            raise ProtocolError(f"request headers {stream.state.value}")
+        stream.decide(ImmediateReply(error.status, reason=str(error), allow=error.allow))
+
+    def start_next_attempt(self, call: Call, stream: Stream, now_ms: float) -> None:
+        """Handle that the proxy comes back for another attempt of an open call.
+
+        The attempt before is ended first, then the policy decides.
+        """
+        previous = call.stream
+        if call.state is CallState.WAITING:
+            # There is no attempt yet that could end; the decision goes to the new stream.
+            self.attach(call, stream)
+            if previous is not None:
+                previous.call = None
+                previous.decide(ImmediateReply(409, reason="asked again on another stream"))
             return
-        if call.step is Step.OUT:
-            # No word of how it ended: it may have run.
+        if call.state is CallState.IN_FLIGHT:
+            # How it ended is not known, so it may have been executed.
             self.end_attempt(call, AttemptResult.RESET, parked=True)
-        if old is not None:
-            old.call = None
-        if call.step is Step.OVER:  # the end was the request's own
-            stream.decide(call.verdict or Immediate(409, why="already answered"))
+        if previous is not None:
+            previous.call = None
+        if call.state is CallState.FINISHED:  # the end of the attempt was the request's final one
+            stream.decide(call.final_reply or ImmediateReply(409, reason="already answered"))
             return
-        self.adopt(call, stream)
+        self.attach(call, stream)
         self.stop_timer(call)
-        call.step = Step.WAITING
-        self.join.retry_decision_due(call.number, resend=True)
+        call.state = CallState.WAITING
+        self.pipeline.retry_decision_due(call.request_id, resend=True)
 
-    def adopt(self, call: Call, stream: Stream) -> None:
+    def attach(self, call: Call, stream: Stream) -> None:
+        """Make a stream the one of a call's current attempt."""
         call.stream, stream.call = stream, call
 
-    def response(self, stream: Stream, phase: Phase, served: str | None, now: float) -> None:
-        """Response headers."""
-        at, call = stream.at, stream.call
-        if at is At.ENDED:
-            raise Illegal(f"response headers {at.value}")
-        stream.at = At.ENDED
-        if at is At.ASKED and call is not None:
-            # The proxy answered by itself before it was told anything.
-            self.leave(call)
-            stream.reply(Pass())
-        elif call is None or call.step is not Step.OUT or call.stream is not stream:
-            stream.reply(self.late(stream, phase))
+    def response_headers_received(
+        self, stream: Stream, phase: ResponsePhase, served: str | None, now_ms: float
+    ) -> None:
+        """Handle response headers; `served`: the endpoint that the proxy names. Raises ProtocolError."""
+        state, call = stream.state, stream.call
+        if state is StreamState.ENDED:
+            raise ProtocolError(f"response headers {state.value}")
+        stream.state = StreamState.ENDED
+        if state is StreamState.WAITING and call is not None:
+            # The proxy made a response itself, before it had an answer.
+            self.cancel_call(call)
+            stream.reply(PassReply())
+        elif call is None or call.state is not CallState.IN_FLIGHT or call.stream is not stream:
+            stream.reply(self.late_response_reply(stream, phase))
         else:
-            stream.reply(self.attempt_ended(call, stream, phase, served, now))
+            stream.reply(self.attempt_response_reply(call, stream, phase, served, now_ms))
 
-    def late(self, stream: Stream, phase: Phase) -> Reply:
-        """A response to what was refused, or whose request was over before it came."""
+    def late_response_reply(self, stream: Stream, phase: ResponsePhase) -> Reply:
+        """Return the reply to a response of a request that was shed or is finished."""
         if phase.status < 500 and phase.status != 429:
-            return Pass()  # the client's first answer, whatever the policy was told meanwhile
-        if stream.verdict is not None:
-            return stream.verdict
-        # Continued elsewhere: nothing proves any more that it never ran here.
-        return Pass(502) if stream.guarded and phase.status in (429, 503) else Pass()
-
-    def closed(self, stream: Stream, now: float) -> None:
-        """The stream is over, however it ended."""
-        at, call, stream.call = stream.at, stream.call, None
-        stream.at = At.ENDED
+            return PassReply()  # the client's first response, whatever the policy has assumed
+        if stream.final_reply is not None:
+            return stream.final_reply
+        # The request continues on another stream, so nothing proves that it was not executed here.
+        return PassReply(502) if stream.retry_unsafe and phase.status in (429, 503) else PassReply()
+
+    def stream_closed(self, stream: Stream, now_ms: float) -> None:
+        """Handle the end of a stream."""
+        state, call, stream.call = stream.state, stream.call, None
+        stream.state = StreamState.ENDED
         if call is None or call.stream is not stream:
             return
         call.stream = None
-        if call.step is Step.WAITING:
-            self.leave(call)
-        elif call.step is Step.OUT and at is At.TOLD:
+        if call.state is CallState.WAITING:
+            self.cancel_call(call)
+        elif call.state is CallState.IN_FLIGHT and state is StreamState.DECIDED:
             call.proxy.lost += 1
             if self.settings.later_attempts:
                 self.end_attempt(call, AttemptResult.CANCELLED, parked=True)
             else:
-                self.leave(call)
+                self.cancel_call(call)
 
-    def body(self, stream: Stream, kind: str) -> None:
-        """A body or trailers, which were not asked for."""
-        stream.reply(Skip(kind))
+    def body_received(self, stream: Stream, kind: str) -> None:
+        """Handle a body or trailers, which the processor has not requested."""
+        stream.reply(SkipReply(kind))
 
     # Attempts.
 
-    def route(self, call: Call, order: AttemptRequest) -> None:
-        """The policy has decided on a server."""
-        now = self.join.clock()
-        members = [self.roster.listed.get(i) for i in (order.endpoint_id, *order.fallbacks)]
-        call.order, call.sent = order, now
-        call.step = Step.OUT
+    def route(self, call: Call, attempt: AttemptRequest) -> None:
+        """Reply with the endpoints that the policy has selected."""
+        now_ms = self.pipeline.clock()
+        endpoints = [
+            self.endpoint_table.listed.get(endpoint_id)
+            for endpoint_id in (attempt.endpoint_id, *attempt.fallbacks)
+        ]
+        call.attempt, call.sent_ms = attempt, now_ms
+        call.state = CallState.IN_FLIGHT
         stream = call.stream
-        if stream is None or stream.at is not At.ASKED or members[0] is None:
-            # Nobody is there to carry it out, or the list lost the server in this very turn.
+        if stream is None or stream.state is not StreamState.WAITING or endpoints[0] is None:
+            # There is no stream to reply to, or the endpoint has just been removed from the list.
             self.end_attempt(call, AttemptResult.NOT_SENT)
             return
-        call.told = True
+        call.response_unseen = True
         call.proxy.answered += 1
         call.proxy.unseen += 1
-        late = max(0.0, order.timeout_ms) + self.settings.late_ms
-        call.timer = self.join.timers.call_later(late / 1000, self.expire, call)
-        limit = max(1.0, order.timeout_ms)
-        age = min(self.settings.answer_age_ms, self.drain_grace, limit)
-        endpoints = tuple([member.address_text for member in members if member is not None])
-        call.endpoint = endpoints[0]
-        stream.guarded = not call.refusable
-        stream.decide(Route(endpoints, age, limit))
-
-    def attempt_ended(
-        self, call: Call, stream: Stream, phase: Phase, served: str | None, now: float
+        expiry_ms = max(0.0, attempt.timeout_ms) + self.settings.late_ms
+        call.timer = self.pipeline.timers.call_later(expiry_ms / 1000, self.attempt_timed_out, call)
+        timeout_ms = max(1.0, attempt.timeout_ms)
+        max_age_ms = min(self.settings.answer_age_ms, self.drain_grace_ms, timeout_ms)
+        addresses = tuple([endpoint.address_text for endpoint in endpoints if endpoint is not None])
+        call.first_endpoint = addresses[0]
+        stream.retry_unsafe = not call.client_may_retry
+        stream.decide(RouteReply(addresses, max_age_ms, timeout_ms))
+
+    def attempt_response_reply(
+        self,
+        call: Call,
+        stream: Stream,
+        phase: ResponsePhase,
+        served: str | None,
+        now_ms: float,
     ) -> Reply:
-        """The response phase of the attempt that is out."""
-        assert call.order is not None
-        end = read_end(phase)
-        tried = self.tried(call, phase, served, now)
+        """Handle the response phase of the open attempt, and return the reply to it."""
+        assert call.attempt is not None
+        end = classify_response(phase)
+        result_of_first = self.report_reroutes(call, phase, served, now_ms)
         if end.by_proxy and (
             phase.status < 400 or 400 <= phase.status < 500 and phase.status != 429
         ):
-            # A cached answer, a login page, a rule of the proxy's own: its answer, and none of
-            # ours.
-            self.leave(
-                call, AttemptResult.NOT_SENT if not end.may_have_run else AttemptResult.CANCELLED
+            # A cached response, a login page or another rule of the proxy: no server was involved.
+            self.cancel_call(
+                call,
+                AttemptResult.NOT_SENT if not end.possibly_executed else AttemptResult.CANCELLED,
             )
-            return Pass()
-        if tried is not None:
-            self.leave(call, tried)
-            unharmed = harmless(True, call.refusable) or phase.status not in (429, 503)
-            return Pass() if unharmed else Pass(502)
+            return PassReply()
+        if result_of_first is not None:
+            self.cancel_call(call, result_of_first)
+            unharmed = is_safe_to_retry(True, call.client_may_retry) or phase.status not in (
+                429,
+                503,
+            )
+            return PassReply() if unharmed else PassReply(502)
         answer = None if end.by_proxy else Answer(phase.status)
         self.end_attempt(call, end.result, answer, parked=True)
-        if call.step is Step.OVER:
-            return Pass()
-        may_have_run = end.may_have_run or call.order.attempt > 0
+        if call.state is CallState.FINISHED:
+            return PassReply()
+        possibly_executed = end.possibly_executed or call.attempt.attempt > 0
         if self.settings.later_attempts:
-            return Pass(
+            return PassReply(
                 502
-                if phase.status in (429, 503) and not harmless(may_have_run, call.refusable)
+                if phase.status in (429, 503)
+                and not is_safe_to_retry(possibly_executed, call.client_may_retry)
                 else 0
             )
-        self.join.retry_decision_due(call.number, resend=False)
-        return self.final(stream, phase)
-
-    def final(self, stream: Stream, phase: Phase) -> Reply:
-        """What the policy made of a failed attempt that nothing follows."""
-        verdict = stream.verdict
-        if verdict is not None and verdict.status == 503:
-            return verdict
-        return Pass(502 if phase.status in (429, 503) else 0)
-
-    def tried(
-        self, call: Call, phase: Phase, served: str | None, now: float
+        self.pipeline.retry_decision_due(call.request_id, resend=False)
+        return self.failed_attempt_reply(stream, phase)
+
+    def failed_attempt_reply(self, stream: Stream, phase: ResponsePhase) -> Reply:
+        """Return the reply for a failed attempt that is not retried, by the policy's decision."""
+        final_reply = stream.final_reply
+        if final_reply is not None and final_reply.status == 503:
+            return final_reply
+        return PassReply(502 if phase.status in (429, 503) else 0)
+
+    def report_reroutes(
+        self, call: Call, phase: ResponsePhase, served: str | None, now_ms: float
     ) -> AttemptResult | None:
-        """Tell of the servers that the proxy went on to by itself.
-
-        Where the list does not have the one that it ended at, nothing more can be told of the
-        request: how the attempt ended where it was sent first."""
-        assert call.order is not None
-        order, proxy = call.order, call.proxy
-        if served == call.endpoint:
-            proxy.first += 1  # by far the most
+        """Report to the pipeline if the proxy sent the request to other servers by itself.
+
+        If the server where it ended is not in the endpoint list, the request can't be followed
+        further: then the result of the attempt at the first endpoint is returned, else None.
+        """
+        assert call.attempt is not None
+        attempt, proxy = call.attempt, call.proxy
+        if served == call.first_endpoint:
+            proxy.first += 1  # by far the most frequent case
             return None
-        member = self.member(served or phase.upstream)
-        # Without a word, or with the proxy's own name for the way there, it went where it was told.
-        at = (
-            order.endpoint_id
-            if member is None and served is None
-            else member.entry.id
-            if member
+        endpoint = self.find_endpoint(served or phase.upstream)
+        # If the proxy names no server, or its own name for the upstream, it followed the route.
+        served_id = (
+            attempt.endpoint_id
+            if endpoint is None and served is None
+            else endpoint.entry.id
+            if endpoint
             else 0
         )
-        if at == order.endpoint_id:
+        if served_id == attempt.endpoint_id:
             proxy.first += 1
             return None
-        gone = at not in self.roster.listed
-        if at in order.fallbacks:
+        unlisted = served_id not in self.endpoint_table.listed
+        if served_id in attempt.fallbacks:
             proxy.fallback += 1
-            first = (
+            result_of_first = (
                 AttemptResult.UNREACHABLE
-                if phase.flags is not None and phase.flags >> 5 & 1
+                if phase.flags is not None and phase.flags >> CONNECTION_FAILURE_FLAG_BIT & 1
                 else AttemptResult.ERROR
             )
-            if gone:
-                return first
-            for server_id in order.fallbacks[: order.fallbacks.index(at) + 1]:
-                if server_id in self.roster.listed:
-                    self.divert(call, first, server_id)
+            if unlisted:
+                return result_of_first
+            for endpoint_id in attempt.fallbacks[: attempt.fallbacks.index(served_id) + 1]:
+                if endpoint_id in self.endpoint_table.listed:
+                    self.reroute(call, result_of_first, endpoint_id)
             return None
-        # Neither: the proxy used an answer of another time. What it was told for this request went
-        # nowhere.
-        leaving = self.roster.draining_since.get(at)
-        drained = leaving is not None and now - leaving > self.drain_grace
-        before = self.account.standing(proxy, now)
-        after = self.account.record_old_use(proxy, drained, now)
+        # The proxy used an old answer: the attempt was not sent to the first endpoint of its route.
+        draining_since_ms = self.endpoint_table.draining_since.get(served_id)
+        drained = draining_since_ms is not None and now_ms - draining_since_ms > self.drain_grace_ms
+        before = self.old_answers.standing(proxy, now_ms)
+        after = self.old_answers.record_old_use(proxy, drained, now_ms)
         if before is not after:
             OLD_ANSWERS(proxy=proxy.name, standing=after.value, was=before.value)
-        if gone:
+        if unlisted:
             return AttemptResult.NOT_SENT
-        self.divert(call, AttemptResult.NOT_SENT, at)
+        self.reroute(call, AttemptResult.NOT_SENT, served_id)
         return None
 
-    def divert(self, call: Call, result: AttemptResult, to: int) -> None:
-        assert call.order is not None
-        order, number = call.order, call.number
-        elapsed = self.join.clock() - call.sent
-        self.join.attempt_rerouted(number, order.attempt, order.endpoint_id, result, elapsed, to)
-        rest = tuple(i for i in order.fallbacks if i != to)
-        call.order = AttemptRequest(
-            number, order.attempt + 1, to, order.timeout_ms, order.payload, rest
+    def reroute(self, call: Call, result: AttemptResult, endpoint_id: int) -> None:
+        """Report that the open attempt ended with a result, and continued at another endpoint."""
+        assert call.attempt is not None
+        attempt, request_id = call.attempt, call.request_id
+        elapsed_ms = self.pipeline.clock() - call.sent_ms
+        self.pipeline.attempt_rerouted(
+            request_id, attempt.attempt, attempt.endpoint_id, result, elapsed_ms, endpoint_id
+        )
+        fallbacks = tuple(fallback for fallback in attempt.fallbacks if fallback != endpoint_id)
+        call.attempt = AttemptRequest(
+            request_id,
+            attempt.attempt + 1,
+            endpoint_id,
+            attempt.timeout_ms,
+            attempt.payload,
+            fallbacks,
         )
 
-    def member(self, text: str | None) -> DiscoveredEndpoint | None:
+    def find_endpoint(self, text: str | None) -> DiscoveredEndpoint | None:
+        """Return the endpoint with an address, if there is one."""
         if text is None:
             return None
         try:
-            return self.roster.find_by_address(parse_address(text))
+            return self.endpoint_table.find_by_address(parse_address(text))
         except ValueError:
             return None
 
     def end_attempt(
         self, call: Call, result: AttemptResult, answer: Answer | None = None, parked: bool = False
     ) -> None:
-        """Tell the join how the attempt that is out ended."""
-        if call.step is not Step.OUT or call.order is None:
+        """Report the end of the open attempt; `parked`: the proxy may come back for another one."""
+        if call.state is not CallState.IN_FLIGHT or call.attempt is None:
             return
         self.stop_timer(call)
-        order, now = call.order, self.join.clock()
+        attempt, now_ms = call.attempt, self.pipeline.clock()
         if self.settings.later_attempts and parked:
-            wait = min(self.settings.later_wait_ms, call.due - now)
-            call.timer = self.join.timers.call_later(max(0.0, wait) / 1000, self.given_up, call)
-        self.seen(call)
-        call.step = Step.PARKED
-        self.join.attempt_ended(
-            call.number, order.attempt, order.endpoint_id, result, now - call.sent, answer, parked
+            wait_ms = min(self.settings.later_wait_ms, call.deadline_ms - now_ms)
+            call.timer = self.pipeline.timers.call_later(
+                max(0.0, wait_ms) / 1000, self.retry_wait_expired, call
+            )
+        self.mark_seen(call)
+        call.state = CallState.AWAITING_RETRY
+        self.pipeline.attempt_ended(
+            call.request_id,
+            attempt.attempt,
+            attempt.endpoint_id,
+            result,
+            now_ms - call.sent_ms,
+            answer,
+            parked,
         )
 
-    def expire(self, call: Call) -> None:
-        """The attempt's time and the proxy's own are over, and no response phase came."""
+    def attempt_timed_out(self, call: Call) -> None:
+        """End an attempt whose timeout and the proxy's own have passed without a response phase."""
         call.timer = None
-        if call.step is Step.OUT:
+        if call.state is CallState.IN_FLIGHT:
             self.end_attempt(call, AttemptResult.TIMEOUT)
 
-    def given_up(self, call: Call) -> None:
-        """The proxy has not come back."""
+    def retry_wait_expired(self, call: Call) -> None:
+        """Cancel a call for which the proxy has not come back."""
         call.timer = None
-        if call.step is Step.PARKED:
-            self.leave(call)
+        if call.state is CallState.AWAITING_RETRY:
+            self.cancel_call(call)
 
-    def leave(self, call: Call, result: AttemptResult = AttemptResult.CANCELLED) -> None:
-        """Nothing more is owed: the policy hears it once, and no load counts for it."""
-        if call.step is Step.OVER:
+    def cancel_call(self, call: Call, result: AttemptResult = AttemptResult.CANCELLED) -> None:
+        """Finish a call that needs no reply any more, and end its open attempt with a result."""
+        if call.state is CallState.FINISHED:
             return
-        out, order = call.step is Step.OUT, call.order
-        self.seen(call)
-        self.over(call, None)
-        self.join.cancel_request(call.number)
-        if out and order is not None:
-            self.join.attempt_ended(
-                call.number, order.attempt, order.endpoint_id, result, self.join.clock() - call.sent
+        in_flight, attempt = call.state is CallState.IN_FLIGHT, call.attempt
+        self.mark_seen(call)
+        self.finish_call(call, None)
+        self.pipeline.cancel_request(call.request_id)
+        if in_flight and attempt is not None:
+            self.pipeline.attempt_ended(
+                call.request_id,
+                attempt.attempt,
+                attempt.endpoint_id,
+                result,
+                self.pipeline.clock() - call.sent_ms,
             )
 
-    def over(self, call: Call, final: Immediate | None) -> None:
-        """Forget a call, but for how it ended while its client may still be there."""
+    def finish_call(self, call: Call, final_reply: ImmediateReply | None) -> None:
+        """Forget a call, except its final reply while its client may still wait for one."""
         self.stop_timer(call)
-        call.step = Step.OVER
-        name = call.described.name
+        call.state = CallState.FINISHED
+        name = call.description.request_name
         if self.open.get(name) is call:
             del self.open[name]
-        self.finals.pop(name, None)
-        self.finals[name] = (call.due + MARGIN, final)
-        if len(self.finals) > self.settings.max_finals:
-            self.finals.popitem(last=False)
+        self.finished.pop(name, None)
+        self.finished[name] = (call.deadline_ms + MARGIN, final_reply)
+        if len(self.finished) > self.settings.max_finals:
+            self.finished.popitem(last=False)
 
-    def seen(self, call: Call) -> None:
-        call.proxy.unseen -= call.told
-        call.told = False
+    def mark_seen(self, call: Call) -> None:
+        """Count that the current attempt waits for no response phase any more."""
+        call.proxy.unseen -= call.response_unseen
+        call.response_unseen = False
 
     def stop_timer(self, call: Call) -> None:
+        """Stop a call's timer if it is set."""
         if call.timer is not None:
             call.timer.cancel()
             call.timer = None
 
     # For operators.
 
-    def rows(self) -> dict[str, dict[str, Any]]:
-        """The account of each proxy."""
-        now = self.join.clock()
+    def proxy_rows(self) -> dict[str, dict[str, Any]]:
+        """Return the row of each proxy on the operators' page."""
+        now_ms = self.pipeline.clock()
         return {
-            name: proxy.row(self.account.standing(proxy, now))
-            for name, proxy in self.account.proxies.items()
+            name: proxy.row(self.old_answers.standing(proxy, now_ms))
+            for name, proxy in self.old_answers.proxies.items()
         }
 
 
-def retry_after(wait: float, whole: bool) -> str:
-    """Seconds, decimal or rounded up."""
-    return str(max(1, math.ceil(wait / 1000))) if whole else f"{wait / 1000:.3f}"
+def format_retry_after(wait_ms: float, whole_seconds: bool) -> str:
+    """Return a wait in seconds, as a decimal number or rounded up."""
+    return str(max(1, math.ceil(wait_ms / 1000))) if whole_seconds else f"{wait_ms / 1000:.3f}"
--- a/badgercart/frontends/processor/messages.py
+++ b/badgercart/frontends/processor/messages.py
@@ -1,4 +1,4 @@
-"""Envoy's messages: what is read of them, and how replies are worded. No I/O.
+"""Parses Envoy's messages and serializes replies. No I/O.
 
 Sources: `envoy/service/ext_proc/v3/external_processor.proto`; the Endpoint Picker Protocol
 (proposal 004 of the Gateway API inference extension) for the names under `envoy.lb`.
@@ -18,26 +18,30 @@
 from google.protobuf.message import DecodeError
 
 from badgercart.frontends.processor.machine import (
-    Illegal,
-    Immediate,
-    Pass,
+    ImmediateReply,
+    PassReply,
+    ProtocolError,
     Reply,
-    Route,
-    Skip,
-    retry_after,
+    RouteReply,
+    SkipReply,
+    format_retry_after,
 )
-from badgercart.frontends.processor.outcomes import Phase
-
-DESTINATION = "x-gateway-destination-endpoint"
-SERVED = "x-gateway-destination-endpoint-served"
-SUBSET = "x-gateway-destination-endpoint-subset"
-NAMESPACE, SUBSET_NAMESPACE = "envoy.lb", "envoy.lb.subset_hint"
-ANSWER_AGE = "x-badgercart-answer-age-ms"  # for how long the answer may be used, from when it came
-MAX_RETRIES, TIME_LIMIT = "x-envoy-max-retries", "x-envoy-upstream-rq-timeout-ms"
-MAX_SUBSET = 4096  # endpoints
+from badgercart.frontends.processor.outcomes import ResponsePhase
+
+DESTINATION_HEADER = "x-gateway-destination-endpoint"
+SERVED_HEADER = "x-gateway-destination-endpoint-served"
+SUBSET_HEADER = "x-gateway-destination-endpoint-subset"
+METADATA_NAMESPACE, SUBSET_METADATA_NAMESPACE = "envoy.lb", "envoy.lb.subset_hint"
+# How long an answer may be used after it was received.
+ANSWER_AGE_HEADER = "x-badgercart-answer-age-ms"
+MAX_RETRIES_HEADER, UPSTREAM_TIMEOUT_HEADER = (
+    "x-envoy-max-retries",
+    "x-envoy-upstream-rq-timeout-ms",
+)
+MAX_SUBSET_ENDPOINTS = 4096
 
 _OVERWRITE = base_pb2.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
-_OF_RESPONSES = frozenset((":status", "not-started", SERVED, "x-envoy-attempt-count"))
+_RESPONSE_HEADERS = frozenset((":status", "not-started", SERVED_HEADER, "x-envoy-attempt-count"))
 _Mode = processing_mode_pb2.ProcessingMode
 _HEADERS_ONLY = _Mode(
     request_header_mode=_Mode.SEND,
@@ -49,76 +53,81 @@
 )
 
 
-def read(data: bytes) -> tuple[str, Any]:
-    """The kind of a message and the message; Illegal where it is none, or holds nothing."""
+def parse_message(data: bytes) -> tuple[str, Any]:
+    """Return the kind of a message and the message. Raises ProtocolError if it has none."""
     try:
         message = ext_proc.ProcessingRequest.FromString(data)
     except DecodeError:
-        raise Illegal("no ProcessingRequest") from None
+        raise ProtocolError("no ProcessingRequest") from None
     kind = message.WhichOneof("request")
     if kind is None:
-        raise Illegal("a message that holds no phase")
+        raise ProtocolError("a message that holds no phase")
     return kind, message
 
 
-def pairs(headers: Any, wanted: frozenset[str]) -> Iterator[tuple[str, bytes]]:
-    """Names and values of the wanted headers; Envoy fills `raw_value`, older ones `value`."""
+def wanted_headers(headers: Any, wanted: frozenset[str]) -> Iterator[tuple[str, bytes]]:
+    """Yield names and values of the wanted headers.
+
+    Envoy sets `raw_value`; older versions set `value`.
+    """
     for header in headers.headers:
         name = header.key.lower()
         if name in wanted:
             yield name, header.raw_value or header.value.encode()
 
 
-def subset(message: Any) -> tuple[str, ...]:
-    """The endpoints that the proxy will accept; none: any."""
+def subset_endpoints(message: Any) -> tuple[str, ...]:
+    """Return the endpoints that the proxy accepts; empty if it accepts any."""
     fields = message.metadata_context.filter_metadata
-    if SUBSET_NAMESPACE not in fields:
+    if SUBSET_METADATA_NAMESPACE not in fields:
         return ()
-    value = fields[SUBSET_NAMESPACE].fields.get(SUBSET)
+    value = fields[SUBSET_METADATA_NAMESPACE].fields.get(SUBSET_HEADER)
     if value is None:
         return ()
     if value.HasField("list_value"):
-        found = [item.string_value for item in value.list_value.values[:MAX_SUBSET]]
+        found = [item.string_value for item in value.list_value.values[:MAX_SUBSET_ENDPOINTS]]
     else:
-        found = value.string_value.split(",")[:MAX_SUBSET]
+        found = value.string_value.split(",")[:MAX_SUBSET_ENDPOINTS]
     return tuple(item.strip() for item in found if item.strip())
 
 
-def response_phase(message: Any, most: int) -> tuple[Phase, str | None]:
-    """What response headers tell, and the endpoint that served; Illegal where they can't be
-    read."""
+def response_phase(message: Any, max_headers: int) -> tuple[ResponsePhase, str | None]:
+    """Return the content of response headers, and the endpoint that served the request.
+
+    Raises ProtocolError.
+    """
     headers = message.response_headers.headers
-    if len(headers.headers) > most:
-        raise Illegal(f"over {most} headers")
+    if len(headers.headers) > max_headers:
+        raise ProtocolError(f"over {max_headers} headers")
     status, not_started, attempts, served = 0, False, 1, None
-    for name, value in pairs(headers, _OF_RESPONSES):
+    for name, value in wanted_headers(headers, _RESPONSE_HEADERS):
         if name == ":status":
             if not value.isdigit() or not 100 <= int(value) <= 599:
-                raise Illegal(f"the status {value[:20]!r}")
+                raise ProtocolError(f"the status {value[:20]!r}")
             status = int(value)
         elif name == "not-started":
             not_started = value == b"1"
-        elif name == SERVED:
+        elif name == SERVED_HEADER:
             served = value[:256].decode("latin-1")
         elif value.isdigit() and len(value) < 4:
             attempts = max(1, int(value))
     if not status:
-        raise Illegal("response headers without :status")
+        raise ProtocolError("response headers without :status")
     fields = message.metadata_context.filter_metadata
-    if NAMESPACE in fields and SERVED in fields[NAMESPACE].fields:
-        served = fields[NAMESPACE].fields[SERVED].string_value or served
+    if METADATA_NAMESPACE in fields and SERVED_HEADER in fields[METADATA_NAMESPACE].fields:
+        served = fields[METADATA_NAMESPACE].fields[SERVED_HEADER].string_value or served
     attributes = _attributes(message)
     flags = attributes.get("response.flags")
-    number = (
+    flag_bits = (
         int(flags.number_value) if flags is not None and flags.HasField("number_value") else None
     )
-    count_of = attributes.get("upstream.request_attempt_count")
-    if count_of is not None and 1 <= count_of.number_value < 1000:
-        attempts = int(count_of.number_value)
-    phase = Phase(
+    attempt_count = attributes.get("upstream.request_attempt_count")
+    if attempt_count is not None and 1 <= attempt_count.number_value < 1000:
+        attempts = int(attempt_count.number_value)
+    phase = ResponsePhase(
         status=status,
         not_started=not_started,
-        flags=number,
+        flags=flag_bits,
         details=_text(attributes.get("response.code_details")),
         upstream=_text(attributes.get("upstream.address")),
         attempts=attempts,
@@ -128,9 +137,8 @@
 
 def _attributes(message: Any) -> dict[str, Any]:
     found: dict[str, Any] = {}
-    for (
-        name
-    ) in message.attributes:  # by the filter's name; the names of attributes differ among filters
+    # They are grouped by filter, and attribute names are unique among filters.
+    for name in message.attributes:
         found.update(message.attributes[name].fields)
     return found
 
@@ -150,17 +158,17 @@
     )
 
 
-def write(reply: Reply, whole_retry_after: bool) -> bytes:
-    """A reply as it goes over the wire."""
-    if isinstance(reply, Route):
-        return _route(reply)
-    if isinstance(reply, Immediate):
-        return _immediate(reply, whole_retry_after)
-    return _plain(reply)
+def serialize_reply(reply: Reply, whole_retry_after: bool) -> bytes:
+    """Return a reply in wire format; `whole_retry_after`: whether Retry-After has whole seconds."""
+    if isinstance(reply, RouteReply):
+        return _serialize_route(reply)
+    if isinstance(reply, ImmediateReply):
+        return _serialize_immediate(reply, whole_retry_after)
+    return _serialize_pass_or_skip(reply)
 
 
 def _field(number: int, data: bytes) -> bytes:
-    """A field that holds bytes or a message (Protocol Buffers, "Encoding": wire type LEN)."""
+    """Serialize a field with bytes or a message (Protocol Buffers, "Encoding": wire type LEN)."""
     size, length = len(data), bytearray()
     while size > 127:
         length.append(size & 127 | 128)
@@ -169,63 +177,74 @@
     return bytes((number << 3 | 2,)) + length + data
 
 
-# A route is put together of serialized parts: its headers are few and most of them are the same
-# again and again, and to build them as objects each time costs more than the decision.
+# A route is assembled from serialized parts, which are cached: most of its few headers have the same
+# values again and again, and building the objects each time takes longer than the decision.
 
 
 @lru_cache(maxsize=4096)
-def _limits(limit: int) -> bytes:
-    """The headers that limit the attempt's time."""
+def _serialize_timeout(timeout_ms: int) -> bytes:
+    """Serialize the headers that limit the attempt's time."""
     return bytes(
         ext_proc.HeaderMutation(
-            set_headers=[_header(TIME_LIMIT, str(limit)), _header("request-timeout", f"{limit}m")]
+            set_headers=[
+                _header(UPSTREAM_TIMEOUT_HEADER, str(timeout_ms)),
+                _header("request-timeout", f"{timeout_ms}m"),
+            ]
         ).SerializeToString()
     )
 
 
 @lru_cache(maxsize=4096)
-def _choice(endpoints: tuple[str, ...], age: int) -> tuple[bytes, bytes]:
-    """The headers that name the endpoints, and what the response holds beside its headers."""
-    chosen = ",".join(endpoints)
-    lines = (DESTINATION, chosen), (ANSWER_AGE, str(age)), (MAX_RETRIES, str(len(endpoints) - 1))
+def _serialize_endpoints(endpoints: tuple[str, ...], max_age_ms: int) -> tuple[bytes, bytes]:
+    """Serialize the headers that name the endpoints, and the response's metadata and mode."""
+    destination = ",".join(endpoints)
+    lines = (
+        (DESTINATION_HEADER, destination),
+        (ANSWER_AGE_HEADER, str(max_age_ms)),
+        (MAX_RETRIES_HEADER, str(len(endpoints) - 1)),
+    )
     mutation = ext_proc.HeaderMutation(set_headers=[_header(name, value) for name, value in lines])
-    told = struct_pb2.Struct(
+    metadata = struct_pb2.Struct(
         fields={
-            DESTINATION: struct_pb2.Value(string_value=chosen),
-            ANSWER_AGE: struct_pb2.Value(number_value=age),
+            DESTINATION_HEADER: struct_pb2.Value(string_value=destination),
+            ANSWER_AGE_HEADER: struct_pb2.Value(number_value=max_age_ms),
         }
     )
-    beside = ext_proc.ProcessingResponse(
-        dynamic_metadata=struct_pb2.Struct(fields={NAMESPACE: struct_pb2.Value(struct_value=told)}),
+    metadata_and_mode = ext_proc.ProcessingResponse(
+        dynamic_metadata=struct_pb2.Struct(
+            fields={METADATA_NAMESPACE: struct_pb2.Value(struct_value=metadata)}
+        ),
         mode_override=_HEADERS_ONLY,
     )
-    return bytes(mutation.SerializeToString()), bytes(beside.SerializeToString())
+    return bytes(mutation.SerializeToString()), bytes(metadata_and_mode.SerializeToString())
 
 
-def _route(reply: Route) -> bytes:
-    mutation, beside = _choice(reply.endpoints, int(reply.age))
-    common = _field(_COMMON_MUTATION, mutation + _limits(int(reply.limit)))
-    return _field(_REQUEST_HEADERS, _field(_HEADERS_COMMON, common)) + beside
+def _serialize_route(reply: RouteReply) -> bytes:
+    mutation, metadata_and_mode = _serialize_endpoints(reply.endpoints, int(reply.max_age_ms))
+    common = _field(_COMMON_MUTATION, mutation + _serialize_timeout(int(reply.timeout_ms)))
+    return _field(_REQUEST_HEADERS, _field(_HEADERS_COMMON, common)) + metadata_and_mode
 
 
-def _immediate(reply: Immediate, whole: bool) -> bytes:
+def _serialize_immediate(reply: ImmediateReply, whole_seconds: bool) -> bytes:
     lines = [_header("content-type", "text/plain")]
-    if reply.wait:
-        lines.append(_header("retry-after", retry_after(reply.wait, whole)))
+    if reply.retry_after_ms:
+        lines.append(
+            _header("retry-after", format_retry_after(reply.retry_after_ms, whole_seconds))
+        )
     if reply.allow:
         lines.append(_header("allow", reply.allow.decode()))
     immediate = ext_proc.ImmediateResponse(
         status=http_status_pb2.HttpStatus(code=reply.status),
         headers=ext_proc.HeaderMutation(set_headers=lines),
-        body=f"{reply.why}\n".encode(),
-        details="badgercart_" + "".join(c if c.isalnum() else "_" for c in reply.why),
+        body=f"{reply.reason}\n".encode(),
+        details="badgercart_" + "".join(c if c.isalnum() else "_" for c in reply.reason),
     )
     return bytes(ext_proc.ProcessingResponse(immediate_response=immediate).SerializeToString())
 
 
 @cache
-def _plain(reply: Pass | Skip) -> bytes:
-    if isinstance(reply, Skip):
+def _serialize_pass_or_skip(reply: PassReply | SkipReply) -> bytes:
+    if isinstance(reply, SkipReply):
         field = ext_proc.ProcessingResponse.DESCRIPTOR.fields_by_name[reply.kind]
         answer = ext_proc.ProcessingResponse()
         getattr(answer, field.name).SetInParent()
--- a/badgercart/frontends/processor/settings.py
+++ b/badgercart/frontends/processor/settings.py
@@ -1,4 +1,4 @@
-"""What an operator may set of the processor."""
+"""The operator's settings of the external processor."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from badgercart.app.model import MAX_DURATION_MS, Address, Headers, Name, Table
 
-Streams = Annotated[int, Field(ge=1, le=100_000)]
+StreamCount = Annotated[int, Field(ge=1, le=100_000)]
 
 
 class Tls(Table, title="Tls"):
-    """TLS on the listener, from PEM files that are read anew on SIGHUP"""
+    """TLS on the listener, from PEM files that are read anew on SIGHUP"""  # noqa: D400
 
     cert: Name = Field(description="the file with the certificate and its chain")
     key: Name = Field(description="the file with its private key")
@@ -24,7 +24,7 @@
 
 
 class HeaderNames(Table, title="HeaderNames"):
-    """which headers describe a request; of several the first that is there counts"""
+    """which headers describe a request; of several the first that is there counts"""  # noqa: D400
 
     request_id: Headers = Field(("request-id", "x-request-id"), description="the request's id")
     tenant: Headers = Field(("tenant",), description="the tenant")
@@ -46,7 +46,7 @@
 
 
 class OldAnswers(Table, title="OldAnswers"):
-    """what happens to a proxy that uses answers beyond their age"""
+    """what happens to a proxy that uses answers beyond their age"""  # noqa: D400
 
     window_ms: float = Field(
         60000.0,
@@ -67,14 +67,14 @@
 
 
 class ProcessorSettings(Table, title="ProcessorSettings"):
-    """a listener for proxies that ask by Envoy's external processing protocol"""
+    """a listener for proxies that ask by Envoy's external processing protocol"""  # noqa: D400
 
     listen: Address = Field(description="the host:port to listen on")
     tls: Tls | None = None
-    max_streams: Streams = Field(
+    max_streams: StreamCount = Field(
         2000, description="streams open at once; one more ends with RESOURCE_EXHAUSTED"
     )
-    max_connection_streams: Streams = Field(
+    max_connection_streams: StreamCount = Field(
         1000, description="streams open at once on one connection; more wait at the proxy"
     )
     max_message_bytes: int = Field(
--- a/tests/processor/test_description.py
+++ b/tests/processor/test_description.py
@@ -8,7 +8,11 @@
 
 from badgercart.core.identifiers import stable_id
 from badgercart.core.requests import InvalidRequestError
-from badgercart.frontends.processor.description import MAX_TIMEOUT, Described, Describer
+from badgercart.frontends.processor.description import (
+    MAX_TIMEOUT_MS,
+    DescriptionReader,
+    RequestDescription,
+)
 from badgercart.frontends.processor.settings import HeaderNames, ProcessorSettings
 from tests.net import config
 
@@ -20,11 +24,11 @@
 ]
 
 
-def read(pairs: list[tuple[bytes, bytes]], **changes: object) -> Described:
+def read(pairs: list[tuple[bytes, bytes]], **changes: object) -> RequestDescription:
     names = HeaderNames(**changes)  # type: ignore[arg-type]
-    describer = Describer(config(1), ProcessorSettings(listen=("", 0), headers=names))
+    reader = DescriptionReader(config(1), ProcessorSettings(listen=("", 0), headers=names))
     wanted = [(name.decode().lower(), value) for name, value in pairs]
-    return describer.read([pair for pair in wanted if pair[0] in describer.wanted], len(pairs))
+    return reader.read([pair for pair in wanted if pair[0] in reader.wanted], len(pairs))
 
 
 def test_a_whole_description() -> None:
@@ -34,8 +38,8 @@
         (b"client-retry", b"1"),
     ]
     found = read(GOOD + more)
-    assert (found.name, found.cls, found.key) == (b"r1", 1, stable_id(b"cab7"))
-    assert (found.timeout, found.attempt, found.repeat) == (1.5, 2, True)
+    assert (found.request_name, found.class_index, found.key) == (b"r1", 1, stable_id(b"cab7"))
+    assert (found.timeout_ms, found.attempt, found.is_client_retry) == (1.5, 2, True)
 
 
 @pytest.mark.parametrize(
@@ -45,16 +49,16 @@
         ([(b"x-envoy-expected-rq-timeout-ms", b"250")], 250.0),
         ([(b"x-envoy-expected-rq-timeout-ms", b"0")], 9000.0),  # switched off
         ([(b"x-envoy-expected-rq-timeout-ms", b"250"), (b"request-timeout", b"100m")], 100.0),
-        ([(b"request-timeout", b"999999999m")], MAX_TIMEOUT),
+        ([(b"request-timeout", b"999999999m")], MAX_TIMEOUT_MS),
     ],
 )
 def test_the_time_that_is_left(more: list[tuple[bytes, bytes]], timeout: float) -> None:
-    assert read(GOOD + more).timeout == timeout
+    assert read(GOOD + more).timeout_ms == timeout
 
 
 def test_an_operator_maps_other_headers() -> None:
     pairs = [*GOOD[:2], (b"x-id", b"r9"), (b"idempotency-key", b"k"), (b"request-id", b"not this")]
-    assert read(pairs, request_id=("x-id",)).name == b"r9"
+    assert read(pairs, request_id=("x-id",)).request_name == b"r9"
 
 
 @pytest.mark.parametrize(
--- a/tests/processor/test_drains.py
+++ b/tests/processor/test_drains.py
@@ -75,7 +75,7 @@
             assert proxy.asked_again == 40 and len(second.seen) == 40
             await proxy.stop()
             await bench.settled()
-            assert bench.calls.account.proxies["proxy-1"].old == 0
+            assert bench.calls.old_answers.proxies["proxy-1"].old == 0
 
     run(test())
 
@@ -94,12 +94,12 @@
             proxy.stuck = first.address
             statuses = [await get(proxy, f"r-{i}") for i in range(8)]
             assert statuses == [200] * 4 + [503] * 4
-            rows = bench.calls.rows()
+            rows = bench.calls.proxy_rows()
             assert (rows["proxy-1"]["old"], rows["proxy-1"]["drained"]) == (4, 4)
             assert rows["proxy-1"]["standing"] == "refused"
             assert len(first.seen) == 4  # what the rule lets through, and no more
             assert await get(good, "r-9") == 200  # others are none the worse
-            assert bench.calls.rows()["proxy-2"]["standing"] == "good"
+            assert bench.calls.proxy_rows()["proxy-2"]["standing"] == "good"
             # The server that was used is the one that its load was counted for.
             assert bench.join.policy.overload.concurrency.current == 0
             await proxy.stop()
@@ -120,7 +120,7 @@
             await proxy.stop()
             await bench.settled()
             assert not first.seen and not second.seen
-            assert bench.calls.rows()["proxy-1"]["old"] == 1
+            assert bench.calls.proxy_rows()["proxy-1"]["old"] == 1
 
     run(test())
 
--- a/tests/processor/test_failures.py
+++ b/tests/processor/test_failures.py
@@ -21,7 +21,7 @@
 from cryptography.x509.oid import NameOID
 
 from badgercart.frontends.processor import server as processor_server
-from badgercart.frontends.processor.ask import ask
+from badgercart.frontends.processor.ask import fetch_status
 from badgercart.frontends.processor.server import TlsError, read_tls
 from badgercart.frontends.processor.settings import Tls
 from badgercart.policy.events import AttemptEnded, AttemptResult, Request
@@ -135,7 +135,7 @@
 
 
 def test_streams_that_never_ask_are_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(processor_server, "SWEEP", 0.01)
+    monkeypatch.setattr(processor_server, "STREAM_CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         async with site_with_processor(first_message_ms=10.0) as bench, bench.proxy() as proxy:
@@ -148,8 +148,10 @@
 
 
 def test_a_proxy_that_never_reads_or_answers_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(processor_server, "SWEEP", 0.01)
-    monkeypatch.setattr(processor_server, "LINGER", -8.9)  # s; the longest deadline is 9 s
+    monkeypatch.setattr(processor_server, "STREAM_CHECK_INTERVAL_S", 0.01)
+    monkeypatch.setattr(
+        processor_server, "RESPONSE_GRACE_S", -8.9
+    )  # s; the longest deadline is 9 s
 
     async def test() -> None:
         async with site_with_processor(classes=QUICK) as bench, bench.proxy() as proxy:
@@ -211,7 +213,7 @@
         async with site_with_processor() as bench, bench.proxy("north") as proxy:
             stream = proxy.stream()
             await stream.ask(described())
-            told = await asyncio.to_thread(ask, bench.address, None, None, None)
+            told = await asyncio.to_thread(fetch_status, bench.address, None, None, None)
             assert told["open"] == 1 and told["proxies"]["north"]["unseen"] == 1
             assert told["proxies"]["north"]["standing"] == "good"
 
@@ -363,7 +365,7 @@
     async def test() -> None:
         async with site_with_processor(tls=tls) as bench:
             assert await asked(bench, pem(ca[1]), north) == SERVERS[0]
-            assert "north" in bench.calls.rows()  # known by its certificate's name
+            assert "north" in bench.calls.proxy_rows()  # known by its certificate's name
             assert await asked(bench, pem(ca[1]), None) == "UNAVAILABLE"
             assert await asked(bench, pem(ca[1]), stranger) == "UNAVAILABLE"
             async with ScriptedProxy(bench.address) as plain:
--- a/tests/processor/test_golden.py
+++ b/tests/processor/test_golden.py
@@ -1,6 +1,6 @@
 """What the processor writes to proxies and operators, against golden files.
 
-A route holds a map, whose entries Protocol Buffers write in any order: its message is compared, in
+A route holds a map, whose entries Protocol Buffers serialize_reply in any order: its message is compared, in
 the library's deterministic form. All other replies are compared as the bytes that they are.
 """
 
@@ -14,8 +14,8 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 
 from badgercart.frontends.processor.account import OldAnswerTracker, Standing
-from badgercart.frontends.processor.machine import Immediate, Pass, Route, Skip
-from badgercart.frontends.processor.messages import write
+from badgercart.frontends.processor.machine import ImmediateReply, PassReply, RouteReply, SkipReply
+from badgercart.frontends.processor.messages import serialize_reply
 from badgercart.frontends.processor.settings import OldAnswers
 from tests.golden import differences
 
@@ -26,7 +26,7 @@
     pieces = {}
     for endpoints in (("10.0.0.1:80",), ("10.0.0.1:80", "10.0.0.2:80", "[::1]:9")):
         for age, limit in ((500.0, 1200.9), (0.0, 70_000.0)):
-            data = write(Route(endpoints, age, limit), False)
+            data = serialize_reply(RouteReply(endpoints, age, limit), False)
             message = ext_proc.ProcessingResponse.FromString(data)
             pieces[f"{len(endpoints)}, {age}, {limit}"] = message.SerializeToString(
                 deterministic=True
@@ -38,15 +38,15 @@
     pieces = {}
     for whole in (False, True):
         for wait in (0.0, 0.4, 250.4, 1000.0, 1000.1):
-            pieces[f"refused, {wait}, {whole}"] = write(
-                Immediate(503, wait, "refused: not run"), whole
+            pieces[f"refused, {wait}, {whole}"] = serialize_reply(
+                ImmediateReply(503, wait, "refused: not run"), whole
             )
-    pieces["405"] = write(Immediate(405, 0.0, "the class wants GET", b"GET"), False)
-    pieces["no words"] = write(Immediate(500), False)
-    pieces["let through"] = write(Pass(), False)
-    pieces["let through as another"] = write(Pass(502), False)
+    pieces["405"] = serialize_reply(ImmediateReply(405, 0.0, "the class wants GET", b"GET"), False)
+    pieces["no words"] = serialize_reply(ImmediateReply(500), False)
+    pieces["let through"] = serialize_reply(PassReply(), False)
+    pieces["let through as another"] = serialize_reply(PassReply(502), False)
     for kind in ("request_body", "response_body", "request_trailers", "response_trailers"):
-        pieces[f"skip {kind}"] = write(Skip(kind), False)
+        pieces[f"skip {kind}"] = serialize_reply(SkipReply(kind), False)
     return pieces
 
 
--- a/tests/processor/test_interleavings.py
+++ b/tests/processor/test_interleavings.py
@@ -16,18 +16,18 @@
 from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate, EndpointTable
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.frontends.processor import machine
-from badgercart.frontends.processor.description import Described
+from badgercart.frontends.processor.description import RequestDescription
 from badgercart.frontends.processor.machine import (
-    At,
     Call,
     Calls,
-    Illegal,
-    Immediate,
-    Pass,
-    Route,
+    ImmediateReply,
+    PassReply,
+    ProtocolError,
+    RouteReply,
     Stream,
+    StreamState,
 )
-from badgercart.frontends.processor.outcomes import Phase
+from badgercart.frontends.processor.outcomes import ResponsePhase
 from badgercart.frontends.processor.settings import OldAnswers, ProcessorSettings
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import UpdateKind
@@ -109,7 +109,7 @@
         self.calls = Calls(settings, self.join, self.roster)
         self.clients = [Client(b"r%d" % i, self.random.randrange(len(CLASSES))) for i in range(3)]
         # With what the proxy will tell of the attempt.
-        self.streams: list[tuple[Stream, Client, tuple[Phase, str | None]]] = []
+        self.streams: list[tuple[Stream, Client, tuple[ResponsePhase, str | None]]] = []
         self.routed: set[Stream] = set()  # that were told where to go
         self.trace: list[str] = []
         self.ends: dict[int, list[str]] = {}  # by the join's number: what its call was told
@@ -136,7 +136,7 @@
         replies: list[Any] = []
         stream = Stream(self.random.choice(("p", "q")), replies.append)
         number = self.random.choice((1, 1, client.asked, client.asked + 1))
-        described = Described(
+        described = RequestDescription(
             client.name,
             client.cls,
             0,
@@ -150,29 +150,29 @@
         if number == 1 and client.name not in self.calls.open:
             client.attempts.clear()  # a new request under an old id
         before = len(client.attempts)
-        self.calls.request(stream, described, self.clockwork.now)
+        self.calls.request_headers_received(stream, described, self.clockwork.now)
         self.note(f"    {replies}")
         # Nothing here holds requests back for their turn, so the answer is there at once, and one.
         assert len(replies) == 1
         self.check_reply(client, replies[0], before)
-        if isinstance(replies[0], Route):
+        if isinstance(replies[0], RouteReply):
             self.streams.append((stream, client, self.carry_out(client, replies[0].endpoints)))
             self.routed.add(stream)
         elif self.random.random() < 0.5:
-            self.streams.append((stream, client, (Phase(503), None)))
+            self.streams.append((stream, client, (ResponsePhase(503), None)))
         else:
-            self.calls.closed(stream, self.clockwork.now)
+            self.calls.stream_closed(stream, self.clockwork.now)
 
     def check_reply(self, client: Client, reply: Any, known: int) -> None:
         cls, now = CLASSES[client.cls], self.clockwork.now
         ran = [attempt for attempt in client.attempts[:known] if attempt.ran]
-        if isinstance(reply, Route):
+        if isinstance(reply, RouteReply):
             servers = [int(endpoint.partition(":")[2]) for endpoint in reply.endpoints]
             assert len(set(servers)) == len(servers)
             assert all(
                 self.states[server] is EndpointState.READY for server in servers
             ), "sent to a drained server"
-            assert reply.age <= 500.0
+            assert reply.max_age_ms <= 500.0
             if cls.idempotency is Idempotency.NON_IDEMPOTENT:
                 assert not ran and len(servers) == 1, "an unsafe request may run twice"
             if cls.idempotency is Idempotency.KEYED:
@@ -188,7 +188,7 @@
                 assert all(
                     now - attempt.at < cls.deduplication_window_ms for attempt in ran
                 ), "left its window"
-        elif isinstance(reply, Immediate) and reply.status in (429, 503):
+        elif isinstance(reply, ImmediateReply) and reply.status in (429, 503):
             self.check_refusal(client, ran)
 
     def check_refusal(self, client: Client, ran: list[Attempt]) -> None:
@@ -203,25 +203,27 @@
         if not self.streams:
             return
         stream, client, (phase, served) = self.random.choice(self.streams)
-        if stream.at is At.ENDED:
+        if stream.state is StreamState.ENDED:
             return
         told_where = stream in self.routed
         replies: list[Any] = []
         stream.reply = replies.append
         status = phase.status
         self.note(f"response of {client.name!r}: {phase} served {served}")
-        self.calls.response(stream, phase, served, self.clockwork.now)
+        self.calls.response_headers_received(stream, phase, served, self.clockwork.now)
         self.note(f"    {replies}")
         assert len(replies) == 1
         reply = replies[0]
         ran = [attempt for attempt in client.attempts if attempt.ran]
-        if isinstance(reply, Immediate) and reply.status == 503:
+        if isinstance(reply, ImmediateReply) and reply.status == 503:
             assert status != 200, "an answer was thrown away"
             self.check_refusal(client, ran)
-        if isinstance(reply, Pass) and (reply.status or status) in (429, 503) and told_where:
+        if isinstance(reply, PassReply) and (reply.status or status) in (429, 503) and told_where:
             self.check_refusal(client, ran)
 
-    def carry_out(self, client: Client, endpoints: tuple[str, ...]) -> tuple[Phase, str | None]:
+    def carry_out(
+        self, client: Client, endpoints: tuple[str, ...]
+    ) -> tuple[ResponsePhase, str | None]:
         """What comes of the attempt, and what the proxy will say of it, if it says anything."""
         now, chance = self.clockwork.now, self.random
         servers = [int(endpoint.partition(":")[2]) for endpoint in endpoints]
@@ -232,7 +234,9 @@
                 client.attempts.append(Attempt(now, server, chance.random() < 0.5))
             client.attempts.append(Attempt(now, servers[at], True))
             status = chance.choice((200, 500, 503))
-            return Phase(status, attempts=at + 1, details="via_upstream"), f"10.0.0.1:{servers[at]}"
+            return ResponsePhase(
+                status, attempts=at + 1, details="via_upstream"
+            ), f"10.0.0.1:{servers[at]}"
         if chance.random() < 0.1:
             # An old answer: to a server that this one did not name. Only what may be repeated
             # anywhere.
@@ -240,21 +244,21 @@
             if CLASSES[client.cls].idempotency is Idempotency.IDEMPOTENT:
                 other = chance.choice(others)
                 client.attempts.append(Attempt(now, other, True))
-                return Phase(chance.choice((200, 503))), f"10.0.0.1:{other}"
+                return ResponsePhase(chance.choice((200, 503))), f"10.0.0.1:{other}"
         ran, phase = chance.choice(
             (
-                (False, Phase(503, flags=UF)),
-                (False, Phase(503, flags=UO)),
-                (False, Phase(503, not_started=True)),
-                (True, Phase(200)),
-                (True, Phase(500)),
-                (True, Phase(503)),
-                (True, Phase(429)),
-                (True, Phase(404)),
-                (True, Phase(503, flags=UC)),
-                (True, Phase(503, flags=1 << 45)),
-                (True, Phase(504, flags=UT)),
-                (True, Phase(503, flags=UF, attempts=2)),
+                (False, ResponsePhase(503, flags=UF)),
+                (False, ResponsePhase(503, flags=UO)),
+                (False, ResponsePhase(503, not_started=True)),
+                (True, ResponsePhase(200)),
+                (True, ResponsePhase(500)),
+                (True, ResponsePhase(503)),
+                (True, ResponsePhase(429)),
+                (True, ResponsePhase(404)),
+                (True, ResponsePhase(503, flags=UC)),
+                (True, ResponsePhase(503, flags=1 << 45)),
+                (True, ResponsePhase(504, flags=UT)),
+                (True, ResponsePhase(503, flags=UF, attempts=2)),
             )
         )
         client.attempts.append(Attempt(now, first, ran))
@@ -265,7 +269,7 @@
             return
         stream, client, _ = self.streams.pop(self.random.randrange(len(self.streams)))
         self.note(f"close {client.name!r}")
-        self.calls.closed(stream, self.clockwork.now)
+        self.calls.stream_closed(stream, self.clockwork.now)
 
     def wait(self) -> None:
         ms = self.random.choice((0.0, 1.0, 30.0, 79.9, 80.0, 100.0, 350.0, 400.0, 450.0, 900.0))
@@ -282,13 +286,13 @@
 
     def wrong(self) -> None:
         """A message that is not allowed where the stream stands ends it."""
-        told = [item for item in self.streams if item[0].at is not At.FRESH]
+        told = [item for item in self.streams if item[0].state is not StreamState.NEW]
         if not told:
             return
         stream, client, _ = self.random.choice(told)
-        described = Described(client.name, client.cls, 0, 0, 100.0, 1, 0.0, False)
-        with pytest.raises(Illegal):
-            self.calls.request(stream, described, self.clockwork.now)
+        described = RequestDescription(client.name, client.cls, 0, 0, 100.0, 1, 0.0, False)
+        with pytest.raises(ProtocolError):
+            self.calls.request_headers_received(stream, described, self.clockwork.now)
 
     def finish(self) -> None:
         """All streams end, time passes: nothing stays behind in any table."""
@@ -303,7 +307,7 @@
         assert not any(
             server.open_attempts for server in self.join.policy.fleet.endpoints.by_id.values()
         )
-        assert all(proxy.unseen == 0 for proxy in self.calls.account.proxies.values())
+        assert all(proxy.unseen == 0 for proxy in self.calls.old_answers.proxies.values())
         assert self.clockwork.set == 0, "a timer was left"
 
 
@@ -313,7 +317,7 @@
         told = getattr(Call, name)
 
         def counted(self: Call, value: Any, told: Any = told, name: str = name) -> None:
-            world.ends.setdefault(self.number, []).append(name)
+            world.ends.setdefault(self.request_id, []).append(name)
             told(self, value)
 
         monkeypatch.setattr(Call, name, counted)
@@ -350,18 +354,22 @@
         world = World(2)
         replies: list[Any] = []
         stream = Stream("p", replies.append)
-        world.calls.request(
-            stream, Described(b"r", 3, 0, 0, 300.0, 1, 0.0, False), world.clockwork.now
+        world.calls.request_headers_received(
+            stream, RequestDescription(b"r", 3, 0, 0, 300.0, 1, 0.0, False), world.clockwork.now
         )
-        assert isinstance(replies[0], Route)
-        limit = replies[0].limit + world.calls.settings.late_ms
+        assert isinstance(replies[0], RouteReply)
+        limit = replies[0].timeout_ms + world.calls.settings.late_ms
         if response_first:
             world.clockwork.advance(limit - 0.001)
-            world.calls.response(stream, Phase(200), None, world.clockwork.now)
+            world.calls.response_headers_received(
+                stream, ResponsePhase(200), None, world.clockwork.now
+            )
             world.clockwork.advance(1.0)
         else:
             world.clockwork.advance(limit)
-            world.calls.response(stream, Phase(200), None, world.clockwork.now)
-        assert replies[1:] == [Pass()]
-        world.calls.closed(stream, world.clockwork.now)
+            world.calls.response_headers_received(
+                stream, ResponsePhase(200), None, world.clockwork.now
+            )
+        assert replies[1:] == [PassReply()]
+        world.calls.stream_closed(stream, world.clockwork.now)
         assert not world.join.open_attempts and not world.join.in_flight and machine.MARGIN > 0
--- a/tests/processor/test_outcomes.py
+++ b/tests/processor/test_outcomes.py
@@ -11,8 +11,8 @@
     FLAGS,
     VIA_UPSTREAM,
     Flag,
-    Phase,
-    read_end,
+    ResponsePhase,
+    classify_response,
 )
 from badgercart.policy.events import NOT_EXECUTED, AttemptResult
 
@@ -26,44 +26,44 @@
 
 @pytest.mark.parametrize("flag", FLAGS, ids=lambda flag: flag.short)
 def test_each_flag_alone(flag: Flag) -> None:
-    end = read_end(Phase(503, flags=1 << flag.bit))
+    end = classify_response(ResponsePhase(503, flags=1 << flag.bit))
     assert end.result is flag.result and end.by_proxy
-    assert end.may_have_run == (flag.short not in PROOF)
+    assert end.possibly_executed == (flag.short not in PROOF)
 
 
 @pytest.mark.parametrize("details", sorted(DETAILS))
 def test_each_detail_alone(details: str) -> None:
-    assert read_end(Phase(503, details=details)).result is DETAILS[details]
+    assert classify_response(ResponsePhase(503, details=details)).result is DETAILS[details]
 
 
 @pytest.mark.parametrize(
     ("phase", "result", "by_proxy"),
     [
-        (Phase(200), AttemptResult.OK, False),
-        (Phase(204), AttemptResult.ERROR, False),
-        (Phase(500), AttemptResult.ERROR, False),
-        (Phase(503), AttemptResult.ERROR, False),
-        (Phase(503, not_started=True), AttemptResult.FULL, False),
-        (Phase(504, not_started=True), AttemptResult.FULL, False),
-        (Phase(500, not_started=True), AttemptResult.ERROR, False),
-        (Phase(503, not_started=True, attempts=2), AttemptResult.ERROR, False),
-        (Phase(503, details=VIA_UPSTREAM, flags=1 << 15), AttemptResult.ERROR, False),
-        (Phase(200, flags=1 << 5), AttemptResult.OK, False),
-        (Phase(200, details="direct_response"), AttemptResult.NOT_SENT, True),
+        (ResponsePhase(200), AttemptResult.OK, False),
+        (ResponsePhase(204), AttemptResult.ERROR, False),
+        (ResponsePhase(500), AttemptResult.ERROR, False),
+        (ResponsePhase(503), AttemptResult.ERROR, False),
+        (ResponsePhase(503, not_started=True), AttemptResult.FULL, False),
+        (ResponsePhase(504, not_started=True), AttemptResult.FULL, False),
+        (ResponsePhase(500, not_started=True), AttemptResult.ERROR, False),
+        (ResponsePhase(503, not_started=True, attempts=2), AttemptResult.ERROR, False),
+        (ResponsePhase(503, details=VIA_UPSTREAM, flags=1 << 15), AttemptResult.ERROR, False),
+        (ResponsePhase(200, flags=1 << 5), AttemptResult.OK, False),
+        (ResponsePhase(200, details="direct_response"), AttemptResult.NOT_SENT, True),
         (
-            Phase(503, details="upstream_reset_before_response_started{protocol_error}"),
+            ResponsePhase(503, details="upstream_reset_before_response_started{protocol_error}"),
             AttemptResult.RESET,
             True,
         ),
-        (Phase(503, details="something_new"), AttemptResult.ERROR, True),
-        (Phase(503, flags=1 << 7, upstream="10.0.0.1:80"), AttemptResult.CANCELLED, True),
-        (Phase(503, flags=1 << 5, upstream="10.0.0.1:80"), AttemptResult.UNREACHABLE, True),
-        (Phase(503, flags=1 << 5 | 1 << 6), AttemptResult.RESET, True),
-        (Phase(503, flags=-1), AttemptResult.TIMEOUT, True),
+        (ResponsePhase(503, details="something_new"), AttemptResult.ERROR, True),
+        (ResponsePhase(503, flags=1 << 7, upstream="10.0.0.1:80"), AttemptResult.CANCELLED, True),
+        (ResponsePhase(503, flags=1 << 5, upstream="10.0.0.1:80"), AttemptResult.UNREACHABLE, True),
+        (ResponsePhase(503, flags=1 << 5 | 1 << 6), AttemptResult.RESET, True),
+        (ResponsePhase(503, flags=-1), AttemptResult.TIMEOUT, True),
     ],
 )
-def test_combinations(phase: Phase, result: AttemptResult, by_proxy: bool) -> None:
-    end = read_end(phase)
+def test_combinations(phase: ResponsePhase, result: AttemptResult, by_proxy: bool) -> None:
+    end = classify_response(phase)
     assert (end.result, end.by_proxy) == (result, by_proxy)
 
 
@@ -76,7 +76,9 @@
 def test_never_ran_only_where_all_that_is_told_proves_it(
     status: int, flags: int, attempts: int, upstream: str | None
 ) -> None:
-    end = read_end(Phase(status, flags=flags, attempts=attempts, upstream=upstream))
+    end = classify_response(
+        ResponsePhase(status, flags=flags, attempts=attempts, upstream=upstream)
+    )
     if end.result in NOT_EXECUTED:
         told = {flag.short for flag in FLAGS if flags >> flag.bit & 1}
         assert attempts == 1 and told and told <= PROOF and not flags >> 30
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -104,7 +104,7 @@
             not self.join.policy.overload.concurrency.current
             and not self.join.policy.lifecycle.requests
         )
-        assert all(proxy.unseen == 0 for proxy in self.calls.account.proxies.values())
+        assert all(proxy.unseen == 0 for proxy in self.calls.old_answers.proxies.values())
 
     def lists(self, *entries: dict[str, Any], reset: bool = False) -> None:
         self.site.endpoint_table.accept(
