--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -28,7 +28,7 @@
 from standins.etcd import Etcd
 from standins.fleet import operators_file
 from tests.net import WAIT, Client, Peer, config, request, run
-from tests.processor.test_failures import authority, key_pem, pem, written
+from tests.processor.test_failures import create_authority, create_certificate_files, key_pem, pem
 
 PREFIX = "/badgercart/servers/"
 QUICK = {
@@ -334,8 +334,11 @@
 
 
 def test_mutual_tls(tmp_path: Path) -> None:
-    ca = authority("ca")
-    server, own = written(tmp_path, "etcd", ca), written(tmp_path, "node", ca)
+    ca = create_authority("ca")
+    server, own = (
+        create_certificate_files(tmp_path, "etcd", ca),
+        create_certificate_files(tmp_path, "node", ca),
+    )
     (tmp_path / "ca.pem").write_bytes(pem(ca[1]))
     assert own and key_pem
 
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -23,7 +23,7 @@
 from standins import graphql as dispatch
 from standins import http1
 from tests.net import WAIT, Client, Peer, config, field, hang_up, listed, run, stay_silent
-from tests.processors import Recorder
+from tests.processors import EventRecorder
 
 FIELDS = [
     {"name": "Query.cabLookup", "class": "cab-lookup", "affinity": "pickup"},
@@ -79,7 +79,7 @@
             writer.close()
 
 
-class Desk(Recorder):
+class Desk(EventRecorder):
     """A running site with a GraphQL front."""
 
     def __init__(self, site: Application) -> None:
@@ -148,7 +148,9 @@
         async with desk(server, **changes) as front:
             await test(front, server)
             assert (
-                not front.join.in_flight and not front.join.open_attempts and not front.front.open
+                not front.pipeline.in_flight
+                and not front.pipeline.open_attempts
+                and not front.front.open
             )
 
     run(whole())
@@ -187,7 +189,7 @@
 
 def test_a_refused_part_is_an_error_in_its_place_and_the_others_answer() -> None:
     async def test(front: Desk, server: Dispatch) -> None:
-        policy, ask = front.join.policy, front.join.policy.handle
+        policy, ask = front.pipeline.policy, front.pipeline.policy.handle
 
         def under_a_cut(now_ms: float, event: Any) -> Any:
             # The cut lies between the two: lookups are refused, assignments are not.
@@ -227,7 +229,7 @@
             {"message": "no", "path": ["cabLookup"], "locations": [{"line": 1, "column": 3}]}
         ]
         assert [outcome.result for outcome in front.of(AttemptEnded)] == [AttemptResult.ERROR]
-        assert front.join.policy.overload.error_rate.failures > 0
+        assert front.pipeline.policy.overload.error_rate.failures > 0
 
     play(test, lambda asked: (200, partial))
 
@@ -260,7 +262,7 @@
         for server in servers:
             await server.start()
         async with desk(*servers, attempts=4) as front:
-            front.join.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
+            front.pipeline.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
             await front.send({"query": ASSIGN})
             keys = servers[0].keys + servers[1].keys
             assert len(keys) == 2 and len(set(keys)) == 1 and keys[0]
@@ -303,7 +305,7 @@
         server = Dispatch(script=lambda asked: (0, None) if '"slow"' in asked["query"] else None)
         await server.start()
         async with desk(server) as front:
-            usual = front.join.policy
+            usual = front.pipeline.policy
             usual.fleet.latency.typical_ms = [10.0, 10.0]
             query = (
                 '{ a: cabLookup(pickup: "slow") { pickup } b: cabLookup(pickup: "x") { pickup } }'
@@ -437,15 +439,15 @@
 
 def test_a_silent_server_and_a_policy_that_raises_cost_their_request_alone() -> None:
     async def test(front: Desk, server: Dispatch) -> None:
-        handle = front.join.policy.handle
+        handle = front.pipeline.policy.handle
 
         def broken(now: float, event: object) -> Any:
             raise RuntimeError("broken on purpose")
 
-        front.join.policy.handle = broken  # type: ignore[method-assign]
+        front.pipeline.policy.handle = broken  # type: ignore[method-assign]
         _, _, told = await front.send({"query": LOOKUP})
         assert told["errors"][0]["extensions"]["code"] == "INTERNAL_SERVER_ERROR"
-        front.join.policy.handle = handle  # type: ignore[method-assign]
+        front.pipeline.policy.handle = handle  # type: ignore[method-assign]
         assert "errors" not in (await front.send({"query": LOOKUP}))[2]
 
     play(test)
--- a/tests/graphql/test_golden.py
+++ b/tests/graphql/test_golden.py
@@ -125,7 +125,7 @@
                 answers[name] = head + body
                 client.writer.close()
                 async with asyncio.timeout(WAIT):
-                    while front.join.open_attempts:
+                    while front.pipeline.open_attempts:
                         await asyncio.sleep(0)
                 if server.got:
                     forwarded[name] = b"|".join(sorted(server.got))
--- a/tests/processor/test_golden.py
+++ b/tests/processor/test_golden.py
@@ -1,7 +1,7 @@
-"""What the processor writes to proxies and operators, against golden files.
+"""Tests the bytes that the processor writes to proxies and operators against golden files.
 
-A route holds a map, whose entries Protocol Buffers serialize_reply in any order: its message is compared, in
-the library's deterministic form. All other replies are compared as the bytes that they are.
+A route contains a map, whose entries Protocol Buffers serialize in any order, so its message is
+compared in the library's deterministic form. Other replies are compared as bytes.
 """
 
 from __future__ import annotations
@@ -23,18 +23,20 @@
 
 
 def routes() -> dict[str, bytes]:
+    """Return routes with one endpoint and with several."""
     pieces = {}
     for endpoints in (("10.0.0.1:80",), ("10.0.0.1:80", "10.0.0.2:80", "[::1]:9")):
-        for age, limit in ((500.0, 1200.9), (0.0, 70_000.0)):
-            data = serialize_reply(RouteReply(endpoints, age, limit), False)
+        for max_age_ms, timeout_ms in ((500.0, 1200.9), (0.0, 70_000.0)):
+            data = serialize_reply(RouteReply(endpoints, max_age_ms, timeout_ms), False)
             message = ext_proc.ProcessingResponse.FromString(data)
-            pieces[f"{len(endpoints)}, {age}, {limit}"] = message.SerializeToString(
+            pieces[f"{len(endpoints)}, {max_age_ms}, {timeout_ms}"] = message.SerializeToString(
                 deterministic=True
             )
     return pieces
 
 
 def replies() -> dict[str, bytes]:
+    """Return all other kinds of replies."""
     pieces = {}
     for whole in (False, True):
         for wait in (0.0, 0.4, 250.4, 1000.0, 1000.1):
@@ -51,11 +53,11 @@
 
 
 def rows() -> dict[str, bytes]:
-    """The page of proxies: each count under its name."""
-    account = OldAnswerTracker(
+    """Return rows of the operators' page, with a different value for each count."""
+    tracker = OldAnswerTracker(
         OldAnswers(window_ms=1000.0, no_fallbacks_after=3, refuse_after=5, refuse_for_ms=200.0)
     )
-    proxy = account.find_or_add("north")
+    proxy = tracker.find_or_add("north")
     proxy.answered, proxy.unseen, proxy.first, proxy.fallback, proxy.lost = 1, 2, 3, 4, 5
     proxy.old, proxy.drained, proxy.refused = 6, 7, 8
     standings = {"good": Standing.GOOD, "none": Standing.NO_FALLBACKS, "refused": Standing.REFUSED}
--- a/tests/processor/test_interleavings.py
+++ b/tests/processor/test_interleavings.py
@@ -1,8 +1,7 @@
-"""Over 10,000 generated orders of events on streams: each call ends once, and nothing runs beyond
-its class.
+"""Tests over 10,000 generated orders of events on streams.
 
-The world knows the truth of each attempt, whether it ran; what it tells the processor is true but
-not whole.
+Each call ends once, and no request is executed more often than its class allows. The simulation
+knows whether each attempt was executed; what it reports to the processor is true but incomplete.
 """
 
 from __future__ import annotations
@@ -51,47 +50,51 @@
 UF, UC, UT, UO = 1 << 5, 1 << 6, 1 << 2, 1 << 7
 
 
-class Lists:
-    """Stands in for a reader: lists come as they are."""
+class PassThroughReader:
+    """Replaces the reader of endpoint lists: an update is used as it is."""
 
     def read(self, raw: Any, kind: UpdateKind | None = None) -> DiscoveryUpdate:
-        listed: DiscoveryUpdate = raw["list"]
-        return listed
+        """Return the update."""
+        update: DiscoveryUpdate = raw["list"]
+        return update
 
 
-def member(number: int, state: EndpointState) -> DiscoveredEndpoint:
+def discovered_endpoint(number: int, state: EndpointState) -> DiscoveredEndpoint:
+    """Return an endpoint in a state; its number decides its zone."""
     entry = Endpoint(number, number % 2, 0, 0, state, 1.0, 0.0)
     return DiscoveredEndpoint(entry, ("10.0.0.1", number), f"s-{number}")
 
 
 @dataclass
 class Attempt:
-    """One that the proxy carried out: when, where, and whether it ran there."""
+    """An attempt that the proxy made, and whether the server executed it."""
 
-    at: float
+    at_ms: float
     server: int
-    ran: bool
+    executed: bool
 
 
 @dataclass
 class Client:
-    """One request with all that happened for it."""
+    """A request with its attempts."""
 
     name: bytes
-    cls: int
+    class_index: int
     attempts: list[Attempt] = field(default_factory=list)
-    asked: int = 0
+    streams: int = 0
 
 
-class World:
+class Simulation:
+    """A processor, its proxies and servers, on a simulated clock."""
+
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.clockwork = Clockwork()
-        later = self.random.random() < 0.6
+        later_attempts = self.random.random() < 0.6
         settings = ProcessorSettings(
             listen=("", 0),
             fallbacks=self.random.randrange(3),
-            later_attempts=later,
+            later_attempts=later_attempts,
             later_wait_ms=80.0,
             max_finals=64,
             old_answers=OldAnswers(refuse_after=4, refuse_for_ms=200.0),
@@ -102,43 +105,54 @@
             may_cancel=self.random.random() < 0.5,
             max_retry_after_ms=600.0,
         )
-        self.join = RequestPipeline(policy, seed, self.clockwork, self.clockwork.clock)
-        self.roster = EndpointTable(Lists(), self.join)
+        self.pipeline = RequestPipeline(policy, seed, self.clockwork, self.clockwork.clock)
+        self.endpoint_table = EndpointTable(PassThroughReader(), self.pipeline)
         self.states = dict.fromkeys(range(1, SERVERS + 1), EndpointState.READY)
-        self.list(*self.states)
-        self.calls = Calls(settings, self.join, self.roster)
+        self.apply_entries(*self.states)
+        self.calls = Calls(settings, self.pipeline, self.endpoint_table)
         self.clients = [Client(b"r%d" % i, self.random.randrange(len(CLASSES))) for i in range(3)]
-        # With what the proxy will tell of the attempt.
+        # Each with what the proxy will report of its attempt.
         self.streams: list[tuple[Stream, Client, tuple[ResponsePhase, str | None]]] = []
-        self.routed: set[Stream] = set()  # that were told where to go
+        self.routed: set[Stream] = set()
         self.trace: list[str] = []
-        self.ends: dict[int, list[str]] = {}  # by the join's number: what its call was told
+        self.ends: dict[int, list[str]] = {}  # by request id: the outcomes of its call
 
     def note(self, text: str) -> None:
+        """Add a line to the trace, which is printed if the test fails."""
         self.trace.append(f"{self.clockwork.now - 50_000:7.0f} {text}")
 
-    def list(self, *numbers: int) -> None:
-        members = [member(number, self.states[number]) for number in numbers]
-        self.roster.accept({"list": DiscoveryUpdate(UpdateKind.DELTA, 1, members)})
+    def apply_entries(self, *numbers: int) -> None:
+        """Apply the entries of these endpoints."""
+        endpoints = [discovered_endpoint(number, self.states[number]) for number in numbers]
+        self.endpoint_table.accept({"list": DiscoveryUpdate(UpdateKind.DELTA, 1, endpoints)})
 
-    # What may happen next.
+    # Events.
 
     def step(self) -> None:
-        kind = self.random.choices(
-            (self.ask, self.respond, self.close, self.wait, self.change, self.wrong),
+        """Generate one event."""
+        event = self.random.choices(
+            (
+                self.send_request,
+                self.respond,
+                self.close,
+                self.wait,
+                self.change_state,
+                self.send_unexpected,
+            ),
             (6, 6, 3, 4, 1, 1),
         )[0]
-        kind()
+        event()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
+        """Open a stream with request headers."""
         client = self.random.choice(self.clients)
-        client.asked += 1
+        client.streams += 1
         replies: list[Any] = []
         stream = Stream(self.random.choice(("p", "q")), replies.append)
-        number = self.random.choice((1, 1, client.asked, client.asked + 1))
+        number = self.random.choice((1, 1, client.streams, client.streams + 1))
         described = RequestDescription(
             client.name,
-            client.cls,
+            client.class_index,
             0,
             7,
             self.random.choice((5.0, 300.0, 900.0)),
@@ -146,26 +160,27 @@
             0.0,
             False,
         )
-        self.note(f"ask {client.name!r} class {client.cls} attempt {number}")
+        self.note(f"ask {client.name!r} class {client.class_index} attempt {number}")
         if number == 1 and client.name not in self.calls.open:
-            client.attempts.clear()  # a new request under an old id
+            client.attempts.clear()  # a new request with an id that was used before
         before = len(client.attempts)
         self.calls.request_headers_received(stream, described, self.clockwork.now)
         self.note(f"    {replies}")
-        # Nothing here holds requests back for their turn, so the answer is there at once, and one.
+        # The policy holds back no request here, so there is one reply immediately.
         assert len(replies) == 1
         self.check_reply(client, replies[0], before)
         if isinstance(replies[0], RouteReply):
-            self.streams.append((stream, client, self.carry_out(client, replies[0].endpoints)))
+            self.streams.append((stream, client, self.execute(client, replies[0].endpoints)))
             self.routed.add(stream)
         elif self.random.random() < 0.5:
             self.streams.append((stream, client, (ResponsePhase(503), None)))
         else:
             self.calls.stream_closed(stream, self.clockwork.now)
 
-    def check_reply(self, client: Client, reply: Any, known: int) -> None:
-        cls, now = CLASSES[client.cls], self.clockwork.now
-        ran = [attempt for attempt in client.attempts[:known] if attempt.ran]
+    def check_reply(self, client: Client, reply: Any, earlier: int) -> None:
+        """Check a reply to request headers against the client's earlier attempts."""
+        request_class, now_ms = CLASSES[client.class_index], self.clockwork.now
+        executed = [attempt for attempt in client.attempts[:earlier] if attempt.executed]
         if isinstance(reply, RouteReply):
             servers = [int(endpoint.partition(":")[2]) for endpoint in reply.endpoints]
             assert len(set(servers)) == len(servers)
@@ -173,39 +188,42 @@
                 self.states[server] is EndpointState.READY for server in servers
             ), "sent to a drained server"
             assert reply.max_age_ms <= 500.0
-            if cls.idempotency is Idempotency.NON_IDEMPOTENT:
-                assert not ran and len(servers) == 1, "an unsafe request may run twice"
-            if cls.idempotency is Idempotency.KEYED:
-                spread = {attempt.server for attempt in ran} | (
+            if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
+                assert not executed and len(servers) == 1, "an unsafe request may be executed twice"
+            if request_class.idempotency is Idempotency.KEYED:
+                spread = {attempt.server for attempt in executed} | (
                     set(servers) if len(servers) > 1 else set()
                 )
-                if ran:
+                if executed:
                     spread |= set(servers)
                 assert (
-                    cls.deduplication_scope is DeduplicationScope.ALL
+                    request_class.deduplication_scope is DeduplicationScope.ALL
                     or len({s % 2 for s in spread}) <= 1
-                ), "left its group"
+                ), "a retry outside of the deduplication scope"
                 assert all(
-                    now - attempt.at < cls.deduplication_window_ms for attempt in ran
-                ), "left its window"
+                    now_ms - attempt.at_ms < request_class.deduplication_window_ms
+                    for attempt in executed
+                ), "a retry after the deduplication window"
         elif isinstance(reply, ImmediateReply) and reply.status in (429, 503):
-            self.check_refusal(client, ran)
-
-    def check_refusal(self, client: Client, ran: list[Attempt]) -> None:
-        cls = CLASSES[client.cls]
-        always = cls.idempotency is Idempotency.IDEMPOTENT or (
-            cls.idempotency is Idempotency.KEYED
-            and cls.deduplication_scope is DeduplicationScope.ALL
+            self.check_shed(client, executed)
+
+    def check_shed(self, client: Client, executed: list[Attempt]) -> None:
+        """Check that a status that allows a retry does no harm."""
+        request_class = CLASSES[client.class_index]
+        always = request_class.idempotency is Idempotency.IDEMPOTENT or (
+            request_class.idempotency is Idempotency.KEYED
+            and request_class.deduplication_scope is DeduplicationScope.ALL
         )
-        assert always or not ran, "refused though it may have run"
+        assert always or not executed, "shed though it was executed"
 
     def respond(self) -> None:
+        """Send response headers on a stream."""
         if not self.streams:
             return
         stream, client, (phase, served) = self.random.choice(self.streams)
         if stream.state is StreamState.ENDED:
             return
-        told_where = stream in self.routed
+        was_routed = stream in self.routed
         replies: list[Any] = []
         stream.reply = replies.append
         status = phase.status
@@ -214,38 +232,38 @@
         self.note(f"    {replies}")
         assert len(replies) == 1
         reply = replies[0]
-        ran = [attempt for attempt in client.attempts if attempt.ran]
+        executed = [attempt for attempt in client.attempts if attempt.executed]
         if isinstance(reply, ImmediateReply) and reply.status == 503:
-            assert status != 200, "an answer was thrown away"
-            self.check_refusal(client, ran)
-        if isinstance(reply, PassReply) and (reply.status or status) in (429, 503) and told_where:
-            self.check_refusal(client, ran)
+            assert status != 200, "a successful response was replaced"
+            self.check_shed(client, executed)
+        if isinstance(reply, PassReply) and (reply.status or status) in (429, 503) and was_routed:
+            self.check_shed(client, executed)
 
-    def carry_out(
+    def execute(
         self, client: Client, endpoints: tuple[str, ...]
     ) -> tuple[ResponsePhase, str | None]:
-        """What comes of the attempt, and what the proxy will say of it, if it says anything."""
-        now, chance = self.clockwork.now, self.random
+        """Make the attempt, and return what the proxy will report of it."""
+        now_ms, chance = self.clockwork.now, self.random
         servers = [int(endpoint.partition(":")[2]) for endpoint in endpoints]
         first = servers[0]
         if len(servers) > 1 and chance.random() < 0.4:
             at = chance.randrange(1, len(servers))
             for server in servers[:at]:
-                client.attempts.append(Attempt(now, server, chance.random() < 0.5))
-            client.attempts.append(Attempt(now, servers[at], True))
+                client.attempts.append(Attempt(now_ms, server, chance.random() < 0.5))
+            client.attempts.append(Attempt(now_ms, servers[at], True))
             status = chance.choice((200, 500, 503))
             return ResponsePhase(
                 status, attempts=at + 1, details="via_upstream"
             ), f"10.0.0.1:{servers[at]}"
         if chance.random() < 0.1:
-            # An old answer: to a server that this one did not name. Only what may be repeated
-            # anywhere.
+            # The proxy uses an old answer, which names another server. That is generated only for
+            # requests that may be executed anywhere.
             others = [number for number in self.states if number not in servers]
-            if CLASSES[client.cls].idempotency is Idempotency.IDEMPOTENT:
+            if CLASSES[client.class_index].idempotency is Idempotency.IDEMPOTENT:
                 other = chance.choice(others)
-                client.attempts.append(Attempt(now, other, True))
+                client.attempts.append(Attempt(now_ms, other, True))
                 return ResponsePhase(chance.choice((200, 503))), f"10.0.0.1:{other}"
-        ran, phase = chance.choice(
+        was_executed, phase = chance.choice(
             (
                 (False, ResponsePhase(503, flags=UF)),
                 (False, ResponsePhase(503, flags=UO)),
@@ -261,10 +279,11 @@
                 (True, ResponsePhase(503, flags=UF, attempts=2)),
             )
         )
-        client.attempts.append(Attempt(now, first, ran))
+        client.attempts.append(Attempt(now_ms, first, was_executed))
         return phase, f"10.0.0.1:{first}" if chance.random() < 0.7 else None
 
     def close(self) -> None:
+        """End a stream."""
         if not self.streams:
             return
         stream, client, _ = self.streams.pop(self.random.randrange(len(self.streams)))
@@ -272,104 +291,117 @@
         self.calls.stream_closed(stream, self.clockwork.now)
 
     def wait(self) -> None:
-        ms = self.random.choice((0.0, 1.0, 30.0, 79.9, 80.0, 100.0, 350.0, 400.0, 450.0, 900.0))
-        self.note(f"wait {ms}")
-        self.clockwork.advance(ms)
+        """Advance the clock."""
+        wait_ms = self.random.choice(
+            (0.0, 1.0, 30.0, 79.9, 80.0, 100.0, 350.0, 400.0, 450.0, 900.0)
+        )
+        self.note(f"wait {wait_ms}")
+        self.clockwork.advance(wait_ms)
 
-    def change(self) -> None:
+    def change_state(self) -> None:
+        """Change the state of an endpoint."""
         number = self.random.randrange(1, SERVERS + 1)
         self.states[number] = self.random.choice(
             (EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)
         )
         self.note(f"list {number} {self.states[number].name}")
-        self.list(number)
+        self.apply_entries(number)
 
-    def wrong(self) -> None:
-        """A message that is not allowed where the stream stands ends it."""
-        told = [item for item in self.streams if item[0].state is not StreamState.NEW]
-        if not told:
+    def send_unexpected(self) -> None:
+        """Send a message that is not allowed in the stream's state."""
+        candidates = [item for item in self.streams if item[0].state is not StreamState.NEW]
+        if not candidates:
             return
-        stream, client, _ = self.random.choice(told)
-        described = RequestDescription(client.name, client.cls, 0, 0, 100.0, 1, 0.0, False)
+        stream, client, _ = self.random.choice(candidates)
+        described = RequestDescription(client.name, client.class_index, 0, 0, 100.0, 1, 0.0, False)
         with pytest.raises(ProtocolError):
             self.calls.request_headers_received(stream, described, self.clockwork.now)
 
     def finish(self) -> None:
-        """All streams end, time passes: nothing stays behind in any table."""
+        """End all streams, wait, and check that nothing is left in any table."""
         while self.streams:
             self.close()
         self.clockwork.advance(5000.0)
-        assert not self.calls.open and not self.join.in_flight and not self.join.open_attempts
         assert (
-            not self.join.policy.lifecycle.requests
-            and self.join.policy.overload.concurrency.current == 0
+            not self.calls.open and not self.pipeline.in_flight and not self.pipeline.open_attempts
+        )
+        assert (
+            not self.pipeline.policy.lifecycle.requests
+            and self.pipeline.policy.overload.concurrency.current == 0
         )
         assert not any(
-            server.open_attempts for server in self.join.policy.fleet.endpoints.by_id.values()
+            server.open_attempts for server in self.pipeline.policy.fleet.endpoints.by_id.values()
         )
         assert all(proxy.unseen == 0 for proxy in self.calls.old_answers.proxies.values())
-        assert self.clockwork.set == 0, "a timer was left"
+        assert self.clockwork.set == 0, "a timer is left"
 
 
-def follow(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World(seed)
+def simulate(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Run one simulation."""
+    simulation = Simulation(seed)
     for name in ("on_answer", "on_shed", "on_failure"):
-        told = getattr(Call, name)
+        method = getattr(Call, name)
 
-        def counted(self: Call, value: Any, told: Any = told, name: str = name) -> None:
-            world.ends.setdefault(self.request_id, []).append(name)
-            told(self, value)
+        def counted(self: Call, value: Any, method: Any = method, name: str = name) -> None:
+            simulation.ends.setdefault(self.request_id, []).append(name)
+            method(self, value)
 
         monkeypatch.setattr(Call, name, counted)
-    withdraw = world.join.cancel_request
+    cancel_request = simulation.pipeline.cancel_request
 
-    def withdrawn(number: int) -> None:
-        world.ends.setdefault(number, []).append("withdrawn")
-        withdraw(number)
+    def counted_cancel(request_id: int) -> None:
+        simulation.ends.setdefault(request_id, []).append("cancelled")
+        cancel_request(request_id)
 
-    world.join.cancel_request = withdrawn  # type: ignore[method-assign]
+    simulation.pipeline.cancel_request = counted_cancel  # type: ignore[method-assign]
     try:
-        for _ in range(world.random.randrange(2, 30)):
-            world.step()
-        world.finish()
-        assert sorted(world.ends) == list(
-            range(1, world.join.last_id + 1)
+        for _ in range(simulation.random.randrange(2, 30)):
+            simulation.step()
+        simulation.finish()
+        assert sorted(simulation.ends) == list(
+            range(1, simulation.pipeline.last_id + 1)
         ), "a call that never ended"
-        assert all(len(ends) == 1 for ends in world.ends.values()), "a call that ended twice"
+        assert all(len(ends) == 1 for ends in simulation.ends.values()), "a call that ended twice"
     except BaseException:
-        print(f"seed {seed}\n" + "\n".join(world.trace))
+        print(f"seed {seed}\n" + "\n".join(simulation.trace))
         raise
 
 
 @pytest.mark.parametrize("start", range(0, 12_000, 1000))
-def test_each_call_ends_once_and_nothing_runs_beyond_its_class(start: int) -> None:
+def test_each_call_ends_once_and_is_executed_only_as_often_as_its_class_allows(start: int) -> None:
     for seed in range(start, start + 1000):
         with pytest.MonkeyPatch.context() as monkeypatch:
-            follow(seed, monkeypatch)
+            simulate(seed, monkeypatch)
 
 
-def test_the_deadline_and_the_response_at_the_same_instant() -> None:
-    """Whichever comes first is the end; the other one is let through or changes nothing."""
+def test_the_timeout_and_the_response_at_the_same_time() -> None:
+    """The first of them ends the attempt. A response after the timeout is still passed on."""
     for response_first in (True, False):
-        world = World(2)
+        simulation = Simulation(2)
         replies: list[Any] = []
         stream = Stream("p", replies.append)
-        world.calls.request_headers_received(
-            stream, RequestDescription(b"r", 3, 0, 0, 300.0, 1, 0.0, False), world.clockwork.now
+        simulation.calls.request_headers_received(
+            stream,
+            RequestDescription(b"r", 3, 0, 0, 300.0, 1, 0.0, False),
+            simulation.clockwork.now,
         )
         assert isinstance(replies[0], RouteReply)
-        limit = replies[0].timeout_ms + world.calls.settings.late_ms
+        limit = replies[0].timeout_ms + simulation.calls.settings.late_ms
         if response_first:
-            world.clockwork.advance(limit - 0.001)
-            world.calls.response_headers_received(
-                stream, ResponsePhase(200), None, world.clockwork.now
+            simulation.clockwork.advance(limit - 0.001)
+            simulation.calls.response_headers_received(
+                stream, ResponsePhase(200), None, simulation.clockwork.now
             )
-            world.clockwork.advance(1.0)
+            simulation.clockwork.advance(1.0)
         else:
-            world.clockwork.advance(limit)
-            world.calls.response_headers_received(
-                stream, ResponsePhase(200), None, world.clockwork.now
+            simulation.clockwork.advance(limit)
+            simulation.calls.response_headers_received(
+                stream, ResponsePhase(200), None, simulation.clockwork.now
             )
         assert replies[1:] == [PassReply()]
-        world.calls.stream_closed(stream, world.clockwork.now)
-        assert not world.join.open_attempts and not world.join.in_flight and machine.MARGIN > 0
+        simulation.calls.stream_closed(stream, simulation.clockwork.now)
+        assert (
+            not simulation.pipeline.open_attempts
+            and not simulation.pipeline.in_flight
+            and machine.MARGIN > 0
+        )
--- a/tests/processor/test_outcomes.py
+++ b/tests/processor/test_outcomes.py
@@ -1,4 +1,4 @@
-"""The table of outcomes: every flag and detail, and combinations of them."""
+"""Tests the result of each response flag and detail, and of combinations of them."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 )
 from badgercart.policy.events import NOT_EXECUTED, AttemptResult
 
-# The flags that prove that a request never reached a server, by Envoy's own words for them.
-PROOF = set("LH UH UF UO NR FI RL UAEX RLSE IH RFCF NFCF NC OM DF DO UDO".split())
+# The flags that, by Envoy's documentation, prove that a request never reached a server.
+NEVER_SENT_FLAGS = set("LH UH UF UO NR FI RL UAEX RLSE IH RFCF NFCF NC OM DF DO UDO".split())
 
 
-def test_the_flags_stand_in_the_order_of_their_bits() -> None:
+def test_the_flags_are_in_the_order_of_their_bits() -> None:
     assert [flag.bit for flag in FLAGS] == list(range(30))
 
 
@@ -28,7 +28,7 @@
 def test_each_flag_alone(flag: Flag) -> None:
     end = classify_response(ResponsePhase(503, flags=1 << flag.bit))
     assert end.result is flag.result and end.by_proxy
-    assert end.possibly_executed == (flag.short not in PROOF)
+    assert end.possibly_executed == (flag.short not in NEVER_SENT_FLAGS)
 
 
 @pytest.mark.parametrize("details", sorted(DETAILS))
@@ -73,12 +73,12 @@
     attempts=st.integers(1, 3),
     upstream=st.sampled_from([None, "10.0.0.1:80"]),
 )
-def test_never_ran_only_where_all_that_is_told_proves_it(
+def test_a_result_that_proves_no_execution_needs_only_flags_that_prove_it(
     status: int, flags: int, attempts: int, upstream: str | None
 ) -> None:
     end = classify_response(
         ResponsePhase(status, flags=flags, attempts=attempts, upstream=upstream)
     )
     if end.result in NOT_EXECUTED:
-        told = {flag.short for flag in FLAGS if flags >> flag.bit & 1}
-        assert attempts == 1 and told and told <= PROOF and not flags >> 30
+        set_flags = {flag.short for flag in FLAGS if flags >> flag.bit & 1}
+        assert attempts == 1 and set_flags and set_flags <= NEVER_SENT_FLAGS and not flags >> 30
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -1,4 +1,4 @@
-"""A site with a processor for tests, and what its policy is told."""
+"""Runs an installation with a processor for tests, and records the events of its policy."""
 
 from __future__ import annotations
 
@@ -23,6 +23,7 @@
 
 
 def entry(number: int, state: str = "active") -> dict[str, Any]:
+    """Return an endpoint entry as discovery has it."""
     return {
         "instanceId": f"s-{number}",
         "hostPort": SERVERS[number - 1],
@@ -35,14 +36,14 @@
     }
 
 
-def described(
-    cls: str = "find", name: str = "", timeout: str = "8000m", **more: str
+def request_headers(
+    class_name: str = "find", name: str = "", timeout: str = "8000m", **more: str
 ) -> dict[str, str]:
-    """The request headers of a class; further ones by name, with `_` for `-`."""
-    effect = CLASSES[cls]
+    """Return the headers of a request; `more`: further ones by name, with `_` for `-`."""
+    effect = CLASSES[class_name]
     headers = {
         ":method": "GET" if effect is Idempotency.IDEMPOTENT else "POST",
-        ":path": f"/{cls}/cab7",
+        ":path": f"/{class_name}/cab7",
         ":authority": "backend.local",
         "request-id": name or f"r-{next(_ids)}",
         "request-timeout": timeout,
@@ -52,28 +53,29 @@
     return headers | {key.replace("_", "-"): value for key, value in more.items()}
 
 
-class Recorder:
-    """Every event that the policy of a join is told."""
+class EventRecorder:
+    """Records every event of a pipeline's policy."""
 
-    def __init__(self, join: RequestPipeline) -> None:
-        self.join = join
-        self.told: list[Event] = []
+    def __init__(self, pipeline: RequestPipeline) -> None:
+        self.pipeline = pipeline
+        self.events: list[Event] = []
         self.changed = asyncio.Event()
-        handle = self.join.policy.handle
+        handle = self.pipeline.policy.handle
 
-        def spy(now: float, event: Any) -> Any:
-            actions = handle(now, event)
-            self.told.append(event)
+        def record(now_ms: float, event: Any) -> Any:
+            actions = handle(now_ms, event)
+            self.events.append(event)
             self.changed.set()
             return actions
 
-        self.join.policy.handle = spy  # type: ignore[method-assign]
+        self.pipeline.policy.handle = record  # type: ignore[method-assign]
 
     def of(self, kind: type) -> list[Any]:
-        return [event for event in self.told if isinstance(event, kind)]
+        """Return the recorded events of a kind."""
+        return [event for event in self.events if isinstance(event, kind)]
 
     async def event(self, kind: type, count: int = 1) -> Any:
-        """The last of so many events of a kind, once they have come."""
+        """Wait for `count` events of a kind and return the last of them."""
         async with asyncio.timeout(WAIT):
             while len(found := self.of(kind)) < count:
                 self.changed.clear()
@@ -81,8 +83,8 @@
         return found[count - 1]
 
 
-class Bench(Recorder):
-    """A running site with a processor."""
+class ProcessorHarness(EventRecorder):
+    """A running installation with a processor."""
 
     def __init__(self, site: Application) -> None:
         super().__init__(site.pipeline)
@@ -91,27 +93,29 @@
         self.address = "{}:{}".format(*self.processor.address)
 
     async def settled(self) -> None:
-        """Nothing is held, out or open any more."""
+        """Wait until no request, attempt, call or stream is open."""
         async with asyncio.timeout(WAIT):
             while (
-                self.join.in_flight
-                or self.join.open_attempts
+                self.pipeline.in_flight
+                or self.pipeline.open_attempts
                 or self.calls.open
                 or self.processor.connections
             ):
                 await asyncio.sleep(0.001)
         assert (
-            not self.join.policy.overload.concurrency.current
-            and not self.join.policy.lifecycle.requests
+            not self.pipeline.policy.overload.concurrency.current
+            and not self.pipeline.policy.lifecycle.requests
         )
         assert all(proxy.unseen == 0 for proxy in self.calls.old_answers.proxies.values())
 
-    def lists(self, *entries: dict[str, Any], reset: bool = False) -> None:
+    def apply_entries(self, *entries: dict[str, Any], reset: bool = False) -> None:
+        """Apply endpoint entries, as a delta or as a snapshot."""
         self.site.endpoint_table.accept(
             {"generation": 2, "reset": reset, "instances": list(entries)}
         )
 
     def proxy(self, name: str = "p-1", **changes: Any) -> ScriptedProxy:
+        """Return a proxy that calls the processor."""
         return ScriptedProxy(self.address, name, **changes)
 
 
@@ -120,20 +124,23 @@
     servers: int = 1,
     attempts: int = 4,
     classes: tuple[RequestClass, ...] = (),
-    grace: float = 500.0,
+    drain_grace_ms: float = 500.0,
     **changes: Any,
-) -> AsyncIterator[Bench]:
+) -> AsyncIterator[ProcessorHarness]:
+    """Run an installation with a processor; `changes`: of the processor's settings."""
     base = config(1, attempts=attempts)
     settings = replace(base.settings, classes=classes or base.settings.classes)
-    parts = {
+    components = {
         "processor": ProcessorSettings.model_construct(listen=("127.0.0.1", 0), **changes),
         "server": tuple(listed(entry(number)) for number in range(1, servers + 1)),
     }
-    what = Installation(replace(base, settings=settings, drain_grace=grace), parts)
-    site = Application(what, asyncio.get_running_loop())
+    installation = Installation(
+        replace(base, settings=settings, drain_grace=drain_grace_ms), components
+    )
+    site = Application(installation, asyncio.get_running_loop())
     await site.start()
     try:
-        yield Bench(site)
+        yield ProcessorHarness(site)
     finally:
         await site.components["processor"].frontend.server.stop(0)
         site.close()
