--- a/badgercart/frontends/http/clients.py
+++ b/badgercart/frontends/http/clients.py
@@ -36,15 +36,15 @@
 # body has as much more as its size allows (connection.MIN_BODY_RATE_BYTES_PER_S).
 REQUEST_TIMEOUT_S = 3.0
 KEEP_ALIVE_TIMEOUT_S = 10.0  # for a connection that is idle between requests
-# After a response that ends the connection, input is discarded for this time.
+# How long input is discarded after a response that ends the connection.
 LINGER_S = 1.0
 TIMEOUT_CHECK_INTERVAL_S = 0.2
 # Connections accepted at a time, before those that are already open are read.
 MAX_ACCEPTS_PER_EVENT = 64
 DRAIN_ACCEPT_S = 0.6  # how long new connections are accepted after SIGTERM
-# A process that is being replaced closes a connection that has been idle for this time,
+# A process that is being replaced closes connections that have been idle for this time.
 HANDOVER_IDLE_S = 0.6
-# and from this time on every connection between two requests.
+# After this time it closes every connection between two requests, however short it has been idle.
 HANDOVER_CLOSE_ALL_AFTER_S = 1.2
 # How often connections that are not read are checked for clients that have left.
 DISCONNECT_CHECK_INTERVAL_S = 0.1
