--- a/tests/cluster/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -243,7 +243,7 @@
             MembershipRecord("n1", 4, MemberStatus.LEFT, ("127.0.0.1", 7946), BOOT), "n1"
         )
         site.components["peers"].apply(protocol.context.effects.take())  # type: ignore[attr-defined]
-        body = site.host.pages[b"/_peers"].body()
+        body = site.host.pages[b"/_peers"].render()
         site.close()
         return body
 
--- a/tests/upstream/test_golden.py
+++ b/tests/upstream/test_golden.py
@@ -9,7 +9,7 @@
 import pytest
 
 from badgercart.upstream.exchange import Exchange
-from tests.frontends.test_golden import POST, Stand, head
+from tests.frontends.test_golden import POST, ConnectionHarness, head
 from tests.golden import differences
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -36,10 +36,10 @@
 def forwarded() -> dict[str, bytes]:
     pieces = {}
     for name, data in FORWARDED.items():
-        (request,) = Stand().hear(data).taker.taken
+        (request,) = ConnectionHarness().receive(data).handler.requests
         pieces[name] = Exchange().ask(request.message, 750.9)
     for left in (-5.0, 0.2, 1.0, 999.999, 123_456.7):
-        (request,) = Stand().hear(head()).taker.taken
+        (request,) = ConnectionHarness().receive(head()).handler.requests
         pieces[f"{left} ms left"] = Exchange().ask(request.message, left)
     return pieces
 
@@ -55,11 +55,11 @@
         start = bytes(size - 3)
         start = b"%x\r\n%b\r\n" % (len(start), start) if name == "chunks" else start
         end = b"3\r\nend\r\n0\r\n\r\n" if name == "chunks" else b"end"
-        stand = Stand().hear(head(POST, line) + start)
-        (request,) = stand.taker.taken
+        harness = ConnectionHarness().receive(head(POST, line) + start)
+        (request,) = harness.handler.requests
         exchange = Exchange()
         sent = [exchange.ask(request.message, 750.0), exchange.upload_bytes()]
-        stand.hear(end)
+        harness.receive(end)
         sent += [exchange.upload_bytes(), exchange.upload_bytes()]
         pieces[name] = b"|".join(sent).replace(bytes(size - 3), b"<zeros>")
     return pieces
