--- a/tests/cluster/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -260,7 +260,7 @@
             MembershipRecord("n1", 4, MemberStatus.LEFT, ("127.0.0.1", 7946), GENERATION), "n1"
         )
         application.components["peers"].apply(protocol.context.effects.take())  # type: ignore[attr-defined]
-        body = application.host.pages[b"/_peers"].body()
+        body = application.host.pages[b"/_peers"].render()
         application.close()
         return body
 
