--- a/badgercart/zones/change_logger.py
+++ b/badgercart/zones/change_logger.py
@@ -1,4 +1,4 @@
-"""Logs what changed among zones since the last tick; `log_events` has the lines themselves."""
+"""Logs what changed among zones since the last tick, with the events of `log_events`."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class ChangeLogger:
-    """Compares a controller with what was logged of it before."""
+    """Compares the state of a controller with the state that was logged last."""
 
     def __init__(self, controller: FailoverController, stamp: Callable[[], dict[str, Any]]) -> None:
-        """Begin with the controller's present state as logged.
+        """Treat the controller's current state as already logged.
 
         Args:
-            controller: whose changes are logged.
-            stamp: gives the fields of hybrid time that every event bears.
+            controller: the controller whose changes are logged.
+            stamp: returns the hybrid timestamp field that every event has.
         """
         self._controller, self._stamp = controller, stamp
         self._reachability: tuple[Reachability, ...] = ()
@@ -38,20 +38,20 @@
         self.reset()
 
     def reset(self) -> None:
-        """Take the present states of all breakers as logged, since the topology changed."""
+        """Treat the current states of all breakers as logged, after a change of topology."""
         self._breaker_states = [breaker.state for breaker in self._controller.conditions.breakers]
 
-    def log(self, now: float) -> None:
-        """Log all that changed since the last call."""
+    def log(self, now_ms: float) -> None:
+        """Log everything that changed since the last call."""
         for change in self._controller.history.take_unlogged():
-            self._log_change(change, now)
+            self._log_change(change, now_ms)
         self._log_reachability()
         for zone, breaker in enumerate(self._controller.conditions.breakers):
             self._log_breaker(zone, breaker)
         self._log_budget()
         self._log_foreign_reports()
 
-    def _log_change(self, change: Change, now: float) -> None:
+    def _log_change(self, change: Change, now_ms: float) -> None:
         match change:
             case PlanInForce(_, epoch, proposer, reason, digest):
                 log_events.PLAN_IN_FORCE(
@@ -59,7 +59,7 @@
                     proposer=proposer,
                     why=reason or "all is well",
                     plan=digest,
-                    until_ms=round(self._controller.consensus.lease_left_ms(now)),
+                    until_ms=round(self._controller.consensus.lease_left_ms(now_ms)),
                     **self._stamp(),
                 )
             case PlanEnded(_, epoch, reason):
@@ -84,8 +84,8 @@
         observed = self._controller.observer.reachability
         for zone, reachability in enumerate(observed):
             if zone >= len(logged) or reachability is not logged[zone]:
-                words = REACHABILITY_WORDS[reachability]
-                log_events.REACHABILITY_CHANGED(zone=names[zone], verdict=words, **self._stamp())
+                verdict = REACHABILITY_WORDS[reachability]
+                log_events.REACHABILITY_CHANGED(zone=names[zone], verdict=verdict, **self._stamp())
         self._reachability = observed
 
     def _log_breaker(self, zone: int, breaker: ZoneCircuitBreaker) -> None:
--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -1,6 +1,7 @@
-"""`badgercart zones`: what a node knows of each zone, the plan, and operators' overrides.
+"""The command `badgercart zones`: the state of each zone, the plan, and operators' overrides.
 
-Exit status: 0 done; 1 the node can't be asked, or did not take the override; 2 a wrong file.
+Exit status: 0 for success; 1 if the node does not respond or rejects the override; 2 for a wrong
+file.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 if TYPE_CHECKING:
     from badgercart.app.file import Installation
 
-MAX_AUTHOR_LENGTH = 64  # characters
+MAX_AUTHOR_CHARS = 64
 
-NODE = click.argument("node", metavar="HOST:PORT")
-FILE = click.argument("file", metavar="FILE.toml")
+NODE_ARGUMENT = click.argument("node", metavar="HOST:PORT")
+FILE_ARGUMENT = click.argument("file", metavar="FILE.toml")
 
 
 def fetch_zones_page(node: str) -> dict[str, Any]:
@@ -40,7 +41,7 @@
 
 
 @zones.command(help="Each zone as the node knows it, and what it goes by.")
-@NODE
+@NODE_ARGUMENT
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def show(node: str, as_json: bool) -> None:
     """Show each zone as the node knows it, and the plan in force."""
@@ -64,23 +65,23 @@
 
 
 def heading(page: dict[str, Any]) -> str:
-    """Return the line that says by which plan a node goes."""
+    """Return the line about the plan that a node uses."""
     node = f"{page['name']} in {page['zone']}"
     if not page["plan"]:
         return f"{node}: no plan, near only, by its own eyes"
-    which = "its own plan"
+    plan_note = "its own plan"
     if page["epoch"]:
         lease = f"for {page['lease_ms'] / 1000:.1f} s more"
-        which = f"plan {page['epoch']} of {page['proposer']}, {lease}"
+        plan_note = f"plan {page['epoch']} of {page['proposer']}, {lease}"
     reason = f": {page['why']}" if page["why"] else ""
-    return f"{node}: {which}{reason}"
+    return f"{node}: {plan_note}{reason}"
 
 
 @zones.command(
     help="Where each zone's requests go, by class; "
     "the second half of the rows is for bound tenants."
 )
-@NODE
+@NODE_ARGUMENT
 def plan(node: str) -> None:
     """Show the plan in force, by zone and row."""
     page = fetch_zones_page(node)
@@ -96,15 +97,15 @@
 
 
 @zones.command(help="What was in force at the node lately, and why.")
-@NODE
+@NODE_ARGUMENT
 def why(node: str) -> None:
-    """Show the latest changes of what is in force at the node."""
+    """Show the latest changes of plans and overrides on the node."""
     for change in fetch_zones_page(node)["changes"]:
         click.echo(describe_change(change))
 
 
 def describe_change(change: dict[str, Any]) -> str:
-    """Return the line for one change of a node's page."""
+    """Return one change of a node's page as a line of text."""
     at = f"{change['at_ms'] / 1000:10.3f} s"
     if "order" in change:
         return f"{at}  {change['order']}, by {change['by']}"
@@ -119,21 +120,21 @@
 @zones.command(
     "if", help="What would happen if ZONE went now, by what the node knows at this moment."
 )
-@NODE
+@NODE_ARGUMENT
 @click.argument("zone")
 def forecast(node: str, zone: str) -> None:
-    """Show what would happen if a zone went now."""
+    """Show the effect of losing a zone now."""
     page = fetch_page(node, "/_zones/if")
     if zone not in page:
         raise UnknownZoneError(zone, tuple(page), node)
-    found = page[zone]
-    rows = [(name, f"{utilization:.0%}") for name, utilization in found["full"].items()]
+    effect = page[zone]
+    rows = [(name, f"{utilization:.0%}") for name, utilization in effect["full"].items()]
     show_table(("zone", "full"), rows)
-    click.echo(f"refused: {found['refused']:.1%}")
+    click.echo(f"refused: {effect['refused']:.1%}")
 
 
 class UnknownZoneError(CommandError):
-    """A zone that a node does not know."""
+    """A zone that the node does not know."""
 
     def __init__(self, zone: str, known: tuple[str, ...], node: str) -> None:
         """Name the zones that the node knows."""
@@ -141,7 +142,7 @@
 
 
 class WrongZoneError(CommandError):
-    """A zone that the file does not have."""
+    """A zone that the settings file does not have."""
 
     def __init__(self, zone: str, known: tuple[str, ...]) -> None:
         """Name the zones of the file."""
@@ -149,18 +150,18 @@
 
 
 class OverrideNotTakenError(CommandError):
-    """A node that did not take an override."""
+    """An override that the node did not accept."""
 
     def __init__(self, file: str) -> None:
-        """Name the file of the node."""
+        """Name the settings file of the node."""
         super().__init__(f"{file}: the node did not take it: its posts are full")
 
 
 def override(file: str, action: str, zone: str, for_s: float, author: str) -> None:
-    """Have the cluster know an override; the file's node has it when this returns.
+    """Publish an override in the cluster; the file's node has it when this returns.
 
     Raises:
-        CommandError: the node can't be asked or did not take it, or the zone is not known.
+        CommandError: the zone is unknown, or the node does not respond or rejects the override.
     """
     installation = load_with_component(file, "zones")
     if zone not in installation.config.zones:
@@ -173,9 +174,9 @@
 def send_override(
     installation: Installation, action: str, zone: str, for_s: float, author: str
 ) -> bool:
-    """Send an override to the node of a file, and return whether it has it now.
+    """Send an override to the installation's node, and return whether the node accepted it.
 
-    It travels as a register update by one that has the cluster's secret; the node passes it on.
+    It is sent as a register update, authenticated by the cluster's secret; the node forwards it.
     """
     from badgercart.cluster.gossip_registers import RegisterUpdate
     from badgercart.cluster.hybrid_logical_clock import HybridTimestamp
@@ -192,12 +193,12 @@
     )
     now_ms = int(time.time() * 1000)
     expires_ms = now_ms + int(for_s * 1000)
-    wanted = OperatorOverride(
-        config.zones[zone], action, now_ms, expires_ms, author[:MAX_AUTHOR_LENGTH]
+    requested = OperatorOverride(
+        config.zones[zone], action, now_ms, expires_ms, author[:MAX_AUTHOR_CHARS]
     )
-    payload = encode_overrides(topology.digest, [wanted])
-    writer = f"operator {zone}"[:MAX_AUTHOR_LENGTH]
-    update = RegisterUpdate(OVERRIDES_TOPIC, writer, now_ms, payload)
+    payload = encode_overrides(topology.digest, [requested])
+    register_author = f"operator {zone}"[:MAX_AUTHOR_CHARS]
+    update = RegisterUpdate(OVERRIDES_TOPIC, register_author, now_ms, payload)
     timestamp = HybridTimestamp(now_ms, 0)
     packet = Packet("operator", now_ms, 0, 1, timestamp, Sync(), (), (update,))
     return update in exchange_packet(installation, packet).updates
@@ -205,7 +206,7 @@
 
 def _add_override_command(action: str, help_text: str) -> None:
     @zones.command(action, help=help_text)
-    @FILE
+    @FILE_ARGUMENT
     @click.argument("zone")
     @click.option(
         "--for",
--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -1,7 +1,7 @@
-"""Zone failover as a component: the controller on the node's clock and sockets.
+"""Zone failover as a component: runs the controller on the node's clock and sockets.
 
-The libraries that it needs are imported when it is built, so that a node without zones goes without
-them.
+The required libraries are imported when the component is built, so that a node without zones does
+not need them.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
     from badgercart.cluster.effects import Effect
     from badgercart.cluster.service import ClusterComponent
 
-# Numbers in a plan from which it is computed in another thread: it takes about 5 ms then.
-LARGE_PLAN_NUMBERS = 4000
+# Plans with at least this many shares are computed in another thread; they take about 5 ms.
+THREAD_THRESHOLD_SHARES = 4000
 
 
 class ZonesComponent:
-    """One node's failover controller, ticked and fed with the pipeline's events."""
+    """Ticks a failover controller, and feeds it with the events of the request pipeline."""
 
     def __init__(self, host: ComponentHost, settings: ZonesSettings) -> None:
-        """Build the controller, and observe the pipeline from now on."""
+        """Build the controller, and register as an observer of the pipeline."""
         from badgercart.zones.change_logger import ChangeLogger
         from badgercart.zones.failover_controller import FailoverController
         from badgercart.zones.health_check import ZoneHealthChecker
@@ -67,28 +67,28 @@
         self._tick_count = 0
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._place_endpoints(settings)
+        self._set_zone_lookup(settings)
         host.pipeline.attempt_observers += (self,)
         host.pipeline.observers += (self,)
         host.pages[b"/_zones"] = Page(self._status_page)
-        # A page of its own, since it computes a plan for each zone.
+        # A separate page, since it computes a plan for each zone.
         host.pages[b"/_zones/if"] = Page(self._forecast_page)
         register_metrics(host.metrics, self.controller, list(config.zones))
 
-    def _place_endpoints(self, settings: ZonesSettings) -> None:
-        """Have endpoints without a zone get that of their network."""
+    def _set_zone_lookup(self, settings: ZonesSettings) -> None:
+        """Assign endpoints without a zone to the zone of their network."""
         from badgercart.zones.endpoint_zones import zone_lookup
 
         self._host.reader.place = zone_lookup(settings.network, self._host.config.zones)
 
-    # The component's life.
+    # Lifecycle.
 
     async def start(self) -> None:
-        """Begin to tick."""
+        """Start to tick."""
         self._tick()
 
     def prepare(self, settings: ZonesSettings) -> Callable[[], None] | None:
-        """Return what puts regions, distances and regional traffic in force.
+        """Return a function that applies regions, distances and regional traffic.
 
         All other settings need a restart.
 
@@ -103,24 +103,24 @@
             raise ReloadError(problem) from error
 
         def commit() -> None:
-            self._place_endpoints(settings)
-            self.controller.relocate(self._now(), topology, config.settings.zone)
+            self._set_zone_lookup(settings)
+            self.controller.change_topology(self._now_ms(), topology, config.settings.zone)
             self._logger.reset()
 
         return commit
 
-    async def drain(self, until: float) -> None:
-        """Do nothing: the plan holds until the last answer."""
+    async def drain(self, _until: float) -> None:
+        """Do nothing: the plan stays in force until the last response."""
 
     def close(self) -> None:
-        """Cancel all that is scheduled."""
+        """Cancel the timer and all tasks."""
         if self._timer is not None:
             self._timer.cancel()
         self._outbox.close()
         for task in self._tasks:
             task.cancel()
 
-    def _now(self) -> float:
+    def _now_ms(self) -> float:
         return self._host.pipeline.clock()
 
     # Events of the pipeline.
@@ -131,14 +131,14 @@
         return endpoint.entry.zone if endpoint is not None else UNKNOWN_ZONE
 
     def attempt_sent(self, endpoint_id: int) -> None:
-        """Tell the controller that an attempt was sent."""
+        """Notify the controller that an attempt was sent."""
         zone = self._zone_of(endpoint_id)
-        self.controller.observer.attempt_sent(self._now(), zone, endpoint_id)
+        self.controller.observer.attempt_sent(self._now_ms(), zone, endpoint_id)
 
     def attempt_ended(self, endpoint_id: int, result: AttemptResult, elapsed_ms: float) -> None:
-        """Tell the controller that an attempt ended, `elapsed_ms` after it was sent."""
+        """Notify the controller that an attempt ended, `elapsed_ms` after it was sent."""
         zone = self._zone_of(endpoint_id)
-        self.controller.observer.attempt_ended(self._now(), zone, result, elapsed_ms)
+        self.controller.observer.attempt_ended(self._now_ms(), zone, result, elapsed_ms)
 
     def request_finished(
         self,
@@ -149,27 +149,27 @@
         _endpoint_id: int,
         _attempts: int,
     ) -> None:
-        """Count a request into the demand."""
+        """Count a request in the demand."""
         self.controller.observer.request_completed(request.class_index, request.tenant)
 
-    # Time.
+    # Ticks.
 
     def _tick(self) -> None:
         from badgercart.zones.failover_controller import TICK_INTERVAL_MS
 
         self._timer = self._host.loop.call_later(TICK_INTERVAL_MS / 1000, self._tick)
-        now = self._now()
-        update = self.controller.tick(now, self._scan())
+        now_ms = self._now_ms()
+        update = self.controller.tick(now_ms, self._scan())
         if update is not None:
             self._host.pipeline.dispatch(update)
-        self._answer_question(now)
-        for zone in self.controller.observer.zones_to_check(now):
+        self._compute_requested_plan(now_ms)
+        for zone in self.controller.observer.zones_to_check(now_ms):
             self._spawn(self._health_checker.check(zone))
         self._outbox.flush()
-        self._logger.log(self._now())
+        self._logger.log(self._now_ms())
 
     def _scan(self) -> EndpointCapacity:
-        """Return the endpoints' capacity; a long list is not scanned at each tick."""
+        """Return the endpoints' capacity; a long endpoint list is not scanned at each tick."""
         policy = self._host.pipeline.policy
         if self._tick_count % ticks_between_scans(policy) == 0:
             topology = self.controller.topology
@@ -177,15 +177,15 @@
         self._tick_count += 1
         return self._capacity
 
-    def _answer_question(self, now: float) -> None:
-        """Compute the plan that is wanted, a large one in another thread."""
+    def _compute_requested_plan(self, now_ms: float) -> None:
+        """Compute the plan that is requested, a large one in another thread."""
         controller, scheduler = self.controller, self.controller.planner.scheduler
         if scheduler.requested_input is None or scheduler.computing:
             return
         scheduler.computing = True
         topology = controller.topology
-        if topology.row_count * len(topology.zones) ** 2 < LARGE_PLAN_NUMBERS:
-            controller.on_plan_computed(now, controller.compute(scheduler.requested_input))
+        if topology.row_count * len(topology.zones) ** 2 < THREAD_THRESHOLD_SHARES:
+            controller.on_plan_computed(now_ms, controller.compute(scheduler.requested_input))
         else:
             self._spawn(self._compute_in_thread())
 
@@ -194,23 +194,23 @@
         requested_input = controller.planner.scheduler.requested_input
         assert requested_input is not None
         plan = await self._host.loop.run_in_executor(None, controller.compute, requested_input)
-        controller.on_plan_computed(self._now(), plan)
+        controller.on_plan_computed(self._now_ms(), plan)
         self._outbox.schedule()
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self._host.loop.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = self._host.loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def _run_effects(self, effects: list[Effect]) -> None:
         self._cluster.driver.run(effects)
 
-    # Pages.
+    # Admin pages.
 
     def _status_page(self) -> bytes:
         from badgercart.zones.presentation import status_page
 
-        return json.dumps(status_page(self.controller, self._now())).encode()
+        return json.dumps(status_page(self.controller, self._now_ms())).encode()
 
     def _forecast_page(self) -> bytes:
         from badgercart.zones.presentation import loss_forecast
--- a/badgercart/zones/consensus_messages.py
+++ b/badgercart/zones/consensus_messages.py
@@ -1,7 +1,6 @@
-"""The messages by which nodes agree on a traffic plan, and their form in gossip registers. No I/O.
+"""The messages of the plan consensus, and their encoding in gossip registers. No I/O.
 
-Messages travel as MessagePack arrays, in the order of the fields. The topics are part of the wire
-format.
+Messages are MessagePack arrays in the order of the fields. The topics are part of the wire format.
 """
 
 from __future__ import annotations
@@ -14,23 +13,34 @@
 
 from badgercart.zones.errors import InvalidBallotError, PlanTooLargeError
 
-CHUNK_BYTES = 440  # of a plan in one register update
+# Bytes of a plan in one register update.
+CHUNK_BYTES = 440
 MAX_CHUNKS = 32
 CHUNK_TOPICS = tuple(f"zones.plan.{number}" for number in range(MAX_CHUNKS))
-ROUND_TOPIC, VOTE_TOPIC, REQUEST_TOPIC = "zones.round", "zones.vote", "zones.ask"
-VOTERS_PER_COMMIT = 96  # named in one register update
-MAX_COMMITS = 12  # register updates of one commit: 1,152 nodes
+ROUND_TOPIC = "zones.round"
+VOTE_TOPIC = "zones.vote"
+REQUEST_TOPIC = "zones.ask"
+# Voters that one register update names.
+VOTERS_PER_COMMIT = 96
+# Register updates of one commit, for up to 1,152 voters.
+MAX_COMMITS = 12
 COMMIT_TOPICS = tuple(f"zones.commit.{number}" for number in range(MAX_COMMITS))
 VOTER_MARK_BYTES = 4
 PLAN_DIGEST_BYTES = 8
-MAX_NUMBER = 1 << 53  # of an epoch or a round
+MAX_EPOCH_OR_ROUND = 1 << 53
 
 
 class Ballot(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """One round on one plan. Rounds renew the lease of a plan under the same epoch."""
+    """One round of voting on one plan. Further rounds renew the plan's lease in the same epoch.
+
+    Attributes:
+        epoch: the plan's epoch.
+        digest: the plan's digest.
+        round: the number of the round within the epoch.
+    """
 
     epoch: int
-    digest: bytes  # of the plan
+    digest: bytes
     round: int
 
     @property
@@ -39,40 +49,56 @@
         return self.epoch, self.digest
 
     def check(self, max_epoch: int) -> None:
-        """Raise InvalidBallotError unless the ballot is possible and below `max_epoch`."""
-        if not 0 < self.epoch < max_epoch or not 0 < self.round < MAX_NUMBER:
+        """Raise InvalidBallotError unless the ballot is valid and its epoch below `max_epoch`."""
+        if not 0 < self.epoch < max_epoch or not 0 < self.round < MAX_EPOCH_OR_ROUND:
             raise InvalidBallotError(self.epoch, self.round)
         if len(self.digest) != PLAN_DIGEST_BYTES:
             raise InvalidBallotError(self.epoch, self.round)
 
 
 class PlanChunk(msgspec.Struct, array_like=True, frozen=True):
-    """One piece of a plan; its topic tells which."""
+    """One chunk of an encoded plan; its topic has the number of the chunk.
 
-    digest: bytes  # of the plan
-    count: int  # pieces of the plan
+    Attributes:
+        digest: the plan's digest.
+        count: how many chunks the plan has.
+        data: the bytes of the chunk.
+    """
+
+    digest: bytes
+    count: int
     data: bytes
 
 
 class Vote(msgspec.Struct, array_like=True, frozen=True):
-    """A ballot as accepted by one process."""
+    """The vote of one process for a ballot.
+
+    Attributes:
+        ballot: the accepted ballot.
+        incarnation: identifies the voting process among those of its node.
+    """
 
     ballot: Ballot
-    incarnation: int  # of the process
+    incarnation: int
 
 
 class Commit(msgspec.Struct, array_like=True, frozen=True):
-    """A ballot that a majority accepted."""
+    """A ballot that a majority accepted.
+
+    Attributes:
+        ballot: the accepted ballot.
+        voter_marks: the concatenated marks of the voters that this message names.
+    """
 
     ballot: Ballot
-    voter_marks: bytes  # of the processes that this message names, one after the other
+    voter_marks: bytes
 
     def names(self, mark: bytes) -> bool:
-        """Return whether the process with this mark is named."""
+        """Return whether the process with this mark is named as a voter."""
         marks = self.voter_marks
         return any(
-            marks[at : at + VOTER_MARK_BYTES] == mark
-            for at in range(0, len(marks), VOTER_MARK_BYTES)
+            marks[start : start + VOTER_MARK_BYTES] == mark
+            for start in range(0, len(marks), VOTER_MARK_BYTES)
         )
 
 
@@ -84,36 +110,36 @@
 
 
 def encode_message(message: Ballot | PlanChunk | Vote | Commit) -> bytes:
-    """Return a message as it travels."""
+    """Return a message as bytes."""
     return _encode(message)
 
 
 def voter_mark(name: str, incarnation: int) -> bytes:
-    """Return the few bytes that stand for a process in a commit."""
+    """Return the short hash that identifies a process in a commit."""
     identity = f"{name} {incarnation}".encode()
     return hashlib.blake2b(identity, digest_size=VOTER_MARK_BYTES).digest()
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessId:
-    """One process of a node: names come back with every restart, incarnations do not."""
+    """Identifies a process: a restarted node has the same name, but another incarnation."""
 
     name: str
     incarnation: int
 
     @property
     def mark(self) -> bytes:
-        """The few bytes that stand for the process in a commit."""
+        """The short hash that identifies the process in a commit."""
         return voter_mark(self.name, self.incarnation)
 
 
 def split_plan(digest: bytes, data: bytes) -> list[tuple[str, bytes]]:
-    """Return the chunks of a plan, encoded, each with its topic.
+    """Return the encoded chunks of a plan, each with its topic.
 
     Raises:
-        PlanTooLargeError: there are not enough topics for it.
+        PlanTooLargeError: the plan has more chunks than there are topics.
     """
-    pieces = [data[at : at + CHUNK_BYTES] for at in range(0, len(data), CHUNK_BYTES)]
+    pieces = [data[start : start + CHUNK_BYTES] for start in range(0, len(data), CHUNK_BYTES)]
     if len(pieces) > MAX_CHUNKS:
         raise PlanTooLargeError(len(pieces), MAX_CHUNKS)
     chunks = (_encode(PlanChunk(digest, len(pieces), piece)) for piece in pieces)
@@ -121,14 +147,14 @@
 
 
 def split_commit(ballot: Ballot, voter_marks: Iterable[bytes]) -> list[tuple[str, bytes]]:
-    """Return the commit messages that name these voters, encoded, each with its topic.
+    """Return the encoded commit messages that name these voters, each with its topic.
 
-    Voters beyond MAX_COMMITS messages are not named, and do not act by the plan.
+    Voters beyond MAX_COMMITS messages are not named, and do not activate the plan.
     """
     marks: Sequence[bytes] = sorted(voter_marks)
     pieces = [
-        b"".join(marks[at : at + VOTERS_PER_COMMIT])
-        for at in range(0, len(marks), VOTERS_PER_COMMIT)
+        b"".join(marks[start : start + VOTERS_PER_COMMIT])
+        for start in range(0, len(marks), VOTERS_PER_COMMIT)
     ]
     commits = (_encode(Commit(ballot, piece)) for piece in pieces)
     return list(zip(COMMIT_TOPICS, commits, strict=False))
--- a/badgercart/zones/consensus_state.py
+++ b/badgercart/zones/consensus_state.py
@@ -1,4 +1,4 @@
-"""Small pieces of state of the plan consensus, each with one owner, and its effects. No I/O."""
+"""The state of the plan consensus, in parts with one owner each, and its effects. No I/O."""
 
 from __future__ import annotations
 
@@ -6,24 +6,33 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from badgercart.zones.consensus_messages import MAX_NUMBER, Ballot
+from badgercart.zones.consensus_messages import MAX_EPOCH_OR_ROUND, Ballot
 from badgercart.zones.traffic_plan import Plan
 
-EPOCHS_PER_MS = 1 << 12  # of the wall clock: each process has its own of them
-MAX_EPOCH_LEAD = 86_400_000 * EPOCHS_PER_MS  # that an epoch may be ahead of our clock: a day
-REMEMBERED_BALLOTS = 8  # of which a node knows when it accepted them
+# Epochs for each ms of the wall clock; each process uses its own one of them.
+EPOCHS_PER_MS = 1 << 12
+# Epochs may be ahead of this node's wall clock by up to a day.
+MAX_LEAD_EPOCHS = 86_400_000 * EPOCHS_PER_MS
+# Accepted ballots of which a node remembers the time.
+MAX_REMEMBERED_BALLOTS = 8
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseSettings:
-    """Times of the consensus."""
+    """Durations of the consensus.
+
+    Attributes:
+        lease_ms: how long a plan is in force after a node accepted a round.
+        margin_ms: how much earlier the lease ends on the node's own clock.
+        renew_ms: the interval between two rounds.
+        proposer_timeout_ms: the silence of the proposer after which the first other node proposes;
+            each further node waits this long in addition.
+    """
 
-    lease_ms: float = 4000.0  # from when a node accepted a round
-    margin_ms: float = 100.0  # by which the lease is shorter on the node's own clock
-    renew_ms: float = 1000.0  # between two rounds
-    # Silence of the proposer after which the first other node proposes; a multiple for each next
-    # one.
-    patience_ms: float = 2000.0
+    lease_ms: float = 4000.0
+    margin_ms: float = 100.0
+    renew_ms: float = 1000.0
+    proposer_timeout_ms: float = 2000.0
 
 
 # Effects.
@@ -31,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendMessage:
-    """Tell every node at once, or only `recipient` where it is named."""
+    """Send a message to every node, or only to `recipient` if it is not empty."""
 
     topic: str
     payload: bytes
@@ -40,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanActivated:
-    """A plan is in force on this node from now on."""
+    """A plan came into force on this node."""
 
     epoch: int
     plan: Plan
@@ -48,7 +57,7 @@
 
 
 class ExpiryReason(StrEnum):
-    """Why a plan is in force no longer, in the words that operators see."""
+    """Why a plan is no longer in force; operators see the values."""
 
     LEASE = "its lease is over"
     TOPOLOGY = "the geography changed"
@@ -56,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanExpired:
-    """No plan is in force on this node any more."""
+    """The plan in force on this node ended, and no other plan replaced it."""
 
     epoch: int
     reason: ExpiryReason
@@ -64,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposalSuperseded:
-    """This node's own proposal came to nothing."""
+    """This node's own proposal failed."""
 
     epoch: int
 
@@ -76,77 +85,88 @@
 
 
 class EpochCounter:
-    """The highest epoch that was heard of, and new ones.
+    """The highest epoch that was observed, and the source of new epochs.
 
-    Epochs follow the wall clock, since a majority that was restarted remembers none and must not
-    use one again. Their last bits are those of the process, since two processes that have heard of
-    the same epochs would pick the same next one.
+    Epochs follow the wall clock, since a majority that was restarted remembers no epoch and must
+    not reuse one. Their lowest bits identify the process, since two processes that have observed
+    the same epochs would otherwise choose the same next one.
     """
 
     def __init__(self, process_mark: bytes, wall_ms: Callable[[], float]) -> None:
-        """Begin with no epoch. `wall_ms` gives Unix ms."""
+        """Start without an epoch. `wall_ms` returns the Unix time in ms."""
         self.highest = 0
         self._own_bits = int.from_bytes(process_mark, "big") % EPOCHS_PER_MS
         self._wall_ms = wall_ms
 
     def observe(self, epoch: int) -> None:
-        """Take over an epoch that another node named."""
+        """Record an epoch that another node used."""
         self.highest = max(self.highest, epoch)
 
     def next(self) -> int:
-        """Return a new epoch, above all that were heard of."""
-        at_ms = max(self.highest // EPOCHS_PER_MS + 1, int(self._wall_ms()))
-        self.highest = at_ms * EPOCHS_PER_MS + self._own_bits
+        """Return a new epoch above all that were observed."""
+        epoch_ms = max(self.highest // EPOCHS_PER_MS + 1, int(self._wall_ms()))
+        self.highest = epoch_ms * EPOCHS_PER_MS + self._own_bits
         return self.highest
 
     def limit(self) -> int:
-        """Return the epoch from which on a ballot is not believed."""
+        """Return the epoch from which a ballot is rejected as too far ahead of the wall clock."""
         present = max(self.highest, int(self._wall_ms()) * EPOCHS_PER_MS)
-        return min(MAX_NUMBER, present + MAX_EPOCH_LEAD)
+        return min(MAX_EPOCH_OR_ROUND, present + MAX_LEAD_EPOCHS)
 
 
 class ProposerTurn:
-    """Whose turn it is to propose, by how long no proposer was heard."""
+    """Decides whether this node may propose, by how long the proposer has been silent."""
 
     def __init__(self, settings: LeaseSettings) -> None:
-        """Begin before the first tick, when the node neither votes nor proposes."""
+        """Start before the first tick, when the node neither votes nor proposes."""
         self._settings = settings
-        self._began_at: float | None = None
-        self._heard_at = float("-inf")
+        self._started_at_ms: float | None = None
+        self._proposer_heard_at_ms = float("-inf")
 
-    def begin(self, now: float) -> None:
-        """Take over the time of the first tick; later calls change nothing."""
-        if self._began_at is None:
-            self._began_at = self._heard_at = now
+    def start(self, now_ms: float) -> None:
+        """Record the time of the first tick; later calls have no effect."""
+        if self._started_at_ms is None:
+            self._started_at_ms = self._proposer_heard_at_ms = now_ms
 
-    def restart(self, now: float) -> None:
-        """Take over that a proposer was heard, or that we gave up: wait anew."""
-        self._heard_at = now
+    def restart(self, now_ms: float) -> None:
+        """Restart the wait, since a proposer was heard or this node withdrew its proposal."""
+        self._proposer_heard_at_ms = now_ms
 
-    def may_vote(self, now: float) -> bool:
-        """Return whether what a previous process of our name accepted is void by now."""
-        return self._began_at is not None and now - self._began_at >= self._settings.lease_ms
+    def may_vote(self, now_ms: float) -> bool:
+        """Return whether all votes of a previous process of this node must have expired."""
+        return (
+            self._started_at_ms is not None
+            and now_ms - self._started_at_ms >= self._settings.lease_ms
+        )
 
-    def has_come(self, now: float, rank: int) -> bool:
-        """Return whether the node with this rank, by name among those in reach, may propose."""
-        silent_ms = now - self._heard_at
-        return self.may_vote(now) and silent_ms >= self._settings.patience_ms * (1 + rank)
+    def may_propose(self, now_ms: float, rank: int) -> bool:
+        """Return whether the node with this rank, by name among the reachable, may propose."""
+        silent_ms = now_ms - self._proposer_heard_at_ms
+        return self.may_vote(now_ms) and silent_ms >= self._settings.proposer_timeout_ms * (
+            1 + rank
+        )
 
 
 class AcceptedBallots:
-    """The ballots that this node accepted: its votes."""
+    """The ballots that this node accepted: its votes.
+
+    Attributes:
+        last: the ballot accepted last.
+        proposer: the proposer of the last ballot.
+        accepted_at_ms: when recent ballots were accepted, on this node's clock; the latest is last.
+    """
 
     def __init__(self) -> None:
-        """Begin without any vote."""
+        """Start without any vote."""
         self.last: Ballot | None = None
-        self.proposer = ""  # of the last one
-        self.accepted_at: dict[Ballot, float] = {}  # ms on our clock, the latest last
+        self.proposer = ""
+        self.accepted_at_ms: dict[Ballot, float] = {}
 
     def allows(self, author: str, ballot: Ballot, highest_epoch: int) -> bool:
         """Return whether a ballot may be accepted.
 
-        One plan an epoch at most, by one proposer, and its rounds only forward. A process without
-        any vote accepts no epoch below the highest one that it has heard of.
+        A node accepts at most one plan per epoch, by one proposer, and only growing rounds. A
+        process without any vote accepts no epoch below the highest one that it has observed.
         """
         last = self.last
         if last is None:
@@ -156,29 +176,29 @@
         same_proposal = ballot.proposal == last.proposal and author == self.proposer
         return same_proposal and ballot.round > last.round
 
-    def accept(self, now: float, author: str, ballot: Ballot) -> None:
+    def accept(self, now_ms: float, author: str, ballot: Ballot) -> None:
         """Vote for a ballot."""
         self.last, self.proposer = ballot, author
-        self.accepted_at[ballot] = now
-        while len(self.accepted_at) > REMEMBERED_BALLOTS:
-            del self.accepted_at[next(iter(self.accepted_at))]
+        self.accepted_at_ms[ballot] = now_ms
+        while len(self.accepted_at_ms) > MAX_REMEMBERED_BALLOTS:
+            del self.accepted_at_ms[next(iter(self.accepted_at_ms))]
 
 
 @dataclass(slots=True)
 class ActivePlan:
-    """The plan in force."""
+    """The plan in force; the lease expires at `expires_at_ms` on this node's clock."""
 
     ballot: Ballot
     plan: Plan
     proposer: str
-    expires_at: float  # ms on our clock
+    expires_at_ms: float
 
 
 class PlanLease:
-    """The plan in force on this node, and until when."""
+    """The plan in force on this node, under its lease."""
 
     def __init__(self, settings: LeaseSettings) -> None:
-        """Begin without a plan."""
+        """Start without a plan."""
         self._settings = settings
         self.active: ActivePlan | None = None
 
@@ -187,39 +207,39 @@
         ballot: Ballot,
         plan: Plan,
         proposer: str,
-        accepted_at: float,
-        now: float | None = None,
+        accepted_at_ms: float,
+        now_ms: float | None = None,
     ) -> PlanActivated | None:
-        """Put a committed plan in force, or prolong it; return the effect if it is another plan.
+        """Activate a committed plan, or extend its lease; return the effect of a new plan.
 
         Args:
             ballot: the committed ballot.
             plan: its plan.
-            proposer: who proposed it.
-            accepted_at: when this node accepted the ballot; the lease runs from then on.
-            now: ms on our clock; None: the node commits its own ballot, and the lease can't be
-            over.
+            proposer: the proposer of the ballot.
+            accepted_at_ms: when this node accepted the ballot, which starts the lease.
+            now_ms: the time on the node's clock; None if the node commits its own ballot, whose
+                lease cannot have expired.
         """
         active = self.active
         if active is not None and ballot.epoch < active.ballot.epoch:
             return None
-        expires_at = accepted_at + self._settings.lease_ms - self._settings.margin_ms
-        if now is not None and now >= expires_at:
+        expires_at_ms = accepted_at_ms + self._settings.lease_ms - self._settings.margin_ms
+        if now_ms is not None and now_ms >= expires_at_ms:
             return None
         if active is not None and active.ballot.proposal == ballot.proposal:
-            if expires_at > active.expires_at:
-                active.ballot, active.expires_at = ballot, expires_at
+            if expires_at_ms > active.expires_at_ms:
+                active.ballot, active.expires_at_ms = ballot, expires_at_ms
             return None
-        self.active = ActivePlan(ballot, plan, proposer, expires_at)
+        self.active = ActivePlan(ballot, plan, proposer, expires_at_ms)
         return PlanActivated(ballot.epoch, plan, proposer)
 
-    def expire(self, now: float) -> list[Effect]:
-        """End the plan in force if its lease is over."""
-        if self.active is None or now < self.active.expires_at:
+    def expire(self, now_ms: float) -> list[Effect]:
+        """End the plan in force if its lease has expired."""
+        if self.active is None or now_ms < self.active.expires_at_ms:
             return []
         return self.revoke(ExpiryReason.LEASE)
 
     def revoke(self, reason: ExpiryReason) -> list[Effect]:
-        """End the plan in force, if there is one."""
+        """End the plan in force, if any."""
         active, self.active = self.active, None
         return [PlanExpired(active.ballot.epoch, reason)] if active is not None else []
--- a/badgercart/zones/endpoint_capacity.py
+++ b/badgercart/zones/endpoint_capacity.py
@@ -1,4 +1,4 @@
-"""What the endpoint list and the policy say of each zone's endpoints now. No I/O."""
+"""The current capacity of each zone's endpoints, from the endpoint list and policy. No I/O."""
 
 from __future__ import annotations
 
@@ -7,21 +7,29 @@
 from badgercart.policy.policy import Policy
 from badgercart.zones.topology import Topology
 
-ENDPOINTS_PER_SCAN = 1000  # of more endpoints, a scan is taken less often
+# A list with more endpoints is scanned less often.
+ENDPOINTS_PER_SCAN = 1000
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointCapacity:
-    """Capacity by zone, in slots, and typical latency by class."""
+    """The capacity by zone, in slots, and the typical latency by class.
+
+    Attributes:
+        warm_slots: the slots of endpoints that are not in slow start, by zone.
+        cold_slots: the slots of endpoints in slow start, according to their age, by zone.
+        endpoint_counts: the endpoints that are ready, by zone.
+        typical_latency_ms: the typical latency by class; empty if none is known.
+    """
 
     warm_slots: tuple[float, ...]
-    cold_slots: tuple[float, ...]  # of endpoints in slow start, by their age
-    endpoint_counts: tuple[int, ...]  # endpoints that are ready
+    cold_slots: tuple[float, ...]
+    endpoint_counts: tuple[int, ...]
     typical_latency_ms: tuple[float, ...]
 
     @property
     def total_slots(self) -> list[float]:
-        """Warm and cold slots by zone."""
+        """The sum of warm and cold slots by zone."""
         return [warm + cold for warm, cold in zip(self.warm_slots, self.cold_slots, strict=True)]
 
 
@@ -35,9 +43,9 @@
     """Return the capacity of the endpoints that are ready.
 
     Args:
-        policy: whose endpoints are scanned.
-        topology: the zones; endpoints of others are left out.
-        slots_per_weight: requests that an endpoint of weight 1 serves at once.
+        policy: the policy whose endpoints are scanned.
+        topology: the zones; endpoints of other zones are ignored.
+        slots_per_weight: concurrent requests of an endpoint with weight 1.
     """
     zone_count = len(topology.zones)
     warm, cold, counts = [0.0] * zone_count, [0.0] * zone_count, [0] * zone_count
@@ -57,5 +65,5 @@
 
 
 def ticks_between_scans(policy: Policy) -> int:
-    """Return how many ticks one scan serves, so that a long list costs no more in sum."""
+    """Return the ticks from one scan to the next, which bounds the cost of a long list."""
     return max(1, len(policy.fleet.endpoints.ready) // ENDPOINTS_PER_SCAN)
--- a/badgercart/zones/endpoint_zones.py
+++ b/badgercart/zones/endpoint_zones.py
@@ -1,4 +1,4 @@
-"""The zone of an endpoint by its address, where the endpoint list does not tell it."""
+"""Looks up the zone of an endpoint by its address, for endpoint lists without zones."""
 
 from __future__ import annotations
 
@@ -13,19 +13,21 @@
 def zone_lookup(
     networks: Sequence[NetworkZone], zone_indexes: Mapping[str, int]
 ) -> Callable[[str], int] | None:
-    """Return what gives the zone of an address, or UNKNOWN_ZONE; None where no network is set.
+    """Return a function from address to zone, or None if no network is configured.
 
-    The first network that holds the address counts.
+    The function returns the zone of the first network with the address, or UNKNOWN_ZONE.
     """
     if not networks:
         return None
-    known = [(netaddr.IPNetwork(entry.network), zone_indexes[entry.zone]) for entry in networks]
+    zones_by_network = [
+        (netaddr.IPNetwork(entry.network), zone_indexes[entry.zone]) for entry in networks
+    ]
 
     def zone_of(address: str) -> int:
         try:
             ip = netaddr.IPAddress(address)
         except (netaddr.AddrFormatError, ValueError):
             return UNKNOWN_ZONE
-        return next((zone for network, zone in known if ip in network), UNKNOWN_ZONE)
+        return next((zone for network, zone in zones_by_network if ip in network), UNKNOWN_ZONE)
 
     return zone_of
--- a/badgercart/zones/errors.py
+++ b/badgercart/zones/errors.py
@@ -1,100 +1,100 @@
-"""Errors of zone failover."""
+"""The errors of the zones package."""
 
 from __future__ import annotations
 
 
 class ZonesError(Exception):
-    """Base of the errors that this package raises."""
+    """The base of this package's errors."""
 
 
 class InvalidPlanError(ZonesError):
-    """Bytes that are no traffic plan of this topology."""
+    """Bytes that are not a valid traffic plan for this topology."""
 
 
 class CorruptPlanError(InvalidPlanError):
-    """Bytes that can't be decompressed or decoded."""
+    """Bytes that cannot be decompressed or decoded."""
 
     def __init__(self, cause: str) -> None:
-        """Keep the decoder's own words as `cause`."""
+        """Store the decoder's message as `cause`."""
         super().__init__(cause)
         self.cause = cause
 
 
 class IncompletePlanError(InvalidPlanError):
-    """A compressed plan that ends early, or is longer than the limit once decompressed."""
+    """A compressed plan that is truncated, or longer than the limit once decompressed."""
 
     def __init__(self, limit_bytes: int) -> None:
-        """Keep the limit that was in force."""
-        super().__init__(f"is cut off, or over {limit_bytes} bytes")
+        """Store the limit."""
+        super().__init__(f"is truncated, or exceeds {limit_bytes} bytes")
         self.limit_bytes = limit_bytes
 
 
 class ForeignTopologyError(InvalidPlanError):
-    """A plan that was made for another topology."""
+    """A plan for another topology."""
 
     def __init__(self, digest: int) -> None:
-        """Keep the digest of the topology that the plan names."""
-        super().__init__("is of another geography")
+        """Store the digest of the plan's topology."""
+        super().__init__("is for another topology")
         self.digest = digest
 
 
 class PlanShapeError(InvalidPlanError):
-    """A plan with too many or too few rows or zones, or too long a reason."""
+    """A plan with a wrong number of rows or zones, or a reason that is too long."""
 
     def __init__(self, rows: int, expected: int) -> None:
-        """Keep the number of rows that came and the number that the topology has."""
-        super().__init__(f"is of {rows} rows, there are {expected}")
+        """Store the number of rows of the plan and of the topology."""
+        super().__init__(f"has {rows} rows, the topology has {expected}")
         self.rows, self.expected = rows, expected
 
 
 class PlanZoneError(InvalidPlanError):
-    """A plan that names an unknown zone as lost, or leaves a negative spare capacity."""
+    """A plan with an unknown lost zone or a negative spare capacity."""
 
     def __init__(self) -> None:
-        """Make the message."""
-        super().__init__("names a zone that there is not, or room below nothing")
+        """Set the message."""
+        super().__init__("names an unknown zone, or has a negative spare capacity")
 
 
 class PlanRowError(InvalidPlanError):
-    """A row whose shares can't be: `problem` says why."""
+    """A row with invalid shares."""
 
     def __init__(self, row: int, problem: str) -> None:
-        """Keep the row's number and what is wrong with it."""
+        """Store the number of the row, and what is wrong with it."""
         super().__init__(f"row {row} {problem}")
         self.row, self.problem = row, problem
 
 
 class PlanDigestError(InvalidPlanError):
-    """A plan whose content does not have the digest under which it was sent."""
+    """A plan whose content does not match the digest under which it was sent."""
 
     def __init__(self, expected: bytes, actual: bytes) -> None:
-        """Keep both digests."""
-        super().__init__("is not what its digest says")
+        """Store both digests."""
+        super().__init__("does not match its digest")
         self.expected, self.actual = expected, actual
 
 
 class PlanTooLargeError(ZonesError):
-    """A plan that needs more register updates than there are topics for it."""
+    """A plan that needs more register updates than there are topics for plans."""
 
     def __init__(self, chunks: int, limit: int) -> None:
-        """Keep the number of chunks that the plan needs and the number that there are."""
-        super().__init__(f"takes {chunks} posts, {limit} at most")
+        """Store the number of chunks of the plan and the maximum."""
+        super().__init__(f"takes {chunks} register updates, the maximum is {limit}")
         self.chunks, self.limit = chunks, limit
 
 
 class InvalidBallotError(ZonesError):
-    """A ballot whose epoch, round or digest can't be right."""
+    """A ballot with an invalid epoch, round or digest."""
 
     def __init__(self, epoch: int, round_number: int) -> None:
-        """Keep the ballot's numbers."""
-        super().__init__(f"epoch {epoch}, round {round_number} can't be")
+        """Store the ballot's numbers."""
+        super().__init__(f"epoch {epoch}, round {round_number} is not a valid ballot")
         self.epoch, self.round_number = epoch, round_number
 
 
 class InvalidOverridesError(ZonesError):
-    """Bytes that hold no operator overrides."""
+    """Bytes that are not valid operator overrides."""
 
     def __init__(self, cause: str) -> None:
-        """Keep the decoder's own words as `cause`."""
+        """Store the decoder's message as `cause`."""
         super().__init__(cause)
         self.cause = cause
--- a/badgercart/zones/failover_controller.py
+++ b/badgercart/zones/failover_controller.py
@@ -1,9 +1,9 @@
-"""One node's failover among zones: from observations and reports to the plan it goes by. No I/O.
+"""The failover controller of one node: from observations and reports to the plan in force. No I/O.
 
-The controller carries events from one owner of state to the next. `observer` has what this node
-observes, `conditions` what all nodes report, `overrides` what operators want, `consensus` the plan
-that a majority agreed on, `planner` when another one is due, `feed` what the policy knows,
-`history` what happened, and `outbox` the messages to other nodes.
+The controller passes events between the owners of state: `observer` has what this node observes,
+`conditions` what all nodes report, `overrides` the operators' overrides, `consensus` the plan that
+a majority agreed on, `planner` when a new plan is due, `feed` the policy's input, `history` the
+past changes, and `outbox` the messages to other nodes.
 """
 
 from __future__ import annotations
@@ -51,13 +51,14 @@
 REPORT_TOPIC = "zones.eyes"
 TICK_INTERVAL_MS = 100.0
 
-_Receiver = Callable[[float, str, bytes], None]  # now, author, payload
+# Called with the time (ms), the author and the payload of a message.
+_Receiver = Callable[[float, str, bytes], None]
 
 
 class FailoverController:
-    """Ticked every TICK_INTERVAL_MS; attempts and requests go to `observer`.
+    """The failover controller, which must be ticked every TICK_INTERVAL_MS.
 
-    Times are in ms on the node's clock.
+    Attempts and requests are reported to `observer`. Times are in ms on the node's clock.
     """
 
     def __init__(
@@ -68,14 +69,14 @@
         weights: Sequence[float],
         settings: FailoverSettings,
     ) -> None:
-        """Begin without a plan.
+        """Start without a plan.
 
         Args:
-            member: the node in its cluster; the controller listens to its topics from now on.
+            member: the node's cluster member; the controller subscribes to topics.
             topology: all zones.
-            zone: the node's own.
-            weights: priority weight of each class.
-            settings: how plans are made, kept and acted upon.
+            zone: the node's own zone.
+            weights: the priority weight of each class.
+            settings: how plans are made, agreed on and applied.
         """
         self.member, self.settings = member, settings
         self.topology, self.zone = topology, zone
@@ -94,9 +95,9 @@
         self.feed = PolicyFeed(
             self.observer, self.conditions, self.overrides, settings.fallback_budget
         )
-        self._listen()
+        self._subscribe()
 
-    def _listen(self) -> None:
+    def _subscribe(self) -> None:
         member = self.member
         member.subscribe(REPORT_TOPIC, self._on_report)
         member.subscribe(OVERRIDES_TOPIC, self.on_overrides, urgent=True)
@@ -106,38 +107,38 @@
             member.subscribe(topic, self._receiver_of(topic), direct=True)
 
     def wall_ms(self) -> float:
-        """Return the time in Unix ms."""
+        """Return the Unix time in ms."""
         return self.member.protocol.hybrid_clock.wall_clock_ms()
 
-    def relocate(self, now: float, topology: Topology, zone: int) -> None:
-        """Go by another topology from now on: what rests on the old one is void."""
+    def change_topology(self, now_ms: float, topology: Topology, zone: int) -> None:
+        """Use another topology or zone, and drop all state that depends on the old one."""
         if topology == self.topology and zone == self.zone:
             return
         self.topology, self.zone = topology, zone
         self.observer.reset(topology)
         self.conditions.reset(topology)
         self.planner.reset()
-        self._apply(now, self.consensus.forget(ExpiryReason.TOPOLOGY))
+        self._apply(now_ms, self.consensus.forget(ExpiryReason.TOPOLOGY))
 
     # Messages of other nodes.
 
     def _receiver_of(self, topic: str) -> _Receiver:
-        def receive(now: float, author: str, payload: bytes) -> None:
-            self._apply(now, self.consensus.receive(now, author, topic, payload))
+        def receive(now_ms: float, author: str, payload: bytes) -> None:
+            self._apply(now_ms, self.consensus.receive(now_ms, author, topic, payload))
 
         return receive
 
-    def _on_report(self, now: float, author: str, payload: bytes) -> None:
-        """Take over a report, where the cluster knows its author's zone."""
-        belief = self.member.protocol.table.members.get(author)
-        if author == self.member.name or belief is None:
+    def _on_report(self, now_ms: float, author: str, payload: bytes) -> None:
+        """Record a report if the zone of its author is known."""
+        state = self.member.protocol.table.members.get(author)
+        if author == self.member.name or state is None:
             return
-        if belief.record.zone in self.topology.zones:
-            zone = self.topology.zones.index(belief.record.zone)
-            self.conditions.reports.record(author, zone, payload, now)
+        if state.record.zone in self.topology.zones:
+            zone = self.topology.zones.index(state.record.zone)
+            self.conditions.reports.record(author, zone, payload, now_ms)
 
-    def on_overrides(self, _now: float, _author: str, payload: bytes) -> None:
-        """Take over operators' overrides; what can't be one is counted."""
+    def on_overrides(self, _now_ms: float, _author: str, payload: bytes) -> None:
+        """Record operators' overrides; malformed ones are counted."""
         digest, zone_count = self.topology.digest, len(self.topology.zones)
         try:
             recorded = self.overrides.receive(payload, digest, zone_count)
@@ -147,70 +148,70 @@
         for override in recorded:
             self.history.record(OverrideRecorded(self.member.protocol.now_ms, override))
 
-    def _apply(self, now: float, effects: list[Effect]) -> None:
-        """Carry out effects of the consensus."""
+    def _apply(self, now_ms: float, effects: list[Effect]) -> None:
+        """Execute the effects of the consensus."""
         for effect in effects:
             match effect:
                 case SendMessage(topic, payload, recipient):
-                    self.outbox.add(now, topic, payload, recipient)
+                    self.outbox.add(now_ms, topic, payload, recipient)
                 case PlanActivated(epoch, plan, proposer):
                     digest = plan.digest.hex()
-                    self.history.record(PlanInForce(now, epoch, proposer, plan.reason, digest))
+                    self.history.record(PlanInForce(now_ms, epoch, proposer, plan.reason, digest))
                 case PlanExpired(epoch, reason):
-                    self.history.record(PlanEnded(now, epoch, reason))
+                    self.history.record(PlanEnded(now_ms, epoch, reason))
                 case ProposalSuperseded(epoch):
-                    self.history.record(ProposalFailed(now, epoch))
+                    self.history.record(ProposalFailed(now_ms, epoch))
         if self.outbox:
             self.outbox.on_ready()
 
-    # Time.
+    # Ticks.
 
-    def tick(self, now: float, capacity: EndpointCapacity) -> TrafficPlan | None:
-        """Do what time brings, and return the policy's new input, if it changed."""
+    def tick(self, now_ms: float, capacity: EndpointCapacity) -> TrafficPlan | None:
+        """Update all state for the current time; return the policy's input if it changed."""
         self.overrides.expire(self.wall_ms())
-        self._apply(now, self.consensus.tick(now))
-        self._report(now, capacity)
+        self._apply(now_ms, self.consensus.tick(now_ms))
+        self._report(now_ms, capacity)
         quorum = self.member.protocol.quorum()
         self.conditions.reports.retain(quorum.reachable)
         max_age_ms = self.settings.max_report_age_ms * self._interval_factor
-        self.conditions.update(now, capacity, max_age_ms)
-        self.planner.tick(now, quorum, self.conditions.plan_input)
+        self.conditions.update(now_ms, capacity, max_age_ms)
+        self.planner.tick(now_ms, quorum, self.conditions.plan_input)
         return self.policy_update(len(quorum.reachable), quorum.possibly_alive)
 
     @property
     def _interval_factor(self) -> float:
-        """How many times less often a member of a large cluster reports."""
+        """The factor by which the report interval grows in a large cluster."""
         return self.member.report_interval_ms / self.member.base_report_interval_ms
 
-    def _report(self, now: float, capacity: EndpointCapacity) -> None:
-        """Report what this node observes, where that is due."""
-        report = self.observer.report(now, capacity, self._interval_factor)
+    def _report(self, now_ms: float, capacity: EndpointCapacity) -> None:
+        """Report what this node observes, if a report is due."""
+        report = self.observer.report(now_ms, capacity, self._interval_factor)
         if report is not None:
-            self.conditions.reports.record(self.member.name, self.zone, report, now)
-            self.outbox.add(now, REPORT_TOPIC, report)
+            self.conditions.reports.record(self.member.name, self.zone, report, now_ms)
+            self.outbox.add(now_ms, REPORT_TOPIC, report)
 
     def policy_update(self, live_nodes: int, possible_nodes: int) -> TrafficPlan | None:
-        """Return the policy's new input; None where it has not changed."""
+        """Return the policy's input, or None if it has not changed."""
         return self.feed.update(
             self.topology, self.zone, self.planner.plan, live_nodes, possible_nodes
         )
 
     # Planning.
 
-    def compute(self, question: PlanInput) -> Plan:
-        """Return the plan for a situation; pure, so that another thread may do it."""
+    def compute(self, situation: PlanInput) -> Plan:
+        """Return the plan for a situation; another thread may call this."""
         summary = self.conditions.summary
         reason = summary.reason if summary is not None else ""
-        return self.planner.compute(self.topology, question, reason)
+        return self.planner.compute(self.topology, situation, reason)
 
-    def on_plan_computed(self, now: float, plan: Plan) -> None:
-        """Take over the plan that the planner's question asked for.
+    def on_plan_computed(self, now_ms: float, plan: Plan) -> None:
+        """Process the plan that was computed for the planner's requested input.
 
         Raises:
             PlanTooLargeError: the plan does not fit into its register updates.
         """
-        self.planner.scheduler.answered()
+        self.planner.scheduler.plan_computed()
         if plan.topology_digest == self.topology.digest:
             number = self.history.plan_count + 1
             situation = self.conditions.plan_input
-            self._apply(now, self.planner.accept(now, plan, situation, number))
+            self._apply(now_ms, self.planner.accept(now_ms, plan, situation, number))
--- a/badgercart/zones/failover_settings.py
+++ b/badgercart/zones/failover_settings.py
@@ -1,4 +1,4 @@
-"""How traffic plans are made, kept and acted upon."""
+"""The settings of a failover controller: how plans are made, agreed on and applied."""
 
 from __future__ import annotations
 
@@ -11,25 +11,41 @@
 
 
 class PlanningMode(StrEnum):
-    """Who decides on a plan, in the words of the settings file."""
+    """Who decides on a plan; the values are those of the settings file."""
 
-    MAJORITY = "majority"  # one plan for all, by more than half of the nodes
-    SHARED = "shared"  # each node its own, by the reports of all
+    # One plan for all nodes, agreed on by more than half of them.
+    MAJORITY = "majority"
+    # Each node computes a plan of its own from the reports of all nodes.
+    SHARED = "shared"
 
 
 @dataclass(slots=True, frozen=True)
 class FailoverSettings:
-    """Settings of a failover controller."""
+    """The settings of a failover controller.
+
+    Attributes:
+        mode: who decides on a plan.
+        limits: how full zones are planned to be.
+        lease: the durations of the consensus.
+        recovery: how zones that were down get traffic again.
+        report_interval_ms: the interval between two reports; a change of reachability is reported
+            immediately.
+        max_report_age_ms: the age from which a report is ignored.
+        fallback_budget: the share of a zone's capacity for all nodes without a plan together.
+        settle_ms: the minimum time between two plans, unless a zone or link has failed.
+        plans_per_minute: the maximum rate of new plans.
+        electorate: the configured number of nodes, of which more than half have to agree.
+        check_after_ms: the silence of a zone after which it gets a health check.
+    """
 
     mode: PlanningMode = PlanningMode.MAJORITY
     limits: UtilizationLimits = field(default_factory=UtilizationLimits)
     lease: LeaseSettings = field(default_factory=LeaseSettings)
     recovery: RecoverySettings = field(default_factory=RecoverySettings)
-    report_interval_ms: float = 500.0  # a change of reachability is reported at once
+    report_interval_ms: float = 500.0
     max_report_age_ms: float = 2500.0
-    # Share of a zone's capacity for all nodes together that have no plan.
     fallback_budget: float = 0.1
-    settle_ms: float = 1000.0  # between two plans, unless a zone or link has gone
+    settle_ms: float = 1000.0
     plans_per_minute: float = 20.0
-    electorate: int = 1  # nodes that there should be: more than half of them have to agree
-    check_after_ms: float = 2000.0  # silence of a zone after which it gets a health check
+    electorate: int = 1
+    check_after_ms: float = 2000.0
--- a/badgercart/zones/metrics.py
+++ b/badgercart/zones/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of zone failover. Names, help texts and labels are an interface."""
+"""The metrics of zone failover; names, help texts and labels must not change."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def register_metrics(
     metrics: MetricRegistry, controller: FailoverController, zone_names: Sequence[str]
 ) -> None:
-    """Register what operators can see of a controller."""
+    """Register the metrics of a controller."""
     metrics.gauge(
         "badgercart_zones_epoch",
         "The plan in force; 0: none.",
@@ -40,7 +40,7 @@
 
 
 def mean_shares(controller: FailoverController, zone_count: int) -> list[float]:
-    """Return which share of this node's requests goes to each zone, the mean over classes."""
+    """Return the share of this node's requests for each zone, averaged over the classes."""
     traffic_plan = controller.feed.last
     if traffic_plan is None:
         return [0.0] * zone_count
--- a/badgercart/zones/operator_overrides.py
+++ b/badgercart/zones/operator_overrides.py
@@ -1,4 +1,4 @@
-"""Operators' overrides of zones: drain one, pin it open, or release it. No I/O."""
+"""Operators' overrides of zones: drain a zone, pin it open, or release it. No I/O."""
 
 from __future__ import annotations
 
@@ -10,28 +10,40 @@
 from badgercart.zones.topology import MAX_ZONES
 
 OVERRIDES_TOPIC = "zones.orders"
-# What an override may ask for, as it travels and as operators write it.
-DRAIN, PIN, RELEASE = ACTIONS = ("drain", "pin", "release")
+# The actions, as they are encoded and as operators write them.
+DRAIN = "drain"
+PIN = "pin"
+RELEASE = "release"
+ACTIONS = (DRAIN, PIN, RELEASE)
 
 
 class OperatorOverride(msgspec.Struct, array_like=True, frozen=True):
-    """What an operator wants of a zone. It travels as an array, in the order of the fields.
+    """An operator's override of a zone, encoded as an array in the order of the fields.
 
-    DRAIN: nothing new goes there; PIN: it stays open, whatever is reported; RELEASE: neither.
+    DRAIN: the zone gets no new requests; PIN: the zone stays open whatever is reported; RELEASE:
+    neither.
+
+    Attributes:
+        zone: the index of the zone.
+        action: one of ACTIONS.
+        issued_ms: the Unix time in ms at which the operator issued the override.
+        expires_ms: the Unix time in ms at which the override expires.
+        author: the name of the operator.
     """
 
     zone: int
     action: str
-    issued_ms: int  # Unix ms
-    expires_ms: int  # Unix ms
+    issued_ms: int
+    expires_ms: int
     author: str
 
     def replaces(self, other: OperatorOverride) -> bool:
-        """Return whether this override is the later one; ties go by the author's name."""
+        """Return whether this override is newer; ties are broken by the author's name."""
         return (self.issued_ms, self.author) > (other.issued_ms, other.author)
 
 
-_Payload = tuple[int, list[OperatorOverride]]  # digest of the topology, overrides
+# The digest of the topology, and the overrides.
+_Payload = tuple[int, list[OperatorOverride]]
 _decode: Callable[[bytes], _Payload] = msgspec.msgpack.Decoder(_Payload).decode
 
 
@@ -44,18 +56,18 @@
     """The latest override of each zone that has not expired."""
 
     def __init__(self) -> None:
-        """Begin without overrides."""
+        """Start without overrides."""
         self.by_zone: dict[int, OperatorOverride] = {}
 
     def receive(
         self, payload: bytes, topology_digest: int, zone_count: int
     ) -> list[OperatorOverride]:
-        """Take over the overrides that are later than ours, and return them.
+        """Record the overrides that are newer than the known ones, and return them.
 
-        Those for another topology, of unknown zones or actions are ignored.
+        Overrides for another topology, an unknown zone or an unknown action are ignored.
 
         Raises:
-            InvalidOverridesError: the bytes hold no overrides.
+            InvalidOverridesError: the bytes are not valid overrides.
         """
         try:
             digest, overrides = _decode(payload)
@@ -78,7 +90,7 @@
         return True
 
     def action_for(self, zone: int) -> str:
-        """Return what operators want of a zone; empty: nothing."""
+        """Return the action in force for a zone, or an empty string."""
         override = self.by_zone.get(zone)
         return override.action if override is not None else ""
 
@@ -87,7 +99,7 @@
         return {zone for zone, override in self.by_zone.items() if override.action == DRAIN}
 
     def expire(self, wall_ms: float) -> None:
-        """Forget the overrides whose time is over at this time (Unix ms)."""
+        """Remove the overrides that have expired at this Unix time (ms)."""
         self.by_zone = {
             zone: override
             for zone, override in self.by_zone.items()
--- a/badgercart/zones/outbox.py
+++ b/badgercart/zones/outbox.py
@@ -1,4 +1,4 @@
-"""Messages to other nodes, until a driver sends them. No I/O."""
+"""Messages to other nodes that wait for a driver to send them. No I/O."""
 
 from __future__ import annotations
 
@@ -9,23 +9,27 @@
 
 
 class Outbox:
-    """Collects effects of the cluster protocol."""
+    """Collects effects of the cluster protocol.
+
+    Attributes:
+        on_ready: called when messages wait; set by the driver.
+    """
 
     def __init__(self, member: ClusterMember) -> None:
-        """Begin empty. `on_ready` may be set to what is called when messages wait."""
+        """Start empty."""
         self._member = member
         self._effects: list[Effect] = []
         self.on_ready: Callable[[], None] = lambda: None
 
     def __bool__(self) -> bool:
-        """Return whether something waits."""
+        """Return whether messages wait."""
         return bool(self._effects)
 
-    def add(self, now: float, topic: str, payload: bytes, recipient: str = "") -> None:
-        """Add a message to every node, or only to `recipient` where it is named."""
-        self._effects += self._member.send_value(now, topic, payload, recipient)
+    def add(self, now_ms: float, topic: str, payload: bytes, recipient: str = "") -> None:
+        """Add a message to every node, or only to `recipient` if it is not empty."""
+        self._effects += self._member.send_value(now_ms, topic, payload, recipient)
 
     def take(self) -> list[Effect]:
-        """Return what waits, and forget it."""
+        """Remove and return the waiting effects."""
         taken, self._effects = self._effects, []
         return taken
--- a/badgercart/zones/outbox_driver.py
+++ b/badgercart/zones/outbox_driver.py
@@ -1,4 +1,4 @@
-"""Sends what the controller's outbox holds, all of it once the present event is over."""
+"""Sends the messages of an outbox in batches, after the current event is processed."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
         loop: asyncio.AbstractEventLoop,
         send: Callable[[list[Effect]], None],
     ) -> None:
-        """Empty the outbox whenever something waits in it from now on.
+        """Register as the driver of an outbox.
 
         Args:
-            outbox: of a controller.
-            loop: of the node.
-            send: carries out effects of the cluster protocol.
+            outbox: the outbox of a controller.
+            loop: the event loop of the node.
+            send: executes effects of the cluster protocol.
         """
         self._outbox, self._loop, self._send = outbox, loop, send
         self._handle: asyncio.Handle | None = None
         outbox.on_ready = self.schedule
 
     def schedule(self) -> None:
-        """Flush once the present event is over."""
+        """Flush in the next iteration of the event loop."""
         if self._handle is None:
             self._handle = self._loop.call_soon(self.flush)
 
     def flush(self) -> None:
-        """Send all that waits."""
+        """Send all waiting messages."""
         self.close()
         if self._outbox:
             self._send(self._outbox.take())
 
     def close(self) -> None:
-        """Cancel what is scheduled."""
+        """Cancel a scheduled flush."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/badgercart/zones/plan_codec.py
+++ b/badgercart/zones/plan_codec.py
@@ -1,4 +1,4 @@
-"""Traffic plans as bytes: compressed MessagePack, checked field by field when read. No I/O."""
+"""Encodes traffic plans as compressed MessagePack, and validates them on decoding. No I/O."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
     PlanZoneError,
 )
 from badgercart.zones.topology import Topology
-from badgercart.zones.traffic_plan import MAX_REASON_LENGTH, SHARES_PER_ROW, Plan
+from badgercart.zones.traffic_plan import MAX_REASON_CHARS, SHARES_PER_ROW, Plan
 
-MAX_BODY_BYTES = 64 * 1024  # of a plan, decompressed
+# Maximum size of a plan after decompression.
+MAX_BODY_BYTES = 64 * 1024
 
-_Row = list[tuple[int, int]]  # zone and share
+# Zones with their shares.
+_Row = list[tuple[int, int]]
 _Body = tuple[int, list[_Row], list[int], list[int], str]
 _decode_body: Callable[[bytes], _Body] = msgspec.msgpack.Decoder(_Body).decode
 
@@ -31,24 +33,25 @@
 
 
 def decode_plan(data: bytes, topology: Topology) -> Plan:
-    """Return the plan that these bytes hold.
+    """Decode and validate a plan.
 
     Raises:
-        InvalidPlanError: they hold no plan of this topology.
+        InvalidPlanError: the bytes are not a valid plan for this topology.
     """
     digest, rows, spare, lost, reason = _decompress(data)
     zone_count = len(topology.zones)
     expected = zone_count * topology.row_count
     if digest != topology.digest:
         raise ForeignTopologyError(digest)
-    if len(rows) != expected or len(spare) != zone_count or len(reason) > MAX_REASON_LENGTH:
+    if len(rows) != expected or len(spare) != zone_count or len(reason) > MAX_REASON_CHARS:
         raise PlanShapeError(len(rows), expected)
     if any(not 0 <= zone < zone_count for zone in lost) or any(milli < 0 for milli in spare):
         raise PlanZoneError
     by_number = [_decode_row(number, row, topology) for number, row in enumerate(rows)]
-    height = topology.row_count
+    row_count = topology.row_count
     shares = tuple(
-        tuple(by_number[source * height : (source + 1) * height]) for source in range(zone_count)
+        tuple(by_number[source * row_count : (source + 1) * row_count])
+        for source in range(zone_count)
     )
     return Plan(digest, shares, tuple(spare), tuple(lost), reason)
 
@@ -68,13 +71,13 @@
 
 
 def _decode_row(number: int, row: Sequence[tuple[int, int]], topology: Topology) -> tuple[int, ...]:
-    """Return one row's shares by zone."""
-    zone_count, height = len(topology.zones), topology.row_count
+    """Return the shares of one row by zone."""
+    zone_count, row_count = len(topology.zones), topology.row_count
     shares = [0] * zone_count
     for zone, share in row:
         if not 0 <= zone < zone_count or share <= 0 or shares[zone]:
-            raise PlanRowError(number, f"has no such part: zone {zone}, {share}")
-        if not topology.may_route(number % height, number // height, zone):
+            raise PlanRowError(number, f"has an invalid share: zone {zone}, {share}")
+        if not topology.may_route(number % row_count, number // row_count, zone):
             raise PlanRowError(number, "leaves its region")
         shares[zone] = share
     if sum(shares) > SHARES_PER_ROW:
--- a/badgercart/zones/plan_consensus.py
+++ b/badgercart/zones/plan_consensus.py
@@ -1,25 +1,25 @@
-"""One traffic plan at a time, by a majority and under a lease. No I/O.
-
-A plan has an epoch; a ballot is an epoch, the plan's digest and a round. The proposer tells every
-node of the plan and of a round; each node that accepts it votes; once more than half of the
-electorate has voted, the proposer names the voters in a commit. Each round renews the lease. What
-holds:
-
-- Two plans of one epoch are never in force. A node accepts one plan an epoch at most, more than
-  half of the electorate must accept it, and two such halves share a node. A process accepts nothing
-  before a lease has passed since its start, since its predecessor may have voted.
-- No node acts by a plan past its lease. The lease runs on the node's own clock from when it
-  accepted the round, which is before the proposer counted it, and only a commit that names this
-  very process starts it. A message that arrives late, from a queue or after a node was suspended,
-  starts none.
-- Epochs follow the wall clock where that is ahead of all that was heard of, and end in bits of the
-  process: a majority that was restarted remembers no epoch and must not use one again.
-- When a proposer falls silent, the next node by name proposes, each after waiting its turn. Epochs
-  only grow, so a node that was suspended finds its proposal superseded, and counts no vote for a
-  round that it began a lease ago.
-
-A replicated log was not chosen, since nothing has to be remembered once it is superseded. Neither
-was a leader without a majority, since two halves of a partition would each have one.
+"""Consensus on one traffic plan at a time, by a majority and under a lease. No I/O.
+
+A plan has an epoch; a ballot consists of an epoch, the plan's digest and a round. The proposer
+sends the plan and a round to every node; each node that accepts the round votes for it. Once more
+than half of the electorate has voted, the proposer names the voters in a commit. Each round renews
+the lease. The invariants are:
+
+- Two plans of one epoch are never in force. A node accepts at most one plan per epoch, more than
+  half of the electorate must accept it, and any two majorities share a node. A process accepts
+  nothing until a lease has passed since its start, since its predecessor may have voted.
+- No node uses a plan after its lease. The lease runs on the node's own clock from the time it
+  accepted the round, which is before the proposer counted the vote, and only a commit that names
+  this process starts it. A message that arrives late, because it was queued or the node was
+  suspended, does not start a lease.
+- Epochs follow the wall clock if it is ahead of all observed epochs, and their lowest bits identify
+  the process: a majority that was restarted remembers no epoch and must not reuse one.
+- When the proposer is silent, the other nodes propose in the order of their names, each after a
+  longer wait. Epochs only grow, so a node that was suspended finds its proposal superseded, and it
+  counts no vote for a round that it started more than a lease ago.
+
+A replicated log is not needed, since nothing has to be remembered once it is superseded. A leader
+without a majority would not suffice, since both sides of a partition would have one.
 """
 
 from __future__ import annotations
@@ -55,11 +55,12 @@
 from badgercart.zones.plan_voter import PlanVoter
 from badgercart.zones.traffic_plan import Plan
 
-_Handler = Callable[[float, str, bytes], list[Effect]]  # now, author, payload
+# Called with the time (ms), the author and the payload of a message.
+_Handler = Callable[[float, str, bytes], list[Effect]]
 
 
 class PlanConsensus:
-    """One node's part in the consensus. Every call returns the effects to carry out.
+    """One node in the consensus. Every call returns the effects to execute.
 
     Times are in ms on the node's clock.
     """
@@ -72,17 +73,17 @@
         decode: Callable[[bytes], Plan],
         wall_ms: Callable[[], float],
     ) -> None:
-        """Begin before the first tick.
+        """Start before the first tick.
 
         Args:
             name: the node's name.
-            incarnation: of the node's process.
-            settings: times of leases and rounds.
-            decode: makes a plan of bytes, or raises InvalidPlanError.
-            wall_ms: gives Unix ms.
+            incarnation: identifies the node's process.
+            settings: the durations of leases and rounds.
+            decode: decodes a plan, or raises InvalidPlanError.
+            wall_ms: returns the Unix time in ms.
         """
         self.process = ProcessId(name, incarnation)
-        self.rejected_count = 0  # messages that can't be right
+        self.rejected_count = 0  # invalid messages
         self.epochs = EpochCounter(self.process.mark, wall_ms)
         self.turn = ProposerTurn(settings)
         self.voter = PlanVoter(incarnation, settings, decode, self.epochs, self.turn)
@@ -105,75 +106,75 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch of the plan in force; 0: there is none."""
+        """The epoch of the plan in force; 0 if there is none."""
         return self.active.ballot.epoch if self.active is not None else 0
 
-    def lease_left_ms(self, now: float) -> float:
-        """Return for how long the plan in force holds if it is not renewed."""
-        return self.active.expires_at - now if self.active is not None else 0.0
+    def lease_left_ms(self, now_ms: float) -> float:
+        """Return the remaining lease of the plan in force."""
+        return self.active.expires_at_ms - now_ms if self.active is not None else 0.0
 
     @property
     def proposal(self) -> Proposal | None:
         """This node's own proposal."""
         return self.proposer.proposal
 
-    def tick(self, now: float) -> list[Effect]:
-        """Do what time brings: end a lease, renew or give up a proposal."""
-        self.turn.begin(now)
-        return self.voter.lease.expire(now) + self.proposer.tick(now)
+    def tick(self, now_ms: float) -> list[Effect]:
+        """End an expired lease, and renew, commit or withdraw the proposal."""
+        self.turn.start(now_ms)
+        return self.voter.lease.expire(now_ms) + self.proposer.tick(now_ms)
 
-    def may_propose(self, now: float, rank: int) -> bool:
-        """Return whether this node may propose, by its rank among those in reach, from 0."""
-        return self.proposal is None and self.turn.has_come(now, rank)
+    def may_propose(self, now_ms: float, rank: int) -> bool:
+        """Return whether this node may propose, by its rank among the reachable nodes, from 0."""
+        return self.proposal is None and self.turn.may_propose(now_ms, rank)
 
-    def propose(self, now: float, plan: Plan, electorate: int) -> list[Effect]:
-        """Propose a plan; more than half of `electorate` nodes have to vote for it.
+    def propose(self, now_ms: float, plan: Plan, electorate: int) -> list[Effect]:
+        """Propose a plan, for which more than half of `electorate` nodes must vote.
 
         Raises:
             PlanTooLargeError: the plan does not fit into its register updates.
         """
-        return self.proposer.propose(now, plan, electorate)
+        return self.proposer.propose(now_ms, plan, electorate)
 
-    def receive(self, now: float, author: str, topic: str, payload: bytes) -> list[Effect]:
-        """Take over another node's message; what can't be right is ignored and counted."""
+    def receive(self, now_ms: float, author: str, topic: str, payload: bytes) -> list[Effect]:
+        """Process another node's message; an invalid one is ignored and counted."""
         if author == self.process.name:
-            return []  # of an earlier process with this node's name
+            return []  # from an earlier process with this node's name
         try:
-            return self._handlers[topic](now, author, payload)
+            return self._handlers[topic](now_ms, author, payload)
         except (msgspec.MsgspecError, ZonesError):
             self.rejected_count += 1
             return []
 
     def forget(self, reason: ExpiryReason) -> list[Effect]:
-        """Forget plans and proposal, since what they rest on holds no longer."""
+        """Drop all plans and the proposal, since their topology has changed."""
         self.proposer.proposal = None
         return self.voter.forget(reason)
 
-    def _on_round(self, now: float, author: str, payload: bytes) -> list[Effect]:
-        return self._consider(now, author, self._checked(decode_ballot(payload)))
+    def _on_round(self, now_ms: float, author: str, payload: bytes) -> list[Effect]:
+        return self._consider(now_ms, author, self._checked(decode_ballot(payload)))
 
-    def _consider(self, now: float, author: str, ballot: Ballot) -> list[Effect]:
-        """Vote for a round; a proposal of ours under an earlier epoch is given up for it."""
-        effects = self.voter.on_round(now, author, ballot)
+    def _consider(self, now_ms: float, author: str, ballot: Ballot) -> list[Effect]:
+        """Vote for a round, and withdraw this node's proposal if it has an earlier epoch."""
+        effects = self.voter.on_round(now_ms, author, ballot)
         if self.voter.accepted.last != ballot:
             return effects
-        return self.proposer.superseded_by(now, ballot.epoch) + effects
+        return self.proposer.superseded_by(now_ms, ballot.epoch) + effects
 
-    def _on_vote(self, now: float, author: str, payload: bytes) -> list[Effect]:
+    def _on_vote(self, now_ms: float, author: str, payload: bytes) -> list[Effect]:
         vote = decode_vote(payload)
-        return self.proposer.on_vote(now, author, self._checked(vote.ballot), vote.incarnation)
+        return self.proposer.on_vote(now_ms, author, self._checked(vote.ballot), vote.incarnation)
 
-    def _on_request(self, _now: float, author: str, payload: bytes) -> list[Effect]:
+    def _on_request(self, _now_ms: float, author: str, payload: bytes) -> list[Effect]:
         return self.proposer.on_request(payload, author)
 
-    def _on_commit(self, now: float, author: str, payload: bytes) -> list[Effect]:
+    def _on_commit(self, now_ms: float, author: str, payload: bytes) -> list[Effect]:
         commit = decode_commit(payload)
         self._checked(commit.ballot)
-        return self.voter.on_commit(now, author, commit, self.process.mark)
+        return self.voter.on_commit(now_ms, author, commit, self.process.mark)
 
-    def _on_chunk(self, number: int, now: float, _author: str, payload: bytes) -> list[Effect]:
-        waiting = self.voter.on_chunk(number, decode_chunk(payload))
-        return self._consider(now, *waiting) if waiting is not None else []
+    def _on_chunk(self, number: int, now_ms: float, _author: str, payload: bytes) -> list[Effect]:
+        pending = self.voter.on_chunk(number, decode_chunk(payload))
+        return self._consider(now_ms, *pending) if pending is not None else []
 
     def _checked(self, ballot: Ballot) -> Ballot:
         ballot.check(self.epochs.limit())
--- a/badgercart/zones/plan_scheduler.py
+++ b/badgercart/zones/plan_scheduler.py
@@ -1,54 +1,62 @@
-"""When a new plan is worth making and proposing. No I/O."""
+"""Decides when a new plan is computed, and whether it replaces the current one. No I/O."""
 
 from __future__ import annotations
 
 from badgercart.zones.traffic_plan import SHARES_PER_ROW, Plan, PlanInput
 
-MIN_CHANGE = 0.1  # of a row: a plan that moves less is not worth an epoch
-CONSIDERATIONS_PER_SETTLE = 4  # how often a plan is considered in the time between two plans
+# A plan in which no share changes by more than this part of a row does not replace the current one.
+MIN_CHANGE_SHARE = 0.1
+# How often a new plan is computed within the settling time.
+CHECKS_PER_SETTLE_TIME = 4
 
 
 class PlanScheduler:
-    """Limits how often plans are made: by a settling time and by a budget for each minute."""
+    """Limits the rate of new plans by a settling time and by a budget per minute.
+
+    Attributes:
+        requested_input: the input of the plan that should be computed, if any.
+        computing: whether that plan is being computed.
+        exhausted: whether the latest plan was rejected for lack of budget.
+    """
 
     def __init__(self, settle_ms: float, plans_per_minute: float) -> None:
-        """Begin with the budget of a whole minute."""
+        """Start with the budget of a full minute."""
         self._settle_ms, self._plans_per_minute = settle_ms, plans_per_minute
         self._budget = plans_per_minute
-        self._refilled_at = 0.0
-        self._considered_at = 0.0
-        self._planned_at = float("-inf")
-        self.requested_input: PlanInput | None = None  # of which a plan is wanted
-        self.computing = False  # whether somebody computes that plan
-        self.exhausted = False  # whether the last plan had to wait for the budget
-
-    def refill(self, now: float) -> None:
-        """Add what time brings to the budget."""
-        earned = (now - self._refilled_at) * self._plans_per_minute / 60_000
+        self._refilled_at_ms = 0.0
+        self._considered_at_ms = 0.0
+        self._adopted_at_ms = float("-inf")
+        self.requested_input: PlanInput | None = None
+        self.computing = False
+        self.exhausted = False
+
+    def refill(self, now_ms: float) -> None:
+        """Add the budget earned since the last call."""
+        earned = (now_ms - self._refilled_at_ms) * self._plans_per_minute / 60_000
         self._budget = min(self._budget + earned, self._plans_per_minute)
-        self._refilled_at = now
+        self._refilled_at_ms = now_ms
 
-    def consider(self, now: float, situation: PlanInput | None, current: Plan | None) -> None:
-        """Want a plan of a situation: at once where the current one counts on what has gone."""
+    def consider(self, now_ms: float, situation: PlanInput | None, current: Plan | None) -> None:
+        """Request a plan if one is due, or if the current one uses a failed zone or link."""
         if self.requested_input is not None:
             return
         urgent = current is not None and situation is not None and contradicts(current, situation)
-        due = now - self._considered_at >= self._settle_ms / CONSIDERATIONS_PER_SETTLE
+        due = now_ms - self._considered_at_ms >= self._settle_ms / CHECKS_PER_SETTLE_TIME
         if urgent or current is None or due:
-            self._considered_at, self.requested_input = now, situation
+            self._considered_at_ms, self.requested_input = now_ms, situation
 
-    def answered(self) -> None:
-        """Take over that the plan is computed."""
+    def plan_computed(self) -> None:
+        """Record that the requested plan was computed."""
         self.requested_input, self.computing = None, False
 
-    def admits(self, now: float, situation: PlanInput, current: Plan, plan: Plan) -> bool:
+    def admits(self, now_ms: float, situation: PlanInput, current: Plan, plan: Plan) -> bool:
         """Return whether a plan may replace the current one now.
 
-        Without budget the current plan stays, since it gives less to zones that come and go; a plan
-        without a zone that has gone is made nevertheless.
+        Without budget the current plan stays, since it sends less to zones that flap; a plan that
+        only gives up further zones is admitted nevertheless.
         """
         urgent = contradicts(current, situation)
-        settled = now - self._planned_at >= self._settle_ms
+        settled = now_ms - self._adopted_at_ms >= self._settle_ms
         if not urgent and not settled:
             return False
         if not urgent and not differs(current, plan):
@@ -58,18 +66,18 @@
             return False
         return True
 
-    def planned(self, now: float) -> None:
-        """Take over that a plan was proposed or put in force."""
+    def plan_adopted(self, now_ms: float) -> None:
+        """Record that a plan was proposed or came into force."""
         self.exhausted = False
-        self._budget, self._planned_at = max(self._budget - 1, 0.0), now
+        self._budget, self._adopted_at_ms = max(self._budget - 1, 0.0), now_ms
 
     def reset(self) -> None:
-        """Want no plan any more."""
+        """Cancel the requested plan."""
         self.requested_input = None
 
 
 def contradicts(plan: Plan, situation: PlanInput) -> bool:
-    """Return whether a plan still counts on a zone or a link that has gone."""
+    """Return whether a plan still uses a zone or a link that has failed."""
     for zone, local_slots in enumerate(situation.local_capacity):
         if not local_slots and zone not in plan.lost_zones:
             return True
@@ -88,11 +96,11 @@
 
 
 def differs(before: Plan, after: Plan) -> bool:
-    """Return whether a plan differs enough from another to be worth an epoch."""
+    """Return whether two plans differ enough to justify a new epoch."""
     if before.lost_zones != after.lost_zones:
         return True
     return any(
-        abs(new - old) > MIN_CHANGE * SHARES_PER_ROW
+        abs(new - old) > MIN_CHANGE_SHARE * SHARES_PER_ROW
         for rows_before, rows_after in zip(before.shares, after.shares, strict=True)
         for row_before, row_after in zip(rows_before, rows_after, strict=True)
         for old, new in zip(row_before, row_after, strict=True)
--- a/badgercart/zones/plan_store.py
+++ b/badgercart/zones/plan_store.py
@@ -1,4 +1,4 @@
-"""The plans that a node knows, and those whose chunks are still coming in. No I/O."""
+"""The plans that a node knows, and those with missing chunks. No I/O."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 from badgercart.zones.errors import PlanDigestError
 from badgercart.zones.traffic_plan import Plan
 
-MAX_PLANS = 8  # kept beside those in use, and as many that are incomplete
+# Complete plans that are kept besides those in use, and as many incomplete ones.
+MAX_PLANS = 8
 
 
 class PlanStore:
-    """Plans by digest, bounded in number."""
+    """A bounded store of plans by digest."""
 
     def __init__(self, decode: Callable[[bytes], Plan]) -> None:
-        """Begin empty. `decode` makes a plan of bytes, or raises InvalidPlanError."""
+        """Start empty. `decode` decodes a plan, or raises InvalidPlanError."""
         self._decode = decode
-        self._plans: dict[bytes, Plan] = {}  # the latest last
+        self._plans: dict[bytes, Plan] = {}  # by digest, oldest first
         self._incomplete: dict[bytes, dict[int, bytes]] = {}  # chunks by digest and number
 
     def __len__(self) -> int:
-        """Return how many plans are complete."""
+        """Return the number of complete plans."""
         return len(self._plans)
 
     def __contains__(self, digest: bytes) -> bool:
@@ -30,7 +31,7 @@
 
     @property
     def incomplete_count(self) -> int:
-        """How many plans are incomplete."""
+        """The number of incomplete plans."""
         return len(self._incomplete)
 
     def get(self, digest: bytes) -> Plan | None:
@@ -38,7 +39,7 @@
         return self._plans.get(digest)
 
     def add(self, digest: bytes, plan: Plan, in_use: Container[bytes] = ()) -> None:
-        """Keep a plan, and forget the oldest ones that are not in use beyond MAX_PLANS."""
+        """Add a plan, and remove the oldest unused ones beyond MAX_PLANS."""
         self._plans.pop(digest, None)
         self._plans[digest] = plan
         excess = max(0, len(self._plans) - MAX_PLANS)
@@ -47,10 +48,10 @@
             del self._plans[old]
 
     def add_chunk(self, number: int, chunk: PlanChunk, in_use: Container[bytes] = ()) -> bool:
-        """Keep a chunk, and return whether its plan became complete by it.
+        """Add a chunk; return whether it completed its plan.
 
         Raises:
-            InvalidPlanError: the chunks make no plan, or another than they say.
+            InvalidPlanError: the chunks are not a valid plan, or a plan with another digest.
         """
         if not 0 < chunk.count <= MAX_CHUNKS or number >= chunk.count:
             return False
@@ -63,13 +64,13 @@
         if len(chunks) < chunk.count:
             return False
         del self._incomplete[chunk.digest]
-        plan = self._decode(b"".join(chunks[at] for at in range(chunk.count)))
+        plan = self._decode(b"".join(chunks[index] for index in range(chunk.count)))
         if plan.digest != chunk.digest:
             raise PlanDigestError(chunk.digest, plan.digest)
         self.add(chunk.digest, plan, in_use)
         return True
 
     def clear(self) -> None:
-        """Forget all plans and chunks."""
+        """Remove all plans and chunks."""
         self._plans.clear()
         self._incomplete.clear()
--- a/badgercart/zones/plan_voter.py
+++ b/badgercart/zones/plan_voter.py
@@ -1,4 +1,4 @@
-"""A node as a voter: accepts ballots, and acts by plans that a majority accepted. No I/O."""
+"""The voter role of a node: accepts ballots, and activates committed plans. No I/O."""
 
 from __future__ import annotations
 
@@ -28,7 +28,14 @@
 
 
 class PlanVoter:
-    """Owns the node's votes, the plans that it knows, and the lease of the one in force."""
+    """Owns the node's votes, the known plans, and the lease of the plan in force.
+
+    Attributes:
+        accepted: the node's votes.
+        lease: the plan in force.
+        plans: the known plans.
+        pending: the proposer and the ballot of a round whose plan is not complete.
+    """
 
     def __init__(
         self,
@@ -38,36 +45,35 @@
         epochs: EpochCounter,
         turn: ProposerTurn,
     ) -> None:
-        """Begin without votes or plans. `epochs` and `turn` are shared with the proposer."""
+        """Start without votes or plans. `epochs` and `turn` are shared with the proposer role."""
         self._incarnation, self._epochs, self._turn = incarnation, epochs, turn
         self.accepted = AcceptedBallots()
         self.lease = PlanLease(settings)
         self.plans = PlanStore(decode)
-        # a proposer's round whose plan is incomplete
         self.pending: tuple[str, Ballot] | None = None
 
     def keep(self, plan: Plan) -> None:
-        """Know a plan from now on."""
+        """Store a plan that this node proposes."""
         self.plans.add(plan.digest, plan, self._plans_in_use())
 
-    def on_round(self, now: float, author: str, ballot: Ballot) -> list[Effect]:
-        """Vote for a round unless it is outdone; then tell its author the ballot that outdid it."""
-        if not self._turn.may_vote(now):
+    def on_round(self, now_ms: float, author: str, ballot: Ballot) -> list[Effect]:
+        """Vote for a round, or send its author the ballot that supersedes it."""
+        if not self._turn.may_vote(now_ms):
             self._epochs.observe(ballot.epoch)
             return []
         if not self.accepted.allows(author, ballot, self._epochs.highest):
             last = self.accepted.last
             return [] if last is None or ballot == last else [self._vote(last, author)]
-        self._turn.restart(now)
+        self._turn.restart(now_ms)
         self._epochs.observe(ballot.epoch)
         if ballot.digest not in self.plans:
             return self._await_plan(author, ballot)
         self.pending = None
-        self.accepted.accept(now, author, ballot)
+        self.accepted.accept(now_ms, author, ballot)
         return [self._vote(ballot, author)]
 
     def _await_plan(self, author: str, ballot: Ballot) -> list[Effect]:
-        """Wait for the chunks of a plan; ask for them once a second round comes without them."""
+        """Wait for the chunks of a plan, and request them if the next round arrives first."""
         awaited_before = self.pending is not None and self.pending[1].proposal == ballot.proposal
         self.pending = author, ballot
         return [SendMessage(REQUEST_TOPIC, ballot.digest, author)] if awaited_before else []
@@ -76,10 +82,10 @@
         return SendMessage(VOTE_TOPIC, encode_message(Vote(ballot, self._incarnation)), recipient)
 
     def on_chunk(self, number: int, chunk: PlanChunk) -> tuple[str, Ballot] | None:
-        """Keep a piece of a plan; return the round that waited for the plan, if it is complete now.
+        """Add a chunk of a plan; return the pending round if its plan is complete now.
 
         Raises:
-            InvalidPlanError: the pieces make no plan.
+            InvalidPlanError: the chunks are not a valid plan.
         """
         if not self.plans.add_chunk(number, chunk, self._plans_in_use()):
             return None
@@ -87,25 +93,25 @@
             return None
         return self.pending
 
-    def on_commit(self, now: float, author: str, commit: Commit, mark: bytes) -> list[Effect]:
-        """Act by a plan that a majority accepted, where the commit names this very process."""
+    def on_commit(self, now_ms: float, author: str, commit: Commit, mark: bytes) -> list[Effect]:
+        """Activate a plan that a majority accepted, if the commit names this process."""
         self._epochs.observe(commit.ballot.epoch)
         if author != self.accepted.proposer or not commit.names(mark):
             return []
-        self._turn.restart(now)
-        return self.activate(commit.ballot, author, now)
+        self._turn.restart(now_ms)
+        return self.activate(commit.ballot, author, now_ms)
 
-    def activate(self, ballot: Ballot, proposer: str, now: float | None = None) -> list[Effect]:
-        """Put a committed plan in force where this node accepted it; its lease runs from then."""
-        accepted_at = self.accepted.accepted_at.get(ballot)
+    def activate(self, ballot: Ballot, proposer: str, now_ms: float | None = None) -> list[Effect]:
+        """Activate a committed plan if this node accepted its ballot, which starts the lease."""
+        accepted_at_ms = self.accepted.accepted_at_ms.get(ballot)
         plan = self.plans.get(ballot.digest)
-        if accepted_at is None or plan is None:
+        if accepted_at_ms is None or plan is None:
             return []
-        activated = self.lease.grant(ballot, plan, proposer, accepted_at, now)
+        activated = self.lease.grant(ballot, plan, proposer, accepted_at_ms, now_ms)
         return [activated] if activated is not None else []
 
     def forget(self, reason: ExpiryReason) -> list[Effect]:
-        """Forget all plans, also the one in force. Votes stay, or an epoch could have two plans."""
+        """Drop all plans, also the one in force, but no votes, or an epoch could get two plans."""
         self.plans.clear()
         self.pending = None
         return self.lease.revoke(reason)
--- a/badgercart/zones/policy_feed.py
+++ b/badgercart/zones/policy_feed.py
@@ -1,9 +1,9 @@
-"""The policy's input about zones: the plan in force, or how to do without one. No I/O.
+"""The policy's input about zones: the plan in force, or the fallback without one. No I/O.
 
-By a plan a node sends what the plan says, and requests that find no endpoint there may spill over
-into the room that the plan left, by the node's share of it. Without a plan the node sends to its
-own zone, and spills over no more than its share of the fallback budget, which every plan leaves
-free. A zone that it does not reach itself it leaves at once, by the same spillover.
+With a plan, a node sends the shares of the plan, and requests that find no endpoint there may spill
+over into its part of the capacity that the plan leaves free. Without a plan, the node sends to its
+own zone and spills over at most its part of the fallback budget, which every plan leaves free. A
+zone that the node itself does not reach is avoided at once, by the same spillover.
 """
 
 from __future__ import annotations
@@ -17,14 +17,21 @@
 from badgercart.zones.zone_observer import ZoneObserver
 from badgercart.zones.zone_reports import health_of
 
-SPILLOVER_TOLERANCE = 0.2  # by which a rate may change before the policy gets it
-STRAIN_STEPS = 5  # of a zone's strain, so that the policy hears of changes only
+# Relative change of a spillover rate below which the policy's input is not updated.
+SPILLOVER_TOLERANCE_RATIO = 0.2
+# A zone's strain is rounded to 1/STRAIN_STEPS, so that small changes do not update the input.
+STRAIN_STEPS = 5
 
-Shares = tuple[tuple[float, ...], ...]  # by row and zone
+Shares = tuple[tuple[float, ...], ...]
+"""Shares of requests by row and zone."""
 
 
 class PolicyFeed:
-    """Makes the policy's input, and remembers what the policy got last."""
+    """Makes the policy's input, and remembers the latest one.
+
+    Attributes:
+        last: the input that the policy got last.
+    """
 
     def __init__(
         self,
@@ -33,13 +40,13 @@
         overrides: OperatorOverrides,
         fallback_budget: float,
     ) -> None:
-        """Begin with a policy that knows nothing.
+        """Start without an input.
 
         Args:
             observer: what this node observes.
             conditions: what all nodes report.
-            overrides: zones that operators drain.
-            fallback_budget: share of a zone's capacity for all nodes together without a plan.
+            overrides: the zones that operators drain.
+            fallback_budget: the share of a zone's capacity for all nodes without a plan together.
         """
         self._observer, self._conditions, self._overrides = observer, conditions, overrides
         self._fallback_budget = fallback_budget
@@ -48,14 +55,14 @@
     def update(
         self, topology: Topology, zone: int, plan: Plan | None, live_nodes: int, possible_nodes: int
     ) -> TrafficPlan | None:
-        """Return the policy's new input; None where it has not changed.
+        """Return the policy's input, or None if it has not changed.
 
         Args:
             topology: the zones.
-            zone: the node's own.
+            zone: the node's own zone.
             plan: the plan in force.
-            live_nodes: nodes in reach, which share what the plan left.
-            possible_nodes: nodes that may be alive, which share the fallback budget.
+            live_nodes: the reachable nodes, which share the capacity that the plan leaves free.
+            possible_nodes: the nodes that may be alive, which share the fallback budget.
         """
         lost = self._unreachable_zones() | self._overrides.drained_zones()
         if plan is not None:
@@ -83,25 +90,25 @@
         }
 
     def _slot_ms(self) -> float:
-        """Return how long an attempt keeps a slot."""
+        """Return the mean time for which an attempt occupies a slot."""
         if not self._observer.demand.has_baseline:
             return DEFAULT_LATENCY_MS
         return max(self._observer.detector.mean_latency_ms, 1.0)
 
     def _planned_rates(self, plan: Plan, live_nodes: int) -> list[float]:
-        """Return this node's spillover by zone, in requests a ms."""
+        """Return this node's spillover rate by zone, in requests per ms."""
         slot_ms = self._slot_ms()
         return [milli / 1000 / max(live_nodes, 1) / slot_ms for milli in plan.spare_milli_slots]
 
     def _fallback_rates(self, possible_nodes: int) -> list[float]:
-        """Return this node's spillover by zone without a plan, in requests a ms."""
+        """Return this node's spillover rate by zone without a plan, in requests per ms."""
         per_slot = self._fallback_budget / max(possible_nodes, 1) / self._slot_ms()
         return [per_slot * slots for slots in self._conditions.capacity]
 
     def _strain(self) -> tuple[float, ...]:
-        """Return by zone which part of its share it is spared; empty where none is.
+        """Return by which part the share of each zone is reduced; empty if none is.
 
-        That is so where a zone is slow to this node and the plan may not know yet.
+        A zone's share is reduced while it is slow to this node and the plan may not consider that.
         """
         observed = zip(self._observer.detector.zones, self._conditions.breakers, strict=True)
         strain = [
@@ -124,12 +131,12 @@
 
 
 def is_similar(one: TrafficPlan, other: TrafficPlan) -> bool:
-    """Return whether two inputs differ at most by a little in their spillover rates."""
+    """Return whether two inputs only differ by small changes of the spillover rates."""
     if (one.shares, one.lost_zones) != (other.shares, other.lost_zones):
         return False
     if (one.planned_tenants, one.zone_strain) != (other.planned_tenants, other.zone_strain):
         return False
     return all(
-        abs(a - b) <= SPILLOVER_TOLERANCE * max(a, b)
+        abs(a - b) <= SPILLOVER_TOLERANCE_RATIO * max(a, b)
         for a, b in zip(one.spillover_rates, other.spillover_rates, strict=True)
     )
--- a/badgercart/zones/presentation.py
+++ b/badgercart/zones/presentation.py
@@ -1,7 +1,7 @@
-"""What operators see of zones: the node's pages, and the words for its states. No I/O.
+"""The admin pages about zones, and the words for states that operators see. No I/O.
 
-The keys and words of pages are an interface: they are written here as literals, and nowhere taken
-from a name in the code. `commands.py` shows the pages, `change_logger.py` uses the words.
+The keys and words are an interface: they are literals here, and never derived from names in the
+code. `commands.py` shows the pages, `change_logger.py` uses the words.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     Reachability.REACHABLE: "fine",
     Reachability.UNREACHABLE: "dark",
 }
-# A zone is open where its breaker is closed.
+# To operators, a zone is open if its circuit breaker is closed.
 BREAKER_WORDS = {
     BreakerState.CLOSED: "open",
     BreakerState.OPEN: "shut",
@@ -34,7 +34,7 @@
 MAX_CHANGES_SHOWN = 32
 
 
-def status_page(controller: FailoverController, now: float) -> dict[str, Any]:
+def status_page(controller: FailoverController, now_ms: float) -> dict[str, Any]:
     """Return the page `/_zones` as plain data: the zones, the plan, and the latest changes."""
     topology, plan = controller.topology, controller.planner.plan
     active = controller.consensus.active
@@ -47,7 +47,7 @@
         "proposer": active.proposer if active is not None else "",
         "plan": plan.digest.hex() if plan is not None else "",
         "why": plan.reason if plan is not None else "",
-        "lease_ms": round(controller.consensus.lease_left_ms(now)),
+        "lease_ms": round(controller.consensus.lease_left_ms(now_ms)),
         "short": controller.planner.scheduler.exhausted,
         "zones": [_zone_entry(controller, zone) for zone in range(len(topology.zones))],
         "parts": [list(map(list, rows)) for rows in plan.shares] if plan is not None else [],
@@ -78,7 +78,7 @@
 
 def change_entry(change: Change, zone_names: tuple[str, ...]) -> dict[str, Any]:
     """Return a change as plain data."""
-    at_ms = round(change.at)
+    at_ms = round(change.at_ms)
     match change:
         case PlanInForce(_, epoch, proposer, reason, digest):
             return {
@@ -98,9 +98,9 @@
 
 
 def loss_forecast(controller: FailoverController) -> dict[str, Any]:
-    """Return the page `/_zones/if`: for each zone, what would happen if it went now.
+    """Return the page `/_zones/if`: for each zone, the effect of losing it now.
 
-    That is how full the other zones would be, and which share of all requests would be shed.
+    The effect is the utilization of the other zones, and the share of all requests that is shed.
     """
     situation = controller.conditions.plan_input
     if situation is None:
@@ -109,18 +109,20 @@
     return {name: _forecast(controller, situation, lost) for lost, name in enumerate(names)}
 
 
-def _forecast(controller: FailoverController, now: PlanInput, lost: int) -> dict[str, Any]:
+def _forecast(controller: FailoverController, situation: PlanInput, lost: int) -> dict[str, Any]:
     after = PlanInput(
-        tuple(0.0 if zone == lost else slots for zone, slots in enumerate(now.capacity)),
-        tuple(0.0 if zone == lost else slots for zone, slots in enumerate(now.local_capacity)),
-        now.demand,
-        now.partitioned,
+        tuple(0.0 if zone == lost else slots for zone, slots in enumerate(situation.capacity)),
+        tuple(
+            0.0 if zone == lost else slots for zone, slots in enumerate(situation.local_capacity)
+        ),
+        situation.demand,
+        situation.partitioned,
     )
-    load = controller.compute(after).load(now.demand)
-    wanted = sum(map(sum, now.demand))
+    load = controller.compute(after).load(situation.demand)
+    total_demand = sum(map(sum, situation.demand))
     names = controller.topology.zones
     zones = zip(names, load.slots, after.local_capacity, strict=True)
     return {
         "full": {name: round(slots / capacity, 3) for name, slots, capacity in zones if capacity},
-        "refused": round(load.shed / wanted, 3) if wanted else 0.0,
+        "refused": round(load.shed / total_demand, 3) if total_demand else 0.0,
     }
--- a/badgercart/zones/settings.py
+++ b/badgercart/zones/settings.py
@@ -1,4 +1,4 @@
-"""What operators may set of zones. Keys and descriptions are an interface."""
+"""The settings of the zones package; keys and descriptions are an interface to operators."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 from badgercart.zones.topology import MAX_ZONES, Topology, build_topology
 from badgercart.zones.traffic_plan import UtilizationLimits
 
-MAX_LEASE_MARGIN_MS = 100.0  # by which a lease is shorter on the node's own clock
-REPORTS_PER_MAX_AGE = 5  # reports that a node may miss before it counts for nothing
+# Maximum time by which a lease ends earlier on the node's own clock.
+MAX_LEASE_MARGIN_MS = 100.0
+# Intervals after which the last report of a node is ignored.
+REPORTS_PER_MAX_AGE = 5
 
 Share = Annotated[float, Field(ge=0, le=1)]
-Fault = tuple[Path, str]  # where, and what
+Fault = tuple[Path, str]
+"""The path of a setting, and what is wrong with it."""
 
 
 class Region(Table, title="Region", about="zones that lie together"):
-    """A region: zones whose traffic may stay among themselves."""
+    """A region: zones among which regional traffic may be routed."""
 
     name: Name = Field(description="its name")
     zones: Names = Field(
@@ -51,7 +54,7 @@
     schema_name="badgercart__zones__settings__Place",
     about="where the servers of a network are, where the list does not say",
 ):
-    """The zone of the servers of a network."""
+    """The zone of the endpoints in a network."""
 
     network: Network = Field(description="the network, as 10.1.0.0/16")
     zone: Name = Field(description="their zone")
@@ -143,7 +146,7 @@
     probe_ms: float = Field(500.0, ge=10, le=60_000, description="the time for such an answer (ms)")
 
     def failover_settings(self, electorate: int) -> FailoverSettings:
-        """Return the controller's settings, for a cluster that should have so many nodes."""
+        """Return the controller's settings; `electorate` is the configured number of nodes."""
         return FailoverSettings(
             mode=PlanningMode(self.mode),
             limits=UtilizationLimits(target_share=self.head, planned_share=1 - self.blind),
@@ -151,7 +154,7 @@
                 lease_ms=self.lease_ms,
                 margin_ms=min(MAX_LEASE_MARGIN_MS, self.lease_ms / 10),
                 renew_ms=self.renew_ms,
-                patience_ms=self.patience_ms,
+                proposer_timeout_ms=self.patience_ms,
             ),
             recovery=RecoverySettings(hold_ms=self.hold_ms, step_per_s=self.step),
             report_interval_ms=self.tell_ms,
@@ -164,10 +167,10 @@
     def topology(
         self, zones: dict[str, int], classes: dict[bytes, int], tenants: dict[bytes, int]
     ) -> Topology:
-        """Return the topology, by the indexes that the file's zones, classes and tenants have.
+        """Return the topology for the indexes of zones, classes and tenants in the file.
 
         Raises:
-            KeyError: a class or tenant is not among them.
+            KeyError: a class or tenant of these settings has no index.
         """
         return build_topology(
             tuple(zones),
@@ -180,7 +183,7 @@
 
 
 def check(settings: ZonesSettings, file: CheckedFile) -> Iterator[Fault]:
-    """Yield what only several settings together can get wrong."""
+    """Yield the faults that involve more than one setting."""
     base = file.base
     zones = base.fleet.zones
     if len(zones) < 2:
@@ -191,9 +194,9 @@
         yield (), "needs node.zone: where this node is"
     yield from _check_regions(settings.region, zones)
     yield from _check_distances(settings.distance, zones)
-    for at, entry in enumerate(settings.network):
+    for index, entry in enumerate(settings.network):
         if entry.zone not in zones:
-            yield ("network", at, "zone"), f"{entry.zone!r} is none of fleet.zones"
+            yield ("network", index, "zone"), f"{entry.zone!r} is none of fleet.zones"
     classes = {request_class.name for request_class in base.class_}
     tenants = {tenant.name for tenant in base.tenant}
     yield from _check_names("bound_classes", settings.bound_classes, "class", classes)
@@ -203,46 +206,46 @@
 
 def _check_regions(regions: Sequence[Region], zones: Sequence[str]) -> Iterator[Fault]:
     region_of: dict[str, str] = {}
-    for at, region in enumerate(regions):
-        for place, zone in enumerate(region.zones):
+    for index, region in enumerate(regions):
+        for zone_index, zone in enumerate(region.zones):
             if zone not in zones:
-                yield ("region", at, "zones", place), f"{zone!r} is none of fleet.zones"
+                yield ("region", index, "zones", zone_index), f"{zone!r} is none of fleet.zones"
             elif zone in region_of:
-                words = f"{zone!r} is in the region {region_of[zone]!r} already"
-                yield ("region", at, "zones", place), words
+                message = f"{zone!r} is in the region {region_of[zone]!r} already"
+                yield ("region", index, "zones", zone_index), message
             region_of[zone] = region.name
     names = [region.name for region in regions]
-    for at, name in enumerate(names):
-        if name in names[:at]:
-            yield ("region", at, "name"), f"{name!r} stands here twice"
+    for index, name in enumerate(names):
+        if name in names[:index]:
+            yield ("region", index, "name"), f"{name!r} stands here twice"
 
 
 def _check_distances(distances: Sequence[Distance], zones: Sequence[str]) -> Iterator[Fault]:
     pairs: set[frozenset[str]] = set()
-    for at, entry in enumerate(distances):
+    for index, entry in enumerate(distances):
         for key, zone in (("from", entry.from_), ("to", entry.to)):
             if zone not in zones:
-                yield ("distance", at, key), f"{zone!r} is none of fleet.zones"
+                yield ("distance", index, key), f"{zone!r} is none of fleet.zones"
         if entry.from_ == entry.to:
-            yield ("distance", at, "to"), "is the zone itself: that costs nothing"
+            yield ("distance", index, "to"), "is the zone itself: that costs nothing"
         pair = frozenset((entry.from_, entry.to))
         if pair in pairs:
-            yield ("distance", at), f"{entry.from_!r} and {entry.to!r} have a distance already"
+            yield ("distance", index), f"{entry.from_!r} and {entry.to!r} have a distance already"
         pairs.add(pair)
 
 
 def _check_names(key: str, names: Sequence[str], table: str, known: set[str]) -> Iterator[Fault]:
-    for at, name in enumerate(names):
+    for index, name in enumerate(names):
         if name not in known:
-            yield (key, at), f"{name!r} is no [[{table}]]"
+            yield (key, index), f"{name!r} is no [[{table}]]"
 
 
 def _check_numbers(settings: ZonesSettings) -> Iterator[Fault]:
     if settings.head > 1 - settings.blind:
         yield ("head",), "is more than blind leaves: head and blind together are 1 at most"
     if 2 * settings.renew_ms >= settings.lease_ms:
-        words = "is not below half of lease_ms: one renewal that is lost would end the plan"
-        yield ("renew_ms",), words
+        message = "is not below half of lease_ms: one renewal that is lost would end the plan"
+        yield ("renew_ms",), message
     if settings.patience_ms <= settings.renew_ms:
-        words = "is not above renew_ms: a proposer that does its work would be stepped over"
-        yield ("patience_ms",), words
+        message = "is not above renew_ms: a proposer that does its work would be stepped over"
+        yield ("patience_ms",), message
--- a/badgercart/zones/topology.py
+++ b/badgercart/zones/topology.py
@@ -1,7 +1,7 @@
-"""Zones, their regions, the routing costs between zones, and traffic that must stay in its region.
+"""Zones, regions, routing costs between zones, and traffic that must stay in its region. No I/O.
 
-A topology comes from the settings file and has no I/O. Nodes agree on a traffic plan only where
-their topologies have the same digest.
+The topology is built from the settings file. Nodes can only agree on a traffic plan if their
+topologies have the same digest.
 """
 
 from __future__ import annotations
@@ -10,30 +10,41 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-# Costs between two zones of one region and of two, where the settings file gives none.
-INTRA_REGION_COST, INTER_REGION_COST = 1.0, 10.0
+# Routing costs between two zones for which the settings file gives none.
+INTRA_REGION_COST = 1.0
+INTER_REGION_COST = 10.0
 MAX_ZONES = 64
-UNKNOWN_ZONE = -1  # index of a zone that is not known
+# The index of a zone that is not known.
+UNKNOWN_ZONE = -1
 
 
 @dataclass(slots=True, frozen=True)
 class Topology:
-    """All zones. Zones have the indexes that they have in the endpoint list.
+    """All zones, with the same indexes as in the endpoint list.
 
-    A row stands for the requests of one class; each class has a second row for the tenants whose
+    Requests are grouped in rows: each class has a first row, and a second row for the tenants whose
     requests must stay in their region.
+
+    Attributes:
+        zones: the names of the zones.
+        regions: the region of each zone.
+        costs: the routing cost from zone to zone; 0 within a zone.
+        regional_classes: the classes whose requests must stay in their region.
+        regional_tenants: the tenants whose requests must stay in their region.
+        class_count: the number of classes.
+        digest: a hash of all other fields.
     """
 
     zones: tuple[str, ...]
-    regions: tuple[str, ...]  # of each zone
-    costs: tuple[tuple[float, ...], ...]  # from zone to zone; 0 at home
-    regional_classes: frozenset[int] = frozenset()  # whose requests must not leave their region
+    regions: tuple[str, ...]
+    costs: tuple[tuple[float, ...], ...]
+    regional_classes: frozenset[int] = frozenset()
     regional_tenants: frozenset[int] = frozenset()
     class_count: int = 1
     digest: int = field(init=False)
 
     def __post_init__(self) -> None:
-        """Compute the digest, which covers all else."""
+        """Compute the digest of all other fields."""
         content = (
             self.zones,
             self.regions,
@@ -47,19 +58,19 @@
 
     @property
     def row_count(self) -> int:
-        """Number of rows: two for each class."""
+        """The number of rows: two for each class."""
         return 2 * self.class_count
 
     def is_regional(self, row: int) -> bool:
-        """Return whether the requests of a row must not leave their region."""
+        """Return whether the requests of a row must stay in their region."""
         return row >= self.class_count or row in self.regional_classes
 
     def may_route(self, row: int, source: int, target: int) -> bool:
-        """Return whether requests of a row may go from one zone to another."""
+        """Return whether requests of a row may be routed from one zone to another."""
         return not self.is_regional(row) or self.regions[source] == self.regions[target]
 
     def row_of(self, class_index: int, tenant: int) -> int:
-        """Return the row that a request of this class and tenant belongs to."""
+        """Return the row of a request of this class and tenant."""
         return class_index + self.class_count * (tenant in self.regional_tenants)
 
 
@@ -71,9 +82,9 @@
     regional_classes: frozenset[int] = frozenset(),
     regional_tenants: frozenset[int] = frozenset(),
 ) -> Topology:
-    """Return the topology of these zones, by name.
+    """Return the topology of these zones, with regions and costs by name.
 
-    A zone without a region forms a region of its own. A cost holds in both directions.
+    A zone without a region forms a region of its own. A cost applies in both directions.
     """
     zone_regions = [regions.get(zone, zone) for zone in zones]
 
--- a/badgercart/zones/zone_conditions.py
+++ b/badgercart/zones/zone_conditions.py
@@ -1,4 +1,4 @@
-"""Which capacity of each zone counts now, by the reports of all nodes. No I/O."""
+"""The usable capacity of each zone according to the reports of all nodes. No I/O."""
 
 from __future__ import annotations
 
@@ -11,30 +11,38 @@
 
 
 class ZoneConditions:
-    """Owns the reports and the circuit breakers, and makes the input of a plan of them."""
+    """Owns the reports and the circuit breakers, and derives the input of plans from them.
+
+    Attributes:
+        capacity: the slots that the policy may fill, by zone.
+        reports: the latest report of each node.
+        breakers: the circuit breaker of each zone.
+        summary: the summary of the current reports.
+        plan_input: the current input for a plan.
+    """
 
     def __init__(
         self, topology: Topology, recovery: RecoverySettings, overrides: OperatorOverrides
     ) -> None:
-        """Begin without reports; `overrides` come before what is reported."""
+        """Start without reports; `overrides` take precedence over reports."""
         self._recovery, self._overrides = recovery, overrides
-        self.capacity = (0.0,) * len(topology.zones)  # slots by zone that the policy may fill
+        self.capacity = (0.0,) * len(topology.zones)
         self.reset(topology)
 
     def reset(self, topology: Topology) -> None:
-        """Begin anew with another topology: what rests on the old one is void."""
+        """Use another topology, and drop all state that depends on the old one."""
         self.reports = ZoneReportTable(topology)
         self.breakers = [ZoneCircuitBreaker(self._recovery) for _ in topology.zones]
         self.summary: ZoneSummary | None = None
         self.plan_input: PlanInput | None = None
 
-    def update(self, now: float, capacity: EndpointCapacity, max_report_age_ms: float) -> None:
-        """Take over the reports that came and the endpoints that there are."""
+    def update(self, now_ms: float, capacity: EndpointCapacity, max_report_age_ms: float) -> None:
+        """Update everything for the current reports and endpoint capacity."""
         total_slots = capacity.total_slots
-        summary = self.reports.summarize(now, max_report_age_ms, total_slots)
+        summary = self.reports.summarize(now_ms, max_report_age_ms, total_slots)
         self.summary = summary
         self.capacity = _usable_slots(capacity, summary)
-        self._update_breakers(now, summary)
+        self._update_breakers(now_ms, summary)
         admitted = zip(self.capacity, self.breakers, strict=True)
         self.plan_input = PlanInput(
             tuple(round(slots * breaker.admitted_share, 3) for slots, breaker in admitted),
@@ -43,16 +51,17 @@
             summary.partitioned,
         )
 
-    def _update_breakers(self, now: float, summary: ZoneSummary) -> None:
+    def _update_breakers(self, now_ms: float, summary: ZoneSummary) -> None:
         for zone, breaker in enumerate(self.breakers):
             action = self._overrides.action_for(zone)
             down = action == DRAIN if action in (DRAIN, PIN) else zone in summary.down
-            breaker.tick(now, down, zone in summary.reachable, _health(summary, zone))
+            breaker.tick(now_ms, down, zone in summary.reachable, _health(summary, zone))
 
     def _local_slots(self, zone: int, summary: ZoneSummary) -> float:
-        """Return the slots of a zone for its own nodes, unless an operator drains it.
+        """Return the slots of a zone for its own nodes; 0 if an operator drains it.
 
-        While only other zones fail to reach it, its own nodes may use all that its answers allow.
+        While only nodes of other zones do not reach it, its own nodes may use the full capacity
+        that its responses indicate.
         """
         if self._overrides.action_for(zone) == DRAIN:
             return 0.0
@@ -67,7 +76,7 @@
 
 
 def _usable_slots(capacity: EndpointCapacity, summary: ZoneSummary) -> tuple[float, ...]:
-    """Return by zone the slots that the policy may fill.
+    """Return the slots that the policy may fill, by zone.
 
     The policy gives an endpoint in slow start its share of the load, so its slots count for no more
     than the load does.
--- a/tests/cluster/test_scaling.py
+++ b/tests/cluster/test_scaling.py
@@ -180,14 +180,14 @@
             for state in table.with_status(MemberStatus.ALIVE, MemberStatus.SUSPECT)
         }
         assert sorted(table.reachable.names) == sorted(reachable) and all(
-            table.reachable.names[position] == name
-            for name, position in table.reachable.positions.items()
+            table.reachable.names[position] == member
+            for member, position in table.reachable.positions.items()
         )
         assert set(table.unreachable) == {
             state.record.name for state in table.with_status(MemberStatus.DEAD, MemberStatus.LEFT)
         }
         assert set(table.reachable_addresses) == {
-            table.members[name].record.address for name in reachable
+            table.members[member].record.address for member in reachable
         }
         sampled = [state.record.name for state in table.sample(3, rng, (name,))]
         assert len(set(sampled)) == len(sampled) == min(3, len(reachable - {name})) and set(
--- a/tests/zones/__init__.py
+++ b/tests/zones/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the zones package."""
--- a/tests/zones/test_failover_controller.py
+++ b/tests/zones/test_failover_controller.py
@@ -1,4 +1,4 @@
-"""Controllers of a few nodes in the lab's model: one plan, failover, the fallback budget."""
+"""Controllers of a few nodes in the lab's model: one plan, failover, and the fallback budget."""
 
 from __future__ import annotations
 
@@ -19,29 +19,39 @@
 from lab.settings import Cell
 from tests.lab.support import day
 
-PER_S = {"per_s": 80.0}  # about half of what they can do
+# About half of the capacity of the servers.
+ARRIVALS = {"per_s": 80.0}
 
 
-def world(zones: str = "majority", nodes: int = 6, seconds: float = 12.0, **more: object) -> World:
-    fleet = {"nodes": nodes, "peers": True, "zones": zones, "servers": 6}
+def world(
+    mode: str = "majority", nodes: int = 6, duration_s: float = 12.0, **options: object
+) -> World:
+    """Return a model of a fleet with three zones in two regions."""
+    fleet = {"nodes": nodes, "peers": True, "zones": mode, "servers": 6}
     net = {"zones": 3, "regions": 2, "far_ms": 5.0}
-    # type: ignore[call-overload]
-    made = day(seconds, more.pop("trouble", []), fleet=fleet, net=net, arrivals=PER_S, **more)
-    return World(Cell(made, "badgercart", 1))
+    scenario = day(
+        duration_s, options.pop("trouble", []), fleet=fleet, net=net, arrivals=ARRIVALS, **options
+    )
+    return World(Cell(scenario, "badgercart", 1))
 
 
 def controllers(played: World) -> list[FailoverController]:
+    """Return the controllers of the nodes that are running."""
     assert played.companions is not None
     return [
-        one.controller for one in played.companions.there.values() if one.controller is not None
+        companion.controller
+        for companion in played.companions.there.values()
+        if companion.controller is not None
     ]
 
 
-def at(played: World, ms: float, look: object) -> None:
-    played.clock.at(ms, look)  # type: ignore[arg-type]
+def call_at(played: World, time_ms: float, callback: object) -> None:
+    """Call a function at a time of the model."""
+    played.clock.at(time_ms, callback)  # type: ignore[arg-type]
 
 
-def test_all_nodes_go_by_one_plan_and_calm_traffic_stays_at_home() -> None:
+def test_all_nodes_use_one_plan_and_traffic_stays_in_its_zone() -> None:
+    """With enough capacity, a plan routes no request to another zone."""
     played = world()
     result = played.play()
     plans = {
@@ -55,37 +65,40 @@
         policy = node.join.policy
         assert policy.fleet.locality.plan is not None
         assert policy.fleet.locality.plan.shares[0][node.zone] == 1.0
-    # no plan after plan while nothing happens
+    # Without faults, few plans are made.
     assert 0 < controllers(played)[0].history.plan_count <= 6
 
 
-def test_a_day_with_plans_is_the_same_bit_by_bit() -> None:
-    one, other = (world(seconds=8.0).play() for _ in range(2))
+def test_a_run_with_plans_is_deterministic() -> None:
+    """The same seed gives the same result bit by bit."""
+    one, other = (world(duration_s=8.0).play() for _ in range(2))
     one.pop("spent_s"), other.pop("spent_s")
     assert one == other
 
 
-def test_a_lost_zone_is_left_and_its_nodes_send_where_the_plan_says() -> None:
+def test_nodes_of_a_lost_zone_send_to_the_zones_of_the_plan() -> None:
+    """All nodes learn of the loss, and none sends to the lost zone."""
     trouble = [{"kind": "zone_loss", "at_s": 7.0, "for_s": 4.0, "zone": 1}]
-    played, seen = world(trouble=trouble), {}
+    played, observed = world(trouble=trouble), {}
 
-    def look() -> None:
-        seen["lost"] = [
+    def observe() -> None:
+        observed["lost"] = [
             controller.planner.plan.lost_zones
             for controller in controllers(played)
             if controller.planner.plan is not None
         ]
-        seen["row"] = played.nodes[1].join.policy.fleet.locality.plan.shares[0]  # type: ignore[union-attr]
+        observed["row"] = played.nodes[1].join.policy.fleet.locality.plan.shares[0]  # type: ignore[union-attr]
 
-    at(played, 10_000.0, look)
+    call_at(played, 10_000.0, observe)
     played.play()
-    assert seen["lost"] == [(1,)] * 6
-    assert seen["row"][1] == 0
-    assert sum(seen["row"]) == pytest.approx(1.0)
+    assert observed["lost"] == [(1,)] * 6
+    assert observed["row"][1] == 0
+    assert sum(observed["row"]) == pytest.approx(1.0)
 
 
 @pytest.mark.parametrize("nodes", [4, 6])
-def test_all_nodes_without_a_plan_send_a_zone_no_more_than_the_fallback_budget(nodes: int) -> None:
+def test_nodes_without_a_plan_stay_within_the_fallback_budget(nodes: int) -> None:
+    """The spillover of all nodes together must fit into the capacity that plans leave free."""
     played = world(nodes=nodes)
     played.play()
     for controller in controllers(played):
@@ -106,13 +119,15 @@
 
 
 def policy_input(controller: FailoverController, nodes: int) -> TrafficPlan:
+    """Return the policy's input, whether it has changed or not."""
     controller.feed.last = None
     event = controller.policy_update(1, nodes)
     assert event is not None
     return event
 
 
-def test_shared_reports_alone_give_each_a_plan_of_its_own() -> None:
+def test_in_shared_mode_each_node_makes_its_own_plan() -> None:
+    """Mode `shared` needs no consensus."""
     played = world("shared")
     result = played.play()
     assert all(
@@ -122,41 +137,45 @@
     assert not sum(result["breaches"].values())
 
 
-def test_of_operators_overrides_the_latest_counts_until_it_expires() -> None:
-    played = world(seconds=7.0)
+def test_the_latest_operator_override_counts_until_it_expires() -> None:
+    """Old, unknown and malformed overrides, and those of other topologies, have no effect."""
+    played = world(duration_s=7.0)
     played.play()
     controller = controllers(played)[0]
     overrides = controller.overrides
-    now = int(controller.wall_ms())
+    wall_ms = int(controller.wall_ms())
 
     def receive(action: str, issued_ms: int, expires_ms: int, zone: int = 2) -> None:
         override = OperatorOverride(zone, action, issued_ms, expires_ms, "eva")
         payload = msgspec.msgpack.encode((controller.topology.digest, [override]))
         controller.on_overrides(0.0, "operator c", payload)
 
-    receive(DRAIN, now, now + 10_000)
-    receive(PIN, now - 5, now + 10_000)  # came late
-    receive("burn", now + 1, now + 10_000)
-    receive(DRAIN, now, now + 10_000, zone=9)
+    receive(DRAIN, wall_ms, wall_ms + 10_000)
+    receive(PIN, wall_ms - 5, wall_ms + 10_000)  # older than the known override
+    receive("burn", wall_ms + 1, wall_ms + 10_000)
+    receive(DRAIN, wall_ms, wall_ms + 10_000, zone=9)
     controller.on_overrides(0.0, "operator c", b"junk")
-    other = msgspec.msgpack.encode((1, [OperatorOverride(1, DRAIN, now, now + 10_000, "eva")]))
+    other = msgspec.msgpack.encode(
+        (1, [OperatorOverride(1, DRAIN, wall_ms, wall_ms + 10_000, "eva")])
+    )
     controller.on_overrides(0.0, "operator b", other)  # of another topology
-    assert {zone: one.action for zone, one in overrides.by_zone.items()} == {2: DRAIN}
+    assert {zone: override.action for zone, override in overrides.by_zone.items()} == {2: DRAIN}
     event = policy_input(controller, 6)
     assert 2 in event.lost_zones
     assert status_page(controller, 0.0)["zones"][2]["order"] == DRAIN
-    receive(RELEASE, now + 1, now + 10_000)
+    receive(RELEASE, wall_ms + 1, wall_ms + 10_000)
     assert overrides.by_zone[2].action == RELEASE
     assert 2 not in policy_input(controller, 6).lost_zones
-    receive(DRAIN, now + 2, now - 1)
+    receive(DRAIN, wall_ms + 2, wall_ms - 1)
     overrides.expire(controller.wall_ms())
     assert overrides.by_zone == {}
     assert OVERRIDES_TOPIC in controller.member.protocol.registers.urgent
 
 
-def test_too_many_plans_keep_the_safer_one() -> None:
+def test_a_flapping_zone_makes_a_bounded_number_of_plans() -> None:
+    """The plan budget limits how often traffic moves."""
     trouble = [{"kind": "zone_flap", "at_s": 7.0, "for_s": 20.0, "zone": 1, "size": 1.0}]
-    played = world(seconds=30.0, trouble=trouble)
+    played = world(duration_s=30.0, trouble=trouble)
     result = played.play()
     for controller in controllers(played):
         assert 0 < controller.history.plan_count <= 20 + 20 * 30 / 60
--- a/tests/zones/test_golden.py
+++ b/tests/zones/test_golden.py
@@ -1,7 +1,7 @@
-"""What zones tell each other and people, byte for byte as it was written before.
+"""Compatibility of messages, plans, admin pages and commands with golden files, byte for byte.
 
-Messages as they travel, a plan packed, the pages of a node, and what the commands make of them. All
-come from one consensus, one report and one day of the lab's model under fixed clocks and seeds.
+The data come from one consensus, one report and one run of the lab's model, with fixed clocks and
+seeds.
 """
 
 from __future__ import annotations
@@ -41,58 +41,61 @@
 NODE = "n1"
 
 
-def held_to(name: str, data: bytes) -> None:
+def assert_matches_golden(name: str, data: bytes) -> None:
+    """Compare data with a golden file."""
     assert data == (GOLDEN / name).read_bytes()
 
 
-def written(messages: list[SendMessage]) -> bytes:
-    """Topics, bytes and addressees, a line each."""
+def format_messages(messages: list[SendMessage]) -> bytes:
+    """Return one line per message with its topic, payload and recipient."""
     return "".join(
         f"{message.topic} {message.payload.hex()} {message.recipient or '*'}\n"
         for message in messages
     ).encode()
 
 
-def read() -> list[tuple[str, bytes, str]]:
+def golden_messages() -> list[tuple[str, bytes, str]]:
+    """Return the topic, payload and recipient of each message in the golden file."""
     lines = (GOLDEN / "consensus.txt").read_text().splitlines()
-    found = [line.split(" ") for line in lines]
-    return [(topic, bytes.fromhex(said), to) for topic, said, to in found]
+    fields = [line.split(" ") for line in lines]
+    return [(topic, bytes.fromhex(payload), recipient) for topic, payload, recipient in fields]
 
 
 def consensus(name: str, incarnation: int) -> PlanConsensus:
-    made = PlanConsensus(
+    """Return the consensus of a node after its first tick, with a fixed wall clock."""
+    node = PlanConsensus(
         name,
         incarnation,
         SETTINGS,
         lambda data: decode_plan(data, TOPOLOGY),
         lambda: float(WALL_MS),
     )
-    made.tick(0.0)
-    return made
+    node.tick(0.0)
+    return node
 
 
-def conversation() -> list[SendMessage]:
-    """A proposal, a node that lost a piece of it and asks, its vote, the commit."""
+def message_exchange() -> list[SendMessage]:
+    """Return the messages of a proposal, a request of a lost chunk, a vote and the commit."""
     first, other = consensus("n0", 7), consensus("n1", 8)
     messages = [
         effect for effect in first.propose(5000.0, plan(1), 3) if isinstance(effect, SendMessage)
     ]
-    (opened,) = [message for message in messages if message.topic == ROUND_TOPIC]
+    (round_message,) = [message for message in messages if message.topic == ROUND_TOPIC]
     for _ in range(2):
-        asked = other.receive(5010.0, "n0", opened.topic, opened.payload)
-    messages += [effect for effect in asked if isinstance(effect, SendMessage)]
+        requests = other.receive(5010.0, "n0", round_message.topic, round_message.payload)
+    messages += [effect for effect in requests if isinstance(effect, SendMessage)]
     messages += [
         e
         for e in first.receive(5020.0, "n1", messages[-1].topic, messages[-1].payload)
         if isinstance(e, SendMessage)
     ]
     for message in messages[:-1]:
-        answers = (
+        replies = (
             other.receive(5030.0, "n0", message.topic, message.payload)
             if message.topic != REQUEST_TOPIC
             else []
         )
-        messages += [effect for effect in answers if isinstance(effect, SendMessage)][:1]
+        messages += [effect for effect in replies if isinstance(effect, SendMessage)][:1]
     (vote,) = [message for message in messages if message.topic == VOTE_TOPIC]
     messages += [
         e
@@ -102,44 +105,50 @@
     return messages
 
 
-def test_the_consensus_sends_the_same_bytes() -> None:
-    held_to("consensus.txt", written(conversation()))
+def test_consensus_messages_match_their_golden_file() -> None:
+    """A node of the previous version must understand the messages."""
+    assert_matches_golden("consensus.txt", format_messages(message_exchange()))
 
 
-def test_the_consensus_reads_what_was_sent_before() -> None:
+def test_the_consensus_accepts_golden_messages() -> None:
+    """A node must understand the messages of the previous version."""
     other = consensus("n1", 8)
     effects: list[Any] = []
-    for topic, said, to in read():
-        if to in ("*", "n1"):
-            effects += other.receive(5100.0, "n0", topic, said)
-    (in_force,) = [effect for effect in effects if isinstance(effect, PlanActivated)]
-    assert in_force.epoch == 6_963_200_000_001_769
-    assert in_force.proposer == "n0"
-    assert in_force.plan == plan(1)
-    assert in_force.plan.reason == "plan 1"
+    for topic, payload, recipient in golden_messages():
+        if recipient in ("*", "n1"):
+            effects += other.receive(5100.0, "n0", topic, payload)
+    (activated,) = [effect for effect in effects if isinstance(effect, PlanActivated)]
+    assert activated.epoch == 6_963_200_000_001_769
+    assert activated.proposer == "n0"
+    assert activated.plan == plan(1)
+    assert activated.plan.reason == "plan 1"
     assert other.rejected_count == 0
 
 
-def test_a_plan_is_packed_to_the_same_bytes_and_read_back() -> None:
+def test_an_encoded_plan_matches_its_golden_file() -> None:
+    """Nodes of two versions must compute the same digest of a plan."""
     demand = ((30.0, 12.0), (9.0, 0.0), (1.0, 4.5))
     situation = PlanInput((0.0, 30.0, 50.0), (0.0, 40.0, 50.0), demand, frozenset({(1, 2)}))
-    made = compute_plan(TOPOLOGY, situation, (3.0,), UtilizationLimits(), "a is dark, say n0 n1")
-    held_to("plan.bin", zlib.decompress(encode_plan(made)) + made.digest)
+    computed = compute_plan(
+        TOPOLOGY, situation, (3.0,), UtilizationLimits(), "a is dark, say n0 n1"
+    )
+    assert_matches_golden("plan.bin", zlib.decompress(encode_plan(computed)) + computed.digest)
     data = (GOLDEN / "plan.bin").read_bytes()
-    told: Plan = decode_plan(zlib.compress(data[:-8]), TOPOLOGY)
-    assert told == made
-    assert told.digest == data[-8:]
-    assert told.shares == (
+    decoded: Plan = decode_plan(zlib.compress(data[:-8]), TOPOLOGY)
+    assert decoded == computed
+    assert decoded.digest == data[-8:]
+    assert decoded.shares == (
         ((0, 73, 167), (0, 0, 0)),
         ((0, 240, 0), (0, 240, 0)),
         ((0, 0, 240), (0, 0, 240)),
     )
-    assert told.spare_milli_slots == (0, 8909, 18590)
-    assert told.lost_zones == (0,)
+    assert decoded.spare_milli_slots == (0, 8909, 18590)
+    assert decoded.lost_zones == (0,)
 
 
-def test_a_report_is_read_as_it_was() -> None:
-    said = bytes.fromhex(
+def test_a_report_is_compatible_with_the_previous_version() -> None:
+    """The bytes, the field order and the summary of a report must not change."""
+    payload = bytes.fromhex(
         "95"
         + "cf0000"
         + f"{TOPOLOGY.digest:012x}"
@@ -155,10 +164,10 @@
         [100, 50, 90],
         [1500, 0],
     )
-    assert msgspec.msgpack.encode(report) == said
+    assert msgspec.msgpack.encode(report) == payload
     table = ZoneReportTable(TOPOLOGY)
-    table.record("n0", 0, said, 1000.0)
-    table.record("n1", 0, said, 1000.0)
+    table.record("n0", 0, payload, 1000.0)
+    table.record("n1", 0, payload, 1000.0)
     summary = table.summarize(1000.0, 500.0, (10.0, 10.0, 10.0))
     assert (
         set(summary.down),
@@ -175,8 +184,8 @@
     assert summary.reason == "b is dark, say n0 n1"
 
 
-def played() -> FailoverController:
-    """A node of a day on which a zone is lost, with an operator's override of another."""
+def played_controller() -> FailoverController:
+    """Return a controller after a run with a lost zone, and with an override of another zone."""
     fleet = {"nodes": 6, "peers": True, "zones": "majority", "servers": 6}
     net = {"zones": 3, "regions": 2, "far_ms": 5.0}
     trouble = [{"kind": "zone_loss", "at_s": 7.0, "for_s": 8.0, "zone": 1}]
@@ -185,11 +194,14 @@
     )
     world.play()
     assert world.companions is not None
-    controller = next(one.controller for one in world.companions.there.values())
+    controller = next(companion.controller for companion in world.companions.there.values())
     assert controller is not None
-    now = int(controller.wall_ms())
+    wall_ms = int(controller.wall_ms())
     payload = msgspec.msgpack.encode(
-        (controller.topology.digest, [OperatorOverride(2, "drain", now, now + 60_000, "eva")])
+        (
+            controller.topology.digest,
+            [OperatorOverride(2, "drain", wall_ms, wall_ms + 60_000, "eva")],
+        )
     )
     controller.on_overrides(0.0, "operator c", payload)
     return controller
@@ -197,20 +209,25 @@
 
 @pytest.fixture(scope="module")
 def controller() -> FailoverController:
-    return played()
+    """Return a controller whose state is the same in all tests of this module."""
+    return played_controller()
 
 
-def test_the_pages_of_a_node_are_as_they_were(controller: FailoverController) -> None:
-    now = controller.member.protocol.now_ms
-    held_to("page.json", json.dumps(status_page(controller, now), indent=1).encode())
-    held_to("if.json", json.dumps(loss_forecast(controller), indent=1).encode())
+def test_admin_pages_match_their_golden_files(controller: FailoverController) -> None:
+    """Operators' tools read the keys and words of the pages."""
+    now_ms = controller.member.protocol.now_ms
+    assert_matches_golden(
+        "page.json", json.dumps(status_page(controller, now_ms), indent=1).encode()
+    )
+    assert_matches_golden("if.json", json.dumps(loss_forecast(controller), indent=1).encode())
 
 
-def test_what_a_node_reports_of_zones_travels_in_the_same_bytes(
+def test_published_register_values_match_their_golden_file(
     controller: FailoverController,
 ) -> None:
+    """The values of all topics of a node must be compatible with the previous version."""
     topics = sorted(topic for topic in controller.member.published if topic.startswith("zones."))
-    held_to(
+    assert_matches_golden(
         "posts.txt",
         "".join(
             f"{topic} {controller.member.published[topic].hex()}\n" for topic in topics
@@ -220,17 +237,20 @@
 
 @contextmanager
 def serving() -> Iterator[str]:
-    """An HTTP frontend that has the golden pages."""
+    """Serve the golden pages over HTTP, and yield the address."""
 
     class Handler(http.server.BaseHTTPRequestHandler):
+        """Responds with the golden page of a path."""
+
         def do_GET(self) -> None:
+            """Send the golden page."""
             name = {"/_zones": "page.json", "/_zones/if": "if.json"}[self.path]
             self.send_response(200)
             self.end_headers()
             self.wfile.write((GOLDEN / name).read_bytes())
 
         def log_message(self, *_: object) -> None:
-            pass
+            """Do not log requests."""
 
     server = http.server.HTTPServer(("127.0.0.1", 0), Handler)
     thread = threading.Thread(target=server.serve_forever)
@@ -243,32 +263,53 @@
         server.server_close()
 
 
-def test_the_commands_print_what_they_printed(capsys: pytest.CaptureFixture[str]) -> None:
-    told = ""
+def test_commands_print_the_golden_transcript(capsys: pytest.CaptureFixture[str]) -> None:
+    """Output, errors and exit statuses of the commands are an interface."""
+    transcript = ""
     with serving() as node:
-        for words in (["show"], ["plan"], ["why"], ["show", "--json"], ["if", "z1"], ["if", "x"]):
-            status = main(["zones", words[0], node, *words[1:]])
-            found = capsys.readouterr()
-            told += f"$ {' '.join(words)}\n{found.out}{found.err.replace(node, 'NODE')}status {status}\n"
-    held_to("commands.txt", told.encode())
-
-
-def test_an_operators_override_travels_in_the_same_bytes(
+        for arguments in (
+            ["show"],
+            ["plan"],
+            ["why"],
+            ["show", "--json"],
+            ["if", "z1"],
+            ["if", "x"],
+        ):
+            status = main(["zones", arguments[0], node, *arguments[1:]])
+            printed = capsys.readouterr()
+            transcript += (
+                f"$ {' '.join(arguments)}\n{printed.out}"
+                f"{printed.err.replace(node, 'NODE')}status {status}\n"
+            )
+    assert_matches_golden("commands.txt", transcript.encode())
+
+
+def test_operator_overrides_match_their_golden_file(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sent = []
+    """An override of a command must be understood by nodes of the previous version."""
+    updates = []
 
     def exchange_packet(installation: Any, packet: Any) -> Any:
-        sent.extend(packet.updates)
+        updates.extend(packet.updates)
         return packet
 
     monkeypatch.setattr(commands, "exchange_packet", exchange_packet)
     monkeypatch.setattr(commands.time, "time", lambda: WALL_MS / 1000)
     monkeypatch.chdir(ROOT)
-    for words in (["drain", "szeged", "--for", "60"], ["pin", "kelenfold"], ["release", "szeged"]):
-        assert main(["zones", words[0], "deploy/zones.toml", *words[1:], "--by", "eva"]) == 0
+    for arguments in (
+        ["drain", "szeged", "--for", "60"],
+        ["pin", "kelenfold"],
+        ["release", "szeged"],
+    ):
+        assert (
+            main(["zones", arguments[0], "deploy/zones.toml", *arguments[1:], "--by", "eva"]) == 0
+        )
     assert main(["zones", "drain", "deploy/zones.toml", "x", "--by", "eva"]) == 2
-    lines = [f"{topic} {author} {number} {said.hex()}\n" for topic, author, number, said in sent]
+    lines = [
+        f"{topic} {author} {version} {payload.hex()}\n"
+        for topic, author, version, payload in updates
+    ]
     assert OVERRIDES_TOPIC == "zones.orders"
-    told = capsys.readouterr()
-    held_to("orders.txt", ("".join(lines) + told.out + told.err).encode())
+    printed = capsys.readouterr()
+    assert_matches_golden("orders.txt", ("".join(lines) + printed.out + printed.err).encode())
--- a/tests/zones/test_operator_overrides.py
+++ b/tests/zones/test_operator_overrides.py
@@ -1,4 +1,4 @@
-"""Overrides as they travel: the latest of a zone counts, until it expires."""
+"""Operators' overrides: merging, validation and expiry."""
 
 from __future__ import annotations
 
@@ -17,23 +17,25 @@
 
 
 def test_the_latest_override_of_a_zone_counts_and_ties_go_by_name() -> None:
+    """Nodes must agree on the override in force, in whatever order they receive overrides."""
     overrides = OperatorOverrides()
     first = OperatorOverride(1, DRAIN, 100, 900, "eva")
-    for override, taken in (
+    for override, is_newer in (
         (first, True),
         (first, False),
         (OperatorOverride(1, PIN, 99, 900, "zoe"), False),
         (OperatorOverride(1, PIN, 100, 900, "ada"), False),
         (OperatorOverride(1, PIN, 100, 900, "zoe"), True),
     ):
-        found = overrides.receive(encode_overrides(DIGEST, [override]), DIGEST, 3)
-        assert found == ([override] if taken else [])
+        recorded = overrides.receive(encode_overrides(DIGEST, [override]), DIGEST, 3)
+        assert recorded == ([override] if is_newer else [])
     assert overrides.action_for(1) == PIN
     assert overrides.action_for(2) == ""
     assert overrides.drained_zones() == set()
 
 
 def test_overrides_of_another_topology_and_unknown_zones_or_actions_are_ignored() -> None:
+    """Indexes of another topology mean other zones; malformed bytes raise an error."""
     overrides = OperatorOverrides()
     valid = OperatorOverride(1, DRAIN, 100, 900, "eva")
     assert overrides.receive(encode_overrides(DIGEST + 1, [valid]), DIGEST, 3) == []
@@ -44,7 +46,8 @@
     assert overrides.by_zone == {}
 
 
-def test_an_override_ends_at_its_time() -> None:
+def test_an_override_expires() -> None:
+    """A forgotten drain must not last forever."""
     overrides = OperatorOverrides()
     override = OperatorOverride(1, DRAIN, 100, 900, "eva")
     overrides.receive(encode_overrides(DIGEST, [override]), DIGEST, 3)
--- a/tests/zones/test_plan_consensus.py
+++ b/tests/zones/test_plan_consensus.py
@@ -1,4 +1,4 @@
-"""One plan an epoch at most, no node past its lease: in random runs, with mistakes put in."""
+"""Invariants of the plan consensus in random runs, also of implementations with injected bugs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from badgercart.zones.consensus_messages import (
     CHUNK_TOPICS,
     COMMIT_TOPICS,
-    MAX_NUMBER,
+    MAX_EPOCH_OR_ROUND,
     ROUND_TOPIC,
     VOTE_TOPIC,
     VOTER_MARK_BYTES,
@@ -41,23 +41,26 @@
 
 @pytest.mark.parametrize("part", range(4))
 def test_random_runs_break_no_invariant_and_end_in_one_plan_for_all(part: int) -> None:
+    """All nodes use one plan once the random faults have ended."""
     for seed in range(part, RUNS, 4):
         cluster = play(seed)
-        cluster.run(cluster.now + 15_000.0)
+        cluster.run(cluster.now_ms + 15_000.0)
         active = {ballot.proposal for ballot in cluster.acting().values()}
         assert len(active) == 1, seed
         assert len(cluster.acting()) == len(cluster.names), seed
         assert len(cluster.digests) > 0
 
 
-# Mistakes, each put in the place of one method of a node's consensus.
+# Injected bugs, each of which replaces one method of a node's consensus.
 
 
 def any_ballot_of_an_epoch(accepted: AcceptedBallots, _author: str, ballot: Ballot, _: int) -> bool:
+    """Accept several plans of one epoch."""
     return accepted.last is None or ballot.epoch >= accepted.last.epoch
 
 
 def half_is_enough(proposer: PlanProposer, *vote: Any) -> Any:
+    """Commit with half of the electorate instead of more than half."""
     proposer.electorate -= 1 if proposer.electorate % 2 == 0 else 2
     try:
         return PlanProposer.count_vote(proposer, *vote)
@@ -66,75 +69,82 @@
 
 
 def one_is_enough(proposer: PlanProposer, *vote: Any) -> Any:
-    had, proposer.electorate = proposer.electorate, 1
+    """Commit with a single vote."""
+    electorate, proposer.electorate = proposer.electorate, 1
     try:
         return PlanProposer.count_vote(proposer, *vote)
     finally:
-        proposer.electorate = had
+        proposer.electorate = electorate
 
 
 def unnamed_nodes_act_too(
-    voter: PlanVoter, now: float, author: str, commit: Commit, mark: bytes
+    voter: PlanVoter, now_ms: float, author: str, commit: Commit, mark: bytes
 ) -> Any:
-    voter.accepted.accepted_at.setdefault(commit.ballot, now)
+    """Activate a plan on nodes that the commit does not name."""
+    voter.accepted.accepted_at_ms.setdefault(commit.ballot, now_ms)
     voter.accepted.proposer = author
-    named = Commit(commit.ballot, commit.voter_marks + mark)
-    return PlanVoter.on_commit(voter, now, author, named, mark)
+    forged = Commit(commit.ballot, commit.voter_marks + mark)
+    return PlanVoter.on_commit(voter, now_ms, author, forged, mark)
 
 
 def lease_from_the_commit(
-    voter: PlanVoter, now: float, author: str, commit: Commit, mark: bytes
+    voter: PlanVoter, now_ms: float, author: str, commit: Commit, mark: bytes
 ) -> Any:
-    if commit.ballot in voter.accepted.accepted_at:
-        voter.accepted.accepted_at[commit.ballot] = now
-    return PlanVoter.on_commit(voter, now, author, commit, mark)
+    """Start the lease at the commit instead of the vote."""
+    if commit.ballot in voter.accepted.accepted_at_ms:
+        voter.accepted.accepted_at_ms[commit.ballot] = now_ms
+    return PlanVoter.on_commit(voter, now_ms, author, commit, mark)
 
 
-def lease_for_ever(consensus: PlanConsensus, now: float) -> Any:
+def lease_for_ever(consensus: PlanConsensus, now_ms: float) -> Any:
+    """Never end a lease."""
     lease = consensus.voter.lease
-    held, lease.active = lease.active, None
-    effects = PlanConsensus.tick(consensus, now)
-    lease.active = lease.active or held
+    active, lease.active = lease.active, None
+    effects = PlanConsensus.tick(consensus, now_ms)
+    lease.active = lease.active or active
     return effects
 
 
 def the_same_epoch_again(epochs: EpochCounter) -> Any:
-    had, epochs._wall_ms = epochs.highest, lambda: 0.0
+    """Reuse epochs after a restart."""
+    highest, epochs._wall_ms = epochs.highest, lambda: 0.0
     epochs.highest = max(epochs.highest - EPOCHS_PER_MS, 0)
     try:
         return EpochCounter.next(epochs)
     finally:
-        epochs.highest = max(had, epochs.highest)
+        epochs.highest = max(highest, epochs.highest)
 
 
 def votes_of_any_round(
-    proposer: PlanProposer, now: float, name: str, ballot: Ballot, incarnation: int
+    proposer: PlanProposer, now_ms: float, name: str, ballot: Ballot, incarnation: int
 ) -> Any:
+    """Count votes of earlier rounds."""
     current = proposer.proposal.ballot if proposer.proposal else ballot
-    return PlanProposer.count_vote(proposer, now, name, current, incarnation)
+    return PlanProposer.count_vote(proposer, now_ms, name, current, incarnation)
 
 
-def renewals_that_open_no_round(proposer: PlanProposer, now: float, proposal: Proposal) -> Any:
-    """The proposer renews by itself: it counts the last round's voters once more."""
+def renewals_that_open_no_round(proposer: PlanProposer, now_ms: float, proposal: Proposal) -> Any:
+    """Renew the lease without a new round, by counting the voters of the last round again."""
     votes = dict(proposal.votes)
-    effects = PlanProposer.renew(proposer, now, proposal)
+    effects = PlanProposer.renew(proposer, now_ms, proposal)
     proposal.votes.update(votes)
-    accepted_at = proposer._voter.accepted.accepted_at
-    for ballot in list(accepted_at):
-        accepted_at[ballot] = now
+    accepted_at_ms = proposer._voter.accepted.accepted_at_ms
+    for ballot in list(accepted_at_ms):
+        accepted_at_ms[ballot] = now_ms
     return effects
 
 
 def an_old_epoch_takes_over(
-    voter: PlanVoter, ballot: Ballot, proposer: str, now: float | None = None
+    voter: PlanVoter, ballot: Ballot, proposer: str, now_ms: float | None = None
 ) -> Any:
+    """Replace a plan by one of an older epoch."""
     voter.lease.active = None
-    voter.accepted.accepted_at.setdefault(ballot, 0.0 if now is None else now)
-    return PlanVoter.activate(voter, ballot, proposer, now)
+    voter.accepted.accepted_at_ms.setdefault(ballot, 0.0 if now_ms is None else now_ms)
+    return PlanVoter.activate(voter, ballot, proposer, now_ms)
 
 
-# By name: the part, its method, and what stands in its place.
-MISTAKES: dict[str, tuple[str, str, Callable[..., Any]]] = {
+# By name: the path of the object, its method, and the replacement.
+BUGS: dict[str, tuple[str, str, Callable[..., Any]]] = {
     "any ballot of an epoch": ("voter.accepted", "allows", any_ballot_of_an_epoch),
     "half is enough": ("proposer", "count_vote", half_is_enough),
     "one is enough": ("proposer", "count_vote", one_is_enough),
@@ -148,59 +158,64 @@
 }
 
 
-def mistaken(name: str, *arguments: Any) -> PlanConsensus:
-    """Return a consensus with one mistake."""
-    made: Any = PlanConsensus(*arguments)
-    path, method, mistake = MISTAKES[name]
-    part = made
+def consensus_with_bug(name: str, *arguments: Any) -> PlanConsensus:
+    """Return a consensus with one injected bug."""
+    untyped: Any = PlanConsensus(*arguments)
+    path, method, replacement = BUGS[name]
+    target = untyped
     for attribute in path.split(".") if path else ():
-        part = getattr(part, attribute)
-    setattr(part, method, partial(mistake, part))
-    consensus: PlanConsensus = made
+        target = getattr(target, attribute)
+    setattr(target, method, partial(replacement, target))
+    consensus: PlanConsensus = untyped
     return consensus
 
 
-@pytest.mark.parametrize("name", MISTAKES)
-def test_a_mistake_put_in_on_purpose_is_found(name: str) -> None:
+@pytest.mark.parametrize("name", BUGS)
+def test_an_injected_bug_is_detected(name: str) -> None:
+    """The simulation is only meaningful if it detects each of these bugs."""
     for seed in range(300):
         try:
-            play(seed, partial(mistaken, name), 60)
+            play(seed, partial(consensus_with_bug, name), 60)
         except (BrokenInvariantError, AssertionError):
             return
-    pytest.fail("300 random runs did not find it")
+    pytest.fail("300 random runs did not detect the bug")
 
 
-# Single steps.
+# Single messages.
 
 
 def consensus_of(name: str = "n1") -> PlanConsensus:
-    made = PlanConsensus(name, 7, SETTINGS, lambda data: decode_plan(data, TOPOLOGY), lambda: 0.0)
-    made.tick(0.0)
-    return made
+    """Return the consensus of a node after its first tick."""
+    consensus = PlanConsensus(
+        name, 7, SETTINGS, lambda data: decode_plan(data, TOPOLOGY), lambda: 0.0
+    )
+    consensus.tick(0.0)
+    return consensus
 
 
 def proposal_of_n0(first_epoch: int = 1) -> tuple[PlanConsensus, list[SendMessage]]:
-    """Return n0, which has proposed, and its messages."""
+    """Return the consensus of n0, which has proposed a plan, and its messages."""
     first = consensus_of("n0")
-    first.epochs.highest = first_epoch - 1  # its clock says nothing
+    first.epochs.highest = first_epoch - 1  # its wall clock is at 0
     effects = first.propose(5000.0, plan(1), 3)
     return first, [effect for effect in effects if isinstance(effect, SendMessage)]
 
 
-def test_a_plan_is_accepted_once_it_is_whole_and_active_once_a_commit_names_this_process() -> None:
+def test_a_plan_is_accepted_when_complete_and_activated_by_a_commit() -> None:
+    """A node votes only with the complete plan, and only a commit that names it activates it."""
     first, messages = proposal_of_n0()
     other = consensus_of()
     answers = [
         other.receive(5000.0, "n0", message.topic, message.payload)
-        for message in reversed(messages)  # the round first
+        for message in reversed(messages)  # the round arrives before the plan
     ]
     (vote,) = [effect for effects in answers for effect in effects]
     assert isinstance(vote, SendMessage)
     assert vote.recipient == "n0"
     assert vote.topic == VOTE_TOPIC
-    won = first.receive(5100.0, "n1", VOTE_TOPIC, vote.payload)
-    commit = next(effect for effect in won if isinstance(effect, SendMessage))
-    assert any(isinstance(effect, PlanActivated) for effect in won)
+    effects = first.receive(5100.0, "n1", VOTE_TOPIC, vote.payload)
+    commit = next(effect for effect in effects if isinstance(effect, SendMessage))
+    assert any(isinstance(effect, PlanActivated) for effect in effects)
     assert commit.topic == COMMIT_TOPICS[0]
     (activated,) = other.receive(5200.0, "n0", commit.topic, commit.payload)
     assert isinstance(activated, PlanActivated)
@@ -208,15 +223,17 @@
     assert activated.epoch == first.proposal.ballot.epoch
     assert activated.plan == plan(1)
     assert other.active is not None
-    assert other.active.expires_at == 5000.0 + SETTINGS.lease_ms - SETTINGS.margin_ms
-    third = consensus_of("n2")  # it accepted the round late: this commit does not name it
+    assert other.active.expires_at_ms == 5000.0 + SETTINGS.lease_ms - SETTINGS.margin_ms
+    # The third node accepted the round late, so this commit does not name it.
+    third = consensus_of("n2")
     for message in messages:
         third.receive(5100.0, "n0", message.topic, message.payload)
     assert third.receive(5200.0, "n0", commit.topic, commit.payload) == []
     assert third.active is None
 
 
-def test_a_node_that_resumes_counts_no_earlier_votes_and_finds_itself_superseded() -> None:
+def test_a_resumed_proposer_counts_no_old_votes() -> None:
+    """Votes older than a lease do not count, and the proposal is withdrawn."""
     first, messages = proposal_of_n0()
     other = consensus_of()
     vote = next(
@@ -225,32 +242,34 @@
         for effect in other.receive(5000.0, "n0", message.topic, message.payload)
     )
     assert isinstance(vote, SendMessage)
-    late = 5000.0 + SETTINGS.lease_ms
-    assert first.receive(late, "n1", VOTE_TOPIC, vote.payload) == []
+    late_ms = 5000.0 + SETTINGS.lease_ms
+    assert first.receive(late_ms, "n1", VOTE_TOPIC, vote.payload) == []
     assert first.active is None
-    assert any(isinstance(effect, ProposalSuperseded) for effect in first.tick(late))
+    assert any(isinstance(effect, ProposalSuperseded) for effect in first.tick(late_ms))
 
 
 def test_a_process_that_started_accepts_nothing_before_a_lease_has_passed() -> None:
+    """An earlier process of the node may have voted for another plan."""
     first, messages = proposal_of_n0()
     other = consensus_of()
-    early = [
+    effects = [
         effect
         for message in messages
         for effect in other.receive(SETTINGS.lease_ms - 1, "n0", message.topic, message.payload)
     ]
-    assert early == []
+    assert effects == []
     assert other.voter.accepted.last is None
     assert other.epochs.highest == first.epochs.highest
 
 
-def test_a_proposer_of_an_old_epoch_is_told_the_one_that_superseded_it() -> None:
+def test_a_proposer_of_an_old_epoch_learns_the_newer_one() -> None:
+    """A superseded proposer withdraws, and continues from the newer epoch."""
     first, messages = proposal_of_n0(first_epoch=50 * EPOCHS_PER_MS)
     other = consensus_of()
     for message in messages:
         other.receive(5000.0, "n0", message.topic, message.payload)
-    old = msgspec.msgpack.encode(Ballot(3, bytes(8), 1))
-    (answer,) = other.receive(5001.0, "n2", ROUND_TOPIC, old)
+    old_ballot = msgspec.msgpack.encode(Ballot(3, bytes(8), 1))
+    (answer,) = other.receive(5001.0, "n2", ROUND_TOPIC, old_ballot)
     rival = consensus_of("n2")
     rival.propose(5000.0, plan(2), 3)
     assert isinstance(answer, SendMessage)
@@ -262,12 +281,13 @@
 
 
 def test_invalid_messages_are_ignored_and_tables_are_bounded() -> None:
+    """Invalid messages are counted, and chunks of endless plans cannot fill the memory."""
     other = consensus_of()
     invalid = [
         (ROUND_TOPIC, b"junk"),
         (ROUND_TOPIC, msgspec.msgpack.encode(Ballot(0, bytes(8), 1))),
         (VOTE_TOPIC, b""),
-        (ROUND_TOPIC, msgspec.msgpack.encode(Ballot(MAX_NUMBER, bytes(8), 1))),
+        (ROUND_TOPIC, msgspec.msgpack.encode(Ballot(MAX_EPOCH_OR_ROUND, bytes(8), 1))),
         (ROUND_TOPIC, msgspec.msgpack.encode(Ballot(1, b"short", 1))),
         (COMMIT_TOPICS[3], b"\x93"),
         (CHUNK_TOPICS[0], msgspec.msgpack.encode((bytes(8), 1, b"no plan"))),
@@ -288,14 +308,15 @@
     assert len(ProcessId("n1", 1).mark) == VOTER_MARK_BYTES
 
 
-def test_two_halves_have_no_plan_between_them_once_the_lease_is_over() -> None:
+def test_without_a_majority_no_plan_is_in_force_after_the_lease() -> None:
+    """Neither half of a cluster may use a plan; healing the partition restores one."""
     cluster = Cluster(4, 1, delay_ms=5.0)
     cluster.loss_share = cluster.late_share = 0.0
     cluster.run(12_000.0)
     assert len(cluster.acting()) == 4
     cluster.cut({"n0", "n1"})
-    cluster.run(cluster.now + SETTINGS.lease_ms + 200.0)
+    cluster.run(cluster.now_ms + SETTINGS.lease_ms + 200.0)
     assert cluster.acting() == {}
     cluster.cut_links.clear()
-    cluster.run(cluster.now + 8000.0)
+    cluster.run(cluster.now_ms + 8000.0)
     assert len(cluster.acting()) == 4
