--- a/badgercart/cluster/quorum.py
+++ b/badgercart/cluster/quorum.py
@@ -59,7 +59,7 @@
     """How the cluster size is determined that reachable members are compared with.
 
     Attributes:
-        dead_retention_ms: how long a dead member may still be alive beyond a partition.
+        dead_retention_ms: how long a dead member may still be alive in another partition.
         expected_size: the minimum cluster size while too few members have been seen.
     """
 
--- a/badgercart/cluster/timing.py
+++ b/badgercart/cluster/timing.py
@@ -22,7 +22,7 @@
             minimum.
         sync_interval_ms: the interval between push-pulls with a random member.
         retry_interval_ms: the interval between attempts to reach a dead member or a seed.
-        dead_retention_ms: how long a dead member may still be alive beyond a partition.
+        dead_retention_ms: how long a dead member may still be alive in another partition.
         expected_size_ms: the time from the start in which the configured cluster size counts.
     """
 
--- a/badgercart/zones/traffic_plan.py
+++ b/badgercart/zones/traffic_plan.py
@@ -40,7 +40,7 @@
     """The planned utilization of zones, as shares of their capacity.
 
     Attributes:
-        target_share: the limit while other zones have free capacity below it.
+        target_share: the limit as long as near zones have free capacity below theirs.
         planned_share: the limit of planned traffic; the rest is left to nodes without a plan.
         max_share: the limit for traffic that has no home zone and would be shed otherwise.
     """
