--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -1,4 +1,4 @@
-"""A node whose list comes from a real store; the store's own process; the operators' commands."""
+"""A node that follows a real replica, the process of a replica, and the operators' commands."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     )
 
 
-async def started(folder: Path, port: int = 0) -> ReplicaDriver:
+async def start_store(folder: Path, port: int = 0) -> ReplicaDriver:
     loop = asyncio.get_running_loop()
     driver = build_replica_driver(store_settings(folder, port), "/", loop, now_ms)
     await driver.start()
@@ -65,8 +65,8 @@
 
 
 @asynccontextmanager
-async def store(folder: Path, port: int = 0) -> AsyncIterator[ReplicaDriver]:
-    driver = await started(folder, port)
+async def running_store(folder: Path, port: int = 0) -> AsyncIterator[ReplicaDriver]:
+    driver = await start_store(folder, port)
     try:
         yield driver
     finally:
@@ -82,32 +82,32 @@
 
 
 class Node:
-    """A running site and what it believes."""
+    """A running node, its discovery component and its list of servers."""
 
     def __init__(self, site: Application) -> None:
         self.site, self.http = site, site.components["http"].front  # type: ignore[attr-defined]
-        part = site.components["distribution"]
-        assert isinstance(part, DistributedDiscoveryComponent)
-        self.part = part
+        component = site.components["distribution"]
+        assert isinstance(component, DistributedDiscoveryComponent)
+        self.component = component
 
     def listed(self) -> dict[str, str]:
         return {
             m.name: m.entry.state.name.lower() for m in self.site.endpoint_table.listed.values()
         }
 
-    async def until(self, condition: Callable[[], Any]) -> None:
+    async def wait_until(self, condition: Callable[[], Any]) -> None:
         async with asyncio.timeout(WAIT):
             while not condition():
                 await asyncio.sleep(0.002)
 
-    async def lists(self, **wanted: str) -> None:
+    async def wait_for_list(self, **expected: str) -> None:
         try:
-            await self.until(lambda: self.listed() == wanted)
+            await self.wait_until(lambda: self.listed() == expected)
         except TimeoutError:
-            raise AssertionError(f"{self.listed()} is not {wanted}") from None
+            raise AssertionError(f"{self.listed()} is not {expected}") from None
 
-    async def state(self, state: State) -> None:
-        await self.until(lambda: self.part.state is state)
+    async def wait_for_state(self, state: State) -> None:
+        await self.wait_until(lambda: self.component.state is state)
 
     async def get(self, data: bytes) -> tuple[int, bytes]:
         client = Client(*await asyncio.open_connection(*self.http.listener.address))
@@ -115,7 +115,7 @@
         client.writer.close()
         return status, body
 
-    async def ask(self) -> int:
+    async def request_status(self) -> int:
         return (await self.get(request()))[0]
 
     async def health(self) -> int:
@@ -123,7 +123,7 @@
 
 
 @asynccontextmanager
-async def node(*stores: Address, **changes: Any) -> AsyncIterator[Node]:
+async def running_node(*stores: Address, **changes: Any) -> AsyncIterator[Node]:
     parts = {
         "http": HttpSettings(listen=("127.0.0.1", 0)),
         "distribution": node_settings(*stores, **changes),
@@ -136,23 +136,23 @@
         site.close()
 
 
-def line(name: str, peer: Peer | None = None, state: str = "active") -> dict[str, Any]:
+def server_entry(name: str, peer: Peer | None = None, state: str = "active") -> dict[str, Any]:
     port = peer.port if peer else 7000 + len(name)
     return {"instanceId": name, "hostPort": f"127.0.0.1:{port}", "lifecycle": state}
 
 
-async def put(
-    driver: ReplicaDriver, *lines: dict[str, Any], topic: str = TOPIC, **others: Any
+async def propose_entries(
+    driver: ReplicaDriver, *servers: dict[str, Any], topic: str = TOPIC, **other_values: Any
 ) -> int:
-    """Straight to a store, without the command's own checks."""
-    values = {each["instanceId"]: json.dumps(each).encode() for each in lines} | others
+    """Propose entries to a replica without the checks of the `put` command."""
+    values = {each["instanceId"]: json.dumps(each).encode() for each in servers} | other_values
     entries = tuple(Entry(key, value) for key, value in values.items())
     async with (
         asyncio.timeout(WAIT),
-        ReplicaClient(driver.listen, Codec(GROUP, SECRET.encode())) as caller,
+        ReplicaClient(driver.listen, Codec(GROUP, SECRET.encode())) as client,
     ):
-        caller.write(Propose(1, topic, entries, -1))
-        while not isinstance(result := await caller.read(), ProposeResponse):
+        client.write(Propose(1, topic, entries, -1))
+        while not isinstance(result := await client.read(), ProposeResponse):
             pass
     assert not result.error, result
     return result.version
@@ -183,8 +183,8 @@
     return str(path)
 
 
-async def command(capsys: pytest.CaptureFixture[str], *words: str) -> tuple[int, str, str]:
-    status = await asyncio.to_thread(command_line, ["distribution", *words])
+async def run_command(capsys: pytest.CaptureFixture[str], *arguments: str) -> tuple[int, str, str]:
+    status = await asyncio.to_thread(command_line, ["distribution", *arguments])
     result = capsys.readouterr()
     return status, result.out, result.err
 
@@ -192,102 +192,125 @@
 # The node.
 
 
-def test_the_list_is_followed_and_a_drain_that_is_put_reaches_the_policy(
+def test_the_list_is_followed_and_a_draining_server_reaches_the_policy(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test() -> None:
-        async with store(tmp_path / "s") as s, node(s.listen) as n:
-            assert await n.health() == 503 and await n.ask() == 503  # nothing is known yet
-            await n.until(lambda: n.part.follower.topics.unknown)
+        async with running_store(tmp_path / "s") as store, running_node(store.listen) as node:
+            # The node has no list yet.
+            assert await node.health() == 503 and await node.request_status() == 503
+            await node.wait_until(lambda: node.component.follower.topics.unknown)
             first, second = await Peer().start(), await Peer().start()
-            path, lines = node_file(tmp_path, s.listen), tmp_path / "lines.json"
-            lines.write_text(json.dumps([line("a", first)]))
-            result = await command(capsys, "put", path, TOPIC, "--file", str(lines))
+            path, entries_file = node_file(tmp_path, store.listen), tmp_path / "lines.json"
+            entries_file.write_text(json.dumps([server_entry("a", first)]))
+            result = await run_command(capsys, "put", path, TOPIC, "--file", str(entries_file))
             assert result == (0, f"{TOPIC}: in force as number 1\n", "")
-            await n.lists(a="ready")
-            await n.state(State.FRESH)
-            assert await n.health() == 200 and await n.ask() == 200 and first.requests.qsize() == 1
-            lines.write_text(json.dumps([line("a", first, "leaving"), line("b", second)]))
-            status, _, _ = await command(
-                capsys, "put", path, TOPIC, "--file", str(lines), "--expected", "1"
+            await node.wait_for_list(a="ready")
+            await node.wait_for_state(State.FRESH)
+            assert (
+                await node.health() == 200
+                and await node.request_status() == 200
+                and first.requests.qsize() == 1
+            )
+            entries_file.write_text(
+                json.dumps([server_entry("a", first, "leaving"), server_entry("b", second)])
+            )
+            status, _, _ = await run_command(
+                capsys, "put", path, TOPIC, "--file", str(entries_file), "--expected", "1"
             )
             assert status == 0
-            await n.lists(a="draining", b="ready")  # both or neither: one change
+            # Both entries belong to one change, so they are applied together.
+            await node.wait_for_list(a="draining", b="ready")
             for _ in range(20):
-                assert await n.ask() == 200
+                assert await node.request_status() == 200
             assert first.requests.qsize() == 1 and second.requests.qsize() == 20
-            lines.write_text('{"a": null}')
-            assert (await command(capsys, "put", path, TOPIC, "--file", str(lines)))[0] == 0
-            await n.lists(b="ready")
-            assert n.site.endpoint_table.version == 3 and n.part.follower.topics.change_count == 3
+            entries_file.write_text('{"a": null}')
+            assert (await run_command(capsys, "put", path, TOPIC, "--file", str(entries_file)))[
+                0
+            ] == 0
+            await node.wait_for_list(b="ready")
+            assert (
+                node.site.endpoint_table.version == 3
+                and node.component.follower.topics.change_count == 3
+            )
 
     run(test())
 
 
 @pytest.mark.parametrize("when_stale", ["refuse", "go-on"])
-def test_a_node_that_lost_its_store_goes_on_and_says_how_old_its_list_is(
+def test_a_node_without_a_replica_keeps_its_list_and_reports_its_age(
     tmp_path: Path, when_stale: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
 
     async def test() -> None:
         peer = await Peer().start()
-        s = await started(tmp_path / "s")
-        async with node(s.listen, when_stale=when_stale) as n:
-            await put(s, line("a", peer), line("b", peer))
-            await n.lists(a="ready", b="ready")
-            await n.state(State.FRESH)
-            s.close()
-            await n.until(lambda: n.part.follower.age_ms(now_ms()) > 100)
-            assert n.listed() == {"a": "ready", "b": "ready"} and await n.ask() == 200
-            ages = [n.part.follower.age_ms(now_ms())]
-            await n.state(State.DOUBTFUL)
-            assert await n.ask() == 200
-            await n.state(State.STALE)
-            assert n.part.follower.age_ms(now_ms()) > ages[0] and n.listed() == {
+        store = await start_store(tmp_path / "s")
+        async with running_node(store.listen, when_stale=when_stale) as node:
+            await propose_entries(store, server_entry("a", peer), server_entry("b", peer))
+            await node.wait_for_list(a="ready", b="ready")
+            await node.wait_for_state(State.FRESH)
+            store.close()
+            await node.wait_until(lambda: node.component.follower.age_ms(now_ms()) > 100)
+            assert (
+                node.listed() == {"a": "ready", "b": "ready"} and await node.request_status() == 200
+            )
+            ages = [node.component.follower.age_ms(now_ms())]
+            await node.wait_for_state(State.DOUBTFUL)
+            assert await node.request_status() == 200
+            await node.wait_for_state(State.STALE)
+            assert node.component.follower.age_ms(now_ms()) > ages[0] and node.listed() == {
                 "a": "ready",
                 "b": "ready",
             }
-            assert await n.ask() == (503 if when_stale == "refuse" else 200)
-            assert n.site.endpoint_table.suspended is (when_stale == "refuse")
-            s = await started(tmp_path / "s", s.listen[1])
-            await put(s, line("b", peer, "leaving"))
-            await n.lists(a="ready", b="draining")
-            await n.state(State.FRESH)
-            assert await n.ask() == 200 and n.part.follower.topics.by_name[TOPIC].version == 2
-            s.close()
+            assert await node.request_status() == (503 if when_stale == "refuse" else 200)
+            assert node.site.endpoint_table.suspended is (when_stale == "refuse")
+            store = await start_store(tmp_path / "s", store.listen[1])
+            await propose_entries(store, server_entry("b", peer, "leaving"))
+            await node.wait_for_list(a="ready", b="draining")
+            await node.wait_for_state(State.FRESH)
+            assert (
+                await node.request_status() == 200
+                and node.component.follower.topics.by_name[TOPIC].version == 2
+            )
+            store.close()
 
     run(test())
     assert "the server list is stale" in caplog.text and "is left" in caplog.text
 
 
-def test_a_store_of_another_journal_that_knows_less_is_refused(
+def test_a_replica_with_an_older_journal_is_abandoned(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with store(tmp_path / "s") as s, store(tmp_path / "other") as other:
+        async with (
+            running_store(tmp_path / "s") as store,
+            running_store(tmp_path / "other") as other,
+        ):
             for number in range(3):
-                await put(s, line(f"s{number}"))
-            await put(other, line("old"))
-            async with node(s.listen) as n:
-                await n.lists(s0="ready", s1="ready", s2="ready")
-                s.close()
-                n.part.reload(node_settings(other.listen))
-                await n.until(lambda: n.part.follower.faults["behind"] >= 3)
-                assert n.listed() == {"s0": "ready", "s1": "ready", "s2": "ready"}
-                await n.state(State.STALE)
-                back = await started(tmp_path / "s")
-                n.part.reload(node_settings(other.listen, back.listen))
-                await put(back, line("s3"))
-                await n.until(lambda: "s3" in n.listed() and n.part.state is State.FRESH)
-                assert "old" not in n.listed()
-                back.close()
+                await propose_entries(store, server_entry(f"s{number}"))
+            await propose_entries(other, server_entry("old"))
+            async with running_node(store.listen) as node:
+                await node.wait_for_list(s0="ready", s1="ready", s2="ready")
+                store.close()
+                node.component.reload(node_settings(other.listen))
+                await node.wait_until(lambda: node.component.follower.faults["behind"] >= 3)
+                assert node.listed() == {"s0": "ready", "s1": "ready", "s2": "ready"}
+                await node.wait_for_state(State.STALE)
+                restored_store = await start_store(tmp_path / "s")
+                node.component.reload(node_settings(other.listen, restored_store.listen))
+                await propose_entries(restored_store, server_entry("s3"))
+                await node.wait_until(
+                    lambda: "s3" in node.listed() and node.component.state is State.FRESH
+                )
+                assert "old" not in node.listed()
+                restored_store.close()
 
     run(test())
     assert "behind: the follower has number 3, this store 1" in caplog.text
 
 
-BAD_LINES: dict[str, bytes] = {
+INVALID_ENTRIES: dict[str, bytes] = {
     "no JSON": b"{",
     "no line": b"[]",
     "no address": b'{"instanceId": "b", "lifecycle": "active"}',
@@ -299,38 +322,44 @@
 }
 
 
-@pytest.mark.parametrize("how", BAD_LINES)
-def test_a_bad_line_changes_nothing_until_it_is_mended(
-    tmp_path: Path, how: str, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("case", INVALID_ENTRIES)
+def test_an_invalid_entry_changes_nothing_until_it_is_corrected(
+    tmp_path: Path, case: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with store(tmp_path / "s") as s, node(s.listen) as n:
-            await put(s, line("a"))
-            await n.lists(a="ready")
-            await n.state(State.FRESH)
-            await put(s, line("a", state="leaving"), b=BAD_LINES[how])
-            await n.until(
-                lambda: caplog.text.count("as of 2 can't be used") == 2
-            )  # the change, and the whole
-            assert n.listed() == {"a": "ready"}  # nothing of it, and not the other line beside it
-            await n.state(State.DOUBTFUL)  # it is known to be old
-            assert n.part.follower.dial_count == 1 and n.part.follower.faults["unusable"] == 1
-            await put(s, line("b"))
-            await n.lists(a="draining", b="ready")
-            await n.state(State.FRESH)
-            assert n.part.follower.dial_count == 1
+        async with running_store(tmp_path / "s") as store, running_node(store.listen) as node:
+            await propose_entries(store, server_entry("a"))
+            await node.wait_for_list(a="ready")
+            await node.wait_for_state(State.FRESH)
+            await propose_entries(
+                store, server_entry("a", state="leaving"), b=INVALID_ENTRIES[case]
+            )
+            # The delta and the snapshot that is requested after it are both unusable.
+            await node.wait_until(lambda: caplog.text.count("as of 2 can't be used") == 2)
+            # The valid entry of the same change is not applied either.
+            assert node.listed() == {"a": "ready"}
+            # The list ages because it is known to be old.
+            await node.wait_for_state(State.DOUBTFUL)
+            assert (
+                node.component.follower.dial_count == 1
+                and node.component.follower.faults["unusable"] == 1
+            )
+            await propose_entries(store, server_entry("b"))
+            await node.wait_for_list(a="draining", b="ready")
+            await node.wait_for_state(State.FRESH)
+            assert node.component.follower.dial_count == 1
 
     run(test())
 
 
-def test_a_list_that_the_policy_breaks_over_is_told_again_whole(
+def test_a_snapshot_is_requested_if_the_policy_fails_on_an_update(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with store(tmp_path / "s") as s, node(s.listen) as n:
-            await put(s, line("a"))
-            await n.lists(a="ready")
-            policy = n.site.pipeline.policy
+        async with running_store(tmp_path / "s") as store, running_node(store.listen) as node:
+            await propose_entries(store, server_entry("a"))
+            await node.wait_for_list(a="ready")
+            policy = node.site.pipeline.policy
             handle = policy.handle
             broken: list[Any] = []
 
@@ -341,51 +370,61 @@
                 return handle(now, event)
 
             monkeypatch.setattr(policy, "handle", break_once)
-            await put(s, line("b"))
-            await n.until(lambda: n.part.follower.topics.change_count == 3)
+            await propose_entries(store, server_entry("b"))
+            await node.wait_until(lambda: node.component.follower.topics.change_count == 3)
             assert (
                 broken
-                and n.listed() == {"a": "ready", "b": "ready"}
-                and n.part.follower.dial_count == 1
+                and node.listed() == {"a": "ready", "b": "ready"}
+                and node.component.follower.dial_count == 1
             )
-            await n.state(State.FRESH)
+            await node.wait_for_state(State.FRESH)
 
     run(test())
 
 
-def test_new_stores_and_times_are_taken_by_a_reload_and_the_list_stays(tmp_path: Path) -> None:
+def test_a_reload_applies_new_replicas_and_timeouts_and_keeps_the_list(tmp_path: Path) -> None:
     async def test() -> None:
-        s = await started(tmp_path / "s")
-        async with node(s.listen) as n:
-            await put(s, line("a"))
-            await n.lists(a="ready")
-            old = n.part.driver
-            s.close()
-            moved = await started(tmp_path / "s")
-            fresh = node_settings(
-                moved.listen, when_stale="go-on", service="other", stale_after_ms=700.0, group="g2"
+        store = await start_store(tmp_path / "s")
+        async with running_node(store.listen) as node:
+            await propose_entries(store, server_entry("a"))
+            await node.wait_for_list(a="ready")
+            old_driver = node.component.driver
+            store.close()
+            restarted_store = await start_store(tmp_path / "s")
+            new_settings = node_settings(
+                restarted_store.listen,
+                when_stale="go-on",
+                service="other",
+                stale_after_ms=700.0,
+                group="g2",
             )
-            known = n.site.installation
+            installed = node.site.installation
             installation = Installation(
-                known.config, known.component_settings | {"distribution": fresh}
+                installed.config, installed.component_settings | {"distribution": new_settings}
+            )
+            assert (
+                node.site.reload(installation) == []
+                and not old_driver.is_open
+                and not old_driver.links
             )
-            assert n.site.reload(installation) == [] and not old.is_open and not old.links
-            await put(moved, line("b"))
-            await n.lists(a="ready", b="ready")
-            assert n.part.topic == TOPIC and n.part.follower.freshness.rule.stale_after == 700
-            assert n.part.follower.topics.change_count == 2
-            moved.close()
-            await n.state(State.STALE)
-            assert not n.site.endpoint_table.suspended
-            again = n.part.driver
+            await propose_entries(restarted_store, server_entry("b"))
+            await node.wait_for_list(a="ready", b="ready")
             assert (
-                n.site.reload(installation) == [] and n.part.driver is again
-            )  # nothing has changed
+                node.component.topic == TOPIC
+                and node.component.follower.freshness.rule.stale_after == 700
+            )
+            assert node.component.follower.topics.change_count == 2
+            restarted_store.close()
+            await node.wait_for_state(State.STALE)
+            assert not node.site.endpoint_table.suspended
+            current_driver = node.component.driver
+            # A reload without changes keeps the driver.
+            assert node.site.reload(installation) == [] and node.component.driver is current_driver
 
     run(test())
 
 
-def test_a_store_beside_other_parts_tells_its_own_node_and_is_in_the_figures(
+def test_a_replica_beside_other_components_serves_its_own_node_and_has_metrics(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -396,16 +435,16 @@
             "distribution": node_settings(("127.0.0.1", port)),
             "distribution-store": store_settings(Path("store"), port),
         }
-        what = Installation(config(1), parts, folder=str(tmp_path))
-        site = Application(what, asyncio.get_running_loop())
+        installation = Installation(config(1), parts, folder=str(tmp_path))
+        site = Application(installation, asyncio.get_running_loop())
         await site.start()
-        n = Node(site)
+        node = Node(site)
         assert (tmp_path / "store" / "snapshot").exists() or any((tmp_path / "store").iterdir())
         driver = site.components["distribution-store"].driver  # type: ignore[attr-defined]
-        await put(driver, line("a"))
-        await n.lists(a="ready")
-        await n.state(State.FRESH)
-        _, body = await n.get(b"GET /_distribution HTTP/1.1\r\nHost: x\r\n\r\n")
+        await propose_entries(driver, server_entry("a"))
+        await node.wait_for_list(a="ready")
+        await node.wait_for_state(State.FRESH)
+        _, body = await node.get(b"GET /_distribution HTTP/1.1\r\nHost: x\r\n\r\n")
         result = json.loads(body)
         assert (
             result["topics"] == {TOPIC: 1} and result["state"] == "fresh" and result["changes"] == 1
@@ -419,7 +458,7 @@
         assert meters["badgercart_store_leading"].values() == {"": 1.0}
         assert meters["badgercart_store_followers"].values() == {"": 1.0}
         assert 0 <= meters["badgercart_list_age_seconds"].values()[""] < 1
-        second = Application(what, asyncio.get_running_loop())
+        second = Application(installation, asyncio.get_running_loop())
         with pytest.raises(
             Exception, match="distribution-store does not start: .*another process has it"
         ):
@@ -432,38 +471,41 @@
 # Commands.
 
 
-def test_commands_say_what_is_in_force_who_leads_and_why_not(
+def test_commands_show_topics_replicas_and_errors(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test() -> None:
-        async with store(tmp_path / "s") as s:
-            path, lines = (
-                node_file(tmp_path, ("127.0.0.1", free_ports(1)[0]), s.listen),
+        async with running_store(tmp_path / "s") as store:
+            path, entries_file = (
+                node_file(tmp_path, ("127.0.0.1", free_ports(1)[0]), store.listen),
                 tmp_path / "l.json",
             )
-            status, _, err = await command(capsys, "get", path, TOPIC)
+            status, _, err = await run_command(capsys, "get", path, TOPIC)
             assert status == 1 and f"{TOPIC}: there is no such topic yet" in err
-            lines.write_text(json.dumps([line("a"), line("b")]))
-            assert (await command(capsys, "put", path, TOPIC, "--file", str(lines)))[0] == 0
-            lines.write_text('{"pesti": {"quota_per_s": 46}, "odd": "text"}')
-            assert (await command(capsys, "put", path, "settings/tenants", "--file", str(lines)))[
+            entries_file.write_text(json.dumps([server_entry("a"), server_entry("b")]))
+            assert (await run_command(capsys, "put", path, TOPIC, "--file", str(entries_file)))[
                 0
             ] == 0
-            status, out, _ = await command(capsys, "get", path, "settings/tenants", "--json")
+            entries_file.write_text('{"pesti": {"quota_per_s": 46}, "odd": "text"}')
+            assert (
+                await run_command(
+                    capsys, "put", path, "settings/tenants", "--file", str(entries_file)
+                )
+            )[0] == 0
+            status, out, _ = await run_command(capsys, "get", path, "settings/tenants", "--json")
             entries = {"odd": "text", "pesti": {"quota_per_s": 46}}
             assert status == 0
             assert json.loads(out) == {"topic": "settings/tenants", "number": 1, "entries": entries}
-            status, out, _ = await command(capsys, "get", path, TOPIC)
+            status, out, _ = await run_command(capsys, "get", path, TOPIC)
             assert (
                 status == 0 and f"{TOPIC}: 2 entries as of number 1" in out and '"hostPort"' in out
             )
-            status, out, _ = await command(capsys, "status", path)
-            assert (
-                status == 0 and "leading" in out and "127.0.0.1" in out
-            )  # the other address answers nobody
-            status, out, _ = await command(capsys, "status", path, "--json")
-            assert [list(each) for each in json.loads(out).values()][0] == ["error"]
-            result = json.loads(out)[f"127.0.0.1:{s.listen[1]}"]
+            status, out, _ = await run_command(capsys, "status", path)
+            # The other address of the group has no listener.
+            assert status == 0 and "leading" in out and "127.0.0.1" in out
+            status, out, _ = await run_command(capsys, "status", path, "--json")
+            assert [list(columns) for columns in json.loads(out).values()][0] == ["error"]
+            result = json.loads(out)[f"127.0.0.1:{store.listen[1]}"]
             assert (result["name"], result["leader"], result["topics"], result["entries"]) == (
                 "s1",
                 "s1",
@@ -471,52 +513,55 @@
                 4,
             )
             assert result["committed"] == 3 and result["age_ms"] < 5000
-            lines.write_text(json.dumps([line("c")]))
-            words = ("put", path, TOPIC, "--file", str(lines), "--expected", "0")
-            status, _, err = await command(capsys, *words)
+            entries_file.write_text(json.dumps([server_entry("c")]))
+            arguments = ("put", path, TOPIC, "--file", str(entries_file), "--expected", "0")
+            status, _, err = await run_command(capsys, *arguments)
             assert (
                 status == 1
                 and "conflict: number 0 was expected, it is 1; nothing was changed" in err
             )
-            assert s.replica.topics[TOPIC].version == 1
-            wrong = tmp_path / "wrong.toml"
-            wrong.write_text(
+            assert store.replica.topics[TOPIC].version == 1
+            other_secret_file = tmp_path / "wrong.toml"
+            other_secret_file.write_text(
                 Path(path).read_text().replace("a secret of the tests", "another secret than it")
             )
-            status, _, err = await command(capsys, "get", str(wrong), TOPIC)
+            status, _, err = await run_command(capsys, "get", str(other_secret_file), TOPIC)
             assert status == 1 and "its hash is not this group's" in err
-            assert s.refused["forged"] == 1
-        status, _, err = await command(capsys, "status", path)
+            assert store.refused["forged"] == 1
+        status, _, err = await run_command(capsys, "status", path)
         assert status == 1 and "no store that answers leads" in err
-        status, _, err = await command(capsys, "put", path, TOPIC, "--file", str(lines))
+        status, _, err = await run_command(capsys, "put", path, TOPIC, "--file", str(entries_file))
         assert status == 1 and "no store can do that" in err
-        status, _, err = await command(capsys, "get", path, "")
+        status, _, err = await run_command(capsys, "get", path, "")
         assert status == 2 and "is no topic" in err
 
     run(test())
 
 
-def test_a_put_whose_answer_is_lost_is_not_tried_elsewhere(
+def test_a_put_without_a_response_is_not_sent_to_another_replica(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test() -> None:
-        async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readexactly(10)  # it has begun to come
+        async def close_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            # Close the connection after the request has begun to arrive.
+            await reader.readexactly(10)
             writer.close()
 
-        server = await asyncio.start_server(cut, "127.0.0.1", 0)
-        async with store(tmp_path / "s") as s:
-            path = node_file(tmp_path, server.sockets[0].getsockname(), s.listen)
-            (lines := tmp_path / "l.json").write_text(json.dumps([line("a")]))
-            status, _, err = await command(capsys, "put", path, TOPIC, "--file", str(lines))
-            assert status == 1 and "it may be in force or not" in err and not s.replica.topics
+        server = await asyncio.start_server(close_early, "127.0.0.1", 0)
+        async with running_store(tmp_path / "s") as store:
+            path = node_file(tmp_path, server.sockets[0].getsockname(), store.listen)
+            (entries_file := tmp_path / "l.json").write_text(json.dumps([server_entry("a")]))
+            status, _, err = await run_command(
+                capsys, "put", path, TOPIC, "--file", str(entries_file)
+            )
+            assert status == 1 and "it may be in force or not" in err and not store.replica.topics
         server.close()
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "expected_text"),
     [
         ("{", "line 1 column 2"),
         ("[]", "neither a list of lines nor"),
@@ -541,23 +586,23 @@
         (json.dumps({f"k{i}": None for i in range(4097)}), "is over 4096"),
     ],
 )
-def test_entries_that_no_node_could_use_are_not_put(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, words: str
+def test_entries_that_are_invalid_for_nodes_are_rejected(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, expected_text: str
 ) -> None:
     path = node_file(tmp_path, ("127.0.0.1", 1))
-    (lines := tmp_path / "l.json").write_text(text)
-    assert command_line(["distribution", "put", path, TOPIC, "--file", str(lines)]) == 2
-    assert words in capsys.readouterr().err
+    (entries_file := tmp_path / "l.json").write_text(text)
+    assert command_line(["distribution", "put", path, TOPIC, "--file", str(entries_file)]) == 2
+    assert expected_text in capsys.readouterr().err
 
 
-def test_values_of_other_topics_are_any_json() -> None:
+def test_other_topics_accept_any_json_value() -> None:
     assert parse_entries(b'{"a": 1, "b": null}', "settings/x") == (
         Entry("a", b"1"),
         Entry("b", None),
     )
 
 
-# The file, and the process of a store alone.
+# The settings file and the process of a replica.
 
 STORE_FILE = """\
 [distribution]
@@ -575,7 +620,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "words"),
+    ("old", "new", "expected_text"),
     [
         (
             'name = "s1"\nlisten',
@@ -598,8 +643,8 @@
         ),
     ],
 )
-def test_each_fault_of_a_stores_file_is_named_by_line_and_key(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], old: str, new: str, words: str
+def test_each_fault_of_a_replicas_file_is_reported_with_line_and_key(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], old: str, new: str, expected_text: str
 ) -> None:
     path = tmp_path / "store.toml"
     text = STORE_FILE.format(port=7401)
@@ -607,16 +652,17 @@
     path.write_text(text.replace(old, new))
     with pytest.raises(SettingsFileError) as caught:
         load_replica_file(str(path))
-    assert words in str(caught.value)
+    assert expected_text in str(caught.value)
     assert command_line(["distribution", "store", str(path)]) == 2
-    assert words in capsys.readouterr().err
+    assert expected_text in capsys.readouterr().err
     path.write_text(NODE_FILE.format(stores='"h:1"') + text.replace(old, new))
-    with pytest.raises(SettingsFileError, match=words.rpartition(": ")[2]):
-        load_installation(str(path))  # the same in an installation
+    with pytest.raises(SettingsFileError, match=expected_text.rpartition(": ")[2]):
+        # The same fault is reported for an installation.
+        load_installation(str(path))
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "words"),
+    ("old", "new", "expected_text"),
     [
         ('"h:1"', "", "is an empty list"),
         ('"h:1"', '"h:1", "h:1"', "names an address twice"),
@@ -637,18 +683,18 @@
         ),
     ],
 )
-def test_each_fault_of_a_nodes_table_is_named(
-    tmp_path: Path, old: str, new: str, words: str
+def test_each_fault_of_a_nodes_settings_is_reported(
+    tmp_path: Path, old: str, new: str, expected_text: str
 ) -> None:
     path = tmp_path / "node.toml"
     path.write_text(NODE_FILE.format(stores='"h:1"'))
     load_installation(str(path))
     path.write_text(NODE_FILE.format(stores='"h:1"').replace(old, new))
-    with pytest.raises(SettingsFileError, match=words):
+    with pytest.raises(SettingsFileError, match=expected_text):
         load_installation(str(path))
 
 
-def test_a_file_without_stores_is_no_file_for_the_commands(
+def test_a_file_without_replicas_is_rejected_by_the_commands(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = str(ROOT / "deploy" / "peers.toml")
@@ -660,7 +706,7 @@
     assert command_line(["distribution", "store", "--check", example]) == 0
 
 
-def test_a_process_that_is_a_store_alone_keeps_what_it_said_over_a_kill(
+def test_a_replica_process_keeps_committed_changes_after_a_kill(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def launch(path: Path) -> asyncio.subprocess.Process:
@@ -671,20 +717,22 @@
         assert process.stderr is not None
         async with asyncio.timeout(6 * WAIT):
             while b"distribution.listening" not in (result := await process.stderr.readline()):
-                assert result, "it ended"
+                assert result, "the process has ended"
         return process
 
     async def test() -> None:
         (port,) = free_ports(1)
-        path, lines = tmp_path / "store.toml", tmp_path / "l.json"
+        path, entries_file = tmp_path / "store.toml", tmp_path / "l.json"
         path.write_text(STORE_FILE.format(port=port))
-        lines.write_text(json.dumps([line("a")]))
+        entries_file.write_text(json.dumps([server_entry("a")]))
         process = await launch(path)
-        async with node(
+        async with running_node(
             ("127.0.0.1", port), stale_after_ms=60_000.0, doubtful_after_ms=30_000.0
-        ) as n:
-            assert (await command(capsys, "put", str(path), TOPIC, "--file", str(lines)))[0] == 0
-            await n.lists(a="ready")
+        ) as node:
+            assert (
+                await run_command(capsys, "put", str(path), TOPIC, "--file", str(entries_file))
+            )[0] == 0
+            await node.wait_for_list(a="ready")
             second = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "badgercart", "distribution", "store", str(path),
                 stderr=asyncio.subprocess.PIPE, cwd=ROOT,
@@ -694,46 +742,55 @@
             process.kill()
             await process.wait()
             process = await launch(path)
-            status, out, _ = await command(capsys, "get", str(path), TOPIC, "--json")
-            assert status == 0 and json.loads(out)["entries"] == {"a": line("a")}
-            lines.write_text(json.dumps([line("a", state="leaving")]))
-            assert (await command(capsys, "put", str(path), TOPIC, "--file", str(lines)))[0] == 0
-            await n.lists(a="draining")
+            status, out, _ = await run_command(capsys, "get", str(path), TOPIC, "--json")
+            assert status == 0 and json.loads(out)["entries"] == {"a": server_entry("a")}
+            entries_file.write_text(json.dumps([server_entry("a", state="leaving")]))
+            assert (
+                await run_command(capsys, "put", str(path), TOPIC, "--file", str(entries_file))
+            )[0] == 0
+            await node.wait_for_list(a="draining")
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
 
     run(test())
 
 
-def test_the_platforms_node_imports_nothing_of_it() -> None:
+def test_the_node_does_not_import_the_distribution() -> None:
     code = (
         "import sys, badgercart.__main__, badgercart.node; "
         "print([m for m in sys.modules if m.startswith('badgercart.distribution') or m == 'msgspec'])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    completed = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
+    )
+    assert completed.stdout.strip() == "[]"
 
 
-def test_an_installation_without_it_imports_no_library_of_it(tmp_path: Path) -> None:
+def test_an_installation_without_distribution_imports_no_library_for_it(tmp_path: Path) -> None:
     code = (
         "import sys; from badgercart.app.file import load_installation; "
         f"load_installation({str(ROOT / 'deploy' / 'etcd.toml')!r}); "
         "print(sorted(m for m in sys.modules if m.startswith('badgercart.distribution.')))"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == str(
+    completed = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
+    )
+    assert completed.stdout.strip() == str(
         ["badgercart.distribution.component", "badgercart.distribution.settings"]
     )
 
 
-def test_an_age_that_was_never_known_is_no_number_on_the_page(tmp_path: Path) -> None:
+def test_an_unknown_age_is_null_on_the_page(tmp_path: Path) -> None:
     async def test() -> None:
-        async with node(("127.0.0.1", free_ports(1)[0])) as n:
-            _, body = await n.get(b"GET /_distribution HTTP/1.1\r\nHost: x\r\n\r\n")
+        async with running_node(("127.0.0.1", free_ports(1)[0])) as node:
+            _, body = await node.get(b"GET /_distribution HTTP/1.1\r\nHost: x\r\n\r\n")
             result = json.loads(body)
             assert (
                 result["age_ms"] is None and result["store"] is None and result["state"] == "stale"
             )
-            assert n.part.follower.age_ms(now_ms()) == math.inf and n.site.endpoint_table.suspended
+            assert (
+                node.component.follower.age_ms(now_ms()) == math.inf
+                and node.site.endpoint_table.suspended
+            )
 
     run(test())
--- a/tests/distribution/test_driver.py
+++ b/tests/distribution/test_driver.py
@@ -1,4 +1,4 @@
-"""Stores and followers on sockets: frames, bounds of buffers, disks that fail, stores that die."""
+"""Replicas and followers on sockets: frames, buffer limits, disk failures and lost replicas."""
 
 from __future__ import annotations
 
@@ -53,13 +53,13 @@
 
 GROUP, SECRET = "test", b"a secret of the tests"
 CODEC = Codec(GROUP, SECRET)
-QUICK = ReplicaTiming(
+FAST_REPLICA_TIMING = ReplicaTiming(
     heartbeat_interval_ms=20.0,
     election_timeout_ms=200.0,
     subscriber_heartbeat_interval_ms=20.0,
     reply_timeout_ms=2000.0,
 )
-BRISK = FollowerTiming(
+FAST_FOLLOWER_TIMING = FollowerTiming(
     silence_timeout_ms=2000.0,
     connect_timeout_ms=1000.0,
     answer_timeout_ms=5000.0,
@@ -69,7 +69,7 @@
 A, B = "servers/a", "servers/b"
 
 
-async def until(condition: Callable[[], Any]) -> None:
+async def wait_until(condition: Callable[[], Any]) -> None:
     async with asyncio.timeout(WAIT):
         while not condition():
             await asyncio.sleep(0.002)
@@ -78,26 +78,26 @@
 def free_ports(count: int) -> list[int]:
     import socket
 
-    held = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports = [each.getsockname()[1] for each in held]
-    for each in held:
-        each.close()
+    sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    ports = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
+        sock.close()
     return ports
 
 
-async def store_at(
+async def start_replica(
     folder: Path,
     name: str = "s1",
     others: dict[str, Address] | None = None,
     port: int = 0,
     **changes: Any,
 ) -> ReplicaDriver:
-    """A store that is up; alone where there are no others."""
+    """Start a replica; it is the only one of its group unless addresses of others are given."""
     addresses = others or {name: ("127.0.0.1", port)}
     names = tuple(addresses)
     journal = Journal(folder / name, changes.pop("min_compaction_bytes", 1 << 20))
     group = ReplicaGroup(name, names, names)
-    replica = Replica(group, QUICK, random.Random(name), journal.recover(), **changes)
+    replica = Replica(group, FAST_REPLICA_TIMING, random.Random(name), journal.recover(), **changes)
     loop = asyncio.get_running_loop()
     listen = addresses[name]
     runtime = Runtime(loop, now_ms, CODEC)
@@ -109,7 +109,10 @@
 
 
 def start_follower(
-    *stores: Address, topics: tuple[str, ...] = (A,), timing: FollowerTiming = BRISK, seed: int = 1
+    *stores: Address,
+    topics: tuple[str, ...] = (A,),
+    timing: FollowerTiming = FAST_FOLLOWER_TIMING,
+    seed: int = 1,
 ) -> tuple[FollowerDriver, list[UpdateTopic]]:
     updates: list[UpdateTopic] = []
     selector = ReplicaSelector(len(stores), timing, random.Random(seed))
@@ -129,14 +132,17 @@
         return message
 
 
-def same(driver: FollowerDriver, store: ReplicaDriver, topic: str = A) -> bool:
-    held, there = driver.follower.topics.by_name[topic], store.replica.topics.get(topic)
-    return there is not None and (held.version, held.entries) == (there.version, there.entries)
+def has_same_topic(driver: FollowerDriver, store: ReplicaDriver, topic: str = A) -> bool:
+    followed, replicated = driver.follower.topics.by_name[topic], store.replica.topics.get(topic)
+    return replicated is not None and (followed.version, followed.entries) == (
+        replicated.version,
+        replicated.entries,
+    )
 
 
 @asynccontextmanager
 async def running_replica(folder: Path, **changes: Any) -> AsyncIterator[ReplicaDriver]:
-    driver = await store_at(folder, **changes)
+    driver = await start_replica(folder, **changes)
     try:
         yield driver
     finally:
@@ -148,16 +154,20 @@
         async with running_replica(tmp_path) as store:
             assert (await put(store, A, x="1")).version == 1
             follower, updates = start_follower(store.listen, topics=(A, B))
-            await until(lambda: same(follower, store) and follower.follower.age_ms(now_ms()) < 500)
+            await wait_until(
+                lambda: has_same_topic(follower, store) and follower.follower.age_ms(now_ms()) < 500
+            )
             assert follower.follower.topics.unknown == {B}
             for number in range(2, 30):
                 assert (await put(store, A, x=str(number), y=None)).version == number
             await put(store, B, z="1")
-            await until(lambda: same(follower, store) and same(follower, store, B))
-            assert [take.version for take in updates if take.topic == A] == list(range(1, 30))
+            await wait_until(
+                lambda: has_same_topic(follower, store) and has_same_topic(follower, store, B)
+            )
+            assert [update.version for update in updates if update.topic == A] == list(range(1, 30))
             assert follower.follower.dial_count == 1 and not follower.refused and not store.refused
             follower.close()
-            await until(lambda: not store.replica.publisher.subscriptions.subscribers)
+            await wait_until(lambda: not store.replica.publisher.subscriptions.subscribers)
 
     run(test())
 
@@ -168,14 +178,17 @@
             for number in range(60):
                 await put(store, A, **{f"k{number % 7}": "v" * 100 + str(number)})
             assert int(next(p.suffix[1:] for p in (tmp_path / "s1").glob("journal.*"))) >= 2
-            had = dict(store.replica.topics[A].entries)
+            entries_before = dict(store.replica.topics[A].entries)
         async with running_replica(tmp_path) as store:
-            assert store.replica.topics[A].entries == had and store.replica.topics[A].version == 60
+            assert (
+                store.replica.topics[A].entries == entries_before
+                and store.replica.topics[A].version == 60
+            )
 
     run(test())
 
 
-BAD = {
+BAD_FRAMES = {
     "forged": Codec(GROUP, b"another secret of 16").encode(Hello("n", False)),
     "version": MAGIC + bytes((PROTOCOL_VERSION + 1,)) + CODEC.encode(Hello("n", False))[3:],
     "stray": b"nothing of ours at all, though long enough",
@@ -183,42 +196,42 @@
 }
 
 
-async def ended(reader: asyncio.StreamReader) -> None:
+async def wait_until_closed(reader: asyncio.StreamReader) -> None:
     async with asyncio.timeout(WAIT):
         with contextlib.suppress(ConnectionError):
             await reader.read()
 
 
-@pytest.mark.parametrize("kind", [*BAD, "oversized"])
-@pytest.mark.parametrize("greeted", [False, True])
+@pytest.mark.parametrize("kind", [*BAD_FRAMES, "oversized"])
+@pytest.mark.parametrize("hello_sent", [False, True])
 def test_a_bad_frame_closes_only_its_connection_and_changes_nothing(
-    tmp_path: Path, kind: str, greeted: bool
+    tmp_path: Path, kind: str, hello_sent: bool
 ) -> None:
     async def test() -> None:
         async with running_replica(tmp_path) as store:
             await put(store, A, x="1")
             follower, _ = start_follower(store.listen)
-            await until(lambda: same(follower, store))
+            await wait_until(lambda: has_same_topic(follower, store))
             reader, writer = await asyncio.open_connection(*store.listen)
-            if greeted:
+            if hello_sent:
                 data = CODEC.encode(Hello("n2", False))
                 writer.write(FRAME_LENGTH.pack(len(data)) + data)
             if kind == "oversized":
                 writer.write(FRAME_LENGTH.pack(MAX_FRAME_BYTES + 1) + b"x")
             else:
-                # A good change behind it is not taken either.
-                more = CODEC.encode(Propose(1, A, (Entry("x", b"2"),), -1))
+                # A valid proposal after the bad frame must be ignored as well.
+                valid_frame = CODEC.encode(Propose(1, A, (Entry("x", b"2"),), -1))
                 writer.write(
-                    FRAME_LENGTH.pack(len(BAD[kind]))
-                    + BAD[kind]
-                    + FRAME_LENGTH.pack(len(more))
-                    + more
+                    FRAME_LENGTH.pack(len(BAD_FRAMES[kind]))
+                    + BAD_FRAMES[kind]
+                    + FRAME_LENGTH.pack(len(valid_frame))
+                    + valid_frame
                 )
-            await ended(reader)
+            await wait_until_closed(reader)
             assert dict(store.refused) == {kind: 1}
             assert store.replica.topics[A].version == 1 and len(store.links) == 1
             await put(store, A, x="3")
-            await until(lambda: same(follower, store))
+            await wait_until(lambda: has_same_topic(follower, store))
             assert follower.follower.dial_count == 1
             writer.close()
             follower.close()
@@ -255,30 +268,30 @@
     run(test())
 
 
-class Scripted:
-    """A store of the test's own: what it says to each connection, and what it was told."""
+class ScriptedReplica:
+    """A fake replica that sends fixed messages on each connection and records received ones."""
 
-    def __init__(self, *says: Message | bytes) -> None:
-        self.says, self.heard = says, asyncio.Queue[Message]()
+    def __init__(self, *messages: Message | bytes) -> None:
+        self.messages, self.received = messages, asyncio.Queue[Message]()
         self.writers: list[asyncio.StreamWriter] = []
 
-    async def start(self) -> Scripted:
+    async def start(self) -> ScriptedReplica:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address: Address = self.server.sockets[0].getsockname()[:2]
         return self
 
-    def say(self, writer: asyncio.StreamWriter, message: Message | bytes) -> None:
+    def send(self, writer: asyncio.StreamWriter, message: Message | bytes) -> None:
         data = message if isinstance(message, bytes) else CODEC.encode(message)
         writer.write(FRAME_LENGTH.pack(len(data)) + data)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        for message in self.says:
-            self.say(writer, message)
+        for message in self.messages:
+            self.send(writer, message)
         try:
             while True:
                 (length,) = FRAME_LENGTH.unpack(await reader.readexactly(FRAME_LENGTH.size))
-                self.heard.put_nowait(CODEC.decode(await reader.readexactly(length)))
+                self.received.put_nowait(CODEC.decode(await reader.readexactly(length)))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
@@ -288,38 +301,39 @@
             writer.close()
 
 
-@pytest.mark.parametrize("kind", BAD)
-def test_a_replica_that_sends_bad_frames_is_left_with_nothing_changed(
+@pytest.mark.parametrize("kind", BAD_FRAMES)
+def test_a_replica_that_sends_bad_frames_is_abandoned_with_nothing_changed(
     tmp_path: Path, kind: str
 ) -> None:
     async def test() -> None:
         async with running_replica(tmp_path) as store:
             await put(store, A, x="1")
-            held = Topic(3, (Entry("old", b"1"),))
-            whole = Snapshot(A, 3, held.digest, 1, 1, (Entry("old", b"1"),))
-            change = Delta(A, 4, held.digest_with((Entry("old", b"2"),)), (Entry("old", b"2"),))
-            bad = await Scripted(
-                Hello("bad", True), whole, Heartbeat(0.0), BAD[kind], change
+            bad_topic = Topic(3, (Entry("old", b"1"),))
+            snapshot = Snapshot(A, 3, bad_topic.digest, 1, 1, (Entry("old", b"1"),))
+            delta = Delta(A, 4, bad_topic.digest_with((Entry("old", b"2"),)), (Entry("old", b"2"),))
+            bad = await ScriptedReplica(
+                Hello("bad", True), snapshot, Heartbeat(0.0), BAD_FRAMES[kind], delta
             ).start()
             follower, updates = start_follower(bad.address)
-            await until(lambda: follower.follower.faults["closed"])
-            assert [take.version for take in updates][:1] == [3] and follower.refused[kind]
+            await wait_until(lambda: follower.follower.faults["closed"])
+            assert [update.version for update in updates][:1] == [3] and follower.refused[kind]
             assert follower.follower.topics.by_name[A].entries == {"old": b"1"}
             follower.close()
-            seeds = [seed for seed in range(50) if first_store(seed) == 0]
+            seeds = [seed for seed in range(50) if first_replica(seed) == 0]
             follower, updates = start_follower(bad.address, store.listen, seed=seeds[0])
-            await until(lambda: follower.follower.faults["closed"])
+            await wait_until(lambda: follower.follower.faults["closed"])
             for number in range(3):
                 await put(store, A, x=str(number))
-            await until(lambda: same(follower, store))  # its numbers went past the bad one's
+            # The replica's versions have passed those of the bad one.
+            await wait_until(lambda: has_same_topic(follower, store))
             bad.close()
             follower.close()
 
     run(test())
 
 
-def first_store(seed: int) -> int:
-    return ReplicaSelector(2, BRISK, random.Random(seed)).order[0]
+def first_replica(seed: int) -> int:
+    return ReplicaSelector(2, FAST_FOLLOWER_TIMING, random.Random(seed)).order[0]
 
 
 def test_a_dial_that_never_completes_is_cancelled_after_its_timeout(
@@ -328,44 +342,45 @@
     async def test() -> None:
         async with running_replica(tmp_path) as store:
             await put(store, A, x="1")
-            seed = next(seed for seed in range(50) if first_store(seed) == 0)
+            seed = next(seed for seed in range(50) if first_replica(seed) == 0)
             loop = asyncio.get_running_loop()
-            hung: asyncio.Queue[str] = asyncio.Queue()
+            cancelled_dials: asyncio.Queue[str] = asyncio.Queue()
             timing = FollowerTiming(connect_timeout_ms=30.0, reconnect_window_ms=1.0)
-            real = FollowerDriver.dial
+            original_dial = FollowerDriver.dial
 
             async def dial(self: FollowerDriver, effect: Any) -> None:
                 if effect.replica == 1:
-                    await real(self, effect)
+                    await original_dial(self, effect)
                     return
                 try:
                     await loop.create_future()
                 except asyncio.CancelledError:
-                    hung.put_nowait("cancelled")
+                    cancelled_dials.put_nowait("cancelled")
                     raise
 
             monkeypatch.setattr(FollowerDriver, "dial", dial)
             follower, _ = start_follower(("127.0.0.1", 9), store.listen, timing=timing, seed=seed)
-            await until(lambda: same(follower, store))
+            await wait_until(lambda: has_same_topic(follower, store))
             async with asyncio.timeout(WAIT):
-                assert await hung.get() == "cancelled"
+                assert await cancelled_dials.get() == "cancelled"
             assert follower.follower.faults["hangs"] >= 1
             follower.close()
 
     run(test())
 
 
-def test_a_doubted_topic_is_repaired_by_a_snapshot_even_where_deltas_are_held(
+def test_a_doubted_topic_is_repaired_by_a_snapshot_even_if_deltas_are_available(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
         async with running_replica(tmp_path) as store:
             await put(store, A, x="1", y="1")
             follower, updates = start_follower(store.listen)
-            await until(lambda: same(follower, store))
-            follower.follower.topics.by_name[A].entries["x"] = b"spoilt"  # as by a fault in memory
+            await wait_until(lambda: has_same_topic(follower, store))
+            # Corrupt the topic in memory.
+            follower.follower.topics.by_name[A].entries["x"] = b"spoilt"
             await put(store, A, x="2")
-            await until(lambda: same(follower, store))
+            await wait_until(lambda: has_same_topic(follower, store))
             assert follower.follower.faults["digest"] == 1 and updates[-1].is_snapshot
             assert follower.follower.dial_count == 1
             follower.close()
@@ -375,15 +390,15 @@
 
 def test_a_connection_that_opens_while_the_driver_closes_is_aborted(tmp_path: Path) -> None:
     async def test() -> None:
-        store = await store_at(tmp_path)
-        loop, coming = asyncio.get_running_loop(), store.accept()
+        store = await start_replica(tmp_path)
+        loop, accepted_link = asyncio.get_running_loop(), store.accept()
         follower, _ = start_follower(store.listen)
-        late = Link(follower, 99)
-        # Both wait to be told of their connections while their drivers close.
+        dialled_link = Link(follower, 99)
+        # Both connections are established only after their drivers were closed.
         other = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
         store.close()
         follower.close()
-        for link in (coming, late):
+        for link in (accepted_link, dialled_link):
             address = other.sockets[0].getsockname()
             transport, _ = await loop.create_connection(lambda link=link: link, *address)  # type: ignore[misc]
             assert transport.is_closing() and link.is_closed
@@ -393,7 +408,7 @@
     run(test())
 
 
-# Who does not read.
+# Connections whose other end does not read.
 
 
 def test_a_slow_reader_is_buffered_up_to_a_bound_and_gets_everything_later(tmp_path: Path) -> None:
@@ -407,9 +422,10 @@
             for message in (Hello("n", False), subscribe(*((topic, 0, 0) for topic in topics))):
                 data = CODEC.encode(message)
                 writer.write(FRAME_LENGTH.pack(len(data)) + data)
-            await until(
+            await wait_until(
                 lambda: any(
-                    f.stalled for f in store.replica.publisher.subscriptions.subscribers.values()
+                    subscriber.stalled
+                    for subscriber in store.replica.publisher.subscriptions.subscribers.values()
                 )
             )
             (link,) = (
@@ -417,29 +433,29 @@
                 for link in store.links.values()
                 if link.number in store.replica.publisher.subscriptions.subscribers
             )
-            peak = 0
+            peak_bytes = 0
             for number in range(20):
                 await put(store, topics[-1], k0=str(number))
                 assert link.transport is not None
-                peak = max(peak, link.transport.get_write_buffer_size())
-            assert WRITE_HIGH_WATER_BYTES < peak < MAX_WRITE_BUFFER_BYTES / 2
-            had: dict[str, Topic] = {}
+                peak_bytes = max(peak_bytes, link.transport.get_write_buffer_size())
+            assert WRITE_HIGH_WATER_BYTES < peak_bytes < MAX_WRITE_BUFFER_BYTES / 2
+            topics_received: dict[str, Topic] = {}
             client = Client(store.listen, CODEC)
             client.reader = reader
             async with asyncio.timeout(WAIT):
                 while any(
-                    topic not in had or had[topic].digest != store.replica.topics[topic].digest
+                    topic not in topics_received
+                    or topics_received[topic].digest != store.replica.topics[topic].digest
                     for topic in topics
                 ):
                     received = await client.read()
                     if isinstance(received, Snapshot):
-                        had[received.topic] = Topic(
-                            received.version, received.entries
-                        )  # each in one part
+                        # Each snapshot has a single part.
+                        topics_received[received.topic] = Topic(received.version, received.entries)
                         assert received.parts == 1
                     elif isinstance(received, Delta):
-                        had.setdefault(received.topic, Topic()).apply(received.entries)
-            assert had[topics[-1]].version == 21 and not store.refused
+                        topics_received.setdefault(received.topic, Topic()).apply(received.entries)
+            assert topics_received[topics[-1]].version == 21 and not store.refused
             writer.close()
 
     run(test())
@@ -459,14 +475,14 @@
             for message in (Hello("n", False), subscribe(*topics)):
                 data = CODEC.encode(message)
                 writer.write(FRAME_LENGTH.pack(len(data)) + data)
-            await until(lambda: store.refused["slow"])
+            await wait_until(lambda: store.refused["slow"])
             assert not store.replica.publisher.subscriptions.subscribers
             writer.close()
 
     run(test())
 
 
-# Disks and others that fail.
+# Failures of disks and replicas.
 
 
 def test_a_failing_disk_stops_the_replica_before_it_acknowledges(
@@ -474,7 +490,7 @@
 ) -> None:
     async def test() -> None:
         failures: list[Exception] = []
-        store = await store_at(tmp_path)
+        store = await start_replica(tmp_path)
         store.on_failure = failures.append
         persist = store.disk.persist
 
@@ -502,7 +518,7 @@
         addresses: dict[str, Address] = {
             f"s{i}": ("127.0.0.1", port) for i, port in enumerate(free_ports(3), 1)
         }
-        stores = {name: await store_at(tmp_path, name, addresses) for name in addresses}
+        stores = {name: await start_replica(tmp_path, name, addresses) for name in addresses}
 
         def leader() -> ReplicaDriver | None:
             return next(
@@ -510,24 +526,26 @@
             )
 
         follower, updates = start_follower(*addresses.values())
-        await until(leader)
+        await wait_until(leader)
         first = leader()
         assert first is not None
         await put(first, A, x="1")
-        await until(lambda: same(follower, first))
+        await wait_until(lambda: has_same_topic(follower, first))
         other = next(store for store in stores.values() if store is not first)
         assert (await put(other, A, x="2")).error == "not-leading"
         first.close()
         del stores[first.replica.group.local]
-        await until(leader)
+        await wait_until(leader)
         second = leader()
         assert second is not None and second.replica.raft.state.term > first.replica.raft.state.term
         assert (await put(second, A, x="3")).version == 2
-        await until(lambda: same(follower, second) and follower.follower.age_ms(now_ms()) < 500)
-        back = await store_at(tmp_path, first.replica.group.local, addresses)
-        stores[back.replica.group.local] = back
-        await until(lambda: back.replica.topics.get(A, Topic()).version == 2)
-        assert [take.version for take in updates] == [1, 2]
+        await wait_until(
+            lambda: has_same_topic(follower, second) and follower.follower.age_ms(now_ms()) < 500
+        )
+        restarted = await start_replica(tmp_path, first.replica.group.local, addresses)
+        stores[restarted.replica.group.local] = restarted
+        await wait_until(lambda: restarted.replica.topics.get(A, Topic()).version == 2)
+        assert [update.version for update in updates] == [1, 2]
         for store in stores.values():
             store.close()
         follower.close()
--- a/tests/distribution/test_golden.py
+++ b/tests/distribution/test_golden.py
@@ -1,7 +1,8 @@
-"""Bytes of this package on wires and disks, as written before the names of the code changed.
+"""The formats of frames, journals and snapshots, and texts shown to operators, do not change.
 
-What stands in `golden/` was written once. It is read to the same values, and the same values are
-written as the same bytes, whatever classes and fields are called.
+The files in `golden/` were written by an earlier version of the code. They must be decoded to the
+same values, and the same values must be encoded as the same bytes, whatever the names of classes
+and fields are.
 """
 
 from __future__ import annotations
@@ -54,11 +55,11 @@
 
 GOLDEN = Path(__file__).parent / "golden"
 CODEC = Codec("budapest", b"sixteen or more bytes")
-LINES = (Entry("s-1", b'{"instanceId":"s-1"}'), Entry("s-2", None))
-CHANGE = Change(3, 9, "servers/a", LINES)
-LINE_VALUES = [["s-1", b'{"instanceId":"s-1"}'], ["s-2", None]]
+ENTRIES = (Entry("s-1", b'{"instanceId":"s-1"}'), Entry("s-2", None))
+CHANGE = Change(3, 9, "servers/a", ENTRIES)
+ENTRY_VALUES = [["s-1", b'{"instanceId":"s-1"}'], ["s-2", None]]
 
-# The file of each frame, the message in it, and its fields as they are read from there.
+# The file name of each frame, its message, and the decoded fields.
 MESSAGES: list[tuple[str, Message, list[Any]]] = [
     ("hello-store", Hello("store-1", True), ["store-1", True]),
     ("hello-follower", Hello("node é", False), ["node é", False]),
@@ -69,7 +70,7 @@
     (
         "append",
         AppendEntries(3, 8, (CHANGE, Change(3, 10, "", ())), 8, 12.5),
-        [3, 8, [[3, 9, "servers/a", LINE_VALUES], [3, 10, "", []]], 8, 12.5],
+        [3, 8, [[3, 9, "servers/a", ENTRY_VALUES], [3, 10, "", []]], 8, 12.5],
     ),
     ("append-nothing", AppendEntries(3, 8, (), 8), [3, 8, [], 8, 0.0]),
     ("append-never-known", AppendEntries(3, 8, (), 8, math.inf), [3, 8, [], 8, math.inf]),
@@ -83,9 +84,9 @@
             2,
             1,
             2,
-            topic_parts(("servers/a", 4, 1 << 63, LINES[:1]), ("servers/b", 1, 0, ())),
+            topic_parts(("servers/a", 4, 1 << 63, ENTRIES[:1]), ("servers/b", 1, 0, ())),
         ),
-        [3, 9, 2, 1, 2, [["servers/a", 4, 1 << 63, LINE_VALUES[:1]], ["servers/b", 1, 0, []]]],
+        [3, 9, 2, 1, 2, [["servers/a", 4, 1 << 63, ENTRY_VALUES[:1]], ["servers/b", 1, 0, []]]],
     ),
     (
         "subscribe",
@@ -94,14 +95,14 @@
     ),
     (
         "whole",
-        Snapshot("servers/a", 4, 1 << 63, 1, 2, LINES[:1]),
-        ["servers/a", 4, 1 << 63, 1, 2, LINE_VALUES[:1]],
+        Snapshot("servers/a", 4, 1 << 63, 1, 2, ENTRIES[:1]),
+        ["servers/a", 4, 1 << 63, 1, 2, ENTRY_VALUES[:1]],
     ),
-    ("delta", Delta("servers/a", 5, 7, LINES), ["servers/a", 5, 7, LINE_VALUES]),
+    ("delta", Delta("servers/a", 5, 7, ENTRIES), ["servers/a", 5, 7, ENTRY_VALUES]),
     ("beat", Heartbeat(1.5), [1.5]),
     ("beat-never-known", Heartbeat(math.inf), [math.inf]),
     ("no", Rejection("behind", "servers/a", "why"), ["behind", "servers/a", "why"]),
-    ("propose", Propose(1, "servers/a", LINES, -1), [1, "servers/a", LINE_VALUES, -1]),
+    ("propose", Propose(1, "servers/a", ENTRIES, -1), [1, "servers/a", ENTRY_VALUES, -1]),
     ("proposed", ProposeResponse(1, 5, "", ""), [1, 5, "", ""]),
     ("proposed-refused", ProposeResponse(2, 5, "conflict", "why"), [2, 5, "conflict", "why"]),
     ("status-request", StatusRequest(), []),
@@ -113,16 +114,16 @@
 ]
 
 
-def values(told: Any) -> Any:
-    """Structures of any name as plain lists of their fields, in the order of the wire."""
-    if isinstance(told, msgspec.Struct):
-        return [values(each) for each in msgspec.structs.astuple(told)]
-    if isinstance(told, tuple | list):
-        return [values(each) for each in told]
-    return told
+def values(value: Any) -> Any:
+    """Convert structures to lists of their fields, in the order of the wire."""
+    if isinstance(value, msgspec.Struct):
+        return [values(field) for field in msgspec.structs.astuple(value)]
+    if isinstance(value, tuple | list):
+        return [values(item) for item in value]
+    return value
 
 
-def test_there_is_a_frame_of_each_message() -> None:
+def test_there_is_a_golden_frame_of_each_message() -> None:
     assert {type(message) for _, message, _ in MESSAGES} == MESSAGE_LABELS.keys()
     assert {path.stem for path in (GOLDEN / "frames").iterdir()} == {
         name for name, _, _ in MESSAGES
@@ -132,7 +133,7 @@
 @pytest.mark.parametrize(
     ("name", "message", "fields"), MESSAGES, ids=[name for name, _, _ in MESSAGES]
 )
-def test_a_frame_is_written_and_read_as_ever(
+def test_frames_are_encoded_and_decoded_unchanged(
     name: str, message: Message, fields: list[Any]
 ) -> None:
     frame = (GOLDEN / "frames" / f"{name}.bin").read_bytes()
@@ -141,64 +142,66 @@
     assert type(read) is type(message) and values(read) == fields
 
 
-def test_on_tcp_a_frame_stands_behind_its_length() -> None:
+def test_on_tcp_a_frame_is_preceded_by_its_length() -> None:
     assert FRAME_LENGTH.pack(0x1234) == b"\x00\x00\x12\x34"
 
 
-def test_words_for_messages_out_of_turn_are_as_ever() -> None:
-    told = dict.fromkeys(MESSAGE_LABELS[type(message)] for _, message, _ in MESSAGES)
-    assert " ".join(told) == (
+def test_labels_of_messages_in_the_log_are_unchanged() -> None:
+    labels = dict.fromkeys(MESSAGE_LABELS[type(message)] for _, message, _ in MESSAGES)
+    assert " ".join(labels) == (
         "Hello VoteRequest Vote Append Appended State Subscribe Whole Delta Beat No "
         "Propose Proposed StatusRequest Status"
     )
 
 
-# A journal, and what it is compacted to.
+# A journal, and the snapshot that it is compacted to.
 
-KEPT = (
+RECORDS = (
     Persist(1, "", 0, (), 0),
-    Persist(1, "store-1", 0, (Change(1, 1, "", ()), Change(1, 2, "servers/a", LINES)), 0),
-    Persist(2, "", 1, (Change(2, 2, "servers/a", LINES[:1]), Change(2, 3, "settings/é", LINES)), 1),
+    Persist(1, "store-1", 0, (Change(1, 1, "", ()), Change(1, 2, "servers/a", ENTRIES)), 0),
+    Persist(
+        2, "", 1, (Change(2, 2, "servers/a", ENTRIES[:1]), Change(2, 3, "settings/é", ENTRIES)), 1
+    ),
     Persist(3, "store-2", 3, (), 2),
 )
-BEHIND = (Change(2, 3, "settings/é", LINES),)
+LATER_CHANGES = (Change(2, 3, "settings/é", ENTRIES),)
 
 
 def topics() -> dict[str, Topic]:
-    return {"servers/a": Topic(1, LINES[:1]), "servers/empty": Topic(4)}
+    return {"servers/a": Topic(1, ENTRIES[:1]), "servers/empty": Topic(4)}
 
 
-def whole_state() -> RecoveredState:
-    return RecoveredState(3, "store-2", 2, 2, 2, topics(), BEHIND)
+def compacted_state() -> RecoveredState:
+    return RecoveredState(3, "store-2", 2, 2, 2, topics(), LATER_CHANGES)
 
 
 def digest(*pairs: tuple[str, bytes]) -> int:
-    """The sum of a hash of each key with its value, modulo 2**64."""
-    told = 0
+    """Return the sum of a hash of each key with its value, modulo 2**64."""
+    total = 0
     for key, value in pairs:
         data = len(key.encode()).to_bytes(4, "big") + key.encode() + value
-        told += int.from_bytes(hashlib.blake2b(data, digest_size=8).digest(), "big")
-    return told % (1 << 64)
+        total += int.from_bytes(hashlib.blake2b(data, digest_size=8).digest(), "big")
+    return total % (1 << 64)
 
 
-def keep(folder: Path, compacted: bool) -> None:
+def write_folder(folder: Path, compacted: bool) -> None:
     journal = Journal(folder)
     journal.recover()
-    for each in KEPT:
-        journal.persist(each)
+    for record in RECORDS:
+        journal.persist(record)
     if compacted:
-        journal.persist(PersistSnapshot(whole_state()))
+        journal.persist(PersistSnapshot(compacted_state()))
         journal.persist(Persist(4, "", 3, (), 3))
     journal.close()
 
 
-def plain(recovered: RecoveredState) -> list[Any]:
-    """All that is recovered, by place."""
+def field_values(recovered: RecoveredState) -> list[Any]:
+    """Return all fields of the recovered state, in order."""
     fields = [getattr(recovered, name) for name in recovered.__dataclass_fields__]
     fields[5] = [
         [name, topic.version, topic.digest, topic.entries] for name, topic in fields[5].items()
     ]
-    return [values(each) for each in fields]
+    return [values(field) for field in fields]
 
 
 CASES = [
@@ -215,8 +218,8 @@
             [],
             [
                 [1, 1, "", []],
-                [2, 2, "servers/a", LINE_VALUES[:1]],
-                [2, 3, "settings/é", LINE_VALUES],
+                [2, 2, "servers/a", ENTRY_VALUES[:1]],
+                [2, 3, "settings/é", ENTRY_VALUES],
             ],
         ],
     ),
@@ -239,7 +242,7 @@
                 ],
                 ["servers/empty", 4, 0, {}],
             ],
-            [[2, 3, "settings/é", LINE_VALUES]],
+            [[2, 3, "settings/é", ENTRY_VALUES]],
         ],
     ),
 ]
@@ -249,50 +252,51 @@
 
 
 @GOLDEN_CASES
-def test_a_folder_is_written_as_ever(
+def test_journals_and_snapshots_are_written_unchanged(
     name: str, compacted: bool, files: list[str], read: list[Any], tmp_path: Path
 ) -> None:
-    keep(tmp_path, compacted)
+    write_folder(tmp_path, compacted)
     assert sorted(path.name for path in tmp_path.iterdir()) == files
-    for each in files:
-        if each != "lock":  # empty
-            assert (tmp_path / each).read_bytes() == (
-                GOLDEN / name / f"{each}.bin"
-            ).read_bytes(), each
+    for file in files:
+        # The lock file is empty.
+        if file != "lock":
+            assert (tmp_path / file).read_bytes() == (
+                GOLDEN / name / f"{file}.bin"
+            ).read_bytes(), file
 
 
 @GOLDEN_CASES
-def test_a_folder_is_read_as_ever(
+def test_journals_and_snapshots_are_read_unchanged(
     name: str, compacted: bool, files: list[str], read: list[Any], tmp_path: Path
 ) -> None:
     for path in (GOLDEN / name).iterdir():
         (tmp_path / path.name.removesuffix(".bin")).write_bytes(path.read_bytes())
     journal = Journal(tmp_path)
     try:
-        assert plain(journal.recover()) == read
+        assert field_values(journal.recover()) == read
     finally:
         journal.close()
 
 
-# What an operator reads of a store.
+# Output for operators.
 
 
-def test_a_stores_row_is_as_ever() -> None:
-    told = Status("store-1", "leading", "store-1", 3, 9, 10, 215, 2, 40, 1.54)
-    assert json.dumps(commands.status_columns(told)) == (
+def test_the_status_columns_are_unchanged() -> None:
+    status = Status("store-1", "leading", "store-1", 3, 9, 10, 215, 2, 40, 1.54)
+    assert json.dumps(commands.status_columns(status)) == (
         '{"name": "store-1", "role": "leading", "leader": "store-1", "term": 3, "committed": 9, '
         '"last": 10, "followers": 215, "topics": 2, "entries": 40, "age_ms": 1.5}'
     )
-    never = Status("store-2", "following", "", 3, 9, 10, 0, 2, 40, math.inf)
-    assert json.dumps(commands.status_columns(never)) == (
+    never_complete = Status("store-2", "following", "", 3, 9, 10, 0, 2, 40, math.inf)
+    assert json.dumps(commands.status_columns(never_complete)) == (
         '{"name": "store-2", "role": "following", "leader": "", "term": 3, "committed": 9, '
         '"last": 10, "followers": 0, "topics": 2, "entries": 40, "age_ms": null}'
     )
     assert commands.status_columns("no answer in 5 s") == {"error": "no answer in 5 s"}
 
 
-def test_roles_are_told_as_ever(tmp_path: Path) -> None:
-    """A store on its way to lead, and what its driver answers to a status request meanwhile."""
+def test_role_names_are_unchanged(tmp_path: Path) -> None:
+    """The status of a replica in each role on its way to become leader."""
     names = ("store-1", "store-2", "store-3")
     group = ReplicaGroup("store-1", names, names)
     replica = Replica(group, ReplicaTiming(), random.Random(1), RecoveredState())
@@ -327,16 +331,16 @@
     ]
 
 
-def test_events_are_called_and_worded_as_ever() -> None:
-    said = [
+def test_log_events_are_unchanged() -> None:
+    lines = [
         f"{event.name} {event.level} {event.words}\n"
         for event in TABLE.values()
         if event.name.startswith(f"{log_events.LISTENING.name.partition('.')[0]}.")
     ]
-    assert "".join(sorted(said)) == (GOLDEN / "events.txt").read_text()
+    assert "".join(sorted(lines)) == (GOLDEN / "events.txt").read_text()
 
 
-def test_commands_are_called_as_ever() -> None:
+def test_command_names_are_unchanged() -> None:
     shown = CliRunner().invoke(commands.distribution, ["--help"]).output
     words = [
         line.split()[0] for line in shown.partition("Commands:")[2].splitlines() if line.strip()
--- a/tests/distribution/test_messages.py
+++ b/tests/distribution/test_messages.py
@@ -1,4 +1,4 @@
-"""Frames: what is refused, with nothing of it read; and a topic's digest and parts."""
+"""Encoding and validation of frames; the digest and the parts of a topic."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 CODEC = Codec("budapest", b"sixteen or more bytes")
 ENTRIES = (Entry("s-1", b"{}"), Entry("s-2", None))
 CHANGE = Change(3, 9, "servers/a", ENTRIES)
-EACH = [
+MESSAGES = [
     Hello("store-1", True),
     VoteRequest(3, 2, 9, True),
     VoteResponse(3, True, False),
@@ -65,7 +65,7 @@
 ]
 
 
-def refusal(data: bytes, codec: Codec = CODEC) -> str:
+def refusal_kind(data: bytes, codec: Codec = CODEC) -> str:
     with pytest.raises(FrameError) as caught:
         codec.decode(data)
     assert str(caught.value)
@@ -73,26 +73,30 @@
 
 
 def framed(body: bytes) -> bytes:
-    """A frame of this group around anything."""
+    """Return a frame of this group with any body."""
     return MAGIC + bytes((PROTOCOL_VERSION,)) + CODEC.hash(body) + body
 
 
-@pytest.mark.parametrize("message", EACH, ids=lambda message: type(message).__name__)
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
 def test_each_message_is_decoded_as_encoded(message: Message) -> None:
     assert CODEC.decode(CODEC.encode(message)) == message
 
 
 def test_foreign_and_damaged_frames_are_refused_by_kind() -> None:
     good = CODEC.encode(Hello("n", False))
-    assert refusal(good, Codec("vienna", b"sixteen or more bytes")) == "forged"
-    assert refusal(good, Codec("budapest", b"another sixteen bytes")) == "forged"
-    assert refusal(good[:2] + bytes((PROTOCOL_VERSION + 1,)) + good[3:]) == "version"
-    assert refusal(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n") == "stray"
-    assert refusal(b"") == "stray" and refusal(good[:FRAME_HEADER_BYTES]) == "stray"
-    assert refusal(good + bytes(MAX_FRAME_BYTES)) == "oversized"
-    for at in range(3, len(good)):  # any bit of the hash or of what it is of
-        assert refusal(good[:at] + bytes((good[at] ^ 1,)) + good[at + 1 :]) == "forged"
-    assert refusal(good[:-1]) == "forged"
+    assert refusal_kind(good, Codec("vienna", b"sixteen or more bytes")) == "forged"
+    assert refusal_kind(good, Codec("budapest", b"another sixteen bytes")) == "forged"
+    assert refusal_kind(good[:2] + bytes((PROTOCOL_VERSION + 1,)) + good[3:]) == "version"
+    assert refusal_kind(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n") == "stray"
+    assert refusal_kind(b"") == "stray" and refusal_kind(good[:FRAME_HEADER_BYTES]) == "stray"
+    assert refusal_kind(good + bytes(MAX_FRAME_BYTES)) == "oversized"
+    # Any change of the hash or of the hashed message is detected.
+    for position in range(3, len(good)):
+        assert (
+            refusal_kind(good[:position] + bytes((good[position] ^ 1,)) + good[position + 1 :])
+            == "forged"
+        )
+    assert refusal_kind(good[:-1]) == "forged"
 
 
 @pytest.mark.parametrize(
@@ -109,11 +113,11 @@
     ],
 )
 def test_an_authentic_frame_without_a_message_is_refused(body: bytes) -> None:
-    assert refusal(framed(body)) == "malformed"
+    assert refusal_kind(framed(body)) == "malformed"
 
 
-LONG = "x" * (MAX_NAME_LENGTH + 1)
-OVER: list[tuple[Message, str]] = [
+LONG_NAME = "x" * (MAX_NAME_LENGTH + 1)
+INVALID_MESSAGES: list[tuple[Message, str]] = [
     (Delta("t", 1, 0, (Entry("k", bytes(MAX_VALUE_BYTES + 1)),)), "oversized"),
     (Propose(1, "t", tuple(Entry(f"k{i}", b"") for i in range(MAX_ENTRIES + 1)), -1), "oversized"),
     (subscribe(*((f"t{i}", 0, 0) for i in range(MAX_TOPICS + 1))), "oversized"),
@@ -122,22 +126,24 @@
         "oversized",
     ),
     (Hello("", False), "malformed"),
-    (Hello(LONG, False), "malformed"),
-    (Delta(LONG, 1, 0, ()), "malformed"),
+    (Hello(LONG_NAME, False), "malformed"),
+    (Delta(LONG_NAME, 1, 0, ()), "malformed"),
     (Delta("t\n", 1, 0, ()), "malformed"),
     (Snapshot("t", 1, 0, 1, 1, (Entry("", b""),)), "malformed"),
     (subscribe(("", 0, 0)), "malformed"),
     (AppendEntries(1, 0, (Change(1, 1, "", ENTRIES),), 0), "malformed"),
-    (InstallSnapshot(1, 1, 1, 1, 1, topic_parts((LONG, 1, 0, ()))), "malformed"),
+    (InstallSnapshot(1, 1, 1, 1, 1, topic_parts((LONG_NAME, 1, 0, ()))), "malformed"),
 ]
 
 
-@pytest.mark.parametrize(("message", "kind"), OVER)
-def test_messages_over_a_bound_are_refused_at_both_ends(message: Message, kind: str) -> None:
+@pytest.mark.parametrize(("message", "kind"), INVALID_MESSAGES)
+def test_messages_over_a_limit_are_refused_by_sender_and_receiver(
+    message: Message, kind: str
+) -> None:
     with pytest.raises(FrameError) as caught:
         CODEC.encode(message)
     assert caught.value.kind == kind
-    assert refusal(framed(msgspec.msgpack.encode(message))) == kind
+    assert refusal_kind(framed(msgspec.msgpack.encode(message))) == kind
 
 
 @given(st.binary(max_size=200))
@@ -157,17 +163,19 @@
 def test_a_digest_depends_on_the_entries_alone(
     changes: list[list[Entry]],
 ) -> None:
-    topic, plain = Topic(), dict[str, bytes]()
+    topic, values = Topic(), dict[str, bytes]()
     for number, entries in enumerate(changes, 1):
-        foretold = topic.digest_with(entries)
+        expected_digest = topic.digest_with(entries)
         topic.apply(entries)
         for entry in entries:
-            plain.pop(entry.key, None)
+            values.pop(entry.key, None)
             if entry.value is not None:
-                plain[entry.key] = entry.value
-        assert topic.digest == foretold and topic.version == number and topic.entries == plain
-        assert topic.digest == Topic(0, [Entry(k, v) for k, v in reversed(plain.items())]).digest
-        changed = {**plain, "a": plain.get("a", b"") + b"!"}
+                values[entry.key] = entry.value
+        assert (
+            topic.digest == expected_digest and topic.version == number and topic.entries == values
+        )
+        assert topic.digest == Topic(0, [Entry(k, v) for k, v in reversed(values.items())]).digest
+        changed = {**values, "a": values.get("a", b"") + b"!"}
         assert topic.digest != Topic(0, [Entry(k, v) for k, v in changed.items()]).digest
 
 
@@ -178,10 +186,12 @@
 def test_parts_of_a_topic_fit_a_frame_and_hold_all_entries(count: int, size: int) -> None:
     topic = Topic(1, (Entry("é" * 100 + str(i), bytes(size)) for i in range(count)))
     parts = list(topic.parts())
-    for at, part in enumerate(parts, 1):
+    for number, part in enumerate(parts, 1):
         assert (
             len(
-                CODEC.encode(Snapshot("t" * MAX_NAME_LENGTH, 1, topic.digest, at, len(parts), part))
+                CODEC.encode(
+                    Snapshot("t" * MAX_NAME_LENGTH, 1, topic.digest, number, len(parts), part)
+                )
             )
             <= MAX_FRAME_BYTES
         )
