--- a/badgercart/hot_restart/inherited_socket.py
+++ b/badgercart/hot_restart/inherited_socket.py
@@ -1,4 +1,4 @@
-"""The listening socket that the platform holds, and that every process of the node inherits."""
+"""The listening socket that the platform opens, and that all processes of the node inherit."""
 
 from __future__ import annotations
 
@@ -8,9 +8,13 @@
 
 
 def inherited_socket(descriptor: int) -> socket.socket:
-    """Raises ConfigError where the descriptor is no listening stream socket.
+    """Return the inherited listening socket of a file descriptor.
 
-    It is neither bound nor told to listen here, nor ever shut down: the other process serves on it.
+    The socket is not bound, put into listening mode or shut down here, because the other process
+    also serves on it.
+
+    Raises:
+        ConfigError: the descriptor is not a listening TCP socket.
     """
     try:
         sock = socket.socket(fileno=descriptor)
--- a/badgercart/hot_restart/log_events.py
+++ b/badgercart/hot_restart/log_events.py
@@ -1,4 +1,4 @@
-"""What is said in the log while one process takes over from another."""
+"""Log events of hot restarts, with advice for operators."""
 
 from __future__ import annotations
 
--- a/badgercart/hot_restart/process_lock.py
+++ b/badgercart/hot_restart/process_lock.py
@@ -1,7 +1,7 @@
-"""Which processes of this node live: each holds a lock in the shared folder until it ends.
+"""Detects the running processes of this node, each of which locks a file in the shared folder.
 
-The kernel lets a lock go with its process, however that ended: a file that can be locked is of a
-dead one.
+The kernel releases the lock when the process ends for any reason, so a file that can be locked
+belongs to a process that has ended.
 """
 
 from __future__ import annotations
@@ -13,57 +13,79 @@
 
 from badgercart.core.ports import Timers
 
-PREFIX, SUFFIX = "badgercart-", ".life"
-LOOK = 0.1  # s between looks for others
+LOCK_FILE_PREFIX = "badgercart-"
+LOCK_FILE_SUFFIX = ".life"
+SCAN_INTERVAL_S = 0.1
 
 
-class Lives:
-    """This process's own lock, and what others there are."""
+class ProcessLock:
+    """The lock of this process, and a periodic scan for other processes.
+
+    Attributes:
+        path: the lock file of this process.
+        is_alone: whether no other process of the node was running at the last scan.
+        is_closed: whether the lock was released.
+    """
 
     def __init__(self, folder: Path, timers: Timers, on_change: Callable[[bool], None]) -> None:
-        """`on_change` is told whether the process is alone, whenever that changes. OSError where
-        the folder can't be used."""
-        self.folder = folder
-        self.timers = timers
-        self.on_change = on_change
-        self.closed = False
-        self.path = folder / f"{PREFIX}{os.getpid()}{SUFFIX}"
-        # Locked under another name first: no one else may see it unlocked, and take it for a dead
-        # one's.
-        part = self.path.with_suffix(".born")
-        self.file = part.open("wb")
-        fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        os.replace(part, self.path)
-        self.alone = not self.others()
+        """Lock a file of this process and scan for others.
+
+        Args:
+            folder: the folder that all processes of the node share.
+            timers: call the next scan.
+            on_change: called with `is_alone` whenever that changes.
+
+        Raises:
+            OSError: the folder can't be used.
+        """
+        self._folder = folder
+        self._timers = timers
+        self._on_change = on_change
+        self.is_closed = False
+        self.path = folder / f"{LOCK_FILE_PREFIX}{os.getpid()}{LOCK_FILE_SUFFIX}"
+        # The file is locked before it gets its final name. Otherwise another process could find it
+        # unlocked, and delete it like the file of a process that has ended.
+        unpublished_path = self.path.with_suffix(".born")
+        self._lock_file = unpublished_path.open("wb")
+        fcntl.flock(self._lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        os.replace(unpublished_path, self.path)
+        self.is_alone = not self.find_other_processes()
 
     def start(self) -> None:
-        self.look()
+        """Start the periodic scan."""
+        self.check_others()
 
-    def look(self) -> None:
-        if self.closed:
+    def check_others(self) -> None:
+        """Scan for other processes, report a change, and schedule the next scan."""
+        if self.is_closed:
             return
-        self.timers.call_later(LOOK, self.look)
-        if (alone := not self.others()) is not self.alone:
-            self.alone = alone
-            self.on_change(alone)
+        self._timers.call_later(SCAN_INTERVAL_S, self.check_others)
+        if (is_alone := not self.find_other_processes()) is not self.is_alone:
+            self.is_alone = is_alone
+            self._on_change(is_alone)
 
-    def others(self) -> list[str]:
-        """The other processes that live; what dead ones left behind is cleared away."""
+    def find_other_processes(self) -> list[str]:
+        """Return the lock files of other running processes, and delete those of ended ones."""
         found = []
-        for name in os.listdir(self.folder):
-            if not (name.startswith(PREFIX) and name.endswith(SUFFIX)) or name == self.path.name:
+        for name in os.listdir(self._folder):
+            if (
+                not (name.startswith(LOCK_FILE_PREFIX) and name.endswith(LOCK_FILE_SUFFIX))
+                or name == self.path.name
+            ):
                 continue
             try:
-                with (self.folder / name).open("rb") as file:
+                with (self._folder / name).open("rb") as file:
                     fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
-                    (self.folder / name).unlink(missing_ok=True)
+                    (self._folder / name).unlink(missing_ok=True)
             except BlockingIOError:
                 found.append(name)
-            except OSError:  # gone meanwhile
+            except OSError:
+                # The file was deleted meanwhile.
                 continue
         return found
 
     def close(self) -> None:
-        self.closed = True
+        """Stop the scan and release the lock."""
+        self.is_closed = True
         self.path.unlink(missing_ok=True)
-        self.file.close()
+        self._lock_file.close()
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -23,8 +23,8 @@
 from badgercart.frontends.http.frontend import HttpFront
 from badgercart.hot_restart.inherited_socket import inherited_socket
 from badgercart.hot_restart.log_events import ALONE, BESIDE
-from badgercart.hot_restart.process_lock import Lives
-from badgercart.hot_restart.state_transfer import Handover
+from badgercart.hot_restart.process_lock import ProcessLock
+from badgercart.hot_restart.state_transfer import StateTransfer
 from badgercart.policy.events import UpdateKind
 from badgercart.reload.reconfiguration import IndexesInUse, reconfigure, settings_needing_restart
 
@@ -59,13 +59,13 @@
             )
         self.front = HttpFront(config, self.join, self.roster, loop)
         self.pool, self.listener = self.front.pool, self.front.listener
-        self.lives: Lives | None = None
-        self.handover: Handover | None = None
+        self.lives: ProcessLock | None = None
+        self.handover: StateTransfer | None = None
         if self.inherited is not None and config.folder is not None:
-            self.lives = Lives(config.folder, loop, self.on_company)
-            self.handover = Handover(config.folder, self.reader.unix_offset)
-            self.handover.give(self.join.policy, config)
-            if not self.lives.alone:
+            self.lives = ProcessLock(config.folder, loop, self.on_company)
+            self.handover = StateTransfer(config.folder, self.reader.unix_offset)
+            self.handover.restore(self.join.policy, config)
+            if not self.lives.is_alone:
                 self.on_company(False)
         self.discovery = Discovery(
             config.discovery, self.take_list, random.Random(config.seed), pace=self.pace(config)
@@ -86,7 +86,7 @@
 
     async def start(self) -> None:
         """OSError where an address can't be had."""
-        successor = self.lives is not None and not self.lives.alone
+        successor = self.lives is not None and not self.lives.is_alone
         self.front.start(self.inherited, opened=not successor)
         if successor:
             self.loop.call_later(LIST_PATIENCE, self.listener.open)
@@ -97,7 +97,9 @@
             self.lives.start()
         if self.handover is not None:
             policy, config = self.join.policy, lambda: self.config
-            self.loop.call_later(HANDOVER_FROM, self.handover.keep, policy, config, self.loop)
+            self.loop.call_later(
+                HANDOVER_FROM, self.handover.save_periodically, policy, config, self.loop
+            )
         if self.admin_listener is not None:
             await self.admin_listener.start()
 
--- a/tests/hot_restart/test_golden.py
+++ b/tests/hot_restart/test_golden.py
@@ -1,4 +1,4 @@
-"""What one process leaves for the next, by an earlier text: the next may be of another one."""
+"""The statistics file of hot restarts is unchanged: the next process may be of another version."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     return encode(memory(), CONFIG, NOW, OFFSET)
 
 
-def test_it_is_written_with_the_same_bytes() -> None:
+def test_the_file_is_encoded_unchanged() -> None:
     assert written() == FILE.read_bytes()
 
 
-def test_it_is_read_to_the_same_values() -> None:
+def test_the_file_is_decoded_unchanged() -> None:
     assert decode(FILE.read_bytes(), CONFIG, NOW + 5.0, OFFSET) == memory()
--- a/tests/hot_restart/test_handover.py
+++ b/tests/hot_restart/test_handover.py
@@ -1,4 +1,4 @@
-"""What was learned, from one process to the next: under other numbers, spoilt, cut off, too old."""
+"""The statistics file between two processes: other indexes, corrupt, truncated, too old."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from badgercart.config import Config
 from badgercart.core.checksummed_file import CorruptFileError
-from badgercart.hot_restart.state_transfer import OLDEST, Handover, decode, encode
+from badgercart.hot_restart.state_transfer import MAX_AGE_MS, StateTransfer, decode, encode
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import EndpointUpdate, Request, UpdateKind
 from badgercart.policy.policy import Policy
@@ -22,15 +22,15 @@
 NOW, OFFSET = 1_000_000.0, 777.0
 
 
-def made(*names: str) -> Config:
+def config_with_classes(*names: str) -> Config:
     classes = tuple(RequestClass(400.0, 900.0, 1.0, Idempotency.IDEMPOTENT) for _ in names)
     base = config(1)
-    numbers = {name.encode(): i for i, name in enumerate(names)}
-    return replace(base, settings=replace(base.settings, classes=classes), classes=numbers)
+    indexes = {name.encode(): i for i, name in enumerate(names)}
+    return replace(base, settings=replace(base.settings, classes=classes), classes=indexes)
 
 
-def learned(of: Config) -> PolicyStatistics:
-    policy = Policy(of.settings, 1)
+def measured_statistics(config: Config) -> PolicyStatistics:
+    policy = Policy(config.settings, 1)
     entries = [Endpoint(i, 0, 0, 0, EndpointState.READY, 1.0, 50.0 * i) for i in (1, 2)]
     policy.handle(100.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     policy.handle(101.0, Request(1, 0, 900.0))
@@ -46,63 +46,67 @@
     return export_statistics(policy)
 
 
-def test_names_stay_though_numbers_and_clocks_change() -> None:
-    old, new = made("a", "b"), made("new", "b", "a")
-    memory = learned(old)
-    got = decode(encode(memory, old, NOW, OFFSET), new, NOW + 5, OFFSET + 1000)
+def test_statistics_are_restored_by_name_with_other_indexes_and_clocks() -> None:
+    old, new = config_with_classes("a", "b"), config_with_classes("new", "b", "a")
+    statistics = measured_statistics(old)
+    restored = decode(encode(statistics, old, NOW, OFFSET), new, NOW + 5, OFFSET + 1000)
     assert (
-        got.typical_latency_ms == [100.0, 100.0, 33.0]
-        and got.kind_ratios == {0: 1.5}
-        and got.best_rate_per_endpoint == 0.25
+        restored.typical_latency_ms == [100.0, 100.0, 33.0]
+        and restored.kind_ratios == {0: 1.5}
+        and restored.best_rate_per_endpoint == 0.25
     )
     assert (
-        got.endpoints[1].failure_rates == (0.0, 0.0, 0.75)
-        and got.endpoints[1].relative_latency == 4.0
+        restored.endpoints[1].failure_rates == (0.0, 0.0, 0.75)
+        and restored.endpoints[1].relative_latency == 4.0
     )
-    assert got.endpoints[1].started_ms == 50.0 - 1000  # the same moment on another clock
-    assert got.offered[2] == memory.offered[0] and len(got.offered) == 6
+    # The start time is the same moment on another clock.
+    assert restored.endpoints[1].started_ms == 50.0 - 1000
+    assert restored.offered[2] == statistics.offered[0] and len(restored.offered) == 6
 
 
-DATA = encode(learned(made("a")), made("a"), NOW, OFFSET)
+DATA = encode(measured_statistics(config_with_classes("a")), config_with_classes("a"), NOW, OFFSET)
 
 
 @given(st.integers(0, len(DATA) - 1), st.integers(0, 255))
-def test_cut_anywhere_or_with_any_byte_changed_it_is_not_taken(at: int, byte: int) -> None:
-    spoilt = [DATA[:at]] + (
-        [DATA[:at] + bytes([byte]) + DATA[at + 1 :]] if DATA[at] != byte else []
+def test_a_truncated_or_altered_file_is_rejected(position: int, byte: int) -> None:
+    corrupt_files = [DATA[:position]] + (
+        [DATA[:position] + bytes([byte]) + DATA[position + 1 :]] if DATA[position] != byte else []
     )
-    for data in spoilt:
+    for data in corrupt_files:
         with pytest.raises(CorruptFileError):
-            decode(data, made("a"), NOW, OFFSET)
+            decode(data, config_with_classes("a"), NOW, OFFSET)
 
 
-def test_what_a_process_long_dead_left_is_not_taken(tmp_path: Path) -> None:
+def test_a_file_that_is_too_old_is_ignored(tmp_path: Path) -> None:
     with pytest.raises(CorruptFileError, match="too old"):
-        decode(DATA, made("a"), NOW + OLDEST + 1, OFFSET)
-    handover, policy = Handover(tmp_path, OFFSET), Policy(made("a").settings, 1)
-    handover.path.write_bytes(DATA)  # of the year 1970
-    handover.give(policy, made("a"))
+        decode(DATA, config_with_classes("a"), NOW + MAX_AGE_MS + 1, OFFSET)
+    handover, policy = StateTransfer(tmp_path, OFFSET), Policy(config_with_classes("a").settings, 1)
+    # The time in the file is in the year 1970.
+    handover.path.write_bytes(DATA)
+    handover.restore(policy, config_with_classes("a"))
     assert policy.fleet.latency.typical_ms == [100.0] and not policy.fleet.endpoints.restorable
 
 
-def test_it_is_written_and_taken_and_its_writes_end(tmp_path: Path) -> None:
+def test_statistics_are_saved_and_restored_until_closed(tmp_path: Path) -> None:
     class Timers:
-        set: list[object] = []
+        calls: list[object] = []
 
         def call_later(self, delay: float, callback: object, *args: object) -> object:
-            self.set.append(callback)
+            self.calls.append(callback)
             return self
 
         def cancel(self) -> None: ...
 
-    of, timers = made("a"), Timers()
-    first, policy = Handover(tmp_path, OFFSET), Policy(of.settings, 1)
+    node_config, timers = config_with_classes("a"), Timers()
+    first, policy = StateTransfer(tmp_path, OFFSET), Policy(node_config.settings, 1)
     policy.fleet.latency.typical_ms[0] = 44.0
-    first.keep(policy, lambda: of, timers)
-    assert [path.name for path in tmp_path.iterdir()] == [first.path.name] and len(timers.set) == 1
-    successor = Policy(of.settings, 2)
-    Handover(tmp_path, OFFSET).give(successor, of)
+    first.save_periodically(policy, lambda: node_config, timers)
+    assert [path.name for path in tmp_path.iterdir()] == [first.path.name] and len(
+        timers.calls
+    ) == 1
+    successor = Policy(node_config.settings, 2)
+    StateTransfer(tmp_path, OFFSET).restore(successor, node_config)
     assert successor.fleet.latency.typical_ms == [44.0]
     first.close()
-    first.keep(policy, lambda: of, timers)
-    assert len(timers.set) == 1
+    first.save_periodically(policy, lambda: node_config, timers)
+    assert len(timers.calls) == 1
--- a/tests/hot_restart/test_replacing.py
+++ b/tests/hot_restart/test_replacing.py
@@ -1,4 +1,4 @@
-"""One process takes over from another on the platform's socket: real processes, real signals."""
+"""Hot restarts on the platform's socket, with real processes and signals."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class Platform:
-    """Holds the listening socket, and starts processes of one node on it."""
+    """Owns the listening socket, and starts processes of one node that inherit it."""
 
     def __init__(self, folder: Path, agent: Agent) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.port: int = self.sock.getsockname()[1]
         self.folder = folder
         self.path = folder / "config.json"
-        told = {"discovery": f"127.0.0.1:{agent.port}", "listen": f"127.0.0.1:{self.port}"}
-        self.path.write_text(json.dumps(raw_config() | told))
+        endpoints = {"discovery": f"127.0.0.1:{agent.port}", "listen": f"127.0.0.1:{self.port}"}
+        self.path.write_text(json.dumps(raw_config() | endpoints))
         self.processes: list[Process] = []
 
     async def start(self) -> Process:
@@ -69,103 +69,103 @@
 @asynccontextmanager
 async def platform(folder: Path, *peers: Peer) -> AsyncIterator[Platform]:
     agent = await Agent([peer.entry(f"s-{i}") for i, peer in enumerate(peers, 1)]).start()
-    made = Platform(folder, agent)
+    platform_ = Platform(folder, agent)
     try:
-        yield made
+        yield platform_
     finally:
-        made.sock.close()
-        for node in made.processes:
+        platform_.sock.close()
+        for node in platform_.processes:
             if node.process.returncode is None:
                 node.process.kill()
                 await node.process.wait()
 
 
-async def traffic(here: Platform, stop: asyncio.Event) -> tuple[int, int]:
-    """A client that keeps its connection where it may: answers that it got, requests turned
-    back."""
-    served = turned_back = 0
-    client, fresh = await here.client(), True
+async def traffic(platform_: Platform, stop: asyncio.Event) -> tuple[int, int]:
+    """Send requests on persistent connections; return the numbers of served and refused ones."""
+    served = refused = 0
+    client, is_new_connection = await platform_.client(), True
     while not stop.is_set():
         try:
             status, head, _ = await client.ask(request())
         except (asyncio.IncompleteReadError, ConnectionError):
-            assert not fresh, "a new connection was turned away"
-            turned_back += 1
-            client, fresh = await here.client(), True
+            assert not is_new_connection, "a request on a new connection was refused"
+            refused += 1
+            client, is_new_connection = await platform_.client(), True
             continue
         assert status == 200, head
-        served, fresh = served + 1, False
+        served, is_new_connection = served + 1, False
         if field(head, b"Connection") == b"close":
             client.writer.close()
-            client, fresh = await here.client(), True
+            client, is_new_connection = await platform_.client(), True
     client.writer.close()
-    return served, turned_back
+    return served, refused
 
 
-def test_many_replacements_under_traffic_turn_nothing_back_and_forget_no_ban(
+def test_many_restarts_under_traffic_refuse_no_request_and_keep_ejections(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
         peers = [await Peer().start() for _ in range(6)]
-        async with platform(tmp_path, *peers) as here:
-            node = await here.start()
-            assert await here.call(node, "/-/servers/s-1/disable") == 200
+        async with platform(tmp_path, *peers) as platform_:
+            node = await platform_.start()
+            assert await platform_.call(node, "/-/servers/s-1/disable") == 200
             while not peers[0].requests.empty():
                 peers[0].requests.get_nowait()
             stop = asyncio.Event()
-            clients = [asyncio.ensure_future(traffic(here, stop)) for _ in range(3)]
+            clients = [asyncio.ensure_future(traffic(platform_, stop)) for _ in range(3)]
             for _ in range(int(os.environ.get("BADGERCART_RUNS", "3"))):
-                successor = await here.start()
-                assert await here.end(node) == 0
+                successor = await platform_.start()
+                assert await platform_.end(node) == 0
                 node = successor
                 assert len([path for path in tmp_path.iterdir() if path.suffix == ".life"]) == 1
             stop.set()
-            for served, turned_back in await asyncio.gather(*clients):
-                assert served and not turned_back
+            for served, refused in await asyncio.gather(*clients):
+                assert served and not refused
             assert peers[0].requests.empty()
-            assert await here.call(node, "/-/servers/s-1/enable") == 200
-            client = await here.client()
+            assert await platform_.call(node, "/-/servers/s-1/enable") == 200
+            client = await platform_.client()
             while peers[0].requests.empty():
                 assert (await client.ask(request()))[0] == 200
 
     uvloop.run(test())
 
 
-def test_a_ban_told_to_either_of_two_holds_at_both(tmp_path: Path) -> None:
+def test_an_ejection_at_either_of_two_processes_applies_to_both(tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer().start()
-        async with platform(tmp_path, peer) as here:
-            old, new = await here.start(), await here.start()
-            assert await here.call(new, "/-/servers/s-1/disable") == 200
+        async with platform(tmp_path, peer) as platform_:
+            old, new = await platform_.start(), await platform_.start()
+            assert await platform_.call(new, "/-/servers/s-1/disable") == 200
             await old.line("server s-1 is taken out")
-            assert await here.call(old, "/-/servers/s-1/enable") == 200
+            assert await platform_.call(old, "/-/servers/s-1/enable") == 200
             await new.line("server s-1 is called back")
 
     uvloop.run(test())
 
 
-def test_held_and_half_read_requests_are_answered_by_the_one_that_leaves(tmp_path: Path) -> None:
+def test_requests_in_flight_or_partly_read_are_served_by_the_old_process(tmp_path: Path) -> None:
     release = asyncio.Event()
 
     async def test() -> None:
         peer = await Peer(held_back(release)).start()
-        async with platform(tmp_path, peer) as here:
-            old = await here.start()
-            holder, half, quiet = [await here.client() for _ in range(3)]
-            holder.writer.write(request())
+        async with platform(tmp_path, peer) as platform_:
+            old = await platform_.start()
+            waiting, partial, idle = [await platform_.client() for _ in range(3)]
+            waiting.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            whole = request()
-            half.writer.write(whole[:20])
-            assert (await quiet.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-            await here.start()
+            request_bytes = request()
+            partial.writer.write(request_bytes[:20])
+            assert (await idle.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
+            await platform_.start()
             old.process.send_signal(signal.SIGTERM)
             await old.line("handing over")
-            half.writer.write(whole[20:])
-            quiet.writer.write(request())  # on a connection that has stood idle
+            partial.writer.write(request_bytes[20:])
+            # This connection was idle.
+            idle.writer.write(request())
             for _ in range(2):
                 await asyncio.wait_for(peer.requests.get(), WAIT)
             release.set()
-            for client in (holder, half, quiet):
+            for client in (waiting, partial, idle):
                 status, head, _ = await client.answer()
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 client.writer.close()
@@ -174,24 +174,24 @@
     uvloop.run(test())
 
 
-def test_a_successor_that_dies_and_a_file_of_one_long_dead_leave_the_first_alone(
+def test_a_killed_successor_and_a_stale_lock_file_leave_the_first_process_alone(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
         peer = await Peer().start()
         (tmp_path / "badgercart-99999999.life").write_bytes(b"")
         (tmp_path / "badgercart-bans").write_bytes(b"spoilt")
-        async with platform(tmp_path, peer) as here:
-            first = await here.start()
+        async with platform(tmp_path, peer) as platform_:
+            first = await platform_.start()
             assert any("badgercart-bans is not used" in line for line in first.lines)
             assert not any("another process" in line for line in first.lines)
-            assert await here.call(first, "/-/servers/s-1/disable") == 200
-            second = await here.start()
+            assert await platform_.call(first, "/-/servers/s-1/disable") == 200
+            second = await platform_.start()
             await first.line("another process of this node lives")
             second.process.kill()
             await first.line("alone again")
-            assert await here.call(first, "/-/servers/s-1/enable") == 200
-            client = await here.client()
+            assert await platform_.call(first, "/-/servers/s-1/enable") == 200
+            client = await platform_.client()
             assert (await client.ask(request()))[0] == 200
 
     uvloop.run(test())
@@ -206,20 +206,28 @@
     ]
 
 
-@pytest.mark.parametrize(("kind", "words"), bad_descriptors())
-def test_a_descriptor_that_is_no_listening_socket_is_a_plain_error(
-    tmp_path: Path, kind: str, words: str
+@pytest.mark.parametrize(("kind", "expected_text"), bad_descriptors())
+def test_a_descriptor_that_is_no_listening_socket_is_a_one_line_error(
+    tmp_path: Path, kind: str, expected_text: str
 ) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config()))
     idle, (read, write) = socket.socket(), os.pipe()
-    told = {"idle": str(idle.fileno()), "pipe": str(read)}.get(kind, kind)
-    environ = {"ROUTER_CONFIG": str(path), "ROUTER_INHERITED_FD": told, "TMPDIR": str(tmp_path)}
-    done = subprocess.run(
+    descriptor = {"idle": str(idle.fileno()), "pipe": str(read)}.get(kind, kind)
+    environ = {
+        "ROUTER_CONFIG": str(path),
+        "ROUTER_INHERITED_FD": descriptor,
+        "TMPDIR": str(tmp_path),
+    }
+    completed = subprocess.run(
         COMMAND, env=os.environ | environ, capture_output=True, text=True, check=False,
         pass_fds=[idle.fileno(), read],
     )  # fmt: skip
     idle.close()
     os.close(read)
     os.close(write)
-    assert done.returncode == 2 and words in done.stderr and done.stderr.count("\n") == 1
+    assert (
+        completed.returncode == 2
+        and expected_text in completed.stderr
+        and completed.stderr.count("\n") == 1
+    )
