--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -189,7 +189,7 @@
     """Show the state of each replica."""
     group = load_group(file)
     found = asyncio.run(_fetch_all(group))
-    rows = {name: status_columns(each) for name, each in found.items()}
+    rows = {name: status_columns(result) for name, result in found.items()}
     if as_json:
         click.echo(json.dumps(rows))
     else:
@@ -197,11 +197,11 @@
         show_table(
             ("store", *columns),
             [
-                (name, *(str(each.get(column, "")) for column in columns))
-                for name, each in rows.items()
+                (name, *(str(row.get(column, "")) for column in columns))
+                for name, row in rows.items()
             ],
         )
-    if not any(each.get("role") == "leading" for each in rows.values()):
+    if not any(row.get("role") == "leading" for row in rows.values()):
         detail = "no store that answers leads: nothing can be put"
         raise CommandError(detail)
 
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -380,7 +380,7 @@
         log_listening(settings, self.driver)
 
     def prepare(self, settings: ReplicaSettings) -> Callable[[], None] | None:  # noqa: ARG002
-        """Return None, no reload: the settings have to match those of the other replicas."""
+        """Return None: nothing is reloaded, since the other replicas know this one by its settings."""
         return None
 
     async def drain(self, until: float) -> None:
--- a/badgercart/distribution/connections.py
+++ b/badgercart/distribution/connections.py
@@ -71,7 +71,11 @@
     def dialled_or_connected(self) -> set[str]:
         """Return the names of the replicas that are connected or being dialled."""
         names = {connection.dialled for connection in self.by_number.values()}
-        names |= {each.peer.name for each in self.by_number.values() if each.peer is not None}
+        names |= {
+            connection.peer.name
+            for connection in self.by_number.values()
+            if connection.peer is not None
+        }
         return names
 
     @staticmethod
--- a/badgercart/distribution/journal_format.py
+++ b/badgercart/distribution/journal_format.py
@@ -114,8 +114,14 @@
     except msgspec.MsgspecError as error:
         raise JournalError(name, str(error)) from error
     return [
-        Persist(each.term, each.voted_for, each.after_index, each.changes, each.commit_index)
-        for each in records
+        Persist(
+            record.term,
+            record.voted_for,
+            record.after_index,
+            record.changes,
+            record.commit_index,
+        )
+        for record in records
     ]
 
 
--- a/badgercart/distribution/publisher.py
+++ b/badgercart/distribution/publisher.py
@@ -122,26 +122,26 @@
         self.unsubscribe(connection)
         subscriber = self.subscriptions.add_subscriber(connection)
         effects: list[Effect] = []
-        for wanted in message.topics:
-            if wanted.topic not in subscriber.sent_versions:
-                effects += self._subscribe_to(subscriber, wanted)
+        for requested in message.topics:
+            if requested.topic not in subscriber.sent_versions:
+                effects += self._subscribe_to(subscriber, requested)
         return effects + self._send_pending(now_ms, subscriber)
 
-    def _subscribe_to(self, subscriber: Subscriber, wanted: TopicVersion) -> list[Effect]:
-        name = wanted.topic
-        self.subscriptions.add_topic(subscriber, name, wanted.version)
+    def _subscribe_to(self, subscriber: Subscriber, requested: TopicVersion) -> list[Effect]:
+        name = requested.topic
+        self.subscriptions.add_topic(subscriber, name, requested.version)
         topic = self.topics.by_name.get(name)
         version = 0 if topic is None else topic.version
-        if wanted.version > version:
-            subscriber.newer_digests[name] = wanted.digest
-            detail = f"the follower has number {wanted.version}, this store {version}"
+        if requested.version > version:
+            subscriber.newer_digests[name] = requested.digest
+            detail = f"the follower has number {requested.version}, this store {version}"
             return [Send(subscriber.connection, Rejection("behind", name, detail))]
         if topic is None:
             rejection = Rejection("unknown-topic", name, "there is no such topic yet")
             return [Send(subscriber.connection, rejection)]
-        if wanted.version < version:
+        if requested.version < version:
             self._enqueue(subscriber, name)
-        elif wanted.digest != topic.digest:
+        elif requested.digest != topic.digest:
             subscriber.sent_versions[name] = RESEND
             self._enqueue(subscriber, name)
         return []
--- a/tests/admin/test_requests.py
+++ b/tests/admin/test_requests.py
@@ -12,6 +12,8 @@
 
 
 class RecordingHandlers:
+    """Handlers that record their calls."""
+
     def __init__(self) -> None:
         self.calls: list[tuple[str, str]] = []
 
--- a/tests/distribution/scenarios.py
+++ b/tests/distribution/scenarios.py
@@ -40,7 +40,10 @@
 
 
 def figure_8(replica_class: type[Replica] = Replica) -> None:
-    """Raft's figure 8: a change of an earlier term may be replaced although a majority has it."""
+    """Play figure 8 of the Raft paper.
+
+    A change of an earlier term may be replaced although a majority has it.
+    """
     group = Group(5, replica_class=replica_class)
     # All replicas connect.
     group.run(200.0)
@@ -92,7 +95,7 @@
 
 
 def restart_after_vote(replica_class: type[Replica] = Replica) -> None:
-    """A voter that restarts after its vote must not grant another vote in that term."""
+    """Restart a voter after its vote: it must not grant another vote in that term."""
     group = Group(3, replica_class=replica_class)
     group.run(200.0)
     s1, s2, s3 = group.names
@@ -110,7 +113,7 @@
 
 
 def concurrent_candidates(replica_class: type[Replica] = Replica) -> None:
-    """Two candidates of the same term request the vote of one voter."""
+    """Let two candidates of the same term request the vote of one voter."""
     group = Group(3, replica_class=replica_class)
     group.run(200.0)
     s1, _, s3 = group.names
@@ -127,7 +130,7 @@
 
 
 def shorter_append_after_commit(replica_class: type[Replica] = Replica) -> None:
-    """The first message of a later leader must not truncate committed changes after it."""
+    """Send a short first message of a later leader: it must not truncate committed changes."""
     group = Group(3, replica_class=replica_class)
     group.run(200.0)
     s1, s2, s3 = group.names
@@ -180,7 +183,7 @@
 
 
 def append_of_earlier_term(replica_class: type[Replica] = Replica) -> None:
-    """A leader of an earlier term is rejected with the current term, and changes nothing."""
+    """Reject a leader of an earlier term with the current term, and change nothing."""
     replica = replica_with_leader(
         RecoveredState(3, "c", 1, 0, 0, {}, (change(1, 1), change(3, 2))), replica_class
     )
@@ -193,7 +196,7 @@
 
 
 def snapshot_before_log_tail(replica_class: type[Replica] = Replica) -> None:
-    """Changes after a snapshot stay if the log matches the snapshot at its index."""
+    """Keep the changes after a snapshot if the log matches the snapshot at its index."""
     log = tuple(change(1, index) for index in range(1, 6))
     replica = replica_with_leader(RecoveredState(1, "", 1, 0, 0, {}, log), replica_class)
     topic = Topic(4, (Entry("k", b"4"),))
--- a/tests/distribution/simulation.py
+++ b/tests/distribution/simulation.py
@@ -1,8 +1,8 @@
 """Simulates replicas and followers on a virtual clock, with network delays and partitions.
 
-Connections behave like TCP: messages arrive in order and complete. While a direction is cut, messages
-wait until it is healed or the connection ends. After each event of a replica the group checks the
-invariants of Raft and of published topics.
+Connections behave like TCP: messages arrive in order and complete. While a direction is cut,
+messages wait until it is healed or the connection ends. After each event of a replica the group
+checks the invariants of Raft and of published topics.
 """
 
 from __future__ import annotations
@@ -141,6 +141,8 @@
 
 
 class ReplicaProcess(Process):
+    """A process with a replica, whose disk survives crashes."""
+
     def __init__(self, group: Group, name: str) -> None:
         super().__init__(group, name)
         self.disk: Disk = group.disk_class()
@@ -287,21 +289,21 @@
             assert topic.digest == message.digest
             self.group.check_topic(self.name, message.topic, topic)
         elif isinstance(message, Snapshot):
-            had = self.assembling.get(message.topic)
+            assembly = self.assembling.get(message.topic)
             if message.part == 1:
-                had = message, Topic(message.version)
-            assert had is not None and message.part == had[0].part + (message.part > 1)
-            assert (message.version, message.digest) == (had[0].version, had[0].digest)
-            had[1].put(message.entries)
-            self.assembling[message.topic] = message, had[1]
+                assembly = message, Topic(message.version)
+            assert assembly is not None and message.part == assembly[0].part + (message.part > 1)
+            assert (message.version, message.digest) == (assembly[0].version, assembly[0].digest)
+            assembly[1].put(message.entries)
+            self.assembling[message.topic] = message, assembly[1]
             if message.part == message.parts:
                 del self.assembling[message.topic]
                 assert (
-                    had[1].version >= self.topics[message.topic].version
+                    assembly[1].version >= self.topics[message.topic].version
                 ), "an older version replaced a newer one"
-                assert had[1].digest == message.digest
-                self.topics[message.topic] = had[1]
-                self.group.check_topic(self.name, message.topic, had[1])
+                assert assembly[1].digest == message.digest
+                self.topics[message.topic] = assembly[1]
+                self.group.check_topic(self.name, message.topic, assembly[1])
         elif isinstance(message, Heartbeat):
             self.age_ms, self.age_at_ms = message.age_ms, self.group.now_ms
             self.group.check_heartbeat(self, message)
@@ -341,6 +343,8 @@
 
 
 class Group:
+    """A simulated group of replicas with followers, an operator and a network."""
+
     def __init__(
         self,
         count: int = 3,
@@ -485,7 +489,7 @@
         self.schedule(at_ms - self.now_ms, self.deliver, other)
 
     def deliver(self, end: ConnectionEnd) -> None:
-        """Deliver the messages that have arrived, unless the direction is cut or the process paused."""
+        """Deliver arrived messages, unless the direction is cut or the process paused."""
         assert end.other is not None
         while end.queue and end.open and end.queue[0][0] <= self.now_ms:
             owner = end.owner
@@ -592,8 +596,8 @@
         process.checked_index = commit_index
         new_commits, process.new_commits = process.new_commits, []
         for change in new_commits:
-            had = self.committed.setdefault(change.index, change)
-            assert had == change, f"{had} is committed, but {change} at {name}"
+            committed = self.committed.setdefault(change.index, change)
+            assert committed == change, f"{committed} is committed, but {change} at {name}"
             if change.index > self.commit_times[-1][1]:
                 self.commit_times.append((self.now_ms, change.index))
         if changed:
@@ -634,7 +638,7 @@
         ), f"{answer}: {expected_values} are missing"
 
     def check_heartbeat(self, follower: SimulatedFollower, heartbeat: Heartbeat) -> None:
-        """Check that a follower has all changes committed `age_ms` before the heartbeat was sent."""
+        """Check that a follower has all changes committed `age_ms` before the heartbeat."""
         committed_before_ms = self.sent_at_ms - heartbeat.age_ms
         index = max((i for at_ms, i in self.commit_times if at_ms < committed_before_ms), default=0)
         numbers: dict[str, int] = {}
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -70,7 +70,7 @@
 
 
 class FollowerHarness:
-    """A follower whose replicas are played by the test, with the topics that its effects produce."""
+    """A follower whose replicas the test plays, with the topics that its effects produce."""
 
     def __init__(
         self, *topics: str, replicas: int = 3, seed: int = 1, timing: FollowerTiming = TIMING
--- a/tests/distribution/test_journal.py
+++ b/tests/distribution/test_journal.py
@@ -146,8 +146,8 @@
 def compacted_state() -> RecoveredState:
     """Return the state after all of RECORDS, with committed changes applied to the topics."""
     topic = Topic()
-    for each in (change(1, 1), change(2, 2), change(2, 3)):
-        topic.apply(each.entries)
+    for committed_change in (change(1, 1), change(2, 2), change(2, 3)):
+        topic.apply(committed_change.entries)
     return RecoveredState(3, "b", 4, 4, 2, {"t": topic}, (change(3, 5),))
 
 
@@ -195,8 +195,8 @@
     )
 
 
-class Crash(OSError):
-    pass
+class CrashError(OSError):
+    """A simulated failure of a disk call."""
 
 
 def record_disk_calls(
@@ -213,7 +213,7 @@
             if len(calls) == fail_at:
                 if name == "write" and writes_half:
                     real(arguments[0], bytes(arguments[1])[: len(arguments[1]) // 2])
-                raise Crash(f"call {fail_at}, {name}, fails")
+                raise CrashError(f"call {fail_at}, {name}, fails")
             return real(*arguments, **keywords)
 
         monkeypatch.setattr(os, name, call)
@@ -241,7 +241,7 @@
                     else:
                         journal.compact(compacted_state())
                     completed = True
-                except Crash:
+                except CrashError:
                     completed = False
             if not completed:
                 with pytest.raises(JournalError, match="nothing is kept any more"):
