--- a/badgercart/distribution/replica_selector.py
+++ b/badgercart/distribution/replica_selector.py
@@ -37,7 +37,7 @@
     that lose a replica at the same time don't connect to the next one together.
 
     Attributes:
-        failures: the number of connections since the last success.
+        failures: the number of failed connections in a row, which did not prove the topics fresh.
         order: the positions of the replicas in the order of selection.
     """
 
--- a/badgercart/distribution/topic_sync.py
+++ b/badgercart/distribution/topic_sync.py
@@ -15,7 +15,7 @@
 from badgercart.distribution.messages import Delta, Entry, Rejection, Snapshot
 from badgercart.distribution.topic import Topic, framed_size
 
-# The limit of the snapshot of one topic.
+# The limit of parts in the snapshot of one topic.
 MAX_SNAPSHOT_PARTS = 4096
 # After more gaps on one connection the replica is abandoned.
 MAX_GAPS = 8
--- a/badgercart/reload/checks.py
+++ b/badgercart/reload/checks.py
@@ -14,7 +14,8 @@
 OPTIONAL_KEYS = frozenset(("known", "peers", "peers_all", "peer_listen", "console"))
 # The lists under `settings` whose items have names.
 NAMED_LISTS = ("Classes", "Customers")
-MAX_CLASSES, MAX_TENANTS = 256, 4096
+MAX_CLASSES = 256
+MAX_TENANTS = 4096
 # The limit of digits of an invalid number that an error shows.
 MAX_DIGITS_SHOWN = 40
 
