--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -25,8 +25,8 @@
 from badgercart.frontends.http.frontend import HttpFrontend
 from badgercart.hot_restart.inherited_socket import inherited_socket
 from badgercart.hot_restart.log_events import ALONE, BESIDE
-from badgercart.hot_restart.process_lock import Lives
-from badgercart.hot_restart.state_transfer import Handover
+from badgercart.hot_restart.process_lock import ProcessLock
+from badgercart.hot_restart.state_transfer import StateTransfer
 from badgercart.policy.events import UpdateKind
 from badgercart.reload.reconfiguration import IndexesInUse, reconfigure, settings_needing_restart
 
@@ -69,13 +69,13 @@
             )
         self.frontend = HttpFrontend(config, self.pipeline, self.endpoint_table, loop)
         self.pool, self.listener = self.frontend.pool, self.frontend.listener
-        self.process_lock: Lives | None = None
-        self.state_transfer: Handover | None = None
+        self.process_lock: ProcessLock | None = None
+        self.state_transfer: StateTransfer | None = None
         if self.inherited is not None and config.folder is not None:
-            self.process_lock = Lives(config.folder, loop, self.on_alone_changed)
-            self.state_transfer = Handover(config.folder, self.list_reader.unix_offset)
-            self.state_transfer.give(self.pipeline.policy, config)
-            if not self.process_lock.alone:
+            self.process_lock = ProcessLock(config.folder, loop, self.on_alone_changed)
+            self.state_transfer = StateTransfer(config.folder, self.list_reader.unix_offset)
+            self.state_transfer.restore(self.pipeline.policy, config)
+            if not self.process_lock.is_alone:
                 self.on_alone_changed(False)
         self.discovery = Discovery(
             config.discovery,
@@ -101,7 +101,7 @@
 
     async def start(self) -> None:
         """Start all parts. Raises OSError if an address can't be used."""
-        successor = self.process_lock is not None and not self.process_lock.alone
+        successor = self.process_lock is not None and not self.process_lock.is_alone
         self.frontend.start(self.inherited, opened=not successor)
         if successor:
             self.loop.call_later(DISCOVERY_WAIT_S, self.listener.open)
@@ -113,7 +113,11 @@
         if self.state_transfer is not None:
             policy, config = self.pipeline.policy, lambda: self.config
             self.loop.call_later(
-                STATE_TRANSFER_DELAY_S, self.state_transfer.keep, policy, config, self.loop
+                STATE_TRANSFER_DELAY_S,
+                self.state_transfer.save_periodically,
+                policy,
+                config,
+                self.loop,
             )
         if self.admin_listener is not None:
             await self.admin_listener.start()
