--- a/badgercart/app/site.py
+++ b/badgercart/app/site.py
@@ -102,7 +102,7 @@
         meters.gauge(
             "badgercart_overload",
             "The overload x that the cut rises with, 0 to 1.",
-            lambda: policy.overload.overload,
+            lambda: policy.overload.level,
         )
         meters.gauge(
             "badgercart_held", "Requests that are owed an answer.", lambda: len(join.in_flight)
--- a/badgercart/capture/anonymise.py
+++ b/badgercart/capture/anonymise.py
@@ -98,7 +98,7 @@
     for item in items:
         event = renumbered(item.event, names)
         if isinstance(event, Request):
-            event.deadline -= shift
+            event.deadline_at_ms -= shift
         elif isinstance(event, EndpointUpdate):
             event.endpoints = [began_at(line, shift) for line in event.endpoints]
         fresh.append(CapturedEvent(item.now - shift, event, item.then_actions))
--- a/badgercart/capture/codec.py
+++ b/badgercart/capture/codec.py
@@ -113,10 +113,10 @@
     elif isinstance(event, TrafficPlan):
         fields = (
             event.shares,
-            event.spillover_rates,
+            event.spillover_rates_per_ms,
             sorted(event.lost_zones),
             sorted(event.planned_tenants),
-            event.zone_strain,
+            event.offload_shares,
         )
     return _EVENT_NUMBERS[kind], now, fields
 
--- a/badgercart/capture/explain.py
+++ b/badgercart/capture/explain.py
@@ -94,8 +94,8 @@
         )
         if usable:
             return f"could serve: {load}"
-        if health.ejected_until:
-            return f"rests until {health.ejected_until:.0f} ms or proves itself: {load}"
+        if health.ejected_until_ms:
+            return f"rests until {health.ejected_until_ms:.0f} ms or proves itself: {load}"
         if any(overdue_ms < now_ms for _, overdue_ms in tracked.open_attempts.values()):
             return f"hangs: an attempt there is overdue; {load}"
         share = self._slow_start.capacity_share(tracked.endpoint, now_ms)
@@ -161,7 +161,7 @@
         concurrency = overload.concurrency
         self.notes.add(
             now_ms,
-            f"cut {overload.shed_threshold:.2f} at x {overload.overload:.3f}: "
+            f"cut {overload.shed_threshold:.2f} at x {overload.level:.3f}: "
             f"errors {overload.error_rate.rate:.3f}, "
             f"{concurrency.average:.1f} attempts in flight of {concurrency.limit:.1f} needed",
         )
@@ -206,10 +206,10 @@
 
 def _told(event: Event) -> str:
     if isinstance(event, AttemptEnded):
-        parked = ", parked" if event.parked else ""
+        parked = ", parked" if event.retry_deferred else ""
         words = f"attempt {event.attempt} at {event.endpoint_id:x}: {RESULTS[event.result]} after"
         return f"{words} {event.elapsed_ms:.1f} ms{parked}" + (
-            ", the request is over" if event.completed else ""
+            ", the request is over" if event.request_finished else ""
         )
     if isinstance(event, AttemptRerouted):
         result = RESULTS[event.result]
--- a/badgercart/capture/policy_state.py
+++ b/badgercart/capture/policy_state.py
@@ -47,7 +47,7 @@
     return (
         item.id,
         item.class_index,
-        item.deadline,
+        item.deadline_at_ms,
         item.key,
         item.tenant,
         item.expected_work_ms,
@@ -113,15 +113,15 @@
 def _planned(item: TrafficPlan) -> Values:
     return (
         item.shares,
-        item.spillover_rates,
+        item.spillover_rates_per_ms,
         item.lost_zones,
         item.planned_tenants,
-        item.zone_strain,
+        item.offload_shares,
     )
 
 
 def _health(item: ClassHealth) -> Values:
-    return item.failure_rate, item.ejected_until, item.consecutive_ejections
+    return item.failure_rate, item.ejected_until_ms, item.consecutive_ejections
 
 
 def _level(item: VirtualNodeScale) -> Values:
@@ -156,7 +156,7 @@
     return (
         item.endpoint,
         item.tokens,
-        item.tokens_at,
+        item.tokens_as_of_ms,
         item.health,
         item.open_attempts,
         item.uploads,
@@ -169,7 +169,7 @@
     (
         item.endpoint,
         item.tokens,
-        item.tokens_at,
+        item.tokens_as_of_ms,
         item.health,
         item.open_attempts,
         item.uploads,
@@ -179,11 +179,11 @@
 
 
 def _save_queue(item: KeyQueue) -> Values:
-    return item.waiting, item.open_attempts, item.cooldown_until
+    return item.waiting, item.open_attempts, item.cooldown_until_ms
 
 
 def _fill_queue(item: KeyQueue, values: Values) -> None:
-    item.waiting, item.open_attempts, item.cooldown_until = values
+    item.waiting, item.open_attempts, item.cooldown_until_ms = values
 
 
 def _save_pending(item: PendingRequest) -> Values:
@@ -241,8 +241,8 @@
         "marks": policy.fleet.endpoints.hashes,
         "cold": policy.fleet.slow_start.starting,
         "sizes": policy.fleet.capacity.sizes,
-        "placed": policy.fleet.endpoints.settled,
-        "noted": policy.fleet.endpoints.recorded,
+        "placed": policy.fleet.endpoints.applied,
+        "noted": policy.fleet.endpoints.updated,
         "groups": policy.fleet.subset.groups,
         "start": policy.fleet.subset.start,
         "span": policy.fleet.subset.size,
@@ -279,11 +279,11 @@
         "least": policy.overload.throughput.best_latency_ms,
         "answers": policy.overload.throughput.samples,
         "carried": policy.overload.throughput.best_rate_per_endpoint,
-        "x": policy.overload.overload,
+        "x": policy.overload.level,
         "cut": policy.overload.shed_threshold,
         "shedding": policy.overload.shedding,
-        "upkeep_at": policy.schedule.refreshed_at,
-        "halved_at": policy.schedule.halved_at,
+        "upkeep_at": policy.schedule.refreshed_at_ms,
+        "halved_at": policy.schedule.halved_at_ms,
         "now": policy.now_ms,
         "leaked": policy.quotas.leaked_ms,
         "kinds": policy.fleet.latency.kind_ratios,
@@ -301,7 +301,7 @@
         "inside": policy.fleet.locality.members,
         "zones_old": policy.fleet.locality.stale,
         "focus": policy.fleet.locality.load_factors,
-        "spilt": policy.fleet.locality.spilled,
+        "spilt": policy.fleet.locality.spillover_tokens,
         "settings": policy.settings,
         "pace": policy.overload.time_scale,
         "worths": policy.priority.weights,
@@ -328,8 +328,8 @@
     policy.random.setstate(values["random"].getstate())
     policy.lifecycle.requests = values["jobs"]
     policy.lifecycle.streaming = values["streams"]
-    policy.schedule.refreshed_at = values["upkeep_at"]
-    policy.schedule.halved_at = values["halved_at"]
+    policy.schedule.refreshed_at_ms = values["upkeep_at"]
+    policy.schedule.halved_at_ms = values["halved_at"]
     policy.now_ms = values["now"]
     policy.polling.backoff_ms = values["ask_backoff"]
     policy.key_queues.by_key = values["turns"]
@@ -345,8 +345,8 @@
     policy.fleet.endpoints.ready = values["ready"]
     policy.fleet.endpoints.hashes = values["marks"]
     policy.fleet.slow_start.starting = values["cold"]
-    policy.fleet.endpoints.settled = values["placed"]
-    policy.fleet.endpoints.recorded = values["noted"]
+    policy.fleet.endpoints.applied = values["placed"]
+    policy.fleet.endpoints.updated = values["noted"]
     policy.fleet.outliers.ejected = values["rested"]
     policy.fleet.endpoints.active = values["touched"]
     policy.fleet.endpoints.restorable = values["known"]
@@ -377,7 +377,7 @@
     policy.fleet.locality.members = values["inside"]
     policy.fleet.locality.stale = values["zones_old"]
     policy.fleet.locality.load_factors = values["focus"]
-    policy.fleet.locality.spilled = values["spilt"]
+    policy.fleet.locality.spillover_tokens = values["spilt"]
 
 
 def _restore_overload(policy: Policy, values: dict[str, Any]) -> None:
@@ -399,7 +399,7 @@
     policy.overload.throughput.best_latency_ms = values["least"]
     policy.overload.throughput.samples = values["answers"]
     policy.overload.throughput.best_rate_per_endpoint = values["carried"]
-    policy.overload.overload = values["x"]
+    policy.overload.level = values["x"]
     policy.overload.shed_threshold = values["cut"]
     policy.overload.shedding = values["shedding"]
     policy.overload.time_scale = values["pace"]
--- a/badgercart/capture/report.py
+++ b/badgercart/capture/report.py
@@ -94,7 +94,7 @@
                 told.took += event.elapsed_ms
             elif event.result != AttemptResult.CANCELLED:
                 told.failed += 1
-            if event.completed and self.classes.pop(event.id, None) is not None:
+            if event.request_finished and self.classes.pop(event.id, None) is not None:
                 self.finals[
                     "served" if event.result == AttemptResult.OK else "ended otherwise"
                 ] += 1
@@ -119,7 +119,7 @@
         states = Counter(self.states.values())
         row = Row(
             at,
-            x=policy.overload.overload,
+            x=policy.overload.level,
             cut=policy.overload.shed_threshold,
             errors=policy.overload.error_rate.rate,
             flying=policy.overload.concurrency.current,
@@ -127,7 +127,7 @@
             ready=states[EndpointState.READY],
             draining=states[EndpointState.DRAINING],
             resting=sum(
-                any(h.ejected_until > now for h in s.health)
+                any(h.ejected_until_ms > now for h in s.health)
                 for s in policy.fleet.endpoints.by_id.values()
             ),
             slow=sum(s.relative_latency > 2 for s in policy.fleet.endpoints.by_id.values()),
--- a/badgercart/capture/whatif.py
+++ b/badgercart/capture/whatif.py
@@ -91,7 +91,7 @@
         self.give(item.now, event)
         if (
             isinstance(event, ResponseStarted)
-            or (isinstance(event, AttemptEnded) and event.completed)
+            or (isinstance(event, AttemptEnded) and event.request_finished)
         ) and fate is not None:
             fate.over = True
 
--- a/badgercart/core/request_pipeline.py
+++ b/badgercart/core/request_pipeline.py
@@ -275,7 +275,7 @@
         event = Request(
             id=request_id,
             class_index=intake.class_index,
-            deadline=intake.deadline,
+            deadline_at_ms=intake.deadline,
             key=intake.key,
             tenant=intake.tenant,
             expected_work_ms=intake.expected_work_ms,
@@ -350,7 +350,14 @@
             held = None
         over = request_id not in self.in_flight
         told = AttemptEnded(
-            request_id, server_id, over, result, number, elapsed, parked=parked, body_consumed=spent
+            request_id,
+            server_id,
+            over,
+            result,
+            number,
+            elapsed,
+            retry_deferred=parked,
+            body_consumed=spent,
         )
         # Before the answer, which may bring the client's next request: to that, the attempt must
         # not be out.
--- a/badgercart/policy/endpoints.py
+++ b/badgercart/policy/endpoints.py
@@ -24,7 +24,7 @@
     """How an endpoint treats one request class."""
 
     failure_rate: float = 0.0  # of recent attempts
-    ejected_until: float = 0.0  # clock time in ms; 0: not ejected, nor on trial
+    ejected_until_ms: float = 0.0  # clock time in ms; 0: not ejected, nor on trial
     consecutive_ejections: int = 0
 
 
@@ -34,7 +34,7 @@
 
     endpoint: Endpoint
     tokens: float  # during slow start: attempts it may get; a random start keeps nodes out of step
-    tokens_at: float  # clock time in ms as of which
+    tokens_as_of_ms: float  # clock time in ms as of which
     health: list[ClassHealth]  # by class
     # Open attempts, each with the clock time after which it is overdue.
     open_attempts: dict[AttemptKey, tuple[PendingRequest, float]] = field(default_factory=dict)
@@ -61,11 +61,11 @@
         """Give each endpoint's id with what was and what is."""
         return zip(self.endpoint_ids, self.before, self.after, strict=True)
 
-    def left(self) -> set[int]:
+    def removed(self) -> set[int]:
         """Return the endpoints that are not ready any more."""
         return {endpoint_id for endpoint_id, _, after in self if after is None}
 
-    def came(self) -> list[int]:
+    def added(self) -> list[int]:
         """Return the endpoints that were not ready before."""
         return [endpoint_id for endpoint_id, before, _ in self if before is None]
 
@@ -75,21 +75,21 @@
 
     __slots__ = (
         "active",
+        "applied",
         "by_id",
         "hashes",
         "ready",
         "recent_attempts",
-        "recorded",
         "restorable",
-        "settled",
+        "updated",
     )
 
     def __init__(self) -> None:
         self.by_id: dict[int, TrackedEndpoint] = {}
         self.ready: list[int] = []  # endpoint ids, by hash
         self.hashes: list[int] = []  # of the ready ones
-        self.settled: dict[int, Endpoint] = {}  # the ready ones as all that is derived has them
-        self.recorded: set[int] = set()  # ids that an update named since
+        self.applied: dict[int, Endpoint] = {}  # the ready ones as all that is derived has them
+        self.updated: set[int] = set()  # ids that an update named since
         # Endpoints whose recent attempts or latency may differ from a new one's.
         self.active: set[int] = set()
         self.restorable: dict[
@@ -98,14 +98,12 @@
         self.recent_attempts = 1e-9  # of all endpoints
 
     def track(
-        self, endpoint: Endpoint, class_count: int, now_ms: float, dice: random.Random
+        self, endpoint: Endpoint, class_count: int, now_ms: float, rng: random.Random
     ) -> TrackedEndpoint:
         """Track an endpoint anew; attempts that are open at its earlier start stay open."""
         old = self.by_id.get(endpoint.id)
         health = [ClassHealth() for _ in range(class_count)]
-        tracked = self.by_id[endpoint.id] = TrackedEndpoint(
-            endpoint, -dice.random(), now_ms, health
-        )
+        tracked = self.by_id[endpoint.id] = TrackedEndpoint(endpoint, -rng.random(), now_ms, health)
         if self.ready:  # as much as the others': else it would draw more than they do
             tracked.recent_attempts = self.recent_attempts / len(self.ready)
             self.active.add(endpoint.id)
@@ -120,21 +118,21 @@
         tracked.recent_attempts = statistics.recent_attempts
         self.recent_attempts += statistics.recent_attempts
 
-    def settle(self) -> EndpointChanges:
-        """Bring the ready ones up to date with what was recorded, and return what changed."""
+    def take_changes(self) -> EndpointChanges:
+        """Bring the ready ones up to date with what was updated, and return what changed."""
         changes = EndpointChanges()
-        by_id, settled = self.by_id, self.settled
-        for endpoint_id in self.recorded:
-            tracked, before = by_id.get(endpoint_id), settled.pop(endpoint_id, None)
+        by_id, applied = self.by_id, self.applied
+        for endpoint_id in self.updated:
+            tracked, before = by_id.get(endpoint_id), applied.pop(endpoint_id, None)
             after = None
             if tracked is not None and tracked.endpoint.state is EndpointState.READY:
-                after = settled[endpoint_id] = tracked.endpoint
+                after = applied[endpoint_id] = tracked.endpoint
             if before != after:
                 changes.endpoint_ids.append(endpoint_id)
                 changes.before.append(before)
                 changes.after.append(after)
-        self.recorded.clear()
-        self._update_ready(changes.left(), changes.came())
+        self.updated.clear()
+        self._update_ready(changes.removed(), changes.added())
         return changes
 
     def _update_ready(self, left: set[int], came: list[int]) -> None:
--- a/badgercart/policy/events.py
+++ b/badgercart/policy/events.py
@@ -62,7 +62,7 @@
 
     id: int
     class_index: int  # among the settings' classes
-    deadline: float  # clock time at which the client gives up on this try
+    deadline_at_ms: float  # clock time at which the client gives up on this try
     key: int = 0  # 0: none
     tenant: int = 0  # among the settings' quotas
     expected_work_ms: float = 0.0  # 0: unknown
@@ -78,7 +78,7 @@
     """A request has come in whole: its times count from now on."""
 
     id: int  # of the request
-    deadline: float  # clock time
+    deadline_at_ms: float  # clock time
 
 
 @dataclass(slots=True)
@@ -97,12 +97,12 @@
 
     id: int  # of the request
     endpoint_id: int
-    completed: bool  # the request has its final answer, by this attempt or before it
+    request_finished: bool  # the request has its final answer, by this attempt or before it
     result: int  # an `AttemptResult`
     attempt: int
     elapsed_ms: float  # since it was sent
     report: tuple[float, ...] = ()  # numbers that the endpoint sent along
-    parked: bool = False  # nothing is decided until `RetryDecisionDue`
+    retry_deferred: bool = False  # nothing is decided until `RetryDecisionDue`
     body_consumed: bool = False  # the request can't be sent again
 
 
@@ -203,20 +203,24 @@
     # By class, then once more by class for `planned_tenants`; in each by zone: the share of these
     # requests that goes there. What the shares leave of 1 is shed.
     shares: tuple[tuple[float, ...], ...] = ()
-    spillover_rates: tuple[float, ...] = ()  # attempts a ms beside a zone's share, by zone
+    spillover_rates_per_ms: tuple[float, ...] = ()  # attempts a ms beside a zone's share, by zone
     lost_zones: frozenset[int] = frozenset()  # where nothing goes
     planned_tenants: frozenset[int] = frozenset()  # that have shares of their own
-    zone_strain: tuple[
+    offload_shares: tuple[
         float, ...
     ] = ()  # of a zone's share, what others take where they can, by zone
 
     def __post_init__(self) -> None:
         """Raise `InvalidSettingError` where a value can't be."""
-        zones = len(self.spillover_rates)
+        zones = len(self.spillover_rates_per_ms)
         for row in self.shares:
             valid = len(row) == zones and min(row) >= 0 and sum(row) <= MAX_SHARE_SUM
             require(valid, "shares", row)
-        require(all(rate >= 0 for rate in self.spillover_rates), "spill", self.spillover_rates)
+        require(
+            all(rate >= 0 for rate in self.spillover_rates_per_ms),
+            "spill",
+            self.spillover_rates_per_ms,
+        )
 
 
 Event = (
--- a/badgercart/policy/feedback.py
+++ b/badgercart/policy/feedback.py
@@ -74,7 +74,7 @@
         endpoint = tracked.endpoint
         work_ms = elapsed_ms * self._fleet.slow_start.capacity_share(endpoint, now_ms)
         self._latency.record_work(
-            endpoint.kind, class_index, work_ms, elapsed_ms, self._overload.overload
+            endpoint.kind, class_index, work_ms, elapsed_ms, self._overload.level
         )
 
     def _learn_latency(self, tracked: TrackedEndpoint, class_index: int, elapsed_ms: float) -> None:
--- a/badgercart/policy/fleet.py
+++ b/badgercart/policy/fleet.py
@@ -33,9 +33,9 @@
     """Holds the parts that know the endpoints, and keeps them in step."""
 
     def __init__(
-        self, settings: Settings, throughput: Throughput, error_rate: ErrorRate, dice: random.Random
+        self, settings: Settings, throughput: Throughput, error_rate: ErrorRate, rng: random.Random
     ) -> None:
-        self._random = dice
+        self._random = rng
         self._class_count = len(settings.classes)
         # Of the ready endpoints, without what is ejected, lost or still starting.
         self.available_capacity = 1.0
@@ -46,12 +46,12 @@
         self.subset = Subset(self.endpoints)
         self.virtual_nodes = VirtualNodes(self.endpoints, self.capacity, self.subset)
         self.outliers = OutlierDetector(
-            self.endpoints, self.subset, self.virtual_nodes, error_rate, dice
+            self.endpoints, self.subset, self.virtual_nodes, error_rate, rng
         )
         self.slow_start = SlowStart(
             self.endpoints, self.subset, self.cluster, self.latency, throughput, settings
         )
-        self.locality = Locality(self.endpoints, self.subset, dice)
+        self.locality = Locality(self.endpoints, self.subset, rng)
 
     @property
     def slots(self) -> float:
@@ -86,7 +86,7 @@
         if event.kind is UpdateKind.SNAPSHOT:
             # An endpoint that comes later would be given statistics that have not aged meanwhile.
             self.endpoints.restorable.clear()
-        self.settle()
+        self.propagate_changes()
 
     def _remove_unlisted(self, event: EndpointUpdate, now_ms: float) -> None:
         listed = {endpoint.id for endpoint in event.endpoints}
@@ -111,7 +111,7 @@
                 self._restore(tracked, statistics, now_ms)
         else:
             tracked = known
-        endpoints.recorded.add(endpoint.id)
+        endpoints.updated.add(endpoint.id)
         tracked.endpoint = endpoint
         self.forget_if_gone(tracked)
 
@@ -124,7 +124,7 @@
         if len(statistics.failure_rates) != len(tracked.health):
             return
         self.endpoints.restore(tracked, statistics)
-        self.outliers.restore(tracked, statistics, len(self.endpoints.recorded), now_ms)
+        self.outliers.restore(tracked, statistics, len(self.endpoints.updated), now_ms)
 
     def forget_if_gone(self, tracked: TrackedEndpoint) -> None:
         """Forget an endpoint that is gone and has no open attempt: ids are never used again."""
@@ -137,9 +137,9 @@
         self.endpoints.by_id.pop(tracked.endpoint.id, None)
         self.outliers.ejected.discard(tracked.endpoint.id)
 
-    def settle(self) -> None:
+    def propagate_changes(self) -> None:
         """Have all parts take over which endpoints are ready, by what changed."""
-        changes = self.endpoints.settle()
+        changes = self.endpoints.take_changes()
         self.virtual_nodes.mark_pending(changes.endpoint_ids)
         self.slow_start.apply_changes(changes)
         self.locality.apply_changes(changes)
@@ -176,10 +176,10 @@
 
     def _ejected_capacity(self, now_ms: float) -> float:
         """Return how many endpoints' work is ejected, outside of lost zones."""
-        settled, by_id = self.endpoints.settled, self.endpoints.by_id
+        applied, by_id = self.endpoints.applied, self.endpoints.by_id
         lost_zones, share = self.locality.lost_zones, self.slow_start.capacity_share
         ejected = [
-            by_id[endpoint_id] for endpoint_id in self.outliers.ejected if endpoint_id in settled
+            by_id[endpoint_id] for endpoint_id in self.outliers.ejected if endpoint_id in applied
         ]
         return sum(
             self.outliers.ejected_capacity(tracked, share(tracked.endpoint, now_ms))
--- a/badgercart/policy/key_queue.py
+++ b/badgercart/policy/key_queue.py
@@ -16,17 +16,17 @@
         default_factory=list
     )  # without a final answer, as they came
     open_attempts: int = 0  # those of requests that have their answer included
-    cooldown_until: float = 0.0  # clock time in ms
+    cooldown_until_ms: float = 0.0  # clock time in ms
 
     def must_wait(self, ahead: int, now_ms: float) -> bool:
         """Return whether a request with so many ahead of it has to wait before it is sent."""
-        return bool(ahead or self.open_attempts or self.cooldown_until > now_ms)
+        return bool(ahead or self.open_attempts or self.cooldown_until_ms > now_ms)
 
     def wait_until(self, ahead: int, latest_ms: float) -> float:
         """Return until when a request waits if nothing happens before."""
         if ahead or self.open_attempts:
             return latest_ms
-        return min(latest_ms, self.cooldown_until)
+        return min(latest_ms, self.cooldown_until_ms)
 
 
 class KeyQueues:
@@ -57,7 +57,7 @@
         """Note the end of an attempt; one that may still be executing cools its key down."""
         queue.open_attempts -= 1
         if result in POSSIBLY_STILL_EXECUTING:
-            queue.cooldown_until = now_ms + cooldown_ms
+            queue.cooldown_until_ms = now_ms + cooldown_ms
         self.changed.append(queue)
 
     def next_ready(self) -> PendingRequest | None:
@@ -73,5 +73,5 @@
         self.by_key = {
             key: queue
             for key, queue in self.by_key.items()
-            if queue.waiting or queue.open_attempts or queue.cooldown_until > now_ms
+            if queue.waiting or queue.open_attempts or queue.cooldown_until_ms > now_ms
         }
--- a/badgercart/policy/lifecycle.py
+++ b/badgercart/policy/lifecycle.py
@@ -141,7 +141,7 @@
         if pending is None or pending.request.complete:
             return
         request, pending.arrived_ms = pending.request, now_ms
-        request.complete, request.deadline = True, event.deadline
+        request.complete, request.deadline_at_ms = True, event.deadline_at_ms
         for number in sorted(pending.open_attempts):
             tracked = self._endpoints.by_id[pending.tried_endpoints[number]]
             del tracked.uploads[request.id, number]
@@ -175,7 +175,7 @@
         closed = self._close(event.endpoint_id, attempt)
         if closed is None:
             # It was told before; or its transport went on to an endpoint that is forgotten by now.
-            if event.completed:
+            if event.request_finished:
                 self.finish(event.id)
             return
         tracked, pending = closed
@@ -185,9 +185,9 @@
         self._go_on(event, pending, now_ms)
 
     def _go_on(self, event: AttemptEnded, pending: PendingRequest, now_ms: float) -> None:
-        if event.completed or event.id not in self.requests:
+        if event.request_finished or event.id not in self.requests:
             self.finish(event.id)
-        elif event.parked:
+        elif event.retry_deferred:
             pending.deferred_result = event.result
         elif event.body_consumed:
             self.end(pending)
--- a/badgercart/policy/locality.py
+++ b/badgercart/policy/locality.py
@@ -23,18 +23,18 @@
         "load_factors",
         "members",
         "plan",
-        "spilled",
+        "spillover_tokens",
         "stale",
     )
 
-    def __init__(self, endpoints: EndpointSet, subset: Subset, dice: random.Random) -> None:
-        self._endpoints, self._subset, self._random = endpoints, subset, dice
+    def __init__(self, endpoints: EndpointSet, subset: Subset, rng: random.Random) -> None:
+        self._endpoints, self._subset, self._random = endpoints, subset, rng
         self.plan: TrafficPlan | None = None  # None: the own zone first, then any other
         self.by_zone: dict[int, list[int]] = {}  # with a plan: the endpoints of the subset
         self.members: dict[int, set[int]] = {}  # the same, to look one up
         self.stale = True  # whether they have to be sorted anew
         self.load_factors: dict[int, float] = {}  # what is sent to a zone over its even part
-        self.spilled: dict[
+        self.spillover_tokens: dict[
             int, tuple[float, float]
         ] = {}  # attempts that may spill over, as of when, by zone
 
@@ -51,7 +51,7 @@
         if self.plan is None or self.stale or self._subset.groups > 1:
             self.stale = True
             return
-        left, came = changes.left(), changes.came()
+        left, came = changes.removed(), changes.added()
         if len(left) + len(came) > BULK_CHANGES or _any_changed_zone(changes):
             self.stale = True
             return
@@ -106,7 +106,7 @@
         """Return how many endpoints of the subset are in lost zones."""
         return sum(len(self.by_zone.get(zone, ())) for zone in self.lost_zones)
 
-    def gets_nothing(self, zone: int) -> bool:
+    def gets_no_traffic(self, zone: int) -> bool:
         """Return whether there is a plan that sends nothing to a zone."""
         return self.plan is not None and self.load_factors.get(zone, 0.0) <= 0
 
@@ -124,9 +124,9 @@
                 return zone
         return None
 
-    def is_spared(self, plan: TrafficPlan, zone: int, attempts: int) -> bool:
+    def is_avoided(self, plan: TrafficPlan, zone: int, attempts: int) -> bool:
         """Return whether other zones are asked before this one."""
-        strain = plan.zone_strain[zone] if plan.zone_strain else 0.0
+        strain = plan.offload_shares[zone] if plan.offload_shares else 0.0
         if zone in plan.lost_zones or attempts > 0:
             # What failed is tried elsewhere first: that a zone has just gone is not known yet.
             return True
@@ -139,16 +139,16 @@
 
     def may_spill(self, plan: TrafficPlan, zone: int, now_ms: float) -> bool:
         """Fill a zone's spill-over bucket, and return whether an attempt may spill over."""
-        rate = plan.spillover_rates[zone] if zone < len(plan.spillover_rates) else 0.0
-        left, as_of_ms = self.spilled.get(zone, (1.0, now_ms))
+        rate = plan.spillover_rates_per_ms[zone] if zone < len(plan.spillover_rates_per_ms) else 0.0
+        left, as_of_ms = self.spillover_tokens.get(zone, (1.0, now_ms))
         left = min(left + rate * (now_ms - as_of_ms), max(rate * SPILL_BURST_MS, 1.0))
-        self.spilled[zone] = left, now_ms
+        self.spillover_tokens[zone] = left, now_ms
         return rate > 0 and left >= 1
 
-    def spill(self, zone: int) -> None:
+    def count_spillover(self, zone: int) -> None:
         """Count an attempt that spilled over into a zone."""
-        left, as_of_ms = self.spilled[zone]
-        self.spilled[zone] = left - 1, as_of_ms
+        left, as_of_ms = self.spillover_tokens[zone]
+        self.spillover_tokens[zone] = left - 1, as_of_ms
 
 
 def _any_changed_zone(changes: EndpointChanges) -> bool:
--- a/badgercart/policy/outlier_detection.py
+++ b/badgercart/policy/outlier_detection.py
@@ -49,10 +49,10 @@
         subset: Subset,
         virtual_nodes: VirtualNodes,
         error_rate: ErrorRate,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
         self._endpoints, self._subset, self._virtual_nodes = endpoints, subset, virtual_nodes
-        self._error_rate, self._random = error_rate, dice
+        self._error_rate, self._random = error_rate, rng
         self.ejected: set[int] = (
             set()
         )  # endpoints that are or were ejected, until they prove themselves
@@ -62,10 +62,13 @@
         """Take an endpoint back: it answered."""
         health = tracked.health[class_index]
         health.failure_rate *= SUCCESS_KEEP
-        health.ejected_until, health.consecutive_ejections = 0.0, health.consecutive_ejections // 2
+        health.ejected_until_ms, health.consecutive_ejections = (
+            0.0,
+            health.consecutive_ejections // 2,
+        )
         ejected = self.ejected
         if tracked.endpoint.id in ejected and not any(
-            other.ejected_until for other in tracked.health
+            other.ejected_until_ms for other in tracked.health
         ):
             ejected.discard(tracked.endpoint.id)
 
@@ -79,7 +82,7 @@
         for index, health in enumerate(tracked.health):
             class_gain = gain if index == class_index else others_gain
             health.failure_rate += class_gain * (1.0 - health.failure_rate)
-            if health.failure_rate <= limit or health.ejected_until > now_ms:
+            if health.failure_rate <= limit or health.ejected_until_ms > now_ms:
                 continue
             if self._ejected_count(index, now_ms) < MAX_EJECTED_SHARE * self._subset.size:
                 self._eject(tracked, health, now_ms)
@@ -94,20 +97,20 @@
         """Return how many endpoints of the subset, by the ring, are ejected for a class."""
         by_id, on_ring = self._endpoints.by_id, self._virtual_nodes.counts
         ejected = [by_id[endpoint_id] for endpoint_id in self.ejected if endpoint_id in on_ring]
-        return sum(tracked.health[class_index].ejected_until > now_ms for tracked in ejected)
+        return sum(tracked.health[class_index].ejected_until_ms > now_ms for tracked in ejected)
 
     def _eject(self, tracked: TrackedEndpoint, health: ClassHealth, now_ms: float) -> None:
         self.ejected.add(tracked.endpoint.id)
         least, spread = EJECTION_JITTER
         doublings = min(health.consecutive_ejections, MAX_DOUBLINGS)
         duration_ms = EJECTION_MS * 2**doublings * (least + spread * self._random.random())
-        health.ejected_until = now_ms + duration_ms
+        health.ejected_until_ms = now_ms + duration_ms
         health.consecutive_ejections += 1
 
     @staticmethod
     def ejected_capacity(tracked: TrackedEndpoint, capacity: float) -> float:
         """Return how much of an endpoint's capacity is ejected, over the classes."""
-        ejected = sum(health.ejected_until > 0 for health in tracked.health)
+        ejected = sum(health.ejected_until_ms > 0 for health in tracked.health)
         return capacity * ejected / len(tracked.health)
 
     def apply_reports(self, reports: Iterable[tuple[int, float]]) -> None:
@@ -134,5 +137,5 @@
             health.failure_rate, health.consecutive_ejections = failure_rate, round(ejections)
             most = MAX_EJECTED_SHARE * max(fleet_size, MIN_FLEET_SIZE)
             if failure_rate > EJECT_FAILURE_RATE and len(self.ejected) < most:
-                health.ejected_until = now_ms or 1e-9
+                health.ejected_until_ms = now_ms or 1e-9
                 self.ejected.add(tracked.endpoint.id)
--- a/badgercart/policy/overload.py
+++ b/badgercart/policy/overload.py
@@ -46,7 +46,7 @@
     def __init__(self, error_rate: ErrorRate, throughput: Throughput) -> None:
         self.error_rate, self.throughput = error_rate, throughput
         self.concurrency = Concurrency()
-        self.overload = 0.0
+        self.level = 0.0
         self.shed_threshold = 0.0
         self.shedding = False  # as it was logged last
         self.time_scale = 1.0
@@ -87,7 +87,7 @@
         concurrency = self.concurrency
         # While everything is shed nothing comes that could tell of a better time.
         idle = (
-            self.overload >= 1.0
+            self.level >= 1.0
             and concurrency.current < concurrency.limit / 4
             and concurrency.limit >= IDLE_MIN_LIMIT
         )
@@ -112,8 +112,8 @@
         # fleet, and then let in at once what fills it again.
         in_flight = min(concurrency.average, concurrency.current)
         by_load = (in_flight / concurrency.limit - IN_FLIGHT_MIN) / (IN_FLIGHT_FULL - IN_FLIGHT_MIN)
-        self.overload = min(max(by_errors, by_load, 0.0), 1.0)
-        self.shed_threshold = MAX_SCORE * self.overload**3
+        self.level = min(max(by_errors, by_load, 0.0), 1.0)
+        self.shed_threshold = MAX_SCORE * self.level**3
 
     def sheds(self, score: float) -> bool:
         """Return whether a request with this score is shed now."""
@@ -125,7 +125,7 @@
 
     def retry_suppression(self) -> float:
         """Return the probability with which a failed attempt is not retried: retries feed a jam."""
-        return max(self.overload, self.error_rate.connect_failure_rate)
+        return max(self.level, self.error_rate.connect_failure_rate)
 
     def _log_line(self) -> str:
         threshold = LOG_OFF_THRESHOLD if self.shedding else LOG_ON_THRESHOLD
@@ -135,4 +135,4 @@
         concurrency = self.concurrency
         in_flight = f"{concurrency.average:.1f} of {concurrency.limit:.1f}"
         state = f"errors {self.error_rate.rate:.2f}, in flight {in_flight}"
-        return f"shedding {'on' if self.shedding else 'off'}: x {self.overload:.2f}, {state}"
+        return f"shedding {'on' if self.shedding else 'off'}: x {self.level:.2f}, {state}"
--- a/badgercart/policy/policy.py
+++ b/badgercart/policy/policy.py
@@ -62,7 +62,7 @@
             settings: what the node knows at its start.
             seed: of all random draws.
         """
-        dice = self.random = random.Random(seed)
+        rng = self.random = random.Random(seed)
         self.settings = settings
         self.now_ms = 0.0
         self.schedule = RefreshSchedule()
@@ -72,10 +72,10 @@
         self.key_traffic = KeyTraffic()
         self.key_queues = KeyQueues()
         self.overload = OverloadController(ErrorRate(), Throughput())
-        self.fleet = Fleet(settings, self.overload.throughput, self.overload.error_rate, dice)
-        self.retries = RetryPolicy(self.overload, settings, dice)
+        self.fleet = Fleet(settings, self.overload.throughput, self.overload.error_rate, rng)
+        self.retries = RetryPolicy(self.overload, settings, rng)
         self.selector = EndpointSelector(
-            self.fleet, self.overload.concurrency, self.key_traffic, self.retries, settings, dice
+            self.fleet, self.overload.concurrency, self.key_traffic, self.retries, settings, rng
         )
         self.lifecycle = RequestLifecycle(
             settings, self.fleet, self.overload, self.key_queues, self.retries, self.selector
--- a/badgercart/policy/polling.py
+++ b/badgercart/policy/polling.py
@@ -18,10 +18,10 @@
     def __init__(self, settings: Settings) -> None:
         self.backoff_ms = settings.poll_interval_ms / FIRST_DIVISOR
 
-    def next_delay_ms(self, settings: Settings, dice: random.Random) -> float:
+    def next_delay_ms(self, settings: Settings, rng: random.Random) -> float:
         """Return how long to wait before the next call, and back off."""
         least, spread = JITTER
-        delay_ms = self.backoff_ms * (least + spread * dice.random())
+        delay_ms = self.backoff_ms * (least + spread * rng.random())
         self.backoff_ms = min(2 * self.backoff_ms, settings.poll_interval_ms / MAX_DIVISOR)
         return delay_ms
 
--- a/badgercart/policy/refresh.py
+++ b/badgercart/policy/refresh.py
@@ -11,27 +11,27 @@
 class RefreshSchedule:
     """When the last refresh and the last halving were, as clock times in ms."""
 
-    __slots__ = ("halved_at", "refreshed_at")
+    __slots__ = ("halved_at_ms", "refreshed_at_ms")
 
     def __init__(self) -> None:
-        self.refreshed_at = 0.0  # 0: never
-        self.halved_at = 0.0
+        self.refreshed_at_ms = 0.0  # 0: never
+        self.halved_at_ms = 0.0
 
     def is_due(self, now_ms: float, time_scale: float) -> bool:
         """Return whether a refresh is due."""
-        return now_ms - self.refreshed_at >= REFRESH_INTERVAL_MS * time_scale
+        return now_ms - self.refreshed_at_ms >= REFRESH_INTERVAL_MS * time_scale
 
     def begin(self, now_ms: float, time_scale: float) -> float:
         """Begin a refresh, and return how many ms it accounts for."""
         passed_ms = REFRESH_INTERVAL_MS * time_scale
-        if self.refreshed_at:
-            passed_ms = min(now_ms - self.refreshed_at, MAX_PASSED_MS)
-        self.refreshed_at = now_ms
+        if self.refreshed_at_ms:
+            passed_ms = min(now_ms - self.refreshed_at_ms, MAX_PASSED_MS)
+        self.refreshed_at_ms = now_ms
         return passed_ms
 
     def begin_halving(self, now_ms: float) -> bool:
         """Return whether counts are to be halved with this refresh."""
-        if now_ms - self.halved_at < HALF_LIFE_MS:
+        if now_ms - self.halved_at_ms < HALF_LIFE_MS:
             return False
-        self.halved_at = now_ms
+        self.halved_at_ms = now_ms
         return True
--- a/badgercart/policy/retries.py
+++ b/badgercart/policy/retries.py
@@ -25,9 +25,9 @@
     __slots__ = ("_overload", "_random", "_settings", "not_executed")
 
     def __init__(
-        self, overload: OverloadController, settings: Settings, dice: random.Random
+        self, overload: OverloadController, settings: Settings, rng: random.Random
     ) -> None:
-        self._overload, self._random = overload, dice
+        self._overload, self._random = overload, rng
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
@@ -80,8 +80,8 @@
         """Return the clock time until which an answer is worth something."""
         request, cls = pending.request, pending.request_class
         if cls.late_value_share or not request.complete:
-            return request.deadline
-        return min(request.deadline, pending.arrived_ms + cls.latency_objective_ms)
+            return request.deadline_at_ms
+        return min(request.deadline_at_ms, pending.arrived_ms + cls.latency_objective_ms)
 
     def timeout_ms(self, pending: PendingRequest, end_ms: float, now_ms: float) -> float:
         """Return the time-out of an attempt that is sent now."""
--- a/badgercart/policy/selection.py
+++ b/badgercart/policy/selection.py
@@ -50,10 +50,10 @@
         key_traffic: KeyTraffic,
         retries: RetryPolicy,
         settings: Settings,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
         self._fleet, self._concurrency, self._key_traffic = fleet, concurrency, key_traffic
-        self._retries, self._settings, self._random = retries, settings, dice
+        self._retries, self._settings, self._random = retries, settings, rng
         self._endpoints, self._subset, self._virtual_nodes = (
             fleet.endpoints,
             fleet.subset,
@@ -85,8 +85,8 @@
         zone = locality.draw_zone(shares)
         if zone is None:
             return None
-        spared = locality.is_spared(plan, zone, pending.attempts)
-        tracked = None if spared else self._choose_in_zone(zone, pending, now_ms)
+        avoided = locality.is_avoided(plan, zone, pending.attempts)
+        tracked = None if avoided else self._choose_in_zone(zone, pending, now_ms)
         if tracked is not None:
             return tracked
         for other in locality.spillover_zones(zone, shares):
@@ -94,9 +94,9 @@
                 continue
             tracked = self._choose_in_zone(other, pending, now_ms)
             if tracked is not None:
-                locality.spill(other)
+                locality.count_spillover(other)
                 return tracked
-        if spared and zone not in plan.lost_zones:
+        if avoided and zone not in plan.lost_zones:
             return self._choose_in_zone(zone, pending, now_ms)
         return None
 
@@ -181,7 +181,7 @@
     def is_usable(self, tracked: TrackedEndpoint, health: ClassHealth, now_ms: float) -> bool:
         """Return whether an endpoint may get an attempt: not ejected, hanging, or out of tokens."""
         open_attempts = tracked.open_attempts
-        if health.ejected_until and (health.ejected_until > now_ms or open_attempts):
+        if health.ejected_until_ms and (health.ejected_until_ms > now_ms or open_attempts):
             return False  # after its ejection it gets one attempt at a time until it proves itself
         if open_attempts:
             for _, overdue_ms in open_attempts.values():
@@ -197,9 +197,9 @@
         virtual_nodes, subset, settings = self._virtual_nodes, self._subset, self._settings
         if key and settings.key_affinity and virtual_nodes.ring.blocks:
             # Virtual nodes of an endpoint that left may be there yet.
-            settled = self._endpoints.settled
+            applied = self._endpoints.applied
             for endpoint_id in self._key_endpoints(key):
-                if endpoint_id in settled:
+                if endpoint_id in applied:
                     yield endpoint_id
         drawn = self._draw(subset.endpoint_ids, subset.size)
         by_id, zone = self._endpoints.by_id, settings.zone
@@ -235,13 +235,13 @@
     def _draw(self, endpoint_ids: list[int], size: int) -> list[int]:
         if not endpoint_ids:
             return []
-        dice = self._random.random
-        return [endpoint_ids[int(dice() * size)] for _ in range(CANDIDATES)]
+        rng = self._random.random
+        return [endpoint_ids[int(rng() * size)] for _ in range(CANDIDATES)]
 
     def _draw_weak(self, drawn: list[int]) -> dict[int, bool]:
         """Draw which endpoints are put behind the others, the weaker the likelier."""
-        dice, by_id, weight = self._random.random, self._endpoints.by_id, self._capacity.weight
-        return {i: dice() > weight(by_id[i].endpoint) for i in drawn}
+        rng, by_id, weight = self._random.random, self._endpoints.by_id, self._capacity.weight
+        return {i: rng() > weight(by_id[i].endpoint) for i in drawn}
 
     def fallbacks(self, pending: PendingRequest, end_ms: float, now_ms: float) -> tuple[int, ...]:
         """Return where a transport may go on to by itself; never an endpoint in slow start."""
@@ -264,11 +264,11 @@
         self, pending: PendingRequest, tracked: TrackedEndpoint, end_ms: float, now_ms: float
     ) -> bool:
         endpoint, health = tracked.endpoint, tracked.health[pending.request.class_index]
-        if health.ejected_until or endpoint.id in pending.tried_endpoints:
+        if health.ejected_until_ms or endpoint.id in pending.tried_endpoints:
             return False
-        if self._slow_start.capacity_share(endpoint, now_ms) < 1.0 or self._locality.gets_nothing(
-            endpoint.zone
-        ):
+        if self._slow_start.capacity_share(
+            endpoint, now_ms
+        ) < 1.0 or self._locality.gets_no_traffic(endpoint.zone):
             return False
         if not self.is_usable(tracked, health, now_ms):
             return False
--- a/badgercart/policy/slow_start.py
+++ b/badgercart/policy/slow_start.py
@@ -95,11 +95,14 @@
         size = endpoint.size if MIN_SIZE <= endpoint.size <= MAX_SIZE else 1.0
         rate = self._rate_per_ms(endpoint, size, now_ms)
         earned = (
-            rate * len(self._endpoints.ready) / self._subset.size * (now_ms - tracked.tokens_at)
+            rate
+            * len(self._endpoints.ready)
+            / self._subset.size
+            * (now_ms - tracked.tokens_as_of_ms)
         )
         most = max(1.0, BURST_SHARE * rate * settings.collapse_window_ms)
         tracked.tokens = min(tracked.tokens + earned, most)
-        tracked.tokens_at = now_ms
+        tracked.tokens_as_of_ms = now_ms
         # A fleet that begins as a whole has no warm endpoints: one attempt on credit, if a slot is
         # free.
         all_starting = len(self.starting) > ALL_STARTING_SHARE * len(self._endpoints.ready)
--- a/badgercart/policy/subset.py
+++ b/badgercart/policy/subset.py
@@ -65,4 +65,4 @@
     def contains(self, endpoint_id: int) -> bool:
         """Return whether a ready endpoint is in the subset."""
         at = bisect_left(self._endpoints.hashes, mix_hash(endpoint_id))
-        return self.start <= at < self.start + self.size and endpoint_id in self._endpoints.settled
+        return self.start <= at < self.start + self.size and endpoint_id in self._endpoints.applied
--- a/badgercart/simulator/codec.py
+++ b/badgercart/simulator/codec.py
@@ -35,13 +35,13 @@
 from badgercart.simulator.errors import WireError
 from badgercart.simulator.settings_reader import read_settings
 
-EVENT_BYTES = 48
-MAX_REPORT = 4  # numbers in a server's report
-BATCH_HEAD = struct.Struct(">IIdI")
-REPLY_HEAD = struct.Struct(">III")
-ENDPOINT = struct.Struct(">IBHHBfd")
+EVENT_RECORD_BYTES = 48
+MAX_REPORT_VALUES = 4  # numbers in a server's report
+BATCH_HEADER = struct.Struct(">IIdI")
+REPLY_HEADER = struct.Struct(">III")
+ENDPOINT_RECORD = struct.Struct(">IBHHBfd")
 
-_SELECT = struct.Struct(">xH")
+_SELECT_EVENT = struct.Struct(">xH")
 _INSTANCE_STARTED = struct.Struct(">xQII")
 _ENDPOINT_LIST = struct.Struct(">xIII")
 _ENDPOINT_UPDATE = struct.Struct(">xBII")
@@ -55,7 +55,7 @@
 _SELECT_CODE, _ENDPOINT_LIST_CODE = 12, 11
 _HAS_EXPECTED_WORK, _IS_CLIENT_RETRY = 1, 2  # flags of a request
 
-_SPEAKING = struct.Struct(">BH21x")
+_SELECT_INSTANCE = struct.Struct(">BH21x")
 _SEND = struct.Struct(">BQId3x")
 _CANCEL_ATTEMPT = struct.Struct(">BQB14x")
 _SET_TIMER = struct.Struct(">BdQ7x")
@@ -63,7 +63,7 @@
 _FAIL = struct.Struct(">BQ15x")
 _SUBSCRIBE = struct.Struct(">BB22x")
 _HEALTH_CHECK = struct.Struct(">BI19x")
-_TEXT = struct.Struct(">BII15x")
+_TEXT_RECORD = struct.Struct(">BII15x")
 _LOG_CODE, _FATAL_CODE = 10, 12
 
 _STATES = {state.value: state for state in EndpointState}
@@ -87,7 +87,7 @@
     __slots__ = ()
 
 
-Told = Event | InstanceStarted | InstanceKilled
+InstanceEvent = Event | InstanceStarted | InstanceKilled
 
 
 class _Batch:
@@ -115,7 +115,7 @@
     def __init__(self) -> None:
         self._lists: dict[int, list[Endpoint]] = {}
 
-    def batch(self, frame: bytes) -> tuple[int, float, list[tuple[int, Told]]]:
+    def batch(self, frame: bytes) -> tuple[int, float, list[tuple[int, InstanceEvent]]]:
         """Read a batch.
 
         Returns:
@@ -124,19 +124,21 @@
         Raises:
             WireError: It can't be read.
         """
-        if len(frame) < BATCH_HEAD.size:
-            raise WireError(f"batch header: {len(frame)} bytes where {BATCH_HEAD.size} are needed")
-        number, length, now_ms, count = BATCH_HEAD.unpack_from(frame)
-        tail_start = BATCH_HEAD.size + count * EVENT_BYTES
+        if len(frame) < BATCH_HEADER.size:
+            raise WireError(
+                f"batch header: {len(frame)} bytes where {BATCH_HEADER.size} are needed"
+            )
+        number, length, now_ms, count = BATCH_HEADER.unpack_from(frame)
+        tail_start = BATCH_HEADER.size + count * EVENT_RECORD_BYTES
         if length != len(frame) or tail_start > length:
             raise WireError(f"{count} records do not fit a frame of {length} bytes", number)
         batch = _Batch(frame, number, tail_start)
-        events: list[tuple[int, Told]] = []
+        events: list[tuple[int, InstanceEvent]] = []
         instance = -1
-        for at in range(BATCH_HEAD.size, tail_start, EVENT_BYTES):
+        for at in range(BATCH_HEADER.size, tail_start, EVENT_RECORD_BYTES):
             code = frame[at]
             if code == _SELECT_CODE:
-                (instance,) = _SELECT.unpack_from(frame, at)
+                (instance,) = _SELECT_EVENT.unpack_from(frame, at)
             elif code == _ENDPOINT_LIST_CODE:
                 self._read_list(batch, at)
             elif instance < 0:
@@ -145,7 +147,7 @@
                 events.append((instance, self._event(code, batch, at)))
         return number, now_ms, events
 
-    def _event(self, code: int, batch: _Batch, at: int) -> Told:
+    def _event(self, code: int, batch: _Batch, at: int) -> InstanceEvent:
         reader = _READERS.get(code)
         if reader is None:
             raise batch.error(f"unknown event code {code}", at)
@@ -153,8 +155,8 @@
 
     def _read_list(self, batch: _Batch, at: int) -> None:
         number, start, count = _ENDPOINT_LIST.unpack_from(batch.data, at)
-        data = batch.tail(start, count * ENDPOINT.size, at)
-        self._lists[number] = [_endpoint(row, batch) for row in ENDPOINT.iter_unpack(data)]
+        data = batch.tail(start, count * ENDPOINT_RECORD.size, at)
+        self._lists[number] = [_endpoint(row, batch) for row in ENDPOINT_RECORD.iter_unpack(data)]
 
     def _instance_started(self, batch: _Batch, at: int) -> InstanceStarted:
         seed, start, length = _INSTANCE_STARTED.unpack_from(batch.data, at)
@@ -219,7 +221,7 @@
         return PeerMessage(sender, batch.tail(start, length, at))
 
 
-_READERS: dict[int, Callable[[Decoder, _Batch, int], Told]] = {
+_READERS: dict[int, Callable[[Decoder, _Batch, int], InstanceEvent]] = {
     1: Decoder._instance_started,
     2: Decoder._endpoint_update,
     3: Decoder._request,
@@ -234,7 +236,7 @@
 
 
 def _check_result(result: int, count: int, batch: _Batch, at: int) -> None:
-    if result not in _RESULTS or count > MAX_REPORT:
+    if result not in _RESULTS or count > MAX_REPORT_VALUES:
         raise batch.error(f"unknown outcome {result} or report of {count}", at)
 
 
@@ -283,7 +285,7 @@
             self._records.append(record(action))
 
     def _select(self, instance: int) -> None:
-        self._records.append(_SPEAKING.pack(1, instance))
+        self._records.append(_SELECT_INSTANCE.pack(1, instance))
         self._instance = instance
 
     def fatal(self, instance: int, text: str) -> None:
@@ -293,11 +295,11 @@
 
     def _add_text(self, code: int, text: str) -> None:
         data = text.encode()
-        self._records.append(_TEXT.pack(code, len(self._tail), len(data)))
+        self._records.append(_TEXT_RECORD.pack(code, len(self._tail), len(data)))
         self._tail += data
 
     def frame(self) -> bytes:
         """Return the reply."""
         body = b"".join(self._records)
-        length = REPLY_HEAD.size + len(body) + len(self._tail)
-        return REPLY_HEAD.pack(self._number, length, len(self._records)) + body + self._tail
+        length = REPLY_HEADER.size + len(body) + len(self._tail)
+        return REPLY_HEADER.pack(self._number, length, len(self._records)) + body + self._tail
--- a/badgercart/simulator/server.py
+++ b/badgercart/simulator/server.py
@@ -7,12 +7,12 @@
 
 from badgercart.policy.policy import Policy
 from badgercart.simulator.codec import (
-    BATCH_HEAD,
+    BATCH_HEADER,
     Decoder,
     Encoder,
+    InstanceEvent,
     InstanceKilled,
     InstanceStarted,
-    Told,
 )
 from badgercart.simulator.errors import WireError
 
@@ -25,7 +25,7 @@
     """
     decoder = Decoder()
     policies: dict[int, Policy] = {}
-    while head := source.read(BATCH_HEAD.size):
+    while head := source.read(BATCH_HEADER.size):
         frame = _read_frame(source, head)
         number, now_ms, events = decoder.batch(frame)
         sink.write(_answer(policies, number, now_ms, events))
@@ -33,21 +33,21 @@
 
 
 def _read_frame(source: BinaryIO, head: bytes) -> bytes:
-    if len(head) < BATCH_HEAD.size:
+    if len(head) < BATCH_HEADER.size:
         raise WireError(
-            f"batch header: the input ends after {len(head)} of {BATCH_HEAD.size} bytes"
+            f"batch header: the input ends after {len(head)} of {BATCH_HEADER.size} bytes"
         )
-    number, length, _, _ = BATCH_HEAD.unpack(head)
-    if length < BATCH_HEAD.size:
+    number, length, _, _ = BATCH_HEADER.unpack(head)
+    if length < BATCH_HEADER.size:
         raise WireError(f"a length of {length} is shorter than its header", number)
-    body = source.read(length - BATCH_HEAD.size)
-    if len(body) < length - BATCH_HEAD.size:
+    body = source.read(length - BATCH_HEADER.size)
+    if len(body) < length - BATCH_HEADER.size:
         raise WireError(f"the input ends inside a frame of {length} bytes", number)
     return head + body
 
 
 def _answer(
-    policies: dict[int, Policy], number: int, now_ms: float, events: list[tuple[int, Told]]
+    policies: dict[int, Policy], number: int, now_ms: float, events: list[tuple[int, InstanceEvent]]
 ) -> bytes:
     """Have each instance decide, and return the reply to a batch."""
     reply = Encoder(number)
--- a/badgercart/statistics/ageing.py
+++ b/badgercart/statistics/ageing.py
@@ -43,7 +43,9 @@
     return prior + (value - prior) * share
 
 
-def aged(statistics: PolicyStatistics, age_ms: float, settings: Settings) -> PolicyStatistics:
+def decay_statistics(
+    statistics: PolicyStatistics, age_ms: float, settings: Settings
+) -> PolicyStatistics:
     """Return what is left of statistics at an age; below 0 it counts as 0."""
     typical = remaining_share("typical_latency_ms", age_ms)
     kinds = remaining_share("kind_ratios", age_ms)
--- a/badgercart/statistics/component.py
+++ b/badgercart/statistics/component.py
@@ -85,17 +85,17 @@
 
     def _aged_statistics(self, snapshot: Snapshot, age_ms: float) -> PolicyStatistics:
         """Return what is left of a snapshot. Raises SnapshotError where it can't be used."""
-        from badgercart.statistics.ageing import aged
+        from badgercart.statistics.ageing import decay_statistics
         from badgercart.statistics.errors import SnapshotError
-        from badgercart.statistics.snapshot import statistics_of
+        from badgercart.statistics.snapshot import extract_statistics
 
         if age_ms < -MAX_CLOCK_SKEW_MS:
             raise SnapshotError(f"it is {-age_ms / 1000:.0f} s from the future")
         if age_ms > self.settings.oldest_s * 1000:
             raise SnapshotError(f"it is {age_ms / 1000:.0f} s old")
         config = self.host.config
-        kept = statistics_of(snapshot, config, self.host.reader.unix_offset)
-        return aged(kept, age_ms, config.settings)
+        kept = extract_statistics(snapshot, config, self.host.reader.unix_offset)
+        return decay_statistics(kept, age_ms, config.settings)
 
     async def start(self) -> None:
         """Begin to save now and then."""
--- a/badgercart/statistics/snapshot.py
+++ b/badgercart/statistics/snapshot.py
@@ -153,7 +153,7 @@
     )
 
 
-def statistics_of(snapshot: Snapshot, config: Config, unix_offset: float) -> PolicyStatistics:
+def extract_statistics(snapshot: Snapshot, config: Config, unix_offset: float) -> PolicyStatistics:
     """Return the statistics that a snapshot holds, for a node of this configuration.
 
     A class that the snapshot does not know has what is assumed of it; one that is no more is left
--- a/badgercart/zones/policy_feed.py
+++ b/badgercart/zones/policy_feed.py
@@ -127,9 +127,9 @@
     """Return whether two inputs differ at most by a little in their spillover rates."""
     if (one.shares, one.lost_zones) != (other.shares, other.lost_zones):
         return False
-    if (one.planned_tenants, one.zone_strain) != (other.planned_tenants, other.zone_strain):
+    if (one.planned_tenants, one.offload_shares) != (other.planned_tenants, other.offload_shares):
         return False
     return all(
         abs(a - b) <= SPILLOVER_TOLERANCE * max(a, b)
-        for a, b in zip(one.spillover_rates, other.spillover_rates, strict=True)
+        for a, b in zip(one.spillover_rates_per_ms, other.spillover_rates_per_ms, strict=True)
     )
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -22,7 +22,7 @@
 from badgercart.policy.settings import Idempotency, RequestClass, Settings
 from badgercart.policy.statistics import PolicyStatistics, export_statistics, import_statistics
 from badgercart.statistics import snapshot, store
-from badgercart.statistics.ageing import aged
+from badgercart.statistics.ageing import decay_statistics
 from badgercart.statistics.component import yield_interpreter
 
 CLASSES = tuple(RequestClass(500.0 + n, 1500.0, 1.0, Idempotency.IDEMPOTENT) for n in range(2))
@@ -92,7 +92,8 @@
     kept = store.load(files).snapshot
     assert kept is not None
     import_statistics(
-        Policy(SETTINGS, 2), aged(snapshot.statistics_of(kept, CONFIG, 0.0), 1000.0, SETTINGS)
+        Policy(SETTINGS, 2),
+        decay_statistics(snapshot.extract_statistics(kept, CONFIG, 0.0), 1000.0, SETTINGS),
     )
     loaded = (time.perf_counter() - begun) * 1000
     return f"{servers:>7}{keys:>9}{saved:>10.1f}{loaded:>10.1f}{size:>10}{stall:>10.1f}{idle:>8.1f}"
--- a/lab/model.py
+++ b/lab/model.py
@@ -16,7 +16,7 @@
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import EndpointUpdate, UpdateKind
 from badgercart.policy.statistics import PolicyStatistics, export_statistics, import_statistics
-from badgercart.statistics.ageing import aged
+from badgercart.statistics.ageing import decay_statistics
 from lab.arrivals import Plan, plan
 from lab.chance import generator, jitter, uniform
 from lab.clock import Clock
@@ -112,7 +112,7 @@
         )
         if self.memory is not None:
             age, settings = world.day.node.learned_age_s * 1000, self.join.policy.settings
-            import_statistics(self.join.policy, aged(self.memory, age, settings))
+            import_statistics(self.join.policy, decay_statistics(self.memory, age, settings))
         make(world.cell.policy, world.day, self.join, seed)
         if world.companions is not None:
             world.companions.start(self.number, self.zone, self.join)
@@ -342,7 +342,7 @@
             statistics.fmean(p.overload.shed_threshold for p in policies) if policies else 0.0
         )
         course["x"][place] = (
-            statistics.fmean(p.overload.overload for p in policies) if policies else 0.0
+            statistics.fmean(p.overload.level for p in policies) if policies else 0.0
         )
         course["out"][place] = sum(len(node.wire.out) for node in self.nodes if node.up)
         course["troubled"][place] = sum(
--- a/lab/peers/base.py
+++ b/lab/peers/base.py
@@ -91,7 +91,7 @@
 class NoOverload:
     """In the place of the policy's overload: these policies have no shed threshold."""
 
-    overload = shed_threshold = 0.0
+    level = shed_threshold = 0.0
 
 
 class Peer:
@@ -144,11 +144,11 @@
 
     def attempt(self, job: Job) -> None:
         request = job.request
-        host = self.picker.pick(self.now, job.used) if request.deadline > self.now else None
+        host = self.picker.pick(self.now, job.used) if request.deadline_at_ms > self.now else None
         if host is None or not self.allowed(job, host):
             self.end(job)
             return
-        self.done.append(Send(request.id, host.entry.id, request.deadline - self.now))
+        self.done.append(Send(request.id, host.entry.id, request.deadline_at_ms - self.now))
         self.done += [HealthCheck(server) for server in self.picker.probes(self.now)]
         job.out[job.tries] = self.now, host
         job.used.append(host.entry.id)
@@ -189,7 +189,7 @@
         if self.limit is not None and event.result != AttemptResult.CANCELLED:
             dropped = event.result != AttemptResult.OK
             self.limit.ended(self.now, event.elapsed_ms, dropped, len(self.flying) + 1)
-        if event.completed or event.id not in self.jobs:
+        if event.request_finished or event.id not in self.jobs:
             self.finish(event.id)
         elif (
             event.result != AttemptResult.TIMEOUT
--- a/tests/core/test_join.py
+++ b/tests/core/test_join.py
@@ -183,7 +183,7 @@
         join.accept(number, IncomingRequest(0, 0, 0, 1e9, None), Front(), NoCarrier())
     gone, ended = told[-2:]
     assert isinstance(gone, RequestCancelled) and isinstance(ended, AttemptEnded)
-    assert (ended.id, ended.attempt, ended.result, ended.completed) == (
+    assert (ended.id, ended.attempt, ended.result, ended.request_finished) == (
         2,
         0,
         AttemptResult.NOT_SENT,
@@ -214,7 +214,7 @@
             stand.node.pool.cancel(stand.node.join.last_id, 0)
             assert (await client.answer())[0] == 502
             outcome: AttemptEnded = await stand.outcome()
-            assert outcome.completed and outcome.result == AttemptResult.CANCELLED
+            assert outcome.request_finished and outcome.result == AttemptResult.CANCELLED
 
     run(test())
 
--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -208,7 +208,7 @@
                 == "/catalog/members?watch=1&from=1"
             )
             policy, left = stand.node.join.policy, 1
-            settle = policy.fleet.settle
+            settle = policy.fleet.propagate_changes
 
             def broken() -> None:
                 nonlocal left
@@ -217,7 +217,7 @@
                     raise ArithmeticError("a fault of ours")
                 settle()
 
-            policy.fleet.settle = broken  # type: ignore[method-assign]
+            policy.fleet.propagate_changes = broken  # type: ignore[method-assign]
             leaving = [peer.entry("s-1", "leaving"), other.entry("s-2")]
             stand.agent.whole = {"generation": 2, "reset": True, "instances": leaving}
             stand.agent.push(2, leaving[:1])
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -196,7 +196,7 @@
                 policy.overload.measure = lambda: setattr(  # type: ignore[method-assign]
                     policy.overload, "shed_threshold", cut
                 )
-                policy.schedule.refreshed_at = now_ms
+                policy.schedule.refreshed_at_ms = now_ms
             return ask(now_ms, event)
 
         policy.handle = under_a_cut  # type: ignore[method-assign]
--- a/tests/policy/support.py
+++ b/tests/policy/support.py
@@ -236,7 +236,7 @@
         self.now = end
         for number in self.owed:
             assert (
-                self.requests[number].deadline >= self.now
+                self.requests[number].deadline_at_ms >= self.now
             ), f"request {number} is owed past its due time"
 
     def _take(self, action: object) -> None:
@@ -309,9 +309,9 @@
         self.maybe_ran[action.id][number] = (self.now, target)
         assert action.id not in self.spent, "sent again though its body is gone"
         limit = (
-            min(action.timeout_ms, request.deadline - self.now)
+            min(action.timeout_ms, request.deadline_at_ms - self.now)
             if action.timeout_ms > 0
-            else request.deadline - self.now
+            else request.deadline_at_ms - self.now
         )
         if not request.complete:
             assert 0 < action.timeout_ms < math.inf
--- a/tests/policy/test_carriers.py
+++ b/tests/policy/test_carriers.py
@@ -71,7 +71,7 @@
 def test_no_fallbacks_unless_asked_for_and_never_a_cold_one() -> None:
     assert sent(ask(policy(), 0)).fallbacks == ()
     made = policy(started=NOW - 100.0)
-    made.overload.concurrency.limit, made.schedule.refreshed_at = (
+    made.overload.concurrency.limit, made.schedule.refreshed_at_ms = (
         100.0,
         NOW,
     )  # none of them is answered: that is no burst
@@ -126,7 +126,9 @@
     assert (
         made.handle(
             NOW + 5,
-            AttemptEnded(1, send.endpoint_id, False, AttemptResult.ERROR, 0, 5.0, parked=True),
+            AttemptEnded(
+                1, send.endpoint_id, False, AttemptResult.ERROR, 0, 5.0, retry_deferred=True
+            ),
         )
         == []
     )
@@ -155,7 +157,9 @@
 ) -> None:
     made = policy()
     send = sent(ask(made, cls))
-    made.handle(NOW + 5, AttemptEnded(1, send.endpoint_id, False, result, 0, 5.0, parked=True))
+    made.handle(
+        NOW + 5, AttemptEnded(1, send.endpoint_id, False, result, 0, 5.0, retry_deferred=True)
+    )
     assert [type(action) for action in made.handle(NOW + 6, RetryDecisionDue(1, False))] == [answer]
     assert not made.lifecycle.requests and made.handle(NOW + 7, RetryDecisionDue(1, False)) == []
 
@@ -164,7 +168,8 @@
     made = policy()
     send = sent(ask(made, 0))
     made.handle(
-        NOW + 5, AttemptEnded(1, send.endpoint_id, False, AttemptResult.ERROR, 0, 5.0, parked=True)
+        NOW + 5,
+        AttemptEnded(1, send.endpoint_id, False, AttemptResult.ERROR, 0, 5.0, retry_deferred=True),
     )
     assert made.handle(NOW + 6, RequestCancelled(1)) == [] and not made.lifecycle.requests
 
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -44,7 +44,7 @@
         self.concurrency.limit = 1e9
 
     def measure(self) -> None:
-        self.overload = self.shed_threshold = 0.0
+        self.level = self.shed_threshold = 0.0
 
 
 class Uncut(Policy):
--- a/tests/policy/test_company.py
+++ b/tests/policy/test_company.py
@@ -78,7 +78,7 @@
     health = stage.policy.fleet.endpoints.by_id[2].health[0]
     assert (
         health.failure_rate == REPORTED_RATE_CAP
-        and not health.ejected_until
+        and not health.ejected_until_ms
         and 99 not in stage.policy.fleet.endpoints.by_id
     )
     while stage.policy.fleet.endpoints.by_id[2].health[0].failure_rate > 0.1:
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -36,7 +36,7 @@
     stage.policy.overload.concurrency.limit = (
         1e9  # nothing is answered from here on: that is no burst
     )
-    stage.policy.schedule.refreshed_at = stage.now
+    stage.policy.schedule.refreshed_at_ms = stage.now
 
 
 def sent_to(stage: Stage) -> list[int]:
@@ -436,9 +436,9 @@
         stage.outcome(
             number, 0, AttemptResult.ERROR if sent_to(stage)[-1] == 0 else AttemptResult.OK
         )
-    assert stage.policy.fleet.endpoints.by_id[0].health[0].ejected_until > 0
+    assert stage.policy.fleet.endpoints.by_id[0].health[0].ejected_until_ms > 0
     stage.list([replace(server(0), started_ms=stage.now - 60_000.0)])
-    assert not stage.policy.fleet.endpoints.by_id[0].health[0].ejected_until
+    assert not stage.policy.fleet.endpoints.by_id[0].health[0].ejected_until_ms
     assert stage.policy.fleet.endpoints.by_id[0].health[0].failure_rate == 0.0
 
 
@@ -584,7 +584,7 @@
     # All six draws fell on the one resting server of four, and a request was refused for it.
     stage = Stage(settings(classes=(UNSAFE,)), servers=12)
     for sick in range(11):
-        stage.policy.fleet.endpoints.by_id[sick].health[0].ejected_until = stage.now + 60_000.0
+        stage.policy.fleet.endpoints.by_id[sick].health[0].ejected_until_ms = stage.now + 60_000.0
     for _ in range(50):
         stage.outcome(stage.request(), 0, AttemptResult.OK)
     assert set(sent_to(stage)) == {11}
@@ -702,7 +702,7 @@
             stage.outcome(number, 1, AttemptResult.OK)
         assert stage.policy.overload.shed_threshold < 1.0
         assert not any(
-            s.health[0].ejected_until > stage.now
+            s.health[0].ejected_until_ms > stage.now
             for s in stage.policy.fleet.endpoints.by_id.values()
         )
 
@@ -813,14 +813,14 @@
     for _ in range(20):
         stage.now += 12.5
         stage.request()
-    assert stage.policy.overload.overload > 0.5
+    assert stage.policy.overload.level > 0.5
     for key in sorted(stage.open):
         stage.outcome(*key, AttemptResult.OK, 60.0)
     number = stage.request()
     assert (
         stage.policy.overload.concurrency.average > 1.5 * stage.policy.overload.concurrency.limit
     )  # on average it is still full
-    assert stage.policy.overload.overload == 0.0 and stage.attempts[number] and burst
+    assert stage.policy.overload.level == 0.0 and stage.attempts[number] and burst
 
 
 def test_what_rests_is_no_part_of_the_need_until_it_proves_itself() -> None:
@@ -833,7 +833,7 @@
     assert policy.fleet.available_capacity == 8.0
     for sick in (0, 1, 2):  # the first for all three classes, the others for the one that is fed
         for health in policy.fleet.endpoints.by_id[sick].health[: 1 if sick else 3]:
-            health.ejected_until = stage.now + 500.0
+            health.ejected_until_ms = stage.now + 500.0
         policy.fleet.outliers.ejected.add(sick)
     stage.advance(policy.settings.tick_ms * 20)
     stage.request()
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -89,13 +89,13 @@
     endpoints.track(endpoint(3), 2, NOW, random.Random(1))
     for item in (endpoint(1, size=3.0), endpoint(2), endpoint(3)):
         endpoints.by_id[item.id].endpoint = item
-        endpoints.recorded.add(item.id)
-    changes = endpoints.settle()
+        endpoints.updated.add(item.id)
+    changes = endpoints.take_changes()
     assert sorted(changes.endpoint_ids) == [1, 3]
     told = {endpoint_id: (before, after) for endpoint_id, before, after in changes}
     assert told == {1: (endpoint(1), endpoint(1, size=3.0)), 3: (None, endpoint(3))}
-    assert changes.came() == [3] and not changes.left()
-    assert not endpoints.settle().endpoint_ids
+    assert changes.added() == [3] and not changes.removed()
+    assert not endpoints.take_changes().endpoint_ids
 
 
 def test_a_snapshot_removes_what_it_does_not_name_and_an_open_attempt_keeps_it_known() -> None:
@@ -129,7 +129,7 @@
     )
     same, other = tracked(fleet, 1), tracked(fleet, 2)
     assert (same.relative_latency, same.recent_attempts) == (4.0, 3.0)
-    assert same.health[0].ejected_until == NOW and fleet.outliers.ejected == {1}
+    assert same.health[0].ejected_until_ms == NOW and fleet.outliers.ejected == {1}
     assert other.relative_latency == 1.0 and fleet.endpoints.restorable.keys() == {3}
 
 
@@ -178,7 +178,7 @@
     fleet = fleet_of(*(endpoint(i, zone=i % 2) for i in range(1, 9)))
     assert fleet.available_capacity == 8.0 and fleet.slots == 8.0
     fleet.outliers.ejected.add(2)
-    tracked(fleet, 2).health[0].ejected_until = NOW + 1
+    tracked(fleet, 2).health[0].ejected_until_ms = NOW + 1
     fleet.refresh_available_capacity(NOW)
     assert fleet.available_capacity == 7.5  # of one of two classes
     update(fleet, endpoint(20, started_ms=NOW - 4000.0))
@@ -258,7 +258,7 @@
     fleet.apply_view(ClusterView(2, 0, 2))
     fleet.latency.warm_work_ms[0] = 10.0
     starting = tracked(fleet, 1)
-    starting.tokens, starting.tokens_at = -0.1, NOW
+    starting.tokens, starting.tokens_as_of_ms = -0.1, NOW
     assert not fleet.slow_start.has_token(starting, NOW)
     # 0.8 of twice a fifth of 0.1 a ms, for two nodes: some 0.016 a ms.
     assert fleet.slow_start.has_token(starting, NOW + 10.0)
@@ -270,7 +270,7 @@
 def test_a_fleet_that_starts_as_a_whole_gets_one_attempt_on_credit() -> None:
     fleet = fleet_of(*(endpoint(i, started_ms=NOW) for i in range(1, 6)))
     starting = tracked(fleet, 1)
-    starting.tokens, starting.tokens_at = -0.5, NOW
+    starting.tokens, starting.tokens_as_of_ms = -0.5, NOW
     assert fleet.slow_start.has_token(starting, NOW)
     starting.open_attempts[9, 0] = (None, 0.0)  # type: ignore[assignment]
     assert not fleet.slow_start.has_token(starting, NOW)
@@ -288,18 +288,18 @@
     fail(fleet, 1, 1, AttemptResult.ERROR)
     failing = tracked(fleet, 1)
     assert failing.health[0].failure_rate == 0.5 and failing.health[1].failure_rate == 0.1
-    assert 1500.0 <= failing.health[0].ejected_until - NOW <= 2500.0
-    assert not failing.health[1].ejected_until and fleet.outliers.ejected == {1}
+    assert 1500.0 <= failing.health[0].ejected_until_ms - NOW <= 2500.0
+    assert not failing.health[1].ejected_until_ms and fleet.outliers.ejected == {1}
     assert fleet.outliers.ejected_capacity(failing, 0.5) == 0.25
     fleet.outliers.record_success(failing, 0)
-    assert not failing.health[0].ejected_until and not fleet.outliers.ejected
+    assert not failing.health[0].ejected_until_ms and not fleet.outliers.ejected
     assert failing.health[0].failure_rate == pytest.approx(0.35)
 
 
 def test_silence_concerns_all_classes() -> None:
     fleet = fleet_of(*map(endpoint, range(1, 11)))
     fail(fleet, 1, 2, AttemptResult.TIMEOUT)
-    assert all(health.ejected_until for health in tracked(fleet, 1).health)
+    assert all(health.ejected_until_ms for health in tracked(fleet, 1).health)
 
 
 def test_where_all_fail_nothing_stands_out_and_never_more_than_a_share_is_ejected() -> None:
@@ -353,7 +353,7 @@
     locality, spilled = fleet.locality, 0
     for ms in range(1000):
         if locality.may_spill(plan, 1, NOW + ms):
-            locality.spill(1)
+            locality.count_spillover(1)
             spilled += 1
         assert not locality.may_spill(plan, 0, NOW + ms)
     assert spilled in (10, 11)
@@ -361,11 +361,11 @@
 
 def test_other_zones_are_asked_first_where_one_is_lost_or_failed_before() -> None:
     locality = fleet_of(endpoint(1)).locality
-    plan = TrafficPlan(((0.5, 0.5),) * 4, (0.0, 0.0), frozenset({1}), zone_strain=(0.0, 0.0))
-    assert not locality.is_spared(plan, 0, 0)
-    assert locality.is_spared(plan, 0, 1) and locality.is_spared(plan, 1, 0)
-    strained = TrafficPlan(((0.5, 0.5),) * 4, (0.0, 0.0), zone_strain=(1.0, 0.0))
-    assert locality.is_spared(strained, 0, 0) and not locality.is_spared(strained, 1, 0)
+    plan = TrafficPlan(((0.5, 0.5),) * 4, (0.0, 0.0), frozenset({1}), offload_shares=(0.0, 0.0))
+    assert not locality.is_avoided(plan, 0, 0)
+    assert locality.is_avoided(plan, 0, 1) and locality.is_avoided(plan, 1, 0)
+    strained = TrafficPlan(((0.5, 0.5),) * 4, (0.0, 0.0), offload_shares=(1.0, 0.0))
+    assert locality.is_avoided(strained, 0, 0) and not locality.is_avoided(strained, 1, 0)
 
 
 # When things are due.
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -60,7 +60,7 @@
         self.start = group * len(ready) // groups
         self.span = max(1, (group + 1) * len(ready) // groups - self.start)
         self.ours = self.ready[self.start : self.start + self.span]
-        works = [sum(h.ejected_until == 0 for h in s.health) / len(s.health) for s in ready]
+        works = [sum(h.ejected_until_ms == 0 for h in s.health) / len(s.health) for s in ready]
         shares = [
             policy.fleet.slow_start.capacity_share(s.endpoint, policy.now_ms) * part
             for s, part in zip(ready, works, strict=True)
@@ -367,5 +367,5 @@
     for step in range(200):
         now += 10.0
         policy.handle(now, Request(1000 + step, 0, now + 1400.0))
-        opened = opened or (now if policy.overload.overload < 1.0 else 0.0)
+        opened = opened or (now if policy.overload.level < 1.0 else 0.0)
     assert 0 < opened < 1400.0
--- a/tests/policy/test_key_queue.py
+++ b/tests/policy/test_key_queue.py
@@ -46,7 +46,7 @@
     queue = queue_of(first)
     queue.open_attempts = 1
     queues.attempt_ended(queue, AttemptResult.TIMEOUT, 10.0, 250.0)
-    assert queue.cooldown_until == 260.0 and queue.must_wait(0, 259.0)
+    assert queue.cooldown_until_ms == 260.0 and queue.must_wait(0, 259.0)
     assert not queue.must_wait(0, 260.0)
     assert queue.wait_until(0, 1000.0) == 260.0 and queue.wait_until(1, 1000.0) == 1000.0
     queues.leave(first)
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -44,19 +44,19 @@
 def test_the_threshold_is_the_cube_of_overload_by_errors_or_by_attempts_in_flight() -> None:
     overload = controller()
     overload.measure()
-    assert (overload.overload, overload.shed_threshold) == (0.0, 0.0)
+    assert (overload.level, overload.shed_threshold) == (0.0, 0.0)
     overload.error_rate.rate = 0.25
     overload.measure()
-    assert overload.overload == pytest.approx(0.5)
+    assert overload.level == pytest.approx(0.5)
     assert overload.shed_threshold == pytest.approx(12.5)
     overload.error_rate.rate, overload.concurrency.limit = 0.0, 8.0
     overload.concurrency.current = overload.concurrency.average = 12
     overload.measure()
-    assert overload.overload == 1.0 and overload.sheds(99.9)
+    assert overload.level == 1.0 and overload.sheds(99.9)
     # behind a burst nothing is open: the average alone sheds nothing
     overload.concurrency.current = 0
     overload.measure()
-    assert overload.overload == 0.0
+    assert overload.level == 0.0
 
 
 def test_a_burst_is_shed_by_what_is_open_at_this_moment() -> None:
@@ -70,9 +70,9 @@
 
 def test_retries_are_suppressed_by_overload_or_where_no_connection_comes_about() -> None:
     overload = controller()
-    overload.overload, overload.error_rate.connect_failure_rate = 0.3, 0.6
+    overload.level, overload.error_rate.connect_failure_rate = 0.3, 0.6
     assert overload.retry_suppression() == 0.6
-    overload.overload = 0.9
+    overload.level = 0.9
     assert overload.retry_suppression() == 0.9
 
 
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -116,7 +116,7 @@
     assert retries.should_retry(AttemptResult.ERROR)
     assert not retries.should_retry(AttemptResult.TIMEOUT)
     overload = OverloadController(ErrorRate(), Throughput())
-    overload.overload = 1.0
+    overload.level = 1.0
     suppressed = RetryPolicy(overload, Settings((IDEMPOTENT,)), random.Random(1))
     assert not suppressed.should_retry(AttemptResult.ERROR) and not suppressed.allows_fallbacks()
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -59,11 +59,11 @@
     tracked = policy.fleet.endpoints.by_id[1]
     health, usable = tracked.health[0], policy.selector.is_usable
     assert usable(tracked, health, NOW)
-    health.ejected_until = NOW + 10.0
+    health.ejected_until_ms = NOW + 10.0
     assert not usable(tracked, health, NOW) and usable(tracked, health, NOW + 10.0)
     hold(tracked, 1)
     assert not usable(tracked, health, NOW + 10.0)  # one attempt at a time
-    health.ejected_until = 0.0
+    health.ejected_until_ms = 0.0
     assert usable(tracked, health, NOW + 999.0) and not usable(tracked, health, NOW + 1001.0)
 
 
@@ -89,5 +89,5 @@
     assert len(set(found)) == 3 and 4 not in found
     item.attempts = 3  # one more is allowed in all
     assert len(policy.selector.fallbacks(item, NOW + 400.0, NOW)) == 1
-    policy.overload.overload = 1.0
+    policy.overload.level = 1.0
     assert policy.selector.fallbacks(item, NOW + 400.0, NOW) == ()
--- a/tests/policy/test_slopes.py
+++ b/tests/policy/test_slopes.py
@@ -490,13 +490,13 @@
                 event = AttemptEnded(
                     number, server, True, AttemptResult.OK, 0, rng.uniform(5.0, 90.0)
                 )
-            before = policies[0].schedule.halved_at
+            before = policies[0].schedule.halved_at_ms
             actions, others = (policy.handle(now, event) for policy in policies)
             assert actions == others
             out += [
                 (action.id, action.endpoint_id) for action in actions if isinstance(action, Send)
             ]
-            halvings += policies[0].schedule.halved_at != before
+            halvings += policies[0].schedule.halved_at_ms != before
             seen = [
                 {
                     i: (s.recent_attempts, s.relative_latency)
--- a/tests/processor/test_streams.py
+++ b/tests/processor/test_streams.py
@@ -44,7 +44,7 @@
             answer = await stream.respond(200, served=SERVERS[0])
             assert answer.HasField("response_headers") and not told_headers(answer)
             outcome = await bench.event(AttemptEnded)
-            assert (outcome.result, outcome.completed) == (AttemptResult.OK, True)
+            assert (outcome.result, outcome.request_finished) == (AttemptResult.OK, True)
             await stream.half_close()
             assert await stream.status() == "ok"
             await bench.settled()
@@ -61,7 +61,7 @@
             headers |= {"x-request-id": "r", "x-envoy-expected-rq-timeout-ms": "700"}
             before = bench.join.clock()
             await proxy.stream().ask(headers)
-            assert 0 < (await bench.event(Request)).deadline - before <= 700 + 1000
+            assert 0 < (await bench.event(Request)).deadline_at_ms - before <= 700 + 1000
 
     run(test())
 
@@ -353,7 +353,7 @@
             stream.cancel()
             await bench.event(RequestCancelled)
             await bench.settled()
-            assert [o.parked for o in bench.of(AttemptEnded)] == [True] and bench.of(
+            assert [o.retry_deferred for o in bench.of(AttemptEnded)] == [True] and bench.of(
                 RetryDecisionDue
             ) == []
 
--- a/tests/statistics/test_golden.py
+++ b/tests/statistics/test_golden.py
@@ -17,7 +17,7 @@
 from badgercart.policy.settings import Idempotency, RequestClass
 from badgercart.policy.statistics import PolicyStatistics
 from badgercart.statistics.commands import learned
-from badgercart.statistics.snapshot import decode, encode, make_snapshot, statistics_of
+from badgercart.statistics.snapshot import decode, encode, extract_statistics, make_snapshot
 from tests.net import config
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -68,7 +68,7 @@
 def test_it_is_read_to_the_same_values() -> None:
     kept = decode((GOLDEN / "learned.bin").read_bytes())
     assert (kept.node, kept.fleet, kept.saved_ms) == ("n-1", "east,west/k0,k1", 1.75e12)
-    assert statistics_of(kept, CONFIG, OFFSET) == memory()
+    assert extract_statistics(kept, CONFIG, OFFSET) == memory()
 
 
 def test_the_command_shows_it_under_the_same_names() -> None:
--- a/tests/statistics/test_memory.py
+++ b/tests/statistics/test_memory.py
@@ -27,7 +27,7 @@
 from badgercart.policy.policy import Policy
 from badgercart.policy.statistics import PolicyStatistics, export_statistics, import_statistics
 from badgercart.statistics import store
-from badgercart.statistics.ageing import aged
+from badgercart.statistics.ageing import decay_statistics
 from badgercart.statistics.errors import NewerVersionError, SnapshotError
 from badgercart.statistics.snapshot import (
     HEADER,
@@ -35,8 +35,8 @@
     VERSION,
     decode,
     encode,
+    extract_statistics,
     make_snapshot,
-    statistics_of,
 )
 from tests.capture.support import SETTINGS, Saturday
 from tests.net import config
@@ -107,8 +107,8 @@
 def test_ageing_in_two_steps_is_ageing_in_one(
     memory: PolicyStatistics, first: float, second: float
 ) -> None:
-    once = aged(memory, first + second, SETTINGS)
-    twice = aged(aged(memory, first, SETTINGS), second, SETTINGS)
+    once = decay_statistics(memory, first + second, SETTINGS)
+    twice = decay_statistics(decay_statistics(memory, first, SETTINGS), second, SETTINGS)
     marginal = {
         key
         for key, count in {**once.key_counts, **twice.key_counts}.items()
@@ -119,7 +119,9 @@
             key: count for key, count in one.key_counts.items() if key not in marginal
         }
     assert floats(once) == pytest.approx(floats(twice), rel=1e-9, abs=1e-12)
-    assert floats(aged(memory, -5.0, SETTINGS)) == floats(aged(memory, 0.0, SETTINGS))
+    assert floats(decay_statistics(memory, -5.0, SETTINGS)) == floats(
+        decay_statistics(memory, 0.0, SETTINGS)
+    )
 
 
 @settings(max_examples=50, deadline=None)
@@ -128,7 +130,7 @@
     memory: PolicyStatistics,
 ) -> None:
     policy, fresh = Policy(SETTINGS, 1), Policy(SETTINGS, 1)
-    import_statistics(policy, aged(memory, 1e15, SETTINGS))
+    import_statistics(policy, decay_statistics(memory, 1e15, SETTINGS))
     lines = [
         Endpoint(n, 0, n % 2, 0, EndpointState.READY, 2.0, 777.0) for n in (*memory.endpoints, 5, 6)
     ]
@@ -204,7 +206,7 @@
         0.0,
         0.0,
     )
-    assert same.health[0].ejected_until and policy.fleet.outliers.ejected == {1}
+    assert same.health[0].ejected_until_ms and policy.fleet.outliers.ejected == {1}
     gone = Endpoint(1, 0, 0, 0, EndpointState.GONE, 2.0, 777.0)
     policy.handle(6001.0, EndpointUpdate(UpdateKind.DELTA, 2, [gone]))
     policy.handle(
@@ -254,7 +256,7 @@
         and memory.samples > 10
     )
     snapshot = make_snapshot(memory, CONFIG, 1e12, 5e11)
-    back = statistics_of(decode(encode(snapshot)), CONFIG, 5e11)
+    back = extract_statistics(decode(encode(snapshot)), CONFIG, 5e11)
     assert back == memory
     policy = Policy(SETTINGS, 2)
     import_statistics(policy, back)
@@ -271,14 +273,14 @@
     snapshot = make_snapshot(export_statistics(day().join.policy), CONFIG, 1e12, 0.0)
     turned = replace(CONFIG, classes={b"b": 0, b"a": 1}, kinds={"k1": 0, "k0": 1})
     with pytest.raises(SnapshotError, match="another fleet"):
-        statistics_of(snapshot, turned, 0.0)
+        extract_statistics(snapshot, turned, 0.0)
     turned = replace(turned, kinds=CONFIG.kinds)
-    memory = statistics_of(snapshot, turned, 0.0)
+    memory = extract_statistics(snapshot, turned, 0.0)
     assert memory.typical_latency_ms == [
         snapshot.classes["b"].typical_latency_ms,
         snapshot.classes["a"].typical_latency_ms,
     ]
-    other = statistics_of(snapshot, replace(CONFIG, classes={b"a": 0, b"new": 1}), 0.0)
+    other = extract_statistics(snapshot, replace(CONFIG, classes={b"a": 0, b"new": 1}), 0.0)
     assert other.typical_latency_ms[1] == SETTINGS.classes[1].latency_objective_ms / 4
     assert all(known.failure_rates[1] == 0.0 for known in other.endpoints.values())
 
--- a/tests/zones/test_failover_controller.py
+++ b/tests/zones/test_failover_controller.py
@@ -93,7 +93,7 @@
     events = [policy_input(controller, nodes) for controller in controllers(played)]
     for zone in range(3):
         slots = sum(
-            event.spillover_rates[zone] * controller.observer.detector.mean_latency_ms
+            event.spillover_rates_per_ms[zone] * controller.observer.detector.mean_latency_ms
             for event, controller in zip(events, controllers(played), strict=True)
         )
         capacity = controllers(played)[0].conditions.capacity[zone]
