--- a/badgercart/policy/actions.py
+++ b/badgercart/policy/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the policy answers with."""
+"""The actions that the policy returns for the caller to execute."""
 
 from __future__ import annotations
 
@@ -7,40 +7,62 @@
 
 @dataclass(slots=True)
 class Send:
-    """Send a request to an endpoint, as its next attempt; attempts are numbered from 0."""
+    """Send a request to an endpoint as its next attempt; attempts are numbered from 0.
 
-    id: int  # of the request
+    Attributes:
+        id: the id of the request.
+        endpoint_id: the endpoint of the attempt.
+        timeout_ms: time allowed for the attempt, from now on; for an incomplete request, from when
+            it is complete.
+        fallbacks: endpoints that the transport may try next without asking the policy, in order.
+    """
+
+    id: int
     endpoint_id: int
-    timeout_ms: float  # from now, or from when the request is complete
-    fallbacks: tuple[int, ...] = ()  # endpoints that the transport may go on to by itself, in order
+    timeout_ms: float
+    fallbacks: tuple[int, ...] = ()
 
 
 @dataclass(slots=True)
 class Shed:
-    """End a request: it was not executed, or trying again does no harm."""
+    """End a request that was not executed, or that the client may retry without harm.
+
+    Attributes:
+        id: the id of the request.
+        retry_after_ms: how long the client should wait before a retry; 0: no advice.
+    """
 
-    id: int  # of the request
-    retry_after_ms: float  # how long the client should stay away; 0: no advice
+    id: int
+    retry_after_ms: float
 
 
 @dataclass(slots=True)
 class Fail:
-    """End a request: it failed, and may have been executed."""
+    """End a request that failed and may have been executed.
 
-    id: int  # of the request
+    Attributes:
+        id: the id of the request.
+    """
+
+    id: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel an open attempt; its end is still to be told."""
+    """Cancel an open attempt; an `AttemptEnded` event still has to follow.
+
+    Attributes:
+        id: the id of the request.
+        attempt: the number of the attempt.
+    """
 
-    id: int  # of the request
+    id: int
     attempt: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Tell `TimerFired` with this token after a while."""
+    """Send a `TimerFired` event with this token after a delay."""
 
     delay_ms: float
     token: int
@@ -55,12 +77,12 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask for the endpoints, and for their changes from now on."""
+    """Request the list of endpoints, and its changes from now on."""
 
 
 @dataclass(slots=True)
 class Log:
-    """Say something in the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/badgercart/policy/cluster.py
+++ b/badgercart/policy/cluster.py
@@ -1,4 +1,4 @@
-"""Which nodes share the fleet. No I/O."""
+"""The nodes that share the fleet. No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Cluster:
-    """The view in force: as it was announced, else as the settings say."""
+    """The current view of the cluster: the one announced last, else the one of the settings."""
 
     __slots__ = ("announced", "view")
 
@@ -16,11 +16,11 @@
         self.view = configured_view(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Go by the settings where nothing was announced."""
+        """Use the view of the settings if none was announced."""
         self.view = self.announced or configured_view(settings)
 
     def announce(self, view: ClusterView) -> None:
-        """Go by this view from now on."""
+        """Use this view from now on."""
         self.announced = self.view = view
 
 
--- a/badgercart/policy/endpoints.py
+++ b/badgercart/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that this node may send to, and what its own attempts showed of each. No I/O."""
+"""The endpoints that this node may send to, and what it learned of each by its attempts. No I/O."""
 
 from __future__ import annotations
 
@@ -14,55 +14,78 @@
 if TYPE_CHECKING:
     from badgercart.policy.requests import PendingRequest
 
-BULK_CHANGES = 64  # endpoints that came or went above which the ready ones are sorted anew
+BULK_CHANGES = 64  # if more endpoints change at once, the ready ones are sorted again
 
-AttemptKey = tuple[int, int]  # request id, number of the attempt
+# The id of a request and the number of one of its attempts.
+AttemptKey = tuple[int, int]
 
 
 @dataclass(slots=True)
 class ClassHealth:
-    """How an endpoint treats one request class."""
+    """The health of an endpoint for one request class.
 
-    failure_rate: float = 0.0  # of recent attempts
-    ejected_until_ms: float = 0.0  # clock time in ms; 0: not ejected, nor on trial
+    Attributes:
+        failure_rate: the failure rate of recent attempts.
+        ejected_until_ms: the clock time at which its ejection ends. A time in the past: the
+            endpoint is on trial, until an attempt succeeds. 0: it is neither ejected nor on trial.
+        consecutive_ejections: the ejections since, halved with each success.
+    """
+
+    failure_rate: float = 0.0
+    ejected_until_ms: float = 0.0
     consecutive_ejections: int = 0
 
 
 @dataclass(slots=True)
 class TrackedEndpoint:
-    """An endpoint, and what this node knows of it beside the list."""
+    """An endpoint, and what this node knows of it beyond its entry in the endpoint list.
+
+    Attributes:
+        endpoint: its entry in the endpoint list.
+        tokens: the attempts that it may get during slow start. The initial value is random, so that
+            nodes do not send to it all at once.
+        tokens_as_of_ms: the clock time at which its tokens were last computed.
+        health: its health, by class.
+        open_attempts: the open attempts of complete requests, each with the clock time after which
+            it is overdue.
+        uploads: the open attempts of requests that are not complete yet.
+        recent_attempts: the attempts of this node, halved periodically.
+        relative_latency: its latency over the typical one for class and kind.
+    """
 
     endpoint: Endpoint
-    tokens: float  # during slow start: attempts it may get; a random start keeps nodes out of step
-    tokens_as_of_ms: float  # clock time in ms as of which
-    health: list[ClassHealth]  # by class
-    # Open attempts, each with the clock time after which it is overdue.
+    tokens: float
+    tokens_as_of_ms: float
+    health: list[ClassHealth]
     open_attempts: dict[AttemptKey, tuple[PendingRequest, float]] = field(default_factory=dict)
-    uploads: dict[AttemptKey, PendingRequest] = field(
-        default_factory=dict
-    )  # of requests not yet complete
-    recent_attempts: float = 0.0  # of this node, halved now and then
-    relative_latency: float = 1.0  # over the typical one for class and kind
+    uploads: dict[AttemptKey, PendingRequest] = field(default_factory=dict)
+    recent_attempts: float = 0.0
+    relative_latency: float = 1.0
 
 
 @dataclass(slots=True)
 class EndpointChanges:
-    """Ready endpoints that came, went, or are listed otherwise.
+    """Endpoints that became ready, are no longer ready, or are ready with another list entry.
 
-    Three lists and not a list of objects: the first update of a large fleet changes all endpoints
-    at once.
+    They are three lists instead of one list of objects for speed: the first update of a large fleet
+    changes all endpoints at once.
+
+    Attributes:
+        endpoint_ids: the ids of the endpoints.
+        before: the former entry of each; None: it was not ready.
+        after: the present entry of each; None: it is no longer ready.
     """
 
     endpoint_ids: list[int] = field(default_factory=list)
-    before: list[Endpoint | None] = field(default_factory=list)  # None: it was not ready
-    after: list[Endpoint | None] = field(default_factory=list)  # None: it is not ready any more
+    before: list[Endpoint | None] = field(default_factory=list)
+    after: list[Endpoint | None] = field(default_factory=list)
 
     def __iter__(self) -> Iterator[tuple[int, Endpoint | None, Endpoint | None]]:
-        """Give each endpoint's id with what was and what is."""
+        """Iterate over the endpoints' ids, each with its former and its present entry."""
         return zip(self.endpoint_ids, self.before, self.after, strict=True)
 
     def removed(self) -> set[int]:
-        """Return the endpoints that are not ready any more."""
+        """Return the endpoints that are no longer ready."""
         return {endpoint_id for endpoint_id, _, after in self if after is None}
 
     def added(self) -> list[int]:
@@ -71,7 +94,18 @@
 
 
 class EndpointSet:
-    """All tracked endpoints, and the ready ones in the order of their hashes."""
+    """All tracked endpoints, and the ready ones in the order of their hashes.
+
+    Attributes:
+        by_id: all tracked endpoints, by id.
+        ready: the ids of the ready endpoints, in the order of their hashes.
+        hashes: the hashes of the ready endpoints, in order.
+        applied: the ready endpoints as all derived values reflect them, by id.
+        updated: ids that updates named since changes were last taken.
+        active: ids of endpoints whose recent attempts or latency may differ from a new one's.
+        restorable: statistics from before a restart of this node, until the endpoint is listed.
+        recent_attempts: the sum over all endpoints.
+    """
 
     __slots__ = (
         "active",
@@ -86,25 +120,23 @@
 
     def __init__(self) -> None:
         self.by_id: dict[int, TrackedEndpoint] = {}
-        self.ready: list[int] = []  # endpoint ids, by hash
-        self.hashes: list[int] = []  # of the ready ones
-        self.applied: dict[int, Endpoint] = {}  # the ready ones as all that is derived has them
-        self.updated: set[int] = set()  # ids that an update named since
-        # Endpoints whose recent attempts or latency may differ from a new one's.
+        self.ready: list[int] = []
+        self.hashes: list[int] = []
+        self.applied: dict[int, Endpoint] = {}
+        self.updated: set[int] = set()
         self.active: set[int] = set()
-        self.restorable: dict[
-            int, EndpointStatistics
-        ] = {}  # of a predecessor, until the endpoint is listed
-        self.recent_attempts = 1e-9  # of all endpoints
+        self.restorable: dict[int, EndpointStatistics] = {}
+        self.recent_attempts = 1e-9  # not 0, since it is used as a divisor
 
     def track(
         self, endpoint: Endpoint, class_count: int, now_ms: float, rng: random.Random
     ) -> TrackedEndpoint:
-        """Track an endpoint anew; attempts that are open at its earlier start stay open."""
+        """Start to track an endpoint; if it has restarted, its open attempts stay open."""
         old = self.by_id.get(endpoint.id)
         health = [ClassHealth() for _ in range(class_count)]
         tracked = self.by_id[endpoint.id] = TrackedEndpoint(endpoint, -rng.random(), now_ms, health)
-        if self.ready:  # as much as the others': else it would draw more than they do
+        if self.ready:
+            # The mean of the others; with fewer attempts it would be chosen more often than they.
             tracked.recent_attempts = self.recent_attempts / len(self.ready)
             self.active.add(endpoint.id)
         if old is not None:
@@ -112,14 +144,14 @@
         return tracked
 
     def restore(self, tracked: TrackedEndpoint, statistics: EndpointStatistics) -> None:
-        """Take over a predecessor's recent attempts and latency of an endpoint."""
+        """Restore an endpoint's recent attempts and latency from before a restart of this node."""
         self.active.add(tracked.endpoint.id)
         tracked.relative_latency = statistics.relative_latency
         tracked.recent_attempts = statistics.recent_attempts
         self.recent_attempts += statistics.recent_attempts
 
     def take_changes(self) -> EndpointChanges:
-        """Bring the ready ones up to date with what was updated, and return what changed."""
+        """Apply the updates received to the ready endpoints, and return what changed."""
         changes = EndpointChanges()
         by_id, applied = self.by_id, self.applied
         for endpoint_id in self.updated:
@@ -135,26 +167,28 @@
         self._update_ready(changes.removed(), changes.added())
         return changes
 
-    def _update_ready(self, left: set[int], came: list[int]) -> None:
-        if len(left) + len(came) > BULK_CHANGES:
-            self._rebuild_ready(left, came)
+    def _update_ready(self, removed: set[int], added: list[int]) -> None:
+        if len(removed) + len(added) > BULK_CHANGES:
+            self._rebuild_ready(removed, added)
             return
-        for endpoint_id in left:
+        for endpoint_id in removed:
             at = self.ready.index(endpoint_id, bisect_left(self.hashes, mix_hash(endpoint_id)))
             del self.ready[at], self.hashes[at]
-        for endpoint_id in came:
+        for endpoint_id in added:
             at = bisect_left(self.hashes, mix_hash(endpoint_id))
             self.hashes.insert(at, mix_hash(endpoint_id))
             self.ready.insert(at, endpoint_id)
 
-    def _rebuild_ready(self, left: set[int], came: Iterable[int]) -> None:
-        kept = [pair for pair in zip(self.hashes, self.ready, strict=True) if pair[1] not in left]
-        pairs = sorted([*kept, *((mix_hash(endpoint_id), endpoint_id) for endpoint_id in came)])
+    def _rebuild_ready(self, removed: set[int], added: Iterable[int]) -> None:
+        kept = [
+            pair for pair in zip(self.hashes, self.ready, strict=True) if pair[1] not in removed
+        ]
+        pairs = sorted([*kept, *((mix_hash(endpoint_id), endpoint_id) for endpoint_id in added)])
         self.hashes = [position for position, _ in pairs]
         self.ready = [endpoint_id for _, endpoint_id in pairs]
 
     def halve_recent_attempts(self) -> None:
-        """Let what older attempts showed weigh half."""
+        """Halve the weight of older attempts, in their number and in the latency."""
         self.recent_attempts /= 2
         self.active &= self.by_id.keys()
         for tracked in (self.by_id[endpoint_id] for endpoint_id in self.active):
@@ -162,13 +196,13 @@
             tracked.relative_latency = (1 + tracked.relative_latency) / 2
 
     def count_attempt(self, tracked: TrackedEndpoint) -> None:
-        """Count an attempt that goes to an endpoint now."""
+        """Count an attempt that is sent to an endpoint now."""
         self.active.add(tracked.endpoint.id)
         tracked.recent_attempts += 1
         self.recent_attempts += 1
 
     def reset_classes(self, class_count: int, reset: Iterable[int]) -> None:
-        """Make room for new classes, and forget the health of those that begin anew."""
+        """Add the health of new classes, and reset that of the classes in `reset`."""
         for tracked in self.by_id.values():
             tracked.health += [ClassHealth() for _ in range(class_count - len(tracked.health))]
             for index in reset:
--- a/badgercart/policy/error_rate.py
+++ b/badgercart/policy/error_rate.py
@@ -1,24 +1,33 @@
-"""The share of recent attempts that failed. No I/O."""
+"""The failure rate of recent attempts. No I/O."""
 
 from __future__ import annotations
 
-MEMORY_ATTEMPTS = 33.0  # attempts that the share looks back over
-MEMORY_SHED = 100.0  # shed requests after which what was seen before them has faded
-# Attempts taken as good beside those seen: a few chance failures are no overload.
+# Number of attempts over which the weight of older attempts decays by a factor of e.
+MEMORY_ATTEMPTS = 33.0
+# Number of shed requests over which the weight of earlier attempts decays by a factor of e.
+MEMORY_SHED = 100.0
+# Successes that are added to the attempts counted, since a few failures by chance are no overload.
 PRIOR_SUCCESSES = 4.0
-CONNECT_GAIN = 0.1  # weight of one attempt in the share without a connection
+CONNECT_GAIN = 0.1  # weight of one attempt in the connect failure rate
 
 
 class ErrorRate:
-    """Failures among recent attempts, fading with attempts, time and shed requests."""
+    """Failures among recent attempts, whose weight decays with attempts, time and shed requests.
+
+    Attributes:
+        attempts: recent attempts, by their weight.
+        failures: failures among them, by their weight.
+        rate: the failure rate.
+        connect_failure_rate: the share of recent attempts that got no connection.
+    """
 
     __slots__ = ("attempts", "connect_failure_rate", "failures", "rate")
 
     def __init__(self) -> None:
-        self.attempts = 0.0  # recent ones, faded
+        self.attempts = 0.0
         self.failures = 0.0
         self.rate = 0.0
-        self.connect_failure_rate = 0.0  # share of recent attempts that got no connection
+        self.connect_failure_rate = 0.0
 
     def record(self, failed: bool, weight: float, connected: bool) -> None:
         """Count an attempt that has ended; a failure counts by its weight, 0 to 1."""
@@ -28,16 +37,17 @@
         self._refresh()
 
     def record_shed(self) -> None:
-        """Let what was seen fade with a shed request.
+        """Decay the weight of earlier attempts with a shed request.
 
-        A shed request carries no information about endpoint health. Without this a threshold that
-        sheds nearly everything would hold itself up, since good and bad attempts fade alike.
+        A shed request carries no information about endpoint health. Without this decay a threshold
+        that sheds nearly everything would stay up: there are hardly any new attempts, and the decay
+        with attempts affects failures and successes alike.
         """
         self.failures -= self.failures / MEMORY_SHED
         self.attempts -= self.attempts / MEMORY_SHED
 
-    def fade(self, keep: float) -> None:
-        """Keep only this share of what was seen."""
+    def decay(self, keep: float) -> None:
+        """Keep only this share of the weight of earlier attempts."""
         self.failures, self.attempts = self.failures * keep, self.attempts * keep
         self._refresh()
 
--- a/badgercart/policy/errors.py
+++ b/badgercart/policy/errors.py
@@ -1,18 +1,18 @@
-"""The errors of the policy. A request of an unknown class or tenant is a plain `LookupError`."""
+"""The errors of the policy. A request of an unknown class or tenant raises `LookupError`."""
 
 from __future__ import annotations
 
 
 class PolicyError(Exception):
-    """The base of the policy's errors."""
+    """Base class of the policy's errors."""
 
 
 class InvalidSettingError(PolicyError, ValueError):
     """A value that a setting can't have.
 
     Attributes:
-        name: the setting, as operators know it.
-        value: what it was to be.
+        name: the name of the setting for operators.
+        value: the rejected value.
     """
 
     def __init__(self, name: str, value: object) -> None:
@@ -21,11 +21,11 @@
 
 
 class StatisticsMismatchError(PolicyError, ValueError):
-    """Statistics of other classes than the settings have.
+    """Statistics whose number of classes differs from that of the settings.
 
     Attributes:
-        classes: how many they are of.
-        expected: how many there are.
+        classes: the number of classes of the statistics.
+        expected: the number of classes of the settings.
     """
 
     def __init__(self, classes: int, expected: int) -> None:
--- a/badgercart/policy/feedback.py
+++ b/badgercart/policy/feedback.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt tells of its endpoint and of the fleet. No I/O."""
+"""Updates statistics of an endpoint and of the fleet by the end of an attempt. No I/O."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from badgercart.policy.overload import OverloadController
 from badgercart.policy.requests import PendingRequest
 
-SAYS_NOTHING = frozenset({AttemptResult.CANCELLED, AttemptResult.NOT_SENT})
-MAY_BE_QUICK = frozenset(
-    {AttemptResult.ERROR, AttemptResult.RESET}
-)  # may come sooner than the work takes
-# Of a failure that took the typical latency; 1 from twice that latency on.
+# Results that carry no information about the endpoint.
+UNINFORMATIVE_RESULTS = frozenset({AttemptResult.CANCELLED, AttemptResult.NOT_SENT})
+# Results that may come before the endpoint has done the work.
+POSSIBLY_QUICK_RESULTS = frozenset({AttemptResult.ERROR, AttemptResult.RESET})
+# Weight of such a failure that took the typical latency. The weight is proportional to the time
+# taken and at most 1, which it reaches at twice the typical latency.
 QUICK_FAILURE_WEIGHT = 0.5
 
 
 class AttemptFeedback:
-    """Has all parts learn from attempts. It owns no state."""
+    """Passes what attempts show to the parts of the policy that learn from it. It owns no state."""
 
     __slots__ = ("_fleet", "_latency", "_outliers", "_overload")
 
@@ -35,7 +36,7 @@
         now_ms: float,
     ) -> None:
         """Learn from an attempt that has ended."""
-        if result in SAYS_NOTHING:
+        if result in UNINFORMATIVE_RESULTS:
             return
         class_index = pending.request.class_index
         weight = self._failure_weight(result, class_index, elapsed_ms)
@@ -44,7 +45,8 @@
         if failed:
             if result == AttemptResult.TIMEOUT:
                 self._learn_latency(tracked, class_index, elapsed_ms)
-            # A quick reset is the connection's: the process that died refuses the next one.
+            # A quick reset may concern the connection alone; if the process has died, the next
+            # connection is refused.
             weight = weight if result == AttemptResult.RESET else 1.0
             self._outliers.record_failure(tracked, class_index, result, weight, now_ms)
             return
@@ -58,11 +60,11 @@
     def _failure_weight(self, result: int, class_index: int, elapsed_ms: float) -> float:
         """Return the weight of a failure in the error rate.
 
-        A failure that put no load on an endpoint is no sign of overload.
+        A failure that put no load on an endpoint does not indicate overload.
         """
         if result == AttemptResult.UNREACHABLE:
             return 0.0
-        if result in MAY_BE_QUICK:
+        if result in POSSIBLY_QUICK_RESULTS:
             return min(
                 1.0, QUICK_FAILURE_WEIGHT * elapsed_ms / self._latency.typical_ms[class_index]
             )
@@ -84,6 +86,6 @@
     def learn_from_stream(
         self, tracked: TrackedEndpoint, pending: PendingRequest, result: int, now_ms: float
     ) -> None:
-        """Learn from an attempt whose answer had begun, which can only have broken."""
+        """Learn from the end of an attempt whose response was being streamed."""
         if result not in (AttemptResult.OK, AttemptResult.CANCELLED):
             self._outliers.record_failure(tracked, pending.request.class_index, result, 1.0, now_ms)
--- a/badgercart/policy/fleet.py
+++ b/badgercart/policy/fleet.py
@@ -1,4 +1,4 @@
-"""All parts that know the endpoints, and the order in which an update reaches them. No I/O."""
+"""The parts of the policy that know the endpoints, updated in order of dependency. No I/O."""
 
 from __future__ import annotations
 
@@ -26,18 +26,24 @@
 from badgercart.policy.subset import Subset
 from badgercart.policy.throughput import Throughput
 
-SAME_START_MS = 1.0  # difference of two start times below which they are the same start
+# Two start times of an endpoint that differ by less than this are the same start.
+SAME_START_MS = 1.0
 
 
 class Fleet:
-    """Holds the parts that know the endpoints, and keeps them in step."""
+    """Owns the parts that know the endpoints, and keeps them consistent.
+
+    Attributes:
+        available_capacity: how many endpoints at full capacity the ready endpoints are equal to,
+            without those that are ejected or in lost zones, and by the share that those in slow
+            start can serve.
+    """
 
     def __init__(
         self, settings: Settings, throughput: Throughput, error_rate: ErrorRate, rng: random.Random
     ) -> None:
         self._random = rng
         self._class_count = len(settings.classes)
-        # Of the ready endpoints, without what is ejected, lost or still starting.
         self.available_capacity = 1.0
         self.cluster = Cluster(settings)
         self.latency = LatencyModel()
@@ -55,11 +61,11 @@
 
     @property
     def slots(self) -> float:
-        """Return this node's part of the requests that the available endpoints serve at once."""
+        """Return this node's share of the requests that the available endpoints serve at once."""
         return self.capacity.slots_per_endpoint * self.available_capacity
 
     def apply_settings(self, event: SettingsChanged) -> None:
-        """Put settings in force. `refresh` has to follow once all parts of the policy have them."""
+        """Apply settings. `refresh` has to follow once all parts of the policy have them."""
         known, count = len(self.latency.typical_ms), len(event.settings.classes)
         self._class_count = count
         self.latency.apply_settings(event)
@@ -69,22 +75,23 @@
         self.cluster.apply_settings(event.settings)
 
     def apply_view(self, event: ClusterView) -> None:
-        """Go by another view of the cluster. `refresh` has to follow."""
+        """Apply another view of the cluster. `refresh` has to follow."""
         self.cluster.announce(event)
         self.outliers.apply_reports(event.failure_reports)
 
     def apply_plan(self, event: TrafficPlan) -> bool:
-        """Put a traffic plan in force, and return whether `refresh` has to follow."""
+        """Apply a traffic plan, and return whether `refresh` has to follow."""
         return self.locality.set_plan(event)
 
     def apply_update(self, event: EndpointUpdate, now_ms: float) -> None:
-        """Take over which endpoints there are. `refresh` has to follow."""
+        """Apply an endpoint update. `refresh` has to follow."""
         if event.kind is not UpdateKind.DELTA:
             self._remove_unlisted(event, now_ms)
         for endpoint in event.endpoints:
             self._record(endpoint, now_ms)
         if event.kind is UpdateKind.SNAPSHOT:
-            # An endpoint that comes later would be given statistics that have not aged meanwhile.
+            # The statistics do not age here: an endpoint that is listed later would be given stale
+            # ones.
             self.endpoints.restorable.clear()
         self.propagate_changes()
 
@@ -97,13 +104,13 @@
             )
 
     def _record(self, endpoint: Endpoint, now_ms: float) -> None:
-        """Take over what an update says of one endpoint."""
+        """Apply the entry of one endpoint in an update."""
         endpoints = self.endpoints
         known = endpoints.by_id.get(endpoint.id)
         if known is None and endpoint.state is EndpointState.GONE:
             return
         if known is None or known.endpoint.started_ms != endpoint.started_ms:
-            # It is new or has started anew: what was known of it is void.
+            # It is new or has restarted: what was known of it is void.
             class_count = len(self.latency.typical_ms)
             tracked = endpoints.track(endpoint, class_count, now_ms, self._random)
             statistics = endpoints.restorable.pop(endpoint.id, None)
@@ -118,7 +125,10 @@
     def _restore(
         self, tracked: TrackedEndpoint, statistics: EndpointStatistics, now_ms: float
     ) -> None:
-        """Take over a predecessor's statistics of an endpoint, unless it has started anew since."""
+        """Restore an endpoint's statistics from before a restart of this node.
+
+        They are void if the endpoint has restarted since.
+        """
         if abs(statistics.started_ms - tracked.endpoint.started_ms) >= SAME_START_MS:
             return
         if len(statistics.failure_rates) != len(tracked.health):
@@ -127,7 +137,7 @@
         self.outliers.restore(tracked, statistics, len(self.endpoints.updated), now_ms)
 
     def forget_if_gone(self, tracked: TrackedEndpoint) -> None:
-        """Forget an endpoint that is gone and has no open attempt: ids are never used again."""
+        """Forget an endpoint that is gone and has no open attempt: ids are never reused."""
         if (
             tracked.endpoint.state is not EndpointState.GONE
             or tracked.open_attempts
@@ -138,7 +148,7 @@
         self.outliers.ejected.discard(tracked.endpoint.id)
 
     def propagate_changes(self) -> None:
-        """Have all parts take over which endpoints are ready, by what changed."""
+        """Pass the changes of the ready endpoints to all parts."""
         changes = self.endpoints.take_changes()
         self.virtual_nodes.mark_pending(changes.endpoint_ids)
         self.slow_start.apply_changes(changes)
@@ -146,10 +156,10 @@
         self.capacity.apply_changes(changes)
 
     def refresh(self, concurrency_limit: float, now_ms: float) -> None:
-        """Work out anew what depends on all endpoints together.
+        """Recompute the values that depend on all endpoints together.
 
         Args:
-            concurrency_limit: attempts in flight that keep this node's part of the fleet busy.
+            concurrency_limit: attempts in flight that keep this node's share of the fleet busy.
             now_ms: clock time.
         """
         partial = self.subset.refresh(concurrency_limit, self.cluster.view)
@@ -161,10 +171,10 @@
         self.virtual_nodes.update(kind_ratios, entered_or_left)
 
     def refresh_available_capacity(self, now_ms: float) -> None:
-        """Work out how many endpoints' work the ready ones can do now.
+        """Recompute how many endpoints at full capacity the ready ones are equal to now.
 
-        What is ejected or lost is left out: a concurrency limit that counted it would fill the
-        others until they are overloaded.
+        Endpoints that are ejected or in lost zones are left out: a concurrency limit that counted
+        them would overload the others.
         """
         slow_start, ready_count = self.slow_start, len(self.endpoints.ready)
         slow_start.drop_finished(now_ms)
@@ -175,7 +185,7 @@
         self.available_capacity = max(available, 1.0)
 
     def _ejected_capacity(self, now_ms: float) -> float:
-        """Return how many endpoints' work is ejected, outside of lost zones."""
+        """Return the ejected capacity outside of lost zones, in endpoints."""
         applied, by_id = self.endpoints.applied, self.endpoints.by_id
         lost_zones, share = self.locality.lost_zones, self.slow_start.capacity_share
         ejected = [
--- a/badgercart/policy/key_queue.py
+++ b/badgercart/policy/key_queue.py
@@ -1,4 +1,4 @@
-"""Serialization by key: requests that share a key are sent one at a time, as they came. No I/O."""
+"""Serialization by key: requests that share a key are sent one at a time, in order. No I/O."""
 
 from __future__ import annotations
 
@@ -10,27 +10,31 @@
 
 @dataclass(slots=True, eq=False)
 class KeyQueue:
-    """The requests of one key, and what keeps the next of them waiting."""
+    """The requests of one key, and what keeps the next of them waiting.
 
-    waiting: list[PendingRequest] = field(
-        default_factory=list
-    )  # without a final answer, as they came
-    open_attempts: int = 0  # those of requests that have their answer included
-    cooldown_until_ms: float = 0.0  # clock time in ms
+    Attributes:
+        waiting: the requests without a final answer, in order of arrival.
+        open_attempts: the open attempts, including those of requests that have a final answer.
+        cooldown_until_ms: the clock time before which no request of the key is sent.
+    """
+
+    waiting: list[PendingRequest] = field(default_factory=list)
+    open_attempts: int = 0
+    cooldown_until_ms: float = 0.0
 
     def must_wait(self, ahead: int, now_ms: float) -> bool:
-        """Return whether a request with so many ahead of it has to wait before it is sent."""
+        """Return whether a request has to wait, with this number of requests ahead of it."""
         return bool(ahead or self.open_attempts or self.cooldown_until_ms > now_ms)
 
     def wait_until(self, ahead: int, latest_ms: float) -> float:
-        """Return until when a request waits if nothing happens before."""
+        """Return the clock time until which a request waits unless an attempt ends before."""
         if ahead or self.open_attempts:
             return latest_ms
         return min(latest_ms, self.cooldown_until_ms)
 
 
 class KeyQueues:
-    """The queues by key, and those whose next request may go."""
+    """The queues by key, and those whose next request may be ready to send."""
 
     __slots__ = ("by_key", "changed")
 
@@ -45,7 +49,7 @@
         pending.key_queue = queue
 
     def leave(self, pending: PendingRequest) -> None:
-        """Take a request with its final answer out of its queue."""
+        """Remove a request that has its final answer from its queue."""
         queue = pending.key_queue
         if queue is not None:
             queue.waiting.remove(pending)
@@ -54,7 +58,7 @@
     def attempt_ended(
         self, queue: KeyQueue, result: int, now_ms: float, cooldown_ms: float
     ) -> None:
-        """Note the end of an attempt; one that may still be executing cools its key down."""
+        """Note the end of an attempt; if it may still be executing, start the key's cooldown."""
         queue.open_attempts -= 1
         if result in POSSIBLY_STILL_EXECUTING:
             queue.cooldown_until_ms = now_ms + cooldown_ms
@@ -69,7 +73,7 @@
         return None
 
     def prune(self, now_ms: float) -> None:
-        """Forget queues in which nothing is left."""
+        """Remove queues without requests, open attempts or a cooldown."""
         self.by_key = {
             key: queue
             for key, queue in self.by_key.items()
--- a/badgercart/policy/latency.py
+++ b/badgercart/policy/latency.py
@@ -5,29 +5,38 @@
 from badgercart.policy.events import SettingsChanged
 from badgercart.policy.settings import Settings
 
-ASSUMED_OBJECTIVE_SHARE = 4  # a class is assumed to take its latency objective over this
-WORK_GAIN = 0.1  # weight of one answer in a kind's work time
-CLASS_GAIN, CLASS_GAIN_OVERLOADED = 0.02, 0.002  # the same in a class's latency
-OVERLOAD_LIMIT = 0.2  # overload above which latencies tell of queues more than of work
-KIND_GAIN = 0.005  # many samples come of a kind
-ENDPOINT_GAIN = 0.4  # and few of one endpoint
-MAX_RATIO = 8.0
+# The latency of a class before its first response is assumed as its objective divided by this.
+ASSUMED_OBJECTIVE_DIVISOR = 4
+WORK_GAIN = 0.1  # weight of one response in a kind's work time
+# Weight of one response in a class's latency, below and above OVERLOAD_LIMIT.
+CLASS_GAIN = 0.02
+CLASS_GAIN_OVERLOADED = 0.002
+OVERLOAD_LIMIT = 0.2  # above this overload, latencies show queueing more than work
+# Weights of one response in the latency ratio of a kind, which gets many samples, and of an
+# endpoint, which gets few.
+KIND_GAIN = 0.005
+ENDPOINT_GAIN = 0.4
+MAX_RATIO = 8.0  # highest latency over the typical one that is taken from one response
 
 
 class LatencyModel:
-    """What this node learned of latencies."""
+    """The latencies that this node learned.
+
+    Attributes:
+        typical_ms: the typical latency, by class.
+        kind_ratios: latency over the typical one, by kind of machine.
+        warm_work_ms: the time that a warm endpoint takes for a response, by kind of machine.
+    """
 
     __slots__ = ("kind_ratios", "typical_ms", "warm_work_ms")
 
     def __init__(self) -> None:
-        self.typical_ms: list[float] = []  # by class
-        self.kind_ratios: dict[int, float] = {}  # latency over the typical one, by kind of machine
-        self.warm_work_ms: dict[
-            int, float
-        ] = {}  # what a warm endpoint takes for an answer, by kind
+        self.typical_ms: list[float] = []
+        self.kind_ratios: dict[int, float] = {}
+        self.warm_work_ms: dict[int, float] = {}
 
     def apply_settings(self, event: SettingsChanged) -> None:
-        """Make room for new classes and assume a latency for those that begin anew."""
+        """Add new classes, and assume a latency for each of the event's `reset_classes`."""
         classes = event.settings.classes
         self.typical_ms += [0.0] * (len(classes) - len(self.typical_ms))
         for index in event.reset_classes:
@@ -36,14 +45,14 @@
     def record_work(
         self, kind: int, class_index: int, work_ms: float, elapsed_ms: float, overload: float
     ) -> None:
-        """Learn from an answer.
+        """Update the work time of a kind and the latency of a class by a response.
 
         Args:
-            kind: the kind of machine that answered.
+            kind: the endpoint's kind of machine.
             class_index: the request's class.
-            work_ms: the latency as a warm endpoint would have had it.
+            work_ms: the latency that a warm endpoint would have had.
             elapsed_ms: the latency itself.
-            overload: 0 to 1.
+            overload: the overload signal, 0 to 1.
         """
         work = self.warm_work_ms.get(kind) or max(self.typical_ms)
         self.warm_work_ms[kind] = work + WORK_GAIN * (work_ms - work)
@@ -51,7 +60,7 @@
         self.typical_ms[class_index] += gain * (elapsed_ms - self.typical_ms[class_index])
 
     def record_ratio(self, kind: int, class_index: int, elapsed_ms: float) -> float:
-        """Learn how slow a kind of machine is.
+        """Update the latency ratio of a kind of machine by a response.
 
         Returns:
             The latency over the typical one of class and kind.
@@ -63,5 +72,5 @@
 
 
 def assumed_latency_ms(settings: Settings, class_index: int) -> float:
-    """Return what is assumed of a class before its first answer."""
-    return settings.classes[class_index].latency_objective_ms / ASSUMED_OBJECTIVE_SHARE
+    """Return the latency that is assumed of a class before its first response."""
+    return settings.classes[class_index].latency_objective_ms / ASSUMED_OBJECTIVE_DIVISOR
--- a/badgercart/policy/lifecycle.py
+++ b/badgercart/policy/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: its attempts, their ends, and its final answer. No I/O."""
+"""The lifecycle of a request: its attempts, their ends, and its final answer. No I/O."""
 
 from __future__ import annotations
 
@@ -23,18 +23,25 @@
 from badgercart.policy.selection import EndpointSelector
 from badgercart.policy.settings import Settings
 
-OVERDUE_FACTOR = 4.0  # an attempt open for this multiple of the typical latency is overdue
+# An attempt that is open for more than this multiple of the typical latency is overdue.
+OVERDUE_LATENCY_FACTOR = 4.0
 
 
 class ActiveUse(NamedTuple):
-    """What requests and attempts still refer to."""
+    """The classes and tenants that requests and attempts still refer to."""
 
     classes: set[int]
     tenants: set[int]
 
 
 class RequestLifecycle:
-    """The pending requests, the streamed answers, and the actions of the present event."""
+    """The pending requests, the streamed responses, and the actions of the present event.
+
+    Attributes:
+        requests: the requests without a final answer, by id.
+        streaming: the attempts whose responses are being streamed to the client.
+        actions: the actions of the present event.
+    """
 
     def __init__(
         self,
@@ -50,17 +57,15 @@
         self._key_queues, self.retries, self.selector = key_queues, retries, selector
         self._feedback = AttemptFeedback(fleet, overload)
         self.requests: dict[int, PendingRequest] = {}
-        self.streaming: dict[
-            AttemptKey, PendingRequest
-        ] = {}  # attempts whose answers go on as they come
+        self.streaming: dict[AttemptKey, PendingRequest] = {}
         self.actions: list[Action] = []
 
     def apply_settings(self, settings: Settings) -> None:
-        """Go by these settings from now on; pending requests keep their terms."""
+        """Apply settings; pending requests keep the settings of their class."""
         self._settings = settings
 
     def active_use(self) -> ActiveUse:
-        """Return the classes and tenants that a request or an attempt still has."""
+        """Return the classes and tenants that a request or an attempt still refers to."""
         endpoints = self._endpoints
         pending = [*self.requests.values(), *self.streaming.values()]
         for tracked in (endpoints.by_id[i] for i in endpoints.active & endpoints.by_id.keys()):
@@ -74,7 +79,7 @@
     # Attempts.
 
     def accept(self, request: Request, score: float, now_ms: float) -> None:
-        """Take on a request and send it, or let it wait behind others of its key."""
+        """Accept a request, and send it or queue it behind others of its key."""
         cls = self._settings.classes[request.class_index]
         pending = self.requests[request.id] = PendingRequest(request, cls, now_ms, score)
         if request.key and cls.serialized_by_key:
@@ -82,7 +87,10 @@
         self.attempt(pending, now_ms)
 
     def attempt(self, pending: PendingRequest, now_ms: float) -> None:
-        """Send a request, let it wait for its turn, or end it if nothing can serve it in time."""
+        """Send a request, have it wait in its key's queue, or end it.
+
+        It is ended if it has no attempts left, too little time, or no endpoint that it may go to.
+        """
         request, retries, queue = pending.request, self.retries, pending.key_queue
         end_ms = retries.end_ms(pending)
         ahead = queue.waiting.index(pending) if queue is not None else 0
@@ -106,12 +114,12 @@
         self.actions.append(Send(request.id, tracked.endpoint.id, timeout_ms, fallbacks))
 
     def _wait(self, request: Request, until_ms: float, latest_ms: float, now_ms: float) -> None:
-        """Have a request looked at again; an incomplete one has no latest start."""
+        """Set a timer for a waiting request; an incomplete one has no latest start time."""
         if request.complete or until_ms < latest_ms:
             self.actions.append(SetTimer(until_ms - now_ms, request.id))
 
     def _launch(self, pending: PendingRequest, tracked: TrackedEndpoint, now_ms: float) -> None:
-        """Count an attempt that goes out now."""
+        """Record an attempt that is sent now."""
         number, endpoint = pending.attempts, tracked.endpoint
         pending.open_attempts.add(number)
         pending.possibly_executed[number] = (now_ms, endpoint)
@@ -128,15 +136,15 @@
     def _open(
         self, pending: PendingRequest, number: int, tracked: TrackedEndpoint, now_ms: float
     ) -> None:
-        """Count an attempt as one that its endpoint is at work on from now on."""
+        """Record an attempt as open: its endpoint executes the request from now on."""
         request = pending.request
-        overdue_ms = now_ms + OVERDUE_FACTOR * self._latency.typical_ms[request.class_index]
+        overdue_ms = now_ms + OVERDUE_LATENCY_FACTOR * self._latency.typical_ms[request.class_index]
         tracked.open_attempts[request.id, number] = pending, overdue_ms
         self._overload.concurrency.current += 1
         self._overload.throughput.sent += 1
 
     def request_completed(self, event: RequestCompleted, now_ms: float) -> None:
-        """Let a request's times count from now on: it has come in whole."""
+        """Start the time limits of a request whose last part has arrived."""
         pending = self.requests.get(event.id)
         if pending is None or pending.request.complete:
             return
@@ -154,7 +162,7 @@
     def _close(
         self, endpoint_id: int, attempt: AttemptKey
     ) -> tuple[TrackedEndpoint, PendingRequest] | None:
-        """Take an attempt off the open ones; None where it, or its endpoint, is not known."""
+        """Remove an attempt from the open ones; None if it or its endpoint is not known."""
         tracked = self._endpoints.by_id.get(endpoint_id)
         if tracked is None:
             return None
@@ -166,7 +174,7 @@
         return None if upload is None else (tracked, upload)
 
     def attempt_ended(self, event: AttemptEnded, now_ms: float) -> None:
-        """Learn from the end of an attempt, and decide how its request goes on."""
+        """Learn from the end of an attempt, and retry or end its request."""
         attempt = event.id, event.attempt
         streamed = self.streaming.pop(attempt, None)
         if streamed is not None:
@@ -174,7 +182,8 @@
             return
         closed = self._close(event.endpoint_id, attempt)
         if closed is None:
-            # It was told before; or its transport went on to an endpoint that is forgotten by now.
+            # Its end was reported before, or the transport sent it to a fallback endpoint that has
+            # been forgotten since.
             if event.request_finished:
                 self.finish(event.id)
             return
@@ -182,9 +191,11 @@
         self._fleet.forget_if_gone(tracked)
         self._note_end(pending, event.attempt, event.result, now_ms)
         self._feedback.learn(tracked, pending, event.result, event.elapsed_ms, now_ms)
-        self._go_on(event, pending, now_ms)
+        self._decide_next_step(event, pending, now_ms)
 
-    def _go_on(self, event: AttemptEnded, pending: PendingRequest, now_ms: float) -> None:
+    def _decide_next_step(
+        self, event: AttemptEnded, pending: PendingRequest, now_ms: float
+    ) -> None:
         if event.request_finished or event.id not in self.requests:
             self.finish(event.id)
         elif event.retry_deferred:
@@ -201,7 +212,7 @@
             self._feedback.learn_from_stream(tracked, pending, event.result, now_ms)
 
     def _note_end(self, pending: PendingRequest, number: int, result: int, now_ms: float) -> None:
-        """Note whether the request may have been executed, and whose turn is next."""
+        """Record whether the request may have been executed, and update its key's queue."""
         pending.open_attempts.discard(number)
         if result in self.retries.not_executed:
             pending.possibly_executed.pop(number, None)
@@ -210,7 +221,7 @@
             self._key_queues.attempt_ended(queue, result, now_ms, self._settings.key_cooldown_ms)
 
     def response_started(self, event: ResponseStarted, now_ms: float) -> None:
-        """Count a request as served; what still comes of its answer can only break."""
+        """Count a request as served, and keep its attempt until the response has ended."""
         attempt = event.id, event.attempt
         closed = self._close(event.endpoint_id, attempt)
         if closed is None:
@@ -223,7 +234,7 @@
         self.finish(event.id)
 
     def attempt_rerouted(self, event: AttemptRerouted, now_ms: float) -> None:
-        """Note that a transport went on by itself: one attempt has ended, the next is open."""
+        """Record that the transport has sent the next attempt to a fallback endpoint."""
         target = self._endpoints.by_id.get(event.next_endpoint_id)
         closed = self._close(event.endpoint_id, (event.id, event.attempt))
         if closed is None:
@@ -236,14 +247,14 @@
             self._launch(pending, target, now_ms)
 
     def _retry(self, pending: PendingRequest, result: int, now_ms: float) -> None:
-        """Send a request again whose attempt ended so, or end it."""
+        """Send a request again, or end it, by the result of its last attempt."""
         if self.retries.should_retry(result):
             self.attempt(pending, now_ms)
         else:
             self.end(pending)
 
     def decide_deferred(self, request_id: int, may_retry: bool, now_ms: float) -> None:
-        """Decide what was deferred at the end of a request's last attempt."""
+        """Retry or end a request whose decision was deferred at the end of its last attempt."""
         pending = self.requests.get(request_id)
         if pending is None or not pending.deferred_result:
             return
--- a/badgercart/policy/locality.py
+++ b/badgercart/policy/locality.py
@@ -1,4 +1,4 @@
-"""A traffic plan: which part of the requests goes to which zone, what may spill over. No I/O."""
+"""The traffic plan: the shares of requests by zone, and the spill-over between zones. No I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,23 @@
 from badgercart.policy.events import Request, TrafficPlan
 from badgercart.policy.subset import Subset
 
-BULK_CHANGES = 64  # endpoints that came or went above which all are sorted into zones anew
-SPILL_BURST_MS = 300  # of the planned rate that a spill-over bucket holds; one attempt at least
+BULK_CHANGES = 64  # if more endpoints change at once, all are grouped by zone again
+# A spill-over bucket holds the attempts of this time at the planned rate, at least one.
+SPILLOVER_BURST_MS = 300
 
 
 class Locality:
-    """The plan in force, the subset's endpoints by zone, and the spill-over buckets."""
+    """The current plan, the subset's endpoints by zone, and the spill-over buckets.
+
+    Attributes:
+        plan: the current plan; None: the own zone first, then any other.
+        by_zone: the endpoints of the subset by zone; empty without a plan.
+        members: the same as sets, for fast lookups.
+        stale: whether the endpoints have to be grouped by zone again.
+        load_factors: what is sent to a zone over an even share, by zone.
+        spillover_tokens: attempts that may spill over into a zone, and the clock time in ms at
+            which they were computed, by zone.
+    """
 
     __slots__ = (
         "_endpoints",
@@ -29,17 +40,15 @@
 
     def __init__(self, endpoints: EndpointSet, subset: Subset, rng: random.Random) -> None:
         self._endpoints, self._subset, self._random = endpoints, subset, rng
-        self.plan: TrafficPlan | None = None  # None: the own zone first, then any other
-        self.by_zone: dict[int, list[int]] = {}  # with a plan: the endpoints of the subset
-        self.members: dict[int, set[int]] = {}  # the same, to look one up
-        self.stale = True  # whether they have to be sorted anew
-        self.load_factors: dict[int, float] = {}  # what is sent to a zone over its even part
-        self.spillover_tokens: dict[
-            int, tuple[float, float]
-        ] = {}  # attempts that may spill over, as of when, by zone
+        self.plan: TrafficPlan | None = None
+        self.by_zone: dict[int, list[int]] = {}
+        self.members: dict[int, set[int]] = {}
+        self.stale = True
+        self.load_factors: dict[int, float] = {}
+        self.spillover_tokens: dict[int, tuple[float, float]] = {}
 
     def set_plan(self, event: TrafficPlan) -> bool:
-        """Put a plan in force, and return whether anything changed by it."""
+        """Apply a plan, and return whether anything changed."""
         before, self.plan = self.plan, event if event.shares else None
         if before is self.plan:
             return False
@@ -47,17 +56,17 @@
         return True
 
     def apply_changes(self, changes: EndpointChanges) -> None:
-        """Take over which endpoints are ready; a few changes cost no look at all of them."""
+        """Update the zones by changes of the ready endpoints; few changes need no scan of all."""
         if self.plan is None or self.stale or self._subset.groups > 1:
             self.stale = True
             return
-        left, came = changes.removed(), changes.added()
-        if len(left) + len(came) > BULK_CHANGES or _any_changed_zone(changes):
+        removed, added = changes.removed(), changes.added()
+        if len(removed) + len(added) > BULK_CHANGES or _any_changed_zone(changes):
             self.stale = True
             return
-        for endpoint_id in left:
+        for endpoint_id in removed:
             self._remove(endpoint_id)
-        for endpoint_id in came:
+        for endpoint_id in added:
             self._add(endpoint_id)
 
     def _remove(self, endpoint_id: int) -> None:
@@ -72,21 +81,22 @@
             self.members.setdefault(zone, set()).add(endpoint_id)
 
     def refresh(self, class_count: int) -> None:
-        """Bring zones and their load up to date after an update."""
+        """Update the zones and their load factors after an update."""
         if self.plan is None:
             return
         if self.stale or self._subset.groups > 1:
-            self.sort_zones()
+            self.group_by_zone()
         self._measure_load(self.plan, class_count)
 
-    def sort_zones(self) -> None:
-        """Sort the subset into zones; of a zone that it has nothing of, all ready endpoints."""
+    def group_by_zone(self) -> None:
+        """Group the subset by zone; for a zone that is not in it, take all ready endpoints."""
         self.by_zone, self.stale = {}, False
         for endpoint_ids in (self._subset.endpoint_ids, self._endpoints.ready):
             known = set(self.by_zone)
             for endpoint_id in endpoint_ids:
                 zone = self._endpoints.by_id[endpoint_id].endpoint.zone
-                if zone >= 0 and zone not in known:  # an endpoint may be listed as in no zone
+                # An endpoint may be listed without a zone.
+                if zone >= 0 and zone not in known:
                     self.by_zone.setdefault(zone, []).append(endpoint_id)
         self.members = {zone: set(endpoint_ids) for zone, endpoint_ids in self.by_zone.items()}
 
@@ -99,7 +109,7 @@
 
     @property
     def lost_zones(self) -> frozenset[int]:
-        """Return the zones that the plan sends nothing to."""
+        """Return the zones that get no requests by the plan."""
         return self.plan.lost_zones if self.plan is not None else frozenset()
 
     def lost_endpoints(self) -> int:
@@ -107,16 +117,16 @@
         return sum(len(self.by_zone.get(zone, ())) for zone in self.lost_zones)
 
     def gets_no_traffic(self, zone: int) -> bool:
-        """Return whether there is a plan that sends nothing to a zone."""
+        """Return whether there is a plan by which a zone gets no requests."""
         return self.plan is not None and self.load_factors.get(zone, 0.0) <= 0
 
     def shares_of(self, plan: TrafficPlan, request: Request, class_count: int) -> tuple[float, ...]:
-        """Return the parts of requests like this one by zone."""
+        """Return the shares of requests like this one, by zone."""
         planned = class_count * (request.tenant in plan.planned_tenants)
         return plan.shares[min(request.class_index + planned, len(plan.shares) - 1)]
 
     def draw_zone(self, shares: tuple[float, ...]) -> int | None:
-        """Draw a zone by its part; None: the draw fell into what the parts leave, which is shed."""
+        """Draw a zone by the shares; None: the request is shed, as the rest of the shares is."""
         drawn = self._random.random()
         for zone, share in enumerate(shares):
             drawn -= share
@@ -125,30 +135,30 @@
         return None
 
     def is_avoided(self, plan: TrafficPlan, zone: int, attempts: int) -> bool:
-        """Return whether other zones are asked before this one."""
-        strain = plan.offload_shares[zone] if plan.offload_shares else 0.0
+        """Return whether other zones are tried before this one; the offload share decides by a draw."""
+        offload_share = plan.offload_shares[zone] if plan.offload_shares else 0.0
         if zone in plan.lost_zones or attempts > 0:
-            # What failed is tried elsewhere first: that a zone has just gone is not known yet.
+            # A retry tries other zones first, since this zone may have just been lost.
             return True
-        return strain > 0 and self._random.random() < strain
+        return offload_share > 0 and self._random.random() < offload_share
 
     def spillover_zones(self, zone: int, shares: tuple[float, ...]) -> list[int]:
-        """Return the other zones, those with larger parts first."""
+        """Return the other zones, those with larger shares first."""
         ordered = sorted(self.by_zone, key=lambda z: -shares[z] if z < len(shares) else 0.0)
         return [other for other in ordered if other != zone]
 
     def may_spill(self, plan: TrafficPlan, zone: int, now_ms: float) -> bool:
-        """Fill a zone's spill-over bucket, and return whether an attempt may spill over."""
+        """Fill a zone's spill-over bucket, and return whether an attempt may spill over to it."""
         rate = plan.spillover_rates_per_ms[zone] if zone < len(plan.spillover_rates_per_ms) else 0.0
-        left, as_of_ms = self.spillover_tokens.get(zone, (1.0, now_ms))
-        left = min(left + rate * (now_ms - as_of_ms), max(rate * SPILL_BURST_MS, 1.0))
-        self.spillover_tokens[zone] = left, now_ms
-        return rate > 0 and left >= 1
+        tokens, as_of_ms = self.spillover_tokens.get(zone, (1.0, now_ms))
+        tokens = min(tokens + rate * (now_ms - as_of_ms), max(rate * SPILLOVER_BURST_MS, 1.0))
+        self.spillover_tokens[zone] = tokens, now_ms
+        return rate > 0 and tokens >= 1
 
     def count_spillover(self, zone: int) -> None:
         """Count an attempt that spilled over into a zone."""
-        left, as_of_ms = self.spillover_tokens[zone]
-        self.spillover_tokens[zone] = left - 1, as_of_ms
+        tokens, as_of_ms = self.spillover_tokens[zone]
+        self.spillover_tokens[zone] = tokens - 1, as_of_ms
 
 
 def _any_changed_zone(changes: EndpointChanges) -> bool:
--- a/badgercart/policy/policy.py
+++ b/badgercart/policy/policy.py
@@ -1,12 +1,15 @@
 """One node's load-balancing decisions: an event in, a list of actions out. No I/O, no clock.
 
-A request is scored by its class's weight when it comes. Under overload the lowest scores are shed;
-the others go to an idle-looking endpoint. `Policy` passes each event to the parts that it concerns,
-which own all state:
-
-`RequestLifecycle` the requests and their attempts, `Fleet` the endpoints, `OverloadController`
-overload and the shed threshold, `PriorityBands` scores, `TenantQuotas` quotas, `KeyQueues`
-serialization by key.
+A request gets a priority score by its class's weight when it arrives. Under overload the requests
+with the lowest scores are shed; the others are sent to an endpoint that appears idle. `Policy`
+passes each event to the parts that it concerns, which own all state:
+
+- `RequestLifecycle`: the requests and their attempts
+- `Fleet`: the endpoints
+- `OverloadController`: the overload signal and the shed threshold
+- `PriorityBands`: the priority scores
+- `TenantQuotas`: the quotas
+- `KeyQueues`: serialization by key
 """
 
 from __future__ import annotations
@@ -48,7 +51,7 @@
 from badgercart.policy.settings import Settings
 from badgercart.policy.throughput import Throughput
 
-# Of the timer that asks for the endpoints; other timers' tokens are ids of requests.
+# Token of the timer that polls the endpoints; the tokens of other timers are ids of requests.
 POLL_TOKEN = 1 << 60
 
 
@@ -56,11 +59,11 @@
     """One node's decisions. Instances share nothing; all random numbers come from the seed."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin with no endpoints.
+        """Start without endpoints.
 
         Args:
-            settings: what the node knows at its start.
-            seed: of all random draws.
+            settings: the settings of the node.
+            seed: the seed of all random draws.
         """
         rng = self.random = random.Random(seed)
         self.settings = settings
@@ -80,18 +83,18 @@
         self.lifecycle = RequestLifecycle(
             settings, self.fleet, self.overload, self.key_queues, self.retries, self.selector
         )
-        every = frozenset(range(len(settings.classes)))
-        self._apply_settings(SettingsChanged(settings, every, every))
+        all_classes = frozenset(range(len(settings.classes)))
+        self._apply_settings(SettingsChanged(settings, all_classes, all_classes))
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Decide what follows from an event.
+        """Return the actions that follow from an event.
 
         Args:
-            now_ms: clock time; never less than at the event before.
-            event: what happened.
+            now_ms: clock time; it never decreases from one event to the next.
+            event: the event.
 
         Returns:
-            What the caller has to do, in this order.
+            The actions that the caller has to execute, in this order.
 
         Raises:
             LookupError: A request names a class or a tenant that the settings do not have.
@@ -119,7 +122,7 @@
 
     def on_request(self, now_ms: float, request: Request) -> None:
         """Score a request, and send or shed it."""
-        self._measure(now_ms)
+        self._update_overload(now_ms)
         group = self._admission_group(request)
         self.priority.offered[group] += 1
         if request.key and self.settings.key_affinity:
@@ -146,15 +149,15 @@
         return request.class_index
 
     def on_request_completed(self, now_ms: float, event: RequestCompleted) -> None:
-        """Let a request's times count from now on."""
+        """Start the time limits of a request whose last part has arrived."""
         self.lifecycle.request_completed(event, now_ms)
 
     def on_request_cancelled(self, _now_ms: float, event: RequestCancelled) -> None:
-        """Forget a request whose client has left."""
+        """Forget a request that its client has cancelled."""
         self.lifecycle.finish(event.id)
 
     def on_deadline_exceeded(self, _now_ms: float, event: DeadlineExceeded) -> None:
-        """End a request that has no time left."""
+        """End a request whose deadline has passed."""
         pending = self.lifecycle.requests.get(event.id)
         if pending is not None:
             self.lifecycle.end(pending)
@@ -166,19 +169,19 @@
         self.lifecycle.response_started(event, now_ms)
 
     def on_attempt_ended(self, now_ms: float, event: AttemptEnded) -> None:
-        """Learn from an attempt, and decide on its request."""
+        """Learn from the end of an attempt, and retry or end its request."""
         self.lifecycle.attempt_ended(event, now_ms)
 
     def on_attempt_rerouted(self, now_ms: float, event: AttemptRerouted) -> None:
-        """Note that a transport went on to another endpoint by itself."""
+        """Record that the transport has sent the next attempt to a fallback endpoint."""
         self.lifecycle.attempt_rerouted(event, now_ms)
 
     def on_retry_decision_due(self, now_ms: float, event: RetryDecisionDue) -> None:
-        """Decide what was deferred."""
+        """Retry or end a request whose decision was deferred."""
         self.lifecycle.decide_deferred(event.id, event.may_retry, now_ms)
 
     def on_timer(self, now_ms: float, event: TimerFired) -> None:
-        """Ask for the endpoints, or send a request whose turn may have come."""
+        """Poll the endpoints, or send a waiting request if it may be sent now."""
         if event.token == POLL_TOKEN:
             self.lifecycle.actions.append(Subscribe())
             return
@@ -189,7 +192,7 @@
     # Endpoints, settings and the cluster.
 
     def on_endpoint_update(self, now_ms: float, event: EndpointUpdate) -> None:
-        """Take over which endpoints there are."""
+        """Apply an endpoint update, and schedule the next poll where it is due."""
         stale = event.kind in (UpdateKind.CACHED, UpdateKind.FAILED)
         if self.settings.polls_endpoints and stale:
             delay_ms = self.polling.next_delay_ms(self.settings, self.random)
@@ -202,7 +205,7 @@
         self._refresh_fleet(now_ms)
 
     def on_settings_changed(self, now_ms: float, event: SettingsChanged) -> None:
-        """Put other settings in force."""
+        """Apply other settings."""
         self._apply_settings(event)
         self.priority.refresh()
         self._refresh_fleet(now_ms)
@@ -220,27 +223,27 @@
         self.quotas.divide(self.fleet.cluster.view)
 
     def on_cluster_view(self, now_ms: float, event: ClusterView) -> None:
-        """Go by another view of the nodes that share the fleet."""
+        """Apply another view of the nodes that share the fleet."""
         self.quotas.apply_cluster(event)
         self.fleet.apply_view(event)
         self._refresh_fleet(now_ms)
 
     def on_traffic_plan(self, now_ms: float, event: TrafficPlan) -> None:
-        """Put another plan of traffic over zones in force."""
+        """Apply another plan of traffic by zone."""
         if self.fleet.apply_plan(event):
             self._refresh_fleet(now_ms)
 
     # Averages.
 
-    def _measure(self, now_ms: float) -> None:
-        """Bring overload up to date before a decision."""
+    def _update_overload(self, now_ms: float) -> None:
+        """Update the overload signal before a decision."""
         if self.schedule.is_due(now_ms, self.overload.time_scale):
             self.refresh(now_ms)
         else:
             self.overload.measure()
 
     def refresh(self, now_ms: float) -> None:
-        """Bring all averages, the priority bands and the shed threshold up to date."""
+        """Update all averages, the priority bands and the shed threshold."""
         passed_ms = self.schedule.begin(now_ms, self.overload.time_scale)
         self.quotas.leak(passed_ms)
         fleet = self.fleet
--- a/badgercart/policy/polling.py
+++ b/badgercart/policy/polling.py
@@ -1,4 +1,4 @@
-"""When to ask for the endpoints, where they come only when they are asked for. No I/O."""
+"""The schedule of endpoint polls, for discovery that sends no updates by itself. No I/O."""
 
 from __future__ import annotations
 
@@ -6,12 +6,18 @@
 
 from badgercart.policy.settings import Settings
 
-FIRST_DIVISOR, SUCCESS_DIVISOR, MAX_DIVISOR = 40, 20, 4  # of the poll interval, for the back-off
-JITTER = 0.2, 0.8  # least factor and spread: calls of many nodes would meet
+# The back-off is the poll interval divided by one of these: before the first poll, after a
+# successful poll, and at its maximum.
+FIRST_DIVISOR = 40
+SUCCESS_DIVISOR = 20
+MAX_BACKOFF_DIVISOR = 4
+# Minimum and spread of the random factor of a delay, without which many nodes would poll at once.
+JITTER_MIN = 0.2
+JITTER_SPREAD = 0.8
 
 
 class EndpointPolling:
-    """The back-off between calls for the endpoints that failed."""
+    """The back-off between polls after one has failed."""
 
     __slots__ = ("backoff_ms",)
 
@@ -19,12 +25,11 @@
         self.backoff_ms = settings.poll_interval_ms / FIRST_DIVISOR
 
     def next_delay_ms(self, settings: Settings, rng: random.Random) -> float:
-        """Return how long to wait before the next call, and back off."""
-        least, spread = JITTER
-        delay_ms = self.backoff_ms * (least + spread * rng.random())
-        self.backoff_ms = min(2 * self.backoff_ms, settings.poll_interval_ms / MAX_DIVISOR)
+        """Return the delay before the next poll, and double the back-off."""
+        delay_ms = self.backoff_ms * (JITTER_MIN + JITTER_SPREAD * rng.random())
+        self.backoff_ms = min(2 * self.backoff_ms, settings.poll_interval_ms / MAX_BACKOFF_DIVISOR)
         return delay_ms
 
     def reset(self, settings: Settings) -> None:
-        """Begin anew: the endpoints came."""
+        """Reset the back-off after a successful poll."""
         self.backoff_ms = settings.poll_interval_ms / SUCCESS_DIVISOR
--- a/badgercart/policy/quotas.py
+++ b/badgercart/policy/quotas.py
@@ -1,4 +1,4 @@
-"""Tenants' quotas: a leaky bucket each, a second deep, for this node's part of it. No I/O."""
+"""Tenants' quotas, each by a leaky bucket that holds this node's share for a second. No I/O."""
 
 from __future__ import annotations
 
@@ -10,20 +10,28 @@
 
 
 class TenantQuotas:
-    """The tenants' buckets. They leak when looked at: a refresh must not cost all tenants."""
+    """The tenants' leaky buckets.
+
+    The level of a bucket is computed on access: a refresh must not take time for every tenant.
+
+    Attributes:
+        quotas_per_s: the quota over all nodes, by tenant.
+        divisors: the quota divided by this node's share of it, by tenant.
+        buckets: requests in the bucket, and the value of `leaked_ms` at which they were counted, by
+            tenant.
+        leaked_ms: the time that has passed for all buckets.
+    """
 
     __slots__ = ("buckets", "divisors", "leaked_ms", "quotas_per_s")
 
     def __init__(self) -> None:
-        self.quotas_per_s: tuple[float, ...] = ()  # over all nodes, by tenant
-        self.divisors: list[float] = []  # a quota over this node's part of it, by tenant
-        self.buckets: dict[
-            int, tuple[float, float]
-        ] = {}  # requests, as of so many ms leaked, by tenant
+        self.quotas_per_s: tuple[float, ...] = ()
+        self.divisors: list[float] = []
+        self.buckets: dict[int, tuple[float, float]] = {}
         self.leaked_ms = 0.0
 
     def level(self, tenant: int) -> float:
-        """Return how many requests are in a tenant's bucket."""
+        """Return the number of requests in a tenant's bucket."""
         count, as_of_ms = self.buckets.get(tenant, (0.0, 0.0))
         leaked = self.quotas_per_s[tenant] * (
             (self.leaked_ms - as_of_ms) / MS_PER_S / self.divisors[tenant]
@@ -31,7 +39,7 @@
         return max(0.0, count - leaked)
 
     def limit(self, tenant: int) -> float:
-        """Return what a tenant's bucket holds: this node's part of its quota for a second."""
+        """Return the capacity of a tenant's bucket: this node's share of its quota for a second."""
         return self.quotas_per_s[tenant] / self.divisors[tenant]
 
     def admit(self, tenant: int) -> bool:
@@ -49,29 +57,30 @@
         return True
 
     def leak(self, passed_ms: float) -> None:
-        """Let so much time pass."""
+        """Advance the time of all buckets."""
         self.leaked_ms += passed_ms
 
     def apply_settings(self, event: SettingsChanged) -> None:
-        """Take over the quotas; a tenant that stays keeps what is in its bucket."""
+        """Apply the quotas; a tenant that stays keeps the level of its bucket."""
         quotas = event.settings.quotas_per_s
         self._settle(t for t in self.buckets if t < len(quotas) and t not in event.reset_tenants)
         self.quotas_per_s = quotas
 
     def apply_cluster(self, view: ClusterView) -> None:
-        """Take over which part of each quota is this node's."""
+        """Apply this node's share of each quota."""
         self._settle(self.buckets)
         self.divide(view)
 
     def divide(self, view: ClusterView) -> None:
-        """Work out this node's part of each quota: as announced, else an even one."""
+        """Compute the divisors: by the announced shares, else by equal ones."""
         tenants = len(self.quotas_per_s)
-        if len(view.quota_shares) == tenants:  # else they are of other settings
+        # Announced shares of another number of tenants belong to other settings.
+        if len(view.quota_shares) == tenants:
             self.divisors = [1 / share for share in view.quota_shares]
         else:
             self.divisors = [view.possibly_alive] * tenants
 
     def _settle(self, tenants: Iterable[int]) -> None:
-        """Keep the buckets of these tenants that hold something, as of now."""
+        """Compute the buckets of these tenants for now, and drop all others and empty ones."""
         levels = ((tenant, self.level(tenant)) for tenant in tenants)
         self.buckets = {tenant: (level, self.leaked_ms) for tenant, level in levels if level > 0}
--- a/badgercart/policy/retries.py
+++ b/badgercart/policy/retries.py
@@ -1,4 +1,4 @@
-"""What may be attempted again, where and until when, and how a request is ended. No I/O."""
+"""Which requests may be retried, where and until when, and how a request is ended. No I/O."""
 
 from __future__ import annotations
 
@@ -11,16 +11,24 @@
 from badgercart.policy.requests import PendingRequest
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-# Least factor and spread: keeps clients' retries from coming due together.
-RETRY_AFTER_JITTER = 0.9, 0.1
-# Of the typical latency: with less time left an attempt is not worth sending.
+# Minimum and spread of the random factor of the retry advice, without which the clients that were
+# shed together would retry together.
+RETRY_AFTER_JITTER_MIN = 0.9
+RETRY_AFTER_JITTER_SPREAD = 0.1
+# An attempt is not sent if less than this share of the typical latency is left.
 MIN_LATENCY_SHARE = 0.5
-MIN_TICKS = 2  # of the clock that an attempt is given at least
-NO_RETRY = frozenset({AttemptResult.TIMEOUT, AttemptResult.NOT_SENT})  # the request's time is over
+# An attempt is not sent if less than this number of clock ticks is left.
+MIN_TICKS = 2
+# Results after which a request has no time left for a retry.
+FINAL_RESULTS = frozenset({AttemptResult.TIMEOUT, AttemptResult.NOT_SENT})
 
 
 class RetryPolicy:
-    """What the settings allow, and what overload allows of it."""
+    """The retries and final answers that the settings and the overload signal allow.
+
+    Attributes:
+        not_executed: results which prove that a request was not executed.
+    """
 
     __slots__ = ("_overload", "_random", "_settings", "not_executed")
 
@@ -31,13 +39,13 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Go by these settings from now on."""
+        """Apply settings."""
         self._settings = settings
         full = {AttemptResult.FULL} if settings.full_possibly_executed else frozenset()
-        self.not_executed: frozenset[AttemptResult] = NOT_EXECUTED - full  # results that prove it
+        self.not_executed: frozenset[AttemptResult] = NOT_EXECUTED - full
 
     def accepts(self, request: Request) -> bool:
-        """Return whether a request may be sent, given attempts that this node knows nothing of."""
+        """Return whether a request may be sent, given earlier attempts unknown to this node."""
         if not request.possibly_executed:
             return True
         cls = self._settings.classes[request.class_index]
@@ -51,11 +59,11 @@
     def may_send(
         self, pending: PendingRequest, endpoint: Endpoint, now_ms: float, until_ms: float = 0.0
     ) -> bool:
-        """Return whether a request may go to an endpoint, given where it may have been executed.
+        """Return whether a request may be sent to an endpoint, given its earlier attempts.
 
         Args:
             pending: the request.
-            endpoint: where it would go.
+            endpoint: the endpoint of the next attempt.
             now_ms: clock time.
             until_ms: the latest clock time at which it would be sent; before `now_ms`: now.
         """
@@ -77,14 +85,14 @@
         )
 
     def end_ms(self, pending: PendingRequest) -> float:
-        """Return the clock time until which an answer is worth something."""
+        """Return the clock time until which a response has a value for the client."""
         request, cls = pending.request, pending.request_class
         if cls.late_value_share or not request.complete:
             return request.deadline_at_ms
         return min(request.deadline_at_ms, pending.arrived_ms + cls.latency_objective_ms)
 
     def timeout_ms(self, pending: PendingRequest, end_ms: float, now_ms: float) -> float:
-        """Return the time-out of an attempt that is sent now."""
+        """Return the timeout of an attempt that is sent now."""
         if pending.request.complete:
             return end_ms - now_ms
         cls = pending.request_class
@@ -93,9 +101,10 @@
     def latest_start_ms(
         self, pending: PendingRequest, end_ms: float, ahead: int, typical_ms: float
     ) -> float:
-        """Return the latest time to send an attempt, behind so many others of its key.
+        """Return the latest clock time to send an attempt, with `ahead` others of its key before it.
 
-        A queue that can't be served in time is shed at its end, not held until its deadline.
+        Requests that are too far back in a queue to be served in time are ended at once instead of
+        waiting until their deadline.
         """
         expected_ms = max(
             (MIN_LATENCY_SHARE + ahead) * typical_ms,
@@ -109,23 +118,24 @@
         return self._settings.max_attempts - pending.attempts
 
     def should_retry(self, result: int) -> bool:
-        """Decide by a draw whether a request whose attempt ended so is worth another one."""
-        if result in NO_RETRY:
+        """Return whether a request is retried after this result; under overload by a draw."""
+        if result in FINAL_RESULTS:
             return False
         return self._random.random() >= self._overload.retry_suppression()
 
     def allows_fallbacks(self) -> bool:
-        """Decide by a draw whether an attempt may go on to other endpoints by itself."""
+        """Return whether an attempt may have fallback endpoints; under overload by a draw."""
         return self._random.random() >= self._overload.retry_suppression()
 
     def retry_after_ms(self, score: float) -> float:
-        """Return how long a shed client should stay away: the longer the lower the score."""
+        """Return the retry advice for a shed request; a lower score means a longer time."""
         wait_ms = self._settings.max_retry_after_ms * (1.0 - score / MAX_SCORE)
-        least, spread = RETRY_AFTER_JITTER
-        return wait_ms * (least + spread * self._random.random())
+        return wait_ms * (
+            RETRY_AFTER_JITTER_MIN + RETRY_AFTER_JITTER_SPREAD * self._random.random()
+        )
 
     def final_answer(self, pending: PendingRequest) -> Shed | Fail:
-        """Return the final answer to a request: it is shed where a client's retry does no harm."""
+        """Return the final answer to a request: it is shed if a client's retry does no harm."""
         retry_after_ms = self.retry_after_ms(pending.score)
         if pending.request_class.client_may_retry or not pending.possibly_executed:
             return Shed(pending.request.id, retry_after_ms)
@@ -133,7 +143,7 @@
 
 
 def _deduplicates(cls: RequestClass, earlier: Endpoint, endpoint: Endpoint) -> bool:
-    """Return whether an endpoint drops repeats of what an earlier one may have executed."""
+    """Return whether an endpoint drops duplicates of what an earlier one may have executed."""
     if cls.deduplication_scope is DeduplicationScope.ZONE:
         return earlier.zone == endpoint.zone
     if cls.deduplication_scope is DeduplicationScope.CELL:
--- a/badgercart/policy/selection.py
+++ b/badgercart/policy/selection.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint: an idle-looking one of a few, else the lighter of two. No I/O."""
+"""The choice of an endpoint: one of a few that appears idle, else the less loaded of two. No I/O."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 from badgercart.policy.retries import RetryPolicy
 from badgercart.policy.settings import Settings
 
-CANDIDATES = 6  # endpoints that are drawn to find an idle one
-CHOICES = 2  # usable candidates among which the lighter one wins if none is idle
-IDLE_LOAD = 1 + 1.15  # below this load an endpoint of typical latency counts as idle
-OPEN_ATTEMPT_LOAD = 4  # what an open attempt weighs in a load
-RECENT_ATTEMPT_LOAD = 0.5  # the same of a recent attempt, over the mean of all endpoints
-MIN_ABILITY = 1e-6  # in place of 0, where a list gives no sizes
-# An endpoint with that multiple of its part is by itself in full overload.
+CANDIDATE_COUNT = 6  # endpoints that are drawn to find an idle one
+CHOICE_COUNT = 2  # usable candidates of which the least loaded one is chosen if none is idle
+# Below this load an endpoint counts as idle. The load of one without attempts and failures, and of
+# typical latency, is 1.
+IDLE_LOAD = 1 + 1.15
+OPEN_ATTEMPT_LOAD = 4  # part of the load that one open attempt adds
+RECENT_ATTEMPT_LOAD = 0.5  # part that recent attempts add if they are as many as on average
+MIN_RELATIVE_CAPACITY = 1e-6  # divisor in place of 0, if the endpoint list gives no sizes
+# An endpoint with this multiple of its share of the concurrency limit is in full overload by itself.
 CROWDED_FACTOR = IN_FLIGHT_FULL
 
 
 class EndpointSelector:
-    """Chooses endpoints for attempts. It owns no state but the settings in force."""
+    """Chooses endpoints for attempts. It owns no state apart from the current settings."""
 
     __slots__ = (
         "_capacity",
@@ -66,11 +68,11 @@
         )
 
     def apply_settings(self, settings: Settings) -> None:
-        """Go by these settings from now on."""
+        """Apply settings."""
         self._settings = settings
 
     def select(self, pending: PendingRequest, now_ms: float) -> TrackedEndpoint | None:
-        """Return the endpoint of a request's next attempt; None where none can serve it."""
+        """Return the endpoint of a request's next attempt; None if there is no usable one."""
         plan = self._locality.plan
         if plan is None:
             return self._choose(pending, self.candidates(pending.request.key), now_ms, 1.0)
@@ -79,7 +81,7 @@
     def _select_by_plan(
         self, plan: TrafficPlan, pending: PendingRequest, now_ms: float
     ) -> TrackedEndpoint | None:
-        """Draw a zone by the plan, and spill over where it has no usable endpoint."""
+        """Draw a zone by the plan, and spill over to others if it has no usable endpoint."""
         locality = self._locality
         shares = locality.shares_of(plan, pending.request, len(self._settings.classes))
         zone = locality.draw_zone(shares)
@@ -111,9 +113,13 @@
     def _choose(
         self, pending: PendingRequest, candidates: Iterator[int], now_ms: float, load_factor: float
     ) -> TrackedEndpoint | None:
-        """Return the first idle candidate, else the lighter of two; None: none is usable.
+        """Return the first idle candidate, else the less loaded of two; None: none is usable.
 
-        `load_factor`: what is sent to endpoints like these over their even part.
+        Args:
+            pending: the request.
+            candidates: endpoint ids in the order to consider them.
+            now_ms: clock time.
+            load_factor: what is sent to these endpoints over an even share.
         """
         endpoints, size = self._endpoints, self._subset.size
         by_id, class_index, tried = (
@@ -122,8 +128,8 @@
             pending.tried_endpoints,
         )
         mean_attempts = endpoints.recent_attempts / size * load_factor
-        whole, may_send = size == len(endpoints.ready), self._retries.may_send
-        lightest, least, usable, most = None, 0.0, 0, CHOICES
+        is_whole_fleet, may_send = size == len(endpoints.ready), self._retries.may_send
+        least_loaded, lowest_load, usable, max_usable = None, 0.0, 0, CHOICE_COUNT
         for endpoint_id in candidates:
             tracked = by_id[endpoint_id]
             health = tracked.health[class_index]
@@ -131,41 +137,41 @@
                 continue
             if not may_send(pending, tracked.endpoint, now_ms):
                 continue
-            if (
-                tracked is lightest or endpoint_id in tried
-            ):  # two choices are two endpoints, in a small fleet too
+            # In a small fleet the same endpoint may be drawn twice: it counts as one choice.
+            if tracked is least_loaded or endpoint_id in tried:
                 continue
             load = self._load(tracked, health, mean_attempts, now_ms)
             usable += 1
             if load < IDLE_LOAD:
-                lightest = tracked
+                least_loaded = tracked
                 break
-            if lightest is None or (usable <= most and load < least):
-                lightest, least = tracked, load
-            # In a subset it is worth looking on for an idle one; in a whole fleet past crowded
-            # ones.
-            if whole:
-                most = CANDIDATES if self._is_crowded(lightest, load_factor) else CHOICES
-            if usable >= (most if whole else CANDIDATES):
+            if least_loaded is None or (usable <= max_usable and load < lowest_load):
+                least_loaded, lowest_load = tracked, load
+            # All candidates are considered in a subset, to find an idle one; in a whole fleet only
+            # while the least loaded one is crowded.
+            if is_whole_fleet:
+                is_crowded = self._is_crowded(least_loaded, load_factor)
+                max_usable = CANDIDATE_COUNT if is_crowded else CHOICE_COUNT
+            if usable >= (max_usable if is_whole_fleet else CANDIDATE_COUNT):
                 break
         if (
-            lightest is not None
-            and self._slow_start.capacity_share(lightest.endpoint, now_ms) < 1.0
+            least_loaded is not None
+            and self._slow_start.capacity_share(least_loaded.endpoint, now_ms) < 1.0
         ):
-            lightest.tokens -= 1
-        return lightest
+            least_loaded.tokens -= 1
+        return least_loaded
 
     def _load(
         self, tracked: TrackedEndpoint, health: ClassHealth, mean_attempts: float, now_ms: float
     ) -> float:
-        """Return what an endpoint bears: attempts by its ability, its latency, its failures."""
+        """Return an endpoint's load: attempts by its capacity, times latency and failure rate."""
         capacity, endpoint = self._capacity, tracked.endpoint
-        ability = max(
+        relative_capacity = max(
             capacity.weight(endpoint) * self._slow_start.capacity_share(endpoint, now_ms),
-            MIN_ABILITY,
+            MIN_RELATIVE_CAPACITY,
         )
         recent = RECENT_ATTEMPT_LOAD * tracked.recent_attempts / mean_attempts
-        attempts = (recent + OPEN_ATTEMPT_LOAD * len(tracked.open_attempts)) / ability
+        attempts = (recent + OPEN_ATTEMPT_LOAD * len(tracked.open_attempts)) / relative_capacity
         return (
             (1 + attempts * capacity.mean_weight)
             * tracked.relative_latency
@@ -173,45 +179,48 @@
         )
 
     def _is_crowded(self, tracked: TrackedEndpoint, load_factor: float) -> bool:
-        """Return whether an endpoint holds so much that a fleet of its like would be overloaded."""
-        part = self._concurrency.limit / self._fleet.available_capacity * load_factor
-        part *= self._capacity.weight(tracked.endpoint)  # a list may give no sizes
-        return len(tracked.open_attempts) * self._capacity.mean_weight >= CROWDED_FACTOR * part
+        """Return whether a fleet in which all endpoints were as loaded would be in full overload."""
+        share = self._concurrency.limit / self._fleet.available_capacity * load_factor
+        # The weight is 0 if the endpoint list gives no sizes, so it can't be a divisor.
+        share *= self._capacity.weight(tracked.endpoint)
+        return len(tracked.open_attempts) * self._capacity.mean_weight >= CROWDED_FACTOR * share
 
     def is_usable(self, tracked: TrackedEndpoint, health: ClassHealth, now_ms: float) -> bool:
         """Return whether an endpoint may get an attempt: not ejected, hanging, or out of tokens."""
         open_attempts = tracked.open_attempts
+        # An endpoint on trial after its ejection gets one attempt at a time until one succeeds.
         if health.ejected_until_ms and (health.ejected_until_ms > now_ms or open_attempts):
-            return False  # after its ejection it gets one attempt at a time until it proves itself
+            return False
         if open_attempts:
             for _, overdue_ms in open_attempts.values():
+                # It hangs or pauses, which an overdue attempt shows before any timeout.
                 if overdue_ms < now_ms:
-                    return False  # hanging or pausing, seen before any time-out
+                    return False
         slow_start = self._slow_start
         return slow_start.capacity_share(tracked.endpoint, now_ms) >= 1.0 or slow_start.has_token(
             tracked, now_ms
         )
 
     def candidates(self, key: int) -> Iterator[int]:
-        """Return endpoint ids in the order to consider them: the key's, drawn ones, then all."""
+        """Yield endpoint ids in the order to consider them: the key's, drawn ones, then all."""
         virtual_nodes, subset, settings = self._virtual_nodes, self._subset, self._settings
         if key and settings.key_affinity and virtual_nodes.ring.blocks:
-            # Virtual nodes of an endpoint that left may be there yet.
+            # The ring may still have virtual nodes of an endpoint that is no longer ready.
             applied = self._endpoints.applied
             for endpoint_id in self._key_endpoints(key):
                 if endpoint_id in applied:
                     yield endpoint_id
         drawn = self._draw(subset.endpoint_ids, subset.size)
         by_id, zone = self._endpoints.by_id, settings.zone
-        far = {i: by_id[i].endpoint.zone != zone for i in drawn}
-        weak = self._draw_weak(drawn)
-        yield from sorted(drawn, key=lambda i: (far[i], weak[i]))
+        in_other_zone = {i: by_id[i].endpoint.zone != zone for i in drawn}
+        deferred = self._draw_deferred(drawn)
+        yield from sorted(drawn, key=lambda i: (in_other_zone[i], deferred[i]))
         ready = self._endpoints.ready
         start = subset.start + int(self._random.random() * subset.size)
         yield from (ready[at] for at in range(start - len(ready), start))
 
     def _key_endpoints(self, key: int) -> tuple[int, int]:
-        """Draw two endpoints of those that a key is spread over."""
+        """Draw two of the endpoints that a key is spread over."""
         endpoint_of = self._virtual_nodes.endpoint_of
         places = self._key_traffic.places(key, self._subset.size)
         first = int(self._random.random() * places)
@@ -219,42 +228,41 @@
         return endpoint_of(key, first), endpoint_of(key, second)
 
     def _zone_candidates(self, zone: int, key: int) -> Iterator[int]:
-        """Return endpoint ids of a zone in the order to look at them."""
+        """Yield endpoint ids of a zone in the order to consider them."""
         endpoint_ids = self._locality.by_zone.get(zone, [])
         ring = self._virtual_nodes.ring
         if key and self._settings.key_affinity and ring.blocks and endpoint_ids:
-            own = ring.successor_among(mix_hash(key), self._locality.members[zone])
-            if own is not None:
-                yield own
+            key_endpoint = ring.successor_among(mix_hash(key), self._locality.members[zone])
+            if key_endpoint is not None:
+                yield key_endpoint
         drawn = self._draw(endpoint_ids, len(endpoint_ids))
-        weak = self._draw_weak(drawn)
-        yield from sorted(drawn, key=lambda i: weak[i])
+        deferred = self._draw_deferred(drawn)
+        yield from sorted(drawn, key=lambda i: deferred[i])
         start = int(self._random.random() * len(endpoint_ids))
         yield from (endpoint_ids[at] for at in range(start - len(endpoint_ids), start))
 
     def _draw(self, endpoint_ids: list[int], size: int) -> list[int]:
         if not endpoint_ids:
             return []
-        rng = self._random.random
-        return [endpoint_ids[int(rng() * size)] for _ in range(CANDIDATES)]
+        draw = self._random.random
+        return [endpoint_ids[int(draw() * size)] for _ in range(CANDIDATE_COUNT)]
 
-    def _draw_weak(self, drawn: list[int]) -> dict[int, bool]:
-        """Draw which endpoints are put behind the others, the weaker the likelier."""
-        rng, by_id, weight = self._random.random, self._endpoints.by_id, self._capacity.weight
-        return {i: rng() > weight(by_id[i].endpoint) for i in drawn}
+    def _draw_deferred(self, drawn: list[int]) -> dict[int, bool]:
+        """Draw which endpoints are considered after the others, by their lack of capacity."""
+        draw, by_id, weight = self._random.random, self._endpoints.by_id, self._capacity.weight
+        return {i: draw() > weight(by_id[i].endpoint) for i in drawn}
 
     def fallbacks(self, pending: PendingRequest, end_ms: float, now_ms: float) -> tuple[int, ...]:
-        """Return where a transport may go on to by itself; never an endpoint in slow start."""
-        most = min(pending.request.max_fallbacks, self._retries.attempts_left(pending))
+        """Return the fallback endpoints of an attempt; never one in slow start."""
+        max_count = min(pending.request.max_fallbacks, self._retries.attempts_left(pending))
         if not self._retries.allows_fallbacks():
             return ()
         ready = self._endpoints.ready
         found: list[int] = []
-        start = int(
-            self._random.random() * len(ready)
-        )  # their order is that of hashes: any part will do
+        # The ready endpoints are in the order of their hashes, so any part is a random sample.
+        start = int(self._random.random() * len(ready))
         for endpoint_id in (ready[at] for at in range(start - len(ready), start)):
-            if len(found) >= most:
+            if len(found) >= max_count:
                 break
             if self._is_fallback(pending, self._endpoints.by_id[endpoint_id], end_ms, now_ms):
                 found.append(endpoint_id)
--- a/badgercart/policy/statistics.py
+++ b/badgercart/policy/statistics.py
@@ -1,9 +1,11 @@
-"""What a policy has learned, as plain data for its successor. No I/O, no clock.
+"""The statistics that a policy has learned, as plain data for the next process. No I/O, no clock.
 
-Left out, since it is void or wrong after a restart: open attempts and what is counted of them (in
-flight, overload, the shed threshold: they are of this moment), error rates (they are of the last
-seconds' attempts), tokens of endpoints in slow start and tenants' buckets (given back they could be
-spent twice).
+State that would be void or wrong after a restart is left out:
+
+- open attempts, attempts in flight, the overload signal and the shed threshold, which only hold
+  for this moment
+- error rates, which only cover the attempts of the last seconds
+- tokens of endpoints in slow start, and tenants' buckets, which could be spent twice
 """
 
 from __future__ import annotations
@@ -20,29 +22,41 @@
 
 @dataclass(slots=True)
 class PolicyStatistics:
-    """What was learned. Rates are per ms; lists are by class, in the settings' order."""
+    """The statistics of a policy. Rates are per ms; lists are by class, in the settings' order.
+
+    Attributes:
+        typical_latency_ms: the typical latency of each class.
+        offered: the recent requests of each class, then those of each class beyond a quota.
+        kind_ratios: latency over the typical one, by kind of machine.
+        best_latency_ms: the lowest mean latency; 0: there is none yet.
+        mean_latency_ms: the present mean latency.
+        samples: the number of responses that both latencies are based on.
+        best_rate: the highest rate of timely responses.
+        best_rate_per_endpoint: the same per endpoint.
+        key_counts: recent requests, by key.
+        keyed_requests: recent requests of all keys.
+        endpoints: the statistics of each endpoint, by id.
+    """
 
     typical_latency_ms: list[float] = field(default_factory=list)
-    offered: list[float] = field(default_factory=list)  # recent requests, then those beyond a quota
-    kind_ratios: dict[int, float] = field(
-        default_factory=dict
-    )  # latency over the typical one, by kind
-    best_latency_ms: float = 0.0  # the lowest mean latency; 0: none yet
+    offered: list[float] = field(default_factory=list)
+    kind_ratios: dict[int, float] = field(default_factory=dict)
+    best_latency_ms: float = 0.0
     mean_latency_ms: float = 0.0
-    samples: float = 0.0  # answers that these rest on
-    best_rate: float = 0.0  # timely answers a ms
+    samples: float = 0.0
+    best_rate: float = 0.0
     best_rate_per_endpoint: float = 0.0
-    key_counts: dict[int, float] = field(default_factory=dict)  # recent requests, by key
-    keyed_requests: float = 0.0  # of all keys
+    key_counts: dict[int, float] = field(default_factory=dict)
+    keyed_requests: float = 0.0
     endpoints: dict[int, EndpointStatistics] = field(default_factory=dict)
 
 
 def export_statistics(policy: Policy, keys: bool = True) -> PolicyStatistics:
-    """Return what a policy knows now. Only ready endpoints are worth remembering.
+    """Return the present statistics of a policy, of ready endpoints only.
 
     Args:
         policy: the policy.
-        keys: whether counts of keys are among it.
+        keys: whether the counts of keys are included.
     """
     throughput, fleet, key_traffic = policy.overload.throughput, policy.fleet, policy.key_traffic
     return PolicyStatistics(
@@ -74,12 +88,12 @@
 
 
 def import_statistics(policy: Policy, statistics: PolicyStatistics) -> None:
-    """Give statistics to a policy that has been told nothing yet.
+    """Set the statistics of a policy that has not handled any event yet.
 
-    An endpoint gets its own back when an update names it with the same start.
+    Those of an endpoint are applied when an update lists it with the same start time.
 
     Raises:
-        StatisticsMismatchError: They are of other classes.
+        StatisticsMismatchError: The statistics have another number of classes.
     """
     latency, priority = policy.fleet.latency, policy.priority
     known, wanted = len(statistics.typical_latency_ms), len(latency.typical_ms)
--- a/badgercart/policy/subset.py
+++ b/badgercart/policy/subset.py
@@ -1,8 +1,8 @@
-"""The part of the endpoints that this node sends to (deterministic subsetting). No I/O.
+"""The subset of the endpoints that this node sends to (deterministic subsetting). No I/O.
 
-Where a node has few requests for each endpoint, its own attempts tell too little of a whole fleet,
-and endpoints accept only so many connections. Nodes are then put into groups of a few, and each
-group shares a stretch of the endpoints in the order of their hashes.
+If a node has few requests for each endpoint, its own attempts show too little of each, and an
+endpoint accepts a limited number of connections. Nodes are then divided into small groups, and each
+group shares a contiguous part of the endpoints in the order of their hashes.
 """
 
 from __future__ import annotations
@@ -14,21 +14,31 @@
 from badgercart.policy.events import ClusterView
 from badgercart.policy.hashing import mix_hash
 
-MIN_REQUESTS_PER_ENDPOINT = 0.2  # concurrent ones of this node, below which subsets are used
-NODES_PER_GROUP = 6  # fewer nodes know more of their endpoints, but these see a key less often
-MIN_SUBSET_SIZE = 8  # enough endpoints to tell good from bad
-SMALL_PART_GROUPS = 64  # groups above which a subset counts as a small part of all endpoints
+# Subsets are used if this node has fewer concurrent requests per endpoint.
+MIN_REQUESTS_PER_ENDPOINT = 0.2
+# In a smaller group each node knows more of its endpoints, but an endpoint sees a key less often.
+NODES_PER_GROUP = 6
+MIN_SUBSET_SIZE = 8  # enough endpoints to tell good from bad ones
+# With more groups, a subset counts as a small part of all endpoints.
+SMALL_PART_GROUPS = 64
 
 
 class Subset:
-    """The stretch of ready endpoints that this node shares with its group."""
+    """The ready endpoints that this node shares with its group.
+
+    Attributes:
+        endpoint_ids: the ids of these endpoints.
+        groups: the number of groups; 1: the subset is all ready endpoints.
+        size: the number of endpoints, at least 1.
+        start: the index of the first one among the ready endpoints.
+    """
 
     __slots__ = ("_endpoints", "endpoint_ids", "groups", "size", "start")
 
     def __init__(self, endpoints: EndpointSet) -> None:
         self._endpoints = endpoints
         self.groups = 1
-        self.start = 0  # place of its first endpoint among the ready ones
+        self.start = 0
         self.size = 1
         self.endpoint_ids: list[int] = []
 
@@ -43,7 +53,7 @@
         return self.size == len(self._endpoints.ready)
 
     def refresh(self, concurrency_limit: float, cluster: ClusterView) -> bool:
-        """Choose the stretch anew, and return whether it is or was a part of the endpoints only."""
+        """Choose the subset again, and return whether it is or was smaller than the fleet."""
         ready = self._endpoints.ready
         count = len(ready)
         sparse = concurrency_limit < MIN_REQUESTS_PER_ENDPOINT * count
@@ -59,7 +69,7 @@
         return partial
 
     def differing(self, endpoint_ids: Set[int]) -> Set[int]:
-        """Return the endpoints that are either in the subset or among these, not both."""
+        """Return the endpoints that are either in the subset or in this set, not both."""
         return endpoint_ids ^ set(self.endpoint_ids)
 
     def contains(self, endpoint_id: int) -> bool:
--- a/badgercart/policy/throughput.py
+++ b/badgercart/policy/throughput.py
@@ -1,21 +1,35 @@
-"""The rate of timely answers and their latency, now and at best. No I/O."""
+"""The rate and latency of timely responses, at present and at best. No I/O."""
 
 from __future__ import annotations
 
-RATE_WINDOW_MS = 2000.0  # to average the rate of timely answers over
-BEST_RATE_WINDOW_MS = 20_000.0  # in which the best rate is forgotten
-# In which the best latency would double: it can follow slower work.
+RATE_WINDOW_MS = 2000.0  # time window of the rate of timely responses
+BEST_RATE_WINDOW_MS = 20_000.0  # time in which the best rate decays
+# Time in which the best latency would double, so that it can follow work that gets slower.
 BEST_LATENCY_DOUBLING_MS = 100_000.0
-# The mean latency reaches back over so many, or over the rate's window if that is more.
+# The mean latency covers this number of responses, or those of the rate's window if they are more.
 LATENCY_SAMPLES = 60.0
-MIN_SAMPLES = LATENCY_SAMPLES / 5  # on fewer nothing is based
-FAST_FACTOR = 1.3  # answers are fast while their mean latency is under this multiple of the best
-# Timely answers in the rate's window that can show slowness in time.
+MIN_SAMPLES = LATENCY_SAMPLES / 5  # latencies of fewer responses are not used
+# Responses are fast while their mean latency is below this multiple of the best one.
+FAST_LATENCY_FACTOR = 1.3
+# With more timely responses in the rate's window, their latency shows a slowdown early enough.
 TRUSTED_SAMPLES = LATENCY_SAMPLES / 2
 
 
 class Throughput:
-    """Timely answers and sent attempts, now and at best. Rates are per ms."""
+    """Timely responses and sent attempts, at present and at best. Rates are per ms.
+
+    Attributes:
+        sent: attempts sent since the last refresh.
+        send_rate: the rate of attempts.
+        timely: timely responses since the last refresh.
+        observed_ms: the time with traffic that the rate covers, at most its time window.
+        rate: the rate of timely responses.
+        best_rate: the highest such rate.
+        best_rate_per_endpoint: the highest such rate per ready endpoint.
+        mean_latency_ms: the mean latency of timely responses.
+        best_latency_ms: the lowest such mean.
+        samples: the number of responses that the mean is based on.
+    """
 
     __slots__ = (
         "best_latency_ms",
@@ -31,24 +45,24 @@
     )
 
     def __init__(self) -> None:
-        self.sent = 0  # attempts since the last refresh
+        self.sent = 0
         self.send_rate = 0.0
-        self.timely = 0  # timely answers since the last refresh
-        self.observed_ms = 0.0  # of traffic, up to the rate's window
-        self.rate = 0.0  # of timely answers
+        self.timely = 0
+        self.observed_ms = 0.0
+        self.rate = 0.0
         self.best_rate = 0.0
         self.best_rate_per_endpoint = 0.0
         self.mean_latency_ms = 0.0
-        self.best_latency_ms = 0.0  # the lowest mean
-        self.samples = 0.0  # answers that the mean rests on
+        self.best_latency_ms = 0.0
+        self.samples = 0.0
 
     @property
     def is_known(self) -> bool:
-        """Whether there were enough timely answers to go by."""
+        """Whether there were enough timely responses to use their latency."""
         return self.samples >= MIN_SAMPLES
 
     def record_timely(self, elapsed_ms: float, time_scale: float) -> None:
-        """Count an answer that came within its latency objective."""
+        """Count a response within the latency objective."""
         self.timely += 1
         self.samples = min(
             self.samples + 1, max(LATENCY_SAMPLES, self.rate * RATE_WINDOW_MS * time_scale)
@@ -56,38 +70,43 @@
         self.mean_latency_ms += (elapsed_ms - self.mean_latency_ms) / self.samples
 
     def refresh_send_rate(self, passed_ms: float, weight: float) -> None:
-        """Average the rate of attempts, where the last interval has this weight."""
+        """Update the average rate of attempts, giving the last interval this weight."""
         self.send_rate += (self.sent / max(passed_ms, 1.0) - self.send_rate) * weight
         self.sent = 0
 
-    def refresh(self, passed_ms: float, time_scale: float, ready_count: int, calm: bool) -> None:
-        """Average the rate of timely answers, and follow the best rate and latency.
+    def refresh(
+        self, passed_ms: float, time_scale: float, ready_count: int, has_few_failures: bool
+    ) -> None:
+        """Update the average rate of timely responses, and the best rate and latency.
 
         Args:
-            passed_ms: since the last refresh.
-            time_scale: of all windows; below 1 where a class wants its answers sooner.
-            ready_count: endpoints that are ready, whether ejected or not.
-            calm: whether next to nothing fails.
+            passed_ms: time since the last refresh.
+            time_scale: factor of all time windows; below 1 if a class has a strict latency
+                objective.
+            ready_count: number of ready endpoints, including the ejected ones.
+            has_few_failures: whether next to nothing fails.
         """
-        # A node that has just begun has no more to average over than it saw.
+        # A node that has just started averages over the time since its start.
         self.observed_ms = min(self.observed_ms + passed_ms, RATE_WINDOW_MS * time_scale)
         self.rate += (self.timely / max(passed_ms, 1.0) - self.rate) * passed_ms / self.observed_ms
-        fade = 1 - passed_ms / (BEST_RATE_WINDOW_MS * time_scale)
-        self.best_rate = max(self.best_rate * fade, self.rate)
+        decay = 1 - passed_ms / (BEST_RATE_WINDOW_MS * time_scale)
+        self.best_rate = max(self.best_rate * decay, self.rate)
         per_endpoint = self.rate / max(ready_count, 1)
-        self.best_rate_per_endpoint = max(self.best_rate_per_endpoint * fade, per_endpoint)
+        self.best_rate_per_endpoint = max(self.best_rate_per_endpoint * decay, per_endpoint)
         self.timely = 0
         if self.is_known:
-            self._refresh_best(passed_ms, time_scale, calm)
+            self._refresh_best(passed_ms, time_scale, has_few_failures)
 
-    def _refresh_best(self, passed_ms: float, time_scale: float, calm: bool) -> None:
+    def _refresh_best(self, passed_ms: float, time_scale: float, has_few_failures: bool) -> None:
         drift = 1 + passed_ms / BEST_LATENCY_DOUBLING_MS
         self.best_latency_ms = min(
             (self.best_latency_ms or self.mean_latency_ms) * drift, self.mean_latency_ms
         )
-        # Growing traffic is sent before it is answered, so the rate of attempts shows what the
-        # fleet is asked to do next. Attempts in flight don't: they also grow when answers slow
-        # down, before the first one shows it. Few answers would show slowness too late.
-        fast = self.mean_latency_ms < FAST_FACTOR * self.best_latency_ms
-        if calm and fast and self.rate * RATE_WINDOW_MS * time_scale > TRUSTED_SAMPLES:
+        # While traffic grows, the rate of attempts shows the load that the fleet is about to get
+        # before the rate of responses does. Attempts in flight are no such sign: they also grow
+        # when responses slow down, before the first response shows it. With few responses a
+        # slowdown would be seen too late.
+        is_fast = self.mean_latency_ms < FAST_LATENCY_FACTOR * self.best_latency_ms
+        is_trusted = self.rate * RATE_WINDOW_MS * time_scale > TRUSTED_SAMPLES
+        if has_few_failures and is_fast and is_trusted:
             self.best_rate = max(self.best_rate, self.send_rate)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -24,7 +24,7 @@
 )
 from badgercart.policy.fleet import Fleet
 from badgercart.policy.hash_ring import (
-    BLOCK_POINTS,
+    BLOCK_SIZE,
     VIRTUAL_NODES,
     HashRing,
 )
@@ -266,7 +266,7 @@
         ring.remove(point)
         plain.remove(point)
     assert ring.virtual_nodes() == plain and len(ring) == len(plain)
-    assert all(0 < len(block) < 2 * BLOCK_POINTS for block in ring.blocks)
+    assert all(0 < len(block) < 2 * BLOCK_SIZE for block in ring.blocks)
     if plain:
         for spot in range(0, 310, 7):
             assert ring.successor(spot) == plain[bisect(plain, (spot, 0)) % len(plain)][1]
--- a/tests/policy/test_planned.py
+++ b/tests/policy/test_planned.py
@@ -168,7 +168,7 @@
         assert found == {
             zone: there for zone, there in stage.policy.fleet.locality.members.items() if there
         }
-        stage.policy.fleet.locality.sort_zones()
+        stage.policy.fleet.locality.group_by_zone()
         assert found == {
             zone: set(there) for zone, there in stage.policy.fleet.locality.by_zone.items()
         }
--- a/tests/policy/test_slopes.py
+++ b/tests/policy/test_slopes.py
@@ -385,7 +385,7 @@
         state = policy.random.getstate()
         drawn = list(policy.selector.candidates(0))[-size:]
         policy.random.setstate(state)
-        for _ in range(2 * min(selection.CANDIDATES, 6)):
+        for _ in range(2 * min(selection.CANDIDATE_COUNT, 6)):
             policy.random.random()
         at = policy.fleet.endpoints.ready.index(drawn[0])
         assert drawn == policy.fleet.endpoints.ready[at:] + policy.fleet.endpoints.ready[:at]
