--- a/badgercart/simulator/__init__.py
+++ b/badgercart/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The policy on the simulator's protocol."""
+"""Serves the policy to the simulator over its binary protocol."""
--- a/badgercart/simulator/__main__.py
+++ b/badgercart/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m badgercart.simulator`: the policy on standard input and output, for the simulator."""
+"""`python -m badgercart.simulator`: serves the policy to the simulator on standard input and output."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from badgercart.simulator.errors import WireError
 from badgercart.simulator.server import serve
 
-BAD_INPUT = 2  # exit status
+EXIT_INVALID_INPUT = 2
 
 
 def main() -> int:
     """Serve until the input ends, and return the exit status."""
-    gc.freeze()  # what is loaded by now stays: the collector need not look at it
+    gc.freeze()  # the garbage collector need not scan the modules loaded so far, which stay
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
         print(f"badgercart.simulator: {error}", file=sys.stderr)
-        return BAD_INPUT
+        return EXIT_INVALID_INPUT
     return 0
 
 
--- a/badgercart/simulator/codec.py
+++ b/badgercart/simulator/codec.py
@@ -1,4 +1,8 @@
-"""The simulator's frames: big-endian records of a fixed size, and one tail a frame."""
+"""The simulator's frames: a header, big-endian records of a fixed size, and a tail.
+
+The tail holds data of variable size, to which records refer by offset and length. Most records
+concern one instance of the policy, which the last Select record before them names.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +40,7 @@
 from badgercart.simulator.settings_reader import read_settings
 
 EVENT_RECORD_BYTES = 48
-MAX_REPORT_VALUES = 4  # numbers in a server's report
+MAX_REPORT_VALUES = 4  # load values in an endpoint's report
 BATCH_HEADER = struct.Struct(">IIdI")
 REPLY_HEADER = struct.Struct(">III")
 ENDPOINT_RECORD = struct.Struct(">IBHHBfd")
@@ -53,7 +57,7 @@
 _HEALTH_CHECK_RESULT = struct.Struct(">xIBdB4f")
 _PEER_MESSAGE = struct.Struct(">xIII")
 _SELECT_CODE, _ENDPOINT_LIST_CODE = 12, 11
-_HAS_EXPECTED_WORK, _IS_CLIENT_RETRY = 1, 2  # flags of a request
+_HAS_EXPECTED_WORK, _IS_CLIENT_RETRY = 1, 2  # bits of a request's flags
 
 _SELECT_INSTANCE = struct.Struct(">BH21x")
 _SEND = struct.Struct(">BQId3x")
@@ -72,7 +76,7 @@
 
 
 class InstanceStarted:
-    """An instance starts, with a seed and settings of its own."""
+    """An instance of the policy starts with its own seed and settings."""
 
     __slots__ = ("seed", "settings")
 
@@ -82,7 +86,7 @@
 
 
 class InstanceKilled:
-    """An instance is gone, with all that it knew."""
+    """An instance of the policy has ended, and its state is lost."""
 
     __slots__ = ()
 
@@ -91,7 +95,7 @@
 
 
 class _Batch:
-    """One frame of the simulator's, and where its tail begins."""
+    """One frame of the simulator, and the offset of its tail."""
 
     __slots__ = ("data", "number", "tail_start")
 
@@ -102,7 +106,7 @@
         return WireError(reason, self.number, at)
 
     def tail(self, start: int, length: int, at: int) -> bytes:
-        """Return a piece of the tail, for the record at this byte."""
+        """Return a part of the tail for the record at offset `at` of the frame."""
         begin = self.tail_start + start
         if begin + length > len(self.data):
             raise self.error(f"tail reference {start}+{length} is out of range", at)
@@ -110,19 +114,19 @@
 
 
 class Decoder:
-    """Reads batches. It keeps the numbered endpoint lists, which later batches may refer to."""
+    """Decodes batches. It keeps the numbered endpoint lists, which later batches may refer to."""
 
     def __init__(self) -> None:
         self._lists: dict[int, list[Endpoint]] = {}
 
     def batch(self, frame: bytes) -> tuple[int, float, list[tuple[int, InstanceEvent]]]:
-        """Read a batch.
+        """Decode a batch.
 
         Returns:
-            Its number, its clock time in ms, and the events, each with the instance that it is for.
+            Its number, its clock time in ms, and the events, each with the number of its instance.
 
         Raises:
-            WireError: It can't be read.
+            WireError: The frame is malformed.
         """
         if len(frame) < BATCH_HEADER.size:
             raise WireError(
@@ -221,6 +225,7 @@
         return PeerMessage(sender, batch.tail(start, length, at))
 
 
+# The decoder of each kind of event record, by the code in its first byte.
 _READERS: dict[int, Callable[[Decoder, _Batch, int], InstanceEvent]] = {
     1: Decoder._instance_started,
     2: Decoder._endpoint_update,
@@ -247,6 +252,7 @@
     return Endpoint(endpoint_id, zone, kind, cell, _STATES[state], size, started_ms)
 
 
+# The encoder of each kind of action; the first value packed is the code of the record.
 _RECORDS: dict[type, Callable[[Any], bytes]] = {
     Send: lambda action: _SEND.pack(8, action.id, action.endpoint_id, action.timeout_ms),
     SetTimer: lambda action: _SET_TIMER.pack(7, action.delay_ms, action.token),
@@ -259,10 +265,10 @@
 
 
 class Encoder:
-    """Collects the actions of one reply."""
+    """Encodes the actions of the reply to one batch."""
 
     def __init__(self, number: int) -> None:
-        self._number = number  # of the batch
+        self._batch_number = number
         self._records: list[bytes] = []
         self._tail = bytearray()
         self._instance = -1
@@ -271,7 +277,7 @@
         """Add an instance's actions.
 
         Raises:
-            TypeError: Something is not an action.
+            TypeError: An item of the list is not an action.
         """
         if actions and instance != self._instance:
             self._select(instance)
@@ -289,7 +295,7 @@
         self._instance = instance
 
     def fatal(self, instance: int, text: str) -> None:
-        """Say that the decision code failed on behalf of an instance."""
+        """Add a record that the policy of an instance raised an exception."""
         self._select(instance)
         self._add_text(_FATAL_CODE, text)
 
@@ -299,7 +305,7 @@
         self._tail += data
 
     def frame(self) -> bytes:
-        """Return the reply."""
+        """Return the frame of the reply."""
         body = b"".join(self._records)
         length = REPLY_HEADER.size + len(body) + len(self._tail)
-        return REPLY_HEADER.pack(self._number, length, len(self._records)) + body + self._tail
+        return REPLY_HEADER.pack(self._batch_number, length, len(self._records)) + body + self._tail
--- a/badgercart/simulator/errors.py
+++ b/badgercart/simulator/errors.py
@@ -1,15 +1,15 @@
-"""What is wrong with the simulator's input."""
+"""The errors of the simulator's input."""
 
 from __future__ import annotations
 
 
 class WireError(Exception):
-    """A frame, or the settings in it, that can't be read.
+    """A malformed frame, or one with invalid settings.
 
     Attributes:
-        reason: what is wrong.
-        batch: the number of the batch; None where that is not known.
-        offset: the byte of the batch at which its record begins; None where no record is meant.
+        reason: a description of the error.
+        batch: the number of the batch; None if it is not known.
+        offset: the offset of the record in the batch; None if the error concerns no single record.
     """
 
     def __init__(self, reason: str, batch: int | None = None, offset: int | None = None) -> None:
--- a/badgercart/simulator/server.py
+++ b/badgercart/simulator/server.py
@@ -1,4 +1,4 @@
-"""Hosts one policy for each instance of the simulator's. It decides nothing."""
+"""Runs one policy for each instance of the simulator, and passes on events and actions."""
 
 from __future__ import annotations
 
@@ -18,38 +18,38 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Reply to batches until the input ends.
 
     Raises:
-        WireError: The input can't be read.
+        WireError: The input is malformed.
     """
     decoder = Decoder()
     policies: dict[int, Policy] = {}
-    while head := source.read(BATCH_HEADER.size):
-        frame = _read_frame(source, head)
+    while header := source.read(BATCH_HEADER.size):
+        frame = _read_frame(source, header)
         number, now_ms, events = decoder.batch(frame)
-        sink.write(_answer(policies, number, now_ms, events))
+        sink.write(_reply(policies, number, now_ms, events))
         sink.flush()
 
 
-def _read_frame(source: BinaryIO, head: bytes) -> bytes:
-    if len(head) < BATCH_HEADER.size:
+def _read_frame(source: BinaryIO, header: bytes) -> bytes:
+    if len(header) < BATCH_HEADER.size:
         raise WireError(
-            f"batch header: the input ends after {len(head)} of {BATCH_HEADER.size} bytes"
+            f"batch header: the input ends after {len(header)} of {BATCH_HEADER.size} bytes"
         )
-    number, length, _, _ = BATCH_HEADER.unpack(head)
+    number, length, _, _ = BATCH_HEADER.unpack(header)
     if length < BATCH_HEADER.size:
         raise WireError(f"a length of {length} is shorter than its header", number)
     body = source.read(length - BATCH_HEADER.size)
     if len(body) < length - BATCH_HEADER.size:
         raise WireError(f"the input ends inside a frame of {length} bytes", number)
-    return head + body
+    return header + body
 
 
-def _answer(
+def _reply(
     policies: dict[int, Policy], number: int, now_ms: float, events: list[tuple[int, InstanceEvent]]
 ) -> bytes:
-    """Have each instance decide, and return the reply to a batch."""
+    """Pass each event to the policy of its instance, and return the reply to the batch."""
     reply = Encoder(number)
     for instance, event in events:
         if isinstance(event, InstanceKilled):
@@ -62,7 +62,7 @@
                 policies[instance] = Policy(event.settings, event.seed)
             else:
                 reply.add(instance, policies[instance].handle(now_ms, event))
-        except Exception as error:  # whatever it was, the simulator must hear of it
+        except Exception as error:  # the simulator has to be notified of any error
             traceback.print_exc()
             reply.fatal(instance, f"{type(error).__name__}: {error}")
             break
--- a/badgercart/simulator/settings_reader.py
+++ b/badgercart/simulator/settings_reader.py
@@ -1,4 +1,4 @@
-"""A node's settings in the simulator's and the platform's JSON, mapped to ours."""
+"""Reads a node's settings from the JSON of the simulator and the platform."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
+# Values of "Discovery": endpoint updates are pushed, or have to be polled.
 PUSH, ASK = "push", "ask"
 
 
 def read_settings(text: bytes) -> Settings:
-    """Return the settings that a JSON object holds. Unknown keys are passed over.
+    """Return the settings of a JSON object. Unknown keys are ignored.
 
     Raises:
-        WireError: It is not JSON, or a value is missing or can't be.
+        WireError: The text is not JSON, or a value is missing or not allowed.
     """
     try:
         raw = json.loads(text)
--- a/badgercart/statistics/__init__.py
+++ b/badgercart/statistics/__init__.py
@@ -1,5 +1,10 @@
-"""What a node learned, kept in a folder that lasts, aged, and given back after a restart.
+"""Persists the policy's statistics in a folder, and restores them after a restart.
 
-`ageing` says how each value fades, `snapshot` is the file's content and its checks, `store` keeps
-it whole on a disk that may fail, `component` plugs it in. docs/design/learning.md has the survey.
+- `ageing`: how each value decays with its age
+- `snapshot`: the content of the file and its validation
+- `store`: atomic replacement of the file on a disk that may fail
+- `component`: the component that saves and restores
+- `commands`: the commands that show and convert a file
+
+docs/design/learning.md has the survey behind this design.
 """
--- a/badgercart/statistics/ageing.py
+++ b/badgercart/statistics/ageing.py
@@ -1,8 +1,8 @@
-"""How what was learned fades towards what is assumed of the unknown. No I/O.
+"""Decay of learned statistics towards the values that are assumed without them. No I/O.
 
-value(t) = prior + (value - prior) * 2 ** (-t / half-life), so that ageing in two steps is ageing in
-one, and nothing but the prior is left after endless time. What is learned anew within seconds is
-worth little once it is old: minutes at most.
+value(t) = prior + (value - prior) * 2 ** (-t / half-life). So decay in two steps equals decay in
+one, and the prior alone is left in the end. Half-lives are minutes at most: old statistics are
+worth little where the policy learns new ones within seconds.
 """
 
 from __future__ import annotations
@@ -15,38 +15,45 @@
 from badgercart.policy.settings import Settings
 from badgercart.policy.statistics import PolicyStatistics
 
-SECOND_MS, MINUTE_MS = 1000.0, 60_000.0
+SECOND_MS = 1000.0
+MINUTE_MS = 60_000.0
 HALF_LIVES_MS = {
-    "typical_latency_ms": 10 * MINUTE_MS,  # learned anew of some fifty answers
-    "kind_ratios": 10 * MINUTE_MS,  # the same; and endpoints that were slow are in it
+    # The policy learns it again with some fifty responses.
+    "typical_latency_ms": 10 * MINUTE_MS,
+    # The same; in addition it includes the latency of endpoints that were slow.
+    "kind_ratios": 10 * MINUTE_MS,
     "offered": MINUTE_MS,
-    "samples": 10 * MINUTE_MS,  # the trust in the best latency; a latency can't fade to a prior
+    # The number of samples stands for the confidence in the best latency, since there is no prior
+    # towards which that latency could decay.
+    "samples": 10 * MINUTE_MS,
     "rates": MINUTE_MS,
-    "keys": 5 * SECOND_MS,  # as the policy halves them itself
+    # The interval at which the policy halves these counts itself.
+    "keys": 5 * SECOND_MS,
     "relative_latency": MINUTE_MS,
-    "recent_attempts": 5 * SECOND_MS,  # as the policy halves them itself
+    # The same interval.
+    "recent_attempts": 5 * SECOND_MS,
     "failure_rates": 30 * SECOND_MS,
     "consecutive_ejections": 2 * MINUTE_MS,
 }
-MAX_HALVINGS = 1000.0  # beyond which nothing is left in a float
-MIN_KEY_COUNT = 0.5  # requests: of fewer the policy keeps no key
-NO_PRIOR_RATIO = 1.0  # of a latency over the typical one
+MAX_HALVINGS = 1000.0  # with more of them nothing is left in a float
+MIN_KEY_COUNT = 0.5  # the policy drops keys with fewer recent requests
+PRIOR_RATIO = 1.0  # prior of a latency over the typical one
 
 
-def remaining_share(what: str, age_ms: float) -> float:
-    """Return the share of a value that is left at an age; below 0 it counts as 0."""
-    return math.exp2(-min(max(age_ms, 0.0) / HALF_LIVES_MS[what], MAX_HALVINGS))
+def remaining_share(name: str, age_ms: float) -> float:
+    """Return the share of a value that is left at an age; a negative age counts as 0."""
+    return math.exp2(-min(max(age_ms, 0.0) / HALF_LIVES_MS[name], MAX_HALVINGS))
 
 
 def decay_towards(prior: float, value: float, share: float) -> float:
-    """Return a value of which only this share of its distance from the prior is left."""
+    """Return a value moved towards the prior, so that this share of their distance is left."""
     return prior + (value - prior) * share
 
 
 def decay_statistics(
     statistics: PolicyStatistics, age_ms: float, settings: Settings
 ) -> PolicyStatistics:
-    """Return what is left of statistics at an age; below 0 it counts as 0."""
+    """Return statistics after the decay of an age; a negative age counts as 0."""
     typical = remaining_share("typical_latency_ms", age_ms)
     kinds = remaining_share("kind_ratios", age_ms)
     rates, offered = remaining_share("rates", age_ms), remaining_share("offered", age_ms)
@@ -57,7 +64,7 @@
         typical_latency_ms=[decay_towards(prior, value, typical) for prior, value in latencies],
         offered=[count * offered for count in statistics.offered],
         kind_ratios={
-            kind: decay_towards(NO_PRIOR_RATIO, ratio, kinds)
+            kind: decay_towards(PRIOR_RATIO, ratio, kinds)
             for kind, ratio in statistics.kind_ratios.items()
         },
         best_latency_ms=statistics.best_latency_ms,
@@ -71,11 +78,11 @@
             if count * keys > MIN_KEY_COUNT
         },
         keyed_requests=statistics.keyed_requests * keys,
-        endpoints=_aged_endpoints(statistics.endpoints, age_ms),
+        endpoints=_decay_endpoints(statistics.endpoints, age_ms),
     )
 
 
-def _aged_endpoints(
+def _decay_endpoints(
     endpoints: dict[int, EndpointStatistics], age_ms: float
 ) -> dict[int, EndpointStatistics]:
     latency = remaining_share("relative_latency", age_ms)
@@ -85,7 +92,7 @@
     return {
         endpoint_id: replace(
             known,
-            relative_latency=decay_towards(NO_PRIOR_RATIO, known.relative_latency, latency),
+            relative_latency=decay_towards(PRIOR_RATIO, known.relative_latency, latency),
             recent_attempts=known.recent_attempts * attempts,
             failure_rates=tuple(rate * failures for rate in known.failure_rates),
             consecutive_ejections=tuple(count * ejections for count in known.consecutive_ejections),
--- a/badgercart/statistics/commands.py
+++ b/badgercart/statistics/commands.py
@@ -1,4 +1,4 @@
-"""`badgercart learned`: what a file of what was learned holds, and whether it can be used."""
+"""`badgercart learned`: commands that show, check and convert a snapshot file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def read(path: str) -> Snapshot:
-    """Return the snapshot of a file, or the newest of a folder. Raises CommandError."""
+    """Return the snapshot of a file, or the current one of a folder. Raises CommandError."""
     from badgercart.statistics.errors import SnapshotError
     from badgercart.statistics.snapshot import MAX_BYTES, decode
     from badgercart.statistics.store import CURRENT_NAME
@@ -50,37 +50,38 @@
 
     from badgercart.statistics.ageing import decay_towards, remaining_share
 
-    kept = read(file)
+    snapshot = read(file)
     if as_json:
-        click.echo(msgspec.json.encode(kept).decode())
+        click.echo(msgspec.json.encode(snapshot).decode())
         return
-    old = age * 1000 if age is not None else max(0.0, time.time() * 1000 - kept.saved_ms)
+    age_ms = age * 1000 if age is not None else max(0.0, time.time() * 1000 - snapshot.saved_ms)
     click.echo(
-        f"node {kept.node}, saved {old / 1000:.0f} s ago, {len(kept.endpoints)} servers, "
-        f"{len(kept.key_counts)} keys"
+        f"node {snapshot.node}, saved {age_ms / 1000:.0f} s ago, {len(snapshot.endpoints)} servers, "
+        f"{len(snapshot.key_counts)} keys"
     )
     classes = [
         (
             name,
-            f"{part.typical_latency_ms:.0f}",
-            f"{remaining_share('typical_latency_ms', old):.2f}",
-            f"{part.offered:.0f}",
+            f"{stored.typical_latency_ms:.0f}",
+            f"{remaining_share('typical_latency_ms', age_ms):.2f}",
+            f"{stored.offered:.0f}",
         )
-        for name, part in kept.classes.items()
+        for name, stored in snapshot.classes.items()
     ]
     show_table(("class", "usual ms", "weight", "offered"), classes)
     rows = []
-    for part in sorted(kept.endpoints, key=lambda part: -part.relative_latency):
-        slow = decay_towards(1.0, part.relative_latency, remaining_share("relative_latency", old))
-        fails = max(part.failure_rates, default=0.0)
+    for endpoint in sorted(snapshot.endpoints, key=lambda endpoint: -endpoint.relative_latency):
+        weight = remaining_share("relative_latency", age_ms)
+        slowness = decay_towards(1.0, endpoint.relative_latency, weight)
+        failure_rate = max(endpoint.failure_rates, default=0.0)
         rows.append(
             (
-                f"{part.endpoint_id:x}",
-                f"{part.relative_latency:.2f}",
-                f"{slow:.2f}",
-                f"{fails:.2f}",
-                f"{fails * remaining_share('failure_rates', old):.2f}",
-                f"{remaining_share('relative_latency', old):.2f}",
+                f"{endpoint.endpoint_id:x}",
+                f"{endpoint.relative_latency:.2f}",
+                f"{slowness:.2f}",
+                f"{failure_rate:.2f}",
+                f"{failure_rate * remaining_share('failure_rates', age_ms):.2f}",
+                f"{weight:.2f}",
             )
         )
     show_table(("server", "slowness", "now", "failures", "now", "weight"), rows)
@@ -90,8 +91,8 @@
 @FILE
 def check(file: str) -> None:
     """Whether a file can be used; exit 1 and what is wrong if not."""
-    kept = read(file)
-    click.echo(f"{file}: good, of node {kept.node}, {len(kept.endpoints)} servers")
+    snapshot = read(file)
+    click.echo(f"{file}: good, of node {snapshot.node}, {len(snapshot.endpoints)} servers")
 
 
 @learned.command()
@@ -116,12 +117,16 @@
 
     data = Path(file).read_bytes() if Path(file).is_file() else b""
     try:
-        told = data[:1] == b"{"
-        kept = decode(encode(msgspec.json.decode(data, type=Snapshot))) if told else read(file)
+        is_json = data[:1] == b"{"
+        snapshot = (
+            decode(encode(msgspec.json.decode(data, type=Snapshot))) if is_json else read(file)
+        )
     except (msgspec.MsgspecError, SnapshotError) as error:
         raise CommandError(f"{file}: {error}") from error
-    text = (
-        msgspec.json.format(msgspec.json.encode(kept), indent=1) if form == "json" else encode(kept)
+    content = (
+        msgspec.json.format(msgspec.json.encode(snapshot), indent=1)
+        if form == "json"
+        else encode(snapshot)
     )
-    Path(output).write_bytes(text)
+    Path(output).write_bytes(content)
     click.echo(f"{output}: written")
--- a/badgercart/statistics/component.py
+++ b/badgercart/statistics/component.py
@@ -1,4 +1,4 @@
-"""What was learned, given back at the start, saved now and then and at the end."""
+"""Saves the policy's statistics periodically and at the end, and restores them at the start."""
 
 from __future__ import annotations
 
@@ -18,25 +18,26 @@
     from badgercart.statistics.snapshot import Snapshot
     from badgercart.statistics.store import Folder, FolderLock
 
-MAX_CLOCK_SKEW_MS = 5000.0  # by which a file may be younger than now: clocks are set
+# A file may be from this far in the future, since the system clock may have been set back.
+MAX_CLOCK_SKEW_MS = 5000.0
 FINAL_SAVE_TIMEOUT_S = 2.0
-YIELD_S = 0.0002
+INTERPRETER_YIELD_S = 0.0002
 
 
 def yield_interpreter() -> None:
-    """Let the loop have the interpreter at once, not after its switch interval of 5 ms."""
-    time.sleep(YIELD_S)
+    """Let the event loop's thread run at once, not after the switch interval of 5 ms."""
+    time.sleep(INTERPRETER_YIELD_S)
 
 
 class StatisticsComponent:
-    """Keeps what the policy learned.
+    """Saves and restores the policy's statistics.
 
-    Nothing that is wrong with the folder costs a request: it is logged, and the node runs as
-    without it.
+    A fault of the folder affects no request: it is logged, and the node runs as without the
+    component.
     """
 
     def __init__(self, host: ComponentHost, settings: LearningSettings) -> None:
-        """Lock the folder and give its content to the policy, before this is told anything."""
+        """Lock the folder and restore its snapshot, before the policy handles any event."""
         from badgercart.statistics.store import Folder, FolderLock
 
         self.host, self.settings = host, settings
@@ -44,7 +45,7 @@
         self.files: Folder = Folder(self.folder)
         self.lock: FolderLock | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.saving: asyncio.Future[None] | None = None
+        self.save_task: asyncio.Future[None] | None = None
         self.saves = self.failures = 0
         try:
             self.lock = FolderLock(self.folder)
@@ -60,7 +61,7 @@
         )
 
     def restore(self) -> None:
-        """Give the policy what is kept, as far as it can be used."""
+        """Restore the policy's statistics from the stored snapshot, if it can be used."""
         from badgercart.policy.errors import StatisticsMismatchError
         from badgercart.policy.statistics import import_statistics
         from badgercart.statistics import store
@@ -76,15 +77,15 @@
             return
         age_ms = time.time() * 1000 - loaded.snapshot.saved_ms
         try:
-            statistics = self._aged_statistics(loaded.snapshot, age_ms)
+            statistics = self._decayed_statistics(loaded.snapshot, age_ms)
             import_statistics(self.host.pipeline.policy, statistics)
         except (SnapshotError, StatisticsMismatchError) as error:
             UNUSED(cause=str(error))
         else:
             RESTORED(servers=len(statistics.endpoints), age_s=max(0, round(age_ms / 1000)))
 
-    def _aged_statistics(self, snapshot: Snapshot, age_ms: float) -> PolicyStatistics:
-        """Return what is left of a snapshot. Raises SnapshotError where it can't be used."""
+    def _decayed_statistics(self, snapshot: Snapshot, age_ms: float) -> PolicyStatistics:
+        """Return a snapshot's statistics after the decay. Raises SnapshotError if it is unusable."""
         from badgercart.statistics.ageing import decay_statistics
         from badgercart.statistics.errors import SnapshotError
         from badgercart.statistics.snapshot import extract_statistics
@@ -94,11 +95,11 @@
         if age_ms > self.settings.oldest_s * 1000:
             raise SnapshotError(f"it is {age_ms / 1000:.0f} s old")
         config = self.host.config
-        kept = extract_statistics(snapshot, config, self.host.reader.unix_offset)
-        return decay_statistics(kept, age_ms, config.settings)
+        stored = extract_statistics(snapshot, config, self.host.reader.unix_offset)
+        return decay_statistics(stored, age_ms, config.settings)
 
     async def start(self) -> None:
-        """Begin to save now and then."""
+        """Start the periodic saves."""
         if self.lock is not None:
             self.schedule_save()
 
@@ -107,13 +108,13 @@
         self.timer = self.host.loop.call_later(self.settings.every_s, self.begin_save)
 
     def begin_save(self) -> None:
-        """Save, unless the last save is not done yet: a slow disk is not asked for more."""
-        if self.saving is None or self.saving.done():
-            self.saving = asyncio.ensure_future(self.save())
+        """Start a save unless one is still in progress, so that a slow disk gets no more work."""
+        if self.save_task is None or self.save_task.done():
+            self.save_task = asyncio.ensure_future(self.save())
         self.schedule_save()
 
     async def save(self) -> None:
-        """Copy what the policy knows, and write it on a thread: the loop waits for no disk."""
+        """Copy the policy's statistics, and write them on a thread to keep the event loop free."""
         from badgercart.policy.statistics import export_statistics
 
         statistics = export_statistics(self.host.pipeline.policy, self.settings.keys)
@@ -129,24 +130,24 @@
         """Write statistics to the folder.
 
         Raises:
-            TooLargeError: They take more than the operator allows.
-            OSError: They can't be written.
+            TooLargeError: The snapshot is larger than the operator allows.
+            OSError: The snapshot can't be written.
         """
         from badgercart.statistics import store
         from badgercart.statistics.errors import TooLargeError
         from badgercart.statistics.snapshot import encode, make_snapshot
 
-        offset = self.host.reader.unix_offset
+        unix_offset_ms = self.host.reader.unix_offset
         now_ms = time.time() * 1000
         data = encode(
-            make_snapshot(statistics, self.host.config, now_ms, offset, yield_interpreter)
+            make_snapshot(statistics, self.host.config, now_ms, unix_offset_ms, yield_interpreter)
         )
         if len(data) > self.settings.most_bytes:
             raise TooLargeError(len(data))
         store.save(self.files, data)
 
     def prepare(self, settings: LearningSettings) -> Callable[[], None] | None:
-        """Return what puts other settings in force; the folder stays."""
+        """Return a function that applies other settings, apart from the folder."""
 
         def commit() -> None:
             self.settings = settings.model_copy(update={"folder": self.settings.folder})
@@ -154,24 +155,24 @@
         return commit
 
     async def drain(self, _until: float) -> None:
-        """Save a last time: all requests are answered by now, and nothing more can be learned."""
+        """Save a last time, after all requests have ended and nothing more can be learned."""
         if self.timer is not None:
             self.timer.cancel()
         if self.lock is not None:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(FINAL_SAVE_TIMEOUT_S):
-                    if self.saving is not None:
-                        await self.saving
+                    if self.save_task is not None:
+                        await self.save_task
                     await self.save()
 
     def release(self) -> None:
-        """Let another process have the folder; nothing is saved any more."""
+        """Unlock the folder; nothing is saved from now on."""
         if self.lock is not None:
             self.lock.release()
             self.lock = None
 
     def close(self) -> None:
-        """End at once."""
+        """Stop at once, without a last save."""
         if self.timer is not None:
             self.timer.cancel()
         self.release()
--- a/badgercart/statistics/log_events.py
+++ b/badgercart/statistics/log_events.py
@@ -1,4 +1,4 @@
-"""What is said in the log of what is kept over a restart."""
+"""The log events of the persisted statistics."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     "learning.off",
     logging.ERROR,
     "what is learned is not kept: %(cause)s",
-    "The folder is missing, in use by another node, read-only, or holds a file of a later version. Nothing "
-    "is saved until a restart; the node runs as without it.",
+    "The folder is missing, in use by another node, read-only, or holds a file of a later version. "
+    "Nothing is saved until a restart; the node runs as without it.",
 )
 FAILED = event(
     "learning.failed",
--- a/badgercart/statistics/settings.py
+++ b/badgercart/statistics/settings.py
@@ -1,4 +1,4 @@
-"""What an operator may set of what is kept over a restart."""
+"""The operator's settings of the persisted statistics."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LearningSettings(Table, title="LearningSettings"):
-    """what was learned of servers and classes, kept in a folder that lasts"""
+    """what was learned of servers and classes, kept in a folder that lasts"""  # noqa: D400
 
     folder: Name = Field(description="where it is kept; each node needs one of its own")
     every_s: float = Field(10.0, ge=0.5, le=3600, description="the time between two saves (s)")
--- a/badgercart/statistics/snapshot.py
+++ b/badgercart/statistics/snapshot.py
@@ -1,14 +1,14 @@
-"""The content of a file of what was learned: by names and wall time, checked to the last number. No
-I/O.
+"""The format of a snapshot file, and its validation. No I/O.
 
     file = magic "BLRN" | version u16 | length u32 | crc32 u32 | MessagePack map
 
 Numbers are big-endian, and crc32 is zlib's.
 
-Why msgspec: a typed, bounded decoding of MessagePack in one pass, so that nothing read from a disk
-reaches the policy unchecked. Classes, kinds and zones stand by their names, since their numbers are
-places in a settings file that may have changed; an endpoint's start is Unix time, since the node's
-clock begins anew with the machine. Stored names are literals: a rename in the code reaches no byte.
+msgspec decodes and validates MessagePack in one pass, so that nothing read from a disk reaches the
+policy unchecked. Classes, kinds and zones are stored by name, since their numbers are indexes in a
+settings file that may have changed. The start of an endpoint is stored as Unix time, since the
+node's clock restarts with the machine. The stored names are literals, so that renaming a field in
+the code does not change the format.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
 VERSION = 1
 HEADER = struct.Struct(">4sHII")
 ENDPOINTS_PER_PAUSE = 64
-MAX_BYTES = 64 << 20  # of a file; a longer one is not read
+MAX_BYTES = 64 << 20  # a larger file is not read
 
-# A bound is met by no NaN: nothing that is read needs another check.
+# NaN is outside all of these bounds, so decoded values need no other check.
 Count = Annotated[float, Meta(ge=0, le=1e12)]
 LatencyMs = Annotated[float, Meta(ge=0, le=1e9)]
 Ratio = Annotated[float, Meta(ge=1e-3, le=1e3)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 Ejections = Annotated[float, Meta(ge=0, le=1e6)]
 UnixMs = Annotated[float, Meta(ge=0, le=1e15)]
-EndpointId = Annotated[int, Meta(ge=1)]  # MessagePack ends at 64 bits
-Label = Annotated[str, Meta(min_length=1, max_length=1024)]
+EndpointId = Annotated[int, Meta(ge=1)]  # MessagePack itself limits it to 64 bits
+NodeName = Annotated[str, Meta(min_length=1, max_length=1024)]
 
 
 class StoredClass(msgspec.Struct, frozen=True):
-    """What is known of a class."""
+    """The statistics of a class."""
 
     typical_latency_ms: LatencyMs = msgspec.field(name="usual")
     offered: Count = msgspec.field(name="offered")
@@ -53,21 +53,41 @@
 
 
 class StoredEndpoint(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of an endpoint, by position."""
+    """The statistics of an endpoint, stored by position.
+
+    Attributes:
+        endpoint_id: the id of the endpoint.
+        started_ms: its start time; 0: long ago.
+        relative_latency: its latency over the typical one for class and kind.
+        recent_attempts: its recent attempts.
+        failure_rates: its failure rates, in the order of the snapshot's classes.
+        consecutive_ejections: its ejections, in the same order.
+    """
 
     endpoint_id: EndpointId
-    started_ms: UnixMs  # 0: long ago
+    started_ms: UnixMs
     relative_latency: Ratio
     recent_attempts: Count
-    failure_rates: list[Share]  # in the order of `classes`
+    failure_rates: list[Share]
     consecutive_ejections: list[Ejections]
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """All of a file."""
+    """The content of a file.
+
+    Attributes:
+        node: the name of the node that saved it.
+        fleet: the identity of the fleet, by `fleet_identity`.
+        saved_ms: the time at which it was saved.
+        classes: the statistics of each class, by name.
+        kind_ratios: latency over the typical one, by name of the kind of machine.
+        best_latency_ms, mean_latency_ms, samples, best_rate, best_rate_per_endpoint,
+        keyed_requests, key_counts: as in `PolicyStatistics`.
+        endpoints: the statistics of each endpoint.
+    """
 
-    node: Label = msgspec.field(name="node")
-    fleet: str = msgspec.field(name="fleet")  # what tells this fleet from another
+    node: NodeName = msgspec.field(name="node")
+    fleet: str = msgspec.field(name="fleet")
     saved_ms: UnixMs = msgspec.field(name="saved_ms")
     classes: dict[str, StoredClass] = msgspec.field(name="classes")
     kind_ratios: dict[str, Ratio] = msgspec.field(name="kinds")
@@ -82,11 +102,12 @@
 
 
 _DECODER: msgspec.msgpack.Decoder[Snapshot] = msgspec.msgpack.Decoder(Snapshot)
-MIGRATIONS: dict[int, Callable[[bytes], bytes]] = {}  # by version: its content as the next one's
+# By version: a function that converts the content of this version to that of the next one.
+MIGRATIONS: dict[int, Callable[[bytes], bytes]] = {}
 
 
 def fleet_identity(config: Config) -> str:
-    """Return what is the same for two nodes whose numbers of zones and kinds mean the same."""
+    """Return a text that is equal for two nodes if their indexes of zones and kinds are."""
     return "/".join((",".join(config.zones), ",".join(config.kinds)))
 
 
@@ -94,17 +115,17 @@
     statistics: PolicyStatistics,
     config: Config,
     saved_ms: float,
-    unix_offset: float,
+    unix_offset_ms: float,
     pause: Callable[[], object] = lambda: None,
 ) -> Snapshot:
-    """Return statistics as they stand in a file.
+    """Return the snapshot of statistics.
 
     Args:
-        statistics: what a policy knows.
-        config: the node's, for the names.
-        saved_ms: Unix time.
-        unix_offset: Unix time less the node's clock, in ms.
-        pause: called now and then, so that others have their turn.
+        statistics: the statistics of a policy.
+        config: the node's configuration, which has the names.
+        saved_ms: Unix time of the snapshot.
+        unix_offset_ms: Unix time minus the node's clock.
+        pause: called after each `ENDPOINTS_PER_PAUSE` endpoints, so that other threads can run.
     """
     count = len(statistics.typical_latency_ms)
     kinds = {number: name for name, number in config.kinds.items()}
@@ -117,10 +138,10 @@
         for index, name in enumerate(config.classes)
     }
     endpoints: list[StoredEndpoint] = []
-    for place, (endpoint_id, known) in enumerate(statistics.endpoints.items()):
-        if place % ENDPOINTS_PER_PAUSE == 0:
+    for index, (endpoint_id, known) in enumerate(statistics.endpoints.items()):
+        if index % ENDPOINTS_PER_PAUSE == 0:
             pause()
-        endpoints.append(_stored_endpoint(endpoint_id, known, unix_offset))
+        endpoints.append(_stored_endpoint(endpoint_id, known, unix_offset_ms))
     return Snapshot(
         node=config.name,
         fleet=fleet_identity(config),
@@ -141,11 +162,11 @@
 
 
 def _stored_endpoint(
-    endpoint_id: int, known: EndpointStatistics, unix_offset: float
+    endpoint_id: int, known: EndpointStatistics, unix_offset_ms: float
 ) -> StoredEndpoint:
     return StoredEndpoint(
         endpoint_id,
-        round(known.started_ms + unix_offset) if known.started_ms else 0.0,
+        round(known.started_ms + unix_offset_ms) if known.started_ms else 0.0,
         known.relative_latency,
         known.recent_attempts,
         list(known.failure_rates),
@@ -153,14 +174,16 @@
     )
 
 
-def extract_statistics(snapshot: Snapshot, config: Config, unix_offset: float) -> PolicyStatistics:
-    """Return the statistics that a snapshot holds, for a node of this configuration.
+def extract_statistics(
+    snapshot: Snapshot, config: Config, unix_offset_ms: float
+) -> PolicyStatistics:
+    """Return the statistics of a snapshot, for a node of this configuration.
 
-    A class that the snapshot does not know has what is assumed of it; one that is no more is left
-    out.
+    A class that the snapshot does not have gets the assumed statistics; a class that the
+    configuration does not have is left out.
 
     Raises:
-        SnapshotError: It is of another fleet.
+        SnapshotError: The snapshot is of another fleet.
     """
     if snapshot.fleet != fleet_identity(config):
         raise SnapshotError("it is of another fleet: its zones or kinds are others")
@@ -170,8 +193,8 @@
         or StoredClass(assumed_latency_ms(config.settings, index), 0.0, 0.0)
         for index, name in enumerate(names)
     ]
-    places = {name: place for place, name in enumerate(snapshot.classes)}
-    order = [places.get(name) for name in names]
+    stored_indexes = {name: index for index, name in enumerate(snapshot.classes)}
+    order = [stored_indexes.get(name) for name in names]
     return PolicyStatistics(
         typical_latency_ms=[cls.typical_latency_ms for cls in classes],
         offered=[cls.offered for cls in classes] + [cls.offered_beyond_quota for cls in classes],
@@ -188,42 +211,42 @@
         key_counts=dict(snapshot.key_counts),
         keyed_requests=snapshot.keyed_requests,
         endpoints={
-            stored.endpoint_id: _endpoint_statistics(stored, order, unix_offset)
+            stored.endpoint_id: _endpoint_statistics(stored, order, unix_offset_ms)
             for stored in snapshot.endpoints
         },
     )
 
 
 def _endpoint_statistics(
-    stored: StoredEndpoint, order: Iterable[int | None], unix_offset: float
+    stored: StoredEndpoint, order: Iterable[int | None], unix_offset_ms: float
 ) -> EndpointStatistics:
-    """Return an endpoint's statistics; `order`: the places of the classes in the snapshot."""
-    places = list(order)
+    """Return an endpoint's statistics; `order` has the indexes of the classes in the snapshot."""
+    stored_indexes = list(order)
     return EndpointStatistics(
-        stored.started_ms - unix_offset if stored.started_ms else 0.0,
+        stored.started_ms - unix_offset_ms if stored.started_ms else 0.0,
         stored.relative_latency,
         stored.recent_attempts,
-        _reordered(stored.failure_rates, places),
-        _reordered(stored.consecutive_ejections, places),
+        _reordered(stored.failure_rates, stored_indexes),
+        _reordered(stored.consecutive_ejections, stored_indexes),
     )
 
 
-def _reordered(values: Sequence[float], places: Iterable[int | None]) -> tuple[float, ...]:
-    return tuple(0.0 if place is None else values[place] for place in places)
+def _reordered(values: Sequence[float], order: Iterable[int | None]) -> tuple[float, ...]:
+    return tuple(0.0 if index is None else values[index] for index in order)
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Return a snapshot as a file's bytes."""
+    """Return the bytes of the file for a snapshot."""
     data = msgspec.msgpack.encode(snapshot)
     return HEADER.pack(MAGIC, VERSION, len(data), zlib.crc32(data)) + data
 
 
 def decode(data: bytes) -> Snapshot:
-    """Return the snapshot that a file's bytes hold.
+    """Return the snapshot in the bytes of a file.
 
     Raises:
-        SnapshotError: They hold none that can be used.
-        NewerVersionError: They are of a version that is not known here.
+        SnapshotError: The bytes are not a valid snapshot.
+        NewerVersionError: The file has a newer version than this release can read.
     """
     version, body = _unframe(data)
     while version < VERSION:
@@ -239,7 +262,7 @@
 
 
 def _unframe(data: bytes) -> tuple[int, bytes]:
-    """Return the version and the checked content of a file's bytes."""
+    """Return the version and the content of a file, after checking its header and checksum."""
     if len(data) > MAX_BYTES:
         raise SnapshotError(f"over {MAX_BYTES >> 20} MiB")
     if data[: len(MAGIC)] != MAGIC:
@@ -258,7 +281,7 @@
 
 
 def _check_classes(snapshot: Snapshot) -> None:
-    """Raise SnapshotError where an endpoint is of other classes than the snapshot."""
+    """Raise SnapshotError if an endpoint has another number of classes than the snapshot."""
     classes = len(snapshot.classes)
     for stored in snapshot.endpoints:
         if not len(stored.failure_rates) == len(stored.consecutive_ejections) == classes:
--- a/badgercart/statistics/store.py
+++ b/badgercart/statistics/store.py
@@ -1,9 +1,8 @@
-"""Keeps a file whole on a disk that may fail at any call: the old or the new, never anything
-between.
+"""Atomic replacement of the snapshot file on a disk that may fail at any call.
 
-A save writes a temporary file and syncs it, moves the file before it aside, renames, and syncs the
-folder. So the newest whole file always stands under one of two names, and a reader takes the first
-that is whole.
+A save writes a temporary file and syncs it, renames the current file to the previous one, renames
+the temporary file to the current one, and syncs the folder. So the newest complete snapshot always
+has one of two names, and a reader uses the first of them that is valid.
 """
 
 from __future__ import annotations
@@ -24,46 +23,46 @@
 
 CURRENT_NAME, PREVIOUS_NAME = "learned", "learned.before"
 TEMPORARY_NAME, LOCK_NAME = "learned.new", "learned.lock"
-WRITE_BYTES = 1 << 16  # in one write
+MAX_WRITE_BYTES = 1 << 16  # in one call
 
 
 class Files(Protocol):
-    """A folder, call by call. All raise OSError."""
+    """The system calls on files of a folder. All of them raise OSError."""
 
     def read(self, name: str) -> bytes | None:
-        """Return a file's content; None where there is no such file."""
+        """Return a file's content, or None if there is no such file."""
 
     def create(self, name: str) -> int:
-        """Create an empty file that only its owner may read, and return its handle for writing."""
+        """Create an empty file readable by its owner only, and return a handle for writing."""
 
     def write(self, handle: int, data: bytes) -> int:
-        """Write to a file, and return how many bytes were taken."""
+        """Write to a file, and return the number of bytes written."""
 
     def sync(self, handle: int) -> None:
-        """Have a file's content reach the disk."""
+        """Flush a file's content to the disk."""
 
     def close(self, handle: int) -> None:
         """Close a file."""
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, in the place of one that is there."""
+        """Rename a file, replacing any file that has the new name."""
 
     def exists(self, name: str) -> bool:
-        """Return whether there is such a file."""
+        """Return whether there is a file of this name."""
 
     def sync_folder(self) -> None:
-        """Have the folder's names reach the disk."""
+        """Flush the folder's entries to the disk."""
 
 
 class Folder:
-    """A folder of the system's."""
+    """A folder in the file system."""
 
     def __init__(self, path: Path) -> None:
-        """Take a folder by its path."""
+        """Use the folder at this path."""
         self.path = path
 
     def read(self, name: str) -> bytes | None:
-        """Return a file's content; None where there is no such file."""
+        """Return a file's content, or None if there is no such file."""
         try:
             with (self.path / name).open("rb") as file:
                 return file.read(MAX_BYTES + 1)
@@ -71,16 +70,16 @@
             return None
 
     def create(self, name: str) -> int:
-        """Create an empty file that only its owner may read, and return its handle for writing."""
+        """Create an empty file readable by its owner only, and return a handle for writing."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC | os.O_NOFOLLOW
         return os.open(self.path / name, flags, 0o600)
 
     def write(self, handle: int, data: bytes) -> int:
-        """Write to a file, and return how many bytes were taken."""
+        """Write to a file, and return the number of bytes written."""
         return os.write(handle, data)
 
     def sync(self, handle: int) -> None:
-        """Have a file's content reach the disk."""
+        """Flush a file's content to the disk."""
         os.fsync(handle)
 
     def close(self, handle: int) -> None:
@@ -88,15 +87,15 @@
         os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, in the place of one that is there."""
+        """Rename a file, replacing any file that has the new name."""
         os.replace(self.path / old, self.path / new)
 
     def exists(self, name: str) -> bool:
-        """Return whether there is such a file."""
+        """Return whether there is a file of this name."""
         return (self.path / name).exists()
 
     def sync_folder(self) -> None:
-        """Have the folder's names reach the disk."""
+        """Flush the folder's entries to the disk."""
         handle = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(handle)
@@ -105,14 +104,14 @@
 
 
 class FolderLock:
-    """Held as long as it lives, so that two nodes never share a folder."""
+    """A lock on a folder until it is released, so that two nodes never share one."""
 
     def __init__(self, path: Path) -> None:
         """Lock a folder.
 
         Raises:
-            FolderLockedError: Another process has it.
-            OSError: It can't be used.
+            FolderLockedError: Another process has locked it.
+            OSError: The lock file can't be created or opened.
         """
         self.handle = os.open(path / LOCK_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -122,15 +121,15 @@
             raise FolderLockedError("another node has this folder") from error
 
     def release(self) -> None:
-        """Let another process have the folder."""
+        """Release the lock."""
         os.close(self.handle)
 
 
 def save(files: Files, data: bytes) -> None:
-    """Replace what is kept.
+    """Replace the stored snapshot.
 
     Raises:
-        OSError: A call failed; what was kept before is there still.
+        OSError: A call failed; the snapshot stored before is still there.
     """
     handle = files.create(TEMPORARY_NAME)
     try:
@@ -145,26 +144,31 @@
 
 
 def _write_all(files: Files, handle: int, data: bytes) -> None:
-    rest = memoryview(data)
-    while rest:
-        taken = files.write(handle, bytes(rest[:WRITE_BYTES]))
-        if taken <= 0:
+    remaining = memoryview(data)
+    while remaining:
+        written = files.write(handle, bytes(remaining[:MAX_WRITE_BYTES]))
+        if written <= 0:
             raise DiskFullError("the disk takes nothing more")
-        rest = rest[taken:]
+        remaining = remaining[written:]
 
 
 @dataclass(slots=True)
 class LoadedSnapshot:
-    """What a folder holds."""
+    """The snapshot of a folder, and the faults of its files.
+
+    Attributes:
+        snapshot: the newest valid snapshot; None if there is none.
+        faults: a line for each file that could not be used, with its name.
+        has_newer_version: whether there is a file of a newer version, which must not be replaced.
+    """
 
     snapshot: Snapshot | None
-    faults: list[str]  # of files that could not be used, by name
-    # There is a file of a later version, which is not to be replaced.
+    faults: list[str]
     has_newer_version: bool = False
 
 
 def load(files: Files) -> LoadedSnapshot:
-    """Return the newest snapshot that is whole, and what was wrong with others. Raises nothing."""
+    """Return the newest valid snapshot, and the faults of other files. Raises nothing."""
     loaded = LoadedSnapshot(None, [])
     for name in (CURRENT_NAME, PREVIOUS_NAME):
         try:
