--- a/tests/policy/support.py
+++ b/tests/policy/support.py
@@ -1,5 +1,4 @@
-"""A small stage for the module: settings, servers and a driver that checks the rules from
-outside."""
+"""Settings, endpoints, and a driver that checks the policy's obligations from outside."""
 
 from __future__ import annotations
 
@@ -24,7 +23,7 @@
 from badgercart.policy.policy import Policy
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-START = 50_000.0
+START_MS = 50_000.0
 SAFE = RequestClass(
     latency_objective_ms=400.0,
     deadline_ms=1000.0,
@@ -45,10 +44,10 @@
     idempotency=Idempotency.NON_IDEMPOTENT,
     deduplication_window_ms=5000.0,
 )
-NEVER_RAN = (AttemptResult.FULL, AttemptResult.UNREACHABLE, AttemptResult.NOT_SENT)
+NOT_EXECUTED_RESULTS = (AttemptResult.FULL, AttemptResult.UNREACHABLE, AttemptResult.NOT_SENT)
 
 
-def settings(**changes: object) -> Settings:
+def make_settings(**changes: object) -> Settings:
     base = Settings(
         classes=(SAFE, KEYED, UNSAFE),
         tick_ms=5.0,
@@ -61,241 +60,276 @@
     return replace(base, **changes)  # type: ignore[arg-type]
 
 
-def server(
+def endpoint(
     number: int, state: EndpointState = EndpointState.READY, started: float = 0.0
 ) -> Endpoint:
     return Endpoint(number, number % 3, 0, number % 4, state, 1.0, started)
 
 
-class Stage:
-    """Drives one policy and asserts, from outside, what must hold of every action."""
+class PolicyDriver:
+    """Sends events to one policy, and asserts for each action that it is allowed.
 
-    def __init__(self, config: Settings, seed: int = 1, servers: int = 8) -> None:
+    Attributes:
+        config: the current settings.
+        states: the state of each endpoint, by id.
+        requests: all requests, by id.
+        request_classes: the class of each request when it arrived.
+        unfinished: ids of requests without a final answer.
+        answers: the final answer of each request: served, shed, failed or cancelled.
+        attempts: the attempts of each request: when each was sent, and its endpoint.
+        open_attempts: request id and number of each open attempt, with its time of timeout.
+        possibly_executed: by request and number, the attempts that may have been executed: when
+            each was sent, and its endpoint.
+        timers: due time and token of each timer.
+        actions: all actions of the policy.
+        endpoints: the last entry of each endpoint, by id.
+        key_queues: by key, the requests that are serialized, in order of arrival.
+        cooldowns: by key, the requests with an attempt that may still be executing, and until when.
+        upload_timeouts_ms: the timeout of each attempt of a request that was not complete.
+        consumed: ids of requests whose body is gone, so that they can't be sent again.
+    """
+
+    def __init__(self, config: Settings, seed: int = 1, endpoint_count: int = 8) -> None:
         self.config = config
-        self.now = START
+        self.now_ms = START_MS
         self.policy = Policy(config, seed)
         self.states: dict[int, EndpointState] = {}
         self.requests: dict[int, Request] = {}
-        self.terms: dict[int, RequestClass] = {}  # of each request's class as it came
-        self.owed: set[int] = set()
+        self.request_classes: dict[int, RequestClass] = {}
+        self.unfinished: set[int] = set()
         self.answers: dict[int, str] = {}
         self.attempts: dict[int, list[tuple[float, Endpoint]]] = {}
-        self.open: dict[tuple[int, int], float] = {}  # attempt -> when its time-out strikes
-        self.maybe_ran: dict[int, dict[int, tuple[float, Endpoint]]] = {}
+        self.open_attempts: dict[tuple[int, int], float] = {}
+        self.possibly_executed: dict[int, dict[int, tuple[float, Endpoint]]] = {}
         self.timers: list[tuple[float, int]] = []
-        self.log: list[object] = []
-        self.entries: dict[int, Endpoint] = {}
-        self.lines: dict[
-            int, list[int]
-        ] = {}  # key -> requests that take turns, in order of arrival
-        self.rests: dict[
-            int, list[tuple[int, float]]
-        ] = {}  # key -> whose attempt may run on, until when
+        self.actions: list[object] = []
+        self.endpoints: dict[int, Endpoint] = {}
+        self.key_queues: dict[int, list[int]] = {}
+        self.cooldowns: dict[int, list[tuple[int, float]]] = {}
         self.next_id = 1
-        self.limits: dict[
-            tuple[int, int], float
-        ] = {}  # of attempts on requests that were not whole
-        self.spent: set[int] = set()  # requests that can't be sent again
-        self.list([server(i) for i in range(servers)], UpdateKind.CACHED)
+        self.upload_timeouts_ms: dict[tuple[int, int], float] = {}
+        self.consumed: set[int] = set()
+        self.update_endpoints([endpoint(i) for i in range(endpoint_count)], UpdateKind.CACHED)
 
-    def give(self, event: object) -> list[object]:
-        actions = self.policy.handle(self.now, event)  # type: ignore[arg-type]
+    def handle(self, event: object) -> list[object]:
+        """Send an event to the policy, check its actions and return them."""
+        actions = self.policy.handle(self.now_ms, event)  # type: ignore[arg-type]
         for action in actions:
-            self._take(action)
-        self.log.extend(actions)
+            self._apply(action)
+        self.actions.extend(actions)
         return list(actions)
 
-    def list(self, entries: list[Endpoint], kind: UpdateKind = UpdateKind.DELTA) -> list[object]:
+    def update_endpoints(
+        self, entries: list[Endpoint], kind: UpdateKind = UpdateKind.DELTA
+    ) -> list[object]:
         if kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
             self.states = dict.fromkeys(self.states, EndpointState.GONE)
         for entry in entries:
             self.states[entry.id] = entry.state
-            self.entries[entry.id] = entry
-        return self.give(EndpointUpdate(kind, 1, entries))
+            self.endpoints[entry.id] = entry
+        return self.handle(EndpointUpdate(kind, 1, entries))
 
-    def request(
+    def add_request(
         self,
-        cls: int = 0,
-        due_in: float = 900.0,
+        class_index: int = 0,
+        deadline_in_ms: float = 900.0,
         key: int = 0,
         tenant: int = 0,
-        hint: float = 0.0,
-        whole: bool = True,
+        expected_work_ms: float = 0.0,
+        complete: bool = True,
     ) -> int:
+        """Send a request to the policy, and return its id."""
         number = self.next_id
         self.next_id += 1
-        self.terms[number] = self.config.classes[cls]
-        due = self.now + due_in if whole else math.inf
-        self.requests[number] = Request(number, cls, due, key, tenant, hint, complete=whole)
-        self.owed.add(number)
+        self.request_classes[number] = self.config.classes[class_index]
+        deadline_at_ms = self.now_ms + deadline_in_ms if complete else math.inf
+        self.requests[number] = Request(
+            number, class_index, deadline_at_ms, key, tenant, expected_work_ms, complete=complete
+        )
+        self.unfinished.add(number)
         self.attempts[number] = []
-        self.maybe_ran[number] = {}
-        if key and self.config.classes[cls].serialized_by_key:
-            self.lines.setdefault(key, []).append(number)
-        self.give(self.requests[number])
+        self.possibly_executed[number] = {}
+        if key and self.config.classes[class_index].serialized_by_key:
+            self.key_queues.setdefault(key, []).append(number)
+        self.handle(self.requests[number])
         return number
 
-    def give_new(self, cls: int, tenant: int = 0) -> list[object]:
-        mark = len(self.log)
-        self.request(cls, tenant=tenant)
-        return self.log[mark:]
+    def add_request_actions(self, class_index: int, tenant: int = 0) -> list[object]:
+        """Send a request to the policy, and return the actions that follow."""
+        before = len(self.actions)
+        self.add_request(class_index, tenant=tenant)
+        return self.actions[before:]
 
-    def give_failed_list(self) -> list[object]:
-        return self.give(EndpointUpdate(UpdateKind.FAILED, 0, []))
+    def fail_update(self) -> list[object]:
+        return self.handle(EndpointUpdate(UpdateKind.FAILED, 0, []))
 
-    def go_on(self, number: int, rng: random.Random) -> None:
-        """What befalls servers and attempts at the step of this number: a line of the list, some
-        outcomes."""
+    def random_step(self, number: int, rng: random.Random) -> None:
+        """End some open attempts; at each twentieth step also change one endpoint."""
         if number % 20 == 9:
-            started = self.now if rng.random() < 0.5 else 0.0
-            self.list(
+            started = self.now_ms if rng.random() < 0.5 else 0.0
+            self.update_endpoints(
                 [
-                    server(
+                    endpoint(
                         rng.randrange(8),
                         rng.choice((EndpointState.READY, EndpointState.DRAINING)),
                         started,
                     )
                 ]
             )
-        for request, attempt in [key for key in self.open if rng.random() < 0.3]:
+        for request, attempt in [key for key in self.open_attempts if rng.random() < 0.3]:
             result = rng.choice(
                 (AttemptResult.OK, AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL)
             )
-            self.outcome(request, attempt, result, rng.uniform(10, 200))
+            self.end_attempt(request, attempt, result, rng.uniform(10, 200))
 
-    def whole(self, request: int, due_in: float) -> None:
-        """The rest of a request has come: from now on its time counts, and its attempt's."""
-        self.give(RequestCompleted(request, self.now + due_in))
-        for key, limit in self.limits.items():
-            if key[0] == request and key in self.open:
-                self.open[key] = self.now + min(limit, due_in)
+    def complete_request(self, request: int, deadline_in_ms: float) -> None:
+        """Complete a request, and start its deadline and the timeout of its attempt."""
+        self.handle(RequestCompleted(request, self.now_ms + deadline_in_ms))
+        for key, limit in self.upload_timeouts_ms.items():
+            if key[0] == request and key in self.open_attempts:
+                self.open_attempts[key] = self.now_ms + min(limit, deadline_in_ms)
 
-    def began(self, request: int, attempt: int) -> None:
-        """An answer goes on as it comes: the final one; its attempt may only end."""
-        assert request in self.owed
-        self.owed.discard(request)
+    def start_response(self, request: int, attempt: int) -> None:
+        """Start to stream a response, which is the final answer; its attempt stays open."""
+        assert request in self.unfinished
+        self.unfinished.discard(request)
         self.answers[request] = "served"
         target = self.attempts[request][attempt][1].id
-        self.open[request, attempt] = math.inf
-        self.give(ResponseStarted(request, attempt, target, 50.0))
+        self.open_attempts[request, attempt] = math.inf
+        self.handle(ResponseStarted(request, attempt, target, 50.0))
 
-    def outcome(
+    def end_attempt(
         self,
         request: int,
         attempt: int,
         result: AttemptResult,
-        elapsed: float = 50.0,
-        spent: bool = False,
+        elapsed_ms: float = 50.0,
+        body_consumed: bool = False,
     ) -> list[object]:
-        del self.open[(request, attempt)]
-        if spent:
-            self.spent.add(request)
-        if result in NEVER_RAN and not (
+        del self.open_attempts[(request, attempt)]
+        if body_consumed:
+            self.consumed.add(request)
+        if result in NOT_EXECUTED_RESULTS and not (
             result == AttemptResult.FULL and self.config.full_possibly_executed
         ):
-            del self.maybe_ran[request][attempt]
+            del self.possibly_executed[request][attempt]
         if result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED):
-            rest = (request, self.now + self.config.key_cooldown_ms)
-            self.rests.setdefault(self.requests[request].key, []).append(rest)
-        if result == AttemptResult.OK and request in self.owed:
-            self.owed.discard(request)
+            cooldown = (request, self.now_ms + self.config.key_cooldown_ms)
+            self.cooldowns.setdefault(self.requests[request].key, []).append(cooldown)
+        if result == AttemptResult.OK and request in self.unfinished:
+            self.unfinished.discard(request)
             self.answers[request] = "served"
-        over = request not in self.owed
+        finished = request not in self.unfinished
         target = self.attempts[request][attempt][1].id
-        return self.give(
-            AttemptEnded(request, target, over, result, attempt, elapsed, body_consumed=spent)
+        return self.handle(
+            AttemptEnded(
+                request, target, finished, result, attempt, elapsed_ms, body_consumed=body_consumed
+            )
         )
 
-    def retune(self, config: Settings, fresh: frozenset[int], live: frozenset[int]) -> None:
+    def change_settings(
+        self, config: Settings, reset_classes: frozenset[int], live_classes: frozenset[int]
+    ) -> None:
         self.config = config
-        self.give(SettingsChanged(config, live, fresh))
+        self.handle(SettingsChanged(config, live_classes, reset_classes))
 
-    def withdraw(self, request: int) -> None:
-        self.owed.discard(request)
-        self.answers[request] = "withdrawn"
-        self.give(RequestCancelled(request))
+    def cancel_request(self, request: int) -> None:
+        self.unfinished.discard(request)
+        self.answers[request] = "cancelled"
+        self.handle(RequestCancelled(request))
 
-    def advance(self, by: float) -> None:
-        """Let time pass: timers ring, attempts time out, and no request may be owed past its due
-        time."""
-        end = self.now + by
+    def advance(self, passed_ms: float) -> None:
+        """Advance the clock: fire timers, time out attempts, and check all deadlines."""
+        end = self.now_ms + passed_ms
         while True:
-            due = [(at, 0, t, 0) for at, t in self.timers]
-            due += [(at, 1, r, a) for (r, a), at in self.open.items()]
-            due = sorted(d for d in due if d[0] <= end)
+            due = [(at, 0, token, 0) for at, token in self.timers]
+            due += [
+                (at, 1, request, attempt) for (request, attempt), at in self.open_attempts.items()
+            ]
+            due = sorted(item for item in due if item[0] <= end)
             if not due:
                 break
-            at, what, first, second = due[0]
-            self.now = max(self.now, at)
-            if what == 0:
+            at, is_attempt, first, second = due[0]
+            self.now_ms = max(self.now_ms, at)
+            if is_attempt == 0:
                 self.timers.remove((at, first))
-                self.give(TimerFired(first))
+                self.handle(TimerFired(first))
             else:
                 sent = self.attempts[first][second][0]
-                self.outcome(first, second, AttemptResult.TIMEOUT, self.now - sent)
-        self.now = end
-        for number in self.owed:
+                self.end_attempt(first, second, AttemptResult.TIMEOUT, self.now_ms - sent)
+        self.now_ms = end
+        for number in self.unfinished:
             assert (
-                self.requests[number].deadline_at_ms >= self.now
-            ), f"request {number} is owed past its due time"
+                self.requests[number].deadline_at_ms >= self.now_ms
+            ), f"request {number} has no final answer by its deadline"
 
-    def _take(self, action: object) -> None:
+    def _apply(self, action: object) -> None:
         if isinstance(action, Send):
-            self._send(action)
+            self._check_send(action)
         elif isinstance(action, Shed | Fail):
-            assert action.id in self.owed, "a second final answer"
-            self.owed.discard(action.id)
-            self.answers[action.id] = "refused" if isinstance(action, Shed) else "failed"
-            cls = self.terms[action.id]
+            assert action.id in self.unfinished, "request got a second final answer"
+            self.unfinished.discard(action.id)
+            self.answers[action.id] = "shed" if isinstance(action, Shed) else "failed"
+            cls = self.request_classes[action.id]
             harmless = cls.idempotency is Idempotency.IDEMPOTENT or (
                 cls.idempotency is Idempotency.KEYED
                 and cls.deduplication_scope is DeduplicationScope.ALL
             )
             if isinstance(action, Shed) and not harmless:
-                assert not self.maybe_ran[action.id], "refused though it may have run"
+                assert not self.possibly_executed[
+                    action.id
+                ], "request was shed although it may have been executed"
         elif isinstance(action, CancelAttempt):
             assert self.config.may_cancel
-            assert action.attempt < len(self.attempts[action.id]), "cancelled what was never sent"
+            assert action.attempt < len(
+                self.attempts[action.id]
+            ), "attempt was cancelled that was never sent"
         elif isinstance(action, SetTimer):
             assert action.delay_ms >= 0
-            self.timers.append((self.now + action.delay_ms, action.token))
+            self.timers.append((self.now_ms + action.delay_ms, action.token))
         elif not isinstance(action, Log):
             assert isinstance(action, Subscribe)
             assert self.config.polls_endpoints
 
-    def _in_turn(self, number: int) -> None:
+    def _check_key_order(self, number: int) -> None:
         key = self.requests[number].key
-        line = self.lines.get(key, [])
-        if number not in line:
+        queue = self.key_queues.get(key, [])
+        if number not in queue:
             return
-        earlier = set(line[: line.index(number)])
-        assert not earlier & self.owed, "sent while an earlier request with its key is unfinished"
-        assert not any(r in earlier for r, _ in self.open), "sent while an earlier attempt is out"
-        resting = [
-            until for r, until in self.rests.get(key, []) if r in earlier and until > self.now
+        earlier = set(queue[: queue.index(number)])
+        assert (
+            not earlier & self.unfinished
+        ), "sent while an earlier request of its key is unfinished"
+        assert not any(
+            request in earlier for request, _ in self.open_attempts
+        ), "sent while an attempt of an earlier request of its key is open"
+        cooldowns = [
+            until
+            for request, until in self.cooldowns.get(key, [])
+            if request in earlier and until > self.now_ms
         ]
-        assert not resting, "sent while its key rests"
+        assert not cooldowns, "sent during the cooldown of its key"
 
-    def _send(self, action: Send) -> None:
+    def _check_send(self, action: Send) -> None:
         request = self.requests[action.id]
-        cls = self.terms[action.id]
-        assert action.id in self.owed, "sent after the final answer"
+        cls = self.request_classes[action.id]
+        assert action.id in self.unfinished, "sent after the final answer"
         assert (
             self.states[action.endpoint_id] is EndpointState.READY
-        ), "sent to a server that drains or is gone"
+        ), "sent to an endpoint that is draining or gone"
         assert len(self.attempts[action.id]) < self.config.max_attempts
-        target = self.entries[action.endpoint_id]
-        outstanding = [key for key in self.open if key[0] == action.id]
-        assert not outstanding, "two attempts at once"
-        self._in_turn(action.id)
-        earlier = self.maybe_ran[action.id].values()
+        target = self.endpoints[action.endpoint_id]
+        open_attempts = [key for key in self.open_attempts if key[0] == action.id]
+        assert not open_attempts, "two attempts of a request at once"
+        self._check_key_order(action.id)
+        earlier = self.possibly_executed[action.id].values()
         if cls.idempotency is Idempotency.NON_IDEMPOTENT:
-            assert not earlier, "an unsafe request sent again"
+            assert not earlier, "a non-idempotent request was sent again"
         elif cls.idempotency is Idempotency.KEYED:
             for sent, other in earlier:
                 assert (
-                    self.now - sent <= cls.deduplication_window_ms
-                ), "a repeat after the servers forgot it"
+                    self.now_ms - sent <= cls.deduplication_window_ms
+                ), "a keyed request was sent again after its deduplication window"
                 assert (
                     cls.deduplication_scope is not DeduplicationScope.ZONE
                     or other.zone == target.zone
@@ -305,15 +339,15 @@
                     or other.cell == target.cell
                 )
         number = len(self.attempts[action.id])
-        self.attempts[action.id].append((self.now, target))
-        self.maybe_ran[action.id][number] = (self.now, target)
-        assert action.id not in self.spent, "sent again though its body is gone"
-        limit = (
-            min(action.timeout_ms, request.deadline_at_ms - self.now)
+        self.attempts[action.id].append((self.now_ms, target))
+        self.possibly_executed[action.id][number] = (self.now_ms, target)
+        assert action.id not in self.consumed, "sent again although its body is gone"
+        timeout_ms = (
+            min(action.timeout_ms, request.deadline_at_ms - self.now_ms)
             if action.timeout_ms > 0
-            else request.deadline_at_ms - self.now
+            else request.deadline_at_ms - self.now_ms
         )
         if not request.complete:
             assert 0 < action.timeout_ms < math.inf
-            self.limits[action.id, number], limit = action.timeout_ms, math.inf
-        self.open[(action.id, number)] = self.now + max(limit, 0.0)
+            self.upload_timeouts_ms[action.id, number], timeout_ms = action.timeout_ms, math.inf
+        self.open_attempts[(action.id, number)] = self.now_ms + max(timeout_ms, 0.0)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -1,5 +1,4 @@
-"""The parts that know the endpoints: the set, latency, capacity, subset, slow start, outliers,
-locality."""
+"""The parts that know the endpoints: set, latency, capacity, subset, slow start and others."""
 
 from __future__ import annotations
 
@@ -39,7 +38,7 @@
     collapse_window_ms=1000.0,
 )
 NOW = 50_000.0
-EVERY = frozenset({0, 1})
+ALL_CLASSES = frozenset({0, 1})
 
 
 def endpoint(
@@ -56,7 +55,7 @@
 
 def fleet_of(*endpoints: Endpoint, settings: Settings = SETTINGS) -> Fleet:
     fleet = Fleet(settings, Throughput(), ErrorRate(), random.Random(1))
-    fleet.apply_settings(SettingsChanged(settings, EVERY, EVERY))
+    fleet.apply_settings(SettingsChanged(settings, ALL_CLASSES, ALL_CLASSES))
     update(fleet, *endpoints, kind=UpdateKind.SNAPSHOT)
     return fleet
 
@@ -75,7 +74,7 @@
 # The set.
 
 
-def test_ready_endpoints_lie_in_the_order_of_their_hashes() -> None:
+def test_ready_endpoints_are_in_the_order_of_their_hashes() -> None:
     fleet = fleet_of(*map(endpoint, range(1, 200)))
     assert fleet.endpoints.ready == sorted(range(1, 200), key=mix_hash)
     update(fleet, endpoint(5, EndpointState.DRAINING), endpoint(300))
@@ -83,7 +82,7 @@
     assert fleet.endpoints.hashes == [mix_hash(number) for number in fleet.endpoints.ready]
 
 
-def test_a_change_says_what_was_and_what_is() -> None:
+def test_a_change_has_the_former_and_the_present_entry() -> None:
     fleet = fleet_of(endpoint(1), endpoint(2))
     endpoints = fleet.endpoints
     endpoints.track(endpoint(3), 2, NOW, random.Random(1))
@@ -92,13 +91,13 @@
         endpoints.updated.add(item.id)
     changes = endpoints.take_changes()
     assert sorted(changes.endpoint_ids) == [1, 3]
-    told = {endpoint_id: (before, after) for endpoint_id, before, after in changes}
-    assert told == {1: (endpoint(1), endpoint(1, size=3.0)), 3: (None, endpoint(3))}
+    entries = {endpoint_id: (before, after) for endpoint_id, before, after in changes}
+    assert entries == {1: (endpoint(1), endpoint(1, size=3.0)), 3: (None, endpoint(3))}
     assert changes.added() == [3] and not changes.removed()
     assert not endpoints.take_changes().endpoint_ids
 
 
-def test_a_snapshot_removes_what_it_does_not_name_and_an_open_attempt_keeps_it_known() -> None:
+def test_a_snapshot_removes_endpoints_unless_they_have_open_attempts() -> None:
     fleet = fleet_of(endpoint(1), endpoint(2))
     tracked(fleet, 2).open_attempts[9, 0] = (None, 0.0)  # type: ignore[assignment]
     update(fleet, endpoint(3), kind=UpdateKind.SNAPSHOT)
@@ -109,7 +108,7 @@
     assert fleet.endpoints.by_id.keys() == {3}
 
 
-def test_an_endpoint_that_started_anew_is_unknown_but_keeps_its_open_attempts() -> None:
+def test_a_restarted_endpoint_loses_its_history_but_keeps_its_open_attempts() -> None:
     fleet = fleet_of(endpoint(1, started_ms=100.0))
     before = tracked(fleet, 1)
     before.relative_latency, before.open_attempts[9, 0] = 4.0, (None, 0.0)  # type: ignore[assignment]
@@ -120,7 +119,7 @@
     assert after.relative_latency == 1.0 and after.open_attempts == {(9, 0): (None, 0.0)}
 
 
-def test_statistics_go_to_the_same_start_once() -> None:
+def test_statistics_are_restored_once_and_only_for_the_same_start() -> None:
     fleet = fleet_of()
     known = EndpointStatistics(100.0, 4.0, 3.0, (0.9, 0.1), (2.0, 0.0))
     fleet.endpoints.restorable = {1: known, 2: known, 3: known}
@@ -133,7 +132,7 @@
     assert other.relative_latency == 1.0 and fleet.endpoints.restorable.keys() == {3}
 
 
-def test_recent_attempts_fade_only_where_there_were_some() -> None:
+def test_only_active_endpoints_are_halved() -> None:
     fleet = fleet_of(endpoint(1), endpoint(2))
     fleet.endpoints.active.clear()
     fleet.endpoints.count_attempt(tracked(fleet, 1))
@@ -146,7 +145,7 @@
 # Latency and capacity.
 
 
-def test_latencies_are_learned_slower_under_overload() -> None:
+def test_latencies_are_learned_more_slowly_under_overload() -> None:
     latency = fleet_of().latency
     assert latency.typical_ms == [100.0, 200.0]
     latency.record_work(3, 0, 50.0, 150.0, 0.0)
@@ -155,14 +154,14 @@
     assert latency.typical_ms[1] == pytest.approx(200.2)
 
 
-def test_a_kind_is_as_slow_as_its_answers_are_over_the_typical_ones() -> None:
+def test_the_ratio_of_a_kind_is_its_latency_over_the_typical_one() -> None:
     latency = fleet_of().latency
     assert latency.record_ratio(3, 0, 200.0) == 2.0
     assert latency.kind_ratios == {3: 1.005}
     assert latency.record_ratio(3, 0, 1e9) == pytest.approx(8.0 / 1.005)
 
 
-def test_weights_follow_sizes_and_kinds() -> None:
+def test_weights_depend_on_sizes_and_kinds() -> None:
     fleet = fleet_of(endpoint(1, size=4.0), endpoint(2, size=2.0), endpoint(3, kind=1, size=4.0))
     fleet.latency.kind_ratios[1] = 2.0
     fleet.refresh(1e9, NOW)
@@ -174,13 +173,13 @@
     assert capacity.weight(tracked(fleet, 2).endpoint) == 1.0
 
 
-def test_available_capacity_leaves_out_what_is_ejected_lost_or_starting() -> None:
+def test_available_capacity_excludes_ejected_lost_and_starting_endpoints() -> None:
     fleet = fleet_of(*(endpoint(i, zone=i % 2) for i in range(1, 9)))
     assert fleet.available_capacity == 8.0 and fleet.slots == 8.0
     fleet.outliers.ejected.add(2)
     tracked(fleet, 2).health[0].ejected_until_ms = NOW + 1
     fleet.refresh_available_capacity(NOW)
-    assert fleet.available_capacity == 7.5  # of one of two classes
+    assert fleet.available_capacity == 7.5  # ejected for one of two classes
     update(fleet, endpoint(20, started_ms=NOW - 4000.0))
     assert fleet.available_capacity == pytest.approx(8.1)
     fleet.apply_plan(TrafficPlan(((0.0, 1.0),) * 4, (0.0, 0.0), frozenset({0})))
@@ -191,7 +190,7 @@
 # The subset and the ring.
 
 
-def test_nodes_of_a_sparse_cluster_share_stretches_that_cover_all_endpoints() -> None:
+def test_subsets_of_a_sparse_cluster_cover_all_endpoints() -> None:
     seen: list[int] = []
     for node in range(0, 24, 6):
         fleet = fleet_of(*map(endpoint, range(1, 81)))
@@ -211,7 +210,7 @@
     assert fleet.subset.is_whole and fleet.subset.endpoint_ids == fleet.endpoints.ready
 
 
-def test_virtual_nodes_follow_weights_and_changes() -> None:
+def test_virtual_nodes_depend_on_weights_and_changes() -> None:
     fleet = fleet_of(endpoint(1, size=2.0), endpoint(2, size=1.0))
     nodes = fleet.virtual_nodes
     assert nodes.counts == {1: 17, 2: 9} and len(nodes.ring) == 26
@@ -220,7 +219,7 @@
     assert {nodes.endpoint_of(key, 0) for key in range(1, 30)} == {2}
 
 
-def test_many_changes_are_placed_piece_by_piece() -> None:
+def test_many_virtual_nodes_are_placed_in_steps() -> None:
     fleet = fleet_of(*map(endpoint, range(1, 1001)))
     assert fleet.virtual_nodes.pending
     while fleet.virtual_nodes.pending:
@@ -245,7 +244,7 @@
 # Slow start and outliers.
 
 
-def test_a_starting_endpoint_grows_to_its_whole_capacity() -> None:
+def test_a_starting_endpoint_reaches_its_full_capacity() -> None:
     slow_start = fleet_of().slow_start
     item = endpoint(1, started_ms=NOW)
     shares = [slow_start.capacity_share(item, NOW + age) for age in (-5.0, 0.0, 4000.0, 8000.0)]
@@ -253,21 +252,21 @@
     assert slow_start.capacity_share(endpoint(1), NOW) == 1.0  # started long ago
 
 
-def test_tokens_gather_at_this_nodes_part_of_what_an_endpoint_bears() -> None:
+def test_tokens_are_earned_at_this_nodes_share_of_the_budget() -> None:
     fleet = fleet_of(endpoint(1, started_ms=NOW), *map(endpoint, range(2, 12)))
     fleet.apply_view(ClusterView(2, 0, 2))
     fleet.latency.warm_work_ms[0] = 10.0
     starting = tracked(fleet, 1)
     starting.tokens, starting.tokens_as_of_ms = -0.1, NOW
     assert not fleet.slow_start.has_token(starting, NOW)
-    # 0.8 of twice a fifth of 0.1 a ms, for two nodes: some 0.016 a ms.
+    # 0.8 of twice a fifth of 0.1 per ms, for two nodes: about 0.016 per ms.
     assert fleet.slow_start.has_token(starting, NOW + 10.0)
     assert starting.tokens == pytest.approx(0.06, rel=0.03)
     fleet.slow_start.has_token(starting, NOW + 5000.0)
     assert starting.tokens == pytest.approx(0.25 * 1000.0 * 0.8 * 2 * 0.7 * 0.1 / 2)
 
 
-def test_a_fleet_that_starts_as_a_whole_gets_one_attempt_on_credit() -> None:
+def test_a_fleet_that_starts_all_at_once_gets_one_attempt_on_credit() -> None:
     fleet = fleet_of(*(endpoint(i, started_ms=NOW) for i in range(1, 6)))
     starting = tracked(fleet, 1)
     starting.tokens, starting.tokens_as_of_ms = -0.5, NOW
@@ -283,7 +282,7 @@
         fleet.outliers.record_failure(tracked(fleet, number), class_index, result, 1.0, NOW)
 
 
-def test_an_endpoint_that_stands_out_is_ejected_and_taken_back_with_a_success() -> None:
+def test_an_outlier_is_ejected_until_a_success() -> None:
     fleet = fleet_of(*map(endpoint, range(1, 11)))
     fail(fleet, 1, 1, AttemptResult.ERROR)
     failing = tracked(fleet, 1)
@@ -296,13 +295,13 @@
     assert failing.health[0].failure_rate == pytest.approx(0.35)
 
 
-def test_silence_concerns_all_classes() -> None:
+def test_missing_responses_count_for_all_classes() -> None:
     fleet = fleet_of(*map(endpoint, range(1, 11)))
     fail(fleet, 1, 2, AttemptResult.TIMEOUT)
     assert all(health.ejected_until_ms for health in tracked(fleet, 1).health)
 
 
-def test_where_all_fail_nothing_stands_out_and_never_more_than_a_share_is_ejected() -> None:
+def test_at_most_a_share_is_ejected_when_all_fail() -> None:
     fleet = fleet_of(*map(endpoint, range(1, 11)))
     for number in range(1, 11):
         fail(fleet, number, 3, AttemptResult.RESET)
@@ -324,7 +323,7 @@
     fleet.refresh(1e9, NOW)
 
 
-def test_a_plan_sorts_endpoints_into_zones_and_follows_changes() -> None:
+def test_a_plan_groups_endpoints_by_zone_and_applies_changes() -> None:
     fleet = fleet_of(*(endpoint(i, zone=i % 3 - 1) for i in range(1, 10)))
     planned(fleet, TrafficPlan(((0.75, 0.25),) * 4, (0.0, 0.0)))
     locality = fleet.locality
@@ -340,14 +339,14 @@
     assert fleet.apply_plan(TrafficPlan()) and locality.plan is None and not locality.lost_zones
 
 
-def test_a_zone_is_drawn_by_its_part_and_what_is_left_is_shed() -> None:
+def test_a_zone_is_drawn_by_its_share_and_the_rest_is_shed() -> None:
     fleet = fleet_of(endpoint(1), endpoint(2, zone=1))
     drawn = [fleet.locality.draw_zone((0.2, 0.5)) for _ in range(2000)]
     counts = [drawn.count(zone) / 2000 for zone in (0, 1, None)]
     assert counts == pytest.approx([0.2, 0.5, 0.3], abs=0.04)
 
 
-def test_spill_over_keeps_to_the_planned_rate() -> None:
+def test_spillover_has_the_planned_rate() -> None:
     fleet = fleet_of(endpoint(1), endpoint(2, zone=1))
     plan = TrafficPlan(((1.0, 0.0),) * 4, (0.0, 0.01))
     locality, spilled = fleet.locality, 0
@@ -359,29 +358,29 @@
     assert spilled in (10, 11)
 
 
-def test_other_zones_are_asked_first_where_one_is_lost_or_failed_before() -> None:
+def test_other_zones_are_tried_first_for_a_lost_zone_or_a_retry() -> None:
     locality = fleet_of(endpoint(1)).locality
     plan = TrafficPlan(((0.5, 0.5),) * 4, (0.0, 0.0), frozenset({1}), offload_shares=(0.0, 0.0))
     assert not locality.is_avoided(plan, 0, 0)
     assert locality.is_avoided(plan, 0, 1) and locality.is_avoided(plan, 1, 0)
-    strained = TrafficPlan(((0.5, 0.5),) * 4, (0.0, 0.0), offload_shares=(1.0, 0.0))
-    assert locality.is_avoided(strained, 0, 0) and not locality.is_avoided(strained, 1, 0)
+    offloading = TrafficPlan(((0.5, 0.5),) * 4, (0.0, 0.0), offload_shares=(1.0, 0.0))
+    assert locality.is_avoided(offloading, 0, 0) and not locality.is_avoided(offloading, 1, 0)
 
 
-# When things are due.
+# Schedules.
 
 
-def test_polls_back_off_with_jitter_and_begin_anew_with_an_answer() -> None:
+def test_polls_back_off_with_jitter_until_a_success() -> None:
     settings = Settings(CLASSES, polls_endpoints=True, poll_interval_ms=8000.0)
-    polling, dice = EndpointPolling(settings), random.Random(1)
-    delays = [polling.next_delay_ms(settings, dice) for _ in range(6)]
+    polling, rng = EndpointPolling(settings), random.Random(1)
+    delays = [polling.next_delay_ms(settings, rng) for _ in range(6)]
     for delay, backoff in zip(delays, (200.0, 400.0, 800.0, 1600.0, 2000.0, 2000.0), strict=True):
         assert 0.2 * backoff <= delay <= backoff
     polling.reset(settings)
     assert polling.backoff_ms == 400.0
 
 
-def test_a_refresh_accounts_for_what_passed_up_to_a_second() -> None:
+def test_a_refresh_accounts_for_at_most_a_second() -> None:
     schedule = RefreshSchedule()
     assert schedule.is_due(100.0, 1.0) and schedule.begin(100.0, 1.0) == 50.0
     assert not schedule.is_due(149.0, 1.0) and schedule.is_due(125.0, 0.5)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -1,5 +1,4 @@
-"""What the policy keeps of the ready servers equals a whole look at them, after every list and
-upkeep."""
+"""The fleet's incremental values equal a full computation after each update and refresh."""
 
 from __future__ import annotations
 
@@ -40,9 +39,8 @@
 )
 
 
-class WholeLook:
-    """The fleet as one look at all of it measures it: what the policy did for each changed line
-    before."""
+class FullComputation:
+    """Reference implementation that computes all values of the fleet from all endpoints."""
 
     def __init__(self, policy: Policy, strongest: float) -> None:
         settings, servers = policy.settings, policy.fleet.endpoints.by_id
@@ -58,16 +56,18 @@
         )
         group = settings.node_index * groups // settings.cluster_size
         self.start = group * len(ready) // groups
-        self.span = max(1, (group + 1) * len(ready) // groups - self.start)
-        self.ours = self.ready[self.start : self.start + self.span]
-        works = [sum(h.ejected_until_ms == 0 for h in s.health) / len(s.health) for s in ready]
+        self.size = max(1, (group + 1) * len(ready) // groups - self.start)
+        self.endpoint_ids = self.ready[self.start : self.start + self.size]
+        usable_shares = [
+            sum(h.ejected_until_ms == 0 for h in s.health) / len(s.health) for s in ready
+        ]
         shares = [
             policy.fleet.slow_start.capacity_share(s.endpoint, policy.now_ms) * part
-            for s, part in zip(ready, works, strict=True)
+            for s, part in zip(ready, usable_shares, strict=True)
         ]
-        self.warm = max(sum(shares), 1.0)
+        self.available_capacity = max(sum(shares), 1.0)
 
-        def strength(server: Any, strongest: float) -> float:
+        def weight(server: Any, strongest: float) -> float:
             return float(
                 server.endpoint.size
                 / policy.fleet.latency.kind_ratios.get(server.endpoint.kind, 1.0)
@@ -75,67 +75,72 @@
             )
 
         self.strongest = strongest * (
-            max((strength(s, strongest) for s in ready), default=1.0) or 1.0
+            max((weight(s, strongest) for s in ready), default=1.0) or 1.0
         )
-        size = sum(s.endpoint.size for s in ready) / max(1, len(ready))
-        self.slots = (size if 0.5 <= size <= 8 else 1.0) / settings.cluster_size
-        self.mean_strength = sum(strength(s, self.strongest) for s in ready) / max(1, len(ready))
+        mean_size = sum(s.endpoint.size for s in ready) / max(1, len(ready))
+        self.slots = (mean_size if 0.5 <= mean_size <= 8 else 1.0) / settings.cluster_size
+        self.mean_weight = sum(weight(s, self.strongest) for s in ready) / max(1, len(ready))
         counts = {
-            i: int(VIRTUAL_NODES * strength(servers[i], self.strongest)) + 1 for i in self.ours
+            i: int(VIRTUAL_NODES * weight(servers[i], self.strongest)) + 1
+            for i in self.endpoint_ids
         }
         self.ring = sorted(
-            (mix_hash(i * 1000003 + point), i) for i in self.ours for point in range(counts[i])
+            (mix_hash(i * 1000003 + point), i)
+            for i in self.endpoint_ids
+            for point in range(counts[i])
         )
 
-    def place(self, key: int, number: int) -> int:
-        spot = bisect(self.ring, (mix_hash(key + number * 0x632BE59BD9B4E019 & HASH_MASK), 0))
-        return self.ring[spot % len(self.ring)][1]
+    def endpoint_of(self, key: int, number: int) -> int:
+        position = bisect(self.ring, (mix_hash(key + number * 0x632BE59BD9B4E019 & HASH_MASK), 0))
+        return self.ring[position % len(self.ring)][1]
 
 
-class MeasuredFleet(Fleet):
-    """A fleet whose every refresh is held against a whole look."""
+class CheckedFleet(Fleet):
+    """A fleet that compares each refresh with a full computation."""
 
     policy: Policy
-    looks = 0
+    checks = 0
 
     def refresh(self, concurrency_limit: float, now_ms: float) -> None:
         before = self.capacity.strongest
         super().refresh(concurrency_limit, now_ms)
-        whole, subset, nodes = WholeLook(self.policy, before), self.subset, self.virtual_nodes
+        full, subset, nodes = FullComputation(self.policy, before), self.subset, self.virtual_nodes
         assert (self.endpoints.ready, subset.start, subset.size, subset.endpoint_ids) == (
-            whole.ready,
-            whole.start,
-            whole.span,
-            whole.ours,
+            full.ready,
+            full.start,
+            full.size,
+            full.endpoint_ids,
         )
-        for name, kept, looked in (
-            ("available", self.available_capacity, whole.warm),
-            ("strongest", self.capacity.strongest, whole.strongest),
-            ("slots", self.capacity.slots_per_endpoint, whole.slots),
-            ("mean", self.capacity.mean_weight, whole.mean_strength),
+        for name, incremental, computed in (
+            ("available", self.available_capacity, full.available_capacity),
+            ("strongest", self.capacity.strongest, full.strongest),
+            ("slots", self.capacity.slots_per_endpoint, full.slots),
+            ("mean", self.capacity.mean_weight, full.mean_weight),
         ):
-            assert kept == pytest.approx(looked, rel=1e-12), name
+            assert incremental == pytest.approx(computed, rel=1e-12), name
         while nodes.pending:
             nodes.place(1 << 30)
-        assert nodes.ring.virtual_nodes() == whole.ring
+        assert nodes.ring.virtual_nodes() == full.ring
         assert nodes.counts.keys() == set(subset.endpoint_ids)
         if subset.endpoint_ids:
-            assert all(nodes.endpoint_of(key, 0) == whole.place(key, 0) for key in range(1, 40))
-        MeasuredFleet.looks += 1
+            assert all(
+                nodes.endpoint_of(key, 0) == full.endpoint_of(key, 0) for key in range(1, 40)
+            )
+        CheckedFleet.checks += 1
 
 
-def measured(settings: Settings, seed: int) -> Policy:
+def checked_policy(settings: Settings, seed: int) -> Policy:
     policy = Policy(settings, seed)
-    policy.fleet.__class__ = MeasuredFleet
+    policy.fleet.__class__ = CheckedFleet
     policy.fleet.policy = policy  # type: ignore[attr-defined]
     return policy
 
 
-def test_every_measure_equals_a_whole_look_through_random_days() -> None:
+def test_incremental_values_equal_a_full_computation_through_random_events() -> None:
     for seed in range(60):
         rng = random.Random(seed)
         nodes = rng.choice((1, 3, 30))
-        policy = measured(
+        policy = checked_policy(
             Settings(
                 classes=CLASSES,
                 cluster_size=nodes,
@@ -147,7 +152,7 @@
             ),
             seed,
         )
-        now, number, out = 50_000.0, 0, []
+        now, number, open_attempts = 50_000.0, 0, []
         fleet: dict[int, Endpoint] = {}
         for _ in range(120):
             now += rng.choice((0.0, 10.0, 400.0, 6000.0))
@@ -182,15 +187,15 @@
             else:
                 number += 1
                 cls = rng.randrange(2)
-                out += [
+                open_attempts += [
                     (number, action.endpoint_id, cls)
                     for action in policy.handle(
                         now, Request(number, cls, now + 900, rng.randrange(1, 50))
                     )
                     if isinstance(action, Send)
                 ]
-                if out and rng.random() < 0.8:
-                    asked, server, _ = out.pop(rng.randrange(len(out)))
+                if open_attempts and rng.random() < 0.8:
+                    request_id, server, _ = open_attempts.pop(rng.randrange(len(open_attempts)))
                     result = rng.choice(
                         (
                             AttemptResult.OK,
@@ -201,43 +206,42 @@
                         )
                     )
                     policy.handle(
-                        now, AttemptEnded(asked, server, True, result, 0, rng.uniform(5, 600))
+                        now, AttemptEnded(request_id, server, True, result, 0, rng.uniform(5, 600))
                     )
         assert fleet == {}
-    assert MeasuredFleet.looks > 2000
+    assert CheckedFleet.checks > 2000
 
 
-def test_a_long_list_is_placed_in_slices_and_ends_the_same() -> None:
+def test_a_long_endpoint_list_is_placed_over_several_events() -> None:
     policy = Policy(Settings(classes=CLASSES, key_affinity=True), 1)
     entries = [
         Endpoint(i, 0, i % 2, 0, EndpointState.READY, 1.0 + i % 7, 0.0) for i in range(1, 2001)
     ]
     policy.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     assert policy.fleet.virtual_nodes.pending and policy.fleet.virtual_nodes.ring.blocks
-    # Requests are served from the part that is placed.
+    # Requests use the virtual nodes that are placed so far.
     assert isinstance(policy.handle(1.0, Request(1, 0, 900.0, key=5))[-1], Send)
-    turns = 0
+    event_count = 0
     while policy.fleet.virtual_nodes.pending:
         policy.handle(2.0, TimerFired(0))
-        turns += 1
-    assert turns > 10
+        event_count += 1
+    assert event_count > 10
     assert (
         policy.fleet.virtual_nodes.ring.virtual_nodes()
-        == WholeLook(policy, policy.fleet.capacity.strongest).ring
+        == FullComputation(policy, policy.fleet.capacity.strongest).ring
     )
 
 
-def test_a_key_draws_no_server_that_has_left_though_its_points_are_there_yet() -> None:
-    """Of a list that takes many servers out, points are taken away in slices: with the events that
-    follow."""
+def test_a_key_uses_no_removed_endpoint_although_its_virtual_nodes_remain() -> None:
+    """If an update removes many endpoints, their virtual nodes are removed with later events."""
     for state in (EndpointState.DRAINING, EndpointState.GONE):
         policy = Policy(Settings(CLASSES, key_affinity=True, max_attempts=3), 1)
         entries = [Endpoint(i, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for i in range(1, 1001)]
         policy.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
         while policy.fleet.virtual_nodes.pending:
             policy.fleet.virtual_nodes.place(1 << 30)
-        told = [Endpoint(i, 0, 0, 0, state, 2.0, 0.0) for i in range(1, 901)]
-        policy.handle(1.0, EndpointUpdate(UpdateKind.DELTA, 2, told))
+        removed = [Endpoint(i, 0, 0, 0, state, 2.0, 0.0) for i in range(1, 901)]
+        policy.handle(1.0, EndpointUpdate(UpdateKind.DELTA, 2, removed))
         assert policy.fleet.virtual_nodes.pending and any(
             i <= 900 for _, i in policy.fleet.virtual_nodes.ring.virtual_nodes()
         )
@@ -254,9 +258,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 300), st.integers(1, 5)), max_size=400), st.randoms())
-def test_a_ring_is_a_sorted_list_in_blocks(
-    points: list[tuple[int, int]], rng: random.Random
-) -> None:
+def test_a_ring_equals_a_sorted_list(points: list[tuple[int, int]], rng: random.Random) -> None:
     ring, plain = HashRing(), sorted(set(points))
     half = len(plain) // 2
     shuffled = rng.sample(plain, len(plain))
@@ -268,75 +270,76 @@
     assert ring.virtual_nodes() == plain and len(ring) == len(plain)
     assert all(0 < len(block) < 2 * BLOCK_SIZE for block in ring.blocks)
     if plain:
-        for spot in range(0, 310, 7):
-            assert ring.successor(spot) == plain[bisect(plain, (spot, 0)) % len(plain)][1]
+        for position in range(0, 310, 7):
+            expected = plain[bisect(plain, (position, 0)) % len(plain)][1]
+            assert ring.successor(position) == expected
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.floats(0, 10), max_size=300), st.floats(0.1, 5), st.floats(0.1, 5))
-def test_sizes_tell_whose_level_moved(sizes: list[float], old: float, new: float) -> None:
-    kept, top = SizeIndex(), max([*sizes, 1.0])
-    kept.add([(size, number) for number, size in enumerate(sizes)])
+def test_a_size_index_finds_all_changed_levels(sizes: list[float], old: float, new: float) -> None:
+    index, largest = SizeIndex(), max([*sizes, 1.0])
+    index.add([(size, number) for number, size in enumerate(sizes)])
 
     def level(scale: float) -> Any:
-        return lambda size: int(VIRTUAL_NODES * (size / top * min(1.0, scale / 5)))
+        return lambda size: int(VIRTUAL_NODES * (size / largest * min(1.0, scale / 5)))
 
-    assert kept.level_changes((old, 1.0), level(old), VIRTUAL_NODES) == []
-    moved = set(kept.level_changes((new, 1.0), level(new), VIRTUAL_NODES))
+    assert index.level_changes((old, 1.0), level(old), VIRTUAL_NODES) == []
+    changed = set(index.level_changes((new, 1.0), level(new), VIRTUAL_NODES))
     assert (
-        moved >= {n for n, size in enumerate(sizes) if level(old)(size) != level(new)(size)}
+        changed >= {n for n, size in enumerate(sizes) if level(old)(size) != level(new)(size)}
         or old == new
     )
-    assert kept.total == pytest.approx(sum(sizes)) and kept.largest == max(sizes, default=0.0)
+    assert index.total == pytest.approx(sum(sizes)) and index.largest == max(sizes, default=0.0)
 
 
-def cold_fleet(cold: int, warm: int, group: int = 2) -> Policy:
-    """A policy that has been told of so many servers that started just now, and of so many warm
-    ones."""
+def policy_with_endpoints(starting: int, warm: int, cluster_size: int = 2) -> Policy:
+    """Return a policy with this many endpoints that have just started and this many warm ones."""
     policy = Policy(
         Settings(
             (RequestClass(600.0, 1500.0, 1.0, Idempotency.IDEMPOTENT),),
-            cluster_size=group,
+            cluster_size=cluster_size,
             slow_start_min_capacity=0.3,
             slow_start_duration_ms=8000.0,
         ),
         3,
     )
     entries = [
-        Endpoint(n + 1, 0, 0, 0, EndpointState.READY, 3.0, 1000.0 if n < cold else 0.0)
-        for n in range(cold + warm)
+        Endpoint(n + 1, 0, 0, 0, EndpointState.READY, 3.0, 1000.0 if n < starting else 0.0)
+        for n in range(starting + warm)
     ]
     policy.handle(1000.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     return policy
 
 
 def sent(policy: Policy, requests: int, now: float = 1001.0, first: int = 1) -> list[Send]:
-    """What is sent of so many requests at one moment."""
-    told = [
+    """Return the attempts that are sent for this many requests at one moment."""
+    actions = [
         action
         for number in range(requests)
         for action in policy.handle(now, Request(first + number, 0, now + 1400.0))
     ]
-    return [action for action in told if isinstance(action, Send)]
+    return [action for action in actions if isinstance(action, Send)]
 
 
-def test_a_fleet_that_begins_cold_is_sent_to_by_size_and_by_what_it_answers() -> None:
-    policy = cold_fleet(10, 0)
+def test_a_fleet_in_slow_start_gets_attempts_by_size_and_by_responses() -> None:
+    policy = policy_with_endpoints(10, 0)
     first = [action.endpoint_id for action in sent(policy, 200)]
-    # Two nodes, three slots: each has one attempt out at a server, or what its tokens let through.
+    # With two nodes and three slots per endpoint, this node has one open attempt at each endpoint,
+    # or as many as the tokens allow.
     assert 10 <= len(first) <= 25 and max(map(first.count, first)) <= 2
     again = sent(policy, 200, 1002.0, 500)
-    assert len(again) < 5  # nothing was answered meanwhile
+    assert len(again) < 5  # there was no response in between
 
 
-def test_a_cold_server_among_warm_ones_still_waits_for_its_tokens() -> None:
-    policy = cold_fleet(2, 10)
+def test_a_starting_endpoint_among_warm_ones_waits_for_its_tokens() -> None:
+    policy = policy_with_endpoints(2, 10)
     chosen = sent(policy, 40)
     assert len(chosen) == 40 and sum(action.endpoint_id <= 2 for action in chosen) <= 2
 
 
-def test_warmth_is_measured_between_lists() -> None:
-    policy = cold_fleet(10, 0)
+def test_capacity_in_slow_start_grows_between_updates() -> None:
+    policy = policy_with_endpoints(10, 0)
     before = policy.fleet.available_capacity
     for step in range(20):
         policy.handle(1000.0 + 100.0 * step, Request(step + 1, 0, 5000.0))
@@ -345,10 +348,9 @@
     )
 
 
-def test_a_burst_behind_a_pause_is_bounded_by_worth_and_what_follows_is_taken() -> None:
-    """A node that stood still gets all that came meanwhile at once: sent on as it is, it jams the
-    fleet."""
-    policy = cold_fleet(0, 10)  # 30 slots, two nodes: 15 are needed
+def test_a_burst_after_a_pause_is_limited_and_later_requests_are_accepted() -> None:
+    """A paused node gets the requests of the pause all at once, which would overload the fleet."""
+    policy = policy_with_endpoints(0, 10)  # 30 slots for two nodes: the limit is 15
     first = sent(policy, 200)
     assert BURST_MIN * 15 < len(first) <= BURST_FULL * 15 + 1
     for action in first:
@@ -358,10 +360,9 @@
     assert policy.overload.concurrency.current == 0 and len(sent(policy, 10, 1041.0, 500)) == 10
 
 
-def test_a_full_cut_that_leaves_servers_idle_fades_sooner() -> None:
-    """What a jam has shown must not hold the node closed for long after it: nothing new can tell
-    otherwise."""
-    policy = cold_fleet(0, 10)
+def test_shedding_everything_with_idle_endpoints_ends_sooner() -> None:
+    """Errors of an overload must not shed everything long after it: no attempt can show its end."""
+    policy = policy_with_endpoints(0, 10)
     policy.overload.error_rate.failures, policy.overload.error_rate.attempts = 25.0, 30.0
     now, opened = 1001.0, 0.0
     for step in range(200):
--- a/tests/policy/test_golden.py
+++ b/tests/policy/test_golden.py
@@ -1,7 +1,7 @@
-"""Days of random events are decided as the policy decided them when it was one class.
+"""Random events lead to the same actions as recorded when the policy was still one class.
 
-The events that the simulator's protocol does not have are among them: incomplete requests, streamed answers,
-deferred decisions, fallbacks, a cluster view and traffic plans.
+They include the events that the simulator's protocol does not have: incomplete requests, streamed
+responses, deferred decisions, fallbacks, a cluster view and traffic plans.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from badgercart.policy.policy import Policy
 from tests.capture.golden_parts import SETTINGS, Night
 
-DAYS = (Path(__file__).parent / "golden" / "days.txt").read_text().splitlines()
-EVENTS = 800
+DIGESTS = (Path(__file__).parent / "golden" / "days.txt").read_text().splitlines()
+EVENT_COUNT = 800
 
 
 def digest(seed: int) -> str:
-    """All actions of a day, and the state of the dice at its end."""
+    """Return a digest of all actions, and of the final state of the random generator."""
     night, decided = Night(), hashlib.sha256()
     night.random, night.policy = random.Random(seed), Policy(SETTINGS, seed)
     for event in night.beginning():
         decided.update(encode_actions(night.decide(event)))
-    for _ in range(EVENTS):
+    for _ in range(EVENT_COUNT):
         decided.update(encode_actions(night.decide(night.next())))
     decided.update(repr(night.policy.random.getstate()).encode())
     return decided.hexdigest()
 
 
-@pytest.mark.parametrize("seed", range(1, len(DAYS) + 1))
-def test_a_day_is_decided_as_before(seed: int) -> None:
-    assert digest(seed) == DAYS[seed - 1]
+@pytest.mark.parametrize("seed", range(1, len(DIGESTS) + 1))
+def test_decisions_are_the_same_as_recorded(seed: int) -> None:
+    assert digest(seed) == DIGESTS[seed - 1]
--- a/tests/policy/test_key_queue.py
+++ b/tests/policy/test_key_queue.py
@@ -1,4 +1,4 @@
-"""Serialization by key: one at a time, as they came."""
+"""Serialization by key: one request at a time, in order of arrival."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
     assert queue_of(second).must_wait(0, 10.0)
 
 
-def test_the_next_goes_once_the_first_has_its_answer() -> None:
+def test_the_next_request_is_ready_once_the_first_has_its_answer() -> None:
     queues, first, second = KeyQueues(), pending(1), pending(2)
     queues.join(first)
     queues.join(second)
     first.attempts = queue_of(first).open_attempts = 1
     queues.attempt_ended(queue_of(first), AttemptResult.OK, 10.0, 250.0)
-    assert queues.next_ready() is None  # the first is at the head still, and was sent
+    assert queues.next_ready() is None  # the first is still at the head, and was sent
     queues.leave(first)
     assert queues.next_ready() is second and not queues.changed
 
 
-def test_an_attempt_that_may_still_be_executing_cools_its_key_down() -> None:
+def test_an_attempt_that_may_still_be_executing_starts_a_cooldown() -> None:
     queues, first = KeyQueues(), pending(1)
     queues.join(first)
     queue = queue_of(first)
--- a/tests/policy/test_module_boundaries.py
+++ b/tests/policy/test_module_boundaries.py
@@ -1,4 +1,4 @@
-"""What the policy's files may use, and where they have to be named."""
+"""The modules that the policy may import, and the list of its files in the deploy file."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     "random",
     "typing",
 }
-# They decide nothing: what the policy is told and answers, and what outlives a restart.
+# Modules without decisions: events, actions, settings, and what is kept over a restart.
 INTERFACE = {"__init__", "actions", "endpoint", "errors", "events", "settings", "statistics"}
 
 
-def imported(path: Path) -> Iterator[str]:
+def imported_modules(path: Path) -> Iterator[str]:
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -35,8 +35,8 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=[path.stem for path in FILES])
-def test_the_policy_knows_nothing_else_of_the_program_and_does_no_io(path: Path) -> None:
-    for name in imported(path):
+def test_the_policy_imports_nothing_else_of_the_program_and_does_no_io(path: Path) -> None:
+    for name in imported_modules(path):
         assert name.partition(".")[0] in ALLOWED or name.startswith("badgercart.policy")
     assert not any(
         isinstance(node, ast.Call)
@@ -46,7 +46,7 @@
     )
 
 
-def test_every_file_that_decides_is_named_in_the_deploy_file() -> None:
+def test_every_file_with_decisions_is_listed_in_the_deploy_file() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     deciding = {f"badgercart/policy/{path.name}" for path in FILES if path.stem not in INTERFACE}
     assert set(deploy["policy"]) == deciding and len(deciding) > 20
--- a/tests/policy/test_transports.py
+++ b/tests/policy/test_transports.py
@@ -1,5 +1,4 @@
-"""Carriers that are no part of the node: fallbacks, parked ends, requests that others have sent
-before."""
+"""Transports that retry by themselves: fallbacks, deferred decisions, and earlier attempts."""
 
 from __future__ import annotations
 
@@ -53,42 +52,40 @@
     return send
 
 
-def ask(made: Policy, cls: int, **changes: Any) -> list[Any]:
-    return made.handle(NOW, Request(1, cls, NOW + 900.0, **changes))
+def send_request(made: Policy, class_index: int, **changes: Any) -> list[Any]:
+    return made.handle(NOW, Request(1, class_index, NOW + 900.0, **changes))
 
 
-@pytest.mark.parametrize(("cls", "count"), [(0, 3), (1, 3), (2, 2), (3, 0), (4, 0)])
-def test_fallbacks_keep_to_class_group_and_window(cls: int, count: int) -> None:
-    send = sent(ask(policy(), cls, max_fallbacks=9))
-    # Attempts in all are four; a zone holds three servers; a window of 300 ms ends before the
-    # attempt may.
+@pytest.mark.parametrize(("class_index", "count"), [(0, 3), (1, 3), (2, 2), (3, 0), (4, 0)])
+def test_fallbacks_are_limited_by_attempts_scope_and_window(class_index: int, count: int) -> None:
+    send = sent(send_request(policy(), class_index, max_fallbacks=9))
+    # There are four attempts at most, three endpoints in a zone, and a window of 300 ms that ends
+    # before the attempt may.
     assert len(send.fallbacks) == count
     assert len({send.endpoint_id, *send.fallbacks}) == count + 1
-    if cls == 2:
+    if class_index == 2:
         assert len({server % 2 for server in (send.endpoint_id, *send.fallbacks)}) == 1
 
 
-def test_no_fallbacks_unless_asked_for_and_never_a_cold_one() -> None:
-    assert sent(ask(policy(), 0)).fallbacks == ()
+def test_no_fallbacks_unless_requested_and_never_in_slow_start() -> None:
+    assert sent(send_request(policy(), 0)).fallbacks == ()
     made = policy(started=NOW - 100.0)
-    made.overload.concurrency.limit, made.schedule.refreshed_at_ms = (
-        100.0,
-        NOW,
-    )  # none of them is answered: that is no burst
+    # No attempt ends, which must not count as a burst.
+    made.overload.concurrency.limit, made.schedule.refreshed_at_ms = 100.0, NOW
     for number in range(20):
         send = sent(made.handle(NOW, Request(number + 1, 0, NOW + 900.0, max_fallbacks=3)))
         assert set(send.fallbacks) <= {1}
 
 
-def test_where_sending_again_feeds_a_jam_there_are_no_fallbacks() -> None:
+def test_no_fallbacks_where_connections_fail() -> None:
     made = policy()
-    made.overload.error_rate.connect_failure_rate = 1.0  # connections fail: sending again feeds it
-    assert sent(ask(made, 0, max_fallbacks=2)).fallbacks == ()
+    made.overload.error_rate.connect_failure_rate = 1.0  # a retry would add connections
+    assert sent(send_request(made, 0, max_fallbacks=2)).fallbacks == ()
 
 
-def test_a_carrier_goes_on_by_itself() -> None:
+def test_a_transport_sends_to_a_fallback() -> None:
     made = policy()
-    send = sent(ask(made, 1, max_fallbacks=2))
+    send = sent(send_request(made, 1, max_fallbacks=2))
     to = send.fallbacks[0]
     made.handle(NOW + 10, AttemptRerouted(1, 0, send.endpoint_id, AttemptResult.ERROR, 10.0, to))
     assert (
@@ -98,7 +95,7 @@
     assert (1, 1) in made.fleet.endpoints.by_id[to].open_attempts and made.fleet.endpoints.by_id[
         send.endpoint_id
     ].health[1].failure_rate > 0
-    # The first may have run: a second end leaves only the class's own group and window.
+    # The first attempt may have been executed: the class's scope and window limit the next one.
     made.random.random = lambda: 0.99  # type: ignore[method-assign]
     again = sent(made.handle(NOW + 20, AttemptEnded(1, to, False, AttemptResult.ERROR, 1, 10.0)))
     assert again.endpoint_id not in (send.endpoint_id, to)
@@ -106,9 +103,9 @@
     assert made.overload.concurrency.current == 0 and not made.lifecycle.requests
 
 
-def test_diverted_twice_or_for_nobody_changes_nothing() -> None:
+def test_a_repeated_or_unknown_reroute_changes_nothing() -> None:
     made = policy()
-    send = sent(ask(made, 0, max_fallbacks=1))
+    send = sent(send_request(made, 0, max_fallbacks=1))
     for _ in range(2):
         made.handle(
             NOW,
@@ -120,9 +117,9 @@
     assert made.overload.concurrency.current == 1
 
 
-def test_a_parked_end_is_learned_from_and_decides_nothing() -> None:
+def test_a_deferred_decision_updates_statistics_and_sends_nothing() -> None:
     made = policy()
-    send = sent(ask(made, 0))
+    send = sent(send_request(made, 0))
     assert (
         made.handle(
             NOW + 5,
@@ -139,11 +136,11 @@
     )
     made.random.random = lambda: 0.99  # type: ignore[method-assign]
     assert sent(made.handle(NOW + 9, RetryDecisionDue(1, True))).endpoint_id != send.endpoint_id
-    assert made.handle(NOW + 9, RetryDecisionDue(1, True)) == []  # it is out again
+    assert made.handle(NOW + 9, RetryDecisionDue(1, True)) == []  # it has an open attempt again
 
 
 @pytest.mark.parametrize(
-    ("cls", "result", "answer"),
+    ("class_index", "result", "answer"),
     [
         (0, AttemptResult.ERROR, Shed),
         (1, AttemptResult.RESET, Shed),
@@ -152,11 +149,11 @@
         (4, AttemptResult.FULL, Shed),
     ],
 )
-def test_resumed_to_be_ended_it_is_refused_where_that_does_no_harm(
-    cls: int, result: AttemptResult, answer: type
+def test_a_deferred_request_that_is_ended_is_shed_where_a_retry_does_no_harm(
+    class_index: int, result: AttemptResult, answer: type
 ) -> None:
     made = policy()
-    send = sent(ask(made, cls))
+    send = sent(send_request(made, class_index))
     made.handle(
         NOW + 5, AttemptEnded(1, send.endpoint_id, False, result, 0, 5.0, retry_deferred=True)
     )
@@ -164,9 +161,9 @@
     assert not made.lifecycle.requests and made.handle(NOW + 7, RetryDecisionDue(1, False)) == []
 
 
-def test_a_parked_request_may_be_withdrawn() -> None:
+def test_a_deferred_request_may_be_cancelled() -> None:
     made = policy()
-    send = sent(ask(made, 0))
+    send = sent(send_request(made, 0))
     made.handle(
         NOW + 5,
         AttemptEnded(1, send.endpoint_id, False, AttemptResult.ERROR, 0, 5.0, retry_deferred=True),
@@ -174,14 +171,16 @@
     assert made.handle(NOW + 6, RequestCancelled(1)) == [] and not made.lifecycle.requests
 
 
-@pytest.mark.parametrize(("cls", "answer"), [(0, Send), (1, Send), (2, Fail), (3, Fail), (4, Fail)])
-def test_what_may_have_run_elsewhere_is_sent_only_where_every_server_drops_it(
-    cls: int, answer: type
+@pytest.mark.parametrize(
+    ("class_index", "answer"), [(0, Send), (1, Send), (2, Fail), (3, Fail), (4, Fail)]
+)
+def test_a_request_possibly_executed_elsewhere_is_sent_only_if_all_endpoints_deduplicate(
+    class_index: int, answer: type
 ) -> None:
-    assert type(ask(policy(), cls, possibly_executed=True)[-1]) is answer
+    assert type(send_request(policy(), class_index, possibly_executed=True)[-1]) is answer
 
 
-def test_only_servers_that_the_carrier_can_reach() -> None:
+def test_only_reachable_endpoints_are_used() -> None:
     made = policy()
     for number in range(20):
         request = Request(
@@ -189,4 +188,4 @@
         )
         send = sent(made.handle(NOW, request))
         assert {send.endpoint_id, *send.fallbacks} <= {2, 5}
-    assert type(ask(made, 0, reachable_endpoints=frozenset())[-1]) is Shed
+    assert type(send_request(made, 0, reachable_endpoints=frozenset())[-1]) is Shed
--- a/tests/simulator/test_server.py
+++ b/tests/simulator/test_server.py
@@ -1,4 +1,4 @@
-"""The loop as a process: clean ends, plain messages, and Fatal when the module breaks."""
+"""The server as a process: its exit status, its error messages, and fatal records."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 from badgercart.policy.policy import Policy
 from badgercart.simulator.server import serve
-from tests.simulator.test_codec import EVENTS, SETTINGS
+from tests.simulator.test_codec import EVENTS_FRAME, SETTINGS
 
-EMPTY = bytes.fromhex("00000001 00000014 40c06e2000000000 00000000")
+EMPTY_BATCH = bytes.fromhex("00000001 00000014 40c06e2000000000 00000000")
 
 
-def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_simulator(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
         [sys.executable, "-B", "-m", "badgercart.simulator"],
         input=data,
@@ -26,8 +26,8 @@
     )
 
 
-def test_empty_batch_and_clean_end() -> None:
-    done = run(EMPTY)
+def test_an_empty_batch_is_answered_and_the_end_of_input_is_no_error() -> None:
+    done = run_simulator(EMPTY_BATCH)
     assert (done.returncode, done.stdout, done.stderr) == (
         0,
         bytes.fromhex("00000001 0000000c 00000000"),
@@ -38,29 +38,35 @@
 @pytest.mark.parametrize(
     ("data", "words"),
     [
-        (EMPTY[:7], b"header"),
-        (EMPTY[:7] + b"\x02" + EMPTY[8:], b"shorter"),
-        (EVENTS[:100], b"ends inside"),
-        (EVENTS, b"instance 3 was never started"),
+        (EMPTY_BATCH[:7], b"header"),
+        (EMPTY_BATCH[:7] + b"\x02" + EMPTY_BATCH[8:], b"shorter"),
+        (EVENTS_FRAME[:100], b"ends inside"),
+        (EVENTS_FRAME, b"instance 3 was never started"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data: bytes, words: bytes) -> None:
-    done = run(data)
+def test_malformed_input_ends_with_one_line_on_standard_error(data: bytes, words: bytes) -> None:
+    done = run_simulator(data)
     assert done.returncode == 2
     assert done.stdout == b""
     assert words in done.stderr
     assert done.stderr.count(b"\n") == 1
 
 
-def test_exception_in_the_module_is_reported_as_fatal(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: Policy, now: float, event: object) -> list[object]:
+def test_an_exception_of_the_policy_is_reported_as_fatal(monkeypatch: pytest.MonkeyPatch) -> None:
+    def broken(self: Policy, now_ms: float, event: object) -> list[object]:
         raise KeyError("broken on purpose")
 
     monkeypatch.setattr(Policy, "handle", broken)
     text = json.dumps(SETTINGS).encode()
-    born = b"\x01" + struct.pack(">QII", 9, 0, len(text)) + bytes(31)
+    started = b"\x01" + struct.pack(">QII", 9, 0, len(text)) + bytes(31)
     timer = b"\x07" + bytes(47)
-    frame = struct.pack(">IIdI", 1, 164 + len(text), 1.0, 3) + EVENTS[20:68] + born + timer + text
+    frame = (
+        struct.pack(">IIdI", 1, 164 + len(text), 1.0, 3)
+        + EVENTS_FRAME[20:68]
+        + started
+        + timer
+        + text
+    )
     sink = io.BytesIO()
     serve(io.BytesIO(frame), sink)
     reply = sink.getvalue()
--- a/tests/statistics/test_golden.py
+++ b/tests/statistics/test_golden.py
@@ -1,8 +1,7 @@
-"""A file of what was learned, written by an earlier text, is read to the same values and written
-the same.
+"""A snapshot file of an earlier release is decoded to the same values and encoded the same.
 
-`version-1.learned` (see `test_memory.py`) pins reading a real day's file; this pins each field at
-its place.
+`version-1.learned` (see `test_statistics.py`) is a file of real traffic; this test fixes the place
+of each field.
 """
 
 from __future__ import annotations
@@ -34,11 +33,11 @@
     kinds={"k0": 0, "k1": 1},
     zones={"east": 0, "west": 1},
 )
-SAVED, OFFSET = 1.75e12, 1.7e12
+SAVED_MS, UNIX_OFFSET_MS = 1.75e12, 1.7e12
 
 
-def memory() -> PolicyStatistics:
-    """Each number another one."""
+def example_statistics() -> PolicyStatistics:
+    """Return statistics in which all numbers differ."""
     return PolicyStatistics(
         [33.5, 44.25],
         [10.0, 11.0, 0.5, 0.25],
@@ -57,21 +56,22 @@
     )
 
 
-def written() -> bytes:
-    return encode(make_snapshot(memory(), CONFIG, SAVED, OFFSET))
+def encoded_example() -> bytes:
+    snapshot = make_snapshot(example_statistics(), CONFIG, SAVED_MS, UNIX_OFFSET_MS)
+    return encode(snapshot)
 
 
-def test_it_is_written_with_the_same_bytes() -> None:
-    assert written() == (GOLDEN / "learned.bin").read_bytes()
+def test_the_encoded_bytes_are_the_same() -> None:
+    assert encoded_example() == (GOLDEN / "learned.bin").read_bytes()
 
 
-def test_it_is_read_to_the_same_values() -> None:
-    kept = decode((GOLDEN / "learned.bin").read_bytes())
-    assert (kept.node, kept.fleet, kept.saved_ms) == ("n-1", "east,west/k0,k1", 1.75e12)
-    assert extract_statistics(kept, CONFIG, OFFSET) == memory()
+def test_the_decoded_values_are_the_same() -> None:
+    snapshot = decode((GOLDEN / "learned.bin").read_bytes())
+    assert (snapshot.node, snapshot.fleet, snapshot.saved_ms) == ("n-1", "east,west/k0,k1", 1.75e12)
+    assert extract_statistics(snapshot, CONFIG, UNIX_OFFSET_MS) == example_statistics()
 
 
-def test_the_command_shows_it_under_the_same_names() -> None:
+def test_the_command_shows_the_same_names() -> None:
     shown = CliRunner().invoke(learned, ["show", str(GOLDEN / "learned.bin"), "--json"])
     assert json.loads(shown.output) == {
         "node": "n-1",
--- a/tests/statistics/test_statistics.py
+++ b/tests/statistics/test_statistics.py
@@ -1,5 +1,4 @@
-"""What was learned fades as stated, gives nothing that the rules forbid, and survives what a disk
-can do."""
+"""Decay of statistics, their restoration, the snapshot file, and saves on a failing disk."""
 
 from __future__ import annotations
 
@@ -51,7 +50,7 @@
 )
 FLOATS = st.floats(0.01, 100)
 SHARES = st.tuples(st.floats(0, 1), st.floats(0, 1))
-MEMORIES = st.builds(
+STATISTICS = st.builds(
     PolicyStatistics,
     typical_latency_ms=st.lists(FLOATS, min_size=2, max_size=2),
     offered=st.lists(FLOATS, min_size=4, max_size=4),
@@ -78,37 +77,36 @@
 )
 
 
-def day(seed: int = 1, requests: int = 500) -> Saturday:
-    made = Saturday(seed)
-    made.play(requests)
-    return made
+def played_traffic(seed: int = 1, requests: int = 500) -> Saturday:
+    traffic = Saturday(seed)
+    traffic.play(requests)
+    return traffic
 
 
-def floats(memory: PolicyStatistics) -> list[float]:
-    plain = msgspec.to_builtins(memory)
-    found: list[float] = []
+def all_numbers(statistics: PolicyStatistics) -> list[float]:
+    numbers: list[float] = []
 
-    def walk(value: Any) -> None:
+    def collect(value: Any) -> None:
         if isinstance(value, dict):
             for inner in value.values():
-                walk(inner)
+                collect(inner)
         elif isinstance(value, list | tuple):
             for inner in value:
-                walk(inner)
+                collect(inner)
         else:
-            found.append(float(value))
+            numbers.append(float(value))
 
-    walk(plain)
-    return found
+    collect(msgspec.to_builtins(statistics))
+    return numbers
 
 
 @settings(max_examples=200, deadline=None)
-@given(MEMORIES, st.floats(0, 1e5), st.floats(0, 1e5))
-def test_ageing_in_two_steps_is_ageing_in_one(
-    memory: PolicyStatistics, first: float, second: float
+@given(STATISTICS, st.floats(0, 1e5), st.floats(0, 1e5))
+def test_decay_in_two_steps_equals_decay_in_one(
+    statistics: PolicyStatistics, first: float, second: float
 ) -> None:
-    once = decay_statistics(memory, first + second, SETTINGS)
-    twice = decay_statistics(decay_statistics(memory, first, SETTINGS), second, SETTINGS)
+    once = decay_statistics(statistics, first + second, SETTINGS)
+    twice = decay_statistics(decay_statistics(statistics, first, SETTINGS), second, SETTINGS)
     marginal = {
         key
         for key, count in {**once.key_counts, **twice.key_counts}.items()
@@ -118,29 +116,30 @@
         one.key_counts = {
             key: count for key, count in one.key_counts.items() if key not in marginal
         }
-    assert floats(once) == pytest.approx(floats(twice), rel=1e-9, abs=1e-12)
-    assert floats(decay_statistics(memory, -5.0, SETTINGS)) == floats(
-        decay_statistics(memory, 0.0, SETTINGS)
+    assert all_numbers(once) == pytest.approx(all_numbers(twice), rel=1e-9, abs=1e-12)
+    assert all_numbers(decay_statistics(statistics, -5.0, SETTINGS)) == all_numbers(
+        decay_statistics(statistics, 0.0, SETTINGS)
     )
 
 
 @settings(max_examples=50, deadline=None)
-@given(MEMORIES)
-def test_after_endless_time_nothing_is_left_but_what_a_new_policy_assumes(
-    memory: PolicyStatistics,
+@given(STATISTICS)
+def test_after_a_very_long_time_only_the_priors_are_left(
+    statistics: PolicyStatistics,
 ) -> None:
     policy, fresh = Policy(SETTINGS, 1), Policy(SETTINGS, 1)
-    import_statistics(policy, decay_statistics(memory, 1e15, SETTINGS))
-    lines = [
-        Endpoint(n, 0, n % 2, 0, EndpointState.READY, 2.0, 777.0) for n in (*memory.endpoints, 5, 6)
+    import_statistics(policy, decay_statistics(statistics, 1e15, SETTINGS))
+    entries = [
+        Endpoint(n, 0, n % 2, 0, EndpointState.READY, 2.0, 777.0)
+        for n in (*statistics.endpoints, 5, 6)
     ]
     for one in (policy, fresh):
-        one.handle(1000.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, lines))
+        one.handle(1000.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     assert policy.fleet.latency.typical_ms == pytest.approx(
         fresh.fleet.latency.typical_ms
     ) and policy.fleet.latency.kind_ratios.keys() <= {0, 1}
     assert (
-        all(pace == pytest.approx(1.0) for pace in policy.fleet.latency.kind_ratios.values())
+        all(ratio == pytest.approx(1.0) for ratio in policy.fleet.latency.kind_ratios.values())
         and policy.overload.throughput.samples == 0
     )
     assert (
@@ -155,13 +154,13 @@
 
 
 @settings(max_examples=100, deadline=None)
-@given(MEMORIES, st.integers(0, 1 << 30))
-def test_a_restored_fleet_never_gets_what_the_rules_forbid(
-    memory: PolicyStatistics, seed: int
+@given(STATISTICS, st.integers(0, 1 << 30))
+def test_with_restored_statistics_requests_go_to_ready_endpoints_only(
+    statistics: PolicyStatistics, seed: int
 ) -> None:
     policy, rng = Policy(SETTINGS, seed), random.Random(seed)
-    import_statistics(policy, memory)
-    numbers = [*memory.endpoints, 11, 12]
+    import_statistics(policy, statistics)
+    numbers = [*statistics.endpoints, 11, 12]
     states = {
         n: rng.choice((EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE))
         for n in numbers
@@ -184,7 +183,7 @@
     assert sent or all(state is not EndpointState.READY for state in states.values())
 
 
-def test_a_server_that_started_anew_keeps_nothing_and_one_that_did_not_keeps_all() -> None:
+def test_statistics_are_restored_unless_the_endpoint_has_restarted() -> None:
     known = EndpointStatistics(777.0, 4.0, 3.0, (0.9, 0.1), (2.0, 0.0))
     policy = Policy(SETTINGS, 1)
     import_statistics(
@@ -195,29 +194,28 @@
         for n, started in ((1, 777.0), (2, 5000.0))
     ]
     policy.handle(6000.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
-    same, anew = policy.fleet.endpoints.by_id[1], policy.fleet.endpoints.by_id[2]
+    same, restarted = policy.fleet.endpoints.by_id[1], policy.fleet.endpoints.by_id[2]
     assert (
         same.relative_latency,
         same.health[0].failure_rate,
         same.health[0].consecutive_ejections,
     ) == (4.0, 0.9, 2)
-    assert (anew.relative_latency, anew.health[0].failure_rate, anew.recent_attempts) == (
-        1.0,
-        0.0,
-        0.0,
-    )
+    assert (
+        restarted.relative_latency,
+        restarted.health[0].failure_rate,
+        restarted.recent_attempts,
+    ) == (1.0, 0.0, 0.0)
     assert same.health[0].ejected_until_ms and policy.fleet.outliers.ejected == {1}
     gone = Endpoint(1, 0, 0, 0, EndpointState.GONE, 2.0, 777.0)
     policy.handle(6001.0, EndpointUpdate(UpdateKind.DELTA, 2, [gone]))
     policy.handle(
         6002.0, EndpointUpdate(UpdateKind.DELTA, 3, [replace(gone, state=EndpointState.READY)])
     )
-    assert policy.fleet.endpoints.by_id[1].relative_latency == 1.0  # given back once
+    assert policy.fleet.endpoints.by_id[1].relative_latency == 1.0  # they are restored only once
 
 
-def test_what_the_first_whole_list_does_not_name_is_forgotten() -> None:
-    """A fleet replaced meanwhile keeps nothing, and a server that comes back later would get what
-    is not aged."""
+def test_statistics_of_endpoints_missing_in_the_first_snapshot_are_dropped() -> None:
+    """Otherwise an endpoint that returns later would get statistics that have not decayed."""
     known = EndpointStatistics(777.0, 4.0, 3.0, (0.9, 0.1), (2.0, 0.0))
     policy, fresh = Policy(SETTINGS, 1), Policy(SETTINGS, 1)
     import_statistics(
@@ -229,9 +227,8 @@
         ),
     )
     others = [Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, 777.0) for n in range(11, 16)]
-    cached = [
-        Endpoint(1, 0, 0, 0, EndpointState.READY, 2.0, 777.0)
-    ]  # the list kept from before names one still
+    # The cached list from before the restart still has one of the endpoints.
+    cached = [Endpoint(1, 0, 0, 0, EndpointState.READY, 2.0, 777.0)]
     for one in (policy, fresh):
         one.handle(6000.0, EndpointUpdate(UpdateKind.CACHED, 0, cached))
     assert policy.fleet.endpoints.by_id[1].relative_latency == 4.0
@@ -248,35 +245,35 @@
     )
 
 
-def test_a_day_goes_through_a_file_and_back() -> None:
-    made = day()
-    memory = export_statistics(made.join.policy)
+def test_statistics_are_the_same_after_encoding_and_decoding() -> None:
+    traffic = played_traffic()
+    statistics = export_statistics(traffic.join.policy)
     assert (
-        max(known.relative_latency for known in memory.endpoints.values()) > 2
-        and memory.samples > 10
+        max(known.relative_latency for known in statistics.endpoints.values()) > 2
+        and statistics.samples > 10
     )
-    snapshot = make_snapshot(memory, CONFIG, 1e12, 5e11)
-    back = extract_statistics(decode(encode(snapshot)), CONFIG, 5e11)
-    assert back == memory
+    snapshot = make_snapshot(statistics, CONFIG, 1e12, 5e11)
+    decoded = extract_statistics(decode(encode(snapshot)), CONFIG, 5e11)
+    assert decoded == statistics
     policy = Policy(SETTINGS, 2)
-    import_statistics(policy, back)
+    import_statistics(policy, decoded)
     assert (
-        policy.fleet.latency.typical_ms == made.join.policy.fleet.latency.typical_ms
+        policy.fleet.latency.typical_ms == traffic.join.policy.fleet.latency.typical_ms
         and policy.overload.throughput.best_latency_ms
-        == made.join.policy.overload.throughput.best_latency_ms
+        == traffic.join.policy.overload.throughput.best_latency_ms
     )
     with pytest.raises(ValueError, match="it is of 1 classes"):
         import_statistics(policy, PolicyStatistics([1.0], [1.0, 1.0]))
 
 
-def test_classes_kinds_and_fleets_are_known_by_their_names() -> None:
-    snapshot = make_snapshot(export_statistics(day().join.policy), CONFIG, 1e12, 0.0)
-    turned = replace(CONFIG, classes={b"b": 0, b"a": 1}, kinds={"k1": 0, "k0": 1})
+def test_classes_kinds_and_fleets_are_identified_by_name() -> None:
+    snapshot = make_snapshot(export_statistics(played_traffic().join.policy), CONFIG, 1e12, 0.0)
+    reordered = replace(CONFIG, classes={b"b": 0, b"a": 1}, kinds={"k1": 0, "k0": 1})
     with pytest.raises(SnapshotError, match="another fleet"):
-        extract_statistics(snapshot, turned, 0.0)
-    turned = replace(turned, kinds=CONFIG.kinds)
-    memory = extract_statistics(snapshot, turned, 0.0)
-    assert memory.typical_latency_ms == [
+        extract_statistics(snapshot, reordered, 0.0)
+    reordered = replace(reordered, kinds=CONFIG.kinds)
+    statistics = extract_statistics(snapshot, reordered, 0.0)
+    assert statistics.typical_latency_ms == [
         snapshot.classes["b"].typical_latency_ms,
         snapshot.classes["a"].typical_latency_ms,
     ]
@@ -288,12 +285,12 @@
 # The file.
 
 
-def packed(body: bytes, version: int = VERSION) -> bytes:
+def framed_file(body: bytes, version: int = VERSION) -> bytes:
     return HEADER.pack(MAGIC, version, len(body), zlib.crc32(body)) + body
 
 
-GOOD = msgspec.to_builtins(
-    make_snapshot(export_statistics(day(2, 100).join.policy), CONFIG, 1e12, 0.0)
+VALID_CONTENT = msgspec.to_builtins(
+    make_snapshot(export_statistics(played_traffic(2, 100).join.policy), CONFIG, 1e12, 0.0)
 )
 
 
@@ -312,83 +309,88 @@
         ("classes", {"a": {"usual": 1.0}}, "missing required field `offered`"),
     ],
 )
-def test_a_value_that_can_not_be_is_named(name: str, value: Any, words: str) -> None:
+def test_an_invalid_value_is_named(name: str, value: Any, words: str) -> None:
     with pytest.raises(SnapshotError) as caught:
-        decode(packed(msgspec.msgpack.encode(GOOD | {name: value})))
+        decode(framed_file(msgspec.msgpack.encode(VALID_CONTENT | {name: value})))
     assert words in str(caught.value)
 
 
 @settings(max_examples=400, deadline=None)
 @given(st.binary(max_size=200), st.booleans())
-def test_no_bytes_crash_the_reader(data: bytes, framed: bool) -> None:
+def test_any_bytes_are_decoded_or_rejected(data: bytes, framed: bool) -> None:
     try:
-        decode(packed(data) if framed else data)
+        decode(framed_file(data) if framed else data)
     except SnapshotError as error:
         assert str(error)
 
 
-def test_versions_and_damage_are_told_apart(
+def test_newer_versions_and_corrupt_files_are_rejected_with_the_reason(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    good = packed(msgspec.msgpack.encode(GOOD))
-    assert decode(good).node == CONFIG.name
+    valid = framed_file(msgspec.msgpack.encode(VALID_CONTENT))
+    assert decode(valid).node == CONFIG.name
     with pytest.raises(NewerVersionError, match="version 9"):
-        decode(packed(b"later", 9))
-    for spoilt, words in (
-        (good[:-1], "bytes, not"),
-        (good[:8], "cut off"),
-        (b"PNG" + good, "no file"),
-        (good[:20] + bytes([good[20] ^ 1]) + good[21:], "checksum"),
-        (packed(b"", 0), "nothing reads version 0"),
+        decode(framed_file(b"later", 9))
+    for corrupt, words in (
+        (valid[:-1], "bytes, not"),
+        (valid[:8], "cut off"),
+        (b"PNG" + valid, "no file"),
+        (valid[:20] + bytes([valid[20] ^ 1]) + valid[21:], "checksum"),
+        (framed_file(b"", 0), "nothing reads version 0"),
     ):
         with pytest.raises(SnapshotError, match=words):
-            decode(spoilt)
-    recorded = decode(
-        (HERE / "version-1.learned").read_bytes()
-    )  # every later version has to read it
+            decode(corrupt)
+    # Every later version has to read this file.
+    recorded = decode((HERE / "version-1.learned").read_bytes())
     assert recorded.endpoints and recorded.classes.keys() == {"a", "b"}
     file, text, again = (tmp_path / name for name in ("learned", "a.json", "b"))
-    file.write_bytes(good)
+    file.write_bytes(valid)
     assert (
         main(["learned", "check", str(file)]) == 0 and main(["learned", "show", str(tmp_path)]) == 0
     )
     assert "slowness" in capsys.readouterr().out
     assert main(["learned", "convert", str(file), "-o", str(text)]) == 0
     assert main(["learned", "convert", str(text), "-o", str(again), "--to", "file"]) == 0
-    assert decode(again.read_bytes()) == decode(good)
-    file.write_bytes(packed(b"", 9))
+    assert decode(again.read_bytes()) == decode(valid)
+    file.write_bytes(framed_file(b"", 9))
     assert main(["learned", "check", str(file)]) == 1 and "version 9" in capsys.readouterr().err
 
 
 # The disk.
 
 
-class Cut(Exception):
-    """The power is gone."""
+class PowerLoss(Exception):
+    """The simulated machine has lost power."""
 
 
-class Disk:
-    """A folder in memory: what was not synced may be lost, in part, and renames in any number.
+class SimulatedDisk:
+    """A folder in statistics that may lose parts of unsynced content, and any unsynced renames.
 
-    `fails`: the call that ends in an error; `dies`: the call at which the power goes; both counted
-    from 0.
+    Attributes:
+        fails: the number of the call that raises OSError, from 0; -1: none.
+        dies: the number of the call at which the power is lost, from 0; -1: none.
+        short: whether a write accepts only a part of the data.
+        inodes: the content of each file as seen by readers, and as synced.
+        names: the files of the folder.
+        durable: the files of the folder as synced.
+        unsynced: the files of the folder after each change that is not synced.
     """
 
     def __init__(
         self, rng: random.Random, fails: int = -1, dies: int = -1, short: bool = False
     ) -> None:
         self.rng, self.fails, self.dies, self.short = rng, fails, dies, short
-        self.inodes: dict[int, tuple[bytes, bytes]] = {}  # content: as seen, as synced
+        self.inodes: dict[int, tuple[bytes, bytes]] = {}
         self.names: dict[str, int] = {}
         self.durable: dict[str, int] = {}
-        self.moves: list[dict[str, int]] = []  # the folder after each change that is not synced
+        self.unsynced: list[dict[str, int]] = []
         self.numbers = itertools.count()
         self.calls = 0
 
     def call(self) -> None:
         self.calls += 1
         if self.calls - 1 == self.dies:
-            raise Cut
+            raise PowerLoss
         if self.calls - 1 == self.fails:
             raise OSError(28, "No space left on device")
 
@@ -403,7 +405,7 @@
         inode = next(self.numbers)
         self.inodes[inode] = b"", b""
         self.names = self.names | {name: inode}
-        self.moves.append(self.names)
+        self.unsynced.append(self.names)
         return inode
 
     def write(self, handle: int, data: bytes) -> int:
@@ -426,104 +428,104 @@
         names = dict(self.names)
         names[new] = names.pop(old)
         self.names = names
-        self.moves.append(names)
+        self.unsynced.append(names)
 
     def sync_folder(self) -> None:
         self.call()
-        self.durable, self.moves = self.names, []
+        self.durable, self.unsynced = self.names, []
 
-    def after_power_loss(self) -> Disk:
-        """What a reader may find: some of the changes of the folder, and of unsynced bytes any
-        part."""
-        left = Disk(self.rng)
-        left.names = self.rng.choice([self.durable, *self.moves])
+    def after_power_loss(self) -> SimulatedDisk:
+        """Return what a reader may find: some unsynced renames, and any part of unsynced bytes."""
+        remaining = SimulatedDisk(self.rng)
+        remaining.names = self.rng.choice([self.durable, *self.unsynced])
         for number, (seen, synced) in self.inodes.items():
             kept = seen[: self.rng.randrange(len(seen) + 1)]
-            if kept and self.rng.random() < 0.5:  # or a block of it is what lay there before
+            # A block of it may also be what was on the disk before.
+            if kept and self.rng.random() < 0.5:
                 kept = kept[:-1] + bytes([kept[-1] ^ 0xFF])
-            left.inodes[number] = (synced if synced else kept,) * 2
-        return left
+            remaining.inodes[number] = (synced if synced else kept,) * 2
+        return remaining
 
 
-def snapshots(count: int) -> list[bytes]:
+def snapshot_files(count: int) -> list[bytes]:
     return [
-        packed(msgspec.msgpack.encode(GOOD | {"least": float(n), "node": f"n{n}"}))
+        framed_file(msgspec.msgpack.encode(VALID_CONTENT | {"least": float(n), "node": f"n{n}"}))
         for n in range(count)
     ]
 
 
-def test_the_power_may_go_at_any_call_and_the_old_or_the_new_is_found() -> None:
-    made, found = snapshots(4), set[str]()
-    probe = Disk(random.Random(0))
-    store.save(probe, made[0])
+def test_after_a_power_loss_at_any_call_the_old_or_the_new_file_is_found() -> None:
+    files, found = snapshot_files(4), set[str]()
+    probe = SimulatedDisk(random.Random(0))
+    store.save(probe, files[0])
     calls = probe.calls + 1
-    for turn in range(40):
+    for run in range(40):
         for dies in range(calls):
-            rng = random.Random(turn * 100 + dies)
-            disk = Disk(rng, short=turn % 2 == 1)
-            store.save(disk, made[0])
-            store.save(disk, made[1])
+            rng = random.Random(run * 100 + dies)
+            disk = SimulatedDisk(rng, short=run % 2 == 1)
+            store.save(disk, files[0])
+            store.save(disk, files[1])
             disk.calls, disk.dies = 0, dies
-            with pytest.raises(Cut):
-                store.save(disk, made[2])
-                raise Cut
+            with pytest.raises(PowerLoss):
+                store.save(disk, files[2])
+                raise PowerLoss
             loaded = store.load(disk.after_power_loss())
-            assert loaded.snapshot is not None, (turn, dies, loaded.faults)
+            assert loaded.snapshot is not None, (run, dies, loaded.faults)
             found.add(loaded.snapshot.node)
-            assert loaded.snapshot.node in ("n1", "n2"), (turn, dies)
+            assert loaded.snapshot.node in ("n1", "n2"), (run, dies)
     assert found == {"n1", "n2"}
 
 
-def test_a_call_that_fails_keeps_what_was_there() -> None:
-    made = snapshots(2)
+def test_a_failed_call_keeps_the_stored_snapshot() -> None:
+    files = snapshot_files(2)
     for fails in range(8):
-        disk = Disk(random.Random(fails))
-        store.save(disk, made[0])
+        disk = SimulatedDisk(random.Random(fails))
+        store.save(disk, files[0])
         disk.calls, disk.fails = 0, fails
         try:
-            store.save(disk, made[1])
+            store.save(disk, files[1])
         except OSError as error:
             assert error.errno == 28
         loaded = store.load(disk)
         assert loaded.snapshot is not None and loaded.snapshot.node in ("n0", "n1")
         disk.fails = -1
-        store.save(disk, made[1])
+        store.save(disk, files[1])
         assert (again := store.load(disk).snapshot) is not None and again.node == "n1"
 
 
-KILLED = """
+KILLED_PROGRAM = """
 import os, signal, sys
 from pathlib import Path
 from badgercart.statistics import store
-from tests.statistics.test_memory import snapshots
-left = int(sys.argv[2])
-class Killing(store.Folder):
+from tests.statistics.test_statistics import snapshot_files
+calls_left = int(sys.argv[2])
+class KillingFolder(store.Folder):
     pass
-def counted(plain):
+def counted(method):
     def call(self, *args):
-        global left
-        left -= 1
-        if left < 0:
-            if plain.__name__ == "write":
+        global calls_left
+        calls_left -= 1
+        if calls_left < 0:
+            if method.__name__ == "write":
                 os.write(args[0], args[1][: len(args[1]) // 2])
             os.kill(os.getpid(), signal.SIGKILL)
-        return plain(self, *args)
+        return method(self, *args)
     return call
 for name in ("create", "write", "sync", "rename", "sync_folder"):
-    setattr(Killing, name, counted(getattr(store.Folder, name)))
-for data in snapshots(50):
-    store.save(Killing(Path(sys.argv[1])), data)
+    setattr(KillingFolder, name, counted(getattr(store.Folder, name)))
+for data in snapshot_files(50):
+    store.save(KillingFolder(Path(sys.argv[1])), data)
 """
 
 
-def test_sigkill_at_any_point_leaves_a_whole_file(tmp_path: Path) -> None:
-    """`BADGERCART_RUNS=500` kills it at 500 points."""
+def test_sigkill_at_any_point_leaves_a_valid_file(tmp_path: Path) -> None:
+    """`BADGERCART_RUNS=500` kills the process at 500 points."""
     rng = random.Random(3)
     for point in range(int(os.environ.get("BADGERCART_RUNS", "6"))):
         folder = tmp_path / str(point)
         folder.mkdir()
         killed = subprocess.run(
-            [sys.executable, "-c", KILLED, str(folder), str(rng.randrange(7, 250))],
+            [sys.executable, "-c", KILLED_PROGRAM, str(folder), str(rng.randrange(7, 250))],
             cwd=HERE.parent.parent,
             capture_output=True,
             text=True,
@@ -531,15 +533,15 @@
         assert killed.returncode == -9, killed.stderr
         loaded = store.load(store.Folder(folder))
         assert loaded.snapshot is not None and not loaded.faults
-        there = [
+        paths = [
             folder / name
             for name in (store.CURRENT_NAME, store.PREVIOUS_NAME)
             if (folder / name).exists()
         ]
-        assert there and all(path.stat().st_mode & 0o777 == 0o600 for path in there)
+        assert paths and all(path.stat().st_mode & 0o777 == 0o600 for path in paths)
 
 
-def test_a_folder_is_one_process_s(tmp_path: Path) -> None:
+def test_a_folder_is_locked_by_one_process(tmp_path: Path) -> None:
     lock = store.FolderLock(tmp_path)
     code = (
         "from badgercart.statistics.store import FolderLock; from pathlib import Path; "
@@ -551,5 +553,5 @@
     assert subprocess.run([sys.executable, "-c", code]).returncode == 0
 
 
-def test_the_prefix_is_as_documented() -> None:
-    assert struct.calcsize(HEADER.format) == 14 and packed(b"x")[:6] == b"BLRN\0\x01"
+def test_the_header_is_as_documented() -> None:
+    assert struct.calcsize(HEADER.format) == 14 and framed_file(b"x")[:6] == b"BLRN\0\x01"
