--- a/badgercart/__main__.py
+++ b/badgercart/__main__.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from badgercart.config import Config, ConfigError, read_config
-from badgercart.core.log_events import Sparse
+from badgercart.core.log_events import RepeatedWarningFilter
 from badgercart.node import Node
 
 
@@ -36,7 +36,7 @@
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
     )
-    logging.getLogger().handlers[0].addFilter(Sparse())
+    logging.getLogger().handlers[0].addFilter(RepeatedWarningFilter())
     if len(sys.argv) > 1 or "_BADGERCART_COMPLETE" in os.environ:
         try:  # the platform's node has no use for it, nor for its libraries
             from badgercart.app.cli import main as command_line
--- a/badgercart/admin/listener.py
+++ b/badgercart/admin/listener.py
@@ -9,9 +9,9 @@
 from badgercart.admin.log_events import OPEN
 from badgercart.admin.requests import AdminExchange, AdminHandlers
 from badgercart.config import Address
-from badgercart.core.descriptors import CONSOLE
+from badgercart.core.descriptors import ADMIN_DESCRIPTORS
 
-MAX_CONNECTIONS = CONSOLE - 1  # at a time; that many descriptors are reserved for them
+MAX_CONNECTIONS = ADMIN_DESCRIPTORS - 1  # at a time; that many descriptors are reserved for them
 BACKLOG = 64
 ACCEPT_PAUSE_S = 0.2  # without accepting, where that fails
 REQUEST_TIMEOUT_S = 5.0  # after which a connection is closed
--- a/badgercart/admin/log_events.py
+++ b/badgercart/admin/log_events.py
@@ -4,9 +4,9 @@
 
 import logging
 
-from badgercart.core.log_events import event
+from badgercart.core.log_events import define_event
 
-OPEN = event(
+OPEN = define_event(
     "console.open",
     logging.INFO,
     "the console listens on %(host)s:%(port)d",
--- a/badgercart/app/logs.py
+++ b/badgercart/app/logs.py
@@ -25,7 +25,7 @@
 from badgercart.app.model import Table
 from badgercart.config import Config
 from badgercart.core.endpoint_table import EndpointTable
-from badgercart.core.log_events import Sparse
+from badgercart.core.log_events import RepeatedWarningFilter
 from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.core.request_pipeline import RequestPipeline
 
@@ -115,7 +115,7 @@
         self.fd = fd
         terminal = settings.format == "auto" and os.isatty(fd)
         self.setFormatter(formatter(node, as_json=not terminal and settings.format != "console"))
-        self.addFilter(Sparse())
+        self.addFilter(RepeatedWarningFilter())
         self.waiting: queue.Queue[logging.LogRecord | None] = queue.Queue(settings.queue_lines)
         self.dropped = 0  # since that was logged last
         self.broken = False  # nobody reads any more
--- a/badgercart/app/render.py
+++ b/badgercart/app/render.py
@@ -20,7 +20,7 @@
 from badgercart.app.locate import lines_of
 from badgercart.app.model import SCHEMA_NAME
 from badgercart.app.registry import declarations, load_events
-from badgercart.core.log_events import TABLE
+from badgercart.core.log_events import LOG_EVENTS
 
 SCHEMA = "https://json-schema.org/draft/2020-12/schema"
 
@@ -235,7 +235,7 @@
     """Return the table of log events of these subsystems, in the order of their names."""
     load_events()
     wanted = tuple(f"{prefix.strip()}." for prefix in prefixes.split(","))
-    found = [event for name, event in sorted(TABLE.items()) if name.startswith(wanted)]
+    found = [event for name, event in sorted(LOG_EVENTS.items()) if name.startswith(wanted)]
     if not found:
         raise NoSuchEventError(prefixes)
     rows = ["| event | level | message | meaning and remedy |", "| --- | --- | --- | --- |"]
--- a/badgercart/config.py
+++ b/badgercart/config.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from badgercart.core.descriptors import Descriptors, TooFewError
+from badgercart.core.descriptors import DescriptorBudget, DescriptorLimitError
 from badgercart.policy.settings import Settings
 from badgercart.reload.checks import faults, load
 from badgercart.simulator.errors import WireError
@@ -87,8 +87,8 @@
 def descriptors(told: int, console: bool) -> int:
     """The same, checked: ValueError where they are too few."""
     try:
-        return Descriptors.of(held_to(told), console).limit
-    except TooFewError as error:
+        return DescriptorBudget.for_limit(held_to(told), console).limit
+    except DescriptorLimitError as error:
         raise ValueError(f"limits.sockets: {error}") from None
 
 
--- a/badgercart/core/checksummed_file.py
+++ b/badgercart/core/checksummed_file.py
@@ -14,25 +14,25 @@
     """What is in the file can't be taken: why."""
 
 
-def encode_checksummed(told: dict[str, Any]) -> bytes:
+def encode_checksummed(content: dict[str, Any]) -> bytes:
     """The first line is the checksum of the second, which is JSON."""
-    line = json.dumps(told, separators=(",", ":")).encode()
+    line = json.dumps(content, separators=(",", ":")).encode()
     return b"%b\n%b\n" % (checksum(line), line)
 
 
 def decode_checksummed(data: bytes, version: int) -> dict[str, Any]:
     """What was sealed, of that `format`. Raises Unusable; nothing is taken in part."""
-    first, _, rest = data.partition(b"\n")
+    expected_checksum, _, rest = data.partition(b"\n")
     line = rest.removesuffix(b"\n")
-    if not rest.endswith(b"\n") or first != checksum(line):
+    if not rest.endswith(b"\n") or expected_checksum != checksum(line):
         raise CorruptFileError("it is cut off or was changed: its checksum does not fit")
     try:
-        told: dict[str, Any] = json.loads(line)
-        if told["format"] != version:
-            raise CorruptFileError(f"it is of format {told['format']!r}, not {version}")
+        content: dict[str, Any] = json.loads(line)
+        if content["format"] != version:
+            raise CorruptFileError(f"it is of format {content['format']!r}, not {version}")
     except (KeyError, TypeError, ValueError, RecursionError) as error:
         raise CorruptFileError(f"{type(error).__name__}: {error}") from None
-    return told
+    return content
 
 
 def checksum(line: bytes) -> bytes:
@@ -44,14 +44,14 @@
     stays.
 
     The part has a name of its own: two processes may write at once, and the last one there wins."""
-    part = path.with_name(f"{path.name}.{os.getpid()}")
+    temporary = path.with_name(f"{path.name}.{os.getpid()}")
     try:
-        with part.open("wb") as file:
+        with temporary.open("wb") as file:
             file.write(data)
             if sync:
                 file.flush()
                 os.fsync(file.fileno())
-        os.replace(part, path)
+        os.replace(temporary, path)
     except OSError:
-        part.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
--- a/badgercart/core/clock.py
+++ b/badgercart/core/clock.py
@@ -6,7 +6,7 @@
 
 # ms kept back from the time of a client, or of the process: answers must be out in time from a late
 # loop.
-MARGIN = 30.0
+RESPONSE_MARGIN_MS = 30.0
 
 
 def now_ms() -> float:
--- a/badgercart/core/endpoint_table.py
+++ b/badgercart/core/endpoint_table.py
@@ -13,18 +13,18 @@
 from badgercart.policy.events import EndpointUpdate, UpdateKind
 
 # As operators read them in `list.taken`.
-KINDS = {
+UPDATE_KIND_TEXTS = {
     UpdateKind.DELTA: "delta",
     UpdateKind.SNAPSHOT: "full",
     UpdateKind.CACHED: "cached",
     UpdateKind.FAILED: "failed",
 }
-STATES = {
+STATE_TEXTS = {
     EndpointState.READY: "ready",
     EndpointState.GONE: "gone",
     EndpointState.DRAINING: "draining",
 }
-MAX_LEFT = 1024  # servers remembered after they left: old answers may name them still
+MAX_REMOVED_ENDPOINTS = 1024  # servers remembered after they left: old answers may name them still
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,9 +58,9 @@
 class EndpointTable:
     """Takes lists, tells carriers and fronts of each changed server, and then the policy."""
 
-    def __init__(self, reader: UpdateReader, join: RequestPipeline) -> None:
+    def __init__(self, reader: UpdateReader, pipeline: RequestPipeline) -> None:
         self.reader = reader
-        self.pipeline = join
+        self.pipeline = pipeline
         self.on_change: list[Callable[[DiscoveredEndpoint], None]] = []
         # What is told of a server in place of its line in a list of that version.
         self.override: Callable[[DiscoveredEndpoint, int], DiscoveredEndpoint] | None = None
@@ -82,54 +82,59 @@
         again."""
         return self.accept_update(self.reader.read(raw, kind))
 
-    def accept_update(self, told: DiscoveryUpdate) -> int:
+    def accept_update(self, update: DiscoveryUpdate) -> int:
         """As `take`, of lines that are read."""
-        self.apply(told)
+        self.apply(update)
         if (
             isinstance(self.pipeline.failed_event, EndpointUpdate)
-            and self.pipeline.failed_event.version == told.version
+            and self.pipeline.failed_event.version == update.version
         ):
             self.pipeline.failed_event = None
-            raise ValueError(f"the policy could not take list {told.version}")
-        return told.version
+            raise ValueError(f"the policy could not take list {update.version}")
+        return update.version
 
-    def apply(self, told: DiscoveryUpdate) -> None:
+    def apply(self, update: DiscoveryUpdate) -> None:
         """Take over a list or its changes, whole."""
         if self.override is not None:
-            lines = [self.override(member, told.version) for member in told.endpoints]
-            told = DiscoveryUpdate(told.kind, told.version, lines)
-        now = self.pipeline.clock()
-        if told.kind is not UpdateKind.DELTA:
-            named = {member.entry.id for member in told.endpoints}
-            for server_id in self.listed.keys() - named:
-                gone = self.listed[server_id]
+            overridden = [self.override(endpoint, update.version) for endpoint in update.endpoints]
+            update = DiscoveryUpdate(update.kind, update.version, overridden)
+        now_ms = self.pipeline.clock()
+        if update.kind is not UpdateKind.DELTA:
+            listed_ids = {endpoint.entry.id for endpoint in update.endpoints}
+            for endpoint_id in self.listed.keys() - listed_ids:
+                gone = self.listed[endpoint_id]
                 gone = replace(gone, entry=replace(gone.entry, state=EndpointState.GONE))
                 self.record(
-                    gone if self.override is None else self.override(gone, told.version), now
+                    gone if self.override is None else self.override(gone, update.version), now_ms
                 )
-        for member in told.endpoints:
-            self.record(member, now)
-        if told.endpoints or told.kind is not UpdateKind.DELTA:
-            changed = ", ".join(f"{m.name} {STATES[m.entry.state]}" for m in told.endpoints[:4])
-            more = f" and {len(told.endpoints) - 4} more" if len(told.endpoints) > 4 else ""
+        for endpoint in update.endpoints:
+            self.record(endpoint, now_ms)
+        if update.endpoints or update.kind is not UpdateKind.DELTA:
+            changed = ", ".join(
+                f"{endpoint.name} {STATE_TEXTS[endpoint.entry.state]}"
+                for endpoint in update.endpoints[:4]
+            )
+            more = f" and {len(update.endpoints) - 4} more" if len(update.endpoints) > 4 else ""
             LIST_TAKEN(
-                version=told.version,
-                kind=KINDS[told.kind],
+                version=update.version,
+                kind=UPDATE_KIND_TEXTS[update.kind],
                 changed=changed + more,
                 listed=len(self.listed),
             )
         self.has_update = True
-        self.version = told.version
+        self.version = update.version
         if not self.suspended:
             self.pipeline.dispatch(
-                EndpointUpdate(told.kind, told.version, [member.entry for member in told.endpoints])
+                EndpointUpdate(
+                    update.kind, update.version, [endpoint.entry for endpoint in update.endpoints]
+                )
             )
-        elif told.kind is not UpdateKind.DELTA or told.endpoints:
+        elif update.kind is not UpdateKind.DELTA or update.endpoints:
             self.dispatch_suspended()
 
-    def reapply(self, lines: list[DiscoveredEndpoint]) -> None:
+    def reapply(self, endpoints: list[DiscoveredEndpoint]) -> None:
         """What is told of these servers has changed, though the list has not."""
-        self.apply(DiscoveryUpdate(UpdateKind.DELTA, self.version, lines))
+        self.apply(DiscoveryUpdate(UpdateKind.DELTA, self.version, endpoints))
 
     def suspend(self, suspended: bool) -> None:
         """Have nothing new sent by this list, or go on with it.
@@ -142,53 +147,53 @@
         if suspended:
             self.dispatch_suspended()
         else:
-            entries = [member.entry for member in self.listed.values()]
+            entries = [endpoint.entry for endpoint in self.listed.values()]
             self.pipeline.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, self.version, entries))
 
     def dispatch_suspended(self) -> None:
         entries = [
-            replace(member.entry, state=EndpointState.DRAINING)
-            for member in self.listed.values()
-            if member.entry.state is EndpointState.READY
+            replace(endpoint.entry, state=EndpointState.DRAINING)
+            for endpoint in self.listed.values()
+            if endpoint.entry.state is EndpointState.READY
         ]
         self.pipeline.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, self.version, entries))
 
-    def record(self, member: DiscoveredEndpoint, now: float) -> None:
+    def record(self, endpoint: DiscoveredEndpoint, now_ms: float) -> None:
         """Take over one line."""
-        server_id, state = member.entry.id, member.entry.state
+        endpoint_id, state = endpoint.entry.id, endpoint.entry.state
         if state is EndpointState.GONE:
-            if self.listed.pop(server_id, None) is not None:
-                self.removed[server_id] = member
-                if len(self.removed) > MAX_LEFT:
+            if self.listed.pop(endpoint_id, None) is not None:
+                self.removed[endpoint_id] = endpoint
+                if len(self.removed) > MAX_REMOVED_ENDPOINTS:
                     self.forget(next(iter(self.removed)))
         else:
-            old = self.listed.get(server_id) or self.removed.get(server_id)
+            previous = self.listed.get(endpoint_id) or self.removed.get(endpoint_id)
             if (
-                old is not None
-                and old.address != member.address
-                and self.ids_by_address.get(old.address) == server_id
+                previous is not None
+                and previous.address != endpoint.address
+                and self.ids_by_address.get(previous.address) == endpoint_id
             ):
-                del self.ids_by_address[old.address]
-            self.removed.pop(server_id, None)
-            self.listed[server_id] = member
-            self.ids_by_address[member.address] = server_id
+                del self.ids_by_address[previous.address]
+            self.removed.pop(endpoint_id, None)
+            self.listed[endpoint_id] = endpoint
+            self.ids_by_address[endpoint.address] = endpoint_id
         if state is EndpointState.READY:
-            self.draining_since.pop(server_id, None)
-        elif server_id in self.listed or server_id in self.removed:
-            self.draining_since.setdefault(server_id, now)
-        for tell in self.on_change:
-            tell(member)
+            self.draining_since.pop(endpoint_id, None)
+        elif endpoint_id in self.listed or endpoint_id in self.removed:
+            self.draining_since.setdefault(endpoint_id, now_ms)
+        for callback in self.on_change:
+            callback(endpoint)
 
-    def forget(self, server_id: int) -> None:
+    def forget(self, endpoint_id: int) -> None:
         """Forget one that left long ago."""
-        member = self.removed.pop(server_id)
-        self.draining_since.pop(server_id, None)
-        if self.ids_by_address.get(member.address) == server_id:
-            del self.ids_by_address[member.address]
+        endpoint = self.removed.pop(endpoint_id)
+        self.draining_since.pop(endpoint_id, None)
+        if self.ids_by_address.get(endpoint.address) == endpoint_id:
+            del self.ids_by_address[endpoint.address]
 
     def find_by_address(self, address: Address) -> DiscoveredEndpoint | None:
         """The server that is, or was last, listed at an address."""
-        server_id = self.ids_by_address.get(address)
-        if server_id is None:
+        endpoint_id = self.ids_by_address.get(address)
+        if endpoint_id is None:
             return None
-        return self.listed.get(server_id) or self.removed.get(server_id)
+        return self.listed.get(endpoint_id) or self.removed.get(endpoint_id)
--- a/badgercart/core/log_events.py
+++ b/badgercart/core/log_events.py
@@ -12,7 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-MAX_SEEN = 1024  # kinds of warnings whose repeats are counted; libraries word theirs as they like
+MAX_TRACKED_MESSAGES = (
+    1024  # kinds of warnings whose repeats are counted; libraries word theirs as they like
+)
 
 log = logging.getLogger("badgercart")
 
@@ -28,26 +30,28 @@
 
     def __call__(self, exc_info: BaseException | bool | None = None, /, **fields: Any) -> None:
         if log.isEnabledFor(self.level):
-            told = (fields,) if fields else ()
-            log.log(self.level, self.words, *told, exc_info=exc_info, extra={"event": self.name})
+            arguments = (fields,) if fields else ()
+            log.log(
+                self.level, self.words, *arguments, exc_info=exc_info, extra={"event": self.name}
+            )
 
 
-TABLE: dict[str, LogEvent] = {}  # all that there are, by name
+LOG_EVENTS: dict[str, LogEvent] = {}  # all that there are, by name
 
 
-def event(name: str, level: int, words: str, meaning: str) -> LogEvent:
+def define_event(name: str, level: int, words: str, meaning: str) -> LogEvent:
     """Add one to the table. ValueError where its name is taken."""
-    if name in TABLE:
+    if name in LOG_EVENTS:
         raise ValueError(f"there are two events {name}")
-    TABLE[name] = made = LogEvent(name, level, words, meaning)
-    return made
+    LOG_EVENTS[name] = log_event = LogEvent(name, level, words, meaning)
+    return log_event
 
 
-class Sparse(logging.Filter):
+class RepeatedWarningFilter(logging.Filter):
     """Lets a warning, which peers can bring about, through once in a while: they must not fill the
     log."""
 
-    EVERY = 10.0  # s
+    INTERVAL_S = 10.0  # s
 
     def __init__(self) -> None:
         super().__init__()
@@ -58,55 +62,55 @@
         if record.levelno != logging.WARNING:
             return True
         message = str(record.msg)
-        at, left_out = self.seen.get(message, (-self.EVERY, 0))
-        passes = record.created >= at + self.EVERY
-        if passes and left_out:
-            record.msg = f"{message} (and {left_out} more like it)"
-            record.left_out = left_out
-        self.seen[message] = (record.created, 0) if passes else (at, left_out + 1)
-        if len(self.seen) > MAX_SEEN:
+        last_passed_s, suppressed = self.seen.get(message, (-self.INTERVAL_S, 0))
+        passes = record.created >= last_passed_s + self.INTERVAL_S
+        if passes and suppressed:
+            record.msg = f"{message} (and {suppressed} more like it)"
+            record.left_out = suppressed
+        self.seen[message] = (record.created, 0) if passes else (last_passed_s, suppressed + 1)
+        if len(self.seen) > MAX_TRACKED_MESSAGES:
             self.seen.popitem(last=False)
         return passes
 
 
 # The core's own.
 
-LIST_TAKEN = event(
+LIST_TAKEN = define_event(
     "list.taken",
     logging.INFO,
     "list %(version)d, %(kind)s: %(changed)s",
     "A server list or its changes are in force; `changed` names the first four.",
 )
-LIST_KNOWN_MALFORMED = event(
+LIST_KNOWN_MALFORMED = define_event(
     "list.known_malformed",
     logging.WARNING,
     "the known list is malformed: %(error)s",
     "The list kept from before can't be used; the node waits for its source.",
 )
-POLICY_FAILED = event(
+POLICY_FAILED = define_event(
     "policy.failed",
     logging.WARNING,
     "the policy failed on %(kind)s",
     "A fault of ours: the request got its 500, the node goes on. Report it with the traceback.",
 )
-POLICY_SAID = event(
+POLICY_SAID = define_event(
     "policy.said",
     logging.INFO,
     "%(text)s",
     "The deciding module says what it does: shedding begins or ends, and why.",
 )
-CONFIG_KEPT = event(
+CONFIG_KEPT = define_event(
     "config.kept",
     logging.ERROR,
     "the configuration stays as it was: %(faults)s",
     "SIGHUP found a file that can't be used; nothing of it is in force. Mend what is named, send it again.",
 )
-CONFIG_READ = event(
+CONFIG_READ = define_event(
     "config.read",
     logging.INFO,
     "configuration read%(what)s",
     "SIGHUP: what can change without a restart is in force.",
 )
-STOPPED = event(
+STOPPED = define_event(
     "node.stopped", logging.INFO, "stopped", "All that was held is answered; the process ends."
 )
--- a/badgercart/core/ports.py
+++ b/badgercart/core/ports.py
@@ -13,12 +13,12 @@
 from enum import StrEnum
 from typing import Any, Protocol
 
-from badgercart.core.streams import Opening, Sink
+from badgercart.core.streams import ResponseHeaderSection, ResponseSink
 from badgercart.policy.events import AttemptResult
 
 
 @dataclass(slots=True)
-class Answer:
+class UpstreamResponse:
     """A server's whole answer."""
 
     status: int
@@ -42,11 +42,11 @@
     def request_finished(
         self,
         request_id: int,
-        intake: IncomingRequest,
-        final: RequestOutcome,
-        took: float,
-        server: int,
-        sends: int,
+        request: IncomingRequest,
+        outcome: RequestOutcome,
+        elapsed_ms: float,
+        endpoint_id: int,
+        attempts: int,
     ) -> None:
         """A request is over after `took` ms and so many sends; `server` gave the answer, 0: none
         did."""
@@ -55,10 +55,10 @@
 class AttemptObserver(Protocol):
     """Whoever watches attempts at servers. It must be quick, and change nothing."""
 
-    def attempt_sent(self, server_id: int) -> None:
+    def attempt_sent(self, endpoint_id: int) -> None:
         """An attempt goes out."""
 
-    def attempt_ended(self, server_id: int, result: AttemptResult, elapsed: float) -> None:
+    def attempt_ended(self, endpoint_id: int, result: AttemptResult, elapsed_ms: float) -> None:
         """An attempt has ended, `elapsed` ms after it was sent."""
 
 
@@ -66,13 +66,13 @@
     """Whoever owes the answer to one request. Each of the first three calls is the final one for
     it."""
 
-    def on_answer(self, answer: Answer) -> None:
+    def on_response(self, response: UpstreamResponse) -> None:
         """A server has answered: pass it on."""
 
-    def on_shed(self, wait: float) -> None:
+    def on_shed(self, retry_after_ms: float) -> None:
         """Not run, trying again does no harm; after `wait` ms, or when it likes where that is 0."""
 
-    def on_failure(self, broken: bool) -> None:
+    def on_failure(self, internal_error: bool) -> None:
         """Nothing is promised: the request may have run, or, where `broken`, the node itself
         failed."""
 
@@ -84,7 +84,7 @@
 class StreamingFrontend(Frontend, Protocol):
     """One whose work may ask for answers that go on as they come."""
 
-    def on_response_started(self, opening: Opening) -> Sink:
+    def on_response_started(self, header_section: ResponseHeaderSection) -> ResponseSink:
         """The final answer begins: where it goes."""
 
 
@@ -97,12 +97,12 @@
     to a fallback by itself says so with `Join.diverted`; the next attempt then is out as if it had
     been sent."""
 
-    def send(self, order: AttemptRequest) -> None: ...
+    def send(self, attempt: AttemptRequest) -> None: ...
 
-    def cancel(self, request_id: int, number: int) -> None:
+    def cancel(self, request_id: int, attempt_number: int) -> None:
         """Stop waiting for an attempt; its end is reported as any other."""
 
-    def abandon_attempt(self, request_id: int, number: int) -> None:
+    def abandon_attempt(self, request_id: int, attempt_number: int) -> None:
         """Its request is over: an attempt whose last byte has not gone out never goes out, and ends
         so."""
 
@@ -116,7 +116,9 @@
 class Timers(Protocol):
     """What rings later: an event loop, or a test's own."""
 
-    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> TimerHandle:
+    def call_later(
+        self, delay_s: float, callback: Callable[..., object], *args: Any
+    ) -> TimerHandle:
         """Call after `delay` s."""
 
 
@@ -143,7 +145,7 @@
     class_index: int
     tenant: int
     key: int  # 0: none
-    deadline: (
+    deadline_ms: (
         float  # the last moment for an answer to set out; infinite while the request is not whole
     )
     payload: Any  # what the carrier needs to carry it out
--- a/badgercart/core/read_buffer.py
+++ b/badgercart/core/read_buffer.py
@@ -6,16 +6,16 @@
 
 from __future__ import annotations
 
-READ = 65536  # bytes read at once
+MAX_READ_BYTES = 65536  # bytes read at once
 
-_buffer = bytearray(READ)
+_buffer = bytearray(MAX_READ_BYTES)
 _view = memoryview(_buffer)
 
 
-def buffer() -> memoryview:
+def get_read_buffer() -> memoryview:
     return _view
 
 
-def taken(count: int) -> bytes:
+def copy_read_bytes(count: int) -> bytes:
     """A copy of what was read into it."""
     return bytes(_view[:count])
--- a/badgercart/core/requests.py
+++ b/badgercart/core/requests.py
@@ -17,10 +17,10 @@
     """A request that can't be taken: why, the HTTP status that says so, and the method that would
     do."""
 
-    def __init__(self, status: int, why: str, allow: bytes = b"") -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str, allowed_method: bytes = b"") -> None:
+        super().__init__(reason)
         self.status = status
-        self.allow = allow
+        self.allowed_method = allowed_method
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     key: int
 
 
-def unknown_tenant(name: bytes | None) -> str:
+def describe_unknown_tenant(name: bytes | None) -> str:
     """Why a request's tenant is none."""
     if not name:
         return "no Tenant header, and no default_tenant is set"
@@ -46,9 +46,9 @@
     def __init__(self, config: Config) -> None:
         self.classes = config.classes
         self.tenant, self.secret = config.tenant, config.key_secret
-        self.effects = [cls.idempotency for cls in config.settings.classes]
+        self.idempotency = [cls.idempotency for cls in config.settings.classes]
 
-    def read(
+    def classify(
         self,
         method: bytes,
         target: bytes,
@@ -57,26 +57,28 @@
         key: bytes | None,
     ) -> ClassifiedRequest:
         """Raises BadDescription: 400, 404 or 405."""
-        parts = target.partition(b"?")[0].split(b"/")
-        if parts[0] or len(parts) < 2:
+        segments = target.partition(b"?")[0].split(b"/")
+        if segments[0] or len(segments) < 2:
             raise InvalidRequestError(400, "no path from the root")
-        cls = self.classes.get(parts[1])
-        if cls is None:
+        class_index = self.classes.get(segments[1])
+        if class_index is None:
             raise InvalidRequestError(404, "no such class")
-        effect = self.effects[cls]
-        wanted = b"GET" if effect is Idempotency.IDEMPOTENT else b"POST"
-        if method != wanted:
-            raise InvalidRequestError(405, f"the class wants {wanted.decode()}", wanted)
+        idempotency = self.idempotency[class_index]
+        required_method = b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"
+        if method != required_method:
+            raise InvalidRequestError(
+                405, f"the class wants {required_method.decode()}", required_method
+            )
         if not name:
             raise InvalidRequestError(400, "no Request-Id")
-        number = self.tenant(tenant)
-        if number is None:
-            raise InvalidRequestError(400, unknown_tenant(tenant))
-        if effect is Idempotency.KEYED and key is None:
+        tenant_index = self.tenant(tenant)
+        if tenant_index is None:
+            raise InvalidRequestError(400, describe_unknown_tenant(tenant))
+        if idempotency is Idempotency.KEYED and key is None:
             raise InvalidRequestError(400, "the class is keyed: it wants an Idempotency-Key")
         if (
-            effect is Idempotency.NON_IDEMPOTENT and key is not None
+            idempotency is Idempotency.NON_IDEMPOTENT and key is not None
         ):  # a repeat could not be told by it
             raise InvalidRequestError(400, "the class is not keyed: it takes no Idempotency-Key")
-        place = stable_id(parts[-1], self.secret) if len(parts) > 2 and parts[-1] else 0
-        return ClassifiedRequest(name, cls, number, place)
+        key_id = stable_id(segments[-1], self.secret) if len(segments) > 2 and segments[-1] else 0
+        return ClassifiedRequest(name, class_index, tenant_index, key_id)
--- a/badgercart/core/results.py
+++ b/badgercart/core/results.py
@@ -8,7 +8,7 @@
 from badgercart.policy.events import AttemptResult
 
 
-def result_of(status: int, not_started: bool) -> AttemptResult:
+def attempt_result(status: int, not_started: bool) -> AttemptResult:
     """The outcome by status and the header Not-Started, whoever carried the attempt out."""
     if status == 200:
         return AttemptResult.OK
--- a/badgercart/ejection/log_events.py
+++ b/badgercart/ejection/log_events.py
@@ -4,34 +4,34 @@
 
 import logging
 
-from badgercart.core.log_events import event
+from badgercart.core.log_events import define_event
 
-EJECTED = event(
+EJECTED = define_event(
     "bans.out",
     logging.INFO,
     "server %(server)s is taken out",
     "An operator's call, here or at the process beside: nothing new goes to it until it is called back.",
 )
-REINSTATED = event(
+REINSTATED = define_event(
     "bans.back",
     logging.INFO,
     "server %(server)s is called back",
     "It is used again as a server that has just started.",
 )
-TAKEN_OVER = event(
+TAKEN_OVER = define_event(
     "bans.taken_over",
     logging.INFO,
     "servers taken out, from the file: %(servers)s",
     "The process before this one was told so; it holds until they are called back.",
 )
-FILE_UNUSABLE = event(
+FILE_UNUSABLE = define_event(
     "bans.file_spoilt",
     logging.ERROR,
     "%(path)s is not used: %(error)s; what this process knows of servers taken out stays in force",
     "The file is cut off, changed by hand, or of another version; the next call writes it anew. Take out "
     "again what has to stay out.",
 )
-FILE_FAILED = event(
+FILE_FAILED = define_event(
     "bans.file_failed",
     logging.ERROR,
     "servers taken out can't be kept in %(path)s: %(error)s",
--- a/badgercart/frontends/graphql/execution.py
+++ b/badgercart/frontends/graphql/execution.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgercart.core.ports import Answer, IncomingRequest, UpstreamTransport
+from badgercart.core.ports import IncomingRequest, UpstreamResponse, UpstreamTransport
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.frontends.graphql.merge import Outcome, response
 from badgercart.frontends.graphql.outcomes import Reply
 from badgercart.frontends.graphql.planner import Part, Plan
 from badgercart.frontends.graphql.requests import error
-from badgercart.upstream.exchange import Message
+from badgercart.upstream.exchange import UpstreamRequest
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
     """A part as it is to be handed to the core."""
 
     part: Part
-    message: Message
+    message: UpstreamRequest
     cls: int
     tenant: int
     key: int  # affinity
@@ -43,7 +43,7 @@
         self.reply: Reply | None = None  # the last one
         self.done = False
 
-    def on_answer(self, answer: Answer) -> None:
+    def on_response(self, answer: UpstreamResponse) -> None:
         reply = self.reply
         assert reply is not None  # the carrier has read it
         if reply.data is None and not reply.errors:
--- a/badgercart/frontends/graphql/frontend.py
+++ b/badgercart/frontends/graphql/frontend.py
@@ -12,14 +12,14 @@
 from graphql import FragmentDefinitionNode, OperationDefinitionNode, execute_sync, parse, print_ast
 
 from badgercart.config import Config
-from badgercart.core.clock import MARGIN, now_ms
-from badgercart.core.descriptors import Descriptors
+from badgercart.core.clock import RESPONSE_MARGIN_MS, now_ms
+from badgercart.core.descriptors import DescriptorBudget
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.identifiers import stable_id
-from badgercart.core.ports import Answer
 from badgercart.core.ports import AttemptRequest as Attempt
+from badgercart.core.ports import UpstreamResponse
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.core.requests import unknown_tenant
+from badgercart.core.requests import describe_unknown_tenant
 from badgercart.frontends.graphql.documents import Documents, Rejected
 from badgercart.frontends.graphql.execution import Execution, Order, PartCall
 from badgercart.frontends.graphql.log_events import LISTENING, PLAN_FAILED
@@ -44,7 +44,7 @@
 from badgercart.policy.events import AttemptResult
 from badgercart.policy.settings import Idempotency
 from badgercart.upstream.connection_pool import ServerPool
-from badgercart.upstream.exchange import Message
+from badgercart.upstream.exchange import UpstreamRequest
 
 MAX_KEY = 256  # bytes of a client's idempotency key
 
@@ -90,25 +90,30 @@
     def ended(
         self,
         request_id: int,
-        number: int,
-        server_id: int,
+        attempt_number: int,
+        endpoint_id: int,
         result: AttemptResult,
-        elapsed: float,
-        answer: Answer | None = None,
+        elapsed_ms: float,
+        response: UpstreamResponse | None = None,
         *,
-        spent: bool = False,
+        body_consumed: bool = False,
     ) -> None:
-        call = self.calls.pop((request_id, number), None)
-        if answer is None or call is None:
-            self.join.attempt_ended(request_id, number, server_id, result, elapsed)
+        call = self.calls.pop((request_id, attempt_number), None)
+        if response is None or call is None:
+            self.join.attempt_ended(request_id, attempt_number, endpoint_id, result, elapsed_ms)
             return
-        reply = read_reply(answer.status, result is AttemptResult.FULL, answer.body, call.keys)
+        reply = read_reply(response.status, result is AttemptResult.FULL, response.body, call.keys)
         if reply.data is not None or reply.final or call.reply is None:
             call.reply = reply
         # To the join: served, the request's own fault, or neither.
         status = 200 if reply.result is AttemptResult.OK else 400 if reply.final else 500
         self.join.attempt_ended(
-            request_id, number, server_id, reply.result, elapsed, Answer(status)
+            request_id,
+            attempt_number,
+            endpoint_id,
+            reply.result,
+            elapsed_ms,
+            UpstreamResponse(status),
         )
 
 
@@ -147,7 +152,9 @@
         self.pages: Mapping[bytes, Page] = {}
         self.last = 0
         self.open: dict[int, Execution] = {}
-        clients, servers = Descriptors.of(config.sockets, parts=parts).split(share)
+        clients, servers = DescriptorBudget.for_limit(config.sockets, other_components=parts).split(
+            share
+        )
         self.carrier = GraphqlCarrier(join)
         self.pool = self.carrier.pool = ServerPool(
             loop,
@@ -155,8 +162,8 @@
             config.idle_timeout,
             servers,
             self.carrier.ended,
-            source=config.source,
-            wanted=join.is_awaited,
+            source_address=config.source,
+            is_awaited=join.is_awaited,
         )
         roster.on_change.append(self.pool.update)
         self.listener = Listener(loop, settings.listen, self, clients, self.read, bad_request)
@@ -178,7 +185,7 @@
         if headers.fault:
             raise BadRequest(400, headers.fault)
         if tenant is None:
-            raise BadRequest(400, unknown_tenant(headers.tenant))
+            raise BadRequest(400, describe_unknown_tenant(headers.tenant))
         if len(headers.key or b"") > MAX_KEY:
             raise BadRequest(400, f"Idempotency-Key is over {MAX_KEY} bytes")
         more: dict[bytes, bytes] = {}
@@ -189,7 +196,7 @@
         self.last += 1
         accept, content_type = more.get(b"accept"), more.get(b"content-type")
         return GraphqlRequest(
-            message=Message(b"", body),
+            message=UpstreamRequest(b"", body),
             name=headers.request_id or b"g-%d" % self.last,
             cls=0,
             tenant=tenant,
@@ -253,7 +260,7 @@
 
     def orders(self, plan: Plan, request: GraphqlRequest) -> list[Order]:
         """The parts as requests to the core. Raises Rejected where one lacks its key."""
-        due = request.sent + request.timeout - MARGIN
+        due = request.sent + request.timeout - RESPONSE_MARGIN_MS
         return [
             Order(
                 part=part,
@@ -269,7 +276,7 @@
             for number, part in enumerate(plan.parts)
         ]
 
-    def message(self, plan: Plan, number: int, request: GraphqlRequest) -> Message:
+    def message(self, plan: Plan, number: int, request: GraphqlRequest) -> UpstreamRequest:
         part = plan.parts[number]
         lines = [
             f"POST {self.settings.path} HTTP/1.1\r\nHost: backend.local\r\n".encode(),
@@ -287,7 +294,7 @@
                 lines.append(b"Tenant: %b\r\n" % name)
         body = json.dumps({"query": part.document, "variables": part.variables}).encode()
         lines.append(b"Content-Length: %d\r\n" % len(body))
-        return Message(b"".join(lines), body)
+        return UpstreamRequest(b"".join(lines), body)
 
     def local(
         self, plan: Plan, operation: OperationDefinitionNode, document: Any, asked: Asked
--- a/badgercart/frontends/graphql/log_events.py
+++ b/badgercart/frontends/graphql/log_events.py
@@ -4,15 +4,15 @@
 
 import logging
 
-from badgercart.core.log_events import event
+from badgercart.core.log_events import define_event
 
-LISTENING = event(
+LISTENING = define_event(
     "graphql.listening",
     logging.INFO,
     "GraphQL listens on %(host)s:%(port)d%(path)s",
     "The front takes connections.",
 )
-PLAN_FAILED = event(
+PLAN_FAILED = define_event(
     "graphql.plan_failed",
     logging.WARNING,
     "a GraphQL request could not be planned",
--- a/badgercart/frontends/graphql/outcomes.py
+++ b/badgercart/frontends/graphql/outcomes.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgercart.core.results import result_of
+from badgercart.core.results import attempt_result
 from badgercart.policy.events import AttemptResult
 
 # The request itself is at fault: wherever it goes the answer is the same, and no server is the
@@ -37,7 +37,7 @@
 
 def read_reply(status: int, not_started: bool, body: bytes, keys: set[str]) -> Reply:
     """A reply to a part that asked for these response keys."""
-    whole = result_of(status, not_started)
+    whole = attempt_result(status, not_started)
     if whole is AttemptResult.FULL:
         return Reply(AttemptResult.FULL, False, None, [])
     parsed = _object(body)
--- a/badgercart/frontends/http/clients.py
+++ b/badgercart/frontends/http/clients.py
@@ -14,9 +14,9 @@
 from badgercart.config import Address
 from badgercart.core import read_buffer as reading
 from badgercart.core.clock import now_ms
-from badgercart.core.memory_budget import HOLD, MemoryBudget
-from badgercart.core.ports import Answer
-from badgercart.core.streams import Opening, Sink, Upload, nothing
+from badgercart.core.memory_budget import MAX_BUFFERED_MESSAGE_BYTES, MemoryBudget
+from badgercart.core.ports import UpstreamResponse
+from badgercart.core.streams import ResponseHeaderSection, ResponseSink, Upload, do_nothing
 from badgercart.frontends.http.connection import Connection, State
 from badgercart.frontends.http.connection_eviction import GREETING, makes_room
 from badgercart.frontends.http.log_events import ACCEPT_FAILED
@@ -359,7 +359,7 @@
         self.listener = listener
         self.request_id = 0  # the number of the request under way; 0: none
         # Of an answer that goes on as it comes: whom to tell of room, and of the client's end.
-        self.on_room = self.on_lost = nothing
+        self.on_room = self.on_lost = do_nothing
 
     # From the transport.
 
@@ -387,7 +387,7 @@
 
     def withdraw(self, upload: Upload | None) -> None:
         """Nothing is owed here any more."""
-        on_lost, self.on_lost, self.on_room = self.on_lost, nothing, nothing
+        on_lost, self.on_lost, self.on_room = self.on_lost, do_nothing, do_nothing
         on_lost()
         if self.request_id:
             request_id, self.request_id = self.request_id, 0
@@ -398,10 +398,10 @@
             upload.abandon()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return reading.buffer()
+        return reading.get_read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.machine.received(reading.taken(nbytes), self.listener.loop.time())
+        self.machine.received(reading.copy_read_bytes(nbytes), self.listener.loop.time())
 
     def pause_writing(self) -> None:
         self.machine.unread()
@@ -430,13 +430,13 @@
     def client_is_gone(self) -> bool:
         return self.transport.is_closing() or self.left()
 
-    def on_answer(self, answer: Answer) -> None:
+    def on_response(self, answer: UpstreamResponse) -> None:
         self.request_id = 0
         self.machine.answer(
             self.listener.loop.time(), answer.status, answer.body, answer.content_type, b""
         )
 
-    def on_response_started(self, opening: Opening) -> Sink:
+    def on_response_started(self, opening: ResponseHeaderSection) -> ResponseSink:
         self.request_id = 0
         self.transport.set_write_buffer_limits(high=self.window())
         self.machine.begin_answer(self.listener.loop.time(), opening)
@@ -444,18 +444,18 @@
 
     # An answer that goes on as it comes.
 
-    def watch(self, on_room: Callable[[], None], on_lost: Callable[[], None]) -> None:
+    def set_callbacks(self, on_room: Callable[[], None], on_lost: Callable[[], None]) -> None:
         self.on_room, self.on_lost = on_room, on_lost
 
-    def part(self, data: bytes) -> bool:
+    def write_body(self, data: bytes) -> bool:
         return self.machine.go_on(data)
 
-    def done(self) -> None:
-        self.on_room = self.on_lost = nothing
+    def finish_body(self) -> None:
+        self.on_room = self.on_lost = do_nothing
         self.machine.finish_answer(self.listener.loop.time())
 
-    def broken(self) -> None:
-        self.on_room = self.on_lost = nothing
+    def abort_body(self) -> None:
+        self.on_room = self.on_lost = do_nothing
         self.transport.abort()
 
     def on_shed(self, wait: float) -> None:
@@ -491,10 +491,18 @@
         return self.listener.room is not None
 
     def hold(self) -> int:
-        return HOLD if self.listener.room is None else self.listener.room.hold
+        return (
+            MAX_BUFFERED_MESSAGE_BYTES
+            if self.listener.room is None
+            else self.listener.room.message_limit_bytes
+        )
 
     def window(self) -> int:
-        return HOLD if self.listener.room is None else self.listener.room.window
+        return (
+            MAX_BUFFERED_MESSAGE_BYTES
+            if self.listener.room is None
+            else self.listener.room.stream_window_bytes
+        )
 
     def later(self, call: Callable[[], None]) -> None:
         self.listener.loop.call_soon(call)
--- a/badgercart/frontends/http/connection.py
+++ b/badgercart/frontends/http/connection.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from badgercart.core.streams import Opening, Upload
+from badgercart.core.streams import ResponseHeaderSection, Upload
 from badgercart.frontends.http.requests import (
     MAX_REQUEST,
     OWN,
@@ -28,7 +28,13 @@
     Item,
     Page,
 )
-from badgercart.upstream.exchange import MAX_BODY, MAX_BULK, MAX_HEAD, OWS, over_framed
+from badgercart.upstream.exchange import (
+    MAX_BODY_BYTES,
+    MAX_HEADER_SECTION_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    OPTIONAL_WHITESPACE,
+    max_framed_bytes,
+)
 
 MAX_WAITING = 8  # requests sent ahead on one connection, after which it is read no further
 SLICE = 4096  # bytes parsed at a time: what is read at once may hold hundreds of requests
@@ -187,7 +193,7 @@
         if (
             not self.stalled
             or self.state is State.CLOSED
-            or (self.upload is not None and self.upload.full)
+            or (self.upload is not None and self.upload.is_full)
         ):
             return
         self.stalled = False
@@ -317,7 +323,7 @@
                 # it holds this frame, and this frame it: both would wait for the cyclic collector
                 del cause
             else:
-                if self.size > MAX_HEAD:
+                if self.size > MAX_HEADER_SECTION_BYTES:
                     self.check_size()
         self.backlog = b"" if self.ended else data[at:]
         if not self.backlog:
@@ -327,9 +333,9 @@
             self.side.pause()
 
     def check_size(self) -> None:
-        most = over_framed(self.headers.got) if self.side.bulk else MAX_REQUEST
+        most = max_framed_bytes(self.headers.got) if self.side.bulk else MAX_REQUEST
         if not self.headers.whole:
-            self.refuse(431, f"the head is over {MAX_HEAD} bytes")
+            self.refuse(431, f"the head is over {MAX_HEADER_SECTION_BYTES} bytes")
         elif self.size > most:
             self.refuse(413, f"the request is over {most} bytes")
 
@@ -371,11 +377,11 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         headers = self.headers
         headers.size += len(name) + len(value) + 4
-        if headers.size > MAX_HEAD:
-            raise BadRequest(431, f"the headers are over {MAX_HEAD} bytes")
+        if headers.size > MAX_HEADER_SECTION_BYTES:
+            raise BadRequest(431, f"the headers are over {MAX_HEADER_SECTION_BYTES} bytes")
         if headers.whole:  # trailers come here too: they must not pass for headers
             return
-        lower, value = name.lower(), value.strip(OWS)
+        lower, value = name.lower(), value.strip(OPTIONAL_WHITESPACE)
         if (read := READ.get(lower)) is not None:
             read(headers, value)
         if lower not in OWN:
@@ -402,7 +408,7 @@
     @property
     def most(self) -> int:
         """Bytes of a body."""
-        return MAX_BULK if self.side.bulk else MAX_BODY
+        return MAX_STREAMED_BODY_BYTES if self.side.bulk else MAX_BODY_BYTES
 
     def on_body(self, body: bytes) -> None:
         headers = self.headers
@@ -422,7 +428,7 @@
         headers, side = self.headers, self.side
         length = None if headers.coding is not None else headers.length
         self.upload = Upload(length, side.window)
-        self.upload.on_room = lambda: side.later(self.room_again)
+        self.upload.on_space = lambda: side.later(self.room_again)
         headers.upload = self.upload
         item = self.take_in()
         if not isinstance(item, ClientRequest):
@@ -528,18 +534,18 @@
 
     # Answers that go out as they come.
 
-    def begin_answer(self, now: float, opening: Opening) -> None:
+    def begin_answer(self, now: float, opening: ResponseHeaderSection) -> None:
         if self.state is State.CLOSED:
             return
         self.now = now
         request, self.request = self.request, None
         old = request is not None and request.old
         self.release(request)
-        self.chunks = opening.length is None and not old
-        self.keep = self.keeps() and not (old and opening.length is None)
+        self.chunks = opening.body_length is None and not old
+        self.keep = self.keeps() and not (old and opening.body_length is None)
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunks else b""
-        if opening.length is not None:
-            framing = b"Content-Length: %d\r\n" % opening.length
+        if opening.body_length is not None:
+            framing = b"Content-Length: %d\r\n" % opening.body_length
         if opening.content_type:
             framing += b"Content-Type: %b\r\n" % opening.content_type
         if not self.keep:
--- a/badgercart/frontends/http/frontend.py
+++ b/badgercart/frontends/http/frontend.py
@@ -8,8 +8,8 @@
 from collections.abc import Mapping
 
 from badgercart.config import Config
-from badgercart.core.clock import MARGIN
-from badgercart.core.descriptors import Descriptors
+from badgercart.core.clock import RESPONSE_MARGIN_MS
+from badgercart.core.descriptors import DescriptorBudget
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.memory_budget import MemoryBudget, budget_bytes
 from badgercart.core.ports import IncomingRequest
@@ -47,7 +47,7 @@
         self.join = join
         self.roster = roster
         self.stopping = False
-        ledger = Descriptors.of(config.sockets, config.console is not None, parts)
+        ledger = DescriptorBudget.for_limit(config.sockets, config.console is not None, parts)
         self.room = clients, servers = ledger.split(share)
         self.bulk = MemoryBudget(budget_bytes(config.memory_mb))
         self.pool = ServerPool(
@@ -66,23 +66,23 @@
     def take(self, client: ClientConnection, request: ClientRequest) -> None:
         client.request_id = self.join.next_request_id()
         upload = request.message.upload
-        whole = upload is None or upload.whole
+        whole = upload is None or upload.complete
         intake = IncomingRequest(
             class_index=request.cls,
             tenant=request.tenant,
             key=request.key,
-            deadline=self.due(request) if whole else math.inf,
+            deadline_ms=self.due(request) if whole else math.inf,
             payload=request.message,
             expected_work_ms=request.hint,
             is_client_retry=request.repeat,
             request_name=request.name,
             complete=whole,
-            response_window_ms=request.timeout - MARGIN,
+            response_window_ms=request.timeout - RESPONSE_MARGIN_MS,
         )
         self.join.accept(client.request_id, intake, client, self.pool)
 
     def due(self, request: ClientRequest) -> float:
-        return request.sent + request.timeout - MARGIN
+        return request.sent + request.timeout - RESPONSE_MARGIN_MS
 
     def whole(self, client: ClientConnection, request: ClientRequest) -> None:
         self.join.request_completed(client.request_id, self.due(request))
@@ -102,14 +102,14 @@
         them."""
         self.config = config
         self.listener.read = platform_requests(config, streams=True)
-        self.pool.retune(config.dial_timeout, config.idle_timeout)
+        self.pool.set_timeouts(config.dial_timeout, config.idle_timeout)
 
     def keep_to(self, part: float) -> None:
         """Hold only this part of the descriptors, from now on."""
         clients, servers = (max(int(room * part), min(LEAST, room)) for room in self.room)
-        self.bulk.total = int(budget_bytes(self.config.memory_mb) * part)
+        self.bulk.total_bytes = int(budget_bytes(self.config.memory_mb) * part)
         self.listener.keep_to(clients)
-        self.pool.keep_to(servers)
+        self.pool.set_max_connections(servers)
 
     async def drain(self, until: float) -> None:
         """Take what still comes and answer all that is held, until then (ms) at most."""
--- a/badgercart/frontends/http/log_events.py
+++ b/badgercart/frontends/http/log_events.py
@@ -4,28 +4,28 @@
 
 import logging
 
-from badgercart.core.log_events import event
+from badgercart.core.log_events import define_event
 
-LISTENING = event(
+LISTENING = define_event(
     "http.listening",
     logging.INFO,
     "%(name)s listens on %(host)s:%(port)d",
     "The front takes connections.",
 )
-STOPPING = event(
+STOPPING = define_event(
     "http.stopping",
     logging.INFO,
     "stopping: %(held)d requests held",
     "SIGTERM: what still comes is taken for 0.6 s, and all that is held is answered.",
 )
-HANDING_OVER = event(
+HANDING_OVER = define_event(
     "http.handing_over",
     logging.INFO,
     "handing over: %(held)d requests held on %(connections)d connections",
     "SIGTERM where the platform holds the socket: the next process takes the new connections, and this one "
     "answers on those that it has.",
 )
-ACCEPT_FAILED = event(
+ACCEPT_FAILED = define_event(
     "http.accept_failed",
     logging.WARNING,
     "can't accept: %(error)s",
--- a/badgercart/frontends/http/requests.py
+++ b/badgercart/frontends/http/requests.py
@@ -18,9 +18,11 @@
 from badgercart.core.clock import now_ms
 from badgercart.core.requests import Classifier, InvalidRequestError
 from badgercart.core.streams import Upload
-from badgercart.upstream.exchange import MAX_BODY, MAX_HEAD, Message
+from badgercart.upstream.exchange import MAX_BODY_BYTES, MAX_HEADER_SECTION_BYTES, UpstreamRequest
 
-MAX_REQUEST = MAX_HEAD + 2 * MAX_BODY  # bytes of a whole request, the framing of its body included
+MAX_REQUEST = (
+    MAX_HEADER_SECTION_BYTES + 2 * MAX_BODY_BYTES
+)  # bytes of a whole request, the framing of its body included
 MAX_WHY = 200  # characters of a reason that go into an answer
 
 PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
@@ -44,7 +46,7 @@
 class ClientRequest:
     """A checked request."""
 
-    message: Message
+    message: UpstreamRequest
     name: bytes  # its Request-Id
     cls: int
     tenant: int
@@ -179,18 +181,22 @@
         if not url.startswith(b"/"):
             url = origin_form(url)
         try:
-            found = classifier.read(method, url, headers.request_id, headers.tenant, headers.key)
+            found = classifier.classify(
+                method, url, headers.request_id, headers.tenant, headers.key
+            )
         except InvalidRequestError as error:
-            allow = b"Allow: %b\r\n" % error.allow if error.allow else b""
+            allow = b"Allow: %b\r\n" % error.allowed_method if error.allowed_method else b""
             raise BadRequest(error.status, str(error), allow) from None
-        if upload is not None and upload.length is None:
+        if upload is not None and upload.body_length is None:
             headers.lines.append(b"Transfer-Encoding: chunked\r\n")
         elif method == b"POST":
-            length = len(body) if upload is None or upload.length is None else upload.length
+            length = (
+                len(body) if upload is None or upload.body_length is None else upload.body_length
+            )
             headers.lines.append(b"Content-Length: %d\r\n" % length)
         head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.lines))
         return ClientRequest(
-            message=Message(head, body if upload is None else b"", upload, streams),
+            message=UpstreamRequest(head, body if upload is None else b"", upload, streams),
             name=found.request_name,
             cls=found.class_index,
             tenant=found.tenant,
--- a/badgercart/frontends/processor/description.py
+++ b/badgercart/frontends/processor/description.py
@@ -64,7 +64,7 @@
         if method is None or target is None:
             raise InvalidRequestError(400, "no :method or no :path")
         names = self.names
-        found = self.classifier.read(
+        found = self.classifier.classify(
             method,
             target,
             _first(headers, names.request_id),
--- a/badgercart/frontends/processor/machine.py
+++ b/badgercart/frontends/processor/machine.py
@@ -29,9 +29,9 @@
 from typing import Any
 
 from badgercart.config import parse_address
-from badgercart.core.clock import MARGIN
+from badgercart.core.clock import RESPONSE_MARGIN_MS
 from badgercart.core.endpoint_table import DiscoveredEndpoint, EndpointTable
-from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest, TimerHandle
+from badgercart.core.ports import AttemptRequest, IncomingRequest, TimerHandle, UpstreamResponse
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.core.requests import InvalidRequestError
 from badgercart.frontends.processor.account import Account, Proxy, Standing
@@ -135,7 +135,7 @@
         self.proxy = proxy
         self.stream: Stream | None = stream  # the one that its present attempt is on
         self.number = 0  # the join's
-        self.due = now + described.timeout - MARGIN
+        self.due = now + described.timeout - RESPONSE_MARGIN_MS
         self.refusable = calls.refusable[described.cls]
         self.order: AttemptRequest | None = None
         self.sent = 0.0
@@ -147,7 +147,7 @@
 
     # As the join's front.
 
-    def on_answer(self, answer: Answer) -> None:
+    def on_response(self, answer: UpstreamResponse) -> None:
         self.calls.over(self, Immediate(409, why="already answered"))
 
     def on_shed(self, wait: float) -> None:
@@ -248,7 +248,7 @@
             class_index=described.cls,
             tenant=described.tenant,
             key=described.key,
-            deadline=call.due,
+            deadline_ms=call.due,
             payload=call,
             expected_work_ms=described.hint,
             is_client_retry=described.repeat,
@@ -267,7 +267,7 @@
         """Request headers that can't be used: no server hears of them."""
         if stream.at is not At.FRESH:
             raise Illegal(f"request headers {stream.at.value}")
-        stream.decide(Immediate(error.status, why=str(error), allow=error.allow))
+        stream.decide(Immediate(error.status, why=str(error), allow=error.allowed_method))
 
     def again(self, call: Call, stream: Stream, now: float) -> None:
         """The proxy comes back with a further attempt: first the end of the one before, then a
@@ -386,7 +386,7 @@
             self.leave(call, tried)
             unharmed = harmless(True, call.refusable) or phase.status not in (429, 503)
             return Pass() if unharmed else Pass(502)
-        answer = None if end.by_proxy else Answer(phase.status)
+        answer = None if end.by_proxy else UpstreamResponse(phase.status)
         self.end_attempt(call, end.result, answer, parked=True)
         if call.step is Step.OVER:
             return Pass()
@@ -477,7 +477,11 @@
             return None
 
     def end_attempt(
-        self, call: Call, result: AttemptResult, answer: Answer | None = None, parked: bool = False
+        self,
+        call: Call,
+        result: AttemptResult,
+        answer: UpstreamResponse | None = None,
+        parked: bool = False,
     ) -> None:
         """Tell the join how the attempt that is out ended."""
         if call.step is not Step.OUT or call.order is None:
@@ -526,7 +530,7 @@
         if self.open.get(name) is call:
             del self.open[name]
         self.finals.pop(name, None)
-        self.finals[name] = (call.due + MARGIN, final)
+        self.finals[name] = (call.due + RESPONSE_MARGIN_MS, final)
         if len(self.finals) > self.settings.max_finals:
             self.finals.popitem(last=False)
 
--- a/badgercart/frontends/processor/outcomes.py
+++ b/badgercart/frontends/processor/outcomes.py
@@ -13,7 +13,7 @@
 
 from dataclasses import dataclass
 
-from badgercart.core.results import result_of
+from badgercart.core.results import attempt_result
 from badgercart.policy.events import NOT_EXECUTED, AttemptResult
 
 VIA_UPSTREAM = "via_upstream"
@@ -151,7 +151,7 @@
 
 
 def _whole(phase: Phase) -> AttemptResult:
-    result = result_of(phase.status, phase.not_started)
+    result = attempt_result(phase.status, phase.not_started)
     return AttemptResult.ERROR if result is AttemptResult.FULL and phase.attempts > 1 else result
 
 
--- a/badgercart/hot_restart/log_events.py
+++ b/badgercart/hot_restart/log_events.py
@@ -4,33 +4,33 @@
 
 import logging
 
-from badgercart.core.log_events import event
+from badgercart.core.log_events import define_event
 
-BESIDE = event(
+BESIDE = define_event(
     "upgrade.beside",
     logging.INFO,
     "another process of this node lives: this one keeps to half of the limits",
     "An upgrade is under way. It ends with `alone again`.",
 )
-ALONE = event(
+ALONE = define_event(
     "upgrade.alone",
     logging.INFO,
     "alone again: the limits are this process's",
     "The other process has ended, as planned or not.",
 )
-LEARNED = event(
+LEARNED = define_event(
     "upgrade.learned",
     logging.INFO,
     "goes on with what the process before it learned of %(servers)d servers",
     "It knows what the fleet can do from its first request on.",
 )
-LEARNED_SPOILT = event(
+LEARNED_SPOILT = define_event(
     "upgrade.learned_spoilt",
     logging.WARNING,
     "%(path)s is not used: %(error)s",
     "The process begins with nothing learned, as after any start.",
 )
-LEARNED_UNKEPT = event(
+LEARNED_UNKEPT = define_event(
     "upgrade.learned_unkept",
     logging.WARNING,
     "what was learned can't be kept in %(path)s: %(error)s",
--- a/badgercart/metrics/exposition.py
+++ b/badgercart/metrics/exposition.py
@@ -20,14 +20,14 @@
 )
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
-from badgercart.core.metric_registry import Kind, MetricRegistry
+from badgercart.core.metric_registry import MetricKind, MetricRegistry
 from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.policy.settings import RequestClass
 
 CONTENT_TYPE = CONTENT_TYPE_LATEST.encode()
 MAX_BUCKETS = 20
 OBJECTIVE_SHARES = (0.1, 0.25, 0.5, 0.75, 1.0)  # of each class's latency objective, as bounds
-FAMILIES = {Kind.COUNTER: CounterMetricFamily, Kind.GAUGE: GaugeMetricFamily}
+FAMILIES = {MetricKind.COUNTER: CounterMetricFamily, MetricKind.GAUGE: GaugeMetricFamily}
 
 
 def bucket_bounds_s(classes: Sequence[RequestClass]) -> tuple[float, ...]:
@@ -60,7 +60,7 @@
         """Yield the families of all registered metrics."""
         for metric in self._registry.metrics.values():
             labels = [metric.label] if metric.label else []
-            family = FAMILIES[metric.kind](metric.name, metric.about, labels=labels)
+            family = FAMILIES[metric.kind](metric.name, metric.description, labels=labels)
             for value, reading in metric.values().items():
                 family.add_metric([value] if metric.label else [], reading)
             yield family
--- a/badgercart/metrics/log_events.py
+++ b/badgercart/metrics/log_events.py
@@ -4,9 +4,9 @@
 
 import logging
 
-from badgercart.core.log_events import event
+from badgercart.core.log_events import define_event
 
-LISTENING = event(
+LISTENING = define_event(
     "metrics.listening",
     logging.INFO,
     "metrics listen on %(host)s:%(port)d",
--- a/badgercart/upstream/exchange.py
+++ b/badgercart/upstream/exchange.py
@@ -12,77 +12,83 @@
 
 import httptools
 
-from badgercart.core.memory_budget import HOLD
-from badgercart.core.ports import Answer
-from badgercart.core.streams import Opening, Upload
-
-MAX_BODY = 65536  # bytes of a body where nothing passes through as it comes
-MAX_BULK = 64 << 20  # bytes of one that does
-MAX_HEAD = 16384  # bytes of status line and headers, those of interim answers included
-MAX_ANSWER = MAX_HEAD + 2 * MAX_BODY  # bytes of a whole answer, the framing of its body included
+from badgercart.core.memory_budget import MAX_BUFFERED_MESSAGE_BYTES
+from badgercart.core.ports import UpstreamResponse
+from badgercart.core.streams import ResponseHeaderSection, Upload
+
+MAX_BODY_BYTES = 65536  # bytes of a body where nothing passes through as it comes
+MAX_STREAMED_BODY_BYTES = 64 << 20  # bytes of one that does
+MAX_HEADER_SECTION_BYTES = (
+    16384  # bytes of status line and headers, those of interim answers included
+)
+MAX_RESPONSE_BYTES = (
+    MAX_HEADER_SECTION_BYTES + 2 * MAX_BODY_BYTES
+)  # bytes of a whole answer, the framing of its body included
 # bytes of framing for each byte of a long body: chunks of one byte have 5, and extensions more
-MAX_FRAMING = 32
-MAX_INTERIM = 8  # answers 1xx ahead of the final one
-OWS = b" \t"  # may stand behind a field's value, and is no part of it (RFC 9110, section 5.5)
+MAX_FRAMING_RATIO = 32
+MAX_INTERIM_RESPONSES = 8  # answers 1xx ahead of the final one
+OPTIONAL_WHITESPACE = (
+    b" \t"  # may stand behind a field's value, and is no part of it (RFC 9110, section 5.5)
+)
 
 
 @dataclass(slots=True)
-class Message:
+class UpstreamRequest:
     """A request as it goes on: all but its time-out, which each attempt writes anew."""
 
-    head: bytes  # request line and header lines
+    header_section: bytes  # request line and header lines
     body: bytes
     upload: Upload | None = None  # the body, where it goes on as it comes
-    streams: bool = False  # whether its answer may
+    may_stream_response: bool = False  # whether its answer may
 
 
-class State(IntEnum):  # hashed for every request: as numbers, that costs nothing
+class ExchangeState(IntEnum):  # hashed for every request: as numbers, that costs nothing
     """What is expected of the server."""
 
     IDLE = 0  # nothing: bytes that come now could pass for the next answer
-    ASKED = 1  # an answer
-    OVER = 2  # nothing ever: the connection is of no more use
+    AWAITING_RESPONSE = 1  # an answer
+    CLOSED = 2  # nothing ever: the connection is of no more use
 
 
-MOVES: dict[State, frozenset[State]] = {
-    State.IDLE: frozenset((State.ASKED, State.OVER)),
-    State.ASKED: frozenset((State.IDLE, State.OVER)),
-    State.OVER: frozenset(),
+TRANSITIONS: dict[ExchangeState, frozenset[ExchangeState]] = {
+    ExchangeState.IDLE: frozenset((ExchangeState.AWAITING_RESPONSE, ExchangeState.CLOSED)),
+    ExchangeState.AWAITING_RESPONSE: frozenset((ExchangeState.IDLE, ExchangeState.CLOSED)),
+    ExchangeState.CLOSED: frozenset(),
 }
 
 
-def over_framed(got: int) -> int:
+def max_framed_bytes(body_bytes: int) -> int:
     """Bytes of a message, with so much of its body, beyond which its framing is no framing any
     more."""
-    return 2 * MAX_HEAD + (1 + MAX_FRAMING) * got
+    return 2 * MAX_HEADER_SECTION_BYTES + (1 + MAX_FRAMING_RATIO) * body_bytes
 
 
-def illegal(old: State, new: State) -> RuntimeError:
+def illegal_transition(old: ExchangeState, new: ExchangeState) -> RuntimeError:
     return RuntimeError(f"a server's connection can't go from {old.name} to {new.name}")
 
 
 @dataclass(slots=True)
-class Done:
+class CompleteResponse:
     """The answer came whole; where it had begun to go on, `answer` has no body."""
 
-    answer: Answer
+    response: UpstreamResponse
     not_started: bool
-    keep: bool  # whether the connection can carry the next request
+    reusable: bool  # whether the connection can carry the next request
 
 
 @dataclass(slots=True)
-class Malformed:
+class MalformedResponse:
     """What came is no answer: why."""
 
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
-class Unasked:
+class UnexpectedData:
     """Something came though nothing was asked."""
 
 
-Found = Done | Malformed | Unasked
+ExchangeResult = CompleteResponse | MalformedResponse | UnexpectedData
 
 
 class Exchange:
@@ -92,135 +98,156 @@
     time: then `begin` gives its head, and `pass_on` what has come of its body since."""
 
     __slots__ = (
-        "__weakref__", "begun", "body", "chunked", "coding", "complete", "content_type", "got", "hold",
-        "interim", "keep", "length", "not_started", "parser", "size", "state", "stray", "streams", "upload",
-        "whole_head",
+        "__weakref__", "body", "body_bytes", "body_length", "chunked", "complete", "content_type", "has_trailing_data",
+        "has_transfer_coding", "headers_complete", "interim_responses", "keep_alive", "may_stream",
+        "message_limit_bytes", "not_started", "parser", "response_bytes", "state", "streaming", "upload",
     )  # fmt: skip
 
     def __init__(self) -> None:
-        self.state = State.IDLE
+        self.state = ExchangeState.IDLE
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.body = bytearray()
-        self.size = 0  # bytes of the answer so far
-        self.got = 0  # of its body
-        self.interim = 0
-        self.whole_head = False
+        self.response_bytes = 0  # bytes of the answer so far
+        self.body_bytes = 0  # of its body
+        self.interim_responses = 0
+        self.headers_complete = False
         self.not_started = False
         self.content_type = b""
         self.complete = False
-        self.keep = False
-        self.stray = False  # bytes came after the answer
-        self.length: int | None = None  # of the body, where it is told
-        self.chunked = self.coding = False
-        self.streams = self.begun = False  # whether the answer may go on as it comes, and does
-        self.hold: Callable[[], int] = lambda: HOLD  # how much of an answer may be held now
+        self.keep_alive = False
+        self.has_trailing_data = False  # bytes came after the answer
+        self.body_length: int | None = None  # of the body, where it is told
+        self.chunked = self.has_transfer_coding = False
+        self.may_stream = self.streaming = (
+            False  # whether the answer may go on as it comes, and does
+        )
+        self.message_limit_bytes: Callable[[], int] = (
+            lambda: MAX_BUFFERED_MESSAGE_BYTES
+        )  # how much of an answer may be held now
         self.upload: Upload | None = None
 
-    def ask(self, message: Message, left: float) -> bytes:
+    def start_request(self, request: UpstreamRequest, remaining_ms: float) -> bytes:
         """The bytes of a request whose attempt has so many ms left; of one that comes in, its
         head."""
-        if State.ASKED not in MOVES[self.state]:
-            raise illegal(self.state, State.ASKED)
-        self.state = State.ASKED
-        self.complete = self.whole_head = self.begun = False
+        if ExchangeState.AWAITING_RESPONSE not in TRANSITIONS[self.state]:
+            raise illegal_transition(self.state, ExchangeState.AWAITING_RESPONSE)
+        self.state = ExchangeState.AWAITING_RESPONSE
+        self.complete = self.headers_complete = self.streaming = False
         self.body.clear()  # what is left of the answer before must not pass for this one's
-        self.size = self.interim = self.got = 0
-        self.streams, self.upload = message.streams, message.upload
-        return b"%bRequest-Timeout: %dm\r\n\r\n%b" % (message.head, max(1, int(left)), message.body)
+        self.response_bytes = self.interim_responses = self.body_bytes = 0
+        self.may_stream, self.upload = request.may_stream_response, request.upload
+        return b"%bRequest-Timeout: %dm\r\n\r\n%b" % (
+            request.header_section,
+            max(1, int(remaining_ms)),
+            request.body,
+        )
 
-    def upload_bytes(self) -> bytes:
+    def read_upload(self) -> bytes:
         """What has come of the request's body since, in its framing; the end of it, too."""
         assert self.upload is not None
         data = self.upload.read()
-        if self.upload.length is not None:
+        if self.upload.body_length is not None:
             return data
         chunk = b"%x\r\n%b\r\n" % (len(data), data) if data else b""
-        return chunk + b"0\r\n\r\n" if self.upload.ended else chunk
+        return chunk + b"0\r\n\r\n" if self.upload.exhausted else chunk
 
-    def received(self, data: bytes) -> Found | None:
+    def receive(self, data: bytes) -> ExchangeResult | None:
         """What has come of it; None while the answer is not whole."""
-        if self.state is not State.ASKED:
+        if self.state is not ExchangeState.AWAITING_RESPONSE:
             self.close()
-            return Unasked()
+            return UnexpectedData()
         assert self.parser is not None
-        self.size += len(data)
+        self.response_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             if not self.complete:
-                return self.malformed(str(error.__context__ or error))
-            self.stray = True
+                return self.reject_response(str(error.__context__ or error))
+            self.has_trailing_data = True
         except httptools.HttpParserUpgrade:
-            return self.malformed("an upgrade")
+            return self.reject_response("an upgrade")
         if self.complete:
-            return self.done(self.keep and not self.stray)
-        if not self.whole_head and self.size > MAX_HEAD:
-            return self.malformed("its head is over the limit")
-        if self.size > (over_framed(self.got) if self.streams else MAX_ANSWER):
-            return self.malformed("over the limit")
+            return self.complete_response(self.keep_alive and not self.has_trailing_data)
+        if not self.headers_complete and self.response_bytes > MAX_HEADER_SECTION_BYTES:
+            return self.reject_response("its head is over the limit")
+        if self.response_bytes > (
+            max_framed_bytes(self.body_bytes) if self.may_stream else MAX_RESPONSE_BYTES
+        ):
+            return self.reject_response("over the limit")
         return None
 
-    def ended(self) -> Found | None:
+    def receive_eof(self) -> ExchangeResult | None:
         """The server has ended its side: the end of an answer that has no other; None where it is
         none."""
         if (
-            self.state is not State.ASKED
-            or not self.whole_head
+            self.state is not ExchangeState.AWAITING_RESPONSE
+            or not self.headers_complete
             or self.chunked
-            or self.length is not None
+            or self.body_length is not None
         ):
             return None
-        return self.done(False)
+        return self.complete_response(False)
 
-    def done(self, keep: bool) -> Done:
+    def complete_response(self, reusable: bool) -> CompleteResponse:
         assert self.parser is not None
-        answer = Answer(self.parser.get_status_code(), bytes(self.body), self.content_type)
+        response = UpstreamResponse(
+            self.parser.get_status_code(), bytes(self.body), self.content_type
+        )
         # What is left of the request would pass for the next one.
-        keep = keep and (self.upload is None or self.upload.ended)
-        self.state = State.IDLE if keep else State.OVER  # ASKED moves to either
-        return Done(answer, self.not_started, keep)
+        reusable = reusable and (self.upload is None or self.upload.exhausted)
+        self.state = (
+            ExchangeState.IDLE if reusable else ExchangeState.CLOSED
+        )  # ASKED moves to either
+        return CompleteResponse(response, self.not_started, reusable)
 
     @property
-    def opening(self) -> bool:
+    def must_stream(self) -> bool:
         """Whether the answer goes on as it comes from here: it has begun, and can't be held
         whole."""
-        if not self.streams or self.begun or not self.body or self.state is not State.ASKED:
+        if (
+            not self.may_stream
+            or self.streaming
+            or not self.body
+            or self.state is not ExchangeState.AWAITING_RESPONSE
+        ):
             return False
-        return len(self.body) > self.hold() or (
-            self.length is not None and self.length > self.hold()
+        return len(self.body) > self.message_limit_bytes() or (
+            self.body_length is not None and self.body_length > self.message_limit_bytes()
         )
 
     @property
-    def may_open(self) -> bool:
+    def can_stream(self) -> bool:
         """Whether it could, though it need not."""
         return (
-            self.streams
-            and self.whole_head
-            and not self.begun
+            self.may_stream
+            and self.headers_complete
+            and not self.streaming
             and bool(self.body)
-            and self.length is None
+            and self.body_length is None
         )
 
-    def begin(self) -> Opening:
+    def start_streaming(self) -> ResponseHeaderSection:
         assert self.parser is not None
-        self.begun = True
-        return Opening(self.parser.get_status_code(), self.content_type, self.length)
+        self.streaming = True
+        return ResponseHeaderSection(
+            self.parser.get_status_code(), self.content_type, self.body_length
+        )
 
-    def pass_on(self) -> bytes:
+    def take_body(self) -> bytes:
         """What has come of the body and was not passed on yet."""
         data = bytes(self.body)
         self.body.clear()
         return data
 
-    def malformed(self, why: str) -> Malformed:
+    def reject_response(self, reason: str) -> MalformedResponse:
         self.close()
-        return Malformed(why)
+        return MalformedResponse(reason)
 
     def close(self) -> None:
         """The connection is gone or of no more use. Told again, it changes nothing."""
-        self.state = State.OVER  # which any state may move to
+        self.state = ExchangeState.CLOSED  # which any state may move to
 
-    def unlink(self) -> None:
+    def release_parser(self) -> None:
         """Part parser and machine, which refer to each other: both would wait for the cyclic
         collector."""
         self.parser = None
@@ -229,26 +256,26 @@
 
     def on_message_begin(self) -> None:
         if self.complete:
-            self.stray = True
+            self.has_trailing_data = True
             return
         self.body.clear()
-        self.not_started = self.chunked = self.coding = False
-        self.length = None
+        self.not_started = self.chunked = self.has_transfer_coding = False
+        self.body_length = None
         self.content_type = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.complete or self.whole_head:  # trailers must not pass for headers
+        if self.complete or self.headers_complete:  # trailers must not pass for headers
             return
-        lower, raw, value = name.lower(), value, value.strip(OWS)
+        lower, raw, value = name.lower(), value, value.strip(OPTIONAL_WHITESPACE)
         if lower == b"content-length":
-            self.length = int(value)
-            if self.length > (MAX_BULK if self.streams else MAX_BODY):
+            self.body_length = int(value)
+            if self.body_length > (MAX_STREAMED_BODY_BYTES if self.may_stream else MAX_BODY_BYTES):
                 raise ValueError(
                     "a length over the limit"
                 )  # before the body comes, which may never end
         elif lower == b"transfer-encoding":
             # The parser takes it for chunked with spaces behind it, not with a tab.
-            self.coding, self.chunked = True, raw.rstrip(b" ").lower() == b"chunked"
+            self.has_transfer_coding, self.chunked = True, raw.rstrip(b" ").lower() == b"chunked"
         elif lower == b"not-started":
             self.not_started = value == b"1"
         elif lower == b"content-type":
@@ -257,8 +284,8 @@
     def on_body(self, body: bytes) -> None:
         if self.complete:
             return
-        self.got += len(body)
-        if self.got > (MAX_BULK if self.streams else MAX_BODY):
+        self.body_bytes += len(body)
+        if self.body_bytes > (MAX_STREAMED_BODY_BYTES if self.may_stream else MAX_BODY_BYTES):
             raise ValueError("a body over the limit")  # reaches `received` as a parser error
         self.body += body
 
@@ -266,19 +293,21 @@
         if self.complete or self.parser is None:
             return
         status = self.parser.get_status_code()
-        self.whole_head = status >= 200
-        if self.whole_head:
-            if self.coding and not self.chunked:
+        self.headers_complete = status >= 200
+        if self.headers_complete:
+            if self.has_transfer_coding and not self.chunked:
                 raise ValueError("a coding that is not spoken here")
-            self.streams = self.streams and status == 200  # nothing else is passed on as it comes
+            self.may_stream = (
+                self.may_stream and status == 200
+            )  # nothing else is passed on as it comes
 
     def on_message_complete(self) -> None:
         if self.complete or self.parser is None:
             return
-        if not self.whole_head:
-            self.interim += 1
-            if self.interim > MAX_INTERIM:
+        if not self.headers_complete:
+            self.interim_responses += 1
+            if self.interim_responses > MAX_INTERIM_RESPONSES:
                 raise ValueError("too many interim answers")
             return
         self.complete = True
-        self.keep = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
--- a/badgercart/upstream/log_events.py
+++ b/badgercart/upstream/log_events.py
@@ -4,15 +4,15 @@
 
 import logging
 
-from badgercart.core.log_events import event
+from badgercart.core.log_events import define_event
 
-MALFORMED_ANSWER = event(
+MALFORMED_ANSWER = define_event(
     "pool.malformed_answer",
     logging.WARNING,
     "server %(server)s: malformed answer: %(why)s",
     "What came is no HTTP answer, or over a limit; the attempt counts as an error. Look at that server.",
 )
-NO_DESCRIPTORS = event(
+NO_DESCRIPTORS = define_event(
     "pool.no_descriptors",
     logging.WARNING,
     "no descriptors left for a connection to %(server)s",
--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -22,7 +22,7 @@
 from badgercart.capture.replay import find_segments, replay
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.writer import CaptureWriter
-from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
+from badgercart.core.ports import AttemptRequest, IncomingRequest, UpstreamResponse
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import AttemptResult, EndpointUpdate, UpdateKind
@@ -71,7 +71,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None: ...
+    def on_response(self, answer: UpstreamResponse) -> None: ...
 
     def abandon_attempt(self, request_id: int, number: int) -> None: ...
 
@@ -88,7 +88,7 @@
             intake = IncomingRequest(0, 0, number % 500 + 1, self.now + 1300.0, None)
             self.join.accept(self.join.next_request_id(), intake, self, self)
             if (order := self.order) is not None:
-                answer = Answer(200)
+                answer = UpstreamResponse(200)
                 self.join.attempt_ended(
                     order.request_id,
                     order.attempt,
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -266,7 +266,7 @@
         def client_is_gone(self) -> bool:
             return False
 
-        def on_answer(self, answer: Any) -> None: ...
+        def on_response(self, answer: Any) -> None: ...
         def on_shed(self, wait: float) -> None: ...
         def on_failure(self, broken: bool) -> None: ...
         def send(self, order: Any) -> None:
@@ -277,7 +277,7 @@
         def abandon_attempt(self, request_id: int, number: int) -> None: ...
 
     from badgercart.core.endpoint_table import EndpointTable
-    from badgercart.core.ports import Answer, IncomingRequest
+    from badgercart.core.ports import IncomingRequest, UpstreamResponse
     from badgercart.policy.events import AttemptResult
 
     class NoTimers:
@@ -307,7 +307,7 @@
                 join.accept(request_id, intake, nobody, nobody)
                 order = nobody.order
                 join.attempt_ended(
-                    request_id, 0, order.endpoint_id, AttemptResult.OK, 50.0, Answer(200)
+                    request_id, 0, order.endpoint_id, AttemptResult.OK, 50.0, UpstreamResponse(200)
                 )
             best = min(best, (time.perf_counter() - start) / 2000)
         found[count] = best * 1e6
--- a/lab/model.py
+++ b/lab/model.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from badgercart.cluster.timing import SwimTiming
-from badgercart.core.ports import Answer, IncomingRequest
+from badgercart.core.ports import IncomingRequest, UpstreamResponse
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import EndpointUpdate, UpdateKind
@@ -69,7 +69,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None:
+    def on_response(self, answer: UpstreamResponse) -> None:
         if self.final():
             self.world.served(self)
 
--- a/lab/wire.py
+++ b/lab/wire.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import Any
 
-from badgercart.core.ports import Answer, AttemptRequest
+from badgercart.core.ports import AttemptRequest, UpstreamResponse
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.actions import HealthCheck
 from badgercart.policy.events import AttemptResult, HealthCheckResult
@@ -17,7 +17,7 @@
 from lab.servers import Server, Work
 from lab.settings import Day
 
-ANSWER = Answer(200)
+ANSWER = UpstreamResponse(200)
 MAX_IDLE = 64  # idle connections kept from a node to a server
 
 
@@ -75,7 +75,7 @@
 
     def join(self, join: RequestPipeline) -> None:
         self.told = join
-        join.perform[HealthCheck] = self.probe
+        join.action_handlers[HealthCheck] = self.probe
 
     def close(self) -> None:
         """The node has died: nothing comes back to it."""
--- a/tests/app/test_golden.py
+++ b/tests/app/test_golden.py
@@ -17,7 +17,7 @@
 from badgercart.app.cli import main
 from badgercart.app.render import _tables as tables
 from badgercart.app.render import settings_table
-from badgercart.core.log_events import TABLE
+from badgercart.core.log_events import LOG_EVENTS
 from tests.app.test_file import GOOD, ROOT
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -87,7 +87,7 @@
             importlib.import_module(module.name)
     told = [
         f"{e.name} {logging.getLevelName(e.level)} {e.words}\n    {e.meaning}\n"
-        for e in TABLE.values()
+        for e in LOG_EVENTS.values()
     ]
     held_to("events.txt", "".join(sorted(told)))
 
--- a/tests/app/test_logs.py
+++ b/tests/app/test_logs.py
@@ -126,15 +126,15 @@
 def test_a_flood_of_one_warning_is_one_line_with_a_count() -> None:
     read, write, odd = *os.pipe(), events.LIST_KNOWN_MALFORMED
     with sink(write) as made:
-        sparse = next(f for f in made.filters if isinstance(f, events.Sparse))
+        sparse = next(f for f in made.filters if isinstance(f, events.RepeatedWarningFilter))
         for number in range(500):
             tell(odd, error=number)
         assert sparse.seen[odd.words][1] == 499
         sparse.seen[odd.words] = (0.0, 499)  # as if it were long ago
         tell(odd, error=500)
-        for number in range(events.MAX_SEEN + 10):
+        for number in range(events.MAX_TRACKED_MESSAGES + 10):
             log.warning(f"odd {number}")
-        assert len(sparse.seen) == events.MAX_SEEN
+        assert len(sparse.seen) == events.MAX_TRACKED_MESSAGES
     os.close(write)
     first, again, *_ = written(read)
     assert first["error"] == 0
@@ -144,12 +144,12 @@
 def test_every_event_stands_once_in_the_table_and_on_a_page_with_words_for_its_fields() -> None:
     registry.load_events()
     pages = "".join(page.read_text() for page in (ROOT / "docs" / "operators").glob("*.md"))
-    for name, event in events.TABLE.items():
+    for name, event in events.LOG_EVENTS.items():
         assert re.fullmatch(r"[a-z]+\.[a-z_]+", name)
         assert event.meaning.endswith(".")
         assert f"| `{name}` |" in pages
     with pytest.raises(ValueError, match="two events list.taken"):
-        events.event("list.taken", logging.INFO, "", "")
+        events.define_event("list.taken", logging.INFO, "", "")
     used = "".join(path.read_text() for path in (ROOT / "badgercart").rglob("*.py"))
     calls = set(re.findall(r"\blog(?:ger)?\.(?:info|warning|error|exception|debug)\(", used))
     assert not calls  # all go through the table
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -11,7 +11,13 @@
 
 from badgercart.app.file import Installation
 from badgercart.app.site import Application
-from badgercart.core.metric_registry import MAX_LABELS, OTHER, Kind, Metric, MetricRegistry
+from badgercart.core.metric_registry import (
+    MAX_LABEL_VALUES,
+    OTHER_LABEL_VALUE,
+    Metric,
+    MetricKind,
+    MetricRegistry,
+)
 from badgercart.frontends.http.component import HttpSettings
 from badgercart.metrics.component import MetricsSettings
 from badgercart.metrics.exposition import MAX_BUCKETS, bucket_bounds_s
@@ -82,11 +88,11 @@
 
 def test_open_labels_are_bounded_and_names_are_checked() -> None:
     told = {f"proxy-{n}": float(n) for n in range(500)}
-    found = Metric("a_total", "", Kind.COUNTER, lambda: told, "proxy").values()
-    assert len(found) == MAX_LABELS
+    found = Metric("a_total", "", MetricKind.COUNTER, lambda: told, "proxy").values()
+    assert len(found) == MAX_LABEL_VALUES
     assert sum(found.values()) == sum(told.values())
     assert found["proxy-499"] == 499.0
-    assert OTHER in found
+    assert OTHER_LABEL_VALUE in found
     meters = MetricRegistry()
     meters.gauge("a", "", lambda: 1.0)
     for name, words in (("a", "two figures"), ("no name", "no name of a figure")):
--- a/tests/bulk/test_room.py
+++ b/tests/bulk/test_room.py
@@ -6,10 +6,10 @@
 from hypothesis import strategies as st
 
 from badgercart.core.memory_budget import (
-    HOLD,
-    LEAST_HOLD,
-    LEAST_WINDOW,
-    WINDOW,
+    MAX_BUFFERED_MESSAGE_BYTES,
+    MAX_STREAM_WINDOW_BYTES,
+    MIN_BUFFERED_MESSAGE_BYTES,
+    MIN_STREAM_WINDOW_BYTES,
     MemoryBudget,
     budget_bytes,
 )
@@ -22,12 +22,18 @@
 ) -> None:
     room = MemoryBudget(budget_bytes(memory_mb))
     for _ in range(messages):
-        room.held += room.hold
-    room.streams = streams
-    assert room.held <= room.total // 2 + messages * LEAST_HOLD
+        room.buffered_bytes += room.message_limit_bytes
+    room.stream_count = streams
+    assert room.buffered_bytes <= room.total_bytes // 2 + messages * MIN_BUFFERED_MESSAGE_BYTES
     # A window, and what was read at once beyond it.
-    assert streams * room.window <= room.total // 4 + streams * LEAST_WINDOW
-    assert LEAST_HOLD <= room.hold <= HOLD and LEAST_WINDOW <= room.window <= WINDOW
+    assert (
+        streams * room.stream_window_bytes
+        <= room.total_bytes // 4 + streams * MIN_STREAM_WINDOW_BYTES
+    )
+    assert (
+        MIN_BUFFERED_MESSAGE_BYTES <= room.message_limit_bytes <= MAX_BUFFERED_MESSAGE_BYTES
+        and MIN_STREAM_WINDOW_BYTES <= room.stream_window_bytes <= MAX_STREAM_WINDOW_BYTES
+    )
 
 
 @given(st.lists(st.one_of(st.binary(min_size=1, max_size=50), st.none()), max_size=30))
@@ -40,17 +46,17 @@
         nonlocal rooms
         rooms += 1
 
-    upload.on_room = room
+    upload.on_space = room
     for step in steps:
         if step is None:
-            waits = upload.size
+            waits = upload.buffered_bytes
             got += upload.read()
-            assert upload.size == 0 and rooms == bool(waits)
+            assert upload.buffered_bytes == 0 and rooms == bool(waits)
             rooms = 0
-            assert upload.spent is bool(got)
+            assert upload.consumed is bool(got)
         else:
             given_ += step
-            assert upload.feed(step) is (upload.size < 64)
+            assert upload.feed(step) is (upload.buffered_bytes < 64)
     upload.finish()
-    assert not upload.ended or not upload.parts
-    assert bytes(got + upload.read()) == bytes(given_) and upload.ended
+    assert not upload.exhausted or not upload.chunks
+    assert bytes(got + upload.read()) == bytes(given_) and upload.exhausted
--- a/tests/bulk/test_streams.py
+++ b/tests/bulk/test_streams.py
@@ -9,14 +9,14 @@
 
 import pytest
 
-from badgercart.core.memory_budget import HOLD, MemoryBudget
+from badgercart.core.memory_budget import MAX_BUFFERED_MESSAGE_BYTES, MemoryBudget
 from badgercart.frontends.http import clients
 from badgercart.policy.events import AttemptEnded, AttemptResult, RequestCompleted, ResponseStarted
 from badgercart.policy.settings import Settings
 from badgercart.upstream import connection_pool as pool_module
 from tests.net import WAIT, Client, Peer, Stand, config, field, request, run, running
 
-LONG = random.Random(5).randbytes(5 * HOLD + 321)
+LONG = random.Random(5).randbytes(5 * MAX_BUFFERED_MESSAGE_BYTES + 321)
 
 
 def framed(body: bytes, chunk: int) -> bytes:
@@ -96,7 +96,9 @@
                 assert await body_of(client.reader, head) == LONG
                 assert isinstance(await stand.event(ResponseStarted), ResponseStarted)
                 assert (await stand.outcome()).result is AttemptResult.OK
-                assert stand.node.front.bulk.streams == stand.node.front.bulk.held == 0
+                assert (
+                    stand.node.front.bulk.stream_count == stand.node.front.bulk.buffered_bytes == 0
+                )
                 if field(head, b"Connection") == b"close":
                     client = await stand.client()
                 if form in ("length", "chunks", "interim"):  # the connection is used again
@@ -135,7 +137,7 @@
             client.writer.write(request())
             reader, writer = await server.call()
             await head_of(reader)
-            writer.write(ANSWERS[form][: 3 * HOLD])
+            writer.write(ANSWERS[form][: 3 * MAX_BUFFERED_MESSAGE_BYTES])
             head = await head_of(client.reader)
             writer.transport.abort()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -205,22 +207,24 @@
         async with running(server) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             head, body = upload(form, timeout="5000m")
-            client.writer.write(head + body[: 2 * HOLD])
+            client.writer.write(head + body[: 2 * MAX_BUFFERED_MESSAGE_BYTES])
             reader, writer = await server.call()
             got = await head_of(reader)
             assert await asyncio.wait_for(
-                reader.readexactly(HOLD), WAIT
+                reader.readexactly(MAX_BUFFERED_MESSAGE_BYTES), WAIT
             )  # though the rest has not come
             (attempt,) = stand.node.pool.attempts.values()
             assert attempt.timer is None and not stand.node.join.policy.overload.concurrency.current
-            client.writer.write(body[2 * HOLD :])
+            client.writer.write(body[2 * MAX_BUFFERED_MESSAGE_BYTES :])
             assert isinstance(await stand.event(RequestCompleted), RequestCompleted)
             rest = (
-                await asyncio.wait_for(reader.readexactly(len(body) - HOLD), WAIT)
+                await asyncio.wait_for(
+                    reader.readexactly(len(body) - MAX_BUFFERED_MESSAGE_BYTES), WAIT
+                )
                 if form == "length"
                 else b""
             )
-            assert rest == LONG[HOLD:] or form == "chunks"
+            assert rest == LONG[MAX_BUFFERED_MESSAGE_BYTES:] or form == "chunks"
             while attempt.timer is None:
                 await asyncio.sleep(0)
             assert stand.node.join.policy.overload.concurrency.current == 1
@@ -258,10 +262,10 @@
             async with running(gone, server, attempts=3, seed=seed) as stand:  # type: ignore[arg-type]
                 client = await stand.client()
                 head, body = upload("length")
-                client.writer.write(head + body[: 2 * HOLD])
+                client.writer.write(head + body[: 2 * MAX_BUFFERED_MESSAGE_BYTES])
                 reader, writer = await server.call()
                 await head_of(reader)
-                await reader.readexactly(HOLD)
+                await reader.readexactly(MAX_BUFFERED_MESSAGE_BYTES)
                 writer.transport.abort()  # before the request's last byte: it never ran
                 status, answer_head, _ = await client.answer()
                 assert (status, field(answer_head, b"Connection")) == (503, b"close")
@@ -287,7 +291,7 @@
         async with running(server) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             head, body = upload("length")
-            client.writer.write(head + body[: HOLD // 16])
+            client.writer.write(head + body[: MAX_BUFFERED_MESSAGE_BYTES // 16])
             reader, _ = await server.call()
             assert await client.end() == b""
             await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
@@ -306,9 +310,9 @@
         async with running(server, settings=allowed) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             head, _ = upload("chunks")
-            client.writer.write(head + framed(LONG, 999)[: 2 * HOLD])
+            client.writer.write(head + framed(LONG, 999)[: 2 * MAX_BUFFERED_MESSAGE_BYTES])
             reader, _ = await server.call()
-            await reader.readexactly(HOLD)
+            await reader.readexactly(MAX_BUFFERED_MESSAGE_BYTES)
             if way == "spoilt":
                 client.writer.write(b"\r\nno chunk\r\n" * 200)
                 assert await client.end() == b""
@@ -325,8 +329,8 @@
 def test_a_server_that_stands_still_in_the_middle_is_given_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(pool_module, "SILENCE", 50.0)
-    monkeypatch.setattr(pool_module, "SWEEP", 0.01)
+    monkeypatch.setattr(pool_module, "SERVER_STALL_TIMEOUT_MS", 50.0)
+    monkeypatch.setattr(pool_module, "SCAN_INTERVAL_S", 0.01)
 
     async def test() -> None:
         server = await Raw().start()
@@ -335,7 +339,7 @@
             client.writer.write(request())
             reader, writer = await server.call()
             await head_of(reader)
-            writer.write(ANSWERS["length"][:HOLD])
+            writer.write(ANSWERS["length"][:MAX_BUFFERED_MESSAGE_BYTES])
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await body_of(client.reader, await head_of(client.reader))
             assert (await stand.outcome()).result is AttemptResult.TIMEOUT
@@ -368,13 +372,15 @@
                 client.writer.transport.pause_reading()
                 readers.append((client, head))
             room: MemoryBudget = stand.node.front.bulk
-            paused = lambda: [c for c in stand.node.pool.connections if c.paused]  # noqa: E731
+            paused = lambda: [c for c in stand.node.pool.connections if c.read_paused]  # noqa: E731
             async with asyncio.timeout(WAIT):
                 while len(paused()) < count:
                     await asyncio.sleep(0.01)
             waits = [c.transport.get_write_buffer_size() for c in stand.node.listener.connections]
             # Each is ahead of its reader by its window and what was read at once at most.
-            assert room.streams == count and sum(waits) <= count * (room.window + 2 * 65536)
+            assert room.stream_count == count and sum(waits) <= count * (
+                room.stream_window_bytes + 2 * 65536
+            )
             for task in gives:
                 task.cancel()
             for client, _ in readers:
--- a/tests/capture/support.py
+++ b/tests/capture/support.py
@@ -10,7 +10,7 @@
 
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.writer import CaptureWriter
-from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
+from badgercart.core.ports import AttemptRequest, IncomingRequest, UpstreamResponse
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import AttemptResult, EndpointUpdate, UpdateKind
@@ -96,7 +96,7 @@
         self.clockwork.call_later(took / 1000, self.end, order, result, took)
 
     def end(self, order: AttemptRequest, result: AttemptResult, took: float) -> None:
-        answer = Answer(200) if result is AttemptResult.OK else None
+        answer = UpstreamResponse(200) if result is AttemptResult.OK else None
         self.join.attempt_ended(
             order.request_id, order.attempt, order.endpoint_id, result, took, answer
         )
@@ -110,7 +110,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None:
+    def on_response(self, answer: UpstreamResponse) -> None:
         self.answers += 1
 
     def on_shed(self, wait: float) -> None:
--- a/tests/core/test_join.py
+++ b/tests/core/test_join.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from badgercart.core.clock import MARGIN
+from badgercart.core.clock import RESPONSE_MARGIN_MS
 from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import AttemptRequest, IncomingRequest
 from badgercart.core.request_pipeline import RequestPipeline
@@ -116,7 +116,7 @@
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request(timeout="3000m")))[0] == 200
             left = field(await peer.requests.get(), b"Request-Timeout")
-            assert left is not None and int(left[:-1]) <= 3000 - MARGIN
+            assert left is not None and int(left[:-1]) <= 3000 - RESPONSE_MARGIN_MS
 
     run(test())
 
@@ -210,8 +210,8 @@
             client = await stand.client()
             client.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            stand.node.join.end(stand.node.join.last_id, broken=False)
-            stand.node.pool.cancel(stand.node.join.last_id, 0)
+            stand.node.join.fail_request(stand.node.join.last_request_id, internal_error=False)
+            stand.node.pool.cancel(stand.node.join.last_request_id, 0)
             assert (await client.answer())[0] == 502
             outcome: AttemptEnded = await stand.outcome()
             assert outcome.completed and outcome.result == AttemptResult.CANCELLED
--- a/tests/distribution/test_golden.py
+++ b/tests/distribution/test_golden.py
@@ -18,7 +18,7 @@
 import pytest
 from click.testing import CliRunner
 
-from badgercart.core.log_events import TABLE
+from badgercart.core.log_events import LOG_EVENTS
 from badgercart.distribution import commands, log_events
 from badgercart.distribution.driver import Runtime
 from badgercart.distribution.effects import Persist, PersistSnapshot, RecoveredState
@@ -330,7 +330,7 @@
 def test_events_are_called_and_worded_as_ever() -> None:
     said = [
         f"{event.name} {event.level} {event.words}\n"
-        for event in TABLE.values()
+        for event in LOG_EVENTS.values()
         if event.name.startswith(f"{log_events.LISTENING.name.partition('.')[0]}.")
     ]
     assert "".join(sorted(said)) == (GOLDEN / "events.txt").read_text()
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -108,7 +108,7 @@
                 await scene.gate.reached()
             else:
                 await asyncio.wait_for(peer.requests.get(), WAIT)
-                while where is HALF and not stand.node.pool.room.held:
+                while where is HALF and not stand.node.pool.memory_budget.buffered_bytes:
                     await asyncio.sleep(0)
             await end(scene)
             expected = answers[list(CLASSES).index(cls)]
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -16,7 +16,13 @@
 import uvloop
 
 from badgercart.admin.listener import MAX_CONNECTIONS
-from badgercart.core.descriptors import DISCOVERY, FILES, LISTENERS, PROGRAM, Descriptors
+from badgercart.core.descriptors import (
+    DISCOVERY_DESCRIPTORS,
+    LISTENER_DESCRIPTORS,
+    PROGRAM_DESCRIPTORS,
+    REGULAR_FILE_DESCRIPTORS,
+    DescriptorBudget,
+)
 from badgercart.discovery.backoff import MOST as MOST_CALLS
 from badgercart.upstream import connection_pool as pools
 from tests.net import WAIT, Agent, Client, Peer, request, run, running
@@ -41,7 +47,7 @@
 
 def test_discovery_has_as_many_as_it_may_open() -> None:
     """All its calls are out when it moves to another address."""
-    assert DISCOVERY == 2 * MOST_CALLS + 1
+    assert DISCOVERY_DESCRIPTORS == 2 * MOST_CALLS + 1
 
 
 # Told more than the system lets it hold, or told less: it goes by what is less.
@@ -79,11 +85,17 @@
             node.port = int((await node.line(r"listens on 127\.0\.0\.1:(\d+)"))[1])
             door = int((await node.line(r"console.*127\.0\.0\.1:(\d+)"))[1])
             at_rest = held(process.pid)
-            assert at_rest <= PROGRAM + LISTENERS + DISCOVERY + FILES
-            clients, _ = Descriptors.of(LIMIT, console=True).split()
+            assert (
+                at_rest
+                <= PROGRAM_DESCRIPTORS
+                + LISTENER_DESCRIPTORS
+                + DISCOVERY_DESCRIPTORS
+                + REGULAR_FILE_DESCRIPTORS
+            )
+            clients, _ = DescriptorBudget.for_limit(LIMIT, admin=True).split()
             crowd = await idle(node.port, IDLE)
             async with asyncio.timeout(WAIT):
-                while held(process.pid) < at_rest + clients - DISCOVERY:
+                while held(process.pid) < at_rest + clients - DISCOVERY_DESCRIPTORS:
                     await asyncio.sleep(0.001)
             callers = await idle(door, CALLERS)
 
@@ -133,7 +145,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One that makes room for another holds its descriptor until it is closed."""
-    monkeypatch.setattr(pools, "REST", 0.0)
+    monkeypatch.setattr(pools, "REUSE_DELAY_MS", 0.0)
     dial = uvloop.Loop.create_connection
 
     async def test() -> None:
@@ -151,7 +163,7 @@
 
                     async def counted(self: Any, *args: Any, **more: Any) -> Any:
                         nonlocal most
-                        most = max(most, len(pool.connections) + pool.dials)
+                        most = max(most, len(pool.connections) + pool.connecting)
                         return await dial(self, *args, **more)
 
                     monkeypatch.setattr(uvloop.Loop, "create_connection", counted)
--- a/tests/ends/test_drain.py
+++ b/tests/ends/test_drain.py
@@ -71,7 +71,7 @@
             await asyncio.sleep(0)
             client.writer.write(data[40:])
             event = await stand.event(Request)
-            assert event.deadline == stand.node.join.shutdown_deadline
+            assert event.deadline == stand.node.join.shutdown_deadline_ms
             assert (await client.answer())[0] == 503
             await asyncio.wait_for(ending, WAIT)
 
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from badgercart.core.memory_budget import HOLD, WINDOW
+from badgercart.core.memory_budget import MAX_BUFFERED_MESSAGE_BYTES, MAX_STREAM_WINDOW_BYTES
 from badgercart.frontends.http.connection import MAX_WAITING
 from badgercart.policy import overload
 from badgercart.policy.events import AttemptEnded, Event, Request, TimerFired
@@ -101,14 +101,14 @@
     def go_on_dialled(self) -> None:
         """They leave in the moment in which a connection to the server is up, before it is written
         on."""
-        put_on = ServerPool.put_on
+        put_on = ServerPool.begin_attempt
 
         def dialled(pool: ServerPool, attempt: Any, connection: ServerConnection) -> None:
-            self.monkeypatch.setattr(ServerPool, "put_on", put_on)
+            self.monkeypatch.setattr(ServerPool, "begin_attempt", put_on)
             self.go()
             put_on(pool, attempt, connection)
 
-        self.monkeypatch.setattr(ServerPool, "put_on", dialled)
+        self.monkeypatch.setattr(ServerPool, "begin_attempt", dialled)
 
     async def ready(self) -> None:
         """Connections stand idle, under both names of the server: what is sent again goes to the
@@ -186,7 +186,7 @@
 
 
 async def while_a_connection_comes_up(scene: Scene) -> None:
-    while scene.node.pool.close_an_idle_one():
+    while scene.node.pool.close_longest_idle():
         pass
     scene.go_on_dialled()
     scene.connect().sendall(request())
@@ -195,7 +195,7 @@
 
 async def while_a_connection_rests(scene: Scene) -> None:
     """Every one has just had an answer."""
-    scene.monkeypatch.setattr(pools, "REST", 50.0)
+    scene.monkeypatch.setattr(pools, "REUSE_DELAY_MS", 50.0)
     scene.go_on_dialled()
     scene.connect().sendall(request())
     await scene.stand.event(Request)
@@ -241,7 +241,7 @@
         await connect(pool, attempt)
 
     scene.monkeypatch.setattr(ServerPool, "connect", gated)
-    while scene.node.pool.close_an_idle_one():
+    while scene.node.pool.close_longest_idle():
         pass
     for _ in range(MANY):
         scene.connect().sendall(request())
@@ -296,7 +296,7 @@
     sock.sendall(whole[-1000:])
 
 
-async def behind_a_slow_upload(scene: Scene, size: int = 3 * WINDOW) -> None:
+async def behind_a_slow_upload(scene: Scene, size: int = 3 * MAX_STREAM_WINDOW_BYTES) -> None:
     """Its server reads nothing of it for now. It begins with the last byte, which must not come."""
     taken, read_on = asyncio.Event(), asyncio.Event()
 
@@ -316,7 +316,7 @@
     server = await asyncio.start_server(serve, sock=small_listener(), limit=4096)
     for name in pool.servers.values():
         name.address = server.sockets[0].getsockname()
-    while pool.close_an_idle_one():
+    while pool.close_longest_idle():
         pass
     made = ServerConnection.connection_made
 
@@ -327,13 +327,13 @@
 
     scene.monkeypatch.setattr(ServerConnection, "connection_made", small)
     sock = scene.connect()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * WINDOW)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * MAX_STREAM_WINDOW_BYTES)
     sock.setblocking(False)
     loop = asyncio.get_running_loop()
     sending = asyncio.ensure_future(loop.sock_sendall(sock, request("book", body=b"x" * size)))
     await asyncio.wait_for(taken.wait(), WAIT)
     await asyncio.wait_for(sending, WAIT)  # the system has taken all of it
-    if size > 2 * WINDOW:
+    if size > 2 * MAX_STREAM_WINDOW_BYTES:
         while not scene.node.listener.unheard:
             await asyncio.sleep(0)
         scene.go()  # its end lies behind what the node does not read now
@@ -351,12 +351,12 @@
 
 
 async def behind_an_upload_that_came_in_whole_and_in_part_went_on(scene: Scene) -> None:
-    await behind_a_slow_upload(scene, WINDOW + HOLD)
+    await behind_a_slow_upload(scene, MAX_STREAM_WINDOW_BYTES + MAX_BUFFERED_MESSAGE_BYTES)
 
 
 async def behind_an_upload_that_came_in_whole(scene: Scene) -> None:
     """All of it was read, and waits here for its server."""
-    await behind_a_slow_upload(scene, HOLD + 40_000)
+    await behind_a_slow_upload(scene, MAX_BUFFERED_MESSAGE_BYTES + 40_000)
 
 
 def small_listener() -> socket.socket:
@@ -408,7 +408,7 @@
     monkeypatch: pytest.MonkeyPatch, case: Case, leave: Leave, may_cancel: bool
 ) -> None:
     monkeypatch.setattr(
-        pools, "REST", 0.0
+        pools, "REUSE_DELAY_MS", 0.0
     )  # else each attempt on a connection in use waits for a turn
 
     async def test() -> None:
@@ -444,7 +444,7 @@
 
 def test_the_connection_that_is_not_needed_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     """New ones are dear: both are used by who comes next."""
-    monkeypatch.setattr(pools, "REST", 0.0)
+    monkeypatch.setattr(pools, "REUSE_DELAY_MS", 0.0)
 
     async def test() -> None:
         peer = await Peer().start()
@@ -452,11 +452,13 @@
             scene = Scene(stand, peer, close, monkeypatch)
             scene.stay = await stand.client()
             await scene.ready()
-            idle = [len(server.idle) for server in stand.node.pool.servers.values()]
+            idle = [len(server.idle_connections) for server in stand.node.pool.servers.values()]
             for _ in range(4):
                 await right_behind_its_request(scene)
                 await scene.last()
-            assert idle == [len(server.idle) for server in stand.node.pool.servers.values()]
+            assert idle == [
+                len(server.idle_connections) for server in stand.node.pool.servers.values()
+            ]
             assert sum(idle) == peer.connections >= 2
 
     run(test())
--- a/tests/ends/test_leaving.py
+++ b/tests/ends/test_leaving.py
@@ -10,7 +10,7 @@
 import pytest
 
 from badgercart.policy.events import AttemptResult, RequestCancelled
-from badgercart.upstream.attempts import hindrance
+from badgercart.upstream.attempts import result_if_blocked
 from badgercart.upstream.connection_pool import Attempt, ServerPool
 from tests.net import CLASSES, WAIT, Peer, config, held_back, request, run, running
 
@@ -71,7 +71,7 @@
                 while peer.requests.qsize():
                     peer.requests.get_nowait()
                 for server in stand.node.pool.servers.values():
-                    for connection in server.idle:
+                    for connection in server.idle_connections:
                         connection.transport.abort()
                 await asyncio.wait_for(peer.ended.get(), WAIT)
                 gate.close()
@@ -108,7 +108,7 @@
         async with running(peer, **settings(False)) as stand:
             client = await stand.client()
             client.writer.write(request())
-            while not stand.node.pool.dials:
+            while not stand.node.pool.connecting:
                 await asyncio.sleep(0)
             client.writer.close()
             assert (await stand.outcome()).result == AttemptResult.NOT_SENT
@@ -119,7 +119,7 @@
                 sock, _ = await asyncio.wait_for(loop.sock_accept(late), WAIT)
                 assert await asyncio.wait_for(loop.sock_recv(sock, 100), WAIT) == b""
                 sock.close()
-            assert not stand.node.pool.dials
+            assert not stand.node.pool.connecting
         late.close()
 
     run(test())
@@ -193,7 +193,7 @@
     for wanted in (True, False):
         for fit in (True, False):
             for left in (-1.0, 0.0, 1.0):
-                why = hindrance(wanted, fit, left)
+                why = result_if_blocked(wanted, fit, left)
                 assert (why is None) == (wanted and fit and left > 0)
                 assert why in (
                     None,
--- a/tests/ends/test_orders.py
+++ b/tests/ends/test_orders.py
@@ -19,14 +19,14 @@
 from hypothesis import strategies as st
 
 from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate, EndpointTable
-from badgercart.core.ports import Answer, IncomingRequest
+from badgercart.core.ports import IncomingRequest, UpstreamResponse
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import SettingsChanged, UpdateKind
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from badgercart.upstream import connection_pool as module
 from badgercart.upstream.connection_pool import ServerPool
-from badgercart.upstream.exchange import Message
+from badgercart.upstream.exchange import UpstreamRequest
 from tests.ends.virtual import Dial, Loop, Way
 
 CLASSES = (
@@ -82,7 +82,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None:
+    def on_response(self, answer: UpstreamResponse) -> None:
         assert answer.body.decode() in (f"r{self.number}", ""), "the answer of another"
         self.end("answered")
 
@@ -115,7 +115,7 @@
             64,
             self.join.attempt_ended,
             self.join.response_started,
-            wanted=self.join.in_flight.__contains__,
+            is_awaited=self.join.in_flight.__contains__,
         )
         self.roster = EndpointTable(None, self.join)  # type: ignore[arg-type]
         self.roster.on_change.append(self.pool.update)
@@ -158,7 +158,7 @@
         cls, patience = number % len(CLASSES), (60.0, 250.0, 600.0)[number // 7 % 3]
         request = self.join.next_request_id()
         owed = self.owed[request] = Owed(self, request, cls)
-        message = Message(b"GET /x HTTP/1.1\r\nRequest-Id: %d\r\n" % request, b"")
+        message = UpstreamRequest(b"GET /x HTTP/1.1\r\nRequest-Id: %d\r\n" % request, b"")
         due = self.join.clock() + patience
         self.join.accept(
             request, IncomingRequest(cls, 0, number % 5, due, message), owed, self.pool
@@ -260,12 +260,12 @@
         if not world.pool.attempts:
             break
         await asyncio.sleep(0.1)
-    assert not world.pool.attempts and not world.join.open_attempts and not world.pool.dials
+    assert not world.pool.attempts and not world.join.open_attempts and not world.pool.connecting
     servers = world.join.policy.fleet.endpoints.by_id.values()
     assert world.join.policy.overload.concurrency.current == 0 and not any(
         s.open_attempts or s.uploads for s in servers
     )
-    assert all(not server.out for server in world.pool.servers.values())
+    assert all(not server.open_attempts for server in world.pool.servers.values())
     return world
 
 
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_suspects.py
@@ -272,7 +272,7 @@
             if answers:
                 raw = writers[0].get_extra_info("socket")
                 socket.socket(fileno=os.dup(raw.fileno())).sendall(OK)
-            left = attempt.deadline / 1000 - time.monotonic()
+            left = attempt.deadline_ms / 1000 - time.monotonic()
             time.sleep(left + 0.3)
             assert (await client.answer())[0] == (200 if answers else status)
             assert not stand.node.join.in_flight
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -394,4 +394,4 @@
 
 def test_the_descriptors_kept_for_discovery_are_enough() -> None:
     """For the calls that are open at once, and one that is just closing."""
-    assert descriptors.DISCOVERY >= MOST + 1
+    assert descriptors.DISCOVERY_DESCRIPTORS >= MOST + 1
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -18,7 +18,7 @@
 
 from badgercart.app.file import Installation
 from badgercart.app.site import Application
-from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
+from badgercart.core.ports import AttemptRequest, IncomingRequest, UpstreamResponse
 from badgercart.discovery.freshness import State
 from badgercart.policy.events import AttemptResult
 from standins.etcd import Etcd
@@ -72,7 +72,7 @@
             order.endpoint_id,
             AttemptResult.OK,
             1.0,
-            Answer(200),
+            UpstreamResponse(200),
         )
         self.join.timers.call_later(0, self.join.attempt_ended, *elapsed)
 
@@ -83,7 +83,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None: ...
+    def on_response(self, answer: UpstreamResponse) -> None: ...
 
     def on_shed(self, wait: float) -> None:
         self.refusals += 1
--- a/tests/frontends/test_connection.py
+++ b/tests/frontends/test_connection.py
@@ -21,7 +21,7 @@
     BadRequest,
     ClientRequest,
     Headers,
-    Message,
+    UpstreamRequest,
     platform_requests,
     problem,
 )
@@ -45,7 +45,7 @@
             raise BadRequest(400, headers.fault or "odd")
         name = headers.request_id or b""
         return ClientRequest(
-            Message(b"", body), name, 0, 0, stable_id(url), 0.0, 1000.0, 0.0, False
+            UpstreamRequest(b"", body), name, 0, 0, stable_id(url), 0.0, 1000.0, 0.0, False
         )
 
     def words(self, status: int, why: str) -> tuple[bytes, bytes]:
@@ -218,12 +218,12 @@
 def test_a_default_tenant_takes_requests_without_the_header_and_others_are_named() -> None:
     plain = replace(config(1), tenants={b"a": 0, b"b": 1})
     with pytest.raises(InvalidRequestError, match="no Tenant header, and no default_tenant is set"):
-        Classifier(plain).read(b"GET", b"/find/1", b"r", None, None)
+        Classifier(plain).classify(b"GET", b"/find/1", b"r", None, None)
     with pytest.raises(InvalidRequestError, match="there is no tenant 'x'"):
-        Classifier(plain).read(b"GET", b"/find/1", b"r", b"x", None)
+        Classifier(plain).classify(b"GET", b"/find/1", b"r", b"x", None)
     filled = replace(plain, default_tenant=b"b")
-    assert Classifier(filled).read(b"GET", b"/find/1", b"r", None, None).tenant == 1
-    assert Classifier(filled).read(b"GET", b"/find/1", b"r", b"a", None).tenant == 0
+    assert Classifier(filled).classify(b"GET", b"/find/1", b"r", None, None).tenant == 1
+    assert Classifier(filled).classify(b"GET", b"/find/1", b"r", b"a", None).tenant == 0
 
 
 def test_graphql_words_a_bad_request_as_an_error() -> None:
--- a/tests/frontends/test_golden.py
+++ b/tests/frontends/test_golden.py
@@ -10,8 +10,8 @@
 import pytest
 
 from badgercart.core.memory_budget import MemoryBudget
-from badgercart.core.ports import Answer
-from badgercart.core.streams import Opening
+from badgercart.core.ports import UpstreamResponse
+from badgercart.core.streams import ResponseHeaderSection
 from badgercart.frontends.graphql.requests import bad_request
 from badgercart.frontends.http.clients import ClientConnection, Listener
 from badgercart.frontends.http.requests import (
@@ -165,7 +165,7 @@
         assert not stand.taker.taken
         pieces[name] = stand.got()
     twice = Stand(words, streams).hear(head() + head())
-    twice.client.on_answer(Answer(200, b"one"))
+    twice.client.on_response(UpstreamResponse(200, b"one"))
     pieces["an id that is open"] = twice.got()
     late = Stand(words, streams).hear(head()[:40])
     late.client.machine.overdue(104.0)
@@ -176,14 +176,14 @@
 def answers(words: Words) -> dict[str, bytes]:
     pieces = {}
     for name, answer in {
-        "served": Answer(200, b"done", b"application/json"),
-        "served without type": Answer(200, b"done"),
-        "empty": Answer(204),
-        "the request's fault": Answer(404, b"no such ride", b"text/plain"),
-        "an unknown status": Answer(499, b"x"),
+        "served": UpstreamResponse(200, b"done", b"application/json"),
+        "served without type": UpstreamResponse(200, b"done"),
+        "empty": UpstreamResponse(204),
+        "the request's fault": UpstreamResponse(404, b"no such ride", b"text/plain"),
+        "an unknown status": UpstreamResponse(499, b"x"),
     }.items():
         stand = Stand(words).hear(head())
-        stand.client.on_answer(answer)
+        stand.client.on_response(answer)
         pieces[name] = stand.got()
     for wait in (0.0, 0.4, 250.0, 250.4, 1234.5678, 60_000.0):
         stand = Stand(words).hear(head())
@@ -206,7 +206,7 @@
         "an upgrade": head("GET /find/cab7 HTTP/1.1", "Connection: upgrade", "Upgrade: websocket"),
     }.items():
         stand = Stand().hear(data)
-        stand.client.on_answer(Answer(200, b"done"))
+        stand.client.on_response(UpstreamResponse(200, b"done"))
         pieces[name] = stand.got()
     stand = Stand().hear(head())
     stand.taker.stopping = True
@@ -214,7 +214,7 @@
     pieces["a node that stops"] = stand.got()
     stand = Stand().hear(head())
     stand.listener.limit = 0
-    stand.client.on_answer(Answer(200, b"done"))
+    stand.client.on_response(UpstreamResponse(200, b"done"))
     pieces["a crowd"] = stand.got()
     return pieces
 
@@ -237,16 +237,16 @@
     for version in ("1.1", "1.0"):
         for length in (None, 9):
             stand = Stand().hear(head(f"GET /find/cab7 HTTP/{version}"))
-            sink = stand.client.on_response_started(Opening(200, b"text/csv", length))
-            sink.part(b"a,b\n")
-            sink.part(b"")
-            sink.part(b"c,d\n\n")
-            sink.done()
+            sink = stand.client.on_response_started(ResponseHeaderSection(200, b"text/csv", length))
+            sink.write_body(b"a,b\n")
+            sink.write_body(b"")
+            sink.write_body(b"c,d\n\n")
+            sink.finish_body()
             pieces[f"HTTP/{version}, length {length}"] = stand.got()
     stand = Stand().hear(head())
-    sink = stand.client.on_response_started(Opening(200, b"", None))
-    sink.part(b"a")
-    sink.broken()
+    sink = stand.client.on_response_started(ResponseHeaderSection(200, b"", None))
+    sink.write_body(b"a")
+    sink.abort_body()
     pieces["broken off"] = stand.got()
     return pieces
 
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -216,7 +216,7 @@
 
 def test_at_the_limit_the_longest_idle_client_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        pool, "REST", 0.0
+        pool, "REUSE_DELAY_MS", 0.0
     )  # so many requests, one after the other, on one connection
 
     async def test() -> None:
@@ -504,10 +504,10 @@
             while not connection.machine.full:
                 await asyncio.sleep(0)
             assert connection in stand.node.listener.idle  # until it reads, or for KEEP_ALIVE
-            taken = stand.node.join.last_id
+            taken = stand.node.join.last_request_id
             for _ in range(50):
                 await asyncio.sleep(0)
-            assert stand.node.join.last_id == taken < 300
+            assert stand.node.join.last_request_id == taken < 300
             client.writer.transport.resume_reading()
             for _ in range(300):
                 assert (await client.answer())[2] == big
@@ -558,7 +558,7 @@
         async with running(await Peer().start()) as stand:
             assert (await (await stand.client()).ask(request()))[0] == 200
             (client,) = stand.node.listener.connections
-            (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle
+            (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle_connections
             for connection in (client, server):
                 sock = connection.transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart.core.ports import Answer
+from badgercart.core.ports import UpstreamResponse
 from badgercart.policy.events import AttemptResult
 from lab.arrivals import plan
 from lab.chance import draw, generator, uniform
@@ -215,8 +215,8 @@
     node.held[tried.id] = tried
     world.give_up(tried)
     assert watch.counts[1] == 1
-    tried.on_answer(Answer(200))
-    tried.on_answer(Answer(200))
+    tried.on_response(UpstreamResponse(200))
+    tried.on_response(UpstreamResponse(200))
     assert watch.counts[1] == 2
     work = Work(7, 1, 1, 0, 1.0, True, 100.0, lambda result: None)
     watch.effect(first, work)
--- a/tests/net.py
+++ b/tests/net.py
@@ -14,14 +14,14 @@
 
 from badgercart.config import Config
 from badgercart.core.identifiers import stable_id
-from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
+from badgercart.core.ports import AttemptRequest, IncomingRequest, UpstreamResponse
 from badgercart.core.request_pipeline import InFlightRequest
 from badgercart.discovery.component import Server
 from badgercart.frontends.http.clients import ClientConnection
 from badgercart.node import Node
 from badgercart.policy.events import AttemptEnded
 from badgercart.policy.settings import Idempotency, RequestClass, Settings
-from badgercart.upstream.exchange import Message
+from badgercart.upstream.exchange import UpstreamRequest
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 CLASSES = {
@@ -246,7 +246,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None: ...
+    def on_response(self, answer: UpstreamResponse) -> None: ...
 
     def on_shed(self, wait: float) -> None: ...
 
@@ -297,7 +297,11 @@
         )
         pool.send(
             AttemptRequest(
-                request_id, 0, stable_id(name.encode()), 5000.0, Message(request()[:-2], b"")
+                request_id,
+                0,
+                stable_id(name.encode()),
+                5000.0,
+                UpstreamRequest(request()[:-2], b""),
             )
         )
 
--- a/tests/processor/test_interleavings.py
+++ b/tests/processor/test_interleavings.py
@@ -309,7 +309,7 @@
 
 def follow(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     world = World(seed)
-    for name in ("on_answer", "on_shed", "on_failure"):
+    for name in ("on_response", "on_shed", "on_failure"):
         told = getattr(Call, name)
 
         def counted(self: Call, value: Any, told: Any = told, name: str = name) -> None:
@@ -329,7 +329,7 @@
             world.step()
         world.finish()
         assert sorted(world.ends) == list(
-            range(1, world.join.last_id + 1)
+            range(1, world.join.last_request_id + 1)
         ), "a call that never ended"
         assert all(len(ends) == 1 for ends in world.ends.values()), "a call that ended twice"
     except BaseException:
@@ -364,4 +364,8 @@
             world.calls.response(stream, Phase(200), None, world.clockwork.now)
         assert replies[1:] == [Pass()]
         world.calls.closed(stream, world.clockwork.now)
-        assert not world.join.open_attempts and not world.join.in_flight and machine.MARGIN > 0
+        assert (
+            not world.join.open_attempts
+            and not world.join.in_flight
+            and machine.RESPONSE_MARGIN_MS > 0
+        )
--- a/tests/upstream/test_exchange.py
+++ b/tests/upstream/test_exchange.py
@@ -7,8 +7,20 @@
 from hypothesis import strategies as st
 
 from badgercart.policy.events import AttemptResult
-from badgercart.upstream.attempts import ENDS, OVERDUE, At, check_end
-from badgercart.upstream.exchange import Done, Exchange, Malformed, Message, State, Unasked
+from badgercart.upstream.attempts import (
+    POSSIBLE_RESULTS,
+    TIMEOUT_RESULTS,
+    AttemptPhase,
+    check_result,
+)
+from badgercart.upstream.exchange import (
+    CompleteResponse,
+    Exchange,
+    ExchangeState,
+    MalformedResponse,
+    UnexpectedData,
+    UpstreamRequest,
+)
 
 ANSWERS = {
     b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone": (200, b"done", True),
@@ -25,41 +37,49 @@
 @given(st.sampled_from(list(ANSWERS)), st.lists(st.integers(0, 120), max_size=6))
 def test_an_answer_in_any_pieces_is_the_same(data: bytes, cuts: list[int]) -> None:
     exchange, found = Exchange(), []
-    asked = exchange.ask(Message(b"GET / HTTP/1.1\r\n", b""), 250.7)
+    asked = exchange.start_request(UpstreamRequest(b"GET / HTTP/1.1\r\n", b""), 250.7)
     assert asked == b"GET / HTTP/1.1\r\nRequest-Timeout: 250m\r\n\r\n"
     edges = sorted({0, len(data), *(cut % len(data) for cut in cuts)})
     for start, end in zip(edges, edges[1:], strict=False):
-        found.append(exchange.received(data[start:end]))
+        found.append(exchange.receive(data[start:end]))
     status, body, keep = ANSWERS[data]
     done = found.pop()
-    assert isinstance(done, Done) and not any(found)
-    assert (done.answer.status, done.answer.body, done.keep) == (status, body, keep)
+    assert isinstance(done, CompleteResponse) and not any(found)
+    assert (done.response.status, done.response.body, done.reusable) == (status, body, keep)
     assert done.not_started == (status == 503)
-    assert exchange.state is (State.IDLE if keep else State.OVER)
+    assert exchange.state is (ExchangeState.IDLE if keep else ExchangeState.CLOSED)
 
 
 def test_what_comes_unasked_or_after_the_answer_ends_the_connection() -> None:
     data = next(iter(ANSWERS))
     exchange = Exchange()
-    exchange.ask(Message(b"", b""), 1.0)
-    done = exchange.received(data + data)
-    assert isinstance(done, Done) and not done.keep
-    with pytest.raises(RuntimeError, match="can't go from OVER to ASKED"):
-        exchange.ask(Message(b"", b""), 1.0)
+    exchange.start_request(UpstreamRequest(b"", b""), 1.0)
+    done = exchange.receive(data + data)
+    assert isinstance(done, CompleteResponse) and not done.reusable
+    with pytest.raises(RuntimeError, match="can't go from CLOSED to AWAITING_RESPONSE"):
+        exchange.start_request(UpstreamRequest(b"", b""), 1.0)
     idle = Exchange()
-    assert isinstance(idle.received(b"x"), Unasked) and idle.state is State.OVER
+    assert isinstance(idle.receive(b"x"), UnexpectedData) and idle.state is ExchangeState.CLOSED
     odd = Exchange()
-    odd.ask(Message(b"", b""), 1.0)
-    assert isinstance(odd.received(b"no answer\r\n\r\n"), Malformed) and odd.state is State.OVER
+    odd.start_request(UpstreamRequest(b"", b""), 1.0)
+    assert (
+        isinstance(odd.receive(b"no answer\r\n\r\n"), MalformedResponse)
+        and odd.state is ExchangeState.CLOSED
+    )
 
 
 def test_an_attempt_that_was_not_sent_can_not_have_run() -> None:
     never = {AttemptResult.UNREACHABLE, AttemptResult.CANCELLED, AttemptResult.NOT_SENT}
     may = {AttemptResult.OK, AttemptResult.RESET, AttemptResult.TIMEOUT}
-    assert set(ENDS[At.DIALLING]) == never and may <= set(ENDS[At.SENT])
-    assert AttemptResult.UNREACHABLE not in ENDS[At.SENT] and all(
-        OVERDUE[at] in ENDS[at] for at in At
+    assert set(POSSIBLE_RESULTS[AttemptPhase.CONNECTING]) == never and may <= set(
+        POSSIBLE_RESULTS[AttemptPhase.SENT]
+    )
+    assert AttemptResult.UNREACHABLE not in POSSIBLE_RESULTS[AttemptPhase.SENT] and all(
+        TIMEOUT_RESULTS[at] in POSSIBLE_RESULTS[at] for at in AttemptPhase
     )
-    for at, result in ((At.DIALLING, AttemptResult.TIMEOUT), (At.SENT, AttemptResult.UNREACHABLE)):
+    for at, result in (
+        (AttemptPhase.CONNECTING, AttemptResult.TIMEOUT),
+        (AttemptPhase.SENT, AttemptResult.UNREACHABLE),
+    ):
         with pytest.raises(RuntimeError, match=f"that is {at.name} can't end as {result.name}"):
-            check_end(at, result)
+            check_result(at, result)
--- a/tests/upstream/test_golden.py
+++ b/tests/upstream/test_golden.py
@@ -37,10 +37,10 @@
     pieces = {}
     for name, data in FORWARDED.items():
         (request,) = Stand().hear(data).taker.taken
-        pieces[name] = Exchange().ask(request.message, 750.9)
+        pieces[name] = Exchange().start_request(request.message, 750.9)
     for left in (-5.0, 0.2, 1.0, 999.999, 123_456.7):
         (request,) = Stand().hear(head()).taker.taken
-        pieces[f"{left} ms left"] = Exchange().ask(request.message, left)
+        pieces[f"{left} ms left"] = Exchange().start_request(request.message, left)
     return pieces
 
 
@@ -58,9 +58,9 @@
         stand = Stand().hear(head(POST, line) + start)
         (request,) = stand.taker.taken
         exchange = Exchange()
-        sent = [exchange.ask(request.message, 750.0), exchange.upload_bytes()]
+        sent = [exchange.start_request(request.message, 750.0), exchange.read_upload()]
         stand.hear(end)
-        sent += [exchange.upload_bytes(), exchange.upload_bytes()]
+        sent += [exchange.read_upload(), exchange.read_upload()]
         pieces[name] = b"|".join(sent).replace(bytes(size - 3), b"<zeros>")
     return pieces
 
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -242,7 +242,7 @@
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}
                 )
 
-            node.join.perform[Send] = drained_at_once
+            node.join.action_handlers[Send] = drained_at_once
             status, _, _ = await client.ask(request())
             assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
             await asyncio.wait_for(peer.ended.get(), WAIT)
@@ -261,7 +261,7 @@
             while (await stand.event(EndpointUpdate)).version != 2:
                 pass
             await asyncio.wait_for(peer.ended.get(), WAIT)
-            assert not stand.node.pool.servers[stable_id(b"s-1")].idle
+            assert not stand.node.pool.servers[stable_id(b"s-1")].idle_connections
 
     run(test())
 
@@ -295,7 +295,7 @@
     behind: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The next attempt may take a connection in the turn of the loop in which something came on it.
-    monkeypatch.setattr(pool, "REST", 0.0)
+    monkeypatch.setattr(pool, "REUSE_DELAY_MS", 0.0)
     writers: list[asyncio.StreamWriter] = []
 
     async def test() -> None:
@@ -312,7 +312,7 @@
                 os.write(sock.fileno(), behind)
             else:
                 socket.socket(fileno=os.dup(sock.fileno())).shutdown(socket.SHUT_WR)
-            assert not connection.quiet()
+            assert not connection.is_quiet()
             stand.send(77, "s-1")
             assert connection.attempt is None and connection.transport.is_closing()
             assert (await stand.outcome()).result == AttemptResult.OK
@@ -326,7 +326,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        pool, "REST", 500.0
+        pool, "REUSE_DELAY_MS", 500.0
     )  # so that a slow machine has the second one come within it
     writers: list[asyncio.StreamWriter] = []
 
@@ -350,7 +350,7 @@
 def test_a_connection_that_rests_is_kept_where_its_attempt_is_given_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(pool, "REST", 500.0)
+    monkeypatch.setattr(pool, "REUSE_DELAY_MS", 500.0)
 
     async def test() -> None:
         peer = await Peer().start()
@@ -363,7 +363,7 @@
                 await asyncio.sleep(0)
             client.writer.close()
             assert (await stand.outcome()).result == AttemptResult.NOT_SENT
-            while not stand.node.pool.servers[stable_id(b"s-1")].idle:
+            while not stand.node.pool.servers[stable_id(b"s-1")].idle_connections:
                 await asyncio.sleep(0)
             assert peer.connections == 1 and peer.requests.qsize() == 1
 
@@ -411,7 +411,7 @@
             stand.send(3, "s-3")
             assert (await stand.outcome()).result == AttemptResult.OK
             await asyncio.wait_for(peers[1].ended.get(), WAIT)
-            assert len(pool.servers[stable_id(b"s-1")].idle) == 1
+            assert len(pool.servers[stable_id(b"s-1")].idle_connections) == 1
 
     run(test())
 
@@ -467,12 +467,12 @@
                 send(action)
                 asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
 
-            stand.node.join.perform[Send] = cancelled_at_once
+            stand.node.join.action_handlers[Send] = cancelled_at_once
             assert (await client.ask(request()))[0] == 503
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            stand.node.join.perform[Send] = send
+            stand.node.join.action_handlers[Send] = send
             assert (await client.ask(request()))[0] == 200
-            assert pool.dials == 0 and len(pool.connections) == 1 and not pool.attempts
+            assert pool.connecting == 0 and len(pool.connections) == 1 and not pool.attempts
 
     run(test())
 
@@ -531,7 +531,7 @@
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             pool = stand.node.pool
-            most = pool.idle_limit.ms
+            most = pool.idle_timeout.limit_ms
             for idled, alive in (
                 (50.0, False),
                 (50.0, False),
@@ -539,13 +539,13 @@
                 (140.0, True),
                 (150.0, False),
             ):
-                pool.idle_limit.reused(idled, alive)
-            assert pool.idle_limit.ms == most  # chance, or not for standing idle
-            pool.idle_limit.reused(140.0, False)
-            assert pool.idle_limit.ms == 140.0
+                pool.idle_timeout.record_reuse(idled, alive)
+            assert pool.idle_timeout.limit_ms == most  # chance, or not for standing idle
+            pool.idle_timeout.record_reuse(140.0, False)
+            assert pool.idle_timeout.limit_ms == 140.0
             for _ in range(100):
-                pool.sweep()
-            assert pool.idle_limit.ms == most
+                pool.scan()
+            assert pool.idle_timeout.limit_ms == most
 
     run(test())
 
@@ -565,10 +565,10 @@
             client, pool = await stand.client(), stand.node.pool
             for _ in range(2):
                 assert (await client.ask(request()))[0] == 200
-                (connection,) = pool.servers[stable_id(b"s-1")].idle
-                connection.idle_since -= 1000.0
+                (connection,) = pool.servers[stable_id(b"s-1")].idle_connections
+                connection.idle_since_ms -= 1000.0
                 assert (await client.ask(request()))[0] == 503
-            assert 1000.0 <= pool.idle_limit.ms < 5000.0
+            assert 1000.0 <= pool.idle_timeout.limit_ms < 5000.0
 
     run(test())
 
