--- a/badgercart/core/__init__.py
+++ b/badgercart/core/__init__.py
@@ -1,5 +1,6 @@
-"""The join between fronts, carriers, membership and the policy; its entry is ``join.Join``.
+"""The request pipeline between frontends, upstream transports, discovery and the policy.
 
-It knows no protocol: fronts hand in requests and owe answers, carriers carry out attempts,
-membership tells the server list. What they must offer is written in ``ports``.
+Its entry is ``request_pipeline.RequestPipeline``. The package knows no protocol: frontends submit
+requests and owe the responses, upstream transports execute attempts, discovery supplies the
+endpoint list. ``ports`` defines the interfaces that each of them implements.
 """
--- a/badgercart/core/checksummed_file.py
+++ b/badgercart/core/checksummed_file.py
@@ -1,5 +1,7 @@
-"""Small files that are taken whole or not at all: a checksum, a line of JSON, and replaced by
-rename."""
+"""Small files that are read completely or not at all.
+
+A file is a checksum line and a line of JSON, and is replaced by a rename.
+"""
 
 from __future__ import annotations
 
@@ -11,17 +13,20 @@
 
 
 class CorruptFileError(Exception):
-    """What is in the file can't be taken: why."""
+    """The content of the file can't be used; the message says why."""
 
 
 def encode_checksummed(content: dict[str, Any]) -> bytes:
-    """The first line is the checksum of the second, which is JSON."""
+    """Return a line with the checksum, followed by the content as a line of JSON."""
     line = json.dumps(content, separators=(",", ":")).encode()
     return b"%b\n%b\n" % (checksum(line), line)
 
 
 def decode_checksummed(data: bytes, version: int) -> dict[str, Any]:
-    """What was sealed, of that `format`. Raises Unusable; nothing is taken in part."""
+    """Return the content, whose `format` must be `version`.
+
+    Raises CorruptFileError; no part of a corrupt file is used.
+    """
     expected_checksum, _, rest = data.partition(b"\n")
     line = rest.removesuffix(b"\n")
     if not rest.endswith(b"\n") or expected_checksum != checksum(line):
@@ -36,14 +41,16 @@
 
 
 def checksum(line: bytes) -> bytes:
+    """Return the checksum of a line as hexadecimal digits."""
     return blake2b(line, digest_size=16).hexdigest().encode()
 
 
 def replace_file(path: Path, data: bytes, sync: bool = False) -> None:
-    """Replace a file whole, on the disk where it is to be synced. Raises OSError; then the old one
-    stays.
+    """Replace a file atomically; with `sync`, flush the data to the disk first.
 
-    The part has a name of its own: two processes may write at once, and the last one there wins."""
+    Raises OSError; the old file then stays. The temporary file is named after the process: two
+    processes may write at once, and the last rename wins.
+    """
     temporary = path.with_name(f"{path.name}.{os.getpid()}")
     try:
         with temporary.open("wb") as file:
--- a/badgercart/core/clock.py
+++ b/badgercart/core/clock.py
@@ -1,14 +1,14 @@
-"""The one clock that every event and deadline is told on."""
+"""The clock on which all events and deadlines are measured."""
 
 from __future__ import annotations
 
 from time import monotonic
 
-# ms kept back from the time of a client, or of the process: answers must be out in time from a late
-# loop.
+# Subtracted from a client's deadline and from the time until the process ends, so that responses
+# are written in time even when the event loop runs late.
 RESPONSE_MARGIN_MS = 30.0
 
 
 def now_ms() -> float:
-    """Milliseconds of the system's monotonic clock."""
+    """Return the time of the system's monotonic clock in ms."""
     return monotonic() * 1000
--- a/badgercart/core/descriptors.py
+++ b/badgercart/core/descriptors.py
@@ -1,49 +1,51 @@
-"""What the descriptors of a process are for: what each role may hold, within the limit. No I/O:
-sums.
+"""How the file descriptors of a process are divided among its roles. It does no I/O.
 
-Clients and servers share what no other role keeps back. However many clients come, the list's next
-call, the console and the files of a reload find theirs.
+Clients and servers share what no other role reserves. However many clients connect, the next call
+of discovery, the admin listener and the files of a reload find descriptors of their own.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-PROGRAM_DESCRIPTORS = (
-    20  # 17 of a process at rest: its streams, the loop's own; and some that it may have inherited
-)
+# An idle process holds 17, its standard streams and the event loop's own; some may be inherited.
+PROGRAM_DESCRIPTORS = 20
 LISTENER_DESCRIPTORS = 2
-DISCOVERY_DESCRIPTORS = (
-    7  # calls side by side, as many to an address that is being left, and one just closing
-)
-REGULAR_FILE_DESCRIPTORS = (
-    5  # the configuration, kept state and its lock, a sign of life, a module that is loaded late
-)
-ADMIN_DESCRIPTORS = 13  # its listener and its callers
-COMPONENT_DESCRIPTORS = 4  # any other part of an installation
-UPSTREAM_SHARE = (
-    3 / 8
-)  # of what is shared: a request holds one on either side, but clients also keep theirs
-MIN_CLIENT_DESCRIPTORS, MIN_UPSTREAM_DESCRIPTORS = 10, 6
+# Concurrent calls, as many to an address that is being replaced, and one that is just closing.
+DISCOVERY_DESCRIPTORS = 7
+# The configuration, stored state and its lock, the process lock, a module that is imported late.
+REGULAR_FILE_DESCRIPTORS = 5
+# The admin listener and its callers.
+ADMIN_DESCRIPTORS = 13
+# Each other component of an installation.
+COMPONENT_DESCRIPTORS = 4
+# Of what clients and servers share. Less than half: a request uses one descriptor on either side,
+# but idle clients also keep theirs.
+UPSTREAM_SHARE = 3 / 8
+MIN_CLIENT_DESCRIPTORS = 10
+MIN_UPSTREAM_DESCRIPTORS = 6
 
 
 class DescriptorLimitError(ValueError):
-    """A limit under which a process can't serve: what it keeps back, and for what."""
+    """The limit is too low for a process to serve; the message names what each role reserves."""
 
 
 @dataclass(slots=True, frozen=True)
 class DescriptorBudget:
-    """The roles of one process."""
+    """The descriptors of one process by role, within its limit."""
 
     limit: int
-    reserved: dict[str, int]  # by role, beside clients and servers
+    reserved: dict[str, int]  # by role, without clients and servers
 
     @classmethod
     def for_limit(
         cls, limit: int, admin: bool = False, other_components: int = 0
     ) -> DescriptorBudget:
-        """`parts`: how many there are that neither listen to clients nor connect to servers.
-        TooFewError."""
+        """Return the budget of a process that may hold `limit` descriptors.
+
+        `other_components` is the number of components that neither listen to clients nor connect
+        to servers. Raises DescriptorLimitError.
+        """
         roles = {
             "program": PROGRAM_DESCRIPTORS,
             "listeners": LISTENER_DESCRIPTORS,
@@ -65,11 +67,11 @@
 
     @property
     def shared(self) -> int:
-        """What clients and servers may hold."""
+        """How many descriptors clients and servers may hold together."""
         return self.limit - sum(self.reserved.values())
 
     def split(self, share: float = 1.0) -> tuple[int, int]:
-        """What clients and servers may hold of a part of that (0 to 1)."""
+        """Return how many clients and servers may hold, out of a share (0 to 1) of `shared`."""
         available = int(self.shared * share)
         servers = int(available * UPSTREAM_SHARE)
         return available - servers, servers
--- a/badgercart/core/endpoint_table.py
+++ b/badgercart/core/endpoint_table.py
@@ -1,4 +1,7 @@
-"""The servers that the list names, by id and by address, and what every change of it sets off."""
+"""The table of listed endpoints, by id and by address.
+
+Each update of the endpoint list changes it, and is then given to transports and the policy.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import EndpointUpdate, UpdateKind
 
-# As operators read them in `list.taken`.
+# The texts of update kinds and endpoint states in the log event `list.taken`.
 UPDATE_KIND_TEXTS = {
     UpdateKind.DELTA: "delta",
     UpdateKind.SNAPSHOT: "full",
@@ -24,18 +27,18 @@
     EndpointState.GONE: "gone",
     EndpointState.DRAINING: "draining",
 }
-MAX_REMOVED_ENDPOINTS = 1024  # servers remembered after they left: old answers may name them still
+# Endpoints that are remembered after their removal, as old responses may still name them.
+MAX_REMOVED_ENDPOINTS = 1024
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveredEndpoint:
-    """A server of the list: what the policy is told of it, and what only carriers and people
-    need."""
+    """An endpoint of the list: the policy's entry, and what only transports and people need."""
 
     entry: Endpoint
     address: Address
     name: str
-    address_text: str = field(init=False)  # its address as text
+    address_text: str = field(init=False)  # the address as host:port
 
     def __post_init__(self) -> None:
         object.__setattr__(self, "address_text", f"{self.address[0]}:{self.address[1]}")
@@ -43,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryUpdate:
-    """A whole list or its changes."""
+    """A snapshot of the endpoint list, or a delta."""
 
     kind: UpdateKind
     version: int
@@ -51,39 +54,44 @@
 
 
 class UpdateReader(Protocol):
+    """Parses updates as a discovery source delivers them."""
+
     def read(self, raw: Mapping[str, Any], kind: UpdateKind | None = None) -> DiscoveryUpdate:
-        """ValueError if any line is bad: a list is taken whole or not at all."""
+        """Return the parsed update.
+
+        Raises ValueError if any entry is malformed: an update applies completely or not at all.
+        """
 
 
 class EndpointTable:
-    """Takes lists, tells carriers and fronts of each changed server, and then the policy."""
+    """Applies updates: notifies transports and frontends of each changed endpoint, then the policy."""
 
     def __init__(self, reader: UpdateReader, pipeline: RequestPipeline) -> None:
         self.reader = reader
         self.pipeline = pipeline
         self.on_change: list[Callable[[DiscoveredEndpoint], None]] = []
-        # What is told of a server in place of its line in a list of that version.
+        # Replaces the entry of an endpoint in an update of that version.
         self.override: Callable[[DiscoveredEndpoint, int], DiscoveredEndpoint] | None = None
-        self.has_update = False  # whether any list has come
-        self.suspended = False  # whether the list is too old to send anything by it
+        self.has_update = False  # whether any update has been applied
+        self.suspended = False  # whether the list is too old to send requests by it
         self.version = 0  # of the list
         self.listed: dict[int, DiscoveredEndpoint] = {}
-        self.removed: dict[int, DiscoveredEndpoint] = {}  # those that are gone, the longest first
-        self.draining_since: dict[int, float] = {}  # when it was told that one drains or is gone
-        self.ids_by_address: dict[
-            Address, int
-        ] = {}  # the last server that was listed at an address
+        self.removed: dict[int, DiscoveredEndpoint] = {}  # the oldest removal first
+        # When the update arrived by which an endpoint drains or is gone (ms).
+        self.draining_since: dict[int, float] = {}
+        # The endpoint that was listed last at an address.
+        self.ids_by_address: dict[Address, int] = {}
 
     def accept(self, raw: Mapping[str, Any], kind: UpdateKind | None = None) -> int:
-        """Take over a list or its changes, and give its version; ValueError where the reader gives
-        it.
+        """Parse and apply an update, and return its version.
 
-        ValueError, too, where the policy broke over it: carriers have it then, and it is to come
-        again."""
+        Raises ValueError where the update is malformed, and also where the policy failed on it:
+        transports have applied it then, and the source has to deliver it again.
+        """
         return self.accept_update(self.reader.read(raw, kind))
 
     def accept_update(self, update: DiscoveryUpdate) -> int:
-        """As `take`, of lines that are read."""
+        """Apply a parsed update; otherwise as `accept`."""
         self.apply(update)
         if (
             isinstance(self.pipeline.failed_event, EndpointUpdate)
@@ -94,7 +102,7 @@
         return update.version
 
     def apply(self, update: DiscoveryUpdate) -> None:
-        """Take over a list or its changes, whole."""
+        """Apply a snapshot or a delta, log it, and give it to the policy."""
         if self.override is not None:
             overridden = [self.override(endpoint, update.version) for endpoint in update.endpoints]
             update = DiscoveryUpdate(update.kind, update.version, overridden)
@@ -133,14 +141,16 @@
             self.dispatch_suspended()
 
     def reapply(self, endpoints: list[DiscoveredEndpoint]) -> None:
-        """What is told of these servers has changed, though the list has not."""
+        """Apply entries that have changed although the list has not."""
         self.apply(DiscoveryUpdate(UpdateKind.DELTA, self.version, endpoints))
 
     def suspend(self, suspended: bool) -> None:
-        """Have nothing new sent by this list, or go on with it.
+        """Stop sending new requests by this list, or resume.
 
-        The policy is told that all drain: it keeps what it learned of them, refuses what it may
-        refuse, and fails the rest. Connections and attempts that are out stay as they are."""
+        While suspended, the policy sees all endpoints as draining: it keeps what it learned about
+        them, sheds the requests that it may shed, and fails the rest. Connections and open
+        attempts stay as they are.
+        """
         if suspended == self.suspended:
             return
         self.suspended = suspended
@@ -151,6 +161,7 @@
             self.pipeline.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, self.version, entries))
 
     def dispatch_suspended(self) -> None:
+        """Give the policy a snapshot in which all endpoints drain."""
         entries = [
             replace(endpoint.entry, state=EndpointState.DRAINING)
             for endpoint in self.listed.values()
@@ -159,7 +170,7 @@
         self.pipeline.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, self.version, entries))
 
     def record(self, endpoint: DiscoveredEndpoint, now_ms: float) -> None:
-        """Take over one line."""
+        """Apply the entry of one endpoint, and notify the observers."""
         endpoint_id, state = endpoint.entry.id, endpoint.entry.state
         if state is EndpointState.GONE:
             if self.listed.pop(endpoint_id, None) is not None:
@@ -185,14 +196,14 @@
             callback(endpoint)
 
     def forget(self, endpoint_id: int) -> None:
-        """Forget one that left long ago."""
+        """Forget an endpoint that was removed."""
         endpoint = self.removed.pop(endpoint_id)
         self.draining_since.pop(endpoint_id, None)
         if self.ids_by_address.get(endpoint.address) == endpoint_id:
             del self.ids_by_address[endpoint.address]
 
     def find_by_address(self, address: Address) -> DiscoveredEndpoint | None:
-        """The server that is, or was last, listed at an address."""
+        """Return the endpoint that is listed at an address, or was last."""
         endpoint_id = self.ids_by_address.get(address)
         if endpoint_id is None:
             return None
--- a/badgercart/core/log_events.py
+++ b/badgercart/core/log_events.py
@@ -1,8 +1,8 @@
-"""What the program says of itself: each event once in a table, with its level and meaning.
+"""The log events of the program: each is declared once in a table, with its level and meaning.
 
-An event is logged through the standard library, whose record carries its name and fields: the
-platform's node shows the words, `serve` has structlog write the fields. Both go through `Sparse`,
-so that nothing that peers bring about can fill a log.
+An event is logged through the standard library, whose record carries its name and fields. The
+platform's node logs the formatted words; `serve` has structlog write the fields. Both use
+`RepeatedWarningFilter`, so that nothing that peers cause can fill a log.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from dataclasses import dataclass
 from typing import Any
 
-MAX_TRACKED_MESSAGES = (
-    1024  # kinds of warnings whose repeats are counted; libraries word theirs as they like
-)
+# Distinct warnings whose repeats are counted. Libraries choose the texts of theirs, so there may be
+# any number.
+MAX_TRACKED_MESSAGES = 1024
 
 log = logging.getLogger("badgercart")
 
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """One kind of event. Called with its fields, it is logged."""
+    """One kind of event. Calling it with its fields logs it."""
 
     name: str  # `subsystem.fact`
     level: int  # of `logging`
-    words: str  # for people, with fields in the form `%(field)s`
+    words: str  # the message for people, with fields in the form `%(field)s`
     meaning: str  # and what to do about it; Markdown, for the operators' page
 
     def __call__(self, exc_info: BaseException | bool | None = None, /, **fields: Any) -> None:
@@ -36,29 +36,33 @@
             )
 
 
-LOG_EVENTS: dict[str, LogEvent] = {}  # all that there are, by name
+# All events by name.
+LOG_EVENTS: dict[str, LogEvent] = {}
 
 
 def define_event(name: str, level: int, words: str, meaning: str) -> LogEvent:
-    """Add one to the table. ValueError where its name is taken."""
+    """Add an event to the table. Raises ValueError where its name is taken."""
     if name in LOG_EVENTS:
-        raise ValueError(f"there are two events {name}")
+        raise ValueError(f"the event {name} is already defined")
     LOG_EVENTS[name] = log_event = LogEvent(name, level, words, meaning)
     return log_event
 
 
 class RepeatedWarningFilter(logging.Filter):
-    """Lets a warning, which peers can bring about, through once in a while: they must not fill the
-    log."""
+    """Passes each warning at most once in an interval, and counts its repeats.
+
+    Peers can cause warnings, and must not fill the log with them.
+    """
 
-    INTERVAL_S = 10.0  # s
+    INTERVAL_S = 10.0
 
     def __init__(self) -> None:
         super().__init__()
-        # By message: when it last came through, left out since.
+        # By message: the time when it last passed (s), and the repeats suppressed since.
         self.seen: OrderedDict[str, tuple[float, int]] = OrderedDict()
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Return whether the record is logged; the next one that passes tells the repeats."""
         if record.levelno != logging.WARNING:
             return True
         message = str(record.msg)
@@ -73,7 +77,7 @@
         return passes
 
 
-# The core's own.
+# The events of this package.
 
 LIST_TAKEN = define_event(
     "list.taken",
--- a/badgercart/core/metric_registry.py
+++ b/badgercart/core/metric_registry.py
@@ -1,7 +1,7 @@
-"""The port by which subsystems offer figures: a name, a meaning, and a function that reads the
-present value.
+"""The registry where subsystems declare metrics.
 
-Whoever shows them asks when it wants to know, so that a figure costs nothing in between.
+A metric has a name, a description and a function that reads its present value. The value is read
+only when an exporter asks for it, so that a metric costs nothing in between.
 """
 
 from __future__ import annotations
@@ -11,28 +11,37 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_LABEL_VALUES = 64  # values of a figure's label; the rest is summed up as `other`
+# Values of a metric's label; the rest is summed up as `other`.
+MAX_LABEL_VALUES = 64
 OTHER_LABEL_VALUE = "other"
 _METRIC_NAME = re.compile(r"[a-z][a-z0-9_]*")
 
-MetricValue = float | Mapping[str, float]  # one value, or one for each value of the label
+# One value, or one for each value of the label.
+MetricValue = float | Mapping[str, float]
 
 
 class MetricKind(Enum):
+    """How the values of a metric behave over time."""
+
     COUNTER = "counter"  # only grows while the process runs
     GAUGE = "gauge"
 
 
 @dataclass(slots=True, frozen=True)
 class Metric:
-    name: str  # with its unit: `badgercart_list_age_seconds`
+    """One metric. Its name ends with the unit, such as `badgercart_list_age_seconds`."""
+
+    name: str
     description: str
     kind: MetricKind
     read: Callable[[], MetricValue]
     label: str | None = None
 
     def values(self) -> dict[str, float]:
-        """By the label's value, at most MAX_LABELS of them; `""` where there is no label."""
+        """Return the values by label value, `""` where there is no label.
+
+        There are at most MAX_LABEL_VALUES: the largest, and the sum of the rest as `other`.
+        """
         values = self.read()
         if not isinstance(values, Mapping):
             return {"": float(values)}
@@ -47,7 +56,7 @@
 
 
 class MetricRegistry:
-    """All figures of one installation."""
+    """All metrics of one installation."""
 
     def __init__(self) -> None:
         self.metrics: dict[str, Metric] = {}
@@ -60,19 +69,21 @@
         read: Callable[[], MetricValue],
         label: str | None = None,
     ) -> None:
-        """ValueError where the name is taken, or none."""
+        """Add a metric. Raises ValueError where the name is invalid or taken."""
         if not _METRIC_NAME.fullmatch(name):
-            raise ValueError(f"{name!r} is no name of a figure")
+            raise ValueError(f"{name!r} is not a valid metric name")
         if name in self.metrics:
-            raise ValueError(f"there are two figures {name}")
+            raise ValueError(f"the metric {name} is already registered")
         self.metrics[name] = Metric(name, description, kind, read, label)
 
     def counter(
         self, name: str, description: str, read: Callable[[], MetricValue], label: str | None = None
     ) -> None:
+        """Add a counter."""
         self.add(MetricKind.COUNTER, name, description, read, label)
 
     def gauge(
         self, name: str, description: str, read: Callable[[], MetricValue], label: str | None = None
     ) -> None:
+        """Add a gauge."""
         self.add(MetricKind.GAUGE, name, description, read, label)
--- a/badgercart/core/ports.py
+++ b/badgercart/core/ports.py
@@ -1,9 +1,10 @@
-"""What the join asks of fronts and carriers, and what it hands to each.
+"""The interfaces that the request pipeline requires of frontends and transports, and its data.
 
-A *front* owes an answer: it hands a request to the join with `Join.take` and is told exactly one of
-answered, refused or failed, unless it withdrew the request before. A *carrier* carries out an
-attempt that the policy has decided and reports its end, once, with `Join.ended`. Both may come from
-the same object: a calling proxy asks for a decision and carries it out itself.
+A *frontend* owes a response: it submits a request by `RequestPipeline.accept` and is notified of
+exactly one of response, shed or failure, unless it cancelled the request before. An *upstream
+transport* executes an attempt that the policy has decided and reports its end once, by
+`RequestPipeline.attempt_ended`. One object may be both: a calling proxy asks for a decision and
+executes it itself.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 @dataclass(slots=True)
 class UpstreamResponse:
-    """A server's whole answer."""
+    """A server's complete response."""
 
     status: int
     body: bytes = b""
@@ -30,14 +31,14 @@
     """How a request ended for its client."""
 
     SERVED = "served"
-    CLIENT_ERROR = "faulty"  # a server found it at fault: its 4xx was passed on
-    SHED = "refused"  # not run
-    FAILED = "failed"  # may have run
-    CANCELLED = "withdrawn"  # its client went away
+    CLIENT_ERROR = "faulty"  # a server rejected it with a 4xx, which was forwarded
+    SHED = "refused"  # it was not executed
+    FAILED = "failed"  # it may have been executed
+    CANCELLED = "withdrawn"  # its client disconnected
 
 
 class RequestObserver(Protocol):
-    """Whoever watches requests come to their end. It must be quick, and change nothing."""
+    """Observes the end of requests. It must be quick, and must not change anything."""
 
     def request_finished(
         self,
@@ -48,78 +49,92 @@
         endpoint_id: int,
         attempts: int,
     ) -> None:
-        """A request is over after `took` ms and so many sends; `server` gave the answer, 0: none
-        did."""
+        """Observe the end of a request.
+
+        `endpoint_id` is the endpoint that sent the response, 0 where none did.
+        """
 
 
 class AttemptObserver(Protocol):
-    """Whoever watches attempts at servers. It must be quick, and change nothing."""
+    """Observes attempts at endpoints. It must be quick, and must not change anything."""
 
     def attempt_sent(self, endpoint_id: int) -> None:
-        """An attempt goes out."""
+        """Observe that an attempt is sent."""
 
     def attempt_ended(self, endpoint_id: int, result: AttemptResult, elapsed_ms: float) -> None:
-        """An attempt has ended, `elapsed` ms after it was sent."""
+        """Observe the end of an attempt, `elapsed_ms` after it was sent."""
 
 
 class Frontend(Protocol):
-    """Whoever owes the answer to one request. Each of the first three calls is the final one for
-    it."""
+    """The frontend's side of one request, to which it owes a response.
+
+    Each of the first three calls is the final one for the request.
+    """
 
     def on_response(self, response: UpstreamResponse) -> None:
-        """A server has answered: pass it on."""
+        """Forward the response of a server."""
 
     def on_shed(self, retry_after_ms: float) -> None:
-        """Not run, trying again does no harm; after `wait` ms, or when it likes where that is 0."""
+        """Tell the client that the request was not executed, so that a retry is safe.
+
+        The client may retry after `retry_after_ms`, or at any time where that is 0.
+        """
 
     def on_failure(self, internal_error: bool) -> None:
-        """Nothing is promised: the request may have run, or, where `broken`, the node itself
-        failed."""
+        """Tell the client that the request failed, and may have been executed.
+
+        With `internal_error`, the node itself failed.
+        """
 
     def client_is_gone(self) -> bool:
-        """Whether its client has left, and that is seen only now: asked before each attempt is
-        written."""
+        """Return whether the client has disconnected, even if that has not been read yet.
+
+        The transport asks before it writes each attempt.
+        """
 
 
 class StreamingFrontend(Frontend, Protocol):
-    """One whose work may ask for answers that go on as they come."""
+    """A frontend whose requests may ask for streamed responses."""
 
     def on_response_started(self, header_section: ResponseHeaderSection) -> ResponseSink:
-        """The final answer begins: where it goes."""
+        """Start the final response, and return where its body goes."""
 
 
 class UpstreamTransport(Protocol):
-    """Whoever carries out attempts. Every `send` ends in exactly one `Join.ended` with the same
-    numbers.
+    """Executes attempts.
+
+    Every `send` ends in exactly one `RequestPipeline.attempt_ended` with the same numbers.
 
-    A carrier that can't send again by itself reports an end as parked, and calls `Join.resume` when
-    its own side asks for the next attempt or wants to know how the request ends. One that goes on
-    to a fallback by itself says so with `Join.diverted`; the next attempt then is out as if it had
-    been sent."""
+    A transport that can't send another attempt by itself reports an end as parked, and calls
+    `RequestPipeline.retry_decision_due` when its peer asks for the next attempt or for the end of
+    the request. A transport that uses a fallback by itself reports that by
+    `RequestPipeline.attempt_rerouted`; the next attempt is then open as if it had been sent.
+    """
 
-    def send(self, attempt: AttemptRequest) -> None: ...
+    def send(self, attempt: AttemptRequest) -> None:
+        """Start an attempt."""
 
     def cancel(self, request_id: int, attempt_number: int) -> None:
-        """Stop waiting for an attempt; its end is reported as any other."""
+        """Stop waiting for an attempt; its end is reported like any other."""
 
     def abandon_attempt(self, request_id: int, attempt_number: int) -> None:
-        """Its request is over: an attempt whose last byte has not gone out never goes out, and ends
-        so."""
+        """End an attempt whose request is over, unless its last byte has been written already."""
 
 
 class TimerHandle(Protocol):
     """A timer that is set."""
 
-    def cancel(self) -> object: ...
+    def cancel(self) -> object:
+        """Cancel the timer."""
 
 
 class Timers(Protocol):
-    """What rings later: an event loop, or a test's own."""
+    """Timers of an event loop, or of a test."""
 
     def call_later(
         self, delay_s: float, callback: Callable[..., object], *args: Any
     ) -> TimerHandle:
-        """Call after `delay` s."""
+        """Call `callback` after `delay_s` seconds."""
 
 
 @dataclass(slots=True)
@@ -127,35 +142,31 @@
     """An attempt as the policy decided it."""
 
     request_id: int
-    attempt: int  # of the request's attempts, from 0
+    attempt: int  # number among the request's attempts, from 0
     endpoint_id: int
-    timeout_ms: (
-        float  # ms until the attempt has timed out, from now or from when its request is whole
-    )
-    payload: Any  # as the front handed it in
-    fallbacks: tuple[
-        int, ...
-    ] = ()  # servers that the carrier may turn to by itself, the first one first
+    timeout_ms: float  # from now, or from when the request is complete
+    payload: Any  # as the frontend submitted it
+    # Endpoints that the transport may use by itself, in this order.
+    fallbacks: tuple[int, ...] = ()
 
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A checked request as a front hands it in. Times are ms on `clock.now_ms`."""
+    """A validated request as a frontend submits it. Times are on the clock of `clock.now_ms`."""
 
     class_index: int
     tenant: int
     key: int  # 0: none
-    deadline_ms: (
-        float  # the last moment for an answer to set out; infinite while the request is not whole
-    )
-    payload: Any  # what the carrier needs to carry it out
-    expected_work_ms: float = 0.0  # the client's guess at the work in ms, 0: none
-    is_client_retry: bool = False  # marked as the client's retry
-    max_fallbacks: int = 0  # how many servers beside the first the carrier can turn to by itself
-    possibly_executed: bool = (
-        False  # earlier attempts, of which this node knows nothing, may have run
-    )
-    reachable_endpoints: frozenset[int] | None = None  # the only servers that the carrier can reach
+    # The latest time to start writing a response; infinite while the request is incomplete.
+    deadline_ms: float
+    payload: Any  # what the transport needs to execute the request
+    expected_work_ms: float = 0.0  # the client's estimate of the work, 0: none
+    is_client_retry: bool = False  # marked as a retry by the client
+    max_fallbacks: int = 0  # endpoints that the transport can use by itself after the first
+    # Earlier attempts, which this node does not know of, may have been executed.
+    possibly_executed: bool = False
+    # The only endpoints that the transport can reach; None: all.
+    reachable_endpoints: frozenset[int] | None = None
     request_name: bytes = b""  # its Request-Id, for people
-    complete: bool = True  # else `Join.whole` follows
-    response_window_ms: float = 0.0  # ms from then on in which an answer may set out
+    complete: bool = True  # otherwise `RequestPipeline.request_completed` follows
+    response_window_ms: float = 0.0  # time for a response, counted from the completion
--- a/badgercart/core/request_pipeline.py
+++ b/badgercart/core/request_pipeline.py
@@ -1,8 +1,7 @@
-"""The join: turns what fronts, carriers and membership tell into events, and actions into what is
-done.
+"""The request pipeline: turns calls of frontends, transports and discovery into policy events.
 
-It decides nothing. Actions are carried out in the order in which the module gives them; events that
-arise meanwhile wait for their turn.
+It carries out the actions that the policy returns and decides nothing itself. Actions are executed
+in the order in which the policy returns them; events that arise meanwhile are queued.
 """
 
 from __future__ import annotations
@@ -60,7 +59,7 @@
 )
 from badgercart.policy.settings import Settings
 
-# What operators read in `policy.failed` as the kind of the event that it was.
+# The text for each kind of event in the log event `policy.failed`.
 EVENT_KIND_TEXTS: dict[type[Event], str] = {
     EndpointUpdate: "ServerList",
     Request: "Request",
@@ -79,23 +78,24 @@
     DeadlineExceeded: "Overdue",
 }
 
-# Told of each event and of what was decided by it, before that is done; None: the policy raised.
+# Receives each event and the actions that the policy returned for it, before they are executed;
+# None: the policy raised an exception.
 DecisionLog = Callable[[float, Event, list[Action] | None], None]
 
 
 @dataclass(slots=True)
 class InFlightRequest:
-    """A request that is owed its final answer."""
+    """A request whose final response is still owed."""
 
     frontend: Frontend
     transport: UpstreamTransport
     request: IncomingRequest
-    accepted_ms: float  # ms on the join's clock; 0: before anybody watched
+    accepted_ms: float  # on the pipeline's clock; 0: accepted while there was no observer
     attempts: int = 0
 
 
 class RequestPipeline:
-    """All requests that are held and all attempts that are out, over every front and carrier."""
+    """All requests in flight and all open attempts, over every frontend and transport."""
 
     def __init__(
         self, settings: Settings, seed: int, timers: Timers, clock: Callable[[], float] = now_ms
@@ -104,17 +104,15 @@
         self.clock = clock
         self.policy = Policy(settings, seed)
         self.in_flight: dict[int, InFlightRequest] = {}
-        self.open_attempts: dict[
-            tuple[int, int], UpstreamTransport
-        ] = {}  # attempts, also of requests that are over
+        # By request id and attempt number, including attempts of requests that are over.
+        self.open_attempts: dict[tuple[int, int], UpstreamTransport] = {}
         self.last_request_id = 0
-        self.cancelled: dict[
-            int, InFlightRequest
-        ] = {}  # withdrawn, and the policy has yet to hear of it
+        # Cancelled by the client, before the policy has received the event of it.
+        self.cancelled: dict[int, InFlightRequest] = {}
         self.events: deque[Event] = deque()
         self.processing = False
-        self.failed_event: Event | None = None  # the last that the policy broke over
-        self.shutdown_deadline_ms = math.inf  # ms, after which no answer goes out
+        self.failed_event: Event | None = None  # the last on which the policy raised an exception
+        self.shutdown_deadline_ms = math.inf  # no response is written after it
         self.observers: tuple[RequestObserver, ...] = ()
         self.attempt_observers: tuple[AttemptObserver, ...] = ()
         self.decision_log: DecisionLog | None = None
@@ -128,15 +126,15 @@
             Subscribe: self.subscribe,
         }
 
-    # Events in, actions out.
+    # Events for the policy, and the actions that it returns.
 
     def dispatch(self, event: Event) -> None:
-        """Give the policy an event, after those that wait already."""
+        """Give the policy an event, after those that are queued already."""
         self.events.append(event)
         self.process_events()
 
     def process_events(self) -> None:
-        """Have the policy handle what waits, unless it is at it."""
+        """Have the policy handle the queued events, unless it is handling one."""
         if self.processing:
             return
         self.processing = True
@@ -157,7 +155,7 @@
                     if self.decision_log is not None and not decided:
                         self.decision_log(now_ms, event, None)
                     self.failed_event = event
-                    # One request must not take the node down with it; it still is owed an answer.
+                    # One request must not stop the node; it still is owed a response.
                     POLICY_FAILED(
                         True, kind=EVENT_KIND_TEXTS[type(event)], request=getattr(event, "id", 0)
                     )
@@ -171,6 +169,7 @@
             self.processing = False
 
     def send(self, action: Send) -> None:
+        """Send an attempt by the transport of its request."""
         in_flight = self.in_flight.get(action.id) or self.cancelled[action.id]
         attempt_number, in_flight.attempts = in_flight.attempts, in_flight.attempts + 1
         timeout_ms = (
@@ -181,7 +180,8 @@
         if action.timeout_ms:
             timeout_ms = min(timeout_ms, action.timeout_ms)
         self.open_attempts[action.id, attempt_number] = in_flight.transport
-        if action.id in self.cancelled:  # its client left while this was being decided
+        # The client disconnected while the policy was deciding.
+        if action.id in self.cancelled:
             self.attempt_ended(
                 action.id, attempt_number, action.endpoint_id, AttemptResult.NOT_SENT, 0.0
             )
@@ -196,29 +196,34 @@
         )
 
     def shed(self, action: Shed) -> None:
+        """End a request that was not executed."""
         if (in_flight := self.in_flight.pop(action.id, None)) is not None:
             self.notify_completed(action.id, in_flight, RequestOutcome.SHED)
             self.abandon_attempts(action.id, in_flight)
             in_flight.frontend.on_shed(action.retry_after_ms)
 
     def fail(self, action: Fail) -> None:
+        """Fail a request by the policy's decision."""
         self.fail_request(action.id, internal_error=False)
 
     def fail_request(self, request_id: int, internal_error: bool) -> None:
+        """Fail a request, if it is still in flight."""
         if (in_flight := self.in_flight.pop(request_id, None)) is not None:
             self.notify_completed(request_id, in_flight, RequestOutcome.FAILED)
             self.abandon_attempts(request_id, in_flight)
             in_flight.frontend.on_failure(internal_error)
 
     def fail_after_policy_error(self, request_id: int) -> None:
-        """The policy broke over it: it has its answer, and the policy is to forget it."""
+        """Fail a request on which the policy raised an exception, and have the policy forget it."""
         if request_id in self.in_flight:
             self.fail_request(request_id, internal_error=True)
             self.events.append(RequestCancelled(request_id))
 
     def abandon_attempts(self, request_id: int, in_flight: InFlightRequest) -> None:
-        """A request is over: what has not gone out for it by now never does, whether or not work
-        may be cancelled."""
+        """Have the transports abandon the attempts of a request that is over.
+
+        What has not been written by now never is, whether or not work may be cancelled.
+        """
         for attempt_number in range(in_flight.attempts):
             if (transport := self.open_attempts.get((request_id, attempt_number))) is not None:
                 transport.abandon_attempt(request_id, attempt_number)
@@ -230,6 +235,7 @@
         outcome: RequestOutcome,
         endpoint_id: int = 0,
     ) -> None:
+        """Notify the observers of the end of a request."""
         elapsed_ms = self.clock() - in_flight.accepted_ms if in_flight.accepted_ms else 0.0
         for observer in self.observers:
             observer.request_finished(
@@ -237,47 +243,50 @@
             )
 
     def cancel(self, action: CancelAttempt) -> None:
+        """Cancel an attempt, if it is still open."""
         if (transport := self.open_attempts.get((action.id, action.attempt))) is not None:
             transport.cancel(action.id, action.attempt)
 
     def set_timer(self, action: SetTimer) -> None:
-        # Rounded up: a timer that rings early finds nothing due and would be set again at once.
+        """Set a timer of the policy."""
+        # Rounded up: a timer that fires early finds nothing due and would be set again at once.
         self.timers.call_later(
             math.ceil(action.delay_ms) / 1000, self.dispatch, TimerFired(action.token)
         )
 
     def log(self, action: Log) -> None:
+        """Log a message of the policy."""
         POLICY_SAID(text=action.text)
 
     def subscribe(self, action: Subscribe) -> None:
-        """Nothing to do: membership follows the list from its start."""
+        """Do nothing: discovery follows the endpoint list from its start."""
 
-    # From fronts.
+    # Calls of frontends.
 
     def next_request_id(self) -> int:
-        """A number for a request that is about to be taken."""
+        """Return the id for a request that is about to be accepted."""
         self.last_request_id += 1
         return self.last_request_id
 
     def begin_shutdown(self, ends_at_ms: float) -> None:
-        """The process ends then (ms): what comes has no more time, and what is held is ended ahead
-        of it."""
+        """Limit the deadlines of new requests, and end all others shortly before `ends_at_ms`.
+
+        That is when the process ends.
+        """
         self.shutdown_deadline_ms = ends_at_ms - RESPONSE_MARGIN_MS
         self.timers.call_later(
             max(self.shutdown_deadline_ms - self.clock(), 0.0) / 1000, self.end_all_requests
         )
 
     def end_all_requests(self) -> None:
-        """End all that is held: refused where it can't have run, else failed."""
+        """End all requests: shed where they can't have been executed, failed otherwise."""
         for request_id, in_flight in list(self.in_flight.items()):
-            self.abandon_attempts(
-                request_id, in_flight
-            )  # what was not written is known not to have run
+            # What has not been written is known not to have been executed.
+            self.abandon_attempts(request_id, in_flight)
             if request_id in self.in_flight:
                 self.dispatch(DeadlineExceeded(request_id))
-                self.fail_request(
-                    request_id, internal_error=False
-                )  # where the policy did not know it
+                # This has an effect only where the policy did not know the request.
+                self.fail_request(request_id, internal_error=False)
 
     def accept(
         self,
@@ -286,7 +295,7 @@
         frontend: Frontend,
         transport: UpstreamTransport,
     ) -> None:
-        """Take on a request. The front may be told its answer before this returns."""
+        """Accept a request. The frontend may be notified of its end before this returns."""
         if request.complete:
             request.deadline_ms = min(request.deadline_ms, self.shutdown_deadline_ms)
         self.in_flight[request_id] = InFlightRequest(
@@ -308,7 +317,7 @@
         self.dispatch(event)
 
     def request_completed(self, request_id: int, deadline_ms: float) -> None:
-        """A request that was taken on before has come in whole."""
+        """Note that a request that was accepted before has been received completely."""
         if (in_flight := self.in_flight.get(request_id)) is not None:
             in_flight.request.complete, in_flight.request.deadline_ms = (
                 True,
@@ -317,7 +326,7 @@
             self.dispatch(RequestCompleted(request_id, in_flight.request.deadline_ms))
 
     def cancel_request(self, request_id: int) -> None:
-        """The client has gone away: nothing is owed any more."""
+        """Cancel a request whose client has disconnected: no response is owed any more."""
         if (in_flight := self.in_flight.pop(request_id, None)) is not None:
             self.notify_completed(request_id, in_flight, RequestOutcome.CANCELLED)
             if self.processing:
@@ -325,11 +334,14 @@
             self.abandon_attempts(request_id, in_flight)
             self.dispatch(RequestCancelled(request_id))
 
-    # From carriers.
+    # Calls of upstream transports.
 
     def is_awaited(self, request_id: int) -> bool:
-        """Whether a request still waits, asked before an attempt for it is written. Its client may
-        have left with that unread: who has is withdrawn here."""
+        """Return whether a request is still in flight; called before an attempt is written.
+
+        Its client may have disconnected without that having been read yet: the request is cancelled
+        here in that case.
+        """
         if (in_flight := self.in_flight.get(request_id)) is None:
             return False
         if in_flight.frontend.client_is_gone():
@@ -348,18 +360,20 @@
         parked: bool = False,
         body_consumed: bool = False,
     ) -> None:
-        """An attempt has ended, `elapsed` ms after it was sent. Told twice, it counts once.
+        """Record the end of an attempt, `elapsed_ms` after it was sent. Only the first call counts.
 
-        Where it is parked, the policy learns from it and decides nothing until `resume`."""
+        Where it is parked, the policy learns from it but decides nothing until
+        `retry_decision_due`.
+        """
         if self.open_attempts.pop((request_id, attempt_number), None) is None:
             return
         for observer in self.attempt_observers:
             observer.attempt_ended(endpoint_id, result, elapsed_ms)
         is_final = result is AttemptResult.OK
         if response is not None and 400 <= response.status < 500 and response.status != 429:
-            # The request is at fault, wherever it goes: it must neither go round the servers nor
-            # count against them, or one bad client would have them all taken for broken. 429 would
-            # be a refusal.
+            # The request itself is at fault, at whichever endpoint: it must neither be retried nor
+            # count against endpoints, or one bad client would make all of them look broken. 429
+            # is no such response: it would mean that the server rejects load.
             is_final, result = True, AttemptResult.CANCELLED
         if (
             is_final
@@ -386,8 +400,8 @@
             parked=parked,
             body_consumed=body_consumed,
         )
-        # Before the answer, which may bring the client's next request: to that, the attempt must
-        # not be out.
+        # Queued before the response, which may trigger the client's next request: the attempt must
+        # not be open any more when the policy handles that one.
         self.events.append(event)
         if in_flight is not None and response is not None:
             in_flight.frontend.on_response(response)
@@ -401,10 +415,11 @@
         elapsed_ms: float,
         header_section: ResponseHeaderSection,
     ) -> ResponseSink | None:
-        """An attempt's answer begins: where it goes, as it comes; None where nobody waits for it
-        any more.
+        """Start to stream the response of an attempt, which is the final one of its request.
 
-        It is the request's final answer. The attempt ends by `ended`, as any other."""
+        Returns where the body goes, or None where the request is not in flight any more. The
+        attempt ends by `attempt_ended`, like any other.
+        """
         if (request_id, attempt_number) not in self.open_attempts or (
             in_flight := self.in_flight.pop(request_id, None)
         ) is None:
@@ -424,7 +439,7 @@
         elapsed_ms: float,
         next_endpoint_id: int,
     ) -> None:
-        """An attempt has ended, and its carrier went on to another server by itself."""
+        """Record that an attempt has ended and its transport went on to another endpoint."""
         transport, in_flight = (
             self.open_attempts.pop((request_id, attempt_number), None),
             self.in_flight.get(request_id),
@@ -443,6 +458,6 @@
         )
 
     def retry_decision_due(self, request_id: int, resend: bool) -> None:
-        """Have the policy decide on a request whose last end was parked."""
+        """Have the policy decide on a request whose last attempt ended as parked."""
         if request_id in self.in_flight:
             self.dispatch(RetryDecisionDue(request_id, resend))
--- a/badgercart/core/requests.py
+++ b/badgercart/core/requests.py
@@ -1,7 +1,6 @@
-"""What a request is, by the platform's protocol: class, tenant and key, whichever front it comes
-through.
+"""The classification of requests by the platform's protocol: class, tenant and key.
 
-Source: the protocol's page, section "Clients to nodes".
+It is the same for every frontend. Source: the protocol's page, section "Clients to nodes".
 """
 
 from __future__ import annotations
@@ -14,8 +13,7 @@
 
 
 class InvalidRequestError(Exception):
-    """A request that can't be taken: why, the HTTP status that says so, and the method that would
-    do."""
+    """A request that can't be accepted, with the HTTP status for it and the method to use instead."""
 
     def __init__(self, status: int, reason: str, allowed_method: bytes = b"") -> None:
         super().__init__(reason)
@@ -25,7 +23,7 @@
 
 @dataclass(slots=True)
 class ClassifiedRequest:
-    """What a description says of its request."""
+    """What the request line and the headers say about a request."""
 
     request_name: bytes  # its Request-Id
     class_index: int
@@ -34,14 +32,14 @@
 
 
 def describe_unknown_tenant(name: bytes | None) -> str:
-    """Why a request's tenant is none."""
+    """Return why the tenant of a request is unknown."""
     if not name:
         return "no Tenant header, and no default_tenant is set"
     return f"there is no tenant {name[:64].decode('latin-1')!r}"
 
 
 class Classifier:
-    """Reads descriptions by one node's configuration."""
+    """Classifies requests by the configuration of one node."""
 
     def __init__(self, config: Config) -> None:
         self.classes = config.classes
@@ -56,7 +54,7 @@
         tenant: bytes | None,
         key: bytes | None,
     ) -> ClassifiedRequest:
-        """Raises BadDescription: 400, 404 or 405."""
+        """Classify a request; raises InvalidRequestError with the status 400, 404 or 405."""
         segments = target.partition(b"?")[0].split(b"/")
         if segments[0] or len(segments) < 2:
             raise InvalidRequestError(400, "no path from the root")
@@ -76,9 +74,8 @@
             raise InvalidRequestError(400, describe_unknown_tenant(tenant))
         if idempotency is Idempotency.KEYED and key is None:
             raise InvalidRequestError(400, "the class is keyed: it wants an Idempotency-Key")
-        if (
-            idempotency is Idempotency.NON_IDEMPOTENT and key is not None
-        ):  # a repeat could not be told by it
+        # Servers don't recognize a repeat of such a request by its key.
+        if idempotency is Idempotency.NON_IDEMPOTENT and key is not None:
             raise InvalidRequestError(400, "the class is not keyed: it takes no Idempotency-Key")
         key_id = stable_id(segments[-1], self.secret) if len(segments) > 2 and segments[-1] else 0
         return ClassifiedRequest(name, class_index, tenant_index, key_id)
--- a/badgercart/core/streams.py
+++ b/badgercart/core/streams.py
@@ -1,8 +1,7 @@
-"""What passes through as it comes: a request's body on its way in, an answer on its way out. No
-I/O.
+"""Streamed bodies: of requests on their way in, and of responses on their way out. It does no I/O.
 
-Whoever has bytes asks whether there is room for more; whoever makes room says so. Neither waits for
-the other.
+The producer is told whether there is space for more; the consumer reports when there is space
+again. Neither waits for the other.
 """
 
 from __future__ import annotations
@@ -15,54 +14,60 @@
 
 @dataclass(slots=True)
 class ResponseHeaderSection:
-    """The head of an answer that goes on as it comes."""
+    """The header section of a streamed response, as far as it is forwarded."""
 
     status: int
     content_type: bytes
-    body_length: int | None  # of its body; None: it ends where it ends
+    body_length: int | None  # None: unknown until the body ends
 
 
 class ResponseSink(Protocol):
-    """Where such an answer goes. After `done` or `broken` nothing more is told."""
+    """The destination of a streamed response body.
+
+    No call follows `finish_body` or `abort_body`.
+    """
 
     def write_body(self, data: bytes) -> bool:
-        """Bytes of the body; whether there is room for more, else `on_room` is called when there
-        is."""
+        """Forward a part of the body, and return whether there is space for more.
+
+        Where there is none, `on_space` is called once there is.
+        """
 
     def finish_body(self) -> None:
-        """That was all of it."""
+        """Finish the body: all of it has been written."""
 
     def abort_body(self) -> None:
-        """There is no more, and it is not whole: its reader must be able to tell."""
+        """End the body although it is incomplete, in a way that its reader can recognize."""
 
     def set_callbacks(self, on_space: Callable[[], None], on_abandoned: Callable[[], None]) -> None:
-        """Whom to tell that there is room again, and that the reader has gone away."""
+        """Set what to call when there is space again, and when the reader has gone away."""
 
 
 def do_nothing() -> None:
-    """Nobody listens."""
+    """Stand in for a callback that is not set."""
 
 
 class Upload:
-    """The body of a request that goes on as it comes. It can be read once."""
+    """The body of a request that is streamed. It can be read once.
+
+    `body_length` is None for a chunked body; `window_bytes` says how much may be buffered here.
+    """
 
     def __init__(self, body_length: int | None, window_bytes: Callable[[], int]) -> None:
-        """`length` of the whole body, None where it comes in chunks; `window`: bytes that may wait
-        here."""
         self.body_length = body_length
         self.window_bytes = window_bytes
         self.chunks: deque[bytes] = deque()
-        self.buffered_bytes = 0  # bytes that wait
-        self.consumed = False  # some have been read: there is no second reading
-        self.complete = False  # all has come in
+        self.buffered_bytes = 0
+        self.consumed = False  # some of it has been read, and can't be read again
+        self.complete = False  # all of it has been received
         self.on_data: Callable[[], None] = do_nothing
         self.on_space: Callable[[], None] = do_nothing
         self.on_abandoned: Callable[[], None] = do_nothing
 
-    # Whoever brings it.
+    # For the producer, the frontend.
 
     def feed(self, data: bytes) -> bool:
-        """More of the body; whether there is room for still more."""
+        """Append a part of the body, and return whether there is space for more."""
         self.chunks.append(data)
         self.buffered_bytes += len(data)
         self.on_data()
@@ -70,20 +75,22 @@
 
     @property
     def is_full(self) -> bool:
+        """Whether the window is used up."""
         return self.buffered_bytes >= self.window_bytes()
 
     def finish(self) -> None:
+        """Mark the body as complete."""
         self.complete = True
         self.on_data()
 
     def abandon(self) -> None:
-        """The rest of it never comes."""
+        """Report that the rest of the body never arrives."""
         self.on_abandoned()
 
-    # Whoever takes it on.
+    # For the consumer, the upstream transport.
 
     def read(self) -> bytes:
-        """All that waits; empty where nothing does."""
+        """Take all buffered bytes; empty where there are none."""
         if not self.chunks:
             return b""
         self.consumed = True
--- a/badgercart/upstream/__init__.py
+++ b/badgercart/upstream/__init__.py
@@ -1,1 +1,4 @@
-"""Attempts over the node's own connections to the servers; its entry is ``pool.ServerPool``."""
+"""Attempts over the node's own connections to the servers.
+
+Its entry is ``connection_pool.ServerPool``.
+"""
--- a/badgercart/upstream/connection_pool.py
+++ b/badgercart/upstream/connection_pool.py
@@ -1,5 +1,4 @@
-"""Drives the way to the servers: pooled connections, attempts on them, and how each attempt
-ended."""
+"""The connection pool: connections to servers, the attempts on them, and how each attempt ended."""
 
 from __future__ import annotations
 
@@ -12,7 +11,7 @@
 from typing import Protocol, cast
 
 from badgercart.config import Address
-from badgercart.core import read_buffer as reading
+from badgercart.core import read_buffer
 from badgercart.core.clock import now_ms
 from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.core.memory_budget import MemoryBudget, budget_bytes
@@ -38,23 +37,26 @@
 )
 from badgercart.upstream.log_events import MALFORMED_ANSWER, NO_DESCRIPTORS
 
-FINAL_READ_DELAY_S = 0.001  # s, one turn of the loop, between an attempt's time and its end
-SCAN_INTERVAL_S = 1.0  # s between looks for connections that have been idle for too long
-# ms that a connection rests between an answer and the next request. A second answer may come some
-# ms behind the first, and would pass for the next one's: answers do not say whose they are. Seen:
-# 1.2 to 3.5 ms.
+# An iteration of the event loop, between an attempt's deadline and its end.
+FINAL_READ_DELAY_S = 0.001
+# The interval of the scan for stalled and idle connections.
+SCAN_INTERVAL_S = 1.0
+# The pause of a connection between a response and the next request. A second response may follow
+# the first by some ms (1.2 to 3.5 ms have been seen), and would be taken for the next request's:
+# responses do not say which request they belong to.
 REUSE_DELAY_MS = 10.0
-MAX_BUFFERING_S = 0.1  # s after its first byte that an answer of unknown length is held
-SERVER_STALL_TIMEOUT_MS = (
-    10_000.0  # ms without a byte after which a server's answer, or its reading, is given up
-)
-CLIENT_STALL_TIMEOUT_MS = (
-    30_000.0  # ms without room at the client after which its answer is given up
-)
+# How long a response of unknown length is buffered after its first byte.
+MAX_BUFFERING_S = 0.1
+# A streamed attempt is aborted when the server sends or reads nothing for this time.
+SERVER_STALL_TIMEOUT_MS = 10_000.0
+# A streamed response is aborted when its client makes no space for this time.
+CLIENT_STALL_TIMEOUT_MS = 30_000.0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One open attempt."""
+
     request_id: int
     number: int
     server: Server
@@ -64,37 +66,38 @@
     deadline_ms: float
     phase: AttemptPhase = AttemptPhase.CONNECTING
     past_deadline: bool = False
-    timeout_ms: float = 0.0  # ms, where it counts from when the request is whole
+    timeout_ms: float = 0.0  # where it counts from when the request is complete
     timer: asyncio.TimerHandle | None = None
-    streaming_timer: asyncio.TimerHandle | None = (
-        None  # when its answer begins to go on at the latest
-    )
+    # Starts to stream the response, at the latest.
+    streaming_timer: asyncio.TimerHandle | None = None
     connect_task: asyncio.Task[None] | None = None
     connection: ServerConnection | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server at its address. The version counts changes after which old connections are not
-    used."""
+    """A server at its address.
+
+    The version counts changes after which older connections are not used any more.
+    """
 
     id: int
     address: Address
     state: EndpointState
     started_ms: float
     version: int = 0
-    open_attempts: int = 0  # attempts
-    idle_connections: list[ServerConnection] = field(
-        default_factory=list
-    )  # the most recently used last
+    open_attempts: int = 0
+    # The most recently used connection is the last.
+    idle_connections: list[ServerConnection] = field(default_factory=list)
 
     @property
     def endpoint(self) -> str:
+        """The address as host:port."""
         return f"{self.address[0]}:{self.address[1]}"
 
 
 class ServerConnection(asyncio.BufferedProtocol):
-    """One connection; it carries one attempt at a time."""
+    """A connection to a server, which carries one attempt at a time."""
 
     transport: asyncio.Transport
 
@@ -105,13 +108,14 @@
         self.exchange = Exchange()
         self.attempt: Attempt | None = None
         self.idle_since_ms = 0.0
-        self.idle_ms = 0.0  # ms before the attempt
-        self.buffered_bytes = 0  # bytes of an answer that count as held
-        self.sink: ResponseSink | None = None  # where the answer goes on to
-        self.write_paused = self.read_paused = False  # writing; reading
-        self.last_progress_ms = 0.0  # ms, when something last went on, of what goes on as it comes
+        self.idle_ms = 0.0  # how long it was idle before the attempt
+        self.buffered_bytes = 0  # of a response, as counted in the memory budget
+        self.sink: ResponseSink | None = None  # the destination of a streamed response
+        self.write_paused = self.read_paused = False
+        self.last_progress_ms = 0.0  # when a part of a streamed body was last forwarded
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Set up the connection for its transport."""
         # Not isinstance: uvloop's transports do not derive from asyncio's. They come with
         # TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
@@ -119,25 +123,29 @@
         self.socket_poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the attempt on the connection, if there is one."""
         self.exchange.close()
         self.exchange.release_parser()
         self.pool.connections.discard(self)
         if self in self.server.idle_connections:
             self.server.idle_connections.remove(self)
         if (attempt := self.attempt) is not None:
-            # Where the request has been given to the transport, what its buffer held is no proof
-            # that the server did not get it: the attempt may have run.
+            # Once the request has been written to the transport, bytes in its buffer don't prove
+            # that the server did not receive it: the attempt may have been executed.
             self.pool.idle_timeout.record_reuse(self.idle_ms, self.exchange.response_bytes > 0)
             self.detach_attempt(complete=False)
             self.pool.finish_attempt(attempt, CONNECTION_LOST_RESULTS[attempt.phase])
 
     def is_quiet(self) -> bool:
-        """Whether it is open and nothing lies unread in it, which would pass for the next answer.
+        """Return whether the connection is open and nothing unread is in its socket.
 
-        What came right behind the last answer, or a close, may not have reached the loop yet."""
+        Unread bytes would be taken for the next response. What followed the last response, or a
+        close, may not have been read by the event loop yet.
+        """
         return not self.transport.is_closing() and not self.socket_poll.poll(0)
 
     def start_attempt(self, attempt: Attempt) -> None:
+        """Write the request of an attempt, or start to stream it."""
         self.attempt = attempt
         self.idle_ms = attempt.started_ms - self.idle_since_ms if self.idle_since_ms else 0.0
         attempt.connection = self
@@ -159,14 +167,15 @@
             self.forward_upload()
 
     def request_sent(self) -> bool:
-        """Whether the request that it carries has left this process."""
+        """Return whether the whole request on the connection has left this process."""
         if self.attempt is not None and self.attempt.phase is AttemptPhase.SENT:
             return self.transport.is_closing() or not self.transport.get_write_buffer_size()
         return self.attempt is None or self.attempt.phase is not AttemptPhase.STREAMING_REQUEST
 
-    # A request that comes in, and an answer that goes on, as they come.
+    # Streamed requests and responses.
 
     def forward_upload(self) -> None:
+        """Write what has been received of a streamed request."""
         attempt = self.attempt
         if (
             attempt is None
@@ -186,14 +195,16 @@
             self.pool.start_timeout(attempt)
 
     def pause_writing(self) -> None:
+        """Stop forwarding a request, as the server does not read."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
+        """Go on forwarding a request."""
         self.write_paused, self.last_progress_ms = False, now_ms()
         self.forward_upload()
 
     def start_streaming(self) -> None:
-        """Let the answer go on as it comes."""
+        """Start to stream the response."""
         attempt, pool = self.attempt, self.pool
         if (
             attempt is None
@@ -207,7 +218,7 @@
         self.sink = pool.on_response_started(
             attempt.request_id, attempt.number, self.server.id, elapsed_ms, header_section
         )
-        if self.sink is None:  # nobody waits for it any more
+        if self.sink is None:  # the request is not in flight any more
             pool.abort_attempt(attempt, AttemptResult.CANCELLED)
             return
         pool.memory_budget.stream_count += 1
@@ -215,6 +226,7 @@
         self.forward_response()
 
     def forward_response(self) -> None:
+        """Forward what has arrived of a streamed response."""
         assert self.sink is not None
         data = self.exchange.take_body()
         if not data:
@@ -225,19 +237,20 @@
             self.transport.pause_reading()
 
     def on_space(self) -> None:
+        """Go on reading a response, as its client has space again."""
         if self.read_paused and not self.transport.is_closing():
             self.read_paused, self.last_progress_ms = False, now_ms()
             self.transport.resume_reading()
 
     def on_abandoned(self) -> None:
-        """The client has gone away."""
+        """Cancel the attempt, as the client has disconnected."""
         self.sink = None
         self.pool.memory_budget.stream_count -= 1
         if self.attempt is not None:
             self.pool.abort_attempt(self.attempt, AttemptResult.CANCELLED)
 
     def detach_attempt(self, complete: bool) -> Attempt | None:
-        """Part from the attempt, which is over: nothing more goes on."""
+        """Detach the attempt, which is over, and end its streamed response."""
         attempt, self.attempt = self.attempt, None
         if self.buffered_bytes:
             self.set_buffered_bytes(0)
@@ -251,16 +264,19 @@
         return attempt
 
     def set_buffered_bytes(self, buffered_bytes: int) -> None:
+        """Set how much of a response is buffered, and count it in the memory budget."""
         self.pool.memory_budget.buffered_bytes += buffered_bytes - self.buffered_bytes
         self.buffered_bytes = buffered_bytes
 
-    # From the transport.
+    # Callbacks of the transport.
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return reading.get_read_buffer()
+        """Return the buffer for the next read."""
+        return read_buffer.get_read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        result = self.exchange.receive(reading.copy_read_bytes(nbytes))
+        """Handle bytes from the server."""
+        result = self.exchange.receive(read_buffer.copy_read_bytes(nbytes))
         if result is not None:
             self.handle_result(result)
         elif self.exchange.streaming:
@@ -276,10 +292,12 @@
                 )
 
     def eof_received(self) -> None:
+        """Handle the end of the server's stream."""
         if (result := self.exchange.receive_eof()) is not None:
             self.handle_result(result)
 
     def handle_result(self, result: ExchangeResult) -> None:
+        """End the attempt by the result of the exchange."""
         if self.sink is not None and isinstance(result, CompleteResponse):
             self.sink.write_body(result.response.body)
         if self.read_paused and not self.transport.is_closing():
@@ -302,12 +320,12 @@
                 server=self.server.endpoint, request=attempt.request_id, why=result.reason
             )
             self.pool.finish_attempt(attempt, AttemptResult.ERROR)
-        else:  # nothing was asked
+        else:  # unexpected data
             self.transport.abort()
 
 
 class AttemptEndedCallback(Protocol):
-    """Who is told of the end of an attempt, with the answer where one came whole."""
+    """Receives the end of an attempt, with the response where one arrived completely."""
 
     def __call__(
         self,
@@ -322,15 +340,16 @@
     ) -> None: ...  # fmt: skip
 
 
-# Request, number of the attempt, server, ms until now, the answer's head; where it goes, None:
-# nowhere.
+# Receives the start of a streamed response: the request's id, the attempt's number, the endpoint's
+# id, ms since the attempt was sent, and the header section. Returns the destination of the body;
+# None: the request is not in flight any more.
 ResponseStartedCallback = Callable[
     [int, int, int, float, ResponseHeaderSection], ResponseSink | None
 ]
 
 
 def assume_awaited(request_id: int) -> bool:
-    """For who does not tell which requests still wait."""
+    """Return True, where it is not known which requests are still in flight."""
     return True
 
 
@@ -341,12 +360,12 @@
     elapsed_ms: float,
     header_section: ResponseHeaderSection,
 ) -> ResponseSink | None:
-    """For fronts whose messages ask for no answer as it comes."""
+    """Return no destination, for frontends that ask for no streamed response."""
     return None
 
 
 class ServerPool:
-    """All servers that a list has named, and all attempts that are out."""
+    """All servers of the endpoint list with their connections, and all open attempts."""
 
     def __init__(
         self,
@@ -357,7 +376,7 @@
         on_attempt_ended: AttemptEndedCallback,
         on_response_started: ResponseStartedCallback = reject_streaming,
         memory_budget: MemoryBudget | None = None,
-        source_address: str | None = None,  # the address that connections set out from
+        source_address: str | None = None,  # the local address of connections
         is_awaited: Callable[[int], bool] = assume_awaited,
     ) -> None:
         self.loop = loop
@@ -376,7 +395,7 @@
         self.loop.call_later(SCAN_INTERVAL_S, self.scan)
 
     def update(self, endpoint: DiscoveredEndpoint) -> None:
-        """Take over a line of the server list."""
+        """Apply an entry of the endpoint list."""
         entry, address = endpoint.entry, endpoint.address
         server_id, state, started_ms = entry.id, entry.state, entry.started_ms
         server = self.servers.get(server_id)
@@ -384,7 +403,7 @@
             if state is not EndpointState.GONE:
                 self.servers[server_id] = Server(server_id, address, state, started_ms)
         elif (server.address, server.state, server.started_ms) != (address, state, started_ms):
-            # Connections from before a restart are dead, and a server that drains gets nothing new.
+            # Connections from before a restart are dead, and a draining server gets no new request.
             server.address, server.state, server.started_ms = address, state, started_ms
             server.version += 1
             for connection in server.idle_connections:
@@ -393,7 +412,7 @@
             self.remove_if_gone(server)
 
     def remove_if_gone(self, server: Server) -> None:
-        """Ids are ever new: a server that is gone leaves with its last attempt."""
+        """Remove a server that is gone once it has no attempt: ids are never used again."""
         if (
             server.state is EndpointState.GONE
             and not server.open_attempts
@@ -402,6 +421,7 @@
             del self.servers[server.id]
 
     def send(self, attempt_request: AttemptRequest) -> None:
+        """Start an attempt on a reusable connection, or on a new one."""
         server = self.servers[attempt_request.endpoint_id]
         now, timeout_ms = now_ms(), attempt_request.timeout_ms
         attempt = Attempt(
@@ -444,7 +464,7 @@
         attempt.connect_task = self.loop.create_task(connecting)
 
     async def send_after_reuse_delay(self, attempt: Attempt, connection: ServerConnection) -> None:
-        """Go out on a connection that has just had an answer, once it has rested."""
+        """Send on a connection that has just had a response, once its pause is over."""
         try:
             await asyncio.sleep((REUSE_DELAY_MS + connection.idle_since_ms - now_ms()) / 1000)
         except asyncio.CancelledError:
@@ -458,16 +478,18 @@
             await self.connect(attempt)
 
     def is_reusable(self, connection: ServerConnection) -> bool:
-        """Whether an idle connection can carry the next request."""
+        """Return whether an idle connection can carry the next request."""
         return (
             now_ms() - connection.idle_since_ms < self.idle_timeout.limit_ms
             and connection.is_quiet()
         )
 
     def begin_attempt(self, attempt: Attempt, connection: ServerConnection) -> None:
-        """The one place where an attempt begins to be written, if it still may be.
+        """Write an attempt, if it still may be. This is the only place where that starts.
 
-        Meanwhile its request may have ended, its time passed, or its server begun to drain."""
+        In the meantime its request may have ended, its deadline passed, or its server started to
+        drain.
+        """
         server = attempt.server
         server_usable = (
             attempt.server_version == server.version and server.state is EndpointState.READY
@@ -480,23 +502,25 @@
         if blocked_result is None:
             connection.start_attempt(attempt)
             return
-        if blocked_result is AttemptResult.NOT_SENT and server_usable:  # nothing is wrong with it
+        # Nothing is wrong with the connection where only the request is over.
+        if blocked_result is AttemptResult.NOT_SENT and server_usable:
             self.keep_idle(connection)
         else:
             connection.transport.abort()
         self.finish_attempt(attempt, blocked_result)
 
     def message_limit_bytes(self) -> int:
+        """Return how much of a response may be buffered now."""
         return self.memory_budget.message_limit_bytes
 
     def on_upload_data(self, attempt: Attempt) -> None:
-        """More of a request whose connection is not up yet."""
+        """Note more of a streamed request whose connection is not established yet."""
         assert attempt.request.upload is not None
         if attempt.request.upload.complete:
             self.start_timeout(attempt)
 
     def start_timeout(self, attempt: Attempt) -> None:
-        """Its request is whole: its time counts from now on."""
+        """Start the timeout of an attempt, as its request is complete now."""
         if attempt.timer is None and math.isinf(attempt.deadline_ms):
             attempt.started_ms = now_ms()
             attempt.deadline_ms = attempt.started_ms + attempt.timeout_ms
@@ -505,6 +529,7 @@
             )
 
     def cancel_timers(self, attempt: Attempt) -> None:
+        """Cancel the timers of an attempt."""
         for timer in (attempt.timer, attempt.streaming_timer):
             if timer is not None:
                 timer.cancel()
@@ -513,7 +538,8 @@
         """Open a connection for an attempt; no byte has been sent where this fails."""
         server = attempt.server
         while self.open_connections >= self.max_connections and self.close_longest_idle():
-            await asyncio.sleep(0)  # it holds its descriptor until then
+            # The closed connection holds its descriptor until the loop's next iteration.
+            await asyncio.sleep(0)
         if self.open_connections >= self.max_connections:
             NO_DESCRIPTORS(server=server.endpoint, request=attempt.request_id)
             self.finish_attempt(attempt, AttemptResult.UNREACHABLE)
@@ -525,7 +551,7 @@
                 await self.loop.create_connection(
                     lambda: connection, *server.address, local_addr=self.local_address
                 )
-        except (OSError, UnicodeError):  # no connection in time, or an address that is none
+        except (OSError, UnicodeError):  # no connection in time, or an invalid address
             connection.exchange.release_parser()
             self.finish_attempt(attempt, AttemptResult.UNREACHABLE)
             return
@@ -535,29 +561,32 @@
         finally:
             self.connecting -= 1
         attempt.connect_task = None
-        # Counted from here, not from connection_made: a dial that is cancelled just as it comes up
-        # is closed by uvloop without connection_lost, and would count against the limit for ever.
+        # Counted here, not in connection_made: uvloop closes a connection whose task is cancelled
+        # just as it is established without connection_lost, and it would count against the limit
+        # forever.
         if not connection.transport.is_closing():
             self.connections.add(connection)
         self.begin_attempt(attempt, connection)
 
     @property
     def open_connections(self) -> int:
-        """Connections that hold a descriptor."""
+        """The number of connections that hold a descriptor."""
         return len(self.connections) + self.connecting
 
     def set_timeouts(self, connect_timeout_ms: float, idle_timeout_ms: float) -> None:
+        """Set the timeouts of the configuration."""
         self.connect_timeout_ms = connect_timeout_ms
         self.idle_timeout.set_announced(idle_timeout_ms)
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Have another limit of connections; idle ones over it are closed."""
+        """Set the limit of connections, and close idle ones beyond it."""
         self.max_connections = max_connections
         for _ in range(self.open_connections - max_connections):
             if not self.close_longest_idle():
                 return
 
     def close_longest_idle(self) -> bool:
+        """Close the connection that has been idle for longest; return whether there was one."""
         candidates = [
             server.idle_connections[0]
             for server in self.servers.values()
@@ -571,8 +600,7 @@
         return True
 
     def keep_idle(self, connection: ServerConnection) -> None:
-        """Keep a connection for the next attempt, if its server still is the one it was opened
-        to."""
+        """Keep a connection for the next attempt, unless its server has changed since."""
         server = connection.server
         if connection.version != server.version or server.state is not EndpointState.READY:
             connection.transport.close()
@@ -581,6 +609,7 @@
         server.idle_connections.append(connection)
 
     def scan(self) -> None:
+        """Abort stalled streams, and close connections that have been idle for too long."""
         self.loop.call_later(SCAN_INTERVAL_S, self.scan)
         self.idle_timeout.grow()
         now = now_ms()
@@ -591,8 +620,7 @@
                 AttemptPhase.STREAMING_RESPONSE,
             ):
                 continue
-            # A request may come in slowly: that is its client's affair, and only a server that does
-            # not read is given up.
+            # A slow upload is up to its client: only a server that does not read counts as stalled.
             is_stalled = (
                 connection.write_paused if attempt.phase is AttemptPhase.STREAMING_REQUEST else True
             )
@@ -606,27 +634,33 @@
                 server.idle_connections.pop(0).transport.close()
 
     def on_timeout(self, attempt: Attempt) -> None:
-        # The loop runs timers before it reads: after a stall the answer may lie in the socket
-        # unread, and a server that did its work would pass for a silent one. So it reads once more
-        # first.
+        """End an attempt whose time is over, after a last read from its connection."""
+        # The event loop runs timers before it reads: after a stall the response may be in the
+        # socket unread, and a server that did its work would be taken for one that does not
+        # respond.
         if not attempt.past_deadline:
             attempt.past_deadline = True
             attempt.timer = self.loop.call_later(FINAL_READ_DELAY_S, self.on_timeout, attempt)
             return
         if attempt.connection is not None and attempt.connection.exchange.can_stream:
-            attempt.connection.start_streaming()  # it may be a long one, whose first bytes are in time
+            # The body may be a long one, whose first bytes arrived in time.
+            attempt.connection.start_streaming()
             return
-        # Where no connection came up in the whole time, nothing was sent.
+        # Where no connection was established in the whole time, nothing was sent.
         self.abort_attempt(attempt, TIMEOUT_RESULTS[attempt.phase])
 
     def cancel(self, request_id: int, attempt_number: int) -> None:
+        """Cancel an attempt, if it is still open."""
         attempt = self.attempts.get((request_id, attempt_number))
         if attempt is not None:
             self.abort_attempt(attempt, AttemptResult.CANCELLED)
 
     def abandon_attempt(self, request_id: int, attempt_number: int) -> None:
-        """Nobody waits for it: what has not been written of it never is. A server begins a request
-        with its last byte, so one whose last byte is still here never runs."""
+        """End an attempt whose request is over, unless all of it has been written.
+
+        A server executes a request only once it has its last byte, so that one whose last byte has
+        not left this process is never executed.
+        """
         attempt = self.attempts.get((request_id, attempt_number))
         if attempt is None:
             return
@@ -636,7 +670,7 @@
             self.abort_attempt(attempt, AttemptResult.CANCELLED)
 
     def abort_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Stop waiting: the connection is of no more use, an answer may still come on it."""
+        """End an attempt early, and its connection, on which a response may still arrive."""
         if attempt.connect_task is not None:
             attempt.connect_task.cancel()
         if attempt.connection is not None:
@@ -648,6 +682,7 @@
     def finish_attempt(
         self, attempt: Attempt, result: AttemptResult, response: UpstreamResponse | None = None
     ) -> None:
+        """Remove an attempt and report its end."""
         if self.attempts.pop((attempt.request_id, attempt.number), None) is None:
             return
         check_result(attempt.phase, result)
--- a/badgercart/upstream/exchange.py
+++ b/badgercart/upstream/exchange.py
@@ -1,6 +1,6 @@
-"""One connection to a server as a machine without I/O: a request out, its answer in, over and over.
+"""A state machine for one connection to a server, which carries requests one after another.
 
-It reads no clock and holds no socket. Its legal moves stand in `MOVES`.
+It does no I/O, reads no clock and holds no socket. `TRANSITIONS` lists its legal transitions.
 Source: the protocol's page, section "Nodes to servers"; RFC 9112 for framing.
 """
 
@@ -16,38 +16,38 @@
 from badgercart.core.ports import UpstreamResponse
 from badgercart.core.streams import ResponseHeaderSection, Upload
 
-MAX_BODY_BYTES = 65536  # bytes of a body where nothing passes through as it comes
-MAX_STREAMED_BODY_BYTES = 64 << 20  # bytes of one that does
-MAX_HEADER_SECTION_BYTES = (
-    16384  # bytes of status line and headers, those of interim answers included
-)
-MAX_RESPONSE_BYTES = (
-    MAX_HEADER_SECTION_BYTES + 2 * MAX_BODY_BYTES
-)  # bytes of a whole answer, the framing of its body included
-# bytes of framing for each byte of a long body: chunks of one byte have 5, and extensions more
+# The limit of a body that is not streamed.
+MAX_BODY_BYTES = 65536
+MAX_STREAMED_BODY_BYTES = 64 << 20
+# The status line and the headers, including those of interim responses.
+MAX_HEADER_SECTION_BYTES = 16384
+# A complete response, including the framing of its body.
+MAX_RESPONSE_BYTES = MAX_HEADER_SECTION_BYTES + 2 * MAX_BODY_BYTES
+# Bytes of framing for each byte of a streamed body: chunks of one byte have 5, extensions more.
 MAX_FRAMING_RATIO = 32
-MAX_INTERIM_RESPONSES = 8  # answers 1xx ahead of the final one
-OPTIONAL_WHITESPACE = (
-    b" \t"  # may stand behind a field's value, and is no part of it (RFC 9110, section 5.5)
-)
+# Responses with a status 1xx before the final one.
+MAX_INTERIM_RESPONSES = 8
+# May follow a field's value, and is no part of it (RFC 9110, section 5.5).
+OPTIONAL_WHITESPACE = b" \t"
 
 
 @dataclass(slots=True)
 class UpstreamRequest:
-    """A request as it goes on: all but its time-out, which each attempt writes anew."""
+    """A request as it is forwarded, without its timeout, which each attempt writes anew."""
 
-    header_section: bytes  # request line and header lines
+    header_section: bytes  # the request line and the header lines
     body: bytes
-    upload: Upload | None = None  # the body, where it goes on as it comes
-    may_stream_response: bool = False  # whether its answer may
+    upload: Upload | None = None  # the body, where it is streamed
+    may_stream_response: bool = False
 
 
-class ExchangeState(IntEnum):  # hashed for every request: as numbers, that costs nothing
+# The states are hashed for every request, which costs nothing for integers.
+class ExchangeState(IntEnum):
     """What is expected of the server."""
 
-    IDLE = 0  # nothing: bytes that come now could pass for the next answer
-    AWAITING_RESPONSE = 1  # an answer
-    CLOSED = 2  # nothing ever: the connection is of no more use
+    IDLE = 0  # nothing: bytes that arrive now could be taken for the next response
+    AWAITING_RESPONSE = 1
+    CLOSED = 2  # nothing any more: the connection can't be used again
 
 
 TRANSITIONS: dict[ExchangeState, frozenset[ExchangeState]] = {
@@ -58,18 +58,21 @@
 
 
 def max_framed_bytes(body_bytes: int) -> int:
-    """Bytes of a message, with so much of its body, beyond which its framing is no framing any
-    more."""
+    """Return the limit of a streamed message of which `body_bytes` of the body have arrived.
+
+    What exceeds it can't be framing any more.
+    """
     return 2 * MAX_HEADER_SECTION_BYTES + (1 + MAX_FRAMING_RATIO) * body_bytes
 
 
 def illegal_transition(old: ExchangeState, new: ExchangeState) -> RuntimeError:
+    """Return the error for a transition that `TRANSITIONS` does not list."""
     return RuntimeError(f"a server's connection can't go from {old.name} to {new.name}")
 
 
 @dataclass(slots=True)
 class CompleteResponse:
-    """The answer came whole; where it had begun to go on, `answer` has no body."""
+    """The response is complete; what was streamed of its body is not in `response`."""
 
     response: UpstreamResponse
     not_started: bool
@@ -78,24 +81,26 @@
 
 @dataclass(slots=True)
 class MalformedResponse:
-    """What came is no answer: why."""
+    """What arrived is not a valid response."""
 
     reason: str
 
 
 @dataclass(slots=True)
 class UnexpectedData:
-    """Something came though nothing was asked."""
+    """Bytes arrived although no response was expected."""
 
 
 ExchangeResult = CompleteResponse | MalformedResponse | UnexpectedData
 
 
 class Exchange:
-    """The machine. The parser refers back to it: `close` parts the two.
+    """The state machine. It and its parser refer to each other until `release_parser`.
 
-    An answer is held until it is whole. Where it may go on as it comes, `opening` says that it is
-    time: then `begin` gives its head, and `pass_on` what has come of its body since."""
+    A response is buffered until it is complete. Where it may be streamed, `must_stream` says when:
+    then `start_streaming` returns its header section, and `take_body` what has arrived of its body
+    since.
+    """
 
     __slots__ = (
         "__weakref__", "body", "body_bytes", "body_length", "chunked", "complete", "content_type", "has_trailing_data",
@@ -107,33 +112,30 @@
         self.state = ExchangeState.IDLE
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.body = bytearray()
-        self.response_bytes = 0  # bytes of the answer so far
-        self.body_bytes = 0  # of its body
+        self.response_bytes = 0  # received so far, all framing included
+        self.body_bytes = 0  # of these, the body
         self.interim_responses = 0
         self.headers_complete = False
         self.not_started = False
         self.content_type = b""
         self.complete = False
         self.keep_alive = False
-        self.has_trailing_data = False  # bytes came after the answer
-        self.body_length: int | None = None  # of the body, where it is told
+        self.has_trailing_data = False  # bytes arrived after the response
+        self.body_length: int | None = None  # from Content-Length
         self.chunked = self.has_transfer_coding = False
-        self.may_stream = self.streaming = (
-            False  # whether the answer may go on as it comes, and does
-        )
-        self.message_limit_bytes: Callable[[], int] = (
-            lambda: MAX_BUFFERED_MESSAGE_BYTES
-        )  # how much of an answer may be held now
+        self.may_stream = self.streaming = False  # the response
+        # How much of a response may be buffered now.
+        self.message_limit_bytes: Callable[[], int] = lambda: MAX_BUFFERED_MESSAGE_BYTES
         self.upload: Upload | None = None
 
     def start_request(self, request: UpstreamRequest, remaining_ms: float) -> bytes:
-        """The bytes of a request whose attempt has so many ms left; of one that comes in, its
-        head."""
+        """Return the bytes to send for a request; of a streamed one, its header section."""
         if ExchangeState.AWAITING_RESPONSE not in TRANSITIONS[self.state]:
             raise illegal_transition(self.state, ExchangeState.AWAITING_RESPONSE)
         self.state = ExchangeState.AWAITING_RESPONSE
         self.complete = self.headers_complete = self.streaming = False
-        self.body.clear()  # what is left of the answer before must not pass for this one's
+        # The rest of the previous response must not be taken for a part of this one.
+        self.body.clear()
         self.response_bytes = self.interim_responses = self.body_bytes = 0
         self.may_stream, self.upload = request.may_stream_response, request.upload
         return b"%bRequest-Timeout: %dm\r\n\r\n%b" % (
@@ -143,7 +145,7 @@
         )
 
     def read_upload(self) -> bytes:
-        """What has come of the request's body since, in its framing; the end of it, too."""
+        """Return what has been received of the request's body since, framed; also its end."""
         assert self.upload is not None
         data = self.upload.read()
         if self.upload.body_length is not None:
@@ -152,7 +154,7 @@
         return chunk + b"0\r\n\r\n" if self.upload.exhausted else chunk
 
     def receive(self, data: bytes) -> ExchangeResult | None:
-        """What has come of it; None while the answer is not whole."""
+        """Parse bytes from the server; returns None while the response is incomplete."""
         if self.state is not ExchangeState.AWAITING_RESPONSE:
             self.close()
             return UnexpectedData()
@@ -177,8 +179,10 @@
         return None
 
     def receive_eof(self) -> ExchangeResult | None:
-        """The server has ended its side: the end of an answer that has no other; None where it is
-        none."""
+        """Handle the end of the server's stream.
+
+        It ends a response without other framing; returns None where it ends none.
+        """
         if (
             self.state is not ExchangeState.AWAITING_RESPONSE
             or not self.headers_complete
@@ -189,21 +193,19 @@
         return self.complete_response(False)
 
     def complete_response(self, reusable: bool) -> CompleteResponse:
+        """Return the complete response, and make the connection idle or close the exchange."""
         assert self.parser is not None
         response = UpstreamResponse(
             self.parser.get_status_code(), bytes(self.body), self.content_type
         )
-        # What is left of the request would pass for the next one.
+        # The rest of the request's body would be taken for the next request.
         reusable = reusable and (self.upload is None or self.upload.exhausted)
-        self.state = (
-            ExchangeState.IDLE if reusable else ExchangeState.CLOSED
-        )  # ASKED moves to either
+        self.state = ExchangeState.IDLE if reusable else ExchangeState.CLOSED
         return CompleteResponse(response, self.not_started, reusable)
 
     @property
     def must_stream(self) -> bool:
-        """Whether the answer goes on as it comes from here: it has begun, and can't be held
-        whole."""
+        """Whether to stream the response: its body has begun, and is too large to be buffered."""
         if (
             not self.may_stream
             or self.streaming
@@ -217,7 +219,7 @@
 
     @property
     def can_stream(self) -> bool:
-        """Whether it could, though it need not."""
+        """Whether the response could be streamed, though it need not be."""
         return (
             self.may_stream
             and self.headers_complete
@@ -227,6 +229,7 @@
         )
 
     def start_streaming(self) -> ResponseHeaderSection:
+        """Switch to streaming, and return the response's header section."""
         assert self.parser is not None
         self.streaming = True
         return ResponseHeaderSection(
@@ -234,27 +237,28 @@
         )
 
     def take_body(self) -> bytes:
-        """What has come of the body and was not passed on yet."""
+        """Take what has arrived of the body and was not taken yet."""
         data = bytes(self.body)
         self.body.clear()
         return data
 
     def reject_response(self, reason: str) -> MalformedResponse:
+        """Close the exchange because of an invalid response."""
         self.close()
         return MalformedResponse(reason)
 
     def close(self) -> None:
-        """The connection is gone or of no more use. Told again, it changes nothing."""
-        self.state = ExchangeState.CLOSED  # which any state may move to
+        """Note that the connection is lost or can't be used any more. This is idempotent."""
+        self.state = ExchangeState.CLOSED  # legal from any state
 
     def release_parser(self) -> None:
-        """Part parser and machine, which refer to each other: both would wait for the cyclic
-        collector."""
+        """Drop the parser, so that neither waits for the cyclic garbage collector."""
         self.parser = None
 
-    # What the parser finds.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
+        """Start a response, which may be an interim one."""
         if self.complete:
             self.has_trailing_data = True
             return
@@ -264,17 +268,17 @@
         self.content_type = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.complete or self.headers_complete:  # trailers must not pass for headers
+        """Read a header. Trailers arrive here too, and must not be taken for headers."""
+        if self.complete or self.headers_complete:
             return
         lower, raw, value = name.lower(), value, value.strip(OPTIONAL_WHITESPACE)
         if lower == b"content-length":
             self.body_length = int(value)
             if self.body_length > (MAX_STREAMED_BODY_BYTES if self.may_stream else MAX_BODY_BYTES):
-                raise ValueError(
-                    "a length over the limit"
-                )  # before the body comes, which may never end
+                # Raised before the body arrives, which may never end.
+                raise ValueError("a length over the limit")
         elif lower == b"transfer-encoding":
-            # The parser takes it for chunked with spaces behind it, not with a tab.
+            # The parser accepts `chunked` with spaces behind it, but not with a tab.
             self.has_transfer_coding, self.chunked = True, raw.rstrip(b" ").lower() == b"chunked"
         elif lower == b"not-started":
             self.not_started = value == b"1"
@@ -282,14 +286,16 @@
             self.content_type = value
 
     def on_body(self, body: bytes) -> None:
+        """Buffer a part of the body."""
         if self.complete:
             return
         self.body_bytes += len(body)
         if self.body_bytes > (MAX_STREAMED_BODY_BYTES if self.may_stream else MAX_BODY_BYTES):
-            raise ValueError("a body over the limit")  # reaches `received` as a parser error
+            raise ValueError("a body over the limit")  # reaches `receive` as a parser error
         self.body += body
 
     def on_headers_complete(self) -> None:
+        """Check the headers, and whether the response may be streamed."""
         if self.complete or self.parser is None:
             return
         status = self.parser.get_status_code()
@@ -297,11 +303,10 @@
         if self.headers_complete:
             if self.has_transfer_coding and not self.chunked:
                 raise ValueError("a coding that is not spoken here")
-            self.may_stream = (
-                self.may_stream and status == 200
-            )  # nothing else is passed on as it comes
+            self.may_stream = self.may_stream and status == 200
 
     def on_message_complete(self) -> None:
+        """Finish the response, or an interim one."""
         if self.complete or self.parser is None:
             return
         if not self.headers_complete:
--- a/badgercart/upstream/log_events.py
+++ b/badgercart/upstream/log_events.py
@@ -1,4 +1,4 @@
-"""What the server pool says in the log."""
+"""The log events of the connection pool."""
 
 from __future__ import annotations
 
--- a/tests/app/test_adding.py
+++ b/tests/app/test_adding.py
@@ -13,7 +13,7 @@
 from badgercart.app.file import load_installation
 from badgercart.app.registry import declarations
 from badgercart.app.site import Application
-from tests.net import WAIT, Peer, run
+from tests.net import WAIT_S, ScriptedServer, run
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "ADDING.md"
 FILE = """\
@@ -41,14 +41,14 @@
     path = tmp_path / "site.toml"
 
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         path.write_text(FILE.format(port=peer.port))
         site = Application(load_installation(str(path), {}, known), asyncio.get_running_loop())
         await site.start()
         port = site.components["line"].server.sockets[0].getsockname()[1]  # type: ignore[attr-defined]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"find cab7 8000\n")
-        assert await asyncio.wait_for(reader.readline(), WAIT) == b"200 done\n"
+        assert await asyncio.wait_for(reader.readline(), WAIT_S) == b"200 done\n"
         writer.close()
         await site.drain()
         assert not site.pipeline.in_flight
--- a/tests/app/test_logs.py
+++ b/tests/app/test_logs.py
@@ -23,7 +23,7 @@
 from badgercart.app.log_events import LINES_DROPPED
 from badgercart.core import log_events as events
 from tests.app.test_file import GOOD, ROOT
-from tests.net import WAIT
+from tests.net import WAIT_S
 
 log = logging.getLogger("badgercart.tests")
 
@@ -91,7 +91,7 @@
         while made.waiting.qsize():
             pass
     os.close(write)
-    reader.join(WAIT)
+    reader.join(WAIT_S)
     dropped = sum(line["count"] for line in lines if line["event"] == LINES_DROPPED.name)
     assert dropped + sum(line["message"].startswith("line ") for line in lines) == 20_000
     assert lines[-1]["message"] == "the last"
@@ -148,7 +148,7 @@
         assert re.fullmatch(r"[a-z]+\.[a-z_]+", name)
         assert event.meaning.endswith(".")
         assert f"| `{name}` |" in pages
-    with pytest.raises(ValueError, match="two events list.taken"):
+    with pytest.raises(ValueError, match="the event list.taken is already defined"):
         events.define_event("list.taken", logging.INFO, "", "")
     used = "".join(path.read_text() for path in (ROOT / "badgercart").rglob("*.py"))
     calls = set(re.findall(r"\blog(?:ger)?\.(?:info|warning|error|exception|debug)\(", used))
@@ -178,7 +178,7 @@
     port = until("http.listening")["port"]
 
     def ask(head: str, body: str) -> bytes:
-        with socket.create_connection(("127.0.0.1", port), WAIT) as client:
+        with socket.create_connection(("127.0.0.1", port), WAIT_S) as client:
             client.sendall(f"{head}\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
             return client.recv(65536)
 
@@ -205,5 +205,5 @@
         until("node.stopped")
         assert process.stderr.read() == ""
         process.stderr.close()
-    assert process.wait(WAIT) == 0
+    assert process.wait(WAIT_S) == 0
     assert planted not in json.dumps(lines)
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -22,7 +22,7 @@
 from badgercart.metrics.component import MetricsSettings
 from badgercart.metrics.exposition import MAX_BUCKETS, bucket_bounds_s
 from badgercart.policy.settings import Idempotency, RequestClass
-from tests.net import Client, Peer, config, field, listed, request, run
+from tests.net import Client, ScriptedServer, config, field, operator_entry, request, run
 
 
 def values(text: str) -> dict[str, float]:
@@ -35,12 +35,12 @@
 
 def test_metrics_count_served_and_rejected_requests_and_hostile_names_add_nothing() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         address = ("127.0.0.1", 0)
         parts = {
             "http": HttpSettings(listen=address),
             "metrics": MetricsSettings(listen=address),
-            "server": (listed(peer.entry("s-1")),),
+            "server": (operator_entry(peer.entry("s-1")),),
         }
         site = Application(Installation(config(1), parts), asyncio.get_running_loop())
         await site.start()
@@ -95,7 +95,10 @@
     assert OTHER_LABEL_VALUE in found
     meters = MetricRegistry()
     meters.gauge("a", "", lambda: 1.0)
-    for name, words in (("a", "two figures"), ("no name", "no name of a figure")):
+    for name, words in (
+        ("a", "the metric a is already registered"),
+        ("no name", "'no name' is not a valid metric name"),
+    ):
         with pytest.raises(ValueError, match=words):
             meters.gauge(name, "", lambda: 1.0)
 
--- a/tests/app/test_site.py
+++ b/tests/app/test_site.py
@@ -26,7 +26,7 @@
 from badgercart.app.model import Table
 from badgercart.app.run import run as serve
 from badgercart.app.site import Application, ComponentStartError
-from tests.net import WAIT, config, run
+from tests.net import WAIT_S, config, run
 
 
 class NumberedSettings(Table):
@@ -146,7 +146,7 @@
         }
         site = Application(installation(log, **faults), asyncio.get_running_loop())
         await site.start()
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             await site.drain()
         assert log[3:] == [
             "drain extra",
@@ -169,7 +169,7 @@
         log: list[str] = []
         what = installation(log, start_front="hang")
         serving = asyncio.ensure_future(serve("", what))
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while "start front" not in log:
                 await asyncio.sleep(0)
             os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/upstream/test_exchange.py
+++ b/tests/upstream/test_exchange.py
@@ -81,5 +81,5 @@
         (AttemptPhase.CONNECTING, AttemptResult.TIMEOUT),
         (AttemptPhase.SENT, AttemptResult.UNREACHABLE),
     ):
-        with pytest.raises(RuntimeError, match=f"that is {at.name} can't end as {result.name}"):
+        with pytest.raises(RuntimeError, match=f"in phase {at.name} can't end as {result.name}"):
             check_result(at, result)
