--- a/tests/admin/test_golden.py
+++ b/tests/admin/test_golden.py
@@ -16,8 +16,8 @@
 from badgercart.ejection.errors import EjectionError
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from tests.admin.test_requests import CASES
-from tests.clockwork import Clockwork
 from tests.golden import differences
+from tests.manual_clock import ManualClock
 from tests.net import config
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -25,7 +25,7 @@
 
 def ejections(known: bool, listed: bool, why: str = "") -> AdministrativeEjections:
     """What the calls change; `why` says why nothing can be."""
-    clockwork = Clockwork()
+    clockwork = ManualClock()
     join = RequestPipeline(config(1).settings, 1, clockwork, clockwork.clock)
     roster = EndpointTable(Unread(), join)
     roster.has_update = listed
--- a/tests/admin/test_listener.py
+++ b/tests/admin/test_listener.py
@@ -7,10 +7,10 @@
 
 from badgercart.admin.listener import MAX_CONNECTIONS
 from badgercart.policy.endpoint import EndpointState
-from tests.net import Client, Peer, Stand, request, run, running
+from tests.net import Client, NodeHarness, ScriptedServer, request, run, running
 
 
-async def call(stand: Stand, target: str, method: str = "POST") -> int:
+async def call(stand: NodeHarness, target: str, method: str = "POST") -> int:
     assert stand.node.admin_listener is not None
     client = Client(*await asyncio.open_connection(*stand.node.admin_listener.address))
     status, _, _ = await client.ask(f"{method} {target} HTTP/1.1\r\nHost: n\r\n\r\n".encode())
@@ -27,7 +27,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        first, second = await Peer().start(), await Peer().start()
+        first, second = await ScriptedServer().start(), await ScriptedServer().start()
         async with running(first, second, **console(tmp_path)) as stand:
             client = await stand.client()
             assert await call(stand, "/-/ready", "GET") == 200
@@ -64,7 +64,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer, sockets=64, **console(tmp_path)) as stand:
             door = stand.node.admin_listener
             assert door is not None
--- a/tests/benchmarks/test_processes.py
+++ b/tests/benchmarks/test_processes.py
@@ -11,7 +11,7 @@
 
 from benchmarks.scale.processes import Mark, Service, between, entries, memory, processor, times
 from lab.trial.processes import NodeProcess
-from tests.net import WAIT, run
+from tests.net import WAIT_S, run
 
 
 def test_all_that_the_service_writes_is_counted() -> None:
@@ -32,7 +32,7 @@
         writer.close()
         service.stop()
 
-    run(asyncio.wait_for(play(), WAIT))
+    run(asyncio.wait_for(play(), WAIT_S))
 
 
 def test_a_second_of_a_node_is_that_of_those_who_ran_all_along() -> None:
--- a/tests/bulk/test_streams.py
+++ b/tests/bulk/test_streams.py
@@ -14,7 +14,17 @@
 from badgercart.policy.events import AttemptEnded, AttemptResult, RequestCompleted, ResponseStarted
 from badgercart.policy.settings import Settings
 from badgercart.upstream import connection_pool as pool_module
-from tests.net import WAIT, Client, Peer, Stand, config, field, request, run, running
+from tests.net import (
+    WAIT_S,
+    Client,
+    NodeHarness,
+    ScriptedServer,
+    config,
+    field,
+    request,
+    run,
+    running,
+)
 
 LONG = random.Random(5).randbytes(5 * MAX_BUFFERED_MESSAGE_BYTES + 321)
 
@@ -43,19 +53,19 @@
         self.port: int = self.server.sockets[0].getsockname()[1]
         return self
 
-    entry = Peer.entry
+    entry = ScriptedServer.entry
 
     async def call(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.wait_for(self.calls.get(), WAIT)
+        return await asyncio.wait_for(self.calls.get(), WAIT_S)
 
 
 async def head_of(reader: asyncio.StreamReader) -> bytes:
-    return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), WAIT)
+    return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), WAIT_S)
 
 
 async def body_of(reader: asyncio.StreamReader, head: bytes) -> bytes:
     """A whole body, by its framing."""
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_S):
         if (length := field(head, b"Content-Length")) is not None:
             return await reader.readexactly(int(length))
         if field(head, b"Transfer-Encoding") != b"chunked":
@@ -122,7 +132,7 @@
                 assert framing in head
                 assert (await client.reader.readexactly(len(first))) == first
                 client.writer.close()  # who has gone away gets nothing more
-                assert await asyncio.wait_for(reader.read(), WAIT) == b""
+                assert await asyncio.wait_for(reader.read(), WAIT_S) == b""
                 assert (await stand.outcome()).result is AttemptResult.CANCELLED
 
     run(test())
@@ -211,7 +221,7 @@
             reader, writer = await server.call()
             got = await head_of(reader)
             assert await asyncio.wait_for(
-                reader.readexactly(MAX_BUFFERED_MESSAGE_BYTES), WAIT
+                reader.readexactly(MAX_BUFFERED_MESSAGE_BYTES), WAIT_S
             )  # though the rest has not come
             (attempt,) = stand.node.pool.attempts.values()
             assert attempt.timer is None and not stand.node.join.policy.overload.concurrency.current
@@ -219,7 +229,7 @@
             assert isinstance(await stand.event(RequestCompleted), RequestCompleted)
             rest = (
                 await asyncio.wait_for(
-                    reader.readexactly(len(body) - MAX_BUFFERED_MESSAGE_BYTES), WAIT
+                    reader.readexactly(len(body) - MAX_BUFFERED_MESSAGE_BYTES), WAIT_S
                 )
                 if form == "length"
                 else b""
@@ -272,7 +282,7 @@
                 outcome = await spent(stand)
                 assert outcome.result is AttemptResult.UNREACHABLE
 
-    async def spent(stand: Stand) -> AttemptEnded:
+    async def spent(stand: NodeHarness) -> AttemptEnded:
         while not (outcome := await stand.outcome()).body_consumed:
             pass
         return outcome
@@ -294,7 +304,7 @@
             client.writer.write(head + body[: MAX_BUFFERED_MESSAGE_BYTES // 16])
             reader, _ = await server.call()
             assert await client.end() == b""
-            await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
+            await asyncio.wait_for(reader.read(), WAIT_S)  # the server's connection ends, too
             assert (await stand.outcome()).result is AttemptResult.CANCELLED
             assert not stand.node.join.in_flight and not stand.node.pool.attempts
 
@@ -318,7 +328,7 @@
                 assert await client.end() == b""
             else:
                 client.writer.transport.abort()
-            await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
+            await asyncio.wait_for(reader.read(), WAIT_S)  # the server's connection ends, too
             assert (await stand.outcome()).result is AttemptResult.CANCELLED
             assert not stand.node.join.in_flight and not stand.node.pool.attempts
             assert not stand.node.listener.open_ids
@@ -373,7 +383,7 @@
                 readers.append((client, head))
             room: MemoryBudget = stand.node.front.bulk
             paused = lambda: [c for c in stand.node.pool.connections if c.read_paused]  # noqa: E731
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while len(paused()) < count:
                     await asyncio.sleep(0.01)
             waits = [c.transport.get_write_buffer_size() for c in stand.node.listener.connections]
@@ -393,7 +403,7 @@
 
 def test_forms_of_a_request_that_are_rare_and_right() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             client: Client = await stand.client()
             absolute = request().replace(
--- a/tests/capture/support.py
+++ b/tests/capture/support.py
@@ -15,7 +15,7 @@
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import AttemptResult, EndpointUpdate, UpdateKind
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
-from tests.clockwork import Clockwork
+from tests.manual_clock import ManualClock
 
 CLASSES = (
     RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT),
@@ -48,7 +48,7 @@
         self, seed: int, tap: Callable[[RequestPipeline], Any] = lambda join: None
     ) -> None:
         self.random = random.Random(seed)
-        self.clockwork = Clockwork()
+        self.clockwork = ManualClock()
         self.join = RequestPipeline(SETTINGS, seed, self.clockwork, self.clockwork.clock)
         self.answers = 0
         tap(self.join)
--- a/tests/core/test_golden.py
+++ b/tests/core/test_golden.py
@@ -33,8 +33,8 @@
     TrafficPlan,
     UpdateKind,
 )
-from tests.clockwork import Clockwork
 from tests.golden import differences
+from tests.manual_clock import ManualClock
 from tests.net import config
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -73,7 +73,7 @@
 def heard(act: Callable[[RequestPipeline], object]) -> bytes:
     """What is logged while a join does this."""
     log, handler = logging.getLogger("badgercart"), Heard()
-    clockwork = Clockwork()
+    clockwork = ManualClock()
     join = RequestPipeline(SETTINGS, 1, clockwork, clockwork.clock)
     level = log.level
     log.addHandler(handler)
--- a/tests/core/test_join.py
+++ b/tests/core/test_request_pipeline.py
@@ -14,12 +14,12 @@
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.actions import Action, Send, Shed
 from badgercart.policy.events import AttemptEnded, AttemptResult, Request, RequestCancelled
-from tests.clockwork import Clockwork
+from tests.manual_clock import ManualClock
 from tests.net import (
     OK,
-    WAIT,
-    Nobody,
-    Peer,
+    WAIT_S,
+    NullFrontend,
+    ScriptedServer,
     answer,
     config,
     field,
@@ -34,7 +34,7 @@
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
     async def test() -> None:
         typed = OK.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
-        peer = await Peer(answer(typed)).start()
+        peer = await ScriptedServer(answer(typed)).start()
         async with running(peer) as stand:
             client = await stand.client()
             data = request("book", body=b"\x00ride", Tenant="acme").replace(
@@ -60,7 +60,7 @@
 
 def test_an_unsafe_request_that_may_have_run_is_neither_resent_nor_refused() -> None:
     async def test() -> None:
-        peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
+        peers = [await ScriptedServer(hang_up).start(), await ScriptedServer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
             status, _, _ = await (await stand.client()).ask(request("pay"))
             assert status == 502
@@ -71,15 +71,15 @@
 
 def test_a_client_that_goes_away_frees_everything() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
+        peer = await ScriptedServer(stay_silent).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             client.writer.close()
             await stand.event(RequestCancelled)
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await asyncio.wait_for(peer.ended.get(), WAIT_S)
             node = stand.node
             assert (
                 not node.join.in_flight and not node.pool.attempts and not node.listener.connections
@@ -90,7 +90,9 @@
 
 def test_the_module_is_told_what_the_client_says_of_a_request() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), tenants={b"acme": 0, b"ajax": 1}) as stand:
+        async with running(
+            await ScriptedServer().start(), tenants={b"acme": 0, b"ajax": 1}
+        ) as stand:
             client = await stand.client()
             assert (await (await stand.client()).ask(request(Tenant="nobody")))[0] == 400
             data = request("book", key="ride/42", Tenant="ajax", Work_Hint="2500", Client_Retry="1")
@@ -112,7 +114,7 @@
 
 def test_time_is_kept_back_for_the_way_to_the_client() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request(timeout="3000m")))[0] == 200
             left = field(await peer.requests.get(), b"Request-Timeout")
@@ -125,7 +127,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             handle = stand.node.join.policy.handle
 
@@ -144,7 +146,7 @@
 
 def test_a_policy_that_breaks_over_a_request_forgets_it() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client, policy = await stand.client(), stand.node.join.policy
             attempt = policy.lifecycle.attempt
 
@@ -163,10 +165,10 @@
 def test_a_request_that_is_withdrawn_while_it_is_decided_is_not_sent() -> None:
     """One answer withdraws another request, as a GraphQL front may, whose attempt stands behind
     it."""
-    join = RequestPipeline(config(1).settings, 1, Clockwork())
+    join = RequestPipeline(config(1).settings, 1, ManualClock())
     told: list[object] = []
 
-    class Front(Nobody):
+    class Front(NullFrontend):
         def on_shed(self, wait: float) -> None:
             join.cancel_request(2)
 
@@ -205,11 +207,11 @@
 
 def test_a_late_answer_reaches_the_policy_and_not_the_client() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
+        peer = await ScriptedServer(stay_silent).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             stand.node.join.fail_request(stand.node.join.last_request_id, internal_error=False)
             stand.node.pool.cancel(stand.node.join.last_request_id, 0)
             assert (await client.answer())[0] == 502
@@ -221,7 +223,7 @@
 
 def test_a_client_with_too_little_time_is_refused_at_once() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request(timeout="20m")))[0] == 503
             assert peer.requests.empty()
@@ -231,13 +233,13 @@
 
 def test_a_keyed_request_that_may_have_run_is_sent_again_with_its_key() -> None:
     async def test() -> None:
-        peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
+        peers = [await ScriptedServer(hang_up).start(), await ScriptedServer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
             stand.node.join.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
             data = request("book")
             assert (await (await stand.client()).ask(data))[0] == 503
             for peer in peers:
-                got = await asyncio.wait_for(peer.requests.get(), WAIT)
+                got = await asyncio.wait_for(peer.requests.get(), WAIT_S)
                 assert field(got, b"Idempotency-Key") == b"5c0f"
                 assert field(got, b"Request-Id") == field(data, b"Request-Id")
 
@@ -248,7 +250,7 @@
     # The answer brought the next request before the policy knew that the attempt was over: its
     # server counted as stalled, and a request sent ahead was refused.
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             client.writer.write(request() + request())
             for _ in range(2):
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -10,8 +10,8 @@
 from badgercart.discovery import catalog
 from badgercart.policy.endpoint import EndpointState
 from tests.net import (
-    WAIT,
-    Peer,
+    WAIT_S,
+    ScriptedServer,
     request,
     run,
     running,
@@ -34,27 +34,27 @@
 )
 def test_a_malformed_line_leaves_the_list_and_brings_a_whole_one(line: bytes) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             client, calls = await stand.client(), stand.agent.calls
             assert await calls.get() == "/catalog/members?watch=1&from=1"
             stand.agent.lines.put_nowait(line + b"\n")
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
+            assert await asyncio.wait_for(calls.get(), WAIT_S) == "/catalog/members"
             assert (await client.ask(request()))[0] == 200
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(calls.get(), WAIT_S) == "/catalog/members?watch=1&from=1"
 
     run(test())
 
 
 def test_a_watch_that_ends_is_opened_again_where_it_was() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             calls = stand.agent.calls
             assert await calls.get() == "/catalog/members?watch=1&from=1"
             stand.agent.push(5, [peer.entry("s-1", "leaving")])
             stand.agent.lines.put_nowait(None)
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=5"
+            assert await asyncio.wait_for(calls.get(), WAIT_S) == "/catalog/members?watch=1&from=5"
             assert stand.node.pool.servers[stable_id(b"s-1")].state is EndpointState.DRAINING
 
     run(test())
@@ -64,9 +64,9 @@
     monkeypatch.setattr(catalog, "SILENCE", 0.05)
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             for _ in range(3):
-                call = await asyncio.wait_for(stand.agent.calls.get(), WAIT)
+                call = await asyncio.wait_for(stand.agent.calls.get(), WAIT_S)
                 assert call == "/catalog/members?watch=1&from=1"
             assert (
                 stand.node.front.healthy
--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -33,7 +33,7 @@
 from badgercart.frontends.http.component import HttpSettings
 from badgercart.metrics.component import MetricsSettings
 from tests.distribution.test_driver import free_ports
-from tests.net import WAIT, Client, Peer, config, request, run
+from tests.net import WAIT_S, Client, ScriptedServer, config, request, run
 
 ROOT = Path(__file__).parent.parent.parent
 GROUP, SECRET, TOPIC = "test", "a secret of the tests", "servers/dispatch"
@@ -96,7 +96,7 @@
         }
 
     async def until(self, condition: Callable[[], Any]) -> None:
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while not condition():
                 await asyncio.sleep(0.002)
 
@@ -136,7 +136,7 @@
         site.close()
 
 
-def line(name: str, peer: Peer | None = None, state: str = "active") -> dict[str, Any]:
+def line(name: str, peer: ScriptedServer | None = None, state: str = "active") -> dict[str, Any]:
     port = peer.port if peer else 7000 + len(name)
     return {"instanceId": name, "hostPort": f"127.0.0.1:{port}", "lifecycle": state}
 
@@ -148,7 +148,7 @@
     values = {each["instanceId"]: json.dumps(each).encode() for each in lines} | others
     entries = tuple(Entry(key, value) for key, value in values.items())
     async with (
-        asyncio.timeout(WAIT),
+        asyncio.timeout(WAIT_S),
         ReplicaClient(driver.listen, Codec(GROUP, SECRET.encode())) as caller,
     ):
         caller.write(Propose(1, topic, entries, -1))
@@ -199,7 +199,7 @@
         async with store(tmp_path / "s") as s, node(s.listen) as n:
             assert await n.health() == 503 and await n.ask() == 503  # nothing is known yet
             await n.until(lambda: n.part.follower.topics.unknown)
-            first, second = await Peer().start(), await Peer().start()
+            first, second = await ScriptedServer().start(), await ScriptedServer().start()
             path, lines = node_file(tmp_path, s.listen), tmp_path / "lines.json"
             lines.write_text(json.dumps([line("a", first)]))
             result = await command(capsys, "put", path, TOPIC, "--file", str(lines))
@@ -231,7 +231,7 @@
     caplog.set_level(logging.INFO)
 
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         s = await started(tmp_path / "s")
         async with node(s.listen, when_stale=when_stale) as n:
             await put(s, line("a", peer), line("b", peer))
@@ -669,7 +669,7 @@
             stderr=asyncio.subprocess.PIPE, cwd=ROOT,
         )  # fmt: skip
         assert process.stderr is not None
-        async with asyncio.timeout(6 * WAIT):
+        async with asyncio.timeout(6 * WAIT_S):
             while b"distribution.listening" not in (result := await process.stderr.readline()):
                 assert result, "it ended"
         return process
--- a/tests/distribution/test_driver.py
+++ b/tests/distribution/test_driver.py
@@ -49,7 +49,7 @@
 from badgercart.distribution.replica_selector import FollowerTiming, ReplicaSelector
 from badgercart.distribution.topic import Topic
 from tests.distribution.support import subscribe
-from tests.net import WAIT, run
+from tests.net import WAIT_S, run
 
 GROUP, SECRET = "test", b"a secret of the tests"
 CODEC = Codec(GROUP, SECRET)
@@ -70,7 +70,7 @@
 
 
 async def until(condition: Callable[[], Any]) -> None:
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_S):
         while not condition():
             await asyncio.sleep(0.002)
 
@@ -122,7 +122,7 @@
 
 async def put(driver: ReplicaDriver, topic: str, **values: str | None) -> ProposeResponse:
     entries = tuple(Entry(k, None if v is None else v.encode()) for k, v in values.items())
-    async with asyncio.timeout(WAIT), Client(driver.listen, CODEC) as client:
+    async with asyncio.timeout(WAIT_S), Client(driver.listen, CODEC) as client:
         client.write(Propose(1, topic, entries, -1))
         while not isinstance(message := await client.read(), ProposeResponse):
             pass
@@ -184,7 +184,7 @@
 
 
 async def ended(reader: asyncio.StreamReader) -> None:
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_S):
         with contextlib.suppress(ConnectionError):
             await reader.read()
 
@@ -244,7 +244,7 @@
                 await asyncio.sleep(0)
             client = Client(store.listen, CODEC)
             client.reader = reader
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 assert await client.read() == ProposeResponse(1, 1, "", "")
                 status = await client.read()
             assert (
@@ -347,7 +347,7 @@
             monkeypatch.setattr(FollowerDriver, "dial", dial)
             follower, _ = start_follower(("127.0.0.1", 9), store.listen, timing=timing, seed=seed)
             await until(lambda: same(follower, store))
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 assert await hung.get() == "cancelled"
             assert follower.follower.faults["hangs"] >= 1
             follower.close()
@@ -426,7 +426,7 @@
             had: dict[str, Topic] = {}
             client = Client(store.listen, CODEC)
             client.reader = reader
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while any(
                     topic not in had or had[topic].digest != store.replica.topics[topic].digest
                     for topic in topics
--- a/tests/ends/discovery.py
+++ b/tests/ends/discovery.py
@@ -12,21 +12,21 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tests.ends.virtual import Loop
+from tests.ends.virtual import VirtualLoop
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-ALIVE = 2.0  # s between the empty lines of a watch
-Fault = Callable[["Line"], None]
+KEEPALIVE_S = 2.0  # s between the empty lines of a watch
+Fault = Callable[["WatchTransport"], None]
 
 
 def chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Line(asyncio.Transport):
+class WatchTransport(asyncio.Transport):
     """The node's end of a connection to discovery, as the service sees it."""
 
-    def __init__(self, service: Service, protocol: Any) -> None:
+    def __init__(self, service: ScriptedDiscovery, protocol: Any) -> None:
         super().__init__()
         self.service, self.protocol = service, protocol
         self.ended = self.mute = False
@@ -77,22 +77,22 @@
     def alive(self) -> None:
         self.say(chunk(b"\n"))
         if not self.ended:
-            self.timer = self.service.loop.call_later(ALIVE, self.alive)
+            self.timer = self.service.loop.call_later(KEEPALIVE_S, self.alive)
 
 
 @dataclass
-class Service:
+class ScriptedDiscovery:
     """Keeps a list by numbered changes. `faults` befall the next calls, one each; `down` all in a
     time."""
 
-    loop: Loop
+    loop: VirtualLoop
     port: int
     members: dict[str, dict[str, Any]]
     generation: int = 1
     faults: list[str] = field(default_factory=list)
     down: tuple[float, float, str] = (0.0, 0.0, "")  # from, until, and how calls go meanwhile
     calls: list[tuple[float, str]] = field(default_factory=list)
-    lines: set[Line] = field(default_factory=set)
+    lines: set[WatchTransport] = field(default_factory=set)
     changes: list[tuple[int, dict[str, Any]]] = field(default_factory=list)
     whole_first: bool = False  # what a watch missed is told by the whole list
 
@@ -105,7 +105,7 @@
             return how
         return self.faults.pop(0) if self.faults else ""
 
-    async def connect(self, factory: Callable[[], Any]) -> tuple[Line, Any]:
+    async def connect(self, factory: Callable[[], Any]) -> tuple[WatchTransport, Any]:
         how = self.fault()
         self.calls.append((self.loop.now, how))
         if how == "refused":
@@ -115,7 +115,7 @@
         if how == "up late, then silent":
             await asyncio.sleep(0.95)  # nearly given up
         protocol = factory()
-        line = Line(self, protocol)
+        line = WatchTransport(self, protocol)
         line.how = how
         protocol.connection_made(line)
         self.lines.add(line)
@@ -123,7 +123,7 @@
             self.loop.call_soon(line.end)
         return line, protocol
 
-    def left(self, line: Line) -> None:
+    def left(self, line: WatchTransport) -> None:
         self.lines.discard(line)
         if line.timer is not None:
             line.timer.cancel()
@@ -142,7 +142,7 @@
         """A whole list in place of a change leaves out those that drain."""
         return self.whole_first and bool(entry["lifecycle"] == "leaving")
 
-    def answer(self, line: Line) -> None:
+    def answer(self, line: WatchTransport) -> None:
         how = line.how
         whole = "watch" not in line.path
         since = 0 if whole else int(re.search(r"from=(\w+)", line.path)[1])  # type: ignore[index]
@@ -174,7 +174,7 @@
             if whole or how:
                 line.end()
             else:
-                line.timer = self.loop.call_later(ALIVE, line.alive)
+                line.timer = self.loop.call_later(KEEPALIVE_S, line.alive)
 
     # What a test has it do.
 
@@ -211,7 +211,7 @@
                 line.say(chunk(self.text(True)))
 
 
-class InTurn(Service):
+class QueueingDiscovery(ScriptedDiscovery):
     """Works through calls in turn, also those that were given up; each takes time, and waits only
     so long."""
 
@@ -221,10 +221,10 @@
 
     def __post_init__(self) -> None:
         super().__post_init__()
-        self.queue: deque[tuple[float, Line]] = deque()
+        self.queue: deque[tuple[float, WatchTransport]] = deque()
         self.busy = False
 
-    def answer(self, line: Line) -> None:
+    def answer(self, line: WatchTransport) -> None:
         self.queue.append((self.loop.now, line))
         if self.delay:
             self.loop.call_later(self.delay, self.done)
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -11,7 +11,18 @@
 
 from badgercart.policy.events import EndpointUpdate
 from tests.ends.test_leaving import Gate
-from tests.net import CLASSES, OK, WAIT, Client, Peer, Stand, config, request, run, running
+from tests.net import (
+    CLASSES,
+    OK,
+    WAIT_S,
+    Client,
+    NodeHarness,
+    ScriptedServer,
+    config,
+    request,
+    run,
+    running,
+)
 
 # Where: no byte is written; all are, and nothing has come; half of an answer has come.
 DIALLING, WRITTEN, HALF = "dialling", "written", "half an answer"
@@ -20,7 +31,7 @@
 class Scene:
     """A node, one server that holds what it gets, and a client with one request out."""
 
-    def __init__(self, stand: Stand, peer: Peer, client: Client) -> None:
+    def __init__(self, stand: NodeHarness, peer: ScriptedServer, client: Client) -> None:
         self.stand, self.peer, self.client = stand, peer, client
         self.writers: list[asyncio.StreamWriter] = []
         self.gate: Gate | None = None
@@ -90,13 +101,13 @@
     async def test() -> None:
         scene: Scene
 
-        async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+        async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
             scene.writers.append(writer)
             if where is HALF:
                 scene.sent = len(OK) - 2
                 writer.write(OK[: scene.sent])
 
-        peer = await Peer(script).start()
+        peer = await ScriptedServer(script).start()
         aim = 400.0 if end is Scene.time_passes else 5000.0
         settings = replace(config(1, aim).settings, may_cancel=may_cancel)
         async with running(peer, settings=settings) as stand:
@@ -107,7 +118,7 @@
             if scene.gate is not None:
                 await scene.gate.reached()
             else:
-                await asyncio.wait_for(peer.requests.get(), WAIT)
+                await asyncio.wait_for(peer.requests.get(), WAIT_S)
                 while where is HALF and not stand.node.pool.memory_budget.buffered_bytes:
                     await asyncio.sleep(0)
             await end(scene)
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -25,7 +25,7 @@
 )
 from badgercart.discovery.backoff import MOST as MOST_CALLS
 from badgercart.upstream import connection_pool as pools
-from tests.net import WAIT, Agent, Client, Peer, request, run, running
+from tests.net import WAIT_S, Client, DiscoveryAgent, ScriptedServer, request, run, running
 from tests.test_process import COMMAND, Process, raw_config
 
 LIMIT, IDLE, CALLERS = 96, 400, 60
@@ -41,7 +41,7 @@
     for _ in range(number):
         socks.append(socket.socket())
         socks[-1].setblocking(False)
-        await asyncio.wait_for(loop.sock_connect(socks[-1], ("127.0.0.1", port)), WAIT)
+        await asyncio.wait_for(loop.sock_connect(socks[-1], ("127.0.0.1", port)), WAIT_S)
     return socks
 
 
@@ -56,9 +56,9 @@
     tmp_path: Path, told: int, system: int
 ) -> None:
     async def test() -> None:
-        peers = [await Peer().start() for _ in range(2)]
+        peers = [await ScriptedServer().start() for _ in range(2)]
         entries = [peer.entry(f"s-{i}") for i, peer in enumerate(peers, 1)]
-        agent, moved = Agent(entries), Agent([entries[1]], 7)
+        agent, moved = DiscoveryAgent(entries), DiscoveryAgent([entries[1]], 7)
         await agent.start()
         await moved.start()
         agent.server.close()  # discovery is down
@@ -94,7 +94,7 @@
             )
             clients, _ = DescriptorBudget.for_limit(LIMIT, admin=True).split()
             crowd = await idle(node.port, IDLE)
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while held(process.pid) < at_rest + clients - DISCOVERY_DESCRIPTORS:
                     await asyncio.sleep(0.001)
             callers = await idle(door, CALLERS)
@@ -106,7 +106,7 @@
             }
             agent.whole["instances"].append(entries[1])  # type: ignore[attr-defined]
             agent.server = await asyncio.start_server(agent.serve, "127.0.0.1", agent.port)
-            await asyncio.wait_for(agent.calls.get(), WAIT)
+            await asyncio.wait_for(agent.calls.get(), WAIT_S)
             agent.push(2, agent.whole["instances"])  # type: ignore[arg-type]
             await node.line("list 2")
             assert held(process.pid) <= LIMIT
@@ -123,7 +123,7 @@
             path.write_text(json.dumps(raw | {"discovery": f"127.0.0.1:{moved.port}"}))
             process.send_signal(signal.SIGHUP)
             await node.line("configuration read")
-            await asyncio.wait_for(moved.calls.get(), WAIT)
+            await asyncio.wait_for(moved.calls.get(), WAIT_S)
             await node.line("list 7")
             assert held(process.pid) <= LIMIT
             for sock in (*crowd, *callers):
@@ -149,7 +149,7 @@
     dial = uvloop.Loop.create_connection
 
     async def test() -> None:
-        old, new = await Peer().start(), await Peer().start()
+        old, new = await ScriptedServer().start(), await ScriptedServer().start()
         most = 0
         async with running(old, new) as stand:
             pool = stand.node.pool
@@ -168,7 +168,7 @@
 
                     monkeypatch.setattr(uvloop.Loop, "create_connection", counted)
             for _ in range(4):
-                await asyncio.wait_for(new.requests.get(), WAIT)
+                await asyncio.wait_for(new.requests.get(), WAIT_S)
                 await stand.outcome()
             assert most == 4
 
@@ -180,11 +180,11 @@
 
     async def test() -> None:
         async with running(
-            await Peer().start(), console=("127.0.0.1", 0), folder=tmp_path
+            await ScriptedServer().start(), console=("127.0.0.1", 0), folder=tmp_path
         ) as stand:
             door = stand.node.admin_listener
             assert door is not None
-            await asyncio.wait_for(stand.agent.calls.get(), WAIT)
+            await asyncio.wait_for(stand.agent.calls.get(), WAIT_S)
             socks = [socket.create_connection(door.address) for _ in range(CALLERS)]
             before, most = held(os.getpid()), 0
             for _ in range(10 * CALLERS):
@@ -214,7 +214,7 @@
             env=os.environ | {"ROUTER_CONFIG": str(path), "ROUTER_CONSOLE": "127.0.0.1:0"},
             stderr=asyncio.subprocess.PIPE,
         )
-        _, said = await asyncio.wait_for(process.communicate(), WAIT)
+        _, said = await asyncio.wait_for(process.communicate(), WAIT_S)
         assert (
             process.returncode == 2
             and f"limits.sockets: {told} are too few: program".encode() in said
--- a/tests/ends/test_drain.py
+++ b/tests/ends/test_drain.py
@@ -16,7 +16,17 @@
 from badgercart.frontends.http.connection import State
 from badgercart.policy.events import Request
 from tests.ends.test_leaving import Gate
-from tests.net import WAIT, Client, Peer, Stand, held_back, request, run, running, stay_silent
+from tests.net import (
+    WAIT_S,
+    Client,
+    NodeHarness,
+    ScriptedServer,
+    answer_after,
+    request,
+    run,
+    running,
+    stay_silent,
+)
 
 
 @pytest.fixture
@@ -38,7 +48,7 @@
     cls: str, written: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
+        peer = await ScriptedServer(stay_silent).start()
         async with running(peer) as stand:
             gate = None if written else Gate(monkeypatch)
             client = await stand.client()
@@ -61,7 +71,7 @@
     """Its head was begun before the signal, and ends behind it."""
 
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
+        peer = await ScriptedServer(stay_silent).start()
         async with running(peer) as stand:
             client, data = await stand.client(), request()
             client.writer.write(data[:40])
@@ -73,7 +83,7 @@
             event = await stand.event(Request)
             assert event.deadline == stand.node.join.shutdown_deadline_ms
             assert (await client.answer())[0] == 503
-            await asyncio.wait_for(ending, WAIT)
+            await asyncio.wait_for(ending, WAIT_S)
 
     run(test())
 
@@ -82,14 +92,14 @@
 def test_clients_that_wait_in_the_backlog_are_heard_before_the_listener_closes() -> None:
     async def test() -> None:
         release = asyncio.Event()
-        peer = await Peer(held_back(release)).start()
+        peer = await ScriptedServer(answer_after(release)).start()
         async with running(peer, sockets=96) as stand:
             listener = stand.node.listener
             listener.limit = 1
             busy = [await stand.client()]
             for client in busy:
                 client.writer.write(request())
-                await asyncio.wait_for(peer.requests.get(), WAIT)
+                await asyncio.wait_for(peer.requests.get(), WAIT_S)
             waiting = [await stand.client() for _ in range(3)]  # by the kernel's word
             for client in waiting:
                 client.writer.write(request())
@@ -100,7 +110,7 @@
             for client in busy + waiting:
                 assert (await client.answer())[0] in (200, 503)  # by the time that is left
                 client.writer.close()
-            await asyncio.wait_for(ending, WAIT)
+            await asyncio.wait_for(ending, WAIT_S)
 
     run(test())
 
@@ -134,7 +144,7 @@
 ]
 
 
-async def client_in(state: State, stand: Stand) -> tuple[Client, bytes]:
+async def client_in(state: State, stand: NodeHarness) -> tuple[Client, bytes]:
     """A client whose connection is in that state, and what it still has to send."""
     before, data = len(stand.node.listener.waits[state]), request()
     client = await stand.client()
@@ -157,7 +167,7 @@
     """Its last byte comes within the turn of the loop that would have ended its connection."""
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client, rest = await client_in(state, stand)
             other, _ = await client_in(state, stand)  # one that says nothing ends, as it should
             monkeypatch.setattr(crowd, "ORDER", tuple((kind, -1.0) for kind, _ in crowd.ORDER))
@@ -177,7 +187,7 @@
 
 def test_a_process_leaves_by_one_time_for_all_its_fronts() -> None:
     async def test() -> None:
-        async with running(await Peer(stay_silent).start()) as stand:
+        async with running(await ScriptedServer(stay_silent).start()) as stand:
             join = stand.node.join
             join.begin_shutdown(join.clock() - 1.0)
             client = await stand.client()
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -22,7 +22,18 @@
 from badgercart.policy.settings import Settings
 from badgercart.upstream import connection_pool as pools
 from badgercart.upstream.connection_pool import ServerConnection, ServerPool
-from tests.net import CLASSES, OK, WAIT, Client, Peer, Stand, config, request, run, running
+from tests.net import (
+    CLASSES,
+    OK,
+    WAIT_S,
+    Client,
+    NodeHarness,
+    ScriptedServer,
+    config,
+    request,
+    run,
+    running,
+)
 
 MANY = 100
 LAST = b"GET /find/last "
@@ -51,7 +62,11 @@
     once."""
 
     def __init__(
-        self, stand: Stand, peer: Peer, leave: Leave, monkeypatch: pytest.MonkeyPatch
+        self,
+        stand: NodeHarness,
+        peer: ScriptedServer,
+        leave: Leave,
+        monkeypatch: pytest.MonkeyPatch,
     ) -> None:
         self.stand, self.peer, self.monkeypatch = stand, peer, monkeypatch
         self.node, self.leave = stand.node, leave
@@ -60,7 +75,7 @@
         self.stay: Client
         peer.script = self.hold
 
-    async def hold(self, peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def hold(self, peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         if head.startswith(LAST):
             writer.write(OK)
         else:
@@ -68,14 +83,14 @@
 
     async def begun(self) -> asyncio.StreamWriter:
         """The connection of the next request that the server has whole."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             await self.peer.requests.get()
             return await self.writers.get()
 
     def connect(self) -> socket.socket:
         """One that waits to be accepted: nothing of this gives the loop a turn."""
         sock = socket.create_connection(self.node.listener.address)
-        sock.settimeout(WAIT)
+        sock.settimeout(WAIT_S)
         self.socks.append(sock)
         return sock
 
@@ -129,7 +144,7 @@
 
     async def gone(self) -> None:
         """Nobody but who stays is there any more, and nothing is owed."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while self.node.join.in_flight or len(self.node.listener.connections) > 1:
                 await asyncio.sleep(0.001)
 
@@ -331,8 +346,8 @@
     sock.setblocking(False)
     loop = asyncio.get_running_loop()
     sending = asyncio.ensure_future(loop.sock_sendall(sock, request("book", body=b"x" * size)))
-    await asyncio.wait_for(taken.wait(), WAIT)
-    await asyncio.wait_for(sending, WAIT)  # the system has taken all of it
+    await asyncio.wait_for(taken.wait(), WAIT_S)
+    await asyncio.wait_for(sending, WAIT_S)  # the system has taken all of it
     if size > 2 * MAX_STREAM_WINDOW_BYTES:
         while not scene.node.listener.unheard:
             await asyncio.sleep(0)
@@ -344,7 +359,7 @@
         scene.go()
         await scene.gone()
     read_on.set()
-    await asyncio.wait_for(ended.wait(), WAIT)
+    await asyncio.wait_for(ended.wait(), WAIT_S)
     server.close()
     for name in pool.servers.values():
         name.address = ("127.0.0.1", scene.peer.port)
@@ -412,10 +427,10 @@
     )  # else each attempt on a connection in use waits for a turn
 
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         names = {name.encode(): i for i, name in enumerate([*CLASSES, "ordered"])}
         async with (
-            asyncio.timeout(WAIT),
+            asyncio.timeout(WAIT_S),
             running(peer, peer, settings=settings(may_cancel), classes=names) as stand,
         ):
             scene = Scene(stand, peer, leave, monkeypatch)
@@ -430,7 +445,7 @@
             got = [peer.requests.get_nowait() for _ in range(peer.requests.qsize())]
             assert len(got) >= 2 and not [head for head in got if not head.startswith(LAST)]
             join, pool = stand.node.join, stand.node.pool
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while join.open_attempts or pool.attempts or join.policy.lifecycle.requests:
                     await asyncio.sleep(0.001)
             assert (
@@ -447,8 +462,8 @@
     monkeypatch.setattr(pools, "REUSE_DELAY_MS", 0.0)
 
     async def test() -> None:
-        peer = await Peer().start()
-        async with asyncio.timeout(WAIT), running(peer, peer, settings=settings(False)) as stand:
+        peer = await ScriptedServer().start()
+        async with asyncio.timeout(WAIT_S), running(peer, peer, settings=settings(False)) as stand:
             scene = Scene(stand, peer, close, monkeypatch)
             scene.stay = await stand.client()
             await scene.ready()
--- a/tests/ends/test_leaving.py
+++ b/tests/ends/test_leaving.py
@@ -12,7 +12,7 @@
 from badgercart.policy.events import AttemptResult, RequestCancelled
 from badgercart.upstream.attempts import result_if_blocked
 from badgercart.upstream.connection_pool import Attempt, ServerPool
-from tests.net import CLASSES, WAIT, Peer, config, held_back, request, run, running
+from tests.net import CLASSES, WAIT_S, ScriptedServer, answer_after, config, request, run, running
 
 
 class Gate:
@@ -35,7 +35,7 @@
             self.held.get_nowait()
 
     async def reached(self) -> Attempt:
-        return await asyncio.wait_for(self.held.get(), WAIT)
+        return await asyncio.wait_for(self.held.get(), WAIT_S)
 
 
 def settings(may_cancel: bool) -> dict[str, Any]:
@@ -51,7 +51,7 @@
     """Twenty for each way of cancelling, effect and way of leaving: 240 cases."""
 
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer, **settings(may_cancel)) as stand:
             gate, stays, written = Gate(monkeypatch), await stand.client(), 0
             for _ in range(20):
@@ -73,7 +73,7 @@
                 for server in stand.node.pool.servers.values():
                     for connection in server.idle_connections:
                         connection.transport.abort()
-                await asyncio.wait_for(peer.ended.get(), WAIT)
+                await asyncio.wait_for(peer.ended.get(), WAIT_S)
                 gate.close()
             assert written == 0
             assert (
@@ -90,7 +90,7 @@
     gone."""
 
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         late = socket.socket()
         late.bind(("127.0.0.1", 0))
         late.listen(0)
@@ -116,8 +116,8 @@
             for sock in fills:
                 sock.close()
             for _ in fills[1:]:
-                sock, _ = await asyncio.wait_for(loop.sock_accept(late), WAIT)
-                assert await asyncio.wait_for(loop.sock_recv(sock, 100), WAIT) == b""
+                sock, _ = await asyncio.wait_for(loop.sock_accept(late), WAIT_S)
+                assert await asyncio.wait_for(loop.sock_recv(sock, 100), WAIT_S) == b""
                 sock.close()
             assert not stand.node.pool.connecting
         late.close()
@@ -131,11 +131,11 @@
 
     async def test() -> None:
         release = asyncio.Event()
-        peer = await Peer(held_back(release)).start()
+        peer = await ScriptedServer(answer_after(release)).start()
         async with running(peer, **settings(False)) as stand:
             client = await stand.client()
             client.writer.write(b"".join(request() for _ in range(60)))
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             async for connection in stand.connections(1):
                 assert connection.machine.paused
             client.writer.close()
@@ -157,14 +157,14 @@
         gate = asyncio.Event()
         answered = 0
 
-        async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+        async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
             nonlocal answered
             answered += 1
             if answered > 1:
                 await gate.wait()
             writer.write(big)
 
-        peer = await Peer(script).start()
+        peer = await ScriptedServer(script).start()
         async with running(peer, **settings(False)) as stand:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -178,7 +178,7 @@
                 transport_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
             await loop.sock_sendall(sock, request() + request())
             for _ in range(2):
-                await asyncio.wait_for(peer.requests.get(), WAIT)
+                await asyncio.wait_for(peer.requests.get(), WAIT_S)
             assert connection.transport.get_write_buffer_size()
             sock.shutdown(socket.SHUT_WR)
             await stand.event(RequestCancelled)
--- a/tests/ends/test_orders.py
+++ b/tests/ends/test_orders.py
@@ -27,7 +27,7 @@
 from badgercart.upstream import connection_pool as module
 from badgercart.upstream.connection_pool import ServerPool
 from badgercart.upstream.exchange import UpstreamRequest
-from tests.ends.virtual import Dial, Loop, Way
+from tests.ends.virtual import PendingConnection, ServerTransport, VirtualLoop
 
 CLASSES = (
     RequestClass(
@@ -102,7 +102,7 @@
 class World:
     """A node's join and pool, and the servers that a script plays."""
 
-    def __init__(self, loop: Loop, may_cancel: bool) -> None:
+    def __init__(self, loop: VirtualLoop, may_cancel: bool) -> None:
         self.loop = loop
         self.settings = Settings(
             CLASSES, may_cancel=may_cancel, max_attempts=3, max_retry_after_ms=100.0
@@ -120,8 +120,8 @@
         self.roster = EndpointTable(None, self.join)  # type: ignore[arg-type]
         self.roster.on_change.append(self.pool.update)
         self.owed: dict[int, Owed] = {}
-        self.ways: dict[int, tuple[Way, int]] = {}  # with a request on them, and which
-        self.idle: list[Way] = []  # that have had an answer
+        self.ways: dict[int, tuple[ServerTransport, int]] = {}  # with a request on them, and which
+        self.idle: list[ServerTransport] = []  # that have had an answer
         self.states = [EndpointState.READY] * 4
         self.started = [0.0] * 4
         self.left = False
@@ -138,7 +138,7 @@
         ]
         self.roster.apply(DiscoveryUpdate(kind, 1, members))
 
-    def written(self, way: Way, data: bytes) -> None:
+    def written(self, way: ServerTransport, data: bytes) -> None:
         """A server has got the last byte of a request."""
         match = re.search(rb"Request-Id: (\d+)\r\n", data)
         assert match is not None and data.endswith(b"\r\n\r\n")
@@ -172,7 +172,7 @@
 
     def dial(self, number: int) -> None:
         if waiting := [dial for dial in self.loop.dials if not dial.up.done()]:
-            dial: Dial = waiting[number % len(waiting)]
+            dial: PendingConnection = waiting[number % len(waiting)]
             if number % 5 == 4:
                 dial.fail()
             else:
@@ -243,7 +243,7 @@
 )  # fmt: skip
 
 
-async def play(loop: Loop, steps: list[tuple[int, int]], may_cancel: bool) -> World:
+async def play(loop: VirtualLoop, steps: list[tuple[int, int]], may_cancel: bool) -> World:
     world = World(loop, may_cancel)
     for what, number in steps:
         if what >= len(STEPS):  # time passes
@@ -277,7 +277,7 @@
     chance = random.Random(drawn)
     steps = [(chance.randrange(len(STEPS) + 4), chance.randrange(10**6)) for _ in range(count)]
     with pytest.MonkeyPatch.context() as patch:
-        loop = Loop()
+        loop = VirtualLoop()
         patch.setattr(module, "now_ms", lambda: loop.now * 1000)
         faults: list[dict[str, Any]] = []
         loop.set_exception_handler(lambda _, context: faults.append(context))
--- a/tests/ends/test_ready.py
+++ b/tests/ends/test_ready.py
@@ -12,22 +12,22 @@
 
 from badgercart.discovery.backoff import MOST, PATIENCE, Pace
 from badgercart.discovery.catalog import Discovery
-from tests.ends.discovery import InTurn, Service
+from tests.ends.discovery import QueueingDiscovery, ScriptedDiscovery
 from tests.ends.test_told import entry, on_a_clock
-from tests.ends.virtual import Loop
+from tests.ends.virtual import VirtualLoop
 
 SOON = 0.01  # s
 
 
-def down(until: float, how: str) -> Callable[[InTurn], None]:
-    def trouble(service: InTurn) -> None:
+def down(until: float, how: str) -> Callable[[QueueingDiscovery], None]:
+    def trouble(service: QueueingDiscovery) -> None:
         service.down = (0.0, service.loop.now + until, how)
 
     return trouble
 
 
-def slow(**how: float) -> Callable[[InTurn], None]:
-    def trouble(service: InTurn) -> None:
+def slow(**how: float) -> Callable[[QueueingDiscovery], None]:
+    def trouble(service: QueueingDiscovery) -> None:
         for name, value in how.items():
             setattr(service, name, value)
 
@@ -35,7 +35,7 @@
 
 
 # What discovery does, how many processes start, and by when nine in ten are ready (s).
-CASES: dict[str, tuple[Callable[[InTurn], None], int, float]] = {
+CASES: dict[str, tuple[Callable[[QueueingDiscovery], None], int, float]] = {
     "well": (slow(), 30, 0.1),
     "each answer takes 1.7 s": (slow(delay=1.7), 30, 1.75),
     "each answer takes 4 s": (slow(delay=4.0), 30, 4.05),
@@ -58,8 +58,8 @@
 def test_nine_in_ten_are_ready_in_time(case: str) -> None:
     trouble, nodes, term = CASES[case]
 
-    async def test(loop: Loop) -> None:
-        service = InTurn(loop, 1, {"s-1": entry("s-1")})
+    async def test(loop: VirtualLoop) -> None:
+        service = QueueingDiscovery(loop, 1, {"s-1": entry("s-1")})
         trouble(service)
         begun, ready = loop.now, set[int]()
 
@@ -87,8 +87,8 @@
 def test_a_first_call_is_kept_for_long_and_then_makes_room() -> None:
     """Else nobody is ever answered by a service that takes longer than the later calls are kept."""
 
-    async def test(loop: Loop) -> None:
-        service = Service(loop, 1, {"s-1": entry("s-1")}, faults=["silent"] * 99)
+    async def test(loop: VirtualLoop) -> None:
+        service = ScriptedDiscovery(loop, 1, {"s-1": entry("s-1")}, faults=["silent"] * 99)
         follower = Discovery(("d", 1), lambda raw: 1, random.Random(1), pace=Pace.shared())
         follower.start()
         await asyncio.sleep(SOON)
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_suspects.py
@@ -23,8 +23,8 @@
 from badgercart.policy.events import EndpointUpdate
 from tests.ends.test_leaving import Gate
 from tests.ends.test_watch import HEAD, Scripted, hang, says
-from tests.ends.virtual import Loop
-from tests.net import OK, WAIT, Peer, config, request, run, running
+from tests.ends.virtual import VirtualLoop
+from tests.net import OK, WAIT_S, ScriptedServer, config, request, run, running
 from tests.test_process import COMMAND
 
 
@@ -39,7 +39,7 @@
             env=os.environ | {"ROUTER_CONFIG": str(path)},
             stderr=asyncio.subprocess.DEVNULL,
         )
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while True:
                 try:
                     pipe = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
@@ -64,10 +64,10 @@
     async def test() -> None:
         big = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
 
-        async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+        async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(big)
 
-        async with running(await Peer(script).start()) as stand:
+        async with running(await ScriptedServer(script).start()) as stand:
             loop, sock = asyncio.get_running_loop(), socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             sock.setblocking(False)
@@ -86,12 +86,12 @@
                 return int(connection.transport.get_write_buffer_size())
 
             ending, got = asyncio.ensure_future(ends()), b""
-            while part := await asyncio.wait_for(loop.sock_recv(sock, 1000), WAIT):
+            while part := await asyncio.wait_for(loop.sock_recv(sock, 1000), WAIT_S):
                 got += part
                 await asyncio.sleep(0.002)
             assert got.endswith(b"x" * 60000)
             sock.close()
-            assert await asyncio.wait_for(ending, WAIT) == 0
+            assert await asyncio.wait_for(ending, WAIT_S) == 0
 
     run(test())
 
@@ -105,7 +105,7 @@
     monkeypatch.setattr(platform, "ACCEPT_FOR", 0.0)
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             listener = stand.node.listener
             sock = socket.create_connection(
                 listener.address
@@ -116,7 +116,7 @@
             assert not hasattr(client, "machine")
             listener.stop()
             await stand.node.drain()
-            sock.settimeout(WAIT)
+            sock.settimeout(WAIT_S)
             assert b"200 OK" in sock.recv(1000) and sock.recv(1000) == b""
             sock.close()
 
@@ -129,7 +129,7 @@
     grace: float, seed: int
 ) -> None:
     """While it is down no call comes up: none is ever further from the next than the grace."""
-    loop = Loop()
+    loop = VirtualLoop()
 
     async def test() -> None:
         discovery = Discovery(
@@ -159,7 +159,7 @@
     second."""
 
     async def test() -> None:
-        old, new = await Peer().start(), await Peer().start()
+        old, new = await ScriptedServer().start(), await ScriptedServer().start()
         agent = await Scripted([old.entry("s-1", "leaving"), new.entry("s-2")], [hang]).start()
         agent.push(2, [old.entry("s-1", "leaving"), new.entry("s-2")])
         async with running(old, new, agent=agent) as stand:
@@ -175,7 +175,7 @@
 
 def test_after_a_move_to_an_address_that_is_silent_drains_bind_and_the_way_back_is_open() -> None:
     async def test() -> None:
-        old, new = await Peer().start(), await Peer().start()
+        old, new = await ScriptedServer().start(), await ScriptedServer().start()
         nowhere = await Scripted([], [hang, says(HEAD), *[hang] * 20]).start()
         async with running(old, new) as stand:
             stand.agent.push(2, [old.entry("s-1", "leaving")])
@@ -183,7 +183,7 @@
                 await asyncio.sleep(0)
             stand.node.discovery.move(("127.0.0.1", nowhere.port))
             for _ in range(3):
-                await asyncio.wait_for(nowhere.calls.get(), WAIT)
+                await asyncio.wait_for(nowhere.calls.get(), WAIT_S)
             client = await stand.client()
             for _ in range(6):
                 assert (await client.ask(request()))[0] == 200
@@ -200,10 +200,10 @@
 
 def test_a_retry_does_not_go_to_a_server_that_began_to_drain() -> None:
     async def test() -> None:
-        peers = [await Peer().start() for _ in range(2)]
+        peers = [await ScriptedServer().start() for _ in range(2)]
         drained = asyncio.Event()
 
-        async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+        async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
             await drained.wait()
             writer.transport.abort()
 
@@ -231,7 +231,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             gate, client = Gate(monkeypatch), await stand.client()
             whole = request("book", body=b"x" * 100_000)
@@ -259,15 +259,15 @@
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
 
-        async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+        async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
 
-        peer = await Peer(script).start()
+        peer = await ScriptedServer(script).start()
         settings = replace(config(1, aim=400.0).settings, may_cancel=False)
         async with running(peer, settings=settings) as stand:
             client = await stand.client()
             client.writer.write(request(cls))
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             (attempt,) = stand.node.pool.attempts.values()
             if answers:
                 raw = writers[0].get_extra_info("socket")
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -28,9 +28,9 @@
 from badgercart.discovery.entries import ListReader
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import AttemptResult, UpdateKind
-from tests.ends.discovery import Service
-from tests.ends.virtual import Loop
-from tests.net import Nobody, config
+from tests.ends.discovery import ScriptedDiscovery
+from tests.ends.virtual import VirtualLoop
+from tests.net import NullFrontend, config
 
 TOLD, GRACE, MOVED = (
     6.0,
@@ -164,7 +164,9 @@
 class World:
     """A node's list, policy and traffic, and the service it follows."""
 
-    def __init__(self, loop: Loop, listed: list[dict[str, Any]], pushed: bool, dice: float) -> None:
+    def __init__(
+        self, loop: VirtualLoop, listed: list[dict[str, Any]], pushed: bool, dice: float
+    ) -> None:
         self.loop, self.begun = loop, loop.now
         self.config = config(1)
         self.join = RequestPipeline(self.config.settings, 7, loop, lambda: loop.now * 1000)
@@ -173,7 +175,7 @@
         self.carrier = Carrier(self)
         self.taken = math.inf  # when the change was taken up
         self.change: dict[str, Any] | None = None
-        self.service = Service(loop, 1, {e["instanceId"]: e for e in listed})
+        self.service = ScriptedDiscovery(loop, 1, {e["instanceId"]: e for e in listed})
         self.pace = Pace.agent(GRACE * 1000) if pushed else Pace.shared()
         self.discovery = Discovery(("d", 1), self.roster.accept, Fixed(dice), pace=self.pace)
 
@@ -203,12 +205,12 @@
             number = self.join.next_request_id()
             due = (self.loop.now + 5.0) * 1000
             intake = IncomingRequest(0, 0, 0, due, None, response_window_ms=5000.0)
-            self.join.accept(number, intake, Nobody(), self.carrier)  # type: ignore[arg-type]
+            self.join.accept(number, intake, NullFrontend(), self.carrier)  # type: ignore[arg-type]
             await asyncio.sleep(0.05)
 
 
 async def play(
-    loop: Loop, trouble: Trouble, change: str, pushed: bool, after: float, dice: float
+    loop: VirtualLoop, trouble: Trouble, change: str, pushed: bool, after: float, dice: float
 ) -> float:
     """One cell at one time: s from when the change counts as told until it is taken up; infinite if
     never."""
@@ -283,14 +285,14 @@
     """SIGHUP: another service has the list, by numbers of its own."""
     await world.until(at)
     members = dict(world.service.members)
-    world.service = Service(
+    world.service = ScriptedDiscovery(
         world.loop, 2, members, faults=list(faults), changes=list(world.service.changes)
     )
     world.discovery.move(("d", 2))
 
 
 def on_a_clock(test: Any) -> Any:
-    loop = Loop()
+    loop = VirtualLoop()
     try:
         return loop.run_until_complete(test(loop))
     finally:
@@ -343,8 +345,8 @@
 def test_the_service_is_spared_whatever_befalls_calls(fault: str) -> None:
     nodes, time = 20, 60.0
 
-    async def test(loop: Loop) -> None:
-        service = Service(loop, 1, {"s-1": entry("s-1")})
+    async def test(loop: VirtualLoop) -> None:
+        service = ScriptedDiscovery(loop, 1, {"s-1": entry("s-1")})
         followers = [
             Discovery(("d", 1), lambda raw: int(raw["generation"]), random.Random(seed))
             for seed in range(nodes)
--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -15,7 +15,7 @@
 from badgercart.discovery.backoff import RETRY_FIRST, Pace
 from badgercart.discovery.catalog import SILENCE
 from badgercart.policy.endpoint import EndpointState
-from tests.net import WAIT, Agent, Peer, request, run, running
+from tests.net import WAIT_S, DiscoveryAgent, ScriptedServer, request, run, running
 
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -25,7 +25,7 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Scripted(Agent):
+class Scripted(DiscoveryAgent):
     """Discovery whose next calls follow scripts, one each; from then on it is as it always is."""
 
     def __init__(self, instances: list[dict[str, Any]], scripts: list[Script]) -> None:
@@ -75,13 +75,13 @@
     return script
 
 
-def cut(peer: Peer) -> bytes:
+def cut(peer: ScriptedServer) -> bytes:
     return json.dumps(
         {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}
     ).encode()
 
 
-ENDS: dict[str, tuple[Callable[[Peer], list[Script]], int]] = {
+ENDS: dict[str, tuple[Callable[[ScriptedServer], list[Script]], int]] = {
     # What befalls a watch, and how many whole lists it takes to be sure again.
     "silent before its first byte": (lambda peer: [hang], 0),
     "silent before its first byte, twice": (lambda peer: [hang, hang], 0),
@@ -117,7 +117,7 @@
     monkeypatch.setattr(catalog, "RATE", 64_000_000)
 
     async def test() -> None:
-        peer, other = await Peer().start(), await Peer().start()
+        peer, other = await ScriptedServer().start(), await ScriptedServer().start()
         scripts, wholes = ENDS[end]
         number = len(scripts(peer))
         agent = await Scripted(
@@ -146,10 +146,10 @@
 @pytest.mark.parametrize("indent", [0, 2, "\t"])
 def test_indented_lists_are_taken_without_asking_for_them_again(indent: Any) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             calls = stand.agent.calls
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(calls.get(), WAIT_S) == "/catalog/members?watch=1&from=1"
             for generation, state in ((2, "leaving"), (3, "active"), (4, "leaving")):
                 line = {
                     "generation": generation,
@@ -174,7 +174,7 @@
         await trickle(b" ")(reader, writer)
 
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         agent = await Scripted([peer.entry()], [endless]).start()
         async with running(peer, agent=agent, known={}) as stand:
             while stand.node.roster.version < 2:
@@ -201,10 +201,10 @@
     """Else the pool would go by it and the policy not."""
 
     async def test() -> None:
-        peer, other = await Peer().start(), await Peer().start()
+        peer, other = await ScriptedServer().start(), await ScriptedServer().start()
         async with running(peer, other) as stand:
             assert (
-                await asyncio.wait_for(stand.agent.calls.get(), WAIT)
+                await asyncio.wait_for(stand.agent.calls.get(), WAIT_S)
                 == "/catalog/members?watch=1&from=1"
             )
             policy, left = stand.node.join.policy, 1
@@ -221,9 +221,9 @@
             leaving = [peer.entry("s-1", "leaving"), other.entry("s-2")]
             stand.agent.whole = {"generation": 2, "reset": True, "instances": leaving}
             stand.agent.push(2, leaving[:1])
-            assert await asyncio.wait_for(stand.agent.calls.get(), WAIT) == "/catalog/members"
+            assert await asyncio.wait_for(stand.agent.calls.get(), WAIT_S) == "/catalog/members"
             assert (
-                await asyncio.wait_for(stand.agent.calls.get(), WAIT)
+                await asyncio.wait_for(stand.agent.calls.get(), WAIT_S)
                 == "/catalog/members?watch=1&from=2"
             )
             drained = stable_id(b"s-1")
--- a/tests/ends/virtual.py
+++ b/tests/ends/virtual.py
@@ -12,7 +12,7 @@
 from badgercart.upstream.connection_pool import ServerConnection
 
 
-class Still(selectors.BaseSelector):
+class VirtualSelector(selectors.BaseSelector):
     """Nothing ever comes from outside: waiting only lets time pass."""
 
     def __init__(self, passed: Callable[[float], None]) -> None:
@@ -32,13 +32,13 @@
         return []
 
 
-class Loop(asyncio.SelectorEventLoop):
+class VirtualLoop(asyncio.SelectorEventLoop):
     """An event loop on virtual time. Connections are made as the test says."""
 
     def __init__(self) -> None:
         self.now = 1000.0
-        super().__init__(Still(self.let_pass))  # type: ignore[arg-type]
-        self.dials: list[Dial] = []
+        super().__init__(VirtualSelector(self.let_pass))  # type: ignore[arg-type]
+        self.dials: list[PendingConnection] = []
         self.ways = 0
         self.services: dict[
             int, Callable[[Callable[[], Any]], Awaitable[Any]]
@@ -54,7 +54,7 @@
     async def create_connection(self, factory: Any, *args: Any, **options: Any) -> Any:  # type: ignore[override]
         if args[1] in self.services:
             return await self.services[args[1]](factory)
-        dial = Dial(self, factory, args[1])
+        dial = PendingConnection(self, factory, args[1])
         self.dials.append(dial)
         return await dial.up
 
@@ -65,17 +65,19 @@
         super().close()
 
 
-class Dial:
+class PendingConnection:
     """A connection that comes up when the test has it do so."""
 
-    def __init__(self, loop: Loop, factory: Callable[[], ServerConnection], port: int) -> None:
+    def __init__(
+        self, loop: VirtualLoop, factory: Callable[[], ServerConnection], port: int
+    ) -> None:
         self.loop, self.factory, self.port = loop, factory, port
         self.up: asyncio.Future[Any] = loop.create_future()
 
-    def open(self, on_write: Callable[[Way, bytes], None]) -> Way | None:
+    def open(self, on_write: Callable[[ServerTransport, bytes], None]) -> ServerTransport | None:
         if self.up.done():
             return None
-        way = Way(self.loop, self.factory(), self.port, on_write)
+        way = ServerTransport(self.loop, self.factory(), self.port, on_write)
         way.protocol.connection_made(way)
         self.up.set_result((way, way.protocol))
         return way
@@ -85,15 +87,15 @@
             self.up.set_exception(ConnectionRefusedError())
 
 
-class Way(asyncio.Transport):
+class ServerTransport(asyncio.Transport):
     """The node's end of a connection to a server."""
 
     def __init__(
         self,
-        loop: Loop,
+        loop: VirtualLoop,
         protocol: ServerConnection,
         port: int,
-        on_write: Callable[[Way, bytes], None],
+        on_write: Callable[[ServerTransport, bytes], None],
     ) -> None:
         super().__init__()
         self.loop, self.protocol, self.port, self.on_write = loop, protocol, port, on_write
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -24,7 +24,7 @@
 from standins.etcd import Etcd
 from tests.etcd.test_following import PREFIX
 from tests.etcd.test_following import settings as etcd_settings
-from tests.net import WAIT, config, run
+from tests.net import WAIT_S, config, run
 
 RUNS = int(os.environ.get("BADGERCART_RUNS", "0"))
 GRACE = 500.0  # ms
@@ -186,7 +186,7 @@
             await story.step(step)
             await asyncio.sleep(0.01)
         await story.mend()
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while (
                 site.components["etcd"].source is None
                 or site.components["etcd"].source.state is not State.FRESH
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -27,7 +27,7 @@
 from standins.demo import NodeProcess
 from standins.etcd import Etcd
 from standins.fleet import operators_file
-from tests.net import WAIT, Client, Peer, config, request, run
+from tests.net import WAIT_S, Client, ScriptedServer, config, request, run
 from tests.processor.test_failures import authority, key_pem, pem, written
 
 PREFIX = "/badgercart/servers/"
@@ -37,7 +37,7 @@
 }  # fmt: skip
 
 
-def entry(name: str, peer: Peer | None = None, state: str = "active") -> str:
+def entry(name: str, peer: ScriptedServer | None = None, state: str = "active") -> str:
     port = peer.port if peer else 7000 + len(name)
     return json.dumps({"instanceId": name, "hostPort": f"127.0.0.1:{port}", "lifecycle": state})
 
@@ -58,7 +58,7 @@
         }
 
     async def until(self, condition: Any) -> None:
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while not condition():
                 await asyncio.sleep(0.002)
 
@@ -116,7 +116,7 @@
     async def test() -> None:
         async with members() as (etcd,), following(etcd) as node:
             assert await node.health() == 503 and await node.ask() == 503  # nothing is known yet
-            peer, other = await Peer().start(), await Peer().start()
+            peer, other = await ScriptedServer().start(), await ScriptedServer().start()
             await etcd.put(PREFIX + "a", entry("a", peer))
             await node.lists(a="ready")
             await node.state(State.FRESH)
@@ -359,7 +359,7 @@
 
 def test_a_stale_list_is_refused_openly_and_comes_back_with_what_was_learned() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with members() as (etcd,):
             await etcd.put(PREFIX + "a", entry("a", peer))
             async with following(etcd) as node:
@@ -384,7 +384,7 @@
 
 def test_where_the_file_says_go_on_a_stale_list_is_used() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with members() as (etcd,):
             await etcd.put(PREFIX + "a", entry("a", peer))
             async with following(etcd, when_stale="go-on") as node:
@@ -400,7 +400,7 @@
 @pytest.mark.parametrize("heard", [True, False])
 def test_etcd_goes_away_after_and_before_a_drain_was_written(heard: bool) -> None:
     async def test() -> None:
-        draining, other = await Peer().start(), await Peer().start()
+        draining, other = await ScriptedServer().start(), await ScriptedServer().start()
         async with members() as (etcd,):
             await etcd.put(PREFIX + "a", entry("a", draining))
             await etcd.put(PREFIX + "b", entry("b", other))
@@ -437,7 +437,7 @@
     monkeypatch.setattr(client, "SAVE_EVERY", 0.0)
 
     async def test() -> None:
-        peer, path = await Peer().start(), tmp_path / "known.json"
+        peer, path = await ScriptedServer().start(), tmp_path / "known.json"
         async with members() as (etcd,):
             await etcd.put(PREFIX + "a", entry("a", peer))
             async with following(etcd, known_file=str(path)) as node:
@@ -473,7 +473,7 @@
 
 def test_other_times_and_another_guard_hold_from_the_move_on() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with members() as (etcd,):
             await etcd.put(PREFIX + "a", entry("a", peer))
             async with following(etcd, stale_after_ms=1e9, doubtful_after_ms=1e9) as node:
@@ -502,7 +502,7 @@
             await node.start(path)
             path.write_text(operators_file("", second.address))
             node.process.send_signal(signal.SIGHUP)
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while not any("full: b ready" in line for line in node.lines):
                     await asyncio.sleep(0.01)
             assert await node.stop() == 0
--- a/tests/etcd/test_standin.py
+++ b/tests/etcd/test_standin.py
@@ -15,7 +15,7 @@
 from aetcd.rpc import rpc_pb2, rpc_pb2_grpc
 
 from standins.etcd import Etcd
-from tests.net import WAIT, run
+from tests.net import WAIT_S, run
 
 
 @asynccontextmanager
@@ -39,7 +39,7 @@
 
 
 async def read(call: Any) -> Any:
-    return await asyncio.wait_for(call.read(), WAIT)
+    return await asyncio.wait_for(call.read(), WAIT_S)
 
 
 def test_a_strangers_client_reads_writes_and_compares() -> None:
@@ -80,7 +80,7 @@
             await client.put(b"other", b"")
             await client.delete(b"k/1")
             told = []
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 async for event in watch:
                     told.append((str(event.kind), event.kv.key))
                     if len(told) == 3:
@@ -103,7 +103,7 @@
             other = await client.lease(1)
             await client.put(b"m", b"1", lease=other)
             etcd.store.leases[other.id].until = 0.0
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while await client.get(b"m") is not None:
                     await asyncio.sleep(0.01)
         async with member(users={"root": "secret"}) as etcd:
@@ -227,7 +227,7 @@
                 assert not done
                 etcd.frozen = False
                 await etcd.wake()
-                assert (await asyncio.wait_for(waiting, WAIT)).events[0].kv.value == b"1"
+                assert (await asyncio.wait_for(waiting, WAIT_S)).events[0].kv.value == b"1"
                 etcd.twice = True
                 await etcd.put("k", "2")
                 assert (await read(call)).events == (await read(call)).events
@@ -258,7 +258,7 @@
 
         async def line() -> str:
             assert process.stdout is not None
-            return (await asyncio.wait_for(process.stdout.readline(), WAIT)).decode().strip()
+            return (await asyncio.wait_for(process.stdout.readline(), WAIT_S)).decode().strip()
 
         said = await line()
         assert said.startswith("listening on 127.0.0.1:")
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -21,11 +21,11 @@
 from badgercart.policy.events import EndpointUpdate, Request, RequestCancelled
 from badgercart.upstream import connection_pool as pool
 from tests.net import (
-    WAIT,
-    Peer,
+    WAIT_S,
+    ScriptedServer,
     answer,
+    answer_after,
     field,
-    held_back,
     request,
     run,
     running,
@@ -35,7 +35,7 @@
 
 def test_a_request_for_an_upgrade_is_served_as_any_other_and_the_last() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             data = request() + request(Connection="upgrade", Upgrade="websocket")
             assert (await client.ask(data))[0] == 200
@@ -46,12 +46,12 @@
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
-    async def echo(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def echo(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         name = head.split(b" ")[1].rpartition(b"/")[2]
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name))
 
     async def test() -> None:
-        async with running(await Peer(echo).start()) as stand:
+        async with running(await ScriptedServer(echo).start()) as stand:
             client = await stand.client()
             client.writer.write(b"".join(request(key=f"k{i}") for i in range(40)))
             for i in range(40):
@@ -64,11 +64,11 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
+        peer = await ScriptedServer(answer_after(release)).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(request() + request() + request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             stand.node.front.stopping = True
             release.set()
             for connection in (None, None, b"close"):
@@ -81,7 +81,7 @@
 
 def test_many_answers_at_once_do_not_nest() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             client.writer.write(b"GET /_health HTTP/1.1\r\n\r\n" * 3000)
             for _ in range(3000):
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize(("data", "status"), BAD, ids=range(len(BAD)))
 def test_bad_input_is_told_and_goes_to_no_server(data: bytes, status: int) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             client = await stand.client()
             # What comes behind it on the connection is not read: it may be a part of the bad one.
@@ -192,7 +192,7 @@
 
 def test_a_client_that_waits_for_a_go_ahead_gets_it() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             head, body = request("book", body=b"ride", Expect="100-continue")[:-4], b"ride"
             assert (await client.ask(head))[0] == 100
@@ -203,7 +203,7 @@
 
 def test_health_waits_for_a_list() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer, known={}) as stand:
             client = await stand.client()
             await stand.event(EndpointUpdate)
@@ -220,7 +220,7 @@
     )  # so many requests, one after the other, on one connection
 
     async def test() -> None:
-        async with running(await Peer().start(), sockets=96) as stand:
+        async with running(await ScriptedServer().start(), sockets=96) as stand:
             limit = stand.node.listener.limit
             crowd = [await stand.client() for _ in range(limit)]
             for client in crowd:
@@ -243,7 +243,7 @@
     at_once(monkeypatch)
 
     async def test() -> None:
-        async with running(await Peer().start(), sockets=96) as stand:
+        async with running(await ScriptedServer().start(), sockets=96) as stand:
             usual = await stand.client()
             assert (await usual.ask(request()))[0] == 200
             limit = stand.node.listener.limit
@@ -265,7 +265,7 @@
     at_once(monkeypatch)
 
     async def test() -> None:
-        async with running(await Peer().start(), sockets=96) as stand:
+        async with running(await ScriptedServer().start(), sockets=96) as stand:
             limit = stand.node.listener.limit
             slow = [await stand.client() for _ in range(limit)]
             for client in slow:
@@ -283,7 +283,7 @@
     # of a day were never taken up, with 128 connections idle (incident r2136ee, a count of the
     # connections).
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             stand.node.listener.limit = 6
             crowd = [await stand.client() for _ in range(4)]
             ends = [field((await client.ask(request()))[1], b"Connection") for client in crowd]
@@ -298,7 +298,7 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peers = [await Peer(held_back(release)).start() for _ in range(3)]
+        peers = [await ScriptedServer(answer_after(release)).start() for _ in range(3)]
         async with running(*peers, sockets=96) as stand:
             listener = stand.node.listener
             listener.limit = 3
@@ -322,7 +322,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             listener = stand.node.listener
             real, calls = listener.socket, asyncio.Queue[int]()
 
@@ -337,7 +337,7 @@
             monkeypatch.setattr(listener, "socket", Full())
             client = await stand.client()
             client.writer.write(request())
-            await asyncio.wait_for(calls.get(), WAIT)
+            await asyncio.wait_for(calls.get(), WAIT_S)
             assert not listener.accepting and calls.empty()
             monkeypatch.setattr(listener, "socket", real)
             listener.sweep()
@@ -348,7 +348,7 @@
 
 def test_silent_and_slow_clients_are_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             silent, blank, half = [await stand.client() for _ in range(3)]
             blank.writer.write(b"\r\n\r\n")
             half.writer.write(request()[:-2])
@@ -367,7 +367,7 @@
 
 def test_a_connection_that_stands_idle_for_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
             stand.node.listener.sweep()
@@ -383,12 +383,12 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
+        peer = await ScriptedServer(answer_after(release)).start()
         async with running(peer) as stand:
             first, second, third = [await stand.client() for _ in range(3)]
             data = request()
             first.writer.write(data)
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             assert (await second.ask(data))[0] == 409
             assert await second.end() == b""
             assert peer.requests.empty()
@@ -402,11 +402,11 @@
 
 def test_ids_of_requests_that_wait_are_free_when_their_client_goes_away() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
+        peer = await ScriptedServer(stay_silent).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(request() + request() + request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             assert len(stand.node.listener.open_ids) == 3
             client.writer.close()
             await stand.event(RequestCancelled)
@@ -419,11 +419,11 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
+        peer = await ScriptedServer(answer_after(release)).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(b"".join(request() for _ in range(400)))
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             (connection,) = stand.node.listener.connections
             assert len(stand.node.listener.open_ids) <= machine.MAX_WAITING + machine.SLICE // 100
             release.set()
@@ -436,7 +436,7 @@
 
 def test_the_answer_arrives_though_the_client_goes_on_sending() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             client.writer.write(request("pay", Content_Length="80000000"))
             client.writer.write(bytes(8_000_000))
@@ -454,7 +454,7 @@
     script = answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(big), big))
 
     async def test() -> None:
-        async with running(await Peer(script).start()) as stand:
+        async with running(await ScriptedServer(script).start()) as stand:
             client = await stand.client()
             client.writer.transport.pause_reading()
             client.writer.write(b"".join(request() for _ in range(300)) + b"nonsense\r\n\r\n")
@@ -474,7 +474,7 @@
 
 def test_trailers_do_not_pass_for_headers() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             data = framed(
                 CHUNKED, body=b"4\r\nride\r\n0\r\nRequest-Id: other\r\nTenant: acme\r\n\r\n"
@@ -493,7 +493,7 @@
     big = b"x" * 60_000
 
     async def test() -> None:
-        peer = await Peer(
+        peer = await ScriptedServer(
             answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(big), big))
         ).start()
         async with running(peer) as stand:
@@ -517,7 +517,7 @@
 
 def test_a_closed_connection_leaves_nothing_to_the_cyclic_collector() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             gc.collect()
             gc.disable()
@@ -531,7 +531,7 @@
                     if data.endswith(b"\r\n\r\n"):
                         await client.answer()
                     client.writer.close()
-                    async with asyncio.timeout(WAIT):
+                    async with asyncio.timeout(WAIT_S):
                         while stand.node.listener.connections or gone() is not None:
                             await asyncio.sleep(0.001)
             finally:
@@ -545,7 +545,7 @@
 
     async def test() -> None:
         monkeypatch.setattr(clients, "SWEEP", 0.05)
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             assert (await client.ask(b"GET /find/1 HTTP/1.1\r\nHost:"))[0] == 408
             assert await client.end() == b""
@@ -555,7 +555,7 @@
 
 def test_small_writes_are_not_held_back() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             assert (await (await stand.client()).ask(request()))[0] == 200
             (client,) = stand.node.listener.connections
             (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle_connections
@@ -573,7 +573,7 @@
                      | st.binary(max_size=20), max_size=30).map(b"".join))  # fmt: skip
 def test_no_bytes_of_a_client_bring_the_node_down(data: bytes) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             rude = await stand.client()
             rude.writer.write(data)
@@ -591,7 +591,7 @@
 @given(cuts=st.lists(st.integers(min_value=1, max_value=200), max_size=8))
 def test_a_request_may_come_in_pieces(cuts: list[int]) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             client, data = await stand.client(), request("book", body=b"x" * 40)
             places = [0, *sorted(cuts), len(data)]
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -22,7 +22,17 @@
 from badgercart.policy.settings import Idempotency, RequestClass
 from standins import graphql as dispatch
 from standins import http1
-from tests.net import WAIT, Client, Peer, config, field, hang_up, listed, run, stay_silent
+from tests.net import (
+    WAIT_S,
+    Client,
+    ScriptedServer,
+    config,
+    field,
+    hang_up,
+    operator_entry,
+    run,
+    stay_silent,
+)
 from tests.processors import Recorder
 
 FIELDS = [
@@ -48,7 +58,7 @@
 Script = Callable[[dict[str, Any]], tuple[int, Any] | None]
 
 
-class Dispatch(Peer):
+class Dispatch(ScriptedServer):
     """A GraphQL dispatch server. `script` may put something in place of its answer."""
 
     def __init__(self, name: str = "s", script: Script | None = None) -> None:
@@ -114,7 +124,7 @@
 
 
 @asynccontextmanager
-async def desk(*servers: Peer, attempts: int = 1, **changes: Any) -> AsyncIterator[Desk]:
+async def desk(*servers: ScriptedServer, attempts: int = 1, **changes: Any) -> AsyncIterator[Desk]:
     base = config(1, attempts=attempts)
     names = {b"cab-lookup": 0, b"ride-assign": 1}
     what = Installation(
@@ -124,7 +134,9 @@
                 {"listen": "127.0.0.1:0", "schema": str(dispatch.SCHEMA_FILE), "field": FIELDS}
                 | changes
             ),
-            "server": tuple(listed(server.entry(f"s-{n}")) for n, server in enumerate(servers, 1)),
+            "server": tuple(
+                operator_entry(server.entry(f"s-{n}")) for n, server in enumerate(servers, 1)
+            ),
         },
     )
     site = Application(what, asyncio.get_running_loop())
@@ -289,7 +301,7 @@
         client.writer.write(
             http1.request("POST", "/graphql", head, json.dumps({"query": chain}).encode())
         )
-        await asyncio.wait_for(server.requests.get(), WAIT)
+        await asyncio.wait_for(server.requests.get(), WAIT_S)
         client.writer.close()
         await front.event(RequestCancelled)
         await front.event(AttemptEnded)
--- a/tests/graphql/test_golden.py
+++ b/tests/graphql/test_golden.py
@@ -19,14 +19,14 @@
 from standins import http1
 from tests.golden import differences
 from tests.graphql.test_front import ASSIGN, LOOKUP, NEW, desk
-from tests.net import WAIT, Peer, run
+from tests.net import WAIT_S, ScriptedServer, run
 
 GOLDEN = Path(__file__).parent / "golden"
 OLD = "application/json"
 NOT_STARTED = {"errors": [{"message": "full", "extensions": {"code": "QUEUE_FULL"}}]}
 
 
-async def serve(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+async def serve(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
     """A dispatch server's own answer, but for a pickup that it has no room for."""
     body = peer.bodies.pop()  # type: ignore[attr-defined]
     full = b"nowhere" in body
@@ -36,7 +36,7 @@
     writer.write(http1.answer(status, {}, answer))
 
 
-class Keeping(Peer):
+class Keeping(ScriptedServer):
     """A server that keeps each request's bytes."""
 
     def __init__(self) -> None:
@@ -124,7 +124,7 @@
                     body = re.sub(rb'"retryAfter": [\d.]+', b'"retryAfter": <s>', body)
                 answers[name] = head + body
                 client.writer.close()
-                async with asyncio.timeout(WAIT):
+                async with asyncio.timeout(WAIT_S):
                     while front.join.open_attempts:
                         await asyncio.sleep(0)
                 if server.got:
--- a/tests/hot_restart/test_replacing.py
+++ b/tests/hot_restart/test_replacing.py
@@ -16,14 +16,14 @@
 import pytest
 import uvloop
 
-from tests.net import WAIT, Agent, Client, Peer, field, held_back, request
+from tests.net import WAIT_S, Client, DiscoveryAgent, ScriptedServer, answer_after, field, request
 from tests.test_process import COMMAND, Process, raw_config
 
 
 class Platform:
     """Holds the listening socket, and starts processes of one node on it."""
 
-    def __init__(self, folder: Path, agent: Agent) -> None:
+    def __init__(self, folder: Path, agent: DiscoveryAgent) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.port: int = self.sock.getsockname()[1]
         self.folder = folder
@@ -63,12 +63,12 @@
 
     async def end(self, node: Process) -> int:
         node.process.send_signal(signal.SIGTERM)
-        return await asyncio.wait_for(node.process.wait(), WAIT)
+        return await asyncio.wait_for(node.process.wait(), WAIT_S)
 
 
 @asynccontextmanager
-async def platform(folder: Path, *peers: Peer) -> AsyncIterator[Platform]:
-    agent = await Agent([peer.entry(f"s-{i}") for i, peer in enumerate(peers, 1)]).start()
+async def platform(folder: Path, *peers: ScriptedServer) -> AsyncIterator[Platform]:
+    agent = await DiscoveryAgent([peer.entry(f"s-{i}") for i, peer in enumerate(peers, 1)]).start()
     made = Platform(folder, agent)
     try:
         yield made
@@ -106,7 +106,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        peers = [await Peer().start() for _ in range(6)]
+        peers = [await ScriptedServer().start() for _ in range(6)]
         async with platform(tmp_path, *peers) as here:
             node = await here.start()
             assert await here.call(node, "/-/servers/s-1/disable") == 200
@@ -133,7 +133,7 @@
 
 def test_a_ban_told_to_either_of_two_holds_at_both(tmp_path: Path) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with platform(tmp_path, peer) as here:
             old, new = await here.start(), await here.start()
             assert await here.call(new, "/-/servers/s-1/disable") == 200
@@ -148,12 +148,12 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
+        peer = await ScriptedServer(answer_after(release)).start()
         async with platform(tmp_path, peer) as here:
             old = await here.start()
             holder, half, quiet = [await here.client() for _ in range(3)]
             holder.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             whole = request()
             half.writer.write(whole[:20])
             assert (await quiet.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
@@ -163,13 +163,13 @@
             half.writer.write(whole[20:])
             quiet.writer.write(request())  # on a connection that has stood idle
             for _ in range(2):
-                await asyncio.wait_for(peer.requests.get(), WAIT)
+                await asyncio.wait_for(peer.requests.get(), WAIT_S)
             release.set()
             for client in (holder, half, quiet):
                 status, head, _ = await client.answer()
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 client.writer.close()
-            assert await asyncio.wait_for(old.process.wait(), WAIT) == 0
+            assert await asyncio.wait_for(old.process.wait(), WAIT_S) == 0
 
     uvloop.run(test())
 
@@ -178,7 +178,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         (tmp_path / "badgercart-99999999.life").write_bytes(b"")
         (tmp_path / "badgercart-bans").write_bytes(b"spoilt")
         async with platform(tmp_path, peer) as here:
--- a/tests/net.py
+++ b/tests/net.py
@@ -1,5 +1,4 @@
-"""Loopback peers for a node under test: servers that follow a script, discovery, and a raw
-client."""
+"""Loopback counterparts of a node under test: scripted servers, discovery, and a raw client."""
 
 from __future__ import annotations
 
@@ -29,43 +28,50 @@
     "book": Idempotency.KEYED,
     "pay": Idempotency.NON_IDEMPOTENT,
 }
-WAIT = 10.0  # s, for what must come; only a failing test gets there
+# The time limit for expected events; only a failing test reaches it.
+WAIT_S = 10.0
 
-Script = Callable[["Peer", bytes, asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[["ScriptedServer", bytes, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def answer_ok(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+async def answer_ok(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    """Answer with a good response."""
     writer.write(OK)
 
 
 def answer(data: bytes) -> Script:
-    async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    """Answer each request with these bytes."""
+
+    async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
 
     return script
 
 
-def held_back(release: asyncio.Event) -> Script:
-    """A good answer, once it is released."""
+def answer_after(release: asyncio.Event) -> Script:
+    """Answer with a good response once `release` is set."""
 
-    async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(OK)
 
     return script
 
 
-async def hang_up(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+async def hang_up(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    """Reset the connection in place of a response."""
     writer.transport.abort()
 
 
-async def stay_silent(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
-    pass
+async def stay_silent(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    """Send no response."""
+
 
+class ScriptedServer:
+    """A server that follows a script.
 
-class Peer:
-    """A server. Each request it gets goes into `requests`, each connection that ends into
-    `ended`."""
+    It puts each request into `requests`, and an item into `ended` for each connection that ends.
+    """
 
     def __init__(self, script: Script = answer_ok) -> None:
         self.script = script
@@ -73,7 +79,7 @@
         self.ended: asyncio.Queue[int] = asyncio.Queue()
         self.connections = 0
 
-    async def start(self) -> Peer:
+    async def start(self) -> ScriptedServer:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port: int = self.server.sockets[0].getsockname()[1]
         return self
@@ -94,6 +100,7 @@
             writer.close()
 
     def entry(self, name: str = "s-1", state: str = "active", started: int = 0) -> dict[str, Any]:
+        """Return the server's entry in the platform's endpoint list."""
         return {
             "instanceId": name,
             "hostPort": f"127.0.0.1:{self.port}",
@@ -106,10 +113,12 @@
         }
 
 
-class Agent:
-    """Discovery. Lines put into `lines` go out on the watch; None ends it.
+class DiscoveryAgent:
+    """The discovery service. It sends the items of `lines` on the watch; None ends the watch.
 
-    `calls` has every target, `ended` each end of a connection."""
+    It puts the target of each call into `calls`, and an item into `ended` for each connection that
+    ends.
+    """
 
     def __init__(self, instances: list[dict[str, Any]], generation: int = 1) -> None:
         self.whole = {"generation": generation, "reset": True, "instances": instances}
@@ -117,12 +126,13 @@
         self.calls: asyncio.Queue[str] = asyncio.Queue()
         self.ended: asyncio.Queue[int] = asyncio.Queue()
 
-    async def start(self) -> Agent:
+    async def start(self) -> DiscoveryAgent:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port: int = self.server.sockets[0].getsockname()[1]
         return self
 
     def push(self, generation: int, instances: list[dict[str, Any]], reset: bool = False) -> None:
+        """Send an update on the watch."""
         line = {"generation": generation, "reset": reset, "instances": instances}
         self.lines.put_nowait(json.dumps(line).encode() + b"\n")
 
@@ -136,8 +146,8 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
                 return
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-            pushing = asyncio.ensure_future(self.pushed(writer))
-            await reader.read()  # until the node leaves
+            pushing = asyncio.ensure_future(self.send_lines(writer))
+            await reader.read()  # until the node closes the connection
             pushing.cancel()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -145,41 +155,44 @@
             self.ended.put_nowait(1)
             writer.close()
 
-    async def pushed(self, writer: asyncio.StreamWriter) -> None:
+    async def send_lines(self, writer: asyncio.StreamWriter) -> None:
         while (line := await self.lines.get()) is not None:
             writer.write(b"%x\r\n%b\r\n" % (len(line), line))
         writer.close()
 
 
 class Client:
-    """One connection to the node, driven by hand."""
+    """One client connection to the node, on which the test reads and writes raw bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     async def answer(self) -> tuple[int, bytes, bytes]:
-        """Status, head and body of the next answer."""
-        async with asyncio.timeout(WAIT):
+        """Return the status, the header section and the body of the next response."""
+        async with asyncio.timeout(WAIT_S):
             head = await self.reader.readuntil(b"\r\n\r\n")
             body = await self.reader.readexactly(int(field(head, b"Content-Length") or 0))
         return int(head.split(b" ")[1]), head, body
 
     async def ask(self, data: bytes) -> tuple[int, bytes, bytes]:
+        """Send a request and return its response as `answer` does."""
         self.writer.write(data)
         return await self.answer()
 
     async def end(self) -> bytes:
-        """What still comes until the node ends the connection."""
-        async with asyncio.timeout(WAIT):
+        """Return what arrives until the node ends the connection."""
+        async with asyncio.timeout(WAIT_S):
             return await self.reader.read()
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
+    """Run a test on a uvloop event loop."""
     uvloop.run(test)
 
 
 def field(head: bytes, name: bytes) -> bytes | None:
+    """Return the value of a header, or None where there is none."""
     for line in head.split(b"\r\n")[1:]:
         key, _, value = line.partition(b": ")
         if key.lower() == name.lower():
@@ -193,14 +206,15 @@
 def request(
     cls: str = "find", timeout: str = "8000m", key: str = "cab7", body: bytes = b"", **headers: str
 ) -> bytes:
-    effect = CLASSES.get(cls, Idempotency.IDEMPOTENT)
-    method = "GET" if effect is Idempotency.IDEMPOTENT else "POST"
+    """Return the bytes of a request; `headers` replace or add header lines."""
+    idempotency = CLASSES.get(cls, Idempotency.IDEMPOTENT)
+    method = "GET" if idempotency is Idempotency.IDEMPOTENT else "POST"
     lines = {
         "Host": "backend.local",
         "Request-Id": f"{next(_ids):016x}",
         "Request-Timeout": timeout,
     }
-    if effect is Idempotency.KEYED:
+    if idempotency is Idempotency.KEYED:
         lines["Idempotency-Key"] = "5c0f"
     if method == "POST":
         lines["Content-Length"] = str(len(body))
@@ -210,15 +224,20 @@
 
 
 def config(discovery: int, aim: float = 5000.0, attempts: int = 1, **changes: Any) -> Config:
+    """Return a node's configuration.
+
+    `discovery` is the port of its discovery service, `aim` the latency objective of all classes
+    (ms).
+    """
     classes = tuple(
         RequestClass(
             latency_objective_ms=aim,
             deadline_ms=9000.0,
             priority_weight=1.0,
-            idempotency=effect,
+            idempotency=idempotency,
             deduplication_window_ms=9000.0,
         )
-        for effect in CLASSES.values()
+        for idempotency in CLASSES.values()
     )
     values: dict[str, Any] = {
         "name": "n0",
@@ -240,23 +259,23 @@
     return Config(**values | changes)
 
 
-class Nobody:
-    """A front that does nothing with its answers."""
+class NullFrontend:
+    """A frontend that ignores all calls."""
 
     def client_is_gone(self) -> bool:
         return False
 
-    def on_response(self, answer: UpstreamResponse) -> None: ...
+    def on_response(self, response: UpstreamResponse) -> None: ...
 
-    def on_shed(self, wait: float) -> None: ...
+    def on_shed(self, retry_after_ms: float) -> None: ...
 
-    def on_failure(self, broken: bool) -> None: ...
+    def on_failure(self, internal_error: bool) -> None: ...
 
 
-class Stand:
-    """A running node with what its policy was told."""
+class NodeHarness:
+    """A running node with the events that its policy received."""
 
-    def __init__(self, node: Node, agent: Agent) -> None:
+    def __init__(self, node: Node, agent: DiscoveryAgent) -> None:
         self.node = node
         self.agent = agent
         self.events: asyncio.Queue[object] = asyncio.Queue()
@@ -270,30 +289,31 @@
         node.join.policy.handle = spy  # type: ignore[method-assign]
 
     async def event(self, kind: type) -> Any:
-        """The next event of a kind that the policy is told."""
-        async with asyncio.timeout(WAIT):
+        """Return the next event of a kind that the policy receives."""
+        async with asyncio.timeout(WAIT_S):
             while not isinstance(event := await self.events.get(), kind):
                 pass
         return event
 
     async def outcome(self) -> AttemptEnded:
+        """Return the next end of an attempt."""
         event: AttemptEnded = await self.event(AttemptEnded)
         return event
 
     async def connections(self, number: int) -> AsyncIterator[ClientConnection]:
-        """The node's connections, once there are so many."""
-        async with asyncio.timeout(WAIT):
+        """Yield the node's client connections, once there are `number` of them."""
+        async with asyncio.timeout(WAIT_S):
             while len(self.node.listener.connections) != number:
                 await asyncio.sleep(0)
         for connection in self.node.listener.connections:
             yield connection
 
     def send(self, request_id: int, name: str) -> None:
-        """An attempt that the policy knows nothing of."""
+        """Send an attempt that the policy does not know of."""
         join, pool = self.node.join, self.node.pool
         join.open_attempts[request_id, 0] = pool
         join.in_flight[request_id] = InFlightRequest(
-            Nobody(), pool, IncomingRequest(0, 0, 0, math.inf, None), 0.0, 1
+            NullFrontend(), pool, IncomingRequest(0, 0, 0, math.inf, None), 0.0, 1
         )
         pool.send(
             AttemptRequest(
@@ -306,11 +326,12 @@
         )
 
     async def client(self) -> Client:
+        """Return a new client connection to the node."""
         return Client(*await asyncio.open_connection(*self.node.listener.address))
 
 
-def listed(line: dict[str, Any]) -> Server:
-    """A line of the platform's list as an operator's file has it."""
+def operator_entry(line: dict[str, Any]) -> Server:
+    """Return an entry of the platform's list in the form of an operator's file."""
     wanted = {
         "name": line["instanceId"],
         "address": line["hostPort"],
@@ -325,13 +346,15 @@
 
 
 @asynccontextmanager
-async def running(*peers: Peer, agent: Agent | None = None, **changes: Any) -> AsyncIterator[Stand]:
-    """A node that knows these servers as s-1, s-2 and so on."""
+async def running(
+    *peers: ScriptedServer, agent: DiscoveryAgent | None = None, **changes: Any
+) -> AsyncIterator[NodeHarness]:
+    """Run a node that knows these servers as s-1, s-2 and so on."""
     entries = [peer.entry(f"s-{i}") for i, peer in enumerate(peers, 1)]
-    agent = agent or await Agent(entries).start()
+    agent = agent or await DiscoveryAgent(entries).start()
     known = {"generation": 1, "reset": True, "instances": entries}
     node = Node(config(agent.port, **{"known": known} | changes), asyncio.get_running_loop())
-    stand = Stand(node, agent)
+    stand = NodeHarness(node, agent)
     await node.start()
     try:
         yield stand
--- a/tests/processor/test_drains.py
+++ b/tests/processor/test_drains.py
@@ -16,7 +16,7 @@
 from standins import http1
 from standins.proxy import Proxy
 from standins.server import DispatchServer
-from tests.net import WAIT, run
+from tests.net import WAIT_S, run
 from tests.processors import Bench, site_with_processor
 
 WORK = {"find": (1.0, 1.0)}
@@ -38,7 +38,7 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", proxy.port)
     head = {"request-id": name, "request-timeout": "8000m"}
     writer.write(http1.request("GET", "/find/cab7", head))
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_S):
         answer = await http1.read_message(reader)
     writer.close()
     return answer.status
@@ -62,7 +62,7 @@
 
             proxy = await Proxy(bench.address, before_send=hold).start()
             asking = [asyncio.ensure_future(get(proxy, f"r-{i}")) for i in range(40)]
-            chosen = [await asyncio.wait_for(held.get(), WAIT) for _ in asking]
+            chosen = [await asyncio.wait_for(held.get(), WAIT_S) for _ in asking]
             assert first.address in chosen  # some were told to go where nothing may go soon
             told = time.monotonic()
             bench.lists(first.entry("leaving"))
--- a/tests/processor/test_failures.py
+++ b/tests/processor/test_failures.py
@@ -29,7 +29,7 @@
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
 from standins.scripted_proxy import ScriptedProxy, request_message, told_headers
-from tests.net import CLASSES, WAIT, run
+from tests.net import CLASSES, WAIT_S, run
 from tests.processors import SERVERS, described, site_with_processor
 
 DESTINATION = "x-gateway-destination-endpoint"
@@ -82,7 +82,7 @@
             await over.call.wait_for_connection()
             assert await over.status() == "resource_exhausted"
             streams[0].cancel()
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while len(bench.processor.connections) == 3000:
                     await asyncio.sleep(0.001)
             assert (await proxy.stream().ask(described())).HasField("request_headers")
@@ -246,7 +246,7 @@
             for stream in (*streams, waiting):
                 assert (await stream.respond(200)).HasField("response_headers")
                 await stream.half_close()
-            assert await asyncio.wait_for(node.process.wait(), WAIT) == 0
+            assert await asyncio.wait_for(node.process.wait(), WAIT_S) == 0
         await node.reading
         await fleet.stop()
 
@@ -286,7 +286,7 @@
 
 
 async def said(node: NodeProcess, words: str) -> None:
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_S):
         while not any(words in line for line in node.lines):
             await asyncio.sleep(0.01)
 
@@ -414,7 +414,7 @@
             str(path),
             stderr=asyncio.subprocess.PIPE,
         )
-        _, errors = await asyncio.wait_for(process.communicate(), WAIT)
+        _, errors = await asyncio.wait_for(process.communicate(), WAIT_S)
         assert process.returncode == 2 and str(port) in errors.decode().splitlines()[-1]
         taken.close()
 
--- a/tests/processor/test_interleavings.py
+++ b/tests/processor/test_interleavings.py
@@ -32,7 +32,7 @@
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import UpdateKind
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
-from tests.clockwork import Clockwork
+from tests.manual_clock import ManualClock
 
 CLASSES = (
     RequestClass(400.0, 1000.0, 1.0, Idempotency.IDEMPOTENT),
@@ -86,7 +86,7 @@
 class World:
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.clockwork = Clockwork()
+        self.clockwork = ManualClock()
         later = self.random.random() < 0.6
         settings = ProcessorSettings(
             listen=("", 0),
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -16,7 +16,7 @@
 from badgercart.policy.events import Event
 from badgercart.policy.settings import Idempotency, RequestClass
 from standins.scripted_proxy import ScriptedProxy
-from tests.net import CLASSES, WAIT, config, listed
+from tests.net import CLASSES, WAIT_S, config, operator_entry
 
 _ids = itertools.count(1)
 SERVERS = ("127.0.0.1:7001", "127.0.0.1:7002", "127.0.0.1:7003")
@@ -74,7 +74,7 @@
 
     async def event(self, kind: type, count: int = 1) -> Any:
         """The last of so many events of a kind, once they have come."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while len(found := self.of(kind)) < count:
                 self.changed.clear()
                 await self.changed.wait()
@@ -92,7 +92,7 @@
 
     async def settled(self) -> None:
         """Nothing is held, out or open any more."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while (
                 self.join.in_flight
                 or self.join.open_attempts
@@ -127,7 +127,7 @@
     settings = replace(base.settings, classes=classes or base.settings.classes)
     parts = {
         "processor": ProcessorSettings.model_construct(listen=("127.0.0.1", 0), **changes),
-        "server": tuple(listed(entry(number)) for number in range(1, servers + 1)),
+        "server": tuple(operator_entry(entry(number)) for number in range(1, servers + 1)),
     }
     what = Installation(replace(base, settings=settings, drain_grace=grace), parts)
     site = Application(what, asyncio.get_running_loop())
--- a/tests/reload/test_reload.py
+++ b/tests/reload/test_reload.py
@@ -16,7 +16,16 @@
 from badgercart.policy import Policy
 from badgercart.policy.events import Request
 from badgercart.reload.reconfiguration import IndexesInUse, reconfigure
-from tests.net import WAIT, Agent, Client, Peer, config, hang_up, held_back, request
+from tests.net import (
+    WAIT_S,
+    Client,
+    DiscoveryAgent,
+    ScriptedServer,
+    answer_after,
+    config,
+    hang_up,
+    request,
+)
 from tests.test_process import Process, raw_config, started
 
 
@@ -39,13 +48,13 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
-        agent = await Agent([peer.entry()]).start()
+        peer = await ScriptedServer(answer_after(release)).start()
+        agent = await DiscoveryAgent([peer.entry()]).start()
         path = tmp_path / "config.json"
         async with started(path, agent.port) as node:
             held = await node.client()
             held.writer.write(request("find"))
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             other = await node.client()
             assert (await other.ask(request("pay", body=b"x")))[0] == 404
             told = {"Classes": classes(("pay", "single_shot"))}
@@ -70,8 +79,8 @@
 
 def test_a_stricter_idempotency_and_fewer_attempts_apply_to_later_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        peer = await Peer(hang_up).start()
-        agent = await Agent([peer.entry()]).start()
+        peer = await ScriptedServer(hang_up).start()
+        agent = await DiscoveryAgent([peer.entry()]).start()
         path = tmp_path / "config.json"
         async with started(path, agent.port) as node:
 
@@ -100,15 +109,15 @@
     """Behind another on its connection, it is read before the new settings and taken after them."""
     release = asyncio.Event()
 
-    async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         if b"/pay/" in head:
             writer.transport.abort()  # it may have run
         else:
-            await held_back(release)(peer, head, writer)
+            await answer_after(release)(peer, head, writer)
 
     async def test() -> None:
-        peers = [await Peer(script).start() for _ in range(3)]
-        agent = await Agent([peer.entry(f"s-{i}") for i, peer in enumerate(peers)]).start()
+        peers = [await ScriptedServer(script).start() for _ in range(3)]
+        agent = await DiscoveryAgent([peer.entry(f"s-{i}") for i, peer in enumerate(peers)]).start()
         path = tmp_path / "config.json"
         async with started(path, agent.port) as node:
             both = classes(("find", "free"), ("pay", "single_shot"))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -17,7 +17,16 @@
 import pytest
 import uvloop
 
-from tests.net import WAIT, Agent, Client, Peer, field, held_back, request, stay_silent
+from tests.net import (
+    WAIT_S,
+    Client,
+    DiscoveryAgent,
+    ScriptedServer,
+    answer_after,
+    field,
+    request,
+    stay_silent,
+)
 from tests.simulator.test_codec import SETTINGS
 
 COMMAND = [sys.executable, "-B", "-m", "badgercart"]
@@ -75,7 +84,7 @@
         """The next line of the log that matches."""
         assert self.process.stderr is not None
         while True:
-            line = (await asyncio.wait_for(self.process.stderr.readline(), WAIT)).decode()
+            line = (await asyncio.wait_for(self.process.stderr.readline(), WAIT_S)).decode()
             assert line, "the node has ended"
             self.lines.append(line)
             if match := re.search(pattern, line):
@@ -109,16 +118,16 @@
 
 def test_sighup_moves_to_the_discovery_that_the_file_names(tmp_path: Path) -> None:
     async def test() -> None:
-        old, new = await Peer().start(), await Peer().start()
+        old, new = await ScriptedServer().start(), await ScriptedServer().start()
         first, second = (
-            await Agent([old.entry()]).start(),
-            await Agent([new.entry("s-2")], 7).start(),
+            await DiscoveryAgent([old.entry()]).start(),
+            await DiscoveryAgent([new.entry("s-2")], 7).start(),
         )
         path = tmp_path / "config.json"
         # The variable wins at the start; from the signal on the file does.
         variable = {"ROUTER_DISCOVERY": f"127.0.0.1:{first.port}"}
         async with started(path, 1, **variable) as node:
-            while "watch" not in await asyncio.wait_for(first.calls.get(), WAIT):
+            while "watch" not in await asyncio.wait_for(first.calls.get(), WAIT_S):
                 pass
             for half in (
                 "{",
@@ -134,11 +143,11 @@
             assert (await client.ask(request()))[0] == 200
             path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{second.port}"}))
             node.process.send_signal(signal.SIGHUP)
-            assert await asyncio.wait_for(second.calls.get(), WAIT) == "/catalog/members"
-            await asyncio.wait_for(first.ended.get(), WAIT)  # of the first whole list
-            await asyncio.wait_for(first.ended.get(), WAIT)  # of the watch
+            assert await asyncio.wait_for(second.calls.get(), WAIT_S) == "/catalog/members"
+            await asyncio.wait_for(first.ended.get(), WAIT_S)  # of the first whole list
+            await asyncio.wait_for(first.ended.get(), WAIT_S)  # of the watch
             assert (
-                await asyncio.wait_for(second.calls.get(), WAIT)
+                await asyncio.wait_for(second.calls.get(), WAIT_S)
                 == "/catalog/members?watch=1&from=7"
             )
             assert (await client.ask(request()))[0] == 200
@@ -156,25 +165,25 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
-        agent = await Agent([peer.entry()]).start()
+        peer = await ScriptedServer(answer_after(release)).start()
+        agent = await DiscoveryAgent([peer.entry()]).start()
         async with started(tmp_path / "config.json", agent.port) as node:
             holder, idle = await node.client(), await node.client()
             assert (await idle.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
             holder.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             node.process.send_signal(signal.SIGTERM)
             assert await idle.end() == b""  # an idle connection is closed
             node.process.send_signal(signal.SIGHUP)  # harmless by now
             late = await node.client()  # new ones are still taken
             late.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             release.set()
             for waiting in (holder, late):
                 status, head, _ = await waiting.answer()
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 waiting.writer.close()
-            assert await asyncio.wait_for(node.process.wait(), WAIT) == 0
+            assert await asyncio.wait_for(node.process.wait(), WAIT_S) == 0
 
     uvloop.run(test())
 
@@ -183,12 +192,12 @@
     """Its request has longer than the process: it is answered by then all the same."""
 
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
-        agent = await Agent([peer.entry()]).start()
+        peer = await ScriptedServer(stay_silent).start()
+        agent = await DiscoveryAgent([peer.entry()]).start()
         async with started(tmp_path / "config.json", agent.port) as node:
             client = await node.client()
             client.writer.write(request(timeout="60000m"))
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             for _ in range(2):
                 node.process.send_signal(signal.SIGTERM)
             await node.line("stopping")
@@ -196,6 +205,6 @@
             status, head, _ = await client.answer()
             assert (status, field(head, b"Connection")) == (503, b"close")
             client.writer.close()
-            assert await asyncio.wait_for(node.process.wait(), WAIT) == 0
+            assert await asyncio.wait_for(node.process.wait(), WAIT_S) == 0
 
     uvloop.run(test())
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -18,9 +18,9 @@
 from badgercart.upstream.connection_pool import ServerConnection
 from tests.net import (
     OK,
-    WAIT,
-    Peer,
+    WAIT_S,
     Script,
+    ScriptedServer,
     answer,
     answer_ok,
     field,
@@ -35,7 +35,7 @@
 def close_after(data: bytes) -> Script:
     """An answer that ends with its connection."""
 
-    async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         writer.close()
 
@@ -45,7 +45,7 @@
 def answer_and_keep(writers: list[asyncio.StreamWriter]) -> Script:
     """A good answer, after which the test may write more on its connection."""
 
-    async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
         writer.write(OK)
 
@@ -134,7 +134,7 @@
 )
 def test_outcomes(script: Script, result: AttemptResult) -> None:
     async def test() -> None:
-        async with running(await Peer(script).start()) as stand:
+        async with running(await ScriptedServer(script).start()) as stand:
             client = await stand.client()
             status, head, _ = await client.ask(request())
             assert (await stand.outcome()).result == result
@@ -153,7 +153,7 @@
     # trace).
     async def test() -> None:
         script = answer(b"HTTP/1.1 %d No\r\nContent-Length: 3\r\n\r\nbad" % status)
-        peers = [await Peer(script).start() for _ in range(3)]
+        peers = [await ScriptedServer(script).start() for _ in range(3)]
         async with running(*peers, attempts=4) as stand:
             got, _, body = await (await stand.client()).ask(request())
             assert (got, body) == (status, b"bad")
@@ -167,7 +167,7 @@
 
 def test_a_server_that_refuses_connections_is_unreachable() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         peer.server.close()
         async with running(peer) as stand:
             status, _, _ = await (await stand.client()).ask(request("pay"))
@@ -178,7 +178,7 @@
 
 def test_a_server_whose_address_is_none_is_unreachable() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             stand.node.pool.servers[stable_id(b"s-1")].address = ("a" * 70 + ".\udc80", 9)
             status, _, _ = await (await stand.client()).ask(request())
@@ -189,11 +189,11 @@
 
 def test_a_silent_server_times_out_and_its_connection_is_closed() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
+        peer = await ScriptedServer(stay_silent).start()
         async with running(peer, aim=1000.0) as stand:
             status, _, _ = await (await stand.client()).ask(request())
             assert (status, (await stand.outcome()).result) == (503, AttemptResult.TIMEOUT)
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await asyncio.wait_for(peer.ended.get(), WAIT_S)
 
     run(test())
 
@@ -203,14 +203,14 @@
     # CPU, say) must not take for silence what has long been in the socket.
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            peer = Peer()
+            peer = ScriptedServer()
             peer.port = listener.getsockname()[1]
             async with running(peer, aim=300.0) as stand:
                 client = await stand.client()
                 client.writer.write(request())
                 loop, accepted = asyncio.get_running_loop(), asyncio.Event()
                 loop.add_reader(listener, accepted.set)
-                await asyncio.wait_for(accepted.wait(), WAIT)
+                await asyncio.wait_for(accepted.wait(), WAIT_S)
                 loop.remove_reader(listener)
                 server, _ = listener.accept()
 
@@ -231,7 +231,7 @@
 
 def test_a_server_that_drains_while_a_dial_is_on_gets_nothing() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             node, client = stand.node, await stand.client()
             send = node.join.send
@@ -245,7 +245,7 @@
             node.join.action_handlers[Send] = drained_at_once
             status, _, _ = await client.ask(request())
             assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await asyncio.wait_for(peer.ended.get(), WAIT_S)
             assert peer.requests.empty()
 
     run(test())
@@ -253,14 +253,14 @@
 
 def test_a_restart_leaves_the_old_connections_unused() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
             stand.agent.push(2, [peer.entry("s-1", started=1_000)])
             while (await stand.event(EndpointUpdate)).version != 2:
                 pass
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await asyncio.wait_for(peer.ended.get(), WAIT_S)
             assert not stand.node.pool.servers[stable_id(b"s-1")].idle_connections
 
     run(test())
@@ -268,7 +268,7 @@
 
 def test_a_connection_with_stray_bytes_is_not_used_again() -> None:
     async def test() -> None:
-        peer = await Peer(answer(OK + OK)).start()
+        peer = await ScriptedServer(answer(OK + OK)).start()
         async with running(peer) as stand:
             client = await stand.client()
             for _ in range(3):
@@ -280,10 +280,12 @@
 
 def test_a_spoilt_answer_ends_its_connection() -> None:
     async def test() -> None:
-        peer = await Peer(answer(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n")).start()
+        peer = await ScriptedServer(
+            answer(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n")
+        ).start()
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request("pay")))[0] == 502  # it may have run
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await asyncio.wait_for(peer.ended.get(), WAIT_S)
 
     run(test())
 
@@ -299,7 +301,7 @@
     writers: list[asyncio.StreamWriter] = []
 
     async def test() -> None:
-        peer = await Peer(answer_and_keep(writers)).start()
+        peer = await ScriptedServer(answer_and_keep(writers)).start()
         async with running(peer) as stand:
             first, second = await stand.client(), await stand.client()
             await second.ask(b"GET /_health HTTP/1.1\r\n\r\n")
@@ -331,7 +333,7 @@
     writers: list[asyncio.StreamWriter] = []
 
     async def test() -> None:
-        peer = await Peer(answer_and_keep(writers)).start()
+        peer = await ScriptedServer(answer_and_keep(writers)).start()
         async with running(peer) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[2] == b"done"
@@ -353,7 +355,7 @@
     monkeypatch.setattr(pool, "REUSE_DELAY_MS", 500.0)
 
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
@@ -372,11 +374,11 @@
 
 def test_servers_that_are_gone_are_forgotten() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
+        peer = await ScriptedServer(stay_silent).start()
         async with running(peer) as stand:
             client, pool = await stand.client(), stand.node.pool
             client.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             for generation in range(2, 40):  # some at the address of one that has gone
                 new = peer.entry(f"s-{generation}")
                 stand.node.take_list(
@@ -401,7 +403,7 @@
 
 def test_no_room_for_a_dial_closes_the_longest_idle_connection() -> None:
     async def test() -> None:
-        peers = [await Peer().start() for _ in range(3)]
+        peers = [await ScriptedServer().start() for _ in range(3)]
         async with running(*peers) as stand:
             pool = stand.node.pool
             for number in (2, 1):
@@ -410,7 +412,7 @@
             pool.max_connections = 2
             stand.send(3, "s-3")
             assert (await stand.outcome()).result == AttemptResult.OK
-            await asyncio.wait_for(peers[1].ended.get(), WAIT)
+            await asyncio.wait_for(peers[1].ended.get(), WAIT_S)
             assert len(pool.servers[stable_id(b"s-1")].idle_connections) == 1
 
     run(test())
@@ -418,7 +420,9 @@
 
 def test_a_server_connection_leaves_nothing_to_the_cyclic_collector() -> None:
     async def test() -> None:
-        peer = await Peer(answer(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))).start()
+        peer = await ScriptedServer(
+            answer(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
+        ).start()
         async with running(peer) as stand:
             pool, gone = stand.node.pool, []
             made = ServerConnection.connection_made
@@ -434,7 +438,7 @@
                 try:
                     for _ in range(3):
                         assert (await (await stand.client()).ask(request()))[0] == 200
-                    async with asyncio.timeout(WAIT):
+                    async with asyncio.timeout(WAIT_S):
                         while pool.connections or any(ref() is not None for ref in gone):
                             await asyncio.sleep(0.001)
                     assert len(gone) == 3
@@ -446,7 +450,7 @@
 
 def test_a_connection_is_used_again() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             client = await stand.client()
             for _ in range(3):
@@ -458,7 +462,7 @@
 
 def test_a_cancelled_dial_leaves_no_connection_behind() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             pool, client = stand.node.pool, await stand.client()
             send = stand.node.join.send
@@ -488,11 +492,11 @@
     monkeypatch.setattr(ServerConnection, "connection_made", cancelled_then)
 
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request()))[0] == 503
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await asyncio.wait_for(peer.ended.get(), WAIT_S)
             assert peer.requests.empty() and not stand.node.pool.connections
 
     run(test())
@@ -502,12 +506,12 @@
     writers: list[asyncio.StreamWriter] = []
 
     async def test() -> None:
-        peer = await Peer(answer_and_keep(writers)).start()
+        peer = await ScriptedServer(answer_and_keep(writers)).start()
         async with running(peer) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
             writers[0].write(OK.replace(b"done", b"late"))
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await asyncio.wait_for(peer.ended.get(), WAIT_S)
             assert not caplog.records  # it ended on purpose, not by an exception
             assert (await client.ask(request()))[2] == b"done"
             assert peer.connections == 2
@@ -517,7 +521,7 @@
 
 def test_a_connection_that_was_idle_for_too_long_is_not_used() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer, idle_timeout=0.0) as stand:
             client = await stand.client()
             for _ in range(2):
@@ -529,7 +533,7 @@
 
 def test_how_long_servers_keep_idle_connections_is_learned() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             pool = stand.node.pool
             most = pool.idle_timeout.limit_ms
             for idled, alive in (
@@ -553,7 +557,7 @@
 def test_a_connection_that_dies_at_its_next_request_counts_for_the_idle_time() -> None:
     served: list[int] = []
 
-    async def once(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def once(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         served.append(1)
         if len(served) % 2:
             writer.write(OK)
@@ -561,7 +565,7 @@
             writer.transport.abort()
 
     async def test() -> None:
-        async with running(await Peer(once).start()) as stand:
+        async with running(await ScriptedServer(once).start()) as stand:
             client, pool = await stand.client(), stand.node.pool
             for _ in range(2):
                 assert (await client.ask(request()))[0] == 200
@@ -575,7 +579,7 @@
 
 def test_server_connections_stay_under_their_limit() -> None:
     async def test() -> None:
-        peers = [await Peer(stay_silent).start() for _ in range(3)]
+        peers = [await ScriptedServer(stay_silent).start() for _ in range(3)]
         async with running(*peers) as stand:
             stand.node.pool.max_connections = 0
             assert (await (await stand.client()).ask(request()))[0] == 503
