--- a/badgercart/admin/listener.py
+++ b/badgercart/admin/listener.py
@@ -9,10 +9,10 @@
 from badgercart.admin.log_events import OPEN
 from badgercart.admin.requests import AdminExchange, AdminHandlers
 from badgercart.config import Address
-from badgercart.core.descriptors import CONSOLE
+from badgercart.core.descriptors import ADMIN_DESCRIPTORS
 
 # File descriptors are reserved for this many concurrent connections and the listener.
-MAX_CONNECTIONS = CONSOLE - 1
+MAX_CONNECTIONS = ADMIN_DESCRIPTORS - 1
 BACKLOG = 64
 # The pause after a failed accept.
 ACCEPT_PAUSE_S = 0.2
--- a/badgercart/core/metric_registry.py
+++ b/badgercart/core/metric_registry.py
@@ -1,7 +1,7 @@
-"""The port by which subsystems offer figures: a name, a meaning, and a function that reads the
-present value.
+"""The registry where subsystems declare metrics.
 
-Whoever shows them asks when it wants to know, so that a figure costs nothing in between.
+A metric has a name, a description and a function that reads its present value. The value is read
+only when an exporter asks for it, so that a metric costs nothing in between.
 """
 
 from __future__ import annotations
@@ -11,68 +11,79 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_LABELS = 64  # values of a figure's label; the rest is summed up as `other`
-OTHER = "other"
-_NAME = re.compile(r"[a-z][a-z0-9_]*")
+# Values of a metric's label; the rest is summed up as `other`.
+MAX_LABEL_VALUES = 64
+OTHER_LABEL_VALUE = "other"
+_METRIC_NAME = re.compile(r"[a-z][a-z0-9_]*")
 
-Reading = float | Mapping[str, float]  # one value, or one for each value of the label
+# One value, or one for each value of the label.
+MetricValue = float | Mapping[str, float]
 
 
-class Kind(Enum):
+class MetricKind(Enum):
+    """How the values of a metric behave over time."""
+
     COUNTER = "counter"  # only grows while the process runs
     GAUGE = "gauge"
 
 
 @dataclass(slots=True, frozen=True)
 class Metric:
-    name: str  # with its unit: `badgercart_list_age_seconds`
-    about: str
-    kind: Kind
-    read: Callable[[], Reading]
+    """One metric. Its name ends with the unit, such as `badgercart_list_age_seconds`."""
+
+    name: str
+    description: str
+    kind: MetricKind
+    read: Callable[[], MetricValue]
     label: str | None = None
 
     def values(self) -> dict[str, float]:
-        """By the label's value, at most MAX_LABELS of them; `""` where there is no label."""
-        told = self.read()
-        if not isinstance(told, Mapping):
-            return {"": float(told)}
-        if len(told) <= MAX_LABELS:
-            return {key: float(value) for key, value in told.items()}
-        ranked = sorted(told.items(), key=lambda item: (-item[1], item[0]))
-        kept = {key: float(value) for key, value in ranked[: MAX_LABELS - 1]}
-        kept[OTHER] = kept.get(OTHER, 0.0) + float(
-            sum(value for _, value in ranked[MAX_LABELS - 1 :])
+        """Return the values by label value, `""` where there is no label.
+
+        There are at most MAX_LABEL_VALUES: the largest, and the sum of the rest as `other`.
+        """
+        values = self.read()
+        if not isinstance(values, Mapping):
+            return {"": float(values)}
+        if len(values) <= MAX_LABEL_VALUES:
+            return {key: float(value) for key, value in values.items()}
+        ranked = sorted(values.items(), key=lambda item: (-item[1], item[0]))
+        kept = {key: float(value) for key, value in ranked[: MAX_LABEL_VALUES - 1]}
+        kept[OTHER_LABEL_VALUE] = kept.get(OTHER_LABEL_VALUE, 0.0) + float(
+            sum(value for _, value in ranked[MAX_LABEL_VALUES - 1 :])
         )
         return kept
 
 
 class MetricRegistry:
-    """All figures of one installation."""
+    """All metrics of one installation."""
 
     def __init__(self) -> None:
         self.metrics: dict[str, Metric] = {}
 
     def add(
         self,
-        kind: Kind,
+        kind: MetricKind,
         name: str,
-        about: str,
-        read: Callable[[], Reading],
+        description: str,
+        read: Callable[[], MetricValue],
         label: str | None = None,
     ) -> None:
-        """ValueError where the name is taken, or none."""
-        if not _NAME.fullmatch(name):
-            raise ValueError(f"{name!r} is no name of a figure")
+        """Add a metric. Raises ValueError where the name is invalid or taken."""
+        if not _METRIC_NAME.fullmatch(name):
+            raise ValueError(f"{name!r} is not a valid metric name")
         if name in self.metrics:
-            raise ValueError(f"there are two figures {name}")
-        self.metrics[name] = Metric(name, about, kind, read, label)
+            raise ValueError(f"the metric {name} is already registered")
+        self.metrics[name] = Metric(name, description, kind, read, label)
 
     def counter(
-        self, name: str, about: str, read: Callable[[], Reading], label: str | None = None
+        self, name: str, description: str, read: Callable[[], MetricValue], label: str | None = None
     ) -> None:
-        self.add(Kind.COUNTER, name, about, read, label)
+        """Add a counter."""
+        self.add(MetricKind.COUNTER, name, description, read, label)
 
     def gauge(
-        self, name: str, about: str, read: Callable[[], Reading], label: str | None = None
+        self, name: str, description: str, read: Callable[[], MetricValue], label: str | None = None
     ) -> None:
-        self.add(Kind.GAUGE, name, about, read, label)
+        """Add a gauge."""
+        self.add(MetricKind.GAUGE, name, description, read, label)
--- a/badgercart/core/streams.py
+++ b/badgercart/core/streams.py
@@ -1,8 +1,7 @@
-"""What passes through as it comes: a request's body on its way in, an answer on its way out. No
-I/O.
+"""Streamed bodies: of requests on their way in, and of responses on their way out. It does no I/O.
 
-Whoever has bytes asks whether there is room for more; whoever makes room says so. Neither waits for
-the other.
+The producer is told whether there is space for more; the consumer reports when there is space
+again. Neither waits for the other.
 """
 
 from __future__ import annotations
@@ -14,86 +13,94 @@
 
 
 @dataclass(slots=True)
-class Opening:
-    """The head of an answer that goes on as it comes."""
+class ResponseHeaderSection:
+    """The header section of a streamed response, as far as it is forwarded."""
 
     status: int
     content_type: bytes
-    length: int | None  # of its body; None: it ends where it ends
+    body_length: int | None  # None: unknown until the body ends
 
 
-class Sink(Protocol):
-    """Where such an answer goes. After `done` or `broken` nothing more is told."""
+class ResponseSink(Protocol):
+    """The destination of a streamed response body.
 
-    def part(self, data: bytes) -> bool:
-        """Bytes of the body; whether there is room for more, else `on_room` is called when there
-        is."""
+    No call follows `finish_body` or `abort_body`.
+    """
 
-    def done(self) -> None:
-        """That was all of it."""
+    def write_body(self, data: bytes) -> bool:
+        """Forward a part of the body, and return whether there is space for more.
 
-    def broken(self) -> None:
-        """There is no more, and it is not whole: its reader must be able to tell."""
+        Where there is none, `on_space` is called once there is.
+        """
 
-    def watch(self, on_room: Callable[[], None], on_lost: Callable[[], None]) -> None:
-        """Whom to tell that there is room again, and that the reader has gone away."""
+    def finish_body(self) -> None:
+        """Finish the body: all of it has been written."""
 
+    def abort_body(self) -> None:
+        """End the body although it is incomplete, in a way that its reader can recognize."""
 
-def nothing() -> None:
-    """Nobody listens."""
+    def set_callbacks(self, on_space: Callable[[], None], on_abandoned: Callable[[], None]) -> None:
+        """Set what to call when there is space again, and when the reader has gone away."""
+
+
+def do_nothing() -> None:
+    """Stand in for a callback that is not set."""
 
 
 class Upload:
-    """The body of a request that goes on as it comes. It can be read once."""
-
-    def __init__(self, length: int | None, window: Callable[[], int]) -> None:
-        """`length` of the whole body, None where it comes in chunks; `window`: bytes that may wait
-        here."""
-        self.length = length
-        self.window = window
-        self.parts: deque[bytes] = deque()
-        self.size = 0  # bytes that wait
-        self.spent = False  # some have been read: there is no second reading
-        self.whole = False  # all has come in
-        self.on_data: Callable[[], None] = nothing
-        self.on_room: Callable[[], None] = nothing
-        self.on_lost: Callable[[], None] = nothing
-
-    # Whoever brings it.
+    """The body of a request that is streamed. It can be read once.
+
+    `body_length` is None for a chunked body; `window_bytes` says how much may be buffered here.
+    """
+
+    def __init__(self, body_length: int | None, window_bytes: Callable[[], int]) -> None:
+        self.body_length = body_length
+        self.window_bytes = window_bytes
+        self.chunks: deque[bytes] = deque()
+        self.buffered_bytes = 0
+        self.consumed = False  # some of it has been read, and can't be read again
+        self.complete = False  # all of it has been received
+        self.on_data: Callable[[], None] = do_nothing
+        self.on_space: Callable[[], None] = do_nothing
+        self.on_abandoned: Callable[[], None] = do_nothing
+
+    # For the producer, the frontend.
 
     def feed(self, data: bytes) -> bool:
-        """More of the body; whether there is room for still more."""
-        self.parts.append(data)
-        self.size += len(data)
+        """Append a part of the body, and return whether there is space for more."""
+        self.chunks.append(data)
+        self.buffered_bytes += len(data)
         self.on_data()
-        return not self.full
+        return not self.is_full
 
     @property
-    def full(self) -> bool:
-        return self.size >= self.window()
+    def is_full(self) -> bool:
+        """Whether the window is used up."""
+        return self.buffered_bytes >= self.window_bytes()
 
     def finish(self) -> None:
-        self.whole = True
+        """Mark the body as complete."""
+        self.complete = True
         self.on_data()
 
     def abandon(self) -> None:
-        """The rest of it never comes."""
-        self.on_lost()
+        """Report that the rest of the body never arrives."""
+        self.on_abandoned()
 
-    # Whoever takes it on.
+    # For the consumer, the upstream transport.
 
     def read(self) -> bytes:
-        """All that waits; empty where nothing does."""
-        if not self.parts:
+        """Take all buffered bytes; empty where there are none."""
+        if not self.chunks:
             return b""
-        self.spent = True
-        data = b"".join(self.parts) if len(self.parts) > 1 else self.parts[0]
-        self.parts.clear()
-        self.size = 0
-        self.on_room()
+        self.consumed = True
+        data = b"".join(self.chunks) if len(self.chunks) > 1 else self.chunks[0]
+        self.chunks.clear()
+        self.buffered_bytes = 0
+        self.on_space()
         return data
 
     @property
-    def ended(self) -> bool:
+    def exhausted(self) -> bool:
         """Whether nothing is left to read, now or later."""
-        return self.whole and not self.parts
+        return self.complete and not self.chunks
--- a/badgercart/frontends/http/clients.py
+++ b/badgercart/frontends/http/clients.py
@@ -13,9 +13,9 @@
 from badgercart.config import Address
 from badgercart.core import read_buffer as reading
 from badgercart.core.clock import now_ms
-from badgercart.core.memory_budget import HOLD, MemoryBudget
-from badgercart.core.ports import Answer
-from badgercart.core.streams import Opening, Sink, Upload, nothing
+from badgercart.core.memory_budget import MAX_BUFFERED_MESSAGE_BYTES, MemoryBudget
+from badgercart.core.ports import UpstreamResponse
+from badgercart.core.streams import ResponseHeaderSection, ResponseSink, Upload, do_nothing
 from badgercart.frontends.http.connection import ConnectionState, ConnectionStateMachine
 from badgercart.frontends.http.connection_eviction import (
     FIRST_BYTE_GRACE_S,
@@ -419,7 +419,7 @@
         self.listener = listener
         self.request_id = 0  # the number of the current request; 0 if there is none
         # Callbacks of a streamed response: when there is capacity again, when the client leaves.
-        self.on_room = self.on_lost = nothing
+        self.on_room = self.on_lost = do_nothing
 
     # Callbacks of the transport.
 
@@ -452,7 +452,7 @@
 
     def cancel_request(self, upload: Upload | None) -> None:
         """Cancel the current request, including its streamed body or response."""
-        on_lost, self.on_lost, self.on_room = self.on_lost, nothing, nothing
+        on_lost, self.on_lost, self.on_room = self.on_lost, do_nothing, do_nothing
         on_lost()
         if self.request_id:
             request_id, self.request_id = self.request_id, 0
@@ -462,12 +462,12 @@
             upload.abandon()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the buffer to read into."""
-        return reading.buffer()
+        """Return the get_read_buffer to read into."""
+        return reading.get_read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
         """Handle bytes from the client."""
-        self.machine.received(reading.taken(nbytes), self.listener.loop.time())
+        self.machine.received(reading.copy_read_bytes(nbytes), self.listener.loop.time())
 
     def pause_writing(self) -> None:
         """Handle that the client does not read its responses."""
@@ -503,14 +503,14 @@
         """Return whether the client has left."""
         return self.transport.is_closing() or self.has_disconnected()
 
-    def on_answer(self, answer: Answer) -> None:
+    def on_response(self, answer: UpstreamResponse) -> None:
         """Pass on a server's response."""
         self.request_id = 0
         self.machine.respond(
             self.listener.loop.time(), answer.status, answer.body, answer.content_type, b""
         )
 
-    def on_response_started(self, opening: Opening) -> Sink:
+    def on_response_started(self, opening: ResponseHeaderSection) -> ResponseSink:
         """Begin a streamed response."""
         self.request_id = 0
         self.transport.set_write_buffer_limits(high=self.stream_window_bytes())
@@ -519,22 +519,22 @@
 
     # A streamed response.
 
-    def watch(self, on_room: Callable[[], None], on_lost: Callable[[], None]) -> None:
+    def set_callbacks(self, on_room: Callable[[], None], on_lost: Callable[[], None]) -> None:
         """Set the callbacks for capacity and for the client's leaving."""
         self.on_room, self.on_lost = on_room, on_lost
 
-    def part(self, data: bytes) -> bool:
-        """Write a part of the body; return whether there is capacity for more."""
+    def write_body(self, data: bytes) -> bool:
+        """Write a write_body of the body; return whether there is capacity for more."""
         return self.machine.write_body(data)
 
-    def done(self) -> None:
+    def finish_body(self) -> None:
         """End the response."""
-        self.on_room = self.on_lost = nothing
+        self.on_room = self.on_lost = do_nothing
         self.machine.finish_response(self.listener.loop.time())
 
-    def broken(self) -> None:
+    def abort_body(self) -> None:
         """Close the connection, so that the client notices that its response is incomplete."""
-        self.on_room = self.on_lost = nothing
+        self.on_room = self.on_lost = do_nothing
         self.transport.abort()
 
     def on_shed(self, wait: float) -> None:
@@ -578,11 +578,19 @@
 
     def body_buffer_bytes(self) -> int:
         """Return up to which size a body is buffered at present."""
-        return HOLD if self.listener.memory_budget is None else self.listener.memory_budget.hold
+        return (
+            MAX_BUFFERED_MESSAGE_BYTES
+            if self.listener.memory_budget is None
+            else self.listener.memory_budget.message_limit_bytes
+        )
 
     def stream_window_bytes(self) -> int:
         """Return how many bytes of a streamed body may wait to be forwarded."""
-        return HOLD if self.listener.memory_budget is None else self.listener.memory_budget.window
+        return (
+            MAX_BUFFERED_MESSAGE_BYTES
+            if self.listener.memory_budget is None
+            else self.listener.memory_budget.stream_window_bytes
+        )
 
     def call_soon(self, callback: Callable[[], None]) -> None:
         """Call back in the next iteration of the event loop."""
--- a/tests/admin/test_golden.py
+++ b/tests/admin/test_golden.py
@@ -16,8 +16,8 @@
 from badgercart.ejection.errors import EjectionError
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from tests.admin.test_requests import CASES
-from tests.clockwork import Clockwork
 from tests.golden import differences
+from tests.manual_clock import ManualClock
 from tests.net import config
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -25,7 +25,7 @@
 
 def ejections(known: bool, listed: bool, failure: str = "") -> AdministrativeEjections:
     """Return ejections of a node; `failure` makes every change fail."""
-    clockwork = Clockwork()
+    clockwork = ManualClock()
     pipeline = RequestPipeline(config(1).settings, 1, clockwork, clockwork.clock)
     endpoint_table = EndpointTable(UnusedReader(), pipeline)
     endpoint_table.has_update = listed
--- a/tests/admin/test_listener.py
+++ b/tests/admin/test_listener.py
@@ -7,10 +7,10 @@
 
 from badgercart.admin.listener import MAX_CONNECTIONS
 from badgercart.policy.endpoint import EndpointState
-from tests.net import Client, Peer, Stand, request, run, running
+from tests.net import Client, NodeHarness, ScriptedServer, request, run, running
 
 
-async def request_status(stand: Stand, target: str, method: str = "POST") -> int:
+async def request_status(stand: NodeHarness, target: str, method: str = "POST") -> int:
     assert stand.node.admin_listener is not None
     client = Client(*await asyncio.open_connection(*stand.node.admin_listener.address))
     status, _, _ = await client.ask(f"{method} {target} HTTP/1.1\r\nHost: n\r\n\r\n".encode())
@@ -27,7 +27,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        first, second = await Peer().start(), await Peer().start()
+        first, second = await ScriptedServer().start(), await ScriptedServer().start()
         async with running(first, second, **admin_settings(tmp_path)) as stand:
             client = await stand.client()
             assert await request_status(stand, "/-/ready", "GET") == 200
@@ -70,7 +70,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer, sockets=64, **admin_settings(tmp_path)) as stand:
             listener = stand.node.admin_listener
             assert listener is not None
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -11,12 +11,18 @@
 
 from badgercart.app.file import Installation
 from badgercart.app.site import Application
-from badgercart.core.metric_registry import MAX_LABELS, OTHER, Kind, Metric, MetricRegistry
+from badgercart.core.metric_registry import (
+    MAX_LABEL_VALUES,
+    OTHER_LABEL_VALUE,
+    Metric,
+    MetricKind,
+    MetricRegistry,
+)
 from badgercart.frontends.http.component import HttpSettings
 from badgercart.metrics.component import MetricsSettings
 from badgercart.metrics.exposition import MAX_BUCKETS, bucket_bounds_s
 from badgercart.policy.settings import Idempotency, RequestClass
-from tests.net import Client, Peer, config, field, listed, request, run
+from tests.net import Client, ScriptedServer, config, field, operator_entry, request, run
 
 
 def values(text: str) -> dict[str, float]:
@@ -29,12 +35,12 @@
 
 def test_metrics_count_served_and_rejected_requests_and_hostile_names_add_nothing() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         address = ("127.0.0.1", 0)
         parts = {
             "http": HttpSettings(listen=address),
             "metrics": MetricsSettings(listen=address),
-            "server": (listed(peer.entry("s-1")),),
+            "server": (operator_entry(peer.entry("s-1")),),
         }
         site = Application(Installation(config(1), parts), asyncio.get_running_loop())
         await site.start()
@@ -82,14 +88,17 @@
 
 def test_open_labels_are_bounded_and_names_are_checked() -> None:
     told = {f"proxy-{n}": float(n) for n in range(500)}
-    found = Metric("a_total", "", Kind.COUNTER, lambda: told, "proxy").values()
-    assert len(found) == MAX_LABELS
+    found = Metric("a_total", "", MetricKind.COUNTER, lambda: told, "proxy").values()
+    assert len(found) == MAX_LABEL_VALUES
     assert sum(found.values()) == sum(told.values())
     assert found["proxy-499"] == 499.0
-    assert OTHER in found
+    assert OTHER_LABEL_VALUE in found
     meters = MetricRegistry()
     meters.gauge("a", "", lambda: 1.0)
-    for name, words in (("a", "two figures"), ("no name", "no name of a figure")):
+    for name, words in (
+        ("a", "the metric a is already registered"),
+        ("no name", "'no name' is not a valid metric name"),
+    ):
         with pytest.raises(ValueError, match=words):
             meters.gauge(name, "", lambda: 1.0)
 
--- a/tests/bulk/test_memory_budget.py
+++ b/tests/bulk/test_memory_budget.py
@@ -6,14 +6,14 @@
 from hypothesis import strategies as st
 
 from badgercart.core.memory_budget import (
-    HOLD,
-    LEAST_HOLD,
-    LEAST_WINDOW,
-    WINDOW,
+    MAX_BUFFERED_MESSAGE_BYTES,
+    MAX_STREAM_WINDOW_BYTES,
+    MIN_BUFFERED_MESSAGE_BYTES,
+    MIN_STREAM_WINDOW_BYTES,
     MemoryBudget,
     budget_bytes,
 )
-from badgercart.core.streams import Upload
+from badgercart.core.stream_count import Upload
 
 
 @given(st.floats(32, 192), st.integers(0, 1000), st.integers(0, 1000))
@@ -22,12 +22,18 @@
 ) -> None:
     budget = MemoryBudget(budget_bytes(memory_mb))
     for _ in range(messages):
-        budget.held += budget.hold
-    budget.streams = streams
-    assert budget.held <= budget.total // 2 + messages * LEAST_HOLD
+        budget.buffered_bytes += budget.message_limit_bytes
+    budget.stream_count = streams
+    assert budget.buffered_bytes <= budget.total_bytes // 2 + messages * MIN_BUFFERED_MESSAGE_BYTES
     # A stream buffers its window, and beyond it what a single read returned.
-    assert streams * budget.window <= budget.total // 4 + streams * LEAST_WINDOW
-    assert LEAST_HOLD <= budget.hold <= HOLD and LEAST_WINDOW <= budget.window <= WINDOW
+    assert (
+        streams * budget.stream_window_bytes
+        <= budget.total_bytes // 4 + streams * MIN_STREAM_WINDOW_BYTES
+    )
+    assert (
+        MIN_BUFFERED_MESSAGE_BYTES <= budget.message_limit_bytes <= MAX_BUFFERED_MESSAGE_BYTES
+        and MIN_STREAM_WINDOW_BYTES <= budget.stream_window_bytes <= MAX_STREAM_WINDOW_BYTES
+    )
 
 
 @given(st.lists(st.one_of(st.binary(min_size=1, max_size=50), st.none()), max_size=30))
@@ -40,17 +46,17 @@
         nonlocal notifications
         notifications += 1
 
-    upload.on_room = on_room
+    upload.on_space = on_room
     for step in steps:
         if step is None:
-            size = upload.size
+            size = upload.buffered_bytes
             received += upload.read()
-            assert upload.size == 0 and notifications == bool(size)
+            assert upload.buffered_bytes == 0 and notifications == bool(size)
             notifications = 0
-            assert upload.spent is bool(received)
+            assert upload.consumed is bool(received)
         else:
             fed += step
-            assert upload.feed(step) is (upload.size < 64)
+            assert upload.feed(step) is (upload.buffered_bytes < 64)
     upload.finish()
-    assert not upload.ended or not upload.parts
-    assert bytes(received + upload.read()) == bytes(fed) and upload.ended
+    assert not upload.exhausted or not upload.chunks
+    assert bytes(received + upload.read()) == bytes(fed) and upload.exhausted
--- a/tests/bulk/test_streams.py
+++ b/tests/bulk/test_streams.py
@@ -12,14 +12,24 @@
 
 import pytest
 
-from badgercart.core.memory_budget import HOLD, MemoryBudget
+from badgercart.core.memory_budget import MAX_BUFFERED_MESSAGE_BYTES, MemoryBudget
 from badgercart.frontends.http import clients
 from badgercart.policy.events import AttemptEnded, AttemptResult, RequestCompleted, ResponseStarted
 from badgercart.policy.settings import Settings
 from badgercart.upstream import connection_pool
-from tests.net import WAIT, Client, Peer, Stand, config, field, request, run, running
+from tests.net import (
+    WAIT_S,
+    Client,
+    NodeHarness,
+    ScriptedServer,
+    config,
+    field,
+    request,
+    run,
+    running,
+)
 
-LONG_BODY = random.Random(5).randbytes(5 * HOLD + 321)
+LONG_BODY = random.Random(5).randbytes(5 * MAX_BUFFERED_MESSAGE_BYTES + 321)
 
 
 def chunked(body: bytes, chunk_bytes: int) -> bytes:
@@ -48,21 +58,21 @@
         self.port: int = self.server.sockets[0].getsockname()[1]
         return self
 
-    entry = Peer.entry
+    entry = ScriptedServer.entry
 
     async def connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Return the next connection."""
-        return await asyncio.wait_for(self.connections.get(), WAIT)
+        return await asyncio.wait_for(self.connections.get(), WAIT_S)
 
 
 async def read_head(reader: asyncio.StreamReader) -> bytes:
     """Read a header section."""
-    return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), WAIT)
+    return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), WAIT_S)
 
 
 async def read_body(reader: asyncio.StreamReader, head: bytes) -> bytes:
     """Read a complete body by its framing."""
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_S):
         if (length := field(head, b"Content-Length")) is not None:
             return await reader.readexactly(int(length))
         if field(head, b"Transfer-Encoding") != b"chunked":
@@ -104,8 +114,8 @@
                 assert isinstance(await stand.event(ResponseStarted), ResponseStarted)
                 assert (await stand.outcome()).result is AttemptResult.OK
                 assert (
-                    stand.node.frontend.memory_budget.streams
-                    == stand.node.frontend.memory_budget.held
+                    stand.node.frontend.memory_budget.stream_count
+                    == stand.node.frontend.memory_budget.buffered_bytes
                     == 0
                 )
                 if field(head, b"Connection") == b"close":
@@ -131,7 +141,7 @@
                 assert framing in head
                 assert (await client.reader.readexactly(len(first))) == first
                 client.writer.close()  # ends the server's connection, too
-                assert await asyncio.wait_for(reader.read(), WAIT) == b""
+                assert await asyncio.wait_for(reader.read(), WAIT_S) == b""
                 assert (await stand.outcome()).result is AttemptResult.CANCELLED
 
     run(test())
@@ -148,7 +158,7 @@
             client.writer.write(request())
             reader, writer = await server.connection()
             await read_head(reader)
-            writer.write(RESPONSES[form][: 3 * HOLD])
+            writer.write(RESPONSES[form][: 3 * MAX_BUFFERED_MESSAGE_BYTES])
             head = await read_head(client.reader)
             writer.transport.abort()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -219,24 +229,26 @@
         async with running(server) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             head, body = upload(form, timeout="5000m")
-            client.writer.write(head + body[: 2 * HOLD])
+            client.writer.write(head + body[: 2 * MAX_BUFFERED_MESSAGE_BYTES])
             reader, writer = await server.connection()
             got = await read_head(reader)
             # The begin of the body is forwarded before the rest has been received.
-            assert await asyncio.wait_for(reader.readexactly(HOLD), WAIT)
+            assert await asyncio.wait_for(reader.readexactly(MAX_BUFFERED_MESSAGE_BYTES), WAIT_S)
             (attempt,) = stand.node.pool.attempts.values()
             assert (
                 attempt.timer is None
                 and not stand.node.pipeline.policy.overload.concurrency.current
             )
-            client.writer.write(body[2 * HOLD :])
+            client.writer.write(body[2 * MAX_BUFFERED_MESSAGE_BYTES :])
             assert isinstance(await stand.event(RequestCompleted), RequestCompleted)
             rest = (
-                await asyncio.wait_for(reader.readexactly(len(body) - HOLD), WAIT)
+                await asyncio.wait_for(
+                    reader.readexactly(len(body) - MAX_BUFFERED_MESSAGE_BYTES), WAIT_S
+                )
                 if form == "length"
                 else b""
             )
-            assert rest == LONG_BODY[HOLD:] or form == "chunks"
+            assert rest == LONG_BODY[MAX_BUFFERED_MESSAGE_BYTES:] or form == "chunks"
             while attempt.timer is None:
                 await asyncio.sleep(0)
             assert stand.node.pipeline.policy.overload.concurrency.current == 1
@@ -274,17 +286,17 @@
             async with running(unreachable, server, attempts=3, seed=seed) as stand:  # type: ignore[arg-type]
                 client = await stand.client()
                 head, body = upload("length")
-                client.writer.write(head + body[: 2 * HOLD])
+                client.writer.write(head + body[: 2 * MAX_BUFFERED_MESSAGE_BYTES])
                 reader, writer = await server.connection()
                 await read_head(reader)
-                await reader.readexactly(HOLD)
+                await reader.readexactly(MAX_BUFFERED_MESSAGE_BYTES)
                 writer.transport.abort()  # before the last byte: the request was not executed
                 status, answer_head, _ = await client.answer()
                 assert (status, field(answer_head, b"Connection")) == (503, b"close")
                 outcome = await body_consuming_attempt(stand)
                 assert outcome.result is AttemptResult.UNREACHABLE
 
-    async def body_consuming_attempt(stand: Stand) -> AttemptEnded:
+    async def body_consuming_attempt(stand: NodeHarness) -> AttemptEnded:
         while not (outcome := await stand.outcome()).body_consumed:
             pass
         return outcome
@@ -303,10 +315,10 @@
         async with running(server) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             head, body = upload("length")
-            client.writer.write(head + body[: HOLD // 16])
+            client.writer.write(head + body[: MAX_BUFFERED_MESSAGE_BYTES // 16])
             reader, _ = await server.connection()
             assert await client.end() == b""
-            await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
+            await asyncio.wait_for(reader.read(), WAIT_S)  # the server's connection ends, too
             assert (await stand.outcome()).result is AttemptResult.CANCELLED
             assert not stand.node.pipeline.in_flight and not stand.node.pool.attempts
 
@@ -324,15 +336,15 @@
         async with running(server, settings=changed) as stand:  # type: ignore[arg-type]
             client = await stand.client()
             head, _ = upload("chunks")
-            client.writer.write(head + chunked(LONG_BODY, 999)[: 2 * HOLD])
+            client.writer.write(head + chunked(LONG_BODY, 999)[: 2 * MAX_BUFFERED_MESSAGE_BYTES])
             reader, _ = await server.connection()
-            await reader.readexactly(HOLD)
+            await reader.readexactly(MAX_BUFFERED_MESSAGE_BYTES)
             if end == "malformed":
                 client.writer.write(b"\r\nno chunk\r\n" * 200)
                 assert await client.end() == b""
             else:
                 client.writer.transport.abort()
-            await asyncio.wait_for(reader.read(), WAIT)  # the server's connection ends, too
+            await asyncio.wait_for(reader.read(), WAIT_S)  # the server's connection ends, too
             assert (await stand.outcome()).result is AttemptResult.CANCELLED
             assert not stand.node.pipeline.in_flight and not stand.node.pool.attempts
             assert not stand.node.listener.open_request_names
@@ -343,8 +355,8 @@
 def test_a_server_that_stops_within_a_streamed_response_times_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_pool, "SILENCE", 50.0)
-    monkeypatch.setattr(connection_pool, "SWEEP", 0.01)
+    monkeypatch.setattr(connection_pool, "SERVER_STALL_TIMEOUT_MS", 50.0)
+    monkeypatch.setattr(connection_pool, "SCAN_INTERVAL_S", 0.01)
 
     async def test() -> None:
         server = await ManualServer().start()
@@ -353,7 +365,7 @@
             client.writer.write(request())
             reader, writer = await server.connection()
             await read_head(reader)
-            writer.write(RESPONSES["length"][:HOLD])
+            writer.write(RESPONSES["length"][:MAX_BUFFERED_MESSAGE_BYTES])
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await read_body(client.reader, await read_head(client.reader))
             assert (await stand.outcome()).result is AttemptResult.TIMEOUT
@@ -386,15 +398,17 @@
                 client.writer.transport.pause_reading()
                 readers.append((client, head))
             budget: MemoryBudget = stand.node.frontend.memory_budget
-            paused = lambda: [c for c in stand.node.pool.connections if c.paused]  # noqa: E731
-            async with asyncio.timeout(WAIT):
+            paused = lambda: [c for c in stand.node.pool.connections if c.read_paused]  # noqa: E731
+            async with asyncio.timeout(WAIT_S):
                 while len(paused()) < count:
                     await asyncio.sleep(0.01)
             buffered = [
                 c.transport.get_write_buffer_size() for c in stand.node.listener.connections
             ]
             # Each buffers its window at most, and beyond it what a single read returned.
-            assert budget.streams == count and sum(buffered) <= count * (budget.window + 2 * 65536)
+            assert budget.stream_count == count and sum(buffered) <= count * (
+                budget.stream_window_bytes + 2 * 65536
+            )
             for task in sends:
                 task.cancel()
             for client, _ in readers:
@@ -408,7 +422,7 @@
 
 def test_rare_but_valid_forms_of_a_request_are_accepted() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             client: Client = await stand.client()
             absolute = request().replace(
--- a/tests/core/test_join.py
+++ b/tests/core/test_request_pipeline.py
@@ -1,5 +1,7 @@
-"""The node over loopback sockets: what goes on, what comes back, and what the module is told of
-it."""
+"""The request pipeline of a node over loopback sockets.
+
+The tests compare what servers, clients and the policy receive.
+"""
 
 from __future__ import annotations
 
@@ -8,18 +10,18 @@
 
 import pytest
 
-from badgercart.core.clock import MARGIN
+from badgercart.core.clock import RESPONSE_MARGIN_MS
 from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import AttemptRequest, IncomingRequest
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.actions import Action, Send, Shed
 from badgercart.policy.events import AttemptEnded, AttemptResult, Request, RequestCancelled
-from tests.clockwork import Clockwork
+from tests.manual_clock import ManualClock
 from tests.net import (
     OK,
-    WAIT,
-    Nobody,
-    Peer,
+    WAIT_S,
+    NullFrontend,
+    ScriptedServer,
     answer,
     config,
     field,
@@ -31,10 +33,10 @@
 )
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
+def test_a_request_is_forwarded_unchanged_and_so_is_its_response() -> None:
     async def test() -> None:
         typed = OK.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
-        peer = await Peer(answer(typed)).start()
+        peer = await ScriptedServer(answer(typed)).start()
         async with running(peer) as stand:
             client = await stand.client()
             data = request("book", body=b"\x00ride", Tenant="acme").replace(
@@ -54,13 +56,13 @@
     run(test())
 
 
-def test_ids_are_the_same_at_every_node_and_start() -> None:
+def test_stable_ids_are_the_same_at_every_node_and_start() -> None:
     assert stable_id(b"s-5be2a07c") == 0x850D21AD14919D0C
 
 
-def test_an_unsafe_request_that_may_have_run_is_neither_resent_nor_refused() -> None:
+def test_a_non_idempotent_request_that_may_have_been_executed_is_neither_retried_nor_shed() -> None:
     async def test() -> None:
-        peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
+        peers = [await ScriptedServer(hang_up).start(), await ScriptedServer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
             status, _, _ = await (await stand.client()).ask(request("pay"))
             assert status == 502
@@ -69,17 +71,17 @@
     run(test())
 
 
-def test_a_client_that_goes_away_frees_everything() -> None:
+def test_a_disconnected_client_leaves_no_state_behind() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
+        peer = await ScriptedServer(stay_silent).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             client.writer.close()
             await stand.event(RequestCancelled)
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await asyncio.wait_for(peer.ended.get(), WAIT_S)
             node = stand.node
             assert (
                 not node.pipeline.in_flight
@@ -90,19 +92,26 @@
     run(test())
 
 
-def test_the_module_is_told_what_the_client_says_of_a_request() -> None:
+def test_the_policy_receives_what_the_headers_say_about_a_request() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), tenants={b"acme": 0, b"ajax": 1}) as stand:
+        async with running(
+            await ScriptedServer().start(), tenants={b"acme": 0, b"ajax": 1}
+        ) as stand:
             client = await stand.client()
             assert (await (await stand.client()).ask(request(Tenant="nobody")))[0] == 400
             data = request("book", key="ride/42", Tenant="ajax", Work_Hint="2500", Client_Retry="1")
             assert (await client.ask(data))[0] == 200
-            told = await stand.event(Request)
-            assert (told.class_index, told.tenant, told.key) == (1, 1, stable_id(b"42"))
-            assert (told.expected_work_ms, told.is_client_retry) == (2.5, True)
+            event = await stand.event(Request)
+            assert (event.class_index, event.tenant, event.key) == (1, 1, stable_id(b"42"))
+            assert (event.expected_work_ms, event.is_client_retry) == (2.5, True)
             assert (await client.ask(request(Tenant="acme", Work_Hint="much")))[0] == 200
-            told = await stand.event(Request)
-            assert (told.class_index, told.tenant, told.expected_work_ms, told.is_client_retry) == (
+            event = await stand.event(Request)
+            assert (
+                event.class_index,
+                event.tenant,
+                event.expected_work_ms,
+                event.is_client_retry,
+            ) == (
                 0,
                 0,
                 0.0,
@@ -112,22 +121,22 @@
     run(test())
 
 
-def test_time_is_kept_back_for_the_way_to_the_client() -> None:
+def test_the_response_margin_is_subtracted_from_the_timeout() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request(timeout="3000m")))[0] == 200
             left = field(await peer.requests.get(), b"Request-Timeout")
-            assert left is not None and int(left[:-1]) <= 3000 - MARGIN
+            assert left is not None and int(left[:-1]) <= 3000 - RESPONSE_MARGIN_MS
 
     run(test())
 
 
-def test_an_exception_in_the_policy_costs_its_request_alone(
+def test_an_exception_in_the_policy_fails_only_its_request(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             handle = stand.node.pipeline.policy.handle
 
@@ -144,9 +153,9 @@
     assert "broken on purpose" in caplog.text
 
 
-def test_a_policy_that_breaks_over_a_request_forgets_it() -> None:
+def test_a_policy_that_raises_an_exception_on_a_request_forgets_it() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client, policy = await stand.client(), stand.node.pipeline.policy
             attempt = policy.lifecycle.attempt
 
@@ -162,58 +171,64 @@
     run(test())
 
 
-def test_a_request_that_is_withdrawn_while_it_is_decided_is_not_sent() -> None:
-    """One answer withdraws another request, as a GraphQL front may, whose attempt stands behind
-    it."""
-    join = RequestPipeline(config(1).settings, 1, Clockwork())
-    told: list[object] = []
+def test_a_request_that_is_cancelled_during_its_decision_is_not_sent() -> None:
+    """The end of one request cancels another one, whose attempt is decided in the same step.
+
+    A GraphQL frontend may do that.
+    """
+    pipeline = RequestPipeline(config(1).settings, 1, ManualClock())
+    received: list[object] = []
 
-    class Front(Nobody):
-        def on_shed(self, wait: float) -> None:
-            join.cancel_request(2)
+    class CancellingFrontend(NullFrontend):
+        def on_shed(self, retry_after_ms: float) -> None:
+            pipeline.cancel_request(2)
 
     def decide(now: float, event: object) -> list[Action]:
-        told.append(event)
+        received.append(event)
         return (
             [Shed(1, 0.0), Send(2, 7, 100.0)]
             if isinstance(event, Request) and event.id == 2
             else []
         )
 
-    join.policy.handle = decide  # type: ignore[method-assign,assignment]
+    pipeline.policy.handle = decide  # type: ignore[method-assign,assignment]
     for number in (1, 2):
-        join.accept(number, IncomingRequest(0, 0, 0, 1e9, None), Front(), NoCarrier())
-    gone, ended = told[-2:]
-    assert isinstance(gone, RequestCancelled) and isinstance(ended, AttemptEnded)
+        pipeline.accept(
+            number, IncomingRequest(0, 0, 0, 1e9, None), CancellingFrontend(), FailingTransport()
+        )
+    cancelled, ended = received[-2:]
+    assert isinstance(cancelled, RequestCancelled) and isinstance(ended, AttemptEnded)
     assert (ended.id, ended.attempt, ended.result, ended.request_finished) == (
         2,
         0,
         AttemptResult.NOT_SENT,
         True,
     )
-    assert not (join.in_flight or join.open_attempts or join.cancelled)
+    assert not (pipeline.in_flight or pipeline.open_attempts or pipeline.cancelled)
 
 
-class NoCarrier:
-    """Nothing may be sent by it."""
+class FailingTransport:
+    """A transport by which no attempt may be sent."""
 
-    def send(self, order: AttemptRequest) -> None:
-        raise AssertionError("sent for a client that has left")
+    def send(self, attempt: AttemptRequest) -> None:
+        raise AssertionError("sent for a client that has disconnected")
 
-    def cancel(self, request_id: int, number: int) -> None: ...
+    def cancel(self, request_id: int, attempt_number: int) -> None: ...
 
-    def abandon_attempt(self, request_id: int, number: int) -> None: ...
+    def abandon_attempt(self, request_id: int, attempt_number: int) -> None: ...
 
 
-def test_a_late_answer_reaches_the_policy_and_not_the_client() -> None:
+def test_the_end_of_an_attempt_after_its_request_reaches_the_policy_and_not_the_client() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
+        peer = await ScriptedServer(stay_silent).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
-            stand.node.pipeline.end(stand.node.pipeline.last_id, broken=False)
-            stand.node.pool.cancel(stand.node.pipeline.last_id, 0)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
+            stand.node.pipeline.fail_request(
+                stand.node.pipeline.last_request_id, internal_error=False
+            )
+            stand.node.pool.cancel(stand.node.pipeline.last_request_id, 0)
             assert (await client.answer())[0] == 502
             outcome: AttemptEnded = await stand.outcome()
             assert outcome.request_finished and outcome.result == AttemptResult.CANCELLED
@@ -221,9 +236,9 @@
     run(test())
 
 
-def test_a_client_with_too_little_time_is_refused_at_once() -> None:
+def test_a_request_with_too_short_a_timeout_is_shed_at_once() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request(timeout="20m")))[0] == 503
             assert peer.requests.empty()
@@ -231,26 +246,26 @@
     run(test())
 
 
-def test_a_keyed_request_that_may_have_run_is_sent_again_with_its_key() -> None:
+def test_a_keyed_request_that_may_have_been_executed_is_retried_with_its_key() -> None:
     async def test() -> None:
-        peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
+        peers = [await ScriptedServer(hang_up).start(), await ScriptedServer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
-            stand.node.pipeline.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
+            stand.node.pipeline.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # allow the retry
             data = request("book")
             assert (await (await stand.client()).ask(data))[0] == 503
             for peer in peers:
-                got = await asyncio.wait_for(peer.requests.get(), WAIT)
+                got = await asyncio.wait_for(peer.requests.get(), WAIT_S)
                 assert field(got, b"Idempotency-Key") == b"5c0f"
                 assert field(got, b"Request-Id") == field(data, b"Request-Id")
 
     run(test())
 
 
-def test_the_next_request_of_a_client_comes_after_the_outcome_of_the_one_before() -> None:
-    # The answer brought the next request before the policy knew that the attempt was over: its
-    # server counted as stalled, and a request sent ahead was refused.
+def test_the_end_of_an_attempt_precedes_the_next_request_of_its_client() -> None:
+    # The response triggered the client's next, pipelined request before the policy knew of the end
+    # of the attempt: the server counted as stalled, and the pipelined request was shed.
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             client.writer.write(request() + request())
             for _ in range(2):
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_suspects.py
@@ -1,5 +1,4 @@
-"""Suspects that were kept by reading at first, each forced: they hold, and have to go on doing
-so."""
+"""Race conditions that were suspected at first and did not occur: each is forced here."""
 
 from __future__ import annotations
 
@@ -21,15 +20,15 @@
 from badgercart.frontends.http import clients
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import EndpointUpdate
-from tests.ends.test_leaving import Gate
-from tests.ends.test_watch import HEAD, Scripted, hang, says
-from tests.ends.virtual import Loop
-from tests.net import OK, WAIT, Peer, config, request, run, running
+from tests.ends.test_leaving import ConnectGate
+from tests.ends.test_watch import HEAD, ScriptedAgent, hang, send_parts
+from tests.ends.virtual import VirtualLoop
+from tests.net import OK, WAIT_S, ScriptedServer, config, request, run, running
 from tests.test_process import COMMAND
 
 
-def test_sigterm_before_the_node_is_up_ends_it(tmp_path: Path) -> None:
-    """While it reads its configuration, which is a pipe that nothing is written to."""
+def test_sigterm_during_startup_ends_the_process(tmp_path: Path) -> None:
+    """The process reads its configuration from a pipe that nothing is written to."""
 
     async def test() -> None:
         path = tmp_path / "config.json"
@@ -39,12 +38,12 @@
             env=os.environ | {"ROUTER_CONFIG": str(path)},
             stderr=asyncio.subprocess.DEVNULL,
         )
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while True:
                 try:
                     pipe = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
                     break
-                except OSError:  # the other side has not opened it yet
+                except OSError:  # the process has not opened it yet
                     await asyncio.sleep(0.001)
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == -signal.SIGTERM
@@ -56,18 +55,17 @@
 def test_a_slow_reader_gets_the_last_byte_before_the_process_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The listener closes at once: nothing but the reader keeps the process, until the system has
-    it all."""
+    """The listener closes at once, so that only the slow reader delays the end of the process."""
     monkeypatch.setattr(clients, "DRAIN_ACCEPT_S", 0.0)
     monkeypatch.setattr(platform, "DRAIN_ACCEPT_S", 0.0)
 
     async def test() -> None:
         big = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
 
-        async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+        async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(big)
 
-        async with running(await Peer(script).start()) as stand:
+        async with running(await ScriptedServer(script).start()) as stand:
             loop, sock = asyncio.get_running_loop(), socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             sock.setblocking(False)
@@ -86,37 +84,35 @@
                 return int(connection.transport.get_write_buffer_size())
 
             ending, got = asyncio.ensure_future(ends()), b""
-            while part := await asyncio.wait_for(loop.sock_recv(sock, 1000), WAIT):
+            while part := await asyncio.wait_for(loop.sock_recv(sock, 1000), WAIT_S):
                 got += part
                 await asyncio.sleep(0.002)
             assert got.endswith(b"x" * 60000)
             sock.close()
-            assert await asyncio.wait_for(ending, WAIT) == 0
+            assert await asyncio.wait_for(ending, WAIT_S) == 0
 
     run(test())
 
 
-def test_a_connection_that_was_just_accepted_is_served_though_the_listener_closes(
+def test_a_connection_that_was_just_accepted_is_served_although_the_listener_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its transport is made in the next turn of the loop; until then it belongs to the listener
-    alone."""
+    """Its transport is made in the next iteration of the loop; until then only the listener has it."""
     monkeypatch.setattr(clients, "DRAIN_ACCEPT_S", 0.0)
     monkeypatch.setattr(platform, "DRAIN_ACCEPT_S", 0.0)
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             listener = stand.node.listener
-            sock = socket.create_connection(
-                listener.address
-            )  # in this turn, behind the loop's back
+            # Established within this iteration of the loop.
+            sock = socket.create_connection(listener.address)
             sock.sendall(request())
             listener.accept_connections()
             (client,) = listener.connections
             assert not hasattr(client, "machine")
             listener.stop_accepting()
             await stand.node.drain()
-            sock.settimeout(WAIT)
+            sock.settimeout(WAIT_S)
             assert b"200 OK" in sock.recv(1000) and sock.recv(1000) == b""
             sock.close()
 
@@ -125,11 +121,11 @@
 
 @pytest.mark.parametrize("grace", [250.0, 500.0, 2000.0])
 @pytest.mark.parametrize("seed", range(5))
-def test_an_agent_that_comes_back_at_any_moment_is_asked_within_the_grace(
+def test_an_agent_that_recovers_at_any_time_is_called_within_the_grace_period(
     grace: float, seed: int
 ) -> None:
-    """While it is down no call comes up: none is ever further from the next than the grace."""
-    loop = Loop()
+    """While it is down no call connects; two calls are never further apart than the grace period."""
+    loop = VirtualLoop()
 
     async def test() -> None:
         discovery = Discovery(
@@ -139,7 +135,7 @@
         times = [loop.time()]
         while len(times) < 40:
             await asyncio.sleep(0.001)
-            if len(loop.dials) >= len(times):
+            if len(loop.pending_connections) >= len(times):
                 times.append(loop.time())
         gaps = [later - before for before, later in zip(times[1:], times[2:], strict=False)]
         assert max(gaps) < grace / 1000 and len(gaps) > 30
@@ -152,15 +148,14 @@
         loop.close()
 
 
-def test_a_start_by_an_old_list_does_not_send_to_a_server_that_drains_once_the_agent_has_said_so() -> (
+def test_a_start_with_an_old_list_sends_nothing_to_a_server_that_the_agent_reports_as_draining() -> (
     None
 ):
-    """The agent's first call hangs: what it has counts as told all the same, and is heard by the
-    second."""
+    """The first call to the agent hangs; the second one has to deliver the drain in time."""
 
     async def test() -> None:
-        old, new = await Peer().start(), await Peer().start()
-        agent = await Scripted([old.entry("s-1", "leaving"), new.entry("s-2")], [hang]).start()
+        old, new = await ScriptedServer().start(), await ScriptedServer().start()
+        agent = await ScriptedAgent([old.entry("s-1", "leaving"), new.entry("s-2")], [hang]).start()
         agent.push(2, [old.entry("s-1", "leaving"), new.entry("s-2")])
         async with running(old, new, agent=agent) as stand:
             while stand.node.endpoint_table.version < 2:
@@ -173,17 +168,17 @@
     run(test())
 
 
-def test_after_a_move_to_an_address_that_is_silent_drains_bind_and_the_way_back_is_open() -> None:
+def test_after_a_move_to_a_silent_address_drains_still_hold_and_moving_back_works() -> None:
     async def test() -> None:
-        old, new = await Peer().start(), await Peer().start()
-        nowhere = await Scripted([], [hang, says(HEAD), *[hang] * 20]).start()
+        old, new = await ScriptedServer().start(), await ScriptedServer().start()
+        nowhere = await ScriptedAgent([], [hang, send_parts(HEAD), *[hang] * 20]).start()
         async with running(old, new) as stand:
             stand.agent.push(2, [old.entry("s-1", "leaving")])
             while stand.node.endpoint_table.version < 2:
                 await asyncio.sleep(0)
             stand.node.discovery.move(("127.0.0.1", nowhere.port))
             for _ in range(3):
-                await asyncio.wait_for(nowhere.calls.get(), WAIT)
+                await asyncio.wait_for(nowhere.calls.get(), WAIT_S)
             client = await stand.client()
             for _ in range(6):
                 assert (await client.ask(request()))[0] == 200
@@ -198,12 +193,12 @@
     run(test())
 
 
-def test_a_retry_does_not_go_to_a_server_that_began_to_drain() -> None:
+def test_a_retry_does_not_use_a_server_that_started_to_drain() -> None:
     async def test() -> None:
-        peers = [await Peer().start() for _ in range(2)]
+        peers = [await ScriptedServer().start() for _ in range(2)]
         drained = asyncio.Event()
 
-        async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+        async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
             await drained.wait()
             writer.transport.abort()
 
@@ -227,21 +222,21 @@
     run(test())
 
 
-def test_a_long_request_is_not_begun_at_a_server_that_drains_while_its_connection_comes_up(
+def test_a_streamed_request_is_not_sent_to_a_server_that_drains_during_the_connect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
-            gate, client = Gate(monkeypatch), await stand.client()
-            whole = request("book", body=b"x" * 100_000)
-            client.writer.write(whole[:-1])
+            gate, client = ConnectGate(monkeypatch), await stand.client()
+            data = request("book", body=b"x" * 100_000)
+            client.writer.write(data[:-1])
             await gate.reached()
             stand.agent.push(2, [peer.entry("s-1", "leaving")])
             while (await stand.event(EndpointUpdate)).version != 2:
                 pass
             gate.opened.set()
-            client.writer.write(whole[-1:])
+            client.writer.write(data[-1:])
             assert (await client.answer())[0] == 503
             assert peer.requests.empty()
 
@@ -249,30 +244,29 @@
 
 
 @pytest.mark.parametrize(("cls", "status"), [("find", 503), ("book", 503), ("pay", 502)])
-@pytest.mark.parametrize("answers", [True, False], ids=["an answer came", "nothing came"])
-def test_a_loop_that_stood_still_over_the_end_of_an_attempt_answers_all_the_same(
+@pytest.mark.parametrize("answers", [True, False], ids=["response arrived", "no response"])
+def test_a_loop_that_was_blocked_over_the_end_of_an_attempt_still_responds(
     cls: str, status: int, answers: bool
 ) -> None:
-    """Its time and its answer are found in the same turn; and a timer that is late still ends
-    it."""
+    """The timeout and the response are found in the same iteration; a late timer still fires."""
 
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
 
-        async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+        async def script(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
 
-        peer = await Peer(script).start()
+        peer = await ScriptedServer(script).start()
         settings = replace(config(1, aim=400.0).settings, may_cancel=False)
         async with running(peer, settings=settings) as stand:
             client = await stand.client()
             client.writer.write(request(cls))
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             (attempt,) = stand.node.pool.attempts.values()
             if answers:
                 raw = writers[0].get_extra_info("socket")
                 socket.socket(fileno=os.dup(raw.fileno())).sendall(OK)
-            left = attempt.deadline / 1000 - time.monotonic()
+            left = attempt.deadline_ms / 1000 - time.monotonic()
             time.sleep(left + 0.3)
             assert (await client.answer())[0] == (200 if answers else status)
             assert not stand.node.pipeline.in_flight
--- a/tests/frontends/test_connection.py
+++ b/tests/frontends/test_connection.py
@@ -27,8 +27,8 @@
 from badgercart.frontends.http.requests import (
     BadRequestError,
     ClientRequest,
-    Message,
     RequestHeaders,
+    UpstreamRequest,
     platform_request_reader,
     problem_document,
 )
@@ -55,7 +55,7 @@
             raise BadRequestError(400, headers.fault or "odd")
         name = headers.request_id or b""
         return ClientRequest(
-            Message(b"", body), name, 0, 0, stable_id(url), 0.0, 1000.0, 0.0, False
+            UpstreamRequest(b"", body), name, 0, 0, stable_id(url), 0.0, 1000.0, 0.0, False
         )
 
     def error_body(self, status: int, reason: str) -> tuple[bytes, bytes]:
@@ -266,12 +266,12 @@
 def test_a_request_without_a_tenant_counts_for_the_default_tenant() -> None:
     plain = replace(config(1), tenants={b"a": 0, b"b": 1})
     with pytest.raises(InvalidRequestError, match="no Tenant header, and no default_tenant is set"):
-        Classifier(plain).read(b"GET", b"/find/1", b"r", None, None)
+        Classifier(plain).classify(b"GET", b"/find/1", b"r", None, None)
     with pytest.raises(InvalidRequestError, match="there is no tenant 'x'"):
-        Classifier(plain).read(b"GET", b"/find/1", b"r", b"x", None)
+        Classifier(plain).classify(b"GET", b"/find/1", b"r", b"x", None)
     with_default = replace(plain, default_tenant=b"b")
-    assert Classifier(with_default).read(b"GET", b"/find/1", b"r", None, None).tenant == 1
-    assert Classifier(with_default).read(b"GET", b"/find/1", b"r", b"a", None).tenant == 0
+    assert Classifier(with_default).classify(b"GET", b"/find/1", b"r", None, None).tenant == 1
+    assert Classifier(with_default).classify(b"GET", b"/find/1", b"r", b"a", None).tenant == 0
 
 
 def test_graphql_reports_a_bad_request_as_a_graphql_error() -> None:
--- a/tests/frontends/test_golden.py
+++ b/tests/frontends/test_golden.py
@@ -13,8 +13,8 @@
 import pytest
 
 from badgercart.core.memory_budget import MemoryBudget
-from badgercart.core.ports import Answer
-from badgercart.core.streams import Opening
+from badgercart.core.ports import UpstreamResponse
+from badgercart.core.streams import ResponseHeaderSection
 from badgercart.frontends.graphql.requests import bad_request
 from badgercart.frontends.http.clients import ClientConnection, Listener
 from badgercart.frontends.http.requests import (
@@ -192,7 +192,7 @@
         assert not harness.handler.requests
         pieces[name] = harness.take_written()
     twice = ConnectionHarness(error_body, streams).receive(head() + head())
-    twice.client.on_answer(Answer(200, b"one"))
+    twice.client.on_response(UpstreamResponse(200, b"one"))
     pieces["an id that is open"] = twice.take_written()
     late = ConnectionHarness(error_body, streams).receive(head()[:40])
     late.client.machine.request_timed_out(104.0)
@@ -204,14 +204,14 @@
     """Return the response for each outcome of a request."""
     pieces = {}
     for name, answer in {
-        "served": Answer(200, b"done", b"application/json"),
-        "served without type": Answer(200, b"done"),
-        "empty": Answer(204),
-        "the request's fault": Answer(404, b"no such ride", b"text/plain"),
-        "an unknown status": Answer(499, b"x"),
+        "served": UpstreamResponse(200, b"done", b"application/json"),
+        "served without type": UpstreamResponse(200, b"done"),
+        "empty": UpstreamResponse(204),
+        "the request's fault": UpstreamResponse(404, b"no such ride", b"text/plain"),
+        "an unknown status": UpstreamResponse(499, b"x"),
     }.items():
         harness = ConnectionHarness(error_body).receive(head())
-        harness.client.on_answer(answer)
+        harness.client.on_response(answer)
         pieces[name] = harness.take_written()
     for wait in (0.0, 0.4, 250.0, 250.4, 1234.5678, 60_000.0):
         harness = ConnectionHarness(error_body).receive(head())
@@ -234,7 +234,7 @@
         "an upgrade": head("GET /find/cab7 HTTP/1.1", "Connection: upgrade", "Upgrade: websocket"),
     }.items():
         harness = ConnectionHarness().receive(data)
-        harness.client.on_answer(Answer(200, b"done"))
+        harness.client.on_response(UpstreamResponse(200, b"done"))
         pieces[name] = harness.take_written()
     harness = ConnectionHarness().receive(head())
     harness.handler.stopping = True
@@ -242,7 +242,7 @@
     pieces["a node that stops"] = harness.take_written()
     harness = ConnectionHarness().receive(head())
     harness.listener.max_connections = 0
-    harness.client.on_answer(Answer(200, b"done"))
+    harness.client.on_response(UpstreamResponse(200, b"done"))
     pieces["a crowd"] = harness.take_written()
     return pieces
 
@@ -271,16 +271,18 @@
     for version in ("1.1", "1.0"):
         for length in (None, 9):
             harness = ConnectionHarness().receive(head(f"GET /find/cab7 HTTP/{version}"))
-            sink = harness.client.on_response_started(Opening(200, b"text/csv", length))
-            sink.part(b"a,b\n")
-            sink.part(b"")
-            sink.part(b"c,d\n\n")
-            sink.done()
+            sink = harness.client.on_response_started(
+                ResponseHeaderSection(200, b"text/csv", length)
+            )
+            sink.write_body(b"a,b\n")
+            sink.write_body(b"")
+            sink.write_body(b"c,d\n\n")
+            sink.finish_body()
             pieces[f"HTTP/{version}, length {length}"] = harness.take_written()
     harness = ConnectionHarness().receive(head())
-    sink = harness.client.on_response_started(Opening(200, b"", None))
-    sink.part(b"a")
-    sink.broken()
+    sink = harness.client.on_response_started(ResponseHeaderSection(200, b"", None))
+    sink.write_body(b"a")
+    sink.abort_body()
     pieces["broken off"] = harness.take_written()
     return pieces
 
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -22,11 +22,11 @@
 from badgercart.policy.events import EndpointUpdate, Request, RequestCancelled
 from badgercart.upstream import connection_pool
 from tests.net import (
-    WAIT,
-    Peer,
+    WAIT_S,
+    ScriptedServer,
     answer,
+    answer_after,
     field,
-    held_back,
     request,
     run,
     running,
@@ -36,7 +36,7 @@
 
 def test_an_upgrade_request_is_served_without_upgrade_as_the_last_on_its_connection() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             data = request() + request(Connection="upgrade", Upgrade="websocket")
             assert (await client.ask(data))[0] == 200
@@ -47,12 +47,12 @@
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
-    async def echo(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def echo(peer: ScriptedServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         name = head.split(b" ")[1].rpartition(b"/")[2]
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name))
 
     async def test() -> None:
-        async with running(await Peer(echo).start()) as stand:
+        async with running(await ScriptedServer(echo).start()) as stand:
             client = await stand.client()
             client.writer.write(b"".join(request(key=f"k{i}") for i in range(40)))
             for i in range(40):
@@ -65,11 +65,11 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
+        peer = await ScriptedServer(answer_after(release)).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(request() + request() + request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             stand.node.frontend.stopping = True
             release.set()
             for connection_header in (None, None, b"close"):
@@ -82,7 +82,7 @@
 
 def test_many_immediate_responses_do_not_exceed_the_recursion_limit() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             client.writer.write(b"GET /_health HTTP/1.1\r\n\r\n" * 3000)
             for _ in range(3000):
@@ -182,7 +182,7 @@
 @pytest.mark.parametrize(("data", "status"), BAD_REQUESTS, ids=range(len(BAD_REQUESTS)))
 def test_a_bad_request_is_rejected_and_reaches_no_server(data: bytes, status: int) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             client = await stand.client()
             # The second request is not read: its bytes could belong to the bad one.
@@ -197,7 +197,7 @@
 
 def test_expect_100_continue_is_answered() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             head, body = request("book", body=b"ride", Expect="100-continue")[:-4], b"ride"
             assert (await client.ask(head))[0] == 100
@@ -208,7 +208,7 @@
 
 def test_health_is_ok_only_with_an_endpoint_list() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer, known={}) as stand:
             client = await stand.client()
             await stand.event(EndpointUpdate)
@@ -223,10 +223,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Without the cooldown, one connection serves many requests one after the other.
-    monkeypatch.setattr(connection_pool, "REST", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
 
     async def test() -> None:
-        async with running(await Peer().start(), sockets=96) as stand:
+        async with running(await ScriptedServer().start(), sockets=96) as stand:
             limit = stand.node.listener.max_connections
             open_clients = [await stand.client() for _ in range(limit)]
             for client in open_clients:
@@ -255,7 +255,7 @@
     disable_eviction_grace(monkeypatch)
 
     async def test() -> None:
-        async with running(await Peer().start(), sockets=96) as stand:
+        async with running(await ScriptedServer().start(), sockets=96) as stand:
             regular = await stand.client()
             assert (await regular.ask(request()))[0] == 200
             limit = stand.node.listener.max_connections
@@ -277,7 +277,7 @@
     disable_eviction_grace(monkeypatch)
 
     async def test() -> None:
-        async with running(await Peer().start(), sockets=96) as stand:
+        async with running(await ScriptedServer().start(), sockets=96) as stand:
             limit = stand.node.listener.max_connections
             slow = [await stand.client() for _ in range(limit)]
             for client in slow:
@@ -294,7 +294,7 @@
     # Clients that send one request and keep their connection could use up the limit: with 128 idle
     # connections, 6 in 10 requests were never accepted (incident r2136ee).
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             stand.node.listener.max_connections = 6
             open_clients = [await stand.client() for _ in range(4)]
             ends = [
@@ -311,7 +311,7 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peers = [await Peer(held_back(release)).start() for _ in range(3)]
+        peers = [await ScriptedServer(answer_after(release)).start() for _ in range(3)]
         async with running(*peers, sockets=96) as stand:
             listener = stand.node.listener
             listener.max_connections = 3
@@ -335,7 +335,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             listener = stand.node.listener
             real, calls = listener.socket, asyncio.Queue[int]()
 
@@ -350,7 +350,7 @@
             monkeypatch.setattr(listener, "socket", SocketWithoutDescriptors())
             client = await stand.client()
             client.writer.write(request())
-            await asyncio.wait_for(calls.get(), WAIT)
+            await asyncio.wait_for(calls.get(), WAIT_S)
             assert not listener.accepting and calls.empty()
             monkeypatch.setattr(listener, "socket", real)
             listener.check_timeouts()
@@ -361,7 +361,7 @@
 
 def test_silent_and_slow_clients_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             silent, blank, partial = [await stand.client() for _ in range(3)]
             blank.writer.write(b"\r\n\r\n")
             partial.writer.write(request()[:-2])
@@ -382,7 +382,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
             stand.node.listener.check_timeouts()
@@ -398,12 +398,12 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
+        peer = await ScriptedServer(answer_after(release)).start()
         async with running(peer) as stand:
             first, second, third = [await stand.client() for _ in range(3)]
             data = request()
             first.writer.write(data)
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             assert (await second.ask(data))[0] == 409
             assert await second.end() == b""
             assert peer.requests.empty()
@@ -417,11 +417,11 @@
 
 def test_request_ids_of_pending_requests_are_released_when_the_client_leaves() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
+        peer = await ScriptedServer(stay_silent).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(request() + request() + request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             assert len(stand.node.listener.open_request_names) == 3
             client.writer.close()
             await stand.event(RequestCancelled)
@@ -434,11 +434,11 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
+        peer = await ScriptedServer(answer_after(release)).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(b"".join(request() for _ in range(400)))
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             (client_connection,) = stand.node.listener.connections
             assert (
                 len(stand.node.listener.open_request_names)
@@ -454,7 +454,7 @@
 
 def test_the_response_arrives_though_the_client_continues_to_send() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             client.writer.write(request("pay", Content_Length="80000000"))
             client.writer.write(bytes(8_000_000))
@@ -472,7 +472,7 @@
     script = answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(big), big))
 
     async def test() -> None:
-        async with running(await Peer(script).start()) as stand:
+        async with running(await ScriptedServer(script).start()) as stand:
             client = await stand.client()
             client.writer.transport.pause_reading()
             client.writer.write(b"".join(request() for _ in range(300)) + b"nonsense\r\n\r\n")
@@ -492,7 +492,7 @@
 
 def test_trailer_fields_are_not_taken_for_headers() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             data = framed(
                 CHUNKED, body=b"4\r\nride\r\n0\r\nRequest-Id: other\r\nTenant: acme\r\n\r\n"
@@ -511,7 +511,7 @@
     big = b"x" * 60_000
 
     async def test() -> None:
-        peer = await Peer(
+        peer = await ScriptedServer(
             answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(big), big))
         ).start()
         async with running(peer) as stand:
@@ -523,10 +523,10 @@
                 await asyncio.sleep(0)
             # It is idle until the client reads, or until the keep-alive timeout.
             assert client_connection in stand.node.listener.idle
-            taken = stand.node.pipeline.last_id
+            taken = stand.node.pipeline.last_request_id
             for _ in range(50):
                 await asyncio.sleep(0)
-            assert stand.node.pipeline.last_id == taken < 300
+            assert stand.node.pipeline.last_request_id == taken < 300
             client.writer.transport.resume_reading()
             for _ in range(300):
                 assert (await client.answer())[2] == big
@@ -536,7 +536,7 @@
 
 def test_a_closed_connection_leaves_no_reference_cycle() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             gc.collect()
             gc.disable()
@@ -550,7 +550,7 @@
                     if data.endswith(b"\r\n\r\n"):
                         await client.answer()
                     client.writer.close()
-                    async with asyncio.timeout(WAIT):
+                    async with asyncio.timeout(WAIT_S):
                         while stand.node.listener.connections or gone() is not None:
                             await asyncio.sleep(0.001)
             finally:
@@ -564,7 +564,7 @@
 
     async def test() -> None:
         monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.05)
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
             assert (await client.ask(b"GET /find/1 HTTP/1.1\r\nHost:"))[0] == 408
             assert await client.end() == b""
@@ -574,10 +574,10 @@
 
 def test_both_sides_set_tcp_nodelay() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with running(await ScriptedServer().start()) as stand:
             assert (await (await stand.client()).ask(request()))[0] == 200
             (client,) = stand.node.listener.connections
-            (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle
+            (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle_connections
             for either in (client, server):
                 sock = either.transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -592,7 +592,7 @@
                      | st.binary(max_size=20), max_size=30).map(b"".join))  # fmt: skip
 def test_no_input_of_a_client_stops_the_node(data: bytes) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             malformed = await stand.client()
             malformed.writer.write(data)
@@ -610,7 +610,7 @@
 @given(cuts=st.lists(st.integers(min_value=1, max_value=200), max_size=8))
 def test_a_request_may_arrive_in_pieces(cuts: list[int]) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running(peer) as stand:
             client, data = await stand.client(), request("book", body=b"x" * 40)
             places = [0, *sorted(cuts), len(data)]
--- a/tests/hot_restart/test_replacing.py
+++ b/tests/hot_restart/test_replacing.py
@@ -16,14 +16,14 @@
 import pytest
 import uvloop
 
-from tests.net import WAIT, Agent, Client, Peer, field, held_back, request
+from tests.net import WAIT_S, Client, DiscoveryAgent, ScriptedServer, answer_after, field, request
 from tests.test_process import COMMAND, NodeProcess, raw_config
 
 
 class Platform:
     """Owns the listening socket, and starts processes of one node that inherit it."""
 
-    def __init__(self, folder: Path, agent: Agent) -> None:
+    def __init__(self, folder: Path, agent: DiscoveryAgent) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.port: int = self.sock.getsockname()[1]
         self.folder = folder
@@ -63,12 +63,12 @@
 
     async def end(self, node: NodeProcess) -> int:
         node.process.send_signal(signal.SIGTERM)
-        return await asyncio.wait_for(node.process.wait(), WAIT)
+        return await asyncio.wait_for(node.process.wait(), WAIT_S)
 
 
 @asynccontextmanager
-async def running_platform(folder: Path, *peers: Peer) -> AsyncIterator[Platform]:
-    agent = await Agent([peer.entry(f"s-{i}") for i, peer in enumerate(peers, 1)]).start()
+async def running_platform(folder: Path, *peers: ScriptedServer) -> AsyncIterator[Platform]:
+    agent = await DiscoveryAgent([peer.entry(f"s-{i}") for i, peer in enumerate(peers, 1)]).start()
     platform = Platform(folder, agent)
     try:
         yield platform
@@ -105,7 +105,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        peers = [await Peer().start() for _ in range(6)]
+        peers = [await ScriptedServer().start() for _ in range(6)]
         async with running_platform(tmp_path, *peers) as platform:
             node = await platform.start()
             assert await platform.call(node, "/-/servers/s-1/disable") == 200
@@ -132,7 +132,7 @@
 
 def test_an_ejection_at_either_of_two_processes_applies_to_both(tmp_path: Path) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running_platform(tmp_path, peer) as platform:
             old, new = await platform.start(), await platform.start()
             assert await platform.call(new, "/-/servers/s-1/disable") == 200
@@ -147,12 +147,12 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
+        peer = await ScriptedServer(answer_after(release)).start()
         async with running_platform(tmp_path, peer) as platform:
             old = await platform.start()
             waiting, partial, idle = [await platform.client() for _ in range(3)]
             waiting.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             request_bytes = request()
             partial.writer.write(request_bytes[:20])
             assert (await idle.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
@@ -163,13 +163,13 @@
             # This connection was idle.
             idle.writer.write(request())
             for _ in range(2):
-                await asyncio.wait_for(peer.requests.get(), WAIT)
+                await asyncio.wait_for(peer.requests.get(), WAIT_S)
             release.set()
             for client in (waiting, partial, idle):
                 status, head, _ = await client.answer()
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 client.writer.close()
-            assert await asyncio.wait_for(old.process.wait(), WAIT) == 0
+            assert await asyncio.wait_for(old.process.wait(), WAIT_S) == 0
 
     uvloop.run(test())
 
@@ -178,7 +178,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         (tmp_path / "badgercart-99999999.life").write_bytes(b"")
         (tmp_path / "badgercart-bans").write_bytes(b"spoilt")
         async with running_platform(tmp_path, peer) as platform:
--- a/tests/processor/test_interleavings.py
+++ b/tests/processor/test_interleavings.py
@@ -31,7 +31,7 @@
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import UpdateKind
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
-from tests.clockwork import Clockwork
+from tests.manual_clock import ManualClock
 
 CLASSES = (
     RequestClass(400.0, 1000.0, 1.0, Idempotency.IDEMPOTENT),
@@ -89,7 +89,7 @@
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.clockwork = Clockwork()
+        self.clockwork = ManualClock()
         later_attempts = self.random.random() < 0.6
         settings = ProcessorSettings(
             listen=("", 0),
@@ -339,7 +339,7 @@
 def simulate(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Run one simulation."""
     simulation = Simulation(seed)
-    for name in ("on_answer", "on_shed", "on_failure"):
+    for name in ("on_response", "on_shed", "on_failure"):
         method = getattr(Call, name)
 
         def counted(self: Call, value: Any, method: Any = method, name: str = name) -> None:
@@ -359,7 +359,7 @@
             simulation.step()
         simulation.finish()
         assert sorted(simulation.ends) == list(
-            range(1, simulation.pipeline.last_id + 1)
+            range(1, simulation.pipeline.last_request_id + 1)
         ), "a call that never ended"
         assert all(len(ends) == 1 for ends in simulation.ends.values()), "a call that ended twice"
     except BaseException:
@@ -403,5 +403,5 @@
         assert (
             not simulation.pipeline.open_attempts
             and not simulation.pipeline.in_flight
-            and machine.MARGIN > 0
+            and machine.RESPONSE_MARGIN_MS > 0
         )
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -16,7 +16,7 @@
 from badgercart.policy.events import Event
 from badgercart.policy.settings import Idempotency, RequestClass
 from standins.scripted_proxy import ScriptedProxy
-from tests.net import CLASSES, WAIT, config, listed
+from tests.net import CLASSES, WAIT_S, config, operator_entry
 
 _ids = itertools.count(1)
 SERVERS = ("127.0.0.1:7001", "127.0.0.1:7002", "127.0.0.1:7003")
@@ -76,7 +76,7 @@
 
     async def event(self, kind: type, count: int = 1) -> Any:
         """Wait for `count` events of a kind and return the last of them."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while len(found := self.of(kind)) < count:
                 self.changed.clear()
                 await self.changed.wait()
@@ -94,7 +94,7 @@
 
     async def settled(self) -> None:
         """Wait until no request, attempt, call or stream is open."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while (
                 self.pipeline.in_flight
                 or self.pipeline.open_attempts
@@ -132,7 +132,7 @@
     settings = replace(base.settings, classes=classes or base.settings.classes)
     components = {
         "processor": ProcessorSettings.model_construct(listen=("127.0.0.1", 0), **changes),
-        "server": tuple(listed(entry(number)) for number in range(1, servers + 1)),
+        "server": tuple(operator_entry(entry(number)) for number in range(1, servers + 1)),
     }
     installation = Installation(
         replace(base, settings=settings, drain_grace=drain_grace_ms), components
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -17,7 +17,16 @@
 import pytest
 import uvloop
 
-from tests.net import WAIT, Agent, Client, Peer, field, held_back, request, stay_silent
+from tests.net import (
+    WAIT_S,
+    Client,
+    DiscoveryAgent,
+    ScriptedServer,
+    answer_after,
+    field,
+    request,
+    stay_silent,
+)
 from tests.simulator.test_codec import SETTINGS
 
 COMMAND = [sys.executable, "-B", "-m", "badgercart"]
@@ -82,7 +91,7 @@
         """Return the next line of the log that matches."""
         assert self.process.stderr is not None
         while True:
-            line = (await asyncio.wait_for(self.process.stderr.readline(), WAIT)).decode()
+            line = (await asyncio.wait_for(self.process.stderr.readline(), WAIT_S)).decode()
             assert line, "the node has ended"
             self.lines.append(line)
             if match := re.search(pattern, line):
@@ -121,16 +130,16 @@
 
 def test_sighup_switches_to_the_discovery_address_in_the_file(tmp_path: Path) -> None:
     async def test() -> None:
-        old, new = await Peer().start(), await Peer().start()
+        old, new = await ScriptedServer().start(), await ScriptedServer().start()
         first, second = (
-            await Agent([old.entry()]).start(),
-            await Agent([new.entry("s-2")], 7).start(),
+            await DiscoveryAgent([old.entry()]).start(),
+            await DiscoveryAgent([new.entry("s-2")], 7).start(),
         )
         path = tmp_path / "config.json"
         # At the start the variable overrides the file; at a reload the file's address is used.
         variable = {"ROUTER_DISCOVERY": f"127.0.0.1:{first.port}"}
         async with running_process(path, 1, **variable) as node:
-            while "watch" not in await asyncio.wait_for(first.calls.get(), WAIT):
+            while "watch" not in await asyncio.wait_for(first.calls.get(), WAIT_S):
                 pass
             for invalid in (
                 "{",
@@ -146,11 +155,11 @@
             assert (await client.ask(request()))[0] == 200
             path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{second.port}"}))
             node.process.send_signal(signal.SIGHUP)
-            assert await asyncio.wait_for(second.calls.get(), WAIT) == "/catalog/members"
-            await asyncio.wait_for(first.ended.get(), WAIT)  # the call for the snapshot
-            await asyncio.wait_for(first.ended.get(), WAIT)  # the watch
+            assert await asyncio.wait_for(second.calls.get(), WAIT_S) == "/catalog/members"
+            await asyncio.wait_for(first.ended.get(), WAIT_S)  # the call for the snapshot
+            await asyncio.wait_for(first.ended.get(), WAIT_S)  # the watch
             assert (
-                await asyncio.wait_for(second.calls.get(), WAIT)
+                await asyncio.wait_for(second.calls.get(), WAIT_S)
                 == "/catalog/members?watch=1&from=7"
             )
             assert (await client.ask(request()))[0] == 200
@@ -168,25 +177,25 @@
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await Peer(held_back(release)).start()
-        agent = await Agent([peer.entry()]).start()
+        peer = await ScriptedServer(answer_after(release)).start()
+        agent = await DiscoveryAgent([peer.entry()]).start()
         async with running_process(tmp_path / "config.json", agent.port) as node:
             busy, idle = await node.client(), await node.client()
             assert (await idle.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
             busy.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             node.process.send_signal(signal.SIGTERM)
             assert await idle.end() == b""  # an idle connection is closed
             node.process.send_signal(signal.SIGHUP)  # is ignored while draining
             late = await node.client()  # new connections are still accepted
             late.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             release.set()
             for waiting in (busy, late):
                 status, head, _ = await waiting.answer()
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 waiting.writer.close()
-            assert await asyncio.wait_for(node.process.wait(), WAIT) == 0
+            assert await asyncio.wait_for(node.process.wait(), WAIT_S) == 0
 
     uvloop.run(test())
 
@@ -195,12 +204,12 @@
     """The request's timeout is longer than the drain, so it is answered before its timeout."""
 
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
-        agent = await Agent([peer.entry()]).start()
+        peer = await ScriptedServer(stay_silent).start()
+        agent = await DiscoveryAgent([peer.entry()]).start()
         async with running_process(tmp_path / "config.json", agent.port) as node:
             client = await node.client()
             client.writer.write(request(timeout="60000m"))
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), WAIT_S)
             for _ in range(2):
                 node.process.send_signal(signal.SIGTERM)
             await node.line("stopping")
@@ -208,6 +217,6 @@
             status, head, _ = await client.answer()
             assert (status, field(head, b"Connection")) == (503, b"close")
             client.writer.close()
-            assert await asyncio.wait_for(node.process.wait(), WAIT) == 0
+            assert await asyncio.wait_for(node.process.wait(), WAIT_S) == 0
 
     uvloop.run(test())
--- a/tests/upstream/test_golden.py
+++ b/tests/upstream/test_golden.py
@@ -1,5 +1,4 @@
-"""The bytes that servers get for each form of request, from the client's bytes on, against golden
-files."""
+"""The bytes that servers receive for each form of request from a client, by golden files."""
 
 from __future__ import annotations
 
@@ -34,18 +33,19 @@
 
 
 def forwarded() -> dict[str, bytes]:
+    """Return the forwarded bytes of each form of request, and for some remaining times."""
     pieces = {}
     for name, data in FORWARDED.items():
         (request,) = ConnectionHarness().receive(data).handler.requests
-        pieces[name] = Exchange().ask(request.message, 750.9)
+        pieces[name] = Exchange().start_request(request.message, 750.9)
     for left in (-5.0, 0.2, 1.0, 999.999, 123_456.7):
         (request,) = ConnectionHarness().receive(head()).handler.requests
-        pieces[f"{left} ms left"] = Exchange().ask(request.message, left)
+        pieces[f"{left} ms left"] = Exchange().start_request(request.message, left)
     return pieces
 
 
 def long_bodies() -> dict[str, bytes]:
-    """Bodies that go on as they come: in the client's framing, in pieces that the node chooses."""
+    """Return streamed bodies: in the client's framing, in pieces that the node chooses."""
     pieces = {}
     size = 70_000
     for name, line in {
@@ -58,9 +58,9 @@
         harness = ConnectionHarness().receive(head(POST, line) + start)
         (request,) = harness.handler.requests
         exchange = Exchange()
-        sent = [exchange.ask(request.message, 750.0), exchange.upload_bytes()]
+        sent = [exchange.start_request(request.message, 750.0), exchange.read_upload()]
         harness.receive(end)
-        sent += [exchange.upload_bytes(), exchange.upload_bytes()]
+        sent += [exchange.read_upload(), exchange.read_upload()]
         pieces[name] = b"|".join(sent).replace(bytes(size - 3), b"<zeros>")
     return pieces
 
@@ -72,5 +72,5 @@
 
 
 @pytest.mark.parametrize("group", GROUPS)
-def test_servers_get_the_same_bytes(group: str) -> None:
+def test_forwarded_bytes_are_unchanged(group: str) -> None:
     assert not differences(GOLDEN / f"{group}.txt", GROUPS[group]())
