--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -217,7 +217,7 @@
     assert {entry.id for sends in driver.attempts.values() for _, entry in sends} == {1}
 
 
-def test_full_is_full_possibly_executed_if_the_settings_say_so() -> None:
+def test_full_is_no_proof_if_the_settings_say_so() -> None:
     # FULL was always taken as proof that nothing was executed, and purchases were executed twice.
     for full_possibly_executed, attempts, answer in ((False, 4, "shed"), (True, 1, "failed")):
         driver = PolicyDriver(
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -32,14 +32,14 @@
     return PendingRequest(request, SETTINGS.classes[0], NOW, 50.0)
 
 
-def open_attempts(tracked: TrackedEndpoint, count: int) -> None:
+def add_open_attempts(tracked: TrackedEndpoint, count: int) -> None:
     for number in range(count):
         tracked.open_attempts[1000 + number, 0] = pending(), NOW + 1000.0
 
 
 def test_an_idle_endpoint_is_chosen_before_one_with_open_attempts() -> None:
     policy = policy_of(ready(1), ready(2))
-    open_attempts(policy.fleet.endpoints.by_id[1], 3)
+    add_open_attempts(policy.fleet.endpoints.by_id[1], 3)
     for _ in range(50):
         chosen = policy.selector.select(pending(), NOW)
         assert chosen is not None and chosen.endpoint.id == 2
@@ -61,7 +61,7 @@
     assert usable(tracked, health, NOW)
     health.ejected_until_ms = NOW + 10.0
     assert not usable(tracked, health, NOW) and usable(tracked, health, NOW + 10.0)
-    open_attempts(tracked, 1)
+    add_open_attempts(tracked, 1)
     assert not usable(tracked, health, NOW + 10.0)  # on trial it gets one attempt at a time
     health.ejected_until_ms = 0.0
     assert usable(tracked, health, NOW + 999.0) and not usable(tracked, health, NOW + 1001.0)
