--- a/badgercart/policy/endpoint.py
+++ b/badgercart/policy/endpoint.py
@@ -46,7 +46,7 @@
         relative_latency: its latency over the typical one for class and kind.
         recent_attempts: attempts that it got, halved periodically.
         failure_rates: its failure rates, by class.
-        consecutive_ejections: its ejections without a success in between, by class.
+        consecutive_ejections: its consecutive ejections, by class.
     """
 
     started_ms: float
--- a/badgercart/policy/endpoints.py
+++ b/badgercart/policy/endpoints.py
@@ -28,7 +28,7 @@
         failure_rate: the failure rate of recent attempts.
         ejected_until_ms: the clock time at which its ejection ends. A time in the past: the
             endpoint is on trial, until an attempt succeeds. 0: it is neither ejected nor on trial.
-        consecutive_ejections: the ejections since, halved with each success.
+        consecutive_ejections: the number of its ejections, halved with each success.
     """
 
     failure_rate: float = 0.0
--- a/badgercart/policy/feedback.py
+++ b/badgercart/policy/feedback.py
@@ -52,8 +52,11 @@
             return
         self._learn_work(tracked, class_index, elapsed_ms, now_ms)
         self._learn_latency(tracked, class_index, elapsed_ms)
-        cls = pending.request_class
-        if cls.late_value_share or now_ms - pending.arrived_ms <= cls.latency_objective_ms:
+        request_class = pending.request_class
+        if (
+            request_class.late_value_share
+            or now_ms - pending.arrived_ms <= request_class.latency_objective_ms
+        ):
             self._overload.throughput.record_timely(elapsed_ms, self._overload.time_scale)
         self._outliers.record_success(tracked, class_index)
 
--- a/badgercart/policy/lifecycle.py
+++ b/badgercart/policy/lifecycle.py
@@ -80,9 +80,9 @@
 
     def accept(self, request: Request, score: float, now_ms: float) -> None:
         """Accept a request, and send it or queue it behind others of its key."""
-        cls = self._settings.classes[request.class_index]
-        pending = self.requests[request.id] = PendingRequest(request, cls, now_ms, score)
-        if request.key and cls.serialized_by_key:
+        request_class = self._settings.classes[request.class_index]
+        pending = self.requests[request.id] = PendingRequest(request, request_class, now_ms, score)
+        if request.key and request_class.serialized_by_key:
             self._key_queues.join(pending)
         self.attempt(pending, now_ms)
 
--- a/badgercart/policy/locality.py
+++ b/badgercart/policy/locality.py
@@ -126,7 +126,7 @@
         return plan.shares[min(request.class_index + planned, len(plan.shares) - 1)]
 
     def draw_zone(self, shares: tuple[float, ...]) -> int | None:
-        """Draw a zone by the shares; None: the request is shed, as the rest of the shares is."""
+        """Draw a zone by the shares; None, with the probability that they leave of 1: it is shed."""
         drawn = self._random.random()
         for zone, share in enumerate(shares):
             drawn -= share
@@ -144,7 +144,9 @@
 
     def spillover_zones(self, zone: int, shares: tuple[float, ...]) -> list[int]:
         """Return the other zones, those with larger shares first."""
-        ordered = sorted(self.by_zone, key=lambda z: -shares[z] if z < len(shares) else 0.0)
+        ordered = sorted(
+            self.by_zone, key=lambda other: -shares[other] if other < len(shares) else 0.0
+        )
         return [other for other in ordered if other != zone]
 
     def may_spill(self, plan: TrafficPlan, zone: int, now_ms: float) -> bool:
--- a/badgercart/policy/overload.py
+++ b/badgercart/policy/overload.py
@@ -101,13 +101,16 @@
         return self._log_line()
 
     def _refresh_in_flight(self, passed_ms: float) -> None:
-        concurrency, interval = self.concurrency, REFRESH_INTERVAL_MS
+        concurrency, interval_ms = self.concurrency, REFRESH_INTERVAL_MS
         # Small numbers of attempts in flight vary by chance, so their window is longer.
-        window = min(
-            max(IN_FLIGHT_WINDOW_MS / concurrency.limit, IN_FLIGHT_WINDOW_MIN_INTERVALS * interval),
-            IN_FLIGHT_WINDOW_MAX_INTERVALS * interval,
+        window_ms = min(
+            max(
+                IN_FLIGHT_WINDOW_MS / concurrency.limit,
+                IN_FLIGHT_WINDOW_MIN_INTERVALS * interval_ms,
+            ),
+            IN_FLIGHT_WINDOW_MAX_INTERVALS * interval_ms,
         )
-        weight = min(1.0, passed_ms / (window * self.time_scale))
+        weight = min(1.0, passed_ms / (window_ms * self.time_scale))
         concurrency.average += (concurrency.current - concurrency.average) * weight
         self.throughput.refresh_send_rate(passed_ms, weight)
 
--- a/badgercart/policy/priority.py
+++ b/badgercart/policy/priority.py
@@ -35,9 +35,9 @@
         settings, classes = event.settings, event.settings.classes
         count, known = len(classes), len(self.offered) // 2
         self.weights = [
-            cls.priority_weight * weight
+            request_class.priority_weight * weight
             for weight in (1.0, settings.over_quota_weight)
-            for cls in classes
+            for request_class in classes
         ]
         within, beyond = self.offered[:known], self.offered[known:]
         for offered in (within, beyond):
--- a/badgercart/policy/quotas.py
+++ b/badgercart/policy/quotas.py
@@ -63,7 +63,11 @@
     def apply_settings(self, event: SettingsChanged) -> None:
         """Apply the quotas; a tenant that stays keeps the level of its bucket."""
         quotas = event.settings.quotas_per_s
-        self._settle(t for t in self.buckets if t < len(quotas) and t not in event.reset_tenants)
+        self._settle(
+            tenant
+            for tenant in self.buckets
+            if tenant < len(quotas) and tenant not in event.reset_tenants
+        )
         self.quotas_per_s = quotas
 
     def apply_cluster(self, view: ClusterView) -> None:
--- a/badgercart/policy/retries.py
+++ b/badgercart/policy/retries.py
@@ -48,12 +48,12 @@
         """Return whether a request may be sent, given earlier attempts unknown to this node."""
         if not request.possibly_executed:
             return True
-        cls = self._settings.classes[request.class_index]
-        if not cls.client_may_retry:
+        request_class = self._settings.classes[request.class_index]
+        if not request_class.client_may_retry:
             return False
         return (
-            cls.idempotency is Idempotency.IDEMPOTENT
-            or cls.deadline_ms < cls.deduplication_window_ms
+            request_class.idempotency is Idempotency.IDEMPOTENT
+            or request_class.deadline_ms < request_class.deduplication_window_ms
         )
 
     def may_send(
@@ -72,31 +72,35 @@
             return False
         if not pending.possibly_executed:
             return True
-        cls = pending.request_class
-        if cls.idempotency is not Idempotency.KEYED:
-            return cls.idempotency is Idempotency.IDEMPOTENT
+        request_class = pending.request_class
+        if request_class.idempotency is not Idempotency.KEYED:
+            return request_class.idempotency is Idempotency.IDEMPOTENT
         window_ms, sent_ms = (
-            cls.deduplication_window_ms - self._settings.tick_ms,
+            request_class.deduplication_window_ms - self._settings.tick_ms,
             max(now_ms, until_ms),
         )
         return all(
-            sent_ms - earlier_ms < window_ms and _deduplicates(cls, earlier, endpoint)
+            sent_ms - earlier_ms < window_ms and _deduplicates(request_class, earlier, endpoint)
             for earlier_ms, earlier in pending.possibly_executed.values()
         )
 
     def end_ms(self, pending: PendingRequest) -> float:
         """Return the clock time until which a response has a value for the client."""
-        request, cls = pending.request, pending.request_class
-        if cls.late_value_share or not request.complete:
+        request, request_class = pending.request, pending.request_class
+        if request_class.late_value_share or not request.complete:
             return request.deadline_at_ms
-        return min(request.deadline_at_ms, pending.arrived_ms + cls.latency_objective_ms)
+        return min(request.deadline_at_ms, pending.arrived_ms + request_class.latency_objective_ms)
 
     def timeout_ms(self, pending: PendingRequest, end_ms: float, now_ms: float) -> float:
         """Return the timeout of an attempt that is sent now."""
         if pending.request.complete:
             return end_ms - now_ms
-        cls = pending.request_class
-        return cls.deadline_ms if cls.late_value_share else cls.latency_objective_ms
+        request_class = pending.request_class
+        return (
+            request_class.deadline_ms
+            if request_class.late_value_share
+            else request_class.latency_objective_ms
+        )
 
     def latest_start_ms(
         self, pending: PendingRequest, end_ms: float, ahead: int, typical_ms: float
@@ -142,10 +146,10 @@
         return Fail(pending.request.id)
 
 
-def _deduplicates(cls: RequestClass, earlier: Endpoint, endpoint: Endpoint) -> bool:
+def _deduplicates(request_class: RequestClass, earlier: Endpoint, endpoint: Endpoint) -> bool:
     """Return whether an endpoint drops duplicates of what an earlier one may have executed."""
-    if cls.deduplication_scope is DeduplicationScope.ZONE:
+    if request_class.deduplication_scope is DeduplicationScope.ZONE:
         return earlier.zone == endpoint.zone
-    if cls.deduplication_scope is DeduplicationScope.CELL:
+    if request_class.deduplication_scope is DeduplicationScope.CELL:
         return earlier.cell == endpoint.cell
     return True
--- a/badgercart/statistics/snapshot.py
+++ b/badgercart/statistics/snapshot.py
@@ -196,8 +196,9 @@
     stored_indexes = {name: index for index, name in enumerate(snapshot.classes)}
     order = [stored_indexes.get(name) for name in names]
     return PolicyStatistics(
-        typical_latency_ms=[cls.typical_latency_ms for cls in classes],
-        offered=[cls.offered for cls in classes] + [cls.offered_beyond_quota for cls in classes],
+        typical_latency_ms=[stored_class.typical_latency_ms for stored_class in classes],
+        offered=[stored_class.offered for stored_class in classes]
+        + [stored_class.offered_beyond_quota for stored_class in classes],
         kind_ratios={
             config.kinds[name]: ratio
             for name, ratio in snapshot.kind_ratios.items()
