--- a/badgercart/statistics/commands.py
+++ b/badgercart/statistics/commands.py
@@ -45,7 +45,7 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="One JSON object, as it was saved.")
 def show(file: str, age: float | None, as_json: bool) -> None:
-    """A table of servers: slowness, failures, and how much of it still counts."""
+    """A table of servers: slowness, failures, and how much of it still counts."""  # noqa: D401
     import msgspec
 
     from badgercart.statistics.ageing import decay_towards, remaining_share
@@ -109,7 +109,7 @@
     help="JSON to read or change, or a file of the current version.",
 )
 def convert(file: str, output: str, form: str) -> None:
-    """A file as JSON, or JSON and files of older versions as a file."""
+    """A file as JSON, or JSON and files of older versions as a file."""  # noqa: D401
     import msgspec
 
     from badgercart.statistics.errors import SnapshotError
--- a/tests/processor/test_golden.py
+++ b/tests/processor/test_golden.py
@@ -1,7 +1,7 @@
-"""What the processor writes to proxies and operators, against golden files.
+"""Tests the bytes that the processor writes to proxies and operators against golden files.
 
-A route holds a map, whose entries Protocol Buffers write in any order: its message is compared, in
-the library's deterministic form. All other replies are compared as the bytes that they are.
+A route contains a map, whose entries Protocol Buffers serialize in any order, so its message is
+compared in the library's deterministic form. Other replies are compared as bytes.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 import pytest
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 
-from badgercart.frontends.processor.account import Account, Standing
-from badgercart.frontends.processor.machine import Immediate, Pass, Route, Skip
-from badgercart.frontends.processor.messages import write
+from badgercart.frontends.processor.account import OldAnswerTracker, Standing
+from badgercart.frontends.processor.machine import ImmediateReply, PassReply, RouteReply, SkipReply
+from badgercart.frontends.processor.messages import serialize_reply
 from badgercart.frontends.processor.settings import OldAnswers
 from tests.golden import differences
 
@@ -23,39 +23,41 @@
 
 
 def routes() -> dict[str, bytes]:
+    """Return routes with one endpoint and with several."""
     pieces = {}
     for endpoints in (("10.0.0.1:80",), ("10.0.0.1:80", "10.0.0.2:80", "[::1]:9")):
-        for age, limit in ((500.0, 1200.9), (0.0, 70_000.0)):
-            data = write(Route(endpoints, age, limit), False)
+        for max_age_ms, timeout_ms in ((500.0, 1200.9), (0.0, 70_000.0)):
+            data = serialize_reply(RouteReply(endpoints, max_age_ms, timeout_ms), False)
             message = ext_proc.ProcessingResponse.FromString(data)
-            pieces[f"{len(endpoints)}, {age}, {limit}"] = message.SerializeToString(
+            pieces[f"{len(endpoints)}, {max_age_ms}, {timeout_ms}"] = message.SerializeToString(
                 deterministic=True
             )
     return pieces
 
 
 def replies() -> dict[str, bytes]:
+    """Return all other kinds of replies."""
     pieces = {}
     for whole in (False, True):
         for wait in (0.0, 0.4, 250.4, 1000.0, 1000.1):
-            pieces[f"refused, {wait}, {whole}"] = write(
-                Immediate(503, wait, "refused: not run"), whole
+            pieces[f"refused, {wait}, {whole}"] = serialize_reply(
+                ImmediateReply(503, wait, "refused: not run"), whole
             )
-    pieces["405"] = write(Immediate(405, 0.0, "the class wants GET", b"GET"), False)
-    pieces["no words"] = write(Immediate(500), False)
-    pieces["let through"] = write(Pass(), False)
-    pieces["let through as another"] = write(Pass(502), False)
+    pieces["405"] = serialize_reply(ImmediateReply(405, 0.0, "the class wants GET", b"GET"), False)
+    pieces["no words"] = serialize_reply(ImmediateReply(500), False)
+    pieces["let through"] = serialize_reply(PassReply(), False)
+    pieces["let through as another"] = serialize_reply(PassReply(502), False)
     for kind in ("request_body", "response_body", "request_trailers", "response_trailers"):
-        pieces[f"skip {kind}"] = write(Skip(kind), False)
+        pieces[f"skip {kind}"] = serialize_reply(SkipReply(kind), False)
     return pieces
 
 
 def rows() -> dict[str, bytes]:
-    """The page of proxies: each count under its name."""
-    account = Account(
+    """Return rows of the operators' page, with a different value for each count."""
+    tracker = OldAnswerTracker(
         OldAnswers(window_ms=1000.0, no_fallbacks_after=3, refuse_after=5, refuse_for_ms=200.0)
     )
-    proxy = account.proxy("north")
+    proxy = tracker.find_or_add("north")
     proxy.answered, proxy.unseen, proxy.first, proxy.fallback, proxy.lost = 1, 2, 3, 4, 5
     proxy.old, proxy.drained, proxy.refused = 6, 7, 8
     standings = {"good": Standing.GOOD, "none": Standing.NO_FALLBACKS, "refused": Standing.REFUSED}
