--- a/tests/bulk/test_memory_budget.py
+++ b/tests/bulk/test_memory_budget.py
@@ -13,7 +13,7 @@
     MemoryBudget,
     budget_bytes,
 )
-from badgercart.core.stream_count import Upload
+from badgercart.core.streams import Upload
 
 
 @given(st.floats(32, 192), st.integers(0, 1000), st.integers(0, 1000))
--- a/tests/processor/test_streams.py
+++ b/tests/processor/test_streams.py
@@ -362,7 +362,7 @@
             stream.cancel()
             await harness.event(RequestCancelled)
             await harness.settled()
-            assert [o.parked for o in harness.of(AttemptEnded)] == [True] and harness.of(
+            assert [o.retry_deferred for o in harness.of(AttemptEnded)] == [True] and harness.of(
                 RetryDecisionDue
             ) == []
 
