--- a/tests/core/test_request_pipeline.py
+++ b/tests/core/test_request_pipeline.py
@@ -84,7 +84,9 @@
             await asyncio.wait_for(peer.ended.get(), WAIT_S)
             node = stand.node
             assert (
-                not node.join.in_flight and not node.pool.attempts and not node.listener.connections
+                not node.pipeline.in_flight
+                and not node.pool.attempts
+                and not node.listener.connections
             )
 
     run(test())
@@ -136,16 +138,16 @@
     async def test() -> None:
         async with running(await ScriptedServer().start()) as stand:
             client = await stand.client()
-            handle = stand.node.join.policy.handle
+            handle = stand.node.pipeline.policy.handle
 
             def broken(now: float, event: object) -> Any:
                 raise RuntimeError("broken on purpose")
 
-            stand.node.join.policy.handle = broken  # type: ignore[method-assign]
+            stand.node.pipeline.policy.handle = broken  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 500
-            stand.node.join.policy.handle = handle  # type: ignore[method-assign]
+            stand.node.pipeline.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 200
-            assert not stand.node.join.in_flight
+            assert not stand.node.pipeline.in_flight
 
     run(test())
     assert "broken on purpose" in caplog.text
@@ -154,7 +156,7 @@
 def test_a_policy_that_raises_an_exception_on_a_request_forgets_it() -> None:
     async def test() -> None:
         async with running(await ScriptedServer().start()) as stand:
-            client, policy = await stand.client(), stand.node.join.policy
+            client, policy = await stand.client(), stand.node.pipeline.policy
             attempt = policy.lifecycle.attempt
 
             def broken(pending: object, now_ms: float) -> None:
@@ -164,7 +166,7 @@
             assert (await client.ask(request()))[0] == 500
             policy.lifecycle.attempt = attempt  # type: ignore[method-assign]
             assert (await stand.event(RequestCancelled)).id == 1
-            assert not policy.lifecycle.requests and not stand.node.join.in_flight
+            assert not policy.lifecycle.requests and not stand.node.pipeline.in_flight
 
     run(test())
 
@@ -223,8 +225,10 @@
             client = await stand.client()
             client.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT_S)
-            stand.node.join.fail_request(stand.node.join.last_request_id, internal_error=False)
-            stand.node.pool.cancel(stand.node.join.last_request_id, 0)
+            stand.node.pipeline.fail_request(
+                stand.node.pipeline.last_request_id, internal_error=False
+            )
+            stand.node.pool.cancel(stand.node.pipeline.last_request_id, 0)
             assert (await client.answer())[0] == 502
             outcome: AttemptEnded = await stand.outcome()
             assert outcome.completed and outcome.result == AttemptResult.CANCELLED
@@ -246,7 +250,7 @@
     async def test() -> None:
         peers = [await ScriptedServer(hang_up).start(), await ScriptedServer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
-            stand.node.join.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # allow the retry
+            stand.node.pipeline.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # allow the retry
             data = request("book")
             assert (await (await stand.client()).ask(data))[0] == 503
             for peer in peers:
--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_crossings.py
@@ -40,7 +40,7 @@
 
     async def client_disconnects(self) -> None:
         self.client.writer.transport.abort()
-        while self.stand.node.join.in_flight:
+        while self.stand.node.pipeline.in_flight:
             await asyncio.sleep(0)
         self.open()
 
@@ -128,7 +128,7 @@
             if expected is not None:
                 status, head, _ = await scenario.client.answer()
                 assert status == expected and (b"Retry-After" in head) == (status == 503)
-            join = stand.node.join
+            join = stand.node.pipeline
             if expected is None and not may_cancel and scenario.writers:
                 assert join.open_attempts  # it may not be cancelled: it ends with its connection
                 scenario.writers[0].transport.abort()
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -26,7 +26,7 @@
 from badgercart.discovery.backoff import MOST as MOST_CALLS
 from badgercart.upstream import connection_pool
 from tests.net import WAIT_S, Client, DiscoveryAgent, ScriptedServer, request, run, running
-from tests.test_process import COMMAND, Process, raw_config
+from tests.test_process import COMMAND, NodeProcess, raw_config
 
 LIMIT = 96
 IDLE_CLIENTS = 400
@@ -82,7 +82,7 @@
             stderr=asyncio.subprocess.PIPE,
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (system, system)),
         )
-        node = Process(process)
+        node = NodeProcess(process)
         try:
             node.port = int((await node.line(r"listens on 127\.0\.0\.1:(\d+)"))[1])
             admin_port = int((await node.line(r"console.*127\.0\.0\.1:(\d+)"))[1])
--- a/tests/ends/test_drain.py
+++ b/tests/ends/test_drain.py
@@ -11,7 +11,7 @@
 from badgercart import node as platform
 from badgercart.frontends.http import clients, connection_eviction
 from badgercart.frontends.http.clients import Listener
-from badgercart.frontends.http.connection import State
+from badgercart.frontends.http.connection import ConnectionState
 from badgercart.policy.events import Request
 from tests.ends.test_leaving import ConnectGate
 from tests.net import (
@@ -30,9 +30,9 @@
 @pytest.fixture
 def short_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     """Have a process end 0.4 s after its shutdown starts, whatever its clients' timeouts."""
-    monkeypatch.setattr(platform, "ACCEPT_FOR", 0.1)
-    monkeypatch.setattr(clients, "ACCEPT_FOR", 0.1)
-    monkeypatch.setattr(platform, "KILLED_AFTER", 300.0)
+    monkeypatch.setattr(platform, "DRAIN_ACCEPT_S", 0.1)
+    monkeypatch.setattr(clients, "DRAIN_ACCEPT_S", 0.1)
+    monkeypatch.setattr(platform, "MAX_DRAIN_MS", 300.0)
 
 
 # By class: the status for a request that was not written, and for one that may have been executed.
@@ -54,7 +54,10 @@
             await (peer.requests.get() if gate is None else gate.reached())
             await stand.node.drain()
             # The process would end now.
-            assert not stand.node.join.in_flight and not stand.node.join.policy.lifecycle.requests
+            assert (
+                not stand.node.pipeline.in_flight
+                and not stand.node.pipeline.policy.lifecycle.requests
+            )
             status, head, _ = await client.answer()
             assert status == ANSWERS[cls][written]
             assert (b"Retry-After" in head) == (status == 503)
@@ -72,13 +75,13 @@
         async with running(peer) as stand:
             client, data = await stand.client(), request()
             client.writer.write(data[:40])
-            while not stand.node.listener.arriving:
+            while not stand.node.listener.receiving:
                 await asyncio.sleep(0)
             ending = asyncio.ensure_future(stand.node.drain())
             await asyncio.sleep(0)
             client.writer.write(data[40:])
             event = await stand.event(Request)
-            assert event.deadline == stand.node.join.shutdown_deadline_ms
+            assert event.deadline == stand.node.pipeline.shutdown_deadline_ms
             assert (await client.answer())[0] == 503
             await asyncio.wait_for(ending, WAIT_S)
 
@@ -92,7 +95,7 @@
         peer = await ScriptedServer(answer_after(release)).start()
         async with running(peer, sockets=96) as stand:
             listener = stand.node.listener
-            listener.limit = 1
+            listener.max_connections = 1
             busy = [await stand.client()]
             for client in busy:
                 client.writer.write(request())
@@ -113,11 +116,11 @@
 
 
 def evict(listener: Listener) -> None:
-    assert listener.make_room()
+    assert listener.evict_one()
 
 
 def sweep(listener: Listener) -> None:
-    listener.sweep()
+    listener.check_timeouts()
 
 
 def close_idle(listener: Listener) -> None:
@@ -125,32 +128,32 @@
 
 
 def shrink(listener: Listener) -> None:
-    listener.keep_to(0)
-
-
-CROSSINGS: list[tuple[State, Callable[[Listener], None]]] = [
-    (State.SILENT, evict),
-    (State.SILENT, sweep),
-    (State.SILENT, close_idle),
-    (State.ARRIVING, evict),
-    (State.ARRIVING, sweep),
-    (State.IDLE, evict),
-    (State.IDLE, sweep),
-    (State.IDLE, close_idle),
-    (State.IDLE, shrink),
+    listener.set_max_connections(0)
+
+
+CROSSINGS: list[tuple[ConnectionState, Callable[[Listener], None]]] = [
+    (ConnectionState.NEW, evict),
+    (ConnectionState.NEW, sweep),
+    (ConnectionState.NEW, close_idle),
+    (ConnectionState.RECEIVING, evict),
+    (ConnectionState.RECEIVING, sweep),
+    (ConnectionState.IDLE, evict),
+    (ConnectionState.IDLE, sweep),
+    (ConnectionState.IDLE, close_idle),
+    (ConnectionState.IDLE, shrink),
 ]
 
 
-async def client_in(state: State, stand: NodeHarness) -> tuple[Client, bytes]:
+async def client_in(state: ConnectionState, stand: NodeHarness) -> tuple[Client, bytes]:
     """Return a client whose connection is in a state, and what it still has to send."""
-    before, data = len(stand.node.listener.waits[state]), request()
+    before, data = len(stand.node.listener.waiting_since[state]), request()
     client = await stand.client()
-    if state is State.IDLE:
+    if state is ConnectionState.IDLE:
         assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-    if state is State.ARRIVING:
+    if state is ConnectionState.RECEIVING:
         client.writer.write(data[:40])
         data = data[40:]
-    while len(stand.node.listener.waits[state]) == before:
+    while len(stand.node.listener.waiting_since[state]) == before:
         await asyncio.sleep(0)
     return client, data
 
@@ -159,7 +162,7 @@
     ("state", "end"), CROSSINGS, ids=lambda x: getattr(x, "name", "") or x.__name__
 )
 def test_an_unread_request_is_not_lost_when_its_connection_would_be_closed(
-    state: State, end: Callable[[Listener], None], monkeypatch: pytest.MonkeyPatch
+    state: ConnectionState, end: Callable[[Listener], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its last byte arrives in the iteration of the loop that would have closed the connection."""
 
@@ -169,10 +172,10 @@
             other, _ = await client_in(state, stand)  # a silent one is closed, as it should be
             monkeypatch.setattr(
                 connection_eviction,
-                "ORDER",
-                tuple((kind, -1.0) for kind, _ in connection_eviction.ORDER),
+                "EVICTION_ORDER",
+                tuple((kind, -1.0) for kind, _ in connection_eviction.EVICTION_ORDER),
             )
-            for name in ("REQUEST_TIME", "KEEP_ALIVE", "GREETING"):
+            for name in ("REQUEST_TIMEOUT_S", "KEEP_ALIVE_TIMEOUT_S", "FIRST_BYTE_GRACE_S"):
                 monkeypatch.setattr(clients, name, -1.0)
             sock: socket.socket = client.writer.get_extra_info("socket")
             sent = socket.fromfd(sock.fileno(), sock.family, sock.type)
@@ -189,7 +192,7 @@
 def test_the_shutdown_deadline_holds_for_requests_of_all_frontends() -> None:
     async def test() -> None:
         async with running(await ScriptedServer(stay_silent).start()) as stand:
-            join = stand.node.join
+            join = stand.node.pipeline
             join.begin_shutdown(join.clock() - 1.0)
             client = await stand.client()
             assert (await client.ask(request()))[0] == 503  # at once: no time remains
--- a/tests/ends/test_gone.py
+++ b/tests/ends/test_gone.py
@@ -16,7 +16,7 @@
 import pytest
 
 from badgercart.core.memory_budget import MAX_BUFFERED_MESSAGE_BYTES, MAX_STREAM_WINDOW_BYTES
-from badgercart.frontends.http.connection import MAX_WAITING
+from badgercart.frontends.http.connection import MAX_PIPELINED_REQUESTS
 from badgercart.policy import overload
 from badgercart.policy.events import AttemptEnded, Event, Request, TimerFired
 from badgercart.policy.settings import Settings
@@ -101,7 +101,7 @@
 
     def disconnect_at(self, *kinds: type[Event], go: Callable[[], None] | None = None) -> None:
         """Have them disconnect when the policy receives such an event, before it decides."""
-        policy, go = self.node.join.policy, go or self.disconnect_all
+        policy, go = self.node.pipeline.policy, go or self.disconnect_all
         handle = policy.handle
 
         def handle_after_disconnect(now: float, event: Event) -> Any:
@@ -144,7 +144,7 @@
     async def all_gone(self) -> None:
         """Wait until only the client that stays is connected, and nothing is in flight."""
         async with asyncio.timeout(WAIT_S):
-            while self.node.join.in_flight or len(self.node.listener.connections) > 1:
+            while self.node.pipeline.in_flight or len(self.node.listener.connections) > 1:
                 await asyncio.sleep(0.001)
 
     async def send_last(self) -> None:
@@ -266,26 +266,26 @@
 
 async def with_reading_paused(scenario: Scenario) -> None:
     """More is pipelined than is read; the first request fails at the server, and would be retried."""
-    scenario.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
+    scenario.connect().sendall(b"".join(request() for _ in range(8 * MAX_PIPELINED_REQUESTS)))
     writer = await scenario.received()
-    assert scenario.node.listener.unheard
+    assert scenario.node.listener.paused_clients
     scenario.disconnect_at(AttemptEnded)
     writer.transport.abort()
 
 
 async def with_reading_paused_and_its_next_read(scenario: Scenario) -> None:
-    scenario.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
+    scenario.connect().sendall(b"".join(request() for _ in range(8 * MAX_PIPELINED_REQUESTS)))
     writer = await scenario.received()
-    assert scenario.node.listener.unheard
+    assert scenario.node.listener.paused_clients
     scenario.disconnect_at(AttemptEnded)
     writer.write(OK)
 
 
 async def with_reading_paused_and_nothing_to_do(scenario: Scenario) -> None:
     """Disconnect with no event to report it: the node has to check for it."""
-    scenario.connect().sendall(b"".join(request() for _ in range(8 * MAX_WAITING)))
+    scenario.connect().sendall(b"".join(request() for _ in range(8 * MAX_PIPELINED_REQUESTS)))
     writer = await scenario.received()
-    assert scenario.node.listener.unheard
+    assert scenario.node.listener.paused_clients
     scenario.disconnect_all()
     await scenario.all_gone()
     if not writer.transport.is_closing():  # otherwise its attempt was cancelled
@@ -303,7 +303,7 @@
     whole = request("book", body=b"x" * 2000)
     sock = scenario.connect()
     sock.sendall(whole[:-1000])
-    while not scenario.node.listener.arriving:
+    while not scenario.node.listener.receiving:
         await asyncio.sleep(0)
     scenario.disconnect_at(Request)
     sock.sendall(whole[-1000:])
@@ -347,11 +347,11 @@
     await asyncio.wait_for(taken.wait(), WAIT_S)
     await asyncio.wait_for(sending, WAIT_S)  # all of it is in socket buffers
     if size > 2 * MAX_STREAM_WINDOW_BYTES:
-        while not scenario.node.listener.unheard:
+        while not scenario.node.listener.paused_clients:
             await asyncio.sleep(0)
         scenario.disconnect_all()  # its end follows bytes that the node does not read now
     else:
-        (in_flight,) = scenario.node.join.in_flight.values()
+        (in_flight,) = scenario.node.pipeline.in_flight.values()
         while not in_flight.request.complete:
             await asyncio.sleep(0)
         scenario.disconnect_all()
@@ -441,14 +441,14 @@
                 await scenario.send_last()
             got = [peer.requests.get_nowait() for _ in range(peer.requests.qsize())]
             assert len(got) >= 2 and not [head for head in got if not head.startswith(LAST_REQUEST)]
-            join, pool = stand.node.join, stand.node.pool
+            join, pool = stand.node.pipeline, stand.node.pool
             async with asyncio.timeout(WAIT_S):
                 while join.open_attempts or pool.attempts or join.policy.lifecycle.requests:
                     await asyncio.sleep(0.001)
             assert (
                 not join.cancelled
-                and not stand.node.listener.open_ids
-                and not stand.node.listener.unheard
+                and not stand.node.listener.open_request_names
+                and not stand.node.listener.paused_clients
             )
 
     run(test())
--- a/tests/ends/test_leaving.py
+++ b/tests/ends/test_leaving.py
@@ -79,8 +79,8 @@
             assert written == 0
             assert (
                 not stand.node.pool.attempts
-                and not stand.node.join.open_attempts
-                and not stand.node.join.cancelled
+                and not stand.node.pipeline.open_attempts
+                and not stand.node.pipeline.cancelled
             )
 
     run(test())
@@ -139,14 +139,14 @@
             client.writer.write(b"".join(request() for _ in range(60)))
             await asyncio.wait_for(peer.requests.get(), WAIT_S)
             async for connection in stand.connections(1):
-                assert connection.machine.paused
+                assert connection.machine.reading_paused
             client.writer.close()
             await stand.event(RequestCancelled)
             release.set()
             other = await stand.client()
             assert (await other.ask(request()))[0] == 200
             assert peer.requests.qsize() == 1
-            assert not stand.node.listener.open_ids
+            assert not stand.node.listener.open_request_names
 
     run(test())
 
@@ -184,7 +184,7 @@
             assert connection.transport.get_write_buffer_size()
             sock.shutdown(socket.SHUT_WR)
             await stand.event(RequestCancelled)
-            assert not stand.node.join.in_flight
+            assert not stand.node.pipeline.in_flight
             gate.set()
             sock.close()
 
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_suspects.py
@@ -56,8 +56,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The listener closes at once, so that only the slow reader delays the end of the process."""
-    monkeypatch.setattr(clients, "ACCEPT_FOR", 0.0)
-    monkeypatch.setattr(platform, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(clients, "DRAIN_ACCEPT_S", 0.0)
+    monkeypatch.setattr(platform, "DRAIN_ACCEPT_S", 0.0)
 
     async def test() -> None:
         big = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
@@ -98,8 +98,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its transport is made in the next iteration of the loop; until then only the listener has it."""
-    monkeypatch.setattr(clients, "ACCEPT_FOR", 0.0)
-    monkeypatch.setattr(platform, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(clients, "DRAIN_ACCEPT_S", 0.0)
+    monkeypatch.setattr(platform, "DRAIN_ACCEPT_S", 0.0)
 
     async def test() -> None:
         async with running(await ScriptedServer().start()) as stand:
@@ -107,10 +107,10 @@
             # Established within this iteration of the loop.
             sock = socket.create_connection(listener.address)
             sock.sendall(request())
-            listener.accept()
+            listener.accept_connections()
             (client,) = listener.connections
             assert not hasattr(client, "machine")
-            listener.stop()
+            listener.stop_accepting()
             await stand.node.drain()
             sock.settimeout(WAIT_S)
             assert b"200 OK" in sock.recv(1000) and sock.recv(1000) == b""
@@ -158,7 +158,7 @@
         agent = await ScriptedAgent([old.entry("s-1", "leaving"), new.entry("s-2")], [hang]).start()
         agent.push(2, [old.entry("s-1", "leaving"), new.entry("s-2")])
         async with running(old, new, agent=agent) as stand:
-            while stand.node.roster.version < 2:
+            while stand.node.endpoint_table.version < 2:
                 await asyncio.sleep(0.001)
             client = await stand.client()
             for _ in range(8):
@@ -174,7 +174,7 @@
         nowhere = await ScriptedAgent([], [hang, send_parts(HEAD), *[hang] * 20]).start()
         async with running(old, new) as stand:
             stand.agent.push(2, [old.entry("s-1", "leaving")])
-            while stand.node.roster.version < 2:
+            while stand.node.endpoint_table.version < 2:
                 await asyncio.sleep(0)
             stand.node.discovery.move(("127.0.0.1", nowhere.port))
             for _ in range(3):
@@ -185,7 +185,7 @@
             assert (old.requests.qsize(), new.requests.qsize()) == (0, 6)
             stand.agent.whole = {"generation": 3, "reset": True, "instances": [old.entry("s-1")]}
             stand.node.discovery.move(("127.0.0.1", stand.agent.port))
-            while stand.node.roster.version < 3:
+            while stand.node.endpoint_table.version < 3:
                 await asyncio.sleep(0)
             assert (await client.ask(request()))[0] == 200
             assert old.requests.qsize() == 1
@@ -269,6 +269,6 @@
             left = attempt.deadline_ms / 1000 - time.monotonic()
             time.sleep(left + 0.3)
             assert (await client.answer())[0] == (200 if answers else status)
-            assert not stand.node.join.in_flight
+            assert not stand.node.pipeline.in_flight
 
     run(test())
--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -135,7 +135,7 @@
             "instances": [peer.entry("s-1"), other.entry("s-2")],
         }
         async with running(peer, other, agent=agent, known=known) as stand:
-            while stand.node.roster.version < 3:
+            while stand.node.endpoint_table.version < 3:
                 assert (
                     stand.node.discovery.task is not None and not stand.node.discovery.task.done()
                 )
@@ -162,7 +162,7 @@
                     "instances": [peer.entry("s-1", state)],
                 }
                 stand.agent.lines.put_nowait(json.dumps(line, indent=indent).encode() + b"\n")
-            while stand.node.roster.version < 4:
+            while stand.node.endpoint_table.version < 4:
                 await asyncio.sleep(0)
             assert stand.node.pool.servers[stable_id(b"s-1")].state is EndpointState.DRAINING
             assert calls.empty()
@@ -182,7 +182,7 @@
         peer = await ScriptedServer().start()
         agent = await ScriptedAgent([peer.entry()], [endless]).start()
         async with running(peer, agent=agent, known={}) as stand:
-            while stand.node.roster.version < 2:
+            while stand.node.endpoint_table.version < 2:
                 await asyncio.sleep(0.001)
             assert [agent.calls.get_nowait() for _ in range(2)] == ["/catalog/members"] * 2
 
@@ -211,7 +211,7 @@
                 await asyncio.wait_for(stand.agent.calls.get(), WAIT_S)
                 == "/catalog/members?watch=1&from=1"
             )
-            policy, left = stand.node.join.policy, 1
+            policy, left = stand.node.pipeline.policy, 1
             settle = policy.fleet.settle
 
             def broken() -> None:
--- a/tests/net.py
+++ b/tests/net.py
@@ -279,14 +279,14 @@
         self.node = node
         self.agent = agent
         self.events: asyncio.Queue[object] = asyncio.Queue()
-        handle = node.join.policy.handle
+        handle = node.pipeline.policy.handle
 
         def spy(now_ms: float, event: Any) -> Any:
             actions = handle(now_ms, event)
             self.events.put_nowait(event)
             return actions
 
-        node.join.policy.handle = spy  # type: ignore[method-assign]
+        node.pipeline.policy.handle = spy  # type: ignore[method-assign]
 
     async def event(self, kind: type) -> Any:
         """Return the next event of a kind that the policy receives."""
@@ -310,7 +310,7 @@
 
     def send(self, request_id: int, name: str) -> None:
         """Send an attempt that the policy does not know of."""
-        join, pool = self.node.join, self.node.pool
+        join, pool = self.node.pipeline, self.node.pool
         join.open_attempts[request_id, 0] = pool
         join.in_flight[request_id] = InFlightRequest(
             NullFrontend(), pool, IncomingRequest(0, 0, 0, math.inf, None), 0.0, 1
--- a/tests/upstream/test_golden.py
+++ b/tests/upstream/test_golden.py
@@ -8,7 +8,7 @@
 import pytest
 
 from badgercart.upstream.exchange import Exchange
-from tests.frontends.test_golden import POST, Stand, head
+from tests.frontends.test_golden import POST, ConnectionHarness, head
 from tests.golden import differences
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -36,10 +36,10 @@
     """Return the forwarded bytes of each form of request, and for some remaining times."""
     pieces = {}
     for name, data in FORWARDED.items():
-        (request,) = Stand().hear(data).taker.taken
+        (request,) = ConnectionHarness().receive(data).handler.requests
         pieces[name] = Exchange().start_request(request.message, 750.9)
     for left in (-5.0, 0.2, 1.0, 999.999, 123_456.7):
-        (request,) = Stand().hear(head()).taker.taken
+        (request,) = ConnectionHarness().receive(head()).handler.requests
         pieces[f"{left} ms left"] = Exchange().start_request(request.message, left)
     return pieces
 
@@ -55,11 +55,11 @@
         start = bytes(size - 3)
         start = b"%x\r\n%b\r\n" % (len(start), start) if name == "chunks" else start
         end = b"3\r\nend\r\n0\r\n\r\n" if name == "chunks" else b"end"
-        stand = Stand().hear(head(POST, line) + start)
-        (request,) = stand.taker.taken
+        harness = ConnectionHarness().receive(head(POST, line) + start)
+        (request,) = harness.handler.requests
         exchange = Exchange()
         sent = [exchange.start_request(request.message, 750.0), exchange.read_upload()]
-        stand.hear(end)
+        harness.receive(end)
         sent += [exchange.read_upload(), exchange.read_upload()]
         pieces[name] = b"|".join(sent).replace(bytes(size - 3), b"<zeros>")
     return pieces
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -141,7 +141,7 @@
             assert status == (200 if result is AttemptResult.OK else 503)
             # A shed request is told when to retry.
             assert (field(head, b"Retry-After") is None) == (status == 200)
-            assert not stand.node.join.in_flight and not stand.node.pool.attempts
+            assert not stand.node.pipeline.in_flight and not stand.node.pool.attempts
 
     run(test())
 
@@ -158,7 +158,7 @@
             assert (got, body) == (status, b"bad")
             assert sum(peer.requests.qsize() for peer in peers) == 1
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            servers = stand.node.join.policy.fleet.endpoints.by_id.values()
+            servers = stand.node.pipeline.policy.fleet.endpoints.by_id.values()
             assert not any(health.failure_rate for server in servers for health in server.health)
 
     run(test())
@@ -233,15 +233,15 @@
         peer = await ScriptedServer().start()
         async with running(peer) as stand:
             node, client = stand.node, await stand.client()
-            send = node.join.send
+            send = node.pipeline.send
 
             def send_then_drain(action: Send) -> None:
                 send(action)
-                stand.node.take_list(
+                stand.node.apply_endpoint_list(
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}
                 )
 
-            node.join.action_handlers[Send] = send_then_drain
+            node.pipeline.action_handlers[Send] = send_then_drain
             status, _, _ = await client.ask(request())
             assert (status, (await stand.outcome()).result) == (503, AttemptResult.UNREACHABLE)
             await asyncio.wait_for(peer.ended.get(), WAIT_S)
@@ -380,7 +380,7 @@
             await asyncio.wait_for(peer.requests.get(), WAIT_S)
             for generation in range(2, 40):  # at the address of one that is gone
                 new = peer.entry(f"s-{generation}")
-                stand.node.take_list(
+                stand.node.apply_endpoint_list(
                     {
                         "generation": generation,
                         "reset": False,
@@ -392,10 +392,10 @@
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
             assert (
                 set(pool.servers)
-                == set(stand.node.join.policy.fleet.endpoints.by_id)
+                == set(stand.node.pipeline.policy.fleet.endpoints.by_id)
                 == {stable_id(b"s-39")}
             )
-            assert stand.node.roster.listed.keys() == {stable_id(b"s-39")}
+            assert stand.node.endpoint_table.listed.keys() == {stable_id(b"s-39")}
 
     run(test())
 
@@ -464,16 +464,16 @@
         peer = await ScriptedServer().start()
         async with running(peer) as stand:
             pool, client = stand.node.pool, await stand.client()
-            send = stand.node.join.send
+            send = stand.node.pipeline.send
 
             def send_then_cancel(action: Send) -> None:
                 send(action)
                 asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
 
-            stand.node.join.action_handlers[Send] = send_then_cancel
+            stand.node.pipeline.action_handlers[Send] = send_then_cancel
             assert (await client.ask(request()))[0] == 503
             assert (await stand.outcome()).result == AttemptResult.CANCELLED
-            stand.node.join.action_handlers[Send] = send
+            stand.node.pipeline.action_handlers[Send] = send
             assert (await client.ask(request()))[0] == 200
             assert pool.connecting == 0 and len(pool.connections) == 1 and not pool.attempts
 
