--- a/badgercart/app/asking.py
+++ b/badgercart/app/asking.py
@@ -9,7 +9,7 @@
 from badgercart.app.exits import CommandError
 from badgercart.config import parse_address
 
-PATIENCE = 5.0  # s
+REQUEST_TIMEOUT_S = 5.0  # s
 
 
 class PageError(CommandError):
@@ -39,6 +39,6 @@
 
 def _get(node: str, path: str) -> http.client.HTTPResponse:
     host, port = parse_address(node)
-    connection = http.client.HTTPConnection(host, port, timeout=PATIENCE)
+    connection = http.client.HTTPConnection(host, port, timeout=REQUEST_TIMEOUT_S)
     connection.request("GET", path)
     return connection.getresponse()
--- a/badgercart/capture/streams.py
+++ b/badgercart/capture/streams.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from badgercart.capture.codec import CodecError
-from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.discovery.freshness import Freshness, FreshnessLimits
 from badgercart.frontends.processor.account import Account, Proxy
 from badgercart.frontends.processor.settings import OldAnswers
 
@@ -39,9 +39,9 @@
 
 
 def _load_freshness(state: Any) -> Freshness:
-    rule, proved = state
-    made = Freshness(Rule(*rule))
-    made.proved = proved
+    rule, proven_at_ms = state
+    made = Freshness(FreshnessLimits(*rule))
+    made.proven_at_ms = proven_at_ms
     return made
 
 
@@ -80,7 +80,10 @@
     Freshness: MachineCodec(
         "freshness",
         {"proof": Freshness.proof, "state": Freshness.state, "next_change": Freshness.next_change},
-        lambda machine: ((machine.rule.doubtful_after, machine.rule.stale_after), machine.proved),
+        lambda machine: (
+            (machine.rule.doubtful_after_ms, machine.rule.stale_after_ms),
+            machine.proven_at_ms,
+        ),
         _load_freshness,
         lambda value: getattr(value, "value", value),
     ),
--- a/badgercart/cluster/commands.py
+++ b/badgercart/cluster/commands.py
@@ -13,7 +13,7 @@
 
 import click
 
-from badgercart.app.asking import PATIENCE, fetch_page
+from badgercart.app.asking import REQUEST_TIMEOUT_S, fetch_page
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.cluster.codec import MAX_SYNC_BYTES, PacketCodec
@@ -155,7 +155,7 @@
     """
     codec = PacketCodec(settings.group, settings.secret.encode())
     data = codec.encode(packet)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(REQUEST_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(
             *settings.listen, local_addr=(settings.listen[0], 0)
         )
--- a/badgercart/discovery/catalog.py
+++ b/badgercart/discovery/catalog.py
@@ -13,17 +13,21 @@
 import httptools
 
 from badgercart.config import Address
-from badgercart.discovery.backoff import MOST as MOST_CALLS
-from badgercart.discovery.backoff import PATIENCE, Pace, Tries
-from badgercart.discovery.list_framing import MOST, Texts, read
+from badgercart.discovery.backoff import (
+    MAX_OPEN_CALLS,
+    OLDEST_CALL_TIMEOUT_S,
+    CallTiming,
+    RetryState,
+)
+from badgercart.discovery.list_framing import MAX_LIST_BYTES, ListParser, parse_list
 from badgercart.discovery.log_events import CATALOG_BROKEN, CATALOG_FAILED
 
 PATH = "/catalog/members"
 # A line is due every 2 s, if only an empty one, and a change counts as told 6 s after the last one,
 # though it never arrived. A watch that has said nothing for so long, in s, is opened anew, with
 # half of that time left for it: two calls may hang.
-SILENCE = 3.0
-RATE = 64_000  # bytes a second that a list comes in with at least
+WATCH_SILENCE_TIMEOUT_S = 3.0
+MIN_TRANSFER_BYTES_PER_S = 64_000  # bytes a second that a list comes in with at least
 
 
 class DiscoveryError(Exception):
@@ -62,7 +66,7 @@
         self.parser.feed_data(chunk)
         if self.parser.get_status_code() not in (0, 200):
             raise DiscoveryError(f"status {self.parser.get_status_code()}")
-        if len(self.data) > MOST:
+        if len(self.data) > MAX_LIST_BYTES:
             raise DiscoveryError("a list over the limit")
 
 
@@ -79,7 +83,7 @@
     @property
     def credit(self) -> float:
         """When it began, for one whose bytes come on: later by the time that these may take."""
-        return self.begun + self.body.size / RATE
+        return self.begun + self.body.size / MIN_TRANSFER_BYTES_PER_S
 
 
 class Discovery:
@@ -92,13 +96,13 @@
         on_list: Callable[[dict[str, Any]], int],
         rng: random.Random,
         source: str | None = None,  # the address that connections set out from
-        pace: Pace | None = None,  # None: as with one service for all nodes
+        timing: CallTiming | None = None,  # None: as with one service for all nodes
     ) -> None:
-        self.pace = pace or Pace.shared()
+        self.timing = timing or CallTiming.for_shared_service()
         self.address = address
         self.local = (source, 0) if source else None
         self.on_list = on_list
-        self.tries = Tries(rng)
+        self.tries = RetryState(rng)
         self.version: int | None = None  # of the list in force; None: the whole list is wanted
         self.failing = False
         self.calls: list[
@@ -118,14 +122,14 @@
             self.task.cancel()
         self.drop(self.calls)
 
-    def move(self, address: Address, anew: bool = False) -> None:
+    def move(self, address: Address, refetch: bool = False) -> None:
         """Leave the old watch at once. Another service counts its versions anew: fetch the whole
         list."""
-        if address == self.address and not anew:
+        if address == self.address and not refetch:
             return  # asked again and again, it must not begin again and again
         self.close()
         self.address, self.version = address, None
-        self.tries, self.failing = Tries(self.tries.random), False
+        self.tries, self.failing = RetryState(self.tries.random), False
         self.start()
 
     async def run(self) -> None:
@@ -148,13 +152,13 @@
     def open(self, now: float) -> None:
         if self.calls:
             self.note(f"no answer in {self.beside:.1f} s")
-        if len(self.calls) >= MOST_CALLS:
+        if len(self.calls) >= MAX_OPEN_CALLS:
             # The first is the next to be answered where calls are worked through in turn, if it is
             # not lost.
-            self.drop([self.calls[now - self.calls[0].credit < PATIENCE]])
+            self.drop([self.calls[now - self.calls[0].credit < OLDEST_CALL_TIMEOUT_S]])
         call = Call(self.version is None, now)
         self.calls.append(call)
-        self.beside = self.tries.beside(self.pace)
+        self.beside = self.tries.call_opened(self.timing)
         self.due = now + self.beside
         call.task = asyncio.get_running_loop().create_task(self.attend(call))
 
@@ -190,14 +194,14 @@
             if self.version is None:  # watches go on from a list that is not to be trusted
                 self.drop([other for other in self.calls if not other.whole])
             if call.heard < math.inf:
-                self.tries.lived(now() - call.heard, self.pace)
+                self.tries.watch_ended(now() - call.heard, self.timing)
             if not self.calls:
-                self.due = now() + self.tries.pause(self.pace)
+                self.due = now() + self.tries.next_retry_delay_s(self.timing)
         self.woken.set()
 
     def heard(self, call: Call) -> None:
         """Something came whole: this call stays, and those beside it end."""
-        self.tries.heard()
+        self.tries.list_received()
         self.failing = False
         if call.heard == math.inf:
             call.heard, self.due = asyncio.get_running_loop().time(), math.inf
@@ -218,20 +222,24 @@
         """The whole list. Where it does not come on, another call is opened beside this one."""
         while not call.body.complete:
             await call.body.more(reader)
-        self.take(call, lambda: [read(call.body.taken())])
+        self.take(call, lambda: [parse_list(call.body.taken())])
 
     async def follow(self, call: Call, reader: asyncio.StreamReader) -> None:
         """Changes, as they come. Raises when the watch ends or is silent: bytes alone are no
         life."""
-        loop, body, texts = asyncio.get_running_loop(), call.body, Texts()
+        loop, body, texts = asyncio.get_running_loop(), call.body, ListParser()
         alive = part = loop.time()  # when a line last came whole; since when a list has not
         came = 0  # bytes before that list
         while not body.complete:
             until = None  # at first it is not waited for, but the next call is opened beside it
             if texts.partial:
-                until = part + self.pace.call + (body.size - came) / RATE
+                until = (
+                    part
+                    + self.timing.response_timeout_s
+                    + (body.size - came) / MIN_TRANSFER_BYTES_PER_S
+                )
             elif call.heard < math.inf:
-                until = alive + SILENCE
+                until = alive + WATCH_SILENCE_TIMEOUT_S
             try:
                 await body.more(reader, until)
             except TimeoutError:
--- a/badgercart/discovery/entries.py
+++ b/badgercart/discovery/entries.py
@@ -29,13 +29,13 @@
     clock."""
 
     def __init__(self, config: Config) -> None:
-        self.rename(config)
+        self.use_config(config)
         self.unix_offset = time.time() * 1000 - now_ms()
-        self.place: Callable[[str], int] | None = (
+        self.zone_of_host: Callable[[str], int] | None = (
             None  # the zone of a host that the list gives none
         )
 
-    def rename(self, config: Config) -> None:
+    def use_config(self, config: Config) -> None:
         """Go by the names and numbers of another configuration."""
         self.zones, self.kinds = config.zones, config.kinds
 
@@ -59,8 +59,8 @@
             )  # JSON readers let NaN through
         address = parse_address(line["hostPort"])
         zone = self.zones.get(line.get("zone", ""), -1)
-        if zone < 0 and self.place is not None:
-            zone = self.place(address[0])
+        if zone < 0 and self.zone_of_host is not None:
+            zone = self.zone_of_host(address[0])
         entry = Endpoint(
             id=stable_id(name.encode()),
             zone=zone,
--- a/badgercart/discovery/etcd/client.py
+++ b/badgercart/discovery/etcd/client.py
@@ -18,10 +18,10 @@
 from badgercart.discovery.etcd import follower as machine
 from badgercart.discovery.etcd import log_events as events
 from badgercart.discovery.etcd.settings import EtcdSettings
-from badgercart.discovery.freshness import Freshness, Rule, State
+from badgercart.discovery.freshness import Freshness, FreshnessLimits, FreshnessState
 from badgercart.discovery.log_events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
 
-SAVE_EVERY = 5.0  # s between writes of the known file
+SAVE_INTERVAL_S = 5.0  # s between writes of the known file
 DELETE = kv_pb2.Event.DELETE
 MAX_MESSAGE = 64 << 20  # bytes of one answer
 # A network that goes silent under a connection is noticed within these times even where nothing is
@@ -29,7 +29,11 @@
 KEEPALIVE = (("grpc.keepalive_time_ms", 2000), ("grpc.keepalive_timeout_ms", 1000))
 
 
-AGED = {State.FRESH: LIST_FRESH, State.DOUBTFUL: LIST_DOUBTFUL, State.STALE: LIST_STALE}
+AGED = {
+    FreshnessState.FRESH: LIST_FRESH,
+    FreshnessState.DOUBTFUL: LIST_DOUBTFUL,
+    FreshnessState.STALE: LIST_STALE,
+}
 
 
 class Ended(Exception):
@@ -103,15 +107,17 @@
         settings: EtcdSettings,
         read: Callable[[dict[str, Any]], DiscoveredEndpoint],
         on_list: Callable[[DiscoveryUpdate], None],
-        on_state: Callable[[State], None],
+        on_state: Callable[[FreshnessState], None],
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
         self.settings = settings
         self.on_list, self.on_state, self.clock = on_list, on_state, clock
         self.follower = machine.Follower(settings, read, rng)
-        self.freshness = Freshness(Rule(settings.doubtful_after_ms, settings.stale_after_ms))
-        self.state = State.STALE
+        self.freshness = Freshness(
+            FreshnessLimits(settings.doubtful_after_ms, settings.stale_after_ms)
+        )
+        self.state = FreshnessState.STALE
         self.member = rng.randrange(len(settings.endpoints))  # nodes spread over the members
         self.task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -119,8 +125,8 @@
         self.asked = 0.0  # when the question was sent that waits for its answer; 0: none
         self.heard = 0.0  # when the watch said anything last
         self.failing = False
-        self.bytes = 0  # received in lists and changes
-        self.lists = 0  # whole lists fetched
+        self.received_bytes = 0  # received in lists and changes
+        self.lists_fetched = 0  # whole lists fetched
 
     # Life.
 
@@ -144,7 +150,7 @@
         self.follower.prefix = settings.prefix.encode()
         self.follower.guard.share = settings.guard_share
         self.follower.forget()
-        self.freshness.rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
+        self.freshness.rule = FreshnessLimits(settings.doubtful_after_ms, settings.stale_after_ms)
         self.look()
         self.on_state(self.state)  # what follows from the same state may be another thing now
         self.member = 0
@@ -159,7 +165,7 @@
                 if not self.failing:  # one line for each stretch of failures
                     events.FAILED(endpoint=self.endpoint, error=ended)
                 self.failing = True
-                delay = self.obey_wait(self.follower.failed(ended.failure))
+                delay = self.obey_wait(self.follower.on_failure(ended.failure))
             except LeaveStream as left:
                 delay = self.wait(left.wait)
             except Exception:
@@ -167,7 +173,7 @@
                 # ever.
                 events.BROKEN(True)
                 self.follower.forget()
-                delay = self.obey_wait(self.follower.failed(machine.Failure.OTHER))
+                delay = self.obey_wait(self.follower.on_failure(machine.Failure.OTHER))
             await asyncio.sleep(delay / 1000)
 
     @property
@@ -175,12 +181,12 @@
         """The member that is asked."""
         return "{}:{}".format(*self.settings.endpoints[self.member])
 
-    def obey_wait(self, orders: list[machine.Order]) -> float:
+    def obey_wait(self, orders: list[machine.Action]) -> float:
         (order,) = orders
-        assert isinstance(order, machine.Wait)
+        assert isinstance(order, machine.Reconnect)
         return self.wait(order)
 
-    def wait(self, order: machine.Wait) -> float:
+    def wait(self, order: machine.Reconnect) -> float:
         if order.next_member:
             self.member = (self.member + 1) % len(self.settings.endpoints)
         return order.delay
@@ -212,37 +218,37 @@
             await channel.close()
 
     async def obey(
-        self, orders: list[machine.Order], channel: Any, metadata: list[tuple[str, str]]
-    ) -> list[machine.Order] | None:
-        following: list[machine.Order] | None = None
+        self, orders: list[machine.Action], channel: Any, metadata: list[tuple[str, str]]
+    ) -> list[machine.Action] | None:
+        following: list[machine.Action] | None = None
         for order in orders:
-            if isinstance(order, machine.List):
+            if isinstance(order, machine.FetchPage):
                 following = await self.page(order, channel, metadata)
-            elif isinstance(order, machine.Watch):
+            elif isinstance(order, machine.OpenWatch):
                 await self.watch(order, channel, metadata)
             else:
                 self.obey_now(order)
         return following
 
-    def obey_now(self, order: machine.Order) -> None:
+    def obey_now(self, order: machine.Action) -> None:
         """What needs no call."""
-        if isinstance(order, machine.Deliver):
-            self.on_list(order.told)
+        if isinstance(order, machine.PublishUpdate):
+            self.on_list(order.update)
             self.save_later()
-        elif isinstance(order, machine.Report):
+        elif isinstance(order, machine.LogProblem):
             events.REPORT(text=order.text)
-        elif isinstance(order, machine.Proven):
+        elif isinstance(order, machine.ListConfirmed):
             self.proven()
-        elif isinstance(order, machine.Wait):
+        elif isinstance(order, machine.Reconnect):
             raise LeaveStream(order)
 
     # Calls.
 
     async def page(
-        self, order: machine.List, channel: Any, metadata: list[tuple[str, str]]
-    ) -> list[machine.Order]:
+        self, order: machine.FetchPage, channel: Any, metadata: list[tuple[str, str]]
+    ) -> list[machine.Action]:
         if not order.revision:
-            self.asked, self.lists = self.clock(), self.lists + 1
+            self.asked, self.lists_fetched = self.clock(), self.lists_fetched + 1
         prefix = self.settings.prefix.encode()
         request = rpc_pb2.RangeRequest(
             key=order.start,
@@ -252,13 +258,13 @@
         )
         stub = rpc_pb2_grpc.KVStub(channel)
         answer = await stub.Range(request, metadata=metadata, timeout=self.settings.call_ms / 1000)
-        self.bytes += answer.ByteSize()
-        pairs = [machine.Pair(kv.key, kv.value, kv.mod_revision) for kv in answer.kvs]
-        page = machine.Page(header_of(answer.header), pairs, answer.more)
-        return self.follower.page(page, self.clock())
+        self.received_bytes += answer.ByteSize()
+        pairs = [machine.KeyValue(kv.key, kv.value, kv.mod_revision) for kv in answer.kvs]
+        page = machine.RangePage(header_of(answer.header), pairs, answer.more)
+        return self.follower.on_page(page, self.clock())
 
     async def watch(
-        self, order: machine.Watch, channel: Any, metadata: list[tuple[str, str]]
+        self, order: machine.OpenWatch, channel: Any, metadata: list[tuple[str, str]]
     ) -> None:
         prefix = self.settings.prefix.encode()
         call = rpc_pb2_grpc.WatchStub(channel).Watch(metadata=metadata)
@@ -316,24 +322,24 @@
 
     def told(self, answer: Any) -> None:
         """One watch response."""
-        self.bytes += answer.ByteSize()
+        self.received_bytes += answer.ByteSize()
         self.heard = self.clock()
         header = header_of(answer.header)
         plain = not (answer.events or answer.created or answer.canceled or answer.fragment)
         if (
             plain and answer.watch_id == -1
         ):  # to a question for progress; others come unasked and prove nothing
-            orders = self.follower.progress(header)
+            orders = self.follower.on_progress(header)
         else:
             events = [
-                machine.Pair(
+                machine.KeyValue(
                     event.kv.key,
                     None if event.type == DELETE else event.kv.value,
                     event.kv.mod_revision,
                 )
                 for event in answer.events
             ]
-            change = machine.Change(
+            change = machine.WatchResponse(
                 header,
                 events,
                 answer.created,
@@ -342,7 +348,7 @@
                 answer.fragment,
                 answer.cancel_reason,
             )
-            orders = self.follower.change(change, self.clock())
+            orders = self.follower.on_watch_response(change, self.clock())
         for order in orders:
             self.obey_now(order)
 
@@ -378,7 +384,7 @@
 
     # The list as it was last held, for a start while etcd is away.
 
-    def known(self) -> dict[str, Any] | None:
+    def read_known_file(self) -> dict[str, Any] | None:
         """The known file, or None where there is none that can be used."""
         path = self.settings.known_file
         if path is None:
@@ -397,7 +403,7 @@
             self.saving = asyncio.ensure_future(self.save())
 
     async def save(self) -> None:
-        await asyncio.sleep(SAVE_EVERY)
+        await asyncio.sleep(SAVE_INTERVAL_S)
         lines = [json.loads(value) for value in self.follower.values.values()]
         raw = {"generation": self.follower.revision, "reset": True, "instances": lines}
         try:
@@ -411,7 +417,7 @@
 class LeaveStream(Exception):
     """The follower wants to begin again."""
 
-    def __init__(self, wait: machine.Wait) -> None:
+    def __init__(self, wait: machine.Reconnect) -> None:
         super().__init__()
         self.wait = wait
 
--- a/badgercart/discovery/etcd/commands.py
+++ b/badgercart/discovery/etcd/commands.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from badgercart.discovery.etcd.members import Members
 
-PATIENCE = 5000.0  # ms for each call
+CALL_TIMEOUT_MS = 5000.0  # ms for each call
 
 DRY_RUN = click.option("--dry-run", is_flag=True, help="Say what would be done, and do nothing.")
 NAMES = click.argument("names", nargs=-1, required=True, metavar="INSTANCE...")
@@ -79,7 +79,7 @@
             user=user,
             password_file=password_file,
             tls=EtcdTls(ca=ca, cert=cert, key=key) if ca else None,
-            call_ms=PATIENCE,
+            call_ms=CALL_TIMEOUT_MS,
         )
     )
 
--- a/badgercart/discovery/etcd/component.py
+++ b/badgercart/discovery/etcd/component.py
@@ -12,7 +12,7 @@
 from badgercart.core.endpoint_table import DiscoveryUpdate
 from badgercart.core.log_events import LIST_KNOWN_MALFORMED
 from badgercart.discovery.etcd.settings import EtcdSettings
-from badgercart.discovery.freshness import State
+from badgercart.discovery.freshness import FreshnessState
 from badgercart.policy.events import UpdateKind
 
 if TYPE_CHECKING:
@@ -46,7 +46,9 @@
             lambda: self.source.freshness.age(host.pipeline.clock()) / 1000,
         )
         host.metrics.counter(
-            "badgercart_etcd_lists", "Whole lists fetched from etcd.", lambda: self.source.lists
+            "badgercart_etcd_lists",
+            "Whole lists fetched from etcd.",
+            lambda: self.source.lists_fetched,
         )
 
     def take(self, told: DiscoveryUpdate) -> None:
@@ -55,13 +57,15 @@
             # the collector would stop the loop for long to look at all of them again and again
             gc.freeze()
 
-    def aged(self, state: State) -> None:
+    def aged(self, state: FreshnessState) -> None:
         """The age of the list has passed a limit, or is as it should be again."""
-        self.roster.suspend(state is State.STALE and self.source.settings.when_stale == "refuse")
+        self.roster.suspend(
+            state is FreshnessState.STALE and self.source.settings.when_stale == "refuse"
+        )
 
     async def start(self) -> None:
         self.source.start()
-        if (known := self.source.known()) is not None:
+        if (known := self.source.read_known_file()) is not None:
             try:
                 self.roster.accept(known, UpdateKind.CACHED)
             except ValueError as error:
--- a/badgercart/discovery/etcd/follower.py
+++ b/badgercart/discovery/etcd/follower.py
@@ -28,7 +28,7 @@
 from enum import Enum
 
 from badgercart.core.endpoint_table import DiscoveredEndpoint, DiscoveryUpdate
-from badgercart.discovery.etcd.guard import OVERRIDE, Guard
+from badgercart.discovery.etcd.guard import SHRINK_ALLOWED_KEY, ShrinkGuard
 from badgercart.discovery.etcd.settings import EtcdSettings
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import UpdateKind
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class Pair:
+class KeyValue:
     """A key as it stands; a deletion has no value."""
 
     key: bytes
@@ -57,18 +57,18 @@
 
 
 @dataclass(slots=True)
-class Page:
+class RangePage:
     header: Header
-    pairs: list[Pair]
+    pairs: list[KeyValue]
     more: bool
 
 
 @dataclass(slots=True)
-class Change:
+class WatchResponse:
     """A watch response."""
 
     header: Header
-    events: list[Pair] = field(default_factory=list)
+    events: list[KeyValue] = field(default_factory=list)
     created: bool = False
     cancelled: bool = False
     compacted: int = 0
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True)
-class List:
+class FetchPage:
     """Ask for a page: keys from here on, at a revision (0: the present one)."""
 
     start: bytes
@@ -98,12 +98,12 @@
 
 
 @dataclass(slots=True)
-class Watch:
+class OpenWatch:
     start: int  # revision
 
 
 @dataclass(slots=True)
-class Wait:
+class Reconnect:
     """Leave what is open, then `begin` again."""
 
     delay: float  # ms
@@ -111,23 +111,23 @@
 
 
 @dataclass(slots=True)
-class Deliver:
+class PublishUpdate:
     """Hand over, whole: the list or its changes at a revision."""
 
-    told: DiscoveryUpdate
+    update: DiscoveryUpdate
 
 
 @dataclass(slots=True)
-class Proven:
+class ListConfirmed:
     """The held list is whole as of when this was asked."""
 
 
 @dataclass(slots=True)
-class Report:
+class LogProblem:
     text: str
 
 
-Order = List | Watch | Wait | Deliver | Proven | Report
+Action = FetchPage | OpenWatch | Reconnect | PublishUpdate | ListConfirmed | LogProblem
 
 
 class Phase(Enum):
@@ -149,7 +149,7 @@
         self.prefix = settings.prefix.encode()
         self.read = read
         self.random = rng
-        self.guard = Guard(settings.guard_share)
+        self.guard = ShrinkGuard(settings.guard_share)
         self.phase = Phase.IDLE
         self.cluster: int | None = None
         self.revision = 0  # of the state that is held; 0: the whole list is wanted
@@ -164,29 +164,29 @@
         self.touched: set[int] = set()  # ids that changed since the last hand-over
         self.override = False
         self.bad: dict[bytes, str] = {}  # keys whose values are no entries
-        self.building: dict[bytes, Pair] = {}
+        self.building: dict[bytes, KeyValue] = {}
         self.build_at = 0  # the revision of the list under way
         self.build_cluster = 0
-        self.pieces: list[Pair] = []  # fragments of one response
+        self.pieces: list[KeyValue] = []  # fragments of one response
         self.tries = 0  # in a row without anything good
 
     # Asking.
 
-    def begin(self) -> list[Order]:
+    def begin(self) -> list[Action]:
         """Nothing is open: what to ask for."""
         self.building.clear()
         self.pieces.clear()
         if self.revision:
             self.phase = Phase.WATCHING
-            return [Watch(self.revision + 1)]
+            return [OpenWatch(self.revision + 1)]
         self.phase = Phase.LISTING
-        return [List(self.prefix, 0, self.settings.page)]
+        return [FetchPage(self.prefix, 0, self.settings.page)]
 
     def forget(self) -> None:
         """Other endpoints, or an operator's word: believe whatever the next list says."""
         self.cluster, self.revision, self.high, self.tries = None, 0, 0, 0
 
-    def failed(self, failure: Failure) -> list[Order]:
+    def on_failure(self, failure: Failure) -> list[Action]:
         """What was open has ended."""
         self.phase = Phase.IDLE
         if failure is Failure.COMPACTED:
@@ -194,25 +194,25 @@
             return self.again(next_member=False)
         return self.again(next_member=failure is not Failure.OTHER or self.tries > 0)
 
-    def again(self, next_member: bool) -> list[Order]:
+    def again(self, next_member: bool) -> list[Action]:
         self.phase = Phase.IDLE
         delay = min(
             self.settings.retry_first_ms * 2.0 ** min(self.tries, 16), self.settings.retry_most_ms
         )
         self.tries += 1
         # Nodes that lost etcd together must not come back together.
-        return [Wait(delay * (0.5 + self.random.random()), next_member)]
+        return [Reconnect(delay * (0.5 + self.random.random()), next_member)]
 
     # The list.
 
-    def page(self, page: Page, now: float) -> list[Order]:
+    def on_page(self, page: RangePage, now: float) -> list[Action]:
         header = page.header
         if self.building and header.cluster != self.build_cluster:
             return self.again(next_member=False)
         if not self.building:
             if header.cluster == self.cluster and header.revision < self.high:
                 return [
-                    Report(
+                    LogProblem(
                         f"a list of revision {header.revision} is older than {self.high}: not taken"
                     ),
                     *self.again(next_member=True),
@@ -222,18 +222,18 @@
             self.building[pair.key] = pair
         if len(self.building) > MAX_ENTRIES:
             return [
-                Report(f"over {MAX_ENTRIES} entries under the prefix"),
+                LogProblem(f"over {MAX_ENTRIES} entries under the prefix"),
                 *self.again(next_member=False),
             ]
         if page.more and page.pairs:
-            return [List(page.pairs[-1].key + b"\0", self.build_at, self.settings.page)]
+            return [FetchPage(page.pairs[-1].key + b"\0", self.build_at, self.settings.page)]
         return self.listed(now)
 
-    def listed(self, now: float) -> list[Order]:
-        orders: list[Order] = []
+    def listed(self, now: float) -> list[Action]:
+        orders: list[Action] = []
         if self.cluster is not None and self.cluster != self.build_cluster:
             orders.append(
-                Report("another cluster answers (a restored backup?): its whole list is taken")
+                LogProblem("another cluster answers (a restored backup?): its whole list is taken")
             )
         building, self.building = self.building, {}
         for key in [key for key in self.members if key not in building]:
@@ -245,67 +245,72 @@
         self.cluster, self.tries = self.build_cluster, 0
         self.revision = self.high = self.build_at
         self.phase = Phase.WATCHING
-        return [*orders, *self.hand_over(now, whole=True), Proven(), Watch(self.revision + 1)]
+        return [
+            *orders,
+            *self.hand_over(now, whole=True),
+            ListConfirmed(),
+            OpenWatch(self.revision + 1),
+        ]
 
     # The watch.
 
-    def change(self, change: Change, now: float) -> list[Order]:
+    def on_watch_response(self, change: WatchResponse, now: float) -> list[Action]:
         """A watch response, whatever it says."""
         if change.header.cluster != self.cluster:
             self.revision = 0
             return [
-                Report("the watch is another cluster's (a restored backup?)"),
+                LogProblem("the watch is another cluster's (a restored backup?)"),
                 *self.again(next_member=False),
             ]
         if change.cancelled:
             if change.compacted:
                 self.revision = 0
                 return [
-                    Report(
+                    LogProblem(
                         f"history up to {change.compacted} is compacted away: the whole list is fetched"
                     ),
                     *self.again(next_member=False),
                 ]
             return [
-                Report(f"the watch was cancelled: {change.reason}"),
+                LogProblem(f"the watch was cancelled: {change.reason}"),
                 *self.again(next_member=True),
             ]
         self.pieces += [event for event in change.events if event.revision > self.revision]
         if change.fragment:
             if len(self.pieces) > MAX_ENTRIES:
                 self.revision = 0
-                return [Report("a response without end"), *self.again(next_member=True)]
+                return [LogProblem("a response without end"), *self.again(next_member=True)]
             return []
         events, self.pieces = self.pieces, []
         if not change.created:
             self.tries = 0
         if not events:
             return []
-        orders: list[Order] = []
+        orders: list[Action] = []
         for event in events:  # of one key the last one holds
             orders += self.put(event) if event.value is not None else self.delete(event.key)
         self.revision = self.high = max(event.revision for event in events)
         return [*orders, *self.hand_over(now, whole=False)]
 
-    def progress(self, header: Header) -> list[Order]:
+    def on_progress(self, header: Header) -> list[Action]:
         """An answer to a question for progress: all up to its revision has been told."""
         if header.cluster != self.cluster:
             self.revision = 0
             return self.again(next_member=False)
         if header.revision < self.revision:
             return [
-                Report(f"a member at revision {header.revision} is behind {self.revision}"),
+                LogProblem(f"a member at revision {header.revision} is behind {self.revision}"),
                 *self.again(next_member=True),
             ]
         self.revision = self.high = header.revision  # a later resume need not go further back
         self.tries = 0
-        return [Proven()]
+        return [ListConfirmed()]
 
     # Entries.
 
-    def put(self, pair: Pair) -> list[Order]:
+    def put(self, pair: KeyValue) -> list[Action]:
         name = pair.key[len(self.prefix) :]
-        if name == OVERRIDE.encode():
+        if name == SHRINK_ALLOWED_KEY.encode():
             self.override = True
             return []
         try:
@@ -333,7 +338,9 @@
                 self.bad[pair.key] = text
             kept = "kept as it was" if pair.key in self.members else "left out"
             shown = pair.key.decode("utf-8", "replace")
-            return [] if known == text else [Report(f"{shown} is no entry and is {kept}: {text}")]
+            return (
+                [] if known == text else [LogProblem(f"{shown} is no entry and is {kept}: {text}")]
+            )
         self.bad.pop(pair.key, None)
         old = self.members.get(pair.key)
         if old is not None and old.entry.id != member.entry.id:
@@ -345,8 +352,8 @@
         self.values[pair.key] = pair.value
         return []
 
-    def delete(self, key: bytes) -> list[Order]:
-        if key[len(self.prefix) :] == OVERRIDE.encode():
+    def delete(self, key: bytes) -> list[Action]:
+        if key[len(self.prefix) :] == SHRINK_ALLOWED_KEY.encode():
             self.override = False
         self.bad.pop(key, None)
         self.values.pop(key, None)
@@ -355,16 +362,16 @@
             self.touched.add(member.entry.id)
         return []
 
-    def hand_over(self, now: float, whole: bool) -> list[Order]:
+    def hand_over(self, now: float, whole: bool) -> list[Action]:
         """What differs from what was handed over, in one piece."""
         was = self.guard.holding
         allowed = self.guard.allows(len(self.members), now, self.override)
-        orders: list[Order] = []
+        orders: list[Action] = []
         if was != self.guard.holding:
             orders.append(
-                Report(
+                LogProblem(
                     f"only {len(self.members)} of {len(self.given)} servers are left: the missing ones are "
-                    f"kept until more are listed or {self.settings.prefix}{OVERRIDE} is there"
+                    f"kept until more are listed or {self.settings.prefix}{SHRINK_ALLOWED_KEY} is there"
                     if self.guard.holding
                     else "the list is followed again as it is"
                 )
@@ -388,10 +395,10 @@
         if whole:
             return [
                 *orders,
-                Deliver(
+                PublishUpdate(
                     DiscoveryUpdate(UpdateKind.SNAPSHOT, self.revision, list(self.given.values()))
                 ),
             ]
         if changed:
-            orders.append(Deliver(DiscoveryUpdate(UpdateKind.DELTA, self.revision, changed)))
+            orders.append(PublishUpdate(DiscoveryUpdate(UpdateKind.DELTA, self.revision, changed)))
         return orders
--- a/badgercart/discovery/etcd/members.py
+++ b/badgercart/discovery/etcd/members.py
@@ -16,10 +16,10 @@
 from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.config import parse_address
 from badgercart.discovery.etcd.client import authenticate, open_channel, prefix_end
-from badgercart.discovery.etcd.guard import OVERRIDE
+from badgercart.discovery.etcd.guard import SHRINK_ALLOWED_KEY
 from badgercart.discovery.etcd.settings import EtcdSettings
 
-PATIENCE = 5.0  # s for each call
+CALL_TIMEOUT_S = 5.0  # s for each call
 COLUMNS = ("instanceId", "hostPort", "zone", "machineType", "lifecycle", "weight", "lease")
 LIFECYCLES = ("active", "leaving")
 
@@ -88,7 +88,7 @@
                 revision=revision,
                 limit=self.settings.page,
             )
-            page = await self.kv.Range(request, metadata=self.metadata, timeout=PATIENCE)
+            page = await self.kv.Range(request, metadata=self.metadata, timeout=CALL_TIMEOUT_S)
             found += page.kvs
             if not page.more:
                 return found
@@ -97,7 +97,7 @@
 
     async def one(self, name: str) -> Any:
         request = rpc_pb2.RangeRequest(key=self.prefix + name.encode())
-        answer = await self.kv.Range(request, metadata=self.metadata, timeout=PATIENCE)
+        answer = await self.kv.Range(request, metadata=self.metadata, timeout=CALL_TIMEOUT_S)
         if not answer.kvs:
             raise CommandError(f"{name} is not listed")
         return answer.kvs[0]
@@ -150,7 +150,9 @@
         if ttl is not None and not self.dry_run:
             leases = rpc_pb2_grpc.LeaseStub(self.channel)
             request = rpc_pb2.LeaseGrantRequest(TTL=ttl)
-            lease = (await leases.LeaseGrant(request, metadata=self.metadata, timeout=PATIENCE)).ID
+            lease = (
+                await leases.LeaseGrant(request, metadata=self.metadata, timeout=CALL_TIMEOUT_S)
+            ).ID
         return await self.write(entry["instanceId"], json.dumps(entry), lease, None)
 
     async def drain(self, names: tuple[str, ...], undo: bool) -> int:
@@ -175,7 +177,9 @@
                 key=put.key,
                 mod_revision=unchanged,
             )
-        if not (await self.kv.Txn(request, metadata=self.metadata, timeout=PATIENCE)).succeeded:
+        if not (
+            await self.kv.Txn(request, metadata=self.metadata, timeout=CALL_TIMEOUT_S)
+        ).succeeded:
             raise CommandError(f"{name} was changed by another meanwhile; nothing was written")
         return 0
 
@@ -192,7 +196,7 @@
             for n in dict.fromkeys(names)
         ]
         await self.kv.Txn(
-            rpc_pb2.TxnRequest(success=gone), metadata=self.metadata, timeout=PATIENCE
+            rpc_pb2.TxnRequest(success=gone), metadata=self.metadata, timeout=CALL_TIMEOUT_S
         )
         return 0
 
@@ -200,20 +204,20 @@
         print(f"{'would set' if self.dry_run else 'sets'} the override {'on' if on else 'off'}")
         if self.dry_run:
             return 0
-        key = self.prefix + OVERRIDE.encode()
+        key = self.prefix + SHRINK_ALLOWED_KEY.encode()
         if on:
             request = rpc_pb2.PutRequest(key=key, value=b"on")
-            await self.kv.Put(request, metadata=self.metadata, timeout=PATIENCE)
+            await self.kv.Put(request, metadata=self.metadata, timeout=CALL_TIMEOUT_S)
         else:
             delete = rpc_pb2.DeleteRangeRequest(key=key)
-            await self.kv.DeleteRange(delete, metadata=self.metadata, timeout=PATIENCE)
+            await self.kv.DeleteRange(delete, metadata=self.metadata, timeout=CALL_TIMEOUT_S)
         return 0
 
 
 def line_of(kv: Any, prefix: bytes) -> dict[str, Any]:
     """An entry as a line, or its key with what is wrong with its value."""
     name = kv.key[len(prefix) :].decode("utf-8", "replace")
-    if name == OVERRIDE:
+    if name == SHRINK_ALLOWED_KEY:
         return {"instanceId": name, "fault": "the list may shrink"}
     try:
         entry = checked_entry(kv.value.decode("utf-8", "replace"))
--- a/badgercart/discovery/freshness.py
+++ b/badgercart/discovery/freshness.py
@@ -13,47 +13,49 @@
 from enum import Enum
 
 
-class State(Enum):
+class FreshnessState(Enum):
     FRESH = "fresh"
     DOUBTFUL = "doubtful"
     STALE = "stale"
 
 
 @dataclass(slots=True, frozen=True)
-class Rule:
+class FreshnessLimits:
     """Ages in ms."""
 
-    doubtful_after: float = 3000.0
-    stale_after: float = 10000.0
+    doubtful_after_ms: float = 3000.0
+    stale_after_ms: float = 10000.0
 
 
 class Freshness:
     """The age of one list. Times are ms on one clock that only goes forward."""
 
-    def __init__(self, rule: Rule) -> None:
+    def __init__(self, rule: FreshnessLimits) -> None:
         self.rule = rule
-        self.proved: float | None = None
+        self.proven_at_ms: float | None = None
 
     def proof(self, asked: float) -> None:
         """The list was whole at this time. An older proof than the last changes nothing."""
-        if self.proved is None or asked > self.proved:
-            self.proved = asked
+        if self.proven_at_ms is None or asked > self.proven_at_ms:
+            self.proven_at_ms = asked
 
     def age(self, now: float) -> float:
         """ms since the list was whole for sure; infinite where it never was."""
-        return float("inf") if self.proved is None else max(0.0, now - self.proved)
+        return float("inf") if self.proven_at_ms is None else max(0.0, now - self.proven_at_ms)
 
-    def state(self, now: float) -> State:
+    def state(self, now: float) -> FreshnessState:
         age = self.age(now)
-        if age >= self.rule.stale_after:
-            return State.STALE
-        return State.DOUBTFUL if age >= self.rule.doubtful_after else State.FRESH
+        if age >= self.rule.stale_after_ms:
+            return FreshnessState.STALE
+        return (
+            FreshnessState.DOUBTFUL if age >= self.rule.doubtful_after_ms else FreshnessState.FRESH
+        )
 
     def next_change(self, now: float) -> float | None:
         """When the state changes if no proof comes; None where it can't get worse."""
-        if self.proved is None:
+        if self.proven_at_ms is None:
             return None
-        for after in (self.rule.doubtful_after, self.rule.stale_after):
+        for after in (self.rule.doubtful_after_ms, self.rule.stale_after_ms):
             if self.age(now) < after:
-                return self.proved + after
+                return self.proven_at_ms + after
         return None
--- a/badgercart/discovery/list_framing.py
+++ b/badgercart/discovery/list_framing.py
@@ -11,12 +11,12 @@
 import re
 from typing import Any
 
-MOST = 8 << 20  # bytes of one list
+MAX_LIST_BYTES = 8 << 20  # bytes of one list
 
 _TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
-class Cut(ValueError):
+class ListFramingError(ValueError):
     """What came is no list, or only a part of one: a change may have been missed with it."""
 
 
@@ -26,18 +26,18 @@
     return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
 
 
-def read(text: bytes) -> dict[str, Any]:
-    """A whole list. Raises Cut."""
+def parse_list(text: bytes) -> dict[str, Any]:
+    """A whole list. Raises ListFramingError."""
     try:
         found = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise Cut(str(error)) from None
+        raise ListFramingError(str(error)) from None
     if not isinstance(found, dict):
-        raise Cut("no object")
+        raise ListFramingError("no object")
     return found
 
 
-class Texts:
+class ListParser:
     """The machine: bytes in, lists out."""
 
     def __init__(self) -> None:
@@ -51,19 +51,19 @@
         return bool(self.lines or self.line.strip())
 
     def feed(self, data: bytes) -> list[dict[str, Any] | None]:
-        """What has come whole with this: lists, and None for each sign of life. Raises Cut."""
+        """What has come whole with this: lists, and None for each sign of life. Raises ListFramingError."""
         *lines, self.line = (self.line + data).split(b"\n")
         found = [told for line in lines for told in self.take(line.strip())]
-        if self.size + len(self.line) > MOST:
-            raise Cut(f"over {MOST} bytes")
+        if self.size + len(self.line) > MAX_LIST_BYTES:
+            raise ListFramingError(f"over {MAX_LIST_BYTES} bytes")
         return found
 
     def end(self) -> list[dict[str, Any] | None]:
-        """There is no more: the last line needs no end. Raises Cut where a list is not whole."""
+        """There is no more: the last line needs no end. Raises ListFramingError where a list is not whole."""
         line, self.line = self.line.strip(), b""
         found = self.take(line) if line else []
         if self.lines:
-            raise Cut("it ended within a list")
+            raise ListFramingError("it ended within a list")
         return found
 
     def take(self, line: bytes) -> list[dict[str, Any] | None]:
@@ -71,15 +71,15 @@
             if not line:
                 return [None]
             if not line.startswith(b"{"):
-                raise Cut(f"no list: {line[:40]!r}")
+                raise ListFramingError(f"no list: {line[:40]!r}")
             if line.endswith(b"}"):  # most are whole: their brackets need not be counted
                 try:
-                    return [read(line)]
-                except Cut:
+                    return [parse_list(line)]
+                except ListFramingError:
                     if depth(line) <= 0:
                         raise
         elif not line or (line.startswith(b"{") and b'"generation"' in line):
-            raise Cut(
+            raise ListFramingError(
                 "another line within a list that is not whole"
             )  # the rest of that one never came
         self.lines.append(line)
@@ -89,4 +89,4 @@
             return []
         text = b"\n".join(self.lines)
         self.lines, self.size, self.open = [], 0, 0
-        return [read(text)]
+        return [parse_list(text)]
--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -15,7 +15,7 @@
 import click
 
 from badgercart.app import logs
-from badgercart.app.asking import PATIENCE
+from badgercart.app.asking import REQUEST_TIMEOUT_S
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.app.faults import SettingsFileError
@@ -215,7 +215,7 @@
 
 async def _fetch(group: GroupClient, address: Address) -> Status | str:
     try:
-        async with asyncio.timeout(PATIENCE), group.connect(address) as client:
+        async with asyncio.timeout(REQUEST_TIMEOUT_S), group.connect(address) as client:
             client.write(StatusRequest())
             while not isinstance(message := await client.read(), Status):
                 pass
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -18,7 +18,7 @@
 
 from badgercart.app.component import ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.core.endpoint_table import DiscoveryUpdate
-from badgercart.discovery.freshness import Rule, State
+from badgercart.discovery.freshness import FreshnessLimits, FreshnessState
 from badgercart.discovery.log_events import LIST_DOUBTFUL, LIST_FRESH, LIST_STALE
 from badgercart.distribution.settings import (
     SERVERS_PREFIX,
@@ -40,9 +40,9 @@
 # From this size of a snapshot on, its servers are excluded from garbage collection.
 GC_FREEZE_MIN_SERVERS = 1000
 STATE_EVENTS = {
-    State.FRESH: LIST_FRESH,
-    State.DOUBTFUL: LIST_DOUBTFUL,
-    State.STALE: LIST_STALE,
+    FreshnessState.FRESH: LIST_FRESH,
+    FreshnessState.DOUBTFUL: LIST_DOUBTFUL,
+    FreshnessState.STALE: LIST_STALE,
 }
 # Changes of these settings take effect only after a restart.
 RESTART_ONLY_SETTINGS = ("group", "service")
@@ -61,7 +61,7 @@
     def __init__(self, host: ComponentHost, settings: FollowerSettings) -> None:
         self.settings = settings
         self.topic = SERVERS_PREFIX + settings.service
-        self.state = State.STALE
+        self.state = FreshnessState.STALE
         self._host = host
         self._timer: asyncio.TimerHandle | None = None
         self._is_started = False
@@ -92,7 +92,7 @@
         # different orders of replicas and different reconnect times.
         rng = random.Random(f"{config.seed} {config.name} distribution")
         selector = ReplicaSelector(len(settings.stores), timing, rng)
-        rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
+        rule = FreshnessLimits(settings.doubtful_after_ms, settings.stale_after_ms)
         follower = Follower(config.name, (self.topic,), selector, timing, rule)
         codec = Codec(settings.group, settings.secret.encode())
         runtime = Runtime(self._host.loop, self._host.pipeline.clock, codec)
@@ -170,7 +170,7 @@
         self._refused_before += old_driver.refused
         self.settings, self.driver = settings, self._build_driver(settings)
         self.follower.take_over_from(old_follower)
-        rule = Rule(settings.doubtful_after_ms, settings.stale_after_ms)
+        rule = FreshnessLimits(settings.doubtful_after_ms, settings.stale_after_ms)
         self.follower.freshness.rule = rule
         if self._is_started:
             # The setting `when_stale` may have changed.
@@ -228,7 +228,7 @@
             self._timer = self._host.loop.call_later(delay_s, self._check_freshness)
 
     def _apply_freshness(self) -> None:
-        is_stale = self.state is State.STALE
+        is_stale = self.state is FreshnessState.STALE
         self._host.endpoint_table.suspend(is_stale and self.settings.when_stale == "refuse")
 
     # For operators.
--- a/badgercart/distribution/follower.py
+++ b/badgercart/distribution/follower.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.discovery.freshness import Freshness, FreshnessLimits
 from badgercart.distribution.effects import Close, Dial, Effect, LogEvent, Send
 from badgercart.distribution.errors import ReplicaAbandonedError, TopicGapError
 from badgercart.distribution.followed_topics import FollowedTopics
@@ -88,7 +88,7 @@
         topics: tuple[str, ...],
         selector: ReplicaSelector,
         timing: FollowerTiming,
-        rule: Rule | None = None,
+        rule: FreshnessLimits | None = None,
     ) -> None:
         """Create a follower that is not started.
 
@@ -106,7 +106,7 @@
         self.topics = FollowedTopics(topics, MAX_TOPIC_BYTES)
         self._selector = selector
         self._timing = timing
-        self.freshness = Freshness(rule or Rule())
+        self.freshness = Freshness(rule or FreshnessLimits())
         self.session: Session | None = None
         self._dial_at_ms = math.inf
         self.dial_count = 0
--- a/badgercart/distribution/group_client.py
+++ b/badgercart/distribution/group_client.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from badgercart.app.asking import PATIENCE
+from badgercart.app.asking import REQUEST_TIMEOUT_S
 from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.app.faults import SettingsFileError
 from badgercart.app.file import load_installation
@@ -61,7 +61,7 @@
         failures = []
         for name, address in self.addresses.items():
             try:
-                async with asyncio.timeout(PATIENCE), self.connect(address) as client:
+                async with asyncio.timeout(REQUEST_TIMEOUT_S), self.connect(address) as client:
                     return await send_request(client)
             except ReplicaCannotServeError as error:
                 failures.append(f"{name}: {error}")
@@ -97,5 +97,5 @@
     if isinstance(error, asyncio.IncompleteReadError):
         return "it ended the connection: is the group's secret right?"
     if isinstance(error, TimeoutError):
-        return f"no answer in {PATIENCE:.0f} s"
+        return f"no answer in {REQUEST_TIMEOUT_S:.0f} s"
     return str(error) or type(error).__name__
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -17,7 +17,7 @@
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.log_events import CONFIG_KEPT, CONFIG_READ, LIST_KNOWN_MALFORMED, STOPPED
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.discovery.backoff import Pace
+from badgercart.discovery.backoff import CallTiming
 from badgercart.discovery.catalog import Discovery
 from badgercart.discovery.entries import ListReader
 from badgercart.ejection.ejections import AdministrativeEjections
@@ -81,7 +81,7 @@
             config.discovery,
             self.apply_endpoint_list,
             random.Random(config.seed),
-            pace=self.polling_pace(config),
+            timing=self.polling_pace(config),
         )
         if config.known.get("instances"):
             try:
@@ -119,13 +119,17 @@
             await self.admin_listener.start()
 
     @staticmethod
-    def polling_pace(config: Config) -> Pace:
+    def polling_pace(config: Config) -> CallTiming:
         """Return how often discovery is called.
 
         Depending on the settings, discovery is either an agent of this node, to which lists are
         pushed, or one service that all nodes poll.
         """
-        return Pace.shared() if config.settings.polls_endpoints else Pace.agent(config.drain_grace)
+        return (
+            CallTiming.for_shared_service()
+            if config.settings.polls_endpoints
+            else CallTiming.for_local_agent(config.drain_grace)
+        )
 
     def not_ready_reason(self) -> str:
         """Return why the node can't serve requests; empty if it can."""
@@ -164,15 +168,15 @@
         self.config, event = reconfigure(old, new, in_use)
         self.pipeline.dispatch(event)
         self.frontend.apply_config(self.config)
-        self.list_reader.rename(self.config)
+        self.list_reader.use_config(self.config)
         CONFIG_READ(
             what=f": discovery at {new.discovery[0]}:{new.discovery[1]}, {len(new.classes)} classes, "
             f"{new.settings.max_attempts} attempts"
             + (f"; takes a restart: {restart}" if restart else "")
         )
-        self.discovery.pace = self.polling_pace(self.config)
+        self.discovery.timing = self.polling_pace(self.config)
         renamed = (old.zones, old.kinds) != (self.config.zones, self.config.kinds)
-        self.discovery.move(new.discovery, anew=renamed)
+        self.discovery.move(new.discovery, refetch=renamed)
 
     async def drain(self) -> None:
         """Answer all requests, including those that still come, then close the node."""
--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -79,7 +79,7 @@
         """Have endpoints without a zone get that of their network."""
         from badgercart.zones.endpoint_zones import zone_lookup
 
-        self._host.reader.place = zone_lookup(settings.network, self._host.config.zones)
+        self._host.reader.zone_of_host = zone_lookup(settings.network, self._host.config.zones)
 
     # The component's life.
 
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -14,7 +14,7 @@
 from badgercart.cluster.membership_table import MAX_MEMBERS
 from badgercart.cluster.quota_sharing import MAX_SHARED_TENANTS as MOST_SHARED
 from badgercart.discovery.etcd.follower import MAX_ENTRIES
-from badgercart.discovery.list_framing import MOST as MOST_LIST
+from badgercart.discovery.list_framing import MAX_LIST_BYTES
 from badgercart.policy.subset import MIN_SUBSET_SIZE, NODES_PER_GROUP
 from badgercart.reload.checks import MAX_CLASSES, MAX_TENANTS
 from badgercart.zones.consensus_messages import COMMIT_TOPICS, VOTERS_PER_COMMIT
@@ -386,7 +386,7 @@
                 Need("messages in", "the whole list at a start, at 17 KB a second", "s",
                      lambda t: size(t.servers) / BUDGETS["bytes"].value, BUDGETS["ready"], TOLD, (size,)),
                 Need("limit", "bytes of a whole list", "bytes", lambda t: size(t.servers),
-                     limit(MOST_LIST, "bytes", "badgercart.discovery.list_framing.MOST"), TOLD, (size,)),
+                     limit(MAX_LIST_BYTES, "bytes", "badgercart.discovery.list_framing.MAX_LIST_BYTES"), TOLD, (size,)),
                 Need("limit", "entries, where etcd tells them", "entries", lambda t: t.servers,
                      limit(MAX_ENTRIES, "entries", "badgercart.discovery.etcd.follower.MAX_ENTRIES"), TOLD),
                 *list_needs(runs),
--- a/benchmarks/capacity/storms.py
+++ b/benchmarks/capacity/storms.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from badgercart.discovery.backoff import RETRY_FIRST, Pace
+from badgercart.discovery.backoff import INITIAL_RETRY_DELAY_S, CallTiming
 from badgercart.zones.traffic_plan import UtilizationLimits
 from benchmarks.capacity.laws import Law, Runs
 from benchmarks.capacity.rows import Tag, changed_line, line_bytes, reload, subset
@@ -240,8 +240,10 @@
 
 def calls(runs: Runs) -> Storm:
     """All nodes have lost the 40 machines."""
-    pace, size = Pace.shared(), line_bytes(runs)
-    first = RETRY_FIRST * 1.0  # the width of the first wait's spread: half to one and a half of it
+    pace, size = CallTiming.for_shared_service(), line_bytes(runs)
+    first = (
+        INITIAL_RETRY_DELAY_S * 1.0
+    )  # the width of the first wait's spread: half to one and a half of it
     hour = TARGET.lines * 3600
     part = served_servers() / TARGET.servers
     a_line = size(TARGET.servers) / TARGET.servers
@@ -252,11 +254,11 @@
         (
             Figure("calls a second on each, the first wave (within 25 to 75 ms)", "/s", per_machine / first,
                    per_machine / first),
-            Figure("calls a second on each, later (0.5 to 1.5 s apart)", "/s", per_machine / pace.retry,
-                   per_machine / pace.retry),
+            Figure("calls a second on each, later (0.5 to 1.5 s apart)", "/s", per_machine / pace.max_retry_delay_s,
+                   per_machine / pace.max_retry_delay_s),
             Figure("at the return each wants the whole list: of each machine's network", "s",
                    per_machine * size(TARGET.servers) / wire, per_machine * size(served_servers()) / wire,
-                   Budget(pace.call, "s", "a call's patience"), ("network", "served"), (size,)),
+                   Budget(pace.response_timeout_s, "s", "a call's patience"), ("network", "served"), (size,)),
             Figure("and of one core of each", "s", per_machine * size(TARGET.servers) / assumed("sending"),
                    per_machine * size(served_servers()) / assumed("sending"), BUDGETS["lists out"],
                    ("sending", "served"), (size,)),
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -179,7 +179,7 @@
     took = time.monotonic() - began
     grown = resident() - before
     print(
-        f"the whole list of {entries}: {took * 1000:.0f} ms, {follower.source.bytes / 1e6:.1f} MB, "
+        f"the whole list of {entries}: {took * 1000:.0f} ms, {follower.source.received_bytes / 1e6:.1f} MB, "
         f"{cpu() - used:.2f} s of a core, {grown:.0f} MiB"
     )
     delays: list[float] = []
@@ -213,8 +213,14 @@
 async def catch_up(entries: int) -> None:
     """The cost of a change from a watch response to the policy, beside reading the response
     alone."""
-    from badgercart.discovery.etcd.follower import Change, Deliver, Header, Page, Pair
     from badgercart.discovery.etcd.follower import Follower as Machine
+    from badgercart.discovery.etcd.follower import (
+        Header,
+        KeyValue,
+        PublishUpdate,
+        RangePage,
+        WatchResponse,
+    )
 
     follower = Follower(1)
     machine = Machine(
@@ -223,10 +229,10 @@
         random.Random(1),
     )
     machine.begin()
-    pairs = [Pair(key(n), entry(n), 1) for n in range(entries)]
-    for order in machine.page(Page(Header(1, 1), pairs, False), 0.0):
-        if isinstance(order, Deliver):
-            follower.roster.apply(order.told)
+    pairs = [KeyValue(key(n), entry(n), 1) for n in range(entries)]
+    for order in machine.on_page(RangePage(Header(1, 1), pairs, False), 0.0):
+        if isinstance(order, PublishUpdate):
+            follower.roster.apply(order.update)
     while (
         follower.join.policy.fleet.virtual_nodes.pending
     ):  # the long list goes on the ring in slices
@@ -248,10 +254,12 @@
     start = time.perf_counter()
     for data in answers:
         answer = rpc_pb2.WatchResponse.FromString(data)
-        events = [Pair(e.kv.key, e.kv.value, e.kv.mod_revision) for e in answer.events]
-        for order in machine.change(Change(Header(1, answer.header.revision), events), 0.0):
-            if isinstance(order, Deliver):
-                follower.roster.apply(order.told)
+        events = [KeyValue(e.kv.key, e.kv.value, e.kv.mod_revision) for e in answer.events]
+        for order in machine.on_watch_response(
+            WatchResponse(Header(1, answer.header.revision), events), 0.0
+        ):
+            if isinstance(order, PublishUpdate):
+                follower.roster.apply(order.update)
     whole = time.perf_counter() - start
     print(
         f"a change among {entries}: {whole:.3f} ms from response to policy, {alone:.3f} to read it alone"
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -2,7 +2,7 @@
 roster.
 
 The list is worded as the platform's discovery words it. A whole list is read as `Discovery.fetch`
-does, a changed line as its watch does. The node refuses a text over `MOST` bytes; it is measured
+does, a changed line as its watch does. The node refuses a text over `MAX_LIST_BYTES` bytes; it is measured
 beyond that as well, so that the slope shows where the bound lies. Times are of the thread's
 processor; memory is the resident size of a process of its own.
 """
@@ -20,7 +20,7 @@
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.entries import ListReader
-from badgercart.discovery.list_framing import MOST, Texts, read
+from badgercart.discovery.list_framing import MAX_LIST_BYTES, ListParser, parse_list
 from badgercart.policy.events import EndpointUpdate, Event
 from benchmarks.scale.configuration import config
 from benchmarks.scale.fit import Point, doublings
@@ -83,7 +83,7 @@
     for _ in range(WHOLE_LISTS):
         ear = Ear()
         roster = EndpointTable(reader, cast(RequestPipeline, ear))
-        parsed, raw = spent(lambda: read(whole))
+        parsed, raw = spent(lambda: parse_list(whole))
         checked, told = spent(lambda raw=raw: reader.read(raw))  # type: ignore[misc]
         taken, _ = spent(lambda roster=roster, told=told: roster.apply(told))  # type: ignore[misc]
         again, _ = spent(lambda roster=roster, told=told: roster.apply(told))  # type: ignore[misc]
@@ -98,7 +98,7 @@
         costs.setdefault("whole list", []).append(parsed + checked + taken)
     for name, several in costs.items():
         found.note(name, "us", "median", size, statistics.median(several))
-    texts, lines = Texts(), []
+    texts, lines = ListParser(), []
     for turn in range(LINES):
         number = (turn // 2 * 7919) % size
         change = text(2 + turn, [line(number, "active" if turn % 2 else "leaving")], False) + b"\n"
@@ -123,7 +123,7 @@
 
 def measure(most: int | None) -> list[Series]:
     largest = SERVERS if most is None else min(SERVERS, most)
-    found = Found("servers", bound_bytes=MOST)
+    found = Found("servers", bound_bytes=MAX_LIST_BYTES)
     for size in doublings(10, largest):
         at(size, found)
         print(f"lists: {size} servers", file=sys.stderr, flush=True)
--- a/tests/capture/golden_parts.py
+++ b/tests/capture/golden_parts.py
@@ -31,7 +31,7 @@
     encode_record,
 )
 from badgercart.capture.streams import record_calls, state_note
-from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.discovery.freshness import Freshness, FreshnessLimits
 from badgercart.frontends.processor.account import Account
 from badgercart.frontends.processor.settings import OldAnswers
 from badgercart.policy.actions import (
@@ -143,7 +143,7 @@
 def notes() -> list[bytes]:
     """Both machines, every one of their captured methods."""
     found: list[bytes] = []
-    freshness = Freshness(Rule(2500.0, 7500.0))
+    freshness = Freshness(FreshnessLimits(2500.0, 7500.0))
     found.append(state_note("list", freshness))
     undo = record_calls("list", freshness, found.append)
     freshness.state(10.0)
@@ -152,7 +152,7 @@
     for now in (1000.0, 4000.0, 9000.0):
         freshness.state(now)
         freshness.next_change(now)
-    freshness.rule = Rule(100.0, 200.0)
+    freshness.rule = FreshnessLimits(100.0, 200.0)
     freshness.state(9000.0)
     undo()
     account = Account(OldAnswers(no_fallbacks_after=2, refuse_after=3))
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -18,7 +18,7 @@
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.streams import NoteReplayer, record_calls, state_note
 from badgercart.capture.writer import CaptureWriter
-from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.discovery.freshness import Freshness, FreshnessLimits
 from badgercart.frontends.processor.account import Account
 from badgercart.frontends.processor.settings import OldAnswers
 from standins.demo import NodeProcess
@@ -35,14 +35,14 @@
 @settings(max_examples=100, deadline=None)
 @given(STEPS)
 def test_freshness_answers_the_same_when_it_is_played_back(steps: list[tuple[str, float]]) -> None:
-    machine, told = Freshness(Rule()), list[bytes]()
+    machine, told = Freshness(FreshnessLimits()), list[bytes]()
     told.append(state_note("list", machine))
     undo = record_calls("list", machine, told.append)
     for name, value in steps:
         if name == "proof":
             machine.proof(value)
         elif name == "rule":
-            machine.rule = Rule(1.0 + value, 2.0 + 2 * value)
+            machine.rule = FreshnessLimits(1.0 + value, 2.0 + 2 * value)
         else:
             machine.state(value) if name == "state" else machine.next_change(value)
     undo()
@@ -75,7 +75,7 @@
 def test_notes_stand_between_the_policys_events_and_a_change_shows(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    day, freshness = Saturday(1), Freshness(Rule())
+    day, freshness = Saturday(1), Freshness(FreshnessLimits())
     chosen = CaptureSettings.model_construct(folder="", segment_bytes=1 << 14)
     capture = CaptureWriter(chosen, tmp_path, "n", day.join.policy, 1, lambda lost: None, print)
     day.join.decision_log = capture.tap
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -61,7 +61,7 @@
 
 
 def test_a_watch_that_falls_silent_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(catalog, "SILENCE", 0.05)
+    monkeypatch.setattr(catalog, "WATCH_SILENCE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
--- a/tests/discovery/test_texts.py
+++ b/tests/discovery/test_texts.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from badgercart.discovery import list_framing as texts
-from badgercart.discovery.list_framing import Cut, Texts
+from badgercart.discovery.list_framing import ListFramingError, ListParser
 
 words = st.text(
     st.characters(codec="utf-8", exclude_categories=("Cs",)), max_size=8
@@ -43,7 +43,7 @@
 def test_lists_and_signs_of_life_come_out_in_order_however_they_are_cut(
     items: list[tuple[Any, Any, str]], cuts: list[int]
 ) -> None:
-    machine = Texts()
+    machine = ListParser()
     found = [what for piece in pieces(wire(items), cuts) for what in machine.feed(piece)]
     assert found == [what for what, _, _ in items]
     assert not machine.partial and machine.end() == []
@@ -54,21 +54,21 @@
     what: Any, indent: Any, cut: int, then: Any
 ) -> None:
     whole = json.dumps(what, indent=indent).encode()
-    machine = Texts()
+    machine = ListParser()
     head = whole[: 1 + cut % (len(whole) - 1)].rstrip()
     assert machine.feed(head) == [] and machine.partial
-    with pytest.raises(Cut):
+    with pytest.raises(ListFramingError):
         machine.feed(b"\n" + (b"" if then is None else json.dumps(then).encode()) + b"\n")
         machine.end()
 
 
 def test_the_last_line_needs_no_end_and_bounds_hold(monkeypatch: pytest.MonkeyPatch) -> None:
-    machine = Texts()
+    machine = ListParser()
     assert machine.feed(b'{"generation": 1}') == [] and machine.end() == [{"generation": 1}]
-    monkeypatch.setattr(texts, "MOST", 1000)
+    monkeypatch.setattr(texts, "MAX_LIST_BYTES", 1000)
     for data in (b'{"a": "' + b"x" * 2000, b"{\n" + b'"a": 1,\n' * 500):
-        with pytest.raises(Cut, match="over 1000 bytes"):
-            Texts().feed(data)
+        with pytest.raises(ListFramingError, match="over 1000 bytes"):
+            ListParser().feed(data)
     for data in (b"[1]\n", b"7\n", b'{"a": 1}}\n', b"{]\n", b'{"a": 1} {"b": 2}\n', b"\xff{}\n"):
-        with pytest.raises(Cut):
-            Texts().feed(data)
+        with pytest.raises(ListFramingError):
+            ListParser().feed(data)
--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -22,7 +22,7 @@
 from badgercart.app.site import Application
 from badgercart.config import Address
 from badgercart.core.clock import now_ms
-from badgercart.discovery.freshness import State
+from badgercart.discovery.freshness import FreshnessState
 from badgercart.distribution.client import Client as ReplicaClient
 from badgercart.distribution.component import DistributedDiscoveryComponent, build_replica_driver
 from badgercart.distribution.entry_file import parse_entries
@@ -106,7 +106,7 @@
         except TimeoutError:
             raise AssertionError(f"{self.listed()} is not {wanted}") from None
 
-    async def state(self, state: State) -> None:
+    async def state(self, state: FreshnessState) -> None:
         await self.until(lambda: self.part.state is state)
 
     async def get(self, data: bytes) -> tuple[int, bytes]:
@@ -205,7 +205,7 @@
             result = await command(capsys, "put", path, TOPIC, "--file", str(lines))
             assert result == (0, f"{TOPIC}: in force as number 1\n", "")
             await n.lists(a="ready")
-            await n.state(State.FRESH)
+            await n.state(FreshnessState.FRESH)
             assert await n.health() == 200 and await n.ask() == 200 and first.requests.qsize() == 1
             lines.write_text(json.dumps([line("a", first, "leaving"), line("b", second)]))
             status, _, _ = await command(
@@ -236,14 +236,14 @@
         async with node(s.listen, when_stale=when_stale) as n:
             await put(s, line("a", peer), line("b", peer))
             await n.lists(a="ready", b="ready")
-            await n.state(State.FRESH)
+            await n.state(FreshnessState.FRESH)
             s.close()
             await n.until(lambda: n.part.follower.age_ms(now_ms()) > 100)
             assert n.listed() == {"a": "ready", "b": "ready"} and await n.ask() == 200
             ages = [n.part.follower.age_ms(now_ms())]
-            await n.state(State.DOUBTFUL)
+            await n.state(FreshnessState.DOUBTFUL)
             assert await n.ask() == 200
-            await n.state(State.STALE)
+            await n.state(FreshnessState.STALE)
             assert n.part.follower.age_ms(now_ms()) > ages[0] and n.listed() == {
                 "a": "ready",
                 "b": "ready",
@@ -253,7 +253,7 @@
             s = await started(tmp_path / "s", s.listen[1])
             await put(s, line("b", peer, "leaving"))
             await n.lists(a="ready", b="draining")
-            await n.state(State.FRESH)
+            await n.state(FreshnessState.FRESH)
             assert await n.ask() == 200 and n.part.follower.topics.by_name[TOPIC].version == 2
             s.close()
 
@@ -275,11 +275,11 @@
                 n.part.reload(node_settings(other.listen))
                 await n.until(lambda: n.part.follower.faults["behind"] >= 3)
                 assert n.listed() == {"s0": "ready", "s1": "ready", "s2": "ready"}
-                await n.state(State.STALE)
+                await n.state(FreshnessState.STALE)
                 back = await started(tmp_path / "s")
                 n.part.reload(node_settings(other.listen, back.listen))
                 await put(back, line("s3"))
-                await n.until(lambda: "s3" in n.listed() and n.part.state is State.FRESH)
+                await n.until(lambda: "s3" in n.listed() and n.part.state is FreshnessState.FRESH)
                 assert "old" not in n.listed()
                 back.close()
 
@@ -307,17 +307,17 @@
         async with store(tmp_path / "s") as s, node(s.listen) as n:
             await put(s, line("a"))
             await n.lists(a="ready")
-            await n.state(State.FRESH)
+            await n.state(FreshnessState.FRESH)
             await put(s, line("a", state="leaving"), b=BAD_LINES[how])
             await n.until(
                 lambda: caplog.text.count("as of 2 can't be used") == 2
             )  # the change, and the whole
             assert n.listed() == {"a": "ready"}  # nothing of it, and not the other line beside it
-            await n.state(State.DOUBTFUL)  # it is known to be old
+            await n.state(FreshnessState.DOUBTFUL)  # it is known to be old
             assert n.part.follower.dial_count == 1 and n.part.follower.faults["unusable"] == 1
             await put(s, line("b"))
             await n.lists(a="draining", b="ready")
-            await n.state(State.FRESH)
+            await n.state(FreshnessState.FRESH)
             assert n.part.follower.dial_count == 1
 
     run(test())
@@ -348,7 +348,7 @@
                 and n.listed() == {"a": "ready", "b": "ready"}
                 and n.part.follower.dial_count == 1
             )
-            await n.state(State.FRESH)
+            await n.state(FreshnessState.FRESH)
 
     run(test())
 
@@ -372,10 +372,10 @@
             assert n.site.reload(installation) == [] and not old.is_open and not old.links
             await put(moved, line("b"))
             await n.lists(a="ready", b="ready")
-            assert n.part.topic == TOPIC and n.part.follower.freshness.rule.stale_after == 700
+            assert n.part.topic == TOPIC and n.part.follower.freshness.rule.stale_after_ms == 700
             assert n.part.follower.topics.change_count == 2
             moved.close()
-            await n.state(State.STALE)
+            await n.state(FreshnessState.STALE)
             assert not n.site.endpoint_table.suspended
             again = n.part.driver
             assert (
@@ -404,7 +404,7 @@
         driver = site.components["distribution-store"].driver  # type: ignore[attr-defined]
         await put(driver, line("a"))
         await n.lists(a="ready")
-        await n.state(State.FRESH)
+        await n.state(FreshnessState.FRESH)
         _, body = await n.get(b"GET /_distribution HTTP/1.1\r\nHost: x\r\n\r\n")
         result = json.loads(body)
         assert (
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -17,7 +17,7 @@
 
 from badgercart.admin.listener import MAX_CONNECTIONS
 from badgercart.core.descriptors import DISCOVERY, FILES, LISTENERS, PROGRAM, Descriptors
-from badgercart.discovery.backoff import MOST as MOST_CALLS
+from badgercart.discovery.backoff import MAX_OPEN_CALLS
 from badgercart.upstream import connection_pool as pools
 from tests.net import WAIT, Agent, Client, Peer, request, run, running
 from tests.test_process import COMMAND, NodeProcess, raw_config
@@ -41,7 +41,7 @@
 
 def test_discovery_has_as_many_as_it_may_open() -> None:
     """All its calls are out when it moves to another address."""
-    assert DISCOVERY == 2 * MOST_CALLS + 1
+    assert DISCOVERY == 2 * MAX_OPEN_CALLS + 1
 
 
 # Told more than the system lets it hold, or told less: it goes by what is less.
--- a/tests/ends/test_ready.py
+++ b/tests/ends/test_ready.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from badgercart.discovery.backoff import MOST, PATIENCE, Pace
+from badgercart.discovery.backoff import MAX_OPEN_CALLS, OLDEST_CALL_TIMEOUT_S, CallTiming
 from badgercart.discovery.catalog import Discovery
 from tests.ends.discovery import InTurn, Service
 from tests.ends.test_told import entry, on_a_clock
@@ -89,14 +89,16 @@
 
     async def test(loop: Loop) -> None:
         service = Service(loop, 1, {"s-1": entry("s-1")}, faults=["silent"] * 99)
-        follower = Discovery(("d", 1), lambda raw: 1, random.Random(1), pace=Pace.shared())
+        follower = Discovery(
+            ("d", 1), lambda raw: 1, random.Random(1), timing=CallTiming.for_shared_service()
+        )
         follower.start()
         await asyncio.sleep(SOON)
         (first,) = service.lines
         while not first.ended:
-            assert len(service.lines) <= MOST
+            assert len(service.lines) <= MAX_OPEN_CALLS
             await asyncio.sleep(0.1)
-        assert PATIENCE < loop.now - 1000.0 < PATIENCE + 2.0
+        assert OLDEST_CALL_TIMEOUT_S < loop.now - 1000.0 < OLDEST_CALL_TIMEOUT_S + 2.0
         follower.close()
 
     on_a_clock(test)
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_suspects.py
@@ -17,7 +17,7 @@
 
 from badgercart import node as platform
 from badgercart.core.identifiers import stable_id
-from badgercart.discovery.catalog import Discovery, Pace
+from badgercart.discovery.catalog import CallTiming, Discovery
 from badgercart.frontends.http import clients
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import EndpointUpdate
@@ -133,7 +133,10 @@
 
     async def test() -> None:
         discovery = Discovery(
-            ("127.0.0.1", 1), lambda raw: 0, random.Random(seed), pace=Pace.agent(grace)
+            ("127.0.0.1", 1),
+            lambda raw: 0,
+            random.Random(seed),
+            timing=CallTiming.for_local_agent(grace),
         )
         discovery.start()
         times = [loop.time()]
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -23,8 +23,13 @@
 from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import AttemptRequest, IncomingRequest
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.discovery.backoff import MOST, RETRY_FIRST, Pace, Tries
-from badgercart.discovery.catalog import SILENCE, Discovery
+from badgercart.discovery.backoff import (
+    INITIAL_RETRY_DELAY_S,
+    MAX_OPEN_CALLS,
+    CallTiming,
+    RetryState,
+)
+from badgercart.discovery.catalog import WATCH_SILENCE_TIMEOUT_S, Discovery
 from badgercart.discovery.entries import ListReader
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import AttemptResult, UpdateKind
@@ -174,8 +179,10 @@
         self.taken = math.inf  # when the change was taken up
         self.change: dict[str, Any] | None = None
         self.service = Service(loop, 1, {e["instanceId"]: e for e in listed})
-        self.pace = Pace.agent(GRACE * 1000) if pushed else Pace.shared()
-        self.discovery = Discovery(("d", 1), self.roster.accept, Fixed(dice), pace=self.pace)
+        self.pace = (
+            CallTiming.for_local_agent(GRACE * 1000) if pushed else CallTiming.for_shared_service()
+        )
+        self.discovery = Discovery(("d", 1), self.roster.accept, Fixed(dice), timing=self.pace)
 
     def know(self) -> None:
         told = {"generation": 1, "reset": True, "instances": list(self.service.members.values())}
@@ -361,8 +368,8 @@
         before = len(service.calls)
         await asyncio.sleep(time)
         assert (len(service.calls) - before) / nodes / time < RATES[fault]
-        assert all(len(follower.calls) <= MOST for follower in followers)
-        assert len(service.lines) <= MOST * nodes
+        assert all(len(follower.calls) <= MAX_OPEN_CALLS for follower in followers)
+        assert len(service.lines) <= MAX_OPEN_CALLS * nodes
         for follower in followers:
             follower.close()
         await asyncio.sleep(0.01)
@@ -371,27 +378,46 @@
     on_a_clock(test)
 
 
-@pytest.mark.parametrize("pace", [Pace.shared(), Pace.agent(500.0), Pace.agent(2000.0)])
-def test_the_worst_sums_are_within_the_time(pace: Pace) -> None:
+@pytest.mark.parametrize(
+    "pace",
+    [
+        CallTiming.for_shared_service(),
+        CallTiming.for_local_agent(500.0),
+        CallTiming.for_local_agent(2000.0),
+    ],
+)
+def test_the_worst_sums_are_within_the_time(pace: CallTiming) -> None:
     """From the constants: a silent watch or an outage, and two calls behind it that say nothing."""
-    call, rest, pause = (1.25 * pace.call, 1.25 * pace.rest, 1.5 * pace.retry)
-    assert SILENCE + 1.5 * RETRY_FIRST + 2 * call < TOLD - 0.4
+    call, rest, pause = (
+        1.25 * pace.response_timeout_s,
+        1.25 * pace.later_response_timeout_s,
+        1.5 * pace.max_retry_delay_s,
+    )
+    assert WATCH_SILENCE_TIMEOUT_S + 1.5 * INITIAL_RETRY_DELAY_S + 2 * call < TOLD - 0.4
     assert max(rest, pause) + 2 * rest < TOLD - 0.3
 
 
 def test_early_calls_come_soon_and_later_ones_spare_the_service() -> None:
-    pace, tries = Pace.shared(), Tries(Fixed(0.0))
-    assert [tries.beside(pace) for _ in range(4)] == [1.0, 1.0, 1.5, 1.5]
-    tries.heard()
-    assert tries.beside(pace) == 1.0
-    tries = Tries(Fixed(0.5))
-    assert [tries.pause(pace) for _ in range(7)] == [0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
-    tries.lived(0.9, pace)  # a watch that always ends at once is no news
-    assert tries.pause(pace) == 1.0
-    tries.lived(1.0, pace)
-    assert tries.pause(pace) == 0.05
+    pace, tries = CallTiming.for_shared_service(), RetryState(Fixed(0.0))
+    assert [tries.call_opened(pace) for _ in range(4)] == [1.0, 1.0, 1.5, 1.5]
+    tries.list_received()
+    assert tries.call_opened(pace) == 1.0
+    tries = RetryState(Fixed(0.5))
+    assert [tries.next_retry_delay_s(pace) for _ in range(7)] == [
+        0.05,
+        0.1,
+        0.2,
+        0.4,
+        0.8,
+        1.0,
+        1.0,
+    ]
+    tries.watch_ended(0.9, pace)  # a watch that always ends at once is no news
+    assert tries.next_retry_delay_s(pace) == 1.0
+    tries.watch_ended(1.0, pace)
+    assert tries.next_retry_delay_s(pace) == 0.05
 
 
 def test_the_descriptors_kept_for_discovery_are_enough() -> None:
     """For the calls that are open at once, and one that is just closing."""
-    assert descriptors.DISCOVERY >= MOST + 1
+    assert descriptors.DISCOVERY >= MAX_OPEN_CALLS + 1
--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -12,8 +12,8 @@
 
 from badgercart.core.identifiers import stable_id
 from badgercart.discovery import catalog
-from badgercart.discovery.backoff import RETRY_FIRST, Pace
-from badgercart.discovery.catalog import SILENCE
+from badgercart.discovery.backoff import INITIAL_RETRY_DELAY_S, CallTiming
+from badgercart.discovery.catalog import WATCH_SILENCE_TIMEOUT_S
 from badgercart.policy.endpoint import EndpointState
 from tests.net import WAIT, Agent, Peer, request, run, running
 
@@ -113,8 +113,8 @@
 def test_whatever_ends_a_watch_what_it_missed_is_heard(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(catalog, "SILENCE", 0.2)
-    monkeypatch.setattr(catalog, "RATE", 64_000_000)
+    monkeypatch.setattr(catalog, "WATCH_SILENCE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(catalog, "MIN_TRANSFER_BYTES_PER_S", 64_000_000)
 
     async def test() -> None:
         peer, other = await Peer().start(), await Peer().start()
@@ -168,7 +168,7 @@
 def test_a_whole_list_that_trickles_is_given_up_and_asked_for_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(catalog, "RATE", 64_000_000)
+    monkeypatch.setattr(catalog, "MIN_TRANSFER_BYTES_PER_S", 64_000_000)
 
     async def endless(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await trickle(b" ")(reader, writer)
@@ -186,13 +186,16 @@
 
 def test_the_times_of_an_agent_leave_room_within_the_grace() -> None:
     for grace in (250.0, 500.0, 2000.0):
-        pace = Pace.agent(grace)
+        pace = CallTiming.for_local_agent(grace)
         assert (
-            pace.call + 1.5 * pace.retry < grace / 1000
+            pace.response_timeout_s + 1.5 * pace.max_retry_delay_s < grace / 1000
         )  # a call that hangs as it comes back, and a pause
     told, grace = 6.0, 0.5
-    for pace in (Pace.agent(500.0), Pace.shared()):
-        assert SILENCE + pace.call + 1.5 * RETRY_FIRST < told + grace - pace.call
+    for pace in (CallTiming.for_local_agent(500.0), CallTiming.for_shared_service()):
+        assert (
+            WATCH_SILENCE_TIMEOUT_S + pace.response_timeout_s + 1.5 * INITIAL_RETRY_DELAY_S
+            < told + grace - pace.response_timeout_s
+        )
 
 
 def test_a_list_that_the_policy_breaks_over_is_asked_for_again_whole(
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -19,7 +19,7 @@
 from badgercart.app.file import Installation
 from badgercart.app.site import Application
 from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
-from badgercart.discovery.freshness import State
+from badgercart.discovery.freshness import FreshnessState
 from badgercart.policy.events import AttemptResult
 from standins.etcd import Etcd
 from tests.etcd.test_following import PREFIX
@@ -56,7 +56,7 @@
             self.site.components["etcd"].source,
             self.join.clock(),
         )
-        if source.state is State.STALE:
+        if source.state is FreshnessState.STALE:
             self.faults.append("sent by a stale list")
         # The state is told by a timer; what the ages say at this very moment must agree with it.
         if source.freshness.age(now) > source.settings.stale_after_ms + 100.0:
@@ -189,7 +189,7 @@
         async with asyncio.timeout(WAIT):
             while (
                 site.components["etcd"].source is None
-                or site.components["etcd"].source.state is not State.FRESH
+                or site.components["etcd"].source.state is not FreshnessState.FRESH
                 or listed(site) != held(etcd)
             ):
                 await asyncio.sleep(0.005)
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -21,7 +21,7 @@
 from badgercart.core.identifiers import stable_id
 from badgercart.discovery.etcd import client
 from badgercart.discovery.etcd.settings import EtcdSettings, EtcdTls
-from badgercart.discovery.freshness import State
+from badgercart.discovery.freshness import FreshnessState
 from badgercart.frontends.http.component import HttpSettings
 from badgercart.policy.endpoint import EndpointState as ServerState
 from standins.demo import NodeProcess
@@ -68,7 +68,7 @@
         except TimeoutError:
             raise AssertionError(f"{self.listed()} is not {wanted}") from None
 
-    async def state(self, state: State) -> None:
+    async def state(self, state: FreshnessState) -> None:
         await self.until(lambda: self.source.state is state)
 
     async def ask(self) -> int:
@@ -119,7 +119,7 @@
             peer, other = await Peer().start(), await Peer().start()
             await etcd.put(PREFIX + "a", entry("a", peer))
             await node.lists(a="ready")
-            await node.state(State.FRESH)
+            await node.state(FreshnessState.FRESH)
             assert await node.health() == 200 and await node.ask() == 200
             await etcd.txn(
                 rpc_pb2.PutRequest(
@@ -131,7 +131,7 @@
             assert await node.ask() == 200 and other.requests.qsize() == 1
             await etcd.delete(PREFIX + "a")
             await node.lists(b="ready")
-            assert node.source.lists == 1  # all of it over one watch
+            assert node.source.lists_fetched == 1  # all of it over one watch
 
     run(test())
 
@@ -152,7 +152,7 @@
                     await etcd.wake()
                 else:
                     await etcd.stop()
-                await node.state(State.DOUBTFUL) if fault != "dropped" else None
+                await node.state(FreshnessState.DOUBTFUL) if fault != "dropped" else None
                 etcd.store.change(
                     etcd.store.put,
                     rpc_pb2.PutRequest(key=f"{PREFIX}b".encode(), value=entry("b").encode()),
@@ -162,8 +162,8 @@
                     await etcd.start(etcd.port)
                 await etcd.wake()
                 await node.lists(a="ready", b="ready")
-                await node.state(State.FRESH)
-                assert node.source.lists == 1  # resumed, not listed again
+                await node.state(FreshnessState.FRESH)
+                assert node.source.lists_fetched == 1  # resumed, not listed again
 
     run(test())
 
@@ -203,7 +203,7 @@
                 etcd.store.range = range_  # type: ignore[method-assign]
                 await etcd.start(etcd.port)
                 await node.lists(**{"b" * number: "ready" for number in range(1, 9)}, z="ready")
-                assert node.source.lists == 3
+                assert node.source.lists_fetched == 3
 
     run(test())
 
@@ -250,8 +250,8 @@
                 node.source.follower.revision, node.source.member = 0, 1
                 old.old_revision = 2  # when only `a` was there
                 node.source.task = asyncio.ensure_future(node.source.run())
-                await node.until(lambda: node.source.lists == 3)
-                await node.state(State.FRESH)
+                await node.until(lambda: node.source.lists_fetched == 3)
+                await node.state(FreshnessState.FRESH)
                 assert node.listed() == {"b": "ready"}
 
     run(test())
@@ -326,9 +326,9 @@
                 secret.write_text("wrong\n")
                 etcd.tokens.clear()
                 etcd.drop()
-                await node.state(State.STALE)
+                await node.state(FreshnessState.STALE)
                 secret.write_text("secret\n")
-                await node.state(State.FRESH)
+                await node.state(FreshnessState.FRESH)
 
     run(test())
 
@@ -363,11 +363,11 @@
         async with members() as (etcd,):
             await etcd.put(PREFIX + "a", entry("a", peer))
             async with following(etcd) as node:
-                await node.state(State.FRESH)
+                await node.state(FreshnessState.FRESH)
                 assert await node.ask() == 200
                 known = node.site.pipeline.policy.fleet.endpoints.by_id[stable_id(b"a")]
                 etcd.frozen = True
-                await node.state(State.STALE)
+                await node.state(FreshnessState.STALE)
                 sent = peer.requests.qsize()
                 client_ = Client(*await asyncio.open_connection(*node.http.listener.address))
                 status, head, _ = await client_.ask(request())
@@ -375,7 +375,7 @@
                 assert await node.health() == 503 and peer.requests.qsize() == sent
                 etcd.frozen = False
                 await etcd.wake()
-                await node.state(State.FRESH)
+                await node.state(FreshnessState.FRESH)
                 assert await node.ask() == 200 and await node.health() == 200
                 assert node.site.pipeline.policy.fleet.endpoints.by_id[stable_id(b"a")] is known
 
@@ -390,7 +390,7 @@
             async with following(etcd, when_stale="go-on") as node:
                 await node.lists(a="ready")
                 await etcd.stop()
-                await node.state(State.STALE)
+                await node.state(FreshnessState.STALE)
                 assert await node.ask() == 200 and await node.health() == 200
                 await etcd.start(etcd.port)
 
@@ -411,12 +411,12 @@
                     await node.lists(a="draining", b="ready")
                 await etcd.stop()
                 if not heard:  # it can't be heard: from the limit on nothing is sent at all
-                    await node.state(State.STALE)
+                    await node.state(FreshnessState.STALE)
                 before = draining.requests.qsize()
                 statuses = {await node.ask() for _ in range(12)}
                 assert draining.requests.qsize() == before
                 assert statuses <= ({200, 503} if heard else {503})
-                await node.state(State.STALE)
+                await node.state(FreshnessState.STALE)
                 etcd.store.change(
                     etcd.store.put,
                     rpc_pb2.PutRequest(
@@ -424,7 +424,7 @@
                     ),
                 )
                 await etcd.start(etcd.port)
-                await node.state(State.FRESH)
+                await node.state(FreshnessState.FRESH)
                 await node.lists(a="draining", b="ready")
                 assert await node.ask() == 200 and draining.requests.qsize() == before
 
@@ -434,7 +434,7 @@
 def test_a_restart_with_etcd_away_knows_the_old_list_and_does_not_use_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client, "SAVE_EVERY", 0.0)
+    monkeypatch.setattr(client, "SAVE_INTERVAL_S", 0.0)
 
     async def test() -> None:
         peer, path = await Peer().start(), tmp_path / "known.json"
@@ -477,13 +477,13 @@
         async with members() as (etcd,):
             await etcd.put(PREFIX + "a", entry("a", peer))
             async with following(etcd, stale_after_ms=1e9, doubtful_after_ms=1e9) as node:
-                await node.state(State.FRESH)
+                await node.state(FreshnessState.FRESH)
                 await etcd.stop()
                 shorter = node.source.settings.model_copy(
                     update={"stale_after_ms": 300.0, "doubtful_after_ms": 200.0, "guard_share": 0.1}
                 )
                 node.source.move(shorter)
-                await node.state(State.STALE)
+                await node.state(FreshnessState.STALE)
                 assert await node.ask() == 503 and node.source.follower.guard.share == 0.1
                 node.source.move(shorter.model_copy(update={"when_stale": "go-on"}))
                 assert await node.ask() == 200
