--- a/badgercart/discovery/__init__.py
+++ b/badgercart/discovery/__init__.py
@@ -1,2 +1,5 @@
-"""Where the server list comes from: `entries` reads its lines, `catalog` follows the platform's
-service."""
+"""Sources of the endpoint list.
+
+`entries` reads the entries of a list; `catalog` follows the platform's discovery service; `etcd`
+follows a prefix in etcd.
+"""
--- a/badgercart/discovery/backoff.py
+++ b/badgercart/discovery/backoff.py
@@ -1,10 +1,12 @@
-"""When discovery is called again, and when beside a call that says nothing. No I/O; times in s.
+"""Decides when discovery is called again, and when a second call is opened beside a silent one.
 
-What a watch misses counts as told 6 s after it fell silent, and any change 6 s after discovery had
-it and could be reached, however many calls fail meanwhile. So the time is shared over tries, from
-start to start: a call that says nothing is not waited for, the next is opened beside it, and
-whichever speaks first stays. A slow service may answer the first one still. The worst sums stand in
-`docs/design/ends.md`.
+A change that a lost watch missed must be known 6 s after the watch fell silent, and any other
+change 6 s after discovery had it and could be reached, however many calls fail in between.
+Therefore the time is shared between calls, counted from start to start: a call that returns nothing
+is not waited for. The next one is opened beside it, and the first that returns a list is kept. A
+slow service may still respond to the earlier one. `docs/design/ends.md` adds up the worst cases.
+
+This module does no I/O. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -12,53 +14,64 @@
 import random
 from dataclasses import dataclass
 
-INITIAL_RETRY_DELAY_S = 0.05  # s before the next try behind a watch that lived
-EARLY_CALLS = 2  # calls that are soon followed by another, before the service is spared
-# Calls open at once: the second makes room for another, or the first if it has said nothing for
-# long.
+# Delay before the first retry after a watch that worked for a while.
+INITIAL_RETRY_DELAY_S = 0.05
+# The first calls that return nothing are followed by another after the shorter wait; later ones
+# after the longer wait, to reduce the load on the service.
+EARLY_CALLS = 2
+# Calls that are open at once. To open another, the second is dropped, or the first if it has
+# returned nothing for OLDEST_CALL_TIMEOUT_S.
 MAX_OPEN_CALLS = 3
-OLDEST_CALL_TIMEOUT_S = 10.0  # s for a first call that says nothing
+OLDEST_CALL_TIMEOUT_S = 10.0
 
 
 @dataclass(slots=True, frozen=True)
 class CallTiming:
-    """How patient calls are, and how soon they are made again."""
+    """How long calls to discovery are waited for, and how soon they are retried."""
 
-    # s for a list that has begun, and from a call that says nothing to the next beside it, or a
-    # quarter more.
+    # The time for the rest of a list that has begun to arrive, and the time from the start of a
+    # call that returns nothing to the start of the next beside it (up to a quarter longer).
     response_timeout_s: float
-    later_response_timeout_s: float  # the latter once two have said nothing
-    max_retry_delay_s: float  # s behind a call that failed, at most half as much again
+    # The latter once two calls have returned nothing.
+    later_response_timeout_s: float
+    # The longest delay after a call that failed, before jitter (up to half longer).
+    max_retry_delay_s: float
 
     @classmethod
     def for_shared_service(cls) -> CallTiming:
-        """One service for all nodes: it works through calls in turn, and must be spared."""
+        """Return the timing for one service that all nodes call.
+
+        It works through the calls in turn, so that its load must be kept low.
+        """
         return cls(response_timeout_s=1.0, later_response_timeout_s=1.5, max_retry_delay_s=1.0)
 
     @classmethod
-    def for_local_agent(cls, grace: float) -> CallTiming:
-        """An agent of the node's own, which answers at once. Whatever it has counts as told.
+    def for_local_agent(cls, drain_grace_ms: float) -> CallTiming:
+        """Return the timing for an agent of this node alone, which responds at once.
 
-        When it comes back, what it has must be heard within the grace (ms) in which a server that
-        drains may still be sent something: one call that hangs and one pause take four fifths of
-        that."""
+        A change counts as known to the node as soon as the agent has it. When the agent comes back,
+        its list must therefore be received within the grace in which a draining server may still
+        get requests: one call that hangs and one retry delay take four fifths of that.
+        """
         return cls(
-            response_timeout_s=grace / 2 / 1000,
-            later_response_timeout_s=grace / 2 / 1000,
-            max_retry_delay_s=grace / 5 / 1000,
+            response_timeout_s=drain_grace_ms / 2 / 1000,
+            later_response_timeout_s=drain_grace_ms / 2 / 1000,
+            max_retry_delay_s=drain_grace_ms / 5 / 1000,
         )
 
 
 class RetryState:
-    """The tries since the list was last heard of."""
+    """Counts the calls since a list was last received, and derives the waiting times."""
 
     def __init__(self, rng: random.Random) -> None:
+        """Start without a failure; `rng` gives the jitter."""
         self.random = rng
         self.retry_delay_s = INITIAL_RETRY_DELAY_S
-        self.unanswered_calls = 0  # calls since a whole line, the one that is out among them
+        # Calls since a complete list or heartbeat, the open ones included.
+        self.unanswered_calls = 0
 
     def call_opened(self, timing: CallTiming) -> float:
-        """A call is opened: how long it may say nothing until the next one is, beside it."""
+        """Count a call that is opened, and return how long to wait until the next beside it."""
         self.unanswered_calls += 1
         return (
             timing.response_timeout_s
@@ -67,17 +80,20 @@
         ) * (1 + self.random.random() / 4)
 
     def next_retry_delay_s(self, timing: CallTiming) -> float:
-        """A call failed, or a watch ended: how long until the next one."""
-        # Nodes that lost discovery together must not come back together.
-        pause = self.retry_delay_s * (0.5 + self.random.random())
+        """Return the delay after a call that failed or a watch that ended; it doubles each time."""
+        # Jitter, so that nodes that lost discovery together do not come back together.
+        delay_s = self.retry_delay_s * (0.5 + self.random.random())
         self.retry_delay_s = min(2 * self.retry_delay_s, timing.max_retry_delay_s)
-        return pause
+        return delay_s
 
     def list_received(self) -> None:
-        """A line came whole."""
+        """Record that a complete list or a heartbeat was received."""
         self.unanswered_calls = 0
 
-    def watch_ended(self, time: float, timing: CallTiming) -> None:
-        """A watch ended after so long: one that always ends soon is no reason to call at once."""
-        if time >= timing.max_retry_delay_s:
+    def watch_ended(self, duration_s: float, timing: CallTiming) -> None:
+        """Record that a watch ended; only one that lasted resets the retry delay.
+
+        A watch that always ends soon is no reason to call again at once.
+        """
+        if duration_s >= timing.max_retry_delay_s:
             self.retry_delay_s = INITIAL_RETRY_DELAY_S
--- a/badgercart/discovery/catalog.py
+++ b/badgercart/discovery/catalog.py
@@ -1,5 +1,7 @@
-"""The server list: the first whole list, then a watch, opened anew whenever it ends or falls
-silent."""
+"""Follows the platform's discovery service: fetches a snapshot of the list, then watches its deltas.
+
+The watch is opened again whenever it ends or falls silent.
+"""
 
 from __future__ import annotations
 
@@ -22,45 +24,55 @@
 from badgercart.discovery.list_framing import MAX_LIST_BYTES, ListParser, parse_list
 from badgercart.discovery.log_events import CATALOG_BROKEN, CATALOG_FAILED
 
-PATH = "/catalog/members"
-# A line is due every 2 s, if only an empty one, and a change counts as told 6 s after the last one,
-# though it never arrived. A watch that has said nothing for so long, in s, is opened anew, with
-# half of that time left for it: two calls may hang.
+CATALOG_PATH = "/catalog/members"
+# The service sends a line every 2 s, if only an empty one, and a change that a lost watch missed
+# must be known 6 s after its last line. A watch that is silent for this long is opened again; that
+# leaves half of the 6 s, enough for two calls that hang.
 WATCH_SILENCE_TIMEOUT_S = 3.0
-MIN_TRANSFER_BYTES_PER_S = 64_000  # bytes a second that a list comes in with at least
+# A list that arrives at least this fast is waited for.
+MIN_TRANSFER_BYTES_PER_S = 64_000
+READ_CHUNK_BYTES = 65536
 
 
 class DiscoveryError(Exception):
-    """A call that gave no list, or a watch that ended: what came instead."""
+    """A call that gave no list, or a watch that ended; the text says what was received instead."""
 
 
-class Body:
-    """The body of one answer, taken out of its framing."""
+class ResponseBody:
+    """The body of one response, decoded from its HTTP framing."""
 
     def __init__(self) -> None:
+        """Start before the first byte of the response."""
         self.parser = httptools.HttpResponseParser(self)
         self.data = bytearray()
-        self.size = 0  # of it so far
+        # Bytes of the body received so far.
+        self.size_bytes = 0
         self.complete = False
 
     def on_body(self, body: bytes) -> None:
+        """Buffer a part of the body (a callback of the parser)."""
         self.data += body
-        self.size += len(body)
+        self.size_bytes += len(body)
 
-    def taken(self) -> bytes:
-        """What has come of it since."""
+    def take_data(self) -> bytes:
+        """Return the bytes received since the last call, and clear the buffer."""
         data = bytes(self.data)
         self.data.clear()
         return data
 
     def on_message_complete(self) -> None:
+        """Record the end of the response (a callback of the parser)."""
         self.complete = True
 
-    async def more(self, reader: asyncio.StreamReader, until: float | None = None) -> None:
-        """Read on, until a moment of the loop's clock at the latest. Raises TimeoutError,
-        DiscoveryError."""
-        async with asyncio.timeout_at(until):
-            chunk = await reader.read(65536)
+    async def read_more(
+        self, reader: asyncio.StreamReader, deadline_s: float | None = None
+    ) -> None:
+        """Read on, until a time of the event loop's clock at the latest.
+
+        Raises TimeoutError, DiscoveryError.
+        """
+        async with asyncio.timeout_at(deadline_s):
+            chunk = await reader.read(READ_CHUNK_BYTES)
         if not chunk:
             raise DiscoveryError("the connection ended")
         self.parser.feed_data(chunk)
@@ -71,62 +83,79 @@
 
 
 class Call:
-    """One call, for the whole list or for a watch."""
-
-    def __init__(self, whole: bool, begun: float) -> None:
-        self.whole = whole
-        self.begun = begun  # on the loop's clock
-        self.heard = math.inf  # when something of it first came whole
-        self.body = Body()
+    """One call, for a snapshot or for a watch. Times are of the event loop's clock."""
+
+    def __init__(self, is_snapshot: bool, started_at_s: float) -> None:
+        """Take what is called for, and when."""
+        self.is_snapshot = is_snapshot
+        self.started_at_s = started_at_s
+        # When the first list or heartbeat was complete.
+        self.first_received_at_s = math.inf
+        self.body = ResponseBody()
         self.task: asyncio.Task[None] | None = None
 
     @property
-    def credit(self) -> float:
-        """When it began, for one whose bytes come on: later by the time that these may take."""
-        return self.begun + self.body.size / MIN_TRANSFER_BYTES_PER_S
+    def adjusted_start_s(self) -> float:
+        """When the call started, later by the time that the bytes received so far may take."""
+        return self.started_at_s + self.body.size_bytes / MIN_TRANSFER_BYTES_PER_S
 
 
 class Discovery:
-    """Keeps the list fresh. `on_list` gets each one, raw, and raises ValueError at what it can't
-    take."""
+    """Keeps the list fresh.
+
+    `on_list` gets each list as decoded JSON, returns its version, and raises ValueError where the
+    list is invalid.
+    """
 
     def __init__(
         self,
         address: Address,
         on_list: Callable[[dict[str, Any]], int],
         rng: random.Random,
-        source: str | None = None,  # the address that connections set out from
-        timing: CallTiming | None = None,  # None: as with one service for all nodes
+        source: str | None = None,
+        timing: CallTiming | None = None,
     ) -> None:
+        """Take the service's address and the local address that connections start from.
+
+        Without `timing`, the service counts as one that all nodes share.
+        """
         self.timing = timing or CallTiming.for_shared_service()
         self.address = address
         self.local = (source, 0) if source else None
         self.on_list = on_list
         self.tries = RetryState(rng)
-        self.version: int | None = None  # of the list in force; None: the whole list is wanted
+        # Version of the list in force; None: a snapshot must be fetched.
+        self.version: int | None = None
         self.failing = False
-        self.calls: list[
-            Call
-        ] = []  # that are out, the first first; one that was heard is out alone
-        self.due = -math.inf  # when the next is opened, on the loop's clock
-        self.beside = 0.0  # s from the last call's start, if nothing comes of it
-        self.woken = asyncio.Event()  # something above has changed
+        # Open calls, the oldest first. One that has received something is the only one.
+        self.calls: list[Call] = []
+        # When the next call is opened, on the event loop's clock.
+        self.next_call_at_s = -math.inf
+        # From the start of the latest call to the next one beside it, if nothing is received.
+        self.next_call_after_s = 0.0
+        # Set when one of the above has changed.
+        self.wakeup = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        self.due = -math.inf
+        """Start to follow the list."""
+        self.next_call_at_s = -math.inf
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     def close(self) -> None:
+        """Close all calls."""
         if self.task is not None:
             self.task.cancel()
         self.drop(self.calls)
 
     def move(self, address: Address, refetch: bool = False) -> None:
-        """Leave the old watch at once. Another service counts its versions anew: fetch the whole
-        list."""
+        """Follow another address from now on; with `refetch`, fetch a snapshot even from the same.
+
+        Another service has versions of its own, so a snapshot is fetched.
+        """
+        # Repeated requests for the same address must not restart the watch each time.
         if address == self.address and not refetch:
-            return  # asked again and again, it must not begin again and again
+            return
         self.close()
         self.address, self.version = address, None
         self.tries, self.failing = RetryState(self.tries.random), False
@@ -136,137 +165,160 @@
         """Open calls as they are due."""
         loop = asyncio.get_running_loop()
         while True:
-            self.woken.clear()
-            if loop.time() < self.due:
+            self.wakeup.clear()
+            if loop.time() < self.next_call_at_s:
                 with suppress(TimeoutError):
-                    async with asyncio.timeout_at(None if self.due == math.inf else self.due):
-                        await self.woken.wait()
+                    async with asyncio.timeout_at(
+                        None if self.next_call_at_s == math.inf else self.next_call_at_s
+                    ):
+                        await self.wakeup.wait()
             else:
-                # A list that comes slowly, but comes on, is waited for.
-                coming = self.calls[-1].credit + self.beside if self.calls else -math.inf
-                if loop.time() < coming:
-                    self.due = coming
+                # A list that arrives slowly, but still arrives, is waited for.
+                waits_until_s = (
+                    self.calls[-1].adjusted_start_s + self.next_call_after_s
+                    if self.calls
+                    else -math.inf
+                )
+                if loop.time() < waits_until_s:
+                    self.next_call_at_s = waits_until_s
                 else:
                     self.open(loop.time())
 
-    def open(self, now: float) -> None:
+    def open(self, now_s: float) -> None:
+        """Open a call, beside those that have received nothing."""
         if self.calls:
-            self.note(f"no answer in {self.beside:.1f} s")
+            self.log_failure(f"no answer in {self.next_call_after_s:.1f} s")
         if len(self.calls) >= MAX_OPEN_CALLS:
-            # The first is the next to be answered where calls are worked through in turn, if it is
-            # not lost.
-            self.drop([self.calls[now - self.calls[0].credit < OLDEST_CALL_TIMEOUT_S]])
-        call = Call(self.version is None, now)
+            # Where the service works through calls in turn, the first is the next to get a
+            # response, unless it is lost. So the second is dropped while the first is recent.
+            self.drop([self.calls[now_s - self.calls[0].adjusted_start_s < OLDEST_CALL_TIMEOUT_S]])
+        call = Call(self.version is None, now_s)
         self.calls.append(call)
-        self.beside = self.tries.call_opened(self.timing)
-        self.due = now + self.beside
+        self.next_call_after_s = self.tries.call_opened(self.timing)
+        self.next_call_at_s = now_s + self.next_call_after_s
         call.task = asyncio.get_running_loop().create_task(self.attend(call))
 
     def drop(self, calls: list[Call]) -> None:
+        """Close these calls."""
         for call in list(calls):
             self.calls.remove(call)
             if call.task is not None:
                 call.task.cancel()
 
-    def note(self, error: str) -> None:
-        if not self.failing:  # one line for each stretch of failures
+    def log_failure(self, error: str) -> None:
+        """Log a failure: one line for each series of failures."""
+        if not self.failing:
             CATALOG_FAILED(error=error)
         self.failing = True
 
     async def attend(self, call: Call) -> None:
-        """See a call to its end, and say when the next is due."""
-        now = asyncio.get_running_loop().time
+        """Run a call to its end, then set when the next is due."""
+        now_s = asyncio.get_running_loop().time
         try:
-            await self.carry_out(call)
+            await self.execute(call)
         except (OSError, DiscoveryError, httptools.HttpParserError) as error:
-            self.note(str(error) or type(error).__name__)
+            self.log_failure(str(error) or type(error).__name__)
         except Exception:
-            # Whatever it was: a watch that dies of it would leave the node with its old list for
-            # ever.
+            # Any exception must be caught here: if the watch died of it, the node would keep its
+            # old list for ever.
             CATALOG_BROKEN(True)
             self.version = None
         if call not in self.calls:
-            return  # another was heard first
+            # Another call received something first.
+            return
         self.calls.remove(call)
-        if call.whole and call.heard < math.inf:
-            self.due = now()  # the watch
+        if call.is_snapshot and call.first_received_at_s < math.inf:
+            # The watch is opened at once.
+            self.next_call_at_s = now_s()
         else:
-            if self.version is None:  # watches go on from a list that is not to be trusted
-                self.drop([other for other in self.calls if not other.whole])
-            if call.heard < math.inf:
-                self.tries.watch_ended(now() - call.heard, self.timing)
+            if self.version is None:
+                # Other watches continue from a list that can no longer be trusted.
+                self.drop([other for other in self.calls if not other.is_snapshot])
+            if call.first_received_at_s < math.inf:
+                self.tries.watch_ended(now_s() - call.first_received_at_s, self.timing)
             if not self.calls:
-                self.due = now() + self.tries.next_retry_delay_s(self.timing)
-        self.woken.set()
+                self.next_call_at_s = now_s() + self.tries.next_retry_delay_s(self.timing)
+        self.wakeup.set()
 
-    def heard(self, call: Call) -> None:
-        """Something came whole: this call stays, and those beside it end."""
+    def call_received(self, call: Call) -> None:
+        """Keep the call that received a complete list or heartbeat, and close those beside it."""
         self.tries.list_received()
         self.failing = False
-        if call.heard == math.inf:
-            call.heard, self.due = asyncio.get_running_loop().time(), math.inf
+        if call.first_received_at_s == math.inf:
+            call.first_received_at_s, self.next_call_at_s = (
+                asyncio.get_running_loop().time(),
+                math.inf,
+            )
             self.drop([other for other in self.calls if other is not call])
-            self.woken.set()
+            self.wakeup.set()
 
-    async def carry_out(self, call: Call) -> None:
+    async def execute(self, call: Call) -> None:
+        """Connect, send the request and read the response."""
         host, port = self.address
-        path = PATH if call.whole else f"{PATH}?watch=1&from={self.version}"
+        path = CATALOG_PATH if call.is_snapshot else f"{CATALOG_PATH}?watch=1&from={self.version}"
         reader, writer = await asyncio.open_connection(host, port, local_addr=self.local)
         try:
             writer.write(f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
-            await (self.fetch(call, reader) if call.whole else self.follow(call, reader))
+            await (self.fetch(call, reader) if call.is_snapshot else self.follow(call, reader))
         finally:
             writer.close()
 
     async def fetch(self, call: Call, reader: asyncio.StreamReader) -> None:
-        """The whole list. Where it does not come on, another call is opened beside this one."""
+        """Read a snapshot. If it stops arriving, `run` opens another call beside this one."""
         while not call.body.complete:
-            await call.body.more(reader)
-        self.take(call, lambda: [parse_list(call.body.taken())])
+            await call.body.read_more(reader)
+        self.apply_lists(call, lambda: [parse_list(call.body.take_data())])
 
     async def follow(self, call: Call, reader: asyncio.StreamReader) -> None:
-        """Changes, as they come. Raises when the watch ends or is silent: bytes alone are no
-        life."""
-        loop, body, texts = asyncio.get_running_loop(), call.body, ListParser()
-        alive = part = loop.time()  # when a line last came whole; since when a list has not
-        came = 0  # bytes before that list
+        """Apply deltas as they are received.
+
+        Raises when the watch ends or falls silent. Only complete lines count against silence, not
+        bytes alone.
+        """
+        loop, body, parser = asyncio.get_running_loop(), call.body, ListParser()
+        # When a line was last complete, and since when a list has been incomplete.
+        line_complete_at_s = list_started_at_s = loop.time()
+        # Bytes of the body before that list.
+        list_offset_bytes = 0
         while not body.complete:
-            until = None  # at first it is not waited for, but the next call is opened beside it
-            if texts.partial:
-                until = (
-                    part
+            # The first line has no deadline; instead `run` opens the next call beside this one.
+            deadline_s = None
+            if parser.partial:
+                deadline_s = (
+                    list_started_at_s
                     + self.timing.response_timeout_s
-                    + (body.size - came) / MIN_TRANSFER_BYTES_PER_S
+                    + (body.size_bytes - list_offset_bytes) / MIN_TRANSFER_BYTES_PER_S
                 )
-            elif call.heard < math.inf:
-                until = alive + WATCH_SILENCE_TIMEOUT_S
+            elif call.first_received_at_s < math.inf:
+                deadline_s = line_complete_at_s + WATCH_SILENCE_TIMEOUT_S
             try:
-                await body.more(reader, until)
+                await body.read_more(reader, deadline_s)
             except TimeoutError:
-                if texts.partial:
-                    self.take(
-                        call, texts.end
-                    )  # which says that it is cut, unless only its line's end is missing
+                if parser.partial:
+                    # Raises that the list is truncated, unless only its line break is missing.
+                    self.apply_lists(call, parser.end)
                 raise
-            found = self.take(call, lambda: texts.feed(body.taken()))
-            if found:
-                alive = loop.time()
-            if found or not texts.partial:
-                part, came = loop.time(), body.size
-        self.take(call, texts.end)
+            received = self.apply_lists(call, lambda: parser.feed(body.take_data()))
+            if received:
+                line_complete_at_s = loop.time()
+            if received or not parser.partial:
+                list_started_at_s, list_offset_bytes = loop.time(), body.size_bytes
+        self.apply_lists(call, parser.end)
         raise DiscoveryError("the watch ended")
 
-    def take(self, call: Call, lists: Callable[[], list[dict[str, Any] | None]]) -> int:
-        """Take over lists as they are read; how many came, signs of life too. Raises
-        DiscoveryError."""
+    def apply_lists(self, call: Call, lists: Callable[[], list[dict[str, Any] | None]]) -> int:
+        """Parse and apply lists, and return how many there were, heartbeats (None) included.
+
+        Raises DiscoveryError.
+        """
         try:
-            found = lists()
-            for told in found:
-                if told is not None:
-                    self.version = self.on_list(told)
-                self.heard(call)
+            parsed = lists()
+            for item in parsed:
+                if item is not None:
+                    self.version = self.on_list(item)
+                self.call_received(call)
         except ValueError as error:
-            # A change may have been missed with it: only the whole list brings it back.
+            # A change may have been missed with it: only a snapshot recovers it.
             self.version = None
             raise DiscoveryError(f"malformed list: {error}") from None
-        return len(found)
+        return len(parsed)
--- a/badgercart/discovery/component.py
+++ b/badgercart/discovery/component.py
@@ -1,5 +1,4 @@
-"""The server list as parts of an installation: the platform's catalog, and servers written in the
-file."""
+"""Components that provide the endpoint list: the platform's catalog, and servers in the file."""
 
 from __future__ import annotations
 
@@ -12,7 +11,7 @@
 from badgercart.app.component import CheckedFile, ComponentDeclaration, ComponentHost, ComponentKind
 from badgercart.app.faults import Path
 from badgercart.app.model import Address, Listed, Name, Table
-from badgercart.config import Address as Pair
+from badgercart.config import Address as HostAndPort
 from badgercart.discovery.catalog import Discovery
 
 
@@ -26,8 +25,8 @@
     cell: int = Field(0, ge=0, le=65535, description="its cell")
     weight: float = Field(1.0, ge=0, le=1e6, description="its size beside the others")
 
-    def line(self) -> dict[str, Any]:
-        """As a line of the platform's list."""
+    def list_entry(self) -> dict[str, Any]:
+        """Return the server as an entry of the platform's list."""
         return {
             "instanceId": self.name,
             "hostPort": f"{self.address[0]}:{self.address[1]}",
@@ -41,63 +40,72 @@
 
 
 class CatalogComponent:
-    """Follows the platform's catalog; SIGHUP moves it to another address."""
+    """Follows the platform's catalog; SIGHUP can move it to another address."""
 
-    def __init__(self, host: ComponentHost, address: Pair) -> None:
+    def __init__(self, host: ComponentHost, address: HostAndPort) -> None:
+        """Take the node and the address of its discovery service."""
         self.discovery = Discovery(
             address, host.endpoint_table.accept, random.Random(host.config.seed), host.config.source
         )
 
     async def start(self) -> None:
+        """Start to follow the list."""
         self.discovery.start()
 
-    def prepare(self, settings: Pair) -> Callable[[], None]:
+    def prepare(self, settings: HostAndPort) -> Callable[[], None]:
+        """Return the move to another address."""
         return lambda: self.discovery.move(settings)
 
     async def drain(self, until: float) -> None:
-        """The list is followed to the end: what is held may still be sent again."""
+        """Follow the list to the end, since requests in flight may still be retried."""
 
     def close(self) -> None:
+        """Close all calls."""
         self.discovery.close()
 
 
 class ListedComponent:
-    """Servers as the file lists them; SIGHUP takes them anew."""
+    """Provides the servers that the file lists; SIGHUP reads them again."""
 
     def __init__(self, host: ComponentHost, servers: tuple[Server, ...]) -> None:
+        """Take the node and its servers."""
         self.host, self.servers, self.version = host, servers, 0
 
-    def take(self, servers: tuple[Server, ...]) -> None:
+    def publish(self, servers: tuple[Server, ...]) -> None:
+        """Replace the list in force by these servers."""
         self.servers, self.version = servers, self.version + 1
-        lines = [server.line() for server in servers]
+        entries = [server.list_entry() for server in servers]
         self.host.endpoint_table.accept(
-            {"generation": self.version, "reset": True, "instances": lines}
+            {"generation": self.version, "reset": True, "instances": entries}
         )
 
     async def start(self) -> None:
-        self.take(self.servers)
+        """Publish the servers."""
+        self.publish(self.servers)
 
     def prepare(self, settings: tuple[Server, ...]) -> Callable[[], None]:
-        return lambda: self.take(settings)
+        """Return the change to another set of servers."""
+        return lambda: self.publish(settings)
 
     async def drain(self, until: float) -> None:
-        """Nothing is held here."""
+        """Do nothing: there are no requests here."""
 
     def close(self) -> None:
-        """Nor open."""
+        """Do nothing: nothing is open."""
 
 
 def check_servers(servers: tuple[Server, ...], file: CheckedFile) -> Iterator[tuple[Path, str]]:
+    """Yield the faults of listed servers: unknown zones or machine types, repeated names."""
     seen: set[str] = set()
-    for at, server in enumerate(servers):
+    for index, server in enumerate(servers):
         for key, value, known in (
             ("zone", server.zone, file.base.fleet.zones),
             ("kind", server.kind, file.base.fleet.kinds),
         ):
             if value and value not in known:
-                yield (at, key), f"{value!r} is none of fleet.{key}s"
+                yield (index, key), f"{value!r} is none of fleet.{key}s"
         if server.name in seen:
-            yield (at, "name"), f"{server.name!r} stands here twice"
+            yield (index, "name"), f"{server.name!r} stands here twice"
         seen.add(server.name)
 
 
--- a/badgercart/discovery/entries.py
+++ b/badgercart/discovery/entries.py
@@ -1,4 +1,4 @@
-"""The lines of a server list, as the platform's discovery words them.
+"""Reads endpoint lists in the JSON form of the platform's discovery service.
 
 Source: the protocol's page, section "Discovery".
 """
@@ -17,6 +17,7 @@
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import UpdateKind
 
+# Endpoint states by the `lifecycle` of an entry.
 STATES = {
     "active": EndpointState.READY,
     "leaving": EndpointState.DRAINING,
@@ -25,49 +26,54 @@
 
 
 class ListReader:
-    """Reads lists with the names of one configuration. Unix times become times of the node's
-    clock."""
+    """Reads lists, with the numbers that a configuration gives zones and machine types.
+
+    Unix times become times of the node's clock.
+    """
 
     def __init__(self, config: Config) -> None:
+        """Take the configuration, and the present offset of the node's clock from Unix time."""
         self.use_config(config)
         self.unix_offset = time.time() * 1000 - now_ms()
-        self.zone_of_host: Callable[[str], int] | None = (
-            None  # the zone of a host that the list gives none
-        )
+        # Looks up the zone of a host whose entry names no known zone.
+        self.zone_of_host: Callable[[str], int] | None = None
 
     def use_config(self, config: Config) -> None:
-        """Go by the names and numbers of another configuration."""
+        """Read with the zones and machine types of another configuration."""
         self.zones, self.kinds = config.zones, config.kinds
 
     def read(self, raw: Mapping[str, Any], kind: UpdateKind | None = None) -> DiscoveryUpdate:
-        """ValueError if any line is bad: a list is taken whole or not at all."""
+        """Read a list. `kind` overrides the kind that the list itself states.
+
+        Raises ValueError if any entry is invalid: a list is applied completely or not at all.
+        """
         try:
             version = int(raw["generation"])
-            members = [self.read_member(line) for line in raw["instances"]]
+            members = [self.read_member(entry) for entry in raw["instances"]]
             if kind is None:
                 kind = UpdateKind.SNAPSHOT if raw["reset"] else UpdateKind.DELTA
         except (KeyError, TypeError, AttributeError, OverflowError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
         return DiscoveryUpdate(kind, version, members)
 
-    def read_member(self, line: Mapping[str, Any]) -> DiscoveredEndpoint:
-        name, started = str(line["instanceId"]), float(line.get("startedAtMs", 0))
-        size = float(line.get("weight", 1.0))
-        if not (math.isfinite(started) and math.isfinite(size) and size >= 0):
-            raise ValueError(
-                f"{name}: weight {size}, started at {started}"
-            )  # JSON readers let NaN through
-        address = parse_address(line["hostPort"])
-        zone = self.zones.get(line.get("zone", ""), -1)
+    def read_member(self, entry: Mapping[str, Any]) -> DiscoveredEndpoint:
+        """Read one entry. Raises KeyError, TypeError, ValueError and others if it is invalid."""
+        name, started_unix_ms = str(entry["instanceId"]), float(entry.get("startedAtMs", 0))
+        size = float(entry.get("weight", 1.0))
+        # JSON parsers accept NaN and infinity.
+        if not (math.isfinite(started_unix_ms) and math.isfinite(size) and size >= 0):
+            raise ValueError(f"{name}: weight {size}, started at {started_unix_ms}")
+        address = parse_address(entry["hostPort"])
+        zone = self.zones.get(entry.get("zone", ""), -1)
         if zone < 0 and self.zone_of_host is not None:
             zone = self.zone_of_host(address[0])
-        entry = Endpoint(
+        endpoint = Endpoint(
             id=stable_id(name.encode()),
             zone=zone,
-            kind=self.kinds.get(line.get("machineType", ""), -1),
-            cell=int(line.get("cell", 0)),
-            state=STATES[line["lifecycle"]],
+            kind=self.kinds.get(entry.get("machineType", ""), -1),
+            cell=int(entry.get("cell", 0)),
+            state=STATES[entry["lifecycle"]],
             size=size,
-            started_ms=started - self.unix_offset if started else 0.0,
+            started_ms=started_unix_ms - self.unix_offset if started_unix_ms else 0.0,
         )
-        return DiscoveredEndpoint(entry, address, name)
+        return DiscoveredEndpoint(endpoint, address, name)
--- a/badgercart/discovery/log_events.py
+++ b/badgercart/discovery/log_events.py
@@ -1,4 +1,4 @@
-"""What the platform's catalog, and any list with an age, says in the log."""
+"""Log events of the platform's catalog, and of any list whose age is known."""
 
 from __future__ import annotations
 
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -292,7 +292,7 @@
             {
                 "generation": 1,
                 "reset": True,
-                "instances": [server.line() for server in listed(count)],
+                "instances": [server.list_entry() for server in listed(count)],
             }
         )
         nobody = Nobody()
--- a/tests/app/test_file.py
+++ b/tests/app/test_file.py
@@ -63,7 +63,7 @@
     assert what.config.classes == {b"find": 0, b"book": 1}
     assert what.component_settings.keys() == {"http", "server"}
     assert what.component_settings["http"].listen == ("127.0.0.1", 0)
-    assert what.component_settings["server"][0].line()["hostPort"] == "127.0.0.1:7001"
+    assert what.component_settings["server"][0].list_entry()["hostPort"] == "127.0.0.1:7001"
 
 
 @pytest.mark.parametrize("path", sorted(ROOT.glob("deploy/*.toml")), ids=lambda path: path.name)
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -597,7 +597,7 @@
     harness.receive(*snapshot_parts(A, Topic(1)), Heartbeat(math.inf))
     assert (
         harness.follower.age_ms(harness.now_ms) == math.inf
-        and harness.follower.freshness.proved is None
+        and harness.follower.freshness.proven_at_ms is None
     )
     harness.receive(Heartbeat(40.0))
     assert harness.follower.age_ms(harness.now_ms) == 40
