--- a/badgercart/discovery/etcd/commands.py
+++ b/badgercart/discovery/etcd/commands.py
@@ -1,7 +1,7 @@
-"""`badgercart members`: list and change the entries in etcd.
+"""The command `badgercart members`: list and change the entries in etcd.
 
-Exit status: 0 done, and with --from-node no difference; 1 could not be done, or a difference; 2 bad
-input.
+Exit status: 0 if done, and with --from-node if there is no difference; 1 if it could not be done, or
+there is a difference; 2 on invalid input.
 """
 
 from __future__ import annotations
@@ -20,24 +20,25 @@
 if TYPE_CHECKING:
     from badgercart.discovery.etcd.members import Members
 
-CALL_TIMEOUT_MS = 5000.0  # ms for each call
+CALL_TIMEOUT_MS = 5000.0
 
 DRY_RUN = click.option("--dry-run", is_flag=True, help="Say what would be done, and do nothing.")
 NAMES = click.argument("names", nargs=-1, required=True, metavar="INSTANCE...")
 
 
 @dataclass(slots=True)
-class Access:
-    """How etcd is reached."""
+class EtcdAccess:
+    """The settings for the connection to etcd."""
 
     settings: EtcdSettings
 
-    def run(self, act: Callable[[Members], Awaitable[int]], dry_run: bool = False) -> None:
-        """Do one thing and exit with its status."""
-        from badgercart.discovery.etcd.members import Members  # heavy
+    def run(self, action: Callable[[Members], Awaitable[int]], dry_run: bool = False) -> None:
+        """Execute one action and exit with its status."""
+        # Imported here because gRPC is slow to load.
+        from badgercart.discovery.etcd.members import Members
 
         try:
-            status = asyncio.run(Members(self.settings, dry_run).run(act))
+            status = asyncio.run(Members(self.settings, dry_run).run(action))
         except KeyboardInterrupt:
             status = ExitStatus.DONE
         raise click.exceptions.Exit(status)
@@ -72,7 +73,7 @@
         endpoints = tuple(parse_address(text) for text in etcd.split(","))
     except ValueError as error:
         raise CommandError(f"--etcd: {error}", ExitStatus.USAGE) from None
-    ctx.obj = Access(
+    ctx.obj = EtcdAccess(
         EtcdSettings(
             endpoints=endpoints,
             prefix=prefix,
@@ -92,16 +93,16 @@
     help="Compare with what the node behind this HTTP front believes; exit 1 where they differ.",
 )
 @click.pass_obj
-def list_(access: Access, as_json: bool, from_node: str | None) -> None:
+def list_(access: EtcdAccess, as_json: bool, from_node: str | None) -> None:
     """All entries, in a table, with what is wrong with bad ones."""
-    access.run(lambda there: there.list_entries(as_json, from_node))
+    access.run(lambda etcd: etcd.list_entries(as_json, from_node))
 
 
 @members.command()
 @click.pass_obj
-def watch(access: Access) -> None:
+def watch(access: EtcdAccess) -> None:
     """Changes as they come, one a line, until interrupted."""
-    access.run(lambda there: there.watch())
+    access.run(lambda etcd: etcd.watch())
 
 
 @members.command()
@@ -111,9 +112,9 @@
 )
 @DRY_RUN
 @click.pass_obj
-def put(access: Access, entry: str, ttl: int | None, dry_run: bool) -> None:
+def put(access: EtcdAccess, entry: str, ttl: int | None, dry_run: bool) -> None:
     """Write ENTRY, the JSON of a list line; - reads it from standard input."""
-    access.run(lambda there: there.put(entry, ttl), dry_run)
+    access.run(lambda etcd: etcd.put(entry, ttl), dry_run)
 
 
 @members.command()
@@ -121,24 +122,24 @@
 @click.option("--undo", is_flag=True, help="Make them active again.")
 @DRY_RUN
 @click.pass_obj
-def drain(access: Access, names: tuple[str, ...], undo: bool, dry_run: bool) -> None:
+def drain(access: EtcdAccess, names: tuple[str, ...], undo: bool, dry_run: bool) -> None:
     """Have servers finish what they have and get nothing new."""
-    access.run(lambda there: there.drain(names, undo), dry_run)
+    access.run(lambda etcd: etcd.drain(names, undo), dry_run)
 
 
 @members.command()
 @NAMES
 @DRY_RUN
 @click.pass_obj
-def remove(access: Access, names: tuple[str, ...], dry_run: bool) -> None:
+def remove(access: EtcdAccess, names: tuple[str, ...], dry_run: bool) -> None:
     """Delete entries; several at once are one revision."""
-    access.run(lambda there: there.remove(names), dry_run)
+    access.run(lambda etcd: etcd.remove(names), dry_run)
 
 
 @members.command()
 @click.argument("how", type=click.Choice(("on", "off")))
 @DRY_RUN
 @click.pass_obj
-def allow_shrink(access: Access, how: str, dry_run: bool) -> None:
+def allow_shrink(access: EtcdAccess, how: str, dry_run: bool) -> None:
     """Let the list shrink below the guard's share."""
-    access.run(lambda there: there.allow_shrink(how == "on"), dry_run)
+    access.run(lambda etcd: etcd.allow_shrink(how == "on"), dry_run)
--- a/badgercart/discovery/etcd/component.py
+++ b/badgercart/discovery/etcd/component.py
@@ -1,4 +1,4 @@
-"""Following etcd as a part of an installation."""
+"""The component that provides the endpoint list from etcd."""
 
 from __future__ import annotations
 
@@ -18,23 +18,24 @@
 if TYPE_CHECKING:
     from badgercart.discovery.etcd.client import EtcdSource
 
-LONG_LIST = 1000  # servers
+# Servers from which on a snapshot is moved out of the garbage collector's reach.
+LONG_LIST_SERVERS = 1000
 
 
 class EtcdComponent:
-    """The list from etcd, with its age; SIGHUP takes all of its settings anew."""
+    """Provides the list from etcd, and its age; SIGHUP applies all of its settings."""
 
     def __init__(self, host: ComponentHost, settings: EtcdSettings) -> None:
-        from badgercart.discovery.etcd.client import (
-            EtcdSource,
-        )  # heavy: only where it is switched on
+        """Register the list's age with the node's metrics, pages and capture."""
+        # Imported here because gRPC is slow to load, and needed only where etcd is used.
+        from badgercart.discovery.etcd.client import EtcdSource
 
-        self.roster = host.endpoint_table
+        self.endpoint_table = host.endpoint_table
         self.source: EtcdSource = EtcdSource(
             settings,
             host.reader.read_member,
-            self.take,
-            self.aged,
+            self.apply,
+            self.on_state_changed,
             host.pipeline.clock,
             random.Random(host.config.seed),
         )
@@ -51,37 +52,43 @@
             lambda: self.source.lists_fetched,
         )
 
-    def take(self, told: DiscoveryUpdate) -> None:
-        self.roster.apply(told)
-        if told.kind is UpdateKind.SNAPSHOT and len(told.endpoints) >= LONG_LIST:
-            # the collector would stop the loop for long to look at all of them again and again
+    def apply(self, update: DiscoveryUpdate) -> None:
+        """Apply a snapshot or a delta."""
+        self.endpoint_table.apply(update)
+        if update.kind is UpdateKind.SNAPSHOT and len(update.endpoints) >= LONG_LIST_SERVERS:
+            # Otherwise the garbage collector would block the event loop for long, each time that it
+            # scans all entries.
             gc.freeze()
 
-    def aged(self, state: FreshnessState) -> None:
-        """The age of the list has passed a limit, or is as it should be again."""
-        self.roster.suspend(
+    def on_state_changed(self, state: FreshnessState) -> None:
+        """Suspend the list while it is stale, where the settings say so."""
+        self.endpoint_table.suspend(
             state is FreshnessState.STALE and self.source.settings.when_stale == "refuse"
         )
 
     async def start(self) -> None:
+        """Start to follow etcd, with the list of the known file until the first one is fetched."""
         self.source.start()
         if (known := self.source.read_known_file()) is not None:
             try:
-                self.roster.accept(known, UpdateKind.CACHED)
+                self.endpoint_table.accept(known, UpdateKind.CACHED)
             except ValueError as error:
                 LIST_KNOWN_MALFORMED(error=error)
 
     def prepare(self, settings: EtcdSettings) -> Callable[[], None]:
+        """Return the change to other settings."""
         return lambda: self.source.move(settings)
 
     async def drain(self, until: float) -> None:
-        """The list is followed to the end: what is held may still be sent again."""
+        """Follow the list to the end, since requests in flight may still be retried."""
 
     def close(self) -> None:
+        """Stop following etcd."""
         self.source.close()
 
 
 def check(settings: EtcdSettings, file: CheckedFile) -> Iterator[tuple[Path, str]]:
+    """Yield the faults of the settings that go beyond a single setting."""
     if (settings.user is None) != (settings.password_file is None):
         yield ("user",), "user and password_file go together"
     if settings.doubtful_after_ms > settings.stale_after_ms:
--- a/badgercart/discovery/etcd/follower.py
+++ b/badgercart/discovery/etcd/follower.py
@@ -1,22 +1,24 @@
-"""Follows one prefix of etcd: list, then watch from the next revision. No I/O: answers in, orders
-out.
+"""Follows one prefix of etcd: lists it, then watches from the next revision.
 
-    IDLE     nothing is asked           begin() lists, or watches where a revision is held
-    LISTING  pages of one revision      the last page hands the list over whole and begins the watch
-    WATCHING changes come               a response hands over all of its changes at once, at its revision
+    IDLE      nothing is open           begin() lists, or watches where a revision is known
+    LISTING   pages of one revision     the last page publishes a snapshot and opens the watch
+    WATCHING  events are received       a response publishes all of its changes at once, at its revision
 
-What is believed, and what not:
+What is trusted, and what is not:
 
-- A list whose revision lies behind the one that is held is a stale member's: not taken, the next member is
-  asked. In one cluster a revision never goes back.
-- Another `cluster_id` is another history (a restored backup): the whole list is fetched, nothing resumed.
-- Events at or behind the held revision were told before: passed over.
-- A watch that is cancelled with a `compact_revision` can't be resumed: the whole list is fetched.
-- A response in fragments counts with its last one; what a stream cut off in between is asked for again.
-- A key whose value is no entry is reported. It keeps its last good entry, or is left out if it never had one.
+- A list whose revision is older than the known one comes from a stale member: it is discarded, and the next
+  member is asked. Within one cluster a revision never goes back.
+- Another `cluster_id` has another history (a restored backup): a snapshot is fetched, nothing is resumed.
+- Events at or before the known revision are duplicates and ignored.
+- A watch that is cancelled with a `compact_revision` can't be resumed: a snapshot is fetched.
+- A response in fragments is applied with its last fragment. If the stream breaks in between, the fragments are
+  discarded and requested again.
+- A key whose value is no valid entry is reported. It keeps its last valid entry, or is left out if it never had one.
 
-Sources: etcd's "API guarantees" and the comments of `rpc.proto` on RangeRequest, WatchCreateRequest
-and WatchResponse; client-go's Reflector for the shape.
+Sources: etcd's "API guarantees" and the comments of `rpc.proto` on RangeRequest, WatchCreateRequest and
+WatchResponse; the structure is that of client-go's Reflector.
+
+This module does no I/O: responses in, actions out.
 """
 
 from __future__ import annotations
@@ -33,23 +35,28 @@
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import UpdateKind
 
-MAX_ENTRY = 64 << 10  # bytes of one value
+MAX_ENTRY_BYTES = 64 << 10
 MAX_ENTRIES = 100_000
-MAX_REPORTS = 1000  # keys whose fault is remembered, so that it is told once
+# Keys whose invalid value is remembered, so that it is reported once.
+MAX_REPORTS = 1000
+# Bounds the exponent of the retry delay, against overflow.
+MAX_DOUBLINGS = 16
 
 
-# What comes.
+# Input.
 
 
 @dataclass(slots=True)
 class Header:
-    cluster: int
+    """The cluster that responded, and its revision at that time."""
+
+    cluster_id: int
     revision: int
 
 
 @dataclass(slots=True)
 class KeyValue:
-    """A key as it stands; a deletion has no value."""
+    """A key with its value and the revision of its last change; a deletion has no value."""
 
     key: bytes
     value: bytes | None
@@ -58,6 +65,8 @@
 
 @dataclass(slots=True)
 class RangePage:
+    """One page of a list."""
+
     header: Header
     pairs: list[KeyValue]
     more: bool
@@ -65,32 +74,34 @@
 
 @dataclass(slots=True)
 class WatchResponse:
-    """A watch response."""
+    """One response of a watch. `compact_revision` is 0 unless it was cancelled by a compaction."""
 
     header: Header
     events: list[KeyValue] = field(default_factory=list)
     created: bool = False
     cancelled: bool = False
-    compacted: int = 0
+    compact_revision: int = 0
     fragment: bool = False
-    reason: str = ""
+    cancel_reason: str = ""
 
 
 class Failure(Enum):
     """Why a call or stream ended."""
 
-    UNREACHABLE = "unreachable"  # also no leader, and silence
+    # Includes a member without a leader, and a silent watch.
+    UNREACHABLE = "unreachable"
     COMPACTED = "compacted"
-    DENIED = "denied"  # who we are is not accepted
+    # Authentication or authorization failed.
+    DENIED = "denied"
     OTHER = "other"
 
 
-# What is to be done.
+# Output.
 
 
 @dataclass(slots=True)
 class FetchPage:
-    """Ask for a page: keys from here on, at a revision (0: the present one)."""
+    """Request a page: the keys from `start` on, at a revision (0: the present one)."""
 
     start: bytes
     revision: int
@@ -99,31 +110,35 @@
 
 @dataclass(slots=True)
 class OpenWatch:
-    start: int  # revision
+    """Open a watch from this revision on."""
+
+    start_revision: int
 
 
 @dataclass(slots=True)
 class Reconnect:
-    """Leave what is open, then `begin` again."""
+    """Close the connection and, after a delay, call `begin` again."""
 
-    delay: float  # ms
-    next_member: bool  # at the next endpoint
+    delay_ms: float
+    next_member: bool
 
 
 @dataclass(slots=True)
 class PublishUpdate:
-    """Hand over, whole: the list or its changes at a revision."""
+    """Publish a snapshot, or all changes up to a revision."""
 
     update: DiscoveryUpdate
 
 
 @dataclass(slots=True)
 class ListConfirmed:
-    """The held list is whole as of when this was asked."""
+    """The published list was complete when the request was sent that has now been answered."""
 
 
 @dataclass(slots=True)
 class LogProblem:
+    """Log a problem for operators."""
+
     text: str
 
 
@@ -131,51 +146,63 @@
 
 
 class Phase(Enum):
+    """What is open."""
+
     IDLE = "idle"
     LISTING = "listing"
     WATCHING = "watching"
 
 
 class Follower:
-    """`read` turns an entry's JSON into a member, or raises ValueError."""
+    """The state machine. `read_entry` reads an entry's JSON, or raises where it is invalid."""
 
     def __init__(
         self,
         settings: EtcdSettings,
-        read: Callable[[dict[str, object]], DiscoveredEndpoint],
+        read_entry: Callable[[dict[str, object]], DiscoveredEndpoint],
         rng: random.Random,
     ) -> None:
+        """Start without a list; `rng` gives the jitter."""
         self.settings = settings
         self.prefix = settings.prefix.encode()
-        self.read = read
+        self.read_entry = read_entry
         self.random = rng
         self.guard = ShrinkGuard(settings.guard_share)
         self.phase = Phase.IDLE
-        self.cluster: int | None = None
-        self.revision = 0  # of the state that is held; 0: the whole list is wanted
-        self.high = 0  # the highest revision of this cluster that was held
-        self.members: dict[bytes, DiscoveredEndpoint] = {}  # by key, as etcd has them
-        self.values: dict[bytes, bytes] = {}  # the same entries as they are written
-        self.given: dict[int, DiscoveredEndpoint] = {}  # by id, as handed over
-        self.missing: set[int] = (
-            set()
-        )  # of those, the ones that etcd has no more and the guard keeps
-        self.owners: dict[int, bytes] = {}  # which key holds an id
-        self.touched: set[int] = set()  # ids that changed since the last hand-over
-        self.override = False
-        self.bad: dict[bytes, str] = {}  # keys whose values are no entries
-        self.building: dict[bytes, KeyValue] = {}
-        self.build_at = 0  # the revision of the list under way
-        self.build_cluster = 0
-        self.pieces: list[KeyValue] = []  # fragments of one response
-        self.tries = 0  # in a row without anything good
-
-    # Asking.
+        self.cluster_id: int | None = None
+        # The revision of the entries below; 0: a snapshot must be fetched.
+        self.revision = 0
+        # The highest revision of this cluster that was applied.
+        self.highest_revision = 0
+        # By key, the entries as etcd has them, and their values as written.
+        self.members: dict[bytes, DiscoveredEndpoint] = {}
+        self.values: dict[bytes, bytes] = {}
+        # By id, the entries as published.
+        self.published: dict[int, DiscoveredEndpoint] = {}
+        # The published ids that etcd no longer has and the guard keeps.
+        self.kept_by_guard: set[int] = set()
+        # The key that an id was first listed under.
+        self.key_of_id: dict[int, bytes] = {}
+        # Ids that changed since the last publication.
+        self.changed_ids: set[int] = set()
+        self.shrink_allowed = False
+        # By key, what is wrong with values that are no valid entries.
+        self.invalid_values: dict[bytes, str] = {}
+        # The pages of the list that is being fetched, its revision and its cluster.
+        self.list_pairs: dict[bytes, KeyValue] = {}
+        self.list_revision = 0
+        self.list_cluster_id = 0
+        # The events of a response whose last fragment has not been received.
+        self.fragment_events: list[KeyValue] = []
+        # Reconnects in a row without anything valid received.
+        self.retries = 0
+
+    # Requests.
 
     def begin(self) -> list[Action]:
-        """Nothing is open: what to ask for."""
-        self.building.clear()
-        self.pieces.clear()
+        """Return what to request on a new connection."""
+        self.list_pairs.clear()
+        self.fragment_events.clear()
         if self.revision:
             self.phase = Phase.WATCHING
             return [OpenWatch(self.revision + 1)]
@@ -183,146 +210,159 @@
         return [FetchPage(self.prefix, 0, self.settings.page)]
 
     def forget(self) -> None:
-        """Other endpoints, or an operator's word: believe whatever the next list says."""
-        self.cluster, self.revision, self.high, self.tries = None, 0, 0, 0
+        """Trust whatever the next list says, after a change of endpoints or an operator's order."""
+        self.cluster_id, self.revision, self.highest_revision, self.retries = None, 0, 0, 0
 
     def on_failure(self, failure: Failure) -> list[Action]:
-        """What was open has ended."""
+        """Process the end of a call or stream."""
         self.phase = Phase.IDLE
         if failure is Failure.COMPACTED:
             self.revision = 0
-            return self.again(next_member=False)
-        return self.again(next_member=failure is not Failure.OTHER or self.tries > 0)
+            return self.reconnect(next_member=False)
+        return self.reconnect(next_member=failure is not Failure.OTHER or self.retries > 0)
 
-    def again(self, next_member: bool) -> list[Action]:
+    def reconnect(self, next_member: bool) -> list[Action]:
+        """Return a reconnect after a delay that doubles each time."""
         self.phase = Phase.IDLE
-        delay = min(
-            self.settings.retry_first_ms * 2.0 ** min(self.tries, 16), self.settings.retry_most_ms
+        delay_ms = min(
+            self.settings.retry_first_ms * 2.0 ** min(self.retries, MAX_DOUBLINGS),
+            self.settings.retry_most_ms,
         )
-        self.tries += 1
-        # Nodes that lost etcd together must not come back together.
-        return [Reconnect(delay * (0.5 + self.random.random()), next_member)]
+        self.retries += 1
+        # Jitter, so that nodes that lost etcd together do not come back together.
+        return [Reconnect(delay_ms * (0.5 + self.random.random()), next_member)]
 
     # The list.
 
-    def on_page(self, page: RangePage, now: float) -> list[Action]:
+    def on_page(self, page: RangePage, now_ms: float) -> list[Action]:
+        """Process a page of the list."""
         header = page.header
-        if self.building and header.cluster != self.build_cluster:
-            return self.again(next_member=False)
-        if not self.building:
-            if header.cluster == self.cluster and header.revision < self.high:
+        if self.list_pairs and header.cluster_id != self.list_cluster_id:
+            return self.reconnect(next_member=False)
+        if not self.list_pairs:
+            if header.cluster_id == self.cluster_id and header.revision < self.highest_revision:
                 return [
                     LogProblem(
-                        f"a list of revision {header.revision} is older than {self.high}: not taken"
+                        f"a list of revision {header.revision} is older than "
+                        f"{self.highest_revision}: not taken"
                     ),
-                    *self.again(next_member=True),
+                    *self.reconnect(next_member=True),
                 ]
-            self.build_at, self.build_cluster = header.revision, header.cluster
+            self.list_revision, self.list_cluster_id = header.revision, header.cluster_id
         for pair in page.pairs:
-            self.building[pair.key] = pair
-        if len(self.building) > MAX_ENTRIES:
+            self.list_pairs[pair.key] = pair
+        if len(self.list_pairs) > MAX_ENTRIES:
             return [
                 LogProblem(f"over {MAX_ENTRIES} entries under the prefix"),
-                *self.again(next_member=False),
+                *self.reconnect(next_member=False),
             ]
         if page.more and page.pairs:
-            return [FetchPage(page.pairs[-1].key + b"\0", self.build_at, self.settings.page)]
-        return self.listed(now)
-
-    def listed(self, now: float) -> list[Action]:
-        orders: list[Action] = []
-        if self.cluster is not None and self.cluster != self.build_cluster:
-            orders.append(
+            return [FetchPage(page.pairs[-1].key + b"\0", self.list_revision, self.settings.page)]
+        return self.apply_list(now_ms)
+
+    def apply_list(self, now_ms: float) -> list[Action]:
+        """Apply the complete list."""
+        actions: list[Action] = []
+        if self.cluster_id is not None and self.cluster_id != self.list_cluster_id:
+            actions.append(
                 LogProblem("another cluster answers (a restored backup?): its whole list is taken")
             )
-        building, self.building = self.building, {}
-        for key in [key for key in self.members if key not in building]:
+        list_pairs, self.list_pairs = self.list_pairs, {}
+        for key in [key for key in self.members if key not in list_pairs]:
             self.delete(key)
-        self.override = False
-        self.bad = {key: text for key, text in self.bad.items() if key in building}
-        for pair in building.values():
-            orders += self.put(pair)
-        self.cluster, self.tries = self.build_cluster, 0
-        self.revision = self.high = self.build_at
+        self.shrink_allowed = False
+        self.invalid_values = {
+            key: text for key, text in self.invalid_values.items() if key in list_pairs
+        }
+        for pair in list_pairs.values():
+            actions += self.put(pair)
+        self.cluster_id, self.retries = self.list_cluster_id, 0
+        self.revision = self.highest_revision = self.list_revision
         self.phase = Phase.WATCHING
         return [
-            *orders,
-            *self.hand_over(now, whole=True),
+            *actions,
+            *self.publish(now_ms, is_snapshot=True),
             ListConfirmed(),
             OpenWatch(self.revision + 1),
         ]
 
     # The watch.
 
-    def on_watch_response(self, change: WatchResponse, now: float) -> list[Action]:
-        """A watch response, whatever it says."""
-        if change.header.cluster != self.cluster:
+    def on_watch_response(self, response: WatchResponse, now_ms: float) -> list[Action]:
+        """Process a watch response other than one to a progress request."""
+        if response.header.cluster_id != self.cluster_id:
             self.revision = 0
             return [
                 LogProblem("the watch is another cluster's (a restored backup?)"),
-                *self.again(next_member=False),
+                *self.reconnect(next_member=False),
             ]
-        if change.cancelled:
-            if change.compacted:
+        if response.cancelled:
+            if response.compact_revision:
                 self.revision = 0
                 return [
                     LogProblem(
-                        f"history up to {change.compacted} is compacted away: the whole list is fetched"
+                        f"history up to {response.compact_revision} is compacted away: "
+                        "the whole list is fetched"
                     ),
-                    *self.again(next_member=False),
+                    *self.reconnect(next_member=False),
                 ]
             return [
-                LogProblem(f"the watch was cancelled: {change.reason}"),
-                *self.again(next_member=True),
+                LogProblem(f"the watch was cancelled: {response.cancel_reason}"),
+                *self.reconnect(next_member=True),
             ]
-        self.pieces += [event for event in change.events if event.revision > self.revision]
-        if change.fragment:
-            if len(self.pieces) > MAX_ENTRIES:
+        self.fragment_events += [
+            event for event in response.events if event.revision > self.revision
+        ]
+        if response.fragment:
+            if len(self.fragment_events) > MAX_ENTRIES:
                 self.revision = 0
-                return [LogProblem("a response without end"), *self.again(next_member=True)]
+                return [LogProblem("a response without end"), *self.reconnect(next_member=True)]
             return []
-        events, self.pieces = self.pieces, []
-        if not change.created:
-            self.tries = 0
+        events, self.fragment_events = self.fragment_events, []
+        if not response.created:
+            self.retries = 0
         if not events:
             return []
-        orders: list[Action] = []
-        for event in events:  # of one key the last one holds
-            orders += self.put(event) if event.value is not None else self.delete(event.key)
-        self.revision = self.high = max(event.revision for event in events)
-        return [*orders, *self.hand_over(now, whole=False)]
+        actions: list[Action] = []
+        # Of several events of one key the last one holds.
+        for event in events:
+            actions += self.put(event) if event.value is not None else self.delete(event.key)
+        self.revision = self.highest_revision = max(event.revision for event in events)
+        return [*actions, *self.publish(now_ms, is_snapshot=False)]
 
     def on_progress(self, header: Header) -> list[Action]:
-        """An answer to a question for progress: all up to its revision has been told."""
-        if header.cluster != self.cluster:
+        """Process the response to a progress request: all events up to its revision were sent."""
+        if header.cluster_id != self.cluster_id:
             self.revision = 0
-            return self.again(next_member=False)
+            return self.reconnect(next_member=False)
         if header.revision < self.revision:
             return [
                 LogProblem(f"a member at revision {header.revision} is behind {self.revision}"),
-                *self.again(next_member=True),
+                *self.reconnect(next_member=True),
             ]
-        self.revision = self.high = header.revision  # a later resume need not go further back
-        self.tries = 0
+        # A later watch need not resume from an older revision.
+        self.revision = self.highest_revision = header.revision
+        self.retries = 0
         return [ListConfirmed()]
 
     # Entries.
 
     def put(self, pair: KeyValue) -> list[Action]:
+        """Apply a written key. An invalid value leaves the key's last valid entry in force."""
         name = pair.key[len(self.prefix) :]
         if name == SHRINK_ALLOWED_KEY.encode():
-            self.override = True
+            self.shrink_allowed = True
             return []
         try:
-            if pair.value is None or len(pair.value) > MAX_ENTRY:
+            if pair.value is None or len(pair.value) > MAX_ENTRY_BYTES:
                 raise ValueError("an empty or overlong value")
             raw = json.loads(pair.value)
             if not isinstance(raw, dict):
                 raise ValueError("no JSON object")
-            member = self.read(raw)
+            member = self.read_entry(raw)
             if member.entry.state is EndpointState.GONE:
                 raise ValueError("an entry that is gone is deleted, not written")
-            if self.owners.get(member.entry.id, pair.key) != pair.key:
+            if self.key_of_id.get(member.entry.id, pair.key) != pair.key:
                 raise ValueError(f"{member.name} stands under another key already")
         except (
             KeyError,
@@ -333,72 +373,78 @@
             RecursionError,
         ) as error:
             text = f"{error} is missing" if isinstance(error, KeyError) else str(error)
-            known = self.bad.get(pair.key)
-            if len(self.bad) < MAX_REPORTS:
-                self.bad[pair.key] = text
+            reported = self.invalid_values.get(pair.key)
+            if len(self.invalid_values) < MAX_REPORTS:
+                self.invalid_values[pair.key] = text
             kept = "kept as it was" if pair.key in self.members else "left out"
             shown = pair.key.decode("utf-8", "replace")
             return (
-                [] if known == text else [LogProblem(f"{shown} is no entry and is {kept}: {text}")]
+                []
+                if reported == text
+                else [LogProblem(f"{shown} is no entry and is {kept}: {text}")]
             )
-        self.bad.pop(pair.key, None)
+        self.invalid_values.pop(pair.key, None)
         old = self.members.get(pair.key)
         if old is not None and old.entry.id != member.entry.id:
-            self.owners.pop(old.entry.id, None)
-            self.touched.add(old.entry.id)
-        self.touched.add(member.entry.id)
-        self.owners[member.entry.id] = pair.key
+            self.key_of_id.pop(old.entry.id, None)
+            self.changed_ids.add(old.entry.id)
+        self.changed_ids.add(member.entry.id)
+        self.key_of_id[member.entry.id] = pair.key
         self.members[pair.key] = member
         self.values[pair.key] = pair.value
         return []
 
     def delete(self, key: bytes) -> list[Action]:
+        """Apply the deletion of a key."""
         if key[len(self.prefix) :] == SHRINK_ALLOWED_KEY.encode():
-            self.override = False
-        self.bad.pop(key, None)
+            self.shrink_allowed = False
+        self.invalid_values.pop(key, None)
         self.values.pop(key, None)
         if (member := self.members.pop(key, None)) is not None:
-            self.owners.pop(member.entry.id, None)
-            self.touched.add(member.entry.id)
+            self.key_of_id.pop(member.entry.id, None)
+            self.changed_ids.add(member.entry.id)
         return []
 
-    def hand_over(self, now: float, whole: bool) -> list[Action]:
-        """What differs from what was handed over, in one piece."""
-        was = self.guard.holding
-        allowed = self.guard.allows(len(self.members), now, self.override)
-        orders: list[Action] = []
-        if was != self.guard.holding:
-            orders.append(
+    def publish(self, now_ms: float, is_snapshot: bool) -> list[Action]:
+        """Publish what differs from the published list, in one update."""
+        was_holding = self.guard.holding
+        allowed = self.guard.allows(len(self.members), now_ms, self.shrink_allowed)
+        actions: list[Action] = []
+        if was_holding != self.guard.holding:
+            actions.append(
                 LogProblem(
-                    f"only {len(self.members)} of {len(self.given)} servers are left: the missing ones are "
-                    f"kept until more are listed or {self.settings.prefix}{SHRINK_ALLOWED_KEY} is there"
+                    f"only {len(self.members)} of {len(self.published)} servers are left: "
+                    "the missing ones are kept until more are listed or "
+                    f"{self.settings.prefix}{SHRINK_ALLOWED_KEY} is there"
                     if self.guard.holding
                     else "the list is followed again as it is"
                 )
             )
         changed: list[DiscoveredEndpoint] = []
-        for server in self.touched:
-            member = self.members.get(self.owners.get(server, b""))
+        for endpoint_id in self.changed_ids:
+            member = self.members.get(self.key_of_id.get(endpoint_id, b""))
             if member is None:
-                self.missing |= {server} & self.given.keys()
+                self.kept_by_guard |= {endpoint_id} & self.published.keys()
                 continue
-            self.missing.discard(server)
-            if self.given.get(server) != member:
-                self.given[server] = member
+            self.kept_by_guard.discard(endpoint_id)
+            if self.published.get(endpoint_id) != member:
+                self.published[endpoint_id] = member
                 changed.append(member)
-        self.touched.clear()
+        self.changed_ids.clear()
         if allowed:
-            for server in self.missing:
-                gone = self.given.pop(server)
+            for endpoint_id in self.kept_by_guard:
+                gone = self.published.pop(endpoint_id)
                 changed.append(replace(gone, entry=replace(gone.entry, state=EndpointState.GONE)))
-            self.missing.clear()
-        if whole:
+            self.kept_by_guard.clear()
+        if is_snapshot:
             return [
-                *orders,
+                *actions,
                 PublishUpdate(
-                    DiscoveryUpdate(UpdateKind.SNAPSHOT, self.revision, list(self.given.values()))
+                    DiscoveryUpdate(
+                        UpdateKind.SNAPSHOT, self.revision, list(self.published.values())
+                    )
                 ),
             ]
         if changed:
-            orders.append(PublishUpdate(DiscoveryUpdate(UpdateKind.DELTA, self.revision, changed)))
-        return orders
+            actions.append(PublishUpdate(DiscoveryUpdate(UpdateKind.DELTA, self.revision, changed)))
+        return actions
--- a/badgercart/discovery/etcd/log_events.py
+++ b/badgercart/discovery/etcd/log_events.py
@@ -1,4 +1,4 @@
-"""What following etcd says in the log."""
+"""Log events of following etcd."""
 
 from __future__ import annotations
 
--- a/badgercart/discovery/etcd/settings.py
+++ b/badgercart/discovery/etcd/settings.py
@@ -1,4 +1,4 @@
-"""What an operator may set of following etcd."""
+"""Settings for following etcd."""
 
 from __future__ import annotations
 
--- a/tests/etcd/test_follower.py
+++ b/tests/etcd/test_follower.py
@@ -162,7 +162,7 @@
     report, wait = made.on_page(RangePage(header(49), [pair("old")], False), 0.0)
     assert isinstance(report, LogProblem) and "older than 50" in report.text
     assert isinstance(wait, Reconnect) and wait.next_member
-    assert [member.name for member in made.given.values()] == ["a"]
+    assert [member.name for member in made.published.values()] == ["a"]
     made.begin()
     assert names(
         delivered(made.on_page(RangePage(header(50), [pair("a"), pair("b")], False), 0.0))
@@ -200,7 +200,9 @@
 
 def test_compacted_history_is_listed_again_even_in_the_list_that_follows() -> None:
     made = started(pair("a"), revision=5)
-    report, _ = made.on_watch_response(WatchResponse(header(90), cancelled=True, compacted=80), 0.0)
+    report, _ = made.on_watch_response(
+        WatchResponse(header(90), cancelled=True, compact_revision=80), 0.0
+    )
     assert "80" in report.text  # type: ignore[union-attr]
     assert made.begin() == [FetchPage(b"/s/", 0, 3)]
     made.on_page(RangePage(header(90), [pair("a"), pair("b"), pair("c")], True), 0.0)
@@ -222,7 +224,7 @@
     )
     reports = [order.text for order in orders if isinstance(order, LogProblem)]
     assert len(reports) == 2 and "kept as it was" in reports[0] and "left out" in reports[1]
-    assert sorted(member.name for member in made.given.values()) == ["a", "b"]
+    assert sorted(member.name for member in made.published.values()) == ["a", "b"]
     assert (
         made.on_watch_response(WatchResponse(header(7), [pair("a", 7, data=data)]), 0.0) == []
     )  # told once
@@ -299,7 +301,7 @@
         made.begin()
         (wait,) = made.on_failure(Failure.UNREACHABLE)
         assert isinstance(wait, Reconnect) and wait.next_member
-        waits.append(wait.delay)
+        waits.append(wait.delay_ms)
     assert waits[0] < 75 and max(waits) <= 1500 and len(set(waits)) == 20
 
 
@@ -374,8 +376,8 @@
     made.begin()
     take(made.on_page(RangePage(header(revision), listed(), False), 0.0))
     wanted = {key[len(PREFIX) :].decode() for key in state}
-    assert set(given_to) == wanted == {member.name for member in made.given.values()}
-    assert not made.missing and not made.touched
+    assert set(given_to) == wanted == {member.name for member in made.published.values()}
+    assert not made.kept_by_guard and not made.changed_ids
 
 
 # The age of the list.
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -216,8 +216,8 @@
             async with following(etcd) as node:
                 await node.lists(a="ready")
                 versions = []
-                took = node.source.on_list
-                node.source.on_list = lambda told: (versions.append(told.version), took(told))[1]  # type: ignore[func-returns-value]
+                took = node.source.on_update
+                node.source.on_update = lambda told: (versions.append(told.version), took(told))[1]  # type: ignore[func-returns-value]
                 etcd.cut_fragment = 2
                 revision = await etcd.txn(
                     *(
@@ -297,8 +297,10 @@
                     lambda: len(node.listed()) == COUNT and "dead" not in node.listed()
                 )
                 seen = []
-                took = node.source.on_list
-                node.source.on_list = lambda told: (took(told), seen.append(len(node.listed())))[0]  # type: ignore[func-returns-value]
+                took = node.source.on_update
+                node.source.on_update = lambda told: (took(told), seen.append(len(node.listed())))[
+                    0
+                ]  # type: ignore[func-returns-value]
                 gone = rpc_pb2.DeleteRangeRequest(
                     key=f"{PREFIX}s".encode(), range_end=f"{PREFIX}t".encode()
                 )
@@ -564,7 +566,7 @@
             assert (await members_("drain", "a", "--undo"))[0] == 0
             assert (await members_("remove", "c", "b"))[0] == 0
             await node.until(
-                lambda: node.source.follower.missing
+                lambda: node.source.follower.kept_by_guard
             )  # more than the guard lets go at once
             assert (await members_("allow-shrink", "on"))[0] == 0
             await node.lists(a="ready")
