--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -1,4 +1,4 @@
-"""Following the server list over its watch."""
+"""Following the endpoint list over the watch of the platform's discovery service."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     ],
     ids=range(7),
 )
-def test_a_malformed_line_leaves_the_list_and_brings_a_whole_one(line: bytes) -> None:
+def test_a_malformed_line_leaves_the_list_in_force_and_causes_a_snapshot(line: bytes) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -46,7 +46,7 @@
     run(test())
 
 
-def test_a_watch_that_ends_is_opened_again_where_it_was() -> None:
+def test_a_watch_that_ends_is_resumed_from_its_last_version() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
--- a/tests/etcd/test_follower.py
+++ b/tests/etcd/test_follower.py
@@ -1,4 +1,7 @@
-"""The follower without I/O: what it believes, what it hands over, and what it asks for next."""
+"""The etcd follower and the freshness of a list, without I/O.
+
+The tests pass responses to the follower and check what it trusts, publishes and requests next.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 )
 from badgercart.discovery.etcd.settings import EtcdSettings
 from badgercart.discovery.freshness import Freshness, FreshnessLimits, FreshnessState
-from badgercart.policy.endpoint import EndpointState as ServerState
+from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import UpdateKind
 from tests.net import config
 
@@ -43,23 +46,23 @@
 CLUSTER = 7
 
 
-def value(name: str, state: str = "active", port: int = 7000, weight: float = 1.0) -> bytes:
-    line = {
+def entry_json(name: str, state: str = "active", port: int = 7000, weight: float = 1.0) -> bytes:
+    entry = {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{port}",
         "lifecycle": state,
         "weight": weight,
     }
-    return json.dumps(line).encode()
+    return json.dumps(entry).encode()
 
 
-def pair(name: str, revision: int = 1, data: bytes | None = b"-", **more: Any) -> KeyValue:
+def key_value(name: str, revision: int = 1, data: bytes | None = b"-", **more: Any) -> KeyValue:
     return KeyValue(
-        (PREFIX + name).encode(), value(name, **more) if data == b"-" else data, revision
+        (PREFIX + name).encode(), entry_json(name, **more) if data == b"-" else data, revision
     )
 
 
-def follower(**changes: Any) -> Follower:
+def new_follower(**changes: Any) -> Follower:
     values = {"endpoints": (("127.0.0.1", 1),), "prefix": PREFIX, "page": 3} | changes
     return Follower(EtcdSettings(**values), ListReader(config(1)).read_member, random.Random(1))
 
@@ -68,216 +71,254 @@
     return Header(cluster, revision)
 
 
-def started(*pairs: KeyValue, revision: int = 5, **changes: Any) -> Follower:
-    made = follower(**changes)
-    made.begin()
-    made.on_page(RangePage(header(revision), list(pairs), False), 0.0)
-    return made
+def follower_with_list(*pairs: KeyValue, revision: int = 5, **changes: Any) -> Follower:
+    follower = new_follower(**changes)
+    follower.begin()
+    follower.on_page(RangePage(header(revision), list(pairs), False), 0.0)
+    return follower
 
 
-def delivered(orders: list[Any]) -> DiscoveryUpdate:
-    (told,) = [order.update for order in orders if isinstance(order, PublishUpdate)]
-    return told
+def published_update(actions: list[Any]) -> DiscoveryUpdate:
+    (update,) = [action.update for action in actions if isinstance(action, PublishUpdate)]
+    return update
 
 
-def names(told: DiscoveryUpdate, state: ServerState = ServerState.READY) -> list[str]:
-    return sorted(member.name for member in told.endpoints if member.entry.state is state)
+def names_in_state(
+    update: DiscoveryUpdate, state: EndpointState = EndpointState.READY
+) -> list[str]:
+    return sorted(member.name for member in update.endpoints if member.entry.state is state)
 
 
-def test_pages_are_one_revision_and_handed_over_whole() -> None:
-    made = follower()
-    assert made.begin() == [FetchPage(b"/s/", 0, 3)]
-    pages = [[pair("a"), pair("b"), pair("c")], [pair("d")]]
-    assert made.on_page(RangePage(header(9), pages[0], True), 0.0) == [FetchPage(b"/s/c\0", 9, 3)]
-    assert made.members == {}  # nothing of it yet
-    orders = made.on_page(RangePage(header(12), pages[1], False), 0.0)
-    told = delivered(orders)
-    assert (told.kind, told.version, names(told)) == (UpdateKind.SNAPSHOT, 9, ["a", "b", "c", "d"])
-    assert [type(order) for order in orders] == [
+def test_all_pages_are_of_one_revision_and_published_as_one_snapshot() -> None:
+    follower = new_follower()
+    assert follower.begin() == [FetchPage(b"/s/", 0, 3)]
+    pages = [[key_value("a"), key_value("b"), key_value("c")], [key_value("d")]]
+    assert follower.on_page(RangePage(header(9), pages[0], True), 0.0) == [
+        FetchPage(b"/s/c\0", 9, 3)
+    ]
+    # Nothing is applied before the last page.
+    assert follower.members == {}
+    actions = follower.on_page(RangePage(header(12), pages[1], False), 0.0)
+    update = published_update(actions)
+    assert (update.kind, update.version, names_in_state(update)) == (
+        UpdateKind.SNAPSHOT,
+        9,
+        ["a", "b", "c", "d"],
+    )
+    assert [type(action) for action in actions] == [
         PublishUpdate,
         ListConfirmed,
         OpenWatch,
-    ] and orders[-1] == OpenWatch(10)
+    ] and actions[-1] == OpenWatch(10)
 
 
-def test_changes_of_one_response_are_one_hand_over() -> None:
-    made = started(pair("a"), pair("b"), pair("c"), pair("d"))
+def test_the_changes_of_one_response_are_one_update() -> None:
+    follower = follower_with_list(key_value("a"), key_value("b"), key_value("c"), key_value("d"))
     events = [
-        pair("a", 6, state="leaving"),
-        pair("a", 7, state="active"),
-        pair("e", 7),
-        pair("b", 8, data=None),
-        pair("a", 9, state="leaving"),
+        key_value("a", 6, state="leaving"),
+        key_value("a", 7, state="active"),
+        key_value("e", 7),
+        key_value("b", 8, data=None),
+        key_value("a", 9, state="leaving"),
     ]
-    told = delivered(made.on_watch_response(WatchResponse(header(9), events), 0.0))
-    assert (told.kind, told.version) == (UpdateKind.DELTA, 9)
-    assert names(told) == ["e"] and names(told, ServerState.DRAINING) == ["a"]
-    assert names(told, ServerState.GONE) == ["b"]
-    made.on_failure(Failure.UNREACHABLE)
-    assert made.begin() == [OpenWatch(10)]  # where it stopped
+    update = published_update(follower.on_watch_response(WatchResponse(header(9), events), 0.0))
+    assert (update.kind, update.version) == (UpdateKind.DELTA, 9)
+    assert names_in_state(update) == ["e"] and names_in_state(update, EndpointState.DRAINING) == [
+        "a"
+    ]
+    assert names_in_state(update, EndpointState.GONE) == ["b"]
+    follower.on_failure(Failure.UNREACHABLE)
+    # The watch resumes after the last revision.
+    assert follower.begin() == [OpenWatch(10)]
 
 
-def test_what_was_told_before_is_passed_over() -> None:
-    made = started(pair("a"), revision=5)
-    old = WatchResponse(header(5), [pair("a", 4, state="leaving"), pair("z", 5)])
-    assert made.on_watch_response(old, 0.0) == []
-    twice = WatchResponse(header(6), [pair("z", 6)])
-    assert names(delivered(made.on_watch_response(twice, 0.0))) == ["z"]
-    assert made.on_watch_response(twice, 0.0) == []
+def test_duplicate_events_are_ignored() -> None:
+    follower = follower_with_list(key_value("a"), revision=5)
+    old = WatchResponse(header(5), [key_value("a", 4, state="leaving"), key_value("z", 5)])
+    assert follower.on_watch_response(old, 0.0) == []
+    twice = WatchResponse(header(6), [key_value("z", 6)])
+    assert names_in_state(published_update(follower.on_watch_response(twice, 0.0))) == ["z"]
+    assert follower.on_watch_response(twice, 0.0) == []
 
 
-def test_fragments_count_with_the_last_one() -> None:
-    made = started(pair("a"), pair("b"))
+def test_fragments_are_applied_with_the_last_one() -> None:
+    follower = follower_with_list(key_value("a"), key_value("b"))
     assert (
-        made.on_watch_response(
-            WatchResponse(header(6), [pair("a", 6, state="leaving")], fragment=True), 0.0
+        follower.on_watch_response(
+            WatchResponse(header(6), [key_value("a", 6, state="leaving")], fragment=True), 0.0
         )
         == []
     )
     assert (
-        made.on_watch_response(
-            WatchResponse(header(6), [pair("b", 6, state="leaving")], fragment=True), 0.0
+        follower.on_watch_response(
+            WatchResponse(header(6), [key_value("b", 6, state="leaving")], fragment=True), 0.0
         )
         == []
     )
-    # Cut off after the second: none of it holds, and all of it is asked for again.
-    made.on_failure(Failure.UNREACHABLE)
-    assert made.begin() == [OpenWatch(6)]
+    # The stream breaks after the second: both are discarded and requested again.
+    follower.on_failure(Failure.UNREACHABLE)
+    assert follower.begin() == [OpenWatch(6)]
     assert (
-        made.on_watch_response(
-            WatchResponse(header(6), [pair("a", 6, state="leaving")], fragment=True), 0.0
+        follower.on_watch_response(
+            WatchResponse(header(6), [key_value("a", 6, state="leaving")], fragment=True), 0.0
         )
         == []
     )
-    told = delivered(
-        made.on_watch_response(WatchResponse(header(6), [pair("b", 6, state="leaving")]), 0.0)
+    update = published_update(
+        follower.on_watch_response(
+            WatchResponse(header(6), [key_value("b", 6, state="leaving")]), 0.0
+        )
     )
-    assert names(told, ServerState.DRAINING) == ["a", "b"]
-
-
-def test_a_stale_members_list_is_not_taken_and_the_next_is_asked() -> None:
-    made = started(pair("a"), revision=50)
-    made.on_failure(Failure.COMPACTED)
-    assert made.begin() == [FetchPage(b"/s/", 0, 3)]
-    report, wait = made.on_page(RangePage(header(49), [pair("old")], False), 0.0)
-    assert isinstance(report, LogProblem) and "older than 50" in report.text
-    assert isinstance(wait, Reconnect) and wait.next_member
-    assert [member.name for member in made.published.values()] == ["a"]
-    made.begin()
-    assert names(
-        delivered(made.on_page(RangePage(header(50), [pair("a"), pair("b")], False), 0.0))
+    assert names_in_state(update, EndpointState.DRAINING) == ["a", "b"]
+
+
+def test_the_list_of_a_stale_member_is_discarded_and_the_next_member_is_asked() -> None:
+    follower = follower_with_list(key_value("a"), revision=50)
+    follower.on_failure(Failure.COMPACTED)
+    assert follower.begin() == [FetchPage(b"/s/", 0, 3)]
+    problem, reconnect = follower.on_page(RangePage(header(49), [key_value("old")], False), 0.0)
+    assert isinstance(problem, LogProblem) and "older than 50" in problem.text
+    assert isinstance(reconnect, Reconnect) and reconnect.next_member
+    assert [member.name for member in follower.published.values()] == ["a"]
+    follower.begin()
+    assert names_in_state(
+        published_update(
+            follower.on_page(RangePage(header(50), [key_value("a"), key_value("b")], False), 0.0)
+        )
     ) == [
         "a",
         "b",
     ]
 
 
-def test_a_member_behind_in_its_progress_is_left() -> None:
-    made = started(pair("a"), revision=50)
-    assert made.on_progress(header(60)) == [ListConfirmed()]
-    report, wait = made.on_progress(header(59))
-    assert "behind 60" in report.text and wait.next_member  # type: ignore[union-attr]
-    assert made.begin() == [OpenWatch(61)]
+def test_a_member_whose_progress_is_behind_is_left() -> None:
+    follower = follower_with_list(key_value("a"), revision=50)
+    assert follower.on_progress(header(60)) == [ListConfirmed()]
+    problem, reconnect = follower.on_progress(header(59))
+    assert "behind 60" in problem.text and reconnect.next_member  # type: ignore[union-attr]
+    assert follower.begin() == [OpenWatch(61)]
 
 
-def test_another_cluster_is_another_history() -> None:
-    made = started(pair("a"), pair("b"), revision=50)
-    report, wait = made.on_watch_response(WatchResponse(header(3, cluster=8), [pair("x", 3)]), 0.0)
-    assert "another cluster" in report.text and isinstance(wait, Reconnect)  # type: ignore[union-attr]
-    assert made.begin() == [FetchPage(b"/s/", 0, 3)]
-    orders = made.on_page(RangePage(header(3, cluster=8), [pair("x"), pair("y")], False), 0.0)
-    assert isinstance(orders[0], LogProblem)
-    assert names(delivered(orders)) == ["x", "y"] and orders[-1] == OpenWatch(4)
+def test_the_history_of_another_cluster_is_listed_again() -> None:
+    follower = follower_with_list(key_value("a"), key_value("b"), revision=50)
+    problem, reconnect = follower.on_watch_response(
+        WatchResponse(header(3, cluster=8), [key_value("x", 3)]), 0.0
+    )
+    assert "another cluster" in problem.text and isinstance(reconnect, Reconnect)  # type: ignore[union-attr]
+    assert follower.begin() == [FetchPage(b"/s/", 0, 3)]
+    actions = follower.on_page(
+        RangePage(header(3, cluster=8), [key_value("x"), key_value("y")], False), 0.0
+    )
+    assert isinstance(actions[0], LogProblem)
+    assert names_in_state(published_update(actions)) == ["x", "y"] and actions[-1] == OpenWatch(4)
 
 
-def test_a_cluster_that_changes_between_pages_begins_the_list_anew() -> None:
-    made = follower()
-    made.begin()
-    made.on_page(RangePage(header(9), [pair("a"), pair("b"), pair("c")], True), 0.0)
-    (wait,) = made.on_page(RangePage(header(9, cluster=8), [pair("d")], False), 0.0)
-    assert isinstance(wait, Reconnect) and made.members == {} and made.phase is Phase.IDLE
+def test_a_list_starts_again_where_the_cluster_changes_between_pages() -> None:
+    follower = new_follower()
+    follower.begin()
+    follower.on_page(
+        RangePage(header(9), [key_value("a"), key_value("b"), key_value("c")], True), 0.0
+    )
+    (reconnect,) = follower.on_page(RangePage(header(9, cluster=8), [key_value("d")], False), 0.0)
+    assert (
+        isinstance(reconnect, Reconnect) and follower.members == {} and follower.phase is Phase.IDLE
+    )
 
 
-def test_compacted_history_is_listed_again_even_in_the_list_that_follows() -> None:
-    made = started(pair("a"), revision=5)
-    report, _ = made.on_watch_response(
+def test_a_compaction_causes_a_new_list_in_the_watch_and_between_pages() -> None:
+    follower = follower_with_list(key_value("a"), revision=5)
+    problem, _ = follower.on_watch_response(
         WatchResponse(header(90), cancelled=True, compact_revision=80), 0.0
     )
-    assert "80" in report.text  # type: ignore[union-attr]
-    assert made.begin() == [FetchPage(b"/s/", 0, 3)]
-    made.on_page(RangePage(header(90), [pair("a"), pair("b"), pair("c")], True), 0.0)
-    made.on_failure(Failure.COMPACTED)
-    assert made.begin() == [FetchPage(b"/s/", 0, 3)]
-    assert names(delivered(made.on_page(RangePage(header(95), [pair("c")], False), 0.0))) == ["c"]
+    assert "80" in problem.text  # type: ignore[union-attr]
+    assert follower.begin() == [FetchPage(b"/s/", 0, 3)]
+    follower.on_page(
+        RangePage(header(90), [key_value("a"), key_value("b"), key_value("c")], True), 0.0
+    )
+    follower.on_failure(Failure.COMPACTED)
+    assert follower.begin() == [FetchPage(b"/s/", 0, 3)]
+    assert names_in_state(
+        published_update(follower.on_page(RangePage(header(95), [key_value("c")], False), 0.0))
+    ) == ["c"]
 
 
 @pytest.mark.parametrize(
     "data",
-    [b"", b"{", b"[]", b"[" * 9999, b"\xff", value("a", state="left"), b'{"instanceId":"a","hostPort":"x"}',
-     value("a", weight=-1.0), b'{"hostPort":"127.0.0.1:1","lifecycle":"active"}', b"x" * (65 << 10)],
+    [b"", b"{", b"[]", b"[" * 9999, b"\xff", entry_json("a", state="left"), b'{"instanceId":"a","hostPort":"x"}',
+     entry_json("a", weight=-1.0), b'{"hostPort":"127.0.0.1:1","lifecycle":"active"}', b"x" * (65 << 10)],
     ids=range(10),
 )  # fmt: skip
-def test_a_value_that_is_no_entry_costs_its_key_alone(data: bytes) -> None:
-    made = started(pair("a"), pair("b"), revision=5)
-    orders = made.on_watch_response(
-        WatchResponse(header(6), [pair("a", 6, data=data), pair("c", 6, data=data)]), 0.0
+def test_an_invalid_value_affects_its_key_alone(data: bytes) -> None:
+    follower = follower_with_list(key_value("a"), key_value("b"), revision=5)
+    actions = follower.on_watch_response(
+        WatchResponse(header(6), [key_value("a", 6, data=data), key_value("c", 6, data=data)]), 0.0
     )
-    reports = [order.text for order in orders if isinstance(order, LogProblem)]
-    assert len(reports) == 2 and "kept as it was" in reports[0] and "left out" in reports[1]
-    assert sorted(member.name for member in made.published.values()) == ["a", "b"]
+    texts = [action.text for action in actions if isinstance(action, LogProblem)]
+    assert len(texts) == 2 and "kept as it was" in texts[0] and "left out" in texts[1]
+    assert sorted(member.name for member in follower.published.values()) == ["a", "b"]
+    # The same fault is reported once.
     assert (
-        made.on_watch_response(WatchResponse(header(7), [pair("a", 7, data=data)]), 0.0) == []
-    )  # told once
-    assert names(
-        delivered(made.on_watch_response(WatchResponse(header(8), [pair("c", 8)]), 0.0))
+        follower.on_watch_response(WatchResponse(header(7), [key_value("a", 7, data=data)]), 0.0)
+        == []
+    )
+    assert names_in_state(
+        published_update(
+            follower.on_watch_response(WatchResponse(header(8), [key_value("c", 8)]), 0.0)
+        )
     ) == ["c"]
 
 
-def test_one_instance_under_two_keys_is_taken_from_the_first() -> None:
-    made = started(pair("a"), revision=5)
-    other = KeyValue(b"/s/copy", value("a", state="leaving"), 6)
-    (report,) = made.on_watch_response(WatchResponse(header(6), [other]), 0.0)
-    assert isinstance(report, LogProblem) and "another key" in report.text
-    told = delivered(
-        made.on_watch_response(WatchResponse(header(7), [KeyValue(b"/s/a", value("b"), 7)]), 0.0)
+def test_of_one_instance_under_two_keys_the_first_is_kept() -> None:
+    follower = follower_with_list(key_value("a"), revision=5)
+    other = KeyValue(b"/s/copy", entry_json("a", state="leaving"), 6)
+    (problem,) = follower.on_watch_response(WatchResponse(header(6), [other]), 0.0)
+    assert isinstance(problem, LogProblem) and "another key" in problem.text
+    update = published_update(
+        follower.on_watch_response(
+            WatchResponse(header(7), [KeyValue(b"/s/a", entry_json("b"), 7)]), 0.0
+        )
     )
-    assert names(told) == ["b"] and names(told, ServerState.GONE) == ["a"]
+    assert names_in_state(update) == ["b"] and names_in_state(update, EndpointState.GONE) == ["a"]
 
 
-def test_a_list_emptied_by_mistake_is_held_back_until_the_override() -> None:
-    names_of = "abcdef"
-    made = started(*(pair(name) for name in names_of))
-    orders = made.on_watch_response(
-        WatchResponse(header(6), [pair(name, 6, data=None) for name in names_of]), 1.0
+def test_an_emptied_list_is_held_back_until_the_override() -> None:
+    server_names = "abcdef"
+    follower = follower_with_list(*(key_value(name) for name in server_names))
+    actions = follower.on_watch_response(
+        WatchResponse(header(6), [key_value(name, 6, data=None) for name in server_names]), 1.0
     )
-    (report,) = orders
-    assert isinstance(report, LogProblem) and "only 0 of 6" in report.text
-    # A drain and a new server count at once; what is missing stays.
-    told = delivered(
-        made.on_watch_response(
-            WatchResponse(header(7), [pair("a", 7, state="leaving"), pair("z", 7)]), 2.0
+    (problem,) = actions
+    assert isinstance(problem, LogProblem) and "only 0 of 6" in problem.text
+    # A drain and a new server take effect at once; missing servers are kept.
+    update = published_update(
+        follower.on_watch_response(
+            WatchResponse(header(7), [key_value("a", 7, state="leaving"), key_value("z", 7)]), 2.0
         )
     )
-    assert names(told) == ["z"] and names(told, ServerState.DRAINING) == ["a"]
-    orders = made.on_watch_response(
+    assert names_in_state(update) == ["z"] and names_in_state(update, EndpointState.DRAINING) == [
+        "a"
+    ]
+    actions = follower.on_watch_response(
         WatchResponse(header(8), [KeyValue(f"/s/{SHRINK_ALLOWED_KEY}".encode(), b"on", 8)]), 3.0
     )
-    assert names(delivered(orders), ServerState.GONE) == list("bcdef")
+    assert names_in_state(published_update(actions), EndpointState.GONE) == list("bcdef")
 
 
 def test_the_hold_ends_when_the_servers_are_back() -> None:
-    made = started(*(pair(name) for name in "abcdef"))
-    made.on_watch_response(
-        WatchResponse(header(6), [pair(name, 6, data=None) for name in "abcde"]), 1.0
+    follower = follower_with_list(*(key_value(name) for name in "abcdef"))
+    follower.on_watch_response(
+        WatchResponse(header(6), [key_value(name, 6, data=None) for name in "abcde"]), 1.0
     )
-    assert made.guard.holding
-    orders = made.on_watch_response(
-        WatchResponse(header(7), [pair(name, 7) for name in "abc"]), 2.0
+    assert follower.guard.holding
+    actions = follower.on_watch_response(
+        WatchResponse(header(7), [key_value(name, 7) for name in "abc"]), 2.0
     )
-    assert not made.guard.holding and names(delivered(orders), ServerState.GONE) == ["d", "e"]
+    assert not follower.guard.holding and names_in_state(
+        published_update(actions), EndpointState.GONE
+    ) == ["d", "e"]
 
 
-def test_the_guard_lets_small_fleets_and_slow_leaves_pass() -> None:
+def test_the_guard_allows_small_fleets_and_slow_changes() -> None:
     guard = ShrinkGuard(0.5)
     assert guard.allows(MIN_GUARDED_SERVERS - 1, 0.0, False) and guard.allows(0, 1.0, False)
     guard = ShrinkGuard(0.5)
@@ -294,125 +335,139 @@
     assert len(guard.counts) < 10
 
 
-def test_waits_grow_with_jitter_and_are_bounded() -> None:
-    made = follower(retry_first_ms=50.0, retry_most_ms=1000.0)
-    waits = []
+def test_retry_delays_grow_with_jitter_up_to_a_limit() -> None:
+    follower = new_follower(retry_first_ms=50.0, retry_most_ms=1000.0)
+    delays_ms = []
     for _ in range(20):
-        made.begin()
-        (wait,) = made.on_failure(Failure.UNREACHABLE)
-        assert isinstance(wait, Reconnect) and wait.next_member
-        waits.append(wait.delay_ms)
-    assert waits[0] < 75 and max(waits) <= 1500 and len(set(waits)) == 20
+        follower.begin()
+        (reconnect,) = follower.on_failure(Failure.UNREACHABLE)
+        assert isinstance(reconnect, Reconnect) and reconnect.next_member
+        delays_ms.append(reconnect.delay_ms)
+    assert delays_ms[0] < 75 and max(delays_ms) <= 1500 and len(set(delays_ms)) == 20
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.data())
-def test_whatever_the_order_the_list_in_the_end_is_etcds(data: Any) -> None:
-    """A model of etcd's history; the follower is cut off, told twice, and made to list again at any
-    point."""
-    made, rng = follower(guard_share=0.0), random.Random(data.draw(st.integers(0, 1 << 30)))
+def test_whatever_the_order_of_events_the_list_ends_as_etcds(data: Any) -> None:
+    """Compare the follower with a model of etcd's history.
+
+    Its streams break, events are repeated, and it has to list again, at any point.
+    """
+    follower, rng = new_follower(guard_share=0.0), random.Random(data.draw(st.integers(0, 1 << 30)))
     history: dict[int, list[KeyValue]] = {}
-    state: dict[bytes, tuple[int, bytes]] = {}
-    revision, given_to = 1, {}
-    orders = made.begin()
-
-    def take(found: list[Any]) -> None:
-        for order in found:
-            if isinstance(order, PublishUpdate):
-                if order.update.kind is UpdateKind.SNAPSHOT:
-                    given_to.clear()
-                for member in order.update.endpoints:
-                    given_to[member.name] = member.entry.state
-                    if member.entry.state is ServerState.GONE:
-                        del given_to[member.name]
+    etcd_state: dict[bytes, tuple[int, bytes]] = {}
+    revision, published = 1, {}
+    actions = follower.begin()
+
+    def apply(found: list[Any]) -> None:
+        for action in found:
+            if isinstance(action, PublishUpdate):
+                if action.update.kind is UpdateKind.SNAPSHOT:
+                    published.clear()
+                for member in action.update.endpoints:
+                    published[member.name] = member.entry.state
+                    if member.entry.state is EndpointState.GONE:
+                        del published[member.name]
 
     def listed() -> list[KeyValue]:
-        return [KeyValue(key, value_, at) for key, (at, value_) in sorted(state.items())]
+        return [KeyValue(key, value, at) for key, (at, value) in sorted(etcd_state.items())]
 
     for _ in range(data.draw(st.integers(1, 40))):
         step = rng.randrange(6)
-        if step < 3:  # a transaction
+        if step < 3:
+            # A transaction.
             revision += 1
             chosen = rng.sample("abcde", rng.randrange(1, 4))
             history[revision] = [
-                pair(name, revision, data=None) if rng.random() < 0.3 else
-                pair(name, revision, state=rng.choice(("active", "leaving"))) for name in chosen
+                key_value(name, revision, data=None) if rng.random() < 0.3 else
+                key_value(name, revision, state=rng.choice(("active", "leaving"))) for name in chosen
             ]  # fmt: skip
             for event in history[revision]:
                 if event.value is None:
-                    state.pop(event.key, None)
+                    etcd_state.pop(event.key, None)
                 else:
-                    state[event.key] = (revision, event.value)
-        elif (
-            step == 3 and made.phase is Phase.WATCHING
-        ):  # tell some of what is due, maybe cut, maybe twice
-            upto = rng.randrange(made.revision, revision + 1)
-            events = [e for r in range(made.revision + 1, upto + 1) for e in history.get(r, ())]
+                    etcd_state[event.key] = (revision, event.value)
+        elif step == 3 and follower.phase is Phase.WATCHING:
+            # Some of the due events, perhaps cut off within a response, perhaps sent twice.
+            last_revision = rng.randrange(follower.revision, revision + 1)
+            events = [
+                event
+                for at in range(follower.revision + 1, last_revision + 1)
+                for event in history.get(at, ())
+            ]
             cut = rng.randrange(len(events) + 1)
             if cut and rng.random() < 0.4:
-                take(
-                    made.on_watch_response(
-                        WatchResponse(header(upto), events[:cut], fragment=True), 0.0
+                apply(
+                    follower.on_watch_response(
+                        WatchResponse(header(last_revision), events[:cut], fragment=True), 0.0
                     )
                 )
-                made.on_failure(Failure.UNREACHABLE)
-                orders = made.begin()
+                follower.on_failure(Failure.UNREACHABLE)
+                actions = follower.begin()
             else:
                 for _ in range(rng.randrange(1, 3)):
-                    take(made.on_watch_response(WatchResponse(header(upto), events), 0.0))
+                    apply(
+                        follower.on_watch_response(
+                            WatchResponse(header(last_revision), events), 0.0
+                        )
+                    )
         elif step == 4:
-            made.on_failure(rng.choice(list(Failure)))
-            orders = made.begin()
-        elif made.phase is Phase.LISTING and isinstance(orders[-1], FetchPage):
+            follower.on_failure(rng.choice(list(Failure)))
+            actions = follower.begin()
+        elif follower.phase is Phase.LISTING and isinstance(actions[-1], FetchPage):
             at, everything = revision, listed()
             page, rest = everything[:3], everything[3:]
-            orders = made.on_page(RangePage(header(at), page, bool(rest)), 0.0)
-            take(orders)
+            actions = follower.on_page(RangePage(header(at), page, bool(rest)), 0.0)
+            apply(actions)
             while rest:
                 page, rest = rest[:3], rest[3:]
-                orders = made.on_page(RangePage(header(revision), page, bool(rest)), 0.0)
-                take(orders)
-    made.on_failure(Failure.COMPACTED)
-    made.begin()
-    take(made.on_page(RangePage(header(revision), listed(), False), 0.0))
-    wanted = {key[len(PREFIX) :].decode() for key in state}
-    assert set(given_to) == wanted == {member.name for member in made.published.values()}
-    assert not made.kept_by_guard and not made.changed_ids
+                actions = follower.on_page(RangePage(header(revision), page, bool(rest)), 0.0)
+                apply(actions)
+    follower.on_failure(Failure.COMPACTED)
+    follower.begin()
+    apply(follower.on_page(RangePage(header(revision), listed(), False), 0.0))
+    expected = {key[len(PREFIX) :].decode() for key in etcd_state}
+    assert set(published) == expected == {member.name for member in follower.published.values()}
+    assert not follower.kept_by_guard and not follower.changed_ids
 
 
-# The age of the list.
+# The freshness of a list.
 
 
-def test_a_list_ages_from_when_its_proof_was_asked_for() -> None:
-    list_ = Freshness(FreshnessLimits(100.0, 300.0))
-    assert (
-        list_.state(0.0) is FreshnessState.STALE and list_.next_change(0.0) is None
-    )  # never proven
-    list_.proof(1000.0)
-    assert [list_.state(1000.0 + age) for age in (0, 99.9, 100, 299.9, 300)] == [
+def test_a_list_ages_from_when_its_proof_was_requested() -> None:
+    freshness = Freshness(FreshnessLimits(100.0, 300.0))
+    # There is no proof yet.
+    assert freshness.state(0.0) is FreshnessState.STALE and freshness.next_change(0.0) is None
+    freshness.proof(1000.0)
+    assert [freshness.state(1000.0 + age) for age in (0, 99.9, 100, 299.9, 300)] == [
         FreshnessState.FRESH, FreshnessState.FRESH, FreshnessState.DOUBTFUL, FreshnessState.DOUBTFUL, FreshnessState.STALE,
     ]  # fmt: skip
-    assert (list_.next_change(1000.0), list_.next_change(1100.0), list_.next_change(1300.0)) == (
+    assert (
+        freshness.next_change(1000.0),
+        freshness.next_change(1100.0),
+        freshness.next_change(1300.0),
+    ) == (
         1100.0,
         1300.0,
         None,
     )
-    list_.proof(900.0)  # an older one changes nothing
-    assert list_.age(1050.0) == 50.0
-    list_.proof(1400.0)
-    assert list_.state(1400.0) is FreshnessState.FRESH
+    # An older proof changes nothing.
+    freshness.proof(900.0)
+    assert freshness.age(1050.0) == 50.0
+    freshness.proof(1400.0)
+    assert freshness.state(1400.0) is FreshnessState.FRESH
 
 
 @given(st.lists(st.tuples(st.booleans(), st.floats(0, 500)), max_size=30))
-def test_the_state_changes_exactly_when_it_was_said(steps: list[tuple[bool, float]]) -> None:
-    list_, now = Freshness(FreshnessLimits(100.0, 300.0)), 0.0
-    for proof, passed in steps:
-        due, before = list_.next_change(now), list_.state(now)
-        now += passed
+def test_the_state_changes_exactly_when_next_change_says(steps: list[tuple[bool, float]]) -> None:
+    freshness, now = Freshness(FreshnessLimits(100.0, 300.0)), 0.0
+    for is_proof, elapsed in steps:
+        due, before = freshness.next_change(now), freshness.state(now)
+        now += elapsed
         if due is None or now < due:
-            assert list_.state(now) is before
+            assert freshness.state(now) is before
         else:
-            assert list_.state(now) is not FreshnessState.FRESH
-        if proof:
-            list_.proof(now)
-            assert list_.state(now) is FreshnessState.FRESH
+            assert freshness.state(now) is not FreshnessState.FRESH
+        if is_proof:
+            freshness.proof(now)
+            assert freshness.state(now) is FreshnessState.FRESH
--- a/tests/etcd/test_standin.py
+++ b/tests/etcd/test_standin.py
@@ -1,4 +1,4 @@
-"""The stand-in etcd, by a client that knows nothing of it, and by the published stubs."""
+"""The stand-in etcd behaves as etcd, seen by a third-party client and by the published stubs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @asynccontextmanager
-async def member(**faults: Any) -> AsyncIterator[Etcd]:
+async def running_member(**faults: Any) -> AsyncIterator[Etcd]:
     etcd = await Etcd().start()
     for name, value in faults.items():
         setattr(etcd, name, value)
@@ -30,7 +30,7 @@
 
 
 @asynccontextmanager
-async def watching(etcd: Etcd, **create: Any) -> AsyncIterator[Any]:
+async def open_watch(etcd: Etcd, **create: Any) -> AsyncIterator[Any]:
     async with grpc.aio.insecure_channel(etcd.address) as channel:
         call = rpc_pb2_grpc.WatchStub(channel).Watch(metadata=(("hasleader", "true"),))
         request = rpc_pb2.WatchCreateRequest(key=b"k", range_end=b"l", **create)
@@ -38,13 +38,13 @@
         yield call
 
 
-async def read(call: Any) -> Any:
+async def read_response(call: Any) -> Any:
     return await asyncio.wait_for(call.read(), WAIT)
 
 
-def test_a_strangers_client_reads_writes_and_compares() -> None:
+def test_a_third_party_client_reads_writes_and_compares() -> None:
     async def test() -> None:
-        async with member() as etcd, aetcd.Client("127.0.0.1", etcd.port) as client:
+        async with running_member() as etcd, aetcd.Client("127.0.0.1", etcd.port) as client:
             await client.put(b"a", b"1")
             await client.put(b"b", b"2")
             await client.put(b"c", b"3")
@@ -62,16 +62,17 @@
                 success=[client.transactions.put(b"d", b"4"), client.transactions.delete(b"c")],
                 failure=[],
             )
-            assert ok and etcd.store.revision == before + 1  # one revision for both
+            # Both changes have one revision.
+            assert ok and etcd.store.revision == before + 1
             assert (await client.delete(b"a")) is not None and await client.get(b"a") is None
             assert (await client.delete_range(b"a", b"z")).deleted == 2
 
     run(test())
 
 
-def test_a_strangers_client_watches() -> None:
+def test_a_third_party_client_watches() -> None:
     async def test() -> None:
-        async with member() as etcd, aetcd.Client("127.0.0.1", etcd.port) as client:
+        async with running_member() as etcd, aetcd.Client("127.0.0.1", etcd.port) as client:
             await client.put(b"k/0", b"0")
             start = etcd.store.revision + 1
             await client.put(b"k/1", b"1")
@@ -79,21 +80,21 @@
             await client.put(b"k/2", b"2")
             await client.put(b"other", b"")
             await client.delete(b"k/1")
-            told = []
+            events = []
             async with asyncio.timeout(WAIT):
                 async for event in watch:
-                    told.append((str(event.kind), event.kv.key))
-                    if len(told) == 3:
+                    events.append((str(event.kind), event.kv.key))
+                    if len(events) == 3:
                         break
-            assert told == [("PUT", b"k/1"), ("PUT", b"k/2"), ("DELETE", b"k/1")]
+            assert events == [("PUT", b"k/1"), ("PUT", b"k/2"), ("DELETE", b"k/1")]
             await watch.cancel()
 
     run(test())
 
 
-def test_a_strangers_client_holds_leases_and_logs_in() -> None:
+def test_a_third_party_client_holds_leases_and_logs_in() -> None:
     async def test() -> None:
-        async with member() as etcd, aetcd.Client("127.0.0.1", etcd.port) as client:
+        async with running_member() as etcd, aetcd.Client("127.0.0.1", etcd.port) as client:
             lease = await client.lease(30)
             await client.put(b"l", b"1", lease=lease)
             assert (await client.get_lease_info(lease.id)).keys == [b"l"]
@@ -106,7 +107,7 @@
             async with asyncio.timeout(WAIT):
                 while await client.get(b"m") is not None:
                     await asyncio.sleep(0.01)
-        async with member(users={"root": "secret"}) as etcd:
+        async with running_member(users={"root": "secret"}) as etcd:
             async with aetcd.Client("127.0.0.1", etcd.port, "root", "secret") as client:
                 await client.put(b"a", b"1")
             with pytest.raises(aetcd.exceptions.ClientError):
@@ -116,15 +117,15 @@
     run(test())
 
 
-def test_errors_have_etcds_codes_and_texts() -> None:
+def test_errors_have_the_codes_and_texts_of_etcd() -> None:
     async def test() -> None:
-        async with member() as etcd, grpc.aio.insecure_channel(etcd.address) as channel:
+        async with running_member() as etcd, grpc.aio.insecure_channel(etcd.address) as channel:
             kv, leases = rpc_pb2_grpc.KVStub(channel), rpc_pb2_grpc.LeaseStub(channel)
             for _ in range(5):
                 await etcd.put("k", "v")
             await etcd.compact(4)
             code = grpc.StatusCode
-            for call, request, wanted, text in (
+            for call, request, expected_code, expected_text in (
                 (kv.Range, rpc_pb2.RangeRequest(key=b"k", revision=3), code.OUT_OF_RANGE,
                  "etcdserver: mvcc: required revision has been compacted"),
                 (kv.Range, rpc_pb2.RangeRequest(key=b"k", revision=99), code.OUT_OF_RANGE,
@@ -139,7 +140,10 @@
             ):  # fmt: skip
                 with pytest.raises(grpc.aio.AioRpcError) as caught:
                     await call(request)
-                assert (caught.value.code(), caught.value.details()) == (wanted, text)
+                assert (caught.value.code(), caught.value.details()) == (
+                    expected_code,
+                    expected_text,
+                )
             assert (await kv.Range(rpc_pb2.RangeRequest(key=b"k", revision=4))).kvs[
                 0
             ].mod_revision == 4
@@ -149,7 +153,7 @@
 
 def test_a_list_in_pages_stays_at_its_revision() -> None:
     async def test() -> None:
-        async with member() as etcd, grpc.aio.insecure_channel(etcd.address) as channel:
+        async with running_member() as etcd, grpc.aio.insecure_channel(etcd.address) as channel:
             for number in range(5):
                 await etcd.put(f"k{number}", "old")
             kv = rpc_pb2_grpc.KVStub(channel)
@@ -168,18 +172,22 @@
 
 def test_a_watch_from_compacted_history_is_cancelled() -> None:
     async def test() -> None:
-        async with member() as etcd:
+        async with running_member() as etcd:
             for _ in range(6):
                 await etcd.put("k", "v")
             await etcd.compact(5)
-            async with watching(etcd, start_revision=3) as call:
-                assert (await read(call)).created
-                cancelled = await read(call)
+            async with open_watch(etcd, start_revision=3) as call:
+                assert (await read_response(call)).created
+                cancelled = await read_response(call)
                 assert cancelled.canceled and cancelled.compact_revision == 5
-            async with watching(etcd, start_revision=5) as call:
-                assert (await read(call)).created
-                assert [event.kv.mod_revision for event in (await read(call)).events] == [5]
-                assert [event.kv.mod_revision for event in (await read(call)).events] == [6]
+            async with open_watch(etcd, start_revision=5) as call:
+                assert (await read_response(call)).created
+                assert [event.kv.mod_revision for event in (await read_response(call)).events] == [
+                    5
+                ]
+                assert [event.kv.mod_revision for event in (await read_response(call)).events] == [
+                    6
+                ]
 
     run(test())
 
@@ -187,22 +195,22 @@
 def test_fragments_filters_and_progress() -> None:
     async def test() -> None:
         filters = [rpc_pb2.WatchCreateRequest.NODELETE]
-        async with member(fragment_bytes=60) as etcd:  # noqa: SIM117  # one needs the other
-            async with watching(etcd, fragment=True, filters=filters) as call:
-                assert (await read(call)).created
+        async with running_member(fragment_bytes=60) as etcd:  # noqa: SIM117 (the second needs the first)
+            async with open_watch(etcd, fragment=True, filters=filters) as call:
+                assert (await read_response(call)).created
                 await etcd.put("k0", "gone")
-                assert len((await read(call)).events) == 1
+                assert len((await read_response(call)).events) == 1
                 await etcd.delete("k0")
                 puts = [rpc_pb2.PutRequest(key=b"k%d" % i, value=b"v" * 30) for i in range(3)]
                 revision = await etcd.txn(*puts)
-                parts = [await read(call) for _ in range(3)]
+                parts = [await read_response(call) for _ in range(3)]
                 assert [part.fragment for part in parts] == [True, True, False]
                 assert {event.kv.mod_revision for part in parts for event in part.events} == {
                     revision
                 }
                 ask = rpc_pb2.WatchRequest(progress_request=rpc_pb2.WatchProgressRequest())
                 await call.write(ask)
-                progress = await read(call)
+                progress = await read_response(call)
                 assert (progress.watch_id, progress.header.revision, len(progress.events)) == (
                     -1,
                     revision,
@@ -210,16 +218,16 @@
                 )
                 cancel = rpc_pb2.WatchCancelRequest(watch_id=parts[0].watch_id)
                 await call.write(rpc_pb2.WatchRequest(cancel_request=cancel))
-                assert (await read(call)).canceled
+                assert (await read_response(call)).canceled
 
     run(test())
 
 
 def test_faults_do_what_they_say() -> None:
     async def test() -> None:
-        async with member() as etcd:
-            async with watching(etcd) as call:
-                assert (await read(call)).created
+        async with running_member() as etcd:
+            async with open_watch(etcd) as call:
+                assert (await read_response(call)).created
                 etcd.frozen = True
                 await etcd.put("k", "1")
                 waiting = asyncio.ensure_future(call.read())
@@ -230,17 +238,17 @@
                 assert (await asyncio.wait_for(waiting, WAIT)).events[0].kv.value == b"1"
                 etcd.twice = True
                 await etcd.put("k", "2")
-                assert (await read(call)).events == (await read(call)).events
+                assert (await read_response(call)).events == (await read_response(call)).events
                 etcd.leader = False
                 await etcd.wake()
                 with pytest.raises(grpc.aio.AioRpcError, match="no leader"):
-                    await read(call)
+                    await read_response(call)
             etcd.leader, etcd.twice = True, False
-            async with watching(etcd) as call:
-                assert (await read(call)).created
+            async with open_watch(etcd) as call:
+                assert (await read_response(call)).created
                 etcd.drop()
                 with pytest.raises(grpc.aio.AioRpcError):
-                    await read(call)
+                    await read_response(call)
             cluster = etcd.cluster
             await etcd.restart(empty=True, new_cluster=True)
             assert etcd.cluster != cluster and etcd.store.revision == 1
@@ -248,7 +256,7 @@
     run(test())
 
 
-def test_it_runs_as_a_program_and_takes_faults_by_name() -> None:
+def test_it_runs_as_a_program_that_reads_faults_from_standard_input() -> None:
     async def test() -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "standins.etcd", "--listen", "127.0.0.1:0",
@@ -256,19 +264,19 @@
         )  # fmt: skip
         assert process.stdin is not None and process.stdout is not None
 
-        async def line() -> str:
+        async def read_line() -> str:
             assert process.stdout is not None
             return (await asyncio.wait_for(process.stdout.readline(), WAIT)).decode().strip()
 
-        said = await line()
-        assert said.startswith("listening on 127.0.0.1:")
-        async with aetcd.Client("127.0.0.1", int(said.rpartition(":")[2])) as client:
+        first_line = await read_line()
+        assert first_line.startswith("listening on 127.0.0.1:")
+        async with aetcd.Client("127.0.0.1", int(first_line.rpartition(":")[2])) as client:
             await client.put(b"a", b"1")
             process.stdin.write(b"old 1\n")
-            assert await line() == "done"
+            assert await read_line() == "done"
             assert await client.get(b"a") is None
             process.stdin.write(b"mischief\n")
-            assert (await line()).startswith("drop, freeze")
+            assert (await read_line()).startswith("drop, freeze")
         process.kill()
         await process.wait()
 
