--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -11,8 +11,8 @@
 
 from badgercart.core.identifiers import stable_id
 from badgercart.discovery import catalog
-from badgercart.discovery.backoff import RETRY_FIRST, Pace
-from badgercart.discovery.catalog import SILENCE
+from badgercart.discovery.backoff import INITIAL_RETRY_DELAY_S, CallTiming
+from badgercart.discovery.catalog import WATCH_SILENCE_TIMEOUT_S
 from badgercart.policy.endpoint import EndpointState
 from tests.net import WAIT_S, DiscoveryAgent, ScriptedServer, request, run, running
 
@@ -118,8 +118,8 @@
 def test_updates_that_an_ended_watch_missed_are_received(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(catalog, "SILENCE", 0.2)
-    monkeypatch.setattr(catalog, "RATE", 64_000_000)
+    monkeypatch.setattr(catalog, "WATCH_SILENCE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(catalog, "MIN_TRANSFER_BYTES_PER_S", 64_000_000)
 
     async def test() -> None:
         peer, other = await ScriptedServer().start(), await ScriptedServer().start()
@@ -173,7 +173,7 @@
 def test_a_snapshot_that_trickles_is_abandoned_and_requested_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(catalog, "RATE", 64_000_000)
+    monkeypatch.setattr(catalog, "MIN_TRANSFER_BYTES_PER_S", 64_000_000)
 
     async def endless(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await trickle(b" ")(reader, writer)
@@ -191,12 +191,15 @@
 
 def test_the_timeouts_of_an_agent_fit_into_the_grace_period() -> None:
     for grace in (250.0, 500.0, 2000.0):
-        pace = Pace.agent(grace)
+        pace = CallTiming.for_local_agent(grace)
         # A call that hangs as the agent recovers, and a pause.
-        assert pace.call + 1.5 * pace.retry < grace / 1000
+        assert pace.response_timeout_s + 1.5 * pace.max_retry_delay_s < grace / 1000
     told, grace = 6.0, 0.5
-    for pace in (Pace.agent(500.0), Pace.shared()):
-        assert SILENCE + pace.call + 1.5 * RETRY_FIRST < told + grace - pace.call
+    for pace in (CallTiming.for_local_agent(500.0), CallTiming.for_shared_service()):
+        assert (
+            WATCH_SILENCE_TIMEOUT_S + pace.response_timeout_s + 1.5 * INITIAL_RETRY_DELAY_S
+            < told + grace - pace.response_timeout_s
+        )
 
 
 def test_after_an_exception_of_the_policy_on_a_list_a_snapshot_is_requested(
