--- a/badgercart/frontends/graphql/component.py
+++ b/badgercart/frontends/graphql/component.py
@@ -14,7 +14,7 @@
 from badgercart.policy.settings import Idempotency
 
 if TYPE_CHECKING:
-    from badgercart.frontends.graphql.frontend import GraphqlFront
+    from badgercart.frontends.graphql.frontend import GraphqlFrontend
 
 
 class GraphqlComponent:
@@ -22,10 +22,10 @@
 
     def __init__(self, host: ComponentHost, settings: GraphqlSettings) -> None:
         from badgercart.frontends.graphql.frontend import (
-            GraphqlFront,
+            GraphqlFrontend,
         )  # heavy: only where it is switched on
 
-        self.front: GraphqlFront = GraphqlFront(
+        self.front: GraphqlFrontend = GraphqlFrontend(
             host.config,
             settings,
             host.pipeline,
--- a/badgercart/frontends/graphql/documents.py
+++ b/badgercart/frontends/graphql/documents.py
@@ -16,10 +16,14 @@
 
 from graphql import DocumentNode, GraphQLError, GraphQLSchema, OperationDefinitionNode, validate
 
-from badgercart.frontends.graphql.limits import BadDocument, TooCostly, read_document
+from badgercart.frontends.graphql.limits import (
+    DocumentLimitError,
+    DocumentSyntaxError,
+    read_document,
+)
 from badgercart.frontends.graphql.planner import BadOperation, Memo, Plan, Planner, choose
 from badgercart.frontends.graphql.requests import Asked, error
-from badgercart.frontends.graphql.settings import Limits
+from badgercart.frontends.graphql.settings import DocumentLimits
 
 MAX_ERRORS = 10  # of validation that are told
 PLAN_COST = 40  # times a document's text: about what its tree and its plans hold
@@ -77,7 +81,7 @@
         self,
         schema: GraphQLSchema,
         planner: Planner,
-        limits: Limits,
+        limits: DocumentLimits,
         cache: int,
         introspection: bool,
         allowed: Mapping[str, str] | None = None,
@@ -160,9 +164,9 @@
     def look(self, text: str) -> Known:
         try:
             document = read_document(text, self.limits)
-        except TooCostly as costly:
+        except DocumentLimitError as costly:
             return Known(None, [error(str(costly), "LIMIT_EXCEEDED")])
-        except BadDocument as bad:
+        except DocumentSyntaxError as bad:
             places = [{"line": line, "column": column} for line, column in bad.locations]
             return Known(None, [error(str(bad), "GRAPHQL_PARSE_FAILED") | {"locations": places}])
         found = validate(self.schema, document, max_errors=MAX_ERRORS)
--- a/badgercart/frontends/graphql/frontend.py
+++ b/badgercart/frontends/graphql/frontend.py
@@ -31,7 +31,7 @@
     RESPONSE_JSON,
     Asked,
     HttpError,
-    bad_request,
+    encode_http_error,
     error,
     media_type,
     read_get,
@@ -117,7 +117,7 @@
         )
 
 
-class GraphqlFront:
+class GraphqlFrontend:
     """A listener for GraphQL clients and the connections to GraphQL dispatch servers."""
 
     def __init__(
@@ -164,7 +164,7 @@
             wanted=join.is_awaited,
         )
         roster.on_change.append(self.pool.update)
-        self.listener = Listener(loop, settings.listen, self, clients, self.read, bad_request)
+        self.listener = Listener(loop, settings.listen, self, clients, self.read, encode_http_error)
 
     @property
     def healthy(self) -> bool:
--- a/badgercart/frontends/graphql/limits.py
+++ b/badgercart/frontends/graphql/limits.py
@@ -24,18 +24,18 @@
     parse,
 )
 
-from badgercart.frontends.graphql.settings import Limits
+from badgercart.frontends.graphql.settings import DocumentLimits
 
 MAX_NESTING = 200  # of braces, brackets and parentheses: the parser recurses with them
 _OPEN = {TokenKind.BRACE_L, TokenKind.BRACKET_L, TokenKind.PAREN_L}
 _CLOSE = {TokenKind.BRACE_R, TokenKind.BRACKET_R, TokenKind.PAREN_R}
 
 
-class TooCostly(Exception):
+class DocumentLimitError(Exception):
     """A document over a limit: which one, in words for the client."""
 
 
-class BadDocument(Exception):
+class DocumentSyntaxError(Exception):
     """A document that is none: what the parser says, and where (line and column, from 1)."""
 
     def __init__(self, text: str, locations: list[tuple[int, int]]) -> None:
@@ -43,30 +43,30 @@
         self.locations = locations
 
 
-def read_document(text: str, limits: Limits) -> DocumentNode:
-    """Parse a document within the limits. Raises TooCostly and BadDocument."""
+def read_document(text: str, limits: DocumentLimits) -> DocumentNode:
+    """Parse a document within the limits. Raises DocumentLimitError and DocumentSyntaxError."""
     if len(text.encode("utf-8", "surrogatepass")) > limits.document:
-        raise TooCostly(f"the document is over {limits.document} bytes")
+        raise DocumentLimitError(f"the document is over {limits.document} bytes")
     try:
         _count_tokens(text, limits)
         document = parse(text, max_tokens=limits.tokens)
     except GraphQLSyntaxError as error:
         places = [(place.line, place.column) for place in error.locations or ()]
-        raise BadDocument(error.message, places) from None
+        raise DocumentSyntaxError(error.message, places) from None
     check(document, limits)
     return document
 
 
-def _count_tokens(text: str, limits: Limits) -> None:
+def _count_tokens(text: str, limits: DocumentLimits) -> None:
     lexer = Lexer(Source(text))
     nested = count = 0
     while (token := lexer.advance()).kind is not TokenKind.EOF:
         count += 1
         if count > limits.tokens:
-            raise TooCostly(f"the document has over {limits.tokens} tokens")
+            raise DocumentLimitError(f"the document has over {limits.tokens} tokens")
         nested += (token.kind in _OPEN) - (token.kind in _CLOSE)
         if nested > MAX_NESTING:
-            raise TooCostly(f"the document is nested over {MAX_NESTING} deep")
+            raise DocumentLimitError(f"the document is nested over {MAX_NESTING} deep")
 
 
 @dataclass(slots=True)
@@ -87,8 +87,8 @@
         self.roots += 0 if below else other.roots
 
 
-def check(document: DocumentNode, limits: Limits) -> None:
-    """Raises TooCostly where any operation is over a limit, or fragments go in a circle."""
+def check(document: DocumentNode, limits: DocumentLimits) -> None:
+    """Raises DocumentLimitError where any operation is over a limit, or fragments go in a circle."""
     fragments = {
         d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)
     }
@@ -102,7 +102,7 @@
         _hold(cost, limits)
 
 
-def _hold(cost: Cost, limits: Limits) -> None:
+def _hold(cost: Cost, limits: DocumentLimits) -> None:
     for value, most, what in (
         (cost.depth, limits.depth, "levels of selections"),
         (cost.aliases, limits.aliases, "aliases"),
@@ -111,7 +111,7 @@
         (cost.fields, limits.fields, "fields"),
     ):
         if value > most:
-            raise TooCostly(f"an operation has over {most} {what}")
+            raise DocumentLimitError(f"an operation has over {most} {what}")
 
 
 def _in_order(fragments: dict[str, FragmentDefinitionNode]) -> list[str]:
@@ -132,7 +132,7 @@
             if not left[other]:
                 free.append(other)
     if len(order) < len(fragments):
-        raise TooCostly("fragments spread each other in a circle")
+        raise DocumentLimitError("fragments spread each other in a circle")
     return order
 
 
--- a/badgercart/frontends/graphql/requests.py
+++ b/badgercart/frontends/graphql/requests.py
@@ -137,7 +137,7 @@
 
 
 @lru_cache(maxsize=256)  # the same few reasons over and over
-def bad_request(status: int, why: str) -> tuple[bytes, bytes]:
+def encode_http_error(status: int, why: str) -> tuple[bytes, bytes]:
     """Media type and body for a request that can't be taken as HTTP: what it accepts is not
     known."""
     code = "INTERNAL_SERVER_ERROR" if status == 500 else "BAD_REQUEST"
--- a/badgercart/frontends/graphql/settings.py
+++ b/badgercart/frontends/graphql/settings.py
@@ -11,7 +11,7 @@
 MOST = 1 << 20
 
 
-class Limits(Table, title="Limits"):
+class DocumentLimits(Table, title="Limits"):
     """what a document may cost; each limit is checked before the document is validated or planned"""
 
     document: int = Field(16384, ge=1, le=MOST, description="its size (bytes)")
@@ -54,7 +54,7 @@
     cache_bytes: int = Field(
         4 << 20, ge=0, le=1 << 30, description="what documents and plans may hold (bytes)"
     )
-    limits: Limits = Limits()
+    limits: DocumentLimits = DocumentLimits()
     field: Annotated[tuple[FieldMap, ...], Listed] = Field(description="a root field")
 
     @property
--- a/benchmarks/graphql.py
+++ b/benchmarks/graphql.py
@@ -16,8 +16,12 @@
 import tracemalloc
 from pathlib import Path
 
-from badgercart.frontends.graphql.limits import BadDocument, TooCostly, read_document
-from badgercart.frontends.graphql.settings import Limits
+from badgercart.frontends.graphql.limits import (
+    DocumentLimitError,
+    DocumentSyntaxError,
+    read_document,
+)
+from badgercart.frontends.graphql.settings import DocumentLimits
 from benchmarks.same_service import Day
 from standins import http1
 from standins.demo import FRONTS, NodeProcess
@@ -140,11 +144,11 @@
     for name, text in HOSTILE.items():
         tracemalloc.start()
         start = time.perf_counter()
-        for limits in (Limits(), Limits(document=1 << 17)):
+        for limits in (DocumentLimits(), DocumentLimits(document=1 << 17)):
             try:
                 read_document(text, limits)
                 said = "taken"
-            except (TooCostly, BadDocument) as error:
+            except (DocumentLimitError, DocumentSyntaxError) as error:
                 said = str(error)[:60]
         took = time.perf_counter() - start
         peak = tracemalloc.get_traced_memory()[1]
--- a/tests/frontends/test_connection.py
+++ b/tests/frontends/test_connection.py
@@ -17,7 +17,7 @@
 
 from badgercart.core.identifiers import stable_id
 from badgercart.core.requests import Classifier, InvalidRequestError
-from badgercart.frontends.graphql.requests import bad_request
+from badgercart.frontends.graphql.requests import encode_http_error
 from badgercart.frontends.http.connection import (
     ALLOWED_TRANSITIONS,
     MAX_PIPELINED_REQUESTS,
@@ -275,7 +275,7 @@
 
 
 def test_graphql_reports_a_bad_request_as_a_graphql_error() -> None:
-    media_type, body = bad_request(400, "w" * 1000)
+    media_type, body = encode_http_error(400, "w" * 1000)
     (error,) = json.loads(body)["errors"]
     assert media_type == b"application/json" and error["extensions"]["code"] == "BAD_REQUEST"
     assert error["message"] == "w" * 200
--- a/tests/frontends/test_golden.py
+++ b/tests/frontends/test_golden.py
@@ -15,7 +15,7 @@
 from badgercart.core.memory_budget import MemoryBudget
 from badgercart.core.ports import Answer
 from badgercart.core.streams import Opening
-from badgercart.frontends.graphql.requests import bad_request
+from badgercart.frontends.graphql.requests import encode_http_error
 from badgercart.frontends.http.clients import ClientConnection, Listener
 from badgercart.frontends.http.requests import (
     ClientRequest,
@@ -288,10 +288,10 @@
 GROUPS: dict[str, Callable[[], dict[str, bytes]]] = {
     "turned-away-node": lambda: rejection_pieces(empty_error_body, True),
     "turned-away-problem": lambda: rejection_pieces(problem_document, False),
-    "turned-away-graphql": lambda: rejection_pieces(bad_request, False),
+    "turned-away-graphql": lambda: rejection_pieces(encode_http_error, False),
     "answers-node": lambda: response_pieces(empty_error_body),
     "answers-problem": lambda: response_pieces(problem_document),
-    "answers-graphql": lambda: response_pieces(bad_request),
+    "answers-graphql": lambda: response_pieces(encode_http_error),
     "ends": keep_alive_pieces,
     "pages": page_pieces,
     "long": streamed_response_pieces,
--- a/tests/graphql/test_limits.py
+++ b/tests/graphql/test_limits.py
@@ -11,37 +11,41 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.frontends.graphql.limits import BadDocument, TooCostly, read_document
+from badgercart.frontends.graphql.limits import (
+    DocumentLimitError,
+    DocumentSyntaxError,
+    read_document,
+)
 from badgercart.frontends.graphql.outcomes import FAULT, TIMED_OUT, TURNED_AWAY, read_reply
-from badgercart.frontends.graphql.settings import Limits
+from badgercart.frontends.graphql.settings import DocumentLimits
 from badgercart.policy.events import AttemptResult
 
-WIDE = Limits(document=1 << 20, tokens=100_000)
+WIDE = DocumentLimits(document=1 << 20, tokens=100_000)
 
 
 @pytest.mark.parametrize(
     ("text", "limits", "words"),
     [
-        ("{ a }" + " " * 20000, Limits(), "over 16384 bytes"),
-        ("{ " + "a " * 3000 + "}", Limits(), "over 2000 tokens"),
-        ("{ " + " ".join(f"a{i}: a" for i in range(40)) + " }", Limits(), "over 30 aliases"),
+        ("{ a }" + " " * 20000, DocumentLimits(), "over 16384 bytes"),
+        ("{ " + "a " * 3000 + "}", DocumentLimits(), "over 2000 tokens"),
+        ("{ " + " ".join(f"a{i}: a" for i in range(40)) + " }", DocumentLimits(), "over 30 aliases"),
         ("{ " + " ".join(f"a{i}: a" for i in range(9000)) + " }", WIDE, "over 30 aliases"),
         ("{a" * 2000 + "}" * 2000, WIDE, "nested over 200 deep"),
-        ("{a" * 20 + "}" * 20, Limits(), "over 15 levels"),
-        ("{ " + " ".join(f"f{i}" for i in range(21)) + " }", Limits(), "over 20 root fields"),
-        ("{ a" + " @x" * 51 + " }", Limits(), "over 50 directives"),
-        ("{ ...A } fragment A on Q { ...B } fragment B on Q { ...A }", Limits(), "in a circle"),
-        ("{ ...A } fragment A on Q { ...A }", Limits(), "in a circle"),
+        ("{a" * 20 + "}" * 20, DocumentLimits(), "over 15 levels"),
+        ("{ " + " ".join(f"f{i}" for i in range(21)) + " }", DocumentLimits(), "over 20 root fields"),
+        ("{ a" + " @x" * 51 + " }", DocumentLimits(), "over 50 directives"),
+        ("{ ...A } fragment A on Q { ...B } fragment B on Q { ...A }", DocumentLimits(), "in a circle"),
+        ("{ ...A } fragment A on Q { ...A }", DocumentLimits(), "in a circle"),
         ("{ ...A } fragment A on Q { " + "{a" * 0 + "a { ...B } } fragment B on Q " + "{a" * 15 + "}" * 15,
-         Limits(), "over 15 levels"),
-        ("query { ...A ...A ...A } fragment A on Q { " + " ".join(f"f{i}" for i in range(8)) + " }", Limits(),
+         DocumentLimits(), "over 15 levels"),
+        ("query { ...A ...A ...A } fragment A on Q { " + " ".join(f"f{i}" for i in range(8)) + " }", DocumentLimits(),
          "over 20 root fields"),
         ("(" * 5000, WIDE, "nested over 200 deep"),
         ("[" * 300 + "]" * 300, WIDE, "nested over 200 deep"),
     ],
 )  # fmt: skip
-def test_each_limit_is_told(text: str, limits: Limits, words: str) -> None:
-    with pytest.raises(TooCostly, match=words):
+def test_each_limit_is_told(text: str, limits: DocumentLimits, words: str) -> None:
+    with pytest.raises(DocumentLimitError, match=words):
         read_document(text, limits)
 
 
@@ -51,22 +55,22 @@
         f"fragment F{i} on Q {{ a{i} ...F{i + 1} b {{ ...F{i + 1} }} }}" for i in range(60)
     )
     began = time.process_time()
-    with pytest.raises(TooCostly):
+    with pytest.raises(DocumentLimitError):
         read_document(text + " fragment F60 on Q { x }", WIDE)
     assert time.process_time() - began < 5  # it would never end
 
 
 @pytest.mark.parametrize("text", ["", "{", "{ a(", "query", "{ a } }", "\0", "{ \ud800 }"])
 def test_what_is_no_document_is_told_with_its_place(text: str) -> None:
-    with pytest.raises(BadDocument) as caught:
-        read_document(text, Limits())
+    with pytest.raises(DocumentSyntaxError) as caught:
+        read_document(text, DocumentLimits())
     assert caught.value.locations and str(caught.value)
 
 
 @given(st.text(alphabet="{}()[]@$:!.|&\"'ab1 \n#\\", max_size=200))
 def test_any_text_is_read_or_refused(text: str) -> None:
-    with suppress(TooCostly, BadDocument):
-        read_document(text, Limits())
+    with suppress(DocumentLimitError, DocumentSyntaxError):
+        read_document(text, DocumentLimits())
 
 
 def reply(status: int = 200, **body: Any) -> Any:
