--- a/badgercart/frontends/graphql/__init__.py
+++ b/badgercart/frontends/graphql/__init__.py
@@ -1,8 +1,9 @@
-"""GraphQL over HTTP on the same rules: one operation becomes parts, each a request to the core.
+"""The GraphQL-over-HTTP frontend, with the same load-balancing rules as the HTTP frontend.
 
-No I/O: `limits` (what a document may cost before anything is done with it), `planner` (an operation
-and its variables into parts), `merge` (the parts' results into one response), `outcomes` (what a
-reply means), `mapping` (root fields to classes, checked against the schema). `graphql-core` parses
-and validates; its executor answers introspection only. It is imported where this front is switched
-on.
+An operation is split into parts, and each part is a request to the request pipeline. `limits`
+bounds what a document may cost before it is processed, `planner` splits an operation and its
+variables into parts, `merge` merges the parts' results into one response, `outcomes` classifies the
+replies of servers, and `mapping` checks the mapping of root fields to request classes against the
+schema; these modules do no I/O. `graphql-core` parses and validates; its executor answers only
+introspection. It is imported only where this frontend is enabled.
 """
--- a/badgercart/frontends/graphql/component.py
+++ b/badgercart/frontends/graphql/component.py
@@ -1,4 +1,4 @@
-"""The GraphQL front as a part of an installation."""
+"""The GraphQL frontend as a component of an installation."""
 
 from __future__ import annotations
 
@@ -18,14 +18,13 @@
 
 
 class GraphqlComponent:
-    """GraphQL clients and servers; its schema and map take a restart."""
+    """The GraphQL frontend; a new schema or field mapping takes effect after a restart."""
 
     def __init__(self, host: ComponentHost, settings: GraphqlSettings) -> None:
-        from badgercart.frontends.graphql.frontend import (
-            GraphqlFrontend,
-        )  # heavy: only where it is switched on
+        # The GraphQL library is large: it is imported only where this frontend is enabled.
+        from badgercart.frontends.graphql.frontend import GraphqlFrontend
 
-        self.front: GraphqlFrontend = GraphqlFrontend(
+        self.frontend: GraphqlFrontend = GraphqlFrontend(
             host.config,
             settings,
             host.pipeline,
@@ -36,25 +35,28 @@
             FilePath(host.folder),
         )
 
-        register_listener_metrics(host.metrics, "graphql", self.front.listener)
+        register_listener_metrics(host.metrics, "graphql", self.frontend.listener)
 
     async def start(self) -> None:
-        self.front.start()
+        """Listen for clients."""
+        self.frontend.start()
 
     def prepare(self, settings: GraphqlSettings) -> Callable[[], None] | None:
-        """Nothing here changes without a restart."""
+        """Return None: a change of the settings needs a restart."""
         return None
 
     async def drain(self, until: float) -> None:
-        await self.front.drain(until)
+        """Serve open requests until a time (ms) at the latest."""
+        await self.frontend.drain(until)
 
     def close(self) -> None:
-        self.front.close()
+        """Close the listener."""
+        self.frontend.close()
 
 
 def check(settings: GraphqlSettings, file: CheckedFile) -> Iterator[tuple[Path, str]]:
-    """The map against the schema."""
-    from badgercart.frontends.graphql.mapping import faults, read_schema
+    """Check the allow list, and the field mapping against the schema."""
+    from badgercart.frontends.graphql.mapping import mapping_faults, read_schema
 
     folder = FilePath(file.folder)
     try:
@@ -69,13 +71,13 @@
     except (OSError, ValueError) as error:
         yield ("schema",), f"can't be used: {error}"
         return
-    places = {item.name: at for at, item in enumerate(settings.field)}
-    if len(places) < len(settings.field):
+    positions = {item.name: position for position, item in enumerate(settings.field)}
+    if len(positions) < len(settings.field):
         yield ("field",), "names a field twice"
     effects = {cls.name: Idempotency(cls.effect) for cls in file.base.class_}
-    for name, key, words in faults(schema, settings.by_field, effects):
-        place: Path = ("field", places[name]) if name else ("field",)
-        yield (*place, key) if key else place, words
+    for name, key, message in mapping_faults(schema, settings.by_field, effects):
+        path: Path = ("field", positions[name]) if name else ("field",)
+        yield (*path, key) if key else path, message
 
 
 COMPONENTS = (
--- a/badgercart/frontends/graphql/execution.py
+++ b/badgercart/frontends/graphql/execution.py
@@ -1,8 +1,8 @@
-"""Carries out one plan: its parts become requests to the core, and their ends one response.
+"""Executes one plan: its parts become requests to the pipeline, and their results one response.
 
-Parts of a query go side by side, those of a mutation one after the other. A part that is refused or
-fails is an error in its place; a mutation whose client has gone, or whose response holds no data
-any more, begins no further part.
+The parts of a query are executed concurrently, those of a mutation one after the other. A part that
+is shed or fails becomes an error in its place. A mutation starts no further part once its client
+has left, or once an error has made all data of its response null.
 """
 
 from __future__ import annotations
@@ -13,183 +13,217 @@
 
 from badgercart.core.ports import Answer, IncomingRequest, UpstreamTransport
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.frontends.graphql.merge import Outcome, response
-from badgercart.frontends.graphql.outcomes import Reply
+from badgercart.frontends.graphql.merge import PartOutcome, merge_outcomes
+from badgercart.frontends.graphql.outcomes import GraphqlReply
 from badgercart.frontends.graphql.planner import Part, Plan
-from badgercart.frontends.graphql.requests import error
+from badgercart.frontends.graphql.requests import graphql_error
 from badgercart.upstream.exchange import Message
 
 
 @dataclass(slots=True)
-class Order:
-    """A part as it is to be handed to the core."""
+class PartRequest:
+    """A part as it is handed to the request pipeline."""
 
     part: Part
     message: Message
-    cls: int
+    class_index: int
     tenant: int
-    key: int  # affinity
-    due: float
-    name: bytes = b""  # the Request-Id that its server gets
+    affinity_key: int
+    deadline_ms: float
+    # The Request-Id that the server gets.
+    request_name: bytes = b""
 
 
 class PartCall:
-    """One part on its way: the join's front for it, and what the carrier finds in its replies."""
+    """The execution of one part: the frontend that the pipeline answers for it.
 
-    def __init__(self, execution: Execution, number: int, order: Order) -> None:
-        self.execution, self.number, self.order = execution, number, order
+    The transport stores the replies of servers in it.
+    """
+
+    def __init__(self, execution: Execution, number: int, request: PartRequest) -> None:
+        self.execution, self.number, self.request = execution, number, request
         self.request_id = 0
-        self.keys = {root.response_key for root in order.part.roots}
-        self.reply: Reply | None = None  # the last one
+        self.response_keys = {root.response_key for root in request.part.roots}
+        self.last_reply: GraphqlReply | None = None
         self.done = False
 
     def on_answer(self, answer: Answer) -> None:
-        reply = self.reply
-        assert reply is not None  # the carrier has read it
+        """End the part with the last reply."""
+        reply = self.last_reply
+        assert reply is not None  # the transport has stored it
         if reply.data is None and not reply.errors:
-            self.end(instead=error("the server can't take this", "SERVER_REFUSED"))
+            self.finish(
+                replacement_error=graphql_error("the server can't take this", "SERVER_REFUSED")
+            )
         else:
-            self.end(reply)
+            self.finish(reply)
 
     def on_shed(self, wait: float) -> None:
-        if self.usable():
-            self.end(self.reply)
+        """End a part that was shed; the client may retry after `wait` ms."""
+        if self.has_data():
+            self.finish(self.last_reply)
             return
-        self.execution.waits.append(wait)
-        more = {"retryAfter": round(wait / 1000, 3)} if wait else {}
-        self.end(instead=error("refused: trying again does no harm", "REFUSED", **more))
+        self.execution.retry_delays_ms.append(wait)
+        extensions = {"retryAfter": round(wait / 1000, 3)} if wait else {}
+        self.finish(
+            replacement_error=graphql_error(
+                "refused: trying again does no harm", "REFUSED", **extensions
+            )
+        )
 
     def on_failure(self, broken: bool) -> None:
-        if self.usable():
-            self.end(self.reply)
+        """End a part that failed; `broken`: by an error of the node itself."""
+        if self.has_data():
+            self.finish(self.last_reply)
             return
         code = "INTERNAL_SERVER_ERROR" if broken else "FAILED"
-        self.end(instead=error("failed: it may have run", code))
+        self.finish(replacement_error=graphql_error("failed: it may have run", code))
 
     def client_is_gone(self) -> bool:
-        return self.execution.gone()
+        """Return whether the client has left."""
+        return self.execution.client_is_gone()
 
-    def usable(self) -> bool:
-        """Whether the last reply holds some data: what came with errors is still worth more than
-        none."""
-        return self.reply is not None and self.reply.data is not None
+    def has_data(self) -> bool:
+        """Return whether the last reply has data: data with errors is worth more than none."""
+        return self.last_reply is not None and self.last_reply.data is not None
 
-    def end(self, reply: Reply | None = None, instead: dict[str, Any] | None = None) -> None:
+    def finish(
+        self, reply: GraphqlReply | None = None, replacement_error: dict[str, Any] | None = None
+    ) -> None:
+        """End the part with a reply, or with the error that replaces it."""
         self.done = True
-        part = self.order.part
+        part = self.request.part
         if reply is None:
-            outcome = Outcome(part.roots, part, instead=instead)
+            outcome = PartOutcome(part.roots, part, replacement_error=replacement_error)
         else:
-            outcome = Outcome(part.roots, part, reply.data, reply.errors)
-        self.execution.ended(self.number, outcome)
+            outcome = PartOutcome(part.roots, part, reply.data, reply.errors)
+        self.execution.part_ended(self.number, outcome)
 
 
 class Execution:
-    """One operation. `on_end` gets the response and, if all of it was refused, the shortest wait
-    (ms)."""
+    """The execution of one operation.
+
+    `on_end` gets the response and, if all parts were shed, the shortest retry delay (ms).
+    """
 
     def __init__(
         self,
         plan: Plan,
-        orders: list[Order],
-        local: Outcome | None,
-        join: RequestPipeline,
-        carrier: UpstreamTransport,
+        requests: list[PartRequest],
+        local_outcome: PartOutcome | None,
+        pipeline: RequestPipeline,
+        transport: UpstreamTransport,
         on_end: Callable[[dict[str, Any], float | None], None],
-        gone: Callable[[], bool],
+        client_is_gone: Callable[[], bool],
     ) -> None:
-        """`gone`: whether the client has left, and that is seen only now."""
-        self.plan, self.join, self.carrier, self.on_end, self.gone = (
+        """`client_is_gone` checks whether the client has left without a cancellation so far."""
+        self.plan, self.pipeline, self.transport, self.on_end, self.client_is_gone = (
             plan,
-            join,
-            carrier,
+            pipeline,
+            transport,
             on_end,
-            gone,
+            client_is_gone,
         )
-        self.calls = [PartCall(self, number, order) for number, order in enumerate(orders)]
-        self.outcomes: list[Outcome | None] = [None] * len(orders)
-        self.local = local
-        self.waits: list[float] = []
-        self.begun = 0
-        self.starting = self.over = False
+        self.calls = [PartCall(self, number, request) for number, request in enumerate(requests)]
+        self.outcomes: list[PartOutcome | None] = [None] * len(requests)
+        self.local_outcome = local_outcome
+        self.retry_delays_ms: list[float] = []
+        self.started_parts = 0
+        self.is_starting = self.is_over = False
 
     def start(self) -> None:
+        """Start all parts of a query, or the first part of a mutation."""
         if self.plan.serial:
-            self.next()
+            self.start_serial_parts()
         else:
-            self.starting = True
-            while self.begun < len(self.calls):
-                self.begin()
-            self.starting = False
-        self.look()
-
-    def next(self) -> None:
-        """Begin parts one after the other, for as long as they end at once."""
-        if self.starting:
+            self.is_starting = True
+            while self.started_parts < len(self.calls):
+                self.start_next_part()
+            self.is_starting = False
+        self.respond_if_complete()
+
+    def start_serial_parts(self) -> None:
+        """Start parts one after the other, as long as each ends immediately."""
+        if self.is_starting:
             return
-        self.starting = True
+        self.is_starting = True
         while (
-            not self.over
-            and self.begun < len(self.calls)
-            and not self.waiting()
-            and not self.void()
+            not self.is_over
+            and self.started_parts < len(self.calls)
+            and not self.has_open_parts()
+            and not self.data_is_null()
         ):
-            self.begin()
-        self.starting = False
+            self.start_next_part()
+        self.is_starting = False
 
-    def waiting(self) -> bool:
-        return any(not call.done for call in self.calls[: self.begun])
+    def has_open_parts(self) -> bool:
+        """Return whether a part has started and not ended."""
+        return any(not call.done for call in self.calls[: self.started_parts])
 
-    def void(self) -> bool:
-        """Whether an error has taken all data with it: what has not begun does not begin."""
-        ends = [outcome for outcome in self.outcomes if outcome is not None]
+    def data_is_null(self) -> bool:
+        """Return whether an error made all data null: then no further part starts."""
+        outcomes = [outcome for outcome in self.outcomes if outcome is not None]
         return any(
             root.non_null and (outcome.data is None or outcome.data.get(root.response_key) is None)
-            for outcome in ends
+            for outcome in outcomes
             for root in outcome.roots
         )
 
-    def begin(self) -> None:
-        call = self.calls[self.begun]
-        self.begun += 1
-        call.request_id = self.join.next_request_id()
-        order = call.order
-        intake = IncomingRequest(
-            order.cls, order.tenant, order.key, order.due, call, request_name=order.name
+    def start_next_part(self) -> None:
+        """Hand the next part to the request pipeline."""
+        call = self.calls[self.started_parts]
+        self.started_parts += 1
+        call.request_id = self.pipeline.next_request_id()
+        request = call.request
+        incoming = IncomingRequest(
+            request.class_index,
+            request.tenant,
+            request.affinity_key,
+            request.deadline_ms,
+            call,
+            request_name=request.request_name,
         )
-        self.join.accept(call.request_id, intake, call, self.carrier)
+        self.pipeline.accept(call.request_id, incoming, call, self.transport)
 
-    def ended(self, number: int, outcome: Outcome) -> None:
+    def part_ended(self, number: int, outcome: PartOutcome) -> None:
+        """Record the result of a part; start the next part of a mutation."""
         self.outcomes[number] = outcome
         if self.plan.serial:
-            self.next()
-        self.look()
+            self.start_serial_parts()
+        self.respond_if_complete()
 
-    def look(self) -> None:
-        """Answer once all that was begun has ended, and nothing is to begin any more."""
-        if self.over or self.starting or self.waiting():
+    def respond_if_complete(self) -> None:
+        """Respond once all started parts have ended and no further part will start."""
+        if self.is_over or self.is_starting or self.has_open_parts():
             return
-        if self.begun < len(self.calls) and not self.void():
+        if self.started_parts < len(self.calls) and not self.data_is_null():
             return
-        self.over = True
-        ends = [outcome for outcome in self.outcomes if outcome is not None]
-        for call in self.calls[self.begun :]:
-            instead = error("not begun: an error ahead of it took all data", "NOT_STARTED")
-            ends.append(Outcome(call.order.part.roots, call.order.part, instead=instead))
-        refused = bool(self.calls) and len(self.waits) == self.begun == len(self.calls)
-        if self.local is not None:
-            ends.append(self.local)
-        told = response(self.plan, ends)
-        if refused and not self.plan.local:
-            told = {
-                "errors": told["errors"]
-            }  # nothing was begun: the request as a whole is refused
-        self.on_end(told, min(self.waits) if refused else None)
-
-    def withdraw(self) -> None:
-        """The client has gone: nothing more begins, and nothing is owed."""
-        self.over = True
-        for call in self.calls[: self.begun]:
+        self.is_over = True
+        outcomes = [outcome for outcome in self.outcomes if outcome is not None]
+        for call in self.calls[self.started_parts :]:
+            replacement_error = graphql_error(
+                "not begun: an error ahead of it took all data", "NOT_STARTED"
+            )
+            outcomes.append(
+                PartOutcome(
+                    call.request.part.roots, call.request.part, replacement_error=replacement_error
+                )
+            )
+        all_shed = bool(self.calls) and len(self.retry_delays_ms) == self.started_parts == len(
+            self.calls
+        )
+        if self.local_outcome is not None:
+            outcomes.append(self.local_outcome)
+        response = merge_outcomes(self.plan, outcomes)
+        if all_shed and not self.plan.local_roots:
+            # No part was executed: the request as a whole is shed.
+            response = {"errors": response["errors"]}
+        self.on_end(response, min(self.retry_delays_ms) if all_shed else None)
+
+    def cancel(self) -> None:
+        """Cancel the open parts of a client that has left, without a response."""
+        self.is_over = True
+        for call in self.calls[: self.started_parts]:
             if not call.done:
                 call.done = True
-                self.join.cancel_request(call.request_id)
+                self.pipeline.cancel_request(call.request_id)
--- a/badgercart/frontends/graphql/frontend.py
+++ b/badgercart/frontends/graphql/frontend.py
@@ -1,4 +1,7 @@
-"""The GraphQL front on the join: HTTP in, parts out over connections of its own."""
+"""The GraphQL frontend: accepts HTTP requests, and sends their parts to dispatch servers.
+
+It hands each part to the request pipeline, and has its own connections to servers.
+"""
 
 from __future__ import annotations
 
@@ -20,23 +23,23 @@
 from badgercart.core.ports import AttemptRequest as Attempt
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.core.requests import unknown_tenant
-from badgercart.frontends.graphql.documents import Documents, Rejected
-from badgercart.frontends.graphql.execution import Execution, Order, PartCall
+from badgercart.frontends.graphql.documents import RequestPlanner, RequestRejectedError
+from badgercart.frontends.graphql.execution import Execution, PartCall, PartRequest
 from badgercart.frontends.graphql.log_events import LISTENING, PLAN_FAILED
 from badgercart.frontends.graphql.mapping import read_schema
-from badgercart.frontends.graphql.merge import Outcome
-from badgercart.frontends.graphql.outcomes import read_reply
+from badgercart.frontends.graphql.merge import PartOutcome
+from badgercart.frontends.graphql.outcomes import classify_reply
 from badgercart.frontends.graphql.planner import Plan, Planner
 from badgercart.frontends.graphql.requests import (
     RESPONSE_JSON,
-    Asked,
     HttpError,
+    OperationRequest,
     encode_http_error,
-    error,
-    media_type,
-    read_get,
-    read_post,
-    status_of,
+    graphql_error,
+    negotiate_media_type,
+    read_get_request,
+    read_post_request,
+    response_status,
 )
 from badgercart.frontends.graphql.settings import GraphqlSettings
 from badgercart.frontends.http.clients import ClientConnection, Listener
@@ -51,12 +54,12 @@
 from badgercart.upstream.connection_pool import ServerPool
 from badgercart.upstream.exchange import Message
 
-MAX_KEY = 256  # bytes of a client's idempotency key
+MAX_IDEMPOTENCY_KEY_BYTES = 256
 
 
 @dataclass(slots=True)
 class GraphqlRequest(ClientRequest):
-    """A request as HTTP has it; what it asks is read when its turn comes."""
+    """An HTTP request; its GraphQL content is read only when it is handled."""
 
     method: str
     target: str
@@ -65,15 +68,19 @@
     client_key: str
 
 
-class GraphqlCarrier:
-    """The server pool, with replies read as GraphQL: an error inside a 200 is what it is."""
+class GraphqlTransport:
+    """Sends attempts through the server pool and classifies replies as GraphQL.
+
+    An error in a successful HTTP response counts as an error.
+    """
 
-    def __init__(self, join: RequestPipeline) -> None:
-        self.join = join
+    def __init__(self, pipeline: RequestPipeline) -> None:
+        self.pipeline = pipeline
         self.calls: dict[tuple[int, int], PartCall] = {}
         self.pool: ServerPool
 
     def send(self, order: Attempt) -> None:
+        """Send an attempt of a part."""
         call: PartCall = order.payload
         self.calls[order.request_id, order.attempt] = call
         self.pool.send(
@@ -82,17 +89,19 @@
                 order.attempt,
                 order.endpoint_id,
                 order.timeout_ms,
-                call.order.message,
+                call.request.message,
             )
         )
 
     def cancel(self, request_id: int, number: int) -> None:
+        """Stop waiting for an attempt."""
         self.pool.cancel(request_id, number)
 
     def abandon_attempt(self, request_id: int, number: int) -> None:
+        """Abandon an attempt that has not been sent completely."""
         self.pool.abandon_attempt(request_id, number)
 
-    def ended(
+    def attempt_ended(
         self,
         request_id: int,
         number: int,
@@ -103,80 +112,98 @@
         *,
         spent: bool = False,
     ) -> None:
+        """Classify the reply of an attempt, and report its result to the pipeline."""
         call = self.calls.pop((request_id, number), None)
         if answer is None or call is None:
-            self.join.attempt_ended(request_id, number, server_id, result, elapsed)
+            self.pipeline.attempt_ended(request_id, number, server_id, result, elapsed)
             return
-        reply = read_reply(answer.status, result is AttemptResult.FULL, answer.body, call.keys)
-        if reply.data is not None or reply.final or call.reply is None:
-            call.reply = reply
-        # To the join: served, the request's own fault, or neither.
-        status = 200 if reply.result is AttemptResult.OK else 400 if reply.final else 500
-        self.join.attempt_ended(
+        reply = classify_reply(
+            answer.status, result is AttemptResult.FULL, answer.body, call.response_keys
+        )
+        if reply.data is not None or reply.is_final or call.last_reply is None:
+            call.last_reply = reply
+        # The pipeline gets a status for: served, the request is at fault, or any other error.
+        status = 200 if reply.result is AttemptResult.OK else 400 if reply.is_final else 500
+        self.pipeline.attempt_ended(
             request_id, number, server_id, reply.result, elapsed, Answer(status)
         )
 
 
 class GraphqlFrontend:
-    """A listener for GraphQL clients and the connections to GraphQL dispatch servers."""
+    """A listener for GraphQL clients, and connections to GraphQL dispatch servers.
+
+    `descriptor_share` is this frontend's share of the file descriptors for clients and servers.
+    `other_components` is the number of components in the process with descriptors of their own.
+    Paths in the settings are relative to `folder`.
+    """
 
     def __init__(
         self,
         config: Config,
         settings: GraphqlSettings,
-        join: RequestPipeline,
-        roster: EndpointTable,
+        pipeline: RequestPipeline,
+        endpoint_table: EndpointTable,
         loop: asyncio.AbstractEventLoop,
-        share: float = 1.0,  # of the descriptors that clients and servers have
-        parts: int = 0,  # others in the process, which have descriptors of their own
-        folder: Path = Path(),  # what the settings' files are relative to
+        descriptor_share: float = 1.0,
+        other_components: int = 0,
+        folder: Path = Path(),
     ) -> None:
-        self.config, self.settings, self.join, self.roster = config, settings, join, roster
+        self.config, self.settings, self.pipeline, self.endpoint_table = (
+            config,
+            settings,
+            pipeline,
+            endpoint_table,
+        )
         self.schema = read_schema((folder / settings.schema_file).read_text("utf-8"))
-        allowed = None
+        allowed_documents = None
         if settings.allow_list is not None:
-            allowed = json.loads((folder / settings.allow_list).read_bytes())
+            allowed_documents = json.loads((folder / settings.allow_list).read_bytes())
         self.planner = Planner(self.schema, settings.by_field)
-        self.documents = Documents(
+        self.request_planner = RequestPlanner(
             self.schema,
             self.planner,
             settings.limits,
             settings.cache_bytes,
             settings.introspection,
-            allowed,
+            allowed_documents,
         )
         self.classes = {name.decode(): number for name, number in config.classes.items()}
-        self.effects = [cls.idempotency for cls in config.settings.classes]
-        self.deadline = config.longest_deadline_ms
+        self.idempotency = [request_class.idempotency for request_class in config.settings.classes]
+        self.default_timeout_ms = config.longest_deadline_ms
         self.stopping = False
         self.pages: Mapping[bytes, OperatorPage] = {}
-        self.last = 0
-        self.open: dict[int, Execution] = {}
-        clients, servers = Descriptors.of(config.sockets, parts=parts).split(share)
-        self.carrier = GraphqlCarrier(join)
-        self.pool = self.carrier.pool = ServerPool(
+        self.last_request_number = 0
+        self.executions: dict[int, Execution] = {}
+        max_clients, max_servers = Descriptors.of(config.sockets, parts=other_components).split(
+            descriptor_share
+        )
+        self.transport = GraphqlTransport(pipeline)
+        self.pool = self.transport.pool = ServerPool(
             loop,
             config.dial_timeout,
             config.idle_timeout,
-            servers,
-            self.carrier.ended,
+            max_servers,
+            self.transport.attempt_ended,
             source=config.source,
-            wanted=join.is_awaited,
+            wanted=pipeline.is_awaited,
+        )
+        endpoint_table.on_change.append(self.pool.update)
+        self.listener = Listener(
+            loop, settings.listen, self, max_clients, self.read_request, encode_http_error
         )
-        roster.on_change.append(self.pool.update)
-        self.listener = Listener(loop, settings.listen, self, clients, self.read, encode_http_error)
 
     @property
     def healthy(self) -> bool:
-        return self.roster.has_update and not self.roster.suspended
-
-    # From the listener.
+        """Whether there are endpoints and they are not suspended."""
+        return self.endpoint_table.has_update and not self.endpoint_table.suspended
 
-    def read(
+    def read_request(
         self, method: bytes, url: bytes, headers: RequestHeaders, body: bytes
     ) -> ClientRequest:
-        """What HTTP itself says of a request. The rest is read in its turn, and answered in
-        words."""
+        """Check the HTTP part of a request. Raises BadRequestError.
+
+        The GraphQL part is checked in `handle_request`, which responds with GraphQL errors.
+        """
         if url.partition(b"?")[0] != self.settings.path.encode():
             raise BadRequestError(404, f"GraphQL is served at {self.settings.path}")
         if method not in (b"GET", b"POST"):
@@ -186,23 +213,27 @@
             raise BadRequestError(400, headers.fault)
         if tenant is None:
             raise BadRequestError(400, unknown_tenant(headers.tenant))
-        if len(headers.idempotency_key or b"") > MAX_KEY:
-            raise BadRequestError(400, f"Idempotency-Key is over {MAX_KEY} bytes")
-        more: dict[bytes, bytes] = {}
+        if len(headers.idempotency_key or b"") > MAX_IDEMPOTENCY_KEY_BYTES:
+            raise BadRequestError(400, f"Idempotency-Key is over {MAX_IDEMPOTENCY_KEY_BYTES} bytes")
+        selected: dict[bytes, bytes] = {}
         for line in headers.forwarded_lines:
             name, _, value = line.partition(b":")
             if (lower := name.lower()) in (b"accept", b"content-type"):
-                more[lower] = more[lower] + b"," + value.strip() if lower in more else value.strip()
-        self.last += 1
-        accept, content_type = more.get(b"accept"), more.get(b"content-type")
+                selected[lower] = (
+                    selected[lower] + b"," + value.strip() if lower in selected else value.strip()
+                )
+        self.last_request_number += 1
+        accept, content_type = selected.get(b"accept"), selected.get(b"content-type")
         return GraphqlRequest(
             message=Message(b"", body),
-            request_name=headers.request_id or b"g-%d" % self.last,
+            request_name=headers.request_id or b"g-%d" % self.last_request_number,
             class_index=0,
             tenant=tenant,
             key=0,
             sent_ms=now_ms(),
-            timeout_ms=headers.timeout_ms if headers.timeout_ms is not None else self.deadline,
+            timeout_ms=headers.timeout_ms
+            if headers.timeout_ms is not None
+            else self.default_timeout_ms,
             expected_work_ms=0.0,
             is_client_retry=headers.is_client_retry,
             method=method.decode(),
@@ -213,70 +244,96 @@
         )
 
     def handle_request(self, client: ClientConnection, request: ClientRequest) -> None:
+        """Plan a request and start its execution, or respond with its errors."""
         assert isinstance(request, GraphqlRequest)
-        media = RESPONSE_JSON
+        media_type = RESPONSE_JSON
         try:
-            media = media_type(request.accept)
-            asked = self.asked(request)
-            plan, operation, document = self.documents.plan(asked, request.client_key)
-            if asked.by_get and operation.operation.value != "query":
+            media_type = negotiate_media_type(request.accept)
+            operation_request = self.read_operation(request)
+            plan, operation, document = self.request_planner.plan(
+                operation_request, request.client_key
+            )
+            if operation_request.is_get and operation.operation.value != "query":
                 raise HttpError(405, "a mutation can't be sent by GET", "POST")
-            orders = self.orders(plan, request)
-        except HttpError as bad:
-            allow = f"Allow: {bad.allow}\r\n".encode() if bad.allow else b""
-            told = {"errors": [error(str(bad), "BAD_REQUEST")]}
-            client.respond(bad.status, json.dumps(told).encode(), media.encode(), allow)
+            part_requests = self.part_requests(plan, request)
+        except HttpError as http_error:
+            allow = f"Allow: {http_error.allow}\r\n".encode() if http_error.allow else b""
+            response = {"errors": [graphql_error(str(http_error), "BAD_REQUEST")]}
+            client.respond(
+                http_error.status, json.dumps(response).encode(), media_type.encode(), allow
+            )
             return
-        except Rejected as rejected:
-            told = {"errors": rejected.errors}
-            client.respond(status_of(media, told), json.dumps(told).encode(), media.encode())
+        except RequestRejectedError as rejected:
+            response = {"errors": rejected.errors}
+            client.respond(
+                response_status(media_type, response),
+                json.dumps(response).encode(),
+                media_type.encode(),
+            )
             return
         except Exception:
-            # One request must not take the node down with it.
+            # An error in planning one request must not stop the node.
             PLAN_FAILED(True, request=request.request_name.decode("latin-1"))
             client.on_failure(broken=True)
             return
-        client.request_id = number = self.join.next_request_id()
+        client.request_id = request_id = self.pipeline.next_request_id()
 
-        def on_end(told: dict[str, Any], wait: float | None) -> None:
-            self.open.pop(number, None)
-            status = status_of(media, told, refused=wait is not None)
-            after = b"Retry-After: %.3f\r\n" % (wait / 1000) if wait else b""
-            client.respond(status, json.dumps(told).encode(), media.encode(), after)
+        def on_end(response: dict[str, Any], retry_delay_ms: float | None) -> None:
+            self.executions.pop(request_id, None)
+            status = response_status(media_type, response, shed=retry_delay_ms is not None)
+            retry_header = (
+                b"Retry-After: %.3f\r\n" % (retry_delay_ms / 1000) if retry_delay_ms else b""
+            )
+            client.respond(status, json.dumps(response).encode(), media_type.encode(), retry_header)
 
-        local = self.local(plan, operation, document, asked) if plan.local else None
+        local_outcome = (
+            self.execute_locally(plan, operation, document, operation_request)
+            if plan.local_roots
+            else None
+        )
         execution = Execution(
-            plan, orders, local, self.join, self.carrier, on_end, client.client_is_gone
+            plan,
+            part_requests,
+            local_outcome,
+            self.pipeline,
+            self.transport,
+            on_end,
+            client.client_is_gone,
         )
-        self.open[number] = execution
+        self.executions[request_id] = execution
         execution.start()
 
-    def asked(self, request: GraphqlRequest) -> Asked:
+    def read_operation(self, request: GraphqlRequest) -> OperationRequest:
+        """Read the GraphQL request. Raises HttpError."""
         if request.method == "GET":
             if request.message.body:
                 raise HttpError(400, "a GET has no body")
-            return read_get(request.target)
-        return read_post(request.content_type, request.message.body)
+            return read_get_request(request.target)
+        return read_post_request(request.content_type, request.message.body)
 
-    def orders(self, plan: Plan, request: GraphqlRequest) -> list[Order]:
-        """The parts as requests to the core. Raises Rejected where one lacks its key."""
-        due = request.sent_ms + request.timeout_ms - MARGIN
+    def part_requests(self, plan: Plan, request: GraphqlRequest) -> list[PartRequest]:
+        """Return the parts as requests to the pipeline.
+
+        Raises RequestRejectedError where a part needs an idempotency key and has none.
+        """
+        deadline_ms = request.sent_ms + request.timeout_ms - MARGIN
         return [
-            Order(
+            PartRequest(
                 part=part,
-                message=self.message(plan, number, request),
-                cls=self.classes[part.cls],
+                message=self.part_message(plan, number, request),
+                class_index=self.classes[part.class_name],
                 tenant=request.tenant,
-                key=stable_id(part.affinity.encode(), self.config.key_secret)
+                affinity_key=stable_id(part.affinity.encode(), self.config.key_secret)
                 if part.affinity
                 else 0,
-                due=due,
-                name=b"%b.%d" % (request.request_name, number),
+                deadline_ms=deadline_ms,
+                request_name=b"%b.%d" % (request.request_name, number),
             )
             for number, part in enumerate(plan.parts)
         ]
 
-    def message(self, plan: Plan, number: int, request: GraphqlRequest) -> Message:
+    def part_message(self, plan: Plan, number: int, request: GraphqlRequest) -> Message:
+        """Return the HTTP request of a part. Raises RequestRejectedError."""
         part = plan.parts[number]
         lines = [
             f"POST {self.settings.path} HTTP/1.1\r\nHost: backend.local\r\n".encode(),
@@ -284,11 +341,11 @@
             b"Accept: application/graphql-response+json, application/json\r\n",
             b"Request-Id: %b.%d\r\n" % (request.request_name, number),
         ]
-        if self.effects[self.classes[part.cls]] is Idempotency.KEYED:
-            if not part.key:
-                words = f"{part.roots[0].response_key} needs an idempotency key"
-                raise Rejected([error(words, "BAD_USER_INPUT")])
-            lines.append(f"Idempotency-Key: {part.key}\r\n".encode())
+        if self.idempotency[self.classes[part.class_name]] is Idempotency.KEYED:
+            if not part.idempotency_key:
+                message = f"{part.roots[0].response_key} needs an idempotency key"
+                raise RequestRejectedError([graphql_error(message, "BAD_USER_INPUT")])
+            lines.append(f"Idempotency-Key: {part.idempotency_key}\r\n".encode())
         for name, tenant in self.config.tenants.items():
             if tenant == request.tenant:
                 lines.append(b"Tenant: %b\r\n" % name)
@@ -296,33 +353,51 @@
         lines.append(b"Content-Length: %d\r\n" % len(body))
         return Message(b"".join(lines), body)
 
-    def local(
-        self, plan: Plan, operation: OperationDefinitionNode, document: Any, asked: Asked
-    ) -> Outcome:
-        """`__typename` and introspection: they concern no server."""
+    def execute_locally(
+        self,
+        plan: Plan,
+        operation: OperationDefinitionNode,
+        document: Any,
+        request: OperationRequest,
+    ) -> PartOutcome:
+        """Execute `__typename` and introspection fields, which need no server."""
         fragments = {
-            d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)
+            fragment.name.value: fragment
+            for fragment in document.definitions
+            if isinstance(fragment, FragmentDefinitionNode)
         }
-        part, needed = self.planner.document(operation, plan.local, fragments)
-        variables = {name: asked.variables[name] for name in needed if name in asked.variables}
-        done = execute_sync(self.schema, parse(print_ast(part)), variable_values=variables)
-        return Outcome(plan.local, None, done.data, [dict(e.formatted) for e in done.errors or ()])
+        local_document, variable_names = self.planner.part_document(
+            operation, plan.local_roots, fragments
+        )
+        variables = {
+            name: request.variables[name] for name in variable_names if name in request.variables
+        }
+        result = execute_sync(
+            self.schema, parse(print_ast(local_document)), variable_values=variables
+        )
+        return PartOutcome(
+            plan.local_roots,
+            None,
+            result.data,
+            [dict(error.formatted) for error in result.errors or ()],
+        )
 
     def cancel_request(self, request_id: int) -> None:
-        if (execution := self.open.pop(request_id, None)) is not None:
-            execution.withdraw()
-
-    # Start and stop.
+        """Cancel a request whose client has left."""
+        if (execution := self.executions.pop(request_id, None)) is not None:
+            execution.cancel()
 
     def start(self) -> None:
+        """Listen for clients."""
         self.listener.start()
         host, port = self.listener.address
         LISTENING(host=host, port=port, path=self.settings.path)
 
     async def drain(self, until: float) -> None:
-        """Take what still comes and answer all that is held, until then (ms) at most."""
+        """Accept connections for a while longer, and serve open requests until a time (ms)."""
         self.stopping = True
         await self.listener.drain(until)
 
     def close(self) -> None:
+        """Close the listener."""
         self.listener.close()
--- a/badgercart/frontends/graphql/log_events.py
+++ b/badgercart/frontends/graphql/log_events.py
@@ -1,4 +1,4 @@
-"""What the GraphQL front says in the log."""
+"""Log events of the GraphQL frontend."""
 
 from __future__ import annotations
 
--- a/badgercart/frontends/graphql/merge.py
+++ b/badgercart/frontends/graphql/merge.py
@@ -1,9 +1,9 @@
-"""The parts' results into one response. No I/O.
+"""Merges the results of the parts into one response. No I/O.
 
-Data comes in the order of the selection whatever the order of the answers; an error has the path of
-its field and the place of that field in the client's document; a part that has no result is an
-error at each of its fields, and null, or null for all data where the schema says that the field is
-never null.
+The data is in the order of the client's selection, in whatever order the parts end. An error has
+the path of its field, and the location of that field in the client's document. A part without a
+result becomes an error at each of its root fields, whose values are null; all data is null where
+the schema declares one of them non-null.
 
 Source: GraphQL specification, sections 6.4.4 (handling execution errors) and 7.1 (response format).
 """
@@ -16,81 +16,93 @@
 
 from graphql import get_location
 
-from badgercart.frontends.graphql.planner import Part, Plan, Root
+from badgercart.frontends.graphql.planner import Part, Plan, RootField
 
-MAX_ERRORS = 100  # of one part that are passed on
+# How many errors of one part are forwarded.
+MAX_ERRORS_PER_PART = 100
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What came of a part: a server's data and errors, or the one error that stands in its
-    place."""
-
-    roots: list[Root]
-    part: Part | None = None  # as it was sent; None where it was answered here
-    data: dict[str, Any] | None = None  # None: nothing came, or the server's data is null
+class PartOutcome:
+    """The result of a part: a server's data and errors, or the one error that replaces them."""
+
+    roots: list[RootField]
+    # The part as it was sent; None where the frontend answered the fields itself.
+    part: Part | None = None
+    # None where there is no reply, or where the server's data is null.
+    data: dict[str, Any] | None = None
     errors: list[dict[str, Any]] = field(default_factory=list)
-    instead: dict[str, Any] | None = None  # an error without path, for each of its fields
+    # An error without path that is reported for each root field.
+    replacement_error: dict[str, Any] | None = None
 
 
-def response(plan: Plan, outcomes: list[Outcome]) -> dict[str, Any]:
-    """The whole response: `data`, and `errors` where there are any."""
-    found: dict[str, Any] = {}
+def merge_outcomes(plan: Plan, outcomes: list[PartOutcome]) -> dict[str, Any]:
+    """Return the complete response: `data`, and `errors` where there are any."""
+    values: dict[str, Any] = {}
     errors: list[dict[str, Any]] = []
-    nothing = False  # an error has taken all data with it
+    data_is_null = False
     for outcome in outcomes:
-        if outcome.instead is not None:
+        if outcome.replacement_error is not None:
             errors += [
-                outcome.instead | {"path": [root.response_key], "locations": root_places(root)}
+                outcome.replacement_error
+                | {"path": [root.response_key], "locations": root_field_locations(root)}
                 for root in outcome.roots
             ]
-        errors += [relocated(error, outcome) for error in outcome.errors[:MAX_ERRORS]]
+        errors += [relocate_error(error, outcome) for error in outcome.errors[:MAX_ERRORS_PER_PART]]
         for root in outcome.roots:
             value = outcome.data.get(root.response_key) if outcome.data is not None else None
-            nothing = nothing or (value is None and root.non_null)
-            found[root.response_key] = value
+            # A null in a non-null root field makes all data null.
+            data_is_null = data_is_null or (value is None and root.non_null)
+            values[root.response_key] = value
     data = (
         None
-        if nothing
-        else {root.response_key: found.get(root.response_key) for root in plan.roots}
+        if data_is_null
+        else {root.response_key: values.get(root.response_key) for root in plan.roots}
     )
     order = {root.response_key: number for number, root in enumerate(plan.roots)}
     errors.sort(key=lambda error: order.get(str((error.get("path") or [""])[0]), len(order)))
     return {"errors": errors, "data": data} if errors else {"data": data}
 
 
-def root_places(root: Root) -> list[dict[str, int]]:
-    """Where the client's document asks for a root field."""
-    places = []
+def root_field_locations(root: RootField) -> list[dict[str, int]]:
+    """Return where the client's document selects a root field."""
+    locations = []
     for node in root.nodes:
         if node.loc is not None:
-            at = get_location(node.loc.source, node.loc.start)
-            places.append({"line": at.line, "column": at.column})
-    return places
+            location = get_location(node.loc.source, node.loc.start)
+            locations.append({"line": location.line, "column": location.column})
+    return locations
+
 
+def relocate_error(error: Mapping[str, Any], outcome: PartOutcome) -> dict[str, Any]:
+    """Return a server's error with its locations in the client's document.
 
-def relocated(error: Mapping[str, Any], outcome: Outcome) -> dict[str, Any]:
-    """A server's error with its places in the client's document, which is not the one that the
-    server saw."""
-    kept: dict[str, Any] = {"message": str(error.get("message", "error"))}
+    The server's locations refer to the part's document, which the client does not know.
+    """
+    client_error: dict[str, Any] = {"message": str(error.get("message", "error"))}
     if isinstance(error.get("extensions"), dict):
-        kept["extensions"] = error["extensions"]
+        client_error["extensions"] = error["extensions"]
     path = error.get("path")
     if not isinstance(path, list) or not path:
-        return kept
+        return client_error
     root = next((root for root in outcome.roots if root.response_key == path[0]), None)
     if root is None:
-        return kept
-    known = outcome.part.places() if outcome.part is not None else {}
-    places = [known[place] for place in _pairs(error.get("locations")) if place in known]
-    return kept | {"path": path, "locations": places or root_places(root)}
-
-
-def _pairs(locations: Any) -> list[tuple[int, int]]:
-    found = []
-    for place in locations if isinstance(locations, list) else ():
-        if isinstance(place, dict):
-            line, column = place.get("line"), place.get("column")
+        return client_error
+    client_locations = outcome.part.client_locations() if outcome.part is not None else {}
+    locations = [
+        client_locations[position]
+        for position in _positions(error.get("locations"))
+        if position in client_locations
+    ]
+    return client_error | {"path": path, "locations": locations or root_field_locations(root)}
+
+
+def _positions(locations: Any) -> list[tuple[int, int]]:
+    """Return line and column of each well-formed location."""
+    positions = []
+    for location in locations if isinstance(locations, list) else ():
+        if isinstance(location, dict):
+            line, column = location.get("line"), location.get("column")
             if isinstance(line, int) and isinstance(column, int):
-                found.append((line, column))
-    return found
+                positions.append((line, column))
+    return positions
--- a/badgercart/frontends/graphql/planner.py
+++ b/badgercart/frontends/graphql/planner.py
@@ -1,9 +1,10 @@
-"""One operation and its variables into parts. No I/O.
+"""Splits an operation and its variables into parts. No I/O.
 
 A part is a valid document of its own with only the fields, fragments and variables that it needs.
-Root fields of a query that are of one class and about one thing go together; each root field of a
-mutation is a part, and they go one after the other as the specification says. `__typename` and
-introspection are no parts: they are answered here.
+The root fields of a query that have the same request class and the same affinity form one part.
+Each root field of a mutation is a part, and the parts are executed one after the other as the
+specification says. `__typename` and introspection fields belong to no part: the frontend answers
+them itself.
 
 Source: GraphQL specification, sections 6.3 (executing selection sets, CollectFields), 6.2.2
 (mutation).
@@ -50,11 +51,11 @@
 
 from badgercart.frontends.graphql.settings import FieldMap
 
-LOCAL = frozenset(("__typename", "__schema", "__type"))
+LOCAL_FIELDS = frozenset(("__typename", "__schema", "__type"))
 
 
-class BadOperation(Exception):
-    """An operation that can't be planned: messages for the client, with their places."""
+class OperationError(Exception):
+    """An operation can't be planned: error messages for the client, with their locations."""
 
     def __init__(self, errors: list[GraphQLError]) -> None:
         super().__init__(errors[0].message)
@@ -62,9 +63,11 @@
 
 
 @dataclass(slots=True)
-class Root:
-    """A root field under its response key: all nodes that ask for it, merged as section 5.3.2
-    allows."""
+class RootField:
+    """A root field under its response key.
+
+    `nodes` are all nodes that select it, merged as section 5.3.2 allows.
+    """
 
     response_key: str
     nodes: list[FieldNode]
@@ -72,77 +75,104 @@
 
     @property
     def name(self) -> str:
+        """The name of the field in the schema."""
         return self.nodes[0].name.value
 
 
 @dataclass(slots=True)
 class Part:
-    """What goes to a server as one request."""
-
-    cls: str
-    roots: list[Root]
-    affinity: str  # what it is about; empty: nothing
-    key: str  # its own idempotency key; empty: none
+    """The part of an operation that a server gets as one request."""
+
+    class_name: str
+    roots: list[RootField]
+    # The value of the field's affinity argument; empty where there is none.
+    affinity: str
+    # The idempotency key of this part alone; empty where there is none.
+    idempotency_key: str
     document: str
     variables: dict[str, Any]
-    source: DocumentNode  # the same with the nodes of the client's document
-
-    def places(self) -> dict[tuple[int, int], dict[str, int]]:
-        """Of each field's line and column in this document those in the client's."""
-        found: dict[tuple[int, int], dict[str, int]] = {}
-        for here, there in zip(_fields(parse(self.document)), _fields(self.source), strict=True):
-            if here.loc is not None and there.loc is not None:
-                at, was = (get_location(n.loc.source, n.loc.start) for n in (here, there) if n.loc)
-                found[at.line, at.column] = {"line": was.line, "column": was.column}
-        return found
+    # The same document with the nodes of the client's document.
+    source_document: DocumentNode
+
+    def client_locations(self) -> dict[tuple[int, int], dict[str, int]]:
+        """Return the location in the client's document by line and column in this document."""
+        locations: dict[tuple[int, int], dict[str, int]] = {}
+        for part_field, client_field in zip(
+            _fields_in_print_order(parse(self.document)),
+            _fields_in_print_order(self.source_document),
+            strict=True,
+        ):
+            if part_field.loc is not None and client_field.loc is not None:
+                here, there = (
+                    get_location(node.loc.source, node.loc.start)
+                    for node in (part_field, client_field)
+                    if node.loc
+                )
+                locations[here.line, here.column] = {"line": there.line, "column": there.column}
+        return locations
 
 
 @dataclass(slots=True)
 class Plan:
-    """An operation, ready to be carried out."""
+    """An operation that is ready to be executed."""
 
-    serial: bool  # a mutation: parts go one after the other
-    roots: list[Root]  # all, in the order of the response
+    # A mutation: its parts are executed one after the other.
+    serial: bool
+    # All root fields in the order of the response.
+    roots: list[RootField]
     parts: list[Part]
-    local: list[Root] = field(default_factory=list)
+    # The root fields that the frontend answers itself.
+    local_roots: list[RootField] = field(default_factory=list)
 
 
-def choose(document: DocumentNode, name: str | None) -> OperationDefinitionNode:
-    """The operation to carry out (section 6.1, GetOperation)."""
-    operations = [d for d in document.definitions if isinstance(d, OperationDefinitionNode)]
+def select_operation(document: DocumentNode, name: str | None) -> OperationDefinitionNode:
+    """Return the operation to execute (section 6.1, GetOperation). Raises OperationError."""
+    operations = [
+        definition
+        for definition in document.definitions
+        if isinstance(definition, OperationDefinitionNode)
+    ]
     if name is not None:
-        operations = [o for o in operations if o.name is not None and o.name.value == name]
+        operations = [
+            operation
+            for operation in operations
+            if operation.name is not None and operation.name.value == name
+        ]
         if not operations:
-            raise BadOperation([GraphQLError(f"there is no operation {name!r}")])
+            raise OperationError([GraphQLError(f"there is no operation {name!r}")])
     if not operations:
-        raise BadOperation([GraphQLError("the document holds no operation")])
+        raise OperationError([GraphQLError("the document holds no operation")])
     if len(operations) > 1:
-        raise BadOperation(
+        raise OperationError(
             [GraphQLError("operationName must say which of the operations is meant")]
         )
     return operations[0]
 
 
-MAX_MEMO = 64  # of each kind that one operation's memo holds
+# Root field lists, and part documents, that the planning cache of one operation holds.
+MAX_PLANNING_CACHE_ENTRIES = 64
 
 
 @dataclass(slots=True)
-class Memo:
-    """What planning found of one operation of one document, so that it need not be found again.
-
-    Only what the variables decide is looked at for each request."""
-
-    chosen_by: tuple[str, ...] | None = (
-        None  # variables that @skip and @include at the root depend on
-    )
-    roots: dict[tuple[Any, ...], list[Root]] = field(default_factory=dict)  # by the values of these
-    documents: dict[tuple[Any, ...], tuple[DocumentNode, str, list[str]]] = field(
+class PlanningCache:
+    """Planning results of one operation of one document, kept for its later requests.
+
+    For a later request the planner only evaluates what depends on its variables.
+    """
+
+    # The variables that @skip and @include at the root depend on; None where not yet computed.
+    condition_variables: tuple[str, ...] | None = None
+    # Root fields by the values of the condition variables.
+    roots_by_values: dict[tuple[Any, ...], list[RootField]] = field(default_factory=dict)
+    # Source document, printed document and variable names of a part, by the values of the condition
+    # variables and the part's response keys.
+    part_documents: dict[tuple[Any, ...], tuple[DocumentNode, str, list[str]]] = field(
         default_factory=dict
     )
 
 
 class Planner:
-    """Plans operations against one schema and one map of its root fields."""
+    """Plans operations for one schema and one mapping of its root fields to request classes."""
 
     def __init__(self, schema: GraphQLSchema, fields: Mapping[str, FieldMap]) -> None:
         self.schema = schema
@@ -154,144 +184,156 @@
         operation: OperationDefinitionNode,
         variables: Mapping[str, Any],
         client_key: str = "",
-        memo: Memo | None = None,
+        cache: PlanningCache | None = None,
     ) -> Plan:
-        """A valid document's operation. `client_key` is the request's own idempotency key, if it
-        has one.
+        """Plan an operation of a valid document.
 
-        Raises BadOperation for variables that do not fit."""
+        `client_key` is the idempotency key of the client's request; empty where it has none. Raises
+        OperationError, for example for variables that do not match their definitions.
+        """
         if operation.operation is OperationType.SUBSCRIPTION:
-            raise BadOperation([GraphQLError("subscriptions are not served here", operation)])
+            raise OperationError([GraphQLError("subscriptions are not served here", operation)])
         values = get_variable_values(
             self.schema, operation.variable_definitions or (), dict(variables)
         )
         if isinstance(values, list):
-            raise BadOperation(values)
+            raise OperationError(values)
         root_type = self.schema.get_root_type(operation.operation)
-        assert root_type is not None  # the document is valid
+        assert root_type is not None  # validation has checked it
         fragments = {
-            d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)
+            fragment.name.value: fragment
+            for fragment in document.definitions
+            if isinstance(fragment, FragmentDefinitionNode)
         }
-        memo = memo or Memo()
-        if memo.chosen_by is None:
-            memo.chosen_by = self.chosen_by(operation, fragments)
-        decided = tuple(values.coerced.get(name) for name in memo.chosen_by)
-        roots = memo.roots.get(decided)
+        cache = cache or PlanningCache()
+        if cache.condition_variables is None:
+            cache.condition_variables = self.condition_variables(operation, fragments)
+        condition_values = tuple(values.coerced.get(name) for name in cache.condition_variables)
+        roots = cache.roots_by_values.get(condition_values)
         if roots is None:
             try:
-                roots = self.collect(operation, root_type, fragments, values)
+                roots = self.collect_root_fields(operation, root_type, fragments, values)
             except GraphQLError as error:
-                raise BadOperation([error]) from None
-            if len(memo.roots) < MAX_MEMO:
-                memo.roots[decided] = roots
+                raise OperationError([error]) from None
+            if len(cache.roots_by_values) < MAX_PLANNING_CACHE_ENTRIES:
+                cache.roots_by_values[condition_values] = roots
         serial = operation.operation is OperationType.MUTATION
         plan = Plan(serial, roots, [])
-        groups: dict[tuple[Any, ...], list[Root]] = {}
-        keys: dict[tuple[Any, ...], tuple[FieldMap, str, str]] = {}
+        groups: dict[tuple[Any, ...], list[RootField]] = {}
+        group_values: dict[tuple[Any, ...], tuple[FieldMap, str, str]] = {}
         for number, root in enumerate(roots):
-            if root.name in LOCAL:
-                plan.local.append(root)
+            if root.name in LOCAL_FIELDS:
+                plan.local_roots.append(root)
                 continue
             mapped = self.fields[f"{root_type.name}.{root.name}"]
             try:
                 arguments = get_argument_values(root_type.fields[root.name], root.nodes[0], values)
             except GraphQLError as error:
-                raise BadOperation([error]) from None
-            affinity = _text(arguments.get(mapped.affinity)) if mapped.affinity else ""
-            own = _text(arguments.get(mapped.key)) if mapped.key else ""
-            # Mutations never go together: each is an effect, with a key and a repeat of its own.
+                raise OperationError([error]) from None
+            affinity = _argument_text(arguments.get(mapped.affinity)) if mapped.affinity else ""
+            argument_key = _argument_text(arguments.get(mapped.key)) if mapped.key else ""
+            # Root fields of a mutation are never grouped: each has an effect of its own, with its
+            # own idempotency key and its own retries.
             group = (number,) if serial else (mapped.cls, affinity)
             groups.setdefault(group, []).append(root)
-            keys[group] = (mapped, affinity, own)
+            group_values[group] = (mapped, affinity, argument_key)
         for group, members in groups.items():
-            mapped, affinity, own = keys[group]
-            given = own or client_key
-            key = derived_key(given, members[0].response_key) if serial and given else ""
-            which = (*decided, *(member.response_key for member in members))
-            known = memo.documents.get(which)
-            if known is None:
-                source, needed = self.document(operation, members, fragments)
-                known = source, print_ast(source), needed
-                if len(memo.documents) < MAX_MEMO:
-                    memo.documents[which] = known
-            source, text, needed = known
-            sent = {name: variables[name] for name in needed if name in variables}
-            plan.parts.append(Part(mapped.cls, members, affinity, key, text, sent, source))
+            mapped, affinity, argument_key = group_values[group]
+            request_key = argument_key or client_key
+            key = (
+                derive_idempotency_key(request_key, members[0].response_key)
+                if serial and request_key
+                else ""
+            )
+            cache_key = (*condition_values, *(member.response_key for member in members))
+            cached = cache.part_documents.get(cache_key)
+            if cached is None:
+                source, variable_names = self.part_document(operation, members, fragments)
+                cached = source, print_ast(source), variable_names
+                if len(cache.part_documents) < MAX_PLANNING_CACHE_ENTRIES:
+                    cache.part_documents[cache_key] = cached
+            source, text, variable_names = cached
+            part_variables = {name: variables[name] for name in variable_names if name in variables}
+            plan.parts.append(
+                Part(mapped.cls, members, affinity, key, text, part_variables, source)
+            )
         return plan
 
-    def chosen_by(
+    def condition_variables(
         self, operation: OperationDefinitionNode, fragments: dict[str, FragmentDefinitionNode]
     ) -> tuple[str, ...]:
-        """The variables that @skip and @include at the root depend on, through fragments."""
-        found: dict[str, None] = {}
+        """Return the variables of @skip and @include at the root, also within fragments."""
+        condition_variables: dict[str, None] = {}
         spread: set[str] = set()
-        waiting: list[SelectionNode] = list(operation.selection_set.selections)
-        while waiting:
-            node = waiting.pop()
+        pending: list[SelectionNode] = list(operation.selection_set.selections)
+        while pending:
+            node = pending.pop()
             for directive in node.directives or ():
-                uses = Uses()
+                uses = UsageVisitor()
                 visit(directive, uses)
-                found |= uses.variables
+                condition_variables |= uses.variables
             if isinstance(node, InlineFragmentNode):
-                waiting += node.selection_set.selections
+                pending += node.selection_set.selections
             elif isinstance(node, FragmentSpreadNode) and node.name.value not in spread:
                 spread.add(node.name.value)
-                waiting += fragments[node.name.value].selection_set.selections
-        return tuple(found)
+                pending += fragments[node.name.value].selection_set.selections
+        return tuple(condition_variables)
 
-    def collect(
+    def collect_root_fields(
         self,
         operation: OperationDefinitionNode,
         root_type: GraphQLObjectType,
         fragments: dict[str, FragmentDefinitionNode],
         values: VariableValues,
-    ) -> list[Root]:
-        """Root fields by response key, in order (section 6.3.2)."""
-        found: dict[str, Root] = {}
+    ) -> list[RootField]:
+        """Return the selected root fields in the order of the response (section 6.3.2)."""
+        roots: dict[str, RootField] = {}
         spread: set[str] = set()
-        waiting: list[SelectionNode] = list(reversed(operation.selection_set.selections))
-        while waiting:
-            node = waiting.pop()
-            if not wanted(node, values):
+        pending: list[SelectionNode] = list(reversed(operation.selection_set.selections))
+        while pending:
+            node = pending.pop()
+            if not is_included(node, values):
                 continue
             if isinstance(node, FieldNode):
                 key = node.alias.value if node.alias else node.name.value
-                if key not in found:
+                if key not in roots:
                     definition = root_type.fields.get(node.name.value)
                     non_null = definition is None or isinstance(definition.type, GraphQLNonNull)
-                    found[key] = Root(key, [], non_null and node.name.value != "__type")
-                found[key].nodes.append(node)
+                    roots[key] = RootField(key, [], non_null and node.name.value != "__type")
+                roots[key].nodes.append(node)
                 continue
             if isinstance(node, FragmentSpreadNode):
                 if node.name.value in spread:
                     continue
                 spread.add(node.name.value)
-                below: SelectionSetNode = fragments[node.name.value].selection_set
+                children: SelectionSetNode = fragments[node.name.value].selection_set
             else:
                 assert isinstance(node, InlineFragmentNode)
-                below = node.selection_set
-            waiting += reversed(below.selections)
-        return list(found.values())
+                children = node.selection_set
+            pending += reversed(children.selections)
+        return list(roots.values())
 
-    def document(
+    def part_document(
         self,
         operation: OperationDefinitionNode,
-        roots: list[Root],
+        roots: list[RootField],
         fragments: dict[str, FragmentDefinitionNode],
     ) -> tuple[DocumentNode, list[str]]:
-        """The document of a part, and the names of the variables that it uses."""
-        nodes = tuple(without_choice(node) for root in roots for node in root.nodes)
-        used, variables, waiting = [], dict[str, None](), list[Node](nodes)
-        while waiting:
-            uses = Uses()
-            visit(waiting.pop(), uses)
+        """Return the document of a part, and the names of the variables that it uses."""
+        nodes = tuple(without_conditions(node) for root in roots for node in root.nodes)
+        used_fragments, variables, pending = [], dict[str, None](), list[Node](nodes)
+        while pending:
+            uses = UsageVisitor()
+            visit(pending.pop(), uses)
             variables |= dict.fromkeys(uses.variables)
             for name in uses.fragments:
-                if fragments[name] not in used:
-                    used.append(fragments[name])
-                    waiting.append(fragments[name])
+                if fragments[name] not in used_fragments:
+                    used_fragments.append(fragments[name])
+                    pending.append(fragments[name])
         definitions = tuple(
-            v for v in operation.variable_definitions or () if v.variable.name.value in variables
+            definition
+            for definition in operation.variable_definitions or ()
+            if definition.variable.name.value in variables
         )
         part = OperationDefinitionNode(
             operation=operation.operation,
@@ -300,25 +342,25 @@
             directives=(),
             selection_set=SelectionSetNode(selections=nodes),
         )
-        document = DocumentNode(definitions=(part, *used))
-        return document, [v.variable.name.value for v in definitions]
+        document = DocumentNode(definitions=(part, *used_fragments))
+        return document, [definition.variable.name.value for definition in definitions]
 
 
-def _fields(document: DocumentNode) -> list[FieldNode]:
-    """All fields in the order in which they are printed."""
-    found: list[FieldNode] = []
-    waiting: list[Any] = list(reversed(document.definitions))
-    while waiting:
-        node = waiting.pop()
+def _fields_in_print_order(document: DocumentNode) -> list[FieldNode]:
+    """Return all fields of a document in the order in which they are printed."""
+    fields: list[FieldNode] = []
+    pending: list[Any] = list(reversed(document.definitions))
+    while pending:
+        node = pending.pop()
         if isinstance(node, FieldNode):
-            found.append(node)
-        if (below := getattr(node, "selection_set", None)) is not None:
-            waiting += reversed(below.selections)
-    return found
+            fields.append(node)
+        if (children := getattr(node, "selection_set", None)) is not None:
+            pending += reversed(children.selections)
+    return fields
 
 
-class Uses(Visitor):
-    """The variables and fragments that a node names, in their order."""
+class UsageVisitor(Visitor):
+    """Collects the variables and fragments that a node uses, in the order of the document."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -326,14 +368,16 @@
         self.fragments: dict[str, None] = {}
 
     def enter_variable(self, node: VariableNode, *_: Any) -> None:
+        """Record a variable."""
         self.variables[node.name.value] = None
 
     def enter_fragment_spread(self, node: FragmentSpreadNode, *_: Any) -> None:
+        """Record a fragment."""
         self.fragments[node.name.value] = None
 
 
-def wanted(node: SelectionNode, values: VariableValues) -> bool:
-    """Whether @skip and @include leave a selection in (section 3.13)."""
+def is_included(node: SelectionNode, values: VariableValues) -> bool:
+    """Return whether @skip and @include keep a selection (section 3.13)."""
     skip = get_directive_values(GraphQLSkipDirective, node, values)
     if skip and skip["if"]:
         return False
@@ -341,25 +385,29 @@
     return not include or bool(include["if"])
 
 
-def without_choice(node: FieldNode) -> FieldNode:
-    """A root field without the directives that were followed already."""
-    kept = tuple(d for d in node.directives or () if d.name.value not in ("skip", "include"))
+def without_conditions(node: FieldNode) -> FieldNode:
+    """Return a root field without @skip and @include, which have been evaluated already."""
+    remaining = tuple(
+        directive
+        for directive in node.directives or ()
+        if directive.name.value not in ("skip", "include")
+    )
     return FieldNode(
         alias=node.alias,
         name=node.name,
         arguments=node.arguments,
-        directives=kept,
+        directives=remaining,
         selection_set=node.selection_set,
         loc=node.loc,
     )
 
 
-def derived_key(given: str, response_key: str) -> str:
-    """A key for one effect of an operation: the same for a repeat of it, another for each alias."""
-    return blake2b(f"{given}\0{response_key}".encode(), digest_size=16).hexdigest()
+def derive_idempotency_key(request_key: str, response_key: str) -> str:
+    """Return the idempotency key of one effect: stable across retries, different for each alias."""
+    return blake2b(f"{request_key}\0{response_key}".encode(), digest_size=16).hexdigest()
 
 
-def _text(value: Any) -> str:
+def _argument_text(value: Any) -> str:
     if value is None:
         return ""
     return value if isinstance(value, str) else json.dumps(value, sort_keys=True, default=str)
--- a/badgercart/frontends/graphql/settings.py
+++ b/badgercart/frontends/graphql/settings.py
@@ -1,4 +1,4 @@
-"""What an operator may set of the GraphQL front."""
+"""Settings of the GraphQL frontend."""
 
 from __future__ import annotations
 
@@ -8,24 +8,29 @@
 
 from badgercart.app.model import Address, Listed, Name, Table
 
-MOST = 1 << 20
+# The largest value of each document limit, in the unit of that limit.
+MAX_LIMIT = 1 << 20
 
 
 class DocumentLimits(Table, title="Limits"):
     """what a document may cost; each limit is checked before the document is validated or planned"""
 
-    document: int = Field(16384, ge=1, le=MOST, description="its size (bytes)")
-    tokens: int = Field(2000, ge=1, le=MOST, description="its tokens")
-    depth: int = Field(15, ge=1, le=MOST, description="levels of selections, through fragments")
-    aliases: int = Field(30, ge=1, le=MOST, description="aliases of one operation")
+    document: int = Field(16384, ge=1, le=MAX_LIMIT, description="its size (bytes)")
+    tokens: int = Field(2000, ge=1, le=MAX_LIMIT, description="its tokens")
+    depth: int = Field(
+        15, ge=1, le=MAX_LIMIT, description="levels of selections, through fragments"
+    )
+    aliases: int = Field(30, ge=1, le=MAX_LIMIT, description="aliases of one operation")
     root_fields: int = Field(
-        20, ge=1, le=MOST, description="root fields of one operation, through fragments"
+        20, ge=1, le=MAX_LIMIT, description="root fields of one operation, through fragments"
     )
-    directives: int = Field(50, ge=1, le=MOST, description="directives of one operation")
+    directives: int = Field(50, ge=1, le=MAX_LIMIT, description="directives of one operation")
     fields: int = Field(
-        1000, ge=1, le=MOST, description="fields of one operation, through fragments"
+        1000, ge=1, le=MAX_LIMIT, description="fields of one operation, through fragments"
+    )
+    variables: int = Field(
+        65536, ge=1, le=MAX_LIMIT, description="the size of the variables (bytes)"
     )
-    variables: int = Field(65536, ge=1, le=MOST, description="the size of the variables (bytes)")
 
 
 class FieldMap(Table, title="FieldMap"):
@@ -59,5 +64,5 @@
 
     @property
     def by_field(self) -> dict[str, FieldMap]:
-        """The map by `Query.name` or `Mutation.name`."""
+        """The entries by their names: `Query.name` or `Mutation.name`."""
         return {item.name: item for item in self.field}
--- a/tests/graphql/test_golden.py
+++ b/tests/graphql/test_golden.py
@@ -1,7 +1,7 @@
-"""Whole answers to GraphQL clients, and what their servers get, against golden files.
+"""Complete responses to GraphQL clients, and requests to their servers, against golden files.
 
-Of the time that a server is given, and of the time after which a client may come back, only the
-places are compared.
+The timeout that a server gets, and the time after which a client may retry, vary: only their
+positions are compared.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from standins import graphql as dispatch
 from standins import http1
 from tests.golden import differences
-from tests.graphql.test_front import ASSIGN, LOOKUP, NEW, desk
+from tests.graphql.test_front import ASSIGN, LOOKUP, RESPONSE_JSON, running_frontend
 from tests.net import WAIT, Peer, run
 
 GOLDEN = Path(__file__).parent / "golden"
-OLD = "application/json"
+PLAIN_JSON = "application/json"
 NOT_STARTED = {"errors": [{"message": "full", "extensions": {"code": "QUEUE_FULL"}}]}
 
 
 async def serve(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
-    """A dispatch server's own answer, but for a pickup that it has no room for."""
+    """Answer as a dispatch server, and reject the pickup `nowhere` as for a full queue."""
     body = peer.bodies.pop()  # type: ignore[attr-defined]
     full = b"nowhere" in body
     status, answer = (
@@ -36,13 +36,13 @@
     writer.write(http1.answer(status, {}, answer))
 
 
-class Keeping(Peer):
-    """A server that keeps each request's bytes."""
+class RecordingServer(Peer):
+    """Records the bytes of each request."""
 
     def __init__(self) -> None:
         super().__init__(serve)
         self.bodies: list[bytes] = []
-        self.got: list[bytes] = []
+        self.received: list[bytes] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -51,7 +51,7 @@
                 size = re.search(rb"Content-Length: (\d+)", head)
                 assert size is not None
                 body = await reader.readexactly(int(size[1]))
-                self.got.append(
+                self.received.append(
                     re.sub(rb"Request-Timeout: \d+m", b"Request-Timeout: <ms>", head) + body
                 )
                 self.bodies.append(body)
@@ -62,25 +62,32 @@
             writer.close()
 
 
-def post(body: Any, accept: str | None = NEW, media: str = OLD, **more: str) -> bytes:
+def post(
+    body: Any, accept: str | None = RESPONSE_JSON, media_type: str = PLAIN_JSON, **headers: str
+) -> bytes:
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    lines = {"host": "x", "content-type": media, "request-id": "r1", "request-timeout": "8000m"}
+    lines = {
+        "host": "x",
+        "content-type": media_type,
+        "request-id": "r1",
+        "request-timeout": "8000m",
+    }
     lines |= {"accept": accept} if accept is not None else {}
-    lines |= {name.replace("_", "-"): value for name, value in more.items()}
+    lines |= {name.replace("_", "-"): value for name, value in headers.items()}
     return http1.request("POST", "/graphql", lines, data)
 
 
 def get(target: str, method: str = "GET") -> bytes:
-    return http1.request(method, target, {"host": "x", "accept": NEW, "request-id": "r1"})
+    return http1.request(method, target, {"host": "x", "accept": RESPONSE_JSON, "request-id": "r1"})
 
 
 MIXED = (
     'query { kind: __typename b: cabLookup(pickup: "opera") { pickup } '
     'a: cabLookup(pickup: "nowhere") { pickup } }'
 )
-ASKED: dict[str, bytes] = {
+REQUESTS: dict[str, bytes] = {
     "lookup": post({"query": LOOKUP}),
-    "lookup in the older type": post({"query": LOOKUP}, OLD),
+    "lookup in the older type": post({"query": LOOKUP}, PLAIN_JSON),
     "lookup with no word on types": post({"query": LOOKUP}, None),
     "assignment": post({"query": ASSIGN}),
     "assignment under the request's key": post(
@@ -91,14 +98,14 @@
     "introspection": post({"query": "{ __schema { queryType { name } } }"}),
     "no such field": post({"query": "{ nothing }"}),
     "no document": post({"query": "{"}),
-    "no document in the older type": post({"query": "{"}, OLD),
+    "no document in the older type": post({"query": "{"}, PLAIN_JSON),
     "no JSON": post(b"{"),
     "a batch": post([{"query": LOOKUP}]),
     "no query": post({}),
     "variables that are none": post({"query": LOOKUP, "variables": []}),
     "another type": post({"query": LOOKUP}, "text/html"),
-    "another body": post({"query": LOOKUP}, NEW, "text/plain"),
-    "another charset": post({"query": LOOKUP}, NEW, f"{OLD}; charset=utf-16"),
+    "another body": post({"query": LOOKUP}, RESPONSE_JSON, "text/plain"),
+    "another charset": post({"query": LOOKUP}, RESPONSE_JSON, f"{PLAIN_JSON}; charset=utf-16"),
     "lookup by GET": get("/graphql?query=%7B%20cabLookup(pickup%3A%20%22x%22)%20%7B%20pickup%20%7D%20%7D"),
     "assignment by GET": get("/graphql?query=mutation%20%7B%20rideAssign(ride%3A%221%22%2Ckey%3A%22k%22)%20"
                              "%7B%20id%20%7D%20%7D"),
@@ -107,40 +114,40 @@
 }  # fmt: skip
 
 
-def play() -> tuple[dict[str, bytes], dict[str, bytes]]:
-    """Answers, and requests to the server, of each request on a connection of its own."""
+def record_exchanges() -> tuple[dict[str, bytes], dict[str, bytes]]:
+    """Send each request on a connection of its own; return responses and requests to servers."""
     answers: dict[str, bytes] = {}
     forwarded: dict[str, bytes] = {}
 
-    async def whole() -> None:
-        server = Keeping()
+    async def run_installation() -> None:
+        server = RecordingServer()
         await server.start()
-        async with desk(server) as front:
-            for name, data in ASKED.items():
-                client = await front.client()
+        async with running_frontend(server) as installation:
+            for name, data in REQUESTS.items():
+                client = await installation.client()
                 _, head, body = await client.ask(data)
-                if b"retryAfter" in body:  # the policy's advice, which is drawn
+                if b"retryAfter" in body:  # a random delay
                     head = re.sub(rb"Content-Length: \d+", b"Content-Length: <bytes>", head)
                     body = re.sub(rb'"retryAfter": [\d.]+', b'"retryAfter": <s>', body)
                 answers[name] = head + body
                 client.writer.close()
                 async with asyncio.timeout(WAIT):
-                    while front.pipeline.open_attempts:
+                    while installation.pipeline.open_attempts:
                         await asyncio.sleep(0)
-                if server.got:
-                    forwarded[name] = b"|".join(sorted(server.got))
-                    server.got.clear()
+                if server.received:
+                    forwarded[name] = b"|".join(sorted(server.received))
+                    server.received.clear()
 
-    run(whole())
+    run(run_installation())
     return answers, forwarded
 
 
 GROUPS: dict[str, Callable[[], dict[str, bytes]]] = {
-    "answers": lambda: play()[0],
-    "forwarded": lambda: play()[1],
+    "answers": lambda: record_exchanges()[0],
+    "forwarded": lambda: record_exchanges()[1],
 }
 
 
 @pytest.mark.parametrize("group", GROUPS)
-def test_clients_and_servers_get_the_same_bytes(group: str) -> None:
+def test_responses_and_forwarded_requests_match_the_golden_files(group: str) -> None:
     assert not differences(GOLDEN / f"{group}.txt", GROUPS[group]())
--- a/tests/graphql/test_mapping.py
+++ b/tests/graphql/test_mapping.py
@@ -1,4 +1,4 @@
-"""The map of root fields in an operator's file, checked against its schema."""
+"""The mapping of root fields in a settings file is checked against its schema."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from standins.graphql import SCHEMA_FILE
 
 
-def text(schema: str) -> str:
+def settings_text(schema: str) -> str:
     return operators_file("127.0.0.1:1", graphql=schema)
 
 
-def test_a_good_map_is_taken(tmp_path: Path) -> None:
+def test_a_valid_mapping_is_loaded(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
-    path.write_text(text(str(SCHEMA_FILE)))
-    what = load_installation(str(path))
-    assert what.component_settings["graphql"].by_field["Mutation.rideAssign"].key == "key"
+    path.write_text(settings_text(str(SCHEMA_FILE)))
+    installation = load_installation(str(path))
+    assert installation.component_settings["graphql"].by_field["Mutation.rideAssign"].key == "key"
 
 
 LOOKUP, ASSIGN = '"Query.cabLookup"\nclass = ', '"Mutation.rideAssign"\nclass = '
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "key", "words"),
+    ("old", "new", "key", "message"),
     [
         (f'{LOOKUP}"cab-lookup"', f'{LOOKUP}"ride-assign"', "class", "not safe"),
         (f'{ASSIGN}"ride-assign"', f'{ASSIGN}"cab-lookup"', "class", "a mutation is not"),
@@ -38,19 +38,22 @@
         ('"Query.cabLookup"', '"Mutation.rideAssign"', "", "names a field twice"),
     ],
 )
-def test_each_fault_of_a_map_is_named(
-    tmp_path: Path, old: str, new: str, key: str, words: str
+def test_each_fault_of_a_mapping_is_reported(
+    tmp_path: Path, old: str, new: str, key: str, message: str
 ) -> None:
-    path, good = tmp_path / "site.toml", text(str(SCHEMA_FILE))
-    assert old in good
-    path.write_text(good.replace(old, new, 1))
+    path, valid_text = tmp_path / "site.toml", settings_text(str(SCHEMA_FILE))
+    assert old in valid_text
+    path.write_text(valid_text.replace(old, new, 1))
     with pytest.raises(SettingsFileError) as caught:
         load_installation(str(path))
-    assert any(words in p.words and p.line and p.key.endswith(key) for p in caught.value.problems)
+    assert any(
+        message in problem.words and problem.line and problem.key.endswith(key)
+        for problem in caught.value.problems
+    )
 
 
 @pytest.mark.parametrize(
-    ("schema", "words"),
+    ("schema", "message"),
     [
         (
             "type Query { cabLookup(pickup: String): Int more: Int }",
@@ -64,22 +67,25 @@
         ("type Query { a: Missing }", "can't be used"),
     ],
 )
-def test_a_schema_that_does_not_fit_is_told(tmp_path: Path, schema: str, words: str) -> None:
+def test_an_unsuitable_schema_is_reported(tmp_path: Path, schema: str, message: str) -> None:
     (tmp_path / "s.graphql").write_text(schema)
     path = tmp_path / "site.toml"
-    path.write_text(text("s.graphql"))  # beside the file
-    with pytest.raises(SettingsFileError, match=words):
+    # The schema path is relative to the settings file.
+    path.write_text(settings_text("s.graphql"))
+    with pytest.raises(SettingsFileError, match=message):
         load_installation(str(path))
 
 
-def test_a_schema_or_a_list_that_is_missing_is_told(tmp_path: Path) -> None:
+def test_a_missing_schema_or_allow_list_is_reported(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text(
-        text("none.graphql").replace("[fronts.graphql]", '[fronts.graphql]\nallow_list = "no.json"')
+        settings_text("none.graphql").replace(
+            "[fronts.graphql]", '[fronts.graphql]\nallow_list = "no.json"'
+        )
     )
     with pytest.raises(SettingsFileError) as caught:
         load_installation(str(path))
-    assert [p.key for p in caught.value.problems] == [
+    assert [problem.key for problem in caught.value.problems] == [
         "fronts.graphql.allow_list",
         "fronts.graphql.schema",
     ]
--- a/tests/graphql/test_planner.py
+++ b/tests/graphql/test_planner.py
@@ -1,8 +1,8 @@
-"""Planning, running the parts and merging gives what running the whole gives, for generated
-operations.
+"""Property test of planning and merging, and tests of the planner.
 
-`BADGERCART_RUNS=2000 pytest tests/graphql/test_planner.py` is the long form; CI runs a seeded
-subset.
+For generated operations, executing the parts and merging their results gives the same response as
+executing the operation. `BADGERCART_RUNS=2000 pytest tests/graphql/test_planner.py` runs 2000
+seeds; without the variable there are 400.
 """
 
 from __future__ import annotations
@@ -22,8 +22,14 @@
     validate,
 )
 
-from badgercart.frontends.graphql.merge import Outcome, response
-from badgercart.frontends.graphql.planner import BadOperation, Memo, Plan, Planner, choose
+from badgercart.frontends.graphql.merge import PartOutcome, merge_outcomes
+from badgercart.frontends.graphql.planner import (
+    OperationError,
+    Plan,
+    Planner,
+    PlanningCache,
+    select_operation,
+)
 from badgercart.frontends.graphql.settings import FieldMap
 
 RUNS = int(os.environ.get("BADGERCART_RUNS", "0"))
@@ -57,8 +63,8 @@
         ("Mutation.cancel", "ride-assign", "ride", None),
     )
 }
-# Of each type: its fields, the arguments as they may be written, and the type below.
-SHAPE: dict[str, dict[str, tuple[tuple[str, ...], str]]] = {
+# By type and field: the alternatives for its arguments, and the type of its selections.
+FIELD_CHOICES: dict[str, dict[str, tuple[tuple[str, ...], str]]] = {
     "Query": {
         "cab": (("id: 1", "id: $id", 'id: "x"'), "Cab"),
         "cabs": (("", "near: $near", "n: $n", 'near: "a", n: 1'), "Cab"),
@@ -84,19 +90,19 @@
 VARIABLES = "$id: ID! = 7, $near: String, $n: Int = 2, $yes: Boolean = true, $no: Boolean!"
 
 
-class Writer:
-    """Writes a random operation."""
+class OperationGenerator:
+    """Generates random operations."""
 
     def __init__(self, rng: random.Random) -> None:
         self.random = rng
         self.fragments: list[str] = []
         self.aliases = 0
 
-    def choice(self) -> str:
+    def condition(self) -> str:
         if self.random.random() < 0.75:
             return ""
-        word = self.random.choice(("skip", "include"))
-        return f" @{word}(if: {self.random.choice(('true', 'false', '$yes', '$no'))})"
+        directive = self.random.choice(("skip", "include"))
+        return f" @{directive}(if: {self.random.choice(('true', 'false', '$yes', '$no'))})"
 
     def selections(self, on: str, depth: int) -> str:
         rng, found = self.random, []
@@ -106,7 +112,7 @@
         for _ in range(rng.randrange(1, 5 if depth < 2 else 3)):
             kind = rng.random()
             if kind < 0.15 and depth < 4:
-                found.append(f"...{self.choice()} {{ {self.selections(on, depth + 1)} }}")
+                found.append(f"...{self.condition()} {{ {self.selections(on, depth + 1)} }}")
             elif kind < 0.3 and depth < 4:
                 name = f"F{len(self.fragments)}"
                 self.fragments.append("")
@@ -114,26 +120,26 @@
                 self.fragments[at] = (
                     f"fragment {name} on {on} {{ {self.selections(on, depth + 1)} }}"
                 )
-                found += [f"...{name}{self.choice()}"] * rng.choice((1, 1, 2))
+                found += [f"...{name}{self.condition()}"] * rng.choice((1, 1, 2))
             else:
                 found.append(self.field(on, depth))
         return " ".join(found)
 
     def field(self, on: str, depth: int) -> str:
-        name = self.random.choice(list(SHAPE[on]))
-        arguments, below = SHAPE[on][name]
+        name = self.random.choice(list(FIELD_CHOICES[on]))
+        arguments, below = FIELD_CHOICES[on][name]
         if below and depth > 3:
             return "__typename"
         chosen = self.random.choice(arguments)
         self.aliases += 1
         alias = f"a{self.aliases}: " if chosen or below or self.random.random() < 0.4 else ""
-        text = f"{alias}{name}{f'({chosen})' if chosen else ''}{self.choice()}"
+        text = f"{alias}{name}{f'({chosen})' if chosen else ''}{self.condition()}"
         return f"{text} {{ {self.selections(below, depth + 1)} }}" if below else text
 
     def document(self) -> str:
         kind = self.random.choice(("query", "query", "mutation"))
         body = self.selections("Query" if kind == "query" else "Mutation", 0)
-        # Every variable is used, so that the document is valid whatever the selections took.
+        # Uses every variable, so that the document is valid whatever the selections are.
         uses = "u1: __typename @skip(if: $yes) u2: __typename @include(if: $no)"
         if kind == "query":
             uses += " u3: cabs(near: $near, n: $n) { id } u4: cab(id: $id) { id }"
@@ -142,19 +148,22 @@
         return f"{kind} Op({VARIABLES}) {{ {body} {uses} }} " + " ".join(self.fragments)
 
 
-class World:
-    """Values, nulls and errors that depend on nothing but the path's fields and the seed."""
+class RandomResolver:
+    """Resolves fields to values, nulls and errors that depend only on the seed and the path."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
     def resolve(self, source: Any, info: Any, **arguments: Any) -> Any:
-        # Not on response keys of the list's places alone: a part must meet the very same world.
-        way = ".".join(str(step) for step in info.path.as_list())
-        rng = random.Random(f"{self.seed} {way} {info.field_name} {sorted(arguments.items())}")
+        # The field name and the arguments seed the values too: a part must resolve to the same
+        # values as the complete operation.
+        path_text = ".".join(str(step) for step in info.path.as_list())
+        rng = random.Random(
+            f"{self.seed} {path_text} {info.field_name} {sorted(arguments.items())}"
+        )
         chance = rng.random()
         if chance < 0.06:
-            raise GraphQLError(f"no {info.field_name} at {way}")
+            raise GraphQLError(f"no {info.field_name} at {path_text}")
         if chance < 0.14:
             return None
         kind = str(info.return_type).strip("!")
@@ -168,36 +177,37 @@
         }.get(kind, dict)()
 
 
-def by_parts(
-    schema: Any, world: World, text: str, variables: dict[str, Any]
+def execute_by_parts(
+    schema: Any, resolver: RandomResolver, text: str, variables: dict[str, Any]
 ) -> tuple[Plan, dict[str, Any]]:
     document = parse(text)
-    operation = choose(document, None)
+    operation = select_operation(document, None)
     planner = Planner(schema, FIELDS)
-    memo = Memo()
-    planner.plan(document, operation, {"no": True, "near": "other", "n": 9}, "", memo)
-    plan = planner.plan(document, operation, variables, "", memo)  # what it remembers must not show
+    cache = PlanningCache()
+    planner.plan(document, operation, {"no": True, "near": "other", "n": 9}, "", cache)
+    # The caches now hold results for other variables, which must not show in this plan.
+    plan = planner.plan(document, operation, variables, "", cache)
     fragments = {
         d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)
     }
     outcomes = []
-    jobs: list[tuple[Any, ...]] = [(p.roots, p, p.document, p.variables) for p in plan.parts]
-    if plan.local:
-        local, needed = planner.document(operation, plan.local, fragments)
+    executions: list[tuple[Any, ...]] = [(p.roots, p, p.document, p.variables) for p in plan.parts]
+    if plan.local_roots:
+        local, needed = planner.part_document(operation, plan.local_roots, fragments)
         given = {n: variables[n] for n in needed if n in variables}
-        jobs.append((plan.local, None, print_ast(local), given))
-    random.Random(text).shuffle(jobs)  # answers come in any order
-    for roots, part, printed, given in jobs:
+        executions.append((plan.local_roots, None, print_ast(local), given))
+    random.Random(text).shuffle(executions)  # the parts end in any order
+    for roots, part, printed, given in executions:
         parsed = parse(printed)
         assert validate(schema, parsed) == [], printed
-        done = execute_sync(schema, parsed, variable_values=given, field_resolver=world.resolve)
+        done = execute_sync(schema, parsed, variable_values=given, field_resolver=resolver.resolve)
         errors = [error.formatted for error in done.errors or ()]
         assert done.data is None or set(done.data) == {root.response_key for root in roots}
-        outcomes.append(Outcome(roots, part, done.data, errors))  # type: ignore[arg-type]
-    return plan, response(plan, outcomes)
+        outcomes.append(PartOutcome(roots, part, done.data, errors))  # type: ignore[arg-type]
+    return plan, merge_outcomes(plan, outcomes)
 
 
-def told(errors: Any) -> list[tuple[Any, ...]]:
+def sorted_errors(errors: Any) -> list[tuple[Any, ...]]:
     return sorted(
         (
             tuple(map(str, e["path"])),
@@ -208,58 +218,62 @@
     )
 
 
-def one(seed: int) -> bool:
+def check_seed(seed: int) -> bool:
+    """Check one generated operation; return False where it is not valid."""
     rng = random.Random(seed)
     schema = build_schema(SDL.format(*(rng.choice(("", "!")) for _ in range(11))))
-    text = Writer(rng).document()
+    text = OperationGenerator(rng).document()
     if validate(schema, parse(text)):
         return False
     variables: dict[str, Any] = {"no": rng.random() < 0.5}
     if rng.random() < 0.5:
         variables |= {"near": "x", "n": 1}
-    world = World(seed)
-    whole = execute_sync(
-        schema, parse(text), variable_values=variables, field_resolver=world.resolve
+    resolver = RandomResolver(seed)
+    complete_result = execute_sync(
+        schema, parse(text), variable_values=variables, field_resolver=resolver.resolve
     )
-    plan, merged = by_parts(schema, world, text, variables)
-    assert merged["data"] == whole.data, text
-    expected, found = told([e.formatted for e in whole.errors or ()]), told(merged.get("errors"))
-    if (
-        whole.data is None
-    ):  # an error that took all data may have ended the whole before others came
+    plan, merged = execute_by_parts(schema, resolver, text, variables)
+    assert merged["data"] == complete_result.data, text
+    expected, found = (
+        sorted_errors([e.formatted for e in complete_result.errors or ()]),
+        sorted_errors(merged.get("errors")),
+    )
+    if complete_result.data is None:
+        # The error that made all data null may have ended the execution before further errors.
         assert set(map(repr, expected)) <= set(map(repr, found)), text
     else:
-        assert list(merged["data"]) == list(whole.data) and found == expected, text
+        assert list(merged["data"]) == list(complete_result.data) and found == expected, text
     if plan.serial:
         assert [len(part.roots) for part in plan.parts] == [1] * len(plan.parts)
-        names = [root.response_key for root in plan.roots if root not in plan.local]
+        names = [root.response_key for root in plan.roots if root not in plan.local_roots]
         assert [part.roots[0].response_key for part in plan.parts] == names
     return True
 
 
 @pytest.mark.parametrize("start", range(0, RUNS or 400, 100))
-def test_parts_merged_are_the_whole(start: int) -> None:
-    assert sum(one(seed) for seed in range(start, start + 100)) > 50
-
+def test_merged_parts_equal_the_complete_result(start: int) -> None:
+    assert sum(check_seed(seed) for seed in range(start, start + 100)) > 50
 
-# What goes together, and keys.
 
 SCHEMA = build_schema(SDL.format(*[""] * 11))
 
 
-def planned(text: str, client_key: str = "", **variables: Any) -> Plan:
+def plan_document(text: str, client_key: str = "", **variables: Any) -> Plan:
     document = parse(text)
     assert validate(SCHEMA, document) == []
-    return Planner(SCHEMA, FIELDS).plan(document, choose(document, None), variables, client_key)
+    return Planner(SCHEMA, FIELDS).plan(
+        document, select_operation(document, None), variables, client_key
+    )
 
 
-def test_fields_of_one_class_and_affinity_go_together() -> None:
-    plan = planned(
+def test_query_fields_are_grouped_by_class_and_affinity() -> None:
+    plan = plan_document(
         "{ a: cab(id: 1) { id } b: count c: cab(id: 1) { plate } "
         "d: ride(id: 1) { id } e: cab(id: 2) { id } f: things { __typename } }"
     )
     groups = [
-        (part.cls, part.affinity, [root.response_key for root in part.roots]) for part in plan.parts
+        (part.class_name, part.affinity, [root.response_key for root in part.roots])
+        for part in plan.parts
     ]
     assert groups == [
         ("cab-lookup", "1", ["a", "c"]),
@@ -270,19 +284,25 @@
     assert not plan.serial
 
 
-def test_two_aliases_of_a_mutation_are_two_effects_with_keys_that_a_repeat_gets_again() -> None:
+def test_each_alias_of_a_mutation_has_its_own_key_that_is_stable_across_retries() -> None:
     text = 'mutation { a: assign(ride: 1, key: "k") { id } b: assign(ride: 1, key: "k") { id } }'
-    keys = [part.key for part in planned(text).parts]
+    keys = [part.idempotency_key for part in plan_document(text).parts]
     assert len(set(keys)) == 2 and all(keys)
-    assert [part.key for part in planned(text.replace(" a:", "  a:")).parts] == keys
-    other = [part.key for part in planned(text.replace('"k"', '"j"')).parts]
+    assert [
+        part.idempotency_key for part in plan_document(text.replace(" a:", "  a:")).parts
+    ] == keys
+    other = [part.idempotency_key for part in plan_document(text.replace('"k"', '"j"')).parts]
     assert not set(other) & set(keys)
 
 
-def test_a_mutation_without_a_key_of_its_own_takes_the_requests() -> None:
+def test_a_mutation_without_a_key_argument_uses_the_key_of_the_request() -> None:
     text = "mutation { cancel(ride: 1) }"
-    assert planned(text).parts[0].key == ""
-    assert planned(text, "req").parts[0].key != planned(text, "other").parts[0].key != ""
+    assert plan_document(text).parts[0].idempotency_key == ""
+    assert (
+        plan_document(text, "req").parts[0].idempotency_key
+        != plan_document(text, "other").parts[0].idempotency_key
+        != ""
+    )
 
 
 @pytest.mark.parametrize(
@@ -294,14 +314,14 @@
         "query A { count } mutation M { assign(ride: 1) { id } }",
     ],
 )
-def test_an_assignment_can_not_hide(text: str) -> None:
+def test_fragments_and_conditions_do_not_hide_a_mutation_field(text: str) -> None:
     document = parse(text)
-    plan = Planner(SCHEMA, FIELDS).plan(document, choose(document, "M"), {})
-    assert [part.cls for part in plan.parts] == ["ride-assign"] and plan.serial
+    plan = Planner(SCHEMA, FIELDS).plan(document, select_operation(document, "M"), {})
+    assert [part.class_name for part in plan.parts] == ["ride-assign"] and plan.serial
 
 
-def test_a_part_holds_only_what_it_needs() -> None:
-    plan = planned(
+def test_a_part_has_only_the_fragments_and_variables_that_it_uses() -> None:
+    plan = plan_document(
         "query Q($id: ID!, $n: Int, $near: String) "
         "{ cab(id: $id) { ...C } cabs(near: $near) { id } count(x: $n) } "
         "fragment C on Cab { plate near(limit: $n) { ...D } } fragment D on Cab { id }",
@@ -318,23 +338,23 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "name", "words"),
+    ("text", "name", "message"),
     [
         ("query A { count } query B { count }", None, "operationName"),
         ("query A { count }", "C", "no operation 'C'"),
         ("fragment F on Cab { id }", None, "no operation"),
     ],
 )
-def test_an_operation_must_be_named_where_there_are_several(
-    text: str, name: str | None, words: str
+def test_selecting_an_operation_fails_unless_exactly_one_matches(
+    text: str, name: str | None, message: str
 ) -> None:
-    with pytest.raises(BadOperation, match=words):
-        choose(parse(text), name)
+    with pytest.raises(OperationError, match=message):
+        select_operation(parse(text), name)
 
 
-def test_variables_that_do_not_fit_are_told_with_their_places() -> None:
+def test_errors_of_invalid_variables_have_locations() -> None:
     text = "query Q($id: ID!) { cab(id: $id) { id } }"
     for variables in ({}, {"id": None}, {"id": {"a": 1}}):
-        with pytest.raises(BadOperation) as caught:
-            planned(text, **variables)
+        with pytest.raises(OperationError) as caught:
+            plan_document(text, **variables)
         assert caught.value.errors[0].locations
