--- a/badgercart/frontends/graphql/execution.py
+++ b/badgercart/frontends/graphql/execution.py
@@ -116,7 +116,7 @@
         on_end: Callable[[dict[str, Any], float | None], None],
         client_is_gone: Callable[[], bool],
     ) -> None:
-        """`client_is_gone` checks whether the client has left without a cancellation so far."""
+        """`client_is_gone` returns whether the client has left, even if nobody noticed it yet."""
         self.plan, self.pipeline, self.transport, self.on_end, self.client_is_gone = (
             plan,
             pipeline,
--- a/tests/graphql/test_golden.py
+++ b/tests/graphql/test_golden.py
@@ -18,7 +18,7 @@
 from standins import graphql as dispatch
 from standins import http1
 from tests.golden import differences
-from tests.graphql.test_front import ASSIGN, LOOKUP, RESPONSE_JSON, running_frontend
+from tests.graphql.test_frontend import ASSIGN, LOOKUP, RESPONSE_JSON, running_frontend
 from tests.net import WAIT, Peer, run
 
 GOLDEN = Path(__file__).parent / "golden"
