--- a/badgercart/frontends/graphql/frontend.py
+++ b/badgercart/frontends/graphql/frontend.py
@@ -19,8 +19,7 @@
 from badgercart.core.descriptors import Descriptors
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.identifiers import stable_id
-from badgercart.core.ports import Answer
-from badgercart.core.ports import AttemptRequest as Attempt
+from badgercart.core.ports import Answer, AttemptRequest
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.core.requests import unknown_tenant
 from badgercart.frontends.graphql.documents import RequestPlanner, RequestRejectedError
@@ -79,16 +78,16 @@
         self.calls: dict[tuple[int, int], PartCall] = {}
         self.pool: ServerPool
 
-    def send(self, order: Attempt) -> None:
+    def send(self, attempt_request: AttemptRequest) -> None:
         """Send an attempt of a part."""
-        call: PartCall = order.payload
-        self.calls[order.request_id, order.attempt] = call
+        call: PartCall = attempt_request.payload
+        self.calls[attempt_request.request_id, attempt_request.attempt] = call
         self.pool.send(
-            Attempt(
-                order.request_id,
-                order.attempt,
-                order.endpoint_id,
-                order.timeout_ms,
+            AttemptRequest(
+                attempt_request.request_id,
+                attempt_request.attempt,
+                attempt_request.endpoint_id,
+                attempt_request.timeout_ms,
                 call.request.message,
             )
         )
--- a/tests/graphql/test_frontend.py
+++ b/tests/graphql/test_frontend.py
@@ -65,11 +65,11 @@
         try:
             while True:
                 message = await http1.read_message(reader)
-                asked = json.loads(message.body)
-                self.received.append(asked)
+                request_body = json.loads(message.body)
+                self.received.append(request_body)
                 self.idempotency_keys.append(message.headers.get("idempotency-key", ""))
                 self.requests.put_nowait(message.body)
-                replacement = self.script_response(asked) if self.script_response else None
+                replacement = self.script_response(request_body) if self.script_response else None
                 if replacement is None:
                     status, body = dispatch.answer(self.name, message.body)
                     writer.write(http1.answer(status, {}, body))
@@ -250,7 +250,7 @@
         ]
         assert installation.pipeline.policy.overload.error_rate.failures > 0
 
-    run_test(test, lambda asked: (200, partial))
+    run_test(test, lambda request_body: (200, partial))
 
 
 @pytest.mark.parametrize(
@@ -271,14 +271,14 @@
             AttemptResult.ERROR
         ]
 
-    run_test(test, lambda asked: (200, reply))
+    run_test(test, lambda request_body: (200, reply))
 
 
 def test_a_failed_mutation_is_retried_with_the_same_idempotency_key() -> None:
     async def test() -> None:
         servers = [
-            DispatchServer("one", lambda asked: (-1, None)),
-            DispatchServer("two", lambda asked: (-1, None)),
+            DispatchServer("one", lambda request_body: (-1, None)),
+            DispatchServer("two", lambda request_body: (-1, None)),
         ]
         for server in servers:
             await server.start()
@@ -302,7 +302,9 @@
     async def test(installation: RunningFrontend, server: DispatchServer) -> None:
         _, _, response = await installation.send({"query": chain})
         assert list(response["data"]) == ["m0", "m1", "m2", "m3"]
-        assert [f'"{i}"' in asked["query"] for i, asked in enumerate(server.received)] == [True] * 4
+        assert [
+            f'"{i}"' in request_body["query"] for i, request_body in enumerate(server.received)
+        ] == [True] * 4
         assert len(set(server.idempotency_keys)) == 4
 
     run_test(test)
@@ -319,13 +321,13 @@
         await installation.event(AttemptEnded)
         assert len(installation.of(Request)) == 1  # no further part starts
 
-    run_test(silent, lambda asked: (0, None))
+    run_test(silent, lambda request_body: (0, None))
 
 
 def test_the_timeout_of_one_part_leaves_the_other_parts_intact() -> None:
     async def test() -> None:
         server = DispatchServer(
-            script=lambda asked: (0, None) if '"slow"' in asked["query"] else None
+            script=lambda request_body: (0, None) if '"slow"' in request_body["query"] else None
         )
         await server.start()
         async with running_frontend(server) as installation:
--- a/tests/graphql/test_golden.py
+++ b/tests/graphql/test_golden.py
@@ -29,9 +29,9 @@
 async def serve(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
     """Answer as a dispatch server, and reject the pickup `nowhere` as for a full queue."""
     body = peer.bodies.pop()  # type: ignore[attr-defined]
-    full = b"nowhere" in body
+    queue_full = b"nowhere" in body
     status, answer = (
-        (200, json.dumps(NOT_STARTED).encode()) if full else dispatch.answer("s-1", body)
+        (200, json.dumps(NOT_STARTED).encode()) if queue_full else dispatch.answer("s-1", body)
     )
     writer.write(http1.answer(status, {}, answer))
 
--- a/tests/graphql/test_planner.py
+++ b/tests/graphql/test_planner.py
@@ -104,37 +104,41 @@
         directive = self.random.choice(("skip", "include"))
         return f" @{directive}(if: {self.random.choice(('true', 'false', '$yes', '$no'))})"
 
-    def selections(self, on: str, depth: int) -> str:
-        rng, found = self.random, []
-        if on == "Thing":
-            found = [f"... on {t} {{ {self.selections(t, depth + 1)} }}" for t in ("Cab", "Ride")]
-            return " ".join(["__typename", *found])
+    def selections(self, type_name: str, depth: int) -> str:
+        rng, selections = self.random, []
+        if type_name == "Thing":
+            selections = [
+                f"... on {t} {{ {self.selections(t, depth + 1)} }}" for t in ("Cab", "Ride")
+            ]
+            return " ".join(["__typename", *selections])
         for _ in range(rng.randrange(1, 5 if depth < 2 else 3)):
             kind = rng.random()
             if kind < 0.15 and depth < 4:
-                found.append(f"...{self.condition()} {{ {self.selections(on, depth + 1)} }}")
+                selections.append(
+                    f"...{self.condition()} {{ {self.selections(type_name, depth + 1)} }}"
+                )
             elif kind < 0.3 and depth < 4:
                 name = f"F{len(self.fragments)}"
                 self.fragments.append("")
                 at = len(self.fragments) - 1
                 self.fragments[at] = (
-                    f"fragment {name} on {on} {{ {self.selections(on, depth + 1)} }}"
+                    f"fragment {name} on {type_name} {{ {self.selections(type_name, depth + 1)} }}"
                 )
-                found += [f"...{name}{self.condition()}"] * rng.choice((1, 1, 2))
+                selections += [f"...{name}{self.condition()}"] * rng.choice((1, 1, 2))
             else:
-                found.append(self.field(on, depth))
-        return " ".join(found)
+                selections.append(self.field(type_name, depth))
+        return " ".join(selections)
 
-    def field(self, on: str, depth: int) -> str:
-        name = self.random.choice(list(FIELD_CHOICES[on]))
-        arguments, below = FIELD_CHOICES[on][name]
-        if below and depth > 3:
+    def field(self, type_name: str, depth: int) -> str:
+        name = self.random.choice(list(FIELD_CHOICES[type_name]))
+        arguments, child_type = FIELD_CHOICES[type_name][name]
+        if child_type and depth > 3:
             return "__typename"
         chosen = self.random.choice(arguments)
         self.aliases += 1
-        alias = f"a{self.aliases}: " if chosen or below or self.random.random() < 0.4 else ""
+        alias = f"a{self.aliases}: " if chosen or child_type or self.random.random() < 0.4 else ""
         text = f"{alias}{name}{f'({chosen})' if chosen else ''}{self.condition()}"
-        return f"{text} {{ {self.selections(below, depth + 1)} }}" if below else text
+        return f"{text} {{ {self.selections(child_type, depth + 1)} }}" if child_type else text
 
     def document(self) -> str:
         kind = self.random.choice(("query", "query", "mutation"))
@@ -193,17 +197,19 @@
     outcomes = []
     executions: list[tuple[Any, ...]] = [(p.roots, p, p.document, p.variables) for p in plan.parts]
     if plan.local_roots:
-        local, needed = planner.part_document(operation, plan.local_roots, fragments)
-        given = {n: variables[n] for n in needed if n in variables}
-        executions.append((plan.local_roots, None, print_ast(local), given))
+        local, variable_names = planner.part_document(operation, plan.local_roots, fragments)
+        part_variables = {n: variables[n] for n in variable_names if n in variables}
+        executions.append((plan.local_roots, None, print_ast(local), part_variables))
     random.Random(text).shuffle(executions)  # the parts end in any order
-    for roots, part, printed, given in executions:
-        parsed = parse(printed)
-        assert validate(schema, parsed) == [], printed
-        done = execute_sync(schema, parsed, variable_values=given, field_resolver=resolver.resolve)
-        errors = [error.formatted for error in done.errors or ()]
-        assert done.data is None or set(done.data) == {root.response_key for root in roots}
-        outcomes.append(PartOutcome(roots, part, done.data, errors))  # type: ignore[arg-type]
+    for roots, part, part_text, part_variables in executions:
+        part_document = parse(part_text)
+        assert validate(schema, part_document) == [], part_text
+        result = execute_sync(
+            schema, part_document, variable_values=part_variables, field_resolver=resolver.resolve
+        )
+        errors = [error.formatted for error in result.errors or ()]
+        assert result.data is None or set(result.data) == {root.response_key for root in roots}
+        outcomes.append(PartOutcome(roots, part, result.data, errors))  # type: ignore[arg-type]
     return plan, merge_outcomes(plan, outcomes)
 
 
