--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -116,9 +116,8 @@
 def test_requests_go_to_the_listed_servers_as_the_list_changes() -> None:
     async def test() -> None:
         async with running_members() as (etcd,), running_node(etcd) as node:
-            assert (
-                await node.health_status() == 503 and await node.request_status() == 503
-            )  # nothing is known yet
+            # The node has no list yet.
+            assert await node.health_status() == 503 and await node.request_status() == 503
             peer, other = await ScriptedServer().start(), await ScriptedServer().start()
             await etcd.put(PREFIX + "a", entry_json("a", peer))
             await node.wait_for_list(a="ready")
