--- a/badgercart/core/request_pipeline.py
+++ b/badgercart/core/request_pipeline.py
@@ -304,7 +304,7 @@
         event = Request(
             id=request_id,
             class_index=request.class_index,
-            deadline=request.deadline_ms,
+            deadline_at_ms=request.deadline_ms,
             key=request.key,
             tenant=request.tenant,
             expected_work_ms=request.expected_work_ms,
@@ -397,7 +397,7 @@
             result,
             attempt_number,
             elapsed_ms,
-            parked=parked,
+            retry_deferred=parked,
             body_consumed=body_consumed,
         )
         # Queued before the response, which may trigger the client's next request: the attempt must
--- a/tests/core/test_request_pipeline.py
+++ b/tests/core/test_request_pipeline.py
@@ -198,7 +198,7 @@
         )
     cancelled, ended = received[-2:]
     assert isinstance(cancelled, RequestCancelled) and isinstance(ended, AttemptEnded)
-    assert (ended.id, ended.attempt, ended.result, ended.completed) == (
+    assert (ended.id, ended.attempt, ended.result, ended.request_finished) == (
         2,
         0,
         AttemptResult.NOT_SENT,
@@ -231,7 +231,7 @@
             stand.node.pool.cancel(stand.node.pipeline.last_request_id, 0)
             assert (await client.answer())[0] == 502
             outcome: AttemptEnded = await stand.outcome()
-            assert outcome.completed and outcome.result == AttemptResult.CANCELLED
+            assert outcome.request_finished and outcome.result == AttemptResult.CANCELLED
 
     run(test())
 
--- a/tests/ends/test_drain.py
+++ b/tests/ends/test_drain.py
@@ -81,7 +81,7 @@
             await asyncio.sleep(0)
             client.writer.write(data[40:])
             event = await stand.event(Request)
-            assert event.deadline == stand.node.pipeline.shutdown_deadline_ms
+            assert event.deadline_at_ms == stand.node.pipeline.shutdown_deadline_ms
             assert (await client.answer())[0] == 503
             await asyncio.wait_for(ending, WAIT_S)
 
