--- a/badgercart/app/__init__.py
+++ b/badgercart/app/__init__.py
@@ -7,6 +7,6 @@
 - `cli`, `asking`, `console`, `exits`, `render`, `pages`: commands, and what they print.
 - `logs`, `log_events`: the log of `serve`.
 
-`file.load` reads a file, `run.run` serves what it switches on. The package knows no component by
+`file.load_installation` reads a file, `run.run` serves what it switches on. The package knows no component by
 name.
 """
--- a/badgercart/app/asking.py
+++ b/badgercart/app/asking.py
@@ -1,4 +1,4 @@
-"""Asks a running node's HTTP frontend for one of its pages, for commands."""
+"""Fetches pages of a running node from its HTTP frontend, for commands."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from badgercart.app.exits import CommandError
 from badgercart.config import parse_address
 
-REQUEST_TIMEOUT_S = 5.0  # s
+REQUEST_TIMEOUT_S = 5.0
 
 
 class PageError(CommandError):
-    """A page that can't be had of a node."""
+    """A page of a node that can't be fetched."""
 
     def __init__(self, node: str, problem: str) -> None:
-        """Name the node, by HOST:PORT, and what went wrong."""
+        """Keep the node, as HOST:PORT, and what went wrong."""
         super().__init__(f"{node}: {problem}")
         self.node, self.problem = node, problem
 
--- a/badgercart/app/base.py
+++ b/badgercart/app/base.py
@@ -137,7 +137,7 @@
 
 
 class Base(Table):
-    """The root of a file, but for the tables of components, which `file` adds."""
+    """The root of a file, without the tables of components, which `file` adds."""
 
     node: Node = Node()
     fleet: Fleet = Fleet()
@@ -150,21 +150,21 @@
 
 
 def check(base: Base) -> Iterator[Fault]:
-    """Yield what only several settings together can get wrong."""
+    """Yield the faults that only several settings together can have."""
     if not base.class_:
         yield ("class",), "is missing: a class of requests"
     yield from _check_distinct("class", [entry.name for entry in base.class_])
     yield from _check_distinct("tenant", [entry.name for entry in base.tenant])
-    for at, entry in enumerate(base.class_):
+    for index, entry in enumerate(base.class_):
         for key, words in _check_class(entry):
-            yield ("class", at, key), words
+            yield ("class", index, key), words
     yield from _check_node(base)
 
 
 def _check_distinct(table: str, names: Sequence[str]) -> Iterator[Fault]:
-    for at, name in enumerate(names):
-        if name in names[:at]:
-            yield (table, at, "name"), f"{name!r} stands here twice"
+    for index, name in enumerate(names):
+        if name in names[:index]:
+            yield (table, index, "name"), f"{name!r} stands here twice"
 
 
 def _check_class(entry: Class) -> Iterator[tuple[str, str]]:
@@ -214,15 +214,15 @@
     settings = Settings(
         classes=tuple(
             RequestClass(
-                latency_objective_ms=cls.aim_ms,
-                deadline_ms=cls.deadline_ms,
-                priority_weight=cls.worth,
-                idempotency=Idempotency(cls.effect),
-                deduplication_scope=DeduplicationScope(cls.group),
-                deduplication_window_ms=cls.window_ms,
-                late_value_share=cls.late_value,
+                latency_objective_ms=request_class.aim_ms,
+                deadline_ms=request_class.deadline_ms,
+                priority_weight=request_class.worth,
+                idempotency=Idempotency(request_class.effect),
+                deduplication_scope=DeduplicationScope(request_class.group),
+                deduplication_window_ms=request_class.window_ms,
+                late_value_share=request_class.late_value,
             )
-            for cls in base.class_
+            for request_class in base.class_
         ),
         zone=fleet.zones.index(node.zone) if node.zone is not None else 0,
         cluster_size=node.nodes,
@@ -246,10 +246,12 @@
         sockets=effective_descriptor_limit(node.sockets),
         known=known,
         settings=settings,
-        classes={cls.name.encode(): i for i, cls in enumerate(base.class_)},
-        tenants={tenant.name.encode(): i for i, tenant in enumerate(base.tenant)},
-        kinds={name: i for i, name in enumerate(fleet.kinds)},
-        zones={name: i for i, name in enumerate(fleet.zones)},
+        classes={
+            request_class.name.encode(): index for index, request_class in enumerate(base.class_)
+        },
+        tenants={tenant.name.encode(): index for index, tenant in enumerate(base.tenant)},
+        kinds={name: index for index, name in enumerate(fleet.kinds)},
+        zones={name: index for index, name in enumerate(fleet.zones)},
         dial_timeout=fleet.dial_timeout_ms,
         idle_timeout=fleet.idle_ms,
         drain_grace=fleet.drain_grace_ms,
--- a/badgercart/app/cli.py
+++ b/badgercart/app/cli.py
@@ -1,7 +1,7 @@
 """The command line: `serve`, `check`, `config`, and the groups that components bring.
 
 Click was chosen since its groups find commands only when they are called, so that no subsystem's
-library is imported for another's command, and since completion comes with it. Help texts are an
+library is imported for another's command, and since it supports shell completion. Help texts are an
 interface, so they stand apart from doc comments.
 """
 
@@ -27,7 +27,8 @@
 from badgercart.app.site import ComponentStartError
 
 NAME = "badgercart"
-COMPLETE = "_BADGERCART_COMPLETE"  # the variable by which a shell asks for completions
+# The variable by which a shell requests completions.
+COMPLETE = "_BADGERCART_COMPLETE"
 
 FILE = click.argument("file", metavar="FILE.toml")
 
@@ -66,8 +67,8 @@
     """Group all commands."""
 
 
-def loaded(path: str) -> Installation:
-    """Return what a file switches on; print what is wrong with it and exit otherwise."""
+def load_or_exit(path: str) -> Installation:
+    """Return what a file switches on; if it is invalid, print its faults and exit."""
     try:
         return load_installation(path)
     except SettingsFileError as error:
@@ -79,7 +80,7 @@
 @FILE
 def serve(file: str) -> None:
     """Serve until a signal ends the process."""
-    installation = loaded(file)
+    installation = load_or_exit(file)
     assert installation.base is not None
     sink = logs.open_sink(installation.config.name, installation.base.log)
     try:
@@ -94,7 +95,7 @@
 @FILE
 def check(file: str) -> None:
     """Check a file."""
-    loaded(file)
+    load_or_exit(file)
     click.echo(f"{file}: good")
 
 
@@ -127,7 +128,8 @@
         )
     else:
         show_table(
-            ("setting", "value", "from"), [(k, json.dumps(v), origin) for k, v, origin in rows]
+            ("setting", "value", "from"),
+            [(key, json.dumps(value), origin) for key, value, origin in rows],
         )
 
 
@@ -152,7 +154,7 @@
     "--check", "only_check", is_flag=True, help="Change nothing; exit 1 if a page is out of date."
 )
 def pages(folder: str, only_check: bool) -> None:
-    """Renew the pages of a folder, or name those that are out of date."""
+    """Rewrite the pages of a folder, or name those that are out of date."""
     stale = []
     for path in sorted(Path(folder).glob("*.md")):
         text = path.read_text("utf-8")
@@ -192,7 +194,8 @@
         error.show()
         return error.exit_code
     except click.exceptions.Abort:
-        return ExitStatus.DONE  # interrupted by its user
+        # Interrupted by the user.
+        return ExitStatus.DONE
     except BrokenPipeError:
         sys.stderr.close()
         return ExitStatus.FAILED
--- a/badgercart/app/component.py
+++ b/badgercart/app/component.py
@@ -25,7 +25,7 @@
 
 
 class ReloadError(AppError):
-    """New settings that a component can't take: what is wrong, in one line."""
+    """New settings that a component can't apply; the text says why, in one line."""
 
 
 class Component(Protocol):
@@ -38,20 +38,20 @@
         """Begin to work.
 
         Raises:
-            OSError: an address or a file can't be had.
+            OSError: an address or a file can't be opened.
         """
 
     def prepare(self, settings: Any) -> Callable[[], None] | None:
-        """Check new settings and return what puts them in force, which must not fail.
+        """Check new settings and return a function that applies them, which must not fail.
 
-        None: there is nothing to do.
+        Returns None where there is nothing to do.
 
         Raises:
-            ReloadError: the settings can't be taken; then no component's settings change.
+            ReloadError: the settings can't be applied; then no component's settings change.
         """
 
     async def drain(self, until: float) -> None:
-        """Accept what still comes and answer all requests in flight.
+        """Accept requests that still come, and answer all requests in flight.
 
         Args:
             until: latest time to end, in ms on `clock.now_ms`.
@@ -62,41 +62,52 @@
 
 
 class ComponentKind(Enum):
-    """What a component does for an installation; values stand in `needs` of others."""
+    """What a component does for an installation; the values may be named in `needs` of others."""
 
-    FRONTEND = "front"  # owes answers; at least one must be on
-    DISCOVERY = "members"  # tells the server list; exactly one must be on
-    SERVICE = "service"  # any number
+    # Accepts requests; at least one must be on.
+    FRONTEND = "front"
+    # Provides the endpoint list; exactly one must be on.
+    DISCOVERY = "members"
+    # Any other; any number may be on.
+    SERVICE = "service"
 
 
 @dataclass(slots=True)
 class ComponentHost:
-    """What an installation hands to its components."""
+    """What an installation passes to its components."""
 
     config: Config
     pipeline: RequestPipeline
     endpoint_table: EndpointTable
     reader: ListReader
     loop: asyncio.AbstractEventLoop
-    folder: str  # of the operator's file: what it names relative to itself
-    share: float  # of the clients' and servers' descriptors, for each component that has such
-    others: int = 0  # components that have none of those
-    pages: dict[bytes, OperatorPage] = field(default_factory=dict)  # for operators, by path
-    metrics: MetricRegistry = field(default_factory=MetricRegistry)  # for operators
-    # Protocol machines that decide beside the policy, by name.
+    # Folder of the operator's file, against which relative paths in it are resolved.
+    folder: str
+    # Share of the descriptors for clients and servers that each component with sockets gets.
+    share: float
+    # Number of components without sockets.
+    others: int = 0
+    # Pages for operators, by path.
+    pages: dict[bytes, OperatorPage] = field(default_factory=dict)
+    # Metrics for operators.
+    metrics: MetricRegistry = field(default_factory=MetricRegistry)
+    # State machines whose calls a capture records beside the policy, by name.
     protocol_machines: dict[str, object] = field(default_factory=dict)
-    # What components offer to those that need them, by name.
+    # What components provide to others, by name.
     services: dict[str, object] = field(default_factory=dict)
+    # Returns the state of the endpoint list's age, for operators.
     list_state: Callable[[], str] = lambda: "of no known age"
 
 
 @dataclass(slots=True, frozen=True)
 class CheckedFile:
-    """A file whose tables are valid each for itself."""
+    """A file whose tables are each valid on their own."""
 
     base: Base
-    folder: str  # of the file
-    enabled: dict[str, Any]  # settings of the components that are switched on, by name
+    # Folder of the file.
+    folder: str
+    # Settings of the components that are switched on, by name.
+    enabled: dict[str, Any]
 
 
 Check = Callable[[Any, CheckedFile], Iterator[tuple[Path, str]]]
@@ -109,24 +120,31 @@
 
 @dataclass(slots=True, frozen=True)
 class ComponentDeclaration:
-    """How a component plugs in."""
+    """The declaration by which a component is registered."""
 
     name: str
-    key: tuple[str, ...]  # where its settings stand in the file: `("fronts", "http")`
+    # Path of its settings in the file, such as `("fronts", "http")`.
+    key: tuple[str, ...]
     kind: ComponentKind
-    settings: Any  # the type of what stands there, for pydantic
+    # Type of the settings, for pydantic.
+    settings: Any
     about: str
-    build: Callable[[ComponentHost, Any], Component]  # imports its libraries; may raise OSError
-    needs: tuple[
-        str, ...
-    ] = ()  # components, or kinds of them, that start before it and end after it
-    extra: str | None = None  # of pyproject.toml, with its libraries
-    libraries: tuple[str, ...] = ()  # the modules that must be there for it
-    sockets: bool = False  # whether it takes a share of the descriptors
-    # Finds what only several settings together can get wrong; paths begin at the key.
+    # Imports its libraries; may raise OSError.
+    build: Callable[[ComponentHost, Any], Component]
+    # Components, or kinds of them, that start before it and end after it.
+    needs: tuple[str, ...] = ()
+    # The extra of pyproject.toml with its libraries.
+    extra: str | None = None
+    # Modules that must be installed for it.
+    libraries: tuple[str, ...] = ()
+    # Whether it takes a share of the descriptors.
+    sockets: bool = False
+    # Finds faults that only several settings together can have; paths begin at the key.
     check: Check = no_check
-    reloads: tuple[str, ...] = ()  # settings that SIGHUP puts in force; ("*",): all
-    commands: str | None = None  # `module:name` of a click group, found only when it is called
+    # Settings that SIGHUP applies; ("*",): all.
+    reloads: tuple[str, ...] = ()
+    # `module:name` of a click group, imported only when it is called.
+    commands: str | None = None
 
 
 def start_order(
@@ -137,17 +155,17 @@
     Raises:
         OrderError: a component needs one that is not switched on, or some wait for each other.
     """
-    left = {component.name: component for component in components}
-    needs = _needed_components(left)
+    remaining = {component.name: component for component in components}
+    needs = _needed_components(remaining)
     steps: list[list[ComponentDeclaration]] = []
     done: set[str] = set()
-    while left:
-        step = [component for name, component in left.items() if needs[name] <= done]
+    while remaining:
+        step = [component for name, component in remaining.items() if needs[name] <= done]
         if not step:
-            raise CircularNeedError(sorted(left))
+            raise CircularNeedError(sorted(remaining))
         steps.append(step)
         done |= {component.name for component in step}
-        left = {name: component for name, component in left.items() if name not in done}
+        remaining = {name: component for name, component in remaining.items() if name not in done}
     return steps
 
 
--- a/badgercart/app/console.py
+++ b/badgercart/app/console.py
@@ -10,11 +10,12 @@
 
 
 def aligned(columns: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Return columns of text, two blanks apart."""
+    """Return aligned columns of text, separated by two spaces."""
     lines = [columns, *rows]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     shown = [
-        "  ".join(c.ljust(w) for c, w in zip(line, widths, strict=True)).rstrip() for line in lines
+        "  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip()
+        for line in lines
     ]
     return "\n".join(shown)
 
--- a/badgercart/app/document.py
+++ b/badgercart/app/document.py
@@ -1,7 +1,7 @@
 """Reads an operator's file and the variables that override single settings of it.
 
 `BADGERCART__FRONTS__HTTP__LISTEN` sets `fronts.http.listen`, `BADGERCART__CLASS__0__WORTH` the
-`worth` of the first class. A value is read as TOML; what is no TOML value counts as the text
+`worth` of the first class. A value is parsed as TOML; one that is no TOML counts as the text
 itself.
 """
 
@@ -16,9 +16,10 @@
 from badgercart.app.errors import FileTooLargeError, NoSuchSettingError
 from badgercart.app.faults import Path, Problem, SettingsFileError, dotted
 
-MAX_FILE = 1 << 20  # bytes
+# Bytes of an operator's file.
+MAX_FILE = 1 << 20
 PREFIX = "BADGERCART__"
-# What is wrong with the place that a variable names.
+# Faults of the place that a variable names.
 NO_SETTING, NO_ENTRY, NO_TABLE = "there is no such setting", "there is no such table", "is no table"
 
 
@@ -29,14 +30,15 @@
     path: str
     text: str
     raw: dict[str, Any]
-    origins: dict[Path, str] = field(default_factory=dict)  # by path: the variable that set it
+    # The variable that set a value, by the value's path.
+    origins: dict[Path, str] = field(default_factory=dict)
 
 
 def read(path: str, environ: Mapping[str, str]) -> Document:
     """Return a file's tables, with the settings that variables override.
 
     Raises:
-        FileError: the file or a variable can't be read at all.
+        SettingsFileError: the file or a variable can't be read at all.
     """
     document = _parse(path)
     problems = []
@@ -61,7 +63,8 @@
         return Document(path, text, tomllib.loads(text))
     except OSError as error:
         raise SettingsFileError(path, [Problem(0, "", error.strerror or str(error))]) from error
-    except (ValueError, RecursionError) as error:  # also what is no UTF-8 and no TOML
+    except (ValueError, RecursionError) as error:
+        # Includes text that is no UTF-8 or no TOML.
         raise SettingsFileError(path, [Problem(0, "", str(error))]) from error
 
 
@@ -82,10 +85,10 @@
 def _value(text: str) -> Any:
     """Return a variable's text as a TOML value, or the text itself if it is none."""
     try:
-        read = tomllib.loads(f"value = {text}")
+        parsed = tomllib.loads(f"value = {text}")
     except (ValueError, RecursionError):
         return text
-    return read["value"] if len(read) == 1 else text
+    return parsed["value"] if len(parsed) == 1 else text
 
 
 def _put(raw: Any, target: Path, value: Any) -> None:
--- a/badgercart/app/errors.py
+++ b/badgercart/app/errors.py
@@ -4,7 +4,7 @@
 
 
 class AppError(Exception):
-    """Base of the errors that this package raises, but for those of commands."""
+    """Base of the errors that this package raises, except those of commands."""
 
 
 class InvalidValueError(AppError, ValueError):
@@ -39,8 +39,8 @@
 
     def __init__(self, name: str, known: str = "") -> None:
         """Keep the name; `known` lists the names that there are."""
-        there_are = f"; there are {known}" if known else ""
-        super().__init__(f"there is no table {name!r}{there_are}")
+        known_text = f"; there are {known}" if known else ""
+        super().__init__(f"there is no table {name!r}{known_text}")
         self.name = name
 
 
@@ -54,7 +54,7 @@
 
 
 class UnknownMarkError(AppError, LookupError):
-    """A mark of an operators' page that stands for nothing."""
+    """A mark in an operators' page of an unknown kind."""
 
     def __init__(self, kind: str, known: str) -> None:
         """Keep the mark's kind; `known` lists the kinds that there are."""
@@ -63,7 +63,7 @@
 
 
 class OrderError(AppError):
-    """Components that can't be put in order."""
+    """Components whose needs can't be met in any order."""
 
 
 class MissingNeedError(OrderError):
@@ -76,7 +76,7 @@
 
 
 class CircularNeedError(OrderError):
-    """Components that wait for each other."""
+    """Components that need each other."""
 
     def __init__(self, names: list[str]) -> None:
         """Keep their names."""
--- a/badgercart/app/exits.py
+++ b/badgercart/app/exits.py
@@ -12,17 +12,19 @@
     """The exit statuses."""
 
     DONE = 0
-    FAILED = 1  # could not be done, or what was compared differs
-    USAGE = 2  # a wrong command line, a file or an address that can't be used
+    # The command could not be executed, or what it compared differs.
+    FAILED = 1
+    # The command line is invalid, or a file or an address that it names.
+    USAGE = 2
 
 
 class CommandError(click.ClickException):
-    """What can't be done, in one line, and the status that says so."""
+    """A command failed; the text says why, in one line."""
 
     def __init__(self, text: str, status: ExitStatus = ExitStatus.FAILED) -> None:
         """Keep the line and the exit status."""
         super().__init__(text)
-        # click declares a class variable, and reads it of the instance
+        # Click declares a class variable, but reads it from the instance.
         self.exit_code = status  # type: ignore[misc]
 
     def show(self, file: IO[Any] | None = None) -> None:
--- a/badgercart/app/faults.py
+++ b/badgercart/app/faults.py
@@ -1,4 +1,7 @@
-"""What is wrong with an operator's file: faults with line, key and message. No I/O."""
+"""Faults of an operator's file, with line, key and message.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -14,16 +17,20 @@
 from badgercart.app.errors import AppError
 from badgercart.app.model import Table
 
+# Place of a value in a file: keys, and indexes of arrays.
 Path = tuple[str | int, ...]
-Fault = tuple[Path, str]  # where, and what is wrong
-MAX_SHOWN = 80  # characters of a wrong value in a fault's words
+# A place, and what is wrong there.
+Fault = tuple[Path, str]
+# Characters of an invalid value that a message shows.
+MAX_SHOWN_CHARACTERS = 80
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Problem:
     """One fault of a file."""
 
-    line: int  # 0: of the file as a whole
+    # 0: the fault concerns the whole file.
+    line: int
     key: str
     words: str
 
@@ -34,10 +41,10 @@
 
 
 class SettingsFileError(AppError):
-    """A file that can't be used."""
+    """An invalid or unreadable settings file."""
 
     def __init__(self, path: str, problems: list[Problem]) -> None:
-        """Keep all that is wrong with it, in the order of its lines."""
+        """Keep all problems of the file, in the order of its lines."""
         self.path = path
         self.problems = sorted(problems)
         super().__init__("\n".join(f"{path}: {problem}" for problem in self.problems))
@@ -45,10 +52,10 @@
 
 def dotted(path: Path) -> str:
     """Return a path as people write it: `class[1].aim_ms`."""
-    out = ""
+    text = ""
     for part in path:
-        out += f"[{part}]" if isinstance(part, int) else f".{part}" if out else str(part)
-    return out
+        text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else str(part)
+    return text
 
 
 def problem(
@@ -57,9 +64,9 @@
     """Return a fault with the nearest line at or above its place, or the variable that set it."""
     if (variable := origins.get(path)) is not None:
         return Problem(0, dotted(path), f"{words} (set by {variable})")
-    line, near = 0, path
-    while near and not line:
-        line, near = lines.get(near, 0), near[:-1]
+    line, nearest = 0, path
+    while nearest and not line:
+        line, nearest = lines.get(nearest, 0), nearest[:-1]
     return Problem(line, dotted(path), words)
 
 
@@ -75,7 +82,7 @@
     return {info.alias or name: info for name, info in model.model_fields.items()}
 
 
-def below(annotation: Any) -> type[BaseModel] | None:
+def table_model(annotation: Any) -> type[BaseModel] | None:
     """Return the model of the tables that a field holds, or None.
 
     The field may hold one table, one that may be missing, or an array of them.
@@ -86,25 +93,25 @@
         annotation, "__metadata__"
     ):
         for argument in get_args(annotation):
-            if (found := below(argument)) is not None:
+            if (found := table_model(argument)) is not None:
                 return found
     return None
 
 
-def many(annotation: Any) -> bool:
+def holds_table_array(annotation: Any) -> bool:
     """Return whether a field holds an array of tables."""
     if get_origin(annotation) in (Union, types.UnionType) or hasattr(annotation, "__metadata__"):
-        return any(many(argument) for argument in get_args(annotation))
-    return get_origin(annotation) is tuple and below(annotation) is not None
+        return any(holds_table_array(argument) for argument in get_args(annotation))
+    return get_origin(annotation) is tuple and table_model(annotation) is not None
 
 
-def find(model: type[BaseModel], path: Path) -> tuple[type[BaseModel], FieldInfo | None]:
+def model_at(model: type[BaseModel], path: Path) -> tuple[type[BaseModel], FieldInfo | None]:
     """Return the model that a path ends in, and the field that it ends at, if there is one."""
     info: FieldInfo | None = None
     for part in path:
         if isinstance(part, int):
             continue
-        if info is not None and (next_model := below(info.annotation)) is not None:
+        if info is not None and (next_model := table_model(info.annotation)) is not None:
             model = next_model
         info = fields_of(model).get(part)
         if info is None:
@@ -114,23 +121,34 @@
 
 def _bounds(info: FieldInfo) -> str:
     low = next(
-        (m.ge if isinstance(m, Ge) else m.gt for m in info.metadata if isinstance(m, Ge | Gt)), ""
+        (
+            bound.ge if isinstance(bound, Ge) else bound.gt
+            for bound in info.metadata
+            if isinstance(bound, Ge | Gt)
+        ),
+        "",
     )
     high = next(
-        (m.le if isinstance(m, Le) else m.lt for m in info.metadata if isinstance(m, Le | Lt)), ""
+        (
+            bound.le if isinstance(bound, Le) else bound.lt
+            for bound in info.metadata
+            if isinstance(bound, Le | Lt)
+        ),
+        "",
     )
-    show = [f"{bound:g}" if isinstance(bound, float) else str(bound) for bound in (low, high)]
+    shown = [f"{bound:g}" if isinstance(bound, float) else str(bound) for bound in (low, high)]
     if isinstance(high, int) and not isinstance(high, bool) and info.annotation is float:
-        show[1] = f"{high:g}"
-    return " to ".join(show)
+        shown[1] = f"{high:g}"
+    return " to ".join(shown)
 
 
 def _shown(value: Any) -> str:
     text = repr(value)
-    return text if len(text) <= MAX_SHOWN else f"{text[:MAX_SHOWN]}…"
+    return text if len(text) <= MAX_SHOWN_CHARACTERS else f"{text[:MAX_SHOWN_CHARACTERS]}…"
 
 
-KINDS = {
+# Messages by pydantic's names of faults.
+TYPE_MESSAGES = {
     "float_type": "is no number",
     "finite_number": "is no number",
     "int_type": "is no whole number",
@@ -139,18 +157,20 @@
     "string_pattern_mismatch": "is no header name",
     "tuple_type": "is no list",
 }
-NO_TABLE = {"model_type", "model_attributes_type", "dict_type"}
-BOUNDS = {"greater_than_equal", "less_than_equal", "greater_than", "less_than"}
+# Pydantic's names of a value that is no table, and of one out of its bounds.
+NO_TABLE_KINDS = {"model_type", "model_attributes_type", "dict_type"}
+OUT_OF_BOUNDS_KINDS = {"greater_than_equal", "less_than_equal", "greater_than", "less_than"}
 
 
 @dataclass(slots=True, frozen=True)
 class _ModelFault:
-    """A fault as pydantic found it, with the model and field that it concerns."""
+    """A fault that pydantic found, with the model and field that it concerns."""
 
     path: Path
-    kind: str  # pydantic's name of it
+    # Pydantic's name and message of it.
+    kind: str
     value: Any
-    message: str  # pydantic's words
+    message: str
     context: Mapping[str, Any]
     holder: type[BaseModel]
     info: FieldInfo | None
@@ -166,7 +186,7 @@
     """Yield the faults that a model found: where, and the message that operators see."""
     for item in error.errors(include_url=False):
         path = _place(model, tuple(item["loc"]))
-        holder, info = find(model, path)
+        holder, info = model_at(model, path)
         context = item.get("ctx", {})
         fault = _ModelFault(path, item["type"], item["input"], item["msg"], context, holder, info)
         yield _worded(fault, model)
@@ -180,9 +200,9 @@
         return fault.path, f"is not known here; known are {known}"
     if fault.kind == "missing":
         return _missing(fault)
-    if fault.kind in NO_TABLE:
+    if fault.kind in NO_TABLE_KINDS:
         return fault.path, "is no table"
-    if fault.info is not None and fault.kind in BOUNDS:
+    if fault.info is not None and fault.kind in OUT_OF_BOUNDS_KINDS:
         words = f"is not within {_bounds(fault.info)}"
         return fault.path, f"{_shown(fault.value)} {words}{fault.about}"
     if fault.info is not None and fault.kind == "literal_error":
@@ -195,40 +215,44 @@
     words = (fault.info.description if fault.info is not None else None) or description_of(
         fault.holder
     )
-    if fault.info is not None and below(fault.info.annotation) is not None:
+    if fault.info is not None and table_model(fault.info.annotation) is not None:
         return fault.path, f"is missing: {words}"
     return fault.path[:-1], f"{fault.path[-1]} is missing: {words}"
 
 
 def _wrong_type(fault: _ModelFault) -> str:
     """Return the message for a value of a wrong type, or one that a validator rejected."""
-    holds_tables = fault.info is not None and below(fault.info.annotation) is not None
+    holds_tables = fault.info is not None and table_model(fault.info.annotation) is not None
     if fault.kind == "tuple_type" and holds_tables:
         return "is no array of tables ([[...]])"
-    if fault.kind in KINDS:
-        return f"{_shown(fault.value)} {KINDS[fault.kind]}{fault.about}"
+    if fault.kind in TYPE_MESSAGES:
+        return f"{_shown(fault.value)} {TYPE_MESSAGES[fault.kind]}{fault.about}"
     if fault.kind == "value_error":
         return f"{fault.context['error']}{fault.about}"
     return f"{fault.message}{fault.about}"
 
 
 def _place(model: type[BaseModel], path: Path) -> Path:
-    """Return where a fault is named: what stands in a plain array is named by the array's key."""
-    _, info = find(model, path)
-    if path and isinstance(path[-1], int) and (info is None or below(info.annotation) is None):
+    """Return the place that a fault is reported at; values of a plain array have the array's."""
+    _, info = model_at(model, path)
+    if (
+        path
+        and isinstance(path[-1], int)
+        and (info is None or table_model(info.annotation) is None)
+    ):
         return path[:-1]
     return path
 
 
 def _holder(model: type[BaseModel], path: Path) -> type[BaseModel]:
     """Return the model of the table in which the last key of a path stands."""
-    _, info = find(model, path[:-1])
-    found = below(info.annotation) if info is not None else None
+    _, info = model_at(model, path[:-1])
+    found = table_model(info.annotation) if info is not None else None
     return found or model
 
 
 def choices_of(annotation: Any) -> list[str]:
-    """Return the words that a setting may be, where it is one of a few."""
+    """Return the values that a setting may have, where there are a few."""
     if get_origin(annotation) is Literal:
         return [str(choice) for choice in get_args(annotation)]
     return [choice for argument in get_args(annotation) for choice in choices_of(argument)]
--- a/badgercart/app/file.py
+++ b/badgercart/app/file.py
@@ -21,12 +21,20 @@
     start_order,
 )
 from badgercart.app.errors import OrderError
-from badgercart.app.faults import Fault, SettingsFileError, below, many, of_model, problem
+from badgercart.app.faults import (
+    Fault,
+    SettingsFileError,
+    holds_table_array,
+    of_model,
+    problem,
+    table_model,
+)
 from badgercart.app.locate import lines_of
 from badgercart.app.model import Table
 from badgercart.app.registry import declarations
 from badgercart.config import Config
 
+# Groups of components, and their descriptions for operators.
 GROUPS = {"fronts": "who may ask", "members": "where the server list comes from: one of these"}
 
 
@@ -35,9 +43,12 @@
     """What an operator's file switches on."""
 
     config: Config
-    component_settings: dict[str, Any]  # settings of the components that are on, by name
-    folder: str = "."  # the file's: what it names relative to itself
-    base: Base | None = None  # the tables behind the configuration; None where there was no file
+    # Settings of the components that are on, by name.
+    component_settings: dict[str, Any]
+    # Folder of the file, against which relative paths in it are resolved.
+    folder: str = "."
+    # The tables that the configuration was made from; None without a file.
+    base: Base | None = None
     known_components: tuple[ComponentDeclaration, ...] = field(default_factory=declarations)
 
     def enabled_components(self) -> list[ComponentDeclaration]:
@@ -51,12 +62,16 @@
 
 @cache
 def root_model(known: tuple[ComponentDeclaration, ...]) -> type[Base]:
-    """Return the model of a whole file: the tables that are always there, and the components'."""
+    """Return the model of a complete file: the tables of every installation, and the components'."""
     groups: dict[str, dict[str, Any]] = {}
     fields: dict[str, Any] = {}
     for component in known:
-        default: Any = () if many(component.settings) else None
-        setting = component.settings if many(component.settings) else component.settings | None
+        default: Any = () if holds_table_array(component.settings) else None
+        setting = (
+            component.settings
+            if holds_table_array(component.settings)
+            else component.settings | None
+        )
         definition = (setting, Field(default, description=component.about))
         if len(component.key) == 1:
             fields[component.key[0]] = definition
@@ -85,12 +100,12 @@
     """Read and check a file.
 
     Args:
-        path: of the file.
+        path: path of the file.
         environ: variables that override settings; those of the process if not given.
         known: components that a file may switch on; those of the registry if not given.
 
     Raises:
-        FileError: names all that is wrong with the file.
+        SettingsFileError: names all that is wrong with the file.
     """
     return describe(document.read(path, os.environ if environ is None else environ), known)[0]
 
@@ -101,7 +116,7 @@
     """Return the installation that a document describes, and the model behind it.
 
     Raises:
-        FileError: names all that is wrong with the file.
+        SettingsFileError: names all that is wrong with the file.
     """
     known = declarations() if known is None else known
     model = root_model(known)
@@ -109,18 +124,18 @@
         root = model.model_validate(read.raw)
     except ValidationError as error:
         raise _error(read, list(of_model(error, model))) from error
-    on = {
+    enabled = {
         component.name: value
         for component in known
         if (value := settings_at(root, component)) is not None
     }
     folder = str(FilePath(read.path).parent)
-    found = [*check(root), *_check_whole(known, on), *_check_libraries(known, on)]
+    found = [*check(root), *_check_whole(known, enabled), *_check_libraries(known, enabled)]
     if not found:
-        found = list(_check_components(known, CheckedFile(root, folder, on)))
+        found = list(_check_components(known, CheckedFile(root, folder, enabled)))
     if found:
         raise _error(read, found)
-    return Installation(config_of(root), on, folder, root, known), root
+    return Installation(config_of(root), enabled, folder, root, known), root
 
 
 def _check_components(known: Sequence[ComponentDeclaration], file: CheckedFile) -> Iterator[Fault]:
@@ -138,37 +153,41 @@
     )
 
 
-def _check_whole(known: tuple[ComponentDeclaration, ...], on: Mapping[str, Any]) -> Iterator[Fault]:
-    """Yield why the components that are on make no installation."""
+def _check_whole(
+    known: tuple[ComponentDeclaration, ...], enabled: Mapping[str, Any]
+) -> Iterator[Fault]:
+    """Yield why the enabled components make no installation."""
     kinds = {
         kind: [component for component in known if component.kind is kind] for kind in ComponentKind
     }
-    if not any(component.name in on for component in kinds[ComponentKind.FRONTEND]):
+    if not any(component.name in enabled for component in kinds[ComponentKind.FRONTEND]):
         names = ", ".join(component.key[-1] for component in kinds[ComponentKind.FRONTEND])
         yield ("fronts",), f"nobody may ask: switch on one of {names}"
-    sources = [component for component in kinds[ComponentKind.DISCOVERY] if component.name in on]
+    sources = [
+        component for component in kinds[ComponentKind.DISCOVERY] if component.name in enabled
+    ]
     if len(sources) != 1:
         words = ", ".join(_key_text(component) for component in kinds[ComponentKind.DISCOVERY])
         yield ("members",), f"the server list comes from one of {words}, not {len(sources)}"
     try:
-        start_order(component for component in known if component.name in on)
+        start_order(component for component in known if component.name in enabled)
     except OrderError as error:
         yield (), str(error)
 
 
 def _key_text(component: ComponentDeclaration) -> str:
     key = ".".join(component.key)
-    if many(component.settings):
+    if holds_table_array(component.settings):
         return f"[[{key}]]"
-    return f"[{key}]" if below(component.settings) is not None else key
+    return f"[{key}]" if table_model(component.settings) is not None else key
 
 
 def _check_libraries(
-    known: tuple[ComponentDeclaration, ...], on: Mapping[str, Any]
+    known: tuple[ComponentDeclaration, ...], enabled: Mapping[str, Any]
 ) -> Iterator[Fault]:
     """Yield the components whose libraries are not installed."""
     for component in known:
-        if component.name not in on:
+        if component.name not in enabled:
             continue
         absent = [name for name in component.libraries if find_spec(name) is None]
         if absent:
--- a/badgercart/app/locate.py
+++ b/badgercart/app/locate.py
@@ -27,11 +27,11 @@
 
 
 def _resolve(names: tuple[str, ...], counts: dict[Path, int]) -> Path:
-    """Return a header's path: below an array of tables it means the last one."""
+    """Return a header's path; below an array of tables it refers to the last one."""
     path: Path = ()
-    for at, name in enumerate(names):
+    for index, name in enumerate(names):
         path = (*path, name)
-        if at < len(names) - 1 and path in counts:
+        if index < len(names) - 1 and path in counts:
             path = (*path, counts[path] - 1)
     return path
 
@@ -43,7 +43,8 @@
         text: valid TOML.
     """
     found: dict[Path, int] = {}
-    counts: dict[Path, int] = {}  # tables of an array so far
+    # Number of tables of each array so far.
+    counts: dict[Path, int] = {}
 
     def pairs(holder: Node, table: Path) -> None:
         for pair in holder.named_children:
@@ -63,7 +64,8 @@
             table = (*path, counts.get(path, 0))
             counts[path] = counts.get(path, 0) + 1
             found[table] = line
-        for length in range(1, len(path) + 1):  # a header makes the tables above it, too
+        # A header also creates the tables above it.
+        for length in range(1, len(path) + 1):
             found.setdefault(path[:length], line)
         pairs(node, table)
     return found
--- a/badgercart/app/logs.py
+++ b/badgercart/app/logs.py
@@ -2,8 +2,8 @@
 
 Structlog was chosen for its processors, which turn a record of the standard library, as every
 module and library writes them, into fields, and for its renderers of both forms. The queue and its
-writer are our own, since those of structlog and of the standard library block whoever logs, or the
-end of the process, while nobody reads the log.
+writer are implemented here, since those of structlog and of the standard library block the thread
+that logs, or the end of the process, while nobody reads the log.
 """
 
 from __future__ import annotations
@@ -29,7 +29,8 @@
 from badgercart.core.ports import IncomingRequest, RequestOutcome
 from badgercart.core.request_pipeline import RequestPipeline
 
-PATIENCE = 1.0  # s for what is written at the end of the process
+# Time for writing the queued lines at the end of the process.
+FLUSH_TIMEOUT_S = 1.0
 LEVELS = {
     "debug": logging.DEBUG,
     "info": logging.INFO,
@@ -74,7 +75,7 @@
 
 
 def stamp(_: Any, __: str, entry: EventDict) -> EventDict:
-    """Add the time of the record, not of its writing: it may have waited."""
+    """Add the time of the record, not of its writing, since it may have been queued."""
     record: logging.LogRecord = entry["_record"]
     at = datetime.fromtimestamp(record.created, UTC)
     entry["timestamp"] = at.isoformat(timespec="milliseconds").replace("+00:00", "Z")
@@ -82,33 +83,36 @@
 
 
 def formatter(node: str, as_json: bool) -> logging.Formatter:
-    """Return what formats records as JSON lines, or for people; `node` stands in each of them."""
+    """Return a formatter of JSON lines, or of lines for people; each contains the node's name."""
 
-    def named(_: Any, __: str, entry: EventDict) -> EventDict:
+    def add_node(_: Any, __: str, entry: EventDict) -> EventDict:
         entry.setdefault("node", node)
         return entry
 
-    last: list[Any] = [structlog.stdlib.ProcessorFormatter.remove_processors_meta]
+    final_processors: list[Any] = [structlog.stdlib.ProcessorFormatter.remove_processors_meta]
     if as_json:
-        last += [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
+        final_processors += [
+            structlog.processors.format_exc_info,
+            structlog.processors.JSONRenderer(),
+        ]
     else:
-        last += [structlog.dev.ConsoleRenderer(colors=True)]
+        final_processors += [structlog.dev.ConsoleRenderer(colors=True)]
     return structlog.stdlib.ProcessorFormatter(
-        foreign_pre_chain=[structlog.stdlib.add_log_level, record_fields, named, stamp],
-        processors=last,
+        foreign_pre_chain=[structlog.stdlib.add_log_level, record_fields, add_node, stamp],
+        processors=final_processors,
         pass_foreign_args=True,
     )
 
 
 class Sink(logging.Handler):
-    """Hands records to a thread that writes them; those that find its queue full are lost."""
+    """Passes records to a thread that writes them; while its queue is full, they are dropped."""
 
     def __init__(self, node: str, settings: Log, fd: int = 2) -> None:
         """Start the thread.
 
         Args:
-            node: the node's name.
-            settings: of the log.
+            node: name of the node.
+            settings: settings of the log.
             fd: descriptor to write to.
         """
         super().__init__()
@@ -117,8 +121,10 @@
         self.setFormatter(formatter(node, as_json=not terminal and settings.format != "console"))
         self.addFilter(Sparse())
         self.waiting: queue.Queue[logging.LogRecord | None] = queue.Queue(settings.queue_lines)
-        self.dropped = 0  # since that was logged last
-        self.broken = False  # nobody reads any more
+        # Records dropped since the last line that says so.
+        self.dropped = 0
+        # Set when the log is not read any more.
+        self.broken = False
         self.thread = threading.Thread(target=self.write_all, name="log", daemon=True)
         self.thread.start()
 
@@ -130,7 +136,7 @@
             self.dropped += 1
 
     def write_all(self) -> None:
-        """Write queued records until None comes: the work of the thread."""
+        """Write queued records until None is read. This runs in the thread."""
         while (record := self.waiting.get()) is not None:
             if self.broken:
                 continue
@@ -139,7 +145,8 @@
                     dropped, self.dropped = self.dropped, 0
                     self.write(self.dropped_line(dropped))
                 self.write(record)
-            except OSError:  # a closed pipe: the node goes on without a log
+            except OSError:
+                # The pipe is closed: the node goes on without a log.
                 self.broken = True
 
     @staticmethod
@@ -168,13 +175,13 @@
             data = data[os.write(self.fd, data) :]
 
     def close(self) -> None:
-        """Write what waits, for PATIENCE at most: a blocked reader must not keep the process."""
+        """Write the queued records within FLUSH_TIMEOUT_S: a blocked reader must not stop the exit."""
         try:
             self.waiting.put_nowait(None)
         except queue.Full:
             self.broken = True
         else:
-            self.thread.join(PATIENCE)
+            self.thread.join(FLUSH_TIMEOUT_S)
         super().close()
 
 
@@ -196,7 +203,7 @@
         server: int,
         sends: int,
     ) -> None:
-        """Log a request that is over."""
+        """Log a finished request."""
         endpoint = self._endpoint_table.listed.get(server)
         REQUEST_OVER(
             request_id=intake.request_name.decode("latin-1") or str(request_id),
@@ -212,7 +219,7 @@
 
 
 def open_sink(node: str, settings: Log) -> Sink:
-    """Log to a new sink, in place of whatever the process logged to before."""
+    """Log to a new sink instead of the process's present handlers."""
     sink = Sink(node, settings)
     root = logging.getLogger()
     for handler in list(root.handlers):
@@ -222,14 +229,14 @@
     return sink
 
 
-def watch(pipeline: RequestPipeline, settings: Log, requests: RequestLog) -> None:
-    """Log each request where the level asks for it; elsewhere it costs nothing."""
+def log_requests(pipeline: RequestPipeline, settings: Log, requests: RequestLog) -> None:
+    """Log each request if the level says so; otherwise observe none, which costs nothing."""
     others = tuple(observer for observer in pipeline.observers if observer is not requests)
     pipeline.observers = (*others, requests) if settings.level == "debug" else others
 
 
 def set_level(settings: Log) -> None:
-    """Set the level of our own events; that of libraries stays at info."""
+    """Set the level of badgercart's events; that of libraries stays at info."""
     logging.getLogger().setLevel(logging.INFO)
     logging.getLogger("badgercart").setLevel(LEVELS[settings.level])
 
--- a/badgercart/app/model.py
+++ b/badgercart/app/model.py
@@ -1,4 +1,4 @@
-"""The base of all settings tables, and types of values that TOML has no name for.
+"""The base of all settings tables, and types of values that TOML does not have.
 
 Pydantic was chosen since it reports all faults of a file at once with their places, keeps bounds
 and descriptions on the fields, and makes JSON Schema of the same models.
@@ -23,12 +23,15 @@
 from pydantic_core import CoreSchema
 
 from badgercart.app.errors import InvalidValueError
-from badgercart.config import Address as Pair
+from badgercart.config import Address as HostAndPort
 from badgercart.config import parse_address
 
-SCHEMA_NAME = "x-schema-name"  # the mark of a definition that carries its literal name
-MAX_DURATION_MS = 3_600_000.0  # ms; no time that is set here is longer than an hour
-TOKEN = r"^[A-Za-z0-9!#$%&'*+\-.^_`|~]+$"  # RFC 9110, section 5.6.2
+# The key of a definition in the JSON Schema that holds its literal name.
+SCHEMA_NAME = "x-schema-name"
+# No duration that is set here is longer than an hour.
+MAX_DURATION_MS = 3_600_000.0
+# A token of RFC 9110, section 5.6.2.
+TOKEN = r"^[A-Za-z0-9!#$%&'*+\-.^_`|~]+$"
 
 T = TypeVar("T")
 
@@ -36,17 +39,19 @@
 class Table(BaseModel):
     """A table of an operator's file.
 
-    Unknown keys are faults, and no value is turned into another type.
+    Unknown keys are faults, and no value is converted to another type.
     """
 
     model_config = ConfigDict(
         extra="forbid", frozen=True, strict=True, allow_inf_nan=False, hide_input_in_errors=True
     )
-    schema_name: ClassVar[str] = ""  # its key in the JSON Schema, where that is not its title
-    table_about: ClassVar[str] = ""  # what it is, for operators
+    # Its key in the JSON Schema, where that is not its title.
+    schema_name: ClassVar[str] = ""
+    # Its description for operators.
+    table_about: ClassVar[str] = ""
 
     def __init_subclass__(cls, schema_name: str = "", about: str = "", **config: Any) -> None:
-        """Keep what operators see of a table apart from its class's name and doc comment.
+        """Separate what operators see of a table from its class's name and doc comment.
 
         Args:
             schema_name: key of the table in the JSON Schema, where that is not its title.
@@ -61,11 +66,11 @@
     def __get_pydantic_json_schema__(
         cls, core_schema: CoreSchema, handler: GetJsonSchemaHandler
     ) -> JsonSchemaValue:
-        """Mark a definition with its literal name; `render` takes the mark away."""
-        found = handler.resolve_ref_schema(handler(core_schema))
-        found[SCHEMA_NAME] = cls.schema_name or cls.model_config.get("title", cls.__name__)
-        found["description"] = cls.table_about
-        return found
+        """Add the literal name to a definition; `render` removes it again."""
+        definition = handler.resolve_ref_schema(handler(core_schema))
+        definition[SCHEMA_NAME] = cls.schema_name or cls.model_config.get("title", cls.__name__)
+        definition["description"] = cls.table_about
+        return definition
 
 
 def _name(value: Any) -> Any:
@@ -102,19 +107,19 @@
     return value.lower() if isinstance(value, str) else value
 
 
-def _address_text(pair: Pair) -> str:
+def _address_text(pair: HostAndPort) -> str:
     return f"{pair[0]}:{pair[1]}"
 
 
 Name = Annotated[str, AfterValidator(_name)]
 Address = Annotated[
-    Pair,
+    HostAndPort,
     BeforeValidator(_address),
     PlainSerializer(_address_text),
     WithJsonSchema({"type": "string", "pattern": r"^.+:\d{1,5}$", "title": "host:port"}),
 ]
 Header = Annotated[str, BeforeValidator(_header), Field(pattern=TOKEN)]
-# TOML has arrays; what is read is not changed afterwards.
+# TOML has arrays; settings are immutable, so that they become tuples.
 Listed = BeforeValidator(_listed)
 Addresses = Annotated[tuple[Address, ...], Listed, AfterValidator(_not_empty), Strict(False)]
 Names = Annotated[tuple[Name, ...], Listed, AfterValidator(_distinct)]
--- a/badgercart/app/pages.py
+++ b/badgercart/app/pages.py
@@ -26,7 +26,8 @@
     """
     import matplotlib
 
-    logging.getLogger("matplotlib").setLevel(logging.WARNING)  # it logs its fonts
+    # Matplotlib logs the fonts that it finds.
+    logging.getLogger("matplotlib").setLevel(logging.WARNING)
     matplotlib.use("agg")
     from matplotlib import pyplot
 
@@ -35,9 +36,9 @@
 
 def svg(figure: Any) -> str:
     """Return a figure as an element of a page; the same bytes whenever it is drawn."""
-    out = io.StringIO()
-    figure.savefig(out, format="svg", metadata={"Date": None})
-    text = out.getvalue()
+    buffer = io.StringIO()
+    figure.savefig(buffer, format="svg", metadata={"Date": None})
+    text = buffer.getvalue()
     return text[text.index("<svg") :]
 
 
@@ -52,16 +53,19 @@
     """Return a table; the rows with the numbers in `marked` stand out."""
     lines = ["".join(f"<th>{html.escape(name)}</th>" for name in head)]
     lines += ["".join(f"<td>{html.escape(str(cell))}</td>" for cell in row) for row in rows]
-    styles = ("", *(' class="marked"' if at in marked else "" for at in range(len(lines) - 1)))
+    styles = (
+        "",
+        *(' class="marked"' if index in marked else "" for index in range(len(lines) - 1)),
+    )
     return (
         "<table>"
-        + "".join(f"<tr{s}>{line}</tr>" for s, line in zip(styles, lines, strict=True))
+        + "".join(f"<tr{style}>{line}</tr>" for style, line in zip(styles, lines, strict=True))
         + "</table>"
     )
 
 
 def page(title: str, parts: Iterable[str]) -> str:
-    """Return a whole page; `parts` are HTML already, the title is not."""
+    """Return a complete page; `parts` are HTML already, the title is not."""
     title = html.escape(title)
     return "\n".join(
         (
--- a/badgercart/app/registry.py
+++ b/badgercart/app/registry.py
@@ -1,4 +1,4 @@
-"""The components that an operator's file may switch on: a line for each package that plugs in."""
+"""The components that an operator's file may switch on: one line for each package."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @cache
 def declarations(modules: tuple[str, ...] = COMPONENT_MODULES) -> tuple[ComponentDeclaration, ...]:
-    """Return what each module declares, in the order of the lines."""
+    """Return the declarations of each module, in the order of the list."""
     found: list[ComponentDeclaration] = []
     for module in modules:
         found += import_module(module).COMPONENTS
--- a/badgercart/app/render.py
+++ b/badgercart/app/render.py
@@ -15,7 +15,15 @@
 
 from badgercart.app import document
 from badgercart.app.errors import NoSuchEventError, NoSuchTableError, UnknownMarkError
-from badgercart.app.faults import Path, below, choices_of, description_of, dotted, fields_of, many
+from badgercart.app.faults import (
+    Path,
+    choices_of,
+    description_of,
+    dotted,
+    fields_of,
+    holds_table_array,
+    table_model,
+)
 from badgercart.app.file import describe, root_model
 from badgercart.app.locate import lines_of
 from badgercart.app.model import SCHEMA_NAME
@@ -27,12 +35,14 @@
 
 def json_schema() -> dict[str, Any]:
     """Return the JSON Schema of an operator's file."""
-    made = root_model(declarations()).model_json_schema(by_alias=True)
-    made.pop(SCHEMA_NAME)
-    names = {key: told.pop(SCHEMA_NAME) for key, told in made["$defs"].items()}
-    made["$defs"] = {names[key]: made["$defs"][key] for key in sorted(names, key=names.__getitem__)}
-    whole: dict[str, Any] = _renamed(made, names)
-    return {"$schema": SCHEMA} | whole
+    schema = root_model(declarations()).model_json_schema(by_alias=True)
+    schema.pop(SCHEMA_NAME)
+    names = {key: definition.pop(SCHEMA_NAME) for key, definition in schema["$defs"].items()}
+    schema["$defs"] = {
+        names[key]: schema["$defs"][key] for key in sorted(names, key=names.__getitem__)
+    }
+    renamed: dict[str, Any] = _renamed(schema, names)
+    return {"$schema": SCHEMA} | renamed
 
 
 def _renamed(value: Any, names: Mapping[str, str]) -> Any:
@@ -43,8 +53,8 @@
         return value
     found = {key: _renamed(item, names) for key, item in value.items()}
     if "$ref" in found:
-        ahead, _, key = found["$ref"].rpartition("/")
-        found["$ref"] = f"{ahead}/{names[key]}"
+        prefix, _, key = found["$ref"].rpartition("/")
+        found["$ref"] = f"{prefix}/{names[key]}"
     return found
 
 
@@ -52,7 +62,7 @@
     """Return each setting in force: its key, its value, and where it came from.
 
     Raises:
-        FileError: the file is wrong.
+        SettingsFileError: the file is invalid.
     """
     read = document.read(path, environ)
     _, root = describe(read)
@@ -68,14 +78,17 @@
         for key, item in value.items():
             yield from _leaves(item, (*path, key))
     elif isinstance(value, list) and value and isinstance(value[0], dict):
-        for at, item in enumerate(value):
-            yield from _leaves(item, (*path, at))
+        for index, item in enumerate(value):
+            yield from _leaves(item, (*path, index))
     elif value is not None or len(path) > 1:
         yield path, value
 
 
 def _origin(path: Path, read: document.Document, lines: Mapping[Path, int]) -> str:
-    """Return a variable, a line or the default; an inline table has one line."""
+    """Return where a value was set: a variable, a line or the default.
+
+    The values of an inline table have one line.
+    """
     for length in range(len(path), 0, -1):
         if (variable := read.origins.get(path[:length])) is not None:
             return variable
@@ -91,7 +104,7 @@
     return "default"
 
 
-# Values and types in the words of operators.
+# Values and types as operators read them.
 
 
 def _default(info: FieldInfo) -> Any:
@@ -151,18 +164,24 @@
     return "\n".join(rows)
 
 
-def _table_rows(model: type[BaseModel], ahead: str) -> Iterator[str]:
+def _table_rows(model: type[BaseModel], prefix: str) -> Iterator[str]:
     inner = []
     for name, info in fields_of(model).items():
-        lower = below(info.annotation)
+        lower = table_model(info.annotation)
         if lower is not None:
-            inner.append((f"{ahead}{name}.", lower))
+            inner.append((f"{prefix}{name}.", lower))
             continue
         value = _default(info)
         shown = (
             "required" if info.is_required() else "none" if value is None else f"`{_toml(value)}`"
         )
-        cells = (f"`{ahead}{name}`", _kind(name, info), shown, _range(info), info.description or "")
+        cells = (
+            f"`{prefix}{name}`",
+            _kind(name, info),
+            shown,
+            _range(info),
+            info.description or "",
+        )
         yield "| " + " | ".join(cells) + " |"
     for deeper, lower in inner:
         yield from _table_rows(lower, deeper)
@@ -187,14 +206,14 @@
     parts = {".".join(part.key) for part in declarations()}
     groups = {key.partition(".")[0] for key in parts if "." in key}
     for name, info in fields_of(root).items():
-        model = below(info.annotation)
+        model = table_model(info.annotation)
         assert model is not None
         if name not in groups:
-            yield name, model, many(info.annotation)
+            yield name, model, holds_table_array(info.annotation)
             continue
         for key, inner in fields_of(model).items():
-            if (lower := below(inner.annotation)) is not None:
-                yield f"{name}.{key}", lower, many(inner.annotation)
+            if (lower := table_model(inner.annotation)) is not None:
+                yield f"{name}.{key}", lower, holds_table_array(inner.annotation)
 
 
 def _default_lines(header: str, model: type[BaseModel], several: bool) -> Iterator[str]:
@@ -203,9 +222,9 @@
         yield f"# {words}"
     inner = []
     for name, info in fields_of(model).items():
-        lower = below(info.annotation)
+        lower = table_model(info.annotation)
         if lower is not None:
-            inner.append((name, lower, many(info.annotation)))
+            inner.append((name, lower, holds_table_array(info.annotation)))
             continue
         limits = _range(info)
         yield f"# {info.description or name}{f' [{limits}]' if limits else ''}"
@@ -246,21 +265,22 @@
     return "\n".join(rows)
 
 
-MADE: dict[str, Callable[[str], str]] = {"settings": _settings, "events": _events}
+# How the content of each kind of mark is made.
+RENDERERS: dict[str, Callable[[str], str]] = {"settings": _settings, "events": _events}
 MARK = re.compile(r"<!-- (\w+): ([\w., ]+) -->\n.*?<!-- end -->", re.DOTALL)
 
 
 def page(text: str) -> str:
-    """Return a page with its tables made anew between their marks.
+    """Return a page with the tables between its marks written anew.
 
     Raises:
-        LookupError: a mark stands for nothing.
+        LookupError: a mark has an unknown kind or name.
     """
 
     def renewed(match: re.Match[str]) -> str:
         kind, name = match[1], match[2]
-        if kind not in MADE:
-            raise UnknownMarkError(kind, ", ".join(MADE))
-        return f"<!-- {kind}: {name} -->\n{MADE[kind](name)}\n<!-- end -->"
+        if kind not in RENDERERS:
+            raise UnknownMarkError(kind, ", ".join(RENDERERS))
+        return f"<!-- {kind}: {name} -->\n{RENDERERS[kind](name)}\n<!-- end -->"
 
     return MARK.sub(renewed, text)
--- a/badgercart/app/run.py
+++ b/badgercart/app/run.py
@@ -1,4 +1,4 @@
-"""Serves what an operator's file switches on: signals in, an exit status out."""
+"""Serves what an operator's file switches on, until a signal ends it."""
 
 from __future__ import annotations
 
@@ -15,46 +15,46 @@
 from badgercart.core.log_events import CONFIG_KEPT, CONFIG_READ
 
 
-def reload(site: Application, path: str, requests: logs.RequestLog) -> None:
-    """Read the file anew, as SIGHUP asks for; one that is wrong changes nothing."""
+def reload(application: Application, path: str, requests: logs.RequestLog) -> None:
+    """Read the file again after SIGHUP; an invalid one changes nothing."""
     try:
-        fresh = load_installation(path, known=site.installation.known_components)
+        fresh = load_installation(path, known=application.installation.known_components)
     except SettingsFileError as error:
         CONFIG_KEPT(faults=str(error).replace("\n", "; "))
         return
-    if faults := site.reload(fresh):
+    if faults := application.reload(fresh):
         CONFIG_KEPT(faults="; ".join(faults))
         return
     if fresh.base is not None:
         logs.set_level(fresh.base.log)
-        logs.watch(site.pipeline, fresh.base.log, requests)
+        logs.log_requests(application.pipeline, fresh.base.log, requests)
     CONFIG_READ(what="")
 
 
 async def run(
     path: str,
     installation: Installation,
-    started: Callable[[Application], None] = lambda _site: None,
+    started: Callable[[Application], None] = lambda _application: None,
 ) -> None:
     """Serve until SIGTERM or SIGINT, which may also come during the start.
 
     Args:
-        path: of the file, which SIGHUP reads anew.
+        path: path of the file, which is read again after SIGHUP.
         installation: what the file switches on.
         started: called once all components are up.
 
     Raises:
-        PartError: a component does not start.
+        ComponentStartError: a component does not start.
     """
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    site = Application(installation, loop)
-    requests = logs.RequestLog(installation.config, site.endpoint_table)
+    application = Application(installation, loop)
+    requests = logs.RequestLog(installation.config, application.endpoint_table)
     if installation.base is not None:
-        logs.watch(site.pipeline, installation.base.log, requests)
+        logs.log_requests(application.pipeline, installation.base.log, requests)
     stopping = asyncio.ensure_future(stop.wait())
-    starting = asyncio.ensure_future(site.start())
+    starting = asyncio.ensure_future(application.start())
     await asyncio.wait((starting, stopping), return_when=asyncio.FIRST_COMPLETED)
     if not starting.done():
         starting.cancel()
@@ -63,8 +63,9 @@
         return
     starting.result()
     gc.collect()
-    gc.freeze()  # what exists now stays: the collector need not look at it again
-    loop.add_signal_handler(signal.SIGHUP, reload, site, path, requests)
-    started(site)
+    # What exists now lives as long as the process: the collector need not scan it again.
+    gc.freeze()
+    loop.add_signal_handler(signal.SIGHUP, reload, application, path, requests)
+    started(application)
     await stopping
-    await site.drain()
+    await application.drain()
--- a/badgercart/app/site.py
+++ b/badgercart/app/site.py
@@ -32,9 +32,10 @@
 from badgercart.frontends.http.requests import OperatorPage
 from badgercart.policy.endpoint import EndpointState
 
-ACCEPT_FOR = 600.0  # ms after SIGTERM during which clients may still come
-# ms beyond the deadline of a drain, after which a component that hangs is closed as it stands.
-GRACE = 300.0
+# After SIGTERM, new requests are still accepted for so long.
+ACCEPT_DURATION_MS = 600.0
+# After the deadline of a drain, a component that hangs is closed when this time is over.
+DRAIN_OVERRUN_MS = 300.0
 # A server's state as a label of `badgercart_servers`.
 STATE_LABELS = {
     EndpointState.READY: "ready",
@@ -55,28 +56,28 @@
 class Application:
     """All components of one installation; it knows none of them by name."""
 
-    def __init__(self, what: Installation, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, installation: Installation, loop: asyncio.AbstractEventLoop) -> None:
         """Build all components.
 
         Raises:
-            PartError: one of them can't be built; those before it are closed again.
+            ComponentStartError: one of them can't be built; those before it are closed again.
         """
-        config = what.config
-        self.installation = what
+        config = installation.config
+        self.installation = installation
         self.pipeline = RequestPipeline(config.settings, config.seed, loop)
         reader = ListReader(config)
         self.endpoint_table = EndpointTable(reader, self.pipeline)
-        declared = what.enabled_components()
-        holders = sum(component.sockets for component in declared)
+        declared = installation.enabled_components()
+        with_sockets = sum(component.sockets for component in declared)
         self.host = ComponentHost(
             config,
             self.pipeline,
             self.endpoint_table,
             reader,
             loop,
-            what.folder,
-            1 / max(1, holders),
-            len(declared) - holders,
+            installation.folder,
+            1 / max(1, with_sockets),
+            len(declared) - with_sockets,
         )
         self.host.pages[b"/_members"] = OperatorPage(self.members_page)
         self.register(self.host.metrics)
@@ -85,48 +86,52 @@
         for component in (component for step in self.steps for component in step):
             try:
                 self.components[component.name] = component.build(
-                    self.host, what.component_settings[component.name]
+                    self.host, installation.component_settings[component.name]
                 )
             except Exception as error:
                 self.close()
                 raise ComponentStartError(component.name, error) from error
 
-    def register(self, meters: MetricRegistry) -> None:
+    def register(self, metrics: MetricRegistry) -> None:
         """Register the metrics of every installation."""
-        join, policy, listed = self.pipeline, self.pipeline.policy, self.endpoint_table.listed
-        meters.gauge(
+        pipeline, policy, listed = (
+            self.pipeline,
+            self.pipeline.policy,
+            self.endpoint_table.listed,
+        )
+        metrics.gauge(
             "badgercart_cut",
             "The score below which requests are refused, 0 to 100.",
             lambda: policy.overload.shed_threshold,
         )
-        meters.gauge(
+        metrics.gauge(
             "badgercart_overload",
             "The overload x that the cut rises with, 0 to 1.",
             lambda: policy.overload.overload,
         )
-        meters.gauge(
-            "badgercart_held", "Requests that are owed an answer.", lambda: len(join.in_flight)
+        metrics.gauge(
+            "badgercart_held", "Requests that are owed an answer.", lambda: len(pipeline.in_flight)
         )
-        meters.gauge(
-            "badgercart_attempts_out", "Attempts that are out.", lambda: len(join.open_attempts)
+        metrics.gauge(
+            "badgercart_attempts_out", "Attempts that are out.", lambda: len(pipeline.open_attempts)
         )
-        meters.gauge(
+        metrics.gauge(
             "badgercart_need",
             "Attempts that a busy fleet needs out to be kept busy.",
             lambda: policy.overload.concurrency.limit,
         )
-        meters.gauge(
+        metrics.gauge(
             "badgercart_servers",
             "Servers of the list, by state.",
             lambda: Counter(STATE_LABELS[member.entry.state] for member in listed.values()),
             "state",
         )
-        meters.gauge(
+        metrics.gauge(
             "badgercart_list_version",
             "The version of the list.",
             lambda: self.endpoint_table.version,
         )
-        meters.gauge(
+        metrics.gauge(
             "badgercart_list_suspended",
             "1 while the list is too old to send anything by it.",
             lambda: float(self.endpoint_table.suspended),
@@ -134,15 +139,19 @@
 
     def members_page(self) -> bytes:
         """Return the endpoint list of this node, for `members list --from-node`."""
-        names = {EndpointState.READY: "active", EndpointState.DRAINING: "leaving"}
-        lines = [
-            {"instanceId": m.name, "hostPort": m.address_text, "lifecycle": names[m.entry.state]}
-            for m in self.endpoint_table.listed.values()
+        lifecycles = {EndpointState.READY: "active", EndpointState.DRAINING: "leaving"}
+        entries = [
+            {
+                "instanceId": member.name,
+                "hostPort": member.address_text,
+                "lifecycle": lifecycles[member.entry.state],
+            }
+            for member in self.endpoint_table.listed.values()
         ]
         page = {
             "generation": self.endpoint_table.version,
             "state": self.host.list_state(),
-            "instances": lines,
+            "instances": entries,
         }
         return json.dumps(page).encode()
 
@@ -150,7 +159,7 @@
         """Start the components in order; if one fails or the call is cancelled, close all of them.
 
         Raises:
-            PartError: one of them does not start.
+            ComponentStartError: one of them does not start.
         """
         try:
             for component in (component for step in self.steps for component in step):
@@ -166,13 +175,13 @@
             raise ComponentStartError(name, error) from error
 
     def reload(self, fresh: Installation) -> list[str]:
-        """Put new settings in force: of all components, or of none if one can't take its own.
+        """Apply new settings: of all components, or of none if one can't apply its own.
 
-        Half a file is never in force, since nobody wrote it. Settings that need a restart are
-        logged and left out.
+        A file is never applied in part, since nobody wrote that state. Settings that need a
+        restart are logged and not applied.
 
         Returns:
-            What is wrong; empty: the settings are in force.
+            What is wrong; empty if the settings were applied.
         """
         commits: list[Callable[[], None]] = []
         faults = []
@@ -199,24 +208,25 @@
         """Yield the settings that differ from those in force and that SIGHUP does not change."""
         old = self.installation
         if old.base is not None and fresh.base is not None:
-            for name in Base.model_fields.keys() - {"log"}:  # those of no component
+            # The tables that belong to no component.
+            for name in Base.model_fields.keys() - {"log"}:
                 yield from differing(
                     getattr(old.base, name), getattr(fresh.base, name), (name.rstrip("_"),)
                 )
         for component in self.installation.known_components:
-            was, now = (
+            old_settings, new_settings = (
                 old.component_settings.get(component.name),
                 fresh.component_settings.get(component.name),
             )
-            if (was is None) != (now is None):
+            if (old_settings is None) != (new_settings is None):
                 yield dotted(component.key)
             elif component.reloads != ("*",):
                 reloaded = {dotted((*component.key, key)) for key in component.reloads}
-                found = differing(was, now, component.key)
+                found = differing(old_settings, new_settings, component.key)
                 yield from (name for name in found if name not in reloaded)
 
     def remember(self, fresh: Installation) -> None:
-        """Keep the settings that are in force now; those that need a restart stay the old ones."""
+        """Record the settings that are in force now; those that need a restart stay the old ones."""
         for component in self.installation.enabled_components():
             if component.reloads and component.name in fresh.component_settings:
                 self.installation.component_settings[component.name] = fresh.component_settings[
@@ -225,21 +235,23 @@
 
     async def drain(self) -> None:
         """Answer all requests in flight, then close. One deadline holds for all components."""
-        until = now_ms() + ACCEPT_FOR + self.installation.config.longest_deadline_ms
-        self.pipeline.begin_shutdown(until)
+        deadline_ms = now_ms() + ACCEPT_DURATION_MS + self.installation.config.longest_deadline_ms
+        self.pipeline.begin_shutdown(deadline_ms)
         for step in reversed(self.steps):
-            await self.drain_step(step, until)
+            await self.drain_step(step, deadline_ms)
         self.close()
         STOPPED()
 
-    async def drain_step(self, step: list[ComponentDeclaration], until: float) -> None:
+    async def drain_step(self, step: list[ComponentDeclaration], deadline_ms: float) -> None:
         """Drain components together; those that hang beyond the deadline are cancelled."""
         tasks = {
-            asyncio.ensure_future(self.components[component.name].drain(until)): component.name
+            asyncio.ensure_future(
+                self.components[component.name].drain(deadline_ms)
+            ): component.name
             for component in step
         }
-        patience = max(0.0, until + GRACE - now_ms()) / 1000
-        done, hanging = await asyncio.wait(tasks, timeout=patience)
+        timeout_s = max(0.0, deadline_ms + DRAIN_OVERRUN_MS - now_ms()) / 1000
+        done, hanging = await asyncio.wait(tasks, timeout=timeout_s)
         for task in done:
             if (error := task.exception()) is not None:
                 events.COMPONENT_FAILED(error, part=tasks[task], act="drained")
@@ -247,10 +259,10 @@
             events.COMPONENT_HANGS(part=tasks[task])
             task.cancel()
         if hanging:
-            await asyncio.wait(hanging, timeout=GRACE / 1000)
+            await asyncio.wait(hanging, timeout=DRAIN_OVERRUN_MS / 1000)
 
     def close(self) -> None:
-        """Close all components, the last started first; a failure keeps no other one open."""
+        """Close all components, the last started first; a failure of one does not stop the others."""
         for name, component in reversed(self.components.items()):
             try:
                 component.close()
@@ -259,7 +271,7 @@
 
 
 def differing(old: Any, new: Any, path: Path) -> Iterator[str]:
-    """Yield the settings that two models differ in, as people write them."""
+    """Yield the paths of the settings that two models differ in."""
     if old == new:
         return
     fields = getattr(type(old), "model_fields", None)
--- a/badgercart/metrics/component.py
+++ b/badgercart/metrics/component.py
@@ -22,7 +22,8 @@
     from badgercart.frontends.http.clients import ClientConnection
 
 PATH = b"/metrics"
-MAX_CONNECTIONS = 16  # of scrapers: one more evicts the one that is idle for longest
+# Connections of scrapers; one more evicts the one that is idle for longest.
+MAX_CONNECTIONS = 16
 
 
 class MetricsSettings(Table, title="MetricsSettings"):
@@ -58,7 +59,7 @@
     def read(
         self, method: bytes, url: bytes, headers: RequestHeaders, body: bytes
     ) -> ClientRequest:
-        """Raise BadRequestError: there is nothing but the page."""
+        """Raise BadRequestError, since there is only the metrics page."""
         raise BadRequestError(404, f"figures are at {PATH.decode()}")
 
     def handle_request(self, client: ClientConnection, request: ClientRequest) -> None:
@@ -69,7 +70,7 @@
         """Do nothing, since there is no request."""
 
     async def start(self) -> None:
-        """Listen. Raises OSError if the address can't be had."""
+        """Listen. Raises OSError if the address can't be bound."""
         self.listener.start()
         host, port = self.listener.address
         LISTENING(host=host, port=port)
--- a/badgercart/metrics/exposition.py
+++ b/badgercart/metrics/exposition.py
@@ -26,15 +26,16 @@
 
 CONTENT_TYPE = CONTENT_TYPE_LATEST.encode()
 MAX_BUCKETS = 20
-OBJECTIVE_SHARES = (0.1, 0.25, 0.5, 0.75, 1.0)  # of each class's latency objective, as bounds
+# Bucket bounds as shares of each class's latency objective.
+OBJECTIVE_SHARES = (0.1, 0.25, 0.5, 0.75, 1.0)
 FAMILIES = {Kind.COUNTER: CounterMetricFamily, Kind.GAUGE: GaugeMetricFamily}
 
 
 def bucket_bounds_s(classes: Sequence[RequestClass]) -> tuple[float, ...]:
-    """Return the upper bounds of the histogram's buckets, the last one apart.
+    """Return the upper bounds of the histogram's buckets, without the infinite one.
 
-    They are shares of each class's latency objective and its deadline; of more than MAX_BUCKETS some
-    are taken, spread evenly.
+    They are shares of each class's latency objective, and its deadline. Of more than MAX_BUCKETS,
+    an evenly spaced selection is returned.
     """
     found = {request_class.deadline_ms / 1000 for request_class in classes}
     found |= {
@@ -45,13 +46,13 @@
     bounds = sorted({float(f"{bound:.3g}") for bound in found})
     if len(bounds) > MAX_BUCKETS:
         last = len(bounds) - 1
-        positions = (round(at * last / (MAX_BUCKETS - 1)) for at in range(MAX_BUCKETS))
+        positions = (round(index * last / (MAX_BUCKETS - 1)) for index in range(MAX_BUCKETS))
         bounds = [bounds[position] for position in positions]
     return tuple(bounds)
 
 
 class RegisteredMetrics:
-    """A collector that reads each registered metric once a scrape."""
+    """A collector that reads each registered metric once per scrape."""
 
     def __init__(self, registry: MetricRegistry) -> None:
         self._registry = registry
--- a/tests/app/test_logs.py
+++ b/tests/app/test_logs.py
@@ -100,7 +100,7 @@
 def test_closing_does_not_wait_for_a_blocked_sink(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(logs, "PATIENCE", 0.05)
+    monkeypatch.setattr(logs, "FLUSH_TIMEOUT_S", 0.05)
     read, write = os.pipe()
     with sink(write, queue_lines=10) as made:
         for _ in range(2000):
--- a/tests/app/test_site.py
+++ b/tests/app/test_site.py
@@ -134,8 +134,9 @@
 def test_a_component_that_hangs_in_drain_is_closed_and_the_others_are_drained(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(site_module, "ACCEPT_FOR", -1e9)  # the deadline is over at once
-    monkeypatch.setattr(site_module, "GRACE", 20.0)
+    # The deadline of the drain is over at once.
+    monkeypatch.setattr(site_module, "ACCEPT_DURATION_MS", -1e9)
+    monkeypatch.setattr(site_module, "DRAIN_OVERRUN_MS", 20.0)
 
     async def test() -> None:
         log: list[str] = []
