--- a/badgercart/__main__.py
+++ b/badgercart/__main__.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from badgercart.config import Config, ConfigError, read_config
-from badgercart.core.log_events import Sparse
+from badgercart.core.log_events import RepeatedWarningFilter
 from badgercart.node import Node
 
 
@@ -37,7 +37,7 @@
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
     )
-    logging.getLogger().handlers[0].addFilter(Sparse())
+    logging.getLogger().handlers[0].addFilter(RepeatedWarningFilter())
     if len(sys.argv) > 1 or "_BADGERCART_COMPLETE" in os.environ:
         # Imported here, since the platform's node runs without the command line and its libraries.
         try:
--- a/badgercart/app/site.py
+++ b/badgercart/app/site.py
@@ -107,7 +107,7 @@
         metrics.gauge(
             "badgercart_overload",
             "The overload x that the cut rises with, 0 to 1.",
-            lambda: policy.overload.overload,
+            lambda: policy.overload.level,
         )
         metrics.gauge(
             "badgercart_held", "Requests that are owed an answer.", lambda: len(pipeline.in_flight)
--- a/badgercart/config.py
+++ b/badgercart/config.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from badgercart.core.descriptors import Descriptors, TooFewError
+from badgercart.core.descriptors import DescriptorBudget, DescriptorLimitError
 from badgercart.policy.settings import Settings
 from badgercart.reload.checks import faults, load
 from badgercart.simulator.errors import WireError
@@ -88,8 +88,8 @@
 def checked_descriptor_limit(configured: int, console: bool) -> int:
     """Return the effective limit of file descriptors. Raises ValueError if it is too low."""
     try:
-        return Descriptors.of(effective_descriptor_limit(configured), console).limit
-    except TooFewError as error:
+        return DescriptorBudget.for_limit(effective_descriptor_limit(configured), console).limit
+    except DescriptorLimitError as error:
         raise ValueError(f"limits.sockets: {error}") from None
 
 
--- a/badgercart/core/checksummed_file.py
+++ b/badgercart/core/checksummed_file.py
@@ -1,5 +1,7 @@
-"""Small files that are taken whole or not at all: a checksum, a line of JSON, and replaced by
-rename."""
+"""Small files that are read completely or not at all.
+
+A file is a checksum line and a line of JSON, and is replaced by a rename.
+"""
 
 from __future__ import annotations
 
@@ -11,47 +13,52 @@
 
 
 class CorruptFileError(Exception):
-    """What is in the file can't be taken: why."""
+    """The content of the file can't be used; the message says why."""
 
 
-def encode_checksummed(told: dict[str, Any]) -> bytes:
-    """The first line is the checksum of the second, which is JSON."""
-    line = json.dumps(told, separators=(",", ":")).encode()
+def encode_checksummed(content: dict[str, Any]) -> bytes:
+    """Return a line with the checksum, followed by the content as a line of JSON."""
+    line = json.dumps(content, separators=(",", ":")).encode()
     return b"%b\n%b\n" % (checksum(line), line)
 
 
 def decode_checksummed(data: bytes, version: int) -> dict[str, Any]:
-    """What was sealed, of that `format`. Raises Unusable; nothing is taken in part."""
-    first, _, rest = data.partition(b"\n")
+    """Return the content, whose `format` must be `version`.
+
+    Raises CorruptFileError; no part of a corrupt file is used.
+    """
+    expected_checksum, _, rest = data.partition(b"\n")
     line = rest.removesuffix(b"\n")
-    if not rest.endswith(b"\n") or first != checksum(line):
+    if not rest.endswith(b"\n") or expected_checksum != checksum(line):
         raise CorruptFileError("it is cut off or was changed: its checksum does not fit")
     try:
-        told: dict[str, Any] = json.loads(line)
-        if told["format"] != version:
-            raise CorruptFileError(f"it is of format {told['format']!r}, not {version}")
+        content: dict[str, Any] = json.loads(line)
+        if content["format"] != version:
+            raise CorruptFileError(f"it is of format {content['format']!r}, not {version}")
     except (KeyError, TypeError, ValueError, RecursionError) as error:
         raise CorruptFileError(f"{type(error).__name__}: {error}") from None
-    return told
+    return content
 
 
 def checksum(line: bytes) -> bytes:
+    """Return the checksum of a line as hexadecimal digits."""
     return blake2b(line, digest_size=16).hexdigest().encode()
 
 
 def replace_file(path: Path, data: bytes, sync: bool = False) -> None:
-    """Replace a file whole, on the disk where it is to be synced. Raises OSError; then the old one
-    stays.
+    """Replace a file atomically; with `sync`, flush the data to the disk first.
 
-    The part has a name of its own: two processes may write at once, and the last one there wins."""
-    part = path.with_name(f"{path.name}.{os.getpid()}")
+    Raises OSError; the old file then stays. The temporary file is named after the process: two
+    processes may write at once, and the last rename wins.
+    """
+    temporary = path.with_name(f"{path.name}.{os.getpid()}")
     try:
-        with part.open("wb") as file:
+        with temporary.open("wb") as file:
             file.write(data)
             if sync:
                 file.flush()
                 os.fsync(file.fileno())
-        os.replace(part, path)
+        os.replace(temporary, path)
     except OSError:
-        part.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
--- a/badgercart/core/endpoint_table.py
+++ b/badgercart/core/endpoint_table.py
@@ -1,4 +1,7 @@
-"""The servers that the list names, by id and by address, and what every change of it sets off."""
+"""The table of listed endpoints, by id and by address.
+
+Each update of the endpoint list changes it, and is then given to transports and the policy.
+"""
 
 from __future__ import annotations
 
@@ -12,30 +15,30 @@
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import EndpointUpdate, UpdateKind
 
-# As operators read them in `list.taken`.
-KINDS = {
+# The texts of update kinds and endpoint states in the log event `list.taken`.
+UPDATE_KIND_TEXTS = {
     UpdateKind.DELTA: "delta",
     UpdateKind.SNAPSHOT: "full",
     UpdateKind.CACHED: "cached",
     UpdateKind.FAILED: "failed",
 }
-STATES = {
+STATE_TEXTS = {
     EndpointState.READY: "ready",
     EndpointState.GONE: "gone",
     EndpointState.DRAINING: "draining",
 }
-MAX_LEFT = 1024  # servers remembered after they left: old answers may name them still
+# Endpoints that are remembered after their removal, as old responses may still name them.
+MAX_REMOVED_ENDPOINTS = 1024
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveredEndpoint:
-    """A server of the list: what the policy is told of it, and what only carriers and people
-    need."""
+    """An endpoint of the list: the policy's entry, and what only transports and people need."""
 
     entry: Endpoint
     address: Address
     name: str
-    address_text: str = field(init=False)  # its address as text
+    address_text: str = field(init=False)  # the address as host:port
 
     def __post_init__(self) -> None:
         object.__setattr__(self, "address_text", f"{self.address[0]}:{self.address[1]}")
@@ -43,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryUpdate:
-    """A whole list or its changes."""
+    """A snapshot of the endpoint list, or a delta."""
 
     kind: UpdateKind
     version: int
@@ -51,144 +54,160 @@
 
 
 class UpdateReader(Protocol):
+    """Parses updates as a discovery source delivers them."""
+
     def read(self, raw: Mapping[str, Any], kind: UpdateKind | None = None) -> DiscoveryUpdate:
-        """ValueError if any line is bad: a list is taken whole or not at all."""
+        """Return the parsed update.
+
+        Raises ValueError if any entry is malformed: an update applies completely or not at all.
+        """
 
 
 class EndpointTable:
-    """Takes lists, tells carriers and fronts of each changed server, and then the policy."""
+    """Applies updates to the table.
 
-    def __init__(self, reader: UpdateReader, join: RequestPipeline) -> None:
+    Transports and frontends are notified of each changed endpoint, and then the policy of all.
+    """
+
+    def __init__(self, reader: UpdateReader, pipeline: RequestPipeline) -> None:
         self.reader = reader
-        self.pipeline = join
+        self.pipeline = pipeline
         self.on_change: list[Callable[[DiscoveredEndpoint], None]] = []
-        # What is told of a server in place of its line in a list of that version.
+        # Replaces the entry of an endpoint in an update of that version.
         self.override: Callable[[DiscoveredEndpoint, int], DiscoveredEndpoint] | None = None
-        self.has_update = False  # whether any list has come
-        self.suspended = False  # whether the list is too old to send anything by it
+        self.has_update = False  # whether any update has been applied
+        self.suspended = False  # whether the list is too old to send requests by it
         self.version = 0  # of the list
         self.listed: dict[int, DiscoveredEndpoint] = {}
-        self.removed: dict[int, DiscoveredEndpoint] = {}  # those that are gone, the longest first
-        self.draining_since: dict[int, float] = {}  # when it was told that one drains or is gone
-        self.ids_by_address: dict[
-            Address, int
-        ] = {}  # the last server that was listed at an address
+        self.removed: dict[int, DiscoveredEndpoint] = {}  # the oldest removal first
+        # When the update arrived by which an endpoint drains or is gone (ms).
+        self.draining_since: dict[int, float] = {}
+        # The endpoint that was listed last at an address.
+        self.ids_by_address: dict[Address, int] = {}
 
     def accept(self, raw: Mapping[str, Any], kind: UpdateKind | None = None) -> int:
-        """Take over a list or its changes, and give its version; ValueError where the reader gives
-        it.
+        """Parse and apply an update, and return its version.
 
-        ValueError, too, where the policy broke over it: carriers have it then, and it is to come
-        again."""
+        Raises ValueError where the update is malformed, and also where the policy failed on it:
+        transports have applied it then, and the source has to deliver it again.
+        """
         return self.accept_update(self.reader.read(raw, kind))
 
-    def accept_update(self, told: DiscoveryUpdate) -> int:
-        """As `take`, of lines that are read."""
-        self.apply(told)
+    def accept_update(self, update: DiscoveryUpdate) -> int:
+        """Apply a parsed update; otherwise as `accept`."""
+        self.apply(update)
         if (
             isinstance(self.pipeline.failed_event, EndpointUpdate)
-            and self.pipeline.failed_event.version == told.version
+            and self.pipeline.failed_event.version == update.version
         ):
             self.pipeline.failed_event = None
-            raise ValueError(f"the policy could not take list {told.version}")
-        return told.version
+            raise ValueError(f"the policy could not take list {update.version}")
+        return update.version
 
-    def apply(self, told: DiscoveryUpdate) -> None:
-        """Take over a list or its changes, whole."""
+    def apply(self, update: DiscoveryUpdate) -> None:
+        """Apply a snapshot or a delta, log it, and give it to the policy."""
         if self.override is not None:
-            lines = [self.override(member, told.version) for member in told.endpoints]
-            told = DiscoveryUpdate(told.kind, told.version, lines)
-        now = self.pipeline.clock()
-        if told.kind is not UpdateKind.DELTA:
-            named = {member.entry.id for member in told.endpoints}
-            for server_id in self.listed.keys() - named:
-                gone = self.listed[server_id]
+            overridden = [self.override(endpoint, update.version) for endpoint in update.endpoints]
+            update = DiscoveryUpdate(update.kind, update.version, overridden)
+        now_ms = self.pipeline.clock()
+        if update.kind is not UpdateKind.DELTA:
+            listed_ids = {endpoint.entry.id for endpoint in update.endpoints}
+            for endpoint_id in self.listed.keys() - listed_ids:
+                gone = self.listed[endpoint_id]
                 gone = replace(gone, entry=replace(gone.entry, state=EndpointState.GONE))
                 self.record(
-                    gone if self.override is None else self.override(gone, told.version), now
+                    gone if self.override is None else self.override(gone, update.version), now_ms
                 )
-        for member in told.endpoints:
-            self.record(member, now)
-        if told.endpoints or told.kind is not UpdateKind.DELTA:
-            changed = ", ".join(f"{m.name} {STATES[m.entry.state]}" for m in told.endpoints[:4])
-            more = f" and {len(told.endpoints) - 4} more" if len(told.endpoints) > 4 else ""
+        for endpoint in update.endpoints:
+            self.record(endpoint, now_ms)
+        if update.endpoints or update.kind is not UpdateKind.DELTA:
+            changed = ", ".join(
+                f"{endpoint.name} {STATE_TEXTS[endpoint.entry.state]}"
+                for endpoint in update.endpoints[:4]
+            )
+            more = f" and {len(update.endpoints) - 4} more" if len(update.endpoints) > 4 else ""
             LIST_TAKEN(
-                version=told.version,
-                kind=KINDS[told.kind],
+                version=update.version,
+                kind=UPDATE_KIND_TEXTS[update.kind],
                 changed=changed + more,
                 listed=len(self.listed),
             )
         self.has_update = True
-        self.version = told.version
+        self.version = update.version
         if not self.suspended:
             self.pipeline.dispatch(
-                EndpointUpdate(told.kind, told.version, [member.entry for member in told.endpoints])
+                EndpointUpdate(
+                    update.kind, update.version, [endpoint.entry for endpoint in update.endpoints]
+                )
             )
-        elif told.kind is not UpdateKind.DELTA or told.endpoints:
+        elif update.kind is not UpdateKind.DELTA or update.endpoints:
             self.dispatch_suspended()
 
-    def reapply(self, lines: list[DiscoveredEndpoint]) -> None:
-        """What is told of these servers has changed, though the list has not."""
-        self.apply(DiscoveryUpdate(UpdateKind.DELTA, self.version, lines))
+    def reapply(self, endpoints: list[DiscoveredEndpoint]) -> None:
+        """Apply entries that have changed although the list has not."""
+        self.apply(DiscoveryUpdate(UpdateKind.DELTA, self.version, endpoints))
 
     def suspend(self, suspended: bool) -> None:
-        """Have nothing new sent by this list, or go on with it.
+        """Stop sending new requests by this list, or resume.
 
-        The policy is told that all drain: it keeps what it learned of them, refuses what it may
-        refuse, and fails the rest. Connections and attempts that are out stay as they are."""
+        While suspended, the policy sees all endpoints as draining: it keeps what it learned about
+        them, sheds the requests that it may shed, and fails the rest. Connections and open
+        attempts stay as they are.
+        """
         if suspended == self.suspended:
             return
         self.suspended = suspended
         if suspended:
             self.dispatch_suspended()
         else:
-            entries = [member.entry for member in self.listed.values()]
+            entries = [endpoint.entry for endpoint in self.listed.values()]
             self.pipeline.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, self.version, entries))
 
     def dispatch_suspended(self) -> None:
+        """Give the policy a snapshot in which all endpoints drain."""
         entries = [
-            replace(member.entry, state=EndpointState.DRAINING)
-            for member in self.listed.values()
-            if member.entry.state is EndpointState.READY
+            replace(endpoint.entry, state=EndpointState.DRAINING)
+            for endpoint in self.listed.values()
+            if endpoint.entry.state is EndpointState.READY
         ]
         self.pipeline.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, self.version, entries))
 
-    def record(self, member: DiscoveredEndpoint, now: float) -> None:
-        """Take over one line."""
-        server_id, state = member.entry.id, member.entry.state
+    def record(self, endpoint: DiscoveredEndpoint, now_ms: float) -> None:
+        """Apply the entry of one endpoint, and notify the observers."""
+        endpoint_id, state = endpoint.entry.id, endpoint.entry.state
         if state is EndpointState.GONE:
-            if self.listed.pop(server_id, None) is not None:
-                self.removed[server_id] = member
-                if len(self.removed) > MAX_LEFT:
+            if self.listed.pop(endpoint_id, None) is not None:
+                self.removed[endpoint_id] = endpoint
+                if len(self.removed) > MAX_REMOVED_ENDPOINTS:
                     self.forget(next(iter(self.removed)))
         else:
-            old = self.listed.get(server_id) or self.removed.get(server_id)
+            previous = self.listed.get(endpoint_id) or self.removed.get(endpoint_id)
             if (
-                old is not None
-                and old.address != member.address
-                and self.ids_by_address.get(old.address) == server_id
+                previous is not None
+                and previous.address != endpoint.address
+                and self.ids_by_address.get(previous.address) == endpoint_id
             ):
-                del self.ids_by_address[old.address]
-            self.removed.pop(server_id, None)
-            self.listed[server_id] = member
-            self.ids_by_address[member.address] = server_id
+                del self.ids_by_address[previous.address]
+            self.removed.pop(endpoint_id, None)
+            self.listed[endpoint_id] = endpoint
+            self.ids_by_address[endpoint.address] = endpoint_id
         if state is EndpointState.READY:
-            self.draining_since.pop(server_id, None)
-        elif server_id in self.listed or server_id in self.removed:
-            self.draining_since.setdefault(server_id, now)
-        for tell in self.on_change:
-            tell(member)
-
-    def forget(self, server_id: int) -> None:
-        """Forget one that left long ago."""
-        member = self.removed.pop(server_id)
-        self.draining_since.pop(server_id, None)
-        if self.ids_by_address.get(member.address) == server_id:
-            del self.ids_by_address[member.address]
+            self.draining_since.pop(endpoint_id, None)
+        elif endpoint_id in self.listed or endpoint_id in self.removed:
+            self.draining_since.setdefault(endpoint_id, now_ms)
+        for callback in self.on_change:
+            callback(endpoint)
+
+    def forget(self, endpoint_id: int) -> None:
+        """Forget an endpoint that was removed."""
+        endpoint = self.removed.pop(endpoint_id)
+        self.draining_since.pop(endpoint_id, None)
+        if self.ids_by_address.get(endpoint.address) == endpoint_id:
+            del self.ids_by_address[endpoint.address]
 
     def find_by_address(self, address: Address) -> DiscoveredEndpoint | None:
-        """The server that is, or was last, listed at an address."""
-        server_id = self.ids_by_address.get(address)
-        if server_id is None:
+        """Return the endpoint that is listed at an address, or was last."""
+        endpoint_id = self.ids_by_address.get(address)
+        if endpoint_id is None:
             return None
-        return self.listed.get(server_id) or self.removed.get(server_id)
+        return self.listed.get(endpoint_id) or self.removed.get(endpoint_id)
--- a/badgercart/core/requests.py
+++ b/badgercart/core/requests.py
@@ -1,7 +1,6 @@
-"""What a request is, by the platform's protocol: class, tenant and key, whichever front it comes
-through.
+"""The classification of requests by the platform's protocol: class, tenant and key.
 
-Source: the protocol's page, section "Clients to nodes".
+It is the same for every frontend. Source: the protocol's page, section "Clients to nodes".
 """
 
 from __future__ import annotations
@@ -14,18 +13,20 @@
 
 
 class InvalidRequestError(Exception):
-    """A request that can't be taken: why, the HTTP status that says so, and the method that would
-    do."""
+    """A request that can't be accepted.
 
-    def __init__(self, status: int, why: str, allow: bytes = b"") -> None:
-        super().__init__(why)
+    It has the HTTP status for the client and, where the method is wrong, the one to use instead.
+    """
+
+    def __init__(self, status: int, reason: str, allowed_method: bytes = b"") -> None:
+        super().__init__(reason)
         self.status = status
-        self.allow = allow
+        self.allowed_method = allowed_method
 
 
 @dataclass(slots=True)
 class ClassifiedRequest:
-    """What a description says of its request."""
+    """What the request line and the headers say about a request."""
 
     request_name: bytes  # its Request-Id
     class_index: int
@@ -33,22 +34,22 @@
     key: int
 
 
-def unknown_tenant(name: bytes | None) -> str:
-    """Why a request's tenant is none."""
+def describe_unknown_tenant(name: bytes | None) -> str:
+    """Return why the tenant of a request is unknown."""
     if not name:
         return "no Tenant header, and no default_tenant is set"
     return f"there is no tenant {name[:64].decode('latin-1')!r}"
 
 
 class Classifier:
-    """Reads descriptions by one node's configuration."""
+    """Classifies requests by the configuration of one node."""
 
     def __init__(self, config: Config) -> None:
         self.classes = config.classes
         self.tenant, self.secret = config.tenant_index, config.key_secret
-        self.effects = [cls.idempotency for cls in config.settings.classes]
+        self.idempotency = [cls.idempotency for cls in config.settings.classes]
 
-    def read(
+    def classify(
         self,
         method: bytes,
         target: bytes,
@@ -56,27 +57,28 @@
         tenant: bytes | None,
         key: bytes | None,
     ) -> ClassifiedRequest:
-        """Raises BadDescription: 400, 404 or 405."""
-        parts = target.partition(b"?")[0].split(b"/")
-        if parts[0] or len(parts) < 2:
+        """Classify a request; raises InvalidRequestError with the status 400, 404 or 405."""
+        segments = target.partition(b"?")[0].split(b"/")
+        if segments[0] or len(segments) < 2:
             raise InvalidRequestError(400, "no path from the root")
-        cls = self.classes.get(parts[1])
-        if cls is None:
+        class_index = self.classes.get(segments[1])
+        if class_index is None:
             raise InvalidRequestError(404, "no such class")
-        effect = self.effects[cls]
-        wanted = b"GET" if effect is Idempotency.IDEMPOTENT else b"POST"
-        if method != wanted:
-            raise InvalidRequestError(405, f"the class wants {wanted.decode()}", wanted)
+        idempotency = self.idempotency[class_index]
+        required_method = b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"
+        if method != required_method:
+            raise InvalidRequestError(
+                405, f"the class wants {required_method.decode()}", required_method
+            )
         if not name:
             raise InvalidRequestError(400, "no Request-Id")
-        number = self.tenant(tenant)
-        if number is None:
-            raise InvalidRequestError(400, unknown_tenant(tenant))
-        if effect is Idempotency.KEYED and key is None:
+        tenant_index = self.tenant(tenant)
+        if tenant_index is None:
+            raise InvalidRequestError(400, describe_unknown_tenant(tenant))
+        if idempotency is Idempotency.KEYED and key is None:
             raise InvalidRequestError(400, "the class is keyed: it wants an Idempotency-Key")
-        if (
-            effect is Idempotency.NON_IDEMPOTENT and key is not None
-        ):  # a repeat could not be told by it
+        # Servers don't recognize a repeat of such a request by its key.
+        if idempotency is Idempotency.NON_IDEMPOTENT and key is not None:
             raise InvalidRequestError(400, "the class is not keyed: it takes no Idempotency-Key")
-        place = stable_id(parts[-1], self.secret) if len(parts) > 2 and parts[-1] else 0
-        return ClassifiedRequest(name, cls, number, place)
+        key_id = stable_id(segments[-1], self.secret) if len(segments) > 2 and segments[-1] else 0
+        return ClassifiedRequest(name, class_index, tenant_index, key_id)
--- a/badgercart/frontends/http/connection.py
+++ b/badgercart/frontends/http/connection.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from badgercart.core.streams import Opening, Upload
+from badgercart.core.streams import ResponseHeaderSection, Upload
 from badgercart.frontends.http.requests import (
     HEADER_READERS,
     MAX_REQUEST_BYTES,
@@ -28,7 +28,13 @@
     ParsedRequest,
     RequestHeaders,
 )
-from badgercart.upstream.exchange import MAX_BODY, MAX_BULK, MAX_HEAD, OWS, over_framed
+from badgercart.upstream.exchange import (
+    MAX_BODY_BYTES,
+    MAX_HEADER_SECTION_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    OPTIONAL_WHITESPACE,
+    max_framed_bytes,
+)
 
 # After this many pipelined requests a connection is not read until some of them are answered.
 MAX_PIPELINED_REQUESTS = 8
@@ -242,7 +248,7 @@
         if (
             not self.upload_stalled
             or self.state is ConnectionState.CLOSED
-            or (self.upload is not None and self.upload.full)
+            or (self.upload is not None and self.upload.is_full)
         ):
             return
         self.upload_stalled = False
@@ -381,7 +387,7 @@
                 # stay until the cyclic garbage collector runs.
                 del cause
             else:
-                if self.request_bytes > MAX_HEAD:
+                if self.request_bytes > MAX_HEADER_SECTION_BYTES:
                     self.check_request_size()
         self.unparsed = b"" if self.input_ended else data[at:]
         if not self.unparsed:
@@ -393,12 +399,12 @@
     def check_request_size(self) -> None:
         """Reject the request being received if it is too large."""
         max_bytes = (
-            over_framed(self.headers.body_bytes)
+            max_framed_bytes(self.headers.body_bytes)
             if self.driver.streams_bodies
             else MAX_REQUEST_BYTES
         )
         if not self.headers.complete:
-            self.reject(431, f"the head is over {MAX_HEAD} bytes")
+            self.reject(431, f"the head is over {MAX_HEADER_SECTION_BYTES} bytes")
         elif self.request_bytes > max_bytes:
             self.reject(413, f"the request is over {max_bytes} bytes")
 
@@ -448,11 +454,11 @@
         """Handle a header field or a trailer field."""
         headers = self.headers
         headers.header_bytes += len(name) + len(value) + 4
-        if headers.header_bytes > MAX_HEAD:
-            raise BadRequestError(431, f"the headers are over {MAX_HEAD} bytes")
+        if headers.header_bytes > MAX_HEADER_SECTION_BYTES:
+            raise BadRequestError(431, f"the headers are over {MAX_HEADER_SECTION_BYTES} bytes")
         if headers.complete:  # a trailer field, which must not be taken for a header
             return
-        lower, value = name.lower(), value.strip(OWS)
+        lower, value = name.lower(), value.strip(OPTIONAL_WHITESPACE)
         if (read := HEADER_READERS.get(lower)) is not None:
             read(headers, value)
         if lower not in UNFORWARDED_HEADERS:
@@ -486,7 +492,7 @@
     @property
     def max_body_bytes(self) -> int:
         """The maximum size of a request body."""
-        return MAX_BULK if self.driver.streams_bodies else MAX_BODY
+        return MAX_STREAMED_BODY_BYTES if self.driver.streams_bodies else MAX_BODY_BYTES
 
     def on_body(self, body: bytes) -> None:
         """Handle a part of the body."""
@@ -512,7 +518,7 @@
         headers, driver = self.headers, self.driver
         length = None if headers.transfer_encoding is not None else headers.content_length
         self.upload = Upload(length, driver.stream_window_bytes)
-        self.upload.on_room = lambda: driver.call_soon(self.resume_upload)
+        self.upload.on_space = lambda: driver.call_soon(self.resume_upload)
         headers.upload = self.upload
         request = self.enqueue_request()
         if not isinstance(request, ClientRequest):
@@ -630,7 +636,7 @@
 
     # Streamed responses.
 
-    def start_response(self, now_s: float, opening: Opening) -> None:
+    def start_response(self, now_s: float, opening: ResponseHeaderSection) -> None:
         """Write the header section of a streamed response."""
         if self.state is ConnectionState.CLOSED:
             return
@@ -638,11 +644,13 @@
         request, self.request = self.request, None
         is_http10 = request is not None and request.is_http10
         self.release_name(request)
-        self.chunked_response = opening.length is None and not is_http10
-        self.keep_alive = self.should_keep_alive() and not (is_http10 and opening.length is None)
+        self.chunked_response = opening.body_length is None and not is_http10
+        self.keep_alive = self.should_keep_alive() and not (
+            is_http10 and opening.body_length is None
+        )
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked_response else b""
-        if opening.length is not None:
-            framing = b"Content-Length: %d\r\n" % opening.length
+        if opening.body_length is not None:
+            framing = b"Content-Length: %d\r\n" % opening.body_length
         if opening.content_type:
             framing += b"Content-Type: %b\r\n" % opening.content_type
         if not self.keep_alive:
--- a/badgercart/frontends/http/frontend.py
+++ b/badgercart/frontends/http/frontend.py
@@ -8,8 +8,8 @@
 from collections.abc import Mapping
 
 from badgercart.config import Config
-from badgercart.core.clock import MARGIN
-from badgercart.core.descriptors import Descriptors
+from badgercart.core.clock import RESPONSE_MARGIN_MS
+from badgercart.core.descriptors import DescriptorBudget
 from badgercart.core.endpoint_table import EndpointTable
 from badgercart.core.memory_budget import MemoryBudget, budget_bytes
 from badgercart.core.ports import IncomingRequest
@@ -60,7 +60,9 @@
         self.pipeline = pipeline
         self.endpoint_table = endpoint_table
         self.stopping = False
-        descriptors = Descriptors.of(config.sockets, config.console is not None, other_components)
+        descriptors = DescriptorBudget.for_limit(
+            config.sockets, config.console is not None, other_components
+        )
         self.descriptor_limits = clients, servers = descriptors.split(share)
         self.memory_budget = MemoryBudget(budget_bytes(config.memory_mb))
         self.pool = ServerPool(
@@ -83,24 +85,24 @@
         """Hand a request to the pipeline."""
         client.request_id = self.pipeline.next_request_id()
         upload = request.message.upload
-        complete = upload is None or upload.whole
+        complete = upload is None or upload.complete
         incoming = IncomingRequest(
             class_index=request.class_index,
             tenant=request.tenant,
             key=request.key,
-            deadline=self.deadline_ms(request) if complete else math.inf,
+            deadline_ms=self.deadline_ms(request) if complete else math.inf,
             payload=request.message,
             expected_work_ms=request.expected_work_ms,
             is_client_retry=request.is_client_retry,
             request_name=request.request_name,
             complete=complete,
-            response_window_ms=request.timeout_ms - MARGIN,
+            response_window_ms=request.timeout_ms - RESPONSE_MARGIN_MS,
         )
         self.pipeline.accept(client.request_id, incoming, client, self.pool)
 
     def deadline_ms(self, request: ClientRequest) -> float:
         """Return the latest time for a response to be sent."""
-        return request.sent_ms + request.timeout_ms - MARGIN
+        return request.sent_ms + request.timeout_ms - RESPONSE_MARGIN_MS
 
     def request_completed(self, client: ClientConnection, request: ClientRequest) -> None:
         """Handle that the body of a request has been received completely."""
@@ -123,7 +125,7 @@
         """Use another configuration. Requests that are already received keep the old one."""
         self.config = config
         self.listener.request_reader = platform_request_reader(config, stream_responses=True)
-        self.pool.retune(config.dial_timeout, config.idle_timeout)
+        self.pool.set_timeouts(config.dial_timeout, config.idle_timeout)
 
     def set_resource_share(self, share: float) -> None:
         """Use only this part (0 to 1) of the file descriptors and the memory from now on."""
@@ -131,9 +133,9 @@
             max(int(limit * share), min(MIN_SHARED_DESCRIPTORS, limit))
             for limit in self.descriptor_limits
         )
-        self.memory_budget.total = int(budget_bytes(self.config.memory_mb) * share)
+        self.memory_budget.total_bytes = int(budget_bytes(self.config.memory_mb) * share)
         self.listener.set_max_connections(clients)
-        self.pool.keep_to(servers)
+        self.pool.set_max_connections(servers)
 
     async def drain(self, until: float) -> None:
         """Accept requests for a while, then answer all; ends at `until` (ms) at the latest."""
--- a/badgercart/frontends/http/requests.py
+++ b/badgercart/frontends/http/requests.py
@@ -19,10 +19,10 @@
 from badgercart.core.clock import now_ms
 from badgercart.core.requests import Classifier, InvalidRequestError
 from badgercart.core.streams import Upload
-from badgercart.upstream.exchange import MAX_BODY, MAX_HEAD, Message
+from badgercart.upstream.exchange import MAX_BODY_BYTES, MAX_HEADER_SECTION_BYTES, UpstreamRequest
 
 # The size of a request that is buffered completely, including the framing of its body.
-MAX_REQUEST_BYTES = MAX_HEAD + 2 * MAX_BODY
+MAX_REQUEST_BYTES = MAX_HEADER_SECTION_BYTES + 2 * MAX_BODY_BYTES
 MAX_REASON_CHARS = 200  # of the reason that an error response states
 
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
@@ -53,7 +53,7 @@
 class ClientRequest:
     """A valid request of a client."""
 
-    message: Message
+    message: UpstreamRequest
     request_name: bytes  # the Request-Id header
     class_index: int
     tenant: int
@@ -200,20 +200,24 @@
         if not url.startswith(b"/"):
             url = origin_form(url)
         try:
-            found = classifier.read(
+            found = classifier.classify(
                 method, url, headers.request_id, headers.tenant, headers.idempotency_key
             )
         except InvalidRequestError as error:
-            allow = b"Allow: %b\r\n" % error.allow if error.allow else b""
+            allow = b"Allow: %b\r\n" % error.allowed_method if error.allowed_method else b""
             raise BadRequestError(error.status, str(error), allow) from None
-        if upload is not None and upload.length is None:
+        if upload is not None and upload.body_length is None:
             headers.forwarded_lines.append(b"Transfer-Encoding: chunked\r\n")
         elif method == b"POST":
-            length = len(body) if upload is None or upload.length is None else upload.length
+            length = (
+                len(body) if upload is None or upload.body_length is None else upload.body_length
+            )
             headers.forwarded_lines.append(b"Content-Length: %d\r\n" % length)
         head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.forwarded_lines))
         return ClientRequest(
-            message=Message(head, body if upload is None else b"", upload, stream_responses),
+            message=UpstreamRequest(
+                head, body if upload is None else b"", upload, stream_responses
+            ),
             request_name=found.request_name,
             class_index=found.class_index,
             tenant=found.tenant,
--- a/badgercart/frontends/processor/machine.py
+++ b/badgercart/frontends/processor/machine.py
@@ -29,9 +29,9 @@
 from typing import Any
 
 from badgercart.config import parse_address
-from badgercart.core.clock import MARGIN
+from badgercart.core.clock import RESPONSE_MARGIN_MS
 from badgercart.core.endpoint_table import DiscoveredEndpoint, EndpointTable
-from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest, TimerHandle
+from badgercart.core.ports import AttemptRequest, IncomingRequest, TimerHandle, UpstreamResponse
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.core.requests import InvalidRequestError
 from badgercart.frontends.processor.account import OldAnswerTracker, ProxyRecord, Standing
@@ -150,7 +150,7 @@
         self.proxy = proxy
         self.stream: Stream | None = stream  # of the current attempt
         self.request_id = 0  # in the pipeline
-        self.deadline_ms = now_ms + description.timeout_ms - MARGIN
+        self.deadline_ms = now_ms + description.timeout_ms - RESPONSE_MARGIN_MS
         self.client_may_retry = calls.client_may_retry[description.class_index]
         self.attempt: AttemptRequest | None = None
         self.sent_ms = 0.0
@@ -162,7 +162,7 @@
 
     # As a frontend of the pipeline.
 
-    def on_answer(self, answer: Answer) -> None:
+    def on_response(self, answer: UpstreamResponse) -> None:
         """Finish the call: the client has its response."""
         self.calls.finish_call(self, ImmediateReply(409, reason="already answered"))
 
@@ -282,7 +282,7 @@
             class_index=description.class_index,
             tenant=description.tenant,
             key=description.key,
-            deadline=call.deadline_ms,
+            deadline_ms=call.deadline_ms,
             payload=call,
             expected_work_ms=description.expected_work_ms,
             is_client_retry=description.is_client_retry,
@@ -302,7 +302,7 @@
         """Answer invalid request headers, of which the policy learns nothing."""
         if stream.state is not StreamState.NEW:
             raise ProtocolError(f"request headers {stream.state.value}")
-        stream.decide(ImmediateReply(error.status, reason=str(error), allow=error.allow))
+        stream.decide(ImmediateReply(error.status, reason=str(error), allow=error.allowed_method))
 
     def start_next_attempt(self, call: Call, stream: Stream, now_ms: float) -> None:
         """Handle that the proxy comes back for another attempt of an open call.
@@ -436,7 +436,7 @@
                 503,
             )
             return PassReply() if unharmed else PassReply(502)
-        answer = None if end.by_proxy else Answer(phase.status)
+        answer = None if end.by_proxy else UpstreamResponse(phase.status)
         self.end_attempt(call, end.result, answer, parked=True)
         if call.state is CallState.FINISHED:
             return PassReply()
@@ -537,7 +537,11 @@
             return None
 
     def end_attempt(
-        self, call: Call, result: AttemptResult, answer: Answer | None = None, parked: bool = False
+        self,
+        call: Call,
+        result: AttemptResult,
+        answer: UpstreamResponse | None = None,
+        parked: bool = False,
     ) -> None:
         """Report the end of the open attempt; `parked`: the proxy may come back for another one."""
         if call.state is not CallState.IN_FLIGHT or call.attempt is None:
@@ -598,7 +602,7 @@
         if self.open.get(name) is call:
             del self.open[name]
         self.finished.pop(name, None)
-        self.finished[name] = (call.deadline_ms + MARGIN, final_reply)
+        self.finished[name] = (call.deadline_ms + RESPONSE_MARGIN_MS, final_reply)
         if len(self.finished) > self.settings.max_finals:
             self.finished.popitem(last=False)
 
--- a/badgercart/frontends/processor/outcomes.py
+++ b/badgercart/frontends/processor/outcomes.py
@@ -13,7 +13,7 @@
 
 from dataclasses import dataclass
 
-from badgercart.core.results import result_of
+from badgercart.core.results import attempt_result
 from badgercart.policy.events import NOT_EXECUTED, AttemptResult
 
 VIA_UPSTREAM = "via_upstream"
@@ -156,7 +156,7 @@
 
 
 def _result_by_status(phase: ResponsePhase) -> AttemptResult:
-    result = result_of(phase.status, phase.not_started)
+    result = attempt_result(phase.status, phase.not_started)
     return AttemptResult.ERROR if result is AttemptResult.FULL and phase.attempts > 1 else result
 
 
--- a/badgercart/upstream/connection_pool.py
+++ b/badgercart/upstream/connection_pool.py
@@ -1,5 +1,4 @@
-"""Drives the way to the servers: pooled connections, attempts on them, and how each attempt
-ended."""
+"""The connection pool: connections to servers, the attempts on them, and how each attempt ended."""
 
 from __future__ import annotations
 
@@ -12,68 +11,93 @@
 from typing import Protocol, cast
 
 from badgercart.config import Address
-from badgercart.core import read_buffer as reading
+from badgercart.core import read_buffer
 from badgercart.core.clock import now_ms
 from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.core.memory_budget import MemoryBudget, budget_bytes
-from badgercart.core.ports import Answer, AttemptRequest
-from badgercart.core.results import result_of
-from badgercart.core.streams import Opening, Sink, nothing
+from badgercart.core.ports import AttemptRequest, UpstreamResponse
+from badgercart.core.results import attempt_result
+from badgercart.core.streams import ResponseHeaderSection, ResponseSink, do_nothing
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import AttemptResult
-from badgercart.upstream.attempts import BROKEN, OVERDUE, At, IdleLimit, check_end, hindrance
-from badgercart.upstream.exchange import Done, Exchange, Found, Malformed, Message
+from badgercart.upstream.attempts import (
+    CONNECTION_LOST_RESULTS,
+    TIMEOUT_RESULTS,
+    AttemptPhase,
+    IdleTimeout,
+    check_result,
+    result_if_blocked,
+)
+from badgercart.upstream.exchange import (
+    CompleteResponse,
+    Exchange,
+    ExchangeResult,
+    MalformedResponse,
+    UpstreamRequest,
+)
 from badgercart.upstream.log_events import MALFORMED_ANSWER, NO_DESCRIPTORS
 
-LAST_LOOK = 0.001  # s, one turn of the loop, between an attempt's time and its end
-SWEEP = 1.0  # s between looks for connections that have been idle for too long
-# ms that a connection rests between an answer and the next request. A second answer may come some
-# ms behind the first, and would pass for the next one's: answers do not say whose they are. Seen:
-# 1.2 to 3.5 ms.
-REST = 10.0
-HOLD_TIME = 0.1  # s after its first byte that an answer of unknown length is held
-SILENCE = 10_000.0  # ms without a byte after which a server's answer, or its reading, is given up
-UNREAD = 30_000.0  # ms without room at the client after which its answer is given up
+# An iteration of the event loop, between an attempt's deadline and its end.
+FINAL_READ_DELAY_S = 0.001
+# The interval of the scan for stalled and idle connections.
+SCAN_INTERVAL_S = 1.0
+# The pause of a connection between a response and the next request. A second response may follow
+# the first by some ms (1.2 to 3.5 ms have been seen), and would be taken for the next request's:
+# responses do not say which request they belong to.
+REUSE_DELAY_MS = 10.0
+# How long a response of unknown length is buffered after its first byte.
+MAX_BUFFERING_S = 0.1
+# A streamed attempt is aborted when the server sends or reads nothing for this time.
+SERVER_STALL_TIMEOUT_MS = 10_000.0
+# A streamed response is aborted when its client makes no space for this time.
+CLIENT_STALL_TIMEOUT_MS = 30_000.0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One open attempt."""
+
     request_id: int
     number: int
     server: Server
-    version: int  # of the server's entry when the attempt was decided
-    message: Message
-    started: float
-    deadline: float
-    at: At = At.DIALLING
-    overdue: bool = False
-    limit: float = 0.0  # ms, where it counts from when the request is whole
+    server_version: int  # of the server's entry when the attempt was decided
+    request: UpstreamRequest
+    started_ms: float
+    deadline_ms: float
+    phase: AttemptPhase = AttemptPhase.CONNECTING
+    past_deadline: bool = False
+    timeout_ms: float = 0.0  # where it counts from when the request is complete
     timer: asyncio.TimerHandle | None = None
-    opener: asyncio.TimerHandle | None = None  # when its answer begins to go on at the latest
-    dial: asyncio.Task[None] | None = None
+    # Starts to stream the response, at the latest.
+    streaming_timer: asyncio.TimerHandle | None = None
+    connect_task: asyncio.Task[None] | None = None
     connection: ServerConnection | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server at its address. The version counts changes after which old connections are not
-    used."""
+    """A server at its address.
+
+    The version counts changes after which older connections are not used any more.
+    """
 
     id: int
     address: Address
     state: EndpointState
-    started: float
+    started_ms: float
     version: int = 0
-    out: int = 0  # attempts
-    idle: list[ServerConnection] = field(default_factory=list)  # the most recently used last
+    open_attempts: int = 0
+    # The most recently used connection is the last.
+    idle_connections: list[ServerConnection] = field(default_factory=list)
 
     @property
     def endpoint(self) -> str:
+        """The address as host:port."""
         return f"{self.address[0]}:{self.address[1]}"
 
 
 class ServerConnection(asyncio.BufferedProtocol):
-    """One connection; it carries one attempt at a time."""
+    """A connection to a server, which carries one attempt at a time."""
 
     transport: asyncio.Transport
 
@@ -83,509 +107,602 @@
         self.version = server.version
         self.exchange = Exchange()
         self.attempt: Attempt | None = None
-        self.idle_since = 0.0
-        self.idled = 0.0  # ms before the attempt
-        self.held = 0  # bytes of an answer that count as held
-        self.sink: Sink | None = None  # where the answer goes on to
-        self.full = self.paused = False  # writing; reading
-        self.moved = 0.0  # ms, when something last went on, of what goes on as it comes
+        self.idle_since_ms = 0.0
+        self.idle_ms = 0.0  # how long it was idle before the attempt
+        self.buffered_bytes = 0  # of a response, as counted in the memory budget
+        self.sink: ResponseSink | None = None  # the destination of a streamed response
+        self.write_paused = self.read_paused = False
+        self.last_progress_ms = 0.0  # when a part of a streamed body was last forwarded
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Set up the connection for its transport."""
         # Not isinstance: uvloop's transports do not derive from asyncio's. They come with
         # TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
-        self.poll = select.poll()
-        self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
+        self.socket_poll = select.poll()
+        self.socket_poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the attempt on the connection, if there is one."""
         self.exchange.close()
-        self.exchange.unlink()
+        self.exchange.release_parser()
         self.pool.connections.discard(self)
-        if self in self.server.idle:
-            self.server.idle.remove(self)
+        if self in self.server.idle_connections:
+            self.server.idle_connections.remove(self)
         if (attempt := self.attempt) is not None:
-            # Where the request has been given to the transport, what its buffer held is no proof
-            # that the server did not get it: the attempt may have run.
-            self.pool.idle_limit.reused(self.idled, self.exchange.size > 0)
-            self.leave(whole=False)
-            self.pool.end(attempt, BROKEN[attempt.at])
-
-    def quiet(self) -> bool:
-        """Whether it is open and nothing lies unread in it, which would pass for the next answer.
-
-        What came right behind the last answer, or a close, may not have reached the loop yet."""
-        return not self.transport.is_closing() and not self.poll.poll(0)
-
-    def start(self, attempt: Attempt) -> None:
+            # Once the request has been written to the transport, bytes in its buffer don't prove
+            # that the server did not receive it: the attempt may have been executed.
+            self.pool.idle_timeout.record_reuse(self.idle_ms, self.exchange.response_bytes > 0)
+            self.detach_attempt(complete=False)
+            self.pool.finish_attempt(attempt, CONNECTION_LOST_RESULTS[attempt.phase])
+
+    def is_quiet(self) -> bool:
+        """Return whether the connection is open and nothing unread is in its socket.
+
+        Unread bytes would be taken for the next response. What followed the last response, or a
+        close, may not have been read by the event loop yet.
+        """
+        return not self.transport.is_closing() and not self.socket_poll.poll(0)
+
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Write the request of an attempt, or start to stream it."""
         self.attempt = attempt
-        self.idled = attempt.started - self.idle_since if self.idle_since else 0.0
+        self.idle_ms = attempt.started_ms - self.idle_since_ms if self.idle_since_ms else 0.0
         attempt.connection = self
-        message = attempt.message
-        attempt.at = At.SENT if message.upload is None else At.SENDING
-        self.exchange.hold = self.pool.hold
-        left = attempt.deadline - now_ms()
+        request = attempt.request
+        attempt.phase = (
+            AttemptPhase.SENT if request.upload is None else AttemptPhase.STREAMING_REQUEST
+        )
+        self.exchange.message_limit_bytes = self.pool.message_limit_bytes
+        remaining_ms = attempt.deadline_ms - now_ms()
         self.transport.write(
-            self.exchange.ask(message, left if math.isfinite(left) else attempt.limit)
+            self.exchange.start_request(
+                request, remaining_ms if math.isfinite(remaining_ms) else attempt.timeout_ms
+            )
         )
-        if message.upload is not None:
-            self.moved = now_ms()
-            self.transport.set_write_buffer_limits(high=self.pool.room.window)
-            message.upload.on_data = self.send_on
-            self.send_on()
-
-    def all_sent(self) -> bool:
-        """Whether the request that it carries has left this process."""
-        if self.attempt is not None and self.attempt.at is At.SENT:
+        if request.upload is not None:
+            self.last_progress_ms = now_ms()
+            self.transport.set_write_buffer_limits(high=self.pool.memory_budget.stream_window_bytes)
+            request.upload.on_data = self.forward_upload
+            self.forward_upload()
+
+    def request_sent(self) -> bool:
+        """Return whether the whole request on the connection has left this process."""
+        if self.attempt is not None and self.attempt.phase is AttemptPhase.SENT:
             return self.transport.is_closing() or not self.transport.get_write_buffer_size()
-        return self.attempt is None or self.attempt.at is not At.SENDING
+        return self.attempt is None or self.attempt.phase is not AttemptPhase.STREAMING_REQUEST
 
-    # A request that comes in, and an answer that goes on, as they come.
+    # Streamed requests and responses.
 
-    def send_on(self) -> None:
+    def forward_upload(self) -> None:
+        """Write what has been received of a streamed request."""
         attempt = self.attempt
         if (
             attempt is None
-            or attempt.at is not At.SENDING
-            or self.full
+            or attempt.phase is not AttemptPhase.STREAMING_REQUEST
+            or self.write_paused
             or self.transport.is_closing()
         ):
             return
-        upload = attempt.message.upload
+        upload = attempt.request.upload
         assert upload is not None
-        if data := self.exchange.upload_bytes():
-            self.moved = now_ms()
+        if data := self.exchange.read_upload():
+            self.last_progress_ms = now_ms()
             self.transport.write(data)
-        if upload.ended:
-            attempt.at = At.SENT
-            upload.on_data = nothing
-            self.pool.arm(attempt)
+        if upload.exhausted:
+            attempt.phase = AttemptPhase.SENT
+            upload.on_data = do_nothing
+            self.pool.start_timeout(attempt)
 
     def pause_writing(self) -> None:
-        self.full = True
+        """Stop forwarding a request, as the server does not read."""
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.full, self.moved = False, now_ms()
-        self.send_on()
+        """Go on forwarding a request."""
+        self.write_paused, self.last_progress_ms = False, now_ms()
+        self.forward_upload()
 
-    def open(self) -> None:
-        """Let the answer go on as it comes."""
+    def start_streaming(self) -> None:
+        """Start to stream the response."""
         attempt, pool = self.attempt, self.pool
-        if attempt is None or attempt.at is At.SENDING or self.exchange.begun:
+        if (
+            attempt is None
+            or attempt.phase is AttemptPhase.STREAMING_REQUEST
+            or self.exchange.streaming
+        ):
             return
-        attempt.at = At.STREAMING
-        pool.disarm(attempt)
-        opening, elapsed = self.exchange.begin(), now_ms() - attempt.started
-        self.sink = pool.on_begin(
-            attempt.request_id, attempt.number, self.server.id, elapsed, opening
+        attempt.phase = AttemptPhase.STREAMING_RESPONSE
+        pool.cancel_timers(attempt)
+        header_section, elapsed_ms = self.exchange.start_streaming(), now_ms() - attempt.started_ms
+        self.sink = pool.on_response_started(
+            attempt.request_id, attempt.number, self.server.id, elapsed_ms, header_section
         )
-        if self.sink is None:  # nobody waits for it any more
-            pool.drop(attempt, AttemptResult.CANCELLED)
+        if self.sink is None:  # the request is not in flight any more
+            pool.abort_attempt(attempt, AttemptResult.CANCELLED)
             return
-        pool.room.streams += 1
-        self.sink.watch(self.on_room, self.on_lost)
-        self.pass_on()
+        pool.memory_budget.stream_count += 1
+        self.sink.set_callbacks(self.on_space, self.on_abandoned)
+        self.forward_response()
 
-    def pass_on(self) -> None:
+    def forward_response(self) -> None:
+        """Forward what has arrived of a streamed response."""
         assert self.sink is not None
-        data = self.exchange.pass_on()
+        data = self.exchange.take_body()
         if not data:
             return
-        self.moved = now_ms()
-        if not self.sink.part(data) and self.sink is not None and not self.paused:
-            self.paused = True
+        self.last_progress_ms = now_ms()
+        if not self.sink.write_body(data) and self.sink is not None and not self.read_paused:
+            self.read_paused = True
             self.transport.pause_reading()
 
-    def on_room(self) -> None:
-        if self.paused and not self.transport.is_closing():
-            self.paused, self.moved = False, now_ms()
+    def on_space(self) -> None:
+        """Go on reading a response, as its client has space again."""
+        if self.read_paused and not self.transport.is_closing():
+            self.read_paused, self.last_progress_ms = False, now_ms()
             self.transport.resume_reading()
 
-    def on_lost(self) -> None:
-        """The client has gone away."""
+    def on_abandoned(self) -> None:
+        """Cancel the attempt, as the client has disconnected."""
         self.sink = None
-        self.pool.room.streams -= 1
+        self.pool.memory_budget.stream_count -= 1
         if self.attempt is not None:
-            self.pool.drop(self.attempt, AttemptResult.CANCELLED)
+            self.pool.abort_attempt(self.attempt, AttemptResult.CANCELLED)
 
-    def leave(self, whole: bool) -> Attempt | None:
-        """Part from the attempt, which is over: nothing more goes on."""
+    def detach_attempt(self, complete: bool) -> Attempt | None:
+        """Detach the attempt, which is over, and end its streamed response."""
         attempt, self.attempt = self.attempt, None
-        if self.held:
-            self.count(0)
+        if self.buffered_bytes:
+            self.set_buffered_bytes(0)
         if (sink := self.sink) is not None:
             self.sink = None
-            self.pool.room.streams -= 1
-            if whole:
-                sink.done()
+            self.pool.memory_budget.stream_count -= 1
+            if complete:
+                sink.finish_body()
             else:
-                sink.broken()
+                sink.abort_body()
         return attempt
 
-    def count(self, held: int) -> None:
-        self.pool.room.held += held - self.held
-        self.held = held
+    def set_buffered_bytes(self, buffered_bytes: int) -> None:
+        """Set how much of a response is buffered, and count it in the memory budget."""
+        self.pool.memory_budget.buffered_bytes += buffered_bytes - self.buffered_bytes
+        self.buffered_bytes = buffered_bytes
 
-    # From the transport.
+    # Callbacks of the transport.
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return reading.buffer()
+        """Return the buffer for the next read."""
+        return read_buffer.get_read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        found = self.exchange.received(reading.taken(nbytes))
-        if found is not None:
-            self.found(found)
-        elif self.exchange.begun:
-            self.pass_on()
-        elif self.exchange.opening:
-            self.open()
+        """Handle bytes from the server."""
+        result = self.exchange.receive(read_buffer.copy_read_bytes(nbytes))
+        if result is not None:
+            self.handle_result(result)
+        elif self.exchange.streaming:
+            self.forward_response()
+        elif self.exchange.must_stream:
+            self.start_streaming()
         else:
-            self.count(len(self.exchange.body))
+            self.set_buffered_bytes(len(self.exchange.body))
             attempt = self.attempt
-            if attempt is not None and attempt.opener is None and self.exchange.may_open:
-                attempt.opener = self.pool.loop.call_later(HOLD_TIME, self.open)
+            if attempt is not None and attempt.streaming_timer is None and self.exchange.can_stream:
+                attempt.streaming_timer = self.pool.loop.call_later(
+                    MAX_BUFFERING_S, self.start_streaming
+                )
 
     def eof_received(self) -> None:
-        if (found := self.exchange.ended()) is not None:
-            self.found(found)
-
-    def found(self, found: Found) -> None:
-        if self.sink is not None and isinstance(found, Done):
-            self.sink.part(found.answer.body)
-        if self.paused and not self.transport.is_closing():
-            self.paused = False
+        """Handle the end of the server's stream."""
+        if (result := self.exchange.receive_eof()) is not None:
+            self.handle_result(result)
+
+    def handle_result(self, result: ExchangeResult) -> None:
+        """End the attempt by the result of the exchange."""
+        if self.sink is not None and isinstance(result, CompleteResponse):
+            self.sink.write_body(result.response.body)
+        if self.read_paused and not self.transport.is_closing():
+            self.read_paused = False
             self.transport.resume_reading()
-        attempt = self.leave(whole=isinstance(found, Done))
-        if attempt is not None and isinstance(found, Done):
-            self.pool.idle_limit.reused(self.idled, True)
-            if found.keep:
-                self.pool.park(self)
+        attempt = self.detach_attempt(complete=isinstance(result, CompleteResponse))
+        if attempt is not None and isinstance(result, CompleteResponse):
+            self.pool.idle_timeout.record_reuse(self.idle_ms, True)
+            if result.reusable:
+                self.pool.keep_idle(self)
             else:
                 self.transport.close()
-            answer = found.answer
-            self.pool.end(attempt, result_of(answer.status, found.not_started), answer)
-        elif attempt is not None and isinstance(found, Malformed):
+            response = result.response
+            self.pool.finish_attempt(
+                attempt, attempt_result(response.status, result.not_started), response
+            )
+        elif attempt is not None and isinstance(result, MalformedResponse):
             self.transport.abort()
-            MALFORMED_ANSWER(server=self.server.endpoint, request=attempt.request_id, why=found.why)
-            self.pool.end(attempt, AttemptResult.ERROR)
-        else:  # nothing was asked
+            MALFORMED_ANSWER(
+                server=self.server.endpoint, request=attempt.request_id, why=result.reason
+            )
+            self.pool.finish_attempt(attempt, AttemptResult.ERROR)
+        else:  # unexpected data
             self.transport.abort()
 
 
-class OnEnd(Protocol):
-    """Who is told of the end of an attempt, with the answer where one came whole."""
+class AttemptEndedCallback(Protocol):
+    """Receives the end of an attempt, with the response where one arrived completely."""
 
     def __call__(
         self,
         request_id: int,
-        number: int,
-        server_id: int,
+        attempt_number: int,
+        endpoint_id: int,
         result: AttemptResult,
-        elapsed: float,
-        answer: Answer | None = None,
+        elapsed_ms: float,
+        response: UpstreamResponse | None = None,
         *,
-        spent: bool = False,
-    ) -> None: ...  # fmt: skip
+        body_consumed: bool = False,
+    ) -> None:
+        """Receive the end of an attempt."""
 
 
-# Request, number of the attempt, server, ms until now, the answer's head; where it goes, None:
-# nowhere.
-OnBegin = Callable[[int, int, int, float, Opening], Sink | None]
+# Receives the start of a streamed response: the request's id, the attempt's number, the endpoint's
+# id, ms since the attempt was sent, and the header section. Returns the destination of the body;
+# None: the request is not in flight any more.
+ResponseStartedCallback = Callable[
+    [int, int, int, float, ResponseHeaderSection], ResponseSink | None
+]
 
 
-def any_request(request_id: int) -> bool:
-    """For who does not tell which requests still wait."""
+def assume_awaited(request_id: int) -> bool:
+    """Return True, where it is not known which requests are still in flight."""
     return True
 
 
-def held_only(
-    request_id: int, number: int, server_id: int, elapsed: float, opening: Opening
-) -> Sink | None:
-    """For fronts whose messages ask for no answer as it comes."""
+def reject_streaming(
+    request_id: int,
+    attempt_number: int,
+    endpoint_id: int,
+    elapsed_ms: float,
+    header_section: ResponseHeaderSection,
+) -> ResponseSink | None:
+    """Return no destination, for frontends that ask for no streamed response."""
     return None
 
 
 class ServerPool:
-    """All servers that a list has named, and all attempts that are out."""
+    """All servers of the endpoint list with their connections, and all open attempts."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        dial_timeout: float,
-        idle_timeout: float,
+        connect_timeout_ms: float,
+        idle_timeout_ms: float,
         max_connections: int,
-        on_end: OnEnd,
-        on_begin: OnBegin = held_only,
-        room: MemoryBudget | None = None,
-        source: str | None = None,  # the address that connections set out from
-        wanted: Callable[[int], bool] = any_request,
+        on_attempt_ended: AttemptEndedCallback,
+        on_response_started: ResponseStartedCallback = reject_streaming,
+        memory_budget: MemoryBudget | None = None,
+        source_address: str | None = None,  # the local address of connections
+        is_awaited: Callable[[int], bool] = assume_awaited,
     ) -> None:
         self.loop = loop
-        self.wanted = wanted
-        self.local = (source, 0) if source else None
-        self.dial_timeout = dial_timeout
-        self.idle_limit = IdleLimit(idle_timeout)
+        self.is_awaited = is_awaited
+        self.local_address = (source_address, 0) if source_address else None
+        self.connect_timeout_ms = connect_timeout_ms
+        self.idle_timeout = IdleTimeout(idle_timeout_ms)
         self.max_connections = max_connections
-        self.on_end = on_end
-        self.on_begin = on_begin
-        self.room = room or MemoryBudget(budget_bytes(0))
+        self.on_attempt_ended = on_attempt_ended
+        self.on_response_started = on_response_started
+        self.memory_budget = memory_budget or MemoryBudget(budget_bytes(0))
         self.servers: dict[int, Server] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.connections: set[ServerConnection] = set()
-        self.dials = 0
-        self.loop.call_later(SWEEP, self.sweep)
+        self.connecting = 0
+        self.loop.call_later(SCAN_INTERVAL_S, self.scan)
 
-    def update(self, member: DiscoveredEndpoint) -> None:
-        """Take over a line of the server list."""
-        entry, address = member.entry, member.address
-        server_id, state, started = entry.id, entry.state, entry.started_ms
+    def update(self, endpoint: DiscoveredEndpoint) -> None:
+        """Apply an entry of the endpoint list."""
+        entry, address = endpoint.entry, endpoint.address
+        server_id, state, started_ms = entry.id, entry.state, entry.started_ms
         server = self.servers.get(server_id)
         if server is None:
             if state is not EndpointState.GONE:
-                self.servers[server_id] = Server(server_id, address, state, started)
-        elif (server.address, server.state, server.started) != (address, state, started):
-            # Connections from before a restart are dead, and a server that drains gets nothing new.
-            server.address, server.state, server.started = address, state, started
+                self.servers[server_id] = Server(server_id, address, state, started_ms)
+        elif (server.address, server.state, server.started_ms) != (address, state, started_ms):
+            # Connections from before a restart are dead, and a draining server gets no new request.
+            server.address, server.state, server.started_ms = address, state, started_ms
             server.version += 1
-            for connection in server.idle:
+            for connection in server.idle_connections:
                 connection.transport.close()
-            server.idle.clear()
-            self.forget(server)
+            server.idle_connections.clear()
+            self.remove_if_gone(server)
 
-    def forget(self, server: Server) -> None:
-        """Ids are ever new: a server that is gone leaves with its last attempt."""
+    def remove_if_gone(self, server: Server) -> None:
+        """Remove a server that is gone once it has no attempt: ids are never used again."""
         if (
             server.state is EndpointState.GONE
-            and not server.out
+            and not server.open_attempts
             and self.servers.get(server.id) is server
         ):
             del self.servers[server.id]
 
-    def send(self, order: AttemptRequest) -> None:
-        server = self.servers[order.endpoint_id]
-        now, limit = now_ms(), order.timeout_ms
+    def send(self, attempt_request: AttemptRequest) -> None:
+        """Start an attempt on a reusable connection, or on a new one."""
+        server = self.servers[attempt_request.endpoint_id]
+        now, timeout_ms = now_ms(), attempt_request.timeout_ms
         attempt = Attempt(
-            order.request_id, order.attempt, server, server.version, order.payload, now, now + limit
+            attempt_request.request_id,
+            attempt_request.attempt,
+            server,
+            server.version,
+            attempt_request.payload,
+            now,
+            now + timeout_ms,
         )
-        self.attempts[order.request_id, order.attempt] = attempt
-        server.out += 1
-        upload = order.payload.upload
-        if upload is not None and not upload.whole:
-            attempt.limit, attempt.deadline = limit, math.inf
-            upload.on_data = partial(self.came_in, attempt)
-            upload.on_lost = partial(self.drop, attempt, AttemptResult.CANCELLED)
+        self.attempts[attempt_request.request_id, attempt_request.attempt] = attempt
+        server.open_attempts += 1
+        upload = attempt_request.payload.upload
+        if upload is not None and not upload.complete:
+            attempt.timeout_ms, attempt.deadline_ms = timeout_ms, math.inf
+            upload.on_data = partial(self.on_upload_data, attempt)
+            upload.on_abandoned = partial(self.abort_attempt, attempt, AttemptResult.CANCELLED)
         else:
-            attempt.timer = self.loop.call_later(max(0.0, limit) / 1000, self.expire, attempt)
-        at = len(server.idle)
-        while at and now - server.idle[at - 1].idle_since < REST:
-            at -= 1
-        while at:
-            at -= 1
-            connection = server.idle.pop(at)
-            if self.trusted(connection):
-                self.put_on(attempt, connection)
+            attempt.timer = self.loop.call_later(
+                max(0.0, timeout_ms) / 1000, self.on_timeout, attempt
+            )
+        position = len(server.idle_connections)
+        while (
+            position and now - server.idle_connections[position - 1].idle_since_ms < REUSE_DELAY_MS
+        ):
+            position -= 1
+        while position:
+            position -= 1
+            connection = server.idle_connections.pop(position)
+            if self.is_reusable(connection):
+                self.begin_attempt(attempt, connection)
                 return
             connection.transport.abort()
-        way = self.rested(attempt, server.idle.pop(0)) if server.idle else self.connect(attempt)
-        attempt.dial = self.loop.create_task(way)
+        connecting = (
+            self.send_after_reuse_delay(attempt, server.idle_connections.pop(0))
+            if server.idle_connections
+            else self.connect(attempt)
+        )
+        attempt.connect_task = self.loop.create_task(connecting)
 
-    async def rested(self, attempt: Attempt, connection: ServerConnection) -> None:
-        """Go out on a connection that has just had an answer, once it has rested."""
+    async def send_after_reuse_delay(self, attempt: Attempt, connection: ServerConnection) -> None:
+        """Send on a connection that has just had a response, once its pause is over."""
         try:
-            await asyncio.sleep((REST + connection.idle_since - now_ms()) / 1000)
+            await asyncio.sleep((REUSE_DELAY_MS + connection.idle_since_ms - now_ms()) / 1000)
         except asyncio.CancelledError:
-            self.park(connection)
+            self.keep_idle(connection)
             raise
-        if self.trusted(connection):
-            attempt.dial = None
-            self.put_on(attempt, connection)
+        if self.is_reusable(connection):
+            attempt.connect_task = None
+            self.begin_attempt(attempt, connection)
         else:
             connection.transport.abort()
             await self.connect(attempt)
 
-    def trusted(self, connection: ServerConnection) -> bool:
-        """Whether an idle connection can carry the next request."""
-        return now_ms() - connection.idle_since < self.idle_limit.ms and connection.quiet()
+    def is_reusable(self, connection: ServerConnection) -> bool:
+        """Return whether an idle connection can carry the next request."""
+        return (
+            now_ms() - connection.idle_since_ms < self.idle_timeout.limit_ms
+            and connection.is_quiet()
+        )
 
-    def put_on(self, attempt: Attempt, connection: ServerConnection) -> None:
-        """The one place where an attempt begins to be written, if it still may be.
+    def begin_attempt(self, attempt: Attempt, connection: ServerConnection) -> None:
+        """Write an attempt, if it still may be. This is the only place where that starts.
 
-        Meanwhile its request may have ended, its time passed, or its server begun to drain."""
+        In the meantime its request may have ended, its deadline passed, or its server started to
+        drain.
+        """
         server = attempt.server
-        fit = attempt.version == server.version and server.state is EndpointState.READY
-        fit = fit and not connection.transport.is_closing()
-        left = attempt.deadline - now_ms()
-        why = hindrance(self.wanted(attempt.request_id), fit, left)
-        if why is None:
-            connection.start(attempt)
+        server_usable = (
+            attempt.server_version == server.version and server.state is EndpointState.READY
+        )
+        server_usable = server_usable and not connection.transport.is_closing()
+        remaining_ms = attempt.deadline_ms - now_ms()
+        blocked_result = result_if_blocked(
+            self.is_awaited(attempt.request_id), server_usable, remaining_ms
+        )
+        if blocked_result is None:
+            connection.start_attempt(attempt)
             return
-        if why is AttemptResult.NOT_SENT and fit:  # nothing is wrong with it
-            self.park(connection)
+        # Nothing is wrong with the connection where only the request is over.
+        if blocked_result is AttemptResult.NOT_SENT and server_usable:
+            self.keep_idle(connection)
         else:
             connection.transport.abort()
-        self.end(attempt, why)
-
-    def hold(self) -> int:
-        return self.room.hold
-
-    def came_in(self, attempt: Attempt) -> None:
-        """More of a request whose connection is not up yet."""
-        assert attempt.message.upload is not None
-        if attempt.message.upload.whole:
-            self.arm(attempt)
-
-    def arm(self, attempt: Attempt) -> None:
-        """Its request is whole: its time counts from now on."""
-        if attempt.timer is None and math.isinf(attempt.deadline):
-            attempt.started = now_ms()
-            attempt.deadline = attempt.started + attempt.limit
+        self.finish_attempt(attempt, blocked_result)
+
+    def message_limit_bytes(self) -> int:
+        """Return how much of a response may be buffered now."""
+        return self.memory_budget.message_limit_bytes
+
+    def on_upload_data(self, attempt: Attempt) -> None:
+        """Note more of a streamed request whose connection is not established yet."""
+        assert attempt.request.upload is not None
+        if attempt.request.upload.complete:
+            self.start_timeout(attempt)
+
+    def start_timeout(self, attempt: Attempt) -> None:
+        """Start the timeout of an attempt, as its request is complete now."""
+        if attempt.timer is None and math.isinf(attempt.deadline_ms):
+            attempt.started_ms = now_ms()
+            attempt.deadline_ms = attempt.started_ms + attempt.timeout_ms
             attempt.timer = self.loop.call_later(
-                max(0.0, attempt.limit) / 1000, self.expire, attempt
+                max(0.0, attempt.timeout_ms) / 1000, self.on_timeout, attempt
             )
 
-    def disarm(self, attempt: Attempt) -> None:
-        for timer in (attempt.timer, attempt.opener):
+    def cancel_timers(self, attempt: Attempt) -> None:
+        """Cancel the timers of an attempt."""
+        for timer in (attempt.timer, attempt.streaming_timer):
             if timer is not None:
                 timer.cancel()
 
     async def connect(self, attempt: Attempt) -> None:
         """Open a connection for an attempt; no byte has been sent where this fails."""
         server = attempt.server
-        while self.open >= self.max_connections and self.close_an_idle_one():
-            await asyncio.sleep(0)  # it holds its descriptor until then
-        if self.open >= self.max_connections:
+        while self.open_connections >= self.max_connections and self.close_longest_idle():
+            # The closed connection holds its descriptor until the loop's next iteration.
+            await asyncio.sleep(0)
+        if self.open_connections >= self.max_connections:
             NO_DESCRIPTORS(server=server.endpoint, request=attempt.request_id)
-            self.end(attempt, AttemptResult.UNREACHABLE)
+            self.finish_attempt(attempt, AttemptResult.UNREACHABLE)
             return
-        self.dials += 1
+        self.connecting += 1
         connection = ServerConnection(self, server)
         try:
-            async with asyncio.timeout(self.dial_timeout / 1000):
+            async with asyncio.timeout(self.connect_timeout_ms / 1000):
                 await self.loop.create_connection(
-                    lambda: connection, *server.address, local_addr=self.local
+                    lambda: connection, *server.address, local_addr=self.local_address
                 )
-        except (OSError, UnicodeError):  # no connection in time, or an address that is none
-            connection.exchange.unlink()
-            self.end(attempt, AttemptResult.UNREACHABLE)
+        except (OSError, UnicodeError):  # no connection in time, or an invalid address
+            connection.exchange.release_parser()
+            self.finish_attempt(attempt, AttemptResult.UNREACHABLE)
             return
         except asyncio.CancelledError:
-            connection.exchange.unlink()
+            connection.exchange.release_parser()
             raise
         finally:
-            self.dials -= 1
-        attempt.dial = None
-        # Counted from here, not from connection_made: a dial that is cancelled just as it comes up
-        # is closed by uvloop without connection_lost, and would count against the limit for ever.
+            self.connecting -= 1
+        attempt.connect_task = None
+        # Counted here, not in connection_made: uvloop closes a connection whose task is cancelled
+        # just as it is established without connection_lost, and it would count against the limit
+        # forever.
         if not connection.transport.is_closing():
             self.connections.add(connection)
-        self.put_on(attempt, connection)
+        self.begin_attempt(attempt, connection)
 
     @property
-    def open(self) -> int:
-        """Connections that hold a descriptor."""
-        return len(self.connections) + self.dials
-
-    def retune(self, dial_timeout: float, idle_timeout: float) -> None:
-        self.dial_timeout = dial_timeout
-        self.idle_limit.retell(idle_timeout)
-
-    def keep_to(self, most: int) -> None:
-        """Have another limit of connections; idle ones over it are closed."""
-        self.max_connections = most
-        for _ in range(self.open - most):
-            if not self.close_an_idle_one():
+    def open_connections(self) -> int:
+        """The number of connections that hold a descriptor."""
+        return len(self.connections) + self.connecting
+
+    def set_timeouts(self, connect_timeout_ms: float, idle_timeout_ms: float) -> None:
+        """Set the timeouts of the configuration."""
+        self.connect_timeout_ms = connect_timeout_ms
+        self.idle_timeout.set_announced(idle_timeout_ms)
+
+    def set_max_connections(self, max_connections: int) -> None:
+        """Set the limit of connections, and close idle ones beyond it."""
+        self.max_connections = max_connections
+        for _ in range(self.open_connections - max_connections):
+            if not self.close_longest_idle():
                 return
 
-    def close_an_idle_one(self) -> bool:
-        longest = [server.idle[0] for server in self.servers.values() if server.idle]
-        if not longest:
+    def close_longest_idle(self) -> bool:
+        """Close the connection that has been idle for longest; return whether there was one."""
+        candidates = [
+            server.idle_connections[0]
+            for server in self.servers.values()
+            if server.idle_connections
+        ]
+        if not candidates:
             return False
-        connection = min(longest, key=lambda c: c.idle_since)
-        connection.server.idle.remove(connection)
+        connection = min(candidates, key=lambda c: c.idle_since_ms)
+        connection.server.idle_connections.remove(connection)
         connection.transport.abort()
         return True
 
-    def park(self, connection: ServerConnection) -> None:
-        """Keep a connection for the next attempt, if its server still is the one it was opened
-        to."""
+    def keep_idle(self, connection: ServerConnection) -> None:
+        """Keep a connection for the next attempt, unless its server has changed since."""
         server = connection.server
         if connection.version != server.version or server.state is not EndpointState.READY:
             connection.transport.close()
             return
-        connection.idle_since = now_ms()
-        server.idle.append(connection)
+        connection.idle_since_ms = now_ms()
+        server.idle_connections.append(connection)
 
-    def sweep(self) -> None:
-        self.loop.call_later(SWEEP, self.sweep)
-        self.idle_limit.grow()
+    def scan(self) -> None:
+        """Abort stalled streams, and close connections that have been idle for too long."""
+        self.loop.call_later(SCAN_INTERVAL_S, self.scan)
+        self.idle_timeout.grow()
         now = now_ms()
         for connection in [*self.connections]:
             attempt = connection.attempt
-            if attempt is None or attempt.at not in (At.SENDING, At.STREAMING):
+            if attempt is None or attempt.phase not in (
+                AttemptPhase.STREAMING_REQUEST,
+                AttemptPhase.STREAMING_RESPONSE,
+            ):
                 continue
-            # A request may come in slowly: that is its client's affair, and only a server that does
-            # not read is given up.
-            waits = connection.full if attempt.at is At.SENDING else True
-            if waits and now - connection.moved > (UNREAD if connection.paused else SILENCE):
-                self.drop(attempt, OVERDUE[attempt.at])
-        before = now - self.idle_limit.ms
+            # A slow upload is up to its client: only a server that does not read counts as stalled.
+            is_stalled = (
+                connection.write_paused if attempt.phase is AttemptPhase.STREAMING_REQUEST else True
+            )
+            if is_stalled and now - connection.last_progress_ms > (
+                CLIENT_STALL_TIMEOUT_MS if connection.read_paused else SERVER_STALL_TIMEOUT_MS
+            ):
+                self.abort_attempt(attempt, TIMEOUT_RESULTS[attempt.phase])
+        before = now - self.idle_timeout.limit_ms
         for server in self.servers.values():
-            while server.idle and server.idle[0].idle_since < before:
-                server.idle.pop(0).transport.close()
-
-    def expire(self, attempt: Attempt) -> None:
-        # The loop runs timers before it reads: after a stall the answer may lie in the socket
-        # unread, and a server that did its work would pass for a silent one. So it reads once more
-        # first.
-        if not attempt.overdue:
-            attempt.overdue = True
-            attempt.timer = self.loop.call_later(LAST_LOOK, self.expire, attempt)
+            while server.idle_connections and server.idle_connections[0].idle_since_ms < before:
+                server.idle_connections.pop(0).transport.close()
+
+    def on_timeout(self, attempt: Attempt) -> None:
+        """End an attempt whose time is over, after a last read from its connection."""
+        # The event loop runs timers before it reads: after a stall the response may be in the
+        # socket unread, and a server that did its work would be taken for one that does not
+        # respond.
+        if not attempt.past_deadline:
+            attempt.past_deadline = True
+            attempt.timer = self.loop.call_later(FINAL_READ_DELAY_S, self.on_timeout, attempt)
             return
-        if attempt.connection is not None and attempt.connection.exchange.may_open:
-            attempt.connection.open()  # it may be a long one, whose first bytes are in time
+        if attempt.connection is not None and attempt.connection.exchange.can_stream:
+            # The body may be a long one, whose first bytes arrived in time.
+            attempt.connection.start_streaming()
             return
-        # Where no connection came up in the whole time, nothing was sent.
-        self.drop(attempt, OVERDUE[attempt.at])
+        # Where no connection was established in the whole time, nothing was sent.
+        self.abort_attempt(attempt, TIMEOUT_RESULTS[attempt.phase])
 
-    def cancel(self, request_id: int, number: int) -> None:
-        attempt = self.attempts.get((request_id, number))
+    def cancel(self, request_id: int, attempt_number: int) -> None:
+        """Cancel an attempt, if it is still open."""
+        attempt = self.attempts.get((request_id, attempt_number))
         if attempt is not None:
-            self.drop(attempt, AttemptResult.CANCELLED)
+            self.abort_attempt(attempt, AttemptResult.CANCELLED)
+
+    def abandon_attempt(self, request_id: int, attempt_number: int) -> None:
+        """End an attempt whose request is over, unless all of it has been written.
 
-    def abandon_attempt(self, request_id: int, number: int) -> None:
-        """Nobody waits for it: what has not been written of it never is. A server begins a request
-        with its last byte, so one whose last byte is still here never runs."""
-        attempt = self.attempts.get((request_id, number))
+        A server executes a request only once it has its last byte, so that one whose last byte has
+        not left this process is never executed.
+        """
+        attempt = self.attempts.get((request_id, attempt_number))
         if attempt is None:
             return
-        if attempt.at is At.DIALLING:
-            self.drop(attempt, AttemptResult.NOT_SENT)
-        elif attempt.connection is not None and not attempt.connection.all_sent():
-            self.drop(attempt, AttemptResult.CANCELLED)
-
-    def drop(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Stop waiting: the connection is of no more use, an answer may still come on it."""
-        if attempt.dial is not None:
-            attempt.dial.cancel()
+        if attempt.phase is AttemptPhase.CONNECTING:
+            self.abort_attempt(attempt, AttemptResult.NOT_SENT)
+        elif attempt.connection is not None and not attempt.connection.request_sent():
+            self.abort_attempt(attempt, AttemptResult.CANCELLED)
+
+    def abort_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
+        """End an attempt early, and its connection, on which a response may still arrive."""
+        if attempt.connect_task is not None:
+            attempt.connect_task.cancel()
         if attempt.connection is not None:
-            attempt.connection.leave(whole=False)
+            attempt.connection.detach_attempt(complete=False)
             attempt.connection.exchange.close()
             attempt.connection.transport.abort()
-        self.end(attempt, result)
+        self.finish_attempt(attempt, result)
 
-    def end(self, attempt: Attempt, result: AttemptResult, answer: Answer | None = None) -> None:
+    def finish_attempt(
+        self, attempt: Attempt, result: AttemptResult, response: UpstreamResponse | None = None
+    ) -> None:
+        """Remove an attempt and report its end."""
         if self.attempts.pop((attempt.request_id, attempt.number), None) is None:
             return
-        check_end(attempt.at, result)
-        self.disarm(attempt)
-        attempt.dial = attempt.connection = None
-        attempt.server.out -= 1
-        self.forget(attempt.server)
-        elapsed = now_ms() - attempt.started
-        upload = attempt.message.upload
-        spent = upload is not None and upload.spent
+        check_result(attempt.phase, result)
+        self.cancel_timers(attempt)
+        attempt.connect_task = attempt.connection = None
+        attempt.server.open_attempts -= 1
+        self.remove_if_gone(attempt.server)
+        elapsed_ms = now_ms() - attempt.started_ms
+        upload = attempt.request.upload
+        body_consumed = upload is not None and upload.consumed
         if upload is not None:
-            upload.on_data = upload.on_lost = nothing
-        server = attempt.server.id
-        self.on_end(
-            attempt.request_id, attempt.number, server, result, elapsed, answer, spent=spent
+            upload.on_data = upload.on_abandoned = do_nothing
+        endpoint_id = attempt.server.id
+        self.on_attempt_ended(
+            attempt.request_id,
+            attempt.number,
+            endpoint_id,
+            result,
+            elapsed_ms,
+            response,
+            body_consumed=body_consumed,
         )
--- a/tests/core/test_descriptors.py
+++ b/tests/core/test_descriptors.py
@@ -1,33 +1,37 @@
-"""What the descriptors of a process are for: the roles' sum stays within the limit, whatever it
-is."""
+"""The descriptor budget: the sum over all roles stays within the limit, whatever it is."""
 
 from __future__ import annotations
 
 import pytest
 
-from badgercart.core.descriptors import LEAST_CLIENTS, LEAST_SERVERS, Descriptors, TooFewError
+from badgercart.core.descriptors import (
+    MIN_CLIENT_DESCRIPTORS,
+    MIN_UPSTREAM_DESCRIPTORS,
+    DescriptorBudget,
+    DescriptorLimitError,
+)
 
 
-@pytest.mark.parametrize("console", [False, True])
-@pytest.mark.parametrize("parts", range(5))
-def test_the_sum_of_all_roles_is_within_the_limit(console: bool, parts: int) -> None:
-    refused = 0
+@pytest.mark.parametrize("admin", [False, True])
+@pytest.mark.parametrize("other_components", range(5))
+def test_the_sum_of_all_roles_is_within_the_limit(admin: bool, other_components: int) -> None:
+    too_low = 0
     for limit in [*range(400), 1024, 20_000, 1_000_000]:
         try:
-            ledger = Descriptors.of(limit, console, parts)
-        except TooFewError:
-            refused += 1
+            budget = DescriptorBudget.for_limit(limit, admin, other_components)
+        except DescriptorLimitError:
+            too_low += 1
             continue
-        clients, servers = ledger.split()
-        assert clients >= LEAST_CLIENTS and servers >= LEAST_SERVERS
-        assert sum(ledger.kept.values()) + clients + servers == limit
+        clients, servers = budget.split()
+        assert clients >= MIN_CLIENT_DESCRIPTORS and servers >= MIN_UPSTREAM_DESCRIPTORS
+        assert sum(budget.reserved.values()) + clients + servers == limit
         for holders in range(1, 5):
-            assert holders * sum(ledger.split(1 / holders)) <= ledger.shared
-    assert 0 < refused < 100  # a limit of 100 does for any of these
+            assert holders * sum(budget.split(1 / holders)) <= budget.shared
+    assert 0 < too_low < 100  # a limit of 100 is enough for any of these
 
 
-def test_too_few_say_what_they_are_for() -> None:
+def test_the_error_of_a_low_limit_names_what_each_role_reserves() -> None:
     with pytest.raises(
-        TooFewError, match=r"^40 are too few: program 20, .*console 13.*16 at least$"
+        DescriptorLimitError, match=r"^40 are too few: program 20, .*console 13.*16 at least$"
     ):
-        Descriptors.of(40, console=True)
+        DescriptorBudget.for_limit(40, admin=True)
--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -33,7 +33,7 @@
 from badgercart.frontends.http.component import HttpSettings
 from badgercart.metrics.component import MetricsSettings
 from tests.distribution.test_driver import free_ports
-from tests.net import WAIT, Client, Peer, config, request, run
+from tests.net import WAIT_S, Client, ScriptedServer, config, request, run
 
 ROOT = Path(__file__).parent.parent.parent
 GROUP, SECRET, TOPIC = "test", "a secret of the tests", "servers/dispatch"
@@ -96,7 +96,7 @@
         }
 
     async def wait_until(self, condition: Callable[[], Any]) -> None:
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while not condition():
                 await asyncio.sleep(0.002)
 
@@ -136,7 +136,9 @@
         site.close()
 
 
-def server_entry(name: str, peer: Peer | None = None, state: str = "active") -> dict[str, Any]:
+def server_entry(
+    name: str, peer: ScriptedServer | None = None, state: str = "active"
+) -> dict[str, Any]:
     port = peer.port if peer else 7000 + len(name)
     return {"instanceId": name, "hostPort": f"127.0.0.1:{port}", "lifecycle": state}
 
@@ -148,7 +150,7 @@
     values = {each["instanceId"]: json.dumps(each).encode() for each in servers} | other_values
     entries = tuple(Entry(key, value) for key, value in values.items())
     async with (
-        asyncio.timeout(WAIT),
+        asyncio.timeout(WAIT_S),
         ReplicaClient(driver.listen, Codec(GROUP, SECRET.encode())) as client,
     ):
         client.write(Propose(1, topic, entries, -1))
@@ -200,7 +202,7 @@
             # The node has no list yet.
             assert await node.health() == 503 and await node.request_status() == 503
             await node.wait_until(lambda: node.component.follower.topics.unknown)
-            first, second = await Peer().start(), await Peer().start()
+            first, second = await ScriptedServer().start(), await ScriptedServer().start()
             path, entries_file = node_file(tmp_path, store.listen), tmp_path / "lines.json"
             entries_file.write_text(json.dumps([server_entry("a", first)]))
             result = await run_command(capsys, "put", path, TOPIC, "--file", str(entries_file))
@@ -244,7 +246,7 @@
     caplog.set_level(logging.INFO)
 
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         store = await start_store(tmp_path / "s")
         async with running_node(store.listen, when_stale=when_stale) as node:
             await propose_entries(store, server_entry("a", peer), server_entry("b", peer))
@@ -715,7 +717,7 @@
             stderr=asyncio.subprocess.PIPE, cwd=ROOT,
         )  # fmt: skip
         assert process.stderr is not None
-        async with asyncio.timeout(6 * WAIT):
+        async with asyncio.timeout(6 * WAIT_S):
             while b"distribution.listening" not in (result := await process.stderr.readline()):
                 assert result, "the process has ended"
         return process
--- a/tests/distribution/test_driver.py
+++ b/tests/distribution/test_driver.py
@@ -49,7 +49,7 @@
 from badgercart.distribution.replica_selector import FollowerTiming, ReplicaSelector
 from badgercart.distribution.topic import Topic
 from tests.distribution.support import subscribe
-from tests.net import WAIT, run
+from tests.net import WAIT_S, run
 
 GROUP, SECRET = "test", b"a secret of the tests"
 CODEC = Codec(GROUP, SECRET)
@@ -70,7 +70,7 @@
 
 
 async def wait_until(condition: Callable[[], Any]) -> None:
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_S):
         while not condition():
             await asyncio.sleep(0.002)
 
@@ -125,7 +125,7 @@
 
 async def put(driver: ReplicaDriver, topic: str, **values: str | None) -> ProposeResponse:
     entries = tuple(Entry(k, None if v is None else v.encode()) for k, v in values.items())
-    async with asyncio.timeout(WAIT), Client(driver.listen, CODEC) as client:
+    async with asyncio.timeout(WAIT_S), Client(driver.listen, CODEC) as client:
         client.write(Propose(1, topic, entries, -1))
         while not isinstance(message := await client.read(), ProposeResponse):
             pass
@@ -197,7 +197,7 @@
 
 
 async def wait_until_closed(reader: asyncio.StreamReader) -> None:
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_S):
         with contextlib.suppress(ConnectionError):
             await reader.read()
 
@@ -257,7 +257,7 @@
                 await asyncio.sleep(0)
             client = Client(store.listen, CODEC)
             client.reader = reader
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 assert await client.read() == ProposeResponse(1, 1, "", "")
                 status = await client.read()
             assert (
@@ -361,7 +361,7 @@
             monkeypatch.setattr(FollowerDriver, "dial", dial)
             follower, _ = start_follower(("127.0.0.1", 9), store.listen, timing=timing, seed=seed)
             await wait_until(lambda: has_same_topic(follower, store))
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 assert await cancelled_dials.get() == "cancelled"
             assert follower.follower.faults["hangs"] >= 1
             follower.close()
@@ -442,7 +442,7 @@
             topics_received: dict[str, Topic] = {}
             client = Client(store.listen, CODEC)
             client.reader = reader
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while any(
                     topic not in topics_received
                     or topics_received[topic].digest != store.replica.topics[topic].digest
--- a/tests/distribution/test_golden.py
+++ b/tests/distribution/test_golden.py
@@ -19,7 +19,7 @@
 import pytest
 from click.testing import CliRunner
 
-from badgercart.core.log_events import TABLE
+from badgercart.core.log_events import LOG_EVENTS
 from badgercart.distribution import commands, log_events
 from badgercart.distribution.driver import Runtime
 from badgercart.distribution.effects import Persist, PersistSnapshot, RecoveredState
@@ -334,7 +334,7 @@
 def test_log_events_are_unchanged() -> None:
     lines = [
         f"{event.name} {event.level} {event.words}\n"
-        for event in TABLE.values()
+        for event in LOG_EVENTS.values()
         if event.name.startswith(f"{log_events.LISTENING.name.partition('.')[0]}.")
     ]
     assert "".join(sorted(lines)) == (GOLDEN / "events.txt").read_text()
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -18,12 +18,12 @@
 
 from badgercart.app.file import Installation
 from badgercart.app.site import Application
-from badgercart.core.ports import Answer, AttemptRequest, IncomingRequest
+from badgercart.core.ports import AttemptRequest, IncomingRequest, UpstreamResponse
 from badgercart.discovery.freshness import FreshnessState
 from badgercart.policy.events import AttemptResult
 from standins.etcd import Etcd
 from tests.etcd.test_following import PREFIX, etcd_settings
-from tests.net import WAIT, config, run
+from tests.net import WAIT_S, config, run
 
 RUNS = int(os.environ.get("BADGERCART_RUNS", "0"))
 DRAIN_GRACE_MS = 500.0
@@ -73,7 +73,7 @@
             attempt.endpoint_id,
             AttemptResult.OK,
             1.0,
-            Answer(200),
+            UpstreamResponse(200),
         )
         self.pipeline.timers.call_later(0, self.pipeline.attempt_ended, *result)
 
@@ -84,7 +84,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_answer(self, answer: Answer) -> None: ...
+    def on_response(self, response: UpstreamResponse) -> None: ...
 
     def on_shed(self, wait: float) -> None:
         self.sheds += 1
@@ -188,7 +188,7 @@
             await injector.inject(step)
             await asyncio.sleep(0.01)
         await injector.repair()
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while (
                 application.components["etcd"].source is None
                 or application.components["etcd"].source.state is not FreshnessState.FRESH
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -27,7 +27,7 @@
 from standins.demo import NodeProcess
 from standins.etcd import Etcd
 from standins.fleet import operators_file
-from tests.net import WAIT, Client, Peer, config, request, run
+from tests.net import WAIT_S, Client, ScriptedServer, config, request, run
 from tests.processor.test_failures import create_authority, create_certificate_files, key_pem, pem
 
 PREFIX = "/badgercart/servers/"
@@ -37,7 +37,7 @@
 }  # fmt: skip
 
 
-def entry_json(name: str, peer: Peer | None = None, state: str = "active") -> str:
+def entry_json(name: str, peer: ScriptedServer | None = None, state: str = "active") -> str:
     port = peer.port if peer else 7000 + len(name)
     return json.dumps({"instanceId": name, "hostPort": f"127.0.0.1:{port}", "lifecycle": state})
 
@@ -59,7 +59,7 @@
         }
 
     async def wait_until(self, condition: Any) -> None:
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_S):
             while not condition():
                 await asyncio.sleep(0.002)
 
@@ -118,7 +118,7 @@
         async with running_members() as (etcd,), running_node(etcd) as node:
             # The node has no list yet.
             assert await node.health_status() == 503 and await node.request_status() == 503
-            peer, other = await Peer().start(), await Peer().start()
+            peer, other = await ScriptedServer().start(), await ScriptedServer().start()
             await etcd.put(PREFIX + "a", entry_json("a", peer))
             await node.wait_for_list(a="ready")
             await node.wait_for_state(FreshnessState.FRESH)
@@ -384,7 +384,7 @@
 
 def test_requests_are_shed_while_the_list_is_stale_and_learned_state_is_kept() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running_members() as (etcd,):
             await etcd.put(PREFIX + "a", entry_json("a", peer))
             async with running_node(etcd) as node:
@@ -411,7 +411,7 @@
 
 def test_with_go_on_a_stale_list_is_used() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running_members() as (etcd,):
             await etcd.put(PREFIX + "a", entry_json("a", peer))
             async with running_node(etcd, when_stale="go-on") as node:
@@ -429,7 +429,7 @@
     drain_received: bool,
 ) -> None:
     async def test() -> None:
-        draining, other = await Peer().start(), await Peer().start()
+        draining, other = await ScriptedServer().start(), await ScriptedServer().start()
         async with running_members() as (etcd,):
             await etcd.put(PREFIX + "a", entry_json("a", draining))
             await etcd.put(PREFIX + "b", entry_json("b", other))
@@ -468,7 +468,7 @@
     monkeypatch.setattr(client, "SAVE_INTERVAL_S", 0.0)
 
     async def test() -> None:
-        peer, path = await Peer().start(), tmp_path / "known.json"
+        peer, path = await ScriptedServer().start(), tmp_path / "known.json"
         async with running_members() as (etcd,):
             await etcd.put(PREFIX + "a", entry_json("a", peer))
             async with running_node(etcd, known_file=str(path)) as node:
@@ -504,7 +504,7 @@
 
 def test_times_and_guard_share_change_without_a_restart() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         async with running_members() as (etcd,):
             await etcd.put(PREFIX + "a", entry_json("a", peer))
             async with running_node(etcd, stale_after_ms=1e9, doubtful_after_ms=1e9) as node:
@@ -535,7 +535,7 @@
             await node.start(path)
             path.write_text(operators_file("", second.address))
             node.process.send_signal(signal.SIGHUP)
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while not any("full: b ready" in line for line in node.lines):
                     await asyncio.sleep(0.01)
             assert await node.stop() == 0
--- a/tests/etcd/test_standin.py
+++ b/tests/etcd/test_standin.py
@@ -15,7 +15,7 @@
 from aetcd.rpc import rpc_pb2, rpc_pb2_grpc
 
 from standins.etcd import Etcd
-from tests.net import WAIT, run
+from tests.net import WAIT_S, run
 
 
 @asynccontextmanager
@@ -39,7 +39,7 @@
 
 
 async def read_response(call: Any) -> Any:
-    return await asyncio.wait_for(call.read(), WAIT)
+    return await asyncio.wait_for(call.read(), WAIT_S)
 
 
 def test_a_third_party_client_reads_writes_and_compares() -> None:
@@ -81,7 +81,7 @@
             await client.put(b"other", b"")
             await client.delete(b"k/1")
             events = []
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 async for event in watch:
                     events.append((str(event.kind), event.kv.key))
                     if len(events) == 3:
@@ -104,7 +104,7 @@
             other = await client.lease(1)
             await client.put(b"m", b"1", lease=other)
             etcd.store.leases[other.id].until = 0.0
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while await client.get(b"m") is not None:
                     await asyncio.sleep(0.01)
         async with running_member(users={"root": "secret"}) as etcd:
@@ -235,7 +235,7 @@
                 assert not done
                 etcd.frozen = False
                 await etcd.wake()
-                assert (await asyncio.wait_for(waiting, WAIT)).events[0].kv.value == b"1"
+                assert (await asyncio.wait_for(waiting, WAIT_S)).events[0].kv.value == b"1"
                 etcd.twice = True
                 await etcd.put("k", "2")
                 assert (await read_response(call)).events == (await read_response(call)).events
@@ -266,7 +266,7 @@
 
         async def read_line() -> str:
             assert process.stdout is not None
-            return (await asyncio.wait_for(process.stdout.readline(), WAIT)).decode().strip()
+            return (await asyncio.wait_for(process.stdout.readline(), WAIT_S)).decode().strip()
 
         first_line = await read_line()
         assert first_line.startswith("listening on 127.0.0.1:")
--- a/tests/hot_restart/test_golden.py
+++ b/tests/hot_restart/test_golden.py
@@ -5,14 +5,14 @@
 from pathlib import Path
 
 from badgercart.hot_restart.state_transfer import decode, encode
-from tests.statistics.test_golden import CONFIG, memory
+from tests.statistics.test_golden import CONFIG, example_statistics
 
 FILE = Path(__file__).parent / "golden" / "handover.txt"
 NOW, OFFSET = 1_000_000.0, 777.0
 
 
 def written() -> bytes:
-    return encode(memory(), CONFIG, NOW, OFFSET)
+    return encode(example_statistics(), CONFIG, NOW, OFFSET)
 
 
 def test_the_file_is_encoded_unchanged() -> None:
@@ -20,4 +20,4 @@
 
 
 def test_the_file_is_decoded_unchanged() -> None:
-    assert decode(FILE.read_bytes(), CONFIG, NOW + 5.0, OFFSET) == memory()
+    assert decode(FILE.read_bytes(), CONFIG, NOW + 5.0, OFFSET) == example_statistics()
--- a/tests/processor/test_failures.py
+++ b/tests/processor/test_failures.py
@@ -28,7 +28,7 @@
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
 from standins.scripted_proxy import ScriptedProxy, request_message, told_headers
-from tests.net import CLASSES, WAIT, run
+from tests.net import CLASSES, WAIT_S, run
 from tests.processors import SERVERS, request_headers, site_with_processor
 
 DESTINATION = "x-gateway-destination-endpoint"
@@ -85,7 +85,7 @@
             await over.call.wait_for_connection()
             assert await over.status() == "resource_exhausted"
             streams[0].cancel()
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_S):
                 while len(harness.processor.connections) == 3000:
                     await asyncio.sleep(0.001)
             assert (await proxy.stream().ask(request_headers())).HasField("request_headers")
@@ -266,7 +266,7 @@
             for stream in (*streams, waiting):
                 assert (await stream.respond(200)).HasField("response_headers")
                 await stream.half_close()
-            assert await asyncio.wait_for(node.process.wait(), WAIT) == 0
+            assert await asyncio.wait_for(node.process.wait(), WAIT_S) == 0
         await node.reading
         await fleet.stop()
 
@@ -308,7 +308,7 @@
 
 async def wait_for_log(node: NodeProcess, text: str) -> None:
     """Wait until a text is logged."""
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_S):
         while not any(text in line for line in node.lines):
             await asyncio.sleep(0.01)
 
@@ -444,7 +444,7 @@
             str(path),
             stderr=asyncio.subprocess.PIPE,
         )
-        _, errors = await asyncio.wait_for(process.communicate(), WAIT)
+        _, errors = await asyncio.wait_for(process.communicate(), WAIT_S)
         assert process.returncode == 2 and str(port) in errors.decode().splitlines()[-1]
         taken.close()
 
--- a/tests/processor/test_streams.py
+++ b/tests/processor/test_streams.py
@@ -44,7 +44,7 @@
             answer = await stream.respond(200, served=SERVERS[0])
             assert answer.HasField("response_headers") and not told_headers(answer)
             outcome = await harness.event(AttemptEnded)
-            assert (outcome.result, outcome.completed) == (AttemptResult.OK, True)
+            assert (outcome.result, outcome.request_finished) == (AttemptResult.OK, True)
             await stream.half_close()
             assert await stream.status() == "ok"
             await harness.settled()
@@ -61,7 +61,7 @@
             headers |= {"x-request-id": "r", "x-envoy-expected-rq-timeout-ms": "700"}
             before = harness.pipeline.clock()
             await proxy.stream().ask(headers)
-            assert 0 < (await harness.event(Request)).deadline - before <= 700 + 1000
+            assert 0 < (await harness.event(Request)).deadline_at_ms - before <= 700 + 1000
 
     run(test())
 
@@ -362,7 +362,7 @@
             stream.cancel()
             await harness.event(RequestCancelled)
             await harness.settled()
-            assert [o.parked for o in harness.of(AttemptEnded)] == [True] and harness.of(
+            assert [o.retry_deferred for o in harness.of(AttemptEnded)] == [True] and harness.of(
                 RetryDecisionDue
             ) == []
 
