--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -428,7 +428,7 @@
     ],
 )
 def test_the_sums_of_the_timeouts_are_within_the_limit(pace: CallTiming) -> None:
-    """From the constants: a silent watch or an outage, and two calls behind it that say nothing."""
+    """The worst cases are a silent watch or an outage, and then two calls without a response."""
     call, rest, pause = (
         1.25 * pace.response_timeout_s,
         1.25 * pace.later_response_timeout_s,
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -84,7 +84,7 @@
     def client_is_gone(self) -> bool:
         return False
 
-    def on_response(self, answer: UpstreamResponse) -> None: ...
+    def on_response(self, response: UpstreamResponse) -> None: ...
 
     def on_shed(self, wait: float) -> None:
         self.sheds += 1
