--- a/badgercart/capture/anonymise.py
+++ b/badgercart/capture/anonymise.py
@@ -67,7 +67,7 @@
     told = list(events(segment))
     if not told:
         raise CodecError("there is no event")
-    if segment.head["events_before"]:
+    if segment.header["events_before"]:
         told.insert(0, CapturedEvent(told[0].now, fleet(state), b""))
     return told
 
@@ -78,7 +78,7 @@
 
     Raises FormatError, CodecError and OSError."""
     segment = Segment(source.read_bytes())
-    settings = decode_settings(segment.head["settings"])
+    settings = decode_settings(segment.header["settings"])
     names = Pseudonyms(secret or secrets.token_bytes(32), len(settings.quotas_per_s))
     quotas = [0.0] * len(settings.quotas_per_s)
     for number, quota in enumerate(settings.quotas_per_s):
@@ -86,7 +86,7 @@
     settings = replace(settings, quotas_per_s=tuple(quotas))
     items = items_of(segment, initial_policy(segment))
     shift = items[0].now - BEGIN
-    seed = names("seed", segment.head["seed"] + 1)
+    seed = names("seed", segment.header["seed"] + 1)
     count, taken, data = render(settings, seed, moved(items, shift, names))
     output.write_bytes(data)
     return count, taken
--- a/badgercart/capture/build.py
+++ b/badgercart/capture/build.py
@@ -7,12 +7,12 @@
 
 from badgercart.capture.codec import EncodedEvent, encode_batch, plain_actions, plain_event
 from badgercart.capture.format import (
-    VERSION,
+    FORMAT_VERSION,
     RecordKind,
     SegmentIndex,
-    encode_closing,
-    encode_head,
+    encode_header,
     encode_record,
+    encode_trailer,
 )
 from badgercart.policy.actions import Action
 from badgercart.policy.events import Event
@@ -25,7 +25,7 @@
 
     def __init__(self, fields: dict[str, Any]) -> None:
         """`fields` of the head, as the design note has them."""
-        self.out = [encode_head(fields | {"format": VERSION})]
+        self.out = [encode_header(fields | {"format": FORMAT_VERSION})]
         self.batch: list[EncodedEvent] = []
         self.events = 0
         self.times = (0.0, 0.0)
@@ -53,4 +53,4 @@
         low, high = min(self.numbers, default=0), max(self.numbers, default=0)
         index = SegmentIndex(self.events, 0, *self.times, low, high, [])
         at = sum(map(len, self.out))
-        return b"".join((*self.out, encode_closing(index, at)))
+        return b"".join((*self.out, encode_trailer(index, at)))
--- a/badgercart/capture/commands.py
+++ b/badgercart/capture/commands.py
@@ -56,14 +56,14 @@
             if record.kind is RecordKind.GAP:
                 lost += int.from_bytes(record.payload)
             notes += record.kind is RecordKind.NOTE
-        began = datetime.fromtimestamp(segment.head["wall_ms"] / 1000, UTC).isoformat(
+        began = datetime.fromtimestamp(segment.header["wall_ms"] / 1000, UTC).isoformat(
             timespec="seconds"
         )
         rows.append(
             {
                 "segment": path.name,
                 "format": segment.version,
-                "node": segment.head["node"],
+                "node": segment.header["node"],
                 "began": began,
                 "events": count,
                 "notes": notes,
@@ -127,7 +127,7 @@
         raise CommandError(f"{file}: {error}") from None
     records = list(segment.records())
     index = next((record.offset for record in records if record.kind is RecordKind.INDEX), 0)
-    end = b"" if records and records[-1].kind is RecordKind.END else segment.close(index)
+    end = b"" if records and records[-1].kind is RecordKind.END else segment.encode_end(index)
     Path(output).write_bytes(segment.data[: segment.usable_bytes] + end)
     click.echo(
         f"{output}: {len(records)} records kept, {len(segment.data) - segment.usable_bytes} bytes left out"
--- a/badgercart/capture/component.py
+++ b/badgercart/capture/component.py
@@ -1,4 +1,4 @@
-"""Captures what the policy is told, as a component of a node."""
+"""The capture as a component of a node: opens, flushes and closes the capture writer."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class CaptureComponent:
-    """Logs decisions from before the policy is told anything until all is drained."""
+    """Captures all events of the policy, from before its first one until the node has drained."""
 
     def __init__(self, host: ComponentHost, settings: CaptureSettings) -> None:
         """Begin the first segment. Raises NotADirectoryError where there is no such folder."""
@@ -30,81 +30,83 @@
         if not self.folder.is_dir():
             raise NotADirectoryError(f"{self.folder} is no folder")
         config = host.config
-        self.capture: CaptureWriter = CaptureWriter(
+        self.writer: CaptureWriter = CaptureWriter(
             settings,
             self.folder,
             config.name,
             host.pipeline.policy,
             config.seed,
-            self.gap,
-            self.failed,
+            self.log_gap,
+            self.on_write_failure,
         )
-        host.pipeline.decision_log = self.capture.tap
-        self.timer: asyncio.TimerHandle | None = None
-        self.undo: list[Callable[[], None]] = []
+        host.pipeline.decision_log = self.writer.record_event
+        self.flush_timer: asyncio.TimerHandle | None = None
+        self.undo_recording: list[Callable[[], None]] = []
         host.metrics.counter(
-            "badgercart_capture_events", "Events that were captured.", lambda: self.capture.total
+            "badgercart_capture_events",
+            "Events that were captured.",
+            lambda: self.writer.total_events,
         )
         host.metrics.gauge(
             "badgercart_capture_waiting_bytes",
             "Bytes that wait for the disk.",
-            lambda: self.capture.disk.waiting + self.capture.out_size,
+            lambda: self.writer.disk.queued_bytes + self.writer.buffered_bytes,
         )
 
-    def join_streams(self) -> None:
-        """Have the other deciding machines on the same tap; they are all made by now."""
+    def record_machines(self) -> None:
+        """Record the calls of the node's other state machines too; all of them exist by now."""
         from badgercart.capture.streams import record_calls, state_note
 
         for name, machine in self.host.protocol_machines.items():
-            self.capture.snapshots.append(partial(state_note, name, machine))
-            self.capture.note(state_note(name, machine))
-            self.undo.append(record_calls(name, machine, self.capture.note))
+            self.writer.snapshots.append(partial(state_note, name, machine))
+            self.writer.record_note(state_note(name, machine))
+            self.undo_recording.append(record_calls(name, machine, self.writer.record_note))
 
     async def start(self) -> None:
-        """Begin with what the policy was given by now, and write now and then."""
-        self.capture.begin_anew()
-        self.join_streams()
+        """Begin with the state that the policy was given so far, and flush periodically."""
+        self.writer.restart_first_segment()
+        self.record_machines()
         WRITING(folder=str(self.folder))
         self.flush()
 
     def flush(self) -> None:
-        """Hand over what has gathered, and set the timer of the next time."""
-        self.capture.flush()
-        self.timer = self.host.loop.call_later(FLUSH_INTERVAL_S, self.flush)
+        """Hand what is buffered over to the writer thread, and schedule the next flush."""
+        self.writer.flush()
+        self.flush_timer = self.host.loop.call_later(FLUSH_INTERVAL_S, self.flush)
 
-    def gap(self, count: int) -> None:
-        """Log that so many events were not captured."""
+    def log_gap(self, count: int) -> None:
+        """Log how many events were not captured."""
         GAP(count=count)
 
-    def failed(self, error: OSError) -> None:
-        """Log that the folder can't be written, and capture nothing more."""
+    def on_write_failure(self, error: OSError) -> None:
+        """Log that the folder can't be written, and stop capturing."""
         OFF(error=error)
-        self.leave()
+        self.stop_recording()
 
-    def leave(self) -> None:
-        """Capture nothing more."""
+    def stop_recording(self) -> None:
+        """Detach the capture from the policy and the other state machines."""
         self.host.pipeline.decision_log = None
-        while self.undo:
-            self.undo.pop()()
+        while self.undo_recording:
+            self.undo_recording.pop()()
 
     def prepare(self, settings: CaptureSettings) -> Callable[[], None] | None:
-        """Return nothing: no setting changes without a restart."""
+        """Return None: a reload applies no setting of the capture, only a restart does."""
         return None
 
     async def drain(self, until: float) -> None:
-        """Go on: what is still decided is captured, too."""
+        """Do nothing: what the policy decides while the node drains is captured too."""
 
     def close(self) -> None:
         """Close the last segment."""
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.flush_timer is not None:
+            self.flush_timer.cancel()
         if self.host.pipeline.decision_log is not None:
-            self.leave()
-            self.capture.close()
+            self.stop_recording()
+            self.writer.close()
 
 
 def check(settings: CaptureSettings, file: CheckedFile) -> Iterator[tuple[Path, str]]:
-    """Give what is wrong with settings, by their path."""
+    """Yield the faults of the settings, each with its path."""
     if settings.keep_bytes < 2 * settings.segment_bytes:
         yield ("keep_bytes",), "holds no two segments"
 
--- a/badgercart/capture/edit.py
+++ b/badgercart/capture/edit.py
@@ -30,7 +30,7 @@
             break
         if item.now >= begin and built is None:
             built = SegmentBuilder(
-                segment.head | {"state": dump_policy(policy), "events_before": before}
+                segment.header | {"state": dump_policy(policy), "events_before": before}
             )
         actions = decide(policy, item.now, item.event)
         same, running = item.same(actions, running)
@@ -52,7 +52,7 @@
     Raises FormatError, CodecError and OSError."""
     one, other = Segment(first.read_bytes()), Segment(second.read_bytes())
     for name in HEADS:
-        if one.head[name] != other.head[name]:
+        if one.header[name] != other.header[name]:
             yield f"{name}: differs"
     told_event = told_decision = False
     pairs = itertools.zip_longest(events(one), events(other))
--- a/badgercart/capture/replay.py
+++ b/badgercart/capture/replay.py
@@ -24,9 +24,9 @@
 from badgercart.policy.events import Event
 from badgercart.policy.policy import Policy
 
-SUFFIX = ".bcap"
+SEGMENT_SUFFIX = ".bcap"
 U32 = 4  # bytes of the running checksum ahead of an event of format 1
-NAME = re.compile(rf"(\d+)-(\d+){re.escape(SUFFIX)}")
+NAME = re.compile(rf"(\d+)-(\d+){re.escape(SEGMENT_SUFFIX)}")
 
 
 def find_segments(paths: Iterable[str]) -> list[Path]:
@@ -34,7 +34,7 @@
     found: list[Path] = []
     for text in paths:
         path = Path(text)
-        found += sorted(path.glob(f"*{SUFFIX}")) if path.is_dir() else [path]
+        found += sorted(path.glob(f"*{SEGMENT_SUFFIX}")) if path.is_dir() else [path]
     return found
 
 
@@ -111,7 +111,7 @@
     Where its files are others now, it is made anew, and later on has what it did not have then as a
     new one has it.
     """
-    head = segment.head
+    head = segment.header
     if head["module"] == module_digest():
         return load_policy(head["state"])
     if not head["events_before"] and not head.get("adopted"):
@@ -152,7 +152,7 @@
     told = ReplayReport(path.name)
     streams = NoteReplayer()
     try:
-        told.other_module = segment.head["module"] != module_digest()
+        told.other_module = segment.header["module"] != module_digest()
         policy, running = initial_policy(segment), 0
         for record in segment.records():
             if record.kind is RecordKind.GAP:
--- a/badgercart/capture/report.py
+++ b/badgercart/capture/report.py
@@ -71,7 +71,7 @@
         """Read a segment. Raises FormatError, CodecError and OSError."""
         segment = Segment(path.read_bytes())
         policy = initial_policy(segment)
-        self.node = segment.head["node"]
+        self.node = segment.header["node"]
         self.worths = tuple(cls.priority_weight for cls in policy.settings.classes)
         for server in policy.fleet.endpoints.by_id.values():
             self.states.setdefault(server.endpoint.id, server.endpoint.state)
--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -53,7 +53,7 @@
             self.capture = CaptureWriter(
                 settings, folder, "n", self.join.policy, 1, self.lost, self.broken
             )
-            self.join.decision_log = self.capture.tap
+            self.join.decision_log = self.capture.record_event
         entries = [Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for n in range(1, 11)]
         self.join.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
 
@@ -97,7 +97,7 @@
                     TOOK,
                     answer,
                 )
-            while self.capture is not None and self.capture.disk.waiting > 1 << 20:
+            while self.capture is not None and self.capture.disk.queued_bytes > 1 << 20:
                 time.sleep(0.01)  # no node sends so many requests: the writer keeps up
         if self.capture is not None:
             self.capture.close()
--- a/tests/capture/golden_parts.py
+++ b/tests/capture/golden_parts.py
@@ -23,12 +23,12 @@
     plain_event,
 )
 from badgercart.capture.format import (
-    VERSION,
+    FORMAT_VERSION,
     RecordKind,
     SegmentIndex,
-    encode_closing,
-    encode_head,
+    encode_header,
     encode_record,
+    encode_trailer,
 )
 from badgercart.capture.streams import record_calls, state_note
 from badgercart.discovery.freshness import Freshness, Rule
@@ -172,7 +172,7 @@
 def header(**changed: Any) -> dict[str, Any]:
     return {
         "node": "n-1", "seed": 7, "settings": encode_settings(SETTINGS), "module": {"rules.py": "00ff"},
-        "format": VERSION, "segment": 3, "events_before": 5, "wall_ms": 1.75e12, "state": b"",
+        "format": FORMAT_VERSION, "segment": 3, "events_before": 5, "wall_ms": 1.75e12, "state": b"",
         "adopted": True,
     } | changed  # fmt: skip
 
@@ -183,7 +183,7 @@
         (*plain_event(100.0 + at, event), plain_actions(decisions(at)))
         for at, event in enumerate(EVENTS)
     ]
-    parts = [encode_head(header())]
+    parts = [encode_header(header())]
     parts += [encode_record(RecordKind.NOTE, note) for note in notes()]
     at = sum(map(len, parts))
     parts += [
@@ -191,7 +191,7 @@
         encode_record(RecordKind.GAP, (321).to_bytes(8)),
     ]
     index = SegmentIndex(len(EVENTS), 321, 100.0, 99.0 + len(EVENTS), 1, 2, [(0, 100.0, at)])
-    return b"".join((*parts, encode_closing(index, sum(map(len, parts)))))
+    return b"".join((*parts, encode_trailer(index, sum(map(len, parts)))))
 
 
 def format_1() -> bytes:
--- a/tests/capture/support.py
+++ b/tests/capture/support.py
@@ -134,7 +134,7 @@
         made.append(
             CaptureWriter(chosen, folder, "n-1", join.policy, seed, lambda lost: None, fail)
         )
-        join.decision_log = made[0].tap
+        join.decision_log = made[0].record_event
 
     day = Saturday(seed, tap)
     day.play(requests)
--- a/tests/capture/test_golden.py
+++ b/tests/capture/test_golden.py
@@ -117,7 +117,7 @@
 
 
 def test_settings_stand_under_their_stored_names() -> None:
-    stored = Segment((GOLDEN / "format-2.bin").read_bytes()).head["settings"]
+    stored = Segment((GOLDEN / "format-2.bin").read_bytes()).header["settings"]
     assert decode_settings(stored) == SETTINGS and encode_settings(SETTINGS)["classes"][1] == {
         "aim": 750.0, "deadline": 1900.0, "worth": 8.0, "effect": "keyed", "group": "cell", "window": 6000.0,
         "late_value": 0.25, "in_order": True,
--- a/tests/capture/test_kill.py
+++ b/tests/capture/test_kill.py
@@ -32,7 +32,7 @@
             os.kill(os.getpid(), signal.SIGKILL)
 Path.open = lambda self, mode="r", *args, **more: (
     Killing(plain(self, mode, *args, **more)) if mode == "ab" else plain(self, mode, *args, **more))
-writer.CHUNK = 512
+writer.CHUNK_BYTES = 512
 captured(Path(sys.argv[1]), 1, 800, segment_bytes=1 << 13)
 """
 
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -39,7 +39,7 @@
     """A day in several segments."""
     folder = tmp_path_factory.mktemp("day")
     made, capture = captured(folder, requests=3200, segment_bytes=1 << 14)
-    assert capture.number >= 3 and made.answers > 1000
+    assert capture.segment_number >= 3 and made.answers > 1000
     return folder
 
 
@@ -71,10 +71,10 @@
     """It had a plain dict of servers without points, all buckets in a list, and faded all
     servers."""
     segment = Segment(find_segments([str(day)])[1].read_bytes())
-    old = policy_state.stored_values(load_policy(segment.head["state"]))
+    old = policy_state.stored_values(load_policy(segment.header["state"]))
     del old["buckets"], old["touched"], old["leaked"]
     old["quota_used"], old["unplaced"] = [3.0, 3.0], dict.fromkeys(old["ready"][:3])
-    segment.head |= {"state": policy_state.dump_values(old), "module": {"rules.py": "another"}}
+    segment.header |= {"state": policy_state.dump_values(old), "module": {"rules.py": "another"}}
     policy, came = initial_policy(segment), 0
     assert (
         policy.fleet.endpoints.active == policy.fleet.endpoints.by_id.keys()
@@ -176,28 +176,30 @@
 def test_a_slow_disk_makes_a_counted_gap_behind_which_replay_goes_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    put, held, gaps = writer.DiskWriter.put, [], []
+    put, held, gaps = writer.DiskWriter.append, [], []
     chosen = CaptureSettings.model_construct(folder="", buffer_bytes=1 << 14)
     day = Saturday(2)
     capture = writer.CaptureWriter(
         chosen, tmp_path, "n", day.join.policy, 2, gaps.append, failures_are_none
     )
-    day.join.decision_log = capture.tap
+    day.join.decision_log = capture.record_event
     with monkeypatch.context() as patch:
 
         def stalled(self: writer.DiskWriter, segment: str, data: bytes) -> None:
             held.append((segment, data))
-            self.waiting += len(data)
+            self.queued_bytes += len(data)
 
-        patch.setattr(writer.DiskWriter, "put", stalled)
+        patch.setattr(writer.DiskWriter, "append", stalled)
         day.play(600)
         assert (
-            capture.lost > 300 and capture.disk.waiting + capture.out_size <= capture.bound + 8000
+            capture.lost_events > 300
+            and capture.disk.queued_bytes + capture.buffered_bytes
+            <= capture.max_buffered_bytes + 8000
         )  # one batch
     for segment, data in held:  # the disk comes back
-        capture.disk.waiting -= len(data)
+        capture.disk.queued_bytes -= len(data)
         put(capture.disk, segment, data)
-    while capture.disk.waiting:
+    while capture.disk.queued_bytes:
         capture.disk.thread.join(0.01)
     capture.settings = CaptureSettings.model_construct(folder="")  # room enough from here on
     day.play(300)
@@ -224,9 +226,9 @@
     failures: list[OSError] = []
     capture = writer.CaptureWriter(
         CaptureSettings.model_construct(folder=""), folder, "n", day.join.policy, 1, lambda lost: None,
-        lambda error: (failures.append(error), setattr(day.join, "tap", None)),
+        lambda error: (failures.append(error), setattr(day.join, "decision_log", None)),
     )  # fmt: skip
-    day.join.decision_log = capture.tap
+    day.join.decision_log = capture.record_event
     folder.rmdir()
     capture.flush()
     capture.disk.thread.join(5)
@@ -238,7 +240,7 @@
     _, capture = captured(tmp_path, 1, 2500, segment_bytes=1 << 13, keep_bytes=1 << 17)
     kept = find_segments([str(tmp_path)])
     assert sum(path.stat().st_size for path in kept) <= 1 << 17
-    assert kept[-1].name == capture.segment and capture.number > len(kept)
+    assert kept[-1].name == capture.segment and capture.segment_number > len(kept)
     assert all(part.identical for part in replay_all(kept))
 
 
@@ -320,4 +322,4 @@
         "Subscribe",
         "Log",
     ]
-    assert [kind.value for kind in RecordKind] == [1, 2, 3, 4, 5, 6] and format.VERSION == 2
+    assert [kind.value for kind in RecordKind] == [1, 2, 3, 4, 5, 6] and format.FORMAT_VERSION == 2
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -81,10 +81,10 @@
     day, freshness = Saturday(1), Freshness(Rule())
     chosen = CaptureSettings.model_construct(folder="", segment_bytes=1 << 14)
     capture = CaptureWriter(chosen, tmp_path, "n", day.join.policy, 1, lambda lost: None, print)
-    day.join.decision_log = capture.tap
+    day.join.decision_log = capture.record_event
     capture.snapshots.append(lambda: state_note("list", freshness))
-    capture.note(state_note("list", freshness))
-    record_calls("list", freshness, capture.note)
+    capture.record_note(state_note("list", freshness))
+    record_calls("list", freshness, capture.record_note)
     for _ in range(60):
         freshness.proof(day.clockwork.now - 3500.0)
         day.play(20)
@@ -145,7 +145,7 @@
         chosen = CaptureSettings.model_construct(folder="")
         policy = join.policy  # type: ignore[attr-defined]
         made.append(CaptureWriter(chosen, tmp_path, "n", policy, 1, lambda lost: None, print))
-        join.decision_log = made[0].tap  # type: ignore[attr-defined]
+        join.decision_log = made[0].record_event  # type: ignore[attr-defined]
 
     day = Saturday(1, tap)
     day.play(200)
--- a/tests/capture/test_whatif.py
+++ b/tests/capture/test_whatif.py
@@ -47,7 +47,7 @@
     )
     change = ChangeSummary()
     segment = Segment(DAY.read_bytes())
-    what_if(Policy(codec.decode_settings(segment.head["settings"]), 7), events(segment), change)
+    what_if(Policy(codec.decode_settings(segment.header["settings"]), 7), events(segment), change)
     assert change.gained > 100 and change.gained > change.lost and len(change.first) == 10
 
     monkeypatch.setattr(EndpointSelector, "select", lambda self, pending, now_ms: None)
@@ -77,7 +77,7 @@
 
     assert not numbers(then) & numbers(now) and len(numbers(then)) >= len(numbers(now)) > 30
     assert now[0].now == 1000.0
-    head = Segment(out.read_bytes()).head
+    head = Segment(out.read_bytes()).header
     assert head["node"] == "" and head["wall_ms"] == 0.0 and head["seed"] != 7
 
     def served(items: list[object]) -> int:
@@ -111,5 +111,5 @@
     assert all(link.startswith("#") for link in page.links) and page.tags.count("svg") == 1
     assert page.tags.count("table") == 2 and "Overload" in text and "demo" in text
     empty = tmp_path / "empty.bcap"
-    empty.write_bytes(DAY.read_bytes()[: Segment(DAY.read_bytes()).start])
+    empty.write_bytes(DAY.read_bytes()[: Segment(DAY.read_bytes()).records_offset])
     assert main(["capture", "report", str(empty), "-o", str(out)]) == 1
