--- a/badgercart/capture/codec.py
+++ b/badgercart/capture/codec.py
@@ -1,7 +1,7 @@
-"""Events and actions as bytes, and back; and a policy's state at the head of a segment. No I/O.
+"""Encodes events, actions, settings and a policy's state as bytes, and decodes them. No I/O.
 
-Why msgspec: it writes MessagePack in one pass of C, which keeps the tap cheap, and any reader of
-MessagePack can read a capture. A policy's state: `policy_state.py`.
+msgspec writes MessagePack in one pass of C code, which keeps the capture of an event cheap, and any
+MessagePack reader can read a capture. `policy_state.py` encodes a policy's state.
 """
 
 from __future__ import annotations
@@ -53,7 +53,8 @@
 from badgercart.policy.policy import Policy
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-# The numbers stand in files: a new one is added at the end, none is ever used again.
+# Captures store the positions in these tuples: a new type goes to the end, and the position of a
+# removed type is never used again.
 EVENTS: tuple[type, ...] = (
     EndpointUpdate,
     Request,
@@ -74,35 +75,42 @@
 ACTIONS: tuple[type, ...] = (Send, Shed, Fail, CancelAttempt, SetTimer, HealthCheck, Subscribe, Log)
 _EVENT_NUMBERS = {kind: number for number, kind in enumerate(EVENTS)}
 _ACTION_NUMBERS = {kind: number for number, kind in enumerate(ACTIONS)}
-_encode = msgspec.msgpack.Encoder().encode
+_encode_msgpack = msgspec.msgpack.Encoder().encode
 
 
-def _getter(kind: Any) -> Callable[[Any], tuple[Any, ...]]:
-    """All fields of a dataclass at once, in C: this runs for every event of a node."""
+def _field_getter(kind: Any) -> Callable[[Any], tuple[Any, ...]]:
+    """Return a function that gives all fields of a dataclass instance as a tuple.
+
+    It runs for every event of a node, so `attrgetter` does it in C code.
+    """
     names = [field.name for field in dataclasses.fields(kind)]
     if len(names) > 1:
         return attrgetter(*names)
     return lambda item: tuple(getattr(item, name) for name in names)
 
 
-_FIELDS = {kind: _getter(kind) for kind in (*EVENTS, *ACTIONS, Endpoint)}
+_FIELD_GETTERS = {kind: _field_getter(kind) for kind in (*EVENTS, *ACTIONS, Endpoint)}
 
-
-_REACHABLE = 9  # the place of `reachable_endpoints` among the fields of a Request
+# The position of `reachable_endpoints` among the fields of a Request.
+_REACHABLE_POSITION = 9
 
 
 class CodecError(Exception):
-    """Bytes that can't be read: what is wrong with them."""
+    """Stored bytes can't be decoded; the message says what is wrong with them."""
 
 
-def plain_event(now: float, event: Event) -> tuple[int, float, tuple[Any, ...]]:
-    """Return an event as `(number, now, (field, ...))`; nothing in it can change later."""
+def plain_event(now_ms: float, event: Event) -> tuple[int, float, tuple[Any, ...]]:
+    """Return an event as `(type number, now_ms, (field, ...))`, a copy that can't change later."""
     kind = type(event)
-    fields = _FIELDS[kind](event)
+    fields = _FIELD_GETTERS[kind](event)
     if kind is EndpointUpdate:
-        fields = (*fields[:-1], [_FIELDS[Endpoint](entry) for entry in fields[-1]])
+        fields = (*fields[:-1], [_FIELD_GETTERS[Endpoint](entry) for entry in fields[-1]])
     elif kind is Request and event.reachable_endpoints is not None:  # type: ignore[union-attr]
-        fields = (*fields[:_REACHABLE], sorted(fields[_REACHABLE]), *fields[_REACHABLE + 1 :])
+        fields = (
+            *fields[:_REACHABLE_POSITION],
+            sorted(fields[_REACHABLE_POSITION]),
+            *fields[_REACHABLE_POSITION + 1 :],
+        )
     elif isinstance(event, SettingsChanged):
         fields = (
             encode_settings(event.settings),
@@ -118,34 +126,36 @@
             sorted(event.planned_tenants),
             event.offload_shares,
         )
-    return _EVENT_NUMBERS[kind], now, fields
+    return _EVENT_NUMBERS[kind], now_ms, fields
 
 
 def plain_actions(actions: Sequence[Action] | None) -> list[tuple[int, tuple[Any, ...]]] | None:
-    """Return actions as `[(number, (field, ...)), ...]`; None where the policy raised."""
+    """Return actions as `[(type number, (field, ...)), ...]`; None where the policy raised."""
     if actions is None:
         return None
-    return [(_ACTION_NUMBERS[type(action)], _FIELDS[type(action)](action)) for action in actions]
+    return [
+        (_ACTION_NUMBERS[type(action)], _FIELD_GETTERS[type(action)](action)) for action in actions
+    ]
 
 
 def encode_actions(actions: Sequence[Action] | None) -> bytes:
     """Return actions as MessagePack; nil where the policy raised."""
-    return _encode(plain_actions(actions))
+    return _encode_msgpack(plain_actions(actions))
 
 
 EncodedEvent = tuple[int, float, tuple[Any, ...], "list[tuple[int, tuple[Any, ...]]] | None"]
-encode_batch: Callable[[list[EncodedEvent]], bytes] = _encode
+encode_batch: Callable[[list[EncodedEvent]], bytes] = _encode_msgpack
 
 
-def _server_list(kind: int, version: int, servers: list[list[Any]]) -> EndpointUpdate:
+def _decode_endpoint_update(kind: int, version: int, rows: list[list[Any]]) -> EndpointUpdate:
     entries = [
-        Endpoint(at, zone, machine, cell, EndpointState(state), size, started)
-        for at, zone, machine, cell, state, size, started in servers
+        Endpoint(endpoint_id, zone, machine_kind, cell, EndpointState(state), size, started_ms)
+        for endpoint_id, zone, machine_kind, cell, state, size, started_ms in rows
     ]
     return EndpointUpdate(UpdateKind(kind), version, entries)
 
 
-def _request(*fields: Any) -> Request:
+def _decode_request(*fields: Any) -> Request:
     event = Request(*fields)
     event.reachable_endpoints = (
         frozenset(event.reachable_endpoints) if event.reachable_endpoints is not None else None
@@ -153,111 +163,132 @@
     return event
 
 
-def _outcome(*fields: Any) -> AttemptEnded:
+def _decode_attempt_ended(*fields: Any) -> AttemptEnded:
     event = AttemptEnded(*fields)
     event.result, event.report = AttemptResult(event.result), tuple(event.report)
     return event
 
 
-def _diverted(*fields: Any) -> AttemptRerouted:
+def _decode_attempt_rerouted(*fields: Any) -> AttemptRerouted:
     event = AttemptRerouted(*fields)
     event.result = AttemptResult(event.result)
     return event
 
 
-def _retuned(
-    settings: dict[str, Any], live: list[int], fresh: list[int], tenants: Sequence[int] = ()
+def _decode_settings_changed(
+    settings: dict[str, Any],
+    live_classes: list[int],
+    reset_classes: list[int],
+    reset_tenants: Sequence[int] = (),
 ) -> SettingsChanged:
     return SettingsChanged(
-        decode_settings(settings), frozenset(live), frozenset(fresh), frozenset(tenants)
+        decode_settings(settings),
+        frozenset(live_classes),
+        frozenset(reset_classes),
+        frozenset(reset_tenants),
     )
 
 
-def _company(
-    size: int, me: int, may_live: int, parts: list[float], hearsay: list[list[Any]]
+def _decode_cluster_view(
+    size: int,
+    node_index: int,
+    possibly_alive: int,
+    quota_shares: list[float],
+    failure_reports: list[list[Any]],
 ) -> ClusterView:
     return ClusterView(
-        size, me, may_live, tuple(parts), tuple((server, level) for server, level in hearsay)
+        size,
+        node_index,
+        possibly_alive,
+        tuple(quota_shares),
+        tuple((endpoint_id, level) for endpoint_id, level in failure_reports),
     )
 
 
-def _planned(
+def _decode_traffic_plan(
     shares: list[list[float]],
-    spill: list[float],
-    lost: list[int],
-    bound: list[int],
-    strain: list[float],
+    spillover_rates_per_ms: list[float],
+    lost_zones: list[int],
+    planned_tenants: list[int],
+    offload_shares: list[float],
 ) -> TrafficPlan:
     rows = tuple(map(tuple, shares))
-    return TrafficPlan(rows, tuple(spill), frozenset(lost), frozenset(bound), tuple(strain))
+    return TrafficPlan(
+        rows,
+        tuple(spillover_rates_per_ms),
+        frozenset(lost_zones),
+        frozenset(planned_tenants),
+        tuple(offload_shares),
+    )
 
 
-_READ: dict[type, Callable[..., Any]] = {
-    EndpointUpdate: _server_list,
-    Request: _request,
-    AttemptEnded: _outcome,
-    AttemptRerouted: _diverted,
-    SettingsChanged: _retuned,
-    ClusterView: _company,
-    TrafficPlan: _planned,
+_EVENT_DECODERS: dict[type, Callable[..., Any]] = {
+    EndpointUpdate: _decode_endpoint_update,
+    Request: _decode_request,
+    AttemptEnded: _decode_attempt_ended,
+    AttemptRerouted: _decode_attempt_rerouted,
+    SettingsChanged: _decode_settings_changed,
+    ClusterView: _decode_cluster_view,
+    TrafficPlan: _decode_traffic_plan,
 }
 
 
-_BATCH: msgspec.msgpack.Decoder[list[tuple[int, float, list[Any], msgspec.Raw]]] = (
+_BATCH_DECODER: msgspec.msgpack.Decoder[list[tuple[int, float, list[Any], msgspec.Raw]]] = (
     msgspec.msgpack.Decoder(list[tuple[int, float, list[Any], msgspec.Raw]])
 )
 
 
-def _event(number: int, fields: list[Any]) -> Event:
+def _decode_event_fields(number: int, fields: list[Any]) -> Event:
     kind = EVENTS[number]
-    made: Event = _READ.get(kind, kind)(*fields)
-    return made
+    event: Event = _EVENT_DECODERS.get(kind, kind)(*fields)
+    return event
 
 
 def decode_event(data: bytes) -> tuple[float, Event]:
-    """Return an event with its time, as format 1 has it. Raises CodecError."""
+    """Return the event of a format 1 record with its time in ms. Raises CodecError."""
     try:
-        number, now, fields = msgspec.msgpack.decode(data)
-        return float(now), _event(number, fields)
+        number, now_ms, fields = msgspec.msgpack.decode(data)
+        return float(now_ms), _decode_event_fields(number, fields)
     except (msgspec.MsgspecError, ValueError, TypeError, IndexError) as error:
         raise CodecError(f"no event: {error}") from error
 
 
 def decode_batch(data: bytes) -> Iterator[tuple[float, Event, bytes]]:
-    """Give each event with its time and the actions that it led to, as `encode_actions` has them.
+    """Yield each event with its time in ms and its actions as encoded by `encode_actions`.
 
     Raises:
-        CodecError: The bytes are no batch.
+        CodecError: The bytes are not a batch.
     """
     try:
-        for number, now, fields, actions in _BATCH.decode(data):
-            yield now, _event(number, fields), bytes(actions)
+        for number, now_ms, fields, actions in _BATCH_DECODER.decode(data):
+            yield now_ms, _decode_event_fields(number, fields), bytes(actions)
     except (msgspec.MsgspecError, ValueError, TypeError, IndexError) as error:
         raise CodecError(f"no batch of events: {error}") from error
 
 
 def decode_actions(data: bytes) -> list[Action] | None:
-    """Return the actions of `encode_actions`. Raises CodecError."""
+    """Return the actions that `encode_actions` encoded. Raises CodecError."""
     try:
         plain = msgspec.msgpack.decode(data)
-        return None if plain is None else [_action(number, fields) for number, fields in plain]
+        return (
+            None
+            if plain is None
+            else [_decode_action_fields(number, fields) for number, fields in plain]
+        )
     except (msgspec.MsgspecError, ValueError, TypeError, IndexError) as error:
         raise CodecError(f"no actions: {error}") from error
 
 
-def _action(number: int, fields: list[Any]) -> Action:
+def _decode_action_fields(number: int, fields: list[Any]) -> Action:
     kind = ACTIONS[number]
     if kind is Send:
         return Send(fields[0], fields[1], fields[2], tuple(fields[3]))
-    made: Action = kind(*fields)
-    return made
-
-
-# Settings.
+    action: Action = kind(*fields)
+    return action
 
 
 class _StoredClass(msgspec.Struct):
-    """A `RequestClass` by the names that stand in files."""
+    """A `RequestClass` under its stored field names."""
 
     aim: float
     deadline: float
@@ -270,7 +301,7 @@
 
 
 class _StoredSettings(msgspec.Struct):
-    """`Settings` by the names that stand in files."""
+    """`Settings` under their stored field names."""
 
     classes: tuple[_StoredClass, ...]
     zone: int = 0
@@ -294,7 +325,7 @@
 
 
 def encode_settings(settings: Settings) -> dict[str, Any]:
-    """Return settings as plain data, by the stored names."""
+    """Return settings as plain data under their stored field names."""
     classes = tuple(
         _StoredClass(
             aim=cls.latency_objective_ms,
@@ -334,7 +365,7 @@
 
 
 def decode_settings(plain: dict[str, Any]) -> Settings:
-    """Return the settings of `encode_settings`. Raises CodecError."""
+    """Return the settings that `encode_settings` encoded. Raises CodecError."""
     try:
         stored = msgspec.convert(plain, _StoredSettings)
         classes = tuple(
@@ -377,17 +408,20 @@
 
 @cache
 def module_digest() -> dict[str, str]:
-    """Return the SHA-256 of each of the policy's files: other files may decide otherwise."""
+    """Return the SHA-256 of each source file of the policy, by file name.
+
+    A policy with other source files may decide differently.
+    """
     folder = Path(str(badgercart.policy.__file__)).parent
     files = sorted(folder.glob("*.py"))
     return {path.name: hashlib.sha256(path.read_bytes()).hexdigest() for path in files}
 
 
 def dump_policy(policy: Policy) -> bytes:
-    """Return a policy's whole state as bytes.
+    """Return the complete state of a policy as bytes, and reload the policy from them.
 
-    The policy goes on from the same copy that a reader gets: the order of a set comes of its
-    history, and a replay must meet the same.
+    The iteration order of a set depends on its history. The policy therefore continues from the
+    same copy that a reader gets, so that a replay iterates in the same order.
     """
     state = policy_state.dump(policy)
     policy.__dict__.update(load_policy(state).__dict__)
@@ -395,7 +429,7 @@
 
 
 def load_policy(state: bytes) -> Policy:
-    """Return the policy of `dump_policy`. Raises CodecError."""
+    """Return the policy that `dump_policy` dumped. Raises CodecError."""
     try:
         return policy_state.load(state)
     except policy_state.StateError as error:
--- a/badgercart/capture/commands.py
+++ b/badgercart/capture/commands.py
@@ -127,7 +127,7 @@
         raise CommandError(f"{file}: {error}") from None
     records = list(segment.records())
     index = next((record.offset for record in records if record.kind is RecordKind.INDEX), 0)
-    end = b"" if records and records[-1].kind is RecordKind.END else segment.encode_end(index)
+    end = b"" if records and records[-1].kind is RecordKind.END else segment.end_record(index)
     Path(output).write_bytes(segment.data[: segment.usable_bytes] + end)
     click.echo(
         f"{output}: {len(records)} records kept, {len(segment.data) - segment.usable_bytes} bytes left out"
--- a/badgercart/capture/format.py
+++ b/badgercart/capture/format.py
@@ -191,6 +191,6 @@
                 return
             offset = end
 
-    def encode_end(self, index_offset: int) -> bytes:
+    def end_record(self, index_offset: int) -> bytes:
         """Return the END record for the format version of this segment."""
         return encode_record(RecordKind.END, b"") if self.version == 1 else encode_end(index_offset)
--- a/badgercart/capture/replay.py
+++ b/badgercart/capture/replay.py
@@ -150,7 +150,7 @@
     """Replay a segment to its end or the first difference. Raises FormatError and OSError."""
     segment = Segment(path.read_bytes())
     told = ReplayReport(path.name)
-    streams = NoteReplayer()
+    note_replayer = NoteReplayer()
     try:
         told.other_module = segment.header["module"] != module_digest()
         policy, running = initial_policy(segment), 0
@@ -159,7 +159,7 @@
                 told.lost += int.from_bytes(record.payload)
             elif record.kind is RecordKind.NOTE:
                 told.notes += 1
-                if fault := streams.play(record.payload):
+                if fault := note_replayer.replay(record.payload):
                     told.faults.append(fault)
             for item in decided(record):
                 told.first = told.first or item.now
--- a/badgercart/capture/streams.py
+++ b/badgercart/capture/streams.py
@@ -1,10 +1,10 @@
-"""Other deciding machines on the same tap: what each was told, what it answered, and its replay. No
-I/O.
+"""Captures and replays the calls of state machines other than the policy. No I/O.
 
-A machine joins by being named here and by its part handing it to `Host.machines`. While a capture
-runs, the named methods of that one object are wrapped; otherwise they are the class's own and cost
-nothing. A note is MessagePack `[name, kind, method, [argument, ...], result]`; the method "" gives
-the whole state, as a segment begins with it.
+A state machine is captured if its type is in `MACHINE_CODECS` and its component registers it in
+`ComponentHost.protocol_machines`. While a capture runs, the recorded methods of that one object are
+wrapped; otherwise they are the methods of its class and cost nothing. A note is MessagePack
+`[name, kind, method, [argument, ...], result]`; a note with the method "" holds the complete state,
+as it stands at the beginning of a segment.
 """
 
 from __future__ import annotations
@@ -22,32 +22,35 @@
 from badgercart.frontends.processor.settings import OldAnswers
 
 _encode = msgspec.msgpack.Encoder().encode
-STATE = ""
+# The method name of a note that holds the complete state.
+STATE_METHOD = ""
 
 
 @dataclass(slots=True, frozen=True)
 class MachineCodec:
-    """How one kind of machine is captured and played back."""
+    """How one kind of state machine is captured and replayed."""
 
     kind: str
-    methods: dict[str, Callable[..., Any]]  # by its name in notes
-    save: Callable[[Any], Any]  # its state as plain data
-    load: Callable[[Any], Any]
-    plain: Callable[[Any], Any] = lambda value: value  # an argument or a result as plain data
-    # A plain argument of a method as the machine takes it.
-    back: Callable[[Any, str, Any], Any] = lambda machine, method, value: value
+    methods: dict[str, Callable[..., Any]]  # the recorded methods by their stored names
+    save_state: Callable[[Any], Any]  # gives the state as plain data
+    load_state: Callable[[Any], Any]
+    encode: Callable[[Any], Any] = (
+        lambda value: value
+    )  # gives an argument or a result as plain data
+    # Gives the argument that a method takes from its plain data.
+    decode_argument: Callable[[Any, str, Any], Any] = lambda machine, method, value: value
 
 
 def _load_freshness(state: Any) -> Freshness:
     rule, proved = state
-    made = Freshness(Rule(*rule))
-    made.proved = proved
-    return made
+    freshness = Freshness(Rule(*rule))
+    freshness.proved = proved
+    return freshness
 
 
-def _save_account(account: OldAnswerTracker) -> Any:
-    rule = account.rule.model_dump()
-    return rule, [_save_proxy(proxy) for proxy in account.proxies.values()]
+def _save_tracker(tracker: OldAnswerTracker) -> Any:
+    rule = tracker.rule.model_dump()
+    return rule, [_save_proxy(proxy) for proxy in tracker.proxies.values()]
 
 
 def _save_proxy(proxy: ProxyRecord) -> list[Any]:
@@ -66,14 +69,14 @@
     ]
 
 
-def _load_account(state: Any) -> OldAnswerTracker:
+def _load_tracker(state: Any) -> OldAnswerTracker:
     rule, proxies = state
-    account = OldAnswerTracker(OldAnswers.model_validate(rule))
+    tracker = OldAnswerTracker(OldAnswers.model_validate(rule))
     for row in proxies:
         proxy = ProxyRecord(*row)
         proxy.old_use_times_ms = deque(proxy.old_use_times_ms)
-        account.proxies[proxy.name] = proxy
-    return account
+        tracker.proxies[proxy.name] = proxy
+    return tracker
 
 
 MACHINE_CODECS: dict[type, MachineCodec] = {
@@ -91,8 +94,8 @@
             "standing": OldAnswerTracker.standing,
             "used_old": OldAnswerTracker.record_old_use,
         },
-        _save_account,
-        _load_account,
+        _save_tracker,
+        _load_tracker,
         lambda value: value.name
         if isinstance(value, ProxyRecord)
         else getattr(value, "value", value),
@@ -104,73 +107,88 @@
 
 
 def _encode_note(
-    name: str, form: MachineCodec, method: str, args: tuple[Any, ...], result: Any
+    name: str, codec: MachineCodec, method: str, args: tuple[Any, ...], result: Any
 ) -> bytes:
-    return _encode((name, form.kind, method, args, result))
+    return _encode((name, codec.kind, method, args, result))
 
 
 def state_note(name: str, machine: object) -> bytes:
-    """A machine's whole state as a note."""
-    form = MACHINE_CODECS[type(machine)]
-    return _encode_note(name, form, STATE, (form.save(machine),), None)
+    """Return a note that holds the complete state of a machine."""
+    codec = MACHINE_CODECS[type(machine)]
+    return _encode_note(name, codec, STATE_METHOD, (codec.save_state(machine),), None)
 
 
-def record_calls(name: str, machine: Any, told: Callable[[bytes], None]) -> Callable[[], None]:
-    """Have every call of the named methods told as a note; gives what undoes it. KeyError: no
-    such form."""
-    form = MACHINE_CODECS[type(machine)]
+def record_calls(name: str, machine: Any, on_note: Callable[[bytes], None]) -> Callable[[], None]:
+    """Pass a note to `on_note` for every call of a machine's recorded methods.
 
-    def wrapped(method: str, plain: Callable[..., Any]) -> Callable[..., Any]:
+    Returns a function that stops the recording.
+
+    Raises:
+        KeyError: There is no codec for the type of the machine.
+    """
+    codec = MACHINE_CODECS[type(machine)]
+
+    def wrap(method: str, original: Callable[..., Any]) -> Callable[..., Any]:
         def call(*args: Any) -> Any:
-            if known[1]:  # the machine asks itself: a replay will do so too
-                return plain(*args)
+            if known[1]:  # a nested call by the machine itself, which a replay will repeat
+                return original(*args)
             rule = getattr(machine, "rule", None)
-            if rule is not known[0]:  # its settings were replaced: a state says so
+            if rule is not known[0]:  # its settings were replaced, so its state is recorded anew
                 known[0] = rule
-                told(state_note(name, machine))
+                on_note(state_note(name, machine))
             known[1] = True
             try:
-                result = plain(*args)
+                result = original(*args)
             finally:
                 known[1] = False
-            told(_encode_note(name, form, method, tuple(map(form.plain, args)), form.plain(result)))
+            on_note(
+                _encode_note(
+                    name, codec, method, tuple(map(codec.encode, args)), codec.encode(result)
+                )
+            )
             return result
 
         return call
 
-    known = [getattr(machine, "rule", None), False]  # its settings, and whether a call is on
-    for method, function in form.methods.items():
-        setattr(machine, function.__name__, wrapped(method, getattr(machine, function.__name__)))
+    # The machine's settings as last recorded, and whether a recorded call is in progress.
+    known = [getattr(machine, "rule", None), False]
+    for method, function in codec.methods.items():
+        setattr(machine, function.__name__, wrap(method, getattr(machine, function.__name__)))
 
     def undo() -> None:
-        for function in form.methods.values():
+        for function in codec.methods.values():
             delattr(machine, function.__name__)
 
     return undo
 
 
 class NoteReplayer:
-    """The replay of all of them: a machine is made of its state, and must then answer as it did."""
+    """Replays the notes of all machines.
+
+    A machine is restored from a state note, and must then return the recorded results.
+    """
 
     def __init__(self) -> None:
         self.machines: dict[str, tuple[MachineCodec, Any]] = {}
-        self.forms = {form.kind: form for form in MACHINE_CODECS.values()}
+        self.codecs = {codec.kind: codec for codec in MACHINE_CODECS.values()}
 
-    def play(self, data: bytes) -> str:
-        """One note; in words what differs, or nothing. Raises CodecError."""
+    def replay(self, data: bytes) -> str:
+        """Replay a note; returns what differs, or an empty text. Raises CodecError."""
         try:
             name, kind, method, args, result = msgspec.msgpack.decode(data)
-            form = self.forms[kind]
-            if method == STATE:
-                self.machines[name] = form, form.load(args[0])
+            codec = self.codecs[kind]
+            if method == STATE_METHOD:
+                self.machines[name] = codec, codec.load_state(args[0])
                 return ""
-            if method not in form.methods:
+            if method not in codec.methods:
                 raise CodecError(f"no note: {kind} has no {method}")
             if name not in self.machines:
-                return ""  # what follows a gap without a state can't be judged
+                return ""  # after a gap, a call can't be checked before the next state note
             machine = self.machines[name][1]
-            play = getattr(machine, form.methods[method].__name__)
-            got = form.plain(play(*(form.back(machine, method, arg) for arg in args)))
+            bound_method = getattr(machine, codec.methods[method].__name__)
+            got = codec.encode(
+                bound_method(*(codec.decode_argument(machine, method, arg) for arg in args))
+            )
         except (msgspec.MsgspecError, ValueError, TypeError, LookupError, AttributeError) as error:
             raise CodecError(f"no note: {type(error).__name__}: {error}") from None
         if got != result:
--- a/badgercart/capture/writer.py
+++ b/badgercart/capture/writer.py
@@ -52,7 +52,7 @@
 class DiskWriter:
     """The writer thread: appends chunks to their segments in order and deletes old segments.
 
-    After a write failed, `error` holds the reason, and the thread has ended.
+    After a write failed, `failure` holds the reason, and the thread has ended.
     """
 
     def __init__(self, folder: Path, settings: CaptureSettings) -> None:
@@ -61,11 +61,11 @@
         self.chunks: list[Chunk] = []
         self.queued_bytes = 0
         self.closing = False
-        self.error: OSError | None = None
+        self.failure: OSError | None = None
         self.thread = threading.Thread(target=self.run, name="capture", daemon=True)
         self.thread.start()
 
-    def append(self, segment: str, data: bytes) -> None:
+    def enqueue(self, segment: str, data: bytes) -> None:
         """Queue bytes to be appended to a segment."""
         with self.condition:
             self.chunks.append((segment, data))
@@ -101,7 +101,7 @@
                     with self.condition:
                         self.queued_bytes -= len(data)
         except OSError as error:
-            self.error = error
+            self.failure = error
         finally:
             if file is not None:
                 file.close()
@@ -154,7 +154,7 @@
         self.session = f"{int(time.time() * 1000):013d}"
         self.segment_number = -1
         # Of the present segment: its bytes, its events, and the bytes of its header.
-        self.segment_bytes = self.segment_events = self.header_bytes = 0
+        self.segment_size_bytes = self.segment_events = self.header_bytes = 0
         self.events_before = 0  # events in earlier segments
         # The events lost since the buffer overflowed, and those recorded as lost in this segment.
         self.lost_events = self.segment_lost_events = 0
@@ -185,7 +185,7 @@
         """Begin a new segment, with the policy's state in its header."""
         self.segment_number += 1
         self.events_before += self.segment_events
-        self.segment_events = self.segment_bytes = self.segment_lost_events = 0
+        self.segment_events = self.segment_size_bytes = self.segment_lost_events = 0
         self.first_event_ms = self.last_event_ms = 0.0
         self.min_request_id = min(self.open_request_ids(), default=self.max_request_id + 1)
         self.index_marks = []
@@ -201,9 +201,9 @@
         self.header_bytes = len(data)
         # The header doesn't count against the buffer: its size says nothing about a slow disk.
         self.max_buffered_bytes = self.settings.buffer_bytes + len(data)
-        self.append(data)
+        self.append_bytes(data)
         for snapshot in self.snapshots:
-            self.append(encode_record(RecordKind.NOTE, snapshot()))
+            self.append_bytes(encode_record(RecordKind.NOTE, snapshot()))
 
     def restart_first_segment(self) -> None:
         """Begin the first segment again where no event was captured yet.
@@ -223,11 +223,11 @@
         }
         return open_ids | self.policy.lifecycle.requests.keys()
 
-    def append(self, data: bytes) -> None:
+    def append_bytes(self, data: bytes) -> None:
         """Append bytes to the present segment."""
         self.buffer.append(data)
         self.buffered_bytes += len(data)
-        self.segment_bytes += len(data)
+        self.segment_size_bytes += len(data)
 
     def flush(self) -> None:
         """Encode pending events and queue the buffer for the disk; called periodically."""
@@ -238,7 +238,7 @@
     def queue_buffer(self) -> None:
         """Hand the buffered bytes over to the writer thread."""
         if self.buffer:
-            self.disk.append(self.segment, b"".join(self.buffer))
+            self.disk.enqueue(self.segment, b"".join(self.buffer))
             self.buffer, self.buffered_bytes = [], 0
 
     def record_event(self, now_ms: float, event: Event, actions: list[Action] | None) -> None:
@@ -261,7 +261,7 @@
             if self.lost_events:
                 self.lost_events += 1
             else:
-                self.append(encode_record(RecordKind.NOTE, data))
+                self.append_bytes(encode_record(RecordKind.NOTE, data))
         except Exception as error:  # a fault of the capture must not fail a request
             self.on_failure(OSError(f"{type(error).__name__}: {error}"))
 
@@ -270,10 +270,10 @@
 
         Rolls over to a new segment once the present one has reached its size.
         """
-        if self.disk.error is not None:
-            error, self.disk.error = self.disk.error, None
+        if self.disk.failure is not None:
+            failure, self.disk.failure = self.disk.failure, None
             self.pending_events.clear()
-            self.on_failure(error)
+            self.on_failure(failure)
             return
         batch, self.pending_events = self.pending_events, []
         if (
@@ -288,15 +288,15 @@
             self.segment_events // EVENTS_PER_MARK
             != (self.segment_events - EVENTS_PER_BATCH) // EVENTS_PER_MARK
         ):
-            self.index_marks.append((self.segment_events, batch[0][1], self.segment_bytes))
+            self.index_marks.append((self.segment_events, batch[0][1], self.segment_size_bytes))
         if not self.segment_events:
             self.first_event_ms = batch[0][1]
         self.last_event_ms = batch[-1][1]
-        self.append(encode_record(RecordKind.BATCH, encode_batch(batch)))
+        self.append_bytes(encode_record(RecordKind.BATCH, encode_batch(batch)))
         self.segment_events += len(batch)
         if self.buffered_bytes >= self.chunk_bytes:
             self.queue_buffer()
-        if self.segment_bytes - self.header_bytes >= max(
+        if self.segment_size_bytes - self.header_bytes >= max(
             self.settings.segment_bytes, MIN_HEADERS_PER_SEGMENT * self.header_bytes
         ):
             self.roll_segment()
@@ -309,7 +309,7 @@
     def record_gap(self) -> None:
         """Record how many events were lost."""
         self.segment_lost_events, self.lost_events = self.lost_events, 0
-        self.append(encode_record(RecordKind.GAP, self.segment_lost_events.to_bytes(8)))
+        self.append_bytes(encode_record(RecordKind.GAP, self.segment_lost_events.to_bytes(8)))
         self.on_gap(self.segment_lost_events)
 
     def roll_segment(self) -> None:
@@ -319,7 +319,7 @@
 
     def end_segment(self) -> None:
         """Append the index and the END record, which mark the segment as complete."""
-        index_offset = self.segment_bytes
+        index_offset = self.segment_size_bytes
         max_request_id = max(self.max_request_id, self.min_request_id)
         min_request_id = self.min_request_id if self.segment_events else 0
         index = SegmentIndex(
@@ -331,7 +331,7 @@
             max_request_id,
             self.index_marks,
         )
-        self.append(encode_trailer(index, index_offset))
+        self.append_bytes(encode_trailer(index, index_offset))
         self.queue_buffer()
 
     def close(self) -> None:
--- a/tests/capture/test_golden.py
+++ b/tests/capture/test_golden.py
@@ -139,8 +139,8 @@
     segment = Segment((GOLDEN / "format-2.bin").read_bytes())
     stored = [record.payload for record in segment.records() if record.kind is RecordKind.NOTE]
     assert stored == notes() and len(stored) == 24
-    streams = NoteReplayer()
-    assert not any(streams.play(note) for note in stored)
+    note_replayer = NoteReplayer()
+    assert not any(note_replayer.replay(note) for note in stored)
 
 
 def test_the_index_and_the_gap_are_read_to_the_same_values() -> None:
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -176,7 +176,7 @@
 def test_a_slow_disk_makes_a_counted_gap_behind_which_replay_goes_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    put, held, gaps = writer.DiskWriter.append, [], []
+    put, held, gaps = writer.DiskWriter.enqueue, [], []
     chosen = CaptureSettings.model_construct(folder="", buffer_bytes=1 << 14)
     day = Saturday(2)
     capture = writer.CaptureWriter(
@@ -189,7 +189,7 @@
             held.append((segment, data))
             self.queued_bytes += len(data)
 
-        patch.setattr(writer.DiskWriter, "append", stalled)
+        patch.setattr(writer.DiskWriter, "enqueue", stalled)
         day.play(600)
         assert (
             capture.lost_events > 300
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -47,8 +47,8 @@
             machine.state(value) if name == "state" else machine.next_change(value)
     undo()
     assert "proof" not in machine.__dict__
-    streams = NoteReplayer()
-    assert not any(streams.play(note) for note in told)
+    note_replayer = NoteReplayer()
+    assert not any(note_replayer.replay(note) for note in told)
 
 
 def test_an_account_is_played_back_and_another_answer_is_told(
@@ -66,13 +66,13 @@
         account.find_or_add("b" if now % 300 == 10 else "a")
         account.record_old_use(proxy, now % 200 == 10, float(now))
         account.standing(proxy, now + 50.0)
-    streams = NoteReplayer()
-    assert not any(streams.play(note) for note in told) and len(told) > 80
+    note_replayer = NoteReplayer()
+    assert not any(note_replayer.replay(note) for note in told) and len(told) > 80
     monkeypatch.setattr(OldAnswerTracker, "record_old_use", OldAnswerTracker.standing)
-    streams = NoteReplayer()
+    note_replayer = NoteReplayer()
     with pytest.raises(CodecError):
         for note in told:
-            streams.play(note)
+            note_replayer.replay(note)
 
 
 def test_notes_stand_between_the_policys_events_and_a_change_shows(
