--- a/badgercart/capture/anonymise.py
+++ b/badgercart/capture/anonymise.py
@@ -26,7 +26,7 @@
     module_digest,
 )
 from badgercart.capture.format import Segment
-from badgercart.capture.replay import CapturedEvent, events, initial_policy
+from badgercart.capture.replay import CapturedEvent, initial_policy, read_events
 from badgercart.capture.whatif import Reenactment, renumbered, sent_endpoints
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from badgercart.policy.events import EndpointUpdate, Request, UpdateKind
@@ -64,11 +64,11 @@
 
 def items_of(segment: Segment, state: Policy) -> list[CapturedEvent]:
     """The events, behind the list that was in force when the segment began."""
-    told = list(events(segment))
+    told = list(read_events(segment))
     if not told:
         raise CodecError("there is no event")
     if segment.header["events_before"]:
-        told.insert(0, CapturedEvent(told[0].now, fleet(state), b""))
+        told.insert(0, CapturedEvent(told[0].now_ms, fleet(state), b""))
     return told
 
 
@@ -85,7 +85,7 @@
         quotas[names("tenant", number)] = quota
     settings = replace(settings, quotas_per_s=tuple(quotas))
     items = items_of(segment, initial_policy(segment))
-    shift = items[0].now - BEGIN
+    shift = items[0].now_ms - BEGIN
     seed = names("seed", segment.header["seed"] + 1)
     count, taken, data = render(settings, seed, moved(items, shift, names))
     output.write_bytes(data)
@@ -101,7 +101,7 @@
             event.deadline_at_ms -= shift
         elif isinstance(event, EndpointUpdate):
             event.endpoints = [began_at(line, shift) for line in event.endpoints]
-        fresh.append(CapturedEvent(item.now - shift, event, item.then_actions))
+        fresh.append(CapturedEvent(item.now_ms - shift, event, item.captured_actions))
     return fresh
 
 
--- a/badgercart/capture/commands.py
+++ b/badgercart/capture/commands.py
@@ -39,7 +39,7 @@
 def info(files: tuple[str, ...], as_json: bool) -> None:
     """What each segment holds."""
     from badgercart.capture.format import FormatError, RecordKind, Segment, SegmentEnding
-    from badgercart.capture.replay import decided
+    from badgercart.capture.replay import record_events
 
     rows: list[dict[str, Any]] = []
     for path in found(files):
@@ -50,9 +50,9 @@
         count = lost = notes = jumps = 0
         first = last = 0.0
         for record in segment.records():
-            for item in decided(record):
-                first, count, jumps = first or item.now, count + 1, jumps + (item.now < last)
-                last = item.now
+            for item in record_events(record):
+                first, count, jumps = first or item.now_ms, count + 1, jumps + (item.now_ms < last)
+                last = item.now_ms
             if record.kind is RecordKind.GAP:
                 lost += int.from_bytes(record.payload)
             notes += record.kind is RecordKind.NOTE
@@ -154,7 +154,7 @@
         console=Console(stderr=True),
         disable=quiet(),
     ):
-        if told.other_module:
+        if told.policy_changed:
             if not force:
                 raise CommandError(
                     f"{told.name}: the policy's text is another one now; --force says what that changes"
@@ -165,11 +165,11 @@
             click.echo(f"{told.name}: {fault}")
         if (other := told.difference) is not None:
             click.echo(
-                f"{told.name}: event {other.record} at {other.now:.3f} ms is decided otherwise"
+                f"{told.name}: event {other.event_number} at {other.now_ms:.3f} ms is decided otherwise"
             )
             click.echo(f"  {show(other.event)}\n  now:  {show(other.actions)}")
-            if other.then is not None:
-                click.echo(f"  then: {show(other.then)}")
+            if other.captured_actions is not None:
+                click.echo(f"  then: {show(other.captured_actions)}")
         bad += not told.identical
     for words in missing_segments(paths):
         click.echo(words)
@@ -190,14 +190,14 @@
     """What another policy would have made of the night, by the assumptions of `whatif`."""
     from badgercart.capture.codec import CodecError
     from badgercart.capture.format import FormatError, Segment
-    from badgercart.capture.replay import events, initial_policy
+    from badgercart.capture.replay import initial_policy, read_events
     from badgercart.capture.whatif import ChangeSummary, what_if
 
     change = ChangeSummary()
     for path in track(paths, "what if", console=Console(stderr=True), disable=quiet()):
         try:
             segment = Segment(path.read_bytes())
-            what_if(initial_policy(segment), events(segment), change)
+            what_if(initial_policy(segment), read_events(segment), change)
         except (FormatError, CodecError, OSError) as error:
             click.echo(f"{path}: {error}")
     sent, refused = sum(change.sent_now.values()), sum(change.refused_now.values())
--- a/badgercart/capture/edit.py
+++ b/badgercart/capture/edit.py
@@ -9,7 +9,7 @@
 from badgercart.capture.build import SegmentBuilder
 from badgercart.capture.codec import CodecError, decode_actions, dump_policy
 from badgercart.capture.format import Segment
-from badgercart.capture.replay import decide, events, initial_policy
+from badgercart.capture.replay import decide, initial_policy, read_events
 from badgercart.capture.words import show
 
 HEADS = ("settings", "seed", "module", "state")
@@ -24,22 +24,22 @@
     segment = Segment(source.read_bytes())
     policy = initial_policy(segment)
     built: SegmentBuilder | None = None
-    running = before = 0
-    for item in events(segment):
-        if item.now >= end:
+    running_crc = before = 0
+    for item in read_events(segment):
+        if item.now_ms >= end:
             break
-        if item.now >= begin and built is None:
+        if item.now_ms >= begin and built is None:
             built = SegmentBuilder(
                 segment.header | {"state": dump_policy(policy), "events_before": before}
             )
-        actions = decide(policy, item.now, item.event)
-        same, running = item.same(actions, running)
+        actions = decide(policy, item.now_ms, item.event)
+        same, running_crc = item.matches(actions, running_crc)
         if not same:
-            raise CodecError(f"the event at {item.now:.3f} ms is decided otherwise now")
+            raise CodecError(f"the event at {item.now_ms:.3f} ms is decided otherwise now")
         if built is None:
             before += 1
         else:
-            built.add(item.now, item.event, actions)
+            built.add(item.now_ms, item.event, actions)
     if built is None:
         raise CodecError(f"there is no event from {begin:g} to {end:g} ms")
     output.write_bytes(built.data())
@@ -55,22 +55,22 @@
         if one.header[name] != other.header[name]:
             yield f"{name}: differs"
     told_event = told_decision = False
-    pairs = itertools.zip_longest(events(one), events(other))
+    pairs = itertools.zip_longest(read_events(one), read_events(other))
     for number, (left, right) in enumerate(pairs):
         if left is None or right is None:
             yield f"event {number}: only in {second if left is None else first}"
             return
-        if (left.now, left.event) != (right.now, right.event) and not told_event:
+        if (left.now_ms, left.event) != (right.now_ms, right.event) and not told_event:
             told_event = True
-            here, there = (f"{item.now:.3f} ms {show(item.event)}" for item in (left, right))
+            here, there = (f"{item.now_ms:.3f} ms {show(item.event)}" for item in (left, right))
             yield f"event {number}: {here} in {first}, {there} in {second}"
-        if (left.then_actions, left.running) != (
-            right.then_actions,
-            right.running,
+        if (left.captured_actions, left.running_crc) != (
+            right.captured_actions,
+            right.running_crc,
         ) and not told_decision:
             told_decision = True
             one_did, other_did = (
-                show(decode_actions(i.then_actions)) if i.then_actions else None
+                show(decode_actions(i.captured_actions)) if i.captured_actions else None
                 for i in (left, right)
             )
             yield f"event {number}: decided otherwise: {one_did} in {first}, {other_did} in {second}"
--- a/badgercart/capture/explain.py
+++ b/badgercart/capture/explain.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from badgercart.capture.format import Segment, read_index
-from badgercart.capture.replay import events, initial_policy
+from badgercart.capture.replay import initial_policy, read_events
 from badgercart.capture.words import RESULTS
 from badgercart.policy.actions import Action, CancelAttempt, Fail, Send, SetTimer, Shed
 from badgercart.policy.endpoint import Endpoint
@@ -249,14 +249,14 @@
     # Deciding is dear: a segment that does not have the request is only searched.
     if not may_hold(segment.data, request_id):
         return []
-    told = list(events(segment))
+    told = list(read_events(segment))
     last = max((at for at, item in enumerate(told) if _of(item.event) == request_id), default=-1)
     if last < 0:
         return []
     notes = Notes(request_id)
     policy = explaining(initial_policy(segment), notes)
     for item in told[: last + 1]:
-        now, event = item.now, item.event
+        now, event = item.now_ms, item.event
         mine = _of(event) == request_id
         if mine and not isinstance(event, Request):
             notes.lines.append(f"{now:.3f} ms  {_told(event)}")
--- a/badgercart/capture/report.py
+++ b/badgercart/capture/report.py
@@ -12,7 +12,7 @@
 
 from badgercart.app import pages
 from badgercart.capture.format import Segment
-from badgercart.capture.replay import decide, events, initial_policy
+from badgercart.capture.replay import decide, initial_policy, read_events
 from badgercart.policy.actions import Action, Fail, Send, Shed
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import AttemptEnded, AttemptResult, EndpointUpdate, Event, Request
@@ -75,8 +75,10 @@
         self.worths = tuple(cls.priority_weight for cls in policy.settings.classes)
         for server in policy.fleet.endpoints.by_id.values():
             self.states.setdefault(server.endpoint.id, server.endpoint.state)
-        for item in events(segment):
-            self.take(policy, item.now, item.event, decide(policy, item.now, item.event) or [])
+        for item in read_events(segment):
+            self.take(
+                policy, item.now_ms, item.event, decide(policy, item.now_ms, item.event) or []
+            )
 
     def take(self, policy: Policy, now: float, event: Event, actions: list[Action]) -> None:
         """Count an event and what was decided by it."""
--- a/badgercart/capture/whatif.py
+++ b/badgercart/capture/whatif.py
@@ -65,13 +65,13 @@
 
     def feed(self, item: CapturedEvent, then: dict[int, list[int]]) -> None:
         """One captured event; `then`: what `sends` gives."""
-        self.catch_up(item.now)
+        self.catch_up(item.now_ms)
         event = item.event
         if isinstance(event, Request):
             while len(self.fates) >= MAX_OPEN:
                 del self.fates[next(iter(self.fates))]
             self.fates[event.id] = RequestFate(event.class_index, len(then.get(event.id, ())))
-            self.give(item.now, event)
+            self.give(item.now_ms, event)
             return
         fate = self.fates.get(getattr(event, "id", 0))
         if isinstance(event, AttemptEnded | AttemptRerouted | ResponseStarted) and fate is not None:
@@ -88,7 +88,7 @@
             and fate.over
         ):
             return
-        self.give(item.now, event)
+        self.give(item.now_ms, event)
         if (
             isinstance(event, ResponseStarted)
             or (isinstance(event, AttemptEnded) and event.request_finished)
@@ -136,8 +136,8 @@
     found: dict[int, list[int]] = {}
     for item in items:
         event = item.event
-        if item.then_actions:
-            for action in decode_actions(item.then_actions) or ():
+        if item.captured_actions:
+            for action in decode_actions(item.captured_actions) or ():
                 if isinstance(action, Send):
                     found.setdefault(action.id, []).append(action.endpoint_id)
             if isinstance(event, AttemptRerouted):
--- a/tests/capture/test_edit.py
+++ b/tests/capture/test_edit.py
@@ -22,15 +22,15 @@
 
 def test_a_stretch_replays_from_its_first_event(path: Path, tmp_path: Path) -> None:
     whole = replay(path)
-    begin, end = whole.first + 1000.0, whole.first + 2500.0
+    begin, end = whole.first_ms + 1000.0, whole.first_ms + 2500.0
     out = tmp_path / "part.bcap"
     count = cut(path, out, begin, end)
     part = replay(out)
     assert part.identical and part.ending is SegmentEnding.WHOLE and part.events == count > 50
-    assert begin <= part.first <= part.last < end
+    assert begin <= part.first_ms <= part.last_ms < end
     assert main(["capture", "cut", str(path), "--from", "1", "--to", "2", "-o", str(out)]) == 1
     assert main(["capture", "cut", str(path), "--from", str(begin), "-o", str(out)]) == 0
-    assert replay(out).last == whole.last
+    assert replay(out).last_ms == whole.last_ms
 
 
 def test_differences_are_named_by_event(
@@ -45,7 +45,7 @@
     assert lines[:2] == ["seed: differs", "state: differs"] and "event " in lines[2]
     short = tmp_path / "short.bcap"
     whole = replay(path)
-    cut(path, short, whole.first, whole.first + 1000.0)
+    cut(path, short, whole.first_ms, whole.first_ms + 1000.0)
     assert any(f"only in {path}" in line for line in differences(path, short))
     assert (
         main(["capture", "diff", str(path), str(other)]) == 1
--- a/tests/capture/test_explain.py
+++ b/tests/capture/test_explain.py
@@ -10,7 +10,7 @@
 from badgercart.capture import explain as module
 from badgercart.capture.explain import explain, explaining
 from badgercart.capture.format import Segment
-from badgercart.capture.replay import decide, events, find_segments, initial_policy, replay
+from badgercart.capture.replay import decide, find_segments, initial_policy, read_events, replay
 from badgercart.policy.actions import Fail, Send, Shed
 from badgercart.policy.events import Request
 from tests.capture.support import captured
@@ -29,10 +29,10 @@
     plain = initial_policy(Segment(path.read_bytes()))
     notes = module.Notes(0)
     telling = explaining(initial_policy(Segment(path.read_bytes())), notes)
-    for item in events(Segment(path.read_bytes())):
+    for item in read_events(Segment(path.read_bytes())):
         if isinstance(item.event, Request):
             notes.wanted = item.event.id  # each in turn
-        assert decide(telling, item.now, item.event) == decide(plain, item.now, item.event)
+        assert decide(telling, item.now_ms, item.event) == decide(plain, item.now_ms, item.event)
     assert replay(path).identical and len(notes.lines) > 2000
 
 
--- a/tests/capture/test_golden.py
+++ b/tests/capture/test_golden.py
@@ -22,7 +22,7 @@
 from badgercart.capture.edit import differences
 from badgercart.capture.explain import explain
 from badgercart.capture.format import RecordKind, Segment, SegmentEnding, read_index
-from badgercart.capture.replay import CapturedEvent, decide, events, initial_policy, replay
+from badgercart.capture.replay import CapturedEvent, decide, initial_policy, read_events, replay
 from badgercart.capture.streams import NoteReplayer
 from badgercart.capture.words import show
 from badgercart.policy.events import HealthCheckResult, Request
@@ -42,7 +42,7 @@
 
 
 def read(name: str) -> list[CapturedEvent]:
-    return list(events(Segment((GOLDEN / name).read_bytes())))
+    return list(read_events(Segment((GOLDEN / name).read_bytes())))
 
 
 def test_a_segment_of_every_kind_is_written_with_the_same_bytes() -> None:
@@ -59,7 +59,7 @@
     probe = HealthCheckResult(11, 1, 1.5, [0.25])  # type: ignore[arg-type]  # its numbers are read as they stand
     expected = [probe if isinstance(event, HealthCheckResult) else event for event in EVENTS]
     assert [item.event for item in told] == expected
-    assert [item.now for item in told] == [100.0 + at for at in range(len(EVENTS))]
+    assert [item.now_ms for item in told] == [100.0 + at for at in range(len(EVENTS))]
     assert [type(item.event) for item in told] == [type(event) for event in EVENTS]
 
 
@@ -98,7 +98,7 @@
 
 def test_actions_are_read_to_the_same_values() -> None:
     told = read("format-2.bin")
-    assert [decode_actions(item.then_actions or b"") for item in told] == [
+    assert [decode_actions(item.captured_actions or b"") for item in told] == [
         decisions(at) for at in range(len(told))
     ]
     every = [values(action) for actions in ACTIONS[:2] for action in actions or ()]
@@ -172,8 +172,8 @@
     policy = load_policy((GOLDEN / "state-2.bin").read_bytes())
     if again:
         policy = load_policy(dump_policy(policy))
-    for item in events(Segment((GOLDEN / "state.bin").read_bytes())):
-        assert encode_actions(decide(policy, item.now, item.event)) == item.then_actions
+    for item in read_events(Segment((GOLDEN / "state.bin").read_bytes())):
+        assert encode_actions(decide(policy, item.now_ms, item.event)) == item.captured_actions
 
 
 def test_events_and_actions_are_shown_to_people_in_the_same_words() -> None:
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -22,9 +22,9 @@
 from badgercart.capture.format import FormatError, RecordKind, Segment, SegmentEnding
 from badgercart.capture.replay import (
     decide,
-    events,
     find_segments,
     initial_policy,
+    read_events,
     replay,
     replay_all,
 )
@@ -46,7 +46,7 @@
 def test_a_day_in_segments_is_decided_the_same_on_any_hash_seed(day: Path) -> None:
     told = list(replay_all(find_segments([str(day)])))
     assert all(part.identical and part.ending is SegmentEnding.WHOLE for part in told), told
-    assert sum(part.events for part in told) > 2000 and not any(part.lost for part in told)
+    assert sum(part.events for part in told) > 2000 and not any(part.lost_events for part in told)
     for seed in ("0", "1", "4711"):
         done = subprocess.run(
             [sys.executable, "-m", "badgercart", "capture", "replay", str(day)],
@@ -80,8 +80,8 @@
         policy.fleet.endpoints.active == policy.fleet.endpoints.by_id.keys()
         and len(policy.fleet.virtual_nodes.pending) == 3
     )
-    for item in events(segment):
-        assert decide(policy, item.now, item.event) is not None
+    for item in read_events(segment):
+        assert decide(policy, item.now_ms, item.event) is not None
         came += 1
     assert came > 300 and not policy.fleet.virtual_nodes.pending
 
@@ -104,7 +104,7 @@
     while told.difference is None:  # an event by which nothing was decided shows nothing
         count = 498 - told.events % 7
         told = replay(path)
-    assert told.difference.record == told.events - 1 and not told.identical
+    assert told.difference.event_number == told.events - 1 and not told.identical
     assert main(["capture", "replay", str(day)]) in (0, 1)
 
 
@@ -209,7 +209,7 @@
         all(part.identical and part.ending is SegmentEnding.WHOLE for part in told)
         and len(told) == 2
     )
-    assert sum(part.lost for part in told) == sum(gaps) > 300
+    assert sum(part.lost_events for part in told) == sum(gaps) > 300
     assert told[1].events > 250 and day.answers > 800
 
 
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -14,7 +14,7 @@
 from badgercart.app.cli import main
 from badgercart.capture.codec import CodecError
 from badgercart.capture.format import Segment, SegmentEnding, read_index
-from badgercart.capture.replay import events, find_segments, replay, replay_all
+from badgercart.capture.replay import find_segments, read_events, replay, replay_all
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.streams import NoteReplayer, record_calls, state_note
 from badgercart.capture.writer import CaptureWriter
@@ -103,13 +103,13 @@
     `capture replay --force` what it changes, then record it anew."""
     first, second = (replay(HERE / "rainy-saturday.bcap") for _ in range(2))
     assert first == second and first.identical and first.ending is SegmentEnding.WHOLE
-    assert first.events > 3000 and first.notes >= 1 and not first.lost
+    assert first.events > 3000 and first.notes >= 1 and not first.lost_events
 
 
 def test_format_1_is_read_still() -> None:
     segment = Segment((HERE / "format-1.bcap").read_bytes())
     read = list(
-        events(segment)
+        read_events(segment)
     )  # decided by another text of the policy: only what was told is the same
     assert segment.version == 1 and len(read) > 150 and segment.ending is SegmentEnding.WHOLE
 
@@ -153,7 +153,7 @@
     day.play(200)
     made[0].close()
     (told,) = replay_all(find_segments([str(tmp_path)]))
-    assert told.identical and told.events > 600 and told.jumps == (jump < 0)
+    assert told.identical and told.events > 600 and told.backward_jumps == (jump < 0)
 
 
 async def run_with_reload_and_restart(folder: Path) -> None:
--- a/tests/capture/test_whatif.py
+++ b/tests/capture/test_whatif.py
@@ -11,7 +11,7 @@
 from badgercart.capture import codec
 from badgercart.capture.anonymise import anonymise
 from badgercart.capture.format import Segment
-from badgercart.capture.replay import events, initial_policy, replay
+from badgercart.capture.replay import initial_policy, read_events, replay
 from badgercart.capture.whatif import ChangeSummary, what_if
 from badgercart.policy import overload
 from badgercart.policy.events import AttemptEnded, AttemptResult, EndpointUpdate, Request
@@ -23,7 +23,7 @@
 
 def test_the_same_policy_changes_nothing() -> None:
     change, segment = ChangeSummary(), Segment(DAY.read_bytes())
-    what_if(initial_policy(segment), events(segment), change)
+    what_if(initial_policy(segment), read_events(segment), change)
     assert change.events > 3000 and not change.differing and not change.first
 
 
@@ -47,12 +47,14 @@
     )
     change = ChangeSummary()
     segment = Segment(DAY.read_bytes())
-    what_if(Policy(codec.decode_settings(segment.header["settings"]), 7), events(segment), change)
+    what_if(
+        Policy(codec.decode_settings(segment.header["settings"]), 7), read_events(segment), change
+    )
     assert change.gained > 100 and change.gained > change.lost and len(change.first) == 10
 
     monkeypatch.setattr(EndpointSelector, "select", lambda self, pending, now_ms: None)
     change = ChangeSummary()
-    what_if(initial_policy(segment), events(segment), change)
+    what_if(initial_policy(segment), read_events(segment), change)
     assert change.lost > 5000 and not change.gained and sum(change.refused_now.values()) > 1000
 
 
@@ -61,7 +63,7 @@
     count, requests = anonymise(DAY, out)
     told = replay(out)
     assert told.identical and told.events == count and requests > 1500
-    then, now = (list(events(Segment(path.read_bytes()))) for path in (DAY, out))
+    then, now = (list(read_events(Segment(path.read_bytes()))) for path in (DAY, out))
 
     def numbers(items: list[object]) -> set[int]:
         found: set[int] = set()
@@ -76,7 +78,7 @@
         return found - {0}
 
     assert not numbers(then) & numbers(now) and len(numbers(then)) >= len(numbers(now)) > 30
-    assert now[0].now == 1000.0
+    assert now[0].now_ms == 1000.0
     head = Segment(out.read_bytes()).header
     assert head["node"] == "" and head["wall_ms"] == 0.0 and head["seed"] != 7
 
