--- a/tests/capture/test_explain.py
+++ b/tests/capture/test_explain.py
@@ -7,8 +7,7 @@
 import pytest
 
 from badgercart.app.cli import main
-from badgercart.capture import explain as module
-from badgercart.capture.explain import explain, explaining
+from badgercart.capture.explain import RequestTrace, explain, trace_decisions
 from badgercart.capture.format import Segment
 from badgercart.capture.replay import decide, find_segments, initial_policy, read_events, replay
 from badgercart.policy.actions import Fail, Send, Shed
@@ -27,13 +26,13 @@
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plain = initial_policy(Segment(path.read_bytes()))
-    notes = module.Notes(0)
-    telling = explaining(initial_policy(Segment(path.read_bytes())), notes)
+    trace = RequestTrace(0)
+    telling = trace_decisions(initial_policy(Segment(path.read_bytes())), trace)
     for item in read_events(Segment(path.read_bytes())):
         if isinstance(item.event, Request):
-            notes.wanted = item.event.id  # each in turn
+            trace.request_id = item.event.id  # each in turn
         assert decide(telling, item.now_ms, item.event) == decide(plain, item.now_ms, item.event)
-    assert replay(path).identical and len(notes.lines) > 2000
+    assert replay(path).identical and len(trace.lines) > 2000
 
 
 def test_lives_that_were_refused_sent_twice_and_given_up_are_told(
