--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -14,7 +14,7 @@
 from badgercart.app.cli import main
 from badgercart.capture.codec import CodecError
 from badgercart.capture.format import Segment, SegmentEnding, read_index
-from badgercart.capture.replay import events, find_segments, replay, replay_all
+from badgercart.capture.replay import find_segments, read_events, replay, replay_all
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.streams import NoteReplayer, record_calls, state_note
 from badgercart.capture.writer import CaptureWriter
@@ -47,8 +47,8 @@
             machine.state(value) if name == "state" else machine.next_change(value)
     undo()
     assert "proof" not in machine.__dict__
-    streams = NoteReplayer()
-    assert not any(streams.play(note) for note in told)
+    note_replayer = NoteReplayer()
+    assert not any(note_replayer.replay(note) for note in told)
 
 
 def test_an_account_is_played_back_and_another_answer_is_told(
@@ -66,13 +66,13 @@
         account.find_or_add("b" if now % 300 == 10 else "a")
         account.record_old_use(proxy, now % 200 == 10, float(now))
         account.standing(proxy, now + 50.0)
-    streams = NoteReplayer()
-    assert not any(streams.play(note) for note in told) and len(told) > 80
+    note_replayer = NoteReplayer()
+    assert not any(note_replayer.replay(note) for note in told) and len(told) > 80
     monkeypatch.setattr(OldAnswerTracker, "record_old_use", OldAnswerTracker.standing)
-    streams = NoteReplayer()
+    note_replayer = NoteReplayer()
     with pytest.raises(CodecError):
         for note in told:
-            streams.play(note)
+            note_replayer.replay(note)
 
 
 def test_notes_stand_between_the_policys_events_and_a_change_shows(
@@ -81,10 +81,10 @@
     day, freshness = Saturday(1), Freshness(FreshnessLimits())
     chosen = CaptureSettings.model_construct(folder="", segment_bytes=1 << 14)
     capture = CaptureWriter(chosen, tmp_path, "n", day.join.policy, 1, lambda lost: None, print)
-    day.join.decision_log = capture.tap
+    day.join.decision_log = capture.record_event
     capture.snapshots.append(lambda: state_note("list", freshness))
-    capture.note(state_note("list", freshness))
-    record_calls("list", freshness, capture.note)
+    capture.record_note(state_note("list", freshness))
+    record_calls("list", freshness, capture.record_note)
     for _ in range(60):
         freshness.proof(day.clockwork.now - 3500.0)
         day.play(20)
@@ -103,13 +103,13 @@
     `capture replay --force` what it changes, then record it anew."""
     first, second = (replay(HERE / "rainy-saturday.bcap") for _ in range(2))
     assert first == second and first.identical and first.ending is SegmentEnding.WHOLE
-    assert first.events > 3000 and first.notes >= 1 and not first.lost
+    assert first.events > 3000 and first.notes >= 1 and not first.lost_events
 
 
 def test_format_1_is_read_still() -> None:
     segment = Segment((HERE / "format-1.bcap").read_bytes())
     read = list(
-        events(segment)
+        read_events(segment)
     )  # decided by another text of the policy: only what was told is the same
     assert segment.version == 1 and len(read) > 150 and segment.ending is SegmentEnding.WHOLE
 
@@ -145,7 +145,7 @@
         chosen = CaptureSettings.model_construct(folder="")
         policy = join.policy  # type: ignore[attr-defined]
         made.append(CaptureWriter(chosen, tmp_path, "n", policy, 1, lambda lost: None, print))
-        join.decision_log = made[0].tap  # type: ignore[attr-defined]
+        join.decision_log = made[0].record_event  # type: ignore[attr-defined]
 
     day = Saturday(1, tap)
     day.play(200)
@@ -153,7 +153,7 @@
     day.play(200)
     made[0].close()
     (told,) = replay_all(find_segments([str(tmp_path)]))
-    assert told.identical and told.events > 600 and told.jumps == (jump < 0)
+    assert told.identical and told.events > 600 and told.backward_jumps == (jump < 0)
 
 
 async def run_with_reload_and_restart(folder: Path) -> None:
