--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -39,7 +39,7 @@
     Subscribe,
     TopicVersion,
 )
-from lab.trial.processes import NodeError, NodeProcess, Told
+from lab.trial.processes import LogRecord, NodeError, NodeProcess
 from lab.trial.switch import Switch
 from standins.fleet import operators_file
 
@@ -67,7 +67,7 @@
     """`python -m badgercart distribution store FILE`."""
 
     command = ("distribution", "store")
-    listening = "distribution.listening"
+    listening_event = "distribution.listening"
 
 
 def free_ports(count: int) -> list[int]:
@@ -110,7 +110,7 @@
         host = f"127.0.{1 + self.places // 250}.{1 + self.places % 250}"
         await self.switch.add(name, self.real[to], (host, 0))
         del self.switch.names[HERE]  # by its own address everybody is HERE
-        shown = self.switch.places[name].shown
+        shown = self.switch.endpoints[name].switch_address
         return f"{shown[0]}:{shown[1]}"
 
     async def start(self) -> None:
@@ -147,16 +147,16 @@
     async def stop(self) -> None:
         for process in (*self.nodes.values(), *self.replicas.values()):
             if process.process is not None and process.process.returncode is None:
-                process.wake()
+                process.resume()
                 await process.kill()
         self.switch.close()
 
     def cut(self, source: str, to: str, cut: bool = True) -> None:
         """What one says does not come to the other; what that one says does."""
-        if f"{source}>{to}" in self.switch.places:
-            self.switch.set(HERE, f"{source}>{to}", cut=cut)
-        if f"{to}>{source}" in self.switch.places:
-            self.switch.set(f"{to}>{source}", HERE, cut=cut)
+        if f"{source}>{to}" in self.switch.endpoints:
+            self.switch.set_fault(HERE, f"{source}>{to}", cut=cut)
+        if f"{to}>{source}" in self.switch.endpoints:
+            self.switch.set_fault(f"{to}>{source}", HERE, cut=cut)
 
     # What stores say.
 
@@ -248,11 +248,11 @@
     async def all_have(self, version: int, but: tuple[str, ...] = ()) -> float:
         """Unix s at which the last node had the list of that number in force."""
 
-        def fits(told: Told) -> bool:
+        def fits(told: LogRecord) -> bool:
             return bool(told["version"] >= version)
 
         nodes = [node for name, node in self.nodes.items() if name not in but]
-        told = await asyncio.gather(*(node.until("list.taken", fits) for node in nodes))
+        told = await asyncio.gather(*(node.wait_for_event("list.taken", fits) for node in nodes))
         return max(datetime.fromisoformat(str(one["timestamp"])).timestamp() for one in told)
 
     async def until_equal(self) -> None:
@@ -275,7 +275,7 @@
     async def until_stale(self, name: str) -> None:
         """By its page: of a kind of event that comes again within some seconds the log has only the
         first."""
-        host, port = self.nodes[name].front.rsplit(":", 1)
+        host, port = self.nodes[name].frontend_address.rsplit(":", 1)
         async with asyncio.timeout(TIMEOUT_S):
             while True:
                 reader, writer = await asyncio.open_connection(host, int(port))
@@ -340,7 +340,7 @@
     await group.put((server_entry(3, "leaving"),), rest)
     asked = asyncio.ensure_future(group.expect_refused(first))
     await asyncio.sleep(0)
-    group.replicas[first].wake()
+    group.replicas[first].resume()
     words = await asked
     await group.put((server_entry(3),))
     await group.until_equal()
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -28,7 +28,7 @@
 from typing import Any
 
 from benchmarks.scale.report import Series
-from lab.trial.processes import NodeError, NodeProcess, Told
+from lab.trial.processes import LogRecord, NodeError, NodeProcess
 from standins.catalog import Catalog
 from standins.fleet import operators_file
 from standins.server import DispatchServer
@@ -164,7 +164,7 @@
     async def begin(self, node: NodeProcess, gate: asyncio.Semaphore) -> None:
         async with gate:
             await node.start()
-            await node.until("list.taken")
+            await node.wait_for_event("list.taken")
 
     async def stop(self) -> None:
         for node in self.nodes:
@@ -189,12 +189,12 @@
         """ms from the telling of one change until each of these nodes has it in force."""
         version, at = self.ask("change")
 
-        def fits(told: Told) -> bool:
+        def fits(told: LogRecord) -> bool:
             return bool(told["version"] >= version)
 
         async def taken(node: NodeProcess) -> float:
             async with asyncio.timeout(TOLD_WITHIN):
-                told = await node.until("list.taken", fits)
+                told = await node.wait_for_event("list.taken", fits)
             return (datetime.fromisoformat(str(told["timestamp"])).timestamp() - float(at)) * 1000
 
         return list(await asyncio.gather(*(taken(node) for node in nodes)))
@@ -216,7 +216,7 @@
             node = nodes[times % len(nodes)]
             await node.kill()
             await node.start()
-            await node.until("list.taken")
+            await node.wait_for_event("list.taken")
             times += 1
         return times
 
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from badgercart.cluster.commands import fetch_cluster_page
-from lab.trial.checkers import broken
+from lab.trial.checkers import find_violations
 from lab.trial.world import Shape, World
 
 SIZES = (3, 10, 40, 100)
@@ -42,39 +42,41 @@
         begun = time.monotonic()
         await world.start()
         try:
-            await world.group(count)
+            await world.wait_for_members(count)
             joined = time.monotonic() - begun
             await asyncio.sleep(2.0)
             passed, spent, since = (
-                sum(world.switch.passed.values()),
+                sum(world.switch.forwarded_bytes.values()),
                 processor(world),
                 time.monotonic(),
             )
             await asyncio.sleep(REST)
             rest = time.monotonic() - since
-            bytes_ = (sum(world.switch.passed.values()) - passed) / count / rest
+            bytes_ = (sum(world.switch.forwarded_bytes.values()) - passed) / count / rest
             share = (processor(world) - spent) / count / rest
             names = list(world.nodes)
-            mark = world.marks()
+            mark = world.event_counts()
             died = time.monotonic()
-            await world.kill(names[-1])
+            await world.kill_node(names[-1])
 
             async def buried(name: str) -> float:
                 node = world.nodes[name]
                 wanted = {"peer": names[-1], "status": "dead"}
-                await node.until("peers.changed", lambda e: wanted.items() <= e.items(), mark[name])
+                await node.wait_for_event(
+                    "peers.changed", lambda e: wanted.items() <= e.items(), mark[name]
+                )
                 return time.monotonic() - died
 
             took = await asyncio.gather(*(buried(name) for name in names[:-1]))
-            mark = world.marks()
-            await world.start_again(names[-1])
-            await world.level("whole", names, mark)
-            world.split(names[: count // 2], names[count // 2 :])
+            mark = world.event_counts()
+            await world.restart_node(names[-1])
+            await world.wait_for_level("whole", names, mark)
+            world.split_groups(names[: count // 2], names[count // 2 :])
             await asyncio.sleep(15.0)
-            mark = world.marks()
+            mark = world.event_counts()
             world.switch.heal()
             healed = time.monotonic()
-            await world.level("whole", names, mark)
+            await world.wait_for_level("whole", names, mark)
             view = time.monotonic() - healed
             return joined, statistics.median(took), view, bytes_, share
         finally:
@@ -87,12 +89,12 @@
         world = await World(Shape(nodes=3, peers=peers, period_ms=1000.0), Path(folder)).start()
         try:
             await asyncio.sleep(2.0)
-            await world.traffic(150, 6.0, seed)
+            await world.send_traffic(150, 6.0, seed)
         finally:
             await world.stop()
-        assert not broken(world)
+        assert not find_violations(world)
         took = sorted(
-            asked.result.took for asked in world.asked if asked.result.outcome == "served"
+            asked.result.took for asked in world.sent_requests if asked.result.outcome == "served"
         )
         return took[len(took) // 2], took[len(took) * 99 // 100]
 
@@ -109,27 +111,30 @@
 
         async def look() -> None:
             while True:
-                running = [n for n in names if n not in world.down]
+                running = [n for n in names if n not in world.downtimes]
                 told = await asyncio.gather(
-                    *(asyncio.to_thread(fetch_cluster_page, world.nodes[n].front) for n in running)
+                    *(
+                        asyncio.to_thread(fetch_cluster_page, world.nodes[n].frontend_address)
+                        for n in running
+                    )
                 )
                 sums = [sum(parts) for parts in zip(*(t["parts"] for t in told), strict=True)]
                 found.setdefault(now[0], []).extend((min(sums), max(sums)))
                 await asyncio.sleep(0.2)
 
         try:
-            await world.group(5)
-            traffic = asyncio.ensure_future(world.traffic(180, 22.0, nodes=names[:2]))
+            await world.wait_for_members(5)
+            traffic = asyncio.ensure_future(world.send_traffic(180, 22.0, nodes=names[:2]))
             await asyncio.sleep(4.0)
             looking = asyncio.ensure_future(look())
             await asyncio.sleep(3.0)
             now[0] = "one dies"
-            await world.kill(names[-1])
+            await world.kill_node(names[-1])
             await asyncio.sleep(3.0)
             now[0] = "one is dead"
             await asyncio.sleep(3.0)
             now[0] = "two are cut off"
-            world.split(names[2:4], names[:2])
+            world.split_groups(names[2:4], names[:2])
             await asyncio.sleep(3.0)
             now[0] = "two are away"
             await asyncio.sleep(3.0)
--- a/benchmarks/zone_trials.py
+++ b/benchmarks/zone_trials.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lab.trial.checkers import broken
-from lab.trial.world import WORK, Asked, Shape, World
+from lab.trial.checkers import find_violations
+from lab.trial.world import WORK_MS, SentRequest, Shape, World
 
 MODES = ("majority", "shared", "")  # the last: each node alone
 SERVERS, CORES = 9, 2
@@ -29,7 +29,7 @@
 SERVED_SHARE = 0.95  # from which a bin counts as served
 REGIONS = (("a", "b"), ("c",))
 LOST_ZONE, LIVING_ZONES = "b", ("a", "c")
-MEAN_WORK_S = sum(sum(ends) for ends in WORK.values()) / (2 * len(WORK)) / 1000
+MEAN_WORK_S = sum(sum(ends) for ends in WORK_MS.values()) / (2 * len(WORK_MS)) / 1000
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
     """Return what came to a living zone in its fullest second, as a share of its capacity."""
     worst = 0.0
     for zone in LIVING_ZONES:
-        servers = [world.servers[name] for name in world.servers_of(zone)]
+        servers = [world.servers[name] for name in world.servers_in_zone(zone)]
         times = sorted(
             seen.at for server in servers for seen in server.seen if seen.id and seen.at > since
         )
@@ -59,7 +59,7 @@
     return worst
 
 
-def settling_time(asked: Sequence[Asked], since: float) -> float:
+def settling_time(asked: Sequence[SentRequest], since: float) -> float:
     """Return the seconds until the end of the last bin in which too few requests were served."""
     bins: dict[int, list[bool]] = {}
     for request in asked:
@@ -96,14 +96,14 @@
     with tempfile.TemporaryDirectory() as folder:
         world = await World(shape_of(mode, nodes, seed), Path(folder)).start()
         try:
-            await world.group(nodes)
+            await world.wait_for_members(nodes)
             if mode == "majority":
-                await world.in_force(list(world.nodes), dict.fromkeys(world.nodes, 0))
-            traffic = asyncio.ensure_future(world.traffic(rate, BEFORE_S + AFTER_S, seed))
+                await world.wait_for_plan(list(world.nodes), dict.fromkeys(world.nodes, 0))
+            traffic = asyncio.ensure_future(world.send_traffic(rate, BEFORE_S + AFTER_S, seed))
             await asyncio.sleep(BEFORE_S)
             died = time.monotonic()
-            for name in world.servers_of(LOST_ZONE):
-                world.crash(name)
+            for name in world.servers_in_zone(LOST_ZONE):
+                world.crash_server(name)
             await traffic
         finally:
             await world.stop()
@@ -112,12 +112,12 @@
 
 def result_of(world: World, died: float) -> TrialResult:
     """Return what came of a trial in which a zone was lost at this time."""
-    late = [request for request in world.asked if request.sent >= died]
+    late = [request for request in world.sent_requests if request.sent >= died]
     by_node = [[request for request in late if request.node == name] for name in world.nodes]
     soon = [request.result for request in late if request.sent < died + VALUE_S]
     value = sum(result.worth for result in soon) / sum(result.arrival.kind.worth for result in soon)
     moved_s = [settling_time(asked, died) for asked in by_node]
-    return TrialResult(moved_s, value, fullest_second(world, died), len(broken(world)))
+    return TrialResult(moved_s, value, fullest_second(world, died), len(find_violations(world)))
 
 
 def print_row(nodes: int, load: float, mode: str, results: Sequence[TrialResult]) -> None:
--- a/lab/trial/demo.py
+++ b/lab/trial/demo.py
@@ -14,7 +14,7 @@
 from collections import Counter
 from pathlib import Path
 
-from lab.trial.checkers import broken
+from lab.trial.checkers import find_violations
 from lab.trial.world import Shape, World
 
 STEP = 0.5  # s between pictures
@@ -26,12 +26,12 @@
 def row(world: World, name: str) -> str:
     """One node: what it can vouch for, and what it makes of the others."""
     node = world.nodes[name]
-    told = node.last("peers.level")
+    told = node.last_event("peers.level")
     views: dict[str, str] = {}
     for event in node.events:
         if event["event"] == "peers.changed":
             views[event["peer"]] = event["status"]
-    served = Counter(asked.result.outcome for asked in world.asked if asked.node == name)
+    served = Counter(asked.result.outcome for asked in world.sent_requests if asked.node == name)
     others = ", ".join(f"{peer} {status}" for peer, status in sorted(views.items()))
     ends = ", ".join(f"{count} {outcome}" for outcome, count in sorted(served.items()))
     return (
@@ -60,25 +60,33 @@
         world = await World(Shape(nodes=3), Path(folder)).start()
         what, levels = ["all three know each other"], []
         try:
-            await world.group(3)
+            await world.wait_for_members(3)
             painting = None if as_json else asyncio.ensure_future(paint(world, what))
-            traffic = asyncio.ensure_future(world.traffic(RATE, SECONDS))
+            traffic = asyncio.ensure_future(world.send_traffic(RATE, SECONDS))
             await asyncio.sleep(CUT_AT)
             what[0], mark = (
                 f"{FEW[0]} is cut off from {' and '.join(MANY)}; servers and clients reach all",
-                world.marks(),
+                world.event_counts(),
+            )
+            world.split_groups(FEW, MANY)
+            await asyncio.gather(
+                world.wait_for_level("alone", FEW, mark), world.wait_for_level("most", MANY, mark)
             )
-            world.split(FEW, MANY)
-            await asyncio.gather(world.level("alone", FEW, mark), world.level("most", MANY, mark))
             levels.append(
-                {name: node.last("peers.level")["standing"] for name, node in world.nodes.items()}
+                {
+                    name: node.last_event("peers.level")["standing"]
+                    for name, node in world.nodes.items()
+                }
             )
             await asyncio.sleep(HEAL_AT - CUT_AT)
-            what[0], mark = "the cut is healed", world.marks()
+            what[0], mark = "the cut is healed", world.event_counts()
             world.switch.heal()
-            await world.level("whole", FEW + MANY, mark)
+            await world.wait_for_level("whole", FEW + MANY, mark)
             levels.append(
-                {name: node.last("peers.level")["standing"] for name, node in world.nodes.items()}
+                {
+                    name: node.last_event("peers.level")["standing"]
+                    for name, node in world.nodes.items()
+                }
             )
             await traffic
             await asyncio.sleep(STEP)
@@ -86,8 +94,8 @@
                 painting.cancel()
         finally:
             await world.stop()
-    found = broken(world)
-    outcomes = Counter(asked.result.outcome for asked in world.asked)
+    found = find_violations(world)
+    outcomes = Counter(asked.result.outcome for asked in world.sent_requests)
     if as_json:
         print(json.dumps({"levels": levels, "outcomes": outcomes, "broken": found}))
     else:
--- a/lab/trial/inmodel.py
+++ b/lab/trial/inmodel.py
@@ -2,7 +2,7 @@
 I/O.
 
 What differs: the model's servers crash where a trial's only leave their list for a restart, its
-nodes hear of changes within `NOTICE` ms, requests' keys follow Zipf's law, and a frozen node's own
+nodes hear of changes within `LIST_NOTICE_MS` ms, requests' keys follow Zipf's law, and a frozen node's own
 timers go on.
 """
 
@@ -11,18 +11,18 @@
 from typing import Any
 
 from lab.settings import Day
-from lab.trial.script import Befalls, TrialFile
-from lab.trial.world import WORK
+from lab.trial.script import InjectedFault, TrialFile
+from lab.trial.world import WORK_MS
 from standins.traffic import KINDS, TENANTS
 
-NOTICE = 20.0  # ms, of the list to nodes on one machine
-LOOPBACK = 0.1  # ms one way
+LIST_NOTICE_MS = 20.0  # ms, of the list to nodes on one machine
+LOOPBACK_DELAY_MS = 0.1  # ms one way
 
 
-def classes() -> list[dict[str, Any]]:
+def request_classes() -> list[dict[str, Any]]:
     told = []
     for kind in KINDS:
-        low, high = WORK[kind.name]
+        low, high = WORK_MS[kind.name]
         mean = (low + high) / 2
         spread = (high - low) / 12**0.5  # a uniform law's standard deviation
         told.append(
@@ -35,13 +35,13 @@
     return told
 
 
-def trouble(told: Befalls, zones: tuple[str, ...]) -> dict[str, Any]:
-    made = told.model_dump(include={"kind", "at_s", "for_s", "share", "size", "chance", "nodes"})
-    if told.zone:
-        made["zone"] = zones.index(told.zone)
-    if told.to:
-        made["to"] = zones.index(told.to)
-    return made | {"zones": tuple(zones.index(zone) for zone in told.zones)}
+def model_fault(fault: InjectedFault, zones: tuple[str, ...]) -> dict[str, Any]:
+    made = fault.model_dump(include={"kind", "at_s", "for_s", "share", "size", "chance", "nodes"})
+    if fault.zone:
+        made["zone"] = zones.index(fault.zone)
+    if fault.to:
+        made["to"] = zones.index(fault.to)
+    return made | {"zones": tuple(zones.index(zone) for zone in fault.zones)}
 
 
 def day_of(file: TrialFile) -> Day:
@@ -59,12 +59,12 @@
                 "ramp_ms": trial.ramp_ms,
             },
         ),
-        "class": tuple(classes()),
+        "class": tuple(request_classes()),
         "arrivals": {"per_s": trial.per_s, "keys": 500},
-        "net": {"zones": len(trial.zones), "same_ms": LOOPBACK, "cross_ms": LOOPBACK},
-        "lists": {"notice_ms": NOTICE, "spread_ms": NOTICE / 2},
+        "net": {"zones": len(trial.zones), "same_ms": LOOPBACK_DELAY_MS, "cross_ms": LOOPBACK_DELAY_MS},
+        "lists": {"notice_ms": LIST_NOTICE_MS, "spread_ms": LIST_NOTICE_MS / 2},
         "node": {"max_attempts": 3, "max_retry_after_ms": 600.0},
-        "trouble": tuple(trouble(told, trial.zones) for told in file.trouble),
+        "trouble": tuple(model_fault(fault, trial.zones) for fault in file.trouble),
     }  # fmt: skip
     day = Day.model_validate(plain)
     quota = trial.quota / day.capacity
--- a/lab/trial/records.py
+++ b/lab/trial/records.py
@@ -45,22 +45,22 @@
     return [
         {
             "id": a.result.arrival.name, "node": a.node, "class": a.result.arrival.kind.name,
-            "tenant": a.result.arrival.tenant, "sent_s": a.sent - world.began, "took_ms": a.result.took,
+            "tenant": a.result.arrival.tenant, "sent_s": a.sent - world.started_at_s, "took_ms": a.result.took,
             "status": a.result.status, "outcome": a.result.outcome, "worth": a.result.worth,
             "asked": a.result.arrival.kind.worth,
         }
-        for a in world.asked
+        for a in world.sent_requests
     ]  # fmt: skip
 
 
 def attempts(world: World) -> list[dict[str, Any]]:
-    names = {world.switch.places[name].shown[0]: name for name in world.nodes}
+    names = {world.switch.endpoints[name].switch_address[0]: name for name in world.nodes}
     return [
         {
             "id": s.id,
             "node": names.get(s.source, s.source),
             "server": name,
-            "at_s": s.at - world.began,
+            "at_s": s.at - world.started_at_s,
         }
         for name, server in world.servers.items()
         for s in server.seen
--- a/lab/trial/run.py
+++ b/lab/trial/run.py
@@ -10,26 +10,30 @@
 
 from lab.stats import interval
 from lab.trial import records
-from lab.trial.checkers import broken
+from lab.trial.checkers import find_violations
 from lab.trial.script import TrialFile, play
 from lab.trial.world import World
 
 
 def summary(name: str, world: World, codes: dict[str, int]) -> dict[str, Any]:
     """What came of it, as plain data."""
-    ends = Counter(asked.result.outcome for asked in world.asked)
-    asked = sum(a.result.arrival.kind.worth for a in world.asked)
-    took = sorted(a.result.took for a in world.asked if a.result.outcome == "served")
+    ends = Counter(asked.result.outcome for asked in world.sent_requests)
+    asked = sum(a.result.arrival.kind.worth for a in world.sent_requests)
+    took = sorted(a.result.took for a in world.sent_requests if a.result.outcome == "served")
     by_node = {
-        node: [a.result.worth / a.result.arrival.kind.worth for a in world.asked if a.node == node]
+        node: [
+            a.result.worth / a.result.arrival.kind.worth
+            for a in world.sent_requests
+            if a.node == node
+        ]
         for node in world.nodes
     }
     shares = [statistics.fmean(worths) for worths in by_node.values() if worths]
     told = interval(shares) if len(shares) > 1 else None
     return {
         "name": name,
-        "requests": len(world.asked),
-        "worth": sum(a.result.worth for a in world.asked) / asked if asked else 0.0,
+        "requests": len(world.sent_requests),
+        "worth": sum(a.result.worth for a in world.sent_requests) / asked if asked else 0.0,
         "worth_by_node": {
             node: statistics.fmean(worths) for node, worths in by_node.items() if worths
         },
@@ -38,8 +42,8 @@
         "p50_ms": took[len(took) // 2] if took else 0.0,
         "p99_ms": took[len(took) * 99 // 100] if took else 0.0,
         "exits": codes,
-        "broken": broken(world),
-        "datagrams_lost": world.switch.lost,
+        "broken": find_violations(world),
+        "datagrams_lost": world.switch.dropped_datagrams,
     }
 
 
--- a/lab/trial/script.py
+++ b/lab/trial/script.py
@@ -60,7 +60,7 @@
         )  # fmt: skip
 
 
-class Befalls(Table):
+class InjectedFault(Table):
     """something that happens"""
 
     kind: Literal[
@@ -91,7 +91,7 @@
     """a trial's file"""
 
     trial: TrialTable
-    trouble: Annotated[tuple[Befalls, ...], Listed] = Field((), description="what happens")
+    trouble: Annotated[tuple[InjectedFault, ...], Listed] = Field((), description="what happens")
 
 
 def load(path: str) -> TrialFile:
@@ -139,187 +139,191 @@
 
 # What each kind does. Each step may be awaited for, and none waits longer than what it starts.
 
-Step = Callable[[World, Befalls, list[str]], Awaitable[None]]
+FaultStep = Callable[[World, InjectedFault, list[str]], Awaitable[None]]
 
 
-async def slow(world: World, told: Befalls, servers: list[str]) -> None:
+async def slow(world: World, fault: InjectedFault, servers: list[str]) -> None:
     for name in servers:
-        world.servers[name].slowness *= told.size
+        world.servers[name].slowness *= fault.size
 
 
-async def slow_end(world: World, told: Befalls, servers: list[str]) -> None:
+async def slow_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
     for name in servers:
-        world.servers[name].slowness /= told.size
+        world.servers[name].slowness /= fault.size
 
 
-async def silent(world: World, told: Befalls, servers: list[str]) -> None:
+async def silent(world: World, fault: InjectedFault, servers: list[str]) -> None:
     for name in servers:
-        world.servers[name].silent = told.chance
+        world.servers[name].silent = fault.chance
 
 
-async def errors(world: World, told: Befalls, servers: list[str]) -> None:
+async def errors(world: World, fault: InjectedFault, servers: list[str]) -> None:
     for name in servers:
-        world.servers[name].failing = told.chance
+        world.servers[name].failing = fault.chance
 
 
-async def well(world: World, told: Befalls, servers: list[str]) -> None:
+async def clear_errors(world: World, fault: InjectedFault, servers: list[str]) -> None:
     for name in servers:
         world.servers[name].silent = world.servers[name].failing = 0.0
 
 
-async def drain(world: World, told: Befalls, servers: list[str]) -> None:
+async def drain(world: World, fault: InjectedFault, servers: list[str]) -> None:
     for name in servers:
-        world.drain(name)
+        world.drain_server(name)
 
 
-async def drain_end(world: World, told: Befalls, servers: list[str]) -> None:
+async def drain_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
     for name in servers:
         world.servers[name].state = "active"
-        world.tell(world.servers[name])
+        world.publish_state(world.servers[name])
 
 
-async def come_back(world: World, told: Befalls, servers: list[str]) -> None:
+async def restart_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
     for name in servers:
-        world.come_back(name)
+        world.restart_server(name)
 
 
-async def partition(world: World, told: Befalls, servers: list[str]) -> None:
-    inside, outside = world.zone(told.zone)
-    world.switch.between(inside, outside, cut=True)
+async def partition(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    inside, outside = world.split_by_zone(fault.zone)
+    world.switch.set_both_ways(inside, outside, cut=True)
 
 
-async def partition_end(world: World, told: Befalls, servers: list[str]) -> None:
-    inside, outside = world.zone(told.zone)
-    world.switch.between(inside, outside, cut=False)
+async def partition_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    inside, outside = world.split_by_zone(fault.zone)
+    world.switch.set_both_ways(inside, outside, cut=False)
 
 
-async def zone_loss(world: World, told: Befalls, servers: list[str]) -> None:
+async def zone_loss(world: World, fault: InjectedFault, servers: list[str]) -> None:
     """All servers of a zone die at once; its nodes live."""
-    for name in world.servers_of(told.zone):
-        world.crash(name)
+    for name in world.servers_in_zone(fault.zone):
+        world.crash_server(name)
 
 
-async def zone_back(world: World, told: Befalls, servers: list[str]) -> None:
-    for name in world.servers_of(told.zone):
-        await world.revive(name)
+async def zone_loss_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    for name in world.servers_in_zone(fault.zone):
+        await world.revive_server(name)
 
 
-async def zone_slow(world: World, told: Befalls, servers: list[str]) -> None:
-    await slow(world, told, world.servers_of(told.zone))
+async def zone_slow(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    await slow(world, fault, world.servers_in_zone(fault.zone))
 
 
-async def zone_slow_end(world: World, told: Befalls, servers: list[str]) -> None:
-    await slow_end(world, told, world.servers_of(told.zone))
+async def zone_slow_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    await slow_end(world, fault, world.servers_in_zone(fault.zone))
 
 
-async def zone_flap(world: World, told: Befalls, servers: list[str]) -> None:
+async def zone_flap(world: World, fault: InjectedFault, servers: list[str]) -> None:
     """Cut off and joined again for `size` s each, until its time is over."""
-    inside, outside = world.zone(told.zone)
+    inside, outside = world.split_by_zone(fault.zone)
 
     async def turns() -> None:
         cut = True
-        for _ in range(int(told.for_s / told.size) - 1):
-            world.switch.between(inside, outside, cut=cut)
-            await asyncio.sleep(told.size)
+        for _ in range(int(fault.for_s / fault.size) - 1):
+            world.switch.set_both_ways(inside, outside, cut=cut)
+            await asyncio.sleep(fault.size)
             cut = not cut
 
-    world.besides.append(asyncio.ensure_future(turns()))
+    world.background_tasks.append(asyncio.ensure_future(turns()))
 
 
-async def zone_way(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.one_way(world.zone(told.zone)[0], world.zone(told.to)[0], cut=True)
+async def zone_way(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_one_way(
+        world.split_by_zone(fault.zone)[0], world.split_by_zone(fault.to)[0], cut=True
+    )
 
 
-async def zone_way_end(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.one_way(world.zone(told.zone)[0], world.zone(told.to)[0], cut=False)
+async def zone_way_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_one_way(
+        world.split_by_zone(fault.zone)[0], world.split_by_zone(fault.to)[0], cut=False
+    )
 
 
-def around(world: World, told: Befalls) -> tuple[list[str], list[str]]:
+def region_sides(world: World, fault: InjectedFault) -> tuple[list[str], list[str]]:
     """All of these zones, and all others with the list."""
-    inside = [name for zone in told.zones for name in world.zone(zone)[0]]
+    inside = [name for zone in fault.zones for name in world.split_by_zone(zone)[0]]
     everybody = [*world.nodes, *world.servers, LIST]
     return inside, [name for name in everybody if name not in inside]
 
 
-async def region_cut(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.between(*around(world, told), cut=True)
+async def region_cut(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_both_ways(*region_sides(world, fault), cut=True)
 
 
-async def region_cut_end(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.between(*around(world, told), cut=False)
+async def region_cut_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_both_ways(*region_sides(world, fault), cut=False)
 
 
-async def loss(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.between(list(world.nodes), list(world.nodes), loss=told.chance)
+async def loss(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_both_ways(list(world.nodes), list(world.nodes), loss=fault.chance)
 
 
-async def loss_end(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.between(list(world.nodes), list(world.nodes), loss=0.0)
+async def loss_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_both_ways(list(world.nodes), list(world.nodes), loss=0.0)
 
 
-async def kill(world: World, told: Befalls, servers: list[str]) -> None:
-    await asyncio.gather(*(world.kill(name) for name in told.nodes))
+async def kill(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    await asyncio.gather(*(world.kill_node(name) for name in fault.nodes))
 
 
-async def start_again(world: World, told: Befalls, servers: list[str]) -> None:
-    await asyncio.gather(*(world.start_again(name) for name in told.nodes))
+async def kill_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    await asyncio.gather(*(world.restart_node(name) for name in fault.nodes))
 
 
-async def freeze(world: World, told: Befalls, servers: list[str]) -> None:
-    for name in told.nodes:
-        world.freeze(name)
+async def freeze(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    for name in fault.nodes:
+        world.freeze_node(name)
 
 
-async def wake(world: World, told: Befalls, servers: list[str]) -> None:
-    for name in told.nodes:
-        world.wake(name)
+async def freeze_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    for name in fault.nodes:
+        world.resume_node(name)
 
 
-def halves(world: World, told: Befalls) -> tuple[list[str], list[str]]:
+def split_sides(world: World, fault: InjectedFault) -> tuple[list[str], list[str]]:
     names = list(world.nodes)
-    place = max(1, round(told.share * len(names)))
+    place = max(1, round(fault.share * len(names)))
     return names[:place], names[place:]
 
 
-async def split(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.between(*halves(world, told), cut=True)
+async def split(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_both_ways(*split_sides(world, fault), cut=True)
 
 
-async def split_end(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.between(*halves(world, told), cut=False)
+async def split_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_both_ways(*split_sides(world, fault), cut=False)
 
 
-async def one_way(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.set(*told.nodes, cut=True)
+async def one_way(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_fault(*fault.nodes, cut=True)
 
 
-async def one_way_end(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.set(*told.nodes, cut=False)
+async def one_way_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_fault(*fault.nodes, cut=False)
 
 
-async def list_cut(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.between(list(told.nodes), [LIST], cut=True)
+async def list_cut(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_both_ways(list(fault.nodes), [LIST], cut=True)
 
 
-async def list_cut_end(world: World, told: Befalls, servers: list[str]) -> None:
-    world.switch.between(list(told.nodes), [LIST], cut=False)
+async def list_cut_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    world.switch.set_both_ways(list(fault.nodes), [LIST], cut=False)
 
 
-STEPS: dict[str, tuple[Step, Step]] = {
+FAULT_STEPS: dict[str, tuple[FaultStep, FaultStep]] = {
     "slow": (slow, slow_end),
-    "silent": (silent, well),
-    "errors": (errors, well),
+    "silent": (silent, clear_errors),
+    "errors": (errors, clear_errors),
     "drain": (drain, drain_end),
-    "restart": (drain, come_back),
+    "restart": (drain, restart_end),
     "partition": (partition, partition_end),
     "loss": (loss, loss_end),
-    "node_restart": (kill, start_again),
-    "freeze": (freeze, wake),
-    "kill": (kill, start_again),
+    "node_restart": (kill, kill_end),
+    "freeze": (freeze, freeze_end),
+    "kill": (kill, kill_end),
     "split": (split, split_end),
     "one_way": (one_way, one_way_end),
     "list_cut": (list_cut, list_cut_end),
-    "zone_loss": (zone_loss, zone_back),
+    "zone_loss": (zone_loss, zone_loss_end),
     "zone_slow": (zone_slow, zone_slow_end),
     "zone_flap": (zone_flap, partition_end),
     "zone_way": (zone_way, zone_way_end),
@@ -327,24 +331,24 @@
 }
 
 
-async def befall(world: World, told: Befalls, number: int) -> None:
+async def inject(world: World, fault: InjectedFault, number: int) -> None:
     """One trouble from its beginning to its end; whom it befalls is drawn by the seed and its
     place."""
     rng = random.Random(f"{world.shape.seed} trouble {number}")
     servers = sorted(
-        rng.sample(list(world.servers), max(1, round(told.share * len(world.servers))))
+        rng.sample(list(world.servers), max(1, round(fault.share * len(world.servers))))
     )
-    begin, end = STEPS[told.kind]
-    await asyncio.sleep(told.at_s)
-    await begin(world, told, servers)
-    await asyncio.sleep(told.for_s)
-    await end(world, told, servers)
+    begin, end = FAULT_STEPS[fault.kind]
+    await asyncio.sleep(fault.at_s)
+    await begin(world, fault, servers)
+    await asyncio.sleep(fault.for_s)
+    await end(world, fault, servers)
 
 
 async def play(file: TrialFile, world: World) -> None:
     """Requests and troubles, until both are over. Clients turn to the nodes that run."""
     if file.trial.peers:
-        await world.group(file.trial.nodes)
-    troubles = [befall(world, told, number) for number, told in enumerate(file.trouble)]
-    traffic = world.traffic(file.trial.per_s, file.trial.seconds, file.trial.seed)
+        await world.wait_for_members(file.trial.nodes)
+    troubles = [inject(world, fault, number) for number, fault in enumerate(file.trouble)]
+    traffic = world.send_traffic(file.trial.per_s, file.trial.seconds, file.trial.seed)
     await asyncio.gather(traffic, *troubles)
--- a/lab/trial/switch.py
+++ b/lab/trial/switch.py
@@ -1,4 +1,4 @@
-"""The switch between a trial's processes: passes traffic on, with faults for each directed pair.
+"""The switch between a trial's processes: passes traffic on, with faults for each directed link.
 
 Everybody has a loopback address of its own to send from, and one of the switch, at which others
 reach it: by the two the switch knows who speaks to whom with one socket an address. A cut is
@@ -17,8 +17,8 @@
 
 from badgercart.config import Address
 
-CHUNK = 65536
-STEP = 0.01  # s between looks of a held connection at its link
+CHUNK_BYTES = 65536
+CUT_POLL_INTERVAL_S = 0.01  # s between looks of a held connection at its link
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,16 +29,16 @@
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
     loss: float = 0.0  # of datagrams
-    twice: float = 0.0  # datagrams that come twice
+    duplicate: float = 0.0  # datagrams that come twice
     reorder: float = 0.0  # datagrams that are overtaken
-    bytes_s: float = 0.0  # at most; 0: as fast as it comes
+    max_bytes_per_s: float = 0.0  # at most; 0: as fast as it comes
 
 
-FINE = Fault()
-OVERTAKEN = 50.0  # ms more for a datagram that is reordered
+NO_FAULT = Fault()
+REORDER_DELAY_MS = 50.0  # ms more for a datagram that is reordered
 
 
-class Port(asyncio.DatagramProtocol):
+class DatagramSocket(asyncio.DatagramProtocol):
     """The switch's socket for datagrams at one address."""
 
     def __init__(self, switch: Switch, name: str) -> None:
@@ -49,16 +49,16 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, source: Any) -> None:
-        self.switch.datagram(self.switch.who(source[0]), self.name, data)
+        self.switch.handle_datagram(self.switch.name_of(source[0]), self.name, data)
 
 
 @dataclass(slots=True)
-class Place:
+class Endpoint:
     """One that is reached through the switch."""
 
-    real: Address
-    shown: Address
-    port: Port | None = None
+    real_address: Address
+    switch_address: Address
+    datagram_socket: DatagramSocket | None = None
     server: asyncio.Server | None = None
 
 
@@ -67,148 +67,153 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.random = random.Random(f"{seed} switch")
-        self.places: dict[str, Place] = {}
+        self.endpoints: dict[str, Endpoint] = {}
         self.names: dict[str, str] = {}  # by the address that they send from
         self.links: dict[tuple[str, str], Fault] = {}
-        self.cuts: list[
+        self.cut_changes: list[
             tuple[float, tuple[str, str], bool]
         ] = []  # when (monotonic s), where, whether cut
-        self.passed: Counter[tuple[str, str]] = Counter()  # bytes
-        self.lost = 0
-        self.open: dict[tuple[str, str], set[asyncio.StreamWriter]] = {}
+        self.forwarded_bytes: Counter[tuple[str, str]] = Counter()  # bytes
+        self.dropped_datagrams = 0
+        self.open_writers: dict[tuple[str, str], set[asyncio.StreamWriter]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def who(self, host: str) -> str:
+    def name_of(self, host: str) -> str:
         return self.names.get(host, host)
 
     async def add(self, name: str, real: Address, shown: Address) -> None:
         """Have others reach `name`, which listens and sends at `real`, at `shown`. The ports may be
         0."""
         loop = asyncio.get_running_loop()
-        server = await asyncio.start_server(lambda r, w: self.connected(name, r, w), *shown)
+        server = await asyncio.start_server(lambda r, w: self.handle_connection(name, r, w), *shown)
         bound: Address = server.sockets[0].getsockname()[:2]
-        _, port = await loop.create_datagram_endpoint(lambda: Port(self, name), local_addr=bound)
-        self.places[name] = Place(real, bound, port, server)
+        _, port = await loop.create_datagram_endpoint(
+            lambda: DatagramSocket(self, name), local_addr=bound
+        )
+        self.endpoints[name] = Endpoint(real, bound, port, server)
         self.names[real[0]] = self.names[bound[0]] = name
 
     def close(self) -> None:
-        for place in self.places.values():
-            if place.port is not None and place.server is not None:
-                place.port.transport.close()
-                place.server.close()
+        for endpoint in self.endpoints.values():
+            if endpoint.datagram_socket is not None and endpoint.server is not None:
+                endpoint.datagram_socket.transport.close()
+                endpoint.server.close()
         for task in self.tasks:
             task.cancel()
-        for writers in self.open.values():
+        for writers in self.open_writers.values():
             for writer in writers:
                 writer.transport.abort()
 
     # Faults.
 
-    def set(self, source: str, to: str, **changes: Any) -> None:
+    def set_fault(self, source: str, to: str, **changes: Any) -> None:
         """Change what befalls one way."""
-        before = self.links.get((source, to), FINE)
+        before = self.links.get((source, to), NO_FAULT)
         self.links[source, to] = after = replace(before, **changes)
         if before.cut != after.cut:
-            self.cuts.append((time.monotonic(), (source, to), after.cut))
+            self.cut_changes.append((time.monotonic(), (source, to), after.cut))
 
-    def between(self, some: list[str], others: list[str], **changes: Any) -> None:
+    def set_both_ways(self, some: list[str], others: list[str], **changes: Any) -> None:
         """Change what befalls both ways between two groups."""
         for one in some:
             for other in others:
                 if one != other:
-                    self.set(one, other, **changes)
-                    self.set(other, one, **changes)
+                    self.set_fault(one, other, **changes)
+                    self.set_fault(other, one, **changes)
 
-    def one_way(self, some: list[str], others: list[str], **changes: Any) -> None:
+    def set_one_way(self, some: list[str], others: list[str], **changes: Any) -> None:
         """Change what befalls the ways from one group to another."""
         for one in some:
             for other in others:
-                self.set(one, other, **changes)
+                self.set_fault(one, other, **changes)
 
     def heal(self) -> None:
         for source, to in list(self.links):
-            self.set(source, to, cut=False)
+            self.set_fault(source, to, cut=False)
         self.links.clear()
 
-    def reset(self, source: str, to: str) -> None:
+    def reset_connections(self, source: str, to: str) -> None:
         """Reset the connections that `source` opened to `to`."""
-        for writer in list(self.open.get((source, to), ())):
+        for writer in list(self.open_writers.get((source, to), ())):
             writer.transport.abort()
 
     # Datagrams.
 
-    def datagram(self, source: str, to: str, data: bytes) -> None:
-        fault = self.links.get((source, to), FINE)
+    def handle_datagram(self, source: str, to: str, data: bytes) -> None:
+        fault = self.links.get((source, to), NO_FAULT)
         if fault.cut or self.random.random() < fault.loss:
-            self.lost += 1
+            self.dropped_datagrams += 1
             return
-        self.passed[source, to] += len(data)
-        for _ in range(2 if self.random.random() < fault.twice else 1):
+        self.forwarded_bytes[source, to] += len(data)
+        for _ in range(2 if self.random.random() < fault.duplicate else 1):
             late = fault.delay_ms + self.random.random() * fault.jitter_ms
-            late += OVERTAKEN if self.random.random() < fault.reorder else 0.0
+            late += REORDER_DELAY_MS if self.random.random() < fault.reorder else 0.0
             if late:
                 asyncio.get_running_loop().call_later(late / 1000, self.forward, source, to, data)
             else:
                 self.forward(source, to, data)
 
     def forward(self, source: str, to: str, data: bytes) -> None:
-        sender = self.places.get(source)
-        port = sender.port if sender is not None else self.places[to].port
+        sender = self.endpoints.get(source)
+        port = sender.datagram_socket if sender is not None else self.endpoints[to].datagram_socket
         if port is not None and not port.transport.is_closing():
-            port.transport.sendto(data, self.places[to].real)
+            port.transport.sendto(data, self.endpoints[to].real_address)
 
     # Connections.
 
-    async def connected(
+    async def handle_connection(
         self, to: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
-        source, place = self.who(writer.get_extra_info("peername")[0]), self.places[to]
-        pair = source, to
-        self.open.setdefault(pair, set()).add(writer)
-        sender = self.places.get(source)
-        onward = None
+        source, endpoint = self.name_of(writer.get_extra_info("peername")[0]), self.endpoints[to]
+        link = source, to
+        self.open_writers.setdefault(link, set()).add(writer)
+        sender = self.endpoints.get(source)
+        upstream_writer = None
         try:
-            await self.passable(pair)
-            local = (sender.shown[0], 0) if sender is not None else None
-            back, onward = await asyncio.open_connection(*place.real, local_addr=local)
+            await self.wait_until_open(link)
+            local = (sender.switch_address[0], 0) if sender is not None else None
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                *endpoint.real_address, local_addr=local
+            )
             await asyncio.gather(
-                self.pump(reader, onward, (source, to)), self.pump(back, writer, (to, source))
+                self.copy_stream(reader, upstream_writer, (source, to)),
+                self.copy_stream(upstream_reader, writer, (to, source)),
             )
         except (OSError, asyncio.CancelledError):
             writer.transport.abort()
-            if onward is not None:
-                onward.transport.abort()
+            if upstream_writer is not None:
+                upstream_writer.transport.abort()
         finally:
-            self.open[pair].discard(writer)
+            self.open_writers[link].discard(writer)
             self.tasks.discard(task)
-            for end in (writer, onward):
+            for end in (writer, upstream_writer):
                 if end is not None:
                     end.close()
 
-    async def passable(self, pair: tuple[str, str]) -> Fault:
+    async def wait_until_open(self, link: tuple[str, str]) -> Fault:
         """Wait until the link lets anything through."""
-        while (fault := self.links.get(pair, FINE)).cut:
-            await asyncio.sleep(STEP)
+        while (fault := self.links.get(link, NO_FAULT)).cut:
+            await asyncio.sleep(CUT_POLL_INTERVAL_S)
         return fault
 
-    async def pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, pair: tuple[str, str]
+    async def copy_stream(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link: tuple[str, str]
     ) -> None:
         """Pass bytes on one way; an end or a reset goes on as what it is."""
-        while data := await reader.read(CHUNK):
-            fault = await self.passable(pair)
+        while data := await reader.read(CHUNK_BYTES):
+            fault = await self.wait_until_open(link)
             if fault.delay_ms or fault.jitter_ms:
                 await asyncio.sleep(
                     (fault.delay_ms + self.random.random() * fault.jitter_ms) / 1000
                 )
-            if fault.bytes_s:
-                await asyncio.sleep(len(data) / fault.bytes_s)
-            self.passed[pair] += len(data)
+            if fault.max_bytes_per_s:
+                await asyncio.sleep(len(data) / fault.max_bytes_per_s)
+            self.forwarded_bytes[link] += len(data)
             writer.write(data)
             await writer.drain()
-        await self.passable(pair)
+        await self.wait_until_open(link)
         with contextlib.suppress(OSError, RuntimeError):
             writer.write_eof()
--- a/lab/trial/world.py
+++ b/lab/trial/world.py
@@ -19,13 +19,13 @@
 from standins.server import DispatchServer
 from standins.traffic import TENANTS, Arrival, Result, arrivals, ask, class_tables
 
-WORK = {"cab-lookup": (5.0, 15.0), "ride-assign": (8.0, 20.0)}  # ms
+WORK_MS = {"cab-lookup": (5.0, 15.0), "ride-assign": (8.0, 20.0)}  # ms
 PEERS_PORT = 7946
 LIST = "list"  # its name on the switch
-PATIENCE = (
+LATE_RESPONSE_GRACE_MS = (
     500.0  # ms beyond its time in which a late answer is told from a lost one, as on the platform
 )
-LOOK = 0.02  # s between looks at how late this machine is
+TIMER_CHECK_INTERVAL_S = 0.02  # s between looks at how late this machine is
 
 
 @dataclass(slots=True, frozen=True)
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class SentRequest:
     """A request, the node that it was sent to, and what came of it."""
 
     node: str
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class ServerStateChange:
     """A server's line as the list wrote it: when first."""
 
     server: str
@@ -102,15 +102,19 @@
     block: Block = field(init=False)
     nodes: dict[str, NodeProcess] = field(default_factory=dict)
     servers: dict[str, DispatchServer] = field(default_factory=dict)
-    done: dict[str, float] = field(default_factory=dict)  # keys that had their effect: one group
-    asked: list[Asked] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
+    effect_times: dict[str, float] = field(
+        default_factory=dict
+    )  # keys that had their effect: one group
+    sent_requests: list[SentRequest] = field(default_factory=list)
+    state_changes: list[ServerStateChange] = field(default_factory=list)
     catalog: Catalog = field(init=False)
-    began: float = 0.0
-    late: float = 0.0  # s by which this machine was late with a timer, at worst
-    looking: asyncio.Task[None] | None = None
-    besides: list[asyncio.Task[None]] = field(default_factory=list)  # what befalls by itself
-    down: dict[str, list[list[float]]] = field(
+    started_at_s: float = 0.0
+    max_timer_delay_s: float = 0.0  # s by which this machine was late with a timer, at worst
+    timer_monitor: asyncio.Task[None] | None = None
+    background_tasks: list[asyncio.Task[None]] = field(
+        default_factory=list
+    )  # what befalls by itself
+    downtimes: dict[str, list[list[float]]] = field(
         default_factory=dict
     )  # when nodes did not run: from, until
 
@@ -118,7 +122,7 @@
         self.switch = Switch(self.shape.seed)
         self.block = Block()
 
-    def address(self, kind: int, number: int) -> tuple[str, str]:
+    def addresses(self, kind: int, number: int) -> tuple[str, str]:
         """What one sends from, and what the switch shows for it, in this trial's block of
         addresses."""
         place = f"{kind * 32 + (number >> 8)}.{number & 255}"
@@ -128,43 +132,43 @@
     async def start(self) -> World:
         """All of it. What is up is put down again where something does not come up."""
         try:
-            await self.start_all()
+            await self.start_processes()
         except BaseException:
             await self.stop()
             raise
-        self.began = time.monotonic()
+        self.started_at_s = time.monotonic()
         return self
 
-    async def start_all(self) -> None:
+    async def start_processes(self) -> None:
         shape = self.shape
         for number in range(1, shape.servers + 1):
             zone = shape.zones[number % len(shape.zones)]
             server = DispatchServer(
-                f"s-{number}", WORK, shape.cores, shape.queue, "k", zone, shape.seed
+                f"s-{number}", WORK_MS, shape.cores, shape.queue, "k", zone, shape.seed
             )
-            server.done = self.done
-            server.host, shown = self.address(2, number)
+            server.done = self.effect_times
+            server.host, shown = self.addresses(2, number)
             await server.start()
             await self.switch.add(server.name, (server.host, server.port), (shown, 0))
-            server.shown = "{}:{}".format(*self.switch.places[server.name].shown)
+            server.shown = "{}:{}".format(*self.switch.endpoints[server.name].switch_address)
             self.servers[server.name] = server
         self.catalog = Catalog([server.entry() for server in self.servers.values()])
-        self.catalog.host, shown = self.address(1, 1)
+        self.catalog.host, shown = self.addresses(1, 1)
         await self.catalog.start()
         await self.switch.add(LIST, (self.catalog.host, self.catalog.port), (shown, 0))
         for number in range(shape.nodes):
-            real, shown = self.address(0, number + 1)
+            real, shown = self.addresses(0, number + 1)
             await self.switch.add(f"n{number}", (real, PEERS_PORT), (shown, PEERS_PORT))
             file = self.folder / f"n{number}.toml"
-            file.write_text(self.file(number))
+            file.write_text(self.node_file(number))
             self.nodes[f"n{number}"] = NodeProcess(f"n{number}", file)
         await asyncio.gather(*(node.start() for node in self.nodes.values()))
-        self.looking = asyncio.ensure_future(self.look())
-        await asyncio.gather(*(node.until("list.taken") for node in self.nodes.values()))
+        self.timer_monitor = asyncio.ensure_future(self.monitor_timers())
+        await asyncio.gather(*(node.wait_for_event("list.taken") for node in self.nodes.values()))
 
-    def file(self, number: int) -> str:
+    def node_file(self, number: int) -> str:
         """A node's operator's file."""
-        shape, (real, shown) = self.shape, self.address(0, number + 1)
+        shape, (real, shown) = self.shape, self.addresses(0, number + 1)
         zone, said = shape.zones[number % len(shape.zones)], shape.said or shape.nodes
         zones = ", ".join(f'"{zone}"' for zone in shape.zones)
         lines = [
@@ -173,14 +177,14 @@
             f'[fleet]\nzones = [{zones}]\nkinds = ["k"]',
             f"cold_from = {shape.cold_from}\nramp_ms = {shape.ramp_ms}",
             "[retry]\nmax_attempts = 3\nmax_retry_after_ms = 600",
-            '[members]\ncatalog = "{}:{}"'.format(*self.switch.places[LIST].shown),
+            '[members]\ncatalog = "{}:{}"'.format(*self.switch.endpoints[LIST].switch_address),
             f'[fronts.http]\nlisten = "{real}:0"',
         ]
         lines += class_tables()
         for name, share in TENANTS.items():
             lines.append(f'[[tenant]]\nname = "{name}"\nquota_per_s = {shape.quota * share:.3f}')
         if shape.peers:
-            first = [self.address(0, at + 1)[1] for at in range(min(3, shape.nodes))]
+            first = [self.addresses(0, at + 1)[1] for at in range(min(3, shape.nodes))]
             seeds = ", ".join(f'"{host}:{PEERS_PORT}"' for host in first)
             lines += [
                 f'[peers]\nlisten = "{real}:{PEERS_PORT}"\nadvertise = "{shown}:{PEERS_PORT}"',
@@ -202,17 +206,17 @@
                 lines.append(f'[[zones.region]]\nname = "r{at}"\nzones = [{names}]')
         return "\n".join([*lines, shape.more]) + "\n"
 
-    async def look(self) -> None:
+    async def monitor_timers(self) -> None:
         """How late timers ring here: by so much a node may be late, too, for no fault of its
         own."""
         while True:
-            due = time.monotonic() + LOOK
-            await asyncio.sleep(LOOK)
-            self.late = max(self.late, time.monotonic() - due)
+            due = time.monotonic() + TIMER_CHECK_INTERVAL_S
+            await asyncio.sleep(TIMER_CHECK_INTERVAL_S)
+            self.max_timer_delay_s = max(self.max_timer_delay_s, time.monotonic() - due)
 
     async def stop(self) -> dict[str, int]:
         """End all of it; gives the exit status of each node that still ran."""
-        for task in (self.looking, *self.besides):
+        for task in (self.timer_monitor, *self.background_tasks):
             if task is not None:
                 task.cancel()
         running = [n for n in self.nodes.values() if n.process and n.process.returncode is None]
@@ -227,36 +231,36 @@
 
     # What befalls them.
 
-    def tell(self, server: DispatchServer) -> None:
+    def publish_state(self, server: DispatchServer) -> None:
         """Have the list say what the server is now."""
         self.catalog.change(server.entry())
-        self.told.append(Told(server.name, server.state, time.monotonic()))
+        self.state_changes.append(ServerStateChange(server.name, server.state, time.monotonic()))
 
-    def drain(self, name: str) -> None:
+    def drain_server(self, name: str) -> None:
         self.servers[name].state = "leaving"
-        self.tell(self.servers[name])
+        self.publish_state(self.servers[name])
 
-    def come_back(self, name: str) -> None:
+    def restart_server(self, name: str) -> None:
         """Started anew, cold."""
         server = self.servers[name]
         server.state, server.started_at = "active", int(time.time() * 1000)
-        self.tell(server)
+        self.publish_state(server)
 
-    def crash(self, name: str) -> None:
+    def crash_server(self, name: str) -> None:
         """A server dies: its connections break, new ones are refused, and the list says nothing
         yet."""
         self.servers[name].stop()
 
-    async def revive(self, name: str) -> None:
+    async def revive_server(self, name: str) -> None:
         """It is back on its address, cold."""
         server = self.servers[name]
         await server.start(server.port)
-        self.come_back(name)
+        self.restart_server(name)
 
-    def servers_of(self, zone: str) -> list[str]:
+    def servers_in_zone(self, zone: str) -> list[str]:
         return [server.name for server in self.servers.values() if server.zone == zone]
 
-    def zone(self, zone: str) -> tuple[list[str], list[str]]:
+    def split_by_zone(self, zone: str) -> tuple[list[str], list[str]]:
         """Nodes and servers of a zone, and all others."""
         zones = self.shape.zones
         there = {name: zones[at % len(zones)] for at, name in enumerate(self.nodes)}
@@ -265,67 +269,71 @@
             n for n, z in there.items() if z != zone
         ]
 
-    async def kill(self, name: str) -> None:
+    async def kill_node(self, name: str) -> None:
         """SIGKILL."""
-        self.down.setdefault(name, []).append([time.monotonic(), math.inf])
+        self.downtimes.setdefault(name, []).append([time.monotonic(), math.inf])
         await self.nodes[name].kill()
 
-    async def start_again(self, name: str) -> None:
+    async def restart_node(self, name: str) -> None:
         """A killed one, by its name and address."""
         await self.nodes[name].start()
-        self.down[name][-1][1] = time.monotonic()
+        self.downtimes[name][-1][1] = time.monotonic()
 
-    def freeze(self, name: str) -> None:
+    def freeze_node(self, name: str) -> None:
         """SIGSTOP."""
-        self.down.setdefault(name, []).append([time.monotonic(), math.inf])
+        self.downtimes.setdefault(name, []).append([time.monotonic(), math.inf])
         self.nodes[name].freeze()
 
-    def wake(self, name: str) -> None:
-        self.nodes[name].wake()
-        self.down[name][-1][1] = time.monotonic()
+    def resume_node(self, name: str) -> None:
+        self.nodes[name].resume()
+        self.downtimes[name][-1][1] = time.monotonic()
 
-    def split(self, *parts: list[str]) -> None:
+    def split_groups(self, *parts: list[str]) -> None:
         """Cut these groups of names from each other."""
         for at, part in enumerate(parts):
             for other in parts[at + 1 :]:
-                self.switch.between(part, other, cut=True)
+                self.switch.set_both_ways(part, other, cut=True)
 
-    def marks(self) -> dict[str, int]:
+    def event_counts(self) -> dict[str, int]:
         """A moment in what each node has said, for `level`."""
         return {name: len(node.events) for name, node in self.nodes.items()}
 
-    async def level(self, level: str, names: list[str], since: dict[str, int]) -> None:
+    async def wait_for_level(self, level: str, names: list[str], since: dict[str, int]) -> None:
         """Until each of these nodes has said, since a moment, that it stands there."""
         waits = (
-            self.nodes[n].until("peers.level", lambda told: told["standing"] == level, since[n])
+            self.nodes[n].wait_for_event(
+                "peers.level", lambda told: told["standing"] == level, since[n]
+            )
             for n in names
         )
         await asyncio.gather(*waits)
 
-    async def in_force(
+    async def wait_for_plan(
         self,
         names: list[str],
         since: dict[str, int],
-        fits: Callable[[dict[str, Any]], bool] = lambda e: True,
+        matches: Callable[[dict[str, Any]], bool] = lambda e: True,
     ) -> list[dict[str, Any]]:
         """Until each of these nodes has said, since a moment, that such a plan is in force
         there."""
-        waits = (self.nodes[name].until("zones.plan", fits, since[name]) for name in names)
+        waits = (
+            self.nodes[name].wait_for_event("zones.plan", matches, since[name]) for name in names
+        )
         return list(await asyncio.gather(*waits))
 
-    async def group(self, size: int, among: list[str] | None = None) -> None:
+    async def wait_for_members(self, size: int, among: list[str] | None = None) -> None:
         """Until each of these nodes has so many in reach."""
         names = among or list(self.nodes)
         await asyncio.gather(
             *(
-                self.nodes[name].until("peers.level", lambda told: told["live"] == size)
+                self.nodes[name].wait_for_event("peers.level", lambda told: told["live"] == size)
                 for name in names
             )
         )
 
     # Clients.
 
-    async def traffic(
+    async def send_traffic(
         self, rate: float, seconds: float, seed: int = 1, nodes: list[str] | None = None
     ) -> None:
         """Requests at seeded times, whatever came of those before, over those of these nodes that
@@ -336,16 +344,20 @@
         for number, arrival in enumerate(arrivals(seed, rate, seconds)):
             await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
             running = [
-                n for n in names if all(until < math.inf for _, until in self.down.get(n, ()))
+                n for n in names if all(until < math.inf for _, until in self.downtimes.get(n, ()))
             ]
             if not running:
                 continue
             name = running[number % len(running)]
-            asking.append(asyncio.ensure_future(self.ask(name, arrival, connections)))
+            asking.append(asyncio.ensure_future(self.send_request(name, arrival, connections)))
         await asyncio.gather(*asking)
         connections.close()
 
-    async def ask(self, name: str, arrival: Arrival, connections: http1.Connections) -> None:
+    async def send_request(
+        self, name: str, arrival: Arrival, connections: http1.Connections
+    ) -> None:
         sent = time.monotonic()
-        result = await ask(self.nodes[name].front, arrival, connections, PATIENCE)
-        self.asked.append(Asked(name, sent, result))
+        result = await ask(
+            self.nodes[name].frontend_address, arrival, connections, LATE_RESPONSE_GRACE_MS
+        )
+        self.sent_requests.append(SentRequest(name, sent, result))
--- a/tests/trial/support.py
+++ b/tests/trial/support.py
@@ -10,7 +10,7 @@
 import pytest
 
 from badgercart.app.cli import main
-from lab.trial.checkers import broken
+from lab.trial.checkers import find_violations
 from lab.trial.world import Shape, World
 
 FAULTS = ("library.message", "policy.failed")  # events that no node may say
@@ -30,7 +30,7 @@
         return world
 
     world = asyncio.run(run())
-    assert broken(world) == []
+    assert find_violations(world) == []
     faults = [e for node in world.nodes.values() for e in node.events if e["event"] in FAULTS]
     assert not faults, faults[:3]
     return world
--- a/tests/trial/test_golden.py
+++ b/tests/trial/test_golden.py
@@ -9,8 +9,8 @@
 
 from lab.trial import records
 from lab.trial.processes import NodeProcess
-from lab.trial.switch import Place
-from lab.trial.world import Asked, Shape, World
+from lab.trial.switch import Endpoint
+from lab.trial.world import SentRequest, Shape, World
 from standins.server import DispatchServer, Seen
 from standins.traffic import ASSIGN, LOOKUP, Arrival, Result
 
@@ -22,17 +22,21 @@
     """A trial of two nodes with all kinds of answers and events in it, that was never played."""
     it = World(Shape(nodes=2, servers=1), folder)
     it.block.close()
-    it.began = 100.0
+    it.started_at_s = 100.0
     for number in (0, 1):
         name = f"n{number}"
         it.nodes[name] = NodeProcess(name, folder / f"{name}.toml")
-        it.switch.places[name] = Place((f"127.2.0.{number}", 7946), (f"127.2.128.{number}", 7946))
+        it.switch.endpoints[name] = Endpoint(
+            (f"127.2.0.{number}", 7946), (f"127.2.128.{number}", 7946)
+        )
     for at, (status, took) in enumerate(
         ((200, 12.5), (429, 1.0), (503, 1.25), (500, 9.0), (0, 2400.0))
     ):
         kind = (LOOKUP, ASSIGN)[at % 2]
         arrival = Arrival(0.5 * at, kind, "fovarosi", f"r{at}", "ride-1")
-        it.asked.append(Asked(f"n{at % 2}", 100.25 + at, Result(arrival, status, took, "")))
+        it.sent_requests.append(
+            SentRequest(f"n{at % 2}", 100.25 + at, Result(arrival, status, took, ""))
+        )
     server = DispatchServer("s-1", {})
     server.seen.append(Seen("r0", "k0", "/", 100.5, "127.2.128.0"))
     server.seen.append(Seen("r1", "", "/", 101.5, "127.9.9.9"))
--- a/tests/trial/test_random.py
+++ b/tests/trial/test_random.py
@@ -62,23 +62,26 @@
 def test_no_two_plans_and_no_rule_broken_while_zones_fail(seed: int, tmp_path: Path) -> None:
     world = play_and_check(drawn(seed, "majority"), tmp_path)
     for node in world.nodes.values():
-        assert node.last("zones.plan")["life"] == node.lives
+        assert node.last_event("zones.plan")["life"] == node.lives
 
 
 def play_and_check(file: TrialFile, tmp_path: Path) -> World:
     async def script(world: World) -> None:
         await play(file, world)
         world.switch.heal()
-        last = {name: node.last("peers.level") for name, node in world.nodes.items()}
+        last = {name: node.last_event("peers.level") for name, node in world.nodes.items()}
         late = [name for name, told in last.items() if told["standing"] != "whole"]
-        mark = world.marks()
-        await world.level("whole", late, mark)
+        mark = world.event_counts()
+        await world.wait_for_level("whole", late, mark)
         if file.trial.plan:  # those that have none have one again
             bare = [n for n, node in world.nodes.items() if not goes_by_one(node)]
-            await world.in_force(bare, mark)
+            await world.wait_for_plan(bare, mark)
 
     world = trial(tmp_path, file.trial.shape(), script)
-    assert sum(a.result.outcome == "served" for a in world.asked) > len(world.asked) / 2
+    assert (
+        sum(a.result.outcome == "served" for a in world.sent_requests)
+        > len(world.sent_requests) / 2
+    )
     return world
 
 
--- a/tests/trial/test_script.py
+++ b/tests/trial/test_script.py
@@ -13,7 +13,7 @@
 from lab.settings import Cell
 from lab.trial import records
 from lab.trial.inmodel import day_of
-from lab.trial.script import STEPS, Befalls, TrialFile, load
+from lab.trial.script import FAULT_STEPS, InjectedFault, TrialFile, load
 from lab.trial.timeline import ordered
 
 GOOD = """[trial]
@@ -59,8 +59,8 @@
 
 
 def test_every_word_has_its_steps() -> None:
-    words = Befalls.model_fields["kind"].annotation
-    assert set(STEPS) == set(words.__args__)  # type: ignore[union-attr]
+    words = InjectedFault.model_fields["kind"].annotation
+    assert set(FAULT_STEPS) == set(words.__args__)  # type: ignore[union-attr]
 
 
 def test_a_trial_is_played_kept_and_shown(
@@ -104,7 +104,7 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("kind", STEPS)
+@pytest.mark.parametrize("kind", FAULT_STEPS)
 def test_the_same_trouble_plays_in_the_model(kind: str) -> None:
     nodes = ["n0", "n1"] if kind == "one_way" else ["n0"]
     trial = {"name": kind, "seconds": 5.0, "per_s": 60.0, "servers": 6}
--- a/tests/trial/test_switch.py
+++ b/tests/trial/test_switch.py
@@ -52,7 +52,7 @@
 def test_each_way_is_cut_lossy_or_doubled_by_itself_and_senders_are_seen_at_the_switch() -> None:
     async def run() -> None:
         block, switch, a, b = await two()
-        shown = {name: place.shown for name, place in switch.places.items()}
+        shown = {name: endpoint.switch_address for name, endpoint in switch.endpoints.items()}
 
         def send(end: End, to: str, data: bytes) -> None:
             end.transport.sendto(data, shown[to])
@@ -62,26 +62,26 @@
 
         send(a, "b", b"1")
         assert await next_of(b) == (b"1", shown["a"][0])
-        switch.set("a", "b", cut=True)
+        switch.set_fault("a", "b", cut=True)
         send(a, "b", b"lost")
         send(b, "a", b"2")  # the other way is open
         assert await next_of(a) == (b"2", shown["b"][0])
-        switch.set("a", "b", cut=False, twice=1.0)
+        switch.set_fault("a", "b", cut=False, duplicate=1.0)
         send(a, "b", b"3")
         assert [await next_of(b), await next_of(b)] == [(b"3", shown["a"][0])] * 2
-        switch.set("a", "b", twice=0.0, loss=1.0)
+        switch.set_fault("a", "b", duplicate=0.0, loss=1.0)
         send(a, "b", b"lost")
         send(b, "a", b"4")
         await next_of(a)
-        assert switch.lost == 2 and b.got.empty()
-        switch.set("a", "b", loss=0.0, reorder=1.0)
+        assert switch.dropped_datagrams == 2 and b.got.empty()
+        switch.set_fault("a", "b", loss=0.0, reorder=1.0)
         send(a, "b", b"overtaken")
-        while switch.passed["a", "b"] < 11:
+        while switch.forwarded_bytes["a", "b"] < 11:
             await asyncio.sleep(0)
         switch.heal()
         send(a, "b", b"first")
         assert [(await next_of(b))[0], (await next_of(b))[0]] == [b"first", b"overtaken"]
-        assert [cut for _, _, cut in switch.cuts] == [True, False]
+        assert [cut for _, _, cut in switch.cut_changes] == [True, False]
         for end in (a, b, switch, block):
             end.close()
 
@@ -92,23 +92,27 @@
     async def run() -> None:
         block, switch, a, b = await two()
         source = (a.address[0], 0)
-        reader, writer = await asyncio.open_connection(*switch.places["b"].shown, local_addr=source)
+        reader, writer = await asyncio.open_connection(
+            *switch.endpoints["b"].switch_address, local_addr=source
+        )
         writer.write(b"1")
         assert await asyncio.wait_for(reader.read(10), WAIT) == b"1"
-        switch.set("b", "a", cut=True)  # only the answer's way
+        switch.set_fault("b", "a", cut=True)  # only the answer's way
         writer.write(b"2")
-        while switch.passed["a", "b"] < 2:
+        while switch.forwarded_bytes["a", "b"] < 2:
             await asyncio.sleep(0)
         waiting = asyncio.ensure_future(reader.read(10))
-        fresh, knock = await asyncio.open_connection(*switch.places["b"].shown, local_addr=source)
+        fresh, knock = await asyncio.open_connection(
+            *switch.endpoints["b"].switch_address, local_addr=source
+        )
         knock.write(b"3")
-        while switch.passed["a", "b"] < 3:
+        while switch.forwarded_bytes["a", "b"] < 3:
             await asyncio.sleep(0.001)
         assert not waiting.done()
         switch.heal()
         assert await asyncio.wait_for(waiting, WAIT) == b"2"
         assert await asyncio.wait_for(fresh.read(10), WAIT) == b"3"
-        switch.reset("a", "b")
+        switch.reset_connections("a", "b")
         with contextlib.suppress(ConnectionError):
             assert await asyncio.wait_for(reader.read(10), WAIT) == b""
         for end in (writer, knock, a, b, switch, block):
--- a/tests/trial/test_zones.py
+++ b/tests/trial/test_zones.py
@@ -29,8 +29,8 @@
     """Play a script on a world that has its first plan."""
 
     async def planned(world: World) -> None:
-        await world.group(wanted.nodes)
-        await world.in_force(list(world.nodes), dict.fromkeys(world.nodes, 0))
+        await world.wait_for_members(wanted.nodes)
+        await world.wait_for_plan(list(world.nodes), dict.fromkeys(world.nodes, 0))
         await script(world)
 
     play(folder, wanted, planned)
@@ -38,7 +38,7 @@
 
 def reached(world: World, zone: str, since: float, until: float = float("inf")) -> int:
     """Requests that came to a zone's servers, probes apart."""
-    there = [world.servers[name] for name in world.servers_of(zone)]
+    there = [world.servers[name] for name in world.servers_in_zone(zone)]
     return sum(
         bool(seen.id) and since < seen.at < until for server in there for seen in server.seen
     )
@@ -46,7 +46,7 @@
 
 def served(world: World, since: float, nodes: set[str] | None = None) -> float:
     """Worth served over worth asked for."""
-    told = [a for a in world.asked if a.sent > since and (nodes is None or a.node in nodes)]
+    told = [a for a in world.sent_requests if a.sent > since and (nodes is None or a.node in nodes)]
     assert told
     return sum(a.result.worth for a in told) / sum(a.result.arrival.kind.worth for a in told)
 
@@ -56,22 +56,24 @@
 ) -> None:
     async def script(world: World) -> None:
         names = list(world.nodes)
-        traffic = asyncio.ensure_future(world.traffic(150, 9.0))
+        traffic = asyncio.ensure_future(world.send_traffic(150, 9.0))
         await asyncio.sleep(0)
-        mark, died = world.marks(), time.monotonic()
-        for name in world.servers_of("b"):
-            world.crash(name)
-        told = await world.in_force(names, mark, lambda e: "b is dark" in e["why"])
+        mark, died = world.event_counts(), time.monotonic()
+        for name in world.servers_in_zone("b"):
+            world.crash_server(name)
+        told = await world.wait_for_plan(names, mark, lambda e: "b is dark" in e["why"])
         assert len({e["plan"] for e in told if e["epoch"] == told[0]["epoch"]}) == 1
         moved = time.monotonic()
-        page = await asyncio.to_thread(fetch_zones_page, world.nodes["n1"].front)  # of zone b
+        page = await asyncio.to_thread(
+            fetch_zones_page, world.nodes["n1"].frontend_address
+        )  # of zone b
         assert page["zones"][1]["gate"] == "shut" and sum(map(sum, page["parts"][1])) > 0
         await asyncio.sleep(1.0)
-        mark, back = world.marks(), time.monotonic()
-        for name in world.servers_of("b"):
-            await world.revive(name)
+        mark, back = world.event_counts(), time.monotonic()
+        for name in world.servers_in_zone("b"):
+            await world.revive_server(name)
         gates = (
-            world.nodes[n].until(
+            world.nodes[n].wait_for_event(
                 "zones.gate", lambda e: e["zone"] == "b" and e["state"] == "open", mark[n]
             )
             for n in names
@@ -88,21 +90,21 @@
     tmp_path: Path,
 ) -> None:
     async def script(world: World) -> None:
-        page = await asyncio.to_thread(fetch_zones_page, world.nodes["n0"].front)
+        page = await asyncio.to_thread(fetch_zones_page, world.nodes["n0"].frontend_address)
         first = page["proposer"]
         others = [name for name in world.nodes if name != first]
-        mark = world.marks()
-        world.freeze(first)
-        told = await world.in_force(others, mark, lambda e: e["proposer"] != first)
+        mark = world.event_counts()
+        world.freeze_node(first)
+        told = await world.wait_for_plan(others, mark, lambda e: e["proposer"] != first)
         epoch = max(e["epoch"] for e in told)
-        mark = world.marks()
+        mark = world.event_counts()
         woke = time.monotonic()
-        world.wake(first)
-        (again,) = await world.in_force([first], mark)  # the first that it goes by since
+        world.resume_node(first)
+        (again,) = await world.wait_for_plan([first], mark)  # the first that it goes by since
         assert (
             again["epoch"] >= epoch and again["proposer"] != first and time.monotonic() - woke < 10
         )
-        await world.traffic(60, 1.0)
+        await world.send_traffic(60, 1.0)
 
     trial(tmp_path, shape(5), script)
 
@@ -112,18 +114,20 @@
 ) -> None:
     async def script(world: World) -> None:
         names = list(world.nodes)
-        traffic = asyncio.ensure_future(world.traffic(100, 7.0))
-        mark = world.marks()
-        world.split(["n0", "n2"], ["n1", "n3"])
-        await asyncio.gather(*(world.nodes[n].until("zones.lapsed", since=mark[n]) for n in names))
-        page = await asyncio.to_thread(fetch_zones_page, world.nodes["n0"].front)
+        traffic = asyncio.ensure_future(world.send_traffic(100, 7.0))
+        mark = world.event_counts()
+        world.split_groups(["n0", "n2"], ["n1", "n3"])
+        await asyncio.gather(
+            *(world.nodes[n].wait_for_event("zones.lapsed", since=mark[n]) for n in names)
+        )
+        page = await asyncio.to_thread(fetch_zones_page, world.nodes["n0"].frontend_address)
         assert page["epoch"] == 0 and page["zones"][0]["share"] == [1.0] * 4  # near only
         since = time.monotonic()
         await asyncio.sleep(1.0)
         assert reached(world, "c", since) < 30  # none but n2 are of c; others send their blind part
-        mark = world.marks()
+        mark = world.event_counts()
         world.switch.heal()
-        told = await world.in_force(names, mark)
+        told = await world.wait_for_plan(names, mark)
         await traffic
         assert len(Counter(e["plan"] for e in told)) >= 1 and served(world, 0.0) > 0.9
 
@@ -133,21 +137,23 @@
 def test_a_region_cut_off_with_the_list_on_the_other_side_serves_itself(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         inside = [*(n for n, at in zip(world.nodes, "abcabcabc", strict=False) if at == "c")]
-        inside += world.servers_of("c")
+        inside += world.servers_in_zone("c")
         outside = [n for n in (*world.nodes, *world.servers, "list") if n not in inside]
         few = [n for n in inside if n in world.nodes]
         many = [n for n in world.nodes if n not in few]
-        traffic = asyncio.ensure_future(world.traffic(120, 6.0))
-        mark = world.marks()
-        world.switch.between(inside, outside, cut=True)
-        await asyncio.gather(*(world.nodes[n].until("zones.lapsed", since=mark[n]) for n in few))
-        await world.in_force(many, mark, lambda e: "c is dark" in e["why"])
+        traffic = asyncio.ensure_future(world.send_traffic(120, 6.0))
+        mark = world.event_counts()
+        world.switch.set_both_ways(inside, outside, cut=True)
+        await asyncio.gather(
+            *(world.nodes[n].wait_for_event("zones.lapsed", since=mark[n]) for n in few)
+        )
+        await world.wait_for_plan(many, mark, lambda e: "c is dark" in e["why"])
         cut = time.monotonic()
         await asyncio.sleep(1.5)
         assert served(world, cut, set(few)) > 0.95 and served(world, cut, set(many)) > 0.95
-        mark = world.marks()
+        mark = world.event_counts()
         world.switch.heal()
-        await world.in_force(list(world.nodes), mark, lambda e: "c is dark" not in e["why"])
+        await world.wait_for_plan(list(world.nodes), mark, lambda e: "c is dark" not in e["why"])
         await traffic
 
     trial(tmp_path, shape(6, regions=REGIONS), script)
@@ -160,30 +166,36 @@
 
     async def script(world: World) -> None:
         names = list(world.nodes)
-        traffic = asyncio.ensure_future(world.traffic(90, 8.0))
-        file, front, mark = str(world.nodes["n0"].file), world.nodes["n0"].front, world.marks()
+        traffic = asyncio.ensure_future(world.send_traffic(90, 8.0))
+        file, front, mark = (
+            str(world.nodes["n0"].file),
+            world.nodes["n0"].frontend_address,
+            world.event_counts(),
+        )
         gone = await asyncio.to_thread(said, "if", front, "b")
         assert "refused: " in gone and "%" in gone
         assert "drain c" in await asyncio.to_thread(
             said, "drain", file, "c", "--for", "60", "--by", "eva"
         )
         orders = await asyncio.gather(
-            *(world.nodes[n].until("zones.ordered", since=mark[n]) for n in names)
+            *(world.nodes[n].wait_for_event("zones.ordered", since=mark[n]) for n in names)
         )
         assert {(e["by"], e["what"], e["zone"]) for e in orders} == {("eva", "drain", "c")}
-        await world.in_force(names, mark)
+        await world.wait_for_plan(names, mark)
         drained = time.monotonic()
         await asyncio.sleep(1.0)
         assert reached(world, "c", drained + 0.5) == 0
-        mark = world.marks()
-        for name in world.servers_of("b"):
-            world.crash(name)
-        await world.in_force(names, mark, lambda e: "b is dark" in e["why"])
+        mark = world.event_counts()
+        for name in world.servers_in_zone("b"):
+            world.crash_server(name)
+        await world.wait_for_plan(names, mark, lambda e: "b is dark" in e["why"])
         await asyncio.sleep(0.7)
         late = time.monotonic()
-        mark = world.marks()
+        mark = world.event_counts()
         assert "release c" in await asyncio.to_thread(said, "release", file, "c")
-        await asyncio.gather(*(world.nodes[n].until("zones.ordered", since=mark[n]) for n in names))
+        await asyncio.gather(
+            *(world.nodes[n].wait_for_event("zones.ordered", since=mark[n]) for n in names)
+        )
         await traffic
         assert reached(world, "c", late) > 0
         shown = await asyncio.to_thread(said, "show", front)
@@ -202,16 +214,16 @@
 def test_new_regions_by_sighup_node_by_node_never_mix_two_maps(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         names = list(world.nodes)
-        traffic = asyncio.ensure_future(world.traffic(60, 6.0))
+        traffic = asyncio.ensure_future(world.send_traffic(60, 6.0))
         for name in names:
-            node, mark = world.nodes[name], world.marks()
+            node, mark = world.nodes[name], world.event_counts()
             told = node.file.read_text() + '[[zones.region]]\nname = "r"\nzones = ["a", "b"]\n'
             node.file.write_text(told)
-            node.signal(signal.SIGHUP)
-            await node.until("zones.lapsed", lambda e: "geography" in e["why"], mark[name])
-        await world.in_force(names, mark)
+            node.send_signal(signal.SIGHUP)
+            await node.wait_for_event("zones.lapsed", lambda e: "geography" in e["why"], mark[name])
+        await world.wait_for_plan(names, mark)
         pages = await asyncio.gather(
-            *(asyncio.to_thread(fetch_zones_page, world.nodes[n].front) for n in names)
+            *(asyncio.to_thread(fetch_zones_page, world.nodes[n].frontend_address) for n in names)
         )
         assert len({page["map"] for page in pages}) == 1
         assert pages[0]["zones"][0]["region"] == pages[0]["zones"][1]["region"] == "r"
@@ -223,21 +235,23 @@
 def test_each_node_restarted_in_turn_during_a_failover(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         names = list(world.nodes)
-        mark = world.marks()
-        for name in world.servers_of("b"):
-            world.crash(name)
-        await world.in_force(names, mark, lambda e: "b is dark" in e["why"])
+        mark = world.event_counts()
+        for name in world.servers_in_zone("b"):
+            world.crash_server(name)
+        await world.wait_for_plan(names, mark, lambda e: "b is dark" in e["why"])
 
         async def again(name: str) -> None:
-            await world.kill(name)
-            await world.start_again(name)
-            await world.nodes[name].until("zones.plan")
+            await world.kill_node(name)
+            await world.restart_node(name)
+            await world.nodes[name].wait_for_event("zones.plan")
 
         since = time.monotonic()
         for name in names:
             restart = asyncio.ensure_future(again(name))
             while not restart.done():  # each time by another seed: keys are not to come twice
-                await world.traffic(60, 0.5, len(world.asked) + 1, [n for n in names if n != name])
+                await world.send_traffic(
+                    60, 0.5, len(world.sent_requests) + 1, [n for n in names if n != name]
+                )
             await restart
         assert served(world, since) > 0.9
 
