--- a/tests/app/test_golden.py
+++ b/tests/app/test_golden.py
@@ -1,7 +1,7 @@
-"""What the command line says of an operator's file, byte for byte as it was written before.
+"""What the command line prints about an operator's file, byte for byte as in the golden files.
 
 The settings and log events of the operators' pages are pinned by those pages themselves
-(`test_the_operators_pages_are_made_from_the_program`); here is what they leave out.
+(`test_the_operators_pages_are_made_from_the_program`); these tests pin what they leave out.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     .replace('listen = "127.0.0.1:0"', 'listen = "here"\nodd = 1')
     + '[peers]\nlisten = "127.0.0.1:1"\n[peers.x]\n[zones]\nmode = "none"\nserves = 0\n[[fronts.graphql]]\n'
 )
-UNMET = (
+CONTRADICTORY = (
     GOOD.replace("aim_ms = 400", "aim_ms = 4000", 1)
     .replace('"book"', '"find"')
     .replace('zone = "a"', 'zone = "x"')
@@ -37,80 +37,82 @@
 )  # fmt: skip
 
 
-def held_to(name: str, text: str) -> None:
+def assert_golden(name: str, text: str) -> None:
     assert text == (GOLDEN / name).read_text("utf-8")
 
 
-def command(capsys: pytest.CaptureFixture[str], *words: str) -> str:
-    """The output and the status of a command."""
-    status = main(list(words))
-    told = capsys.readouterr()
-    return f"$ {' '.join(words)}\n{told.out}{told.err}status {status}\n"
+def run_command(capsys: pytest.CaptureFixture[str], *arguments: str) -> str:
+    """Run a command and return its output and exit status."""
+    status = main(list(arguments))
+    captured = capsys.readouterr()
+    return f"$ {' '.join(arguments)}\n{captured.out}{captured.err}status {status}\n"
 
 
-def test_the_schema_of_the_file_is_as_it_was(capsys: pytest.CaptureFixture[str]) -> None:
-    held_to("schema.json", command(capsys, "config", "schema"))
+def test_the_json_schema_is_unchanged(capsys: pytest.CaptureFixture[str]) -> None:
+    assert_golden("schema.json", run_command(capsys, "config", "schema"))
 
 
 @pytest.mark.parametrize("example", EXAMPLES)
-def test_the_effective_settings_of_an_example_are_shown_as_they_were(
+def test_the_effective_settings_of_examples_are_unchanged(
     example: str, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(ROOT)
-    held_to(f"show_{example}.txt", command(capsys, "config", "show", f"deploy/{example}.toml"))
+    assert_golden(
+        f"show_{example}.txt", run_command(capsys, "config", "show", f"deploy/{example}.toml")
+    )
 
 
-def test_effective_settings_are_shown_as_the_same_json(
+def test_effective_settings_as_json_are_unchanged(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(ROOT)
     monkeypatch.setenv("BADGERCART__CLASS__0__WORTH", "3.5")
-    held_to("show.json", command(capsys, "config", "show", "deploy/zones.toml", "--json"))
+    assert_golden("show.json", run_command(capsys, "config", "show", "deploy/zones.toml", "--json"))
 
 
-def test_every_default_table_is_written_as_it_was(capsys: pytest.CaptureFixture[str]) -> None:
+def test_default_tables_are_unchanged(capsys: pytest.CaptureFixture[str]) -> None:
     headers = [header for header, _, _ in tables()]
-    held_to(
+    assert_golden(
         "defaults.txt",
-        "".join(command(capsys, "config", "default", name) for name in [*headers, "x"]),
+        "".join(run_command(capsys, "config", "default", name) for name in [*headers, "x"]),
     )
 
 
-def test_the_settings_of_every_table_are_described_as_they_were() -> None:
+def test_descriptions_of_settings_are_unchanged() -> None:
     described = [f"{header}\n{settings_table(model)}\n" for header, model, _ in tables()]
-    held_to("settings.md", "\n".join(described))
+    assert_golden("settings.md", "\n".join(described))
 
 
-def test_every_log_event_has_the_name_level_and_words_that_it_had() -> None:
+def test_log_events_are_unchanged() -> None:
     for module in pkgutil.walk_packages(badgercart.__path__, "badgercart."):
         if module.name.endswith(".log_events"):
             importlib.import_module(module.name)
-    told = [
-        f"{e.name} {logging.getLevelName(e.level)} {e.words}\n    {e.meaning}\n"
-        for e in LOG_EVENTS.values()
+    events = [
+        f"{event.name} {logging.getLevelName(event.level)} {event.words}\n    {event.meaning}\n"
+        for event in LOG_EVENTS.values()
     ]
-    held_to("events.txt", "".join(sorted(told)))
+    assert_golden("events.txt", "".join(sorted(events)))
 
 
-def test_check_names_the_same_faults_in_the_same_words(
+def test_messages_of_check_are_unchanged(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
-    found = []
+    outputs = []
     for name, text in (
         ("good", GOOD),
         ("wrong", WRONG),
-        ("unmet", UNMET),
+        ("unmet", CONTRADICTORY),
         ("none", "a = "),
         ("empty", ""),
     ):
         Path(f"{name}.toml").write_text(text)
-        found.append(command(capsys, "check", f"{name}.toml"))
-    found.append(command(capsys, "check", "missing.toml"))
-    held_to("check.txt", "".join(found))
+        outputs.append(run_command(capsys, "check", f"{name}.toml"))
+    outputs.append(run_command(capsys, "check", "missing.toml"))
+    assert_golden("check.txt", "".join(outputs))
 
 
-def test_the_command_line_describes_itself_as_it_did(
+def test_help_texts_are_unchanged(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("COLUMNS", "80")
@@ -123,4 +125,4 @@
         ["config", "pages"],
         ["zones"],
     )
-    held_to("help.txt", "".join(command(capsys, *call, "--help") for call in calls))
+    assert_golden("help.txt", "".join(run_command(capsys, *call, "--help") for call in calls))
--- a/tests/app/test_golden_metrics.py
+++ b/tests/app/test_golden_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics page's names, types, meanings and labels, against a file of an earlier state."""
+"""The names, types, descriptions and labels of the metrics page, compared with golden files."""
 
 from __future__ import annotations
 
@@ -30,11 +30,12 @@
     "distribution": "[members.distribution]\ngroup = 'g'\nsecret = 'sixteen characters'\n"
     "stores = ['127.0.0.1:7401']\nservice = 'x'\n",
 }
-LISTS = ("etcd", "distribution")  # in place of the servers in the file
+# Parts that replace the servers in the file.
+LIST_SOURCES = ("etcd", "distribution")
 
 
-def names(page: bytes) -> str:
-    """The page with no figures in it."""
+def without_values(page: bytes) -> str:
+    """Return the page without the values of its metrics."""
     lines = page.decode().splitlines()
     return "".join(
         (line if line.startswith("#") else line.rpartition(" ")[0]) + "\n"
@@ -44,9 +45,9 @@
 
 
 @pytest.mark.parametrize("part", PARTS)
-def test_the_metrics_page_names_what_it_named(tmp_path: Path, part: str) -> None:
+def test_the_metrics_of_each_part_are_unchanged(tmp_path: Path, part: str) -> None:
     text = GOOD
-    if part in LISTS:
+    if part in LIST_SOURCES:
         start, end = GOOD.index("[[members.server]]"), GOOD.index("[fronts.http]")
         text = GOOD[:start] + GOOD[end:]
     (tmp_path / "dispatch.graphql").write_text(DISPATCH)
@@ -55,16 +56,16 @@
     )
 
     async def page() -> bytes:
-        site = Application(
+        application = Application(
             load_installation(str(tmp_path / "site.toml"), {}), asyncio.get_running_loop()
         )
         for state in EndpointState:
             entry = Endpoint(int(state), 0, 0, 0, state, 1.0, 0.0)
-            site.endpoint_table.listed[int(state)] = DiscoveredEndpoint(
+            application.endpoint_table.listed[int(state)] = DiscoveredEndpoint(
                 entry, ("127.0.0.1", 1), f"s{state}"
             )
-        told: bytes = site.components["metrics"].page.render()  # type: ignore[attr-defined]
-        site.close()
-        return told
+        text: bytes = application.components["metrics"].page.render()  # type: ignore[attr-defined]
+        application.close()
+        return text
 
-    assert names(asyncio.run(page())) == (GOLDEN / f"metrics-{part}.txt").read_text()
+    assert without_values(asyncio.run(page())) == (GOLDEN / f"metrics-{part}.txt").read_text()
--- a/tests/app/test_hostile.py
+++ b/tests/app/test_hostile.py
@@ -1,5 +1,4 @@
-"""Files that are hostile or odd, variables that override, and what the commands make of the
-models."""
+"""Hostile and unusual files, variables that override settings, and the output of commands."""
 
 from __future__ import annotations
 
@@ -22,7 +21,7 @@
 PARTS = ("http", "processor", "graphql", "etcd", "metrics")
 
 
-def test_a_file_of_a_megabyte_of_nested_tables_is_faults_in_little_time(tmp_path: Path) -> None:
+def test_a_megabyte_of_nested_tables_is_rejected_quickly(tmp_path: Path) -> None:
     deep = "".join(
         f"[a.{'.'.join('bcdefgh'[: n % 8])}.t{n}]\nx = {n}\n".replace("..", ".")
         for n in range(40_000)
@@ -41,7 +40,7 @@
     assert len(faults(tmp_path, GOOD + more)) == 1
 
 
-def test_a_missing_library_is_one_line_that_names_the_extra(
+def test_a_missing_library_is_reported_with_its_extra(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(sys.modules, "grpc", None)
@@ -50,7 +49,7 @@
     assert found == [(23, "fronts.processor", words)]
 
 
-def test_variables_override_single_settings_and_are_named_in_their_faults(tmp_path: Path) -> None:
+def test_variables_override_settings_and_are_named_in_their_faults(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text(GOOD)
     environ = {
@@ -60,11 +59,11 @@
         "BADGERCART__METRICS__LISTEN": "127.0.0.1:0",
         "OTHER": "x",
     }
-    what = load_installation(str(path), environ)
-    assert what.config.settings.classes[0].priority_weight == 3.5
-    assert what.config.name == "north"
-    assert what.config.zones == {"a": 0, "c": 1}
-    assert what.component_settings["metrics"].listen == (
+    installation = load_installation(str(path), environ)
+    assert installation.config.settings.classes[0].priority_weight == 3.5
+    assert installation.config.name == "north"
+    assert installation.config.zones == {"a": 0, "c": 1}
+    assert installation.component_settings["metrics"].listen == (
         "127.0.0.1",
         0,
     )
@@ -89,7 +88,10 @@
     path = tmp_path / "site.toml"
     path.write_text(GOOD)
     rows = {
-        k: (v, o) for k, v, o in render.effective(str(path), {"BADGERCART__RETRY__CANCEL": "false"})
+        key: (value, origin)
+        for key, value, origin in render.effective(
+            str(path), {"BADGERCART__RETRY__CANCEL": "false"}
+        )
     }
     assert rows["class[0].worth"] == (2.0, "line 7")
     assert rows["retry.cancel"] == (False, "BADGERCART__RETRY__CANCEL")
@@ -97,7 +99,7 @@
     assert rows["fronts.http.listen"] == ("127.0.0.1:0", "line 22")
 
 
-def test_no_secret_is_shown_but_its_file(
+def test_show_prints_the_file_of_a_secret_but_not_the_secret(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     secret = tmp_path / "password"
@@ -119,36 +121,38 @@
 @pytest.mark.parametrize(
     "name", ["node", "fleet", "retry", "class", "tenant", "log", *PARTS, "server"]
 )
-def test_every_default_table_is_toml_whose_values_are_the_defaults(
-    name: str, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_every_default_table_is_valid_toml(name: str, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["config", "default", name]) == 0
     text = capsys.readouterr().out
     tomllib.loads(text)
-    header = next(h for h, _, _ in render._tables() if h.rpartition(".")[2] == name)
+    header = next(header for header, _, _ in render._tables() if header.rpartition(".")[2] == name)
     assert f"[{header}]" in text
     assert "#" in text
     assert main(["config", "default", "nothing"]) == 2
 
 
-def test_the_schema_knows_every_setting_that_the_examples_use() -> None:
+def test_the_schema_contains_every_setting_of_the_examples() -> None:
     schema = render.json_schema()
 
-    def walk(value: Any, at: dict[str, Any], path: str) -> None:
-        while "$ref" in at or "anyOf" in at:
-            at = at["anyOf"][0] if "anyOf" in at else schema["$defs"][at["$ref"].rpartition("/")[2]]
+    def check_value(value: Any, definition: dict[str, Any], path: str) -> None:
+        while "$ref" in definition or "anyOf" in definition:
+            definition = (
+                definition["anyOf"][0]
+                if "anyOf" in definition
+                else schema["$defs"][definition["$ref"].rpartition("/")[2]]
+            )
         if isinstance(value, dict):
-            assert at["additionalProperties"] is False, path
+            assert definition["additionalProperties"] is False, path
             for key, item in value.items():
-                assert key in at["properties"], f"{path}.{key}"
-                walk(item, at["properties"][key], f"{path}.{key}")
+                assert key in definition["properties"], f"{path}.{key}"
+                check_value(item, definition["properties"][key], f"{path}.{key}")
         elif isinstance(value, list) and value and isinstance(value[0], dict):
             for item in value:
-                walk(item, at["items"], path)
+                check_value(item, definition["items"], path)
 
     for example in ROOT.glob("deploy/*.toml"):
         if example.name != "balancer.toml":
-            walk(tomllib.loads(example.read_text()), schema, example.name)
+            check_value(tomllib.loads(example.read_text()), schema, example.name)
 
 
 def test_the_operators_pages_are_made_from_the_program() -> None:
@@ -157,7 +161,7 @@
     assert main(["config", "pages", "--check", str(ROOT / "docs" / "operators")]) == 0
 
 
-def test_a_page_that_is_out_of_date_is_named_and_renewed(tmp_path: Path) -> None:
+def test_an_outdated_page_is_named_and_rewritten(tmp_path: Path) -> None:
     page = tmp_path / "a.md"
     page.write_text("x\n<!-- settings: fronts.http -->\nold\n<!-- end -->\ny\n")
     assert main(["config", "pages", "--check", str(tmp_path)]) == 1
@@ -169,7 +173,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "status"),
+    ("arguments", "status"),
     [
         (["--help"], 0),
         (["processor", "--help"], 0),
@@ -182,12 +186,15 @@
         (["processor", "proxies", "127.0.0.1:1"], 1),
     ],
 )
-def test_commands_end_with_the_statuses_of_the_table(words: list[str], status: int) -> None:
+def test_commands_end_with_the_documented_statuses(arguments: list[str], status: int) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "badgercart", *words], capture_output=True, text=True, check=False
+        [sys.executable, "-m", "badgercart", *arguments],
+        capture_output=True,
+        text=True,
+        check=False,
     )
     assert done.returncode == status, done.stderr
     assert bool(done.stdout) == (status == 0)
     assert bool(done.stderr) == (status != 0)
-    if words == ["config", "schema"]:
+    if arguments == ["config", "schema"]:
         assert json.loads(done.stdout)["title"] == "File"
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -1,4 +1,4 @@
-"""Figures: what they say, that hostile names do not multiply them, and who may ask."""
+"""The metrics page: its values, limits against hostile names, and that it serves nothing else."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
             "metrics": MetricsSettings(listen=address),
             "server": (operator_entry(peer.entry("s-1")),),
         }
-        site = Application(Installation(config(1), parts), asyncio.get_running_loop())
-        await site.start()
-        http = site.components["http"].frontend.listener.address  # type: ignore[attr-defined]
-        metrics = site.components["metrics"].listener.address  # type: ignore[attr-defined]
+        application = Application(Installation(config(1), parts), asyncio.get_running_loop())
+        await application.start()
+        http = application.components["http"].frontend.listener.address  # type: ignore[attr-defined]
+        metrics = application.components["metrics"].listener.address  # type: ignore[attr-defined]
 
         async def page() -> dict[str, float]:
             client = Client(*await asyncio.open_connection(*metrics))
@@ -62,7 +62,8 @@
         client = Client(*await asyncio.open_connection(*http))
         for _ in range(3):
             assert (await client.ask(request()))[0] == 200
-        for number in range(200):  # each of another name, tenant and path
+        # Each request has another id, tenant and path.
+        for number in range(200):
             odd = request(f"class{number}", Request_Id=f'{number}\\n"', Tenant=f"t{number}")
             assert (await client.ask(odd))[0] in (400, 404)
             client.writer.close()
@@ -71,36 +72,41 @@
         assert after["badgercart_requests_total,find,served"] == 3.0
         assert after["badgercart_request_seconds_count,find"] == 3.0
         assert (
-            sum(n for k, n in after.items() if k.startswith("badgercart_http_turned_away_total"))
+            sum(
+                value
+                for name, value in after.items()
+                if name.startswith("badgercart_http_turned_away_total")
+            )
             == 200.0
         )
         assert after["badgercart_servers,ready"] == 1.0
         assert after["badgercart_cut"] == 0.0
-        assert len(after) <= len(before) + 2  # the statuses alone
-        asker = Client(*await asyncio.open_connection(*metrics))
-        status, head, body = await asker.ask(request())
+        # Only the two statuses were added.
+        assert len(after) <= len(before) + 2
+        scraper = Client(*await asyncio.open_connection(*metrics))
+        status, head, body = await scraper.ask(request())
         assert status == 404
         assert b"figures are at /metrics" in body
-        await site.drain()
+        await application.drain()
 
     run(test())
 
 
-def test_open_labels_are_bounded_and_names_are_checked() -> None:
-    told = {f"proxy-{n}": float(n) for n in range(500)}
-    found = Metric("a_total", "", MetricKind.COUNTER, lambda: told, "proxy").values()
+def test_label_values_are_limited_and_names_are_validated() -> None:
+    readings = {f"proxy-{n}": float(n) for n in range(500)}
+    found = Metric("a_total", "", MetricKind.COUNTER, lambda: readings, "proxy").values()
     assert len(found) == MAX_LABEL_VALUES
-    assert sum(found.values()) == sum(told.values())
+    assert sum(found.values()) == sum(readings.values())
     assert found["proxy-499"] == 499.0
     assert OTHER_LABEL_VALUE in found
-    meters = MetricRegistry()
-    meters.gauge("a", "", lambda: 1.0)
+    registry = MetricRegistry()
+    registry.gauge("a", "", lambda: 1.0)
     for name, words in (
         ("a", "the metric a is already registered"),
         ("no name", "'no name' is not a valid metric name"),
     ):
         with pytest.raises(ValueError, match=words):
-            meters.gauge(name, "", lambda: 1.0)
+            registry.gauge(name, "", lambda: 1.0)
 
 
 def test_buckets_follow_the_latency_objectives_and_are_bounded() -> None:
--- a/tests/app/test_site.py
+++ b/tests/app/test_site.py
@@ -1,4 +1,4 @@
-"""Components that fail, hang and wait for each other: what becomes of the others."""
+"""Components that fail, hang or need each other, and the effect on the other components."""
 
 from __future__ import annotations
 
@@ -36,21 +36,21 @@
 
 
 class ScriptedComponent:
-    """A component that does what the test says, and logs what was done to it."""
+    """A component with scripted faults, which logs the calls that it gets."""
 
     def __init__(self, name: str, log: list[str], faults: dict[str, Any]) -> None:
         self.name, self.log, self.faults, self.number = name, log, faults, 0
 
-    async def act(self, act: str) -> None:
-        self.log.append(f"{act} {self.name}")
-        fault = self.faults.get(f"{act} {self.name}")
+    async def run_call(self, call: str) -> None:
+        self.log.append(f"{call} {self.name}")
+        fault = self.faults.get(f"{call} {self.name}")
         if fault == "hang":
             await asyncio.get_running_loop().create_future()
         elif fault is not None:
             raise fault
 
     async def start(self) -> None:
-        await self.act("start")
+        await self.run_call("start")
 
     def prepare(self, settings: NumberedSettings) -> Callable[[], None]:
         if settings.number < 0:
@@ -58,7 +58,7 @@
         return lambda: setattr(self, "number", settings.number)
 
     async def drain(self, until: float) -> None:
-        await self.act("drain")
+        await self.run_call("drain")
 
     def close(self) -> None:
         self.log.append(f"close {self.name}")
@@ -66,10 +66,10 @@
             raise fault
 
 
-def parts(
+def component_declarations(
     log: list[str], faults: dict[str, Any], **needs: tuple[str, ...]
 ) -> tuple[ComponentDeclaration, ...]:
-    def declared(name: str, wanted: tuple[str, ...]) -> ComponentDeclaration:
+    def declare(name: str, required: tuple[str, ...]) -> ComponentDeclaration:
         def build(host: ComponentHost, settings: Any) -> ScriptedComponent:
             if (fault := faults.get(f"build {name}")) is not None:
                 raise fault
@@ -79,14 +79,14 @@
             name, ComponentKind.SERVICE
         )
         return ComponentDeclaration(
-            name, (name,), kind, NumberedSettings, name, build, wanted, reloads=("*",)
+            name, (name,), kind, NumberedSettings, name, build, required, reloads=("*",)
         )
 
-    return tuple(declared(name, wanted) for name, wanted in needs.items())
+    return tuple(declare(name, required) for name, required in needs.items())
 
 
 def installation(log: list[str], **faults: Any) -> Installation:
-    known = parts(
+    known = component_declarations(
         log,
         {name.replace("_", " "): fault for name, fault in faults.items()},
         front=("members",),
@@ -101,9 +101,9 @@
 def test_components_start_by_need_and_end_in_the_reverse_order() -> None:
     async def test() -> None:
         log: list[str] = []
-        site = Application(installation(log), asyncio.get_running_loop())
-        await site.start()
-        await site.drain()
+        application = Application(installation(log), asyncio.get_running_loop())
+        await application.start()
+        await application.drain()
         order = ["list", "front", "extra"]
         assert log == [f"start {name}" for name in order] + [
             f"{act} {name}" for act in ("drain", "close") for name in reversed(order)
@@ -118,9 +118,9 @@
 ) -> None:
     async def test() -> None:
         log: list[str] = []
-        site = Application(installation(log, start_front=fault), asyncio.get_running_loop())
+        application = Application(installation(log, start_front=fault), asyncio.get_running_loop())
         with pytest.raises(ComponentStartError, match=f"front does not start: {fault}"):
-            await site.start()
+            await application.start()
         assert log == ["start list", "start front", "close extra", "close front", "close list"]
         with pytest.raises(ComponentStartError, match="extra does not start: no disk"):
             Application(
@@ -145,10 +145,10 @@
             "drain_extra": RuntimeError("odd"),
             "close_front": RuntimeError("odd"),
         }
-        site = Application(installation(log, **faults), asyncio.get_running_loop())
-        await site.start()
+        application = Application(installation(log, **faults), asyncio.get_running_loop())
+        await application.start()
         async with asyncio.timeout(WAIT_S):
-            await site.drain()
+            await application.drain()
         assert log[3:] == [
             "drain extra",
             "drain front",
@@ -159,17 +159,17 @@
         ]
 
     run(test())
-    told = [record.getMessage() for record in caplog.records]
-    assert "front did not drain in time and is closed as it stands" in told
-    assert "extra failed as it drained" in told
-    assert "front failed as it closed" in told
+    messages = [record.getMessage() for record in caplog.records]
+    assert "front did not drain in time and is closed as it stands" in messages
+    assert "extra failed as it drained" in messages
+    assert "front failed as it closed" in messages
 
 
 def test_sigterm_during_the_start_closes_what_was_started() -> None:
     async def test() -> None:
         log: list[str] = []
-        what = installation(log, start_front="hang")
-        serving = asyncio.ensure_future(serve("", what))
+        described = installation(log, start_front="hang")
+        serving = asyncio.ensure_future(serve("", described))
         async with asyncio.timeout(WAIT_S):
             while "start front" not in log:
                 await asyncio.sleep(0)
@@ -180,39 +180,39 @@
     run(test())
 
 
-def test_a_reload_is_all_or_none_and_names_every_fault() -> None:
+def test_a_reload_applies_all_or_nothing_and_names_every_fault() -> None:
     async def test() -> None:
-        what = installation([])
-        site = Application(what, asyncio.get_running_loop())
-        await site.start()
+        described = installation([])
+        application = Application(described, asyncio.get_running_loop())
+        await application.start()
         wrong = dict.fromkeys(("front", "extra"), NumberedSettings(number=-1)) | {
             "list": NumberedSettings(number=7)
         }
-        assert site.reload(replace(what, component_settings=wrong)) == [
+        assert application.reload(replace(described, component_settings=wrong)) == [
             "front: -1 is below 0",
             "extra: -1 is below 0",
         ]
-        assert site.components["list"].number == 0  # type: ignore[attr-defined]
+        assert application.components["list"].number == 0  # type: ignore[attr-defined]
         good = dict.fromkeys(wrong, NumberedSettings(number=7))
-        assert site.reload(replace(what, component_settings=good)) == []
-        assert {part.number for part in site.components.values()} == {7}  # type: ignore[attr-defined]
-        site.close()
+        assert application.reload(replace(described, component_settings=good)) == []
+        assert {part.number for part in application.components.values()} == {7}  # type: ignore[attr-defined]
+        application.close()
 
     run(test())
 
 
-def test_missing_and_circular_needs_are_named() -> None:
+def test_missing_and_circular_needs_are_reported() -> None:
     for needs, words in (
         ({"front": ("gone",)}, "front needs gone, which is not switched on"),
         ({"a": ("b",), "b": ("a",), "c": ()}, "a, b wait for each other"),
     ):
         with pytest.raises(OrderError, match=words):
-            start_order(parts([], {}, **needs))
+            start_order(component_declarations([], {}, **needs))
 
 
-def test_a_need_that_is_off_is_a_fault_of_the_file(tmp_path: Path) -> None:
-    known = parts([], {}, front=("extra",), list=(), extra=())
-    path = tmp_path / "site.toml"
+def test_a_need_that_is_switched_off_is_a_fault_of_the_file(tmp_path: Path) -> None:
+    known = component_declarations([], {}, front=("extra",), list=(), extra=())
+    path = tmp_path / "application.toml"
     path.write_text(
         '[list]\n[front]\n[[class]]\nname = "a"\naim_ms = 1\ndeadline_ms = 2\nworth = 1\neffect = "safe"\n'
     )
