--- a/tests/app/test_site.py
+++ b/tests/app/test_site.py
@@ -212,7 +212,7 @@
 
 def test_a_need_that_is_switched_off_is_a_fault_of_the_file(tmp_path: Path) -> None:
     known = component_declarations([], {}, front=("extra",), list=(), extra=())
-    path = tmp_path / "application.toml"
+    path = tmp_path / "site.toml"
     path.write_text(
         '[list]\n[front]\n[[class]]\nname = "a"\naim_ms = 1\ndeadline_ms = 2\nworth = 1\neffect = "safe"\n'
     )
