--- a/badgercart/capture/build.py
+++ b/badgercart/capture/build.py
@@ -1,5 +1,4 @@
-"""Builds a whole segment in memory, for what is made out of captures rather than by a node. No
-I/O."""
+"""Builds a complete segment in memory from given events rather than from a running node. No I/O."""
 
 from __future__ import annotations
 
@@ -17,40 +16,41 @@
 from badgercart.policy.actions import Action
 from badgercart.policy.events import Event
 
-EVENTS_PER_BATCH = 64  # events that are encoded in one go
+# So many events are encoded together as one BATCH record.
+EVENTS_PER_BATCH = 64
 
 
 class SegmentBuilder:
-    """Takes events in their order; `data` closes the segment and gives its bytes."""
+    """Takes events in their order; `data` closes the segment and returns its bytes."""
 
     def __init__(self, fields: dict[str, Any]) -> None:
-        """`fields` of the head, as the design note has them."""
-        self.out = [encode_header(fields | {"format": FORMAT_VERSION})]
+        """Begin a segment with these header fields; the format version is added to them."""
+        self.parts = [encode_header(fields | {"format": FORMAT_VERSION})]
         self.batch: list[EncodedEvent] = []
         self.events = 0
-        self.times = (0.0, 0.0)
-        self.numbers: set[int] = set()
+        self.time_range_ms = (0.0, 0.0)
+        self.request_ids: set[int] = set()
 
-    def add(self, now: float, event: Event, actions: list[Action] | None) -> None:
+    def add(self, now_ms: float, event: Event, actions: list[Action] | None) -> None:
         """Add an event and the actions that it led to; None where the policy raised."""
-        self.batch.append((*plain_event(now, event), plain_actions(actions)))
-        self.numbers.add(getattr(event, "id", 0))
-        self.times = (self.times[0] if self.events else now, now)
+        self.batch.append((*plain_event(now_ms, event), plain_actions(actions)))
+        self.request_ids.add(getattr(event, "id", 0))
+        self.time_range_ms = (self.time_range_ms[0] if self.events else now_ms, now_ms)
         self.events += 1
         if len(self.batch) >= EVENTS_PER_BATCH:
-            self.write()
+            self.write_batch()
 
-    def write(self) -> None:
-        """Write what has gathered as a batch."""
+    def write_batch(self) -> None:
+        """Append the collected events as a BATCH record."""
         if self.batch:
-            self.out.append(encode_record(RecordKind.BATCH, encode_batch(self.batch)))
+            self.parts.append(encode_record(RecordKind.BATCH, encode_batch(self.batch)))
             self.batch = []
 
     def data(self) -> bytes:
         """Close the segment, and return its bytes."""
-        self.write()
-        self.numbers.discard(0)
-        low, high = min(self.numbers, default=0), max(self.numbers, default=0)
-        index = SegmentIndex(self.events, 0, *self.times, low, high, [])
-        at = sum(map(len, self.out))
-        return b"".join((*self.out, encode_trailer(index, at)))
+        self.write_batch()
+        self.request_ids.discard(0)
+        lowest, highest = min(self.request_ids, default=0), max(self.request_ids, default=0)
+        index = SegmentIndex(self.events, 0, *self.time_range_ms, lowest, highest, [])
+        index_offset = sum(map(len, self.parts))
+        return b"".join((*self.parts, encode_trailer(index, index_offset)))
--- a/badgercart/capture/commands.py
+++ b/badgercart/capture/commands.py
@@ -200,12 +200,12 @@
             what_if(initial_policy(segment), read_events(segment), change)
         except (FormatError, CodecError, OSError) as error:
             click.echo(f"{path}: {error}")
-    sent, refused = sum(change.sent_now.values()), sum(change.refused_now.values())
+    sent, refused = sum(change.sent_now.values()), sum(change.shed_now.values())
     click.echo(f"by the policy of now, {change.differing} requests go otherwise (estimated):")
-    click.echo(f"  sent elsewhere {change.elsewhere}")
-    click.echo(f"  sent, turned away then {sent}: worth {change.gained:g}")
-    click.echo(f"  turned away, sent then {refused}: worth {change.lost:g}")
-    for line in change.first:
+    click.echo(f"  sent elsewhere {change.sent_elsewhere}")
+    click.echo(f"  sent, turned away then {sent}: worth {change.gained_weight:g}")
+    click.echo(f"  turned away, sent then {refused}: worth {change.lost_weight:g}")
+    for line in change.first_differences:
         click.echo(f"  {line}")
 
 
@@ -242,11 +242,11 @@
 def cut(file: str, begin: float, end: float, output: str) -> None:
     """A stretch of a segment as one of its own, which replays from its first event."""
     from badgercart.capture.codec import CodecError
-    from badgercart.capture.edit import cut as cut_out
+    from badgercart.capture.edit import extract
     from badgercart.capture.format import FormatError
 
     try:
-        count = cut_out(Path(file), Path(output), begin, end)
+        count = extract(Path(file), Path(output), begin, end)
     except (FormatError, CodecError, OSError) as error:
         raise CommandError(f"{file}: {error}") from None
     click.echo(f"{output}: {count} events")
--- a/tests/capture/test_edit.py
+++ b/tests/capture/test_edit.py
@@ -7,7 +7,7 @@
 import pytest
 
 from badgercart.app.cli import main
-from badgercart.capture.edit import cut, differences
+from badgercart.capture.edit import differences, extract
 from badgercart.capture.format import SegmentEnding
 from badgercart.capture.replay import find_segments, replay
 from tests.capture.support import captured
@@ -24,7 +24,7 @@
     whole = replay(path)
     begin, end = whole.first_ms + 1000.0, whole.first_ms + 2500.0
     out = tmp_path / "part.bcap"
-    count = cut(path, out, begin, end)
+    count = extract(path, out, begin, end)
     part = replay(out)
     assert part.identical and part.ending is SegmentEnding.WHOLE and part.events == count > 50
     assert begin <= part.first_ms <= part.last_ms < end
@@ -45,7 +45,7 @@
     assert lines[:2] == ["seed: differs", "state: differs"] and "event " in lines[2]
     short = tmp_path / "short.bcap"
     whole = replay(path)
-    cut(path, short, whole.first_ms, whole.first_ms + 1000.0)
+    extract(path, short, whole.first_ms, whole.first_ms + 1000.0)
     assert any(f"only in {path}" in line for line in differences(path, short))
     assert (
         main(["capture", "diff", str(path), str(other)]) == 1
--- a/tests/capture/test_whatif.py
+++ b/tests/capture/test_whatif.py
@@ -24,7 +24,7 @@
 def test_the_same_policy_changes_nothing() -> None:
     change, segment = ChangeSummary(), Segment(DAY.read_bytes())
     what_if(initial_policy(segment), read_events(segment), change)
-    assert change.events > 3000 and not change.differing and not change.first
+    assert change.events > 3000 and not change.differing and not change.first_differences
 
 
 def test_a_policy_that_refuses_less_and_one_that_refuses_all(
@@ -50,12 +50,20 @@
     what_if(
         Policy(codec.decode_settings(segment.header["settings"]), 7), read_events(segment), change
     )
-    assert change.gained > 100 and change.gained > change.lost and len(change.first) == 10
+    assert (
+        change.gained_weight > 100
+        and change.gained_weight > change.lost_weight
+        and len(change.first_differences) == 10
+    )
 
     monkeypatch.setattr(EndpointSelector, "select", lambda self, pending, now_ms: None)
     change = ChangeSummary()
     what_if(initial_policy(segment), read_events(segment), change)
-    assert change.lost > 5000 and not change.gained and sum(change.refused_now.values()) > 1000
+    assert (
+        change.lost_weight > 5000
+        and not change.gained_weight
+        and sum(change.shed_now.values()) > 1000
+    )
 
 
 def test_a_night_under_other_names_replays_and_gives_no_name_away(tmp_path: Path) -> None:
