--- a/badgercart/capture/commands.py
+++ b/badgercart/capture/commands.py
@@ -1,5 +1,8 @@
-"""`badgercart capture`: what a capture holds, whether it is whole, and what the policy decides
-by it now."""
+"""The commands of `badgercart capture`, which inspect, check, replay and edit captures.
+
+The doc comments of the commands are their help texts. Modules that need msgspec are imported in the
+commands, since it is an optional dependency.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,8 @@
 JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object a segment.")
 
 
-def found(files: tuple[str, ...]) -> list[Path]:
+def require_segments(files: tuple[str, ...]) -> list[Path]:
+    """Return the segments in files and folders. Raises CommandError where there is none."""
     from badgercart.capture.replay import find_segments
 
     paths = find_segments(files)
@@ -42,21 +46,25 @@
     from badgercart.capture.replay import record_events
 
     rows: list[dict[str, Any]] = []
-    for path in found(files):
+    for path in require_segments(files):
         try:
             segment = Segment(path.read_bytes())
         except (FormatError, OSError) as error:
             raise CommandError(f"{path}: {error}") from None
-        count = lost = notes = jumps = 0
-        first = last = 0.0
+        events = lost_events = notes = backward_jumps = 0
+        first_ms = last_ms = 0.0
         for record in segment.records():
             for item in record_events(record):
-                first, count, jumps = first or item.now_ms, count + 1, jumps + (item.now_ms < last)
-                last = item.now_ms
+                first_ms, events, backward_jumps = (
+                    first_ms or item.now_ms,
+                    events + 1,
+                    backward_jumps + (item.now_ms < last_ms),
+                )
+                last_ms = item.now_ms
             if record.kind is RecordKind.GAP:
-                lost += int.from_bytes(record.payload)
+                lost_events += int.from_bytes(record.payload)
             notes += record.kind is RecordKind.NOTE
-        began = datetime.fromtimestamp(segment.header["wall_ms"] / 1000, UTC).isoformat(
+        began_at = datetime.fromtimestamp(segment.header["wall_ms"] / 1000, UTC).isoformat(
             timespec="seconds"
         )
         rows.append(
@@ -64,13 +72,13 @@
                 "segment": path.name,
                 "format": segment.version,
                 "node": segment.header["node"],
-                "began": began,
-                "events": count,
+                "began": began_at,
+                "events": events,
                 "notes": notes,
-                "from_ms": round(first, 3),
-                "to_ms": round(last, 3),
-                "clock_back": jumps,
-                "lost": lost,
+                "from_ms": round(first_ms, 3),
+                "to_ms": round(last_ms, 3),
+                "clock_back": backward_jumps,
+                "lost": lost_events,
                 "ending": SegmentEnding(segment.ending).name.lower(),
                 "bytes": len(segment.data),
             }
@@ -85,31 +93,32 @@
 @FILES
 def verify(files: tuple[str, ...]) -> None:
     """Whether every record is as it was written; exit 1 if one is not, or a segment is cut off
-    or missing."""
+    or missing.
+    """
     from badgercart.capture.format import FormatError, Segment, SegmentEnding
     from badgercart.capture.replay import missing_segments
 
-    paths, bad = found(files), 0
-    for words in missing_segments(paths):
-        click.echo(words)
-        bad += 1
+    paths, fault_count = require_segments(files), 0
+    for message in missing_segments(paths):
+        click.echo(message)
+        fault_count += 1
     for path in paths:
         try:
             segment = Segment(path.read_bytes())
-            count = sum(1 for _ in segment.records())
+            record_count = sum(1 for _ in segment.records())
         except (FormatError, OSError) as error:
             click.echo(f"{path}: {error}")
-            bad += 1
+            fault_count += 1
             continue
         ending = SegmentEnding(segment.ending)
-        words = (
+        state = (
             "whole"
             if ending is SegmentEnding.WHOLE
             else f"{ending.name.lower()} at byte {segment.usable_bytes}"
         )
-        click.echo(f"{path}: {count} records, {words}")
-        bad += ending is not SegmentEnding.WHOLE
-    raise click.exceptions.Exit(ExitStatus.FAILED if bad else ExitStatus.DONE)
+        click.echo(f"{path}: {record_count} records, {state}")
+        fault_count += ending is not SegmentEnding.WHOLE
+    raise click.exceptions.Exit(ExitStatus.FAILED if fault_count else ExitStatus.DONE)
 
 
 @capture.command()
@@ -126,9 +135,11 @@
     except FormatError as error:
         raise CommandError(f"{file}: {error}") from None
     records = list(segment.records())
-    index = next((record.offset for record in records if record.kind is RecordKind.INDEX), 0)
-    end = b"" if records and records[-1].kind is RecordKind.END else segment.end_record(index)
-    Path(output).write_bytes(segment.data[: segment.usable_bytes] + end)
+    index_offset = next((record.offset for record in records if record.kind is RecordKind.INDEX), 0)
+    end_record = (
+        b"" if records and records[-1].kind is RecordKind.END else segment.end_record(index_offset)
+    )
+    Path(output).write_bytes(segment.data[: segment.usable_bytes] + end_record)
     click.echo(
         f"{output}: {len(records)} records kept, {len(segment.data) - segment.usable_bytes} bytes left out"
     )
@@ -146,65 +157,66 @@
     from badgercart.capture.replay import missing_segments, replay_all
     from badgercart.capture.words import show
 
-    paths, bad, events, notes, others = found(files), 0, 0, 0, []
-    for told in track(
+    paths, differing_segments, events, notes, changed = require_segments(files), 0, 0, 0, []
+    for segment_report in track(
         replay_all(paths),
         "replaying",
         total=len(paths),
         console=Console(stderr=True),
-        disable=quiet(),
+        disable=is_quiet(),
     ):
-        if told.policy_changed:
+        if segment_report.policy_changed:
             if not force:
                 raise CommandError(
-                    f"{told.name}: the policy's text is another one now; --force says what that changes"
+                    f"{segment_report.name}: the policy's text is another one now; --force says what that changes"
                 )
-            others.append(told.name)
-        events, notes = events + told.events, notes + told.notes
-        for fault in told.faults:
-            click.echo(f"{told.name}: {fault}")
-        if (other := told.difference) is not None:
+            changed.append(segment_report.name)
+        events, notes = events + segment_report.events, notes + segment_report.notes
+        for fault in segment_report.faults:
+            click.echo(f"{segment_report.name}: {fault}")
+        if (difference := segment_report.difference) is not None:
             click.echo(
-                f"{told.name}: event {other.event_number} at {other.now_ms:.3f} ms is decided otherwise"
+                f"{segment_report.name}: event {difference.event_number} at {difference.now_ms:.3f} ms is decided otherwise"
             )
-            click.echo(f"  {show(other.event)}\n  now:  {show(other.actions)}")
-            if other.captured_actions is not None:
-                click.echo(f"  then: {show(other.captured_actions)}")
-        bad += not told.identical
-    for words in missing_segments(paths):
-        click.echo(words)
-    more = f", {notes} notes of other machines" if notes else ""
+            click.echo(f"  {show(difference.event)}\n  now:  {show(difference.actions)}")
+            if difference.captured_actions is not None:
+                click.echo(f"  then: {show(difference.captured_actions)}")
+        differing_segments += not segment_report.identical
+    for message in missing_segments(paths):
+        click.echo(message)
+    notes_text = f", {notes} notes of other machines" if notes else ""
     click.echo(
-        f"{events} events{more}, {len(paths)} segments: {'differing' if bad else 'identical'}"
+        f"{events} events{notes_text}, {len(paths)} segments: {'differing' if differing_segments else 'identical'}"
     )
-    if others and bad:
-        show_change([path for path in paths if path.name in others])
-    raise click.exceptions.Exit(ExitStatus.FAILED if bad else ExitStatus.DONE)
+    if changed and differing_segments:
+        show_policy_change([path for path in paths if path.name in changed])
+    raise click.exceptions.Exit(ExitStatus.FAILED if differing_segments else ExitStatus.DONE)
 
 
-def quiet() -> bool:
+def is_quiet() -> bool:
+    """Return whether no progress bar is shown, since standard error is not a terminal."""
     return not Console(stderr=True).is_terminal
 
 
-def show_change(paths: list[Path]) -> None:
-    """What another policy would have made of the night, by the assumptions of `whatif`."""
+def show_policy_change(paths: list[Path]) -> None:
+    """Print what the present policy would have changed, by the assumptions of `whatif`."""
     from badgercart.capture.codec import CodecError
     from badgercart.capture.format import FormatError, Segment
     from badgercart.capture.replay import initial_policy, read_events
     from badgercart.capture.whatif import ChangeSummary, what_if
 
     change = ChangeSummary()
-    for path in track(paths, "what if", console=Console(stderr=True), disable=quiet()):
+    for path in track(paths, "what if", console=Console(stderr=True), disable=is_quiet()):
         try:
             segment = Segment(path.read_bytes())
             what_if(initial_policy(segment), read_events(segment), change)
         except (FormatError, CodecError, OSError) as error:
             click.echo(f"{path}: {error}")
-    sent, refused = sum(change.sent_now.values()), sum(change.shed_now.values())
+    sent, shed = sum(change.sent_now.values()), sum(change.shed_now.values())
     click.echo(f"by the policy of now, {change.differing} requests go otherwise (estimated):")
     click.echo(f"  sent elsewhere {change.sent_elsewhere}")
     click.echo(f"  sent, turned away then {sent}: worth {change.gained_weight:g}")
-    click.echo(f"  turned away, sent then {refused}: worth {change.lost_weight:g}")
+    click.echo(f"  turned away, sent then {shed}: worth {change.lost_weight:g}")
     for line in change.first_differences:
         click.echo(f"  {line}")
 
@@ -215,20 +227,20 @@
 def explain(files: tuple[str, ...], number: int) -> None:
     """Why request NUMBER went as it did, line by line."""
     from badgercart.capture.codec import CodecError
-    from badgercart.capture.explain import explain as told
+    from badgercart.capture.explain import explain as explain_request
     from badgercart.capture.format import FormatError
 
-    there = False
-    for path in found(files):
+    found = False
+    for path in require_segments(files):
         try:
-            lines = told(path, number)
+            lines = explain_request(path, number)
         except (FormatError, CodecError, OSError) as error:
             raise CommandError(f"{path}: {error}") from None
         if lines:
-            there = True
+            found = True
             click.echo(f"{path}:")
             click.echo("\n".join(lines))
-    if not there:
+    if not found:
         raise CommandError(f"no event is about request {number}")
 
 
@@ -259,16 +271,17 @@
 )
 def anonymise(file: str, output: str) -> None:
     """A segment under other names, decided anew: a night like it that gives no key, server or
-    tenant away."""
-    from badgercart.capture.anonymise import anonymise as rename
+    tenant away.
+    """
+    from badgercart.capture.anonymise import anonymise as anonymise_segment
     from badgercart.capture.codec import CodecError
     from badgercart.capture.format import FormatError
 
     try:
-        count, requests = rename(Path(file), Path(output))
+        events, requests = anonymise_segment(Path(file), Path(output))
     except (FormatError, CodecError, OSError) as error:
         raise CommandError(f"{file}: {error}") from None
-    click.echo(f"{output}: {count} events of {requests} requests, decided anew under other names")
+    click.echo(f"{output}: {events} events of {requests} requests, decided anew under other names")
 
 
 @capture.command()
@@ -278,21 +291,21 @@
     """One page with the course of x and cut, requests, errors, refusals and servers."""
     from badgercart.capture.codec import CodecError
     from badgercart.capture.format import FormatError
-    from badgercart.capture.report import Course, page
+    from badgercart.capture.report import CaptureSummary, render_page
 
-    course, paths = Course(), found(files)
-    for path in track(paths, "reading", console=Console(stderr=True), disable=quiet()):
+    summary, paths = CaptureSummary(), require_segments(files)
+    for path in track(paths, "reading", console=Console(stderr=True), disable=is_quiet()):
         try:
-            course.read(path)
+            summary.read(path)
         except (FormatError, CodecError, OSError) as error:
             raise CommandError(f"{path}: {error}") from None
-    if not course.rows:
+    if not summary.points:
         raise CommandError(f"{', '.join(files)}: there is no event")
     try:
-        Path(output).write_text(page(course))
+        Path(output).write_text(render_page(summary))
     except ImportError as error:
         raise CommandError(f"a report takes matplotlib (extra capture-report): {error}") from None
-    click.echo(f"{output}: {course.events} events")
+    click.echo(f"{output}: {summary.events} events")
 
 
 @capture.command()
--- a/badgercart/capture/report.py
+++ b/badgercart/capture/report.py
@@ -1,6 +1,7 @@
-"""The course of a captured night, as one HTML page.
+"""Summarises a capture over time as one HTML page.
 
-Captures are decided anew to know x, the cut and what is in flight, which no event holds.
+Captures are replayed, since no event holds the overload level, the shed threshold or the number of
+attempts in flight.
 """
 
 from __future__ import annotations
@@ -18,210 +19,231 @@
 from badgercart.policy.events import AttemptEnded, AttemptResult, EndpointUpdate, Event, Request
 from badgercart.policy.policy import Policy
 
-STEP = 1000.0  # ms of the night in a point of the plots
-MAX_ROWS = 86_400  # points; a longer capture is told to be cut
-WORST = 12  # servers in the table
+# The time that one point of the plots covers.
+STEP_MS = 1000.0
+# So many points are plotted at most; a longer capture has to be cut into parts first.
+MAX_POINTS = 86_400
+# The table lists so many endpoints, those with the most failed attempts.
+MAX_LISTED_ENDPOINTS = 12
+# A gap in the capture longer than this is marked in the plots.
+MIN_MARKED_GAP_MS = 10 * STEP_MS
+# An endpoint counts as slow above this latency relative to the typical one.
+SLOW_RELATIVE_LATENCY = 2
 
 
 @dataclass(slots=True)
-class Row:
-    """One step of the night."""
-
-    at: float  # ms on the node's clock
-    taken: Counter[int] = field(default_factory=Counter)  # by class
-    refused: Counter[int] = field(default_factory=Counter)
-    sent: int = 0
-    results: Counter[int] = field(default_factory=Counter)
-    x: float = 0.0
-    cut: float = 0.0
-    errors: float = 0.0
-    flying: int = 0
-    need: float = 0.0
+class Point:
+    """One step of the plots."""
+
+    at_ms: float  # on the node's clock
+    received: Counter[int] = field(default_factory=Counter)  # requests by class
+    shed: Counter[int] = field(default_factory=Counter)  # shed and failed requests by class
+    sent: int = 0  # attempts
+    results: Counter[int] = field(default_factory=Counter)  # attempts by result
+    overload_level: float = 0.0
+    shed_threshold: float = 0.0
+    error_rate: float = 0.0
+    attempts_in_flight: int = 0
+    concurrency_limit: float = 0.0
+    # Numbers of endpoints.
     ready: int = 0
     draining: int = 0
-    resting: int = 0
+    ejected: int = 0
     slow: int = 0
 
 
 @dataclass(slots=True)
-class ServerSum:
-    """What attempts came to at one endpoint."""
+class EndpointTotals:
+    """Totals of the attempts at one endpoint."""
 
     attempts: int = 0
     failed: int = 0
-    took: float = 0.0  # ms, of those that served
+    served_latency_ms: float = 0.0  # sum over the served attempts
     served: int = 0
 
 
-class Course:
-    """Reads segments in their order and sums the night up in steps."""
+class CaptureSummary:
+    """Reads the segments of a capture in order and summarises them in steps."""
 
     def __init__(self) -> None:
-        self.rows: list[Row] = []
-        self.servers: dict[int, ServerSum] = {}
-        self.classes: dict[int, int] = {}  # of requests under way
-        self.states: dict[int, EndpointState] = {}
-        self.finals: Counter[str] = Counter()
-        self.worths: tuple[float, ...] = ()
+        self.points: list[Point] = []
+        self.endpoints: dict[int, EndpointTotals] = {}
+        self.open_request_classes: dict[int, int] = {}  # class indexes by request id
+        self.endpoint_states: dict[int, EndpointState] = {}
+        self.request_results: Counter[str] = Counter()
+        self.class_weights: tuple[float, ...] = ()
         self.events = 0
         self.node = ""
-        self.gaps: list[float] = []
+        self.gap_ends_ms: list[float] = []
 
     def read(self, path: Path) -> None:
         """Read a segment. Raises FormatError, CodecError and OSError."""
         segment = Segment(path.read_bytes())
         policy = initial_policy(segment)
         self.node = segment.header["node"]
-        self.worths = tuple(cls.priority_weight for cls in policy.settings.classes)
-        for server in policy.fleet.endpoints.by_id.values():
-            self.states.setdefault(server.endpoint.id, server.endpoint.state)
+        self.class_weights = tuple(cls.priority_weight for cls in policy.settings.classes)
+        for tracked in policy.fleet.endpoints.by_id.values():
+            self.endpoint_states.setdefault(tracked.endpoint.id, tracked.endpoint.state)
         for item in read_events(segment):
-            self.take(
-                policy, item.now_ms, item.event, decide(policy, item.now_ms, item.event) or []
-            )
+            self.add(policy, item.now_ms, item.event, decide(policy, item.now_ms, item.event) or [])
 
-    def take(self, policy: Policy, now: float, event: Event, actions: list[Action]) -> None:
-        """Count an event and what was decided by it."""
+    def add(self, policy: Policy, now_ms: float, event: Event, actions: list[Action]) -> None:
+        """Count an event and the actions that it led to."""
         self.events += 1
-        row = self.row(policy, now)
+        point = self.point_at(policy, now_ms)
         if isinstance(event, Request):
-            row.taken[event.class_index] += 1
-            self.classes[event.id] = event.class_index
+            point.received[event.class_index] += 1
+            self.open_request_classes[event.id] = event.class_index
         elif isinstance(event, AttemptEnded):
-            row.results[event.result] += 1
-            told = self.servers.setdefault(event.endpoint_id, ServerSum())
-            told.attempts += 1
+            point.results[event.result] += 1
+            totals = self.endpoints.setdefault(event.endpoint_id, EndpointTotals())
+            totals.attempts += 1
             if event.result == AttemptResult.OK:
-                told.served += 1
-                told.took += event.elapsed_ms
+                totals.served += 1
+                totals.served_latency_ms += event.elapsed_ms
             elif event.result != AttemptResult.CANCELLED:
-                told.failed += 1
-            if event.request_finished and self.classes.pop(event.id, None) is not None:
-                self.finals[
+                totals.failed += 1
+            if event.request_finished and self.open_request_classes.pop(event.id, None) is not None:
+                self.request_results[
                     "served" if event.result == AttemptResult.OK else "ended otherwise"
                 ] += 1
         elif isinstance(event, EndpointUpdate):
-            self.states.update((line.id, line.state) for line in event.endpoints)
+            self.endpoint_states.update((entry.id, entry.state) for entry in event.endpoints)
         for action in actions:
             if isinstance(action, Send):
-                row.sent += 1
+                point.sent += 1
             elif isinstance(action, Shed | Fail):
-                row.refused[self.classes.pop(action.id, -1)] += 1
-                self.finals["refused" if isinstance(action, Shed) else "failed"] += 1
-
-    def row(self, policy: Policy, now: float) -> Row:
-        """Return the row of a time, a new one where there is none yet. Raises OSError."""
-        at = now - now % STEP
-        if self.rows and at <= self.rows[-1].at:
-            return self.rows[-1]
-        if len(self.rows) >= MAX_ROWS:
-            raise OSError(f"more than {MAX_ROWS} s: cut a stretch out first")
-        if self.rows and at - self.rows[-1].at > 10 * STEP:
-            self.gaps.append(at)
-        states = Counter(self.states.values())
-        row = Row(
-            at,
-            x=policy.overload.level,
-            cut=policy.overload.shed_threshold,
-            errors=policy.overload.error_rate.rate,
-            flying=policy.overload.concurrency.current,
-            need=policy.overload.concurrency.limit,
-            ready=states[EndpointState.READY],
-            draining=states[EndpointState.DRAINING],
-            resting=sum(
-                any(h.ejected_until_ms > now for h in s.health)
-                for s in policy.fleet.endpoints.by_id.values()
+                point.shed[self.open_request_classes.pop(action.id, -1)] += 1
+                self.request_results["refused" if isinstance(action, Shed) else "failed"] += 1
+
+    def point_at(self, policy: Policy, now_ms: float) -> Point:
+        """Return the point of a time, a new one where there is none yet. Raises OSError."""
+        at_ms = now_ms - now_ms % STEP_MS
+        if self.points and at_ms <= self.points[-1].at_ms:
+            return self.points[-1]
+        if len(self.points) >= MAX_POINTS:
+            raise OSError(f"more than {MAX_POINTS} s: cut a stretch out first")
+        if self.points and at_ms - self.points[-1].at_ms > MIN_MARKED_GAP_MS:
+            self.gap_ends_ms.append(at_ms)
+        endpoint_states = Counter(self.endpoint_states.values())
+        point = Point(
+            at_ms,
+            overload_level=policy.overload.level,
+            shed_threshold=policy.overload.shed_threshold,
+            error_rate=policy.overload.error_rate.rate,
+            attempts_in_flight=policy.overload.concurrency.current,
+            concurrency_limit=policy.overload.concurrency.limit,
+            ready=endpoint_states[EndpointState.READY],
+            draining=endpoint_states[EndpointState.DRAINING],
+            ejected=sum(
+                any(health.ejected_until_ms > now_ms for health in tracked.health)
+                for tracked in policy.fleet.endpoints.by_id.values()
+            ),
+            slow=sum(
+                tracked.relative_latency > SLOW_RELATIVE_LATENCY
+                for tracked in policy.fleet.endpoints.by_id.values()
             ),
-            slow=sum(s.relative_latency > 2 for s in policy.fleet.endpoints.by_id.values()),
         )
-        self.rows.append(row)
-        return row
+        self.points.append(point)
+        return point
 
 
-def _plots(course: Course) -> str:
-    """All plots over one axis of time, as SVG."""
+def _plots(summary: CaptureSummary) -> str:
+    """Return all plots over one time axis as SVG."""
     pyplot = pages.pyplot()
-    rows = course.rows
-    times = [(row.at - rows[0].at) / 1000 for row in rows]
+    points = summary.points
+    times_s = [(point.at_ms - points[0].at_ms) / 1000 for point in points]
     figure, axes = pyplot.subplots(5, 1, figsize=(11, 14), sharex=True, layout="constrained")
 
-    def lines(place: int, title: str, unit: str, series: dict[str, list[Any]]) -> None:
+    def plot_lines(position: int, title: str, unit: str, series: dict[str, list[Any]]) -> None:
         for name, values in series.items():
-            axes[place].plot(times, values, label=name, linewidth=1.2)
-        axes[place].set_title(title, loc="left", fontsize=11)
-        axes[place].set_ylabel(unit)
-        axes[place].grid(alpha=0.3)
+            axes[position].plot(times_s, values, label=name, linewidth=1.2)
+        axes[position].set_title(title, loc="left", fontsize=11)
+        axes[position].set_ylabel(unit)
+        axes[position].grid(alpha=0.3)
         if series:
-            axes[place].legend(loc="upper right", fontsize=8)
+            axes[position].legend(loc="upper right", fontsize=8)
 
-    classes = range(len(course.worths))
-    lines(
+    class_indexes = range(len(summary.class_weights))
+    plot_lines(
         0,
         "Overload",
         "0 to 1",
         {
-            "x": [r.x for r in rows],
-            "cut / 100": [r.cut / 100 for r in rows],
-            "share of attempts that fail": [r.errors for r in rows],
+            "x": [p.overload_level for p in points],
+            "cut / 100": [p.shed_threshold / 100 for p in points],
+            "share of attempts that fail": [p.error_rate for p in points],
         },
     )
     offered = {
-        f"class {c} (worth {course.worths[c]:g}), taken": [r.taken[c] for r in rows]
-        for c in classes
+        f"class {index} (worth {summary.class_weights[index]:g}), taken": [
+            p.received[index] for p in points
+        ]
+        for index in class_indexes
     }
-    lines(1, "Requests", "a second", offered)
-    lines(
-        2, "Turned away", "a second", {f"class {c}": [r.refused[c] for r in rows] for c in classes}
+    plot_lines(1, "Requests", "a second", offered)
+    plot_lines(
+        2,
+        "Turned away",
+        "a second",
+        {f"class {index}": [p.shed[index] for p in points] for index in class_indexes},
     )
-    ends = sorted({result for r in rows for result in r.results})
+    results = sorted({result for p in points for result in p.results})
     attempts: dict[str, list[Any]] = {
-        "in flight": [r.flying for r in rows],
-        "need": [r.need for r in rows],
+        "in flight": [p.attempts_in_flight for p in points],
+        "need": [p.concurrency_limit for p in points],
+    }
+    attempts |= {
+        AttemptResult(result).name.lower(): [p.results[result] for p in points]
+        for result in results
     }
-    attempts |= {AttemptResult(e).name.lower(): [r.results[e] for r in rows] for e in ends}
-    lines(3, "Attempts: in flight, need, ends", "count, a second", attempts)
-    lines(
+    plot_lines(3, "Attempts: in flight, need, ends", "count, a second", attempts)
+    plot_lines(
         4,
         "Servers",
         "count",
         {
-            "ready": [r.ready for r in rows],
-            "draining": [r.draining for r in rows],
-            "resting": [r.resting for r in rows],
-            "answering at half pace or less": [r.slow for r in rows],
+            "ready": [p.ready for p in points],
+            "draining": [p.draining for p in points],
+            "resting": [p.ejected for p in points],
+            "answering at half pace or less": [p.slow for p in points],
         },
     )
     axes[4].set_xlabel("seconds from the first event")
-    for gap in course.gaps:
+    for gap_end_ms in summary.gap_ends_ms:
         for axis in axes:
-            axis.axvline((gap - rows[0].at) / 1000, color="grey", linestyle=":", linewidth=0.8)
-    drawn = pages.svg(figure)
+            axis.axvline(
+                (gap_end_ms - points[0].at_ms) / 1000, color="grey", linestyle=":", linewidth=0.8
+            )
+    svg = pages.svg(figure)
     pyplot.close(figure)
-    return drawn
+    return svg
 
 
-def page(course: Course) -> str:
-    """The whole page. Raises ImportError where matplotlib is not there."""
-    seconds = (course.rows[-1].at - course.rows[0].at) / 1000
-    worst = sorted(course.servers.items(), key=lambda item: (-item[1].failed, item[0]))[:WORST]
-    servers: list[tuple[object, ...]] = [
+def render_page(summary: CaptureSummary) -> str:
+    """Return the page. Raises ImportError where matplotlib is not installed."""
+    seconds = (summary.points[-1].at_ms - summary.points[0].at_ms) / 1000
+    listed = sorted(summary.endpoints.items(), key=lambda item: (-item[1].failed, item[0]))[
+        :MAX_LISTED_ENDPOINTS
+    ]
+    endpoint_rows: list[tuple[object, ...]] = [
         (
-            f"{number:x}",
-            told.attempts,
-            told.failed,
-            f"{told.took / told.served:.0f}" if told.served else "-",
+            f"{endpoint_id:x}",
+            totals.attempts,
+            totals.failed,
+            f"{totals.served_latency_ms / totals.served:.0f}" if totals.served else "-",
         )
-        for number, told in worst
+        for endpoint_id, totals in listed
     ]
-    taken = sum(sum(row.taken.values()) for row in course.rows)
+    received = sum(sum(point.received.values()) for point in summary.points)
     return pages.page(
-        f"Capture of {course.node or 'a node'}",
+        f"Capture of {summary.node or 'a node'}",
         (
-            f"<p>{course.events} events, {taken} requests in {seconds:.0f} s.</p>",
-            _plots(course),
+            f"<p>{summary.events} events, {received} requests in {seconds:.0f} s.</p>",
+            _plots(summary),
             pages.heading("How requests ended"),
-            pages.table(("end", "requests"), course.finals.most_common()),
+            pages.table(("end", "requests"), summary.request_results.most_common()),
             pages.heading("Servers, those that failed most first"),
-            pages.table(("server", "attempts", "failed", "mean ms"), servers),
+            pages.table(("server", "attempts", "failed", "mean ms"), endpoint_rows),
         ),
     )
