--- a/benchmarks/zone_trials.py
+++ b/benchmarks/zone_trials.py
@@ -64,7 +64,7 @@
     bins: dict[int, list[bool]] = {}
     for request in asked:
         served = request.result.outcome == "served"
-        bins.setdefault(int((request.sent - since) / BIN_S), []).append(served)
+        bins.setdefault(int((request.sent_at_s - since) / BIN_S), []).append(served)
     failed = [
         (number + 1) * BIN_S
         for number, ends in bins.items()
@@ -112,9 +112,9 @@
 
 def result_of(world: World, died: float) -> TrialResult:
     """Return what came of a trial in which a zone was lost at this time."""
-    late = [request for request in world.sent_requests if request.sent >= died]
+    late = [request for request in world.sent_requests if request.sent_at_s >= died]
     by_node = [[request for request in late if request.node == name] for name in world.nodes]
-    soon = [request.result for request in late if request.sent < died + VALUE_S]
+    soon = [request.result for request in late if request.sent_at_s < died + VALUE_S]
     value = sum(result.worth for result in soon) / sum(result.arrival.kind.worth for result in soon)
     moved_s = [settling_time(asked, died) for asked in by_node]
     return TrialResult(moved_s, value, fullest_second(world, died), len(find_violations(world)))
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -313,7 +313,7 @@
     broke."""
     import asyncio
 
-    from lab.trial.run import trial
+    from lab.trial.run import run_trial
     from lab.trial.script import load
 
     try:
@@ -331,7 +331,7 @@
         if sum(result["breaches"].values()):
             raise click.exceptions.Exit(ExitStatus.FAILED)
         return
-    told = asyncio.run(trial(wanted, results_of(file, results)))
+    told = asyncio.run(run_trial(wanted, results_of(file, results)))
     click.echo(
         f"{told['name']}: {told['requests']} requests, worth in time {told['worth']:.3f}, "
         f"p50 {told['p50_ms']:.0f} ms, p99 {told['p99_ms']:.0f} ms"
--- a/lab/trial/__init__.py
+++ b/lab/trial/__init__.py
@@ -1,7 +1,7 @@
-"""Trials: the lab's days by real processes, with a switch between them that cuts, delays, loses and
-holds.
+"""Fault-injection trials: the lab's experiments with real processes.
 
-`switch.py` passes traffic on, `world.py` runs nodes, servers, the list and clients round it,
-`script.py` says what befalls them, `records.py` keeps what was seen in columns, `checkers.py` and
-`timeline.py` read it afterwards. The entry is `python -m lab trial FILE.toml`.
+A switch between the processes cuts links, delays, drops and holds back traffic. `switch.py`
+forwards the traffic; `world.py` runs nodes, servers, the endpoint list and clients around it;
+`script.py` injects the faults; `records.py` stores the observations in columns; `checkers.py` and
+`timeline.py` read them afterwards. The entry point is `python -m lab trial FILE.toml`.
 """
--- a/lab/trial/checkers.py
+++ b/lab/trial/checkers.py
@@ -1,7 +1,8 @@
-"""The four rules, read afterwards from what clients, servers and the list saw, not from nodes'
-words. No I/O.
+"""The rules that a trial must keep, checked afterwards. No I/O.
 
-Each checker gives what was broken, in words. A subsystem adds its own to `CHECKERS`.
+The four rules are checked against the observations of clients, servers and the endpoint list, not
+against what nodes report. Each checker yields a message for each violation; a subsystem adds its
+own checker to `CHECKERS`.
 """
 
 from __future__ import annotations
@@ -11,35 +12,35 @@
 
 from lab.trial.world import LIST, WORK_MS, World
 
-TIMING_SLACK_S = (
-    0.05  # s more than a node is told, as on the platform; and by how much this machine was late
-)
-DRAIN_GRACE_S = 0.5  # s
-MAX_NOTICE_S = 6.0  # s after which what the list told counts as told, whether or not it arrived
-OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_S = (
-    3.0,
-    1.0,
-)  # a cold server falls over at so many times what it can do, for so long
-EXTRA_REQUESTS = 5  # requests more in such a window
+# Added to the drain grace that nodes are given, as on the platform; the largest timer delay of this
+# machine comes on top.
+TIMING_SLACK_S = 0.05
+DRAIN_GRACE_S = 0.5
+# Time after which a change of the endpoint list counts as received, whether or not it arrived.
+MAX_NOTICE_S = 6.0
+# A cold server is overloaded by this multiple of its current capacity over this window.
+OVERLOAD_MULTIPLE = 3.0
+OVERLOAD_WINDOW_S = 1.0
+EXTRA_REQUESTS = 5  # tolerated above that limit in a window
 
 
 def was_running(world: World, node: str, begin: float, end: float) -> bool:
-    """Whether a node was_running through all of that time."""
+    """Return whether a node was running throughout an interval."""
     return all(end < since or begin > until for since, until in world.downtimes.get(node, ()))
 
 
 def check_final_answers(world: World) -> Iterator[str]:
-    """Rule 1: what a running node has taken gets a final answer before the client's time is up."""
-    for asked in world.sent_requests:
-        arrival, took = asked.result.arrival, asked.result.took / 1000
-        if asked.result.outcome == "lost" and was_running(
-            world, asked.node, asked.sent, asked.sent + took
+    """Rule 1: a request to a running node gets a final response before the client's deadline."""
+    for request in world.sent_requests:
+        arrival, took_s = request.result.arrival, request.result.took / 1000
+        if request.result.outcome == "lost" and was_running(
+            world, request.node, request.sent_at_s, request.sent_at_s + took_s
         ):
-            yield f"rule 1: {arrival.name} to {asked.node} got no answer in {took:.2f} s"
+            yield f"rule 1: {arrival.name} to {request.node} got no answer in {took_s:.2f} s"
 
 
 def check_effects_once(world: World) -> Iterator[str]:
-    """Rule 2: over all servers, a key has its effect once."""
+    """Rule 2: over all servers, an idempotency key has its effect once."""
     effects: Counter[str] = Counter()
     for server in world.servers.values():
         effects.update(server.effects)
@@ -48,86 +49,100 @@
             yield f"rule 2: {key} had its effect {count} times"
 
 
-def notified_by_s(world: World, node: str, at: float) -> float:
-    """When a node counts as told of what the list wrote then: later if the way to it was cut."""
-    cut, until = False, at
-    for time, pair, now in world.switch.cut_changes:
-        if pair in ((LIST, node), (node, LIST)):
-            if time <= at:
-                cut = now
-            elif cut and not now:
-                until, cut = time, False
-    return at + MAX_NOTICE_S if cut else min(until, at + MAX_NOTICE_S)
+def notified_at_s(world: World, node: str, published_at_s: float) -> float:
+    """Return when a node counts as notified of a list change published at this time.
+
+    That is later if the link between the list and the node was cut.
+    """
+    cut, until_s = False, published_at_s
+    for changed_at_s, link, cut_since in world.switch.cut_changes:
+        if link in ((LIST, node), (node, LIST)):
+            if changed_at_s <= published_at_s:
+                cut = cut_since
+            elif cut and not cut_since:
+                until_s, cut = changed_at_s, False
+    return published_at_s + MAX_NOTICE_S if cut else min(until_s, published_at_s + MAX_NOTICE_S)
 
 
 def check_drained_servers(world: World) -> Iterator[str]:
-    """Rule 3: nothing new goes to a server that was told to drain, after the grace."""
+    """Rule 3: a draining server gets no new requests after the grace time."""
     nodes = {world.switch.endpoints[name].switch_address[0]: name for name in world.nodes}
-    for place, told in enumerate(world.state_changes):
-        if told.state == "active":
+    for position, change in enumerate(world.state_changes):
+        if change.state == "active":
             continue
-        later = (
-            t.at
-            for t in world.state_changes[place + 1 :]
-            if t.server == told.server and t.state == "active"
+        restarts = (
+            later.published_at_s
+            for later in world.state_changes[position + 1 :]
+            if later.server == change.server and later.state == "active"
         )
-        over = next(later, float("inf"))
-        for seen in world.servers[told.server].seen:
+        restarted_at_s = next(restarts, float("inf"))
+        for seen in world.servers[change.server].seen:
             node = nodes.get(seen.source, "")
             if (
                 node
-                and notified_by_s(world, node, told.at)
+                and notified_at_s(world, node, change.published_at_s)
                 + DRAIN_GRACE_S
                 + TIMING_SLACK_S
                 + world.max_timer_delay_s
                 < seen.at
-                < over
+                < restarted_at_s
             ):
-                late = seen.at - told.at
-                yield f"rule 3: {seen.id} by {node} reached {told.server} {late:.2f} s after its drain"
+                late_s = seen.at - change.published_at_s
+                yield f"rule 3: {seen.id} by {node} reached {change.server} {late_s:.2f} s after its drain"
 
 
 def check_cold_servers(world: World) -> Iterator[str]:
-    """Rule 4: over all nodes, no cold server gets more in any window than makes it fall over."""
+    """Rule 4: no cold server gets more requests in a window, over all nodes, than overload it."""
     shape = world.shape
-    warm = (
+    warm_capacity_per_s = (
         shape.cores * 1000 / (sum(sum(ends) for ends in WORK_MS.values()) / (2 * len(WORK_MS)))
-    )  # a second
-    for told in world.state_changes:
-        if told.state != "active":
+    )
+    for change in world.state_changes:
+        if change.state != "active":
             continue
-        times = [seen.at for seen in world.servers[told.server].seen if seen.at >= told.at]
+        request_times = [
+            seen.at
+            for seen in world.servers[change.server].seen
+            if seen.at >= change.published_at_s
+        ]
         first = 0
-        for last, at in enumerate(times):
-            while times[first] <= at - OVERLOAD_WINDOW_S:
+        for last, at in enumerate(request_times):
+            while request_times[first] <= at - OVERLOAD_WINDOW_S:
                 first += 1
-            age = (at - told.at) * 1000
-            if age >= shape.ramp_ms:
+            age_ms = (at - change.published_at_s) * 1000
+            if age_ms >= shape.ramp_ms:
                 break
-            can = warm * (shape.cold_from + (1 - shape.cold_from) * age / shape.ramp_ms)
-            if last - first + 1 > OVERLOAD_MULTIPLE * can * OVERLOAD_WINDOW_S + EXTRA_REQUESTS:
+            capacity_per_s = warm_capacity_per_s * (
+                shape.cold_from + (1 - shape.cold_from) * age_ms / shape.ramp_ms
+            )
+            if (
+                last - first + 1
+                > OVERLOAD_MULTIPLE * capacity_per_s * OVERLOAD_WINDOW_S + EXTRA_REQUESTS
+            ):
                 count = last - first + 1
-                yield f"rule 4: {told.server} got {count} in 1 s, {age / 1000:.2f} s after its start"
+                yield f"rule 4: {change.server} got {count} in 1 s, {age_ms / 1000:.2f} s after its start"
                 break
 
 
 def check_plan_epochs(world: World) -> Iterator[str]:
-    """No two nodes go by different plans of one epoch, and no node goes back by a lease to an
-    earlier one."""
+    """All nodes have the same plan in an epoch, and no node returns to an earlier epoch.
+
+    A node may return to an earlier epoch only by a restart, never by a lease.
+    """
     if world.shape.plan != "majority":
         return
     plans: dict[int, str] = {}
     for node in world.nodes.values():
         last = (0, 0)
-        for told in node.events:
-            if told["event"] != "zones.plan":
+        for event in node.events:
+            if event["event"] != "zones.plan":
                 continue
-            epoch, digest = told["epoch"], told["plan"]
+            epoch, digest = event["epoch"], event["plan"]
             if plans.setdefault(epoch, digest) != digest:
                 yield f"zones: {node.name} goes by {digest} in epoch {epoch}, another by {plans[epoch]}"
-            if told["life"] == last[0] and epoch < last[1]:
+            if event["life"] == last[0] and epoch < last[1]:
                 yield f"zones: {node.name} went back from epoch {last[1]} to {epoch}"
-            last = told["life"], epoch
+            last = event["life"], epoch
 
 
 Checker = Callable[[World], Iterator[str]]
@@ -141,5 +156,5 @@
 
 
 def find_violations(world: World) -> list[str]:
-    """All that was broken."""
-    return [words for checker in CHECKERS.values() for words in checker(world)]
+    """Return a message for each violation of a rule."""
+    return [message for checker in CHECKERS.values() for message in checker(world)]
--- a/lab/trial/demo.py
+++ b/lab/trial/demo.py
@@ -1,7 +1,7 @@
-"""Three nodes that know each other, a cut and its healing: what each can vouch for, painted as it
-changes.
+"""Demo of a network partition among three peer nodes, and of its healing.
 
-`./demo --peers`, or `python -m lab.trial.demo [--json]`; it takes some 15 s and ends by itself.
+The view that each node has of the others is printed as it changes. Run it by `./demo --peers` or
+`python -m lab.trial.demo [--json]`; it takes some 15 s and ends by itself.
 """
 
 from __future__ import annotations
@@ -17,60 +17,66 @@
 from lab.trial.checkers import find_violations
 from lab.trial.world import Shape, World
 
-STEP = 0.5  # s between pictures
-RATE, SECONDS = 90.0, 12.0
-CUT_AT, HEAL_AT = 2.0, 7.0  # s
-FEW, MANY = ["n0"], ["n1", "n2"]
+REFRESH_INTERVAL_S = 0.5
+REQUESTS_PER_S = 90.0
+TRAFFIC_S = 12.0
+CUT_AT_S = 2.0
+HEAL_AT_S = 7.0
+MINORITY = ["n0"]
+MAJORITY = ["n1", "n2"]
 
 
 def row(world: World, name: str) -> str:
-    """One node: what it can vouch for, and what it makes of the others."""
+    """Return the line of one node: its level, its view of the others, and the request outcomes."""
     node = world.nodes[name]
-    told = node.last_event("peers.level")
+    level = node.last_event("peers.level")
     views: dict[str, str] = {}
     for event in node.events:
         if event["event"] == "peers.changed":
             views[event["peer"]] = event["status"]
-    served = Counter(asked.result.outcome for asked in world.sent_requests if asked.node == name)
-    others = ", ".join(f"{peer} {status}" for peer, status in sorted(views.items()))
-    ends = ", ".join(f"{count} {outcome}" for outcome, count in sorted(served.items()))
-    return (
-        f"  {name}  {told['standing']:6} {told['live']} of {told['may_live']}   {others:28} {ends}"
+    served = Counter(
+        request.result.outcome for request in world.sent_requests if request.node == name
     )
+    others = ", ".join(f"{peer} {status}" for peer, status in sorted(views.items()))
+    outcomes = ", ".join(f"{count} {outcome}" for outcome, count in sorted(served.items()))
+    return f"  {name}  {level['standing']:6} {level['live']} of {level['may_live']}   {others:28} {outcomes}"
+
 
+async def print_states(world: World, state: list[str]) -> None:
+    """Print the state of all nodes repeatedly.
 
-async def paint(world: World, what: list[str]) -> None:
-    """One picture after the other: in place on a terminal, else a new one where something
-    changed."""
-    live, last = sys.stdout.isatty(), ""
+    On a terminal it is redrawn in place, else it is printed again when it has changed.
+    """
+    is_terminal, last = sys.stdout.isatty(), ""
     while True:
-        rows = [f"now: {what[0]}", *(row(world, name) for name in world.nodes)]
-        shape = "".join(line[:50] for line in rows)
-        if live:
+        rows = [f"now: {state[0]}", *(row(world, name) for name in world.nodes)]
+        summary = "".join(line[:50] for line in rows)
+        if is_terminal:
             print("\x1b[2J\x1b[H" + "\n".join(rows), flush=True)
-        elif shape != last:
+        elif summary != last:
             print("\n".join(rows), flush=True)
-        last = shape
-        await asyncio.sleep(STEP)
+        last = summary
+        await asyncio.sleep(REFRESH_INTERVAL_S)
 
 
 async def show(as_json: bool) -> int:
-    """Play it; 1 where a rule was broken."""
+    """Run the demo; return 1 if a rule was broken."""
     with tempfile.TemporaryDirectory() as folder:
         world = await World(Shape(nodes=3), Path(folder)).start()
-        what, levels = ["all three know each other"], []
+        state, levels = ["all three know each other"], []
         try:
             await world.wait_for_members(3)
-            painting = None if as_json else asyncio.ensure_future(paint(world, what))
-            traffic = asyncio.ensure_future(world.send_traffic(RATE, SECONDS))
-            await asyncio.sleep(CUT_AT)
-            what[0], mark = (
-                f"{FEW[0]} is cut off from {' and '.join(MANY)}; servers and clients reach all",
+            printer = None if as_json else asyncio.ensure_future(print_states(world, state))
+            traffic = asyncio.ensure_future(world.send_traffic(REQUESTS_PER_S, TRAFFIC_S))
+            await asyncio.sleep(CUT_AT_S)
+            state[0], counts = (
+                f"{MINORITY[0]} is cut off from {' and '.join(MAJORITY)}; servers and clients reach all",
                 world.event_counts(),
             )
-            world.split_groups(FEW, MANY)
+            world.split_groups(MINORITY, MAJORITY)
             await asyncio.gather(
-                world.wait_for_level("alone", FEW, mark), world.wait_for_level("most", MANY, mark)
+                world.wait_for_level("alone", MINORITY, counts),
+                world.wait_for_level("most", MAJORITY, counts),
             )
             levels.append(
                 {
@@ -78,10 +84,10 @@
                     for name, node in world.nodes.items()
                 }
             )
-            await asyncio.sleep(HEAL_AT - CUT_AT)
-            what[0], mark = "the cut is healed", world.event_counts()
+            await asyncio.sleep(HEAL_AT_S - CUT_AT_S)
+            state[0], counts = "the cut is healed", world.event_counts()
             world.switch.heal()
-            await world.wait_for_level("whole", FEW + MANY, mark)
+            await world.wait_for_level("whole", MINORITY + MAJORITY, counts)
             levels.append(
                 {
                     name: node.last_event("peers.level")["standing"]
@@ -89,21 +95,24 @@
                 }
             )
             await traffic
-            await asyncio.sleep(STEP)
-            if painting is not None:
-                painting.cancel()
+            await asyncio.sleep(REFRESH_INTERVAL_S)
+            if printer is not None:
+                printer.cancel()
         finally:
             await world.stop()
-    found = find_violations(world)
-    outcomes = Counter(asked.result.outcome for asked in world.sent_requests)
+    violations = find_violations(world)
+    outcomes = Counter(request.result.outcome for request in world.sent_requests)
     if as_json:
-        print(json.dumps({"levels": levels, "outcomes": outcomes, "broken": found}))
+        print(json.dumps({"levels": levels, "outcomes": outcomes, "broken": violations}))
     else:
-        print(f"{dict(outcomes)}; " + ("no rule broken" if not found else "; ".join(found)))
-    return 1 if found else 0
+        print(
+            f"{dict(outcomes)}; " + ("no rule broken" if not violations else "; ".join(violations))
+        )
+    return 1 if violations else 0
 
 
 def main() -> int:
+    """Run the demo with the command line's options."""
     parser = argparse.ArgumentParser(
         description="Three nodes that know each other, a cut and its healing."
     )
--- a/lab/trial/inmodel.py
+++ b/lab/trial/inmodel.py
@@ -1,9 +1,8 @@
-"""A trial's file as a day of the model: the same shape, traffic and troubles, in virtual time. No
-I/O.
+"""A trial file as an experiment of the model: the same shape, traffic and faults in virtual time.
 
-What differs: the model's servers crash where a trial's only leave their list for a restart, its
-nodes hear of changes within `LIST_NOTICE_MS` ms, requests' keys follow Zipf's law, and a frozen node's own
-timers go on.
+No I/O. The differences: on a restart, the model's servers crash where a trial's servers only leave
+the endpoint list; its nodes receive list changes within `LIST_NOTICE_MS`; the keys of its requests
+follow Zipf's law; and the timers of a frozen node continue.
 """
 
 from __future__ import annotations
@@ -15,39 +14,41 @@
 from lab.trial.world import WORK_MS
 from standins.traffic import KINDS, TENANTS
 
-LIST_NOTICE_MS = 20.0  # ms, of the list to nodes on one machine
-LOOPBACK_DELAY_MS = 0.1  # ms one way
+LIST_NOTICE_MS = 20.0  # from the endpoint list to nodes on the same machine
+LOOPBACK_DELAY_MS = 0.1  # one way
 
 
 def request_classes() -> list[dict[str, Any]]:
-    told = []
+    """Return the request classes of the trials' traffic as tables of the model."""
+    tables = []
     for kind in KINDS:
         low, high = WORK_MS[kind.name]
         mean = (low + high) / 2
-        spread = (high - low) / 12**0.5  # a uniform law's standard deviation
-        told.append(
+        spread = (high - low) / 12**0.5  # standard deviation of a uniform distribution
+        tables.append(
             {
                 "name": kind.name, "share": kind.share, "work_ms": mean, "cv": spread / mean,
                 "dist": "uniform", "aim_ms": kind.aim, "deadline_ms": kind.deadline, "worth": kind.worth,
                 "effect": "keyed" if kind.keyed else "safe", "window_ms": 6000.0,
             }
         )  # fmt: skip
-    return told
+    return tables
 
 
 def model_fault(fault: InjectedFault, zones: tuple[str, ...]) -> dict[str, Any]:
-    made = fault.model_dump(include={"kind", "at_s", "for_s", "share", "size", "chance", "nodes"})
+    """Return an injected fault as a table of the model."""
+    table = fault.model_dump(include={"kind", "at_s", "for_s", "share", "size", "chance", "nodes"})
     if fault.zone:
-        made["zone"] = zones.index(fault.zone)
+        table["zone"] = zones.index(fault.zone)
     if fault.to:
-        made["to"] = zones.index(fault.to)
-    return made | {"zones": tuple(zones.index(zone) for zone in fault.zones)}
+        table["to"] = zones.index(fault.to)
+    return table | {"zones": tuple(zones.index(zone) for zone in fault.zones)}
 
 
 def day_of(file: TrialFile) -> Day:
-    """The model's day of a trial that was checked."""
+    """Return the model's experiment for a validated trial."""
     trial = file.trial
-    plain: dict[str, Any] = {
+    settings: dict[str, Any] = {
         "experiment": {"name": trial.name, "seconds": max(trial.seconds, 1.0), "seeds": (trial.seed,)},
         "fleet": {
             "servers": trial.servers, "nodes": trial.nodes, "said": trial.said, "peers": trial.peers,
@@ -66,7 +67,9 @@
         "node": {"max_attempts": 3, "max_retry_after_ms": 600.0},
         "trouble": tuple(model_fault(fault, trial.zones) for fault in file.trouble),
     }  # fmt: skip
-    day = Day.model_validate(plain)
+    day = Day.model_validate(settings)
     quota = trial.quota / day.capacity
-    plain["tenant"] = tuple({"name": n, "share": s, "quota": quota} for n, s in TENANTS.items())
-    return Day.model_validate(plain)
+    settings["tenant"] = tuple(
+        {"name": name, "share": share, "quota": quota} for name, share in TENANTS.items()
+    )
+    return Day.model_validate(settings)
--- a/lab/trial/processes.py
+++ b/lab/trial/processes.py
@@ -1,5 +1,4 @@
-"""Node processes of a trial: started, killed, frozen and woken by name; what they log is kept as it
-comes."""
+"""Node processes of a trial: started, killed, suspended and resumed, with their log events kept."""
 
 from __future__ import annotations
 
@@ -11,33 +10,34 @@
 from pathlib import Path
 from typing import Any
 
-EVENT_TIMEOUT_S = 60.0  # s
-MAX_EVENTS_PER_NODE = 200_000  # that are kept of one node
+EVENT_TIMEOUT_S = 60.0
+MAX_EVENTS_PER_NODE = 200_000
 
 LogRecord = dict[str, Any]
 
 
 class NodeError(Exception):
-    """A node that does not do what it was waited for: its last words."""
+    """A node did not log an expected event; the message ends with its last log records."""
 
 
 class NodeProcess:
-    """`python -m badgercart serve FILE` under a name, over all its lives."""
+    """`python -m badgercart serve FILE` under a name, over all its restarts."""
 
     command: tuple[str, ...] = ("serve",)
-    listening_event = "http.listening"  # what it says once it is up
+    listening_event = "http.listening"  # logged once the node is up
 
     def __init__(self, name: str, file: Path) -> None:
         self.name, self.file = name, file
         self.events: list[LogRecord] = []
-        self.lives = self.ended_life = 0  # begun, and the last that has said its last word
+        # The number of starts, and the number of the last one whose output has ended.
+        self.lives = self.ended_life = 0
         self.process: asyncio.subprocess.Process | None = None
         self.reader_task: asyncio.Task[None] | None = None
         self.event_arrived = asyncio.Condition()
-        self.frontend_address = ""  # where it listens
+        self.frontend_address = ""  # host:port where it listens
 
     async def start(self) -> None:
-        """NodeError where it does not come up."""
+        """Start the process and wait until it listens. Raises NodeError if it doesn't."""
         self.lives += 1
         self.process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-B", "-m", "badgercart", *self.command, str(self.file)),
@@ -50,14 +50,15 @@
         self.frontend_address = f"{listening['host']}:{listening['port']}"
 
     async def read_events(self, process: asyncio.subprocess.Process, life: int) -> None:
+        """Keep the log events of one process until its standard error ends."""
         assert process.stderr is not None
         while line := await process.stderr.readline():
             try:
-                told = json.loads(line)
+                record = json.loads(line)
             except ValueError:
-                told = {"event": "said", "text": line.decode(errors="replace").rstrip()}
+                record = {"event": "said", "text": line.decode(errors="replace").rstrip()}
             if len(self.events) < MAX_EVENTS_PER_NODE:
-                self.events.append(told | {"node": self.name, "life": life})
+                self.events.append(record | {"node": self.name, "life": life})
             async with self.event_arrived:
                 self.event_arrived.notify_all()
         self.ended_life = life
@@ -67,57 +68,71 @@
     async def wait_for_event(
         self,
         event: str,
-        matches: Callable[[LogRecord], bool] = lambda told: True,
+        matches: Callable[[LogRecord], bool] = lambda record: True,
         since: int | None = None,
     ) -> LogRecord:
-        """The first event of that name and kind, of this life or from a place in `events` on."""
-        place = since if since is not None else next(
-            (at for at, told in enumerate(self.events) if told["life"] == self.lives), len(self.events)
-        )  # fmt: skip
+        """Wait for the first event of this name that matches.
+
+        The search begins at the index `since` of `events`, else at the first event of the current
+        process. Raises NodeError if the event does not come in time or the process ends.
+        """
+        start = (
+            since
+            if since is not None
+            else next(
+                (index for index, record in enumerate(self.events) if record["life"] == self.lives),
+                len(self.events),
+            )
+        )
         try:
             async with asyncio.timeout(EVENT_TIMEOUT_S), self.event_arrived:
                 while True:
-                    for told in self.events[place:]:
-                        if told["event"] == event and matches(told):
-                            return told
-                    place = max(place, len(self.events))
+                    for record in self.events[start:]:
+                        if record["event"] == event and matches(record):
+                            return record
+                    start = max(start, len(self.events))
                     if self.ended_life == self.lives:
                         break
                     await self.event_arrived.wait()
         except TimeoutError:
             pass
-        words = "\n".join(json.dumps(told) for told in self.events[-20:])
-        raise NodeError(f"{self.name} has said no {event}:\n{words}")
+        last_records = "\n".join(json.dumps(record) for record in self.events[-20:])
+        raise NodeError(f"{self.name} has logged no {event}:\n{last_records}")
 
     def last_event(self, event: str) -> LogRecord:
-        """The last event of that name. NodeError where there is none."""
-        for told in reversed(self.events):
-            if told["event"] == event:
-                return told
-        raise NodeError(f"{self.name} has said no {event}")
+        """Return the last event of this name. Raises NodeError if there is none."""
+        for record in reversed(self.events):
+            if record["event"] == event:
+                return record
+        raise NodeError(f"{self.name} has logged no {event}")
 
     def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process."""
         assert self.process is not None
         self.process.send_signal(number)
 
     async def kill(self) -> None:
+        """Send SIGKILL and wait for the exit."""
         self.send_signal(signal.SIGKILL)
         await self.wait_for_exit()
 
     def freeze(self) -> None:
+        """Suspend the process with SIGSTOP."""
         self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
+        """Resume the process with SIGCONT."""
         self.send_signal(signal.SIGCONT)
 
     async def stop(self) -> int:
-        """SIGTERM, and its exit status."""
+        """Send SIGTERM and return the exit status."""
         if self.process is not None and self.process.returncode is None:
             self.send_signal(signal.SIGCONT)
             self.send_signal(signal.SIGTERM)
         return await self.wait_for_exit()
 
     async def wait_for_exit(self) -> int:
+        """Wait until the process and its output have ended; return the exit status."""
         if self.process is None:
             return 0
         code = await self.process.wait()
--- a/lab/trial/records.py
+++ b/lab/trial/records.py
@@ -1,4 +1,4 @@
-"""What was seen in a trial, in columns: Parquet files of requests, attempts and nodes' events."""
+"""The records of a trial: Parquet files of requests, attempts and node events."""
 
 from __future__ import annotations
 
@@ -11,12 +11,10 @@
 
 from lab.trial.world import World
 
-REQUESTS, ATTEMPTS, EVENTS, SUMMARY = (
-    "requests.parquet",
-    "attempts.parquet",
-    "events.parquet",
-    "summary.json",
-)
+REQUESTS = "requests.parquet"
+ATTEMPTS = "attempts.parquet"
+EVENTS = "events.parquet"
+SUMMARY = "summary.json"
 SCHEMAS = {
     REQUESTS: pa.schema(
         [
@@ -38,77 +36,91 @@
 
 
 class RecordsError(Exception):
-    """A folder that holds no trial's records: what is wrong."""
+    """A folder does not hold the records of a trial; the message says what is wrong."""
 
 
-def requests(world: World) -> list[dict[str, Any]]:
+def request_rows(world: World) -> list[dict[str, Any]]:
+    """Return a row for each request that a client sent."""
     return [
         {
-            "id": a.result.arrival.name, "node": a.node, "class": a.result.arrival.kind.name,
-            "tenant": a.result.arrival.tenant, "sent_s": a.sent - world.started_at_s, "took_ms": a.result.took,
-            "status": a.result.status, "outcome": a.result.outcome, "worth": a.result.worth,
-            "asked": a.result.arrival.kind.worth,
+            "id": request.result.arrival.name,
+            "node": request.node,
+            "class": request.result.arrival.kind.name,
+            "tenant": request.result.arrival.tenant,
+            "sent_s": request.sent_at_s - world.started_at_s,
+            "took_ms": request.result.took,
+            "status": request.result.status,
+            "outcome": request.result.outcome,
+            "worth": request.result.worth,
+            "asked": request.result.arrival.kind.worth,
         }
-        for a in world.sent_requests
-    ]  # fmt: skip
+        for request in world.sent_requests
+    ]
 
 
-def attempts(world: World) -> list[dict[str, Any]]:
+def attempt_rows(world: World) -> list[dict[str, Any]]:
+    """Return a row for each request that a server received."""
     names = {world.switch.endpoints[name].switch_address[0]: name for name in world.nodes}
     return [
         {
-            "id": s.id,
-            "node": names.get(s.source, s.source),
+            "id": seen.id,
+            "node": names.get(seen.source, seen.source),
             "server": name,
-            "at_s": s.at - world.started_at_s,
+            "at_s": seen.at - world.started_at_s,
         }
         for name, server in world.servers.items()
-        for s in server.seen
+        for seen in server.seen
     ]
 
 
-def stamp_of(told: dict[str, Any]) -> tuple[int, int]:
-    """An event's hybrid time; those that bear none have the wall's."""
-    if "hlc" in told:
-        time, _, count = str(told["hlc"]).partition(".")
-        return int(time), int(count)
+def hybrid_time(event: dict[str, Any]) -> tuple[int, int]:
+    """Return an event's hybrid time as milliseconds and counter; (0, 0) if it has none."""
+    if "hlc" in event:
+        time_ms, _, count = str(event["hlc"]).partition(".")
+        return int(time_ms), int(count)
     return 0, 0
 
 
-def events(world: World) -> list[dict[str, Any]]:
-    """In the order in which each node said them; one without a hybrid time has that of the one
-    before it."""
+def event_rows(world: World) -> list[dict[str, Any]]:
+    """Return a row for each event, in the order in which each node logged them.
+
+    An event without a hybrid time gets that of the event before it.
+    """
     rows = []
     for node in world.nodes.values():
         last = (0, 0)
-        for told in node.events:
-            last = max(last, stamp_of(told))
-            rest = {
-                k: v
-                for k, v in told.items()
-                if k not in ("node", "life", "event", "message", "hlc")
+        for event in node.events:
+            last = max(last, hybrid_time(event))
+            fields = {
+                key: value
+                for key, value in event.items()
+                if key not in ("node", "life", "event", "message", "hlc")
             }
             rows.append(
                 {
-                    "node": node.name, "life": told["life"], "hlc_ms": last[0], "hlc_count": last[1],
-                    "event": told["event"], "message": told.get("message", told.get("text", "")),
-                    "fields": json.dumps(rest),
+                    "node": node.name,
+                    "life": event["life"],
+                    "hlc_ms": last[0],
+                    "hlc_count": last[1],
+                    "event": event["event"],
+                    "message": event.get("message", event.get("text", "")),
+                    "fields": json.dumps(fields),
                 }
-            )  # fmt: skip
+            )
     return rows
 
 
 def write(world: World, folder: Path, summary: dict[str, Any]) -> None:
-    """Keep a trial. OSError where the folder can't be written."""
+    """Write the records of a trial. Raises OSError if the folder can't be written."""
     folder.mkdir(parents=True, exist_ok=True)
-    rows = {REQUESTS: requests(world), ATTEMPTS: attempts(world), EVENTS: events(world)}
+    rows = {REQUESTS: request_rows(world), ATTEMPTS: attempt_rows(world), EVENTS: event_rows(world)}
     for name, schema in SCHEMAS.items():
         pq.write_table(pa.Table.from_pylist(rows[name], schema=schema), folder / name)
     (folder / SUMMARY).write_text(json.dumps(summary, indent=1))
 
 
 def read(folder: Path, name: str) -> list[dict[str, Any]]:
-    """The rows of one table. Raises RecordsError."""
+    """Return the rows of one table. Raises RecordsError if they can't be read."""
     try:
         rows: list[dict[str, Any]] = pq.read_table(folder / name, schema=SCHEMAS[name]).to_pylist()
     except (OSError, pa.ArrowException) as error:
--- a/lab/trial/run.py
+++ b/lab/trial/run.py
@@ -1,4 +1,4 @@
-"""Plays a trial's file with real processes and keeps what was seen."""
+"""Run a trial file with real processes and store its records."""
 
 from __future__ import annotations
 
@@ -15,47 +15,53 @@
 from lab.trial.world import World
 
 
-def summary(name: str, world: World, codes: dict[str, int]) -> dict[str, Any]:
-    """What came of it, as plain data."""
-    ends = Counter(asked.result.outcome for asked in world.sent_requests)
-    asked = sum(a.result.arrival.kind.worth for a in world.sent_requests)
-    took = sorted(a.result.took for a in world.sent_requests if a.result.outcome == "served")
+def summary(name: str, world: World, exit_codes: dict[str, int]) -> dict[str, Any]:
+    """Return the results of a trial as plain data."""
+    outcomes = Counter(request.result.outcome for request in world.sent_requests)
+    offered_worth = sum(request.result.arrival.kind.worth for request in world.sent_requests)
+    times_ms = sorted(
+        request.result.took for request in world.sent_requests if request.result.outcome == "served"
+    )
     by_node = {
         node: [
-            a.result.worth / a.result.arrival.kind.worth
-            for a in world.sent_requests
-            if a.node == node
+            request.result.worth / request.result.arrival.kind.worth
+            for request in world.sent_requests
+            if request.node == node
         ]
         for node in world.nodes
     }
-    shares = [statistics.fmean(worths) for worths in by_node.values() if worths]
-    told = interval(shares) if len(shares) > 1 else None
+    node_shares = [statistics.fmean(worths) for worths in by_node.values() if worths]
+    worth_interval = interval(node_shares) if len(node_shares) > 1 else None
     return {
         "name": name,
         "requests": len(world.sent_requests),
-        "worth": sum(a.result.worth for a in world.sent_requests) / asked if asked else 0.0,
+        "worth": sum(request.result.worth for request in world.sent_requests) / offered_worth
+        if offered_worth
+        else 0.0,
         "worth_by_node": {
             node: statistics.fmean(worths) for node, worths in by_node.items() if worths
         },
-        "worth_interval": [told.low, told.high] if told is not None else None,
-        "outcomes": dict(ends),
-        "p50_ms": took[len(took) // 2] if took else 0.0,
-        "p99_ms": took[len(took) * 99 // 100] if took else 0.0,
-        "exits": codes,
+        "worth_interval": [worth_interval.low, worth_interval.high]
+        if worth_interval is not None
+        else None,
+        "outcomes": dict(outcomes),
+        "p50_ms": times_ms[len(times_ms) // 2] if times_ms else 0.0,
+        "p99_ms": times_ms[len(times_ms) * 99 // 100] if times_ms else 0.0,
+        "exits": exit_codes,
         "broken": find_violations(world),
         "datagrams_lost": world.switch.dropped_datagrams,
     }
 
 
-async def trial(file: TrialFile, results: Path) -> dict[str, Any]:
-    """Play it, keep its records in a folder, and say what came of it."""
+async def run_trial(file: TrialFile, results: Path) -> dict[str, Any]:
+    """Run a trial, store its records in a folder, and return its summary."""
     with tempfile.TemporaryDirectory() as folder:
         world = await World(file.trial.shape(), Path(folder)).start()
-        codes: dict[str, int] = {}
+        exit_codes: dict[str, int] = {}
         try:
             await play(file, world)
         finally:
-            codes = await world.stop()
-        told = summary(file.trial.name, world, codes)
-        records.write(world, results, told)
-        return told
+            exit_codes = await world.stop()
+        trial_summary = summary(file.trial.name, world, exit_codes)
+        records.write(world, results, trial_summary)
+        return trial_summary
--- a/lab/trial/script.py
+++ b/lab/trial/script.py
@@ -1,5 +1,7 @@
-"""What a trial's file says: its shape, and what befalls whom and when, by the model's words where
-it can."""
+"""The trial file: its tables, its validation, and the steps that inject each kind of fault.
+
+Tables and keys follow those of the model's experiment files where both have the same thing.
+"""
 
 from __future__ import annotations
 
@@ -18,6 +20,8 @@
 from lab.settings import BEFALLS_NODES, ZONED, Share
 from lab.trial.world import LIST, Shape, World
 
+MAX_OVERRUN_S = 5  # by which a fault may last beyond the end of the traffic
+
 
 class TrialTable(Table):
     """a trial of real processes"""
@@ -54,9 +58,10 @@
     )
 
     def shape(self) -> Shape:
+        """Return the shape of the world that this trial needs."""
         return Shape(
             self.nodes, self.servers, self.zones, self.cores, self.queue, self.quota, self.cold_from,
-            self.ramp_ms, self.peers, self.period_ms, seed=self.seed, said=self.said, plan=self.plan,
+            self.ramp_ms, self.peers, self.period_ms, seed=self.seed, configured_nodes=self.said, plan=self.plan,
         )  # fmt: skip
 
 
@@ -95,217 +100,254 @@
 
 
 def load(path: str) -> TrialFile:
-    """Read and check a trial's file. FileError names all that is wrong, by line and key."""
-    read = document.read(path, os.environ)
-    lines = lines_of(read.text)
+    """Read and validate a trial file.
+
+    Raises SettingsFileError, which names every problem by line and key.
+    """
+    settings = document.read(path, os.environ)
+    lines = lines_of(settings.text)
 
-    def faults(found: list[tuple[tuple[str | int, ...], str]]) -> SettingsFileError:
+    def settings_error(found: list[tuple[tuple[str | int, ...], str]]) -> SettingsFileError:
         return SettingsFileError(
-            read.path, [problem(place, words, lines, read.origins) for place, words in found]
+            settings.path,
+            [problem(key, message, lines, settings.origins) for key, message in found],
         )
 
     try:
-        file = TrialFile.model_validate(read.raw)
+        file = TrialFile.model_validate(settings.raw)
     except ValidationError as error:
-        raise faults(list(of_model(error, TrialFile))) from None
-    wrong: list[tuple[tuple[str | int, ...], str]] = []
-    known = {f"n{number}" for number in range(file.trial.nodes)}
-    for at, trouble in enumerate(file.trouble):
-        if trouble.at_s + trouble.for_s > file.trial.seconds + 5:
-            wrong.append((("trouble", at, "for_s"), "lasts beyond the trial's end"))
-        wanted = [("zone", trouble.zone)] if trouble.kind in ("partition", *ZONED[:-1]) else []
-        wanted += [("to", trouble.to)] if trouble.kind == "zone_way" else []
-        for key, zone in (*wanted, *(("zones", zone) for zone in trouble.zones)):
+        raise settings_error(list(of_model(error, TrialFile))) from None
+    problems: list[tuple[tuple[str | int, ...], str]] = []
+    node_names = {f"n{number}" for number in range(file.trial.nodes)}
+    for index, fault in enumerate(file.trouble):
+        if fault.at_s + fault.for_s > file.trial.seconds + MAX_OVERRUN_S:
+            problems.append((("trouble", index, "for_s"), "lasts beyond the trial's end"))
+        required_zones = [("zone", fault.zone)] if fault.kind in ("partition", *ZONED[:-1]) else []
+        required_zones += [("to", fault.to)] if fault.kind == "zone_way" else []
+        for key, zone in (*required_zones, *(("zones", zone) for zone in fault.zones)):
             if zone not in file.trial.zones:
-                wrong.append((("trouble", at, key), f"{zone!r} is none of trial.zones"))
-        for place, name in enumerate(trouble.nodes):
-            if name not in known:
-                wrong.append(
+                problems.append((("trouble", index, key), f"{zone!r} is none of trial.zones"))
+        for position, name in enumerate(fault.nodes):
+            if name not in node_names:
+                problems.append(
                     (
-                        ("trouble", at, "nodes", place),
-                        f"{name!r} is none of n0 to n{len(known) - 1}",
+                        ("trouble", index, "nodes", position),
+                        f"{name!r} is none of n0 to n{len(node_names) - 1}",
                     )
                 )
-        if trouble.kind in (*BEFALLS_NODES, "node_restart") and not trouble.nodes:
-            wrong.append((("trouble", at, "nodes"), f"is missing: {trouble.kind} befalls nodes"))
-        if trouble.kind == "one_way" and len(trouble.nodes) != 2:
-            wrong.append((("trouble", at, "nodes"), "one_way takes two: from and to"))
+        if fault.kind in (*BEFALLS_NODES, "node_restart") and not fault.nodes:
+            problems.append(
+                (("trouble", index, "nodes"), f"is missing: {fault.kind} befalls nodes")
+            )
+        if fault.kind == "one_way" and len(fault.nodes) != 2:
+            problems.append((("trouble", index, "nodes"), "one_way takes two: from and to"))
     if file.trial.plan and not file.trial.peers:
-        wrong.append((("trial", "plan"), "takes peers = true"))
-    if wrong:
-        raise faults(wrong)
+        problems.append((("trial", "plan"), "takes peers = true"))
+    if problems:
+        raise settings_error(problems)
     return file
 
 
-# What each kind does. Each step may be awaited for, and none waits longer than what it starts.
+# The begin and end steps of each kind of fault. A step may wait until what it starts is up, no
+# longer.
 
 FaultStep = Callable[[World, InjectedFault, list[str]], Awaitable[None]]
 
 
 async def slow(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Multiply the service times of the chosen servers."""
     for name in servers:
         world.servers[name].slowness *= fault.size
 
 
 async def slow_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Restore the service times of the chosen servers."""
     for name in servers:
         world.servers[name].slowness /= fault.size
 
 
 async def silent(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Have the chosen servers leave a share of their requests unanswered."""
     for name in servers:
         world.servers[name].silent = fault.chance
 
 
 async def errors(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Have the chosen servers answer a share of their requests with errors."""
     for name in servers:
         world.servers[name].failing = fault.chance
 
 
 async def clear_errors(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Have the chosen servers answer every request again."""
     for name in servers:
         world.servers[name].silent = world.servers[name].failing = 0.0
 
 
 async def drain(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Announce in the endpoint list that the chosen servers are leaving."""
     for name in servers:
         world.drain_server(name)
 
 
 async def drain_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Announce in the endpoint list that the chosen servers are active again."""
     for name in servers:
         world.servers[name].state = "active"
         world.publish_state(world.servers[name])
 
 
 async def restart_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Return the chosen servers to the endpoint list as freshly started ones."""
     for name in servers:
         world.restart_server(name)
 
 
 async def partition(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Cut a zone off from everything else."""
     inside, outside = world.split_by_zone(fault.zone)
     world.switch.set_both_ways(inside, outside, cut=True)
 
 
 async def partition_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Reconnect a zone with everything else."""
     inside, outside = world.split_by_zone(fault.zone)
     world.switch.set_both_ways(inside, outside, cut=False)
 
 
 async def zone_loss(world: World, fault: InjectedFault, servers: list[str]) -> None:
-    """All servers of a zone die at once; its nodes live."""
+    """Stop all servers of a zone at once; its nodes keep running."""
     for name in world.servers_in_zone(fault.zone):
         world.crash_server(name)
 
 
 async def zone_loss_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Start the zone's servers again."""
     for name in world.servers_in_zone(fault.zone):
         await world.revive_server(name)
 
 
 async def zone_slow(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Multiply the service times of all servers of a zone."""
     await slow(world, fault, world.servers_in_zone(fault.zone))
 
 
 async def zone_slow_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Restore the service times of all servers of a zone."""
     await slow_end(world, fault, world.servers_in_zone(fault.zone))
 
 
 async def zone_flap(world: World, fault: InjectedFault, servers: list[str]) -> None:
-    """Cut off and joined again for `size` s each, until its time is over."""
+    """Cut a zone off and reconnect it, for `size` seconds each, until the fault's time is over."""
     inside, outside = world.split_by_zone(fault.zone)
 
-    async def turns() -> None:
+    async def flap() -> None:
         cut = True
         for _ in range(int(fault.for_s / fault.size) - 1):
             world.switch.set_both_ways(inside, outside, cut=cut)
             await asyncio.sleep(fault.size)
             cut = not cut
 
-    world.background_tasks.append(asyncio.ensure_future(turns()))
+    world.background_tasks.append(asyncio.ensure_future(flap()))
 
 
 async def zone_way(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Cut the direction from one zone to another."""
     world.switch.set_one_way(
         world.split_by_zone(fault.zone)[0], world.split_by_zone(fault.to)[0], cut=True
     )
 
 
 async def zone_way_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Reopen the direction from one zone to another."""
     world.switch.set_one_way(
         world.split_by_zone(fault.zone)[0], world.split_by_zone(fault.to)[0], cut=False
     )
 
 
 def region_sides(world: World, fault: InjectedFault) -> tuple[list[str], list[str]]:
-    """All of these zones, and all others with the list."""
+    """Return the members of these zones, and all others with the endpoint list."""
     inside = [name for zone in fault.zones for name in world.split_by_zone(zone)[0]]
-    everybody = [*world.nodes, *world.servers, LIST]
-    return inside, [name for name in everybody if name not in inside]
+    everything = [*world.nodes, *world.servers, LIST]
+    return inside, [name for name in everything if name not in inside]
 
 
 async def region_cut(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Cut several zones off together from all others."""
     world.switch.set_both_ways(*region_sides(world, fault), cut=True)
 
 
 async def region_cut_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Reconnect the zones with all others."""
     world.switch.set_both_ways(*region_sides(world, fault), cut=False)
 
 
 async def loss(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Drop a share of the datagrams between nodes."""
     world.switch.set_both_ways(list(world.nodes), list(world.nodes), loss=fault.chance)
 
 
 async def loss_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Stop dropping datagrams between nodes."""
     world.switch.set_both_ways(list(world.nodes), list(world.nodes), loss=0.0)
 
 
 async def kill(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Kill the named nodes."""
     await asyncio.gather(*(world.kill_node(name) for name in fault.nodes))
 
 
 async def kill_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Start the named nodes again."""
     await asyncio.gather(*(world.restart_node(name) for name in fault.nodes))
 
 
 async def freeze(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Suspend the named nodes."""
     for name in fault.nodes:
         world.freeze_node(name)
 
 
 async def freeze_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Resume the named nodes."""
     for name in fault.nodes:
         world.resume_node(name)
 
 
 def split_sides(world: World, fault: InjectedFault) -> tuple[list[str], list[str]]:
+    """Return the nodes in two groups, the first as large as the fault's share of them."""
     names = list(world.nodes)
-    place = max(1, round(fault.share * len(names)))
-    return names[:place], names[place:]
+    first_group_size = max(1, round(fault.share * len(names)))
+    return names[:first_group_size], names[first_group_size:]
 
 
 async def split(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Cut one group of nodes off from the others."""
     world.switch.set_both_ways(*split_sides(world, fault), cut=True)
 
 
 async def split_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Reconnect the two groups of nodes."""
     world.switch.set_both_ways(*split_sides(world, fault), cut=False)
 
 
 async def one_way(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Cut the direction from the first named node to the second."""
     world.switch.set_fault(*fault.nodes, cut=True)
 
 
 async def one_way_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Reopen the direction from the first named node to the second."""
     world.switch.set_fault(*fault.nodes, cut=False)
 
 
 async def list_cut(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Cut the named nodes off from the endpoint list."""
     world.switch.set_both_ways(list(fault.nodes), [LIST], cut=True)
 
 
 async def list_cut_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
+    """Reconnect the named nodes with the endpoint list."""
     world.switch.set_both_ways(list(fault.nodes), [LIST], cut=False)
 
 
@@ -331,9 +373,11 @@
 }
 
 
-async def inject(world: World, fault: InjectedFault, number: int) -> None:
-    """One trouble from its beginning to its end; whom it befalls is drawn by the seed and its
-    place."""
+async def inject_fault(world: World, fault: InjectedFault, number: int) -> None:
+    """Inject one fault, from its beginning to its end.
+
+    The affected servers are drawn from the trial's seed and the fault's position in the file.
+    """
     rng = random.Random(f"{world.shape.seed} trouble {number}")
     servers = sorted(
         rng.sample(list(world.servers), max(1, round(fault.share * len(world.servers))))
@@ -346,9 +390,12 @@
 
 
 async def play(file: TrialFile, world: World) -> None:
-    """Requests and troubles, until both are over. Clients turn to the nodes that run."""
+    """Send requests and inject faults until both are over.
+
+    Clients send to the nodes that are running.
+    """
     if file.trial.peers:
         await world.wait_for_members(file.trial.nodes)
-    troubles = [inject(world, fault, number) for number, fault in enumerate(file.trouble)]
+    faults = [inject_fault(world, fault, number) for number, fault in enumerate(file.trouble)]
     traffic = world.send_traffic(file.trial.per_s, file.trial.seconds, file.trial.seed)
-    await asyncio.gather(traffic, *troubles)
+    await asyncio.gather(traffic, *faults)
--- a/lab/trial/switch.py
+++ b/lab/trial/switch.py
@@ -1,8 +1,9 @@
-"""The switch between a trial's processes: passes traffic on, with faults for each directed link.
+"""The switch between a trial's processes: forwards traffic, with faults for each directed link.
 
-Everybody has a loopback address of its own to send from, and one of the switch, at which others
-reach it: by the two the switch knows who speaks to whom with one socket an address. A cut is
-silent, as a real one is: connections stay open and nothing comes, new ones get no answer.
+Every process has a loopback address of its own that it sends from, and an address of the switch
+at which others reach it. From the two the switch knows the source and the destination, with one
+socket per address. A cut is silent, as in a real network: connections stay open and nothing
+arrives; new connections get no response.
 """
 
 from __future__ import annotations
@@ -18,43 +19,45 @@
 from badgercart.config import Address
 
 CHUNK_BYTES = 65536
-CUT_POLL_INTERVAL_S = 0.01  # s between looks of a held connection at its link
+CUT_POLL_INTERVAL_S = 0.01  # between checks whether the link of a held connection is open again
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """What befalls all that goes one way between two."""
+    """The faults on one direction of a link."""
 
     cut: bool = False
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
-    loss: float = 0.0  # of datagrams
-    duplicate: float = 0.0  # datagrams that come twice
-    reorder: float = 0.0  # datagrams that are overtaken
-    max_bytes_per_s: float = 0.0  # at most; 0: as fast as it comes
+    loss: float = 0.0  # share of datagrams that are dropped
+    duplicate: float = 0.0  # share of datagrams that are delivered twice
+    reorder: float = 0.0  # share of datagrams that later ones overtake
+    max_bytes_per_s: float = 0.0  # 0: no limit
 
 
 NO_FAULT = Fault()
-REORDER_DELAY_MS = 50.0  # ms more for a datagram that is reordered
+REORDER_DELAY_MS = 50.0  # added to a datagram that is reordered
 
 
 class DatagramSocket(asyncio.DatagramProtocol):
-    """The switch's socket for datagrams at one address."""
+    """The switch's datagram socket at one address."""
 
     def __init__(self, switch: Switch, name: str) -> None:
         self.switch, self.name = switch, name
         self.transport: asyncio.DatagramTransport
 
     def connection_made(self, transport: Any) -> None:
+        """Keep the transport for sending."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, source: Any) -> None:
+        """Pass a datagram to the switch, with its source and destination."""
         self.switch.handle_datagram(self.switch.name_of(source[0]), self.name, data)
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One that is reached through the switch."""
+    """A process that others reach through the switch."""
 
     real_address: Address
     switch_address: Address
@@ -63,27 +66,29 @@
 
 
 class Switch:
-    """Links between names; what is not said otherwise is fine."""
+    """Directed links between named endpoints; a link without an entry has no faults."""
 
     def __init__(self, seed: int = 1) -> None:
         self.random = random.Random(f"{seed} switch")
         self.endpoints: dict[str, Endpoint] = {}
-        self.names: dict[str, str] = {}  # by the address that they send from
+        self.names: dict[str, str] = {}  # by the host that the endpoint sends from
         self.links: dict[tuple[str, str], Fault] = {}
-        self.cut_changes: list[
-            tuple[float, tuple[str, str], bool]
-        ] = []  # when (monotonic s), where, whether cut
-        self.forwarded_bytes: Counter[tuple[str, str]] = Counter()  # bytes
+        # Monotonic time (s), link, and whether it is cut since.
+        self.cut_changes: list[tuple[float, tuple[str, str], bool]] = []
+        self.forwarded_bytes: Counter[tuple[str, str]] = Counter()
         self.dropped_datagrams = 0
         self.open_writers: dict[tuple[str, str], set[asyncio.StreamWriter]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
     def name_of(self, host: str) -> str:
+        """Return the name of the endpoint that has this host, or the host where none has."""
         return self.names.get(host, host)
 
     async def add(self, name: str, real: Address, shown: Address) -> None:
-        """Have others reach `name`, which listens and sends at `real`, at `shown`. The ports may be
-        0."""
+        """Let others reach `name`, which listens at and sends from `real`, at `shown`.
+
+        The ports may be 0.
+        """
         loop = asyncio.get_running_loop()
         server = await asyncio.start_server(lambda r, w: self.handle_connection(name, r, w), *shown)
         bound: Address = server.sockets[0].getsockname()[:2]
@@ -94,6 +99,7 @@
         self.names[real[0]] = self.names[bound[0]] = name
 
     def close(self) -> None:
+        """Close all sockets and abort all connections."""
         for endpoint in self.endpoints.values():
             if endpoint.datagram_socket is not None and endpoint.server is not None:
                 endpoint.datagram_socket.transport.close()
@@ -107,14 +113,14 @@
     # Faults.
 
     def set_fault(self, source: str, to: str, **changes: Any) -> None:
-        """Change what befalls one way."""
+        """Change the faults on one direction of a link."""
         before = self.links.get((source, to), NO_FAULT)
         self.links[source, to] = after = replace(before, **changes)
         if before.cut != after.cut:
             self.cut_changes.append((time.monotonic(), (source, to), after.cut))
 
     def set_both_ways(self, some: list[str], others: list[str], **changes: Any) -> None:
-        """Change what befalls both ways between two groups."""
+        """Change the faults on both directions of all links between two groups."""
         for one in some:
             for other in others:
                 if one != other:
@@ -122,38 +128,43 @@
                     self.set_fault(other, one, **changes)
 
     def set_one_way(self, some: list[str], others: list[str], **changes: Any) -> None:
-        """Change what befalls the ways from one group to another."""
+        """Change the faults on the links from one group to another."""
         for one in some:
             for other in others:
                 self.set_fault(one, other, **changes)
 
     def heal(self) -> None:
+        """Clear the faults of all links."""
         for source, to in list(self.links):
             self.set_fault(source, to, cut=False)
         self.links.clear()
 
     def reset_connections(self, source: str, to: str) -> None:
-        """Reset the connections that `source` opened to `to`."""
+        """Abort the connections that `source` opened to `to`."""
         for writer in list(self.open_writers.get((source, to), ())):
             writer.transport.abort()
 
     # Datagrams.
 
     def handle_datagram(self, source: str, to: str, data: bytes) -> None:
+        """Drop, delay, duplicate or forward one datagram."""
         fault = self.links.get((source, to), NO_FAULT)
         if fault.cut or self.random.random() < fault.loss:
             self.dropped_datagrams += 1
             return
         self.forwarded_bytes[source, to] += len(data)
         for _ in range(2 if self.random.random() < fault.duplicate else 1):
-            late = fault.delay_ms + self.random.random() * fault.jitter_ms
-            late += REORDER_DELAY_MS if self.random.random() < fault.reorder else 0.0
-            if late:
-                asyncio.get_running_loop().call_later(late / 1000, self.forward, source, to, data)
+            total_delay_ms = fault.delay_ms + self.random.random() * fault.jitter_ms
+            total_delay_ms += REORDER_DELAY_MS if self.random.random() < fault.reorder else 0.0
+            if total_delay_ms:
+                asyncio.get_running_loop().call_later(
+                    total_delay_ms / 1000, self.forward, source, to, data
+                )
             else:
                 self.forward(source, to, data)
 
     def forward(self, source: str, to: str, data: bytes) -> None:
+        """Send a datagram to its destination, from the source's address at the switch."""
         sender = self.endpoints.get(source)
         port = sender.datagram_socket if sender is not None else self.endpoints[to].datagram_socket
         if port is not None and not port.transport.is_closing():
@@ -164,6 +175,7 @@
     async def handle_connection(
         self, to: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
+        """Forward one connection to an endpoint until both directions have ended."""
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
@@ -194,7 +206,7 @@
                     end.close()
 
     async def wait_until_open(self, link: tuple[str, str]) -> Fault:
-        """Wait until the link lets anything through."""
+        """Wait until the link is not cut."""
         while (fault := self.links.get(link, NO_FAULT)).cut:
             await asyncio.sleep(CUT_POLL_INTERVAL_S)
         return fault
@@ -202,7 +214,7 @@
     async def copy_stream(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link: tuple[str, str]
     ) -> None:
-        """Pass bytes on one way; an end or a reset goes on as what it is."""
+        """Copy one direction of a connection; an end or a reset is forwarded as such."""
         while data := await reader.read(CHUNK_BYTES):
             fault = await self.wait_until_open(link)
             if fault.delay_ms or fault.jitter_ms:
--- a/lab/trial/timeline.py
+++ b/lab/trial/timeline.py
@@ -1,5 +1,7 @@
-"""All nodes' events in one order that respects cause: why did one node think another dead? No
-I/O."""
+"""The events of all nodes in one causal order, by hybrid logical clock. No I/O.
+
+It answers questions such as why one node considered another dead.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +13,16 @@
 
 
 def ordered(rows: Iterable[Row]) -> list[Row]:
-    """By hybrid time, then by node: what one event may have caused stands behind it."""
+    """Sort by hybrid time, then by node: an event comes before all that it may have caused.
+
+    Events without a hybrid time are left out.
+    """
     stamped = [row for row in rows if row["hlc_ms"]]
     return sorted(stamped, key=lambda row: (row["hlc_ms"], row["hlc_count"], row["node"]))
 
 
 def concerns(row: Row, name: str) -> bool:
-    """Whether an event is about a node or a server of that name."""
+    """Return whether an event is about a node or a server of this name."""
     fields = json.loads(row["fields"])
     return name in (
         fields.get("peer"),
@@ -28,11 +33,11 @@
 
 
 def lines(rows: Iterable[Row], node: str = "", about: str = "") -> Iterator[str]:
-    """One line an event, its time from the first one shown."""
+    """Yield one line per event, with its time since the first event shown."""
     shown = [
         row for row in ordered(rows)
         if (not node or row["node"] == node) and (not about or concerns(row, about))
     ]  # fmt: skip
     for row in shown:
-        since = (row["hlc_ms"] - shown[0]["hlc_ms"]) / 1000
-        yield f"{since:9.3f} s .{row['hlc_count']:<3} {row['node']:>5}  {row['event']:<16} {row['message']}"
+        seconds = (row["hlc_ms"] - shown[0]["hlc_ms"]) / 1000
+        yield f"{seconds:9.3f} s .{row['hlc_count']:<3} {row['node']:>5}  {row['event']:<16} {row['message']}"
--- a/lab/trial/world.py
+++ b/lab/trial/world.py
@@ -1,5 +1,7 @@
-"""One trial: real nodes, stand-in servers, a list and open-loop clients, all of them joined by the
-switch."""
+"""The world of one trial: real nodes, stand-in servers, an endpoint list and open-loop clients.
+
+All of them reach each other through the switch.
+"""
 
 from __future__ import annotations
 
@@ -19,43 +21,44 @@
 from standins.server import DispatchServer
 from standins.traffic import TENANTS, Arrival, Result, arrivals, ask, class_tables
 
-WORK_MS = {"cab-lookup": (5.0, 15.0), "ride-assign": (8.0, 20.0)}  # ms
+# Bounds of the service time of each request class.
+WORK_MS = {"cab-lookup": (5.0, 15.0), "ride-assign": (8.0, 20.0)}
 PEERS_PORT = 7946
-LIST = "list"  # its name on the switch
-LATE_RESPONSE_GRACE_MS = (
-    500.0  # ms beyond its time in which a late answer is told from a lost one, as on the platform
-)
-TIMER_CHECK_INTERVAL_S = 0.02  # s between looks at how late this machine is
+LIST = "list"  # the endpoint list's name on the switch
+# Time after the deadline in which a late response still counts as late, not as lost; the platform
+# has the same.
+LATE_RESPONSE_GRACE_MS = 500.0
+TIMER_CHECK_INTERVAL_S = 0.02
 
 
 @dataclass(slots=True, frozen=True)
 class Shape:
-    """What a trial is made of."""
+    """The size and settings of a trial's world."""
 
     nodes: int = 3
     servers: int = 4
-    zones: tuple[str, ...] = ("a", "b", "c")  # of nodes and servers, in turn
+    zones: tuple[str, ...] = ("a", "b", "c")  # nodes and servers are assigned to them round-robin
     cores: int = 8
     queue: int = 16
-    quota: float = 1000.0  # requests a second of all tenants together
+    quota: float = 1000.0  # requests per second, all tenants together
     cold_from: float = 0.3
     ramp_ms: float = 6000.0
     peers: bool = True
-    period_ms: float = (
-        200.0  # of the nodes' probes: quicker than in service, so that a trial is short
-    )
+    # Interval of the nodes' probes: shorter than in service, so that a trial is short.
+    period_ms: float = 200.0
     remember_s: float = 60.0
-    more: str = ""  # further lines of every node's file
+    extra_lines: str = ""  # appended to the settings file of every node
     seed: int = 1
-    said: int = 0  # how many nodes their files say that there are; 0: the truth
-    plan: str = ""  # the mode in which zones fail over; empty: they don't
-    regions: tuple[tuple[str, ...], ...] = ()  # zones that lie together
-    hold_ms: float = 800.0  # for which a zone must be well
-    lease_ms: float = 1500.0  # of a plan: shorter than in service, so that a trial is short
+    configured_nodes: int = 0  # number of nodes that the settings files state; 0: the real number
+    plan: str = ""  # mode of zone failover; empty: none
+    regions: tuple[tuple[str, ...], ...] = ()  # groups of zones
+    hold_ms: float = 800.0  # time for which a zone must stay healthy
+    # Lease of a plan: shorter than in service, so that a trial is short.
+    lease_ms: float = 1500.0
 
 
-class Block:
-    """A block of loopback addresses, 127.N, that no other trial on this machine has at the time."""
+class AddressBlock:
+    """A block of loopback addresses, 127.N, that no other trial on this machine uses meanwhile."""
 
     def __init__(self) -> None:
         for self.number in range(2, 255):
@@ -63,7 +66,8 @@
             try:
                 self.lock.bind((f"127.{self.number}.255.254", PEERS_PORT))
                 with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as first:
-                    first.bind((f"127.{self.number}.0.1", PEERS_PORT))  # of a trial that was killed
+                    # Fails while a node of a killed trial still has the address.
+                    first.bind((f"127.{self.number}.0.1", PEERS_PORT))
             except OSError:
                 self.lock.close()
             else:
@@ -71,66 +75,63 @@
         raise OSError("no block of loopback addresses is free")
 
     def close(self) -> None:
+        """Release the block."""
         self.lock.close()
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """A request, the node that it was sent to, and what came of it."""
+    """A request, the node that it was sent to, and its result."""
 
     node: str
-    sent: float  # s on the monotonic clock
+    sent_at_s: float  # monotonic clock
     result: Result
 
 
 @dataclass(slots=True)
 class ServerStateChange:
-    """A server's line as the list wrote it: when first."""
+    """A state of a server, and when the endpoint list first published it."""
 
     server: str
     state: str
-    at: float
+    published_at_s: float  # monotonic clock
 
 
 @dataclass(slots=True)
 class World:
-    """Everything of a trial, by name: nodes n0, n1, …, servers s-1, s-2, …"""
+    """All parts of a trial by name: the nodes n0, n1, … and the servers s-1, s-2, and so on."""
 
     shape: Shape
     folder: Path
     switch: Switch = field(init=False)
-    block: Block = field(init=False)
+    block: AddressBlock = field(init=False)
     nodes: dict[str, NodeProcess] = field(default_factory=dict)
     servers: dict[str, DispatchServer] = field(default_factory=dict)
-    effect_times: dict[str, float] = field(
-        default_factory=dict
-    )  # keys that had their effect: one group
+    # When each idempotency key had its effect; all servers share it.
+    effect_times: dict[str, float] = field(default_factory=dict)
     sent_requests: list[SentRequest] = field(default_factory=list)
     state_changes: list[ServerStateChange] = field(default_factory=list)
     catalog: Catalog = field(init=False)
     started_at_s: float = 0.0
-    max_timer_delay_s: float = 0.0  # s by which this machine was late with a timer, at worst
+    max_timer_delay_s: float = 0.0
     timer_monitor: asyncio.Task[None] | None = None
-    background_tasks: list[asyncio.Task[None]] = field(
-        default_factory=list
-    )  # what befalls by itself
-    downtimes: dict[str, list[list[float]]] = field(
-        default_factory=dict
-    )  # when nodes did not run: from, until
+    # Faults that change by themselves while they last.
+    background_tasks: list[asyncio.Task[None]] = field(default_factory=list)
+    # Start and end of each time in which a node did not run; infinity while it lasts.
+    downtimes: dict[str, list[list[float]]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.switch = Switch(self.shape.seed)
-        self.block = Block()
+        self.block = AddressBlock()
 
     def addresses(self, kind: int, number: int) -> tuple[str, str]:
-        """What one sends from, and what the switch shows for it, in this trial's block of
-        addresses."""
+        """Return the host that a process sends from, and the switch's host at which it is reached."""
         place = f"{kind * 32 + (number >> 8)}.{number & 255}"
         shown = f"{128 + kind * 32 + (number >> 8)}.{number & 255}"
         return f"127.{self.block.number}.{place}", f"127.{self.block.number}.{shown}"
 
     async def start(self) -> World:
-        """All of it. What is up is put down again where something does not come up."""
+        """Start everything; if a part doesn't come up, stop what is already running."""
         try:
             await self.start_processes()
         except BaseException:
@@ -140,6 +141,7 @@
         return self
 
     async def start_processes(self) -> None:
+        """Start servers, endpoint list and nodes, and wait until each node has taken the list."""
         shape = self.shape
         for number in range(1, shape.servers + 1):
             zone = shape.zones[number % len(shape.zones)]
@@ -167,13 +169,16 @@
         await asyncio.gather(*(node.wait_for_event("list.taken") for node in self.nodes.values()))
 
     def node_file(self, number: int) -> str:
-        """A node's operator's file."""
+        """Return the text of a node's settings file."""
         shape, (real, shown) = self.shape, self.addresses(0, number + 1)
-        zone, said = shape.zones[number % len(shape.zones)], shape.said or shape.nodes
+        zone, node_count = (
+            shape.zones[number % len(shape.zones)],
+            shape.configured_nodes or shape.nodes,
+        )
         zones = ", ".join(f'"{zone}"' for zone in shape.zones)
         lines = [
             f'[node]\nname = "n{number}"\nzone = "{zone}"\nseed = "{number:x}"',
-            f'source = "{real}"\nnumber = {number % said}\nnodes = {said}',
+            f'source = "{real}"\nnumber = {number % node_count}\nnodes = {node_count}',
             f'[fleet]\nzones = [{zones}]\nkinds = ["k"]',
             f"cold_from = {shape.cold_from}\nramp_ms = {shape.ramp_ms}",
             "[retry]\nmax_attempts = 3\nmax_retry_after_ms = 600",
@@ -204,18 +209,20 @@
             for at, region in enumerate(shape.regions):
                 names = ", ".join(f'"{name}"' for name in region)
                 lines.append(f'[[zones.region]]\nname = "r{at}"\nzones = [{names}]')
-        return "\n".join([*lines, shape.more]) + "\n"
+        return "\n".join([*lines, shape.extra_lines]) + "\n"
 
     async def monitor_timers(self) -> None:
-        """How late timers ring here: by so much a node may be late, too, for no fault of its
-        own."""
+        """Record the largest delay of a timer in this process.
+
+        A busy machine may delay a node as much without a fault of the node.
+        """
         while True:
             due = time.monotonic() + TIMER_CHECK_INTERVAL_S
             await asyncio.sleep(TIMER_CHECK_INTERVAL_S)
             self.max_timer_delay_s = max(self.max_timer_delay_s, time.monotonic() - due)
 
     async def stop(self) -> dict[str, int]:
-        """End all of it; gives the exit status of each node that still ran."""
+        """Stop everything and return the exit status of each node that was still running."""
         for task in (self.timer_monitor, *self.background_tasks):
             if task is not None:
                 task.cancel()
@@ -229,80 +236,85 @@
         self.block.close()
         return {node.name: code for node, code in zip(running, codes, strict=True)}
 
-    # What befalls them.
+    # Faults.
 
     def publish_state(self, server: DispatchServer) -> None:
-        """Have the list say what the server is now."""
+        """Publish the server's current state in the endpoint list."""
         self.catalog.change(server.entry())
         self.state_changes.append(ServerStateChange(server.name, server.state, time.monotonic()))
 
     def drain_server(self, name: str) -> None:
+        """Publish that the server is leaving."""
         self.servers[name].state = "leaving"
         self.publish_state(self.servers[name])
 
     def restart_server(self, name: str) -> None:
-        """Started anew, cold."""
+        """Publish the server as freshly started, hence cold."""
         server = self.servers[name]
         server.state, server.started_at = "active", int(time.time() * 1000)
         self.publish_state(server)
 
     def crash_server(self, name: str) -> None:
-        """A server dies: its connections break, new ones are refused, and the list says nothing
-        yet."""
+        """Stop a server without notice.
+
+        Its connections break and new ones are refused, while the endpoint list still has it.
+        """
         self.servers[name].stop()
 
     async def revive_server(self, name: str) -> None:
-        """It is back on its address, cold."""
+        """Start a crashed server at its former address, cold."""
         server = self.servers[name]
         await server.start(server.port)
         self.restart_server(name)
 
     def servers_in_zone(self, zone: str) -> list[str]:
+        """Return the names of the servers in a zone."""
         return [server.name for server in self.servers.values() if server.zone == zone]
 
     def split_by_zone(self, zone: str) -> tuple[list[str], list[str]]:
-        """Nodes and servers of a zone, and all others."""
+        """Return the nodes and servers of a zone, and all others."""
         zones = self.shape.zones
-        there = {name: zones[at % len(zones)] for at, name in enumerate(self.nodes)}
-        there |= {server.name: server.zone for server in self.servers.values()}
-        return [n for n, z in there.items() if z == zone], [
-            n for n, z in there.items() if z != zone
+        zone_of = {name: zones[at % len(zones)] for at, name in enumerate(self.nodes)}
+        zone_of |= {server.name: server.zone for server in self.servers.values()}
+        return [n for n, z in zone_of.items() if z == zone], [
+            n for n, z in zone_of.items() if z != zone
         ]
 
     async def kill_node(self, name: str) -> None:
-        """SIGKILL."""
+        """Kill a node with SIGKILL."""
         self.downtimes.setdefault(name, []).append([time.monotonic(), math.inf])
         await self.nodes[name].kill()
 
     async def restart_node(self, name: str) -> None:
-        """A killed one, by its name and address."""
+        """Start a killed node again with the same name and address."""
         await self.nodes[name].start()
         self.downtimes[name][-1][1] = time.monotonic()
 
     def freeze_node(self, name: str) -> None:
-        """SIGSTOP."""
+        """Suspend a node with SIGSTOP."""
         self.downtimes.setdefault(name, []).append([time.monotonic(), math.inf])
         self.nodes[name].freeze()
 
     def resume_node(self, name: str) -> None:
+        """Resume a suspended node."""
         self.nodes[name].resume()
         self.downtimes[name][-1][1] = time.monotonic()
 
     def split_groups(self, *parts: list[str]) -> None:
-        """Cut these groups of names from each other."""
+        """Cut these groups of names off from each other."""
         for at, part in enumerate(parts):
             for other in parts[at + 1 :]:
                 self.switch.set_both_ways(part, other, cut=True)
 
     def event_counts(self) -> dict[str, int]:
-        """A moment in what each node has said, for `level`."""
+        """Return the number of events that each node has logged so far; the waits start there."""
         return {name: len(node.events) for name, node in self.nodes.items()}
 
     async def wait_for_level(self, level: str, names: list[str], since: dict[str, int]) -> None:
-        """Until each of these nodes has said, since a moment, that it stands there."""
+        """Wait until each of these nodes has logged this level after the given event counts."""
         waits = (
             self.nodes[n].wait_for_event(
-                "peers.level", lambda told: told["standing"] == level, since[n]
+                "peers.level", lambda event: event["standing"] == level, since[n]
             )
             for n in names
         )
@@ -312,21 +324,23 @@
         self,
         names: list[str],
         since: dict[str, int],
-        matches: Callable[[dict[str, Any]], bool] = lambda e: True,
+        matches: Callable[[dict[str, Any]], bool] = lambda event: True,
     ) -> list[dict[str, Any]]:
-        """Until each of these nodes has said, since a moment, that such a plan is in force
-        there."""
+        """Wait until each of these nodes has a matching plan in force, and return the events.
+
+        Only events after the given event counts are considered.
+        """
         waits = (
             self.nodes[name].wait_for_event("zones.plan", matches, since[name]) for name in names
         )
         return list(await asyncio.gather(*waits))
 
     async def wait_for_members(self, size: int, among: list[str] | None = None) -> None:
-        """Until each of these nodes has so many in reach."""
+        """Wait until each of these nodes reaches this number of nodes, itself included."""
         names = among or list(self.nodes)
         await asyncio.gather(
             *(
-                self.nodes[name].wait_for_event("peers.level", lambda told: told["live"] == size)
+                self.nodes[name].wait_for_event("peers.level", lambda event: event["live"] == size)
                 for name in names
             )
         )
@@ -336,11 +350,13 @@
     async def send_traffic(
         self, rate: float, seconds: float, seed: int = 1, nodes: list[str] | None = None
     ) -> None:
-        """Requests at seeded times, whatever came of those before, over those of these nodes that
-        run."""
+        """Send requests at seeded times to those of these nodes that are running.
+
+        The load is open-loop: requests don't wait for the results of earlier ones.
+        """
         names = nodes or list(self.nodes)
         connections, start = http1.Connections(), time.monotonic()
-        asking: list[asyncio.Task[None]] = []
+        request_tasks: list[asyncio.Task[None]] = []
         for number, arrival in enumerate(arrivals(seed, rate, seconds)):
             await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
             running = [
@@ -349,15 +365,18 @@
             if not running:
                 continue
             name = running[number % len(running)]
-            asking.append(asyncio.ensure_future(self.send_request(name, arrival, connections)))
-        await asyncio.gather(*asking)
+            request_tasks.append(
+                asyncio.ensure_future(self.send_request(name, arrival, connections))
+            )
+        await asyncio.gather(*request_tasks)
         connections.close()
 
     async def send_request(
         self, name: str, arrival: Arrival, connections: http1.Connections
     ) -> None:
-        sent = time.monotonic()
+        """Send one request to a node and record its result."""
+        sent_at_s = time.monotonic()
         result = await ask(
             self.nodes[name].frontend_address, arrival, connections, LATE_RESPONSE_GRACE_MS
         )
-        self.sent_requests.append(SentRequest(name, sent, result))
+        self.sent_requests.append(SentRequest(name, sent_at_s, result))
--- a/tests/trial/test_switch.py
+++ b/tests/trial/test_switch.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from lab.trial.switch import Switch
-from lab.trial.world import Block
+from lab.trial.world import AddressBlock
 
 WAIT = 10.0  # s; only a failing test gets there
 
@@ -41,8 +41,8 @@
         self.transport.close()
 
 
-async def two() -> tuple[Block, Switch, End, End]:
-    block, switch = Block(), Switch()
+async def two() -> tuple[AddressBlock, Switch, End, End]:
+    block, switch = AddressBlock(), Switch()
     ends = [await End().start(f"127.{block.number}.0.{number}") for number in (1, 2)]
     for name, end in zip("ab", ends, strict=True):
         await switch.add(name, end.address, (f"127.{block.number}.128.{1 + ends.index(end)}", 0))
@@ -122,12 +122,12 @@
 
 
 def test_two_trials_have_blocks_of_their_own() -> None:
-    one, other = Block(), Block()
+    one, other = AddressBlock(), AddressBlock()
     assert one.number != other.number
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as left_over:
         one.close()
         left_over.bind((f"127.{one.number}.0.1", 7946))
-        third = Block()
+        third = AddressBlock()
         assert third.number not in (one.number, other.number)
     third.close()
     other.close()
--- a/tests/trial/test_zones.py
+++ b/tests/trial/test_zones.py
@@ -46,7 +46,9 @@
 
 def served(world: World, since: float, nodes: set[str] | None = None) -> float:
     """Worth served over worth asked for."""
-    told = [a for a in world.sent_requests if a.sent > since and (nodes is None or a.node in nodes)]
+    told = [
+        a for a in world.sent_requests if a.sent_at_s > since and (nodes is None or a.node in nodes)
+    ]
     assert told
     return sum(a.result.worth for a in told) / sum(a.result.arrival.kind.worth for a in told)
 
