--- a/tests/trial/support.py
+++ b/tests/trial/support.py
@@ -1,5 +1,4 @@
-"""What trials of real processes share: a world that is played by a script, and commands that are
-asked."""
+"""Shared parts of the tests with real processes: running a script on a world, and commands."""
 
 from __future__ import annotations
 
@@ -13,36 +12,43 @@
 from lab.trial.checkers import find_violations
 from lab.trial.world import Shape, World
 
-FAULTS = ("library.message", "policy.failed")  # events that no node may say
+FORBIDDEN_EVENTS = ("library.message", "policy.failed")
 
 
-def trial(folder: Path, shape: Shape, script: Callable[[World], Awaitable[None]]) -> World:
-    """Play a script on a world; afterwards no rule may be broken, and every node must end by
-    SIGTERM."""
+def run_trial(folder: Path, shape: Shape, script: Callable[[World], Awaitable[None]]) -> World:
+    """Run a script on a world.
+
+    Afterwards no rule may be broken, and every node must have exited with 0 on SIGTERM.
+    """
 
     async def run() -> World:
         world = await World(shape, folder).start()
         try:
             await script(world)
         finally:
-            codes = await world.stop()
-        assert set(codes.values()) <= {0}, codes
+            exit_codes = await world.stop()
+        assert set(exit_codes.values()) <= {0}, exit_codes
         return world
 
     world = asyncio.run(run())
     assert find_violations(world) == []
-    faults = [e for node in world.nodes.values() for e in node.events if e["event"] in FAULTS]
-    assert not faults, faults[:3]
+    forbidden = [
+        event
+        for node in world.nodes.values()
+        for event in node.events
+        if event["event"] in FORBIDDEN_EVENTS
+    ]
+    assert not forbidden, forbidden[:3]
     return world
 
 
-def saying(group: str, capsys: pytest.CaptureFixture[str]) -> Callable[..., str]:
-    """Calls commands of a group and gives what they say."""
+def command_runner(group: str, capsys: pytest.CaptureFixture[str]) -> Callable[..., str]:
+    """Return a function that runs a command of a group and returns its output."""
 
-    def said(*words: str) -> str:
+    def run_command(*words: str) -> str:
         status = main([group, *words])
-        told = capsys.readouterr()
-        assert status == 0, told.err
-        return told.out
+        captured = capsys.readouterr()
+        assert status == 0, captured.err
+        return captured.out
 
-    return said
+    return run_command
--- a/tests/trial/test_switch.py
+++ b/tests/trial/test_switch.py
@@ -1,4 +1,4 @@
-"""The switch passes on what it is told to, each way by itself."""
+"""The switch forwards traffic with the faults of each direction."""
 
 from __future__ import annotations
 
@@ -10,19 +10,22 @@
 from lab.trial.switch import Switch
 from lab.trial.world import AddressBlock
 
-WAIT = 10.0  # s; only a failing test gets there
+TIMEOUT_S = 10.0  # reached only by a failing test
 
 
-class End(asyncio.DatagramProtocol):
-    """One that echoes what comes on connections, and keeps what comes as datagrams."""
+class EchoPeer(asyncio.DatagramProtocol):
+    """A peer that echoes data on its connections and keeps the datagrams it receives."""
 
     def __init__(self) -> None:
-        self.got: asyncio.Queue[tuple[bytes, str]] = asyncio.Queue()
+        self.datagrams: asyncio.Queue[tuple[bytes, str]] = asyncio.Queue()
 
     def datagram_received(self, data: bytes, source: Any) -> None:
-        self.got.put_nowait((data, source[0]))
+        """Keep a datagram and the host it came from."""
+        self.datagrams.put_nowait((data, source[0]))
+
+    async def start(self, host: str) -> EchoPeer:
+        """Listen on the host, for connections and datagrams at the same port."""
 
-    async def start(self, host: str) -> End:
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while data := await reader.read(1000):
                 writer.write(data)
@@ -37,91 +40,99 @@
         return self
 
     def close(self) -> None:
+        """Close both sockets."""
         self.server.close()
         self.transport.close()
 
 
-async def two() -> tuple[AddressBlock, Switch, End, End]:
+async def start_two_peers() -> tuple[AddressBlock, Switch, EchoPeer, EchoPeer]:
     block, switch = AddressBlock(), Switch()
-    ends = [await End().start(f"127.{block.number}.0.{number}") for number in (1, 2)]
-    for name, end in zip("ab", ends, strict=True):
-        await switch.add(name, end.address, (f"127.{block.number}.128.{1 + ends.index(end)}", 0))
-    return block, switch, ends[0], ends[1]
+    peers = [await EchoPeer().start(f"127.{block.number}.0.{number}") for number in (1, 2)]
+    for name, peer in zip("ab", peers, strict=True):
+        await switch.add(name, peer.address, (f"127.{block.number}.128.{1 + peers.index(peer)}", 0))
+    return block, switch, peers[0], peers[1]
 
 
-def test_each_way_is_cut_lossy_or_doubled_by_itself_and_senders_are_seen_at_the_switch() -> None:
+def test_faults_apply_to_one_direction_and_receivers_see_the_switch_address() -> None:
     async def run() -> None:
-        block, switch, a, b = await two()
-        shown = {name: endpoint.switch_address for name, endpoint in switch.endpoints.items()}
+        block, switch, a, b = await start_two_peers()
+        switch_addresses = {
+            name: endpoint.switch_address for name, endpoint in switch.endpoints.items()
+        }
 
-        def send(end: End, to: str, data: bytes) -> None:
-            end.transport.sendto(data, shown[to])
+        def send(peer: EchoPeer, to: str, data: bytes) -> None:
+            peer.transport.sendto(data, switch_addresses[to])
 
-        async def next_of(end: End) -> tuple[bytes, str]:
-            return await asyncio.wait_for(end.got.get(), WAIT)
+        async def next_datagram(peer: EchoPeer) -> tuple[bytes, str]:
+            return await asyncio.wait_for(peer.datagrams.get(), TIMEOUT_S)
 
         send(a, "b", b"1")
-        assert await next_of(b) == (b"1", shown["a"][0])
+        assert await next_datagram(b) == (b"1", switch_addresses["a"][0])
         switch.set_fault("a", "b", cut=True)
         send(a, "b", b"lost")
-        send(b, "a", b"2")  # the other way is open
-        assert await next_of(a) == (b"2", shown["b"][0])
+        send(b, "a", b"2")  # the other direction is open
+        assert await next_datagram(a) == (b"2", switch_addresses["b"][0])
         switch.set_fault("a", "b", cut=False, duplicate=1.0)
         send(a, "b", b"3")
-        assert [await next_of(b), await next_of(b)] == [(b"3", shown["a"][0])] * 2
+        assert [await next_datagram(b), await next_datagram(b)] == [
+            (b"3", switch_addresses["a"][0])
+        ] * 2
         switch.set_fault("a", "b", duplicate=0.0, loss=1.0)
         send(a, "b", b"lost")
         send(b, "a", b"4")
-        await next_of(a)
-        assert switch.dropped_datagrams == 2 and b.got.empty()
+        await next_datagram(a)
+        assert switch.dropped_datagrams == 2 and b.datagrams.empty()
         switch.set_fault("a", "b", loss=0.0, reorder=1.0)
         send(a, "b", b"overtaken")
         while switch.forwarded_bytes["a", "b"] < 11:
             await asyncio.sleep(0)
         switch.heal()
         send(a, "b", b"first")
-        assert [(await next_of(b))[0], (await next_of(b))[0]] == [b"first", b"overtaken"]
+        assert [(await next_datagram(b))[0], (await next_datagram(b))[0]] == [
+            b"first",
+            b"overtaken",
+        ]
         assert [cut for _, _, cut in switch.cut_changes] == [True, False]
-        for end in (a, b, switch, block):
-            end.close()
+        for peer in (a, b, switch, block):
+            peer.close()
 
-    asyncio.run(asyncio.wait_for(run(), 3 * WAIT))
+    asyncio.run(asyncio.wait_for(run(), 3 * TIMEOUT_S))
 
 
-def test_a_cut_holds_connections_in_silence_and_lets_go_of_what_it_held() -> None:
+def test_cut_holds_connections_and_heal_releases_what_was_held() -> None:
     async def run() -> None:
-        block, switch, a, b = await two()
+        block, switch, a, b = await start_two_peers()
         source = (a.address[0], 0)
         reader, writer = await asyncio.open_connection(
             *switch.endpoints["b"].switch_address, local_addr=source
         )
         writer.write(b"1")
-        assert await asyncio.wait_for(reader.read(10), WAIT) == b"1"
-        switch.set_fault("b", "a", cut=True)  # only the answer's way
+        assert await asyncio.wait_for(reader.read(10), TIMEOUT_S) == b"1"
+        switch.set_fault("b", "a", cut=True)  # only the direction of the response
         writer.write(b"2")
         while switch.forwarded_bytes["a", "b"] < 2:
             await asyncio.sleep(0)
         waiting = asyncio.ensure_future(reader.read(10))
-        fresh, knock = await asyncio.open_connection(
+        new_reader, new_writer = await asyncio.open_connection(
             *switch.endpoints["b"].switch_address, local_addr=source
         )
-        knock.write(b"3")
+        new_writer.write(b"3")
         while switch.forwarded_bytes["a", "b"] < 3:
             await asyncio.sleep(0.001)
         assert not waiting.done()
         switch.heal()
-        assert await asyncio.wait_for(waiting, WAIT) == b"2"
-        assert await asyncio.wait_for(fresh.read(10), WAIT) == b"3"
+        assert await asyncio.wait_for(waiting, TIMEOUT_S) == b"2"
+        assert await asyncio.wait_for(new_reader.read(10), TIMEOUT_S) == b"3"
         switch.reset_connections("a", "b")
         with contextlib.suppress(ConnectionError):
-            assert await asyncio.wait_for(reader.read(10), WAIT) == b""
-        for end in (writer, knock, a, b, switch, block):
-            end.close()
+            assert await asyncio.wait_for(reader.read(10), TIMEOUT_S) == b""
+        for peer in (writer, new_writer, a, b, switch, block):
+            peer.close()
 
-    asyncio.run(asyncio.wait_for(run(), 3 * WAIT))
+    asyncio.run(asyncio.wait_for(run(), 3 * TIMEOUT_S))
 
 
-def test_two_trials_have_blocks_of_their_own() -> None:
+def test_concurrent_trials_use_different_address_blocks() -> None:
     one, other = AddressBlock(), AddressBlock()
     assert one.number != other.number
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as left_over:
--- a/tests/trial/test_zones.py
+++ b/tests/trial/test_zones.py
@@ -1,4 +1,4 @@
-"""Real nodes that fail over by one plan, with faults between them."""
+"""Zone failover by one plan, with real nodes and injected faults."""
 
 from __future__ import annotations
 
@@ -14,216 +14,237 @@
 from badgercart.app.cli import main
 from badgercart.zones.commands import fetch_zones_page
 from lab.trial.world import Shape, World
-from tests.trial.support import saying
-from tests.trial.support import trial as play
+from tests.trial.support import command_runner, run_trial
 
 REGIONS = (("a", "b"), ("c",))
 
 
-def shape(nodes: int = 6, **more: object) -> Shape:
+def shape_of(nodes: int = 6, **more: object) -> Shape:
+    """Return the shape of a world whose nodes decide plans by majority."""
     plain: dict[str, object] = {"nodes": nodes, "servers": 6, "cores": 4, "plan": "majority"}
     return Shape(**(plain | more))  # type: ignore[arg-type]
 
 
-def trial(folder: Path, wanted: Shape, script: Callable[[World], Awaitable[None]]) -> None:
-    """Play a script on a world that has its first plan."""
+def run_planned_trial(
+    folder: Path, wanted: Shape, script: Callable[[World], Awaitable[None]]
+) -> None:
+    """Run a script on a world once each node has its first plan."""
 
     async def planned(world: World) -> None:
         await world.wait_for_members(wanted.nodes)
         await world.wait_for_plan(list(world.nodes), dict.fromkeys(world.nodes, 0))
         await script(world)
 
-    play(folder, wanted, planned)
+    run_trial(folder, wanted, planned)
 
 
-def reached(world: World, zone: str, since: float, until: float = float("inf")) -> int:
-    """Requests that came to a zone's servers, probes apart."""
+def requests_in_zone(world: World, zone: str, since: float, until: float = float("inf")) -> int:
+    """Return how many requests reached the servers of a zone in an interval, probes excluded."""
     there = [world.servers[name] for name in world.servers_in_zone(zone)]
     return sum(
         bool(seen.id) and since < seen.at < until for server in there for seen in server.seen
     )
 
 
-def served(world: World, since: float, nodes: set[str] | None = None) -> float:
-    """Worth served over worth asked for."""
-    told = [
-        a for a in world.sent_requests if a.sent_at_s > since and (nodes is None or a.node in nodes)
+def served_worth_ratio(world: World, since: float, nodes: set[str] | None = None) -> float:
+    """Return the worth served as a share of the worth offered since a time."""
+    requests = [
+        request
+        for request in world.sent_requests
+        if request.sent_at_s > since and (nodes is None or request.node in nodes)
     ]
-    assert told
-    return sum(a.result.worth for a in told) / sum(a.result.arrival.kind.worth for a in told)
+    assert requests
+    return sum(request.result.worth for request in requests) / sum(
+        request.result.arrival.kind.worth for request in requests
+    )
 
 
-def test_a_zones_servers_die_its_traffic_moves_by_one_plan_and_comes_back_by_warmth(
+def test_zone_loss_moves_traffic_by_one_plan_and_back_after_warm_up(
     tmp_path: Path,
 ) -> None:
     async def script(world: World) -> None:
         names = list(world.nodes)
         traffic = asyncio.ensure_future(world.send_traffic(150, 9.0))
         await asyncio.sleep(0)
-        mark, died = world.event_counts(), time.monotonic()
+        counts, died = world.event_counts(), time.monotonic()
         for name in world.servers_in_zone("b"):
             world.crash_server(name)
-        told = await world.wait_for_plan(names, mark, lambda e: "b is dark" in e["why"])
-        assert len({e["plan"] for e in told if e["epoch"] == told[0]["epoch"]}) == 1
+        events = await world.wait_for_plan(names, counts, lambda event: "b is dark" in event["why"])
+        assert len({event["plan"] for event in events if event["epoch"] == events[0]["epoch"]}) == 1
         moved = time.monotonic()
-        page = await asyncio.to_thread(
-            fetch_zones_page, world.nodes["n1"].frontend_address
-        )  # of zone b
+        # n1 is in zone b.
+        page = await asyncio.to_thread(fetch_zones_page, world.nodes["n1"].frontend_address)
         assert page["zones"][1]["gate"] == "shut" and sum(map(sum, page["parts"][1])) > 0
         await asyncio.sleep(1.0)
-        mark, back = world.event_counts(), time.monotonic()
+        counts, back = world.event_counts(), time.monotonic()
         for name in world.servers_in_zone("b"):
             await world.revive_server(name)
         gates = (
             world.nodes[n].wait_for_event(
-                "zones.gate", lambda e: e["zone"] == "b" and e["state"] == "open", mark[n]
+                "zones.gate",
+                lambda event: event["zone"] == "b" and event["state"] == "open",
+                counts[n],
             )
             for n in names
         )
         await asyncio.gather(*gates)
-        assert reached(world, "b", back) > 0
+        assert requests_in_zone(world, "b", back) > 0
         await traffic
-        assert served(world, moved) > 0.9 and served(world, died) > 0.85
+        assert served_worth_ratio(world, moved) > 0.9 and served_worth_ratio(world, died) > 0.85
 
-    trial(tmp_path, shape(ramp_ms=2000.0), script)
+    run_planned_trial(tmp_path, shape_of(ramp_ms=2000.0), script)
 
 
-def test_the_proposer_frozen_through_its_lease_wakes_and_acts_on_nothing_old(
+def test_proposer_suspended_past_its_lease_follows_the_newer_plan(
     tmp_path: Path,
 ) -> None:
     async def script(world: World) -> None:
         page = await asyncio.to_thread(fetch_zones_page, world.nodes["n0"].frontend_address)
         first = page["proposer"]
         others = [name for name in world.nodes if name != first]
-        mark = world.event_counts()
+        counts = world.event_counts()
         world.freeze_node(first)
-        told = await world.wait_for_plan(others, mark, lambda e: e["proposer"] != first)
-        epoch = max(e["epoch"] for e in told)
-        mark = world.event_counts()
+        events = await world.wait_for_plan(others, counts, lambda event: event["proposer"] != first)
+        epoch = max(event["epoch"] for event in events)
+        counts = world.event_counts()
         woke = time.monotonic()
         world.resume_node(first)
-        (again,) = await world.wait_for_plan([first], mark)  # the first that it goes by since
+        (again,) = await world.wait_for_plan([first], counts)  # its first plan since then
         assert (
             again["epoch"] >= epoch and again["proposer"] != first and time.monotonic() - woke < 10
         )
         await world.send_traffic(60, 1.0)
 
-    trial(tmp_path, shape(5), script)
+    run_planned_trial(tmp_path, shape_of(5), script)
 
 
-def test_two_equal_halves_have_no_plan_serve_near_and_have_one_again_when_healed(
+def test_even_split_has_no_plan_until_healed_and_serves_locally(
     tmp_path: Path,
 ) -> None:
     async def script(world: World) -> None:
         names = list(world.nodes)
         traffic = asyncio.ensure_future(world.send_traffic(100, 7.0))
-        mark = world.event_counts()
+        counts = world.event_counts()
         world.split_groups(["n0", "n2"], ["n1", "n3"])
         await asyncio.gather(
-            *(world.nodes[n].wait_for_event("zones.lapsed", since=mark[n]) for n in names)
+            *(world.nodes[n].wait_for_event("zones.lapsed", since=counts[n]) for n in names)
         )
         page = await asyncio.to_thread(fetch_zones_page, world.nodes["n0"].frontend_address)
-        assert page["epoch"] == 0 and page["zones"][0]["share"] == [1.0] * 4  # near only
+        # Without a plan each zone serves itself.
+        assert page["epoch"] == 0 and page["zones"][0]["share"] == [1.0] * 4
         since = time.monotonic()
         await asyncio.sleep(1.0)
-        assert reached(world, "c", since) < 30  # none but n2 are of c; others send their blind part
-        mark = world.event_counts()
+        # Only n2 is in zone c; the others send there what nodes without a plan send blindly.
+        assert requests_in_zone(world, "c", since) < 30
+        counts = world.event_counts()
         world.switch.heal()
-        told = await world.wait_for_plan(names, mark)
+        events = await world.wait_for_plan(names, counts)
         await traffic
-        assert len(Counter(e["plan"] for e in told)) >= 1 and served(world, 0.0) > 0.9
+        assert (
+            len(Counter(event["plan"] for event in events)) >= 1
+            and served_worth_ratio(world, 0.0) > 0.9
+        )
 
-    trial(tmp_path, shape(4), script)
+    run_planned_trial(tmp_path, shape_of(4), script)
 
 
-def test_a_region_cut_off_with_the_list_on_the_other_side_serves_itself(tmp_path: Path) -> None:
+def test_region_cut_off_from_the_endpoint_list_serves_itself(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         inside = [*(n for n, at in zip(world.nodes, "abcabcabc", strict=False) if at == "c")]
         inside += world.servers_in_zone("c")
         outside = [n for n in (*world.nodes, *world.servers, "list") if n not in inside]
-        few = [n for n in inside if n in world.nodes]
-        many = [n for n in world.nodes if n not in few]
+        minority = [n for n in inside if n in world.nodes]
+        majority = [n for n in world.nodes if n not in minority]
         traffic = asyncio.ensure_future(world.send_traffic(120, 6.0))
-        mark = world.event_counts()
+        counts = world.event_counts()
         world.switch.set_both_ways(inside, outside, cut=True)
         await asyncio.gather(
-            *(world.nodes[n].wait_for_event("zones.lapsed", since=mark[n]) for n in few)
+            *(world.nodes[n].wait_for_event("zones.lapsed", since=counts[n]) for n in minority)
         )
-        await world.wait_for_plan(many, mark, lambda e: "c is dark" in e["why"])
+        await world.wait_for_plan(majority, counts, lambda event: "c is dark" in event["why"])
         cut = time.monotonic()
         await asyncio.sleep(1.5)
-        assert served(world, cut, set(few)) > 0.95 and served(world, cut, set(many)) > 0.95
-        mark = world.event_counts()
+        assert (
+            served_worth_ratio(world, cut, set(minority)) > 0.95
+            and served_worth_ratio(world, cut, set(majority)) > 0.95
+        )
+        counts = world.event_counts()
         world.switch.heal()
-        await world.wait_for_plan(list(world.nodes), mark, lambda e: "c is dark" not in e["why"])
+        await world.wait_for_plan(
+            list(world.nodes), counts, lambda event: "c is dark" not in event["why"]
+        )
         await traffic
 
-    trial(tmp_path, shape(6, regions=REGIONS), script)
+    run_planned_trial(tmp_path, shape_of(6, regions=REGIONS), script)
 
 
-def test_a_zone_drained_by_an_operator_while_another_fails(
+def test_operator_drains_a_zone_while_another_fails(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    said = saying("zones", capsys)
+    run_command = command_runner("zones", capsys)
 
     async def script(world: World) -> None:
         names = list(world.nodes)
         traffic = asyncio.ensure_future(world.send_traffic(90, 8.0))
-        file, front, mark = (
+        file, front, counts = (
             str(world.nodes["n0"].file),
             world.nodes["n0"].frontend_address,
             world.event_counts(),
         )
-        gone = await asyncio.to_thread(said, "if", front, "b")
-        assert "refused: " in gone and "%" in gone
+        consequences = await asyncio.to_thread(run_command, "if", front, "b")
+        assert "refused: " in consequences and "%" in consequences
         assert "drain c" in await asyncio.to_thread(
-            said, "drain", file, "c", "--for", "60", "--by", "eva"
+            run_command, "drain", file, "c", "--for", "60", "--by", "eva"
         )
         orders = await asyncio.gather(
-            *(world.nodes[n].wait_for_event("zones.ordered", since=mark[n]) for n in names)
+            *(world.nodes[n].wait_for_event("zones.ordered", since=counts[n]) for n in names)
         )
-        assert {(e["by"], e["what"], e["zone"]) for e in orders} == {("eva", "drain", "c")}
-        await world.wait_for_plan(names, mark)
+        assert {(event["by"], event["what"], event["zone"]) for event in orders} == {
+            ("eva", "drain", "c")
+        }
+        await world.wait_for_plan(names, counts)
         drained = time.monotonic()
         await asyncio.sleep(1.0)
-        assert reached(world, "c", drained + 0.5) == 0
-        mark = world.event_counts()
+        assert requests_in_zone(world, "c", drained + 0.5) == 0
+        counts = world.event_counts()
         for name in world.servers_in_zone("b"):
             world.crash_server(name)
-        await world.wait_for_plan(names, mark, lambda e: "b is dark" in e["why"])
+        await world.wait_for_plan(names, counts, lambda event: "b is dark" in event["why"])
         await asyncio.sleep(0.7)
         late = time.monotonic()
-        mark = world.event_counts()
-        assert "release c" in await asyncio.to_thread(said, "release", file, "c")
+        counts = world.event_counts()
+        assert "release c" in await asyncio.to_thread(run_command, "release", file, "c")
         await asyncio.gather(
-            *(world.nodes[n].wait_for_event("zones.ordered", since=mark[n]) for n in names)
+            *(world.nodes[n].wait_for_event("zones.ordered", since=counts[n]) for n in names)
         )
         await traffic
-        assert reached(world, "c", late) > 0
-        shown = await asyncio.to_thread(said, "show", front)
+        assert requests_in_zone(world, "c", late) > 0
+        shown = await asyncio.to_thread(run_command, "show", front)
         assert "b     b" in shown and "shut" in shown
         assert "n0 in a: plan" in shown and "refused" in await asyncio.to_thread(
-            said, "plan", front
+            run_command, "plan", front
         )
-        assert "drain c, by eva" in await asyncio.to_thread(said, "why", front)
+        assert "drain c, by eva" in await asyncio.to_thread(run_command, "why", front)
         assert await asyncio.to_thread(main, ["zones", "drain", file, "x"]) == 2
         assert await asyncio.to_thread(main, ["zones", "if", front, "x"]) == 1
         assert await asyncio.to_thread(main, ["zones", "show", "127.0.0.1:9"]) == 1
 
-    trial(tmp_path, shape(4), script)
+    run_planned_trial(tmp_path, shape_of(4), script)
 
 
-def test_new_regions_by_sighup_node_by_node_never_mix_two_maps(tmp_path: Path) -> None:
+def test_region_change_by_sighup_node_by_node_never_mixes_two_maps(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         names = list(world.nodes)
         traffic = asyncio.ensure_future(world.send_traffic(60, 6.0))
         for name in names:
-            node, mark = world.nodes[name], world.event_counts()
-            told = node.file.read_text() + '[[zones.region]]\nname = "r"\nzones = ["a", "b"]\n'
-            node.file.write_text(told)
+            node, counts = world.nodes[name], world.event_counts()
+            text = node.file.read_text() + '[[zones.region]]\nname = "r"\nzones = ["a", "b"]\n'
+            node.file.write_text(text)
             node.send_signal(signal.SIGHUP)
-            await node.wait_for_event("zones.lapsed", lambda e: "geography" in e["why"], mark[name])
-        await world.wait_for_plan(names, mark)
+            await node.wait_for_event(
+                "zones.lapsed", lambda event: "geography" in event["why"], counts[name]
+            )
+        await world.wait_for_plan(names, counts)
         pages = await asyncio.gather(
             *(asyncio.to_thread(fetch_zones_page, world.nodes[n].frontend_address) for n in names)
         )
@@ -231,30 +252,31 @@
         assert pages[0]["zones"][0]["region"] == pages[0]["zones"][1]["region"] == "r"
         await traffic
 
-    trial(tmp_path, shape(3), script)
+    run_planned_trial(tmp_path, shape_of(3), script)
 
 
-def test_each_node_restarted_in_turn_during_a_failover(tmp_path: Path) -> None:
+def test_rolling_restart_during_a_zone_failover(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         names = list(world.nodes)
-        mark = world.event_counts()
+        counts = world.event_counts()
         for name in world.servers_in_zone("b"):
             world.crash_server(name)
-        await world.wait_for_plan(names, mark, lambda e: "b is dark" in e["why"])
+        await world.wait_for_plan(names, counts, lambda event: "b is dark" in event["why"])
 
-        async def again(name: str) -> None:
+        async def restart(name: str) -> None:
             await world.kill_node(name)
             await world.restart_node(name)
             await world.nodes[name].wait_for_event("zones.plan")
 
         since = time.monotonic()
         for name in names:
-            restart = asyncio.ensure_future(again(name))
-            while not restart.done():  # each time by another seed: keys are not to come twice
+            restarting = asyncio.ensure_future(restart(name))
+            # A new seed each time, so that no key repeats.
+            while not restarting.done():
                 await world.send_traffic(
                     60, 0.5, len(world.sent_requests) + 1, [n for n in names if n != name]
                 )
-            await restart
-        assert served(world, since) > 0.9
+            await restarting
+        assert served_worth_ratio(world, since) > 0.9
 
-    trial(tmp_path, shape(4), script)
+    run_planned_trial(tmp_path, shape_of(4), script)
