--- a/badgercart/discovery/catalog.py
+++ b/badgercart/discovery/catalog.py
@@ -123,7 +123,7 @@
         self.address = address
         self.local = (source, 0) if source else None
         self.on_list = on_list
-        self.tries = RetryState(rng)
+        self.retry_state = RetryState(rng)
         # Version of the list in force; None: a snapshot must be fetched.
         self.version: int | None = None
         self.failing = False
@@ -158,7 +158,7 @@
             return
         self.close()
         self.address, self.version = address, None
-        self.tries, self.failing = RetryState(self.tries.random), False
+        self.retry_state, self.failing = RetryState(self.retry_state.random), False
         self.start()
 
     async def run(self) -> None:
@@ -194,7 +194,7 @@
             self.drop([self.calls[now_s - self.calls[0].adjusted_start_s < OLDEST_CALL_TIMEOUT_S]])
         call = Call(self.version is None, now_s)
         self.calls.append(call)
-        self.next_call_after_s = self.tries.call_opened(self.timing)
+        self.next_call_after_s = self.retry_state.call_opened(self.timing)
         self.next_call_at_s = now_s + self.next_call_after_s
         call.task = asyncio.get_running_loop().create_task(self.attend(call))
 
@@ -235,14 +235,14 @@
                 # Other watches continue from a list that can no longer be trusted.
                 self.drop([other for other in self.calls if not other.is_snapshot])
             if call.first_received_at_s < math.inf:
-                self.tries.watch_ended(now_s() - call.first_received_at_s, self.timing)
+                self.retry_state.watch_ended(now_s() - call.first_received_at_s, self.timing)
             if not self.calls:
-                self.next_call_at_s = now_s() + self.tries.next_retry_delay_s(self.timing)
+                self.next_call_at_s = now_s() + self.retry_state.next_retry_delay_s(self.timing)
         self.wakeup.set()
 
     def call_received(self, call: Call) -> None:
         """Keep the call that received a complete list or heartbeat, and close those beside it."""
-        self.tries.list_received()
+        self.retry_state.list_received()
         self.failing = False
         if call.first_received_at_s == math.inf:
             call.first_received_at_s, self.next_call_at_s = (
--- a/badgercart/discovery/entries.py
+++ b/badgercart/discovery/entries.py
@@ -18,7 +18,7 @@
 from badgercart.policy.events import UpdateKind
 
 # Endpoint states by the `lifecycle` of an entry.
-STATES = {
+STATE_OF_LIFECYCLE = {
     "active": EndpointState.READY,
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
@@ -72,7 +72,7 @@
             zone=zone,
             kind=self.kinds.get(entry.get("machineType", ""), -1),
             cell=int(entry.get("cell", 0)),
-            state=STATES[entry["lifecycle"]],
+            state=STATE_OF_LIFECYCLE[entry["lifecycle"]],
             size=size,
             started_ms=started_unix_ms - self.unix_offset if started_unix_ms else 0.0,
         )
