--- a/badgercart/capture/policy_state.py
+++ b/badgercart/capture/policy_state.py
@@ -1,12 +1,12 @@
-"""A policy's whole state as bytes, and back. No I/O.
+"""Encodes the complete state of a policy as bytes, and decodes it. No I/O.
 
-State is pickled, since no other form keeps a graph of shared objects and the order of sets exactly.
-Classes are written as numbers, fields by position, and the policy's own fields under literal names,
-so that a rename in the code reaches no byte. A reader takes only the classes that are named here: a
-capture can't run code.
+The state is pickled, since no other format keeps a graph of shared objects and the order of sets
+exactly. Types are written as numbers, fields by position, and the policy's own fields under literal
+names, so that a rename in the code changes no stored byte. The reader accepts only the types that
+are listed here, so a capture can't run code.
 
-States of texts before this form were pickled under the names of classes and fields of their day
-(`cottonhall.rules`, ...). They are read still.
+States of earlier versions were pickled under the names that classes and fields had then
+(`cottonhall.rules` and others). They can still be read.
 """
 
 from __future__ import annotations
@@ -30,20 +30,21 @@
 
 
 class StateError(Exception):
-    """Bytes that hold no policy's state: what is wrong with them."""
+    """Stored bytes hold no policy state; the message says what is wrong with them."""
 
 
+# The field values of an object, in the order in which they are stored.
 Values = tuple[Any, ...]
 
 
-# What is made whole at once: its values are there before it.
+# Objects that are constructed from their values. None of the values refers back to the object.
 
 
-def _endpoint(item: Endpoint) -> Values:
+def _endpoint_values(item: Endpoint) -> Values:
     return item.id, item.zone, item.kind, item.cell, item.state, item.size, item.started_ms
 
 
-def _request(item: Request) -> Values:
+def _request_values(item: Request) -> Values:
     return (
         item.id,
         item.class_index,
@@ -59,7 +60,7 @@
     )
 
 
-def _class(item: RequestClass) -> Values:
+def _request_class_values(item: RequestClass) -> Values:
     return (
         item.latency_objective_ms,
         item.deadline_ms,
@@ -72,7 +73,7 @@
     )
 
 
-def _settings(item: Settings) -> Values:
+def _settings_values(item: Settings) -> Values:
     return (
         item.classes,
         item.zone,
@@ -96,7 +97,7 @@
     )
 
 
-def _known(item: EndpointStatistics) -> Values:
+def _statistics_values(item: EndpointStatistics) -> Values:
     return (
         item.started_ms,
         item.relative_latency,
@@ -106,11 +107,11 @@
     )
 
 
-def _company(item: ClusterView) -> Values:
+def _cluster_view_values(item: ClusterView) -> Values:
     return item.size, item.node_index, item.possibly_alive, item.quota_shares, item.failure_reports
 
 
-def _planned(item: TrafficPlan) -> Values:
+def _traffic_plan_values(item: TrafficPlan) -> Values:
     return (
         item.shares,
         item.spillover_rates_per_ms,
@@ -120,27 +121,28 @@
     )
 
 
-def _health(item: ClassHealth) -> Values:
+def _class_health_values(item: ClassHealth) -> Values:
     return item.failure_rate, item.ejected_until_ms, item.consecutive_ejections
 
 
-def _level(item: VirtualNodeScale) -> Values:
+def _virtual_node_scale_values(item: VirtualNodeScale) -> Values:
     return item.virtual_nodes, item.kind_ratio, item.strongest
 
 
-# The numbers stand in files: a new one is added at the end, none is ever used again.
-_MADE: tuple[tuple[type, Callable[[Any], Values]], ...] = (
-    (Endpoint, _endpoint),
-    (Request, _request),
-    (RequestClass, _class),
-    (Settings, _settings),
-    (EndpointStatistics, _known),
-    (ClusterView, _company),
-    (TrafficPlan, _planned),
-    (ClassHealth, _health),
-    (VirtualNodeScale, _level),
+# States store the positions in these tuples: a new type goes to the end, and the position of a
+# removed type is never used again.
+_CONSTRUCTED_TYPES: tuple[tuple[type, Callable[[Any], Values]], ...] = (
+    (Endpoint, _endpoint_values),
+    (Request, _request_values),
+    (RequestClass, _request_class_values),
+    (Settings, _settings_values),
+    (EndpointStatistics, _statistics_values),
+    (ClusterView, _cluster_view_values),
+    (TrafficPlan, _traffic_plan_values),
+    (ClassHealth, _class_health_values),
+    (VirtualNodeScale, _virtual_node_scale_values),
 )
-_ENUMS: tuple[type, ...] = (
+_ENUM_TYPES: tuple[type, ...] = (
     EndpointState,
     UpdateKind,
     AttemptResult,
@@ -149,10 +151,11 @@
 )
 
 
-# What may hold what holds it: it is made empty, and filled once all is there.
+# Objects that may be part of a reference cycle. They are created empty, and filled once all objects
+# that they refer to exist.
 
 
-def _save_tracked(item: TrackedEndpoint) -> Values:
+def _save_tracked_endpoint(item: TrackedEndpoint) -> Values:
     return (
         item.endpoint,
         item.tokens,
@@ -165,7 +168,7 @@
     )
 
 
-def _fill_tracked(item: TrackedEndpoint, values: Values) -> None:
+def _fill_tracked_endpoint(item: TrackedEndpoint, values: Values) -> None:
     (
         item.endpoint,
         item.tokens,
@@ -178,15 +181,15 @@
     ) = values
 
 
-def _save_queue(item: KeyQueue) -> Values:
+def _save_key_queue(item: KeyQueue) -> Values:
     return item.waiting, item.open_attempts, item.cooldown_until_ms
 
 
-def _fill_queue(item: KeyQueue, values: Values) -> None:
+def _fill_key_queue(item: KeyQueue, values: Values) -> None:
     item.waiting, item.open_attempts, item.cooldown_until_ms = values
 
 
-def _save_pending(item: PendingRequest) -> Values:
+def _save_pending_request(item: PendingRequest) -> Values:
     return (
         item.request,
         item.request_class,
@@ -201,7 +204,7 @@
     )
 
 
-def _fill_pending(item: PendingRequest, values: Values) -> None:
+def _fill_pending_request(item: PendingRequest, values: Values) -> None:
     (
         item.request,
         item.request_class,
@@ -216,24 +219,24 @@
     ) = values
 
 
-def _save_ring(item: HashRing) -> Values:
+def _save_hash_ring(item: HashRing) -> Values:
     return item.blocks, item.block_starts
 
 
-def _fill_ring(item: HashRing, values: Values) -> None:
+def _fill_hash_ring(item: HashRing, values: Values) -> None:
     item.blocks, item.block_starts = values
 
 
-def _save_sizes(item: SizeIndex) -> Values:
+def _save_size_index(item: SizeIndex) -> Values:
     return item.order, item.total, item.changes, item.scale, item.level
 
 
-def _fill_sizes(item: SizeIndex, values: Values) -> None:
+def _fill_size_index(item: SizeIndex, values: Values) -> None:
     item.order, item.total, item.changes, item.scale, item.level = values
 
 
 def stored_values(policy: Policy) -> dict[str, Any]:
-    """Return a policy's state by stored names: all but the actions of the last event."""
+    """Return a policy's state by stored names, without the actions of the last event."""
     return {
         "random": policy.random,
         "servers": policy.fleet.endpoints.by_id,
@@ -311,8 +314,11 @@
     }
 
 
-def _policy(values: dict[str, Any]) -> Policy:
-    """Return a policy with these values; what an older text did not have is as a new one has it."""
+def _restore_policy(values: dict[str, Any]) -> Policy:
+    """Return a policy with these values.
+
+    Values that a state of an earlier version lacks are those of a new policy.
+    """
     policy = Policy(values["settings"], 0)
     values = stored_values(policy) | values
     _restore_requests(policy, values)
@@ -324,7 +330,7 @@
 
 
 def _restore_requests(policy: Policy, values: dict[str, Any]) -> None:
-    """Give back the requests and what waits."""
+    """Restore the requests, the key queues, the schedule and the clock."""
     policy.random.setstate(values["random"].getstate())
     policy.lifecycle.requests = values["jobs"]
     policy.lifecycle.streaming = values["streams"]
@@ -340,7 +346,7 @@
 
 
 def _restore_endpoints(policy: Policy, values: dict[str, Any]) -> None:
-    """Give back the endpoints and what is known of each."""
+    """Restore the endpoints, their statistics and the view of the cluster."""
     policy.fleet.endpoints.by_id = values["servers"]
     policy.fleet.endpoints.ready = values["ready"]
     policy.fleet.endpoints.hashes = values["marks"]
@@ -359,7 +365,7 @@
 
 
 def _restore_derived(policy: Policy, values: dict[str, Any]) -> None:
-    """Give back what follows from all endpoints together."""
+    """Restore what is derived from all endpoints together."""
     policy.fleet.capacity.sizes = values["sizes"]
     policy.fleet.subset.groups = values["groups"]
     policy.fleet.subset.start = values["start"]
@@ -381,7 +387,7 @@
 
 
 def _restore_overload(policy: Policy, values: dict[str, Any]) -> None:
-    """Give back overload and what it is measured by."""
+    """Restore the overload control and its measurements."""
     policy.overload.error_rate.failures = values["failed"]
     policy.overload.error_rate.attempts = values["seen"]
     policy.overload.error_rate.connect_failure_rate = values["no_link"]
@@ -406,7 +412,7 @@
 
 
 def _restore_traffic(policy: Policy, values: dict[str, Any]) -> None:
-    """Give back scores, quotas and keys."""
+    """Restore priorities, quotas and key statistics."""
     policy.priority.offered = values["offered"]
     policy.priority.bands = values["bands"]
     policy.quotas.buckets = values["buckets"]
@@ -417,78 +423,87 @@
     policy.quotas.divisors = values["divisors"]
 
 
-_FILLED: tuple[tuple[type, Callable[[Any], Any], Callable[[Any, Any], None]], ...] = (
-    (TrackedEndpoint, _save_tracked, _fill_tracked),
-    (KeyQueue, _save_queue, _fill_queue),
-    (PendingRequest, _save_pending, _fill_pending),
-    (HashRing, _save_ring, _fill_ring),
-    (SizeIndex, _save_sizes, _fill_sizes),
+_FILLED_TYPES: tuple[tuple[type, Callable[[Any], Any], Callable[[Any, Any], None]], ...] = (
+    (TrackedEndpoint, _save_tracked_endpoint, _fill_tracked_endpoint),
+    (KeyQueue, _save_key_queue, _fill_key_queue),
+    (PendingRequest, _save_pending_request, _fill_pending_request),
+    (HashRing, _save_hash_ring, _fill_hash_ring),
+    (SizeIndex, _save_size_index, _fill_size_index),
 )
 
 
-def _make(number: int, *values: Any) -> Any:
-    return _MADE[number][0](*values)
+def _construct(number: int, *values: Any) -> Any:
+    return _CONSTRUCTED_TYPES[number][0](*values)
 
 
-def _member(number: int, value: Any) -> Any:
-    return _ENUMS[number](value)
+def _enum_member(number: int, value: Any) -> Any:
+    return _ENUM_TYPES[number](value)
 
 
-def _new(number: int) -> Any:
-    kind: Any = _FILLED[number][0]
+def _new_empty(number: int) -> Any:
+    kind: Any = _FILLED_TYPES[number][0]
     return kind.__new__(kind)
 
 
-def _fill(item: Any, state: tuple[int, Any]) -> None:
+def _fill_fields(item: Any, state: tuple[int, Any]) -> None:
     number, values = state
-    _FILLED[number][2](item, values)
+    _FILLED_TYPES[number][2](item, values)
 
 
-# Numbers in place of the functions' names, of the range that pickle leaves to programs.
-for _code, _function in ((240, _make), (241, _member), (242, _new), (243, _fill)):
+# Pickle writes these extension codes in place of the functions' names. 240 to 255 are reserved for
+# private use.
+for _code, _function in (
+    (240, _construct),
+    (241, _enum_member),
+    (242, _new_empty),
+    (243, _fill_fields),
+):
     copyreg.add_extension(__name__, _function.__name__, _code)
 
 
 Reducer = Callable[[Any], Any]
 
 
-def _reduce_made(number: int, save: Callable[[Any], Values]) -> Reducer:
-    return lambda item: (_make, (number, *save(item)))
+def _constructed_reducer(number: int, save: Callable[[Any], Values]) -> Reducer:
+    return lambda item: (_construct, (number, *save(item)))
 
 
-def _reduce_member(number: int) -> Reducer:
-    return lambda item: (_member, (number, item.value))
+def _enum_reducer(number: int) -> Reducer:
+    return lambda item: (_enum_member, (number, item.value))
 
 
-def _reduce_filled(number: int, save: Callable[[Any], Values]) -> Reducer:
-    return lambda item: (_new, (number,), (number, save(item)), None, None, _fill)
+def _filled_reducer(number: int, save: Callable[[Any], Values]) -> Reducer:
+    return lambda item: (_new_empty, (number,), (number, save(item)), None, None, _fill_fields)
 
 
 def _reducers() -> dict[type, Reducer]:
-    found = {kind: _reduce_made(number, save) for number, (kind, save) in enumerate(_MADE)}
-    found |= {kind: _reduce_member(number) for number, kind in enumerate(_ENUMS)}
+    found = {
+        kind: _constructed_reducer(number, save)
+        for number, (kind, save) in enumerate(_CONSTRUCTED_TYPES)
+    }
+    found |= {kind: _enum_reducer(number) for number, kind in enumerate(_ENUM_TYPES)}
     return found | {
-        kind: _reduce_filled(number, save) for number, (kind, save, _) in enumerate(_FILLED)
+        kind: _filled_reducer(number, save) for number, (kind, save, _) in enumerate(_FILLED_TYPES)
     }
 
 
-class _Writer(pickle.Pickler):
+class _StatePickler(pickle.Pickler):
     dispatch_table = copyreg.dispatch_table | _reducers()
 
 
 def dump(policy: Policy) -> bytes:
-    """Return the whole state of a policy."""
+    """Return the complete state of a policy as bytes."""
     return dump_values(stored_values(policy))
 
 
 def dump_values(values: dict[str, Any]) -> bytes:
-    """Return the values of `stored_values` as bytes."""
-    out = io.BytesIO()
-    _Writer(out, protocol=5).dump(values)
-    return out.getvalue()
+    """Encode the values that `stored_values` returns."""
+    buffer = io.BytesIO()
+    _StatePickler(buffer, protocol=5).dump(values)
+    return buffer.getvalue()
 
 
-_ALLOWED = {
+_ALLOWED_GLOBALS = {
     ("builtins", "set"),
     ("builtins", "frozenset"),
     ("collections", "deque"),
@@ -497,9 +512,12 @@
     ("copyreg", "_reconstructor"),
     ("builtins", "object"),
 }
-_OURS = {(__name__, function.__name__): function for function in (_make, _member, _new, _fill)}
-_NAMED_MODULES = ("cottonhall.rules", "cottonhall.fleet", "cottonhall.interface")
-_NAMED_ENUMS = {
+_STATE_FUNCTIONS = {
+    (__name__, function.__name__): function
+    for function in (_construct, _enum_member, _new_empty, _fill_fields)
+}
+_LEGACY_MODULES = ("cottonhall.rules", "cottonhall.fleet", "cottonhall.interface")
+_LEGACY_ENUMS = {
     "State": EndpointState,
     "ListKind": UpdateKind,
     "Result": AttemptResult,
@@ -508,8 +526,8 @@
 }
 
 
-class _Named:
-    """An object of a state that was pickled by names: its values, until all are there."""
+class _LegacyObject:
+    """An object of a state that was pickled by names; holds its values until it is converted."""
 
     name = ""
     values: Any = ()
@@ -518,40 +536,40 @@
         self.values = state[1] if isinstance(state, tuple) else state
 
 
-class _Reader(pickle.Unpickler):
+class _StateUnpickler(pickle.Unpickler):
     def find_class(self, module: str, name: str) -> Any:
-        if (module, name) in _OURS:
-            return _OURS[module, name]
-        if module in _NAMED_MODULES and "." not in name:
-            return _NAMED_ENUMS.get(name) or type(name, (_Named,), {"name": name})
-        if (module, name) in _ALLOWED:
+        if (module, name) in _STATE_FUNCTIONS:
+            return _STATE_FUNCTIONS[module, name]
+        if module in _LEGACY_MODULES and "." not in name:
+            return _LEGACY_ENUMS.get(name) or type(name, (_LegacyObject,), {"name": name})
+        if (module, name) in _ALLOWED_GLOBALS:
             return super().find_class(module, name)
         raise StateError(f"a state can't hold {module}.{name}")
 
 
 def load(state: bytes) -> Policy:
-    """Return the policy of `dump`, or of a state of an earlier text. Raises StateError."""
+    """Return the policy of a state, which may be of an earlier version. Raises StateError."""
     try:
-        found = _Reader(io.BytesIO(state)).load()
-        if isinstance(found, _Named) and found.name == "Policy":
-            return _Old().policy(found)
+        found = _StateUnpickler(io.BytesIO(state)).load()
+        if isinstance(found, _LegacyObject) and found.name == "Policy":
+            return _LegacyStateConverter().policy(found)
         if isinstance(found, dict):
-            return _policy(found)
+            return _restore_policy(found)
     except StateError:
         raise
-    except Exception as error:  # a broken pickle raises nearly anything
+    except Exception as error:  # a corrupt pickle may raise any exception
         raise StateError(f"no state: {type(error).__name__}: {error}") from error
     raise StateError("the state is no policy's")
 
 
-class _Old:
-    """Turns a state that was pickled by names into the objects of today."""
+class _LegacyStateConverter:
+    """Converts a state that was pickled by names into the present objects."""
 
     def __init__(self) -> None:
-        self.pending: dict[int, PendingRequest] = {}
+        self.pending_requests: dict[int, PendingRequest] = {}
         self.queues: dict[int, KeyQueue] = {}
 
-    def policy(self, named: _Named) -> Policy:
+    def policy(self, named: _LegacyObject) -> Policy:
         values: dict[str, Any] = dict(named.values)
         values["settings"] = self.settings(values["settings"])
         values["servers"] = {
@@ -564,7 +582,7 @@
             number: EndpointStatistics(*item.values) for number, item in values["known"].items()
         }
         values["jobs"] = {number: self.request(item) for number, item in values["jobs"].items()}
-        values["streams"] = {place: self.request(item) for place, item in values["streams"].items()}
+        values["streams"] = {key: self.request(item) for key, item in values["streams"].items()}
         values["turns"] = {key: self.queue(item) for key, item in values["turns"].items()}
         values["moved"] = [self.queue(item) for item in values["moved"]]
         values["sizes"] = {kind: self.sizes(item) for kind, item in values["sizes"].items()}
@@ -572,35 +590,66 @@
         for name in ("company", "group"):
             if values[name] is not None:
                 values[name] = ClusterView(
-                    *_in_order(values[name], "size", "me", "may_live", "parts", "hearsay")
+                    *_values_of(values[name], "size", "me", "may_live", "parts", "hearsay")
                 )
         if values["plan"] is not None:
             values["plan"] = TrafficPlan(
-                *_in_order(values["plan"], "shares", "spill", "lost", "bound", "strain")
+                *_values_of(values["plan"], "shares", "spill", "lost", "bound", "strain")
             )
-        return _policy(values)
+        return _restore_policy(values)
 
-    def settings(self, named: _Named) -> Settings:
+    def settings(self, named: _LegacyObject) -> Settings:
         classes, *values = named.values
         return Settings(tuple(RequestClass(*item.values) for item in classes), *values)
 
-    def tracked(self, named: _Named) -> TrackedEndpoint:
-        entry, tokens, tokens_at, health, attempts, uploads, recent, slow = _in_order(
+    def tracked(self, named: _LegacyObject) -> TrackedEndpoint:
+        (
+            endpoint,
+            tokens,
+            tokens_as_of_ms,
+            class_health,
+            open_attempts,
+            uploads,
+            recent_attempts,
+            relative_latency,
+        ) = _values_of(
             named, "entry", "tokens", "tokens_at", "health", "open", "uploads", "recent", "slow"
         )
-        healths = [
-            ClassHealth(*_in_order(item, "fails", "rest_until", "strikes")) for item in health
+        health = [
+            ClassHealth(*_values_of(item, "fails", "rest_until", "strikes"))
+            for item in class_health
         ]
-        out = {place: (self.request(item), overdue) for place, (item, overdue) in attempts.items()}
-        coming = {place: self.request(item) for place, item in uploads.items()}
+        converted_attempts = {
+            key: (self.request(item), deadline_ms)
+            for key, (item, deadline_ms) in open_attempts.items()
+        }
+        converted_uploads = {key: self.request(item) for key, item in uploads.items()}
         return TrackedEndpoint(
-            Endpoint(*entry.values), tokens, tokens_at, healths, out, coming, recent, slow
+            Endpoint(*endpoint.values),
+            tokens,
+            tokens_as_of_ms,
+            health,
+            converted_attempts,
+            converted_uploads,
+            recent_attempts,
+            relative_latency,
         )
 
-    def request(self, named: _Named) -> PendingRequest:
-        if (made := self.pending.get(id(named))) is not None:
-            return made
-        request, terms, since, score, turn, tries, out, maybe_ran, used, parked = _in_order(
+    def request(self, named: _LegacyObject) -> PendingRequest:
+        if (converted := self.pending_requests.get(id(named))) is not None:
+            return converted
+        (
+            request,
+            request_class,
+            arrived_ms,
+            score,
+            key_queue,
+            attempts,
+            open_attempts,
+            possibly_executed,
+            tried_endpoints,
+            deferred_result,
+        ) = _values_of(
             named,
             "request",
             "terms",
@@ -613,9 +662,9 @@
             "used",
             "parked",
         )
-        made = self.pending[id(named)] = PendingRequest(
+        converted = self.pending_requests[id(named)] = PendingRequest(
             Request(
-                *_in_order(
+                *_values_of(
                     request,
                     "id",
                     "cls",
@@ -630,40 +679,54 @@
                     "whole",
                 )
             ),
-            RequestClass(*terms.values),
-            since,
+            RequestClass(*request_class.values),
+            arrived_ms,
             score,
         )
-        ran = {
-            number: (sent, Endpoint(*entry.values)) for number, (sent, entry) in maybe_ran.items()
+        converted_executed = {
+            number: (sent, Endpoint(*endpoint.values))
+            for number, (sent, endpoint) in possibly_executed.items()
         }
-        queue = None if turn is None else self.queue(turn)
-        _fill_pending(
-            made,
-            (made.request, made.request_class, since, score, queue, tries, out, ran, used, parked),
+        queue = None if key_queue is None else self.queue(key_queue)
+        _fill_pending_request(
+            converted,
+            (
+                converted.request,
+                converted.request_class,
+                arrived_ms,
+                score,
+                queue,
+                attempts,
+                open_attempts,
+                converted_executed,
+                tried_endpoints,
+                deferred_result,
+            ),
+        )
+        return converted
+
+    def queue(self, named: _LegacyObject) -> KeyQueue:
+        if (converted := self.queues.get(id(named))) is not None:
+            return converted
+        converted = self.queues[id(named)] = KeyQueue()
+        waiting, open_attempts, cooldown_until_ms = _values_of(named, "line", "out", "rest_until")
+        _fill_key_queue(
+            converted, ([self.request(item) for item in waiting], open_attempts, cooldown_until_ms)
         )
-        return made
-
-    def queue(self, named: _Named) -> KeyQueue:
-        if (made := self.queues.get(id(named))) is not None:
-            return made
-        made = self.queues[id(named)] = KeyQueue()
-        line, out, rest_until = _in_order(named, "line", "out", "rest_until")
-        _fill_queue(made, ([self.request(item) for item in line], out, rest_until))
-        return made
-
-    def ring(self, named: _Named) -> HashRing:
-        made = HashRing()
-        _fill_ring(made, _in_order(named, "blocks", "firsts"))
-        return made
-
-    def sizes(self, named: _Named) -> SizeIndex:
-        order, total, changes, scale, level = _in_order(
+        return converted
+
+    def ring(self, named: _LegacyObject) -> HashRing:
+        ring = HashRing()
+        _fill_hash_ring(ring, _values_of(named, "blocks", "firsts"))
+        return ring
+
+    def sizes(self, named: _LegacyObject) -> SizeIndex:
+        order, total, changes, scale, level = _values_of(
             named, "order", "total", "changes", "scale", "level"
         )
-        made = SizeIndex()
-        _fill_sizes(
-            made,
+        converted = SizeIndex()
+        _fill_size_index(
+            converted,
             (
                 order,
                 total,
@@ -672,8 +735,8 @@
                 None if level is None else VirtualNodeScale(*level.values),
             ),
         )
-        return made
+        return converted
 
 
-def _in_order(named: _Named, *names: str) -> Values:
+def _values_of(named: _LegacyObject, *names: str) -> Values:
     return tuple(named.values[name] for name in names)
