--- a/badgercart/capture/__init__.py
+++ b/badgercart/capture/__init__.py
@@ -1,6 +1,7 @@
-"""What the policy was told and what it decided, kept in segments and replayed.
+"""The decision log: captures the policy's events and decisions, and replays them.
 
-`codec` has events and actions as bytes, `policy_state` the policy's state, `format` the file,
-`writer` the ring of segments, `replay` the way back, `component` plugs it in.
-docs/design/capture.md describes the format.
+`codec` encodes events and actions, `policy_state` encodes the policy's state, `format` defines the
+segment files, `writer` writes them as a ring, `replay` replays them, `streams` captures other state
+machines, and `component` connects the capture to a node. `whatif` estimates what a changed policy
+would decide, and `commands` holds the command line. docs/design/capture.md describes the format.
 """
--- a/badgercart/capture/anonymise.py
+++ b/badgercart/capture/anonymise.py
@@ -50,6 +50,7 @@
         )
 
     def __call__(self, kind: str, number: int) -> int:
+        """Return the new number of a key, an endpoint ("server"), a tenant or the seed."""
         if kind == "tenant":
             return self.tenant_order.index(number) if number < len(self.tenant_order) else number
         if not number:
--- a/badgercart/capture/edit.py
+++ b/badgercart/capture/edit.py
@@ -81,6 +81,9 @@
                 show(decode_actions(item.captured_actions)) if item.captured_actions else None
                 for item in (left, right)
             )
-            yield f"event {number}: decided otherwise: {left_actions} in {first}, {right_actions} in {second}"
+            yield (
+                f"event {number}: decided otherwise: "
+                f"{left_actions} in {first}, {right_actions} in {second}"
+            )
         if event_differs and decision_differs:
             return
--- a/badgercart/capture/explain.py
+++ b/badgercart/capture/explain.py
@@ -11,7 +11,7 @@
 
 from badgercart.capture.format import Segment, read_index
 from badgercart.capture.replay import initial_policy, read_events
-from badgercart.capture.words import RESULTS
+from badgercart.capture.words import RESULT_NAMES
 from badgercart.policy.actions import Action, CancelAttempt, Fail, Send, SetTimer, Shed
 from badgercart.policy.endpoint import Endpoint
 from badgercart.policy.endpoints import ClassHealth, TrackedEndpoint
@@ -210,12 +210,14 @@
 def _describe_event(event: Event) -> str:
     if isinstance(event, AttemptEnded):
         deferred = ", parked" if event.retry_deferred else ""
-        text = f"attempt {event.attempt} at {event.endpoint_id:x}: {RESULTS[event.result]} after"
+        text = (
+            f"attempt {event.attempt} at {event.endpoint_id:x}: {RESULT_NAMES[event.result]} after"
+        )
         return f"{text} {event.elapsed_ms:.1f} ms{deferred}" + (
             ", the request is over" if event.request_finished else ""
         )
     if isinstance(event, AttemptRerouted):
-        result = RESULTS[event.result]
+        result = RESULT_NAMES[event.result]
         return (
             f"attempt {event.attempt}: {result}; its carrier went on to {event.next_endpoint_id:x}"
         )
@@ -258,7 +260,7 @@
         OSError: The file can't be read.
     """
     segment = Segment(path.read_bytes())
-    # A replay is expensive, so segments without the request are ruled out by their index and events.
+    # A replay is expensive, so segments without events about the request are skipped.
     if not may_hold_request(segment.data, request_id):
         return []
     captured = list(read_events(segment))
--- a/badgercart/capture/log_events.py
+++ b/badgercart/capture/log_events.py
@@ -1,4 +1,4 @@
-"""What the capture says in the log."""
+"""The log events of the capture."""
 
 from __future__ import annotations
 
--- a/badgercart/capture/settings.py
+++ b/badgercart/capture/settings.py
@@ -1,4 +1,4 @@
-"""What an operator may set of the capture."""
+"""The settings of the capture."""
 
 from __future__ import annotations
 
--- a/badgercart/capture/words.py
+++ b/badgercart/capture/words.py
@@ -1,6 +1,6 @@
-"""Events and actions as operators read them in messages. No I/O.
+"""Formats events and actions as operators read them in messages. No I/O.
 
-The names are literals: no rename in the code may change what a message says.
+All names in the messages are literals here, so that a rename in the code changes no message.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
 )
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-# The name of each type in messages, and those of its fields in the order of the class.
-_SHOWN: dict[type, tuple[str, tuple[str, ...]]] = {
+# The name of each type in messages, and the names of its fields in their order in the class.
+_MESSAGE_NAMES: dict[type, tuple[str, tuple[str, ...]]] = {
     EndpointUpdate: ("ServerList", ("kind", "version", "servers")),
     Request: (
         "Request",
@@ -115,7 +115,8 @@
         ),
     ),
 }
-RESULTS: dict[int, str] = {
+# The names of attempt results in messages.
+RESULT_NAMES: dict[int, str] = {
     AttemptResult.OK: "OK",
     AttemptResult.ERROR: "ERROR",
     AttemptResult.FULL: "FULL",
@@ -125,8 +126,12 @@
     AttemptResult.CANCELLED: "CANCELLED",
     AttemptResult.NOT_SENT: "NOT_SENT",
 }
-_MEMBERS: dict[object, str] = {
-    **{(AttemptResult, value): f"<Result.{name}: {int(value)}>" for value, name in RESULTS.items()},
+# The text of each enum member in messages.
+_ENUM_TEXTS: dict[object, str] = {
+    **{
+        (AttemptResult, value): f"<Result.{name}: {int(value)}>"
+        for value, name in RESULT_NAMES.items()
+    },
     (EndpointState, EndpointState.READY): "<State.READY: 0>",
     (EndpointState, EndpointState.GONE): "<State.GONE: 1>",
     (EndpointState, EndpointState.DRAINING): "<State.DRAINING: 2>",
@@ -143,37 +148,43 @@
 }
 
 
-def _sequence(opening: str, values: list[str], closing: str) -> str:
+def _format_sequence(opening: str, values: list[str], closing: str) -> str:
     return f"{opening}{', '.join(values)}{closing}"
 
 
-def _tuple(value: tuple[Any, ...]) -> str:
+def _format_tuple(value: tuple[Any, ...]) -> str:
     return (
-        f"({show(value[0])},)" if len(value) == 1 else _sequence("(", [show(v) for v in value], ")")
+        f"({show(value[0])},)"
+        if len(value) == 1
+        else _format_sequence("(", [show(element) for element in value], ")")
     )
 
 
-def _frozenset(value: frozenset[Any]) -> str:
-    return _sequence("frozenset({", [show(v) for v in value], "})") if value else "frozenset()"
+def _format_frozenset(value: frozenset[Any]) -> str:
+    return (
+        _format_sequence("frozenset({", [show(element) for element in value], "})")
+        if value
+        else "frozenset()"
+    )
 
 
-_CONTAINERS: dict[type, Callable[[Any], str]] = {
-    list: lambda value: _sequence("[", [show(v) for v in value], "]"),
-    tuple: _tuple,
-    frozenset: _frozenset,
+_CONTAINER_FORMATTERS: dict[type, Callable[[Any], str]] = {
+    list: lambda value: _format_sequence("[", [show(element) for element in value], "]"),
+    tuple: _format_tuple,
+    frozenset: _format_frozenset,
 }
 
 
 def show(value: object) -> str:
-    """Return an event, an action, or a list of them, as messages have it."""
+    """Return the text of an event, an action, or a list of them in messages."""
     kind = type(value)
-    if kind in _SHOWN:
-        name, names = _SHOWN[kind]
+    if kind in _MESSAGE_NAMES:
+        type_name, field_names = _MESSAGE_NAMES[kind]
         values = (show(getattr(value, field.name)) for field in fields(value))  # type: ignore[arg-type]
-        shown = (f"{field}={text}" for field, text in zip(names, values, strict=True))
-        return f"{name}({', '.join(shown)})"
-    if kind in _CONTAINERS:
-        return _CONTAINERS[kind](value)
+        shown = (f"{name}={text}" for name, text in zip(field_names, values, strict=True))
+        return f"{type_name}({', '.join(shown)})"
+    if kind in _CONTAINER_FORMATTERS:
+        return _CONTAINER_FORMATTERS[kind](value)
     if isinstance(value, Enum):
-        return _MEMBERS[kind, value]
+        return _ENUM_TEXTS[kind, value]
     return repr(value)
