--- a/badgercart/capture/replay.py
+++ b/badgercart/capture/replay.py
@@ -145,8 +145,7 @@
             yield CapturedEvent(now_ms, event, captured_actions)
     elif record.kind is RecordKind.EVENT:
         now_ms, event = decode_event(record.payload[RUNNING_CRC_BYTES:])
-        running_crc = int.from_bytes(record.payload[:RUNNING_CRC_BYTES])
-        yield CapturedEvent(now_ms, event, None, running_crc)
+        yield CapturedEvent(now_ms, event, None, int.from_bytes(record.payload[:RUNNING_CRC_BYTES]))
 
 
 def read_events(segment: Segment) -> Iterator[CapturedEvent]:
--- a/tests/capture/test_edit.py
+++ b/tests/capture/test_edit.py
@@ -1,4 +1,4 @@
-"""A stretch that is cut out replays by itself, and two segments are compared event by event."""
+"""An extracted time range replays by itself, and two segments are compared event by event."""
 
 from __future__ import annotations
 
@@ -15,25 +15,26 @@
 
 @pytest.fixture(scope="module")
 def path(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    """Return a segment with 500 requests."""
     folder = tmp_path_factory.mktemp("day")
     captured(folder, 6, 500, segment_bytes=1 << 30)
     return find_segments([str(folder)])[0]
 
 
-def test_a_stretch_replays_from_its_first_event(path: Path, tmp_path: Path) -> None:
+def test_an_extracted_time_range_replays_from_its_first_event(path: Path, tmp_path: Path) -> None:
     whole = replay(path)
-    begin, end = whole.first_ms + 1000.0, whole.first_ms + 2500.0
-    out = tmp_path / "part.bcap"
-    count = extract(path, out, begin, end)
-    part = replay(out)
+    begin_ms, end_ms = whole.first_ms + 1000.0, whole.first_ms + 2500.0
+    output = tmp_path / "part.bcap"
+    count = extract(path, output, begin_ms, end_ms)
+    part = replay(output)
     assert part.identical and part.ending is SegmentEnding.WHOLE and part.events == count > 50
-    assert begin <= part.first_ms <= part.last_ms < end
-    assert main(["capture", "cut", str(path), "--from", "1", "--to", "2", "-o", str(out)]) == 1
-    assert main(["capture", "cut", str(path), "--from", str(begin), "-o", str(out)]) == 0
-    assert replay(out).last_ms == whole.last_ms
+    assert begin_ms <= part.first_ms <= part.last_ms < end_ms
+    assert main(["capture", "cut", str(path), "--from", "1", "--to", "2", "-o", str(output)]) == 1
+    assert main(["capture", "cut", str(path), "--from", str(begin_ms), "-o", str(output)]) == 0
+    assert replay(output).last_ms == whole.last_ms
 
 
-def test_differences_are_named_by_event(
+def test_differences_are_reported_by_event_number(
     path: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert (
--- a/tests/capture/test_whatif.py
+++ b/tests/capture/test_whatif.py
@@ -1,4 +1,4 @@
-"""What another policy changes, a night under other names, and the page that shows one."""
+"""The estimate of a changed policy, the anonymised capture and the report page."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 from badgercart.policy.policy import Policy
 from badgercart.policy.selection import EndpointSelector
 
-DAY = Path(__file__).parent / "rainy-saturday.bcap"
+CAPTURE = Path(__file__).parent / "rainy-saturday.bcap"
 
 
 def test_the_same_policy_changes_nothing() -> None:
-    change, segment = ChangeSummary(), Segment(DAY.read_bytes())
+    change, segment = ChangeSummary(), Segment(CAPTURE.read_bytes())
     what_if(initial_policy(segment), read_events(segment), change)
     assert change.events > 3000 and not change.differing and not change.first_differences
 
 
-def test_a_policy_that_refuses_less_and_one_that_refuses_all(
+def test_a_policy_that_sheds_less_and_one_that_sheds_everything(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    real = codec.module_digest()
+    digest = codec.module_digest()
     monkeypatch.setattr(
-        "badgercart.capture.replay.module_digest", lambda: real | {"rules.py": "other"}
+        "badgercart.capture.replay.module_digest", lambda: digest | {"rules.py": "other"}
     )
     monkeypatch.setattr(overload, "IN_FLIGHT_MIN", 50.0)
     monkeypatch.setattr(overload, "IN_FLIGHT_FULL", 60.0)
-    assert main(["capture", "replay", str(DAY)]) == 1
+    assert main(["capture", "replay", str(CAPTURE)]) == 1
     assert "text is another one now" in capsys.readouterr().err
-    assert main(["capture", "replay", str(DAY), "--force"]) == 1
+    assert main(["capture", "replay", str(CAPTURE), "--force"]) == 1
     out = capsys.readouterr().out
     assert (
         "then: [Refuse(" in out
@@ -46,7 +46,7 @@
         and "requests go otherwise (estimated)" in out
     )
     change = ChangeSummary()
-    segment = Segment(DAY.read_bytes())
+    segment = Segment(CAPTURE.read_bytes())
     what_if(
         Policy(codec.decode_settings(segment.header["settings"]), 7), read_events(segment), change
     )
@@ -66,12 +66,14 @@
     )
 
 
-def test_a_night_under_other_names_replays_and_gives_no_name_away(tmp_path: Path) -> None:
-    out, again = tmp_path / "a.bcap", tmp_path / "b.bcap"
-    count, requests = anonymise(DAY, out)
-    told = replay(out)
-    assert told.identical and told.events == count and requests > 1500
-    then, now = (list(read_events(Segment(path.read_bytes()))) for path in (DAY, out))
+def test_an_anonymised_capture_replays_and_holds_no_original_number(tmp_path: Path) -> None:
+    output, second_output = tmp_path / "a.bcap", tmp_path / "b.bcap"
+    count, requests = anonymise(CAPTURE, output)
+    report = replay(output)
+    assert report.identical and report.events == count and requests > 1500
+    original, anonymised = (
+        list(read_events(Segment(path.read_bytes()))) for path in (CAPTURE, output)
+    )
 
     def numbers(items: list[object]) -> set[int]:
         found: set[int] = set()
@@ -80,32 +82,39 @@
             if isinstance(event, Request):
                 found.add(event.key)
             elif isinstance(event, EndpointUpdate):
-                found |= {line.id for line in event.endpoints}
+                found |= {entry.id for entry in event.endpoints}
             elif isinstance(event, AttemptEnded):
                 found.add(event.endpoint_id)
         return found - {0}
 
-    assert not numbers(then) & numbers(now) and len(numbers(then)) >= len(numbers(now)) > 30
-    assert now[0].now_ms == 1000.0
-    head = Segment(out.read_bytes()).header
+    assert (
+        not numbers(original) & numbers(anonymised)
+        and len(numbers(original)) >= len(numbers(anonymised)) > 30
+    )
+    assert anonymised[0].now_ms == 1000.0
+    head = Segment(output.read_bytes()).header
     assert head["node"] == "" and head["wall_ms"] == 0.0 and head["seed"] != 7
 
     def served(items: list[object]) -> int:
-        return sum(getattr(i.event, "result", 0) == AttemptResult.OK for i in items)  # type: ignore[attr-defined]
+        return sum(getattr(item.event, "result", 0) == AttemptResult.OK for item in items)  # type: ignore[attr-defined]
 
-    assert served(now) == pytest.approx(served(then), rel=0.1)  # a night like it
-    anonymise(DAY, again)
-    assert out.read_bytes() != again.read_bytes()
+    # The anonymised traffic has about the same results.
+    assert served(anonymised) == pytest.approx(served(original), rel=0.1)
+    anonymise(CAPTURE, second_output)
+    assert output.read_bytes() != second_output.read_bytes()
     assert main(["capture", "anonymise", str(tmp_path / "a.bcap"), "-o", str(tmp_path)]) == 1
 
 
-class Page(HTMLParser):
+class PageParser(HTMLParser):
+    """Collects the tags and the references of a page."""
+
     def __init__(self) -> None:
         super().__init__()
         self.links: list[str] = []
         self.tags: list[str] = []
 
     def handle_starttag(self, tag: str, attrs: list[tuple[str, str | None]]) -> None:
+        """Record a tag and its references."""
         self.tags.append(tag)
         self.links += [
             value or "" for name, value in attrs if name in ("src", "href", "xlink:href")
@@ -113,13 +122,13 @@
 
 
 def test_a_report_is_one_page_without_outside_references(tmp_path: Path) -> None:
-    out = tmp_path / "night.html"
-    assert main(["capture", "report", str(DAY), "-o", str(out)]) == 0
-    text = out.read_text()
-    page = Page()
+    output = tmp_path / "report.html"
+    assert main(["capture", "report", str(CAPTURE), "-o", str(output)]) == 0
+    text = output.read_text()
+    page = PageParser()
     page.feed(text)
     assert all(link.startswith("#") for link in page.links) and page.tags.count("svg") == 1
     assert page.tags.count("table") == 2 and "Overload" in text and "demo" in text
     empty = tmp_path / "empty.bcap"
-    empty.write_bytes(DAY.read_bytes()[: Segment(DAY.read_bytes()).records_offset])
-    assert main(["capture", "report", str(empty), "-o", str(out)]) == 1
+    empty.write_bytes(CAPTURE.read_bytes()[: Segment(CAPTURE.read_bytes()).records_offset])
+    assert main(["capture", "report", str(empty), "-o", str(output)]) == 1
