--- a/tests/capture/test_golden.py
+++ b/tests/capture/test_golden.py
@@ -1,8 +1,7 @@
-"""Captures written by an earlier text of the program are read to the same values, and written the
-same.
+"""Captures of earlier versions are decoded to the same values and encoded to the same bytes.
 
-`format-1.bcap` and `rainy-saturday.bcap` (see `test_streams.py`) pin days as a node captured them;
-these files pin every kind of event, action and note, and a policy's state.
+`format-1.bcap` and `rainy-saturday.bcap` (see `test_streams.py`) pin captures of running nodes; the
+golden files pin every kind of event, action and note, and a policy's state.
 """
 
 from __future__ import annotations
@@ -41,45 +40,47 @@
 GOLDEN = Path(__file__).parent / "golden"
 
 
-def read(name: str) -> list[CapturedEvent]:
+def read_golden_events(name: str) -> list[CapturedEvent]:
+    """Return the events of a golden file."""
     return list(read_events(Segment((GOLDEN / name).read_bytes())))
 
 
-def test_a_segment_of_every_kind_is_written_with_the_same_bytes() -> None:
+def test_a_segment_with_every_kind_is_encoded_to_the_same_bytes() -> None:
     assert format_2() == (GOLDEN / "format-2.bin").read_bytes()
 
 
-def test_events_of_format_1_are_encoded_with_the_same_bytes() -> None:
+def test_events_of_format_1_are_encoded_to_the_same_bytes() -> None:
     assert format_1() == (GOLDEN / "format-1.bin").read_bytes()
 
 
 @pytest.mark.parametrize("name", ["format-1.bin", "format-2.bin"])
-def test_events_are_read_to_the_same_values(name: str) -> None:
-    told = read(name)
-    probe = HealthCheckResult(11, 1, 1.5, [0.25])  # type: ignore[arg-type]  # its numbers are read as they stand
-    expected = [probe if isinstance(event, HealthCheckResult) else event for event in EVENTS]
-    assert [item.event for item in told] == expected
-    assert [item.now_ms for item in told] == [100.0 + at for at in range(len(EVENTS))]
-    assert [type(item.event) for item in told] == [type(event) for event in EVENTS]
-
-
-def test_every_field_comes_back_at_its_place() -> None:
-    told = [item.event for item in read("format-2.bin")]
-    assert values(told[0]) == (1, 7, ENTRIES)
-    assert [values(line) for line in ENTRIES] == [
+def test_events_are_decoded_to_the_same_values(name: str) -> None:
+    captured = read_golden_events(name)
+    # The result and the report of a health check stay plain data.
+    health_check = HealthCheckResult(11, 1, 1.5, [0.25])  # type: ignore[arg-type]
+    expected = [health_check if isinstance(event, HealthCheckResult) else event for event in EVENTS]
+    assert [item.event for item in captured] == expected
+    assert [item.now_ms for item in captured] == [100.0 + at for at in range(len(EVENTS))]
+    assert [type(item.event) for item in captured] == [type(event) for event in EVENTS]
+
+
+def test_every_field_is_decoded_at_its_position() -> None:
+    events = [item.event for item in read_golden_events("format-2.bin")]
+    assert values(events[0]) == (1, 7, ENTRIES)
+    assert [values(entry) for entry in ENTRIES] == [
         (11, 0, 0, 2, 0, 2.0, 0.0),
         (9223372036854775807, 1, 1, 3, 2, 0.5, 777.25),
         (13, -1, 0, 0, 1, 1.0, 5.0),
     ]
-    assert values(told[4]) == (1, 0, 1400.5, 0, 0, 0.0, False, 0, False, None, True)
-    assert values(told[5]) == (
+    assert values(events[4]) == (1, 0, 1400.5, 0, 0, 0.0, False, 0, False, None, True)
+    assert values(events[5]) == (
         2, 1, 1900.0, 18446744073709551615, 1, 0.75, True, 3, True, frozenset({5, 11, 13}), False
     )  # fmt: skip
-    assert [values(event) for event in told[6:8]] == [(2, 2000.0), (1, 0, 11, 12.5)]
-    assert [values(event) for event in told[8:16]] == [
+    assert [values(event) for event in events[6:8]] == [(2, 2000.0), (1, 0, 11, 12.5)]
+    assert [values(event) for event in events[8:16]] == [
         (1, 11, result % 2 == 0, result, result, 3.5, (), False, False) for result in range(1, 9)
     ]
-    assert [values(event) for event in told[16:24]] == [
+    assert [values(event) for event in events[16:24]] == [
         (2, 11, False, 4, 1, 9.0, (0.5, 2.0), True, True),
         (2, 0, 11, 6, 4.25, 13),
         (2, True),
@@ -89,17 +90,17 @@
         (2,),
         (2,),
     ]
-    assert values(told[24]) == (SETTINGS, frozenset({0, 2}), frozenset({1}), frozenset({0, 1}))
-    assert values(told[25]) == (4, 1, 5, (0.25, 0.5), ((11, 0.75), (13, 0.125)))
-    assert values(told[26]) == (
+    assert values(events[24]) == (SETTINGS, frozenset({0, 2}), frozenset({1}), frozenset({0, 1}))
+    assert values(events[25]) == (4, 1, 5, (0.25, 0.5), ((11, 0.75), (13, 0.125)))
+    assert values(events[26]) == (
         ((0.5, 0.25), (0.0, 1.0)), (0.125, 0.0), frozenset({1}), frozenset({0, 1}), (0.5, 0.0)
     )  # fmt: skip
 
 
-def test_actions_are_read_to_the_same_values() -> None:
-    told = read("format-2.bin")
-    assert [decode_actions(item.captured_actions or b"") for item in told] == [
-        decisions(at) for at in range(len(told))
+def test_actions_are_decoded_to_the_same_values() -> None:
+    captured = read_golden_events("format-2.bin")
+    assert [decode_actions(item.captured_actions or b"") for item in captured] == [
+        decisions(at) for at in range(len(captured))
     ]
     every = [values(action) for actions in ACTIONS[:2] for action in actions or ()]
     assert every == [
@@ -116,7 +117,7 @@
     ]
 
 
-def test_settings_stand_under_their_stored_names() -> None:
+def test_settings_are_stored_under_their_stored_names() -> None:
     stored = Segment((GOLDEN / "format-2.bin").read_bytes()).header["settings"]
     assert decode_settings(stored) == SETTINGS and encode_settings(SETTINGS)["classes"][1] == {
         "aim": 750.0, "deadline": 1900.0, "worth": 8.0, "effect": "keyed", "group": "cell", "window": 6000.0,
@@ -135,7 +136,7 @@
     )
 
 
-def test_notes_of_both_machines_are_written_the_same_and_played_back() -> None:
+def test_notes_of_both_machines_are_encoded_the_same_and_replayed() -> None:
     segment = Segment((GOLDEN / "format-2.bin").read_bytes())
     stored = [record.payload for record in segment.records() if record.kind is RecordKind.NOTE]
     assert stored == notes() and len(stored) == 24
@@ -143,7 +144,7 @@
     assert not any(note_replayer.replay(note) for note in stored)
 
 
-def test_the_index_and_the_gap_are_read_to_the_same_values() -> None:
+def test_the_index_and_the_gap_are_decoded_to_the_same_values() -> None:
     data = (GOLDEN / "format-2.bin").read_bytes()
     segment = Segment(data)
     (gap,) = (record for record in segment.records() if record.kind is RecordKind.GAP)
@@ -156,42 +157,44 @@
     assert (event, now) == (0, 100.0) and data[offset + 8] == 5
 
 
-def test_a_state_of_an_earlier_text_goes_on_with_the_same_decisions() -> None:
-    """Quotas, cold servers, keys, turns, streams, a plan and a company are in it."""
+def test_a_state_of_an_earlier_version_continues_with_the_same_decisions() -> None:
+    """The state holds quotas, slow-starting endpoints, key queues, streams, a plan and a cluster."""
     path = GOLDEN / "state.bin"
-    told = replay(path)
+    report = replay(path)
     assert (
-        told.identical and told.events == 220 and told.ending is SegmentEnding.WHOLE
-    ), told.difference
+        report.identical and report.events == 220 and report.ending is SegmentEnding.WHOLE
+    ), report.difference
     assert initial_policy(Segment(path.read_bytes())).handle(1e6, Request(1 << 40, 0, 2e6))
 
 
-@pytest.mark.parametrize("again", [False, True])
-def test_a_state_by_numbers_goes_on_with_the_same_decisions(again: bool) -> None:
-    """As it is written today: `state-2.bin` was made of the state that `state.bin` begins with."""
+@pytest.mark.parametrize("encoded_again", [False, True])
+def test_a_state_with_type_numbers_continues_with_the_same_decisions(encoded_again: bool) -> None:
+    """Continue a state in the present format: `state-2.bin` holds the first state of `state.bin`."""
     policy = load_policy((GOLDEN / "state-2.bin").read_bytes())
-    if again:
+    if encoded_again:
         policy = load_policy(dump_policy(policy))
     for item in read_events(Segment((GOLDEN / "state.bin").read_bytes())):
         assert encode_actions(decide(policy, item.now_ms, item.event)) == item.captured_actions
 
 
-def test_events_and_actions_are_shown_to_people_in_the_same_words() -> None:
+def test_events_and_actions_are_shown_with_the_same_text() -> None:
     lines = [show(event) for event in EVENTS]
     lines += [show(actions) for actions in ACTIONS]
     assert lines == (GOLDEN / "shown.txt").read_text().splitlines()
 
 
-def test_lives_of_requests_are_told_in_the_same_words() -> None:
+def test_requests_are_explained_with_the_same_text() -> None:
     path = GOLDEN / "state.bin"
     numbers = [
-        values(item.event)[0] for item in read("state.bin") if isinstance(item.event, Request)
+        values(item.event)[0]
+        for item in read_golden_events("state.bin")
+        if isinstance(item.event, Request)
     ]
     lines = [line for number in numbers[:12] for line in explain(path, number)]
     assert lines == (GOLDEN / "explained.txt").read_text().splitlines()
 
 
-def test_differences_are_told_in_the_same_words(tmp_path: Path) -> None:
+def test_differences_are_reported_with_the_same_text(tmp_path: Path) -> None:
     first, second = GOLDEN / "format-2.bin", GOLDEN / "state.bin"
     lines = [line.replace(str(GOLDEN), "") for line in differences(first, second)]
     assert lines == (GOLDEN / "different.txt").read_text().splitlines()
