--- a/tests/capture/golden_parts.py
+++ b/tests/capture/golden_parts.py
@@ -1,7 +1,6 @@
-"""What the golden files of the captures hold, as literals, and how they are made.
+"""The contents of the golden captures as literals, and the functions that encode them.
 
-Everything is fixed: numbers, times and seeds. Fields are given by position, since their names may
-change.
+All numbers, times and seeds are fixed. Fields are given by position, since their names may change.
 """
 
 from __future__ import annotations
@@ -132,44 +131,46 @@
 
 
 def values(item: Any) -> tuple[Any, ...]:
-    """A dataclass's values in the order of its fields, without their names."""
+    """Return the values of a dataclass instance in the order of its fields."""
     return tuple(getattr(item, field.name) for field in fields(item))
 
 
 def decisions(number: int) -> list[Action] | None:
+    """Return the actions of an event, by its position in `EVENTS`."""
     return ACTIONS[number % len(ACTIONS)]
 
 
 def notes() -> list[bytes]:
-    """Both machines, every one of their captured methods."""
-    found: list[bytes] = []
+    """Return notes of both state machines, with every recorded method."""
+    recorded: list[bytes] = []
     freshness = Freshness(Rule(2500.0, 7500.0))
-    found.append(state_note("list", freshness))
-    undo = record_calls("list", freshness, found.append)
+    recorded.append(state_note("list", freshness))
+    undo = record_calls("list", freshness, recorded.append)
     freshness.state(10.0)
     freshness.next_change(10.0)
     freshness.proof(1000.0)
-    for now in (1000.0, 4000.0, 9000.0):
-        freshness.state(now)
-        freshness.next_change(now)
+    for now_ms in (1000.0, 4000.0, 9000.0):
+        freshness.state(now_ms)
+        freshness.next_change(now_ms)
     freshness.rule = Rule(100.0, 200.0)
     freshness.state(9000.0)
     undo()
-    account = OldAnswerTracker(OldAnswers(no_fallbacks_after=2, refuse_after=3))
-    account.record_old_use(account.find_or_add("edge-1"), True, 5.0)
-    found.append(state_note("account", account))
-    undo = record_calls("account", account, found.append)
-    proxy = account.find_or_add("edge-1")
-    for now in (6.0, 7.0, 8.0):
-        account.record_old_use(proxy, False, now)
-        account.standing(proxy, now + 0.5)
-    account.standing(account.find_or_add("edge-2"), 9.0)
+    tracker = OldAnswerTracker(OldAnswers(no_fallbacks_after=2, refuse_after=3))
+    tracker.record_old_use(tracker.find_or_add("edge-1"), True, 5.0)
+    recorded.append(state_note("account", tracker))
+    undo = record_calls("account", tracker, recorded.append)
+    proxy = tracker.find_or_add("edge-1")
+    for now_ms in (6.0, 7.0, 8.0):
+        tracker.record_old_use(proxy, False, now_ms)
+        tracker.standing(proxy, now_ms + 0.5)
+    tracker.standing(tracker.find_or_add("edge-2"), 9.0)
     undo()
-    found += [state_note("account", account), state_note("list", freshness)]
-    return found
+    recorded += [state_note("account", tracker), state_note("list", freshness)]
+    return recorded
 
 
 def header(**changed: Any) -> dict[str, Any]:
+    """Return the header fields of a segment, with changes."""
     return {
         "node": "n-1", "seed": 7, "settings": encode_settings(SETTINGS), "module": {"rules.py": "00ff"},
         "format": FORMAT_VERSION, "segment": 3, "events_before": 5, "wall_ms": 1.75e12, "state": b"",
@@ -178,33 +179,41 @@
 
 
 def format_2() -> bytes:
-    """Every event, action and note, in a segment as a node writes it."""
+    """Return a segment with every event, action and note, as a node writes it."""
     batch = [
-        (*plain_event(100.0 + at, event), plain_actions(decisions(at)))
-        for at, event in enumerate(EVENTS)
+        (*plain_event(100.0 + position, event), plain_actions(decisions(position)))
+        for position, event in enumerate(EVENTS)
     ]
     parts = [encode_header(header())]
     parts += [encode_record(RecordKind.NOTE, note) for note in notes()]
-    at = sum(map(len, parts))
+    batch_offset = sum(map(len, parts))
     parts += [
         encode_record(RecordKind.BATCH, encode_batch(batch)),
         encode_record(RecordKind.GAP, (321).to_bytes(8)),
     ]
-    index = SegmentIndex(len(EVENTS), 321, 100.0, 99.0 + len(EVENTS), 1, 2, [(0, 100.0, at)])
+    index = SegmentIndex(
+        len(EVENTS), 321, 100.0, 99.0 + len(EVENTS), 1, 2, [(0, 100.0, batch_offset)]
+    )
     return b"".join((*parts, encode_trailer(index, sum(map(len, parts)))))
 
 
 def format_1() -> bytes:
-    """Every event as format 1 had it; nothing writes that any more."""
-    fixed = msgspec.msgpack.encode(header(format=1))
-    parts = [struct.pack(">4sHII", b"BCAP", 1, len(fixed), zlib.crc32(fixed)) + fixed]
-    running = 0
-    for at, event in enumerate(EVENTS):
-        running = zlib.crc32(msgspec.msgpack.encode(plain_actions(decisions(at))), running)
+    """Return a segment of format 1 with every event; no node writes this format any more."""
+    encoded_header = msgspec.msgpack.encode(header(format=1))
+    parts = [
+        struct.pack(">4sHII", b"BCAP", 1, len(encoded_header), zlib.crc32(encoded_header))
+        + encoded_header
+    ]
+    running_crc = 0
+    for position, event in enumerate(EVENTS):
+        running_crc = zlib.crc32(
+            msgspec.msgpack.encode(plain_actions(decisions(position))), running_crc
+        )
         parts.append(
             encode_record(
                 RecordKind.EVENT,
-                running.to_bytes(4) + msgspec.msgpack.encode(plain_event(100.0 + at, event)),
+                running_crc.to_bytes(4)
+                + msgspec.msgpack.encode(plain_event(100.0 + position, event)),
             )
         )
     parts.append(encode_record(RecordKind.GAP, (321).to_bytes(8)))
@@ -212,44 +221,46 @@
 
 
 class Night:
-    """A small fleet by one seed, driven with events of every kind that a node's policy may be
-    told."""
+    """Drives a policy with a small fleet and events of every draw, from one seed."""
 
     def __init__(self) -> None:
         self.random = random.Random(20260703)
         self.policy = Policy(SETTINGS, 99)
-        self.now = 10_000.0
+        self.now_ms = 10_000.0
         self.number = 0
-        self.out: list[tuple[int, int, int, float]] = []  # request, attempt, server, when sent
-        self.tries: dict[int, int] = {}
+        # Of each open attempt: request id, attempt number, endpoint id and time of sending (ms).
+        self.open_attempts: list[tuple[int, int, int, float]] = []
+        self.attempts: dict[int, int] = {}  # last attempt number by request id
         self.timers: list[int] = []
-        self.parked: list[int] = []
-        self.unready: list[int] = []  # requests whose bodies are still coming
+        self.deferred: list[int] = []  # requests whose retry decision is due
+        self.incomplete: list[int] = []  # requests whose bodies are still being received
 
     def entries(
-        self, numbers: range, state: EndpointState = EndpointState.READY, began: float = 4000.0
+        self, numbers: range, state: EndpointState = EndpointState.READY, started_ms: float = 4000.0
     ) -> list[Endpoint]:
+        """Return endpoint entries for these numbers."""
         return [
             Endpoint(
-                n * 0x9E3779B97F4A7C15 % 2**63,
-                n % 3,
-                n % 2,
-                n % 4,
+                number * 0x9E3779B97F4A7C15 % 2**63,
+                number % 3,
+                number % 2,
+                number % 4,
                 state,
-                1.0 + n % 3,
-                n % 2 * began,
+                1.0 + number % 3,
+                number % 2 * started_ms,
             )
-            for n in numbers
+            for number in numbers
         ]
 
     def beginning(self) -> list[Event]:
-        company = ClusterView(3, 1, 4, (0.5, 0.25), ((self.entries(range(5, 6))[0].id, 0.8),))
-        return [EndpointUpdate(UpdateKind.SNAPSHOT, 1, self.entries(range(1, 13))), company]
+        """Return the first events: the endpoint list and a view of the cluster."""
+        cluster_view = ClusterView(3, 1, 4, (0.5, 0.25), ((self.entries(range(5, 6))[0].id, 0.8),))
+        return [EndpointUpdate(UpdateKind.SNAPSHOT, 1, self.entries(range(1, 13))), cluster_view]
 
     def next(self) -> Event:
-        """The next event; the draws depend on what the policy decided."""
-        dice = self.random
-        self.now += dice.expovariate(1 / 7.0)
+        """Return the next event; the random draws depend on the policy's decisions."""
+        rng = self.random
+        self.now_ms += rng.expovariate(1 / 7.0)
         if self.number in (60, 160):
             shares = ((0.5, 0.25, 0.2), (0.3, 0.3, 0.4), (0.1, 0.8, 0.1)) * 2
             self.number += 1
@@ -266,84 +277,96 @@
             return EndpointUpdate(
                 UpdateKind.DELTA,
                 3,
-                self.entries(range(self.number, self.number + 3), began=self.now - 900.0),
+                self.entries(range(self.number, self.number + 3), started_ms=self.now_ms - 900.0),
             )
-        if self.timers and dice.random() < 0.2:
+        if self.timers and rng.random() < 0.2:
             return TimerFired(self.timers.pop(0))
-        if self.parked and dice.random() < 0.3:
-            return RetryDecisionDue(self.parked.pop(0), dice.random() < 0.7)
-        if self.unready and dice.random() < 0.3:
-            request = self.unready.pop(0)
-            return RequestCompleted(request, self.now + 1200.0)
-        if len(self.out) > dice.randrange(12):
+        if self.deferred and rng.random() < 0.3:
+            return RetryDecisionDue(self.deferred.pop(0), rng.random() < 0.7)
+        if self.incomplete and rng.random() < 0.3:
+            request_id = self.incomplete.pop(0)
+            return RequestCompleted(request_id, self.now_ms + 1200.0)
+        if len(self.open_attempts) > rng.randrange(12):
             return self.end()
         self.number += 1
-        cls, key = dice.randrange(3), dice.choice((0, 7, 7, 9, dice.getrandbits(40)))
-        whole = dice.random() < 0.85
-        if not whole:
-            self.unready.append(self.number)
-        due = self.now + 1200.0 if whole else float("inf")
+        class_index, key = rng.randrange(3), rng.choice((0, 7, 7, 9, rng.getrandbits(40)))
+        complete = rng.random() < 0.85
+        if not complete:
+            self.incomplete.append(self.number)
+        deadline_at_ms = self.now_ms + 1200.0 if complete else float("inf")
         return Request(
             self.number,
-            cls,
-            due,
+            class_index,
+            deadline_at_ms,
             key,
-            dice.randrange(2),
+            rng.randrange(2),
             0.0,
             False,
-            dice.randrange(3),
+            rng.randrange(3),
             False,
             None,
-            whole,
+            complete,
         )
 
     def end(self) -> Event:
-        dice = self.random
-        request, attempt, server, since = self.out.pop(dice.randrange(len(self.out)))
-        kind, elapsed = dice.random(), self.now - since
-        if kind < 0.06:  # its outcome is still to come
-            self.out.append((request, attempt, server, since))
-        if kind < 0.03:
-            return RequestCancelled(request)
-        if kind < 0.06:
-            return ResponseStarted(request, attempt, server, elapsed)
+        """Return an event that ends or changes an open attempt."""
+        rng = self.random
+        request_id, attempt, endpoint_id, sent_ms = self.open_attempts.pop(
+            rng.randrange(len(self.open_attempts))
+        )
+        draw, elapsed_ms = rng.random(), self.now_ms - sent_ms
+        if draw < 0.06:  # the attempt stays open
+            self.open_attempts.append((request_id, attempt, endpoint_id, sent_ms))
+        if draw < 0.03:
+            return RequestCancelled(request_id)
+        if draw < 0.06:
+            return ResponseStarted(request_id, attempt, endpoint_id, elapsed_ms)
         result = (
             AttemptResult.OK
-            if kind < 0.8
-            else dice.choice((AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET))
+            if draw < 0.8
+            else rng.choice((AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET))
         )
-        parked = kind > 0.95
-        if parked:
-            self.parked.append(request)
+        retry_deferred = draw > 0.95
+        if retry_deferred:
+            self.deferred.append(request_id)
         return AttemptEnded(
-            request, server, result is AttemptResult.OK, result, attempt, elapsed, (), parked
+            request_id,
+            endpoint_id,
+            result is AttemptResult.OK,
+            result,
+            attempt,
+            elapsed_ms,
+            (),
+            retry_deferred,
         )
 
     def decide(self, event: Event) -> list[Action]:
-        actions = self.policy.handle(self.now, event)
+        """Pass an event to the policy, and track its actions."""
+        actions = self.policy.handle(self.now_ms, event)
         for action in actions:
             if isinstance(action, Send):
-                request, server = values(action)[:2]
-                attempt = self.tries[request] = self.tries.get(request, -1) + 1
-                self.out.append((request, attempt, server, self.now))
+                request_id, endpoint_id = values(action)[:2]
+                attempt = self.attempts[request_id] = self.attempts.get(request_id, -1) + 1
+                self.open_attempts.append((request_id, attempt, endpoint_id, self.now_ms))
             elif isinstance(action, SetTimer):
                 self.timers.append(values(action)[1])
         return actions
 
     def play(self, count: int) -> None:
+        """Process so many events."""
         for _ in range(count):
             self.decide(self.next())
 
 
 def state_segment(module: dict[str, str]) -> bytes:
-    """A segment out of the middle of a night: it begins with the policy's state there."""
+    """Return a segment that begins with the policy's state after 462 events."""
     night = Night()
     for event in night.beginning():
         night.decide(event)
     night.play(460)
     state = dump_policy(night.policy)
-    built = SegmentBuilder(header(module=module, seed=99, events_before=462, state=state))
+    builder = SegmentBuilder(header(module=module, seed=99, events_before=462, state=state))
     for _ in range(220):
         event = night.next()
-        built.add(night.now, event, night.decide(event))
-    return built.data()
+        builder.add(night.now_ms, event, night.decide(event))
+    return builder.data()
