--- a/badgercart/frontends/http/clients.py
+++ b/badgercart/frontends/http/clients.py
@@ -462,7 +462,7 @@
             upload.abandon()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the get_read_buffer to read into."""
+        """Return the buffer to read into."""
         return reading.get_read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
@@ -524,7 +524,7 @@
         self.on_room, self.on_lost = on_room, on_lost
 
     def write_body(self, data: bytes) -> bool:
-        """Write a write_body of the body; return whether there is capacity for more."""
+        """Write a part of the body; return whether there is capacity for more."""
         return self.machine.write_body(data)
 
     def finish_body(self) -> None:
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -20,7 +20,7 @@
 from badgercart.capture.settings import CaptureSettings
 from badgercart.capture.streams import NoteReplayer, record_calls, state_note
 from badgercart.capture.writer import CaptureWriter
-from badgercart.discovery.freshness import Freshness, Rule
+from badgercart.discovery.freshness import Freshness, FreshnessLimits
 from badgercart.frontends.processor.account import OldAnswerTracker
 from badgercart.frontends.processor.settings import OldAnswers
 from standins.demo import NodeProcess
@@ -37,14 +37,14 @@
 @settings(max_examples=100, deadline=None)
 @given(FRESHNESS_STEPS)
 def test_freshness_returns_the_same_results_in_a_replay(steps: list[tuple[str, float]]) -> None:
-    machine, notes = Freshness(Rule()), list[bytes]()
+    machine, notes = Freshness(FreshnessLimits()), list[bytes]()
     notes.append(state_note("list", machine))
     undo = record_calls("list", machine, notes.append)
     for name, value in steps:
         if name == "proof":
             machine.proof(value)
         elif name == "rule":
-            machine.rule = Rule(1.0 + value, 2.0 + 2 * value)
+            machine.rule = FreshnessLimits(1.0 + value, 2.0 + 2 * value)
         else:
             machine.state(value) if name == "state" else machine.next_change(value)
     undo()
@@ -80,7 +80,7 @@
 def test_notes_stand_between_the_policys_events_and_a_changed_result_is_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    day, freshness = Saturday(1), Freshness(Rule())
+    day, freshness = Saturday(1), Freshness(FreshnessLimits())
     chosen = CaptureSettings.model_construct(folder="", segment_bytes=1 << 14)
     capture = CaptureWriter(chosen, tmp_path, "n", day.join.policy, 1, lambda lost: None, print)
     day.join.decision_log = capture.record_event
--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -22,7 +22,7 @@
 from badgercart.app.site import Application
 from badgercart.config import Address
 from badgercart.core.clock import now_ms
-from badgercart.discovery.freshness import State
+from badgercart.discovery.freshness import FreshnessState
 from badgercart.distribution.client import Client as ReplicaClient
 from badgercart.distribution.component import DistributedDiscoveryComponent, build_replica_driver
 from badgercart.distribution.entry_file import parse_entries
@@ -106,7 +106,7 @@
         except TimeoutError:
             raise AssertionError(f"{self.listed()} is not {expected}") from None
 
-    async def wait_for_state(self, state: State) -> None:
+    async def wait_for_state(self, state: FreshnessState) -> None:
         await self.wait_until(lambda: self.component.state is state)
 
     async def get(self, data: bytes) -> tuple[int, bytes]:
@@ -208,7 +208,7 @@
             result = await run_command(capsys, "put", path, TOPIC, "--file", str(entries_file))
             assert result == (0, f"{TOPIC}: in force as number 1\n", "")
             await node.wait_for_list(a="ready")
-            await node.wait_for_state(State.FRESH)
+            await node.wait_for_state(FreshnessState.FRESH)
             assert (
                 await node.health() == 200
                 and await node.request_status() == 200
@@ -251,16 +251,16 @@
         async with running_node(store.listen, when_stale=when_stale) as node:
             await propose_entries(store, server_entry("a", peer), server_entry("b", peer))
             await node.wait_for_list(a="ready", b="ready")
-            await node.wait_for_state(State.FRESH)
+            await node.wait_for_state(FreshnessState.FRESH)
             store.close()
             await node.wait_until(lambda: node.component.follower.age_ms(now_ms()) > 100)
             assert (
                 node.listed() == {"a": "ready", "b": "ready"} and await node.request_status() == 200
             )
             ages = [node.component.follower.age_ms(now_ms())]
-            await node.wait_for_state(State.DOUBTFUL)
+            await node.wait_for_state(FreshnessState.DOUBTFUL)
             assert await node.request_status() == 200
-            await node.wait_for_state(State.STALE)
+            await node.wait_for_state(FreshnessState.STALE)
             assert node.component.follower.age_ms(now_ms()) > ages[0] and node.listed() == {
                 "a": "ready",
                 "b": "ready",
@@ -270,7 +270,7 @@
             store = await start_store(tmp_path / "s", store.listen[1])
             await propose_entries(store, server_entry("b", peer, "leaving"))
             await node.wait_for_list(a="ready", b="draining")
-            await node.wait_for_state(State.FRESH)
+            await node.wait_for_state(FreshnessState.FRESH)
             assert (
                 await node.request_status() == 200
                 and node.component.follower.topics.by_name[TOPIC].version == 2
@@ -298,12 +298,12 @@
                 node.component.reload(node_settings(other.listen))
                 await node.wait_until(lambda: node.component.follower.faults["behind"] >= 3)
                 assert node.listed() == {"s0": "ready", "s1": "ready", "s2": "ready"}
-                await node.wait_for_state(State.STALE)
+                await node.wait_for_state(FreshnessState.STALE)
                 restored_store = await start_store(tmp_path / "s")
                 node.component.reload(node_settings(other.listen, restored_store.listen))
                 await propose_entries(restored_store, server_entry("s3"))
                 await node.wait_until(
-                    lambda: "s3" in node.listed() and node.component.state is State.FRESH
+                    lambda: "s3" in node.listed() and node.component.state is FreshnessState.FRESH
                 )
                 assert "old" not in node.listed()
                 restored_store.close()
@@ -332,7 +332,7 @@
         async with running_store(tmp_path / "s") as store, running_node(store.listen) as node:
             await propose_entries(store, server_entry("a"))
             await node.wait_for_list(a="ready")
-            await node.wait_for_state(State.FRESH)
+            await node.wait_for_state(FreshnessState.FRESH)
             await propose_entries(
                 store, server_entry("a", state="leaving"), b=INVALID_ENTRIES[case]
             )
@@ -341,14 +341,14 @@
             # The valid entry of the same change is not applied either.
             assert node.listed() == {"a": "ready"}
             # The list ages because it is known to be old.
-            await node.wait_for_state(State.DOUBTFUL)
+            await node.wait_for_state(FreshnessState.DOUBTFUL)
             assert (
                 node.component.follower.dial_count == 1
                 and node.component.follower.faults["unusable"] == 1
             )
             await propose_entries(store, server_entry("b"))
             await node.wait_for_list(a="draining", b="ready")
-            await node.wait_for_state(State.FRESH)
+            await node.wait_for_state(FreshnessState.FRESH)
             assert node.component.follower.dial_count == 1
 
     run(test())
@@ -379,7 +379,7 @@
                 and node.listed() == {"a": "ready", "b": "ready"}
                 and node.component.follower.dial_count == 1
             )
-            await node.wait_for_state(State.FRESH)
+            await node.wait_for_state(FreshnessState.FRESH)
 
     run(test())
 
@@ -413,11 +413,11 @@
             await node.wait_for_list(a="ready", b="ready")
             assert (
                 node.component.topic == TOPIC
-                and node.component.follower.freshness.rule.stale_after == 700
+                and node.component.follower.freshness.rule.stale_after_ms == 700
             )
             assert node.component.follower.topics.change_count == 2
             restarted_store.close()
-            await node.wait_for_state(State.STALE)
+            await node.wait_for_state(FreshnessState.STALE)
             assert not node.site.endpoint_table.suspended
             current_driver = node.component.driver
             # A reload without changes keeps the driver.
@@ -445,7 +445,7 @@
         driver = site.components["distribution-store"].driver  # type: ignore[attr-defined]
         await propose_entries(driver, server_entry("a"))
         await node.wait_for_list(a="ready")
-        await node.wait_for_state(State.FRESH)
+        await node.wait_for_state(FreshnessState.FRESH)
         _, body = await node.get(b"GET /_distribution HTTP/1.1\r\nHost: x\r\n\r\n")
         result = json.loads(body)
         assert (
--- a/tests/ends/test_descriptors.py
+++ b/tests/ends/test_descriptors.py
@@ -23,7 +23,7 @@
     REGULAR_FILE_DESCRIPTORS,
     DescriptorBudget,
 )
-from badgercart.discovery.backoff import MOST as MOST_CALLS
+from badgercart.discovery.backoff import MAX_OPEN_CALLS
 from badgercart.upstream import connection_pool
 from tests.net import WAIT_S, Client, DiscoveryAgent, ScriptedServer, request, run, running
 from tests.test_process import COMMAND, NodeProcess, raw_config
@@ -49,7 +49,7 @@
 
 def test_discovery_has_a_descriptor_for_each_of_its_calls() -> None:
     """All its calls may be open when it moves to another address."""
-    assert DISCOVERY_DESCRIPTORS == 2 * MOST_CALLS + 1
+    assert DISCOVERY_DESCRIPTORS == 2 * MAX_OPEN_CALLS + 1
 
 
 # The lower of the configured limit and the system's limit counts.
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -23,8 +23,13 @@
 from badgercart.core.identifiers import stable_id
 from badgercart.core.ports import AttemptRequest, IncomingRequest
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.discovery.backoff import MOST, RETRY_FIRST, Pace, Tries
-from badgercart.discovery.catalog import SILENCE, Discovery
+from badgercart.discovery.backoff import (
+    INITIAL_RETRY_DELAY_S,
+    MAX_OPEN_CALLS,
+    CallTiming,
+    RetryState,
+)
+from badgercart.discovery.catalog import WATCH_SILENCE_TIMEOUT_S, Discovery
 from badgercart.discovery.entries import ListReader
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import AttemptResult, UpdateKind
@@ -179,8 +184,14 @@
         self.taken = math.inf  # when the change was applied
         self.change: dict[str, Any] | None = None
         self.service = ScriptedDiscovery(loop, 1, {e["instanceId"]: e for e in listed})
-        self.pace = Pace.agent(GRACE_S * 1000) if pushed else Pace.shared()
-        self.discovery = Discovery(("d", 1), self.roster.accept, FixedRandom(dice), pace=self.pace)
+        self.pace = (
+            CallTiming.for_local_agent(GRACE_S * 1000)
+            if pushed
+            else CallTiming.for_shared_service()
+        )
+        self.discovery = Discovery(
+            ("d", 1), self.roster.accept, FixedRandom(dice), timing=self.pace
+        )
 
     def know(self) -> None:
         snapshot = {
@@ -398,8 +409,8 @@
         before = len(service.calls)
         await asyncio.sleep(time)
         assert (len(service.calls) - before) / nodes / time < RATES[fault]
-        assert all(len(follower.calls) <= MOST for follower in followers)
-        assert len(service.lines) <= MOST * nodes
+        assert all(len(follower.calls) <= MAX_OPEN_CALLS for follower in followers)
+        assert len(service.lines) <= MAX_OPEN_CALLS * nodes
         for follower in followers:
             follower.close()
         await asyncio.sleep(0.01)
@@ -408,27 +419,46 @@
     run_on_virtual_time(test)
 
 
-@pytest.mark.parametrize("pace", [Pace.shared(), Pace.agent(500.0), Pace.agent(2000.0)])
-def test_the_sums_of_the_timeouts_are_within_the_limit(pace: Pace) -> None:
+@pytest.mark.parametrize(
+    "pace",
+    [
+        CallTiming.for_shared_service(),
+        CallTiming.for_local_agent(500.0),
+        CallTiming.for_local_agent(2000.0),
+    ],
+)
+def test_the_sums_of_the_timeouts_are_within_the_limit(pace: CallTiming) -> None:
     """The worst cases are a silent watch or an outage, and then two calls without a response."""
-    call, rest, pause = (1.25 * pace.call, 1.25 * pace.rest, 1.5 * pace.retry)
-    assert SILENCE + 1.5 * RETRY_FIRST + 2 * call < KNOWN_AFTER_S - 0.4
+    call, rest, pause = (
+        1.25 * pace.response_timeout_s,
+        1.25 * pace.later_response_timeout_s,
+        1.5 * pace.max_retry_delay_s,
+    )
+    assert WATCH_SILENCE_TIMEOUT_S + 1.5 * INITIAL_RETRY_DELAY_S + 2 * call < KNOWN_AFTER_S - 0.4
     assert max(rest, pause) + 2 * rest < KNOWN_AFTER_S - 0.3
 
 
 def test_the_delays_between_calls_grow_with_each_failure() -> None:
-    pace, tries = Pace.shared(), Tries(FixedRandom(0.0))
-    assert [tries.beside(pace) for _ in range(4)] == [1.0, 1.0, 1.5, 1.5]
-    tries.heard()
-    assert tries.beside(pace) == 1.0
-    tries = Tries(FixedRandom(0.5))
-    assert [tries.pause(pace) for _ in range(7)] == [0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
-    tries.lived(0.9, pace)  # a watch that ends at once is no success
-    assert tries.pause(pace) == 1.0
-    tries.lived(1.0, pace)
-    assert tries.pause(pace) == 0.05
+    pace, tries = CallTiming.for_shared_service(), RetryState(FixedRandom(0.0))
+    assert [tries.call_opened(pace) for _ in range(4)] == [1.0, 1.0, 1.5, 1.5]
+    tries.list_received()
+    assert tries.call_opened(pace) == 1.0
+    tries = RetryState(FixedRandom(0.5))
+    assert [tries.next_retry_delay_s(pace) for _ in range(7)] == [
+        0.05,
+        0.1,
+        0.2,
+        0.4,
+        0.8,
+        1.0,
+        1.0,
+    ]
+    tries.watch_ended(0.9, pace)  # a watch that ends at once is no success
+    assert tries.next_retry_delay_s(pace) == 1.0
+    tries.watch_ended(1.0, pace)
+    assert tries.next_retry_delay_s(pace) == 0.05
 
 
 def test_the_descriptors_reserved_for_discovery_are_enough() -> None:
     """They are for the calls that are open at once, and one that is just closing."""
-    assert descriptors.DISCOVERY_DESCRIPTORS >= MOST + 1
+    assert descriptors.DISCOVERY_DESCRIPTORS >= MAX_OPEN_CALLS + 1
