--- a/badgercart/capture/streams.py
+++ b/badgercart/capture/streams.py
@@ -136,7 +136,7 @@
             if known[1]:  # a nested call by the machine itself, which a replay will repeat
                 return original(*args)
             rule = getattr(machine, "rule", None)
-            if rule is not known[0]:  # its settings were replaced, so its state is recorded anew
+            if rule is not known[0]:  # its settings were replaced, so its state is recorded again
                 known[0] = rule
                 on_note(state_note(name, machine))
             known[1] = True
--- a/badgercart/capture/writer.py
+++ b/badgercart/capture/writer.py
@@ -167,7 +167,7 @@
         self.chunk_bytes = min(CHUNK_BYTES, settings.buffer_bytes // 4, settings.segment_bytes)
         self.buffer: list[bytes] = []
         self.buffered_bytes = 0
-        # State notes of other state machines, written behind the header of each segment.
+        # State notes of other state machines, written after the header of each segment.
         self.snapshots: list[Callable[[], bytes]] = []
         self.begin_segment(dump_policy(policy))
 
@@ -302,7 +302,7 @@
             self.roll_segment()
 
     def resume_after_gap(self) -> None:
-        """Record the gap, and begin a new segment with the policy's state behind it."""
+        """Record the gap, and begin a new segment with the policy's state after it."""
         self.record_gap()
         self.roll_segment()
 
--- a/tests/capture/__init__.py
+++ b/tests/capture/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the decision log, its replay and its commands."""
--- a/tests/capture/support.py
+++ b/tests/capture/support.py
@@ -101,10 +101,8 @@
         if attempt.endpoint_id % 5 == 1 and self.random.random() < 0.5:
             elapsed_ms, result = 2.0, AttemptResult.ERROR
         elif (
-            attempt.endpoint_id % 7 == 2
-            and self.random.random() < 0.3
-            or elapsed_ms >= attempt.timeout_ms
-        ):
+            attempt.endpoint_id % 7 == 2 and self.random.random() < 0.3
+        ) or elapsed_ms >= attempt.timeout_ms:
             elapsed_ms, result = attempt.timeout_ms, AttemptResult.TIMEOUT
         self.clockwork.call_later(elapsed_ms / 1000, self.end, attempt, result, elapsed_ms)
 
--- a/tests/capture/test_golden.py
+++ b/tests/capture/test_golden.py
@@ -158,7 +158,7 @@
 
 
 def test_a_state_of_an_earlier_version_continues_with_the_same_decisions() -> None:
-    """The state holds quotas, slow-starting endpoints, key queues, streams, a plan and a cluster."""
+    """Quotas, slow starts, key queues, streams, a plan and a cluster are in the state."""
     path = GOLDEN / "state.bin"
     report = replay(path)
     assert (
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("encoded_again", [False, True])
 def test_a_state_with_type_numbers_continues_with_the_same_decisions(encoded_again: bool) -> None:
-    """Continue a state in the present format: `state-2.bin` holds the first state of `state.bin`."""
+    """Continue `state-2.bin`, which holds the first state of `state.bin` in the present format."""
     policy = load_policy((GOLDEN / "state-2.bin").read_bytes())
     if encoded_again:
         policy = load_policy(dump_policy(policy))
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -189,10 +189,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     enqueue, stalled_chunks, gaps = writer.DiskWriter.enqueue, [], []
-    chosen = CaptureSettings.model_construct(folder="", buffer_bytes=1 << 14)
+    capture_settings = CaptureSettings.model_construct(folder="", buffer_bytes=1 << 14)
     traffic = Saturday(2)
     capture = writer.CaptureWriter(
-        chosen, tmp_path, "n", traffic.join.policy, 2, gaps.append, fail_on_error
+        capture_settings, tmp_path, "n", traffic.join.policy, 2, gaps.append, fail_on_error
     )
     traffic.join.decision_log = capture.record_event
     with monkeypatch.context() as patch:
@@ -288,7 +288,7 @@
 
 
 def test_the_policy_depends_on_nothing_but_its_events_and_its_seed() -> None:
-    """Every source of time or randomness in its files is known; a new one has to be captured first."""
+    """Search its files for sources of time or randomness; a new one has to be captured first."""
     known = {"random.Random", "hash"}
     used: set[str] = set()
     for path in Path(str(badgercart.policy.__file__)).parent.glob("*.py"):
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -80,17 +80,19 @@
 def test_notes_stand_between_the_policys_events_and_a_changed_result_is_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    day, freshness = Saturday(1), Freshness(FreshnessLimits())
-    chosen = CaptureSettings.model_construct(folder="", segment_bytes=1 << 14)
-    capture = CaptureWriter(chosen, tmp_path, "n", day.join.policy, 1, lambda lost: None, print)
-    day.join.decision_log = capture.record_event
+    traffic, freshness = Saturday(1), Freshness(FreshnessLimits())
+    capture_settings = CaptureSettings.model_construct(folder="", segment_bytes=1 << 14)
+    capture = CaptureWriter(
+        capture_settings, tmp_path, "n", traffic.join.policy, 1, lambda lost: None, print
+    )
+    traffic.join.decision_log = capture.record_event
     capture.snapshots.append(lambda: state_note("list", freshness))
     capture.record_note(state_note("list", freshness))
     record_calls("list", freshness, capture.record_note)
     for _ in range(60):
-        freshness.proof(day.clockwork.now - 3500.0)
-        day.play(20)
-        freshness.state(day.clockwork.now)
+        freshness.proof(traffic.clockwork.now - 3500.0)
+        traffic.play(20)
+        freshness.state(traffic.clockwork.now)
     capture.close()
     reports = list(replay_all(find_segments([str(tmp_path)])))
     assert (
@@ -152,15 +154,17 @@
     writers: list[CaptureWriter] = []
 
     def attach(pipeline: object) -> None:
-        chosen = CaptureSettings.model_construct(folder="")
+        capture_settings = CaptureSettings.model_construct(folder="")
         policy = pipeline.policy  # type: ignore[attr-defined]
-        writers.append(CaptureWriter(chosen, tmp_path, "n", policy, 1, lambda lost: None, print))
+        writers.append(
+            CaptureWriter(capture_settings, tmp_path, "n", policy, 1, lambda lost: None, print)
+        )
         pipeline.decision_log = writers[0].record_event  # type: ignore[attr-defined]
 
-    day = Saturday(1, attach)
-    day.play(200)
-    day.clockwork.now += jump_ms
-    day.play(200)
+    traffic = Saturday(1, attach)
+    traffic.play(200)
+    traffic.clockwork.now += jump_ms
+    traffic.play(200)
     writers[0].close()
     (report,) = replay_all(find_segments([str(tmp_path)]))
     assert report.identical and report.events > 600 and report.backward_jumps == (jump_ms < 0)
