--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -262,7 +262,7 @@
     if not addresses:
         raise CommandError("an address to send to, or --record", ExitStatus.USAGE)
     from badgercart.config import parse_address
-    from lab.load.driver import BEHIND, drive, measured
+    from lab.load.driver import MAX_LAG_MS, drive, measured
 
     for address in addresses:
         try:
@@ -277,7 +277,7 @@
     else:
         tell(day, result | {"spent_s": day.experiment.seconds, "shown": []})
     if told.behind:
-        words = f"{told.behind} of {len(told.sent)} requests set out over {BEHIND:.0f} ms late"
+        words = f"{told.behind} of {len(told.sent)} requests set out over {MAX_LAG_MS:.0f} ms late"
         click.echo(
             f"the schedule was not kept: {words}, the worst by {told.worst_lag:.0f} ms", err=True
         )
--- a/lab/load/__init__.py
+++ b/lab/load/__init__.py
@@ -1,6 +1,6 @@
-"""Open-loop load on real sockets, by the same plans as the model, and the model held against it.
+"""Open-loop load on real sockets, from the same plans as the model's, and the model's calibration.
 
-`ways` turns a planned request into one on a socket, `driver` sends them at their times whatever
-came of those before, `calibrate` plays one day on sockets and in the model. The command is ``python
--m lab load``.
+`ways` writes a planned request in a protocol, `driver` sends the requests at their scheduled times
+whatever became of earlier ones, and `calibrate` runs one experiment on sockets and in the model.
+The command is `python -m lab load`.
 """
--- a/lab/load/calibrate.py
+++ b/lab/load/calibrate.py
@@ -1,9 +1,9 @@
-"""One day on sockets and in the model, by one seed: how far the model is from what it models.
+"""Calibration: one experiment on sockets and in the model, with one seed, and how far they differ.
 
-The sockets' side is this repository's own: stand-in servers, their catalog, and node processes by
-an operator's file that says what the day says. What stand-in servers have not (a cold ramp, known
-keys, laws of work but the uniform one), and troubles that sockets on loopback can't have, are
-faults of the file.
+The experiment on sockets uses stand-in servers, their catalog, and node processes whose settings
+file follows the experiment. What stand-in servers lack (a cold ramp, known keys, service-time
+distributions other than the uniform one), and faults that can't be injected on loopback sockets,
+are reported as problems of the experiment file.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 
 from lab.arrivals import plan
 from lab.chance import generator
-from lab.load.driver import LEAD, Told, drive, measured
+from lab.load.driver import START_DELAY_S, LoadResults, drive, measured
 from lab.model import play_day
 from lab.settings import Day, Trouble
 from standins.demo import NodeProcess
 from standins.fleet import Fleet
 from standins.server import DispatchServer
 
-ON_SOCKETS = ("slow", "silent", "errors", "drain", "crash", "surge", "hot_key")
-NODE_TIME = 3.0  # s that nodes have to come up before the first request
+SUPPORTED_FAULTS = ("slow", "silent", "errors", "drain", "crash", "surge", "hot_key")
+NODE_START_TIME_S = 3.0  # for nodes to start before the first request
 
 
 class CalibrationError(Exception):
-    """A day that sockets can't play: why."""
+    """An experiment can't run on sockets; the message says why."""
 
 
-def faults(day: Day) -> Iterator[str]:
-    """Why a day can't be played on sockets."""
+def problems_of(day: Day) -> Iterator[str]:
+    """Yield each reason why an experiment can't run on sockets."""
     if day.fleet.warm_gain or day.fleet.all_cold or any(kind.cold_from < 1 for kind in day.kind):
         yield "stand-in servers are never cold and know no keys"
     if any(cls.dist != "uniform" for cls in day.class_):
@@ -46,36 +46,37 @@
         yield "stand-in servers know safe and keyed classes"
     if day.clients.retries or day.clients.impatient:
         yield "the load's clients ask once, and wait"
-    for trouble in day.trouble:
-        if trouble.kind not in ON_SOCKETS:
-            yield f"the trouble {trouble.kind!r} is none of {', '.join(ON_SOCKETS)}"
+    for fault in day.trouble:
+        if fault.kind not in SUPPORTED_FAULTS:
+            yield f"the trouble {fault.kind!r} is none of {', '.join(SUPPORTED_FAULTS)}"
 
 
 @dataclass(slots=True, frozen=True)
-class Distance:
-    """The two sides of one day."""
+class Calibration:
+    """The results of one experiment on sockets and in the model."""
 
     name: str
     seed: int
-    sockets: float  # worth in time
+    sockets: float  # worth of the requests served in time, as a share
     model: float
     sockets_p99: float  # ms
     model_p99: float
-    behind: int  # requests that were not sent by their schedule
+    behind: int  # requests that were not sent on schedule
     requests: int
 
     @property
     def worth(self) -> float:
+        """Return the difference of the worth in time."""
         return abs(self.sockets - self.model)
 
     @property
     def tail(self) -> float:
-        """The difference of the 99th percentiles over the sockets'."""
+        """Return the difference of the 99th percentiles, relative to the one on sockets."""
         return abs(self.sockets_p99 - self.model_p99) / max(self.sockets_p99, 1e-9)
 
 
 def operators_file(day: Day, catalog: str, node: int) -> str:
-    """What a node is set to, as the model's nodes are."""
+    """Return the settings file of a node, with the settings of the model's nodes."""
     settings = day.policy_settings(node)
     zones = ", ".join(f'"z{number}"' for number in range(day.net.zones))
     kinds = ", ".join(f'"{kind.name}"' for kind in day.kind)
@@ -101,7 +102,7 @@
 
 
 def fleet_of(day: Day, seed: int) -> Fleet:
-    """Stand-in servers as the model's: kinds in the same places."""
+    """Return stand-in servers that match the model's, with the same kinds at the same numbers."""
     from lab.chance import uniform
     from lab.clock import Clock
     from lab.servers import fleet
@@ -110,66 +111,73 @@
     for cls in day.class_:
         half = cls.work_ms * min(cls.cv * math.sqrt(3.0), 1.0)
         work[cls.name] = (cls.work_ms - half, cls.work_ms + half)
-    made = Fleet(0, seed)
+    stand_ins = Fleet(0, seed)
     for server in fleet(Clock(), day, lambda number: uniform(generator(seed, "server", number))):
-        made.servers.append(
+        stand_ins.servers.append(
             DispatchServer(
                 f"s-{server.number}", work, server.kind.cores, server.kind.queue, server.kind.name,
                 f"z{server.zone}", seed,
             )
         )  # fmt: skip
-    return made
+    return stand_ins
 
 
-async def befall(fleet: Fleet, day: Day, seed: int, start: float) -> None:
-    """The day's troubles, to the same servers as in the model."""
+async def inject_faults(fleet: Fleet, day: Day, seed: int, start: float) -> None:
+    """Inject the experiment's faults into the same servers as in the model."""
     steps: list[tuple[float, Trouble, bool, list[DispatchServer]]] = []
-    for number, trouble in enumerate(day.trouble):
-        if trouble.kind in ("surge", "hot_key"):
+    for number, fault in enumerate(day.trouble):
+        if fault.kind in ("surge", "hot_key"):
             continue
-        count = max(1, round(trouble.share * len(fleet.servers)))
+        count = max(1, round(fault.share * len(fleet.servers)))
         chosen = generator(seed, "trouble", number).choice(len(fleet.servers), count, replace=False)
-        servers = [fleet.servers[at] for at in sorted(chosen.tolist())]
-        steps.append((trouble.at_s, trouble, True, servers))
-        steps.append((trouble.at_s + trouble.for_s, trouble, False, servers))
-    for at, trouble, begins, servers in sorted(steps, key=lambda step: step[0]):
-        await asyncio.sleep(max(0.0, start + at - time.monotonic()))
+        servers = [fleet.servers[index] for index in sorted(chosen.tolist())]
+        steps.append((fault.at_s, fault, True, servers))
+        steps.append((fault.at_s + fault.for_s, fault, False, servers))
+    for at_s, fault, begins, servers in sorted(steps, key=lambda step: step[0]):
+        await asyncio.sleep(max(0.0, start + at_s - time.monotonic()))
         for server in servers:
-            await step(fleet, day, trouble, begins, server)
+            await set_fault(fleet, day, fault, begins, server)
 
 
-async def step(
-    fleet: Fleet, day: Day, trouble: Trouble, begins: bool, server: DispatchServer
+async def set_fault(
+    fleet: Fleet, day: Day, fault: Trouble, begins: bool, server: DispatchServer
 ) -> None:
-    """One trouble begins or ends at one server."""
-    if trouble.kind == "slow":
-        server.slowness = trouble.size if begins else 1.0
-    elif trouble.kind == "silent":
-        server.silent = trouble.chance if begins else 0.0
-    elif trouble.kind == "errors":
-        server.failing = trouble.chance if begins else 0.0
-    elif trouble.kind == "crash" and begins:
+    """Begin or end one fault at one server."""
+    if fault.kind == "slow":
+        server.slowness = fault.size if begins else 1.0
+    elif fault.kind == "silent":
+        server.silent = fault.chance if begins else 0.0
+    elif fault.kind == "errors":
+        server.failing = fault.chance if begins else 0.0
+    elif fault.kind == "crash" and begins:
         server.stop()
         server.state = "left"
         asyncio.get_running_loop().call_later(
-            day.lists.crash_notice_ms / 1000, told_later, fleet, server
+            day.lists.crash_notice_ms / 1000, publish_entry, fleet, server
         )
-    elif trouble.kind == "crash":
+    elif fault.kind == "crash":
         await server.start(server.port)
         server.state = "active"
-        asyncio.get_running_loop().call_later(day.lists.notice_ms / 1000, told_later, fleet, server)
+        asyncio.get_running_loop().call_later(
+            day.lists.notice_ms / 1000, publish_entry, fleet, server
+        )
     else:
         server.state = "leaving" if begins else "active"
-        asyncio.get_running_loop().call_later(day.lists.notice_ms / 1000, told_later, fleet, server)
+        asyncio.get_running_loop().call_later(
+            day.lists.notice_ms / 1000, publish_entry, fleet, server
+        )
 
 
-def told_later(fleet: Fleet, server: DispatchServer) -> None:
+def publish_entry(fleet: Fleet, server: DispatchServer) -> None:
+    """Publish the server's entry in the catalog."""
     fleet.catalog.change(server.entry())
 
 
-async def on_sockets(day: Day, seed: int, processes: int) -> Told:
-    """Play a day against node processes. Raises RuntimeError where one does not come up, and
-    OSError."""
+async def run_on_sockets(day: Day, seed: int, processes: int) -> LoadResults:
+    """Run an experiment against node processes.
+
+    Raises RuntimeError if a node doesn't come up, and OSError.
+    """
     fleet = await fleet_of(day, seed).start()
     nodes: list[NodeProcess] = []
     loop = asyncio.get_running_loop()
@@ -181,29 +189,32 @@
                 nodes.append(NodeProcess(("http",)))
                 await nodes[-1].start(file)
             addresses = [node.fronts["http"] for node in nodes]
-            start = time.monotonic() + LEAD
-            troubles = asyncio.ensure_future(befall(fleet, day, seed, start))
+            start = time.monotonic() + START_DELAY_S
+            faults = asyncio.ensure_future(inject_faults(fleet, day, seed, start))
             with concurrent.futures.ThreadPoolExecutor(1) as pool:
-                told = await loop.run_in_executor(
+                results = await loop.run_in_executor(
                     pool, lambda: drive(addresses, day, seed, "http", processes, start=start)
                 )
-            troubles.cancel()
+            faults.cancel()
     finally:
         for node in nodes:
             await node.stop()
         await fleet.stop()
-    return told
+    return results
+
 
+def calibrate(day: Day, seed: int, processes: int = 2) -> Calibration:
+    """Run an experiment on sockets and in the model.
 
-def calibrate(day: Day, seed: int, processes: int = 2) -> Distance:
-    """Both sides of a day. Raises CalibrationError, RuntimeError and OSError."""
-    if found := list(faults(day)):
-        raise CalibrationError("; ".join(found))
-    told = asyncio.run(on_sockets(day, seed, max(processes, day.fleet.nodes)))
-    measure = measured(day, seed, told)
+    Raises CalibrationError, RuntimeError and OSError.
+    """
+    if problems := list(problems_of(day)):
+        raise CalibrationError("; ".join(problems))
+    results = asyncio.run(run_on_sockets(day, seed, max(processes, day.fleet.nodes)))
+    measure = measured(day, seed, results)
     figures = measure.plain()
     modelled = play_day(day, "badgercart", seed)
-    return Distance(
+    return Calibration(
         day.experiment.name, seed, figures["share"], modelled["share"], figures["quantiles"]["p99"],
-        modelled["quantiles"]["p99"], told.behind, len(plan(day, seed)),
+        modelled["quantiles"]["p99"], results.behind, len(plan(day, seed)),
     )  # fmt: skip
--- a/lab/load/driver.py
+++ b/lab/load/driver.py
@@ -1,9 +1,8 @@
-"""Sends a plan's requests at their times, open loop, over several processes; times count from the
-schedule.
+"""Open-loop driver: sends a plan's requests at their scheduled times, from several processes.
 
-What comes of one request never moves the next: a target that stalls gets all that was planned, and
-its stall is in the histogram of all that it kept waiting. A sender that falls behind its own
-schedule says so.
+The result of one request never delays the next: a target that stalls still gets everything that
+was planned, and its stall shows in the response times of all requests that it delayed, because
+times count from the schedule. A sender that falls behind its own schedule reports it.
 """
 
 from __future__ import annotations
@@ -17,121 +16,141 @@
 from dataclasses import dataclass, field
 
 from lab.arrivals import Plan, plan
-from lab.load.ways import WAYS, Planned
+from lab.load.ways import REQUEST_WRITERS, Planned
 from lab.measure import Measure
 from lab.settings import Day
 from standins import http1
 
-BEHIND = 20.0  # ms: a request that sets out later than that was not sent by its schedule
-LEAD = 1.0  # s until the first request: processes have to come up
-END_BY_STATUS = {200: "served", 503: "refused", 429: "refused"}
+MAX_LAG_MS = 20.0  # a request that is sent later than this was not sent on schedule
+START_DELAY_S = 1.0  # until the first request: the processes have to start
+OUTCOME_BY_STATUS = {200: "served", 503: "refused", 429: "refused"}
 
 
 @dataclass(slots=True, frozen=True)
-class Sent:
-    """What came of a request."""
+class RequestResult:
+    """The result of a request."""
 
     number: int
-    status: int  # 0: no answer in its time
-    took: float  # ms from the time that the schedule had for it
-    lag: float  # ms after that time at which it set out
+    status: int  # 0: no response before the deadline
+    took_ms: float  # from the scheduled time
+    lag_ms: float  # from the scheduled time until it was sent
 
 
 @dataclass(slots=True)
-class Told:
-    """What came of a plan."""
+class LoadResults:
+    """The results of a plan."""
 
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[RequestResult] = field(default_factory=list)
 
     @property
     def behind(self) -> int:
-        return sum(one.lag > BEHIND for one in self.sent)
+        """Return how many requests were not sent on schedule."""
+        return sum(result.lag_ms > MAX_LAG_MS for result in self.sent)
 
     @property
     def worst_lag(self) -> float:
-        return max((one.lag for one in self.sent), default=0.0)
+        """Return the longest lag (ms)."""
+        return max((result.lag_ms for result in self.sent), default=0.0)
 
 
 class Driver:
-    """One process's part of a plan."""
+    """Sends one process's part of a plan to one address."""
 
     def __init__(self, address: str, day: Day, seed: int, way: str, connections: int) -> None:
         self.address, self.day, self.seed = address, day, seed
-        self.write = WAYS[way]
-        self.idle = http1.Connections()
-        self.most, self.out = connections, 0
+        self.write_request = REQUEST_WRITERS[way]
+        self.connections = http1.Connections()
+        self.max_connections, self.open_requests = connections, 0
         self.waiting: deque[asyncio.Future[None]] = deque()
-        self.told = Told()
+        self.results = LoadResults()
 
-    async def play(self, rows: Sequence[Planned], start: float) -> Told:
-        """`start`: s on the monotonic clock, which all processes share."""
-        asking: list[asyncio.Future[None]] = []
+    async def play(self, rows: Sequence[Planned], start: float) -> LoadResults:
+        """Send the requests and return their results.
+
+        `start` is on the monotonic clock (s), which all processes share.
+        """
+        tasks: list[asyncio.Future[None]] = []
         for row in rows:
-            wait = start + row.at / 1000 - time.monotonic()
+            wait = start + row.at_ms / 1000 - time.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
-            elif len(asking) % 64 == 0:
-                await asyncio.sleep(0)  # behind: answers must be read all the same
-            asking.append(asyncio.ensure_future(self.ask(row, start + row.at / 1000)))
-        await asyncio.gather(*asking)
-        self.idle.close()
-        return self.told
-
-    async def ask(self, row: Planned, planned: float) -> None:
-        deadline = planned + self.day.class_[row.cls].deadline_ms / 1000
+            elif len(tasks) % 64 == 0:
+                # Behind the schedule: responses must still be read.
+                await asyncio.sleep(0)
+            tasks.append(asyncio.ensure_future(self.send_request(row, start + row.at_ms / 1000)))
+        await asyncio.gather(*tasks)
+        self.connections.close()
+        return self.results
+
+    async def send_request(self, row: Planned, scheduled_s: float) -> None:
+        """Send one request and record its result by its deadline."""
+        deadline = scheduled_s + self.day.class_[row.cls].deadline_ms / 1000
         try:
             async with asyncio.timeout_at(
                 asyncio.get_running_loop().time() + deadline - time.monotonic()
             ):
-                lag = await self.turn(planned)
+                lag_ms = await self.acquire_connection(scheduled_s)
                 try:
                     status = await self.exchange(row)
                 finally:
-                    self.out -= 1
-                    if self.waiting and not (following := self.waiting.popleft()).done():
-                        following.set_result(None)
+                    self.open_requests -= 1
+                    if self.waiting and not (next_request := self.waiting.popleft()).done():
+                        next_request.set_result(None)
         except TimeoutError:
-            status, lag = 0, (time.monotonic() - planned) * 1000
+            status, lag_ms = 0, (time.monotonic() - scheduled_s) * 1000
         except (OSError, asyncio.IncompleteReadError, ValueError):
-            status, lag = 0, 0.0
-        self.told.sent.append(Sent(row.number, status, (time.monotonic() - planned) * 1000, lag))
-
-    async def turn(self, planned: float) -> float:
-        """Wait for one of the connections; gives how late the request sets out (ms)."""
-        while self.out >= self.most:
+            status, lag_ms = 0, 0.0
+        self.results.sent.append(
+            RequestResult(row.number, status, (time.monotonic() - scheduled_s) * 1000, lag_ms)
+        )
+
+    async def acquire_connection(self, scheduled_s: float) -> float:
+        """Wait for a free connection and return how late the request is sent (ms)."""
+        while self.open_requests >= self.max_connections:
             free = asyncio.get_running_loop().create_future()
             self.waiting.append(free)
             await free
-        self.out += 1
-        return max(0.0, (time.monotonic() - planned) * 1000)
+        self.open_requests += 1
+        return max(0.0, (time.monotonic() - scheduled_s) * 1000)
 
     async def exchange(self, row: Planned) -> int:
-        reader, writer = await self.idle.open(self.address)
-        kept = False
+        """Send one request and return the status of its response."""
+        reader, writer = await self.connections.open(self.address)
+        reusable = False
         try:
-            writer.write(self.write(self.day, self.seed, row))
-            answer = await http1.read_message(reader)
-            kept = answer.headers.get("connection") != "close"
+            writer.write(self.write_request(self.day, self.seed, row))
+            response = await http1.read_message(reader)
+            reusable = response.headers.get("connection") != "close"
         finally:
-            if kept:
-                self.idle.keep(self.address, reader, writer)
+            if reusable:
+                self.connections.keep(self.address, reader, writer)
             else:
                 writer.close()
-        return answer.status
+        return response.status
 
 
-def rows_of(asked: Plan, part: int, parts: int) -> list[Planned]:
-    """Every `parts`-th row, from `part` on."""
-    columns = (asked.at, asked.cls, asked.tenant, asked.key)
-    rows = zip(range(len(asked)), *(column.tolist() for column in columns), strict=True)
+def rows_of(requests: Plan, part: int, parts: int) -> list[Planned]:
+    """Return every `parts`-th request of a plan, from `part` on."""
+    columns = (requests.at, requests.cls, requests.tenant, requests.key)
+    rows = zip(range(len(requests)), *(column.tolist() for column in columns), strict=True)
     return [Planned(*row) for row in rows if row[0] % parts == part]
 
 
-async def _play(address: str, day: Day, seed: int, way: str, part: int, parts: int, connections: int,
-                start: float) -> Told:  # fmt: skip
+async def play_part(
+    address: str,
+    day: Day,
+    seed: int,
+    way: str,
+    part: int,
+    parts: int,
+    connections: int,
+    start: float,
+) -> LoadResults:
+    """Send one process's part of a plan, through a proxy of its own for the processor."""
     proxy = None
     if way == "processor":
-        from standins.proxy import Proxy  # heavy: only where it is asked for
+        # Imported only when needed, because it is slow to import.
+        from standins.proxy import Proxy
 
         proxy = await Proxy(address, f"lab-{part}").start()
         address = proxy.address
@@ -143,40 +162,59 @@
             await proxy.stop()
 
 
-def _worker(address: str, day: Day, seed: int, way: str, part: int, parts: int, connections: int,
-            start: float) -> Told:  # fmt: skip
-    return asyncio.run(_play(address, day, seed, way, part, parts, connections, start))
+def run_part(
+    address: str,
+    day: Day,
+    seed: int,
+    way: str,
+    part: int,
+    parts: int,
+    connections: int,
+    start: float,
+) -> LoadResults:
+    """Run `play_part` in a process of its own."""
+    return asyncio.run(play_part(address, day, seed, way, part, parts, connections, start))
 
 
 def drive(
-    addresses: Sequence[str], day: Day, seed: int, way: str = "http", processes: int = 2,
-    connections: int = 1000, start: float = 0.0,
-) -> Told:  # fmt: skip
-    """Play a plan against nodes that listen on these addresses; each process sends to one of
-    them."""
-    start = start or time.monotonic() + LEAD
-    whole = Told()
+    addresses: Sequence[str],
+    day: Day,
+    seed: int,
+    way: str = "http",
+    processes: int = 2,
+    connections: int = 1000,
+    start: float = 0.0,
+) -> LoadResults:
+    """Send a plan to nodes that listen on these addresses; each process sends to one of them."""
+    start = start or time.monotonic() + START_DELAY_S
+    all_results = LoadResults()
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(processes, context) as pool:
         running = [
             pool.submit(
-                _worker, addresses[part % len(addresses)], day, seed, way, part, processes,
+                run_part, addresses[part % len(addresses)], day, seed, way, part, processes,
                 max(1, connections // processes), start,
             )
             for part in range(processes)
         ]  # fmt: skip
         for future in running:
-            told = future.result()
-            whole.sent += told.sent
-    return whole
-
-
-def measured(day: Day, seed: int, told: Told) -> Measure:
-    """The same figures as the model's."""
-    measure, asked = Measure(day), plan(day, seed)
-    for one in told.sent:
-        born = float(asked.at[one.number])
-        end = END_BY_STATUS.get(one.status, "failed" if one.status else "lost")
-        measure.offered(born)
-        measure.over(born, int(asked.cls[one.number]), int(asked.tenant[one.number]), end, one.took)
+            part_results = future.result()
+            all_results.sent += part_results.sent
+    return all_results
+
+
+def measured(day: Day, seed: int, results: LoadResults) -> Measure:
+    """Return the results as the same figures as the model's."""
+    measure, requests = Measure(day), plan(day, seed)
+    for result in results.sent:
+        scheduled_at_ms = float(requests.at[result.number])
+        outcome = OUTCOME_BY_STATUS.get(result.status, "failed" if result.status else "lost")
+        measure.offered(scheduled_at_ms)
+        measure.over(
+            scheduled_at_ms,
+            int(requests.cls[result.number]),
+            int(requests.tenant[result.number]),
+            outcome,
+            result.took_ms,
+        )
     return measure
--- a/lab/load/ways.py
+++ b/lab/load/ways.py
@@ -1,5 +1,7 @@
-"""How a planned request becomes one on a socket: HTTP, GraphQL over HTTP, or through a proxy that
-asks us."""
+"""Writers of planned requests: HTTP, GraphQL over HTTP, or HTTP to a proxy that calls the processor.
+
+The proxy asks the node under test how to route each request.
+"""
 
 from __future__ import annotations
 
@@ -13,24 +15,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Planned:
-    """A row of the plan, as its sender needs it."""
+    """A request of the plan, with what its sender needs."""
 
     number: int
-    at: float  # ms from the start
+    at_ms: float  # from the start of the plan
     cls: int
     tenant: int
     key: int
 
 
-Writer = Callable[[Day, int, Planned], bytes]
+RequestWriter = Callable[[Day, int, Planned], bytes]
 
 
-def _headers(day: Day, seed: int, row: Planned) -> dict[str, str]:
-    cls = day.class_[row.cls]
+def common_headers(day: Day, seed: int, row: Planned) -> dict[str, str]:
+    """Return the headers that every request has."""
+    request_class = day.class_[row.cls]
     headers = {
         "host": "backend.local",
         "request-id": f"{seed:x}-{row.number:x}",
-        "request-timeout": f"{cls.deadline_ms:.0f}m",
+        "request-timeout": f"{request_class.deadline_ms:.0f}m",
     }
     if day.tenant:
         headers["tenant"] = day.tenant[row.tenant].name
@@ -38,35 +41,45 @@
 
 
 def http(day: Day, seed: int, row: Planned) -> bytes:
-    """As the platform's protocol has it: the class is the first part of the path, what it is about
-    the last."""
-    cls, headers = day.class_[row.cls], _headers(day, seed, row)
-    if cls.effect == "keyed":
+    """Write a request in the platform's protocol.
+
+    The first part of the path is the request class, the last one the key.
+    """
+    request_class, headers = day.class_[row.cls], common_headers(day, seed, row)
+    if request_class.effect == "keyed":
         headers["idempotency-key"] = f"key-{headers['request-id']}"
     return http1.request(
-        "GET" if cls.effect == "safe" else "POST", f"/{cls.name}/k{row.key}", headers
+        "GET" if request_class.effect == "safe" else "POST",
+        f"/{request_class.name}/k{row.key}",
+        headers,
     )
 
 
-LOOKUP = "query Near($pickup: String!) { cabLookup(pickup: $pickup, limit: 1) { cabs { id } } }"
-ASSIGN = "mutation Take($ride: ID!, $key: String!) { rideAssign(ride: $ride, key: $key) { id } }"
+LOOKUP_QUERY = (
+    "query Near($pickup: String!) { cabLookup(pickup: $pickup, limit: 1) { cabs { id } } }"
+)
+ASSIGN_MUTATION = (
+    "mutation Take($ride: ID!, $key: String!) { rideAssign(ride: $ride, key: $key) { id } }"
+)
 
 
 def graphql(day: Day, seed: int, row: Planned) -> bytes:
-    """A document a class: safe ones ask for cabs, keyed ones assign a ride
-    (`deploy/dispatch.graphql`)."""
-    headers = _headers(day, seed, row) | {
+    """Write a GraphQL request: safe classes look up cabs, keyed classes assign a ride.
+
+    The schema is in `deploy/dispatch.graphql`.
+    """
+    headers = common_headers(day, seed, row) | {
         "content-type": "application/json",
         "accept": "application/graphql-response+json",
     }
     if day.class_[row.cls].effect == "safe":
-        told = {"query": LOOKUP, "variables": {"pickup": f"k{row.key}"}}
+        body = {"query": LOOKUP_QUERY, "variables": {"pickup": f"k{row.key}"}}
     else:
-        told = {
-            "query": ASSIGN,
+        body = {
+            "query": ASSIGN_MUTATION,
             "variables": {"ride": f"k{row.key}", "key": f"key-{headers['request-id']}"},
         }
-    return http1.request("POST", "/graphql", headers, json.dumps(told).encode())
+    return http1.request("POST", "/graphql", headers, json.dumps(body).encode())
 
 
-WAYS: dict[str, Writer] = {"http": http, "graphql": graphql, "processor": http}
+REQUEST_WRITERS: dict[str, RequestWriter] = {"http": http, "graphql": graphql, "processor": http}
