--- a/lab/trial/world.py
+++ b/lab/trial/world.py
@@ -29,6 +29,11 @@
 # has the same.
 LATE_RESPONSE_GRACE_MS = 500.0
 TIMER_CHECK_INTERVAL_S = 0.02
+# The kinds of processes, each with a range of its own in the trial's block of addresses.
+NODE_RANGE = 0
+LIST_RANGE = 1
+SERVER_RANGE = 2
+SEED_NODES = 3  # peers that a node contacts first
 
 
 @dataclass(slots=True, frozen=True)
@@ -124,11 +129,11 @@
         self.switch = Switch(self.shape.seed)
         self.block = AddressBlock()
 
-    def addresses(self, kind: int, number: int) -> tuple[str, str]:
+    def addresses(self, address_range: int, number: int) -> tuple[str, str]:
         """Return the host that a process sends from, and the switch's host at which it is reached."""
-        place = f"{kind * 32 + (number >> 8)}.{number & 255}"
-        shown = f"{128 + kind * 32 + (number >> 8)}.{number & 255}"
-        return f"127.{self.block.number}.{place}", f"127.{self.block.number}.{shown}"
+        real = f"{address_range * 32 + (number >> 8)}.{number & 255}"
+        shown = f"{128 + address_range * 32 + (number >> 8)}.{number & 255}"
+        return f"127.{self.block.number}.{real}", f"127.{self.block.number}.{shown}"
 
     async def start(self) -> World:
         """Start everything; if a part doesn't come up, stop what is already running."""
@@ -149,17 +154,17 @@
                 f"s-{number}", WORK_MS, shape.cores, shape.queue, "k", zone, shape.seed
             )
             server.done = self.effect_times
-            server.host, shown = self.addresses(2, number)
+            server.host, shown = self.addresses(SERVER_RANGE, number)
             await server.start()
             await self.switch.add(server.name, (server.host, server.port), (shown, 0))
             server.shown = "{}:{}".format(*self.switch.endpoints[server.name].switch_address)
             self.servers[server.name] = server
         self.catalog = Catalog([server.entry() for server in self.servers.values()])
-        self.catalog.host, shown = self.addresses(1, 1)
+        self.catalog.host, shown = self.addresses(LIST_RANGE, 1)
         await self.catalog.start()
         await self.switch.add(LIST, (self.catalog.host, self.catalog.port), (shown, 0))
         for number in range(shape.nodes):
-            real, shown = self.addresses(0, number + 1)
+            real, shown = self.addresses(NODE_RANGE, number + 1)
             await self.switch.add(f"n{number}", (real, PEERS_PORT), (shown, PEERS_PORT))
             file = self.folder / f"n{number}.toml"
             file.write_text(self.node_file(number))
@@ -170,7 +175,7 @@
 
     def node_file(self, number: int) -> str:
         """Return the text of a node's settings file."""
-        shape, (real, shown) = self.shape, self.addresses(0, number + 1)
+        shape, (real, shown) = self.shape, self.addresses(NODE_RANGE, number + 1)
         zone, node_count = (
             shape.zones[number % len(shape.zones)],
             shape.configured_nodes or shape.nodes,
@@ -189,8 +194,11 @@
         for name, share in TENANTS.items():
             lines.append(f'[[tenant]]\nname = "{name}"\nquota_per_s = {shape.quota * share:.3f}')
         if shape.peers:
-            first = [self.addresses(0, at + 1)[1] for at in range(min(3, shape.nodes))]
-            seeds = ", ".join(f'"{host}:{PEERS_PORT}"' for host in first)
+            seed_hosts = [
+                self.addresses(NODE_RANGE, index + 1)[1]
+                for index in range(min(SEED_NODES, shape.nodes))
+            ]
+            seeds = ", ".join(f'"{host}:{PEERS_PORT}"' for host in seed_hosts)
             lines += [
                 f'[peers]\nlisten = "{real}:{PEERS_PORT}"\nadvertise = "{shown}:{PEERS_PORT}"',
                 f'group = "trial"\nsecret = "a secret of this trial"\nseeds = [{seeds}]',
@@ -276,8 +284,8 @@
         zones = self.shape.zones
         zone_of = {name: zones[at % len(zones)] for at, name in enumerate(self.nodes)}
         zone_of |= {server.name: server.zone for server in self.servers.values()}
-        return [n for n, z in zone_of.items() if z == zone], [
-            n for n, z in zone_of.items() if z != zone
+        return [name for name, other in zone_of.items() if other == zone], [
+            name for name, other in zone_of.items() if other != zone
         ]
 
     async def kill_node(self, name: str) -> None:
