--- a/standins/demo.py
+++ b/standins/demo.py
@@ -134,7 +134,7 @@
                 if server.slowness > 1
                 else "ready"
             )
-            bar = "#" * server.held
+            bar = "#" * server.in_flight
             rows.append(
                 f"{server.name:6}{server.kind:9}{state:9}{len(server.seen):>7} requests  {bar}"
             )
--- a/standins/http1.py
+++ b/standins/http1.py
@@ -1,5 +1,8 @@
-"""The little of HTTP/1.1 that the stand-ins speak: whole messages with a length, or a body that
-goes on."""
+"""The subset of HTTP/1.1 that the stand-ins use.
+
+Messages are complete and have a `content-length`, or no body. A stand-in that streams a body writes
+its chunks itself.
+"""
 
 from __future__ import annotations
 
@@ -7,41 +10,47 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-MAX_BODY = 1 << 16
+MAX_BODY_BYTES = 1 << 16
 
 
 @dataclass(slots=True)
 class Message:
-    """A request or an answer. Header names are in lower case."""
+    """A request or a response. Header names are in lower case."""
 
-    start: list[str]  # the three words of the first line
+    # The three words of the request line or status line.
+    start: list[str]
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
 
     @property
     def status(self) -> int:
+        """The status code of a response."""
         return int(self.start[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """The next message. asyncio.IncompleteReadError where the connection ends, ValueError on
-    others."""
-    head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-    first, *lines = head[:-4].split("\r\n")
+    """Read the next message.
+
+    Raises asyncio.IncompleteReadError where the connection ends, and ValueError where the message
+    is malformed or its body exceeds MAX_BODY_BYTES.
+    """
+    header_section = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
+    first, *lines = header_section[:-4].split("\r\n")
     message = Message(first.split(" ", 2))
     if len(message.start) < 2:
-        raise ValueError(f"{first!r} is no first line")
+        raise ValueError(f"{first!r} is not a request line or status line")
     for line in lines:
         name, _, value = line.partition(":")
         message.headers[name.strip().lower()] = value.strip()
     length = int(message.headers.get("content-length", 0))
-    if length > MAX_BODY:
-        raise ValueError("a body over the limit")
+    if length > MAX_BODY_BYTES:
+        raise ValueError("the body exceeds the limit")
     message.body = await reader.readexactly(length)
     return message
 
 
 def request(method: str, target: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
+    """Return a request in wire format; `content-length` is added for a body and for each POST."""
     lines = [
         f"{method} {target} HTTP/1.1",
         *(f"{name}: {value}" for name, value in headers.items()),
@@ -52,6 +61,7 @@
 
 
 def answer(status: int, headers: Mapping[str, str] | None = None, body: bytes = b"") -> bytes:
+    """Return a response in wire format, with `content-length` added."""
     lines = [
         f"HTTP/1.1 {status} -",
         *(f"{name}: {value}" for name, value in (headers or {}).items()),
@@ -62,16 +72,19 @@
 
 
 class Connections:
-    """A client's idle connections, by address."""
+    """Pool of a client's idle connections, by address."""
 
     def __init__(self) -> None:
         self.idle: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
 
     async def open(self, address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """An idle connection that is still open, or a new one. Raises OSError."""
-        waiting = self.idle.setdefault(address, [])
-        while waiting:
-            reader, writer = waiting.pop()
+        """Return an idle connection that is still open, or a new one.
+
+        Raises OSError where no connection can be opened.
+        """
+        idle = self.idle.setdefault(address, [])
+        while idle:
+            reader, writer = idle.pop()
             if not (reader.at_eof() or writer.is_closing()):
                 return reader, writer
             writer.close()
@@ -81,10 +94,12 @@
     def keep(
         self, address: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
+        """Put a connection back into the pool."""
         self.idle.setdefault(address, []).append((reader, writer))
 
     def close(self) -> None:
-        for waiting in self.idle.values():
-            for _, writer in waiting:
+        """Close all idle connections."""
+        for idle in self.idle.values():
+            for _, writer in idle:
                 writer.close()
         self.idle.clear()
--- a/standins/server.py
+++ b/standins/server.py
@@ -1,8 +1,8 @@
-"""A dispatch server: HTTP/1.1 as the platform's protocol has it, a few cores, and faults on
-command.
+"""Dispatch server over HTTP/1.1 with a few cores and with faults on command.
 
-It drops repeats of an idempotency key for a while, counts the effects that each key had, and
-remembers when each request began to reach it, so that a test can check the rules from outside.
+It follows the platform's protocol. It drops repeats of an idempotency key for a while, counts the
+effects that each key had, and records when each request arrived, so that a test can check the rules
+from outside.
 """
 
 from __future__ import annotations
@@ -17,33 +17,53 @@
 
 from standins import http1
 
-MAX_SEEN = 200_000  # requests remembered
+# The latest requests that a server keeps a record of.
+MAX_RECORDED_REQUESTS = 200_000
+# Far longer than any client waits for a silent server.
+SILENCE_S = 3600
+# Minimum and maximum service time in ms of a request class that a server has no times for.
+DEFAULT_WORK_MS = (1.0, 1.0)
 
 
 @dataclass(slots=True, frozen=True)
 class Seen:
-    """A request that reached the server."""
+    """Record of a request that reached the server."""
 
     id: str
-    key: str  # its idempotency key
+    # The idempotency key, or empty.
+    key: str
     target: str
-    at: float  # s on the monotonic clock
-    source: str = ""  # the address that it came from
+    # Arrival in s on the monotonic clock.
+    at: float
+    # The IP address of the peer.
+    source: str = ""
 
 
 class DispatchServer:
-    """One server. `slowness` multiplies its work, `silent` and `failing` are shares of requests."""
+    """One dispatch server.
+
+    Its faults are attributes: `slowness` multiplies the service time, `silent` is the share of
+    requests that get no response, `failing` the share that get status 500. While it is `draining`
+    it rejects every request as not started.
+
+    Args:
+        work: By request class, the minimum and maximum service time in ms.
+        cores: Requests that are processed at once.
+        queue: Requests that may wait for a core; those beyond are rejected as not started.
+        kind: The machine type in the endpoint list.
+        window: How long repeats of an idempotency key are dropped, in s.
+    """
 
     def __init__(
         self,
         name: str,
-        work: dict[str, tuple[float, float]],  # by class: ms of work, from and to
+        work: dict[str, tuple[float, float]],
         cores: int = 2,
         queue: int = 4,
         kind: str = "k2-fast",
         zone: str = "angyalfold",
         seed: int = 1,
-        window: float = 6.0,  # s for which repeats are dropped
+        window: float = 6.0,
     ) -> None:
         self.name, self.work, self.kind, self.zone = name, work, kind, zone
         self.cores, self.queue, self.window = cores, queue, window
@@ -51,25 +71,30 @@
         self.slowness, self.silent, self.failing = 1.0, 0.0, 0.0
         self.draining = False
         self.state = "active"
-        self.started_at = 0  # Unix ms, as the list says it
+        # Unix time in ms, as the endpoint list has it.
+        self.started_at = 0
         self.slots = asyncio.Semaphore(cores)
-        self.held = 0
-        self.seen: deque[Seen] = deque(maxlen=MAX_SEEN)
-        self.effects: Counter[str] = Counter()  # by idempotency key
-        self.done: dict[
-            str, float
-        ] = {}  # keys and when they had their effect; a group's servers share it
-        self.life = 0  # over each, work that is under way is gone
+        self.in_flight = 0
+        self.seen: deque[Seen] = deque(maxlen=MAX_RECORDED_REQUESTS)
+        # Count of effects by idempotency key.
+        self.effects: Counter[str] = Counter()
+        # When each idempotency key had its effect, in s on the monotonic clock. The servers of a
+        # group share this dict.
+        self.done: dict[str, float] = {}
+        # Counts the stops of the process: work in flight does not survive one.
+        self.generation = 0
         self.writers: set[asyncio.StreamWriter] = set()
         self.host, self.port = "127.0.0.1", 0
-        self.shown = ""  # the address in the list, where that is another
+        # The address in the endpoint list, where it differs from the address of the socket.
+        self.shown = ""
 
     @property
     def address(self) -> str:
+        """The address as the endpoint list has it."""
         return self.shown or f"{self.host}:{self.port}"
 
     def entry(self, state: str | None = None) -> dict[str, Any]:
-        """Its line of the server list."""
+        """Return the server's entry of the endpoint list."""
         return {
             "instanceId": self.name,
             "hostPort": self.address,
@@ -82,19 +107,23 @@
         }
 
     async def start(self, port: int = 0) -> DispatchServer:
+        """Listen on `port`, or on a free port where it is 0."""
         self.server = await asyncio.start_server(self.serve, self.host, port)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     def stop(self) -> None:
-        """As a process that dies: connections are reset, new ones refused, work under way has no
-        effect."""
-        self.life += 1
+        """Behave as a process that dies.
+
+        Connections are reset, new ones are refused, and work in flight has no effect.
+        """
+        self.generation += 1
         self.server.close()
         for writer in list(self.writers):
             writer.transport.abort()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Respond to the requests of one connection until it ends."""
         self.writers.add(writer)
         source = str(writer.get_extra_info("peername")[0])
         try:
@@ -107,43 +136,52 @@
             writer.close()
 
     async def answer(self, request: http1.Message, source: str = "") -> bytes:
-        name, key = (
+        """Process one request and return the response in wire format."""
+        request_id, key = (
             request.headers.get("request-id", ""),
             request.headers.get("idempotency-key", ""),
         )
-        self.seen.append(Seen(name, key, request.start[1], time.monotonic(), source))
-        if not name:
+        self.seen.append(Seen(request_id, key, request.start[1], time.monotonic(), source))
+        if not request_id:
             return http1.answer(404)
-        if self.draining or self.held >= self.cores + self.queue:
+        if self.draining or self.in_flight >= self.cores + self.queue:
             return http1.answer(503, {"not-started": "1"})
-        chance = self.random.random()
-        if chance < self.silent:
-            await asyncio.sleep(3600)
-        if chance < self.silent + self.failing:
+        draw = self.random.random()
+        if draw < self.silent:
+            await asyncio.sleep(SILENCE_S)
+        if draw < self.silent + self.failing:
             return http1.answer(500)
         by_graphql = request.start[1] == "/graphql"
         if by_graphql:
-            from standins import graphql  # its library is heavy
+            # Imported here: the GraphQL library loads slowly, and most servers do without it.
+            from standins import graphql
 
             fields = graphql.root_fields(json.loads(request.body).get("query", ""))
-            ranges = [self.work.get(graphql.WORK_OF.get(name, ""), (1.0, 1.0)) for name in fields]
-            low, high = (sum(ends) for ends in zip(*ranges, strict=True)) if ranges else (1.0, 1.0)
+            ranges = [
+                self.work.get(graphql.WORK_OF.get(name, ""), DEFAULT_WORK_MS) for name in fields
+            ]
+            min_ms, max_ms = (
+                (sum(ends) for ends in zip(*ranges, strict=True)) if ranges else DEFAULT_WORK_MS
+            )
         else:
-            low, high = self.work.get(request.start[1].split("/")[1], (1.0, 1.0))
-        self.held += 1
-        life = self.life
+            min_ms, max_ms = self.work.get(request.start[1].split("/")[1], DEFAULT_WORK_MS)
+        self.in_flight += 1
+        generation = self.generation
         try:
             async with self.slots:
-                await asyncio.sleep(self.random.uniform(low, high) * self.slowness / 1000)
+                await asyncio.sleep(self.random.uniform(min_ms, max_ms) * self.slowness / 1000)
         finally:
-            self.held -= 1
+            self.in_flight -= 1
         now = time.monotonic()
-        if life != self.life:
-            return http1.answer(500)  # nobody is there to read it
+        if generation != self.generation:
+            # The server stopped meanwhile: the connection is gone, and nobody reads this.
+            return http1.answer(500)
         if key and now - self.done.get(key, -self.window) >= self.window:
             self.done[key] = now
             self.effects[key] += 1
         if by_graphql:
             status, body = graphql.answer(self.name, request.body)
             return http1.answer(status, {"content-type": "application/graphql-response+json"}, body)
-        return http1.answer(200, {"content-type": "text/plain"}, f"{self.name} {name}\n".encode())
+        return http1.answer(
+            200, {"content-type": "text/plain"}, f"{self.name} {request_id}\n".encode()
+        )
--- a/standins/traffic.py
+++ b/standins/traffic.py
@@ -1,4 +1,4 @@
-"""Clients: requests of the brief's classes and tenants at seeded times, and what came of each."""
+"""Load generator: requests of all classes and tenants at seeded times, with the result of each."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 
 from standins import http1
 
+# The share of the requests that each tenant sends.
 TENANTS = {
     "fovarosi": 0.26,
     "pesti": 0.16,
@@ -26,7 +27,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Kind:
-    """A class of requests, in ms."""
+    """A request class; its times are in ms.
+
+    A response within `aim` earns `worth`; after `deadline` the client no longer waits.
+    """
 
     name: str
     share: float
@@ -42,7 +46,7 @@
 
 
 def class_tables() -> list[str]:
-    """These classes as lines of an operator's file."""
+    """Return the settings of these classes for an operator's file."""
     lines: list[str] = []
     for kind in KINDS:
         lines += [
@@ -55,31 +59,39 @@
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """A request to come: all of it is drawn ahead."""
+    """A request that will be sent; all of it is drawn ahead."""
 
-    at: float  # s from the start
+    # When it is sent, in s from the start.
+    at: float
     kind: Kind
     tenant: str
-    name: str  # its id
-    ride: str  # what it is about
+    # The request id.
+    name: str
+    # The ride that it asks about.
+    ride: str
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
+    """The result of one request."""
+
     arrival: Arrival
-    status: int  # 0: no answer within its time
-    took: float  # ms
+    # The HTTP status, 0 where no response came in time.
+    status: int
+    # The response time in ms.
+    took: float
     retry_after: str
 
     @property
     def outcome(self) -> str:
+        """One of served, refused (429 or 503), failed (another status) and lost (no response)."""
         if self.status == 200:
             return "served"
         return "refused" if self.status in (429, 503) else "failed" if self.status else "lost"
 
     @property
     def worth(self) -> float:
-        """What the answer is worth: all within the aim, nothing after it."""
+        """What the response is worth: all of it within the aim, nothing after it."""
         return (
             self.arrival.kind.worth
             if self.status == 200 and self.took <= self.arrival.kind.aim
@@ -88,8 +100,10 @@
 
 
 def arrivals(seed: int, rate: float, seconds: float, rides: int = 500) -> Iterator[Arrival]:
-    """Poisson arrivals at `rate` a second; of the rides a few are far more popular than the
-    rest."""
+    """Draw Poisson arrivals at `rate` per second.
+
+    A few of the rides are far more popular than the rest.
+    """
     rng, at, number = random.Random(seed), 0.0, 0
     while (at := at + rng.expovariate(rate)) < seconds:
         number += 1
@@ -102,39 +116,44 @@
 async def exchange(
     address: str, data: bytes, deadline: float, connections: http1.Connections
 ) -> http1.Message | None:
-    """One request on a connection that is kept; None where no answer came within `deadline` ms."""
+    """Send one request on a pooled connection and return the response.
+
+    Returns None where no response came within `deadline` ms.
+    """
     try:
         async with asyncio.timeout(deadline / 1000):
             reader, writer = await connections.open(address)
             try:
                 writer.write(data)
-                answer = await http1.read_message(reader)
+                response = await http1.read_message(reader)
             except BaseException:
                 writer.close()
                 raise
     except (TimeoutError, OSError, asyncio.IncompleteReadError, ValueError):
         return None
-    if answer.headers.get("connection") == "close":
+    if response.headers.get("connection") == "close":
         writer.close()
     else:
         connections.keep(address, reader, writer)
-    return answer
+    return response
 
 
-def result_of(arrival: Arrival, began: float, answer: http1.Message | None) -> Result:
-    """What came of an arrival that was sent at `began`."""
-    took = (time.monotonic() - began) * 1000
-    if answer is None:
-        return Result(arrival, 0, took, "")
-    return Result(arrival, answer.status, took, answer.headers.get("retry-after", ""))
+def result_of(arrival: Arrival, sent_at: float, response: http1.Message | None) -> Result:
+    """Return the result of an arrival that was sent at `sent_at`, in s on the monotonic clock."""
+    took_ms = (time.monotonic() - sent_at) * 1000
+    if response is None:
+        return Result(arrival, 0, took_ms, "")
+    return Result(arrival, response.status, took_ms, response.headers.get("retry-after", ""))
 
 
 async def ask(
     address: str, arrival: Arrival, connections: http1.Connections, patience: float = 0.0
 ) -> Result:
-    """Send one request; its time counts from here. An answer is waited for `patience` ms beyond
-    it."""
-    kind, began = arrival.kind, time.monotonic()
+    """Send one request; its response time counts from here.
+
+    The client waits for the response until `patience` ms after the request's deadline.
+    """
+    kind, sent_at = arrival.kind, time.monotonic()
     headers = {
         "host": "backend.local",
         "request-id": arrival.name,
@@ -146,7 +165,7 @@
     target = f"/{kind.name}/{arrival.ride}"
     data = http1.request("POST" if kind.keyed else "GET", target, headers)
     return result_of(
-        arrival, began, await exchange(address, data, kind.deadline + patience, connections)
+        arrival, sent_at, await exchange(address, data, kind.deadline + patience, connections)
     )
 
 
@@ -154,17 +173,19 @@
 
 
 async def play(address: str, coming: list[Arrival], ask: Ask = ask) -> list[Result]:
-    """Send all arrivals at their times, whatever came of those before."""
+    """Send each arrival at its time, independent of the results of earlier ones."""
     connections, start = http1.Connections(), time.monotonic()
-    asking: list[asyncio.Task[Result]] = []
+    in_flight: list[asyncio.Task[Result]] = []
     for arrival in coming:
         await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
-        asking.append(asyncio.ensure_future(ask(address, arrival, connections)))
-    results = list(await asyncio.gather(*asking))
+        in_flight.append(asyncio.ensure_future(ask(address, arrival, connections)))
+    results = list(await asyncio.gather(*in_flight))
     connections.close()
     return results
 
 
 def served_share(results: list[Result]) -> float:
-    """Worth answered within the aim over the worth asked for."""
-    return sum(r.worth for r in results) / sum(r.arrival.kind.worth for r in results)
+    """Return the worth of the responses within the aim over the worth of all requests."""
+    return sum(result.worth for result in results) / sum(
+        result.arrival.kind.worth for result in results
+    )
