--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,2 +1,4 @@
-"""Stand-ins for outside systems: published protocols, faults on command; for tests, demo and
-benchmarks."""
+"""Stand-ins for outside systems, for tests, the demo and benchmarks.
+
+They speak the published protocols and have faults on command.
+"""
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -25,12 +25,18 @@
 from standins.server import DispatchServer
 from standins.traffic import KINDS, Arrival, Result, arrivals, ask
 
-SERVERS = 8
-RATE = 110.0  # requests a second, about two thirds of what the fleet can do
-PROXY_SHARE = 0.3  # of the traffic goes through the proxy and the external processor
-READY_WITHIN = 30.0  # s
-PAINT = 0.5  # s
-RECENT = 10.0  # s that the table looks back
+SERVER_COUNT = 8
+# About two thirds of the capacity of the fleet.
+RATE_PER_S = 110.0
+# The share of the traffic that goes through the proxy and the external processor.
+PROXY_SHARE = 0.3
+READY_TIMEOUT_S = 30.0
+PAINT_INTERVAL_S = 0.5
+# Without a terminal the table is printed at every tenth repaint.
+REPAINTS_PER_PRINT = 10
+# The table shows the requests of this last period.
+TABLE_PERIOD_S = 10.0
+# The frontend that each log event announces.
 FRONTS = {
     "http.listening": "http",
     "processor.listening": "processor",
@@ -39,7 +45,7 @@
 
 
 class NodeProcess:
-    """`python -m badgercart serve FILE`, and where its fronts listen."""
+    """Process of `python -m badgercart serve FILE`, and where its frontends listen."""
 
     def __init__(self, wanted: tuple[str, ...] = ("http", "processor")) -> None:
         self.wanted = set(wanted)
@@ -48,7 +54,10 @@
         self.ready = asyncio.Event()
 
     async def start(self, path: Path) -> None:
-        """Raises RuntimeError, with what it said, where it does not come up."""
+        """Start the node and wait until it is ready.
+
+        Raises RuntimeError with its log lines where it ends or is not ready in time.
+        """
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-B",
@@ -62,7 +71,7 @@
         ended = asyncio.ensure_future(self.process.wait())
         ready = asyncio.ensure_future(self.ready.wait())
         await asyncio.wait(
-            (ended, ready), timeout=READY_WITHIN, return_when=asyncio.FIRST_COMPLETED
+            (ended, ready), timeout=READY_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
         )
         ready.cancel()
         if not self.ready.is_set():
@@ -70,21 +79,24 @@
             raise RuntimeError("the node did not come up:\n" + "\n".join(self.lines))
 
     async def read(self) -> None:
+        """Read the node's log until it ends, and note when the node is ready."""
         assert self.process.stderr is not None
-        listed = False
+        has_endpoint_list = False
         while line := (await self.process.stderr.readline()).decode().rstrip():
             self.lines.append(line)
             try:
-                told = json.loads(line)
+                event = json.loads(line)
             except ValueError:
-                continue  # what was wrong before there was a log
-            if (name := FRONTS.get(told["event"])) is not None:
-                self.fronts[name] = f"{told['host']}:{told['port']}"
-            listed = listed or told["event"] == "list.taken"
-            if listed and self.fronts.keys() >= self.wanted:
+                # Errors from before the log is set up are plain text.
+                continue
+            if (name := FRONTS.get(event["event"])) is not None:
+                self.fronts[name] = f"{event['host']}:{event['port']}"
+            has_endpoint_list = has_endpoint_list or event["event"] == "list.taken"
+            if has_endpoint_list and self.fronts.keys() >= self.wanted:
                 self.ready.set()
 
     async def stop(self) -> int:
+        """Stop the node and return its exit code."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
         code = await self.process.wait()
@@ -93,8 +105,10 @@
 
 
 class Table:
-    """What came of the last seconds' requests, painted in place on a terminal, else line by
-    line."""
+    """Table of the results of recent requests and the state of the servers.
+
+    On a terminal it is painted in place, else it is printed again and again.
+    """
 
     def __init__(self, fleet: Fleet, node: NodeProcess) -> None:
         self.fleet, self.node = fleet, node
@@ -103,27 +117,36 @@
         self.note = "calm"
         self.live = sys.stdout.isatty()
 
-    def add(self, way: str, result: Result) -> None:
-        self.results.append((time.monotonic(), way, result))
+    def add(self, frontend: str, result: Result) -> None:
+        """Add the result of a request that went to a frontend."""
+        self.results.append((time.monotonic(), frontend, result))
         self.total[result.outcome] += 1
 
     def rows(self) -> list[str]:
+        """Return the table's lines."""
         now = time.monotonic()
-        while self.results and self.results[0][0] < now - RECENT:
+        while self.results and self.results[0][0] < now - TABLE_PERIOD_S:
             self.results.popleft()
         rows = [
             f"{'last 10 s':22}{'asked':>7}{'served':>8}{'refused':>9}{'failed':>8}{'p50 ms':>8}{'p99 ms':>8}"
         ]
-        for way in ("http", "processor"):
+        for frontend in ("http", "processor"):
             for kind in KINDS:
-                found = [r for _, w, r in self.results if w == way and r.arrival.kind is kind]
-                outcomes = Counter(r.outcome for r in found)
-                took = sorted(r.took for r in found if r.outcome == "served") or [0.0]
+                found = [
+                    result
+                    for _, result_frontend, result in self.results
+                    if result_frontend == frontend and result.arrival.kind is kind
+                ]
+                outcomes = Counter(result.outcome for result in found)
+                took_ms = sorted(result.took for result in found if result.outcome == "served") or [
+                    0.0
+                ]
                 served, refused = outcomes["served"], outcomes["refused"]
                 failed = outcomes["failed"] + outcomes["lost"]
                 rows.append(
-                    f"{kind.name + ' / ' + way:22}{len(found):>7}{served:>8}{refused:>9}"
-                    f"{failed:>8}{took[len(took) // 2]:>8.0f}{took[len(took) * 99 // 100]:>8.0f}"
+                    f"{kind.name + ' / ' + frontend:22}{len(found):>7}{served:>8}{refused:>9}"
+                    f"{failed:>8}{took_ms[len(took_ms) // 2]:>8.0f}"
+                    f"{took_ms[len(took_ms) * 99 // 100]:>8.0f}"
                 )
         rows += ["", f"now: {self.note}", ""]
         for server in self.fleet.servers:
@@ -141,18 +164,19 @@
         return rows
 
     async def paint(self) -> None:
-        for turn in itertools.count():
-            await asyncio.sleep(PAINT)
+        """Show the table at each interval."""
+        for repaint in itertools.count():
+            await asyncio.sleep(PAINT_INTERVAL_S)
             rows = self.rows()
             if self.live:
                 sys.stdout.write("\x1b[H\x1b[2J" + "\n".join(rows) + "\n")
-            elif turn % 10 == 9:
+            elif repaint % REPAINTS_PER_PRINT == REPAINTS_PER_PRINT - 1:
                 print("\n".join(rows), end="\n\n")
             sys.stdout.flush()
 
 
-async def troubles(fleet: Fleet, table: Table, rng: random.Random) -> None:
-    """A slow server and a drain, over and over."""
+async def inject_faults(fleet: Fleet, table: Table, rng: random.Random) -> None:
+    """Slow down a server, then drain, stop and restart one, again and again."""
     while True:
         await asyncio.sleep(6)
         slow: DispatchServer = rng.choice([s for s in fleet.servers if s.state == "active"])
@@ -172,30 +196,31 @@
         table.note = "calm"
 
 
-async def traffic(ways: dict[str, str], table: Table, seconds: float) -> None:
-    """Requests until the time is up; the table gets each as it ends."""
+async def traffic(addresses: dict[str, str], table: Table, seconds: float) -> None:
+    """Send requests for a time; the table gets the result of each as it ends."""
     connections, start, rng = http1.Connections(), time.monotonic(), random.Random(2)
-    under_way: set[asyncio.Task[None]] = set()
+    in_flight: set[asyncio.Task[None]] = set()
 
-    async def one(way: str, arrival: Arrival) -> None:
-        table.add(way, await ask(ways[way], arrival, connections))
+    async def send(frontend: str, arrival: Arrival) -> None:
+        table.add(frontend, await ask(addresses[frontend], arrival, connections))
 
-    for arrival in arrivals(1, RATE, seconds):
+    for arrival in arrivals(1, RATE_PER_S, seconds):
         await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
-        way = "processor" if rng.random() < PROXY_SHARE else "http"
-        task = asyncio.ensure_future(one(way, arrival))
-        under_way.add(task)
-        task.add_done_callback(under_way.discard)
-    if under_way:
-        await asyncio.wait(under_way)
+        frontend = "processor" if rng.random() < PROXY_SHARE else "http"
+        task = asyncio.ensure_future(send(frontend, arrival))
+        in_flight.add(task)
+        task.add_done_callback(in_flight.discard)
+    if in_flight:
+        await asyncio.wait(in_flight)
     connections.close()
 
 
 async def demo(seconds: float, as_json: bool) -> int:
+    """Run the demo and return the node's exit code, or 1 where the node does not become ready."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, stop.set)
-    fleet, node = await Fleet(SERVERS).start(), NodeProcess(("http", "processor", "graphql"))
+    fleet, node = await Fleet(SERVER_COUNT).start(), NodeProcess(("http", "processor", "graphql"))
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "demo.toml"
         etcd = await fleet.start_etcd()
@@ -219,6 +244,7 @@
 
 
 async def until(stop: asyncio.Event, seconds: float) -> None:
+    """Wait for the event, for some seconds at most."""
     try:
         async with asyncio.timeout(seconds):
             await stop.wait()
@@ -227,15 +253,16 @@
 
 
 async def show(fleet: Fleet, node: NodeProcess, stop: asyncio.Event, seconds: float) -> None:
+    """Run traffic and faults with the live table until the time is up."""
     proxy = await Proxy(node.fronts["processor"]).start()
     table = Table(fleet, node)
-    ways = {"http": node.fronts["http"], "processor": proxy.address}
+    addresses = {"http": node.fronts["http"], "processor": proxy.address}
     tasks = [
         asyncio.ensure_future(work)
         for work in (
-            traffic(ways, table, seconds),
+            traffic(addresses, table, seconds),
             table.paint(),
-            troubles(fleet, table, random.Random(3)),
+            inject_faults(fleet, table, random.Random(3)),
         )
     ]
     await until(stop, seconds)
@@ -247,6 +274,7 @@
 
 
 def main() -> int:
+    """Run the program and return its exit code."""
     parser = argparse.ArgumentParser(prog="./demo", description=__doc__)
     parser.add_argument(
         "--seconds", type=float, default=60.0, metavar="N", help="how long to run (60)"
--- a/standins/graphql.py
+++ b/standins/graphql.py
@@ -1,5 +1,4 @@
-"""The GraphQL side of a dispatch server: the dispatch schema, with results of this server's own
-making."""
+"""GraphQL API of a dispatch server: the dispatch schema with results that the server makes up."""
 
 from __future__ import annotations
 
@@ -12,13 +11,16 @@
 
 SCHEMA_FILE = Path(__file__).parent.parent / "deploy" / "dispatch.graphql"
 SCHEMA = build_schema(SCHEMA_FILE.read_text())
-# Which of the brief's classes a root field's work is.
+# The request class that sets the service time of a root field.
 WORK_OF = {"cabLookup": "cab-lookup", "rideAssign": "ride-assign"}
 
 
 @lru_cache(maxsize=1024)
-def _read(query: str) -> tuple[DocumentNode | None, int, bytes]:
-    """A document, or the status and the body that say why it is none."""
+def _parse(query: str) -> tuple[DocumentNode | None, int, bytes]:
+    """Parse and validate a query.
+
+    Returns the document with status 200, or None with the status and body of the error response.
+    """
     try:
         document = parse(query)
     except GraphQLError as error:
@@ -29,8 +31,8 @@
 
 
 def root_fields(query: str) -> list[str]:
-    """The names of the first operation's root fields, for the work that they are."""
-    document, _, _ = _read(query)
+    """Return the names of the first operation's root fields, which set the service time."""
+    document, _, _ = _parse(query)
     if document is None:
         return []
     selections = getattr(document.definitions[0], "selection_set", None)
@@ -38,25 +40,29 @@
 
 
 def answer(server: str, body: bytes) -> tuple[int, bytes]:
-    """Status and body of a reply."""
-    asked = json.loads(body)
-    document, status, fault = _read(asked["query"])
+    """Execute the query of a request body and return the response's status and body."""
+    request = json.loads(body)
+    document, status, error_body = _parse(request["query"])
     if document is None:
-        return status, fault
+        return status, error_body
 
     def resolve(source: Any, info: Any, **arguments: Any) -> Any:
         if info.parent_type.name in ("Query", "Mutation"):
             if info.field_name == "cabLookup":
-                cabs = [{"id": f"cab{n}", "minutes": n + 2} for n in range(arguments["limit"] or 0)]
+                cabs = [
+                    {"id": f"cab{number}", "minutes": number + 2}
+                    for number in range(arguments["limit"] or 0)
+                ]
                 return {"pickup": arguments["pickup"], "cabs": cabs}
             return {"id": arguments["ride"], "server": server, "cab": {"id": "cab1", "minutes": 4}}
         return source.get(info.field_name)
 
-    variables = asked.get("variables") or {}
-    done = execute_sync(SCHEMA, document, variable_values=variables, field_resolver=resolve)
-    return 200, json.dumps(done.formatted).encode()
+    variables = request.get("variables") or {}
+    result = execute_sync(SCHEMA, document, variable_values=variables, field_resolver=resolve)
+    return 200, json.dumps(result.formatted).encode()
 
 
 def _errors(errors: list[GraphQLError], code: str) -> bytes:
-    told = [dict(error.formatted) | {"extensions": {"code": code}} for error in errors]
-    return json.dumps({"errors": told}).encode()
+    """Return the body of an error response."""
+    formatted = [dict(error.formatted) | {"extensions": {"code": code}} for error in errors]
+    return json.dumps({"errors": formatted}).encode()
--- a/standins/saturday.py
+++ b/standins/saturday.py
@@ -2,7 +2,8 @@
 silent at times, one that fails, one that leaves and comes back cold, and a few rides that everybody
 asks about.
 
-`python -m standins.saturday OUT.bcap` plays it on sockets and keeps the node's capture of it."""
+`python -m standins.saturday OUT.bcap` plays it on sockets and keeps the node's capture of it.
+"""  # noqa: D205  -- the help text prints it
 
 from __future__ import annotations
 
@@ -18,13 +19,14 @@
 from standins.fleet import Fleet, operators_file
 from standins.traffic import arrivals, play, served_share
 
-SERVERS = 8
-RATE = 210.0  # requests a second, near what the fleet can do while a quarter of it is slow
-RIDES = 60
+SERVER_COUNT = 8
+# Near the capacity of the fleet while a quarter of it is slow.
+RATE_PER_S = 210.0
+RIDE_COUNT = 60
 
 
-async def trouble(fleet: Fleet, seconds: float) -> None:
-    """What befalls the fleet, in shares of the time."""
+async def inject_faults(fleet: Fleet, seconds: float) -> None:
+    """Inject the faults of the day, at fixed shares of its length."""
     slow, silent, failing, leaving = (
         fleet.servers[:2],
         fleet.servers[2],
@@ -46,42 +48,50 @@
 
 
 async def record(output: Path, seconds: float, seed: int) -> str:
-    """Play one day against a node; what came of it, in words. Raises OSError and RuntimeError."""
-    fleet = await Fleet(SERVERS, seed).start()
+    """Play one day against a node and return a summary of the results.
+
+    Raises OSError and RuntimeError.
+    """
+    fleet = await Fleet(SERVER_COUNT, seed).start()
     with tempfile.TemporaryDirectory() as folder:
-        file, kept = Path(folder) / "saturday.toml", Path(folder) / "capture"
-        kept.mkdir()
+        file, capture = Path(folder) / "saturday.toml", Path(folder) / "capture"
+        capture.mkdir()
         text = operators_file(fleet.catalog.address)
-        more = f'[capture]\nfolder = "{kept}"\nsegment_bytes = {1 << 30}\nkeep_bytes = {1 << 32}\n'
-        file.write_text(text + more)
+        capture_settings = (
+            f'[capture]\nfolder = "{capture}"\nsegment_bytes = {1 << 30}\nkeep_bytes = {1 << 32}\n'
+        )
+        file.write_text(text + capture_settings)
         node = NodeProcess(("http",))
         await node.start(file)
-        troubles = asyncio.ensure_future(trouble(fleet, seconds))
+        faults = asyncio.ensure_future(inject_faults(fleet, seconds))
         try:
-            results = await play(node.fronts["http"], list(arrivals(seed, RATE, seconds, RIDES)))
-            await troubles
+            results = await play(
+                node.fronts["http"], list(arrivals(seed, RATE_PER_S, seconds, RIDE_COUNT))
+            )
+            await faults
         finally:
-            troubles.cancel()
+            faults.cancel()
             await node.stop()
             await fleet.stop()
-        (segment,) = kept.iterdir()
+        (segment,) = capture.iterdir()
         shutil.copyfile(segment, output)
-    ends = Counter(result.outcome for result in results)
-    return f"{len(results)} requests, worth served {served_share(results):.3f}, {dict(ends)}"
+    outcomes = Counter(result.outcome for result in results)
+    return f"{len(results)} requests, worth served {served_share(results):.3f}, {dict(outcomes)}"
 
 
 def main() -> int:
+    """Run the program and return its exit code."""
     parser = argparse.ArgumentParser(prog="python -m standins.saturday", description=__doc__)
     parser.add_argument("output", type=Path, help="where the segment goes")
     parser.add_argument("--seconds", type=float, default=12.0, help="how long the day is (12)")
     parser.add_argument("--seed", type=int, default=1, help="of arrivals and servers (1)")
     chosen = parser.parse_args()
     try:
-        told = asyncio.run(record(chosen.output, chosen.seconds, chosen.seed))
+        summary = asyncio.run(record(chosen.output, chosen.seconds, chosen.seed))
     except (OSError, RuntimeError) as error:
         print(error, file=sys.stderr)
         return 1
-    print(f"{chosen.output}: {told}")
+    print(f"{chosen.output}: {summary}")
     return 0
 
 
--- a/standins/scripted_proxy.py
+++ b/standins/scripted_proxy.py
@@ -1,5 +1,4 @@
-"""A calling proxy that follows a script: one object a stream of Envoy's external processing
-protocol."""
+"""Client of Envoy's external processing protocol that a test controls message by message."""
 
 from __future__ import annotations
 
@@ -19,13 +18,17 @@
 
 
 def header_map(headers: Mapping[str, str]) -> Any:
+    """Return the headers in the protocol's form."""
     return base_pb2.HeaderMap(
-        headers=[base_pb2.HeaderValue(key=k, raw_value=v.encode()) for k, v in headers.items()]
+        headers=[
+            base_pb2.HeaderValue(key=name, raw_value=value.encode())
+            for name, value in headers.items()
+        ]
     )
 
 
 def request_message(headers: Mapping[str, str], subset: str = "", observe: bool = False) -> Any:
-    """The request headers phase."""
+    """Return the message of the request headers phase."""
     phase = ext_proc.HttpHeaders(headers=header_map(headers), end_of_stream=True)
     message = ext_proc.ProcessingRequest(request_headers=phase, observability_mode=observe)
     if subset:
@@ -37,7 +40,10 @@
 def response_message(
     status: int, headers: Mapping[str, str] | None = None, served: str = "", **attributes: str | int
 ) -> Any:
-    """The response headers phase. Attributes are named with `_` for `.` after the first word."""
+    """Return the message of the response headers phase.
+
+    In the names of attributes `_` stands for the `.` after the first word.
+    """
     phase = ext_proc.HttpHeaders(headers=header_map({":status": str(status)} | dict(headers or {})))
     message = ext_proc.ProcessingRequest(response_headers=phase)
     if served:
@@ -46,13 +52,13 @@
         )
     if attributes:
         message.attributes[FILTER].update(
-            {k.replace("_", ".", 1): v for k, v in attributes.items()}
+            {name.replace("_", ".", 1): value for name, value in attributes.items()}
         )
     return message
 
 
 def told_headers(answer: Any) -> dict[str, str]:
-    """The headers that an answer sets, whichever phase it is for."""
+    """Return the headers that a response of the processor sets, in any phase."""
     if answer.HasField("immediate_response"):
         changed = answer.immediate_response.headers
     elif answer.HasField("request_headers"):
@@ -69,27 +75,32 @@
         self.call = call
 
     async def ask(self, headers: Mapping[str, str], **changes: Any) -> Any:
+        """Send the request headers phase and return the processor's response."""
         await self.call.write(request_message(headers, **changes))
         return await self.call.read()
 
     async def respond(
         self, status: int, headers: Mapping[str, str] | None = None, **changes: Any
     ) -> Any:
+        """Send the response headers phase and return the processor's response."""
         await self.call.write(response_message(status, headers, **changes))
         return await self.call.read()
 
     async def send(self, message: Any) -> Any:
+        """Send any message and return the processor's response."""
         await self.call.write(message)
         return await self.call.read()
 
     async def half_close(self) -> None:
+        """Close the direction to the processor."""
         await self.call.done_writing()
 
     def cancel(self) -> None:
+        """Cancel the stream."""
         self.call.cancel()
 
     async def status(self) -> str:
-        """How the stream ended, by gRPC's name in lower case."""
+        """Return the gRPC status name that the stream ended with, in lower case."""
         code = await self.call.code()
         return str(code.name).lower()
 
@@ -107,14 +118,16 @@
         self.stub = ext_proc_grpc.ExternalProcessorStub(self.channel)
 
     def stream(self) -> ScriptedStream:
+        """Open a stream."""
         return ScriptedStream(self.stub.Process(metadata=self.metadata))
 
     def raw(self) -> ScriptedStream:
-        """A stream on which any bytes may be sent."""
+        """Open a stream on which any bytes may be sent."""
         method = self.channel.stream_stream("/envoy.service.ext_proc.v3.ExternalProcessor/Process")
         return ScriptedStream(method(metadata=self.metadata))
 
     async def close(self) -> None:
+        """Close the connection."""
         await self.channel.close()
 
     async def __aenter__(self) -> ScriptedProxy:
