--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -14,7 +14,7 @@
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.app.faults import SettingsFileError
-from lab.peers import NAMES, OURS
+from lab.peers import BADGERCART, NAMES
 from lab.settings import Cell, Day, cells
 from lab.settings import load as load_day
 
@@ -22,7 +22,9 @@
 RESULTS = click.option("--results", type=click.Path(file_okay=False), help="Where finished days are kept "
                        "[FILE.results].")  # fmt: skip
 WORKERS = click.option("--workers", type=click.IntRange(1, 1024), help="Processes [all cores].")
-BASE = click.option("--base", default=OURS, show_default=True, help="The policy to compare with.")
+BASE = click.option(
+    "--base", default=BADGERCART, show_default=True, help="The policy to compare with."
+)
 
 
 def loaded(path: str) -> Day:
@@ -60,7 +62,7 @@
 
 @cli.command()
 @FILE
-@click.option("--policy", default=OURS, show_default=True, help="The policy that nodes run.")
+@click.option("--policy", default=BADGERCART, show_default=True, help="The policy that nodes run.")
 @click.option("--seed", default=1, show_default=True, help="The day's seed.")
 @click.option("--json", "as_json", is_flag=True, help="All figures as one JSON object.")
 def run(file: str, policy: str, seed: int, as_json: bool) -> None:
@@ -326,7 +328,7 @@
         from lab.trial.inmodel import day_of
 
         day = day_of(wanted)
-        result = play(Cell(day, OURS, wanted.trial.seed))
+        result = play(Cell(day, BADGERCART, wanted.trial.seed))
         tell(day, result)
         if sum(result["breaches"].values()):
             raise click.exceptions.Exit(ExitStatus.FAILED)
--- a/lab/model.py
+++ b/lab/model.py
@@ -22,7 +22,7 @@
 from lab.clock import Clock
 from lab.companions import Companions
 from lab.measure import STEP, Measure
-from lab.peers import OURS, make
+from lab.peers import BADGERCART, make
 from lab.servers import Server, fleet
 from lab.settings import Cell, Class, Day
 from lab.troubles import Troubles
@@ -128,7 +128,7 @@
         self.up = False
         if self.world.companions is not None:
             self.world.companions.stop(self.number)
-        if self.world.day.node.learned_age_s >= 0 and self.world.cell.policy == OURS:
+        if self.world.day.node.learned_age_s >= 0 and self.world.cell.policy == BADGERCART:
             self.memory = export_statistics(self.join.policy)
         self.wire.close()
         held, self.held = self.held, {}
@@ -220,7 +220,7 @@
         self.broken = 0  # times that a policy raised
         self.rows = self.asks()
         self.companions: Companions | None = None
-        if day.fleet.peers and cell.policy == OURS:
+        if day.fleet.peers and cell.policy == BADGERCART:
             said = day.fleet.said or day.fleet.nodes
             chance = uniform(generator(seed, "companions"))
             timing = SwimTiming(expected_size_ms=day.fleet.expect_s * 1000)
--- a/lab/peers/pickers.py
+++ b/lab/peers/pickers.py
@@ -1,4 +1,4 @@
-"""Who is chosen: the pickers that proxies use, each as its source describes it."""
+"""Endpoint choice: the algorithms that proxies use, each as its source describes it."""
 
 from __future__ import annotations
 
@@ -13,289 +13,365 @@
 from lab.peers.base import Host, Picker
 
 
-class Plain:
-    """What pickers have in common: the ready servers in the list's order."""
+class BasePicker:
+    """The common part of the pickers: the ready hosts, in the order of the endpoint list."""
 
     zone = 0
 
-    def __init__(self, chance: random.Random) -> None:
-        self.random = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.random = rng
         self.ready: list[Host] = []
 
     def hosts(self, hosts: list[Host]) -> None:
+        """Replace the ready hosts."""
         self.ready = hosts
 
-    def left(self, without: list[int]) -> list[Host]:
-        if not without:
+    def candidates(self, excluded_ids: list[int]) -> list[Host]:
+        """Return the ready hosts that are not excluded."""
+        if not excluded_ids:
             return self.ready
-        return [host for host in self.ready if host.entry.id not in without]
+        return [host for host in self.ready if host.entry.id not in excluded_ids]
 
-    def ended(self, host: Host, now: float, took: float, result: int) -> None:
-        pass
+    def attempt_ended(self, host: Host, now_ms: float, elapsed_ms: float, result: int) -> None:
+        """Ignore the end of an attempt."""
 
-    def probes(self, now: float) -> list[int]:
+    def probe_targets(self, now_ms: float) -> list[int]:
+        """Return no endpoints: most pickers do not probe."""
         return []
 
-    def probed(self, host: Host, now: float, report: tuple[float, ...]) -> None:
-        pass
+    def probe_answered(self, host: Host, now_ms: float, report: tuple[float, ...]) -> None:
+        """Ignore a probe's report."""
 
 
-class Random(Plain):
-    """Any server, all alike."""
+class Random(BasePicker):
+    """Chooses uniformly at random."""
 
-    def pick(self, now: float, without: list[int]) -> Host | None:
-        left = self.left(without)
-        return left[int(self.random.random() * len(left))] if left else None
+    def pick(self, now_ms: float, excluded_ids: list[int]) -> Host | None:
+        """Return any host that is not excluded."""
+        hosts = self.candidates(excluded_ids)
+        return hosts[int(self.random.random() * len(hosts))] if hosts else None
 
 
-class RoundRobin(Plain):
-    """One after the other, from a random first one, so that nodes are not in step."""
+class RoundRobin(BasePicker):
+    """Takes the hosts in order, from a random start so that nodes are not in step."""
 
-    def __init__(self, chance: random.Random) -> None:
-        super().__init__(chance)
-        self.at = int(chance.random() * (1 << 30))
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
+        self.position = int(rng.random() * (1 << 30))
 
-    def pick(self, now: float, without: list[int]) -> Host | None:
+    def pick(self, now_ms: float, excluded_ids: list[int]) -> Host | None:
+        """Return the next host that is not excluded."""
         for _ in range(len(self.ready)):
-            self.at += 1
-            host = self.ready[self.at % len(self.ready)]
-            if host.entry.id not in without:
+            self.position += 1
+            host = self.ready[self.position % len(self.ready)]
+            if host.entry.id not in excluded_ids:
                 return host
         return None
 
 
-class LeastOutstanding(Plain):
-    """The one with the fewest requests of this node out; of equal ones any."""
+class LeastOutstanding(BasePicker):
+    """Chooses the host with the fewest requests in flight from this node; breaks ties at random."""
 
-    def pick(self, now: float, without: list[int]) -> Host | None:
-        left = self.left(without)
-        if not left:
+    def pick(self, now_ms: float, excluded_ids: list[int]) -> Host | None:
+        """Return a host with the fewest requests in flight."""
+        hosts = self.candidates(excluded_ids)
+        if not hosts:
             return None
-        least = min(host.out for host in left)
-        idle = [host for host in left if host.out == least]
-        return idle[int(self.random.random() * len(idle))]
+        min_in_flight = min(host.in_flight for host in hosts)
+        least_loaded = [host for host in hosts if host.in_flight == min_in_flight]
+        return least_loaded[int(self.random.random() * len(least_loaded))]
 
 
-class PowerOfTwo(Plain):
-    """The better of two at random (Mitzenmacher 2001, The Power of Two Choices in Randomized Load
-    Balancing)."""
+class PowerOfTwo(BasePicker):
+    """Chooses the less loaded of two random hosts.
 
-    def load(self, host: Host, now: float) -> float:
-        return host.out
+    Source: Mitzenmacher 2001, The Power of Two Choices in Randomized Load Balancing.
+    """
 
-    def pick(self, now: float, without: list[int]) -> Host | None:
-        left = self.left(without)
-        if len(left) < 2:
-            return left[0] if left else None
-        first = int(self.random.random() * len(left))
-        second = int(self.random.random() * (len(left) - 1))
-        one, other = left[first], left[second + (second >= first)]
-        return one if self.load(one, now) <= self.load(other, now) else other
+    def load(self, host: Host, now_ms: float) -> float:
+        """Return the load by which hosts are compared."""
+        return host.in_flight
 
+    def pick(self, now_ms: float, excluded_ids: list[int]) -> Host | None:
+        """Return the less loaded of two random hosts."""
+        hosts = self.candidates(excluded_ids)
+        if len(hosts) < 2:
+            return hosts[0] if hosts else None
+        first = int(self.random.random() * len(hosts))
+        second = int(self.random.random() * (len(hosts) - 1))
+        one, other = hosts[first], hosts[second + (second >= first)]
+        return one if self.load(one, now_ms) <= self.load(other, now_ms) else other
 
-class PeakEwma(PowerOfTwo):
-    """Finagle's PeakEwma over two choices: an average of answer times that rises at once and falls
-    slowly, times the requests out."""
-
-    DECAY = 10_000.0  # ms
-    PENALTY = 1e9  # a server that has not answered yet, with requests out, is the last choice
-
-    def observe(self, host: Host, now: float, took: float) -> None:
-        passed = max(now - host.stamp, 0.0)
-        keep = math.exp(-passed / self.DECAY)
-        host.stamp = now
-        host.cost = took if took > host.cost else host.cost * keep + took * (1 - keep)
-
-    def load(self, host: Host, now: float) -> float:
-        self.observe(host, now, 0.0)
-        if host.cost < 1e-9 and host.out:
-            return self.PENALTY + host.out
-        return host.cost * (host.out + 1)
 
-    def ended(self, host: Host, now: float, took: float, result: int) -> None:
-        self.observe(host, now, took)
+class PeakEwma(PowerOfTwo):
+    """Finagle's PeakEwma over two choices.
+
+    The load is an average latency that rises at once and falls slowly, times the requests in
+    flight.
+    """
+
+    DECAY_MS = 10_000.0
+    # Makes a host the last choice while it has requests in flight but no answer yet.
+    UNKNOWN_LATENCY_PENALTY = 1e9
+
+    def observe(self, host: Host, now_ms: float, latency_ms: float) -> None:
+        """Add a latency to the host's average."""
+        passed_ms = max(now_ms - host.ewma_updated_ms, 0.0)
+        weight = math.exp(-passed_ms / self.DECAY_MS)
+        host.ewma_updated_ms = now_ms
+        host.latency_ewma_ms = (
+            latency_ms
+            if latency_ms > host.latency_ewma_ms
+            else host.latency_ewma_ms * weight + latency_ms * (1 - weight)
+        )
+
+    def load(self, host: Host, now_ms: float) -> float:
+        """Return the decayed average latency times the requests in flight, plus one."""
+        self.observe(host, now_ms, 0.0)
+        if host.latency_ewma_ms < 1e-9 and host.in_flight:
+            return self.UNKNOWN_LATENCY_PENALTY + host.in_flight
+        return host.latency_ewma_ms * (host.in_flight + 1)
+
+    def attempt_ended(self, host: Host, now_ms: float, elapsed_ms: float, result: int) -> None:
+        """Add the attempt's latency to the host's average."""
+        self.observe(host, now_ms, elapsed_ms)
 
 
 class WeightedLeastRequest(PowerOfTwo):
-    """Envoy's least request: two choices where all weights are equal, else an earliest deadline
-    first schedule by weight over (requests out + 1) to the power of the bias, which is 1."""
+    """Envoy's least request.
+
+    With equal weights it chooses between two random hosts. Otherwise it is an earliest deadline
+    first schedule by weight over (requests in flight + 1) to the power of the bias, which is 1.
+    """
 
-    def __init__(self, chance: random.Random) -> None:
-        super().__init__(chance)
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
         self.heap: list[tuple[float, int, Host]] = []
         self.order = itertools.count()
-        self.time = 0.0
+        self.virtual_time = 0.0
 
     def hosts(self, hosts: list[Host]) -> None:
+        """Replace the ready hosts and start a new schedule."""
         super().hosts(hosts)
         self.heap = []
         if len({host.entry.size for host in hosts}) > 1:
-            for host in hosts:  # spread, so that nodes do not begin with the same one
-                self.add(host, self.random.random())
-        self.time = 0.0
-
-    def add(self, host: Host, part: float = 1.0) -> None:
-        weight = max(host.entry.size, 1e-6) / (host.out + 1)
-        heapq.heappush(self.heap, (self.time + part / weight, next(self.order), host))
-
-    def pick(self, now: float, without: list[int]) -> Host | None:
+            # The random offsets keep nodes from starting with the same host.
+            for host in hosts:
+                self.schedule(host, self.random.random())
+        self.virtual_time = 0.0
+
+    def schedule(self, host: Host, interval_share: float = 1.0) -> None:
+        """Put a host into the schedule, after this share of its interval."""
+        weight = max(host.entry.size, 1e-6) / (host.in_flight + 1)
+        heapq.heappush(
+            self.heap, (self.virtual_time + interval_share / weight, next(self.order), host)
+        )
+
+    def pick(self, now_ms: float, excluded_ids: list[int]) -> Host | None:
+        """Return the host with the earliest deadline that is not excluded."""
         if not self.heap:
-            return super().pick(now, without)
-        passed: list[Host] = []
+            return super().pick(now_ms, excluded_ids)
+        popped: list[Host] = []
         found: Host | None = None
         while self.heap and found is None:
-            self.time, _, host = heapq.heappop(self.heap)
-            passed.append(host)
-            if host.entry.id not in without:
+            self.virtual_time, _, host = heapq.heappop(self.heap)
+            popped.append(host)
+            if host.entry.id not in excluded_ids:
                 found = host
-        for host in passed:
-            self.add(host)
+        for host in popped:
+            self.schedule(host)
         return found
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeAnswer:
     """An answer in Prequal's pool."""
 
     host: Host
-    at: float
-    out: float  # requests in flight there
-    took: float  # ms
-    uses: int
-
-
-class Prequal(Plain):
-    """Wydmuch and others 2024, Load is not what you should balance: Introducing Prequal (NSDI),
-    section 4.
-
-    Probes run beside requests into a pool; of the pooled servers those with more in flight than a
-    quantile are hot. Cold ones: the least latency; all hot: the fewest in flight."""
-
-    RATE, REMOVE, POOL, AGE = 3, 1, 16, 1000.0  # probes and removals a request, answers kept, ms
-    HOT = 0.84  # quantile of requests in flight
-    SPARE = 1.0  # delta of the reuse budget
-
-    def __init__(self, chance: random.Random) -> None:
-        super().__init__(chance)
-        self.pool: list[Probed] = []
-        self.seen: deque[float] = deque(maxlen=128)  # requests in flight, of recent answers
-        self.worst_next = True
-
-    def reuse(self) -> int:
-        share = 1 - self.POOL / max(len(self.ready), self.POOL + 1)
-        left = share * self.RATE - self.REMOVE
-        uses = (1 + self.SPARE) / left if left > 0 else self.POOL
-        return max(1, min(self.POOL, math.ceil(uses)))
+    received_ms: float
+    in_flight: float  # requests at the server
+    latency_ms: float
+    remaining_uses: int
+
+
+class Prequal(BasePicker):
+    """Prequal: balances by the requests in flight and the latency that servers report.
+
+    Source: Wydmuch and others 2024, Load is not what you should balance: Introducing Prequal
+    (NSDI), section 4. Probes run in parallel with requests and fill a pool of answers. A pooled
+    server with more requests in flight than a quantile is hot. If there are cold servers, the one
+    with the lowest latency is chosen; if all are hot, the one with the fewest requests in flight.
+    """
+
+    PROBES_PER_REQUEST = 3
+    REMOVALS_PER_REQUEST = 1
+    MAX_POOL_ANSWERS = 16
+    MAX_ANSWER_AGE_MS = 1000.0
+    HOT_QUANTILE = 0.84  # of the requests in flight
+    REUSE_DELTA = 1.0  # delta of the reuse budget
+    RECENT_ANSWERS = 128  # over which the quantile is taken
+
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
+        self.pool: list[ProbeAnswer] = []
+        # Requests in flight as recent answers reported them.
+        self.recent_in_flight: deque[float] = deque(maxlen=self.RECENT_ANSWERS)
+        self.remove_worst_next = True
+
+    def max_uses(self) -> int:
+        """Return how often an answer may be used before it is dropped."""
+        share = 1 - self.MAX_POOL_ANSWERS / max(len(self.ready), self.MAX_POOL_ANSWERS + 1)
+        surplus = share * self.PROBES_PER_REQUEST - self.REMOVALS_PER_REQUEST
+        uses = (1 + self.REUSE_DELTA) / surplus if surplus > 0 else self.MAX_POOL_ANSWERS
+        return max(1, min(self.MAX_POOL_ANSWERS, math.ceil(uses)))
 
     def hosts(self, hosts: list[Host]) -> None:
+        """Replace the ready hosts and drop the answers of others."""
         super().hosts(hosts)
         self.pool = [answer for answer in self.pool if answer.host.ready]
 
-    def probes(self, now: float) -> list[int]:
-        count = min(self.RATE, len(self.ready))
+    def probe_targets(self, now_ms: float) -> list[int]:
+        """Return random endpoints to probe."""
+        count = min(self.PROBES_PER_REQUEST, len(self.ready))
         return [host.entry.id for host in self.random.sample(self.ready, count)]
 
-    def probed(self, host: Host, now: float, report: tuple[float, ...]) -> None:
-        out, took = report
-        self.seen.append(out)
+    def probe_answered(self, host: Host, now_ms: float, report: tuple[float, ...]) -> None:
+        """Add an answer to the pool, in place of the oldest one if it is full."""
+        in_flight, latency_ms = report
+        self.recent_in_flight.append(in_flight)
         if not host.ready:
             return
-        if len(self.pool) >= self.POOL:
+        if len(self.pool) >= self.MAX_POOL_ANSWERS:
             self.pool.pop(0)
-        self.pool.append(Probed(host, now, out, took, self.reuse()))
+        self.pool.append(ProbeAnswer(host, now_ms, in_flight, latency_ms, self.max_uses()))
 
-    def hot_from(self) -> float:
-        ordered = sorted(self.seen)
-        return ordered[int(self.HOT * (len(ordered) - 1))] if ordered else math.inf
+    def hot_threshold(self) -> float:
+        """Return the requests in flight above which a server is hot."""
+        ordered = sorted(self.recent_in_flight)
+        return ordered[int(self.HOT_QUANTILE * (len(ordered) - 1))] if ordered else math.inf
 
-    def pick(self, now: float, without: list[int]) -> Host | None:
+    def pick(self, now_ms: float, excluded_ids: list[int]) -> Host | None:
+        """Return the best host of the pool, or a random one if the pool has too few answers."""
         self.pool = [
-            answer for answer in self.pool if now - answer.at <= self.AGE and answer.uses > 0
+            answer
+            for answer in self.pool
+            if now_ms - answer.received_ms <= self.MAX_ANSWER_AGE_MS and answer.remaining_uses > 0
         ]
-        usable = [answer for answer in self.pool if answer.host.entry.id not in without]
-        if len(usable) < 2:  # too little is known: at random
-            left = self.left(without)
-            return left[int(self.random.random() * len(left))] if left else None
-        limit = self.hot_from()
-        cold = [answer for answer in usable if answer.out <= limit]
-        chosen = min(cold, key=lambda a: a.took) if cold else min(usable, key=lambda a: a.out)
-        chosen.uses -= 1
-        chosen.out += 1  # what is sent there is in flight before a probe tells
-        self.remove(limit)
+        usable = [answer for answer in self.pool if answer.host.entry.id not in excluded_ids]
+        if len(usable) < 2:
+            hosts = self.candidates(excluded_ids)
+            return hosts[int(self.random.random() * len(hosts))] if hosts else None
+        threshold = self.hot_threshold()
+        cold = [answer for answer in usable if answer.in_flight <= threshold]
+        chosen = (
+            min(cold, key=lambda answer: answer.latency_ms)
+            if cold
+            else min(usable, key=lambda answer: answer.in_flight)
+        )
+        chosen.remaining_uses -= 1
+        # The request sent now is in flight there before the next probe reports it.
+        chosen.in_flight += 1
+        self.remove_answers(threshold)
         return chosen.host
 
-    def remove(self, limit: float) -> None:
-        """One answer less for each request, the worst and the oldest in turn."""
-        for _ in range(self.REMOVE):
+    def remove_answers(self, threshold: float) -> None:
+        """Remove one answer for each request, alternating between the worst and the oldest."""
+        for _ in range(self.REMOVALS_PER_REQUEST):
             if len(self.pool) <= 2:
                 return
-            if self.worst_next:
-                hot = [answer for answer in self.pool if answer.out > limit]
+            if self.remove_worst_next:
+                hot = [answer for answer in self.pool if answer.in_flight > threshold]
                 worst = (
-                    max(hot, key=lambda a: a.out) if hot else max(self.pool, key=lambda a: a.took)
+                    max(hot, key=lambda answer: answer.in_flight)
+                    if hot
+                    else max(self.pool, key=lambda answer: answer.latency_ms)
                 )
                 self.pool.remove(worst)
             else:
                 self.pool.pop(0)
-            self.worst_next = not self.worst_next
+            self.remove_worst_next = not self.remove_worst_next
 
 
 class Priority(PowerOfTwo):
-    """Envoy's priority levels with its documented overprovisioning factor of 1.4: a node's own zone
-    first, and of it min(100, 140 * healthy / all) in a hundred; the rest to the other zones. Who is
-    healthy is known by active checks each second (three that fail take one out, two that answer
-    bring it back), by each node alone."""
-
-    OVER = 1.4
-    EVERY, PATIENCE = 1000.0, 500.0  # ms
-    FAILS, PASSES = 3, 2
-
-    def __init__(self, chance: random.Random) -> None:
-        super().__init__(chance)
-        self.asked: dict[int, float] = {}  # when a check that is out was sent
-        self.next: dict[int, float] = {}
-        self.bad: dict[int, int] = {}  # checks that failed in a row
-        self.good: dict[int, int] = {}
-        self.out: set[int] = set()  # those taken out
-
-    def probes(self, now: float) -> list[int]:
-        for server in [s for s, at in self.asked.items() if now - at > self.PATIENCE]:
-            del self.asked[server]
-            self.good[server] = 0
-            self.bad[server] = self.bad.get(server, 0) + 1
-            if self.bad[server] >= self.FAILS:
-                self.out.add(server)
-        due = [h.entry.id for h in self.ready if now >= self.next.setdefault(h.entry.id, now)]
-        for server in due:
-            self.next[server] = now + self.EVERY * (0.9 + 0.2 * self.random.random())
-            self.asked.setdefault(server, now)
+    """Envoy's priority levels with its documented overprovisioning factor of 1.4.
+
+    A node's own zone has the first priority. It gets min(100, 140 * healthy / all) percent of the
+    requests, the other zones get the rest. Each node finds out by itself who is healthy, by active
+    checks each second: three that fail in a row make an endpoint unhealthy, two that are answered
+    make it healthy again.
+    """
+
+    OVERPROVISIONING_FACTOR = 1.4
+    CHECK_INTERVAL_MS = 1000.0
+    CHECK_TIMEOUT_MS = 500.0
+    UNHEALTHY_THRESHOLD = 3  # checks in a row that failed
+    HEALTHY_THRESHOLD = 2  # checks in a row that were answered
+
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
+        # All by endpoint id.
+        self.check_sent_ms: dict[int, float] = {}  # of checks that are not answered yet
+        self.next_check_ms: dict[int, float] = {}
+        self.failures_in_row: dict[int, int] = {}
+        self.answers_in_row: dict[int, int] = {}
+        self.unhealthy: set[int] = set()
+
+    def probe_targets(self, now_ms: float) -> list[int]:
+        """Count checks that timed out; return the endpoints whose next check is due."""
+        for endpoint_id in [
+            checked_id
+            for checked_id, sent_ms in self.check_sent_ms.items()
+            if now_ms - sent_ms > self.CHECK_TIMEOUT_MS
+        ]:
+            del self.check_sent_ms[endpoint_id]
+            self.answers_in_row[endpoint_id] = 0
+            self.failures_in_row[endpoint_id] = self.failures_in_row.get(endpoint_id, 0) + 1
+            if self.failures_in_row[endpoint_id] >= self.UNHEALTHY_THRESHOLD:
+                self.unhealthy.add(endpoint_id)
+        due = [
+            host.entry.id
+            for host in self.ready
+            if now_ms >= self.next_check_ms.setdefault(host.entry.id, now_ms)
+        ]
+        for endpoint_id in due:
+            self.next_check_ms[endpoint_id] = now_ms + self.CHECK_INTERVAL_MS * (
+                0.9 + 0.2 * self.random.random()
+            )
+            self.check_sent_ms.setdefault(endpoint_id, now_ms)
         return due
 
-    def probed(self, host: Host, now: float, report: tuple[float, ...]) -> None:
-        server = host.entry.id
-        if self.asked.pop(server, None) is None:
+    def probe_answered(self, host: Host, now_ms: float, report: tuple[float, ...]) -> None:
+        """Count an answered check, unless it has timed out."""
+        endpoint_id = host.entry.id
+        if self.check_sent_ms.pop(endpoint_id, None) is None:
             return
-        self.bad[server] = 0
-        self.good[server] = self.good.get(server, 0) + 1
-        if self.good[server] >= self.PASSES:
-            self.out.discard(server)
-
-    def pick(self, now: float, without: list[int]) -> Host | None:
-        near = [host for host in self.ready if host.entry.zone == self.zone]
-        healthy = [host for host in near if host.entry.id not in self.out]
-        part = min(1.0, self.OVER * len(healthy) / len(near)) if near else 0.0
-        far = [
+        self.failures_in_row[endpoint_id] = 0
+        self.answers_in_row[endpoint_id] = self.answers_in_row.get(endpoint_id, 0) + 1
+        if self.answers_in_row[endpoint_id] >= self.HEALTHY_THRESHOLD:
+            self.unhealthy.discard(endpoint_id)
+
+    def pick(self, now_ms: float, excluded_ids: list[int]) -> Host | None:
+        """Return the less loaded of two random hosts of the zone group drawn by priority."""
+        local = [host for host in self.ready if host.entry.zone == self.zone]
+        healthy = [host for host in local if host.entry.id not in self.unhealthy]
+        local_share = (
+            min(1.0, self.OVERPROVISIONING_FACTOR * len(healthy) / len(local)) if local else 0.0
+        )
+        remote = [
             host
             for host in self.ready
-            if host.entry.zone != self.zone and host.entry.id not in self.out
+            if host.entry.zone != self.zone and host.entry.id not in self.unhealthy
         ]
-        first, second = (healthy, far) if self.random.random() < part else (far, healthy)
-        for group in (first, second, self.ready):  # as in panic, where none is healthy
-            left = [host for host in group if host.entry.id not in without]
-            if left:
-                one = left[int(self.random.random() * len(left))]
-                other = left[int(self.random.random() * len(left))]
-                return one if one.out <= other.out else other
+        first, second = (
+            (healthy, remote) if self.random.random() < local_share else (remote, healthy)
+        )
+        # All ready hosts come last, as in Envoy's panic mode, where none is healthy.
+        for group in (first, second, self.ready):
+            hosts = [host for host in group if host.entry.id not in excluded_ids]
+            if hosts:
+                one = hosts[int(self.random.random() * len(hosts))]
+                other = hosts[int(self.random.random() * len(hosts))]
+                return one if one.in_flight <= other.in_flight else other
         return None
 
 
--- a/lab/report.py
+++ b/lab/report.py
@@ -12,7 +12,7 @@
 
 from badgercart.app import pages
 from lab.measure import ENDS, US, histogram
-from lab.peers import OURS
+from lab.peers import BADGERCART
 from lab.settings import Cell, Day
 from lab.stats import Interval, interval, paired, verdict
 
@@ -87,7 +87,7 @@
            "jam s", "recovery s", "imbalance", "breaches")  # fmt: skip
 
 
-def rows(found: list[Summary], base: str = OURS) -> list[tuple[str, ...]]:
+def rows(found: list[Summary], base: str = BADGERCART) -> list[tuple[str, ...]]:
     """A row a summary, as text."""
     made = []
     for told in found:
@@ -106,13 +106,13 @@
     return made
 
 
-def markdown(found: list[Summary], base: str = OURS) -> str:
+def markdown(found: list[Summary], base: str = BADGERCART) -> str:
     """The table for a page."""
     lines = ["| " + " | ".join(COLUMNS) + " |", "|" + " --- |" * len(COLUMNS)]
     return "\n".join([*lines, *("| " + " | ".join(row) + " |" for row in rows(found, base))])
 
 
-def table(days: dict[str, Days], base: str = OURS) -> str:
+def table(days: dict[str, Days], base: str = BADGERCART) -> str:
     """Worth in time of many experiments, a line each and a column a policy; bold where it beats the
     base, with
     `!` where rules were broken."""
@@ -220,7 +220,7 @@
     return made
 
 
-def write(days: Days, output: Path, base: str = OURS, png: bool = True) -> list[Path]:
+def write(days: Days, output: Path, base: str = BADGERCART, png: bool = True) -> list[Path]:
     """Write the page, and beside it the figures as PNG; gives the files."""
     found = summaries(days)
     made = figures(days, found)
--- a/lab/sweep.py
+++ b/lab/sweep.py
@@ -18,7 +18,7 @@
 import badgercart.policy
 from lab import __version__
 from lab.model import play
-from lab.peers import OURS
+from lab.peers import BADGERCART
 from lab.settings import Cell
 
 SUFFIX = ".json"
@@ -41,7 +41,7 @@
     day["experiment"] |= {"seeds": [], "policies": [], "name": ""}
     day["grid"] = {}
     told = [__version__, cell.policy, cell.seed, day]
-    if cell.policy == OURS:
+    if cell.policy == BADGERCART:
         told.append(policy_text())
     return hashlib.sha256(json.dumps(told, sort_keys=True).encode()).hexdigest()[:24] + SUFFIX
 
