--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -9,6 +9,7 @@
 import errno
 import gc
 import socket
+import sys
 import weakref
 from contextlib import suppress
 from typing import Any
@@ -224,6 +225,9 @@
 ) -> None:
     # Without the cooldown, one connection serves many requests one after the other.
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
+    # By default two thirds of the connections are closed after a response, and are evicted before
+    # the idle ones from 50 ms after it.
+    monkeypatch.setattr(clients.Listener, "max_idle_connections", sys.maxsize)
 
     async def test() -> None:
         async with running(await ScriptedServer().start(), sockets=96) as stand:
@@ -231,6 +235,7 @@
             open_clients = [await stand.client() for _ in range(limit)]
             for client in open_clients:
                 assert (await client.ask(request()))[0] == 200
+            assert len(stand.node.listener.idle) == limit
             newest = await stand.client()
             assert (await newest.ask(request()))[0] == 200
             assert await open_clients[0].end() == b""
