--- a/badgercart/app/component.py
+++ b/badgercart/app/component.py
@@ -84,15 +84,15 @@
     # Folder of the operator's file, against which relative paths in it are resolved.
     folder: str
     # Share of the descriptors for clients and servers that each component with sockets gets.
-    share: float
+    descriptor_share: float
     # Number of components without sockets.
-    others: int = 0
+    components_without_sockets: int = 0
     # Pages for operators, by path.
     pages: dict[bytes, OperatorPage] = field(default_factory=dict)
     # Metrics for operators.
     metrics: MetricRegistry = field(default_factory=MetricRegistry)
-    # State machines whose calls a capture records beside the policy, by name.
-    protocol_machines: dict[str, object] = field(default_factory=dict)
+    # State machines other than the policy whose calls a capture records, by name.
+    captured_state_machines: dict[str, object] = field(default_factory=dict)
     # What components provide to others, by name.
     services: dict[str, object] = field(default_factory=dict)
     # Returns the state of the endpoint list's age, for operators.
--- a/badgercart/capture/component.py
+++ b/badgercart/capture/component.py
@@ -57,7 +57,7 @@
         """Record the calls of the node's other state machines too; all of them exist by now."""
         from badgercart.capture.streams import record_calls, state_note
 
-        for name, machine in self.host.protocol_machines.items():
+        for name, machine in self.host.captured_state_machines.items():
             self.writer.snapshots.append(partial(state_note, name, machine))
             self.writer.record_note(state_note(name, machine))
             self.undo_recording.append(record_calls(name, machine, self.writer.record_note))
--- a/badgercart/capture/streams.py
+++ b/badgercart/capture/streams.py
@@ -1,10 +1,10 @@
 """Captures and replays the calls of state machines other than the policy. No I/O.
 
 A state machine is captured if its type is in `MACHINE_CODECS` and its component registers it in
-`ComponentHost.protocol_machines`. While a capture runs, the recorded methods of that one object are
-wrapped; otherwise they are the methods of its class and cost nothing. A note is MessagePack
-`[name, kind, method, [argument, ...], result]`; a note with the method "" holds the complete state,
-as it stands at the beginning of a segment.
+`ComponentHost.captured_state_machines`. While a capture runs, the recorded methods of that one
+object are wrapped; otherwise they are the methods of its class and cost nothing. A note is
+MessagePack `[name, kind, method, [argument, ...], result]`; a note with the method "" holds the
+complete state, as it stands at the beginning of a segment.
 """
 
 from __future__ import annotations
--- a/badgercart/discovery/etcd/component.py
+++ b/badgercart/discovery/etcd/component.py
@@ -39,7 +39,7 @@
             host.pipeline.clock,
             random.Random(host.config.seed),
         )
-        host.protocol_machines["etcd.freshness"] = self.source.freshness
+        host.captured_state_machines["etcd.freshness"] = self.source.freshness
         host.list_state = lambda: self.source.state.value
         host.metrics.gauge(
             "badgercart_list_age_seconds",
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -68,7 +68,7 @@
         self._refused_before: Counter[str] = Counter()  # counts of replaced drivers
         self.driver = self._build_driver(settings)
         host.list_state = lambda: self.state.value
-        host.protocol_machines["distribution.freshness"] = self.follower.freshness
+        host.captured_state_machines["distribution.freshness"] = self.follower.freshness
         host.pages[b"/_distribution"] = OperatorPage(self._render_page)
         self._register_metrics()
 
--- a/badgercart/frontends/graphql/component.py
+++ b/badgercart/frontends/graphql/component.py
@@ -30,8 +30,8 @@
             host.pipeline,
             host.endpoint_table,
             host.loop,
-            host.share,
-            host.others,
+            host.descriptor_share,
+            host.components_without_sockets,
             FilePath(host.folder),
         )
 
--- a/badgercart/frontends/http/component.py
+++ b/badgercart/frontends/http/component.py
@@ -51,8 +51,8 @@
             host.pipeline,
             host.endpoint_table,
             host.loop,
-            host.share,
-            host.others,
+            host.descriptor_share,
+            host.components_without_sockets,
             host.pages,
             problem_document,
         )
--- a/badgercart/frontends/processor/component.py
+++ b/badgercart/frontends/processor/component.py
@@ -29,7 +29,7 @@
         self.frontend: ProcessorServer = ProcessorServer(
             host.config, settings, host.pipeline, host.endpoint_table, host.loop
         )
-        host.protocol_machines["processor.account"] = self.frontend.calls.old_answers
+        host.captured_state_machines["processor.account"] = self.frontend.calls.old_answers
 
         frontend, registry = self.frontend, host.metrics
         registry.gauge(
