--- a/badgercart/app/component.py
+++ b/badgercart/app/component.py
@@ -50,11 +50,11 @@
             ReloadError: the settings can't be applied; then no component's settings change.
         """
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Accept requests that still come, and answer all requests in flight.
 
         Args:
-            until: latest time to end, in ms on `clock.now_ms`.
+            deadline_ms: latest time to end, on `clock.now_ms`.
         """
 
     def close(self) -> None:
--- a/badgercart/capture/component.py
+++ b/badgercart/capture/component.py
@@ -93,7 +93,7 @@
         """Return None: a reload applies no setting of the capture, only a restart does."""
         return None
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Do nothing: what the policy decides while the node drains is captured too."""
 
     def close(self) -> None:
--- a/badgercart/cluster/service.py
+++ b/badgercart/cluster/service.py
@@ -191,7 +191,7 @@
         """Return None: other nodes rely on these settings, so a change needs a restart."""
         return None
 
-    async def drain(self, _until: float) -> None:
+    async def drain(self, _deadline_ms: float) -> None:
         """Leave the cluster, so that other nodes take over this node's shares immediately."""
         if self._timer is not None:
             self._timer.cancel()
--- a/badgercart/discovery/component.py
+++ b/badgercart/discovery/component.py
@@ -56,7 +56,7 @@
         """Return the move to another address."""
         return lambda: self.discovery.move(settings)
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Follow the list to the end, since requests in flight may still be retried."""
 
     def close(self) -> None:
@@ -87,7 +87,7 @@
         """Return the change to another set of servers."""
         return lambda: self.publish(settings)
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Do nothing: there are no requests here."""
 
     def close(self) -> None:
--- a/badgercart/discovery/etcd/component.py
+++ b/badgercart/discovery/etcd/component.py
@@ -79,7 +79,7 @@
         """Return the change to other settings."""
         return lambda: self.source.move(settings)
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Follow the list to the end, since requests in flight may still be retried."""
 
     def close(self) -> None:
--- a/badgercart/distribution/component.py
+++ b/badgercart/distribution/component.py
@@ -177,7 +177,7 @@
             self._apply_freshness()
             self.driver.start()
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Keep following: requests in flight may still be retried on newly listed servers."""
 
     def close(self) -> None:
@@ -383,7 +383,7 @@
         """Return None: nothing is reloaded, since the other replicas know this one by its settings."""
         return None
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Do nothing: there are no requests to finish, and nodes reconnect to other replicas."""
 
     def close(self) -> None:
--- a/badgercart/frontends/graphql/component.py
+++ b/badgercart/frontends/graphql/component.py
@@ -45,9 +45,9 @@
         """Return None: a change of the settings needs a restart."""
         return None
 
-    async def drain(self, until: float) -> None:
-        """Serve open requests until a time (ms) at the latest."""
-        await self.frontend.drain(until)
+    async def drain(self, deadline_ms: float) -> None:
+        """Serve open requests until `deadline_ms` at the latest."""
+        await self.frontend.drain(deadline_ms)
 
     def close(self) -> None:
         """Close the listener."""
--- a/badgercart/frontends/graphql/frontend.py
+++ b/badgercart/frontends/graphql/frontend.py
@@ -397,10 +397,10 @@
         host, port = self.listener.address
         LISTENING(host=host, port=port, path=self.settings.path)
 
-    async def drain(self, until: float) -> None:
-        """Accept connections for a while longer, and serve open requests until a time (ms)."""
+    async def drain(self, deadline_ms: float) -> None:
+        """Accept connections for a while longer, and serve open requests until `deadline_ms`."""
         self.stopping = True
-        await self.listener.drain(until)
+        await self.listener.drain(deadline_ms)
 
     def close(self) -> None:
         """Close the listener."""
--- a/badgercart/frontends/http/clients.py
+++ b/badgercart/frontends/http/clients.py
@@ -172,16 +172,16 @@
             self.socket.close()
             self.socket = None
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Accept connections for a while longer, then wait until all clients are answered.
 
-        It ends at `until` (ms) at the latest.
+        It ends at `deadline_ms` at the latest.
         """
         # A client that is told that its connection closes, or sees it close, connects elsewhere.
         self.close_idle()
         await asyncio.sleep(DRAIN_ACCEPT_S)
         # From now on a client that has not sent its request completely can't delay the end.
-        while (self.socket is not None or self.connections) and now_ms() < until:
+        while (self.socket is not None or self.connections) and now_ms() < deadline_ms:
             if self.accept_backlog():
                 # Closing the socket would reset any connection that is left in its backlog.
                 self.stop_accepting()
@@ -199,16 +199,16 @@
                 return False
         return self.socket is None
 
-    async def hand_over(self, until: float) -> None:
+    async def hand_over(self, deadline_ms: float) -> None:
         """Leave new connections to another process, then wait until all clients are answered.
 
-        It ends at `until` (ms) at the latest. A client that is answered is told that the connection
-        closes. An idle connection is kept for a while: closing it can cross with a request, which
-        is the less likely the longer the connection has been idle.
+        It ends at `deadline_ms` at the latest. A client that is answered is told that the
+        connection closes. An idle connection is kept for a while: closing it can cross with a
+        request, which is the less likely the longer the connection has been idle.
         """
         self.stop_accepting()
         started_s = self.loop.time()
-        while self.connections and now_ms() < until:
+        while self.connections and now_ms() < deadline_ms:
             now_s = self.loop.time()
             idle_before_s = (
                 now_s - HANDOVER_IDLE_S if now_s - started_s < HANDOVER_CLOSE_ALL_AFTER_S else now_s
--- a/badgercart/frontends/http/component.py
+++ b/badgercart/frontends/http/component.py
@@ -66,9 +66,9 @@
         """Return None: nothing here changes without a restart."""
         return None
 
-    async def drain(self, until: float) -> None:
-        """Answer all requests; ends at `until` (ms) at the latest."""
-        await self.frontend.drain(until)
+    async def drain(self, deadline_ms: float) -> None:
+        """Answer all requests; ends at `deadline_ms` at the latest."""
+        await self.frontend.drain(deadline_ms)
 
     def close(self) -> None:
         """Close the listener."""
--- a/badgercart/frontends/http/frontend.py
+++ b/badgercart/frontends/http/frontend.py
@@ -137,20 +137,20 @@
         self.listener.set_max_connections(clients)
         self.pool.set_max_connections(servers)
 
-    async def drain(self, until: float) -> None:
-        """Accept requests for a while, then answer all; ends at `until` (ms) at the latest."""
+    async def drain(self, deadline_ms: float) -> None:
+        """Accept requests for a while, then answer all; ends at `deadline_ms` at the latest."""
         self.stopping = True
         STOPPING(held=len(self.pipeline.in_flight))
-        await self.listener.drain(until)
+        await self.listener.drain(deadline_ms)
 
-    async def hand_over(self, until: float) -> None:
+    async def hand_over(self, deadline_ms: float) -> None:
         """Leave new connections to another process, and answer those that are open.
 
-        It ends at `until` (ms) at the latest.
+        It ends at `deadline_ms` at the latest.
         """
         self.stopping = True
         HANDING_OVER(held=len(self.pipeline.in_flight), connections=len(self.listener.connections))
-        await self.listener.hand_over(until)
+        await self.listener.hand_over(deadline_ms)
 
     def close(self) -> None:
         """Close the listener."""
--- a/badgercart/frontends/processor/component.py
+++ b/badgercart/frontends/processor/component.py
@@ -66,9 +66,9 @@
             raise ReloadError(f"the certificate: {error}") from None
         return lambda: self.frontend.replace_certificate(certificate)
 
-    async def drain(self, until: float) -> None:
-        """Finish all calls; ends at `until` (ms) at the latest."""
-        await self.frontend.drain(until)
+    async def drain(self, deadline_ms: float) -> None:
+        """Finish all calls; ends at `deadline_ms` at the latest."""
+        await self.frontend.drain(deadline_ms)
 
     def close(self) -> None:
         """Stop the timer."""
--- a/badgercart/frontends/processor/server.py
+++ b/badgercart/frontends/processor/server.py
@@ -154,11 +154,11 @@
         self.certificate = certificate
         events.CERTIFICATE_READ()
 
-    async def drain(self, until: float) -> None:
-        """Accept streams for a while, finish all calls, and stop at `until` (ms) at the latest."""
+    async def drain(self, deadline_ms: float) -> None:
+        """Accept streams for a while, finish all calls, and stop at `deadline_ms` at the latest."""
         events.STOPPING(open=len(self.calls.open))
         await asyncio.sleep(DRAIN_ACCEPT_S)
-        stopping = self.loop.create_task(self.server.stop(max(0.0, until - now_ms()) / 1000))
+        stopping = self.loop.create_task(self.server.stop(max(0.0, deadline_ms - now_ms()) / 1000))
         quiet_checks = 0
         # One such check is not enough, since there may be a message that is not read yet.
         while quiet_checks < DRAIN_QUIET_CHECKS and not stopping.done():
--- a/badgercart/metrics/component.py
+++ b/badgercart/metrics/component.py
@@ -79,7 +79,7 @@
         """Return None: nothing here changes without a restart."""
         return None
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Close connections after their next answer; the frontends are drained by now."""
         self.stopping = True
 
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -187,14 +187,14 @@
         if self.state_transfer is not None:
             # From now on the state of the next process is more recent.
             self.state_transfer.close()
-        until = (
+        deadline_ms = (
             now_ms() + DRAIN_ACCEPT_S * 1000 + min(self.config.longest_deadline_ms, MAX_DRAIN_MS)
         )
-        self.pipeline.begin_shutdown(until)
+        self.pipeline.begin_shutdown(deadline_ms)
         if self.inherited is not None:
-            await self.frontend.hand_over(until)
+            await self.frontend.hand_over(deadline_ms)
         else:
-            await self.frontend.drain(until)
+            await self.frontend.drain(deadline_ms)
         # Discovery runs until here, since requests may be retried until they are answered.
         self.close()
         STOPPED()
--- a/badgercart/statistics/component.py
+++ b/badgercart/statistics/component.py
@@ -154,7 +154,7 @@
 
         return commit
 
-    async def drain(self, _until: float) -> None:
+    async def drain(self, _deadline_ms: float) -> None:
         """Save a last time, after all requests have ended and nothing more can be learned."""
         if self.timer is not None:
             self.timer.cancel()
--- a/badgercart/zones/component.py
+++ b/badgercart/zones/component.py
@@ -109,7 +109,7 @@
 
         return commit
 
-    async def drain(self, _until: float) -> None:
+    async def drain(self, _deadline_ms: float) -> None:
         """Do nothing: the plan stays in force until the last response."""
 
     def close(self) -> None:
--- a/tests/app/test_site.py
+++ b/tests/app/test_site.py
@@ -57,7 +57,7 @@
             raise ReloadError(f"{settings.number} is below 0")
         return lambda: setattr(self, "number", settings.number)
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         await self.run_call("drain")
 
     def close(self) -> None:
