--- a/badgercart/core/ports.py
+++ b/badgercart/core/ports.py
@@ -105,9 +105,9 @@
 
     Every `send` ends in exactly one `RequestPipeline.attempt_ended` with the same numbers.
 
-    A transport that can't send another attempt by itself reports an end as parked, and calls
-    `RequestPipeline.retry_decision_due` when its peer asks for the next attempt or for the end of
-    the request. A transport that uses a fallback by itself reports that by
+    A transport that can't send another attempt by itself reports an end with `retry_deferred`, and
+    calls `RequestPipeline.retry_decision_due` when its peer asks for the next attempt or for the
+    end of the request. A transport that uses a fallback by itself reports that by
     `RequestPipeline.attempt_rerouted`; the next attempt is then open as if it had been sent.
     """
 
--- a/badgercart/core/request_pipeline.py
+++ b/badgercart/core/request_pipeline.py
@@ -357,12 +357,12 @@
         result: AttemptResult,
         elapsed_ms: float,
         response: UpstreamResponse | None = None,
-        parked: bool = False,
+        retry_deferred: bool = False,
         body_consumed: bool = False,
     ) -> None:
         """Record the end of an attempt, `elapsed_ms` after it was sent. Only the first call counts.
 
-        Where it is parked, the policy learns from it but decides nothing until
+        With `retry_deferred`, the policy learns from it but decides nothing until
         `retry_decision_due`.
         """
         if self.open_attempts.pop((request_id, attempt_number), None) is None:
@@ -397,7 +397,7 @@
             result,
             attempt_number,
             elapsed_ms,
-            retry_deferred=parked,
+            retry_deferred=retry_deferred,
             body_consumed=body_consumed,
         )
         # Queued before the response, which may trigger the client's next request: the attempt must
@@ -458,6 +458,6 @@
         )
 
     def retry_decision_due(self, request_id: int, resend: bool) -> None:
-        """Have the policy decide on a request whose last attempt ended as parked."""
+        """Have the policy decide on a request whose last attempt ended with a deferred retry."""
         if request_id in self.in_flight:
             self.dispatch(RetryDecisionDue(request_id, resend))
--- a/badgercart/frontends/processor/machine.py
+++ b/badgercart/frontends/processor/machine.py
@@ -321,7 +321,7 @@
             return
         if call.state is CallState.IN_FLIGHT:
             # How it ended is not known, so it may have been executed.
-            self.end_attempt(call, AttemptResult.RESET, parked=True)
+            self.end_attempt(call, AttemptResult.RESET, retry_deferred=True)
         if previous is not None:
             previous.call = None
         if call.state is CallState.FINISHED:  # the end of the attempt was the request's final one
@@ -374,7 +374,7 @@
         elif call.state is CallState.IN_FLIGHT and state is StreamState.DECIDED:
             call.proxy.lost += 1
             if self.settings.later_attempts:
-                self.end_attempt(call, AttemptResult.CANCELLED, parked=True)
+                self.end_attempt(call, AttemptResult.CANCELLED, retry_deferred=True)
             else:
                 self.cancel_call(call)
 
@@ -439,7 +439,7 @@
             )
             return PassReply() if unharmed else PassReply(502)
         response = None if end.by_proxy else UpstreamResponse(phase.status)
-        self.end_attempt(call, end.result, response, parked=True)
+        self.end_attempt(call, end.result, response, retry_deferred=True)
         if call.state is CallState.FINISHED:
             return PassReply()
         possibly_executed = end.possibly_executed or call.attempt.attempt > 0
@@ -543,14 +543,17 @@
         call: Call,
         result: AttemptResult,
         response: UpstreamResponse | None = None,
-        parked: bool = False,
+        retry_deferred: bool = False,
     ) -> None:
-        """Report the end of the open attempt; `parked`: the proxy may come back for another one."""
+        """Report the end of the open attempt.
+
+        With `retry_deferred`, the proxy may ask for another attempt.
+        """
         if call.state is not CallState.IN_FLIGHT or call.attempt is None:
             return
         self.stop_timer(call)
         attempt, now_ms = call.attempt, self.pipeline.clock()
-        if self.settings.later_attempts and parked:
+        if self.settings.later_attempts and retry_deferred:
             wait_ms = min(self.settings.later_wait_ms, call.deadline_ms - now_ms)
             call.timer = self.pipeline.timers.call_later(
                 max(0.0, wait_ms) / 1000, self.retry_wait_expired, call
@@ -564,7 +567,7 @@
             result,
             now_ms - call.sent_ms,
             response,
-            parked,
+            retry_deferred,
         )
 
     def attempt_timed_out(self, call: Call) -> None:
