--- a/badgercart/discovery/entries.py
+++ b/badgercart/discovery/entries.py
@@ -34,7 +34,7 @@
     def __init__(self, config: Config) -> None:
         """Take the configuration, and the present offset of the node's clock from Unix time."""
         self.use_config(config)
-        self.unix_offset = time.time() * 1000 - now_ms()
+        self.unix_offset_ms = time.time() * 1000 - now_ms()
         # Looks up the zone of a host whose entry names no known zone.
         self.zone_of_host: Callable[[str], int] | None = None
 
@@ -49,14 +49,14 @@
         """
         try:
             version = int(raw["generation"])
-            members = [self.read_member(entry) for entry in raw["instances"]]
+            members = [self.read_entry(entry) for entry in raw["instances"]]
             if kind is None:
                 kind = UpdateKind.SNAPSHOT if raw["reset"] else UpdateKind.DELTA
         except (KeyError, TypeError, AttributeError, OverflowError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
         return DiscoveryUpdate(kind, version, members)
 
-    def read_member(self, entry: Mapping[str, Any]) -> DiscoveredEndpoint:
+    def read_entry(self, entry: Mapping[str, Any]) -> DiscoveredEndpoint:
         """Read one entry. Raises KeyError, TypeError, ValueError and others if it is invalid."""
         name, started_unix_ms = str(entry["instanceId"]), float(entry.get("startedAtMs", 0))
         size = float(entry.get("weight", 1.0))
@@ -74,6 +74,6 @@
             cell=int(entry.get("cell", 0)),
             state=STATE_OF_LIFECYCLE[entry["lifecycle"]],
             size=size,
-            started_ms=started_unix_ms - self.unix_offset if started_unix_ms else 0.0,
+            started_ms=started_unix_ms - self.unix_offset_ms if started_unix_ms else 0.0,
         )
         return DiscoveredEndpoint(endpoint, address, name)
--- a/badgercart/discovery/etcd/component.py
+++ b/badgercart/discovery/etcd/component.py
@@ -33,7 +33,7 @@
         self.endpoint_table = host.endpoint_table
         self.source: EtcdSource = EtcdSource(
             settings,
-            host.reader.read_member,
+            host.reader.read_entry,
             self.apply,
             self.on_state_changed,
             host.pipeline.clock,
--- a/badgercart/distribution/server_list.py
+++ b/badgercart/distribution/server_list.py
@@ -41,7 +41,7 @@
     try:
         fields = json.loads(value)
         _check_key(fields["instanceId"], key)
-        return reader.read_member(fields)
+        return reader.read_entry(fields)
     except KeyError as error:
         detail = f"{key}: {error} is missing, or none that is known"
         raise ValueError(detail) from error
--- a/badgercart/node.py
+++ b/badgercart/node.py
@@ -62,7 +62,7 @@
         self.admin_listener: AdminListener | None = None
         if config.console is not None and config.folder is not None:
             self.ejections = AdministrativeEjections(
-                self.endpoint_table, config.folder, loop, self.list_reader.unix_offset
+                self.endpoint_table, config.folder, loop, self.list_reader.unix_offset_ms
             )
             self.admin_listener = AdminListener(
                 loop, config.console, NodeHandlers(self.not_ready_reason, self.ejections)
@@ -73,7 +73,7 @@
         self.state_transfer: StateTransfer | None = None
         if self.inherited is not None and config.folder is not None:
             self.process_lock = ProcessLock(config.folder, loop, self.on_alone_changed)
-            self.state_transfer = StateTransfer(config.folder, self.list_reader.unix_offset)
+            self.state_transfer = StateTransfer(config.folder, self.list_reader.unix_offset_ms)
             self.state_transfer.restore(self.pipeline.policy, config)
             if not self.process_lock.is_alone:
                 self.on_alone_changed(False)
--- a/badgercart/statistics/component.py
+++ b/badgercart/statistics/component.py
@@ -95,7 +95,7 @@
         if age_ms > self.settings.oldest_s * 1000:
             raise SnapshotError(f"it is {age_ms / 1000:.0f} s old")
         config = self.host.config
-        stored = extract_statistics(snapshot, config, self.host.reader.unix_offset)
+        stored = extract_statistics(snapshot, config, self.host.reader.unix_offset_ms)
         return decay_statistics(stored, age_ms, config.settings)
 
     async def start(self) -> None:
@@ -137,7 +137,7 @@
         from badgercart.statistics.errors import TooLargeError
         from badgercart.statistics.snapshot import encode, make_snapshot
 
-        unix_offset_ms = self.host.reader.unix_offset
+        unix_offset_ms = self.host.reader.unix_offset_ms
         now_ms = time.time() * 1000
         data = encode(
             make_snapshot(statistics, self.host.config, now_ms, unix_offset_ms, yield_interpreter)
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -118,7 +118,7 @@
             self.sent = raw.get("sentAt", 0.0)
             if self.sent:
                 self.pending.append(self.sent)
-            return reader.read_member(raw)
+            return reader.read_entry(raw)
 
         self.pending: list[float] = []
         settings = EtcdSettings(endpoints=(("127.0.0.1", port),), guard_share=0.0)
@@ -225,7 +225,7 @@
     follower = Follower(1)
     machine = Machine(
         EtcdSettings(endpoints=(("127.0.0.1", 1),), guard_share=0.0),
-        ListReader(config(1)).read_member,
+        ListReader(config(1)).read_entry,
         random.Random(1),
     )
     machine.begin()
--- a/tests/etcd/test_follower.py
+++ b/tests/etcd/test_follower.py
@@ -64,7 +64,7 @@
 
 def new_follower(**changes: Any) -> Follower:
     values = {"endpoints": (("127.0.0.1", 1),), "prefix": PREFIX, "page": 3} | changes
-    return Follower(EtcdSettings(**values), ListReader(config(1)).read_member, random.Random(1))
+    return Follower(EtcdSettings(**values), ListReader(config(1)).read_entry, random.Random(1))
 
 
 def header(revision: int, cluster: int = CLUSTER) -> Header:
