--- a/badgercart/app/document.py
+++ b/badgercart/app/document.py
@@ -16,8 +16,8 @@
 from badgercart.app.errors import FileTooLargeError, NoSuchSettingError
 from badgercart.app.faults import Path, Problem, SettingsFileError, dotted
 
-# Bytes of an operator's file.
-MAX_FILE = 1 << 20
+# The size limit of an operator's file.
+MAX_FILE_BYTES = 1 << 20
 PREFIX = "BADGERCART__"
 # Faults of the place that a variable names.
 NO_SETTING, NO_ENTRY, NO_TABLE = "there is no such setting", "there is no such table", "is no table"
@@ -70,9 +70,9 @@
 
 def _text(path: str) -> str:
     with FilePath(path).open("rb") as file:
-        data = file.read(MAX_FILE + 1)
-    if len(data) > MAX_FILE:
-        raise FileTooLargeError(MAX_FILE)
+        data = file.read(MAX_FILE_BYTES + 1)
+    if len(data) > MAX_FILE_BYTES:
+        raise FileTooLargeError(MAX_FILE_BYTES)
     return data.decode()
 
 
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from badgercart.app.document import MAX_FILE
+from badgercart.app.document import MAX_FILE_BYTES
 from badgercart.cluster.broadcast_queue import transmit_limit
 from badgercart.cluster.codec import MAX_SYNC_BYTES
 from badgercart.cluster.member import MAX_FORWARDED_REPORTS
@@ -215,7 +215,8 @@
         Need("messages in", "the whole file for each change, the mean of a day", "B/s",
              lambda t: t.config_changes * file(t.tenants), BUDGETS["bytes"], TOLD, (file,)),
         Need("limit", "bytes of an operator's file, all tenants", "bytes", lambda t: theirs(t.tenants),
-             limit(MAX_FILE, "bytes", "badgercart.app.document.MAX_FILE"), TOLD, (theirs,)),
+             limit(MAX_FILE_BYTES, "bytes", "badgercart.app.document.MAX_FILE_BYTES"),
+             TOLD, (theirs,)),
         Need("memory", "the peak as a file is read, all tenants", "MB", lambda t: peak(t.tenants) / 1e6,
              BUDGETS["memory"], TOLD, (peak,), plain=True),
     )  # fmt: skip
--- a/tests/app/test_hostile.py
+++ b/tests/app/test_hostile.py
@@ -13,7 +13,7 @@
 
 from badgercart.app import render
 from badgercart.app.cli import main
-from badgercart.app.document import MAX_FILE
+from badgercart.app.document import MAX_FILE_BYTES
 from badgercart.app.faults import SettingsFileError
 from badgercart.app.file import load_installation
 from tests.app.test_file import GOOD, ROOT, faults
@@ -26,7 +26,7 @@
         f"[a.{'.'.join('bcdefgh'[: n % 8])}.t{n}]\nx = {n}\n".replace("..", ".")
         for n in range(40_000)
     )
-    text = (GOOD + deep)[: MAX_FILE - 1].rpartition("\n[")[0] + "\n"
+    text = (GOOD + deep)[: MAX_FILE_BYTES - 1].rpartition("\n[")[0] + "\n"
     (found,) = faults(tmp_path, text)
     assert found[:2] == (23, "a")
     assert found[2].startswith("is not known here")
