--- a/badgercart/app/__init__.py
+++ b/badgercart/app/__init__.py
@@ -4,7 +4,7 @@
 - `model`, `base`, `file`, `faults`: the tables of a file, what they describe, and what is wrong
   with them.
 - `component`, `registry`, `site`, `run`: components, and the installation that they make.
-- `cli`, `asking`, `console`, `exits`, `render`, `pages`: commands, and what they print.
+- `cli`, `node_client`, `console`, `exits`, `render`, `pages`: commands, and what they print.
 - `logs`, `log_events`: the log of `serve`.
 
 `file.load_installation` reads a file, `run.run` serves what it switches on. The package knows no component by
--- a/badgercart/cluster/commands.py
+++ b/badgercart/cluster/commands.py
@@ -13,9 +13,9 @@
 
 import click
 
-from badgercart.app.asking import REQUEST_TIMEOUT_S, fetch_page
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, ExitStatus
+from badgercart.app.node_client import REQUEST_TIMEOUT_S, fetch_page
 from badgercart.cluster.codec import MAX_SYNC_BYTES, PacketCodec
 from badgercart.cluster.errors import PacketRejectedError
 from badgercart.cluster.hybrid_logical_clock import HybridTimestamp
--- a/badgercart/discovery/etcd/members.py
+++ b/badgercart/discovery/etcd/members.py
@@ -11,9 +11,9 @@
 import grpc.aio
 from aetcd.rpc import kv_pb2, rpc_pb2, rpc_pb2_grpc
 
-from badgercart.app.asking import fetch_page
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, ExitStatus
+from badgercart.app.node_client import fetch_page
 from badgercart.config import parse_address
 from badgercart.discovery.etcd.client import authenticate, open_channel, prefix_end
 from badgercart.discovery.etcd.guard import SHRINK_ALLOWED_KEY
--- a/badgercart/distribution/commands.py
+++ b/badgercart/distribution/commands.py
@@ -15,10 +15,10 @@
 import click
 
 from badgercart.app import logs
-from badgercart.app.asking import REQUEST_TIMEOUT_S
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.app.faults import SettingsFileError
+from badgercart.app.node_client import REQUEST_TIMEOUT_S
 from badgercart.config import Address
 from badgercart.distribution.client import Client
 from badgercart.distribution.entry_file import MAX_FILE_BYTES, parse_entries
--- a/badgercart/distribution/group_client.py
+++ b/badgercart/distribution/group_client.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from badgercart.app.asking import REQUEST_TIMEOUT_S
 from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.app.faults import SettingsFileError
 from badgercart.app.file import load_installation
+from badgercart.app.node_client import REQUEST_TIMEOUT_S
 from badgercart.config import Address
 from badgercart.distribution.client import Client
 from badgercart.distribution.errors import DistributionError, FrameError
--- a/badgercart/zones/commands.py
+++ b/badgercart/zones/commands.py
@@ -13,9 +13,9 @@
 
 import click
 
-from badgercart.app.asking import fetch_page
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, ExitStatus
+from badgercart.app.node_client import fetch_page
 from badgercart.cluster.commands import exchange_packet, load_with_component
 from badgercart.zones.traffic_plan import SHARES_PER_ROW
 
