--- a/badgercart/app/__init__.py
+++ b/badgercart/app/__init__.py
@@ -3,7 +3,7 @@
 - `document`, `locate`: a file's text, the variables that override it, and line numbers.
 - `model`, `base`, `file`, `faults`: the tables of a file, what they describe, and what is wrong
   with them.
-- `component`, `registry`, `site`, `run`: components, and the installation that they make.
+- `component`, `registry`, `application`, `run`: components, and the installation that they make.
 - `cli`, `node_client`, `console`, `exits`, `render`, `pages`: commands, and what they print.
 - `logs`, `log_events`: the log of `serve`.
 
--- a/badgercart/app/cli.py
+++ b/badgercart/app/cli.py
@@ -18,13 +18,13 @@
 from click.shell_completion import get_completion_class
 
 from badgercart.app import logs, render
+from badgercart.app.application import ComponentStartError
 from badgercart.app.console import show_table
 from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.app.faults import SettingsFileError
 from badgercart.app.file import Installation, load_installation
 from badgercart.app.registry import declarations
 from badgercart.app.run import run
-from badgercart.app.site import ComponentStartError
 
 NAME = "badgercart"
 # The variable by which a shell requests completions.
--- a/badgercart/app/run.py
+++ b/badgercart/app/run.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 from badgercart.app import logs
+from badgercart.app.application import Application
 from badgercart.app.faults import SettingsFileError
 from badgercart.app.file import Installation, load_installation
 from badgercart.app.log_events import STOPPED_EARLY
-from badgercart.app.site import Application
 from badgercart.core.log_events import CONFIG_KEPT, CONFIG_READ
 
 
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -24,9 +24,9 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 from envoy.service.ext_proc.v3 import external_processor_pb2_grpc as ext_proc_grpc
 
+from badgercart.app.application import Application
 from badgercart.app.file import Installation, load_installation
 from badgercart.app.run import run
-from badgercart.app.site import Application
 from badgercart.core.clock import now_ms
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.discovery.component import Server as Listed
@@ -97,8 +97,8 @@
 async def processor(servers: int) -> None:
     """What `serve` starts."""
 
-    def started(site: Application) -> None:
-        part = site.components["processor"]
+    def started(application: Application) -> None:
+        part = application.components["processor"]
         assert isinstance(part, ProcessorComponent)
         print(part.frontend.address[1], flush=True)
 
--- a/tests/app/test_adding.py
+++ b/tests/app/test_adding.py
@@ -9,10 +9,10 @@
 
 import pytest
 
+from badgercart.app.application import Application
 from badgercart.app.faults import SettingsFileError
 from badgercart.app.file import load_installation
 from badgercart.app.registry import declarations
-from badgercart.app.site import Application
 from tests.net import WAIT_S, ScriptedServer, run
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "ADDING.md"
--- a/tests/app/test_site.py
+++ b/tests/app/test_application.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from badgercart.app import site as site_module
+from badgercart.app import application as application_module
+from badgercart.app.application import Application, ComponentStartError
 from badgercart.app.component import (
     ComponentDeclaration,
     ComponentHost,
@@ -25,7 +26,6 @@
 from badgercart.app.file import Installation, load_installation
 from badgercart.app.model import Table
 from badgercart.app.run import run as serve
-from badgercart.app.site import Application, ComponentStartError
 from tests.net import WAIT_S, config, run
 
 
@@ -135,8 +135,8 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     # The deadline of the drain is over at once.
-    monkeypatch.setattr(site_module, "ACCEPT_DURATION_MS", -1e9)
-    monkeypatch.setattr(site_module, "DRAIN_OVERRUN_MS", 20.0)
+    monkeypatch.setattr(application_module, "ACCEPT_DURATION_MS", -1e9)
+    monkeypatch.setattr(application_module, "DRAIN_OVERRUN_MS", 20.0)
 
     async def test() -> None:
         log: list[str] = []
--- a/tests/app/test_golden_metrics.py
+++ b/tests/app/test_golden_metrics.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from badgercart.app.application import Application
 from badgercart.app.file import load_installation
-from badgercart.app.site import Application
 from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.policy.endpoint import Endpoint, EndpointState
 from tests.app.test_file import GOOD, ROOT
--- a/tests/app/test_metrics.py
+++ b/tests/app/test_metrics.py
@@ -9,8 +9,8 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
+from badgercart.app.application import Application
 from badgercart.app.file import Installation
-from badgercart.app.site import Application
 from badgercart.core.metric_registry import (
     MAX_LABEL_VALUES,
     OTHER_LABEL_VALUE,
--- a/tests/cluster/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -15,8 +15,8 @@
 import msgspec
 import pytest
 
+from badgercart.app.application import Application
 from badgercart.app.file import load_installation
-from badgercart.app.site import Application
 from badgercart.cluster.codec import PacketCodec
 from badgercart.cluster.drain_gossip import DrainGossip
 from badgercart.cluster.effects import Effect, SendDatagram, StartSync
--- a/tests/distribution/test_component.py
+++ b/tests/distribution/test_component.py
@@ -16,10 +16,10 @@
 
 import pytest
 
+from badgercart.app.application import Application
 from badgercart.app.cli import main as command_line
 from badgercart.app.faults import SettingsFileError
 from badgercart.app.file import Installation, load_installation
-from badgercart.app.site import Application
 from badgercart.config import Address
 from badgercart.core.clock import now_ms
 from badgercart.discovery.freshness import FreshnessState
@@ -84,15 +84,16 @@
 class Node:
     """A running node, its discovery component and its list of servers."""
 
-    def __init__(self, site: Application) -> None:
-        self.site, self.http = site, site.components["http"].frontend  # type: ignore[attr-defined]
-        component = site.components["distribution"]
+    def __init__(self, application: Application) -> None:
+        self.application, self.http = application, application.components["http"].frontend  # type: ignore[attr-defined]
+        component = application.components["distribution"]
         assert isinstance(component, DistributedDiscoveryComponent)
         self.component = component
 
     def listed(self) -> dict[str, str]:
         return {
-            m.name: m.entry.state.name.lower() for m in self.site.endpoint_table.listed.values()
+            m.name: m.entry.state.name.lower()
+            for m in self.application.endpoint_table.listed.values()
         }
 
     async def wait_until(self, condition: Callable[[], Any]) -> None:
@@ -128,12 +129,12 @@
         "http": HttpSettings(listen=("127.0.0.1", 0)),
         "distribution": node_settings(*stores, **changes),
     }
-    site = Application(Installation(config(1), parts), asyncio.get_running_loop())
-    await site.start()
+    application = Application(Installation(config(1), parts), asyncio.get_running_loop())
+    await application.start()
     try:
-        yield Node(site)
+        yield Node(application)
     finally:
-        site.close()
+        application.close()
 
 
 def server_entry(
@@ -232,7 +233,7 @@
             ] == 0
             await node.wait_for_list(b="ready")
             assert (
-                node.site.endpoint_table.version == 3
+                node.application.endpoint_table.version == 3
                 and node.component.follower.topics.change_count == 3
             )
 
@@ -266,7 +267,7 @@
                 "b": "ready",
             }
             assert await node.request_status() == (503 if when_stale == "refuse" else 200)
-            assert node.site.endpoint_table.suspended is (when_stale == "refuse")
+            assert node.application.endpoint_table.suspended is (when_stale == "refuse")
             store = await start_store(tmp_path / "s", store.listen[1])
             await propose_entries(store, server_entry("b", peer, "leaving"))
             await node.wait_for_list(a="ready", b="draining")
@@ -361,7 +362,7 @@
         async with running_store(tmp_path / "s") as store, running_node(store.listen) as node:
             await propose_entries(store, server_entry("a"))
             await node.wait_for_list(a="ready")
-            policy = node.site.pipeline.policy
+            policy = node.application.pipeline.policy
             handle = policy.handle
             broken: list[Any] = []
 
@@ -400,12 +401,12 @@
                 stale_after_ms=700.0,
                 group="g2",
             )
-            installed = node.site.installation
+            installed = node.application.installation
             installation = Installation(
                 installed.config, installed.component_settings | {"distribution": new_settings}
             )
             assert (
-                node.site.reload(installation) == []
+                node.application.reload(installation) == []
                 and not old_driver.is_open
                 and not old_driver.links
             )
@@ -418,10 +419,13 @@
             assert node.component.follower.topics.change_count == 2
             restarted_store.close()
             await node.wait_for_state(FreshnessState.STALE)
-            assert not node.site.endpoint_table.suspended
+            assert not node.application.endpoint_table.suspended
             current_driver = node.component.driver
             # A reload without changes keeps the driver.
-            assert node.site.reload(installation) == [] and node.component.driver is current_driver
+            assert (
+                node.application.reload(installation) == []
+                and node.component.driver is current_driver
+            )
 
     run(test())
 
@@ -438,11 +442,11 @@
             "distribution-store": store_settings(Path("store"), port),
         }
         installation = Installation(config(1), parts, folder=str(tmp_path))
-        site = Application(installation, asyncio.get_running_loop())
-        await site.start()
-        node = Node(site)
+        application = Application(installation, asyncio.get_running_loop())
+        await application.start()
+        node = Node(application)
         assert (tmp_path / "store" / "snapshot").exists() or any((tmp_path / "store").iterdir())
-        driver = site.components["distribution-store"].driver  # type: ignore[attr-defined]
+        driver = application.components["distribution-store"].driver  # type: ignore[attr-defined]
         await propose_entries(driver, server_entry("a"))
         await node.wait_for_list(a="ready")
         await node.wait_for_state(FreshnessState.FRESH)
@@ -452,7 +456,7 @@
             result["topics"] == {TOPIC: 1} and result["state"] == "fresh" and result["changes"] == 1
         )
         assert result["store"] == f"127.0.0.1:{port}" and result["age_ms"] < 600
-        meters = site.host.metrics.metrics
+        meters = application.host.metrics.metrics
         figures = {name: meter.values() for name, meter in meters.items() if "distribution" in name}
         assert figures["badgercart_distribution_number"] == {TOPIC: 1.0}
         assert figures["badgercart_distribution_changes"] == {"": 1.0}
@@ -465,7 +469,7 @@
             Exception, match="distribution-store does not start: .*another process has it"
         ):
             await second.start()
-        site.close()
+        application.close()
 
     run(test())
 
@@ -792,7 +796,7 @@
             )
             assert (
                 node.component.follower.age_ms(now_ms()) == math.inf
-                and node.site.endpoint_table.suspended
+                and node.application.endpoint_table.suspended
             )
 
     run(test())
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -16,8 +16,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
+from badgercart.app.application import Application
 from badgercart.app.file import Installation
-from badgercart.app.site import Application
 from badgercart.core.ports import AttemptRequest, IncomingRequest, UpstreamResponse
 from badgercart.discovery.freshness import FreshnessState
 from badgercart.policy.events import AttemptResult
--- a/tests/etcd/test_following.py
+++ b/tests/etcd/test_following.py
@@ -15,9 +15,9 @@
 import pytest
 from aetcd.rpc import rpc_pb2
 
+from badgercart.app.application import Application
 from badgercart.app.cli import main as command_line
 from badgercart.app.file import Installation
-from badgercart.app.site import Application
 from badgercart.core.identifiers import stable_id
 from badgercart.discovery.etcd import client
 from badgercart.discovery.etcd.settings import EtcdSettings, EtcdTls
--- a/tests/graphql/test_frontend.py
+++ b/tests/graphql/test_frontend.py
@@ -14,8 +14,8 @@
 
 import pytest
 
+from badgercart.app.application import Application
 from badgercart.app.file import Installation
-from badgercart.app.site import Application
 from badgercart.frontends.graphql.documents import LruCache
 from badgercart.frontends.graphql.settings import GraphqlSettings
 from badgercart.policy.events import AttemptEnded, AttemptResult, Request, RequestCancelled
--- a/tests/processor/test_failures.py
+++ b/tests/processor/test_failures.py
@@ -403,13 +403,13 @@
             # A half-written key is rejected, then a new authority is used on both sides.
             key = (tmp_path / "server.key").read_bytes()
             (tmp_path / "server.key").write_bytes(key[:40])
-            assert harness.site.reload(harness.site.installation)[0].startswith(
+            assert harness.application.reload(harness.application.installation)[0].startswith(
                 "processor: the certificate: "
             )
             assert await route(harness, pem(ca[1]), north) == SERVERS[0]
             create_certificate_files(tmp_path, "server", other_ca)
             (tmp_path / "ca.pem").write_bytes(pem(other_ca[1]))
-            assert harness.site.reload(harness.site.installation) == []
+            assert harness.application.reload(harness.application.installation) == []
             assert await route(harness, pem(other_ca[1]), unknown) == SERVERS[0]
             assert await route(harness, pem(other_ca[1]), north) == "UNAVAILABLE"
 
--- a/tests/processors.py
+++ b/tests/processors.py
@@ -9,8 +9,8 @@
 from dataclasses import replace
 from typing import Any
 
+from badgercart.app.application import Application
 from badgercart.app.file import Installation
-from badgercart.app.site import Application
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.frontends.processor.settings import ProcessorSettings
 from badgercart.policy.events import Event
@@ -86,9 +86,9 @@
 class ProcessorHarness(EventRecorder):
     """A running installation with a processor."""
 
-    def __init__(self, site: Application) -> None:
-        super().__init__(site.pipeline)
-        self.site, self.processor = site, site.components["processor"].frontend
+    def __init__(self, application: Application) -> None:
+        super().__init__(application.pipeline)
+        self.application, self.processor = application, application.components["processor"].frontend
         self.calls = self.processor.calls
         self.address = "{}:{}".format(*self.processor.address)
 
@@ -110,7 +110,7 @@
 
     def apply_entries(self, *entries: dict[str, Any], reset: bool = False) -> None:
         """Apply endpoint entries, as a delta or as a snapshot."""
-        self.site.endpoint_table.accept(
+        self.application.endpoint_table.accept(
             {"generation": 2, "reset": reset, "instances": list(entries)}
         )
 
@@ -137,10 +137,10 @@
     installation = Installation(
         replace(base, settings=settings, drain_grace=drain_grace_ms), components
     )
-    site = Application(installation, asyncio.get_running_loop())
-    await site.start()
+    application = Application(installation, asyncio.get_running_loop())
+    await application.start()
     try:
-        yield ProcessorHarness(site)
+        yield ProcessorHarness(application)
     finally:
-        await site.components["processor"].frontend.server.stop(0)
-        site.close()
+        await application.components["processor"].frontend.server.stop(0)
+        application.close()
