--- a/badgercart/reload/reconfiguration.py
+++ b/badgercart/reload/reconfiguration.py
@@ -11,7 +11,7 @@
 from badgercart.config import Config
 from badgercart.policy.events import SettingsChanged
 from badgercart.policy.settings import RequestClass, Settings
-from badgercart.reload.numbers import assign_indexes
+from badgercart.reload.index_assignment import assign_indexes
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -13,7 +13,7 @@
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import AttemptResult, EndpointUpdate, RequestCancelled, UpdateKind
 from badgercart.policy.settings import DeduplicationScope, Idempotency, RequestClass
-from badgercart.reload.numbers import assign_indexes
+from badgercart.reload.index_assignment import assign_indexes
 from tests.policy.support import KEYED, SAFE, UNSAFE, PolicyDriver, endpoint, make_settings
 
 ZONED = replace(KEYED, deduplication_scope=DeduplicationScope.ZONE, deduplication_window_ms=300.0)
--- a/tests/reload/test_checks.py
+++ b/tests/reload/test_checks.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from badgercart.reload.checks import MAX_CLASSES, OPTIONAL_KEYS, faults, load
-from badgercart.reload.numbers import assign_indexes
+from badgercart.reload.index_assignment import assign_indexes
 from tests.test_process import raw_config
 
 
