--- a/badgercart/capture/streams.py
+++ b/badgercart/capture/streams.py
@@ -18,7 +18,7 @@
 
 from badgercart.capture.codec import CodecError
 from badgercart.discovery.freshness import Freshness, FreshnessLimits
-from badgercart.frontends.processor.account import OldAnswerTracker, ProxyRecord
+from badgercart.frontends.processor.old_answers import OldAnswerTracker, ProxyRecord
 from badgercart.frontends.processor.settings import OldAnswers
 
 _encode = msgspec.msgpack.Encoder().encode
--- a/badgercart/frontends/processor/machine.py
+++ b/badgercart/frontends/processor/machine.py
@@ -34,9 +34,9 @@
 from badgercart.core.ports import AttemptRequest, IncomingRequest, TimerHandle, UpstreamResponse
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.core.requests import InvalidRequestError
-from badgercart.frontends.processor.account import OldAnswerTracker, ProxyRecord, Standing
 from badgercart.frontends.processor.description import RequestDescription
 from badgercart.frontends.processor.log_events import OLD_ANSWERS
+from badgercart.frontends.processor.old_answers import OldAnswerTracker, ProxyRecord, Standing
 from badgercart.frontends.processor.outcomes import (
     ResponsePhase,
     classify_response,
--- a/tests/capture/golden_parts.py
+++ b/tests/capture/golden_parts.py
@@ -31,7 +31,7 @@
 )
 from badgercart.capture.streams import record_calls, state_note
 from badgercart.discovery.freshness import Freshness, FreshnessLimits
-from badgercart.frontends.processor.account import OldAnswerTracker
+from badgercart.frontends.processor.old_answers import OldAnswerTracker
 from badgercart.frontends.processor.settings import OldAnswers
 from badgercart.policy.actions import (
     Action,
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -21,7 +21,7 @@
 from badgercart.capture.streams import NoteReplayer, record_calls, state_note
 from badgercart.capture.writer import CaptureWriter
 from badgercart.discovery.freshness import Freshness, FreshnessLimits
-from badgercart.frontends.processor.account import OldAnswerTracker
+from badgercart.frontends.processor.old_answers import OldAnswerTracker
 from badgercart.frontends.processor.settings import OldAnswers
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
--- a/tests/processor/test_golden.py
+++ b/tests/processor/test_golden.py
@@ -13,9 +13,9 @@
 import pytest
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ext_proc
 
-from badgercart.frontends.processor.account import OldAnswerTracker, Standing
 from badgercart.frontends.processor.machine import ImmediateReply, PassReply, RouteReply, SkipReply
 from badgercart.frontends.processor.messages import serialize_reply
+from badgercart.frontends.processor.old_answers import OldAnswerTracker, Standing
 from badgercart.frontends.processor.settings import OldAnswers
 from tests.golden import differences
 
--- a/tests/processor/test_account.py
+++ b/tests/processor/test_old_answers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from badgercart.frontends.processor.account import MAX_PROXIES, OldAnswerTracker, Standing
+from badgercart.frontends.processor.old_answers import MAX_PROXIES, OldAnswerTracker, Standing
 from badgercart.frontends.processor.settings import OldAnswers
 
 RULE = OldAnswers(window_ms=1000.0, no_fallbacks_after=3, refuse_after=5, refuse_for_ms=200.0)
