--- a/lab/load/driver.py
+++ b/lab/load/driver.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from lab.arrivals import Plan, plan
-from lab.load.ways import REQUEST_WRITERS, Planned
+from lab.load.request_writers import REQUEST_WRITERS, Planned
 from lab.measure import Measure
 from lab.settings import Day
 from standins import http1
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -11,7 +11,7 @@
 from lab.arrivals import plan
 from lab.load.calibrate import CalibrationError, calibrate, problems_of
 from lab.load.driver import Driver, LoadResults, measured, rows_of
-from lab.load.ways import REQUEST_WRITERS
+from lab.load.request_writers import REQUEST_WRITERS
 from standins import http1
 from standins.server import DispatchServer
 from tests.lab.support import day
