--- a/tests/ends/test_crossings.py
+++ b/tests/ends/test_attempt_ends_by_stage.py
@@ -12,7 +12,7 @@
 import pytest
 
 from badgercart.policy.events import EndpointUpdate
-from tests.ends.test_leaving import ConnectGate
+from tests.ends.test_disconnect_while_waiting import ConnectGate
 from tests.net import (
     CLASSES,
     OK,
--- a/tests/ends/test_drain.py
+++ b/tests/ends/test_drain.py
@@ -13,7 +13,7 @@
 from badgercart.frontends.http.clients import Listener
 from badgercart.frontends.http.connection import ConnectionState
 from badgercart.policy.events import Request
-from tests.ends.test_leaving import ConnectGate
+from tests.ends.test_disconnect_while_waiting import ConnectGate
 from tests.net import (
     WAIT_S,
     Client,
--- a/tests/ends/test_suspects.py
+++ b/tests/ends/test_race_conditions.py
@@ -20,7 +20,7 @@
 from badgercart.frontends.http import clients
 from badgercart.policy.endpoint import EndpointState
 from badgercart.policy.events import EndpointUpdate
-from tests.ends.test_leaving import ConnectGate
+from tests.ends.test_disconnect_while_waiting import ConnectGate
 from tests.ends.test_watch import HEAD, ScriptedAgent, hang, send_parts
 from tests.ends.virtual import VirtualLoop
 from tests.net import OK, WAIT_S, ScriptedServer, config, request, run, running
--- a/tests/ends/test_ready.py
+++ b/tests/ends/test_ready.py
@@ -15,7 +15,7 @@
 from badgercart.discovery.backoff import MAX_OPEN_CALLS, OLDEST_CALL_TIMEOUT_S, CallTiming
 from badgercart.discovery.catalog import Discovery
 from tests.ends.discovery import QueueingDiscovery, ScriptedDiscovery
-from tests.ends.test_told import entry, run_on_virtual_time
+from tests.ends.test_list_change_delay import entry, run_on_virtual_time
 from tests.ends.virtual import VirtualLoop
 
 SOON_S = 0.01
