--- a/tests/app/test_adding.py
+++ b/tests/app/test_adding.py
@@ -1,4 +1,7 @@
-"""A new frontend is one package and one line: the code of docs/ADDING.md, run as it stands there."""
+"""Runs the example frontend of docs/ADDING.md exactly as the page shows it.
+
+The page promises that a frontend needs one package and one line in the registry.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,8 @@
 from tests.net import WAIT_S, ScriptedServer, run
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "ADDING.md"
-FILE = """\
+MAX_EXAMPLE_LINES = 90
+SETTINGS_TEXT = """\
 [[class]]
 name = "find"
 aim_ms = 5000
@@ -31,31 +35,36 @@
 """
 
 
-def test_the_frontend_of_the_page_serves_drains_and_is_checked(tmp_path: Path) -> None:
-    code = re.search(r"```python\n(\"\"\"A frontend.*?)```", PAGE.read_text(), re.DOTALL)
-    assert code is not None
-    assert code[1].count("\n") < 90
-    module = types.ModuleType("line_front")
-    exec(compile(code[1], str(PAGE), "exec", dont_inherit=True), module.__dict__)
-    known = (*declarations(), *module.COMPONENTS)
+def test_the_example_frontend_serves_drains_and_has_its_settings_checked(tmp_path: Path) -> None:
+    example = re.search(r"```python\n(\"\"\"A frontend.*?)```", PAGE.read_text(), re.DOTALL)
+    assert example is not None
+    assert example[1].count("\n") < MAX_EXAMPLE_LINES
+    module = types.ModuleType("line_frontend")
+    exec(compile(example[1], str(PAGE), "exec", dont_inherit=True), module.__dict__)
+    known_components = (*declarations(), *module.COMPONENTS)
     path = tmp_path / "site.toml"
 
     async def test() -> None:
-        peer = await ScriptedServer().start()
-        path.write_text(FILE.format(port=peer.port))
-        site = Application(load_installation(str(path), {}, known), asyncio.get_running_loop())
-        await site.start()
-        port = site.components["line"].server.sockets[0].getsockname()[1]  # type: ignore[attr-defined]
+        server = await ScriptedServer().start()
+        path.write_text(SETTINGS_TEXT.format(port=server.port))
+        installation = load_installation(str(path), {}, known_components)
+        application = Application(installation, asyncio.get_running_loop())
+        await application.start()
+        component = application.components["line"]
+        port = component.server.sockets[0].getsockname()[1]  # type: ignore[attr-defined]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"find cab7 8000\n")
         assert await asyncio.wait_for(reader.readline(), WAIT_S) == b"200 done\n"
         writer.close()
-        await site.drain()
-        assert not site.pipeline.in_flight
-        assert not site.pipeline.open_attempts
+        await application.drain()
+        assert not application.pipeline.in_flight
+        assert not application.pipeline.open_attempts
 
     run(test())
-    path.write_text(FILE.format(port=1).replace("listen", "listens"))
+    path.write_text(SETTINGS_TEXT.format(port=1).replace("listen", "listens"))
     with pytest.raises(SettingsFileError) as caught:
-        load_installation(str(path), {}, known)
-    assert [p.key for p in caught.value.problems] == ["fronts.line", "fronts.line.listens"]
+        load_installation(str(path), {}, known_components)
+    assert [problem.key for problem in caught.value.problems] == [
+        "fronts.line",
+        "fronts.line.listens",
+    ]
--- a/tests/app/test_file.py
+++ b/tests/app/test_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is taken, and how each fault is named."""
+"""The operator's settings file: valid files load, and each fault is reported by line and key."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from badgercart.policy.settings import DeduplicationScope, Idempotency
 
 ROOT = Path(__file__).parent.parent.parent
-GOOD = """\
+VALID_TEXT = """\
 [fleet]
 zones = ["a", "b"]
 [[class]]
@@ -43,7 +43,8 @@
 """
 
 
-def faults(tmp_path: Path, text: str) -> list[tuple[int, str, str]]:
+def reported_faults(tmp_path: Path, text: str) -> list[tuple[int, str, str]]:
+    """Load this text as a file, and return the line, key and message of each fault."""
     path = tmp_path / "site.toml"
     path.write_text(text)
     with pytest.raises(SettingsFileError) as caught:
@@ -51,31 +52,33 @@
     return [(problem.line, problem.key, problem.words) for problem in caught.value.problems]
 
 
-def test_a_good_file_becomes_an_installation(tmp_path: Path) -> None:
+def test_a_valid_file_becomes_an_installation(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
-    path.write_text(GOOD)
-    what = load_installation(str(path))
-    assert [cls.idempotency for cls in what.config.settings.classes] == [
+    path.write_text(VALID_TEXT)
+    installation = load_installation(str(path))
+    assert [cls.idempotency for cls in installation.config.settings.classes] == [
         Idempotency.IDEMPOTENT,
         Idempotency.KEYED,
     ]
-    assert what.config.settings.classes[1].deduplication_scope is DeduplicationScope.ZONE
-    assert what.config.classes == {b"find": 0, b"book": 1}
-    assert what.component_settings.keys() == {"http", "server"}
-    assert what.component_settings["http"].listen == ("127.0.0.1", 0)
-    assert what.component_settings["server"][0].list_entry()["hostPort"] == "127.0.0.1:7001"
+    assert installation.config.settings.classes[1].deduplication_scope is DeduplicationScope.ZONE
+    assert installation.config.classes == {b"find": 0, b"book": 1}
+    assert installation.component_settings.keys() == {"http", "server"}
+    assert installation.component_settings["http"].listen == ("127.0.0.1", 0)
+    assert installation.component_settings["server"][0].list_entry()["hostPort"] == "127.0.0.1:7001"
 
 
 @pytest.mark.parametrize("path", sorted(ROOT.glob("deploy/*.toml")), ids=lambda path: path.name)
-def test_the_examples_are_good(path: Path) -> None:
-    if path.name == "distribution-store.toml":  # of a process that is a store alone
+def test_the_example_files_of_deploy_are_valid(path: Path) -> None:
+    # The file of a process that runs only a replica.
+    if path.name == "distribution-store.toml":
         assert load_replica_file(str(path)) is not None
-    elif path.name != "balancer.toml":  # the platform's own form
+    # `balancer.toml` has the platform's format.
+    elif path.name != "balancer.toml":
         load_installation(str(path))
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "key", "words"),
+    ("old", "new", "line", "key", "message"),
     [
         ("worth = 2", "worth = -1", 7, "class[0].worth", "-1 is not within 0 to 1e+06"),
         ("worth = 2", 'worth = "2"', 7, "class[0].worth", "'2' is no number"),
@@ -110,27 +113,27 @@
         ),
     ],
 )
-def test_each_fault_is_named_by_line_and_key(
-    tmp_path: Path, old: str, new: str, line: int, key: str, words: str
+def test_each_fault_is_reported_by_line_and_key(
+    tmp_path: Path, old: str, new: str, line: int, key: str, message: str
 ) -> None:
-    found = faults(tmp_path, GOOD.replace(old, new, 1))
-    assert any(f[:2] == (line, key) and words in f[2] for f in found), found
+    faults = reported_faults(tmp_path, VALID_TEXT.replace(old, new, 1))
+    assert any(fault[:2] == (line, key) and message in fault[2] for fault in faults), faults
 
 
-def test_all_faults_are_named_at_once(tmp_path: Path) -> None:
-    text = GOOD.replace("worth = 2", "worth = -1").replace("listen =", "listens =")
-    assert [fault[1] for fault in faults(tmp_path, text)] == [
+def test_all_faults_are_reported_at_once(tmp_path: Path) -> None:
+    text = VALID_TEXT.replace("worth = 2", "worth = -1").replace("listen =", "listens =")
+    assert [fault[1] for fault in reported_faults(tmp_path, text)] == [
         "class[0].worth",
         "fronts.http",
         "fronts.http.listens",
     ]
 
 
-PROCESSOR = GOOD + '[fronts.processor]\nlisten = "127.0.0.1:0"\n'
+PROCESSOR_TEXT = VALID_TEXT + '[fronts.processor]\nlisten = "127.0.0.1:0"\n'
 
 
 @pytest.mark.parametrize(
-    ("more", "key"),
+    ("added_text", "key"),
     [
         ("answer_age_ms = 501", "fronts.processor.answer_age_ms"),
         ("max_streams = 0", "fronts.processor.max_streams"),
@@ -144,18 +147,20 @@
         ),
     ],
 )
-def test_faults_of_the_processor(tmp_path: Path, more: str, key: str) -> None:
-    assert [fault[1] for fault in faults(tmp_path, PROCESSOR + more)] == [key]
+def test_faults_of_the_processor_settings_are_reported(
+    tmp_path: Path, added_text: str, key: str
+) -> None:
+    assert [fault[1] for fault in reported_faults(tmp_path, PROCESSOR_TEXT + added_text)] == [key]
 
 
-def test_an_answer_never_lasts_longer_than_the_grace(tmp_path: Path) -> None:
-    text = PROCESSOR.replace("[fleet]", "[fleet]\ndrain_grace_ms = 200")
-    ((line, key, words),) = faults(tmp_path, text)
+def test_an_answer_age_beyond_the_drain_grace_period_is_a_fault(tmp_path: Path) -> None:
+    text = PROCESSOR_TEXT.replace("[fleet]", "[fleet]\ndrain_grace_ms = 200")
+    ((line, key, message),) = reported_faults(tmp_path, text)
     assert (line, key) == (24, "fronts.processor.answer_age_ms")
-    assert words == "is longer than fleet.drain_grace_ms"
+    assert message == "is longer than fleet.drain_grace_ms"
 
 
-def test_an_unreadable_file_is_one_fault(tmp_path: Path) -> None:
+def test_an_unreadable_file_is_reported_as_one_fault(tmp_path: Path) -> None:
     for data in (b"\xff\xfe", b"a = ", b"[" * 5000, b"x" * (1 << 20) + b"=1"):
         path = tmp_path / "site.toml"
         path.write_bytes(data)
@@ -166,18 +171,18 @@
         load_installation(str(tmp_path / "none.toml"))
 
 
-def test_check_names_a_fault_and_exits_with_its_status(tmp_path: Path) -> None:
+def test_check_prints_a_fault_and_exits_with_its_status(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
-    path.write_text(GOOD.replace("worth = 2", "worth = -1"))
+    path.write_text(VALID_TEXT.replace("worth = 2", "worth = -1"))
     command = [sys.executable, "-m", "badgercart", "check", str(path)]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    assert (done.returncode, done.stdout) == (2, "")
-    assert done.stderr.startswith(f"{path}: line 7: class[0].worth: -1 is not within")
-    path.write_text(GOOD)
+    result = subprocess.run(command, capture_output=True, text=True, check=False)
+    assert (result.returncode, result.stdout) == (2, "")
+    assert result.stderr.startswith(f"{path}: line 7: class[0].worth: -1 is not within")
+    path.write_text(VALID_TEXT)
     assert subprocess.run(command, capture_output=True, check=False).returncode == 0
 
 
-def test_lines_are_found_through_strings_arrays_and_quoted_keys() -> None:
+def test_line_numbers_are_right_after_strings_arrays_and_quoted_keys() -> None:
     text = '''\
 "a b" = 1
 c.d = [ # [x]
@@ -209,7 +214,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.text(alphabet="[]\"'=#.\\\n abc1{},", max_size=60))
-def test_random_text_raises_nothing_but_a_file_error(text: str) -> None:
+def test_random_text_raises_only_a_settings_file_error(text: str) -> None:
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(text)
         file.flush()
--- a/tests/app/test_golden.py
+++ b/tests/app/test_golden.py
@@ -18,19 +18,19 @@
 from badgercart.app.render import _tables as tables
 from badgercart.app.render import settings_table
 from badgercart.core.log_events import LOG_EVENTS
-from tests.app.test_file import GOOD, ROOT
+from tests.app.test_file import ROOT, VALID_TEXT
 
 GOLDEN = Path(__file__).parent / "golden"
 EXAMPLES = ("distribution", "etcd", "graphql", "peers", "processor", "zones")
 WRONG = (
-    GOOD.replace("worth = 2", "worth = -1")
+    VALID_TEXT.replace("worth = 2", "worth = -1")
     .replace('effect = "safe"', 'effect = "odd"')
     .replace("deadline_ms = 1000\nworth = 8", "worth = 8")
     .replace('listen = "127.0.0.1:0"', 'listen = "here"\nodd = 1')
     + '[peers]\nlisten = "127.0.0.1:1"\n[peers.x]\n[zones]\nmode = "none"\nserves = 0\n[[fronts.graphql]]\n'
 )
 CONTRADICTORY = (
-    GOOD.replace("aim_ms = 400", "aim_ms = 4000", 1)
+    VALID_TEXT.replace("aim_ms = 400", "aim_ms = 4000", 1)
     .replace('"book"', '"find"')
     .replace('zone = "a"', 'zone = "x"')
     + '[node]\nzone = "q"\nnumber = 3\nseed = "xyz"\nsource = "q"\n[zones]\nhead = 0.99\nrenew_ms = 3000\n'
@@ -100,7 +100,7 @@
     monkeypatch.chdir(tmp_path)
     outputs = []
     for name, text in (
-        ("good", GOOD),
+        ("good", VALID_TEXT),
         ("wrong", WRONG),
         ("unmet", CONTRADICTORY),
         ("none", "a = "),
--- a/tests/app/test_golden_metrics.py
+++ b/tests/app/test_golden_metrics.py
@@ -11,7 +11,7 @@
 from badgercart.app.file import load_installation
 from badgercart.core.endpoint_table import DiscoveredEndpoint
 from badgercart.policy.endpoint import Endpoint, EndpointState
-from tests.app.test_file import GOOD, ROOT
+from tests.app.test_file import ROOT, VALID_TEXT
 
 GOLDEN = Path(__file__).parent / "golden"
 LISTENING = 'listen = "127.0.0.1:0"\n'
@@ -46,10 +46,10 @@
 
 @pytest.mark.parametrize("part", PARTS)
 def test_the_metrics_of_each_part_are_unchanged(tmp_path: Path, part: str) -> None:
-    text = GOOD
+    text = VALID_TEXT
     if part in LIST_SOURCES:
-        start, end = GOOD.index("[[members.server]]"), GOOD.index("[fronts.http]")
-        text = GOOD[:start] + GOOD[end:]
+        start, end = VALID_TEXT.index("[[members.server]]"), VALID_TEXT.index("[fronts.http]")
+        text = VALID_TEXT[:start] + VALID_TEXT[end:]
     (tmp_path / "dispatch.graphql").write_text(DISPATCH)
     (tmp_path / "site.toml").write_text(
         text + PARTS[part].format(folder=tmp_path) + f"[metrics]\n{LISTENING}"
--- a/tests/app/test_hostile.py
+++ b/tests/app/test_hostile.py
@@ -16,7 +16,7 @@
 from badgercart.app.document import MAX_FILE_BYTES
 from badgercart.app.faults import SettingsFileError
 from badgercart.app.file import load_installation
-from tests.app.test_file import GOOD, ROOT, faults
+from tests.app.test_file import ROOT, VALID_TEXT, reported_faults
 
 PARTS = ("http", "processor", "graphql", "etcd", "metrics")
 
@@ -26,8 +26,8 @@
         f"[a.{'.'.join('bcdefgh'[: n % 8])}.t{n}]\nx = {n}\n".replace("..", ".")
         for n in range(40_000)
     )
-    text = (GOOD + deep)[: MAX_FILE_BYTES - 1].rpartition("\n[")[0] + "\n"
-    (found,) = faults(tmp_path, text)
+    text = (VALID_TEXT + deep)[: MAX_FILE_BYTES - 1].rpartition("\n[")[0] + "\n"
+    (found,) = reported_faults(tmp_path, text)
     assert found[:2] == (23, "a")
     assert found[2].startswith("is not known here")
 
@@ -37,21 +37,21 @@
     ["[fleet]\n", "[node]\n[node]\n", "[node]\nname = 'a'\nname = 'b'\n", "[fronts]\nhttp = 1\n"],
 )
 def test_a_duplicate_key_or_table_is_one_fault(tmp_path: Path, more: str) -> None:
-    assert len(faults(tmp_path, GOOD + more)) == 1
+    assert len(reported_faults(tmp_path, VALID_TEXT + more)) == 1
 
 
 def test_a_missing_library_is_reported_with_its_extra(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(sys.modules, "grpc", None)
-    found = faults(tmp_path, GOOD + '[fronts.processor]\nlisten = "127.0.0.1:0"\n')
+    found = reported_faults(tmp_path, VALID_TEXT + '[fronts.processor]\nlisten = "127.0.0.1:0"\n')
     words = "needs grpc, which is not installed: pip install 'badgercart[processor]'"
     assert found == [(23, "fronts.processor", words)]
 
 
 def test_variables_override_settings_and_are_named_in_their_faults(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_TEXT)
     environ = {
         "BADGERCART__CLASS__0__WORTH": "3.5",
         "BADGERCART__NODE__NAME": "north",
@@ -75,7 +75,7 @@
         ("CLASS__0", "1", "class[0]", "is no table"),
     ):
         if name == "NODE__NAME__X":
-            path.write_text('[node]\nname = "a"\n' + GOOD)
+            path.write_text('[node]\nname = "a"\n' + VALID_TEXT)
         with pytest.raises(SettingsFileError) as caught:
             load_installation(str(path), {f"BADGERCART__{name}": value})
         (problem,) = caught.value.problems
@@ -86,7 +86,7 @@
 
 def test_show_names_the_origin_of_each_setting(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_TEXT)
     rows = {
         key: (value, origin)
         for key, value, origin in render.effective(
--- a/tests/app/test_logs.py
+++ b/tests/app/test_logs.py
@@ -21,7 +21,7 @@
 from badgercart.app import logs, registry
 from badgercart.app.log_events import LINES_DROPPED
 from badgercart.core import log_events as events
-from tests.app.test_file import GOOD, ROOT
+from tests.app.test_file import ROOT, VALID_TEXT
 from tests.net import WAIT_S
 
 log = logging.getLogger("badgercart.tests")
@@ -168,7 +168,7 @@
     tmp_path: Path, broken_pipe: bool
 ) -> None:
     path = tmp_path / "site.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_TEXT)
     process = subprocess.Popen(
         [sys.executable, "-m", "badgercart", "serve", str(path)], stderr=subprocess.PIPE, text=True
     )
@@ -198,7 +198,7 @@
     # There is no server: the request is shed at once.
     assert b" 503 " in send_request(book, planted)
     assert b" 400 " in send_request(book.replace("900m", planted), planted)
-    path.write_text(GOOD + '[log]\nlevel = "debug"\n[node]\nname = "other"\n')
+    path.write_text(VALID_TEXT + '[log]\nlevel = "debug"\n[node]\nname = "other"\n')
     process.send_signal(signal.SIGHUP)
     read_until("config.read")
     restart = next(line for line in lines if line["event"] == "config.restart_needed")
