--- a/tests/capture/golden_parts.py
+++ b/tests/capture/golden_parts.py
@@ -220,7 +220,7 @@
     return b"".join((*parts, encode_record(RecordKind.END, b"")))
 
 
-class Night:
+class RandomEventDriver:
     """Drives a policy with a small fleet and events of every draw, from one seed."""
 
     def __init__(self) -> None:
@@ -360,13 +360,13 @@
 
 def state_segment(module: dict[str, str]) -> bytes:
     """Return a segment that begins with the policy's state after 462 events."""
-    night = Night()
-    for event in night.beginning():
-        night.decide(event)
-    night.play(460)
-    state = dump_policy(night.policy)
+    driver = RandomEventDriver()
+    for event in driver.beginning():
+        driver.decide(event)
+    driver.play(460)
+    state = dump_policy(driver.policy)
     builder = SegmentBuilder(header(module=module, seed=99, events_before=462, state=state))
     for _ in range(220):
-        event = night.next()
-        builder.add(night.now_ms, event, night.decide(event))
+        event = driver.next()
+        builder.add(driver.now_ms, event, driver.decide(event))
     return builder.data()
--- a/tests/capture/support.py
+++ b/tests/capture/support.py
@@ -43,7 +43,7 @@
 ENDPOINT_COUNT = 8
 
 
-class Saturday:
+class SimulatedTraffic:
     """The pipeline under test; its clients, upstream transport and endpoints follow one seed."""
 
     def __init__(
@@ -139,7 +139,7 @@
 
 def captured(
     folder: Path, seed: int = 1, requests: int = 1500, **settings: Any
-) -> tuple[Saturday, CaptureWriter]:
+) -> tuple[SimulatedTraffic, CaptureWriter]:
     """Play requests and capture them in a folder; returns the traffic and the closed writer."""
     writers: list[CaptureWriter] = []
 
@@ -161,7 +161,7 @@
         )
         pipeline.decision_log = writers[0].record_event
 
-    traffic = Saturday(seed, attach)
+    traffic = SimulatedTraffic(seed, attach)
     traffic.play(requests)
     writers[0].close()
     return traffic, writers[0]
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -30,7 +30,7 @@
 from badgercart.capture.settings import CaptureSettings
 from badgercart.policy.policy import Policy
 from badgercart.policy.settings import Settings
-from tests.capture.support import CLASSES, Saturday, captured
+from tests.capture.support import CLASSES, SimulatedTraffic, captured
 
 
 @pytest.fixture(scope="module")
@@ -59,7 +59,7 @@
 
 
 def test_the_capture_changes_no_decision(tmp_path: Path) -> None:
-    plain, (recorded, _) = Saturday(5), captured(tmp_path, 5, 800, segment_bytes=1 << 30)
+    plain, (recorded, _) = SimulatedTraffic(5), captured(tmp_path, 5, 800, segment_bytes=1 << 30)
     plain.play(800)
     assert plain.join.policy.__dict__.keys() == recorded.join.policy.__dict__.keys()
     assert (
@@ -190,7 +190,7 @@
 ) -> None:
     enqueue, stalled_chunks, gaps = writer.DiskWriter.enqueue, [], []
     capture_settings = CaptureSettings.model_construct(folder="", buffer_bytes=1 << 14)
-    traffic = Saturday(2)
+    traffic = SimulatedTraffic(2)
     capture = writer.CaptureWriter(
         capture_settings, tmp_path, "n", traffic.join.policy, 2, gaps.append, fail_on_error
     )
@@ -236,7 +236,7 @@
 ) -> None:
     folder = tmp_path / "gone"
     folder.mkdir()
-    traffic = Saturday(1)
+    traffic = SimulatedTraffic(1)
     failures: list[OSError] = []
     capture = writer.CaptureWriter(
         CaptureSettings.model_construct(folder=""), folder, "n", traffic.join.policy, 1, lambda lost: None,
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -26,7 +26,7 @@
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
 from standins.traffic import arrivals, play
-from tests.capture.support import Saturday, captured
+from tests.capture.support import SimulatedTraffic, captured
 
 HERE = Path(__file__).parent
 FRESHNESS_STEPS = st.lists(
@@ -80,7 +80,7 @@
 def test_notes_stand_between_the_policys_events_and_a_changed_result_is_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    traffic, freshness = Saturday(1), Freshness(FreshnessLimits())
+    traffic, freshness = SimulatedTraffic(1), Freshness(FreshnessLimits())
     capture_settings = CaptureSettings.model_construct(folder="", segment_bytes=1 << 14)
     capture = CaptureWriter(
         capture_settings, tmp_path, "n", traffic.join.policy, 1, lambda lost: None, print
@@ -161,7 +161,7 @@
         )
         pipeline.decision_log = writers[0].record_event  # type: ignore[attr-defined]
 
-    traffic = Saturday(1, attach)
+    traffic = SimulatedTraffic(1, attach)
     traffic.play(200)
     traffic.clockwork.now += jump_ms
     traffic.play(200)
--- a/tests/ends/test_list_change_delay.py
+++ b/tests/ends/test_list_change_delay.py
@@ -184,13 +184,13 @@
         self.taken = math.inf  # when the change was applied
         self.change: dict[str, Any] | None = None
         self.service = ScriptedDiscovery(loop, 1, {e["instanceId"]: e for e in listed})
-        self.pace = (
+        self.call_timing = (
             CallTiming.for_local_agent(GRACE_S * 1000)
             if pushed
             else CallTiming.for_shared_service()
         )
         self.discovery = Discovery(
-            ("d", 1), self.roster.accept, FixedRandom(dice), timing=self.pace
+            ("d", 1), self.roster.accept, FixedRandom(dice), timing=self.call_timing
         )
 
     def know(self) -> None:
@@ -420,31 +420,31 @@
 
 
 @pytest.mark.parametrize(
-    "pace",
+    "timing",
     [
         CallTiming.for_shared_service(),
         CallTiming.for_local_agent(500.0),
         CallTiming.for_local_agent(2000.0),
     ],
 )
-def test_the_sums_of_the_timeouts_are_within_the_limit(pace: CallTiming) -> None:
+def test_the_sums_of_the_timeouts_are_within_the_limit(timing: CallTiming) -> None:
     """The worst cases are a silent watch or an outage, and then two calls without a response."""
     call, rest, pause = (
-        1.25 * pace.response_timeout_s,
-        1.25 * pace.later_response_timeout_s,
-        1.5 * pace.max_retry_delay_s,
+        1.25 * timing.response_timeout_s,
+        1.25 * timing.later_response_timeout_s,
+        1.5 * timing.max_retry_delay_s,
     )
     assert WATCH_SILENCE_TIMEOUT_S + 1.5 * INITIAL_RETRY_DELAY_S + 2 * call < KNOWN_AFTER_S - 0.4
     assert max(rest, pause) + 2 * rest < KNOWN_AFTER_S - 0.3
 
 
 def test_the_delays_between_calls_grow_with_each_failure() -> None:
-    pace, tries = CallTiming.for_shared_service(), RetryState(FixedRandom(0.0))
-    assert [tries.call_opened(pace) for _ in range(4)] == [1.0, 1.0, 1.5, 1.5]
+    timing, tries = CallTiming.for_shared_service(), RetryState(FixedRandom(0.0))
+    assert [tries.call_opened(timing) for _ in range(4)] == [1.0, 1.0, 1.5, 1.5]
     tries.list_received()
-    assert tries.call_opened(pace) == 1.0
+    assert tries.call_opened(timing) == 1.0
     tries = RetryState(FixedRandom(0.5))
-    assert [tries.next_retry_delay_s(pace) for _ in range(7)] == [
+    assert [tries.next_retry_delay_s(timing) for _ in range(7)] == [
         0.05,
         0.1,
         0.2,
@@ -453,10 +453,10 @@
         1.0,
         1.0,
     ]
-    tries.watch_ended(0.9, pace)  # a watch that ends at once is no success
-    assert tries.next_retry_delay_s(pace) == 1.0
-    tries.watch_ended(1.0, pace)
-    assert tries.next_retry_delay_s(pace) == 0.05
+    tries.watch_ended(0.9, timing)  # a watch that ends at once is no success
+    assert tries.next_retry_delay_s(timing) == 1.0
+    tries.watch_ended(1.0, timing)
+    assert tries.next_retry_delay_s(timing) == 0.05
 
 
 def test_the_descriptors_reserved_for_discovery_are_enough() -> None:
--- a/tests/ends/test_watch.py
+++ b/tests/ends/test_watch.py
@@ -191,14 +191,14 @@
 
 def test_the_timeouts_of_an_agent_fit_into_the_grace_period() -> None:
     for grace in (250.0, 500.0, 2000.0):
-        pace = CallTiming.for_local_agent(grace)
+        timing = CallTiming.for_local_agent(grace)
         # A call that hangs as the agent recovers, and a pause.
-        assert pace.response_timeout_s + 1.5 * pace.max_retry_delay_s < grace / 1000
+        assert timing.response_timeout_s + 1.5 * timing.max_retry_delay_s < grace / 1000
     told, grace = 6.0, 0.5
-    for pace in (CallTiming.for_local_agent(500.0), CallTiming.for_shared_service()):
+    for timing in (CallTiming.for_local_agent(500.0), CallTiming.for_shared_service()):
         assert (
-            WATCH_SILENCE_TIMEOUT_S + pace.response_timeout_s + 1.5 * INITIAL_RETRY_DELAY_S
-            < told + grace - pace.response_timeout_s
+            WATCH_SILENCE_TIMEOUT_S + timing.response_timeout_s + 1.5 * INITIAL_RETRY_DELAY_S
+            < told + grace - timing.response_timeout_s
         )
 
 
--- a/tests/policy/test_golden.py
+++ b/tests/policy/test_golden.py
@@ -14,7 +14,7 @@
 
 from badgercart.capture.codec import encode_actions
 from badgercart.policy.policy import Policy
-from tests.capture.golden_parts import SETTINGS, Night
+from tests.capture.golden_parts import SETTINGS, RandomEventDriver
 
 DIGESTS = (Path(__file__).parent / "golden" / "days.txt").read_text().splitlines()
 EVENT_COUNT = 800
@@ -22,13 +22,13 @@
 
 def digest(seed: int) -> str:
     """Return a digest of all actions, and of the final state of the random generator."""
-    night, decided = Night(), hashlib.sha256()
-    night.random, night.policy = random.Random(seed), Policy(SETTINGS, seed)
-    for event in night.beginning():
-        decided.update(encode_actions(night.decide(event)))
+    driver, decided = RandomEventDriver(), hashlib.sha256()
+    driver.random, driver.policy = random.Random(seed), Policy(SETTINGS, seed)
+    for event in driver.beginning():
+        decided.update(encode_actions(driver.decide(event)))
     for _ in range(EVENT_COUNT):
-        decided.update(encode_actions(night.decide(night.next())))
-    decided.update(repr(night.policy.random.getstate()).encode())
+        decided.update(encode_actions(driver.decide(driver.next())))
+    decided.update(repr(driver.policy.random.getstate()).encode())
     return decided.hexdigest()
 
 
--- a/tests/statistics/test_statistics.py
+++ b/tests/statistics/test_statistics.py
@@ -37,7 +37,7 @@
     extract_statistics,
     make_snapshot,
 )
-from tests.capture.support import SETTINGS, Saturday
+from tests.capture.support import SETTINGS, SimulatedTraffic
 from tests.net import config
 
 HERE = Path(__file__).parent
@@ -77,8 +77,8 @@
 )
 
 
-def played_traffic(seed: int = 1, requests: int = 500) -> Saturday:
-    traffic = Saturday(seed)
+def played_traffic(seed: int = 1, requests: int = 500) -> SimulatedTraffic:
+    traffic = SimulatedTraffic(seed)
     traffic.play(requests)
     return traffic
 
