--- a/badgercart/app/component.py
+++ b/badgercart/app/component.py
@@ -50,11 +50,11 @@
             ReloadError: the settings can't be applied; then no component's settings change.
         """
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Accept requests that still come, and answer all requests in flight.
 
         Args:
-            until: latest time to end, in ms on `clock.now_ms`.
+            deadline_ms: latest time to end, on `clock.now_ms`.
         """
 
     def close(self) -> None:
@@ -84,15 +84,15 @@
     # Folder of the operator's file, against which relative paths in it are resolved.
     folder: str
     # Share of the descriptors for clients and servers that each component with sockets gets.
-    share: float
+    descriptor_share: float
     # Number of components without sockets.
-    others: int = 0
+    components_without_sockets: int = 0
     # Pages for operators, by path.
     pages: dict[bytes, OperatorPage] = field(default_factory=dict)
     # Metrics for operators.
     metrics: MetricRegistry = field(default_factory=MetricRegistry)
-    # State machines whose calls a capture records beside the policy, by name.
-    protocol_machines: dict[str, object] = field(default_factory=dict)
+    # State machines other than the policy whose calls a capture records, by name.
+    captured_state_machines: dict[str, object] = field(default_factory=dict)
     # What components provide to others, by name.
     services: dict[str, object] = field(default_factory=dict)
     # Returns the state of the endpoint list's age, for operators.
--- a/badgercart/capture/component.py
+++ b/badgercart/capture/component.py
@@ -57,7 +57,7 @@
         """Record the calls of the node's other state machines too; all of them exist by now."""
         from badgercart.capture.streams import record_calls, state_note
 
-        for name, machine in self.host.protocol_machines.items():
+        for name, machine in self.host.captured_state_machines.items():
             self.writer.snapshots.append(partial(state_note, name, machine))
             self.writer.record_note(state_note(name, machine))
             self.undo_recording.append(record_calls(name, machine, self.writer.record_note))
@@ -93,7 +93,7 @@
         """Return None: a reload applies no setting of the capture, only a restart does."""
         return None
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Do nothing: what the policy decides while the node drains is captured too."""
 
     def close(self) -> None:
--- a/badgercart/discovery/etcd/component.py
+++ b/badgercart/discovery/etcd/component.py
@@ -33,13 +33,13 @@
         self.endpoint_table = host.endpoint_table
         self.source: EtcdSource = EtcdSource(
             settings,
-            host.reader.read_member,
+            host.reader.read_entry,
             self.apply,
             self.on_state_changed,
             host.pipeline.clock,
             random.Random(host.config.seed),
         )
-        host.protocol_machines["etcd.freshness"] = self.source.freshness
+        host.captured_state_machines["etcd.freshness"] = self.source.freshness
         host.list_state = lambda: self.source.state.value
         host.metrics.gauge(
             "badgercart_list_age_seconds",
@@ -79,7 +79,7 @@
         """Return the change to other settings."""
         return lambda: self.source.move(settings)
 
-    async def drain(self, until: float) -> None:
+    async def drain(self, deadline_ms: float) -> None:
         """Follow the list to the end, since requests in flight may still be retried."""
 
     def close(self) -> None:
--- a/badgercart/frontends/http/component.py
+++ b/badgercart/frontends/http/component.py
@@ -51,8 +51,8 @@
             host.pipeline,
             host.endpoint_table,
             host.loop,
-            host.share,
-            host.others,
+            host.descriptor_share,
+            host.components_without_sockets,
             host.pages,
             problem_document,
         )
@@ -66,9 +66,9 @@
         """Return None: nothing here changes without a restart."""
         return None
 
-    async def drain(self, until: float) -> None:
-        """Answer all requests; ends at `until` (ms) at the latest."""
-        await self.frontend.drain(until)
+    async def drain(self, deadline_ms: float) -> None:
+        """Answer all requests; ends at `deadline_ms` at the latest."""
+        await self.frontend.drain(deadline_ms)
 
     def close(self) -> None:
         """Close the listener."""
--- a/badgercart/frontends/processor/component.py
+++ b/badgercart/frontends/processor/component.py
@@ -29,7 +29,7 @@
         self.frontend: ProcessorServer = ProcessorServer(
             host.config, settings, host.pipeline, host.endpoint_table, host.loop
         )
-        host.protocol_machines["processor.account"] = self.frontend.calls.old_answers
+        host.captured_state_machines["processor.account"] = self.frontend.calls.old_answers
 
         frontend, registry = self.frontend, host.metrics
         registry.gauge(
@@ -66,9 +66,9 @@
             raise ReloadError(f"the certificate: {error}") from None
         return lambda: self.frontend.replace_certificate(certificate)
 
-    async def drain(self, until: float) -> None:
-        """Finish all calls; ends at `until` (ms) at the latest."""
-        await self.frontend.drain(until)
+    async def drain(self, deadline_ms: float) -> None:
+        """Finish all calls; ends at `deadline_ms` at the latest."""
+        await self.frontend.drain(deadline_ms)
 
     def close(self) -> None:
         """Stop the timer."""
--- a/tests/etcd/test_faults.py
+++ b/tests/etcd/test_faults.py
@@ -16,8 +16,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
+from badgercart.app.application import Application
 from badgercart.app.file import Installation
-from badgercart.app.site import Application
 from badgercart.core.ports import AttemptRequest, IncomingRequest, UpstreamResponse
 from badgercart.discovery.freshness import FreshnessState
 from badgercart.policy.events import AttemptResult
@@ -86,10 +86,10 @@
 
     def on_response(self, response: UpstreamResponse) -> None: ...
 
-    def on_shed(self, wait: float) -> None:
+    def on_shed(self, retry_after_ms: float) -> None:
         self.sheds += 1
 
-    def on_failure(self, broken: bool) -> None:
+    def on_failure(self, internal_error: bool) -> None:
         self.faults.append("failed")
 
 
