--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -13,7 +13,7 @@
 import sys
 import time
 
-from lab.model import play_day
+from lab.model import simulate_day
 from lab.settings import Day
 
 CLASSES = [
@@ -48,7 +48,7 @@
     small = day(100, 4, chosen.seconds, 1800.0)
     speeds = {}
     for policy in ("badgercart", "random"):
-        told = play_day(small, policy, 1)
+        told = simulate_day(small, policy, 1)
         speeds[policy] = told["requests"] / told["spent_s"]
         print(
             f"{policy}: {speeds[policy]:.0f} requests a second of a core, worth in time {told['share']:.3f}"
@@ -56,7 +56,7 @@
     print(f"the policy takes {1 - speeds['badgercart'] / speeds['random']:.2f} of a day's time")
     if chosen.large:
         begun = time.perf_counter()
-        told = play_day(day(10_000, 10, 60.0, chosen.large_rate), "badgercart", 1)
+        told = simulate_day(day(10_000, 10, 60.0, chosen.large_rate), "badgercart", 1)
         spent = time.perf_counter() - begun
         peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10
         print(
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -38,7 +38,7 @@
     UtilizationLimits,
     compute_plan,
 )
-from lab.model import play
+from lab.model import simulate
 from lab.settings import Cell, Day, load
 from lab.stats import paired, verdict
 
@@ -238,7 +238,7 @@
     """Play one run."""
     zones = job.mode if job.mode in ("majority", "shared") else "off"
     policy = job.mode if job.mode in ("prequal", "priority") else "badgercart"
-    result = play(Cell(world_day(job.scenario, zones), policy, job.seed))
+    result = simulate(Cell(world_day(job.scenario, zones), policy, job.seed))
     faults = FAULTS[job.scenario.fault]
     end_s = int(max(fault["at_s"] + fault["for_s"] for fault in faults))
     course = result["course"]
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -67,14 +67,14 @@
 @click.option("--json", "as_json", is_flag=True, help="All figures as one JSON object.")
 def run(file: str, policy: str, seed: int, as_json: bool) -> None:
     """Play one day, and say what came of it."""
-    from lab.model import play
+    from lab.model import simulate
 
     day = loaded(file)
     if policy not in NAMES:
         raise CommandError(f"{policy!r} is none of {', '.join(NAMES)}", ExitStatus.USAGE)
     with bar() as shown:
         task = shown.add_task(day.experiment.name, total=100)
-        result = play(
+        result = simulate(
             Cell(day, policy, seed), lambda done: shown.update(task, completed=int(100 * done))
         )
     if as_json:
@@ -272,7 +272,7 @@
         except ValueError as error:
             raise CommandError(str(error), ExitStatus.USAGE) from None
     told = drive(addresses, day, seed, way, processes, connections)
-    result = measured(day, seed, told).plain()
+    result = measured(day, seed, told).to_dict()
     result |= {"requests": len(told.sent), "behind": told.behind, "worst_lag_ms": told.worst_lag}
     if as_json:
         click.echo(json.dumps(result))
@@ -324,11 +324,11 @@
         click.echo(str(error), err=True)
         raise click.exceptions.Exit(ExitStatus.USAGE) from None
     if in_model:
-        from lab.model import play
+        from lab.model import simulate
         from lab.trial.inmodel import day_of
 
         day = day_of(wanted)
-        result = play(Cell(day, BADGERCART, wanted.trial.seed))
+        result = simulate(Cell(day, BADGERCART, wanted.trial.seed))
         tell(day, result)
         if sum(result["breaches"].values()):
             raise click.exceptions.Exit(ExitStatus.FAILED)
--- a/lab/arrivals.py
+++ b/lab/arrivals.py
@@ -11,28 +11,28 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from lab.chance import Floats, draw, generator
+from lab.random_streams import FloatArray, draw_samples, generator
 from lab.settings import Day
 
-Ints = NDArray[np.int64]
+IntArray = NDArray[np.int64]
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
+class RequestPlan:
     """Columns of one length, a row a request, in order of time."""
 
-    at: Floats  # ms from the day's start
-    cls: Ints
-    tenant: Ints
-    key: Ints  # 0: none
-    work: Floats  # ms on a core of speed 1
-    node: Ints  # which it asks first
+    at_ms: FloatArray  # ms from the day's start
+    class_index: IntArray
+    tenant_index: IntArray
+    key: IntArray  # 0: none
+    work_ms: FloatArray  # ms on a core of speed 1
+    node: IntArray  # which it asks first
 
     def __len__(self) -> int:
-        return len(self.at)
+        return len(self.at_ms)
 
 
-def rate_at(day: Day, at: Floats) -> Floats:
+def rate_at(day: Day, at: FloatArray) -> FloatArray:
     """Requests a second over the day's mean, before troubles."""
     asked = day.arrivals
     phase = 2 * np.pi * at / (asked.period_s * 1000)
@@ -44,7 +44,7 @@
     return np.ones_like(at)
 
 
-def surge_at(day: Day, at: Floats) -> Floats:
+def surge_at(day: Day, at: FloatArray) -> FloatArray:
     factor = np.ones_like(at)
     for trouble in day.trouble:
         if trouble.kind == "surge":
@@ -53,7 +53,7 @@
     return factor
 
 
-def times(day: Day, rng: np.random.Generator) -> Floats:
+def times(day: Day, rng: np.random.Generator) -> FloatArray:
     """Arrivals by thinning (Lewis and Shedler 1979): a Poisson process at the highest rate, parts
     of it kept."""
     grid = np.linspace(0.0, day.ms, 4096)
@@ -69,7 +69,7 @@
     return at[kept]
 
 
-def plan(day: Day, seed: int) -> Plan:
+def plan_requests(day: Day, seed: int) -> RequestPlan:
     """All requests of a day."""
     at = times(day, generator(seed, "arrivals"))
     count, rng = len(at), generator(seed, "requests")
@@ -91,7 +91,7 @@
     for number, asked_for in enumerate(day.class_):
         mine = cls == number
         rng_work = generator(seed, "work", number)
-        work[mine] = draw(
+        work[mine] = draw_samples(
             rng_work, asked_for.dist, asked_for.work_ms, asked_for.cv, int(mine.sum())
         )
-    return Plan(at, cls, tenant, key, work, rng.integers(0, day.fleet.nodes, count))
+    return RequestPlan(at, cls, tenant, key, work, rng.integers(0, day.fleet.nodes, count))
--- a/lab/clock.py
+++ b/lab/clock.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 
-class Due:
+class TimerHandle:
     """Something that will happen, unless it is cancelled."""
 
     __slots__ = ("cancelled",)
@@ -23,33 +23,35 @@
         self.cancelled = True
 
 
-class Clock:
+class VirtualClock:
     """Time in ms. `call_later` is the join's port for timers."""
 
     def __init__(self) -> None:
-        self.now = 0.0
+        self.now_ms = 0.0
         self.queue: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
-        self.count = 0  # asked for so far: the order of ties
-        self.done = 0
+        self.scheduled_count = 0  # asked for so far: the order of ties
+        self.executed_events = 0
 
     def time(self) -> float:
-        return self.now
+        return self.now_ms
 
-    def at(self, when: float, callback: Callable[..., object], *args: Any) -> None:
+    def call_at(self, when: float, callback: Callable[..., object], *args: Any) -> None:
         """Call at a time (ms), or now where that is past."""
-        self.count += 1
-        heapq.heappush(self.queue, (max(when, self.now), self.count, callback, args))
+        self.scheduled_count += 1
+        heapq.heappush(self.queue, (max(when, self.now_ms), self.scheduled_count, callback, args))
 
-    def after(self, ms: float, callback: Callable[..., object], *args: Any) -> None:
-        self.at(self.now + ms, callback, *args)
+    def call_after(self, ms: float, callback: Callable[..., object], *args: Any) -> None:
+        self.call_at(self.now_ms + ms, callback, *args)
 
-    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Due:
+    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> TimerHandle:
         """After `delay` s, unless the handle is cancelled."""
-        due = Due()
-        self.at(self.now + delay * 1000, self._ring, due, callback, args)
+        due = TimerHandle()
+        self.call_at(self.now_ms + delay * 1000, self._run_timer, due, callback, args)
         return due
 
-    def _ring(self, due: Due, callback: Callable[..., object], args: tuple[Any, ...]) -> None:
+    def _run_timer(
+        self, due: TimerHandle, callback: Callable[..., object], args: tuple[Any, ...]
+    ) -> None:
         if not due.cancelled:
             callback(*args)
 
@@ -57,7 +59,7 @@
         """Let all happen that is due before `until` (ms) or at it."""
         queue, pop = self.queue, heapq.heappop
         while queue and queue[0][0] <= until:
-            self.now, _, callback, args = pop(queue)
-            self.done += 1
+            self.now_ms, _, callback, args = pop(queue)
+            self.executed_events += 1
             callback(*args)
-        self.now = max(self.now, until)
+        self.now_ms = max(self.now_ms, until)
--- a/lab/troubles.py
+++ b/lab/fault_injection.py
@@ -6,22 +6,22 @@
 from typing import TYPE_CHECKING
 
 from badgercart.policy.events import UpdateKind
-from lab.chance import generator
+from lab.random_streams import generator
 from lab.servers import Server
 from lab.settings import Trouble
 
 if TYPE_CHECKING:
-    from lab.model import Node, World
+    from lab.model import SimulatedNode, Simulation
 
-FLAP = 700.0  # ms between turns of a flapping line
+FLAP_INTERVAL_MS = 700.0  # ms between turns of a flapping line
 
-Step = Callable[["Troubles", Trouble, list[Server]], None]
+FaultHandler = Callable[["FaultInjector", Trouble, list[Server]], None]
 
 
-class Troubles:
+class FaultInjector:
     """Sets every trouble of a day off, and ends it."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: Simulation) -> None:
         self.world, self.clock = world, world.clock
 
     def schedule(self) -> None:
@@ -35,9 +35,9 @@
             count = max(1, round(trouble.share * len(self.world.servers))) if trouble.share else 0
             chosen = sorted(rng.choice(len(self.world.servers), count, replace=False).tolist())
             servers = [self.world.servers[at] for at in chosen]
-            begin, end = STEPS[trouble.kind]
-            self.clock.at(trouble.at_s * 1000, begin, self, trouble, servers)
-            self.clock.at((trouble.at_s + trouble.for_s) * 1000, end, self, trouble, servers)
+            begin, end = FAULT_HANDLERS[trouble.kind]
+            self.clock.call_at(trouble.at_s * 1000, begin, self, trouble, servers)
+            self.clock.call_at((trouble.at_s + trouble.for_s) * 1000, end, self, trouble, servers)
 
     # Servers.
 
@@ -79,7 +79,7 @@
         """As a deployment does it: first they leave, then they stop, then they come back cold."""
         self.drain(trouble, servers)
         stop = self.world.day.lists.notice_ms + self.world.day.node.drain_grace_ms + 3000.0
-        self.clock.after(min(stop, trouble.for_s * 500), self.stop, servers)
+        self.clock.call_after(min(stop, trouble.for_s * 500), self.stop, servers)
 
     def stop(self, servers: list[Server]) -> None:
         for server in servers:
@@ -104,14 +104,14 @@
         for node in self.world.nodes:
             node.tell(UpdateKind.SNAPSHOT, self.world.servers, without)
             for server in servers:
-                node.told_leaving.setdefault(server.number, self.clock.now)
+                node.told_leaving.setdefault(server.number, self.clock.now_ms)
 
     def list_whole(self, trouble: Trouble, servers: list[Server]) -> None:
         for node in self.world.nodes:
             node.tell(UpdateKind.SNAPSHOT, self.world.servers)
 
     def flap(self, trouble: Trouble, servers: list[Server]) -> None:
-        end = self.clock.now + trouble.for_s * 1000 - 2 * FLAP
+        end = self.clock.now_ms + trouble.for_s * 1000 - 2 * FLAP_INTERVAL_MS
         self.turn(servers, end, True)
 
     def turn(self, servers: list[Server], end: float, leaving: bool) -> None:
@@ -119,8 +119,8 @@
             server.leaving = leaving
         for node in self.world.nodes:
             node.tell(UpdateKind.DELTA, servers)
-        if self.clock.now < end:
-            self.clock.after(FLAP, self.turn, servers, end, not leaving)
+        if self.clock.now_ms < end:
+            self.clock.call_after(FLAP_INTERVAL_MS, self.turn, servers, end, not leaving)
 
     def flap_end(self, trouble: Trouble, servers: list[Server]) -> None:
         self.turn(servers, 0.0, False)
@@ -139,7 +139,7 @@
     def loss_end(self, trouble: Trouble, servers: list[Server]) -> None:
         self.world.net.loss = self.world.day.net.loss
 
-    def named(self, trouble: Trouble) -> list[Node]:
+    def named(self, trouble: Trouble) -> list[SimulatedNode]:
         """The nodes that it befalls: the first one where none is named."""
         return [self.world.nodes[int(name[1:])] for name in trouble.nodes] or self.world.nodes[:1]
 
@@ -209,13 +209,13 @@
 
     def zone_flap(self, trouble: Trouble, servers: list[Server]) -> None:
         """A zone is cut off and joined again, for `size` s each, until its time is over."""
-        end = self.clock.now + trouble.for_s * 1000 - 2000.0 * trouble.size
+        end = self.clock.now_ms + trouble.for_s * 1000 - 2000.0 * trouble.size
         self.flap_zone(trouble, end, True)
 
     def flap_zone(self, trouble: Trouble, end: float, cut: bool) -> None:
         (self.world.net.cut.add if cut else self.world.net.cut.discard)(trouble.zone)
-        if self.clock.now < end:
-            self.clock.after(trouble.size * 1000, self.flap_zone, trouble, end, not cut)
+        if self.clock.now_ms < end:
+            self.clock.call_after(trouble.size * 1000, self.flap_zone, trouble, end, not cut)
 
     def around(self, trouble: Trouble) -> set[tuple[int, int]]:
         """All ways in and out of these zones."""
@@ -238,26 +238,26 @@
         self.world.net.ways.discard((trouble.zone, trouble.to))
 
 
-STEPS: dict[str, tuple[Step, Step]] = {
-    "slow": (Troubles.slow, Troubles.slow_end),
-    "silent": (Troubles.silent, Troubles.silent_end),
-    "errors": (Troubles.errors, Troubles.errors_end),
-    "crash": (Troubles.crash, Troubles.come_back),
-    "restart": (Troubles.restart, Troubles.come_back),
-    "drain": (Troubles.drain, Troubles.drain_end),
-    "list_loss": (Troubles.list_loss, Troubles.list_whole),
-    "flap": (Troubles.flap, Troubles.flap_end),
-    "partition": (Troubles.partition, Troubles.partition_end),
-    "loss": (Troubles.loss, Troubles.loss_end),
-    "node_restart": (Troubles.kill, Troubles.node_back),
-    "kill": (Troubles.kill, Troubles.node_back),
-    "freeze": (Troubles.freeze, Troubles.thawed),
-    "split": (Troubles.split, Troubles.split_end),
-    "one_way": (Troubles.one_way, Troubles.one_way_end),
-    "list_cut": (Troubles.list_cut, Troubles.list_cut_end),
-    "zone_loss": (Troubles.zone_loss, Troubles.zone_back),
-    "zone_slow": (Troubles.zone_slow, Troubles.zone_slow_end),
-    "zone_flap": (Troubles.zone_flap, Troubles.partition_end),
-    "zone_way": (Troubles.zone_way, Troubles.zone_way_end),
-    "region_cut": (Troubles.region_cut, Troubles.region_cut_end),
+FAULT_HANDLERS: dict[str, tuple[FaultHandler, FaultHandler]] = {
+    "slow": (FaultInjector.slow, FaultInjector.slow_end),
+    "silent": (FaultInjector.silent, FaultInjector.silent_end),
+    "errors": (FaultInjector.errors, FaultInjector.errors_end),
+    "crash": (FaultInjector.crash, FaultInjector.come_back),
+    "restart": (FaultInjector.restart, FaultInjector.come_back),
+    "drain": (FaultInjector.drain, FaultInjector.drain_end),
+    "list_loss": (FaultInjector.list_loss, FaultInjector.list_whole),
+    "flap": (FaultInjector.flap, FaultInjector.flap_end),
+    "partition": (FaultInjector.partition, FaultInjector.partition_end),
+    "loss": (FaultInjector.loss, FaultInjector.loss_end),
+    "node_restart": (FaultInjector.kill, FaultInjector.node_back),
+    "kill": (FaultInjector.kill, FaultInjector.node_back),
+    "freeze": (FaultInjector.freeze, FaultInjector.thawed),
+    "split": (FaultInjector.split, FaultInjector.split_end),
+    "one_way": (FaultInjector.one_way, FaultInjector.one_way_end),
+    "list_cut": (FaultInjector.list_cut, FaultInjector.list_cut_end),
+    "zone_loss": (FaultInjector.zone_loss, FaultInjector.zone_back),
+    "zone_slow": (FaultInjector.zone_slow, FaultInjector.zone_slow_end),
+    "zone_flap": (FaultInjector.zone_flap, FaultInjector.partition_end),
+    "zone_way": (FaultInjector.zone_way, FaultInjector.zone_way_end),
+    "region_cut": (FaultInjector.region_cut, FaultInjector.region_cut_end),
 }
--- a/lab/load/calibrate.py
+++ b/lab/load/calibrate.py
@@ -17,10 +17,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lab.arrivals import plan
-from lab.chance import generator
+from lab.arrivals import plan_requests
 from lab.load.driver import START_DELAY_S, LoadResults, drive, measured
-from lab.model import play_day
+from lab.model import simulate_day
+from lab.random_streams import generator
 from lab.settings import Day, Trouble
 from standins.demo import NodeProcess
 from standins.fleet import Fleet
@@ -103,16 +103,18 @@
 
 def fleet_of(day: Day, seed: int) -> Fleet:
     """Return stand-in servers that match the model's, with the same kinds at the same numbers."""
-    from lab.chance import uniform
-    from lab.clock import Clock
-    from lab.servers import fleet
+    from lab.clock import VirtualClock
+    from lab.random_streams import uniform_stream
+    from lab.servers import build_fleet
 
     work = {}
     for cls in day.class_:
         half = cls.work_ms * min(cls.cv * math.sqrt(3.0), 1.0)
         work[cls.name] = (cls.work_ms - half, cls.work_ms + half)
     stand_ins = Fleet(0, seed)
-    for server in fleet(Clock(), day, lambda number: uniform(generator(seed, "server", number))):
+    for server in build_fleet(
+        VirtualClock(), day, lambda number: uniform_stream(generator(seed, "server", number))
+    ):
         stand_ins.servers.append(
             DispatchServer(
                 f"s-{server.number}", work, server.kind.cores, server.kind.queue, server.kind.name,
@@ -212,9 +214,9 @@
         raise CalibrationError("; ".join(problems))
     results = asyncio.run(run_on_sockets(day, seed, max(processes, day.fleet.nodes)))
     measure = measured(day, seed, results)
-    figures = measure.plain()
-    modelled = play_day(day, "badgercart", seed)
+    figures = measure.to_dict()
+    modelled = simulate_day(day, "badgercart", seed)
     return Calibration(
         day.experiment.name, seed, figures["share"], modelled["share"], figures["quantiles"]["p99"],
-        modelled["quantiles"]["p99"], results.behind, len(plan(day, seed)),
+        modelled["quantiles"]["p99"], results.behind, len(plan_requests(day, seed)),
     )  # fmt: skip
--- a/lab/load/driver.py
+++ b/lab/load/driver.py
@@ -15,9 +15,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from lab.arrivals import Plan, plan
+from lab.arrivals import RequestPlan, plan_requests
 from lab.load.ways import REQUEST_WRITERS, Planned
-from lab.measure import Measure
+from lab.metrics import DayMetrics
 from lab.settings import Day
 from standins import http1
 
@@ -129,9 +129,9 @@
         return response.status
 
 
-def rows_of(requests: Plan, part: int, parts: int) -> list[Planned]:
+def rows_of(requests: RequestPlan, part: int, parts: int) -> list[Planned]:
     """Return every `parts`-th request of a plan, from `part` on."""
-    columns = (requests.at, requests.cls, requests.tenant, requests.key)
+    columns = (requests.at_ms, requests.class_index, requests.tenant_index, requests.key)
     rows = zip(range(len(requests)), *(column.tolist() for column in columns), strict=True)
     return [Planned(*row) for row in rows if row[0] % parts == part]
 
@@ -156,7 +156,7 @@
         address = proxy.address
     driver = Driver(address, day, seed, way, connections)
     try:
-        return await driver.play(rows_of(plan(day, seed), part, parts), start)
+        return await driver.play(rows_of(plan_requests(day, seed), part, parts), start)
     finally:
         if proxy is not None:
             await proxy.stop()
@@ -203,17 +203,17 @@
     return all_results
 
 
-def measured(day: Day, seed: int, results: LoadResults) -> Measure:
+def measured(day: Day, seed: int, results: LoadResults) -> DayMetrics:
     """Return the results as the same figures as the model's."""
-    measure, requests = Measure(day), plan(day, seed)
+    measure, requests = DayMetrics(day), plan_requests(day, seed)
     for result in results.sent:
-        scheduled_at_ms = float(requests.at[result.number])
+        scheduled_at_ms = float(requests.at_ms[result.number])
         outcome = OUTCOME_BY_STATUS.get(result.status, "failed" if result.status else "lost")
-        measure.offered(scheduled_at_ms)
-        measure.over(
+        measure.request_offered(scheduled_at_ms)
+        measure.request_ended(
             scheduled_at_ms,
-            int(requests.cls[result.number]),
-            int(requests.tenant[result.number]),
+            int(requests.class_index[result.number]),
+            int(requests.tenant_index[result.number]),
             outcome,
             result.took_ms,
         )
--- a/lab/wire.py
+++ b/lab/network.py
@@ -12,9 +12,9 @@
 from badgercart.core.request_pipeline import RequestPipeline
 from badgercart.policy.actions import HealthCheck
 from badgercart.policy.events import AttemptResult, HealthCheckResult
-from lab.chance import Stream
-from lab.clock import Clock
-from lab.servers import Server, Work
+from lab.clock import VirtualClock
+from lab.random_streams import RandomStream
+from lab.servers import Job, Server
 from lab.settings import Day
 
 ANSWER = UpstreamResponse(200)
@@ -29,16 +29,18 @@
     server: Server
     sent: float
     tried: int  # the client's try, from 1
-    work: Work | None = None
+    work: Job | None = None
     ended: bool = False
     up: float = 0.0  # when its connection is there
     unsent: bool = False  # its request was over by then
 
 
-class Net:
+class Network:
     """What all ways have in common, and which zones are cut off from the others now."""
 
-    def __init__(self, clock: Clock, day: Day, factors: Stream, chance: Stream) -> None:
+    def __init__(
+        self, clock: VirtualClock, day: Day, factors: RandomStream, chance: RandomStream
+    ) -> None:
         self.clock, self.day, self.factors, self.chance = clock, day, factors, chance
         self.cut: set[int] = set()
         self.ways: set[tuple[int, int]] = set()  # from one zone to another, that nothing passes
@@ -61,11 +63,11 @@
         return took
 
 
-class Wire:
+class NodeTransport:
     """The carrier of one node. It has a connection for each attempt that is out, and keeps idle
     ones."""
 
-    def __init__(self, net: Net, zone: int, servers: dict[int, Server]) -> None:
+    def __init__(self, net: Network, zone: int, servers: dict[int, Server]) -> None:
         self.net, self.clock, self.zone, self.servers = net, net.clock, zone, servers
         self.out: dict[tuple[int, int], Attempt] = {}
         self.idle: dict[int, list[float]] = {}  # by server: since when
@@ -73,9 +75,9 @@
         self.dials = 0
         self.frozen = 0.0  # until when the node stands still
 
-    def join(self, join: RequestPipeline) -> None:
-        self.told = join
-        join.action_handlers[HealthCheck] = self.probe
+    def attach(self, pipeline: RequestPipeline) -> None:
+        self.pipeline = pipeline
+        pipeline.action_handlers[HealthCheck] = self.probe
 
     def close(self) -> None:
         """The node has died: nothing comes back to it."""
@@ -87,33 +89,35 @@
 
     def send(self, order: AttemptRequest) -> None:
         server = self.servers[order.endpoint_id]
-        attempt = Attempt(order, server, self.clock.now, order.payload.tries)
+        attempt = Attempt(order, server, self.clock.now_ms, order.payload.tries)
         self.out[order.request_id, order.attempt] = attempt
         self.sent(server, order)
-        self.clock.after(max(order.timeout_ms, 0.0), self.end, attempt, AttemptResult.TIMEOUT)
+        self.clock.call_after(max(order.timeout_ms, 0.0), self.end, attempt, AttemptResult.TIMEOUT)
         ready = self.connected(server)
         there, back = (
             self.net.parted(self.zone, server.zone),
             self.net.parted(server.zone, self.zone),
         )
         if not ready and (there or back):
-            self.clock.after(self.net.day.net.dial_ms, self.end, attempt, AttemptResult.UNREACHABLE)
+            self.clock.call_after(
+                self.net.day.net.dial_ms, self.end, attempt, AttemptResult.UNREACHABLE
+            )
             return
         if there:
             return
         way = self.net.way(self.zone, server.zone)
         if not ready:
             if server.down:
-                self.clock.after(2 * way, self.end, attempt, AttemptResult.UNREACHABLE)
+                self.clock.call_after(2 * way, self.end, attempt, AttemptResult.UNREACHABLE)
                 return
             self.dials += 1
-            attempt.up = self.clock.now + self.net.day.net.handshake_ms + 2 * way
+            attempt.up = self.clock.now_ms + self.net.day.net.handshake_ms + 2 * way
             way += self.net.day.net.handshake_ms + 2 * way
-        self.clock.after(way, self.arrive, attempt)
+        self.clock.call_after(way, self.arrive, attempt)
 
     def connected(self, server: Server) -> bool:
         """Take an idle connection, where there is one."""
-        idle, old = self.idle.get(server.number), self.clock.now - self.net.day.net.idle_ms
+        idle, old = self.idle.get(server.number), self.clock.now_ms - self.net.day.net.idle_ms
         while idle:
             if idle.pop() > old:
                 return True
@@ -125,7 +129,7 @@
         if attempt.unsent or (attempt.ended and server.day.fleet.drops_abandoned):
             return
         asked = attempt.order.payload
-        attempt.work = Work(
+        attempt.work = Job(
             asked.number, attempt.tried, asked.cls, asked.key, asked.work, asked.keyed, asked.window,
             partial(self.answer, attempt),
         )  # fmt: skip
@@ -133,15 +137,15 @@
 
     def answer(self, attempt: Attempt, result: AttemptResult) -> None:
         if not self.net.parted(attempt.server.zone, self.zone):
-            self.clock.after(
+            self.clock.call_after(
                 self.net.way(self.zone, attempt.server.zone), self.end, attempt, result
             )
 
     def end(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.ended:
             return
-        if self.clock.now < self.frozen:  # the node stands still: it sees this as it wakes
-            self.clock.at(self.frozen, self.end, attempt, result)
+        if self.clock.now_ms < self.frozen:  # the node stands still: it sees this as it wakes
+            self.clock.call_at(self.frozen, self.end, attempt, result)
             return
         attempt.ended = True
         order = attempt.order
@@ -149,12 +153,12 @@
         if result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL):
             idle = self.idle.setdefault(attempt.server.number, [])
             if len(idle) < MAX_IDLE:
-                idle.append(self.clock.now)
+                idle.append(self.clock.now_ms)
         elif result is AttemptResult.TIMEOUT and attempt.work is not None:
             attempt.work.abandoned = True
-        took = self.clock.now - attempt.sent
+        took = self.clock.now_ms - attempt.sent
         answer = ANSWER if result is AttemptResult.OK else None
-        self.told.attempt_ended(
+        self.pipeline.attempt_ended(
             order.request_id, order.attempt, order.endpoint_id, result, took, answer
         )
 
@@ -166,7 +170,7 @@
 
     def abandon_attempt(self, request_id: int, number: int) -> None:
         attempt = self.out.get((request_id, number))
-        if attempt is not None and self.clock.now < attempt.up:
+        if attempt is not None and self.clock.now_ms < attempt.up:
             attempt.unsent = True
             self.end(attempt, AttemptResult.NOT_SENT)
 
@@ -177,8 +181,8 @@
         zone, other = self.zone, server.zone
         if server.down or self.net.parted(zone, other) or self.net.parted(other, zone):
             return  # one that is not answered tells nothing
-        sent = self.clock.now
-        self.clock.after(
+        sent = self.clock.now_ms
+        self.clock.call_after(
             self.net.way(self.zone, server.zone), self.probed, server, action.endpoint_id, sent
         )
 
@@ -186,10 +190,12 @@
         if server.down or (server.silent and server.chance() < server.silent):
             return
         way = self.net.way(self.zone, server.zone)
-        self.clock.after(
+        self.clock.call_after(
             way, self.tell_probe, server_id, sent, (float(server.held), server.expected)
         )
 
     def tell_probe(self, server_id: int, sent: float, report: tuple[float, ...]) -> None:
-        event: Any = HealthCheckResult(server_id, AttemptResult.OK, self.clock.now - sent, report)
-        self.told.dispatch(event)
+        event: Any = HealthCheckResult(
+            server_id, AttemptResult.OK, self.clock.now_ms - sent, report
+        )
+        self.pipeline.dispatch(event)
--- a/lab/ramp.py
+++ b/lab/ramp.py
@@ -30,7 +30,7 @@
 )
 from badgercart.policy.policy import Policy
 from badgercart.policy.settings import Idempotency, RequestClass, Settings
-from lab.clock import Clock
+from lab.clock import VirtualClock
 
 WAY = 0.5  # ms from a node to a server, and back
 
@@ -141,8 +141,8 @@
 
 class Play:
     def __init__(self, ramp: Ramp, make: Callable[[Settings, int], Policy] = Policy) -> None:
-        self.ramp, self.clock, self.random = ramp, Clock(), random.Random(ramp.seed)
-        self.clock.now = 10_000.0
+        self.ramp, self.clock, self.random = ramp, VirtualClock(), random.Random(ramp.seed)
+        self.clock.now_ms = 10_000.0
         self.nodes = [
             make(replace(ramp.settings, node_index=me), ramp.seed * 1000 + me)
             for me in range(ramp.nodes)
@@ -151,7 +151,7 @@
         self.servers = {
             number: ModelServer(self.entry(number, 0.0)) for number in range(1, listed + 1)
         }
-        self.began = self.clock.now + ramp.before_ms
+        self.began = self.clock.now_ms + ramp.before_ms
         self.heard: set[int] = set()  # nodes that know of the start
         self.tries: dict[int, int] = {}
         self.offered = self.answered = self.count = 0
@@ -162,21 +162,21 @@
         return Endpoint(number, 0, 0, 0, EndpointState.READY, float(self.ramp.cores), started)
 
     def give(self, node: int, event: Event) -> None:
-        for action in self.nodes[node].handle(self.clock.now, event):
+        for action in self.nodes[node].handle(self.clock.now_ms, event):
             self.carry_out(node, action)
 
     def carry_out(self, node: int, action: Action) -> None:
         if isinstance(action, Send):
-            self.clock.after(WAY, self.reach, node, action, self.clock.now)
+            self.clock.call_after(WAY, self.reach, node, action, self.clock.now_ms)
         elif isinstance(action, SetTimer):
-            self.clock.after(action.delay_ms, self.give, node, TimerFired(action.token))
+            self.clock.call_after(action.delay_ms, self.give, node, TimerFired(action.token))
 
     def reach(self, node: int, send: Send, since: float) -> None:
         work = self.random.expovariate(1.0 / self.ramp.work_ms)
         told = node in self.heard
-        done = self.servers[send.endpoint_id].take(self.ramp, self.clock.now, work, told)
+        done = self.servers[send.endpoint_id].take(self.ramp, self.clock.now_ms, work, told)
         number = self.tries[send.id] = self.tries.get(send.id, -1) + 1
-        end = min(self.clock.now if done is None else done, since + send.timeout_ms)
+        end = min(self.clock.now_ms if done is None else done, since + send.timeout_ms)
         result = (
             AttemptResult.FULL
             if done is None
@@ -184,30 +184,30 @@
             if done <= since + send.timeout_ms
             else AttemptResult.TIMEOUT
         )
-        self.clock.at(end + WAY, self.tell, node, send, result, number, since)
+        self.clock.call_at(end + WAY, self.tell, node, send, result, number, since)
 
     def tell(self, node: int, send: Send, result: AttemptResult, number: int, since: float) -> None:
         if result is AttemptResult.OK and since > self.began:
             self.answered += 1
         over = result is AttemptResult.OK
-        elapsed = self.clock.now - since
+        elapsed = self.clock.now_ms - since
         self.give(node, AttemptEnded(send.id, send.endpoint_id, over, result, number, elapsed))
 
     def arrive(self) -> None:
         node = bisect_right(self.weights, self.random.random() * self.weights[-1])
         self.count += 1
-        self.offered += self.clock.now > self.began
-        self.give(node, Request(self.count, 0, self.clock.now + 1400.0))
+        self.offered += self.clock.now_ms > self.began
+        self.give(node, Request(self.count, 0, self.clock.now_ms + 1400.0))
         self.next_arrival()
 
     def next_arrival(self) -> None:
         ramp = self.ramp
         rate = ramp.load * ramp.warm * ramp.servers
-        if self.clock.now < self.began:
+        if self.clock.now_ms < self.began:
             rate *= 1.0 if ramp.how != "join" else 1.0 - ramp.cold / ramp.servers
         else:
-            rate *= ramp.burst if self.clock.now >= self.began + ramp.burst_ms else 1.0
-        self.clock.after(self.random.expovariate(rate), self.arrive)
+            rate *= ramp.burst if self.clock.now_ms >= self.began + ramp.burst_ms else 1.0
+        self.clock.call_after(self.random.expovariate(rate), self.arrive)
 
     def start_cold(self) -> None:
         """The cold ones are up; each node hears of it at its own time."""
@@ -216,14 +216,14 @@
         numbers = range(first, ramp.servers + 1)
         for number in numbers:
             had = self.servers.get(number)
-            self.servers[number] = ModelServer(self.entry(number, self.clock.now))
+            self.servers[number] = ModelServer(self.entry(number, self.clock.now_ms))
             if had is not None:
                 self.servers[number].free = []
         self.cold = [self.servers[number] for number in numbers]
         entries = [server.entry for server in self.cold]
         for node in range(ramp.nodes):
             at = self.random.random() * ramp.spread_ms
-            self.clock.after(at, self.hear, node, EndpointUpdate(UpdateKind.DELTA, 2, entries))
+            self.clock.call_after(at, self.hear, node, EndpointUpdate(UpdateKind.DELTA, 2, entries))
 
     def hear(self, node: int, event: EndpointUpdate) -> None:
         self.heard.add(node)
@@ -235,7 +235,7 @@
         for node in range(ramp.nodes):
             self.give(node, EndpointUpdate(UpdateKind.SNAPSHOT, 1, listed))
         self.next_arrival()
-        self.clock.at(self.began, self.start_cold)
+        self.clock.call_at(self.began, self.start_cold)
         self.clock.run(self.began + ramp.ramp_ms)
         return self.told()
 
--- a/lab/chance.py
+++ b/lab/random_streams.py
@@ -16,8 +16,8 @@
 
 from lab.settings import Dist
 
-BLOCK = 4096  # draws at once
-Floats = NDArray[np.float64]
+BLOCK_DRAWS = 4096  # draws at once
+FloatArray = NDArray[np.float64]
 
 
 def generator(seed: int, *names: str | int) -> np.random.Generator:
@@ -26,7 +26,9 @@
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence(seed, spawn_key=key)))
 
 
-def draw(rng: np.random.Generator, dist: Dist, mean: float, cv: float, count: int) -> Floats:
+def draw_samples(
+    rng: np.random.Generator, dist: Dist, mean: float, cv: float, count: int
+) -> FloatArray:
     """`count` draws of a law by its mean and its standard deviation over the mean (`cv`).
 
     Constant has none, uniform at most 1/sqrt(3) (its range ends at 0), exponential 1; pareto is the
@@ -48,29 +50,31 @@
     return rng.lognormal(math.log(mean) - spread / 2, math.sqrt(spread), count)
 
 
-class Stream:
+class RandomStream:
     """Draws one at a time from blocks."""
 
     __slots__ = ("at", "block", "fill")
 
-    def __init__(self, fill: Callable[[int], Floats]) -> None:
+    def __init__(self, fill: Callable[[int], FloatArray]) -> None:
         self.fill = fill
         self.block: list[float] = []
         self.at = 0
 
     def __call__(self) -> float:
         if self.at >= len(self.block):
-            self.block, self.at = self.fill(BLOCK).tolist(), 0
+            self.block, self.at = self.fill(BLOCK_DRAWS).tolist(), 0
         self.at += 1
         return self.block[self.at - 1]
 
 
-def uniform(rng: np.random.Generator) -> Stream:
-    return Stream(rng.random)
+def uniform_stream(rng: np.random.Generator) -> RandomStream:
+    return RandomStream(rng.random)
 
 
-def jitter(rng: np.random.Generator, cv: float) -> Stream:
+def jitter_stream(rng: np.random.Generator, cv: float) -> RandomStream:
     """Factors of mean 1, never under a half."""
     if not cv:
-        return Stream(np.ones)
-    return Stream(lambda count: np.maximum(0.5, draw(rng, "lognormal", 1.0, cv, count)))
+        return RandomStream(np.ones)
+    return RandomStream(
+        lambda count: np.maximum(0.5, draw_samples(rng, "lognormal", 1.0, cv, count))
+    )
--- a/lab/report.py
+++ b/lab/report.py
@@ -11,7 +11,7 @@
 from hdrh.histogram import HdrHistogram
 
 from badgercart.app import pages
-from lab.measure import ENDS, US, histogram
+from lab.metrics import OUTCOMES, US_PER_MS, latency_histogram
 from lab.peers import BADGERCART
 from lab.settings import Cell, Day
 from lab.stats import Interval, interval, paired, verdict
@@ -55,7 +55,7 @@
         return ended / offered if offered else 0.0
 
     def times(self) -> HdrHistogram:
-        whole = histogram()
+        whole = latency_histogram()
         for day in self.days:
             for cls in day["classes"].values():
                 whole.add(HdrHistogram.decode(cls["times"]))
@@ -96,9 +96,9 @@
         made.append(
             (
                 told.label, str(told.share), words,
-                *(f"{told.end(name):.3f}" for name in ENDS[:4]),
-                f"{times.get_value_at_percentile(50) / US:.0f}",
-                f"{times.get_value_at_percentile(99) / US:.0f}",
+                *(f"{told.end(name):.3f}" for name in OUTCOMES[:4]),
+                f"{times.get_value_at_percentile(50) / US_PER_MS:.0f}",
+                f"{times.get_value_at_percentile(99) / US_PER_MS:.0f}",
                 f"{told.mean('jam_s'):.1f}", f"{told.mean('recovery_s'):.1f}",
                 f"{told.mean('imbalance'):.2f}", str(told.breaches),
             )
@@ -168,7 +168,7 @@
     for told in found:
         times = told.times()
         if times.get_total_count():
-            values = [times.get_value_at_percentile(q) / US for q in points]
+            values = [times.get_value_at_percentile(q) / US_PER_MS for q in points]
             axis.plot([1 / (1 - q / 100) for q in points], values, label=told.label, linewidth=1.2)
     axis.set_xscale("log")
     axis.set_xticks([1 / (1 - q / 100) for q in points], [f"{q:g}" for q in points])
--- a/lab/watch.py
+++ b/lab/rule_checker.py
@@ -14,8 +14,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from lab.clock import Clock
-from lab.servers import Server, Work
+from lab.clock import VirtualClock
+from lab.servers import Job, Server
 from lab.settings import Day
 
 SHOWN = 20  # breaches that are named
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Breach:
+class RuleBreach:
     """One rule that was broken, when, and how."""
 
     rule: int
@@ -32,13 +32,13 @@
     words: str
 
 
-class Watch:
+class RuleChecker:
     """Told of everything that the rules speak of."""
 
-    def __init__(self, clock: Clock, day: Day) -> None:
+    def __init__(self, clock: VirtualClock, day: Day) -> None:
         self.clock, self.day = clock, day
         self.counts = {1: 0, 2: 0, 3: 0, 4: 0}
-        self.shown: list[Breach] = []
+        self.shown: list[RuleBreach] = []
         self.effects: dict[
             int, list[tuple[float, int, int]]
         ] = {}  # when, in which group, of which try
@@ -55,7 +55,7 @@
     def breach(self, rule: int, words: str) -> None:
         self.counts[rule] += 1
         if len(self.shown) < SHOWN:
-            self.shown.append(Breach(rule, self.clock.now, words))
+            self.shown.append(RuleBreach(rule, self.clock.now_ms, words))
 
     @property
     def broken(self) -> int:
@@ -71,12 +71,12 @@
 
     # Rule 2.
 
-    def effect(self, server: Server, work: Work) -> None:
+    def effect(self, server: Server, work: Job) -> None:
         cls = self.day.class_[work.cls]
         if cls.effect == "safe":
             return
         group = {"all": 0, "zone": server.zone, "cell": server.cell}[cls.group]
-        now, had = self.clock.now, self.effects.setdefault(work.request, [])
+        now, had = self.clock.now_ms, self.effects.setdefault(work.request, [])
         if work.keyed and any(where == group and now - at < work.window for at, where, _ in had):
             return  # the group drops the repeat
         had.append((now, group, work.tried))
@@ -97,7 +97,7 @@
 
     def send(self, server: Server, told_leaving: float | None, work: float) -> None:
         """An attempt sets out; `told_leaving`: when its node was told that the server leaves."""
-        now = self.clock.now
+        now = self.clock.now_ms
         if told_leaving is not None and now - told_leaving > self.day.node.drain_grace_ms:
             late = now - told_leaving
             self.breach(
--- a/lab/servers.py
+++ b/lab/servers.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 
 from badgercart.policy.events import AttemptResult
-from lab.chance import Stream
-from lab.clock import Clock
+from lab.clock import VirtualClock
+from lab.random_streams import RandomStream
 from lab.settings import Day, Kind
 
 ERROR_MS = 1.0  # an error by fault is answered at once: that is what draws traffic
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class Job:
     """One attempt at a server."""
 
     request: int  # the number of the client's request: its retries have the same
@@ -43,7 +43,9 @@
 class Server:
     """One server of the fleet."""
 
-    def __init__(self, clock: Clock, day: Day, number: int, kind: int, chance: Stream) -> None:
+    def __init__(
+        self, clock: VirtualClock, day: Day, number: int, kind: int, chance: RandomStream
+    ) -> None:
         self.clock, self.day, self.number = clock, day, number
         self.kind: Kind = day.kind[kind]
         self.kind_number = kind
@@ -54,10 +56,10 @@
         self.started = 0.0  # ms; 0: long ago
         self.run = 0
         self.busy = 0
-        self.waiting: deque[Work] = deque()
-        self.at_work: dict[Work, None] = {}  # in the order in which they began
+        self.waiting: deque[Job] = deque()
+        self.at_work: dict[Job, None] = {}  # in the order in which they began
         self.keys: dict[int, float] = {}  # when each was met last
-        self.effect: Callable[[Server, Work], None] = lambda server, work: None
+        self.effect: Callable[[Server, Job], None] = lambda server, work: None
         self.by_held: dict[
             int, float
         ] = {}  # time of answers lately, by the requests held as one came
@@ -82,7 +84,7 @@
     def start(self) -> None:
         """Up again, and cold."""
         self.down = self.leaving = False
-        self.started = max(self.clock.now, 1e-3)
+        self.started = max(self.clock.now_ms, 1e-3)
 
     @property
     def warmth(self) -> float:
@@ -90,7 +92,7 @@
         ramp = self.kind.ramp_ms
         if not self.started or not ramp:
             return 1.0
-        age = (self.clock.now - self.started) / ramp
+        age = (self.clock.now_ms - self.started) / ramp
         return 1.0 if age >= 1 else self.kind.cold_from + (1 - self.kind.cold_from) * max(age, 0.0)
 
     @property
@@ -105,32 +107,32 @@
     def held(self) -> int:
         return self.busy + len(self.waiting)
 
-    # Work.
+    # Job.
 
-    def take(self, work: Work) -> None:
+    def take(self, work: Job) -> None:
         """A request has come in."""
         if self.down:
             work.answer(AttemptResult.RESET)
         elif self.silent and self.chance() < self.silent:
             return  # it never answers: the node has to give up
         elif self.failing and self.chance() < self.failing:
-            self.clock.after(ERROR_MS, work.answer, AttemptResult.ERROR)
+            self.clock.call_after(ERROR_MS, work.answer, AttemptResult.ERROR)
         elif self.busy < self.kind.cores:
-            work.came, work.beside = self.clock.now, self.held
+            work.came, work.beside = self.clock.now_ms, self.held
             self.begin(work)
         elif len(self.waiting) < self.kind.queue:
-            work.came, work.beside = self.clock.now, self.held
+            work.came, work.beside = self.clock.now_ms, self.held
             self.waiting.append(work)
         else:
             self.full += 1
             work.answer(AttemptResult.FULL)
 
-    def begin(self, work: Work) -> None:
+    def begin(self, work: Job) -> None:
         self.busy += 1
         work.started, work.run = True, self.run
         took = work.work * self.slowness / (self.kind.speed * self.warmth)
         if work.key and self.day.fleet.warm_gain:
-            now, known = self.clock.now, self.keys.pop(work.key, -math.inf)
+            now, known = self.clock.now_ms, self.keys.pop(work.key, -math.inf)
             if now - known < self.day.fleet.warm_ms:
                 took *= 1 - self.day.fleet.warm_gain
             self.keys[work.key] = now
@@ -138,9 +140,9 @@
                 del self.keys[next(iter(self.keys))]
         self.at_work[work] = None
         self.busy_ms += took
-        self.clock.after(took, self.end, work)
+        self.clock.call_after(took, self.end, work)
 
-    def end(self, work: Work) -> None:
+    def end(self, work: Job) -> None:
         if work.run != self.run:
             return  # it crashed meanwhile
         self.busy -= 1
@@ -148,7 +150,7 @@
         failed = self.kind.error_share and self.chance() < self.kind.error_share
         if not failed:
             self.served += 1
-            took = self.clock.now - work.came
+            took = self.clock.now_ms - work.came
             self.by_held[work.beside] = self.by_held.get(work.beside, took) * 0.8 + 0.2 * took
             self.effect(self, work)
         work.answer(AttemptResult.ERROR if failed else AttemptResult.OK)
@@ -159,7 +161,9 @@
             self.begin(following)
 
 
-def fleet(clock: Clock, day: Day, chance: Callable[[int], Stream]) -> list[Server]:
+def build_fleet(
+    clock: VirtualClock, day: Day, chance: Callable[[int], RandomStream]
+) -> list[Server]:
     """All servers; kinds by their shares, spread evenly."""
     total, made = sum(kind.share for kind in day.kind), [0] * len(day.kind)
     servers = []
--- a/lab/sweep.py
+++ b/lab/sweep.py
@@ -17,7 +17,7 @@
 
 import badgercart.policy
 from lab import __version__
-from lab.model import play
+from lab.model import simulate
 from lab.peers import BADGERCART
 from lab.settings import Cell
 
@@ -67,7 +67,7 @@
 
 def _one(cell: Cell, folder: str) -> str:
     """In a worker: play a day and put it down."""
-    result = play(cell)
+    result = simulate(cell)
     write_whole(Path(folder) / name_of(cell), json.dumps(result))
     return cell.name
 
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -14,7 +14,7 @@
 
 from badgercart.app.faults import SettingsFileError
 from lab.__main__ import main
-from lab.measure import Measure
+from lab.metrics import DayMetrics
 from lab.peers import NAMES, make
 from lab.peers.limits import Aimd, Gradient, RetryBudget
 from lab.peers.pickers import WeightedLeastRequest
@@ -158,13 +158,13 @@
 
 
 def test_worth_ends_jams_and_recovery_are_summed_by_when_requests_were_born() -> None:
-    measure = Measure(day(10.0, [{"kind": "slow", "at_s": 2.0, "for_s": 2.0}],
+    measure = DayMetrics(day(10.0, [{"kind": "slow", "at_s": 2.0, "for_s": 2.0}],
                           experiment={"measured_from_s": 1.0}))  # fmt: skip
     for second in range(10):
         for cls, took in ((0, 100.0), (1, 900.0 if 2 <= second < 6 else 100.0)):
-            measure.offered(second * 1000.0)
-            measure.over(second * 1000.0, cls, 0, "served", took)
-    told = measure.plain()
+            measure.request_offered(second * 1000.0)
+            measure.request_ended(second * 1000.0, cls, 0, "served", took)
+    told = measure.to_dict()
     assert told["classes"]["lookup"]["ends"] == {"served": 9}
     assert told["classes"]["assign"]["ends"] == {"served": 5, "late": 4}
     assert told["share"] == pytest.approx((9 * 2 + 5 * 8) / (9 * 10))
@@ -177,9 +177,9 @@
 
 def test_a_name_that_is_no_peer_is_told() -> None:
     from badgercart.core.request_pipeline import RequestPipeline
-    from lab.clock import Clock
+    from lab.clock import VirtualClock
 
-    clock = Clock()
+    clock = VirtualClock()
     for name in ("nobody", "p2c+nobody", "badgercart+aimd"):
         with pytest.raises(LookupError, match="is none of"):
             make(name, day(), RequestPipeline(day().policy_settings(0), 1, clock, clock.time), 1)
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lab.arrivals import plan
+from lab.arrivals import plan_requests
 from lab.load.calibrate import CalibrationError, calibrate, problems_of
 from lab.load.driver import Driver, LoadResults, measured, rows_of
 from lab.load.ways import REQUEST_WRITERS
@@ -44,7 +44,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     driver = Driver(f"127.0.0.1:{port}", SMALL_DAY, 1, "http", connections)
-    results = await driver.play(rows_of(plan(SMALL_DAY, 1), 0, 1), time.monotonic() + 0.05)
+    results = await driver.play(rows_of(plan_requests(SMALL_DAY, 1), 0, 1), time.monotonic() + 0.05)
     server.close()
     return results
 
@@ -64,14 +64,14 @@
         return http1.answer(200)
 
     results = asyncio.run(send_plan(answer))
-    requests = plan(SMALL_DAY, 1)
+    requests = plan_requests(SMALL_DAY, 1)
     assert sorted(result.number for result in results.sent) == list(range(len(requests)))
     stalled = [result for result in results.sent if result.took_ms > 100.0]
     assert len(stalled) >= 10  # most of those sent meanwhile, at 80 per second
     figures = measured(SMALL_DAY, 1, results)
     # No request is counted before it is sent.
-    assert figures.times[0].get_value_at_percentile(100) == 0
-    assert figures.plain()["quantiles"]["p99"] > 200.0
+    assert figures.latencies[0].get_value_at_percentile(100) == 0
+    assert figures.to_dict()["quantiles"]["p99"] > 200.0
 
 
 def test_shed_failed_and_lost_requests_are_distinguished() -> None:
@@ -82,8 +82,8 @@
 
     results = asyncio.run(send_plan(answer))
     statuses = {result.status for result in results.sent}
-    assert statuses == {0, 200, 500, 503} and len(results.sent) == len(plan(SMALL_DAY, 1))
-    classes = measured(SMALL_DAY, 1, results).plain()["classes"]
+    assert statuses == {0, 200, 500, 503} and len(results.sent) == len(plan_requests(SMALL_DAY, 1))
+    classes = measured(SMALL_DAY, 1, results).to_dict()["classes"]
     assert sum(cls["ends"].get("lost", 0) for cls in classes.values()) > 0
     assert sum(cls["ends"].get("refused", 0) for cls in classes.values()) > 0
 
@@ -102,7 +102,7 @@
     async def run() -> list[int]:
         server = await DispatchServer("s", {"lookup": (1.0, 2.0), "assign": (1.0, 2.0)}).start()
         driver = Driver(server.address, SMALL_DAY, 1, way, 100)
-        results = await driver.play(rows_of(plan(SMALL_DAY, 1), 0, 4), time.monotonic())
+        results = await driver.play(rows_of(plan_requests(SMALL_DAY, 1), 0, 4), time.monotonic())
         server.stop()
         return [result.status for result in results.sent]
 
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -15,30 +15,30 @@
 
 from badgercart.core.ports import UpstreamResponse
 from badgercart.policy.events import AttemptResult
-from lab.arrivals import plan
-from lab.chance import draw, generator, uniform
-from lab.clock import Clock
-from lab.model import Ask, Try, World, play_day
+from lab.arrivals import plan_requests
+from lab.clock import VirtualClock
+from lab.model import ClientRequest, ClientTry, Simulation, simulate_day
 from lab.peers import NAMES
-from lab.servers import Server, Work
+from lab.random_streams import draw_samples, generator, uniform_stream
+from lab.servers import Job, Server
 from lab.settings import Cell, Day
 from tests.lab.support import day
 
 
 def test_ties_happen_in_the_order_in_which_they_were_asked_for() -> None:
-    clock, seen = Clock(), list[str]()
+    clock, seen = VirtualClock(), list[str]()
 
     def first() -> None:
         seen.append("a")
-        clock.at(5.0, seen.append, "d")
-        clock.at(1.0, seen.append, "e")
+        clock.call_at(5.0, seen.append, "d")
+        clock.call_at(1.0, seen.append, "e")
 
-    clock.at(5.0, first)
-    clock.at(5.0, seen.append, "b")
+    clock.call_at(5.0, first)
+    clock.call_at(5.0, seen.append, "b")
     clock.call_later(0.005, seen.append, "c")
     clock.call_later(0.005, seen.append, "never").cancel()
     clock.run(5.0)
-    assert seen == ["a", "b", "c", "d", "e"] and clock.now == 5.0
+    assert seen == ["a", "b", "c", "d", "e"] and clock.now_ms == 5.0
 
 
 @settings(max_examples=60, deadline=None)
@@ -51,7 +51,7 @@
     law: Any, mean: float, cv: float
 ) -> None:
     cv = {"constant": 0.0, "exponential": 1.0, "pareto": 1.2}.get(law, cv)
-    values = draw(generator(7, law), law, mean, cv, 200_000)
+    values = draw_samples(generator(7, law), law, mean, cv, 200_000)
     assert values.mean() == pytest.approx(mean, rel=0.03) and values.min() >= 0
     if law != "pareto":  # whose spread is told by a few of the largest
         assert values.std() / mean == pytest.approx(cv, rel=0.05, abs=1e-9)
@@ -59,9 +59,9 @@
 
 CODE = """
 import json
-from lab.model import play_day
+from lab.model import simulate_day
 from tests.lab.support import day
-told = play_day(day(4.0, [{"kind": "slow", "at_s": 1.0, "for_s": 2.0}]), "badgercart", 3)
+told = simulate_day(day(4.0, [{"kind": "slow", "at_s": 1.0, "for_s": 2.0}]), "badgercart", 3)
 told.pop("spent_s")
 print(json.dumps(told))
 """
@@ -80,32 +80,34 @@
 
 def test_every_policy_meets_the_same_requests_and_another_seed_others() -> None:
     small = day(5.0)
-    one, other = plan(small, 1), plan(small, 2)
-    assert np.array_equal(plan(small, 1).work, one.work) and not np.array_equal(
-        one.at[:9], other.at[:9]
+    one, other = plan_requests(small, 1), plan_requests(small, 2)
+    assert np.array_equal(plan_requests(small, 1).work_ms, one.work_ms) and not np.array_equal(
+        one.at_ms[:9], other.at_ms[:9]
     )
-    told = {name: play_day(small, name, 1) for name in ("badgercart", "p2c", "prequal")}
+    told = {name: simulate_day(small, name, 1) for name in ("badgercart", "p2c", "prequal")}
     assert len({result["requests"] for result in told.values()}) == 1
     assert all(result["share"] > 0.9 for result in told.values())
 
 
 def test_the_rate_follows_pattern_swing_and_surge() -> None:
     for pattern, early, late in (("daily", 0.0, 5.0), ("bursts", 0.0, 5.0)):
-        at = plan(day(10.0, arrivals={"pattern": pattern, "per_s": 400.0, "swing": 0.8}), 1).at
+        at = plan_requests(
+            day(10.0, arrivals={"pattern": pattern, "per_s": 400.0, "swing": 0.8}), 1
+        ).at_ms
         first = ((at >= early * 1000) & (at < early * 1000 + 1000)).sum()
         then = ((at >= late * 1000) & (at < late * 1000 + 1000)).sum()
         assert (first < then) == (pattern == "daily"), (pattern, first, then)
-    surge = plan(day(9.0, [{"kind": "surge", "at_s": 3.0, "for_s": 3.0, "size": 5.0}],
-                     arrivals={"per_s": 200.0, "pattern": "even"}), 1).at  # fmt: skip
+    surge = plan_requests(day(9.0, [{"kind": "surge", "at_s": 3.0, "for_s": 3.0, "size": 5.0}],
+                     arrivals={"per_s": 200.0, "pattern": "even"}), 1).at_ms  # fmt: skip
     thirds = [int(((surge >= a) & (surge < a + 3000)).sum()) for a in (0, 3000, 6000)]
     assert 4.5 < thirds[1] / thirds[0] < 5.5 and thirds[0] == pytest.approx(600, abs=90)
 
 
-def server(**kind: Any) -> tuple[Clock, Server]:
-    clock = Clock()
+def server(**kind: Any) -> tuple[VirtualClock, Server]:
+    clock = VirtualClock()
     made = day(kind=[{"name": "k", "cores": 1, "queue": 1, "cold_from": 0.5, "ramp_ms": 1000.0, **kind}],
                fleet={"warm_gain": 0.5, "warm_ms": 100.0})  # fmt: skip
-    return clock, Server(clock, made, 0, 0, uniform(generator(1, "test")))
+    return clock, Server(clock, made, 0, 0, uniform_stream(generator(1, "test")))
 
 
 def test_a_server_queues_turns_away_warms_up_and_loses_what_it_holds() -> None:
@@ -114,7 +116,7 @@
 
     def ask(name: str, key: int = 0) -> None:
         one.take(
-            Work(
+            Job(
                 1,
                 1,
                 0,
@@ -122,7 +124,7 @@
                 10.0,
                 False,
                 0.0,
-                lambda result: ends.append((name, result, clock.now)),
+                lambda result: ends.append((name, result, clock.now_ms)),
             )
         )
 
@@ -178,7 +180,7 @@
 ) -> None:
     hard = day(9.0, [trouble | {"at_s": 2.0, "for_s": 3.0}], net={"zones": 2}, arrivals={"load": 0.5},
                clients={"retries": 1, "impatient": 0.02})  # fmt: skip
-    told = play_day(hard, policy, 1)
+    told = simulate_day(hard, policy, 1)
     assert not sum(told["breaches"].values()), told["shown"]
     assert told["policy_raised"] == 0 and told["share"] > 0.6
     if policy == "badgercart":  # the black hole draws traffic: this is where peers lose
@@ -187,7 +189,7 @@
 
 def storm(policy: str, retries: int) -> dict[str, Any]:
     """A surge of 3 s beside clients that retry at once: does the jam outlive its cause?"""
-    return play_day(
+    return simulate_day(
         day(24.0, [{"kind": "surge", "at_s": 4.0, "for_s": 3.0, "size": 3.0}],
             kind=[{"name": "k", "cores": 2, "queue": 60}], arrivals={"load": 0.85},
             clients={"retries": retries, "backoff_ms": 20.0, "honour": 0.0},
@@ -205,20 +207,20 @@
 
 
 def test_the_checker_finds_each_rule_broken() -> None:
-    world = World(Cell(day(2.0, kind=[{"name": "k", "cores": 1, "cold_from": 0.1, "ramp_ms": 9000.0}]),
+    world = Simulation(Cell(day(2.0, kind=[{"name": "k", "cores": 1, "cold_from": 0.1, "ramp_ms": 9000.0}]),
                        "badgercart", 1))  # fmt: skip
     watch, clock, first = world.watch, world.clock, world.servers[0]
     node = world.nodes[0]
     node.start()
-    ask = Ask(7, 1, 0, 0, 10.0, True, 100.0, 0.0)
-    tried = Try(world, node, ask)
+    ask = ClientRequest(7, 1, 0, 0, 10.0, True, 100.0, 0.0)
+    tried = ClientTry(world, node, ask)
     node.held[tried.id] = tried
     world.give_up(tried)
     assert watch.counts[1] == 1
     tried.on_response(UpstreamResponse(200))
     tried.on_response(UpstreamResponse(200))
     assert watch.counts[1] == 2
-    work = Work(7, 1, 1, 0, 1.0, True, 100.0, lambda result: None)
+    work = Job(7, 1, 1, 0, 1.0, True, 100.0, lambda result: None)
     watch.effect(first, work)
     watch.effect(first, work)  # dropped by its key
     assert watch.counts[2] == 0
@@ -254,7 +256,7 @@
 
 @pytest.mark.parametrize("policy", [name for name in NAMES if "+" not in name])
 def test_nothing_unsafe_runs_twice_under_any_policy(policy: str) -> None:
-    told = play_day(unsafe_day(), policy, 2)
+    told = simulate_day(unsafe_day(), policy, 2)
     assert not sum(told["breaches"].values()), told["shown"]
     assert (
         told["classes"]["book"]["ends"].get("failed", 0) > 0
@@ -268,7 +270,7 @@
                {"kind": "node_restart", "at_s": 3.0, "for_s": 0.02, "share": 0.0}]  # fmt: skip
     found = {}
     for age in (-1.0, 0.0, 1e9):
-        world = World(
+        world = Simulation(
             Cell(
                 day(6.0, trouble, fleet={"nodes": 1}, node={"learned_age_s": age}), "badgercart", 1
             )
@@ -278,10 +280,10 @@
 
         def start(plain: Any = plain, node: Any = node, usual: list[float] = usual) -> None:
             plain()
-            usual.append(node.join.policy.fleet.latency.typical_ms[0])
+            usual.append(node.pipeline.policy.fleet.latency.typical_ms[0])
 
         node.start = start  # type: ignore[method-assign]
-        world.play()
+        world.run()
         found[age] = usual
     assert found[-1.0][0] == found[-1.0][1] == found[0.0][0] == pytest.approx(580.0 / 4)
     assert found[0.0][1] < 110.0  # learned in 3 s
--- a/tests/trial/test_script.py
+++ b/tests/trial/test_script.py
@@ -8,7 +8,7 @@
 
 from badgercart.app.faults import SettingsFileError
 from lab.__main__ import main
-from lab.model import play
+from lab.model import simulate
 from lab.settings import Cell
 from lab.trial import records
 from lab.trial.inmodel import day_of
@@ -110,7 +110,7 @@
     nodes = ["n0", "n1"] if kind == "one_way" else ["n0"]
     trial = {"name": kind, "seconds": 5.0, "per_s": 60.0, "servers": 6}
     settings = {"trial": trial, "trouble": [FAULT | {"kind": kind, "nodes": nodes}]}
-    result = play(Cell(day_of(TrialFile.model_validate(settings)), "badgercart", 1))
+    result = simulate(Cell(day_of(TrialFile.model_validate(settings)), "badgercart", 1))
     assert not sum(result["breaches"].values()), result["shown"]
     assert result["requests"] > 200 and result["share"] > 0.5
 
--- a/tests/zones/test_failover_controller.py
+++ b/tests/zones/test_failover_controller.py
@@ -15,7 +15,7 @@
     OperatorOverride,
 )
 from badgercart.zones.presentation import status_page
-from lab.model import World
+from lab.model import Simulation
 from lab.settings import Cell
 from tests.lab.support import day
 
@@ -25,35 +25,33 @@
 
 def world(
     mode: str = "majority", nodes: int = 6, duration_s: float = 12.0, **options: object
-) -> World:
+) -> Simulation:
     """Return a model of a fleet with three zones in two regions."""
     fleet = {"nodes": nodes, "peers": True, "zones": mode, "servers": 6}
     net = {"zones": 3, "regions": 2, "far_ms": 5.0}
     scenario = day(
         duration_s, options.pop("trouble", []), fleet=fleet, net=net, arrivals=ARRIVALS, **options
     )
-    return World(Cell(scenario, "badgercart", 1))
+    return Simulation(Cell(scenario, "badgercart", 1))
 
 
-def controllers(played: World) -> list[FailoverController]:
+def controllers(played: Simulation) -> list[FailoverController]:
     """Return the controllers of the nodes that are running."""
-    assert played.companions is not None
+    assert played.cluster is not None
     return [
-        companion.controller
-        for companion in played.companions.there.values()
-        if companion.controller is not None
+        node.controller for node in played.cluster.nodes.values() if node.controller is not None
     ]
 
 
-def call_at(played: World, time_ms: float, callback: object) -> None:
+def call_at(played: Simulation, time_ms: float, callback: object) -> None:
     """Call a function at a time of the model."""
-    played.clock.at(time_ms, callback)  # type: ignore[arg-type]
+    played.clock.call_at(time_ms, callback)  # type: ignore[arg-type]
 
 
 def test_all_nodes_use_one_plan_and_traffic_stays_in_its_zone() -> None:
     """With enough capacity, a plan routes no request to another zone."""
     played = world()
-    result = played.play()
+    result = played.run()
     plans = {
         controller.planner.plan.digest
         for controller in controllers(played)
@@ -62,7 +60,7 @@
     assert len(plans) == 1
     assert not sum(result["breaches"].values())
     for node in played.nodes:
-        policy = node.join.policy
+        policy = node.pipeline.policy
         assert policy.fleet.locality.plan is not None
         assert policy.fleet.locality.plan.shares[0][node.zone] == 1.0
     # Without faults, few plans are made.
@@ -71,7 +69,7 @@
 
 def test_a_run_with_plans_is_deterministic() -> None:
     """The same seed gives the same result bit by bit."""
-    one, other = (world(duration_s=8.0).play() for _ in range(2))
+    one, other = (world(duration_s=8.0).run() for _ in range(2))
     one.pop("spent_s"), other.pop("spent_s")
     assert one == other
 
@@ -87,10 +85,10 @@
             for controller in controllers(played)
             if controller.planner.plan is not None
         ]
-        observed["row"] = played.nodes[1].join.policy.fleet.locality.plan.shares[0]  # type: ignore[union-attr]
+        observed["row"] = played.nodes[1].pipeline.policy.fleet.locality.plan.shares[0]  # type: ignore[union-attr]
 
     call_at(played, 10_000.0, observe)
-    played.play()
+    played.run()
     assert observed["lost"] == [(1,)] * 6
     assert observed["row"][1] == 0
     assert sum(observed["row"]) == pytest.approx(1.0)
@@ -100,7 +98,7 @@
 def test_nodes_without_a_plan_stay_within_the_fallback_budget(nodes: int) -> None:
     """The spillover of all nodes together must fit into the capacity that plans leave free."""
     played = world(nodes=nodes)
-    played.play()
+    played.run()
     for controller in controllers(played):
         controller.consensus.voter.lease.active = None
     events = [policy_input(controller, nodes) for controller in controllers(played)]
@@ -129,7 +127,7 @@
 def test_in_shared_mode_each_node_makes_its_own_plan() -> None:
     """Mode `shared` needs no consensus."""
     played = world("shared")
-    result = played.play()
+    result = played.run()
     assert all(
         controller.planner.plan is not None and controller.consensus.active is None
         for controller in controllers(played)
@@ -140,7 +138,7 @@
 def test_the_latest_operator_override_counts_until_it_expires() -> None:
     """Old, unknown and malformed overrides, and those of other topologies, have no effect."""
     played = world(duration_s=7.0)
-    played.play()
+    played.run()
     controller = controllers(played)[0]
     overrides = controller.overrides
     wall_ms = int(controller.wall_ms())
@@ -176,7 +174,7 @@
     """The plan budget limits how often traffic moves."""
     trouble = [{"kind": "zone_flap", "at_s": 7.0, "for_s": 20.0, "zone": 1, "size": 1.0}]
     played = world(duration_s=30.0, trouble=trouble)
-    result = played.play()
+    result = played.run()
     for controller in controllers(played):
         assert 0 < controller.history.plan_count <= 20 + 20 * 30 / 60
     assert not sum(result["breaches"].values())
--- a/tests/zones/test_golden.py
+++ b/tests/zones/test_golden.py
@@ -30,7 +30,7 @@
 from badgercart.zones.presentation import loss_forecast, status_page
 from badgercart.zones.traffic_plan import Plan, PlanInput, UtilizationLimits, compute_plan
 from badgercart.zones.zone_reports import ZoneReport, ZoneReportTable
-from lab.model import World
+from lab.model import Simulation
 from lab.settings import Cell
 from tests.app.test_file import ROOT
 from tests.lab.support import day
@@ -189,12 +189,12 @@
     fleet = {"nodes": 6, "peers": True, "zones": "majority", "servers": 6}
     net = {"zones": 3, "regions": 2, "far_ms": 5.0}
     trouble = [{"kind": "zone_loss", "at_s": 7.0, "for_s": 8.0, "zone": 1}]
-    world = World(
+    world = Simulation(
         Cell(day(10.0, trouble, fleet=fleet, net=net, arrivals={"per_s": 80.0}), "badgercart", 1)
     )
-    world.play()
-    assert world.companions is not None
-    controller = next(companion.controller for companion in world.companions.there.values())
+    world.run()
+    assert world.cluster is not None
+    controller = next(node.controller for node in world.cluster.nodes.values())
     assert controller is not None
     wall_ms = int(controller.wall_ms())
     payload = msgspec.msgpack.encode(
