--- a/lab/arrivals.py
+++ b/lab/arrivals.py
@@ -1,7 +1,7 @@
-"""Who asks what and when: the whole of a day's requests, drawn ahead from its seed. No I/O.
+"""The request plan: all requests of a simulated day, drawn in advance from its seed. No I/O.
 
-The plan is the same for every policy, and for the model as for sockets: what differs between two
-runs of a seed is what was done with the same requests.
+All policies get the same plan, in the model as well as on sockets, so that two runs of a seed
+differ only in how the same requests were handled.
 """
 
 from __future__ import annotations
@@ -14,84 +14,101 @@
 from lab.random_streams import FloatArray, draw_samples, generator
 from lab.settings import Day
 
+BURST_SHARE = 0.2  # of each period of the pattern "bursts"
+PEAK_SEARCH_POINTS = 4096  # of a day at which its rate is evaluated to find the highest
+HOT_KEY_OFFSET = 7  # beyond the last regular key, so that the hot key is none of them
+# Gaps drawn beyond the expected number, so that they always reach the end of the day.
+SPARE_GAPS_DEVIATIONS = 6
+SPARE_GAPS = 16
+
 IntArray = NDArray[np.int64]
 
 
 @dataclass(slots=True, frozen=True)
 class RequestPlan:
-    """Columns of one length, a row a request, in order of time."""
+    """Columns of equal length, with one row per request, ordered by time."""
 
-    at_ms: FloatArray  # ms from the day's start
+    at_ms: FloatArray  # from the start of the day
     class_index: IntArray
     tenant_index: IntArray
     key: IntArray  # 0: none
-    work_ms: FloatArray  # ms on a core of speed 1
-    node: IntArray  # which it asks first
+    work_ms: FloatArray  # on a core of speed 1
+    node: IntArray  # that gets the first try
 
     def __len__(self) -> int:
         return len(self.at_ms)
 
 
-def rate_at(day: Day, at: FloatArray) -> FloatArray:
-    """Requests a second over the day's mean, before troubles."""
-    asked = day.arrivals
-    phase = 2 * np.pi * at / (asked.period_s * 1000)
-    if asked.pattern == "daily":  # from its low over its high and back
-        return 1 - asked.swing * np.cos(phase)
-    if asked.pattern == "bursts":  # a fifth of each period is a burst
-        burst = (at / (asked.period_s * 1000)) % 1.0 < 0.2
-        return np.where(burst, 1 + 4 * asked.swing, 1 - asked.swing)
-    return np.ones_like(at)
-
-
-def surge_at(day: Day, at: FloatArray) -> FloatArray:
-    factor = np.ones_like(at)
-    for trouble in day.trouble:
-        if trouble.kind == "surge":
-            on = (at >= trouble.at_s * 1000) & (at < (trouble.at_s + trouble.for_s) * 1000)
-            factor = np.where(on, factor * trouble.size, factor)
+def relative_rate(day: Day, at_ms: FloatArray) -> FloatArray:
+    """Return the request rate relative to the day's mean, without faults."""
+    arrivals = day.arrivals
+    phase = 2 * np.pi * at_ms / (arrivals.period_s * 1000)
+    if arrivals.pattern == "daily":
+        # Starts at the lowest rate.
+        return 1 - arrivals.swing * np.cos(phase)
+    if arrivals.pattern == "bursts":
+        burst = (at_ms / (arrivals.period_s * 1000)) % 1.0 < BURST_SHARE
+        return np.where(burst, 1 + 4 * arrivals.swing, 1 - arrivals.swing)
+    return np.ones_like(at_ms)
+
+
+def surge_factor(day: Day, at_ms: FloatArray) -> FloatArray:
+    """Return the factor by which surges raise the request rate."""
+    factor = np.ones_like(at_ms)
+    for fault in day.trouble:
+        if fault.kind == "surge":
+            active = (at_ms >= fault.at_s * 1000) & (at_ms < (fault.at_s + fault.for_s) * 1000)
+            factor = np.where(active, factor * fault.size, factor)
     return factor
 
 
-def times(day: Day, rng: np.random.Generator) -> FloatArray:
-    """Arrivals by thinning (Lewis and Shedler 1979): a Poisson process at the highest rate, parts
-    of it kept."""
-    grid = np.linspace(0.0, day.ms, 4096)
-    peak = float((rate_at(day, grid) * surge_at(day, grid)).max())
-    mean_gap = 1000.0 / (day.rate * peak)
+def arrival_times_ms(day: Day, rng: np.random.Generator) -> FloatArray:
+    """Draw the arrival times by thinning (Lewis and Shedler 1979).
+
+    A Poisson process of the highest rate is drawn, of which a share is kept that follows the rate.
+    """
+    grid = np.linspace(0.0, day.ms, PEAK_SEARCH_POINTS)
+    peak = float((relative_rate(day, grid) * surge_factor(day, grid)).max())
+    mean_gap_ms = 1000.0 / (day.rate * peak)
     if day.arrivals.pattern == "even":
-        at = np.arange(mean_gap, day.ms, mean_gap)
+        at_ms = np.arange(mean_gap_ms, day.ms, mean_gap_ms)
     else:
-        count = int(day.ms / mean_gap)
-        at = np.cumsum(rng.exponential(mean_gap, int(count + 6 * np.sqrt(count) + 16)))
-        at = at[at < day.ms]
-    kept = rng.random(len(at)) * peak < rate_at(day, at) * surge_at(day, at)
-    return at[kept]
+        expected = int(day.ms / mean_gap_ms)
+        drawn = int(expected + SPARE_GAPS_DEVIATIONS * np.sqrt(expected) + SPARE_GAPS)
+        at_ms = np.cumsum(rng.exponential(mean_gap_ms, drawn))
+        at_ms = at_ms[at_ms < day.ms]
+    kept = rng.random(len(at_ms)) * peak < relative_rate(day, at_ms) * surge_factor(day, at_ms)
+    return at_ms[kept]
 
 
 def plan_requests(day: Day, seed: int) -> RequestPlan:
-    """All requests of a day."""
-    at = times(day, generator(seed, "arrivals"))
-    count, rng = len(at), generator(seed, "requests")
-    shares = np.array([cls.share for cls in day.class_])
-    cls = rng.choice(len(shares), count, p=shares / shares.sum())
-    tenant = np.zeros(count, dtype=np.int64)
+    """Return all requests of a day."""
+    at_ms = arrival_times_ms(day, generator(seed, "arrivals"))
+    count, rng = len(at_ms), generator(seed, "requests")
+    class_shares = np.array([cls.share for cls in day.class_])
+    class_index = rng.choice(len(class_shares), count, p=class_shares / class_shares.sum())
+    tenant_index = np.zeros(count, dtype=np.int64)
     if day.tenant:
-        asked = np.array([tenant.share for tenant in day.tenant])
-        tenant = rng.choice(len(asked), count, p=asked / asked.sum())
+        tenant_shares = np.array([tenant.share for tenant in day.tenant])
+        tenant_index = rng.choice(len(tenant_shares), count, p=tenant_shares / tenant_shares.sum())
     key = np.zeros(count, dtype=np.int64)
     if day.arrivals.keys:
         weights = 1 / np.arange(1, day.arrivals.keys + 1) ** day.arrivals.key_skew
         key = rng.choice(len(weights), count, p=weights / weights.sum()) + 1
-    for trouble in day.trouble:
-        if trouble.kind == "hot_key":
-            on = (at >= trouble.at_s * 1000) & (at < (trouble.at_s + trouble.for_s) * 1000)
-            key = np.where(on & (rng.random(count) < trouble.share), day.arrivals.keys + 7, key)
-    work = np.empty(count)
-    for number, asked_for in enumerate(day.class_):
-        mine = cls == number
-        rng_work = generator(seed, "work", number)
-        work[mine] = draw_samples(
-            rng_work, asked_for.dist, asked_for.work_ms, asked_for.cv, int(mine.sum())
+    for fault in day.trouble:
+        if fault.kind == "hot_key":
+            active = (at_ms >= fault.at_s * 1000) & (at_ms < (fault.at_s + fault.for_s) * 1000)
+            hot_key = day.arrivals.keys + HOT_KEY_OFFSET
+            key = np.where(active & (rng.random(count) < fault.share), hot_key, key)
+    work_ms = np.empty(count)
+    for number, request_class in enumerate(day.class_):
+        of_class = class_index == number
+        work_ms[of_class] = draw_samples(
+            generator(seed, "work", number),
+            request_class.dist,
+            request_class.work_ms,
+            request_class.cv,
+            int(of_class.sum()),
         )
-    return RequestPlan(at, cls, tenant, key, work, rng.integers(0, day.fleet.nodes, count))
+    node = rng.integers(0, day.fleet.nodes, count)
+    return RequestPlan(at_ms, class_index, tenant_index, key, work_ms, node)
--- a/lab/clock.py
+++ b/lab/clock.py
@@ -1,7 +1,7 @@
-"""Virtual time: a queue of what is to happen. No I/O.
+"""Virtual time: a queue of scheduled callbacks. No I/O.
 
-What is due at one time happens in the order in which it was asked for; nothing else breaks a tie,
-so that a day is the same on any machine.
+Callbacks that are due at the same time run in the order in which they were scheduled. No other
+tie-breaker is used, so that a simulation is the same on any machine.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class TimerHandle:
-    """Something that will happen, unless it is cancelled."""
+    """Handle of a scheduled callback that can be cancelled."""
 
     __slots__ = ("cancelled",)
 
@@ -20,46 +20,55 @@
         self.cancelled = False
 
     def cancel(self) -> None:
+        """Prevent the callback from running."""
         self.cancelled = True
 
 
 class VirtualClock:
-    """Time in ms. `call_later` is the join's port for timers."""
+    """Discrete-event scheduler whose time is in ms.
+
+    `call_later` is the interface that the request pipeline uses for its timers.
+    """
 
     def __init__(self) -> None:
         self.now_ms = 0.0
         self.queue: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
-        self.scheduled_count = 0  # asked for so far: the order of ties
+        # Callbacks scheduled so far, which orders those that are due at the same time.
+        self.scheduled_count = 0
         self.executed_events = 0
 
     def time(self) -> float:
+        """Return the current time (ms)."""
         return self.now_ms
 
-    def call_at(self, when: float, callback: Callable[..., object], *args: Any) -> None:
-        """Call at a time (ms), or now where that is past."""
+    def call_at(self, time_ms: float, callback: Callable[..., object], *args: Any) -> None:
+        """Schedule a callback at a time, or now if that time has passed."""
         self.scheduled_count += 1
-        heapq.heappush(self.queue, (max(when, self.now_ms), self.scheduled_count, callback, args))
+        heapq.heappush(
+            self.queue, (max(time_ms, self.now_ms), self.scheduled_count, callback, args)
+        )
 
-    def call_after(self, ms: float, callback: Callable[..., object], *args: Any) -> None:
-        self.call_at(self.now_ms + ms, callback, *args)
+    def call_after(self, delay_ms: float, callback: Callable[..., object], *args: Any) -> None:
+        """Schedule a callback after a delay."""
+        self.call_at(self.now_ms + delay_ms, callback, *args)
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> TimerHandle:
-        """After `delay` s, unless the handle is cancelled."""
-        due = TimerHandle()
-        self.call_at(self.now_ms + delay * 1000, self._run_timer, due, callback, args)
-        return due
+        """Schedule a callback after `delay` seconds, unless its handle is cancelled."""
+        handle = TimerHandle()
+        self.call_at(self.now_ms + delay * 1000, self._run_timer, handle, callback, args)
+        return handle
 
     def _run_timer(
-        self, due: TimerHandle, callback: Callable[..., object], args: tuple[Any, ...]
+        self, handle: TimerHandle, callback: Callable[..., object], args: tuple[Any, ...]
     ) -> None:
-        if not due.cancelled:
+        if not handle.cancelled:
             callback(*args)
 
-    def run(self, until: float) -> None:
-        """Let all happen that is due before `until` (ms) or at it."""
+    def run(self, until_ms: float) -> None:
+        """Run all callbacks that are due at or before a time, and advance to it."""
         queue, pop = self.queue, heapq.heappop
-        while queue and queue[0][0] <= until:
+        while queue and queue[0][0] <= until_ms:
             self.now_ms, _, callback, args = pop(queue)
             self.executed_events += 1
             callback(*args)
-        self.now_ms = max(self.now_ms, until)
+        self.now_ms = max(self.now_ms, until_ms)
