--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,9 +1,10 @@
-"""The lab: a model of the fleet in virtual time, open-loop load on sockets, experiments that end in
-a report.
+"""The lab: experiments with a simulated fleet or with load on sockets, and their reports.
 
-`days` has what an experiment file says, `model` the discrete-event model round the real join and
-policy, `peers` other policies to compare with, `sweep` runs many days on all cores, `report` shows
-them. Its entry is ``python -m lab``; docs/design/lab.md has the ways weighed.
+`settings` defines experiment files, `model` is the discrete-event simulation around the real
+request pipeline and policy, `peers` has other policies to compare with, `sweep` runs many
+simulations on all cores, and `report` presents their results. The command is ``python -m lab``;
+docs/design/lab.md discusses the alternatives.
 """
 
-__version__ = "1"  # of the model: days of another are played anew
+# Version of the model. Results of another version are computed again.
+__version__ = "1"
--- a/lab/fault_injection.py
+++ b/lab/fault_injection.py
@@ -1,4 +1,7 @@
-"""What happens in a day besides requests: each kind of trouble begins, and ends."""
+"""Injects the faults of a simulated day: each kind has a method that begins it and one that ends it.
+
+The kinds "surge" and "hot_key" are part of the request plan instead.
+"""
 
 from __future__ import annotations
 
@@ -13,251 +16,309 @@
 if TYPE_CHECKING:
     from lab.model import SimulatedNode, Simulation
 
-FLAP_INTERVAL_MS = 700.0  # ms between turns of a flapping line
+FLAP_INTERVAL_MS = 700.0  # between changes of a flapping entry
+RESTART_DRAIN_MS = 3000.0  # beyond the grace period, from drain to stop
+MAX_LOSS = 0.9  # with 1, resending would never end
 
 FaultHandler = Callable[["FaultInjector", Trouble, list[Server]], None]
 
 
 class FaultInjector:
-    """Sets every trouble of a day off, and ends it."""
+    """Schedules the beginning and the end of every fault of a day.
+
+    A handler receives the fault and the servers that were drawn for it.
+    """
 
-    def __init__(self, world: Simulation) -> None:
-        self.world, self.clock = world, world.clock
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation, self.clock = simulation, simulation.clock
 
     def schedule(self) -> None:
-        """Who is befallen is drawn by the seed and the trouble's place, the same for every
-        policy."""
-        day = self.world.day
-        for number, trouble in enumerate(day.trouble):
-            if trouble.kind in ("surge", "hot_key"):
-                continue  # they are in the plan of requests
-            rng = generator(self.world.cell.seed, "trouble", number)
-            count = max(1, round(trouble.share * len(self.world.servers))) if trouble.share else 0
-            chosen = sorted(rng.choice(len(self.world.servers), count, replace=False).tolist())
-            servers = [self.world.servers[at] for at in chosen]
-            begin, end = FAULT_HANDLERS[trouble.kind]
-            self.clock.call_at(trouble.at_s * 1000, begin, self, trouble, servers)
-            self.clock.call_at((trouble.at_s + trouble.for_s) * 1000, end, self, trouble, servers)
+        """Draw the affected servers, which are the same for every policy, and schedule all faults."""
+        day, all_servers = self.simulation.day, self.simulation.servers
+        for number, fault in enumerate(day.trouble):
+            if fault.kind in ("surge", "hot_key"):
+                continue
+            rng = generator(self.simulation.cell.seed, "trouble", number)
+            count = max(1, round(fault.share * len(all_servers))) if fault.share else 0
+            chosen = sorted(rng.choice(len(all_servers), count, replace=False).tolist())
+            servers = [all_servers[index] for index in chosen]
+            begin, end = FAULT_HANDLERS[fault.kind]
+            self.clock.call_at(fault.at_s * 1000, begin, self, fault, servers)
+            self.clock.call_at((fault.at_s + fault.for_s) * 1000, end, self, fault, servers)
 
     # Servers.
 
-    def slow(self, trouble: Trouble, servers: list[Server]) -> None:
+    def begin_slow(self, fault: Trouble, servers: list[Server]) -> None:
+        """Slow the servers down by the fault's factor."""
         for server in servers:
-            server.slowness *= trouble.size
+            server.slowdown *= fault.size
 
-    def slow_end(self, trouble: Trouble, servers: list[Server]) -> None:
+    def end_slow(self, fault: Trouble, servers: list[Server]) -> None:
+        """Undo the slowdown."""
         for server in servers:
-            server.slowness /= trouble.size
+            server.slowdown /= fault.size
 
-    def silent(self, trouble: Trouble, servers: list[Server]) -> None:
+    def begin_silent(self, fault: Trouble, servers: list[Server]) -> None:
+        """Leave a share of the requests without response."""
         for server in servers:
-            server.silent = trouble.chance
+            server.silent_share = fault.chance
 
-    def silent_end(self, trouble: Trouble, servers: list[Server]) -> None:
+    def end_silent(self, fault: Trouble, servers: list[Server]) -> None:
+        """Respond to all requests again."""
         for server in servers:
-            server.silent = 0.0
+            server.silent_share = 0.0
 
-    def errors(self, trouble: Trouble, servers: list[Server]) -> None:
+    def begin_errors(self, fault: Trouble, servers: list[Server]) -> None:
+        """Respond to a share of the requests with errors."""
         for server in servers:
-            server.failing = trouble.chance
+            server.error_share = fault.chance
 
-    def errors_end(self, trouble: Trouble, servers: list[Server]) -> None:
+    def end_errors(self, fault: Trouble, servers: list[Server]) -> None:
+        """Process all requests again."""
         for server in servers:
-            server.failing = 0.0
+            server.error_share = 0.0
 
-    def crash(self, trouble: Trouble, servers: list[Server]) -> None:
+    def crash(self, fault: Trouble, servers: list[Server]) -> None:
+        """Stop the servers; the endpoint list shows it after `crash_notice_ms`."""
         for server in servers:
             server.crash()
-        self.world.changed(servers, self.world.day.lists.crash_notice_ms)
+        self.simulation.publish_change(servers, self.simulation.day.lists.crash_notice_ms)
 
-    def come_back(self, trouble: Trouble, servers: list[Server]) -> None:
+    def start_again(self, fault: Trouble, servers: list[Server]) -> None:
+        """Start the servers again, cold."""
         for server in servers:
             server.start()
-        self.world.changed(servers, self.world.day.lists.notice_ms)
+        self.simulation.publish_change(servers, self.simulation.day.lists.notice_ms)
+
+    def begin_restart(self, fault: Trouble, servers: list[Server]) -> None:
+        """Drain the servers, then stop them, as a deployment does.
 
-    def restart(self, trouble: Trouble, servers: list[Server]) -> None:
-        """As a deployment does it: first they leave, then they stop, then they come back cold."""
-        self.drain(trouble, servers)
-        stop = self.world.day.lists.notice_ms + self.world.day.node.drain_grace_ms + 3000.0
-        self.clock.call_after(min(stop, trouble.for_s * 500), self.stop, servers)
+        They stop after the grace period, or halfway through the fault if that comes first.
+        """
+        self.begin_drain(fault, servers)
+        stop_ms = (
+            self.simulation.day.lists.notice_ms
+            + self.simulation.day.node.drain_grace_ms
+            + RESTART_DRAIN_MS
+        )
+        self.clock.call_after(min(stop_ms, fault.for_s * 500), self.stop, servers)
 
     def stop(self, servers: list[Server]) -> None:
+        """Stop servers that were announced to stop."""
         for server in servers:
             server.crash()
-        self.world.changed(servers, self.world.day.lists.notice_ms)
+        self.simulation.publish_change(servers, self.simulation.day.lists.notice_ms)
 
-    def drain(self, trouble: Trouble, servers: list[Server]) -> None:
+    def begin_drain(self, fault: Trouble, servers: list[Server]) -> None:
+        """Announce the servers as draining."""
         for server in servers:
-            server.leaving = True
-        self.world.changed(servers, self.world.day.lists.notice_ms)
+            server.draining = True
+        self.simulation.publish_change(servers, self.simulation.day.lists.notice_ms)
 
-    def drain_end(self, trouble: Trouble, servers: list[Server]) -> None:
+    def end_drain(self, fault: Trouble, servers: list[Server]) -> None:
+        """Announce the servers as ready."""
         for server in servers:
-            server.leaving = False
-        self.world.changed(servers, self.world.day.lists.notice_ms)
+            server.draining = False
+        self.simulation.publish_change(servers, self.simulation.day.lists.notice_ms)
 
-    # Lists.
+    # The endpoint list.
 
-    def list_loss(self, trouble: Trouble, servers: list[Server]) -> None:
-        """A whole list comes that does not have them, though they are well."""
+    def begin_list_loss(self, fault: Trouble, servers: list[Server]) -> None:
+        """Send all nodes a snapshot that lacks the servers, although they are healthy."""
         without = frozenset(server.number for server in servers)
-        for node in self.world.nodes:
-            node.tell(UpdateKind.SNAPSHOT, self.world.servers, without)
+        for node in self.simulation.nodes:
+            node.update_endpoints(UpdateKind.SNAPSHOT, self.simulation.servers, without)
             for server in servers:
-                node.told_leaving.setdefault(server.number, self.clock.now_ms)
+                node.draining_since_ms.setdefault(server.number, self.clock.now_ms)
 
-    def list_whole(self, trouble: Trouble, servers: list[Server]) -> None:
-        for node in self.world.nodes:
-            node.tell(UpdateKind.SNAPSHOT, self.world.servers)
+    def end_list_loss(self, fault: Trouble, servers: list[Server]) -> None:
+        """Send all nodes a complete snapshot."""
+        for node in self.simulation.nodes:
+            node.update_endpoints(UpdateKind.SNAPSHOT, self.simulation.servers)
 
-    def flap(self, trouble: Trouble, servers: list[Server]) -> None:
-        end = self.clock.now_ms + trouble.for_s * 1000 - 2 * FLAP_INTERVAL_MS
-        self.turn(servers, end, True)
+    def begin_flap(self, fault: Trouble, servers: list[Server]) -> None:
+        """Make the entries of the servers alternate between draining and ready."""
+        end_ms = self.clock.now_ms + fault.for_s * 1000 - 2 * FLAP_INTERVAL_MS
+        self.flap_entries(servers, end_ms, True)
 
-    def turn(self, servers: list[Server], end: float, leaving: bool) -> None:
+    def flap_entries(self, servers: list[Server], end_ms: float, draining: bool) -> None:
+        """Publish the servers in one state, and schedule the other one until the end."""
         for server in servers:
-            server.leaving = leaving
-        for node in self.world.nodes:
-            node.tell(UpdateKind.DELTA, servers)
-        if self.clock.now_ms < end:
-            self.clock.call_after(FLAP_INTERVAL_MS, self.turn, servers, end, not leaving)
-
-    def flap_end(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.turn(servers, 0.0, False)
-
-    # The network and the nodes.
-
-    def partition(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.world.net.cut.add(trouble.zone)
-
-    def partition_end(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.world.net.cut.discard(trouble.zone)
-
-    def loss(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.world.net.loss = min(trouble.chance, 0.9)
-
-    def loss_end(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.world.net.loss = self.world.day.net.loss
-
-    def named(self, trouble: Trouble) -> list[SimulatedNode]:
-        """The nodes that it befalls: the first one where none is named."""
-        return [self.world.nodes[int(name[1:])] for name in trouble.nodes] or self.world.nodes[:1]
-
-    def kill(self, trouble: Trouble, servers: list[Server]) -> None:
-        for node in self.named(trouble):
+            server.draining = draining
+        for node in self.simulation.nodes:
+            node.update_endpoints(UpdateKind.DELTA, servers)
+        if self.clock.now_ms < end_ms:
+            self.clock.call_after(
+                FLAP_INTERVAL_MS, self.flap_entries, servers, end_ms, not draining
+            )
+
+    def end_flap(self, fault: Trouble, servers: list[Server]) -> None:
+        """Publish the servers as ready."""
+        self.flap_entries(servers, 0.0, False)
+
+    def begin_list_cut(self, fault: Trouble, servers: list[Server]) -> None:
+        """Cut nodes off from updates of the endpoint list."""
+        for node in self.affected_nodes(fault):
+            node.list_cut_off = True
+
+    def end_list_cut(self, fault: Trouble, servers: list[Server]) -> None:
+        """Send the nodes updates again, starting with a snapshot."""
+        for node in self.affected_nodes(fault):
+            node.list_cut_off = False
+            node.update_endpoints(UpdateKind.SNAPSHOT, self.simulation.servers)
+
+    # Nodes and the network between them.
+
+    def affected_nodes(self, fault: Trouble) -> list[SimulatedNode]:
+        """Return the nodes that the fault names, or the first node if it names none."""
+        named = [self.simulation.nodes[int(name[1:])] for name in fault.nodes]
+        return named or self.simulation.nodes[:1]
+
+    def stop_nodes(self, fault: Trouble, servers: list[Server]) -> None:
+        """Stop nodes at once."""
+        for node in self.affected_nodes(fault):
             node.stop()
 
-    def node_back(self, trouble: Trouble, servers: list[Server]) -> None:
-        for node in self.named(trouble):
+    def start_nodes(self, fault: Trouble, servers: list[Server]) -> None:
+        """Start the stopped nodes again."""
+        for node in self.affected_nodes(fault):
             node.start()
 
-    def freeze(self, trouble: Trouble, servers: list[Server]) -> None:
-        """As SIGSTOP does: what comes waits. Timers of the join ring all the same."""
-        for node in self.named(trouble):
-            node.freeze(trouble.for_s * 1000)
-
-    def thawed(self, trouble: Trouble, servers: list[Server]) -> None:
-        """They wake by themselves."""
-
-    def halves(self, trouble: Trouble) -> set[tuple[int, int]]:
-        count = len(self.world.nodes)
-        place = max(1, round(trouble.share * count))
-        pairs = {(one, other) for one in range(place) for other in range(place, count)}
-        return pairs | {(other, one) for one, other in pairs}
+    def begin_freeze(self, fault: Trouble, servers: list[Server]) -> None:
+        """Freeze nodes as SIGSTOP does: what arrives has to wait.
 
-    def split(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.world.net.between |= self.halves(trouble)
+        Unlike with SIGSTOP, the timers of the request pipeline continue.
+        """
+        for node in self.affected_nodes(fault):
+            node.freeze(fault.for_s * 1000)
 
-    def split_end(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.world.net.between -= self.halves(trouble)
+    def end_freeze(self, fault: Trouble, servers: list[Server]) -> None:
+        """Do nothing: frozen nodes continue by themselves."""
 
-    def one_way(self, trouble: Trouble, servers: list[Server]) -> None:
-        one, other = self.named(trouble)
-        self.world.net.between.add((one.number, other.number))
+    def begin_loss(self, fault: Trouble, servers: list[Server]) -> None:
+        """Lose a share of all messages."""
+        self.simulation.network.loss = min(fault.chance, MAX_LOSS)
 
-    def one_way_end(self, trouble: Trouble, servers: list[Server]) -> None:
-        one, other = self.named(trouble)
-        self.world.net.between.discard((one.number, other.number))
+    def end_loss(self, fault: Trouble, servers: list[Server]) -> None:
+        """Lose the day's usual share of messages again."""
+        self.simulation.network.loss = self.simulation.day.net.loss
 
-    def list_cut(self, trouble: Trouble, servers: list[Server]) -> None:
-        for node in self.named(trouble):
-            node.listless = True
+    def split_links(self, fault: Trouble) -> set[tuple[int, int]]:
+        """Return all links between the first nodes, by the fault's share, and the others."""
+        count = len(self.simulation.nodes)
+        border = max(1, round(fault.share * count))
+        pairs = {(first, second) for first in range(border) for second in range(border, count)}
+        return pairs | {(second, first) for first, second in pairs}
 
-    def list_cut_end(self, trouble: Trouble, servers: list[Server]) -> None:
-        for node in self.named(trouble):
-            node.listless = False
-            node.tell(UpdateKind.SNAPSHOT, self.world.servers)
-
-    # Zones.
+    def begin_split(self, fault: Trouble, servers: list[Server]) -> None:
+        """Partition the nodes into two groups."""
+        self.simulation.network.cut_node_links |= self.split_links(fault)
 
-    def inside(self, trouble: Trouble) -> list[Server]:
-        return [server for server in self.world.servers if server.zone == trouble.zone]
+    def end_split(self, fault: Trouble, servers: list[Server]) -> None:
+        """Heal the partition of the nodes."""
+        self.simulation.network.cut_node_links -= self.split_links(fault)
 
-    def zone_loss(self, trouble: Trouble, servers: list[Server]) -> None:
-        """All servers of a zone die; its nodes live."""
-        self.crash(trouble, self.inside(trouble))
+    def begin_one_way(self, fault: Trouble, servers: list[Server]) -> None:
+        """Cut the link from one node to another."""
+        source, target = self.affected_nodes(fault)
+        self.simulation.network.cut_node_links.add((source.number, target.number))
 
-    def zone_back(self, trouble: Trouble, servers: list[Server]) -> None:
-        """They are back, cold."""
-        self.come_back(trouble, self.inside(trouble))
+    def end_one_way(self, fault: Trouble, servers: list[Server]) -> None:
+        """Restore the link from one node to another."""
+        source, target = self.affected_nodes(fault)
+        self.simulation.network.cut_node_links.discard((source.number, target.number))
 
-    def zone_slow(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.slow(trouble, self.inside(trouble))
-
-    def zone_slow_end(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.slow_end(trouble, self.inside(trouble))
-
-    def zone_flap(self, trouble: Trouble, servers: list[Server]) -> None:
-        """A zone is cut off and joined again, for `size` s each, until its time is over."""
-        end = self.clock.now_ms + trouble.for_s * 1000 - 2000.0 * trouble.size
-        self.flap_zone(trouble, end, True)
-
-    def flap_zone(self, trouble: Trouble, end: float, cut: bool) -> None:
-        (self.world.net.cut.add if cut else self.world.net.cut.discard)(trouble.zone)
-        if self.clock.now_ms < end:
-            self.clock.call_after(trouble.size * 1000, self.flap_zone, trouble, end, not cut)
+    # Zones.
 
-    def around(self, trouble: Trouble) -> set[tuple[int, int]]:
-        """All ways in and out of these zones."""
-        every = range(self.world.day.net.zones)
+    def servers_in_zone(self, fault: Trouble) -> list[Server]:
+        """Return the servers of the fault's zone."""
+        return [server for server in self.simulation.servers if server.zone == fault.zone]
+
+    def begin_partition(self, fault: Trouble, servers: list[Server]) -> None:
+        """Cut a zone off from all others."""
+        self.simulation.network.isolated_zones.add(fault.zone)
+
+    def end_partition(self, fault: Trouble, servers: list[Server]) -> None:
+        """Reconnect the zone."""
+        self.simulation.network.isolated_zones.discard(fault.zone)
+
+    def begin_zone_loss(self, fault: Trouble, servers: list[Server]) -> None:
+        """Crash all servers of a zone, but none of its nodes."""
+        self.crash(fault, self.servers_in_zone(fault))
+
+    def end_zone_loss(self, fault: Trouble, servers: list[Server]) -> None:
+        """Start the servers of the zone again, cold."""
+        self.start_again(fault, self.servers_in_zone(fault))
+
+    def begin_zone_slow(self, fault: Trouble, servers: list[Server]) -> None:
+        """Slow down all servers of a zone."""
+        self.begin_slow(fault, self.servers_in_zone(fault))
+
+    def end_zone_slow(self, fault: Trouble, servers: list[Server]) -> None:
+        """Undo the slowdown of the zone."""
+        self.end_slow(fault, self.servers_in_zone(fault))
+
+    def begin_zone_flap(self, fault: Trouble, servers: list[Server]) -> None:
+        """Cut a zone off and reconnect it by turns, for `size` seconds each."""
+        end_ms = self.clock.now_ms + fault.for_s * 1000 - 2000.0 * fault.size
+        self.flap_zone(fault, end_ms, True)
+
+    def flap_zone(self, fault: Trouble, end_ms: float, isolated: bool) -> None:
+        """Cut off or reconnect a zone, and schedule the opposite until the end."""
+        isolated_zones = self.simulation.network.isolated_zones
+        (isolated_zones.add if isolated else isolated_zones.discard)(fault.zone)
+        if self.clock.now_ms < end_ms:
+            self.clock.call_after(fault.size * 1000, self.flap_zone, fault, end_ms, not isolated)
+
+    def region_links(self, fault: Trouble) -> set[tuple[int, int]]:
+        """Return all links between the fault's zones and the other zones."""
+        all_zones = range(self.simulation.day.net.zones)
         pairs = {
-            (one, other) for one in trouble.zones for other in every if other not in trouble.zones
+            (inside, outside)
+            for inside in fault.zones
+            for outside in all_zones
+            if outside not in fault.zones
         }
-        return pairs | {(other, one) for one, other in pairs}
+        return pairs | {(outside, inside) for inside, outside in pairs}
 
-    def region_cut(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.world.net.ways |= self.around(trouble)
+    def begin_region_cut(self, fault: Trouble, servers: list[Server]) -> None:
+        """Cut several zones together off from the others."""
+        self.simulation.network.cut_zone_links |= self.region_links(fault)
 
-    def region_cut_end(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.world.net.ways -= self.around(trouble)
+    def end_region_cut(self, fault: Trouble, servers: list[Server]) -> None:
+        """Reconnect the zones."""
+        self.simulation.network.cut_zone_links -= self.region_links(fault)
 
-    def zone_way(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.world.net.ways.add((trouble.zone, trouble.to))
+    def begin_zone_way(self, fault: Trouble, servers: list[Server]) -> None:
+        """Cut the link from one zone to another."""
+        self.simulation.network.cut_zone_links.add((fault.zone, fault.to))
 
-    def zone_way_end(self, trouble: Trouble, servers: list[Server]) -> None:
-        self.world.net.ways.discard((trouble.zone, trouble.to))
+    def end_zone_way(self, fault: Trouble, servers: list[Server]) -> None:
+        """Restore the link from one zone to another."""
+        self.simulation.network.cut_zone_links.discard((fault.zone, fault.to))
 
 
+# By kind: what begins a fault and what ends it.
 FAULT_HANDLERS: dict[str, tuple[FaultHandler, FaultHandler]] = {
-    "slow": (FaultInjector.slow, FaultInjector.slow_end),
-    "silent": (FaultInjector.silent, FaultInjector.silent_end),
-    "errors": (FaultInjector.errors, FaultInjector.errors_end),
-    "crash": (FaultInjector.crash, FaultInjector.come_back),
-    "restart": (FaultInjector.restart, FaultInjector.come_back),
-    "drain": (FaultInjector.drain, FaultInjector.drain_end),
-    "list_loss": (FaultInjector.list_loss, FaultInjector.list_whole),
-    "flap": (FaultInjector.flap, FaultInjector.flap_end),
-    "partition": (FaultInjector.partition, FaultInjector.partition_end),
-    "loss": (FaultInjector.loss, FaultInjector.loss_end),
-    "node_restart": (FaultInjector.kill, FaultInjector.node_back),
-    "kill": (FaultInjector.kill, FaultInjector.node_back),
-    "freeze": (FaultInjector.freeze, FaultInjector.thawed),
-    "split": (FaultInjector.split, FaultInjector.split_end),
-    "one_way": (FaultInjector.one_way, FaultInjector.one_way_end),
-    "list_cut": (FaultInjector.list_cut, FaultInjector.list_cut_end),
-    "zone_loss": (FaultInjector.zone_loss, FaultInjector.zone_back),
-    "zone_slow": (FaultInjector.zone_slow, FaultInjector.zone_slow_end),
-    "zone_flap": (FaultInjector.zone_flap, FaultInjector.partition_end),
-    "zone_way": (FaultInjector.zone_way, FaultInjector.zone_way_end),
-    "region_cut": (FaultInjector.region_cut, FaultInjector.region_cut_end),
+    "slow": (FaultInjector.begin_slow, FaultInjector.end_slow),
+    "silent": (FaultInjector.begin_silent, FaultInjector.end_silent),
+    "errors": (FaultInjector.begin_errors, FaultInjector.end_errors),
+    "crash": (FaultInjector.crash, FaultInjector.start_again),
+    "restart": (FaultInjector.begin_restart, FaultInjector.start_again),
+    "drain": (FaultInjector.begin_drain, FaultInjector.end_drain),
+    "list_loss": (FaultInjector.begin_list_loss, FaultInjector.end_list_loss),
+    "flap": (FaultInjector.begin_flap, FaultInjector.end_flap),
+    "partition": (FaultInjector.begin_partition, FaultInjector.end_partition),
+    "loss": (FaultInjector.begin_loss, FaultInjector.end_loss),
+    "node_restart": (FaultInjector.stop_nodes, FaultInjector.start_nodes),
+    "kill": (FaultInjector.stop_nodes, FaultInjector.start_nodes),
+    "freeze": (FaultInjector.begin_freeze, FaultInjector.end_freeze),
+    "split": (FaultInjector.begin_split, FaultInjector.end_split),
+    "one_way": (FaultInjector.begin_one_way, FaultInjector.end_one_way),
+    "list_cut": (FaultInjector.begin_list_cut, FaultInjector.end_list_cut),
+    "zone_loss": (FaultInjector.begin_zone_loss, FaultInjector.end_zone_loss),
+    "zone_slow": (FaultInjector.begin_zone_slow, FaultInjector.end_zone_slow),
+    "zone_flap": (FaultInjector.begin_zone_flap, FaultInjector.end_partition),
+    "zone_way": (FaultInjector.begin_zone_way, FaultInjector.end_zone_way),
+    "region_cut": (FaultInjector.begin_region_cut, FaultInjector.end_region_cut),
 }
--- a/lab/model.py
+++ b/lab/model.py
@@ -1,5 +1,7 @@
-"""One day in virtual time: clients, nodes with the real join and policy (or a peer in its place),
-servers."""
+"""Simulation of one day: clients, nodes with the real request pipeline and policy, and servers.
+
+Another policy of `lab.peers` can take the place of the real one.
+"""
 
 from __future__ import annotations
 
@@ -29,233 +31,285 @@
 from lab.servers import Server, build_fleet
 from lab.settings import Cell, Class, Day
 
-RESPONSE_MARGIN_MS = 2.0  # ms before the client's deadline at which a node's answer has to set out
+# Nodes must respond this long before the deadline of the client.
+RESPONSE_MARGIN_MS = 2.0
+# Simulated beyond the longest deadline, so that the last requests end.
+FINAL_MARGIN_MS = 1000.0
+PROGRESS_STEPS = 50
+MAX_ID = 1 << 62
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request, over all its tries."""
+    """A client's request, with all its tries."""
 
     number: int
-    cls: int
-    tenant: int
+    class_index: int
+    tenant_index: int
     key: int
-    work: float
+    work_ms: float
     keyed: bool
-    window: float
-    born: float
+    window_ms: float
+    scheduled_ms: float
     tries: int = 0
-    over: bool = False
+    ended: bool = False
 
 
 class ClientTry:
-    """One try of a request at one node: the front of the node's join."""
+    """One try of a request at one node: the frontend of the node's pipeline."""
 
-    __slots__ = ("answers", "ask", "id", "left", "node", "world")
+    __slots__ = ("cancelled", "id", "node", "request", "responses", "simulation")
 
-    def __init__(self, world: Simulation, node: SimulatedNode, ask: ClientRequest) -> None:
-        self.world, self.node, self.ask = world, node, ask
+    def __init__(self, simulation: Simulation, node: SimulatedNode, request: ClientRequest) -> None:
+        self.simulation, self.node, self.request = simulation, node, request
         self.id = node.pipeline.next_request_id()
-        self.left = False
-        self.answers = 0
+        self.cancelled = False
+        self.responses = 0
 
-    def final(self) -> bool:
-        """Whether this is the one answer that is waited for."""
-        self.answers += 1
-        if self.answers > 1:
-            self.world.watch.answered_twice(self.ask.number)
-        return self.answers == 1 and not self.left
+    def accept_response(self) -> bool:
+        """Count a response, and return whether the client is waiting for it."""
+        self.responses += 1
+        if self.responses > 1:
+            self.simulation.rule_checker.answered_twice(self.request.number)
+        return self.responses == 1 and not self.cancelled
 
     def client_is_gone(self) -> bool:
+        """Return False: the pipeline is told at once when a client leaves."""
         return False
 
-    def on_response(self, answer: UpstreamResponse) -> None:
-        if self.final():
-            self.world.served(self)
+    def on_response(self, response: UpstreamResponse) -> None:
+        """Receive a server's response."""
+        if self.accept_response():
+            self.simulation.try_served(self)
 
-    def on_shed(self, wait: float) -> None:
-        self.world.watch.refuse(self.ask.number, self.ask.cls, self.ask.tries)
-        if self.final():
-            self.world.turned_away(self, "refused", wait)
+    def on_shed(self, retry_after_ms: float) -> None:
+        """Receive the response to a request that was shed."""
+        self.simulation.rule_checker.request_shed(
+            self.request.number, self.request.class_index, self.request.tries
+        )
+        if self.accept_response():
+            self.simulation.try_failed(self, "refused", retry_after_ms)
 
-    def on_failure(self, broken: bool) -> None:
-        if broken:
-            self.world.broken += 1
-        if self.final():
-            self.world.turned_away(self, "failed", 0.0)
+    def on_failure(self, internal_error: bool) -> None:
+        """Receive the response to a request that failed, possibly by an error of the policy."""
+        if internal_error:
+            self.simulation.policy_errors += 1
+        if self.accept_response():
+            self.simulation.try_failed(self, "failed", 0.0)
 
 
 class SimulatedNode:
-    """One node: its join, its policy and its way to the servers."""
+    """One node: its request pipeline, its policy and its transport to the servers."""
 
-    def __init__(self, world: Simulation, number: int) -> None:
-        self.world, self.number = world, number
-        self.zone = number % world.day.net.zones
+    def __init__(self, simulation: Simulation, number: int) -> None:
+        self.simulation, self.number = simulation, number
+        self.zone = number % simulation.day.net.zones
         self.up = False
-        self.listless: bool = False  # whether no list reaches it
-        self.frozen = 0.0  # until when it stands still
-        self.told_leaving: dict[int, float] = {}  # by server: when
-        self.version = 0
+        self.list_cut_off: bool = False  # whether it receives no updates of the endpoint list
+        self.frozen_until_ms = 0.0
+        self.draining_since_ms: dict[int, float] = {}  # by server: when the node learned of it
+        self.list_version = 0
         self.starts = 0
-        self.held: dict[int, ClientTry] = {}
-        self.memory: PolicyStatistics | None = None  # what it learned before it died
+        self.open_tries: dict[int, ClientTry] = {}
+        self.saved_statistics: PolicyStatistics | None = None  # as of when it stopped
         self.pipeline: RequestPipeline
         self.transport: NodeTransport
 
     def start(self) -> None:
-        """With nothing learned."""
-        world = self.world
-        seed = int(generator(world.cell.seed, "policy", self.number, self.starts).integers(1 << 62))
+        """Start with a new policy, which has learned nothing unless the day says so."""
+        simulation = self.simulation
+        seed = int(
+            generator(simulation.cell.seed, "policy", self.number, self.starts).integers(MAX_ID)
+        )
         self.starts += 1
         self.pipeline = RequestPipeline(
-            world.day.policy_settings(self.number), seed, world.clock, world.clock.time
+            simulation.day.policy_settings(self.number),
+            seed,
+            simulation.clock,
+            simulation.clock.time,
         )
-        if self.memory is not None:
-            age, settings = world.day.node.learned_age_s * 1000, self.pipeline.policy.settings
-            import_statistics(self.pipeline.policy, decay_statistics(self.memory, age, settings))
-        make(world.cell.policy, world.day, self.pipeline, seed)
-        if world.cluster is not None:
-            world.cluster.start(self.number, self.zone, self.pipeline)
-        self.transport = NodeTransport(world.net, self.zone, world.by_id)
+        if self.saved_statistics is not None:
+            age_ms = simulation.day.node.learned_age_s * 1000
+            settings = self.pipeline.policy.settings
+            import_statistics(
+                self.pipeline.policy, decay_statistics(self.saved_statistics, age_ms, settings)
+            )
+        make(simulation.cell.policy, simulation.day, self.pipeline, seed)
+        if simulation.cluster is not None:
+            simulation.cluster.start(self.number, self.zone, self.pipeline)
+        self.transport = NodeTransport(simulation.network, self.zone, simulation.servers_by_id)
         self.transport.attach(self.pipeline)
-        self.transport.sent = self.sent
+        self.transport.on_sent = self.attempt_sent
         self.up = True
-        self.told_leaving.clear()
-        self.tell(UpdateKind.SNAPSHOT, world.servers)
+        self.draining_since_ms.clear()
+        self.update_endpoints(UpdateKind.SNAPSHOT, simulation.servers)
 
     def stop(self) -> None:
-        """It dies: clients see their connections break."""
+        """Stop at once: the connections of clients are reset."""
         self.up = False
-        if self.world.cluster is not None:
-            self.world.cluster.stop(self.number)
-        if self.world.day.node.learned_age_s >= 0 and self.world.cell.policy == BADGERCART:
-            self.memory = export_statistics(self.pipeline.policy)
+        if self.simulation.cluster is not None:
+            self.simulation.cluster.stop(self.number)
+        if (
+            self.simulation.day.node.learned_age_s >= 0
+            and self.simulation.cell.policy == BADGERCART
+        ):
+            self.saved_statistics = export_statistics(self.pipeline.policy)
         self.transport.close()
-        held, self.held = self.held, {}
-        for tried in held.values():
-            if tried.final():
-                self.world.turned_away(tried, "failed", 0.0)
+        open_tries, self.open_tries = self.open_tries, {}
+        for client_try in open_tries.values():
+            if client_try.accept_response():
+                self.simulation.try_failed(client_try, "failed", 0.0)
 
-    def tell(
+    def update_endpoints(
         self, kind: UpdateKind, servers: list[Server], without: frozenset[int] = frozenset()
     ) -> None:
-        """The list or its changes reach this node."""
-        if not self.up or self.listless:
+        """Receive a snapshot of the endpoint list, or changes of it."""
+        if not self.up or self.list_cut_off:
             return
-        if self.held_back(self.tell, kind, servers, without):
+        if self.postponed(self.update_endpoints, kind, servers, without):
             return
-        self.version += 1
-        lines = []
+        self.list_version += 1
+        endpoints = []
         for server in servers:
             if server.number in without:
                 continue
-            line = self.world.entry(server)
-            lines.append(line)
-            if line.state is EndpointState.READY:
-                self.told_leaving.pop(server.number, None)
+            endpoint = self.simulation.endpoint(server)
+            endpoints.append(endpoint)
+            if endpoint.state is EndpointState.READY:
+                self.draining_since_ms.pop(server.number, None)
             else:
-                self.told_leaving.setdefault(server.number, self.world.clock.now_ms)
-        self.pipeline.dispatch(EndpointUpdate(kind, self.version, lines))
-
-    def freeze(self, ms: float) -> None:
-        """It stands still for so long."""
-        self.frozen = self.transport.frozen = self.world.clock.now_ms + ms
-        if self.world.cluster is not None:
-            self.world.cluster.nodes[self.number].frozen = self.frozen
-
-    def held_back(self, what: Callable[..., None], *arguments: Any) -> bool:
-        """Whether it stands still now; then this is done as it wakes."""
-        if self.world.clock.now_ms >= self.frozen:
+                self.draining_since_ms.setdefault(server.number, self.simulation.clock.now_ms)
+        self.pipeline.dispatch(EndpointUpdate(kind, self.list_version, endpoints))
+
+    def freeze(self, duration_ms: float) -> None:
+        """Stop handling what arrives until the time has passed."""
+        self.frozen_until_ms = self.simulation.clock.now_ms + duration_ms
+        self.transport.frozen_until_ms = self.frozen_until_ms
+        if self.simulation.cluster is not None:
+            self.simulation.cluster.nodes[self.number].frozen_until_ms = self.frozen_until_ms
+
+    def postponed(self, callback: Callable[..., None], *arguments: Any) -> bool:
+        """Return whether the node is frozen; if so, the callback runs when it continues."""
+        if self.simulation.clock.now_ms >= self.frozen_until_ms:
             return False
-        self.world.clock.call_at(self.frozen, what, *arguments)
+        self.simulation.clock.call_at(self.frozen_until_ms, callback, *arguments)
         return True
 
-    def sent(self, server: Server, order: Any) -> None:
-        self.world.measure.attempts += 1
-        leaving = self.told_leaving.get(server.number)
-        self.world.watch.send(server, leaving, order.payload.work)
-
-    def take(self, ask: ClientRequest) -> None:
-        world, cls = self.world, self.world.day.class_[ask.cls]
-        tried = ClientTry(world, self, ask)
-        self.held[tried.id] = tried
-        now = world.clock.now_ms
-        due = ask.born + cls.deadline_ms
-        world.clock.call_at(due, world.give_up, tried)
-        intake = IncomingRequest(
-            ask.cls, ask.tenant, world.keys[ask.key], due - RESPONSE_MARGIN_MS - world.day.clients.ms, ask,
-            is_client_retry=ask.tries > 1,
+    def attempt_sent(self, server: Server, attempt: Any) -> None:
+        """Count and check an attempt that the node sends."""
+        self.simulation.metrics.attempts += 1
+        draining_since_ms = self.draining_since_ms.get(server.number)
+        self.simulation.rule_checker.attempt_sent(
+            server, draining_since_ms, attempt.payload.work_ms
+        )
+
+    def receive(self, request: ClientRequest) -> None:
+        """Receive a try of a request."""
+        simulation, request_class = (
+            self.simulation,
+            self.simulation.day.class_[request.class_index],
+        )
+        client_try = ClientTry(simulation, self, request)
+        self.open_tries[client_try.id] = client_try
+        now_ms = simulation.clock.now_ms
+        deadline_ms = request.scheduled_ms + request_class.deadline_ms
+        simulation.clock.call_at(deadline_ms, simulation.deadline_passed, client_try)
+        incoming = IncomingRequest(
+            request.class_index, request.tenant_index, simulation.key_hashes[request.key],
+            deadline_ms - RESPONSE_MARGIN_MS - simulation.day.clients.ms, request,
+            is_client_retry=request.tries > 1,
         )  # fmt: skip
-        if world.impatient and world.leaving() < world.impatient:
-            world.clock.call_at(now + world.leaving() * (due - now), world.leave, tried)
-        self.pipeline.accept(tried.id, intake, tried, self.transport)
+        if simulation.impatient_share and simulation.patience_stream() < simulation.impatient_share:
+            simulation.clock.call_at(
+                now_ms + simulation.patience_stream() * (deadline_ms - now_ms),
+                simulation.client_left,
+                client_try,
+            )
+        self.pipeline.accept(client_try.id, incoming, client_try, self.transport)
 
 
 class Simulation:
-    """All of a day."""
+    """One day of an experiment, with all its parts."""
 
-    def __init__(self, cell: Cell, asked: RequestPlan | None = None) -> None:
+    def __init__(self, cell: Cell, request_plan: RequestPlan | None = None) -> None:
         self.cell, self.day = cell, cell.day
         day, seed = cell.day, cell.seed
         self.clock = VirtualClock()
-        self.watch = RuleChecker(self.clock, day)
-        self.measure = DayMetrics(day)
-        self.plan = asked if asked is not None else plan_requests(day, seed)
+        self.rule_checker = RuleChecker(self.clock, day)
+        self.metrics = DayMetrics(day)
+        self.plan = request_plan if request_plan is not None else plan_requests(day, seed)
         self.servers = build_fleet(
             self.clock, day, lambda number: uniform_stream(generator(seed, "server", number))
         )
         for server in self.servers:
-            server.effect = self.watch.effect
-        ids = generator(seed, "ids").integers(1, 1 << 62, len(self.servers)).tolist()
-        self.ids = dict(zip(range(len(ids)), ids, strict=True))
-        self.by_id = {self.ids[server.number]: server for server in self.servers}
-        most = int(self.plan.key.max(initial=0)) + 1
-        self.keys = [0, *generator(seed, "keys").integers(1, 1 << 62, most).tolist()]
-        factors = jitter_stream(generator(seed, "jitter"), day.net.jitter)
-        self.net = Network(self.clock, day, factors, uniform_stream(generator(seed, "loss")))
-        self.leaving = uniform_stream(generator(seed, "clients"))
-        self.honouring = uniform_stream(generator(seed, "honour"))
-        self.choosing = uniform_stream(generator(seed, "choice"))
-        self.impatient = day.clients.impatient
-        self.broken = 0  # times that a policy raised
-        self.rows = self.asks()
+            server.on_effect = self.rule_checker.effect_happened
+        ids = generator(seed, "ids").integers(1, MAX_ID, len(self.servers)).tolist()
+        self.server_ids = dict(zip(range(len(ids)), ids, strict=True))
+        self.servers_by_id = {self.server_ids[server.number]: server for server in self.servers}
+        key_count = int(self.plan.key.max(initial=0)) + 1
+        self.key_hashes = [
+            0,
+            *generator(seed, "keys").integers(1, MAX_ID, key_count).tolist(),
+        ]
+        jitter_factors = jitter_stream(generator(seed, "jitter"), day.net.jitter)
+        self.network = Network(
+            self.clock, day, jitter_factors, uniform_stream(generator(seed, "loss"))
+        )
+        self.patience_stream = uniform_stream(generator(seed, "clients"))
+        self.honour_stream = uniform_stream(generator(seed, "honour"))
+        self.choice_stream = uniform_stream(generator(seed, "choice"))
+        self.impatient_share = day.clients.impatient
+        self.policy_errors = 0
+        self.arrivals = self.planned_requests()
         self.cluster: NodeCluster | None = None
         if day.fleet.peers and cell.policy == BADGERCART:
-            said = day.fleet.said or day.fleet.nodes
-            chance = uniform_stream(generator(seed, "companions"))
+            configured_nodes = day.fleet.said or day.fleet.nodes
+            cluster_stream = uniform_stream(generator(seed, "companions"))
             timing = SwimTiming(expected_size_ms=day.fleet.expect_s * 1000)
-            self.cluster = NodeCluster(self.clock, self.net, seed, said, timing, chance, self.by_id)
+            self.cluster = NodeCluster(
+                self.clock,
+                self.network,
+                seed,
+                configured_nodes,
+                timing,
+                cluster_stream,
+                self.servers_by_id,
+            )
         self.nodes = [SimulatedNode(self, number) for number in range(day.fleet.nodes)]
-        self.troubles = FaultInjector(self)
+        self.fault_injector = FaultInjector(self)
 
-    # Servers, as the list tells of them.
+    # The endpoint list.
 
-    def entry(self, server: Server) -> Endpoint:
+    def endpoint(self, server: Server) -> Endpoint:
+        """Return a server's entry in the endpoint list."""
         kind = server.kind
         state = (
             EndpointState.GONE
             if server.down
             else EndpointState.DRAINING
-            if server.leaving
+            if server.draining
             else EndpointState.READY
         )
         return Endpoint(
-            self.ids[server.number], server.zone, server.kind_number, server.cell, state,
-            kind.listed_weight or kind.cores * kind.speed, server.started,
+            self.server_ids[server.number], server.zone, server.kind_index, server.cell, state,
+            kind.listed_weight or kind.cores * kind.speed, server.started_ms,
         )  # fmt: skip
 
-    def changed(self, servers: list[Server], notice: float) -> None:
-        """Servers are otherwise now: nodes hear of it in a while."""
-        spread = self.day.lists.spread_ms
+    def publish_change(self, servers: list[Server], notice_ms: float) -> None:
+        """Send changed entries to all nodes, which receive them after different delays."""
+        spread_ms = self.day.lists.spread_ms
         for node in self.nodes:
             self.clock.call_after(
-                notice + spread * self.choosing(), node.tell, UpdateKind.DELTA, servers
+                notice_ms + spread_ms * self.choice_stream(),
+                node.update_endpoints,
+                UpdateKind.DELTA,
+                servers,
             )
 
     # Clients.
 
-    def asks(self) -> Any:
-        """Requests in order of time, made as they come."""
+    def planned_requests(self) -> Any:
+        """Yield the planned requests in order of time, each with the node of its first try."""
         plan, classes = self.plan, self.day.class_
         columns = (
             plan.at_ms,
@@ -265,150 +319,182 @@
             plan.work_ms,
             plan.node,
         )
-        for number, (at, cls, tenant, key, work, node) in enumerate(
+        for number, (at_ms, class_index, tenant_index, key, work_ms, node) in enumerate(
             zip(*(column.tolist() for column in columns), strict=True)
         ):
-            wanted: Class = classes[cls]
-            keyed = wanted.effect == "keyed"
-            window = wanted.window_ms if keyed else 0.0
-            yield ClientRequest(number, cls, tenant, key, work, keyed, window, at), node
-
-    def next_arrival(self) -> None:
-        row = next(self.rows, None)
-        if row is not None:
-            self.clock.call_at(row[0].born + self.day.clients.ms, self.arrive, *row)
-
-    def arrive(self, ask: ClientRequest, node: int) -> None:
-        """It reaches its node: on the way nothing can happen to it."""
-        self.measure.request_offered(ask.born)
-        self.ask(ask, node)
-        self.next_arrival()
-
-    def ask(self, ask: ClientRequest, number: int) -> None:
-        """A try at a node; a client that finds it down turns to the next one."""
-        for step in range(len(self.nodes)):
-            node = self.nodes[(number + step) % len(self.nodes)]
-            if node.up and self.clock.now_ms >= node.frozen:
-                ask.tries += 1
-                self.measure.tries += 1
-                node.take(ask)
+            request_class: Class = classes[class_index]
+            keyed = request_class.effect == "keyed"
+            window_ms = request_class.window_ms if keyed else 0.0
+            yield (
+                ClientRequest(
+                    number, class_index, tenant_index, key, work_ms, keyed, window_ms, at_ms
+                ),
+                node,
+            )
+
+    def schedule_next_arrival(self) -> None:
+        """Schedule the next planned request, if there is one."""
+        arrival = next(self.arrivals, None)
+        if arrival is not None:
+            self.clock.call_at(arrival[0].scheduled_ms + self.day.clients.ms, self.arrive, *arrival)
+
+    def arrive(self, request: ClientRequest, node: int) -> None:
+        """Let a planned request arrive at its node; nothing can happen to it on the way."""
+        self.metrics.request_offered(request.scheduled_ms)
+        self.send_try(request, node)
+        self.schedule_next_arrival()
+
+    def send_try(self, request: ClientRequest, first_node: int) -> None:
+        """Send a try to a node, or to the next ones while they are down or frozen."""
+        for offset in range(len(self.nodes)):
+            node = self.nodes[(first_node + offset) % len(self.nodes)]
+            if node.up and self.clock.now_ms >= node.frozen_until_ms:
+                request.tries += 1
+                self.metrics.tries += 1
+                node.receive(request)
                 return
-        self.end(ask, "refused")
-
-    def served(self, tried: ClientTry) -> None:
-        tried.node.held.pop(tried.id, None)
-        self.end(tried.ask, "served", self.day.clients.ms)
-
-    def turned_away(self, tried: ClientTry, end: str, wait: float) -> None:
-        tried.node.held.pop(tried.id, None)
-        ask, clients = tried.ask, self.day.clients
-        wanted = self.day.class_[ask.cls]
-        may_retry = end == "refused" or wanted.effect != "unsafe"
-        back = clients.backoff_ms * 2 ** (ask.tries - 1) * (0.5 + self.choosing())
-        if wait and self.honouring() < clients.honour:
-            back = max(wait, back)
-        late = self.clock.now_ms + 2 * clients.ms + back >= ask.born + wanted.deadline_ms
-        if ask.tries > clients.retries or not may_retry or late:
-            self.end(ask, end, clients.ms)
+        self.end_request(request, "refused")
+
+    def try_served(self, client_try: ClientTry) -> None:
+        """End the request of a try that was served."""
+        client_try.node.open_tries.pop(client_try.id, None)
+        self.end_request(client_try.request, "served", self.day.clients.ms)
+
+    def try_failed(self, client_try: ClientTry, outcome: str, retry_after_ms: float) -> None:
+        """Retry a request that was shed or failed, or end it if the client doesn't retry."""
+        client_try.node.open_tries.pop(client_try.id, None)
+        request, clients = client_try.request, self.day.clients
+        request_class = self.day.class_[request.class_index]
+        may_retry = outcome == "refused" or request_class.effect != "unsafe"
+        backoff_ms = clients.backoff_ms * 2 ** (request.tries - 1) * (0.5 + self.choice_stream())
+        if retry_after_ms and self.honour_stream() < clients.honour:
+            backoff_ms = max(retry_after_ms, backoff_ms)
+        deadline_ms = request.scheduled_ms + request_class.deadline_ms
+        too_late = self.clock.now_ms + 2 * clients.ms + backoff_ms >= deadline_ms
+        if request.tries > clients.retries or not may_retry or too_late:
+            self.end_request(request, outcome, clients.ms)
             return
-        node = int(self.choosing() * len(self.nodes))
-        self.clock.call_after(2 * clients.ms + back, self.ask, ask, node)
-
-    def leave(self, tried: ClientTry) -> None:
-        """The client loses its patience."""
-        if not tried.answers and not tried.left and tried.node.held.pop(tried.id, None) is not None:
-            tried.left = True
-            tried.node.pipeline.cancel_request(tried.id)
-            self.end(tried.ask, "left")
-
-    def give_up(self, tried: ClientTry) -> None:
-        """The client's time is up."""
-        if tried.answers or tried.left or tried.node.held.pop(tried.id, None) is None:
+        node = int(self.choice_stream() * len(self.nodes))
+        self.clock.call_after(2 * clients.ms + backoff_ms, self.send_try, request, node)
+
+    def client_left(self, client_try: ClientTry) -> None:
+        """Cancel a try whose client doesn't wait any longer."""
+        if (
+            not client_try.responses
+            and not client_try.cancelled
+            and client_try.node.open_tries.pop(client_try.id, None) is not None
+        ):
+            client_try.cancelled = True
+            client_try.node.pipeline.cancel_request(client_try.id)
+            self.end_request(client_try.request, "left")
+
+    def deadline_passed(self, client_try: ClientTry) -> None:
+        """Cancel a try that has no response at the client's deadline.
+
+        This is a breach of the rules unless the node is frozen.
+        """
+        if (
+            client_try.responses
+            or client_try.cancelled
+            or client_try.node.open_tries.pop(client_try.id, None) is None
+        ):
             return
-        tried.left = True
-        if self.clock.now_ms >= tried.node.frozen:  # who stands still owes nothing
-            self.watch.lost(tried.ask.number)
-        tried.node.pipeline.cancel_request(tried.id)
-        self.end(tried.ask, "lost")
-
-    def end(self, ask: ClientRequest, how: str, way: float = 0.0) -> None:
-        """The client knows how its request ended, `way` ms from now."""
-        if not ask.over:
-            ask.over = True
-            self.measure.request_ended(
-                ask.born, ask.cls, ask.tenant, how, self.clock.now_ms + way - ask.born
-            )
+        client_try.cancelled = True
+        if self.clock.now_ms >= client_try.node.frozen_until_ms:
+            self.rule_checker.request_lost(client_try.request.number)
+        client_try.node.pipeline.cancel_request(client_try.id)
+        self.end_request(client_try.request, "lost")
+
+    def end_request(self, request: ClientRequest, outcome: str, delay_ms: float = 0.0) -> None:
+        """Record the outcome of a request, which its client learns after a delay."""
+        if not request.ended:
+            request.ended = True
+            self.metrics.request_ended(
+                request.scheduled_ms, request.class_index, request.tenant_index, outcome,
+                self.clock.now_ms + delay_ms - request.scheduled_ms,
+            )  # fmt: skip
 
     # The day.
 
-    def look(self) -> None:
-        """A point of the course."""
-        place, course = self.measure.step(self.clock.now_ms), self.measure.series
+    def record_sample(self) -> None:
+        """Record a sample of the time series, and schedule the next one."""
+        index, series = self.metrics.sample_index(self.clock.now_ms), self.metrics.series
         policies = [node.pipeline.policy for node in self.nodes if node.up]
-        course["cut"][place] = (
-            statistics.fmean(p.overload.shed_threshold for p in policies) if policies else 0.0
+        series["cut"][index] = (
+            statistics.fmean(policy.overload.shed_threshold for policy in policies)
+            if policies
+            else 0.0
         )
-        course["x"][place] = (
-            statistics.fmean(p.overload.level for p in policies) if policies else 0.0
+        series["x"][index] = (
+            statistics.fmean(policy.overload.level for policy in policies) if policies else 0.0
         )
-        course["out"][place] = sum(len(node.transport.out) for node in self.nodes if node.up)
-        course["troubled"][place] = sum(
-            s.down or s.leaving or s.slowness > 1 or bool(s.silent) or bool(s.failing)
-            for s in self.servers
+        series["out"][index] = sum(len(node.transport.in_flight) for node in self.nodes if node.up)
+        series["troubled"][index] = sum(
+            server.down
+            or server.draining
+            or server.slowdown > 1
+            or bool(server.silent_share)
+            or bool(server.error_share)
+            for server in self.servers
         )
         if self.clock.now_ms + SAMPLE_INTERVAL_MS <= self.day.ms:
-            self.clock.call_after(SAMPLE_INTERVAL_MS, self.look)
+            self.clock.call_after(SAMPLE_INTERVAL_MS, self.record_sample)
 
     def run(self, progress: Callable[[float], None] | None = None) -> dict[str, Any]:
-        """Play the day; gives what came of it, as plain data."""
-        collecting = gc.isenabled()
-        # nothing here makes cycles that matter; the collector would look at all of it again and
-        # again
+        """Simulate the day and return its result as plain data."""
+        gc_was_enabled = gc.isenabled()
+        # The simulation makes no reference cycles that matter, and the garbage collector would
+        # scan all its objects again and again.
         gc.disable()
-        begun = time.process_time()
+        started_s = time.process_time()
         try:
             for node in self.nodes:
                 node.start()
-            self.troubles.schedule()
-            self.next_arrival()
-            self.clock.call_after(0.0, self.look)
-            longest = max(cls.deadline_ms for cls in self.day.class_)
-            steps = 50
-            for step in range(1, steps + 1):
-                self.clock.run(self.day.ms * step / steps)
+            self.fault_injector.schedule()
+            self.schedule_next_arrival()
+            self.clock.call_after(0.0, self.record_sample)
+            longest_deadline_ms = max(cls.deadline_ms for cls in self.day.class_)
+            for step in range(1, PROGRESS_STEPS + 1):
+                self.clock.run(self.day.ms * step / PROGRESS_STEPS)
                 if progress is not None:
-                    progress(step / steps)
-            self.clock.run(self.day.ms + longest + 1000.0)
+                    progress(step / PROGRESS_STEPS)
+            self.clock.run(self.day.ms + longest_deadline_ms + FINAL_MARGIN_MS)
         finally:
-            if collecting:
+            if gc_was_enabled:
                 gc.enable()
-        spent = time.process_time() - begun
-        return self.result() | {"spent_s": spent}
+        spent_s = time.process_time() - started_s
+        return self.result() | {"spent_s": spent_s}
 
     def result(self) -> dict[str, Any]:
-        busy = [s.busy_ms / (s.kind.cores * self.day.ms) for s in self.servers]
-        mean = statistics.fmean(busy)
-        return self.measure.to_dict() | {
+        """Return the result of the day as plain data."""
+        utilizations = [
+            server.busy_ms / (server.kind.cores * self.day.ms) for server in self.servers
+        ]
+        mean = statistics.fmean(utilizations)
+        return self.metrics.to_dict() | {
             "policy": self.cell.policy,
             "seed": self.cell.seed,
             "values": dict(self.cell.values),
             "requests": len(self.plan),
             "events": self.clock.executed_events,
-            "breaches": {str(rule): count for rule, count in self.watch.counts.items()},
-            "shown": [[b.rule, b.at, b.words] for b in self.watch.shown],
-            "policy_raised": self.broken,
-            "full": sum(server.full for server in self.servers),
-            "dials": sum(node.transport.dials for node in self.nodes),
+            "breaches": {str(rule): count for rule, count in self.rule_checker.counts.items()},
+            "shown": [
+                [breach.rule, breach.at_ms, breach.description]
+                for breach in self.rule_checker.reported
+            ],
+            "policy_raised": self.policy_errors,
+            "full": sum(server.rejected for server in self.servers),
+            "dials": sum(node.transport.connections_opened for node in self.nodes),
             "busy": mean,
-            "imbalance": statistics.pstdev(busy) / mean if mean else 0.0,
+            "imbalance": statistics.pstdev(utilizations) / mean if mean else 0.0,
         }
 
 
 def simulate(cell: Cell, progress: Callable[[float], None] | None = None) -> dict[str, Any]:
-    """One day of an experiment."""
+    """Simulate one day of an experiment and return its result."""
     return Simulation(cell).run(progress)
 
 
 def simulate_day(day: Day, policy: str = "badgercart", seed: int = 1) -> dict[str, Any]:
-    """A day by itself."""
+    """Simulate a day under a policy and return its result."""
     return simulate(Cell(day, policy, seed))
--- a/lab/node_cluster.py
+++ b/lab/node_cluster.py
@@ -1,5 +1,7 @@
-"""Nodes of a day that know each other: the machines of `badgercart.cluster` on the model's
-clock."""
+"""The cluster of a simulated day's nodes: the protocols of `badgercart.cluster` in virtual time.
+
+It carries the nodes' messages over the simulated network, and runs their zone failover.
+"""
 
 from __future__ import annotations
 
@@ -26,97 +28,108 @@
 from lab.random_streams import RandomStream
 from lab.servers import Server
 
-PROBE_MS = 200.0  # after which a probe is not answered
-SHARE_MS = 500.0  # as a node's own default
-USES = (
-    "shares",
-    "hearsay",
-)  # the model's lists have no common version, so that drains are no rumours there
+HEALTH_CHECK_TIMEOUT_MS = 200.0
+REPORT_INTERVAL_MS = 500.0  # the default of a real node
+SEED_NODES = 3
+# Drains are not announced between nodes, because endpoint lists have no common version here.
+FEATURES = ("shares", "hearsay")
 
 
 @dataclass(slots=True, eq=False)
 class ClusterNode:
-    """One life of a node."""
+    """One process of a node; a restarted node has a new one."""
 
     number: int
     zone: int
     pipeline: RequestPipeline
     member: ClusterMember
     controller: FailoverController | None = None
-    zones: dict[int, int] = field(default_factory=dict)  # by server
-    looks: int = 0
+    server_zones: dict[int, int] = field(default_factory=dict)  # by server ID
+    ticks: int = 0
     up: bool = True
-    frozen: float = 0.0  # until when it stands still
+    frozen_until_ms: float = 0.0
+
+    # Notifications from the pipeline.
 
     def request_finished(
         self,
         request_id: int,
-        intake: IncomingRequest,
-        final: RequestOutcome,
-        took: float,
-        server: int,
-        sends: int,
+        request: IncomingRequest,
+        outcome: RequestOutcome,
+        elapsed_ms: float,
+        endpoint_id: int,
+        attempts: int,
     ) -> None:
-        self.member.quota_sharing.count_request(intake.tenant)
+        """Count a finished request for quota sharing and zone failover."""
+        self.member.quota_sharing.count_request(request.tenant)
         if self.controller is not None:
-            self.controller.observer.request_completed(intake.class_index, intake.tenant)
+            self.controller.observer.request_completed(request.class_index, request.tenant)
 
-    # What the join tells of attempts.
-
-    def attempt_sent(self, server_id: int) -> None:
+    def attempt_sent(self, endpoint_id: int) -> None:
+        """Record an attempt for zone failover."""
         if self.controller is not None:
             self.controller.observer.attempt_sent(
-                self.pipeline.clock(), self.zones[server_id], server_id
+                self.pipeline.clock(), self.server_zones[endpoint_id], endpoint_id
             )
 
-    def attempt_ended(self, server_id: int, result: AttemptResult, elapsed: float) -> None:
+    def attempt_ended(self, endpoint_id: int, result: AttemptResult, elapsed_ms: float) -> None:
+        """Record the result of an attempt for zone failover."""
         if self.controller is not None:
             self.controller.observer.attempt_ended(
-                self.pipeline.clock(), self.zones[server_id], result, elapsed
+                self.pipeline.clock(), self.server_zones[endpoint_id], result, elapsed_ms
             )
 
 
 def address(number: int) -> Address:
+    """Return the address of a node."""
     return f"127.0.{number >> 8}.{number & 255}", 7946
 
 
 class NodeCluster:
-    """The group of all nodes of a day."""
+    """The cluster of all nodes of a day."""
 
     def __init__(
-        self, clock: VirtualClock, net: Network, seed: int, expected: int, timing: SwimTiming, chance: RandomStream,
-        servers: dict[int, Server],
+        self, clock: VirtualClock, network: Network, seed: int, expected_size: int, timing: SwimTiming,
+        random_stream: RandomStream, servers: dict[int, Server],
     ) -> None:  # fmt: skip
-        self.clock, self.net, self.seed, self.chance = clock, net, seed, chance
-        self.expected, self.timing = expected, timing
+        self.clock, self.network, self.seed = clock, network, seed
+        self.random_stream = random_stream
+        self.expected_size, self.timing = expected_size, timing
         self.servers = servers
-        self.nodes: dict[int, ClusterNode] = {}  # by node: its life now
-        self.boots = 0
-
-    def start(self, number: int, zone: int, join: RequestPipeline) -> None:
-        """A node comes up, with nothing that it knew."""
-        self.boots += 1
-        me = MembershipRecord(
-            f"n{number}", 0, MemberStatus.ALIVE, address(number), self.boots, f"z{zone}"
+        self.nodes: dict[int, ClusterNode] = {}  # by number: its latest process
+        self.started_processes = 0
+
+    def start(self, number: int, zone: int, pipeline: RequestPipeline) -> None:
+        """Start a node's process, which knows no other members."""
+        self.started_processes += 1
+        record = MembershipRecord(
+            f"n{number}", 0, MemberStatus.ALIVE, address(number), self.started_processes, f"z{zone}"
         )
-        rng = random.Random(f"{self.seed} companion {number} {self.boots}")
-        bootstrap = Bootstrap(tuple(address(seed) for seed in range(3)), self.expected)
-        machine = SwimProtocol(me, self.timing, bootstrap, rng)
-        member = ClusterMember(machine, join.policy.settings.quotas_per_s, SHARE_MS, USES)
-        one = self.nodes[number] = ClusterNode(number, zone, join, member)
-        join.observers += (one,)
-        if self.net.day.fleet.zones != "off":
-            one.controller = self.controller(member, zone, join)
-            one.zones = {server_id: server.zone for server_id, server in self.servers.items()}
-            join.attempt_observers += (one,)
-            self.clock.call_after(TICK_INTERVAL_MS * rng.random(), self.look, one)
-        self.run(one, machine.start(self.clock.now_ms))
-        self.clock.call_after(SHARE_MS * rng.random(), self.round, one)
-
-    def controller(
-        self, member: ClusterMember, zone: int, join: RequestPipeline
+        rng = random.Random(f"{self.seed} companion {number} {self.started_processes}")
+        bootstrap = Bootstrap(
+            tuple(address(seed) for seed in range(SEED_NODES)), self.expected_size
+        )
+        protocol = SwimProtocol(record, self.timing, bootstrap, rng)
+        member = ClusterMember(
+            protocol, pipeline.policy.settings.quotas_per_s, REPORT_INTERVAL_MS, FEATURES
+        )
+        node = self.nodes[number] = ClusterNode(number, zone, pipeline, member)
+        pipeline.observers += (node,)
+        if self.network.day.fleet.zones != "off":
+            node.controller = self.build_controller(member, zone, pipeline)
+            node.server_zones = {
+                server_id: server.zone for server_id, server in self.servers.items()
+            }
+            pipeline.attempt_observers += (node,)
+            self.clock.call_after(TICK_INTERVAL_MS * rng.random(), self.tick_controller, node)
+        self.run_effects(node, protocol.start(self.clock.now_ms))
+        self.clock.call_after(REPORT_INTERVAL_MS * rng.random(), self.report, node)
+
+    def build_controller(
+        self, member: ClusterMember, zone: int, pipeline: RequestPipeline
     ) -> FailoverController:
-        day = self.net.day
+        """Return a failover controller for a node."""
+        day = self.network.day
         names = [f"z{number}" for number in range(day.net.zones)]
         regions = {name: f"r{day.region(number)}" for number, name in enumerate(names)}
         topology = build_topology(names, regions, {}, len(day.class_))
@@ -126,123 +139,164 @@
         weights = [cls.worth for cls in day.class_]
         return FailoverController(member, topology, zone, weights, settings)
 
-    def look(self, one: ClusterNode) -> None:
-        """Tick the failover controller; plans are computed here and now."""
-        controller, now = one.controller, self.clock.now_ms
-        if controller is None or not self.lives(one) or self.held(one, self.look, one):
+    def tick_controller(self, node: ClusterNode) -> None:
+        """Tick the failover controller; a plan that it requests is computed at once."""
+        controller, now_ms = node.controller, self.clock.now_ms
+        if (
+            controller is None
+            or not self.is_running(node)
+            or self.postponed(node, self.tick_controller, node)
+        ):
             return
-        policy = one.pipeline.policy
-        fresh = one.looks % ticks_between_scans(policy) == 0
-        one.looks += 1
+        policy = node.pipeline.policy
+        scan_due = node.ticks % ticks_between_scans(policy) == 0
+        node.ticks += 1
         capacity = controller.observer.capacity
-        if fresh:
-            capacity = scan_endpoints(policy, controller.topology, self.serves)
-        if (event := controller.tick(now, capacity)) is not None:
-            one.pipeline.dispatch(event)
-        if (question := controller.planner.scheduler.requested_input) is not None:
-            controller.on_plan_computed(now, controller.compute(question))
-        for zone in controller.observer.zones_to_check(now):
-            self.probe(one, controller, zone)
-        self.run(one, [])
-        self.clock.call_after(TICK_INTERVAL_MS, self.look, one)
+        if scan_due:
+            capacity = scan_endpoints(policy, controller.topology, self.concurrency_per_weight)
+        if (event := controller.tick(now_ms, capacity)) is not None:
+            node.pipeline.dispatch(event)
+        if (plan_input := controller.planner.scheduler.requested_input) is not None:
+            controller.on_plan_computed(now_ms, controller.compute(plan_input))
+        for zone in controller.observer.zones_to_check(now_ms):
+            self.check_zone(node, controller, zone)
+        self.run_effects(node, [])
+        self.clock.call_after(TICK_INTERVAL_MS, self.tick_controller, node)
 
     @property
-    def serves(self) -> float:
-        """Requests at once by listed weight: the model lists cores times speed."""
-        kinds = self.net.day.kind
+    def concurrency_per_weight(self) -> float:
+        """Return the concurrent requests per listed weight, which is cores times speed here."""
+        kinds = self.network.day.kind
         weights = sum(
             kind.share * (kind.listed_weight or kind.cores * kind.speed) for kind in kinds
         )
         return sum(kind.share * kind.cores for kind in kinds) / weights
 
-    def probe(self, one: ClusterNode, controller: FailoverController, zone: int) -> None:
-        """Ask one of a zone's servers whether it is there."""
-        there = [i for i in one.pipeline.policy.fleet.endpoints.ready if one.zones[i] == zone]
-        server_id = there[int(self.chance() * len(there))]
+    def check_zone(self, node: ClusterNode, controller: FailoverController, zone: int) -> None:
+        """Send a health check to one of a zone's servers."""
+        endpoint_ids = [
+            endpoint_id
+            for endpoint_id in node.pipeline.policy.fleet.endpoints.ready
+            if node.server_zones[endpoint_id] == zone
+        ]
+        server_id = endpoint_ids[int(self.random_stream() * len(endpoint_ids))]
         server = self.servers[server_id]
-        parted = self.net.parted(one.zone, zone) or self.net.parted(zone, one.zone)
-        answers = not (parted or server.down or (server.silent and self.chance() < server.silent))
-        took = 2 * self.net.way(one.zone, zone) if answers else PROBE_MS
-        self.clock.call_after(took, self.probed, one, controller, zone, server_id, answers)
+        blocked = self.network.blocked(node.zone, zone) or self.network.blocked(zone, node.zone)
+        reachable = not (
+            blocked
+            or server.down
+            or (server.silent_share and self.random_stream() < server.silent_share)
+        )
+        elapsed_ms = (
+            2 * self.network.delay_ms(node.zone, zone) if reachable else HEALTH_CHECK_TIMEOUT_MS
+        )
+        self.clock.call_after(
+            elapsed_ms, self.zone_checked, node, controller, zone, server_id, reachable
+        )
 
-    def probed(
+    def zone_checked(
         self,
-        one: ClusterNode,
+        node: ClusterNode,
         controller: FailoverController,
         zone: int,
         server_id: int,
-        answers: bool,
+        reachable: bool,
     ) -> None:
-        if self.lives(one):
-            controller.observer.health_checked(self.clock.now_ms, zone, server_id, answers)
+        """Report the result of a health check to the controller."""
+        if self.is_running(node):
+            controller.observer.health_checked(self.clock.now_ms, zone, server_id, reachable)
 
     def stop(self, number: int) -> None:
-        """It dies."""
-        if (one := self.nodes.get(number)) is not None:
-            one.up = False
+        """Stop a node's process at once."""
+        if (node := self.nodes.get(number)) is not None:
+            node.up = False
 
-    def lives(self, one: ClusterNode) -> bool:
-        return one.up and self.nodes[one.number] is one
+    def is_running(self, node: ClusterNode) -> bool:
+        """Return whether a process is running and is the latest one of its node."""
+        return node.up and self.nodes[node.number] is node
 
-    def round(self, one: ClusterNode) -> None:
-        if self.lives(one) and not self.held(one, self.round, one):
-            self.run(one, one.member.report(self.clock.now_ms, one.pipeline.policy))
-            self.clock.call_after(one.member.report_interval_ms, self.round, one)
+    def report(self, node: ClusterNode) -> None:
+        """Send a member's periodic report to the others."""
+        if self.is_running(node) and not self.postponed(node, self.report, node):
+            self.run_effects(node, node.member.report(self.clock.now_ms, node.pipeline.policy))
+            self.clock.call_after(node.member.report_interval_ms, self.report, node)
 
-    def run(self, one: ClusterNode, effects: list[Effect]) -> None:
-        """Carry out what a machine wants."""
+    def run_effects(self, node: ClusterNode, effects: list[Effect]) -> None:
+        """Carry out the effects of a node's protocol, and schedule its next timer."""
         for effect in effects:
             if isinstance(effect, SendDatagram):
-                self.carry(one, effect.address, self.deliver, effect.packet, self.net.loss)
+                self.send(node, effect.address, self.deliver, effect.packet, self.network.loss)
             elif isinstance(effect, StartSync):
-                self.carry(one, effect.address, self.asked, effect.packet, 0.0)
+                self.send(node, effect.address, self.answer_sync, effect.packet, 0.0)
             elif isinstance(effect, RegisterChanged):
-                one.member.receive(self.clock.now_ms, effect)
-        if (event := one.member.view_change(self.clock.now_ms)) is not None:
-            one.pipeline.dispatch(event)
-        if one.controller is not None and one.controller.outbox:
-            self.run(one, one.controller.outbox.take())
-        machine = one.member.protocol
-        self.clock.call_at(machine.due_ms, self.ring, one, machine.due_ms)
-
-    def held(self, one: ClusterNode, what: Callable[..., None], *arguments: object) -> bool:
-        """Whether it stands still now; then this is done as it wakes."""
-        if self.clock.now_ms >= one.frozen:
+                node.member.receive(self.clock.now_ms, effect)
+        if (event := node.member.view_change(self.clock.now_ms)) is not None:
+            node.pipeline.dispatch(event)
+        if node.controller is not None and node.controller.outbox:
+            self.run_effects(node, node.controller.outbox.take())
+        protocol = node.member.protocol
+        self.clock.call_at(protocol.due_ms, self.run_timer, node, protocol.due_ms)
+
+    def postponed(
+        self, node: ClusterNode, callback: Callable[..., None], *arguments: object
+    ) -> bool:
+        """Return whether a node is frozen; if so, the callback runs when it continues."""
+        if self.clock.now_ms >= node.frozen_until_ms:
             return False
-        self.clock.call_at(one.frozen, what, *arguments)
+        self.clock.call_at(node.frozen_until_ms, callback, *arguments)
         return True
 
-    def ring(self, one: ClusterNode, due: float) -> None:
-        machine = one.member.protocol
-        if self.held(one, self.ring, one, due):
+    def run_timer(self, node: ClusterNode, due_ms: float) -> None:
+        """Tick a node's protocol, unless its timer was changed meanwhile."""
+        protocol = node.member.protocol
+        if self.postponed(node, self.run_timer, node, due_ms):
             return
-        if self.lives(one) and machine.due_ms == due <= self.clock.now_ms:
-            self.run(one, machine.tick(self.clock.now_ms))
+        if self.is_running(node) and protocol.due_ms == due_ms <= self.clock.now_ms:
+            self.run_effects(node, protocol.tick(self.clock.now_ms))
 
-    def carry(
+    def send(
         self,
-        one: ClusterNode,
-        to: Address,
-        arrive: Callable[..., object],
+        sender: ClusterNode,
+        target: Address,
+        on_arrival: Callable[..., object],
         packet: Packet,
         loss: float,
     ) -> None:
-        other = next(
-            (o for o in self.nodes.values() if o.member.protocol.local_record.address == to), None
+        """Send a packet over the simulated network."""
+        receiver = next(
+            (
+                node
+                for node in self.nodes.values()
+                if node.member.protocol.local_record.address == target
+            ),
+            None,
         )
-        if other is None or (one.number, other.number) in self.net.between:
+        if receiver is None or (sender.number, receiver.number) in self.network.cut_node_links:
             return
-        if not self.net.parted(one.zone, other.zone) and not (loss and self.chance() < loss):
-            self.clock.call_after(self.net.way(one.zone, other.zone), arrive, one, other, packet)
-
-    def deliver(self, one: ClusterNode, other: ClusterNode, packet: Packet) -> None:
-        if self.lives(other) and not self.held(other, self.deliver, one, other, packet):
-            source = one.member.protocol.local_record.address
-            self.run(other, other.member.protocol.receive(self.clock.now_ms, packet, source))
-
-    def asked(self, one: ClusterNode, other: ClusterNode, packet: Packet) -> None:
-        if self.lives(other) and not self.held(other, self.asked, one, other, packet):
-            source = one.member.protocol.local_record.address
-            answer, effects = other.member.protocol.answer_sync(self.clock.now_ms, packet, source)
-            self.run(other, effects)
-            self.carry(other, source, self.deliver, answer, 0.0)
+        if not self.network.blocked(sender.zone, receiver.zone) and not (
+            loss and self.random_stream() < loss
+        ):
+            delay_ms = self.network.delay_ms(sender.zone, receiver.zone)
+            self.clock.call_after(delay_ms, on_arrival, sender, receiver, packet)
+
+    def deliver(self, sender: ClusterNode, receiver: ClusterNode, packet: Packet) -> None:
+        """Have a node receive a datagram."""
+        if self.is_running(receiver) and not self.postponed(
+            receiver, self.deliver, sender, receiver, packet
+        ):
+            source = sender.member.protocol.local_record.address
+            self.run_effects(
+                receiver, receiver.member.protocol.receive(self.clock.now_ms, packet, source)
+            )
+
+    def answer_sync(self, sender: ClusterNode, receiver: ClusterNode, packet: Packet) -> None:
+        """Have a node answer one side of a push-pull."""
+        if self.is_running(receiver) and not self.postponed(
+            receiver, self.answer_sync, sender, receiver, packet
+        ):
+            source = sender.member.protocol.local_record.address
+            answer, effects = receiver.member.protocol.answer_sync(
+                self.clock.now_ms, packet, source
+            )
+            self.run_effects(receiver, effects)
+            self.send(receiver, source, self.deliver, answer, 0.0)
--- a/lab/servers.py
+++ b/lab/servers.py
@@ -1,8 +1,7 @@
-"""Model servers: cores, a bounded queue, a cold ramp, keys that they know, and what can be wrong
-with them.
+"""Models of servers: cores, a bounded queue, slow start, cached keys, and faults.
 
-Driven by the clock; nothing here knows of nodes. An answer is told by a callback, at the server's
-own time.
+Servers are driven by the virtual clock and know nothing of nodes. They respond through a callback,
+at the time at which the response leaves the server.
 """
 
 from __future__ import annotations
@@ -17,25 +16,29 @@
 from lab.random_streams import RandomStream
 from lab.settings import Day, Kind
 
-ERROR_MS = 1.0  # an error by fault is answered at once: that is what draws traffic
-MAX_KEYS = 4096  # keys that a server knows at once
+# A server with the fault "errors" responds this fast, which is what makes it attract traffic.
+FAULTY_ERROR_DELAY_MS = 1.0
+MAX_CACHED_KEYS = 4096  # of a server
+LATENCY_SMOOTHING = 0.2  # weight of the latest response in the average latency
+# Start time of a server that starts with the day; 0 stands for one that started long ago.
+DAY_START_MS = 1e-3
 
 
 @dataclass(slots=True, eq=False)
 class Job:
     """One attempt at a server."""
 
-    request: int  # the number of the client's request: its retries have the same
-    tried: int  # which of the client's tries this is, from 1
-    cls: int
+    request: int  # number of the client's request, which its retries share
+    client_try: int  # of the request, from 1
+    class_index: int
     key: int
-    work: float  # ms on a core of speed 1
+    work_ms: float  # on a core of speed 1
     keyed: bool
-    window: float  # ms for which repeats are dropped; 0: not
-    answer: Callable[[AttemptResult], None]
-    run: int = 0  # of the server, when it began
-    came: float = 0.0
-    beside: int = 0  # requests that were there when it came
+    window_ms: float  # in which repetitions are dropped; 0: they are not
+    respond: Callable[[AttemptResult], None]
+    incarnation: int = 0  # of the server, when the job started
+    arrived_ms: float = 0.0
+    jobs_on_arrival: int = 0  # that the server had when this one arrived
     started: bool = False
     abandoned: bool = False
 
@@ -44,138 +47,155 @@
     """One server of the fleet."""
 
     def __init__(
-        self, clock: VirtualClock, day: Day, number: int, kind: int, chance: RandomStream
+        self,
+        clock: VirtualClock,
+        day: Day,
+        number: int,
+        kind_index: int,
+        random_stream: RandomStream,
     ) -> None:
         self.clock, self.day, self.number = clock, day, number
-        self.kind: Kind = day.kind[kind]
-        self.kind_number = kind
+        self.kind: Kind = day.kind[kind_index]
+        self.kind_index = kind_index
         self.zone, self.cell = number % day.net.zones, number % day.fleet.cells
-        self.chance = chance
-        self.slowness, self.silent, self.failing = 1.0, 0.0, 0.0
-        self.down = self.leaving = False
-        self.started = 0.0  # ms; 0: long ago
-        self.run = 0
-        self.busy = 0
-        self.waiting: deque[Job] = deque()
-        self.at_work: dict[Job, None] = {}  # in the order in which they began
-        self.keys: dict[int, float] = {}  # when each was met last
-        self.effect: Callable[[Server, Job], None] = lambda server, work: None
-        self.by_held: dict[
-            int, float
-        ] = {}  # time of answers lately, by the requests held as one came
-        # Measured.
-        self.served = self.full = 0
+        self.random_stream = random_stream
+        # Faults: factor of the processing time, and shares of requests without response or failed.
+        self.slowdown, self.silent_share, self.error_share = 1.0, 0.0, 0.0
+        self.down = self.draining = False
+        self.started_ms = 0.0  # 0: long ago
+        self.incarnation = 0
+        self.busy_cores = 0
+        self.queue: deque[Job] = deque()
+        # In the order in which they started.
+        self.running: dict[Job, None] = {}
+        self.keys_used_ms: dict[int, float] = {}  # by cached key: when it was last used
+        self.on_effect: Callable[[Server, Job], None] = lambda server, job: None
+        # Average latency of recent responses, by the jobs that the server had on arrival.
+        self.latency_ms_by_jobs: dict[int, float] = {}
+        # Metrics.
+        self.served = self.rejected = 0
         self.busy_ms = 0.0
 
-    # What befalls it.
+    # Faults.
 
     def crash(self) -> None:
-        """All that it holds is lost; connections break."""
+        """Stop at once: all jobs are lost and their connections are reset."""
         self.down = True
-        self.run += 1
-        lost = [*self.at_work, *self.waiting]
-        self.waiting.clear()
-        self.at_work.clear()
-        self.keys.clear()
-        self.busy = 0
-        for work in lost:
-            work.answer(AttemptResult.RESET)
+        self.incarnation += 1
+        lost = [*self.running, *self.queue]
+        self.queue.clear()
+        self.running.clear()
+        self.keys_used_ms.clear()
+        self.busy_cores = 0
+        for job in lost:
+            job.respond(AttemptResult.RESET)
 
     def start(self) -> None:
-        """Up again, and cold."""
-        self.down = self.leaving = False
-        self.started = max(self.clock.now_ms, 1e-3)
+        """Start again, cold."""
+        self.down = self.draining = False
+        self.started_ms = max(self.clock.now_ms, DAY_START_MS)
 
     @property
-    def warmth(self) -> float:
-        """The share of its speed that its age gives."""
-        ramp = self.kind.ramp_ms
-        if not self.started or not ramp:
+    def slow_start_speed(self) -> float:
+        """Return the share of its full speed that the server has at its age."""
+        ramp_ms = self.kind.ramp_ms
+        if not self.started_ms or not ramp_ms:
             return 1.0
-        age = (self.clock.now_ms - self.started) / ramp
+        age = (self.clock.now_ms - self.started_ms) / ramp_ms
         return 1.0 if age >= 1 else self.kind.cold_from + (1 - self.kind.cold_from) * max(age, 0.0)
 
     @property
-    def expected(self) -> float:
-        """The time of an answer to what came now, as its own answers lately tell it; what it tells
-        a probe."""
-        if not self.by_held:
+    def expected_latency_ms(self) -> float:
+        """Return the latency of a request that arrives now, by recent responses.
+
+        This is what the server reports to health checks.
+        """
+        if not self.latency_ms_by_jobs:
             return 0.0
-        return self.by_held[min(self.by_held, key=lambda held: (abs(held - self.held), held))]
+        return self.latency_ms_by_jobs[
+            min(self.latency_ms_by_jobs, key=lambda jobs: (abs(jobs - self.job_count), jobs))
+        ]
 
     @property
-    def held(self) -> int:
-        return self.busy + len(self.waiting)
+    def job_count(self) -> int:
+        """Return how many jobs are running or queued."""
+        return self.busy_cores + len(self.queue)
 
-    # Job.
+    # Jobs.
 
-    def take(self, work: Job) -> None:
-        """A request has come in."""
+    def receive(self, job: Job) -> None:
+        """Start, queue or reject a job that has arrived."""
         if self.down:
-            work.answer(AttemptResult.RESET)
-        elif self.silent and self.chance() < self.silent:
-            return  # it never answers: the node has to give up
-        elif self.failing and self.chance() < self.failing:
-            self.clock.call_after(ERROR_MS, work.answer, AttemptResult.ERROR)
-        elif self.busy < self.kind.cores:
-            work.came, work.beside = self.clock.now_ms, self.held
-            self.begin(work)
-        elif len(self.waiting) < self.kind.queue:
-            work.came, work.beside = self.clock.now_ms, self.held
-            self.waiting.append(work)
+            job.respond(AttemptResult.RESET)
+        elif self.silent_share and self.random_stream() < self.silent_share:
+            # There is no response; the node's attempt times out.
+            return
+        elif self.error_share and self.random_stream() < self.error_share:
+            self.clock.call_after(FAULTY_ERROR_DELAY_MS, job.respond, AttemptResult.ERROR)
+        elif self.busy_cores < self.kind.cores:
+            job.arrived_ms, job.jobs_on_arrival = self.clock.now_ms, self.job_count
+            self.start_job(job)
+        elif len(self.queue) < self.kind.queue:
+            job.arrived_ms, job.jobs_on_arrival = self.clock.now_ms, self.job_count
+            self.queue.append(job)
         else:
-            self.full += 1
-            work.answer(AttemptResult.FULL)
-
-    def begin(self, work: Job) -> None:
-        self.busy += 1
-        work.started, work.run = True, self.run
-        took = work.work * self.slowness / (self.kind.speed * self.warmth)
-        if work.key and self.day.fleet.warm_gain:
-            now, known = self.clock.now_ms, self.keys.pop(work.key, -math.inf)
-            if now - known < self.day.fleet.warm_ms:
-                took *= 1 - self.day.fleet.warm_gain
-            self.keys[work.key] = now
-            if len(self.keys) > MAX_KEYS:
-                del self.keys[next(iter(self.keys))]
-        self.at_work[work] = None
-        self.busy_ms += took
-        self.clock.call_after(took, self.end, work)
-
-    def end(self, work: Job) -> None:
-        if work.run != self.run:
-            return  # it crashed meanwhile
-        self.busy -= 1
-        self.at_work.pop(work, None)
-        failed = self.kind.error_share and self.chance() < self.kind.error_share
+            self.rejected += 1
+            job.respond(AttemptResult.FULL)
+
+    def start_job(self, job: Job) -> None:
+        """Run a job on a free core."""
+        self.busy_cores += 1
+        job.started, job.incarnation = True, self.incarnation
+        duration_ms = job.work_ms * self.slowdown / (self.kind.speed * self.slow_start_speed)
+        if job.key and self.day.fleet.warm_gain:
+            now_ms, used_ms = self.clock.now_ms, self.keys_used_ms.pop(job.key, -math.inf)
+            if now_ms - used_ms < self.day.fleet.warm_ms:
+                duration_ms *= 1 - self.day.fleet.warm_gain
+            self.keys_used_ms[job.key] = now_ms
+            if len(self.keys_used_ms) > MAX_CACHED_KEYS:
+                del self.keys_used_ms[next(iter(self.keys_used_ms))]
+        self.running[job] = None
+        self.busy_ms += duration_ms
+        self.clock.call_after(duration_ms, self.finish_job, job)
+
+    def finish_job(self, job: Job) -> None:
+        """Respond to a job and start queued ones, unless the server crashed meanwhile."""
+        if job.incarnation != self.incarnation:
+            return
+        self.busy_cores -= 1
+        self.running.pop(job, None)
+        failed = self.kind.error_share and self.random_stream() < self.kind.error_share
         if not failed:
             self.served += 1
-            took = self.clock.now_ms - work.came
-            self.by_held[work.beside] = self.by_held.get(work.beside, took) * 0.8 + 0.2 * took
-            self.effect(self, work)
-        work.answer(AttemptResult.ERROR if failed else AttemptResult.OK)
-        while self.waiting and self.busy < self.kind.cores:
-            following = self.waiting.popleft()
-            if following.abandoned and self.day.fleet.drops_abandoned:
+            latency_ms = self.clock.now_ms - job.arrived_ms
+            average_ms = self.latency_ms_by_jobs.get(job.jobs_on_arrival, latency_ms)
+            self.latency_ms_by_jobs[job.jobs_on_arrival] = (
+                average_ms * (1 - LATENCY_SMOOTHING) + LATENCY_SMOOTHING * latency_ms
+            )
+            self.on_effect(self, job)
+        job.respond(AttemptResult.ERROR if failed else AttemptResult.OK)
+        while self.queue and self.busy_cores < self.kind.cores:
+            next_job = self.queue.popleft()
+            if next_job.abandoned and self.day.fleet.drops_abandoned:
                 continue
-            self.begin(following)
+            self.start_job(next_job)
 
 
 def build_fleet(
-    clock: VirtualClock, day: Day, chance: Callable[[int], RandomStream]
+    clock: VirtualClock, day: Day, random_stream: Callable[[int], RandomStream]
 ) -> list[Server]:
-    """All servers; kinds by their shares, spread evenly."""
-    total, made = sum(kind.share for kind in day.kind), [0] * len(day.kind)
+    """Return all servers of a day, with their kinds spread evenly according to their shares."""
+    total_share, built_count = sum(kind.share for kind in day.kind), [0] * len(day.kind)
     servers = []
     for number in range(day.fleet.servers):
-        wanted = [
-            kind.share / total * (number + 1) - had
-            for kind, had in zip(day.kind, made, strict=True)
+        missing = [
+            kind.share / total_share * (number + 1) - built
+            for kind, built in zip(day.kind, built_count, strict=True)
         ]
-        kind = max(range(len(wanted)), key=lambda at: (wanted[at], -at))
-        made[kind] += 1
-        server = Server(clock, day, number, kind, chance(number))
+        kind_index = max(range(len(missing)), key=lambda index: (missing[index], -index))
+        built_count[kind_index] += 1
+        server = Server(clock, day, number, kind_index, random_stream(number))
         if day.fleet.all_cold:
-            server.started = 1e-3
+            server.started_ms = DAY_START_MS
         servers.append(server)
     return servers
--- a/lab/simulated_cluster.py
+++ b/lab/simulated_cluster.py
@@ -1,8 +1,7 @@
-"""A cluster in virtual time: loss, delay, duplication, reordering, cuts and pauses.
+"""A simulated cluster in virtual time, with a network that loses, delays and reorders datagrams.
 
-The membership protocols are those that run in a node; the network between them is a table of
-directed links. Figures that need hundreds of nodes come from here, as do the tests of orders that
-real processes would not meet twice.
+The membership protocols are those of real nodes. This module serves measurements that need
+hundreds of nodes, and tests of message orders that real processes could not reproduce.
 """
 
 from __future__ import annotations
@@ -31,28 +30,28 @@
 from badgercart.cluster.timing import Bootstrap, SwimTiming
 from badgercart.config import Address
 
-STOP_CHECK_INTERVAL_MS = 20.0  # between checks whether to go on
-START_UNIX_MS = 1_700_000_000_000.0  # the wall clock at the virtual time 0
-SOCKET_BUFFER_PACKETS = 200  # that a paused process finds as it goes on
-SLOW_FACTOR = 20  # by which a reordered datagram takes longer
+STOP_CHECK_INTERVAL_MS = 20.0  # between checks of the stop condition of `run`
+START_UNIX_MS = 1_700_000_000_000.0  # wall clock at virtual time 0
+SOCKET_BUFFER_PACKETS = 200  # that are kept while a process is paused
+REORDERED_DELAY_FACTOR = 20  # of a datagram that others overtake
 SEEDS: tuple[Address, ...] = (("127.0.0.1", 7946), ("127.0.1.1", 7946))
 
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """What happens to datagrams and connections on the way. Shares are 0 to 1."""
+    """Delays and faults of the network. Shares are between 0 and 1."""
 
     min_delay_ms: float = 0.2  # one way
     max_delay_ms: float = 2.0
     loss_share: float = 0.0
     duplicate_share: float = 0.0
-    reorder_share: float = 0.0  # of datagrams so slow that others overtake them
-    cut_links: set[tuple[str, str]] = field(default_factory=set)  # directed pairs of names
+    reorder_share: float = 0.0  # of messages, delayed so much that others overtake them
+    cut_links: set[tuple[str, str]] = field(default_factory=set)  # directed pairs of node names
 
 
 @dataclass(slots=True)
 class ObservedChange:
-    """A change of one node's membership table."""
+    """A change in the membership table of one node."""
 
     at_ms: float
     observer: str
@@ -62,15 +61,15 @@
 
 
 class SimulatedCluster:
-    """Membership protocols by name, and all that is on its way between them. Times are ms.
+    """Membership protocols by node name, and the messages between them. Times are in ms.
 
     Args:
-        count: nodes n0, n1, ... that are there from the start.
-        seed: of all chance.
-        timing: of the protocols.
-        links: the network.
-        expected: the size of the cluster that nodes are told.
-        join: whether nodes have seeds.
+        count: Number of nodes at the start, named n0, n1 and so on.
+        seed: Seed of all random draws.
+        timing: Timing of the protocols.
+        links: Conditions of the network.
+        expected: Cluster size that the nodes are configured with.
+        join: Whether the nodes have seed addresses through which they join.
     """
 
     def __init__(
@@ -91,8 +90,8 @@
         self.event_count = self.started_processes = 0
         self.protocols: dict[str, SwimProtocol] = {}
         self.up: dict[str, bool] = {}
-        self.paused: dict[str, list[tuple[Packet, Address]]] = {}  # what came meanwhile
-        self.delays_ms: dict[str, float] = {}  # by which a node is late with everything
+        self.paused: dict[str, list[tuple[Packet, Address]]] = {}  # received since
+        self.delays_ms: dict[str, float] = {}  # by which timers and datagrams of a node are late
         self.addresses: dict[Address, str] = {}
         self.changes: list[ObservedChange] = []
         self.register_changes: list[tuple[float, str, RegisterChanged]] = []
@@ -100,7 +99,7 @@
         self.pauses: list[tuple[str, ProcessPaused]] = []
         self.bytes_sent: Counter[str] = Counter()
         self.largest_datagram_bytes = 0
-        self.last_disagreeing = ""  # a node that did not agree at the last check
+        self.last_disagreeing = ""  # node that disagreed at the last check
         self.tables_compared = 0
         self.topics: tuple[str, ...] = ("test",)
         for number in range(count):
@@ -111,7 +110,7 @@
     def add(
         self, name: str, number: int, join: bool = True, wall: float = START_UNIX_MS
     ) -> SwimProtocol:
-        """Start a process under a name, also one that had it before."""
+        """Start a process of a node, which may replace an earlier one of the same name."""
         self.started_processes += 1
         address = (f"127.{number >> 8}.{number & 255}.1", 7946)
         generation = int(wall + self.now) * 1024 + self.started_processes
@@ -128,20 +127,20 @@
         return protocol
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Stop a process at once."""
         self.up[name] = False
 
     def restart(self, name: str, wall: float = START_UNIX_MS) -> SwimProtocol:
-        """Start a process of the same name and address, which knows nothing."""
+        """Start a new process of a node, with the same address but without any state."""
         number = list(self.protocols).index(name)
         return self.add(name, number, True, wall)
 
     def pause(self, name: str) -> None:
-        """Stop a process as SIGSTOP does: what comes waits in its sockets."""
+        """Pause a process as SIGSTOP does: received packets wait in its socket buffers."""
         self.paused[name] = []
 
     def resume(self, name: str) -> None:
-        """Have a paused process go on."""
+        """Continue a paused process."""
         waiting = self.paused.pop(name)
         protocol = self.protocols[name]
         self.run_effects(name, protocol.tick(self.now))
@@ -150,31 +149,31 @@
         self.arm(name)
 
     def split(self, *parts: list[str]) -> None:
-        """Cut these parts from each other, both ways."""
+        """Partition the network into these parts, in both directions."""
         for one in parts:
             for other in parts:
                 if one is not other:
                     self.network.cut_links |= {(a, b) for a in one for b in other}
 
     def heal(self) -> None:
-        """Mend all links."""
+        """Restore all links."""
         self.network.cut_links.clear()
 
     # The network.
 
     def schedule(self, time: float, action: Callable[..., None], *arguments: Any) -> None:
-        """Have something happen at a time."""
+        """Schedule an action at a time."""
         self.event_count += 1
         heapq.heappush(self.scheduled, (time, self.event_count, action, arguments))
 
     def arm(self, name: str) -> None:
-        """Set a node's timer to what its protocol wants next."""
+        """Schedule the next timer of a node's protocol."""
         protocol = self.protocols[name]
         due_ms = max(protocol.due_ms, self.now) + self.delays_ms.get(name, 0.0)
         self.schedule(due_ms, self.tick, name, protocol)
 
     def tick(self, name: str, protocol: SwimProtocol) -> None:
-        """Ring a node's timer, unless it is of an earlier process or not wanted any more."""
+        """Run a node's timer, unless it belongs to an earlier process or was rescheduled."""
         if self.protocols[name] is not protocol or not self.up[name] or name in self.paused:
             return
         if protocol.due_ms <= self.now:
@@ -182,13 +181,15 @@
             self.arm(name)
 
     def one_way_delay_ms(self) -> float:
-        """Return how long the next message takes."""
+        """Draw the delay of the next message."""
         network = self.network
         delay_ms = self.random.uniform(network.min_delay_ms, network.max_delay_ms)
-        return delay_ms * (SLOW_FACTOR if self.random.random() < network.reorder_share else 1)
+        return delay_ms * (
+            REORDERED_DELAY_FACTOR if self.random.random() < network.reorder_share else 1
+        )
 
     def run_effects(self, name: str, effects: list[Effect]) -> None:
-        """Carry out what a node's protocol asks for, and keep what it tells."""
+        """Carry out the effects of a node's protocol, and record its notifications."""
         for effect in effects:
             if isinstance(effect, SendDatagram):
                 self.send_datagram(name, effect.address, effect.packet)
@@ -200,7 +201,7 @@
     def record(
         self, name: str, effect: MemberChanged | RegisterChanged | NameConflict | ProcessPaused
     ) -> None:
-        """Keep what a node's protocol tells."""
+        """Record a notification of a node's protocol."""
         if isinstance(effect, MemberChanged):
             state = effect.after
             change = ObservedChange(self.now, name, state.record.name, state.status, state.reporter)
@@ -213,7 +214,7 @@
             self.pauses.append((name, effect))
 
     def send_datagram(self, name: str, address: Address, packet: Packet) -> None:
-        """Send a datagram by the conditions of the network."""
+        """Send a datagram under the conditions of the network."""
         size_bytes = len(self.codec.encode(packet))
         self.largest_datagram_bytes = max(self.largest_datagram_bytes, size_bytes)
         self.bytes_sent[name] += size_bytes
@@ -228,7 +229,7 @@
             self.schedule(arrival, self.deliver_packet, to, packet, source)
 
     def deliver_packet(self, to: str, packet: Packet, source: Address) -> None:
-        """Have a node receive a packet, or keep it while the node is paused."""
+        """Deliver a packet to a node, or keep it while the node is paused."""
         if not self.up[to]:
             return
         if to in self.paused:
@@ -238,12 +239,12 @@
         self.rearm(to)
 
     def rearm(self, name: str) -> None:
-        """Set a node's timer again if something is due at once."""
+        """Schedule a node's timer if its protocol became due at once."""
         if self.protocols[name].due_ms <= self.now:
             self.arm(name)
 
     def start_sync(self, name: str, address: Address, packet: Packet) -> None:
-        """Send one side of a push-pull, over a connection that no loss meets."""
+        """Send the request of a push-pull over a connection, which loses no messages."""
         to = self.addresses.get(address)
         cut_links = self.network.cut_links
         if to is None or (name, to) in cut_links or (to, name) in cut_links:
@@ -252,7 +253,7 @@
         self.schedule(arrival, self.answer_sync, name, self.protocols[name], to, packet)
 
     def answer_sync(self, name: str, asking: SwimProtocol, to: str, packet: Packet) -> None:
-        """Answer a push-pull, if both sides still run."""
+        """Answer a push-pull if both processes are still running."""
         if not self.up[to] or to in self.paused or self.protocols[name] is not asking:
             return
         answer, effects = self.protocols[to].answer_sync(
@@ -267,9 +268,9 @@
         self.schedule(arrival, self.deliver_packet, name, answer, source)
 
     def run(self, until: float, stop: Callable[[], bool] | None = None) -> float:
-        """Let time pass to `until`, or until `stop` holds, which is checked now and then.
+        """Run until a time, or until `stop` returns True, and return the time reached.
 
-        Returns the time.
+        `stop` is called at most once in `STOP_CHECK_INTERVAL_MS`.
         """
         next_check = 0.0
         while self.scheduled and self.scheduled[0][0] <= until:
@@ -283,19 +284,19 @@
         self.now = max(self.now, until)
         return self.now
 
-    # What the nodes know.
+    # The views of the nodes.
 
     def statuses(self, observer: str) -> dict[str, MemberStatus]:
-        """Return the status of each member by one node's table."""
+        """Return the status of each member in the table of one node."""
         states = self.protocols[observer].table.members
         return {name: state.status for name, state in states.items()}
 
     def agreed(self) -> bool:
-        """Return whether all that run take each other, and nobody else, for alive."""
+        """Return whether all running nodes consider exactly the running nodes alive."""
         names = [name for name, up in self.up.items() if up and name not in self.paused]
         running = set(names)
-        # A node that disagreed at the last check mostly still does; to check all tables costs the
-        # square of the members.
+        # Start with the node that disagreed at the last check, because it usually still does, and
+        # checking all tables takes time quadratic in the number of members.
         first = names.index(self.last_disagreeing) if self.last_disagreeing in running else 0
         for name in names[first:] + names[:first]:
             self.tables_compared += 1
@@ -306,10 +307,10 @@
         return True
 
     def all_declared_dead(self, name: str) -> bool:
-        """Return whether all that run take a node for dead."""
+        """Return whether all running nodes consider a node dead."""
         tables = [self.protocols[other].table.members for other, up in self.up.items() if up]
         return all(name in states and states[name].status is MemberStatus.DEAD for states in tables)
 
     def quorum_level(self, name: str) -> QuorumLevel:
-        """Return the quorum level by one node's knowledge."""
+        """Return the quorum level as one node sees it."""
         return self.protocols[name].quorum().level
--- a/tests/lab/test_node_cluster.py
+++ b/tests/lab/test_node_cluster.py
@@ -1,4 +1,4 @@
-"""Nodes that know each other in the model: the same machines, and what they change."""
+"""Simulated nodes that form a cluster, with the protocols of real nodes."""
 
 from __future__ import annotations
 
@@ -10,49 +10,57 @@
 from tests.lab.support import day
 
 
-def cell(seconds: float = 8.0, nodes: int = 3, said: int = 0, **more: object) -> Cell:
-    fleet = {"nodes": nodes, "said": said, "peers": True, "expect_s": 3.0, "servers": 6}
-    return Cell(day(seconds, more.pop("trouble", []), fleet=fleet, **more), "badgercart", 1)  # type: ignore[call-overload]
+def cluster_cell(
+    seconds: float = 8.0, nodes: int = 3, configured_nodes: int = 0, **more: object
+) -> Cell:
+    """Return a day whose nodes form a cluster; 0 configured nodes stand for the real number."""
+    fleet = {
+        "nodes": nodes,
+        "said": configured_nodes,
+        "peers": True,
+        "expect_s": 3.0,
+        "servers": 6,
+    }
+    scenario = day(seconds, more.pop("trouble", []), fleet=fleet, **more)  # type: ignore[arg-type]
+    return Cell(scenario, "badgercart", 1)
 
 
-def test_a_day_with_companions_is_the_same_bit_by_bit() -> None:
-    one, other = (simulate(cell()) for _ in range(2))
-    one.pop("spent_s"), other.pop("spent_s")
-    assert one == other and not sum(one["breaches"].values())
+def test_a_day_with_a_cluster_is_deterministic() -> None:
+    first, second = (simulate(cluster_cell()) for _ in range(2))
+    first.pop("spent_s"), second.pop("spent_s")
+    assert first == second and not sum(first["breaches"].values())
 
 
-def test_a_file_that_says_too_much_counts_for_a_while_only() -> None:
-    world = Simulation(cell(said=9))
+def test_a_configured_size_that_is_too_large_counts_only_at_the_start() -> None:
+    simulation = Simulation(cluster_cell(configured_nodes=9))
     sizes: list[int] = []
-    world.clock.call_at(
-        2500.0, lambda: sizes.append(world.nodes[0].pipeline.policy.fleet.cluster.view.size)
-    )
-    world.run()
-    assert sizes == [9] and [
-        node.pipeline.policy.fleet.cluster.view.size for node in world.nodes
-    ] == [
-        3,
-        3,
-        3,
-    ]
-    assert [node.pipeline.policy.fleet.cluster.view.node_index for node in world.nodes] == [0, 1, 2]
+
+    def record_size() -> None:
+        sizes.append(simulation.nodes[0].pipeline.policy.fleet.cluster.view.size)
+
+    simulation.clock.call_at(2500.0, record_size)
+    simulation.run()
+    views = [node.pipeline.policy.fleet.cluster.view for node in simulation.nodes]
+    assert sizes == [9] and [view.size for view in views] == [3, 3, 3]
+    assert [view.node_index for view in views] == [0, 1, 2]
 
 
-def test_one_that_died_counts_as_one_that_may_live_and_is_back_when_it_is() -> None:
-    world = Simulation(cell(22.0, trouble=[{"kind": "node_restart", "at_s": 3.0, "for_s": 15.0}]))
-    seen: list[tuple[int, int]] = []
+def test_a_stopped_node_counts_as_possibly_alive_and_rejoins_after_its_restart() -> None:
+    restart = [{"kind": "node_restart", "at_s": 3.0, "for_s": 15.0}]
+    simulation = Simulation(cluster_cell(22.0, trouble=restart))
+    sizes: list[tuple[int, int]] = []
 
-    def look() -> None:
-        group = world.nodes[1].pipeline.policy.fleet.cluster.view
-        seen.append((group.size, group.possibly_alive))
+    def record_sizes() -> None:
+        view = simulation.nodes[1].pipeline.policy.fleet.cluster.view
+        sizes.append((view.size, view.possibly_alive))
 
-    for at in (2500.0, 17_500.0, 21_900.0):
-        world.clock.call_at(at, look)
-    world.run()
-    assert seen == [(3, 3), (2, 3), (3, 3)]
+    for time_ms in (2500.0, 17_500.0, 21_900.0):
+        simulation.clock.call_at(time_ms, record_sizes)
+    simulation.run()
+    assert sizes == [(3, 3), (2, 3), (3, 3)]
 
 
-def test_the_platforms_node_imports_nothing_of_it() -> None:
+def test_a_node_without_a_cluster_imports_none_of_its_modules() -> None:
     code = (
         "import sys, badgercart.__main__, badgercart.node; "
         "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'netaddr') "
