--- a/lab/model.py
+++ b/lab/model.py
@@ -36,7 +36,7 @@
 # Simulated beyond the longest deadline, so that the last requests end.
 FINAL_MARGIN_MS = 1000.0
 PROGRESS_STEPS = 50
-MAX_ID = 1 << 62
+ID_LIMIT = 1 << 62  # of drawn IDs, keys and seeds
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
         return self.responses == 1 and not self.cancelled
 
     def client_is_gone(self) -> bool:
-        """Return False: the pipeline is told at once when a client leaves."""
+        """Return False: the pipeline is notified at once when a client leaves."""
         return False
 
     def on_response(self, response: UpstreamResponse) -> None:
@@ -119,7 +119,7 @@
         """Start with a new policy, which has learned nothing unless the day says so."""
         simulation = self.simulation
         seed = int(
-            generator(simulation.cell.seed, "policy", self.number, self.starts).integers(MAX_ID)
+            generator(simulation.cell.seed, "policy", self.number, self.starts).integers(ID_LIMIT)
         )
         self.starts += 1
         self.pipeline = RequestPipeline(
@@ -205,17 +205,15 @@
 
     def receive(self, request: ClientRequest) -> None:
         """Receive a try of a request."""
-        simulation, request_class = (
-            self.simulation,
-            self.simulation.day.class_[request.class_index],
-        )
+        simulation = self.simulation
+        request_class = simulation.day.class_[request.class_index]
         client_try = ClientTry(simulation, self, request)
         self.open_tries[client_try.id] = client_try
         now_ms = simulation.clock.now_ms
         deadline_ms = request.scheduled_ms + request_class.deadline_ms
         simulation.clock.call_at(deadline_ms, simulation.deadline_passed, client_try)
         incoming = IncomingRequest(
-            request.class_index, request.tenant_index, simulation.key_hashes[request.key],
+            request.class_index, request.tenant_index, simulation.policy_keys[request.key],
             deadline_ms - RESPONSE_MARGIN_MS - simulation.day.clients.ms, request,
             is_client_retry=request.tries > 1,
         )  # fmt: skip
@@ -243,14 +241,12 @@
         )
         for server in self.servers:
             server.on_effect = self.rule_checker.effect_happened
-        ids = generator(seed, "ids").integers(1, MAX_ID, len(self.servers)).tolist()
+        ids = generator(seed, "ids").integers(1, ID_LIMIT, len(self.servers)).tolist()
         self.server_ids = dict(zip(range(len(ids)), ids, strict=True))
         self.servers_by_id = {self.server_ids[server.number]: server for server in self.servers}
         key_count = int(self.plan.key.max(initial=0)) + 1
-        self.key_hashes = [
-            0,
-            *generator(seed, "keys").integers(1, MAX_ID, key_count).tolist(),
-        ]
+        # By planned key: the key that the policy receives, 0 for none.
+        self.policy_keys = [0, *generator(seed, "keys").integers(1, ID_LIMIT, key_count).tolist()]
         jitter_factors = jitter_stream(generator(seed, "jitter"), day.net.jitter)
         self.network = Network(
             self.clock, day, jitter_factors, uniform_stream(generator(seed, "loss"))
--- a/lab/network.py
+++ b/lab/network.py
@@ -109,10 +109,8 @@
             max(request.timeout_ms, 0.0), self.end, attempt, AttemptResult.TIMEOUT
         )
         connected = self.take_idle_connection(server)
-        there_blocked, back_blocked = (
-            self.network.blocked(self.zone, server.zone),
-            self.network.blocked(server.zone, self.zone),
-        )
+        there_blocked = self.network.blocked(self.zone, server.zone)
+        back_blocked = self.network.blocked(server.zone, self.zone)
         if not connected and (there_blocked or back_blocked):
             self.clock.call_after(
                 self.network.day.net.dial_ms, self.end, attempt, AttemptResult.UNREACHABLE
@@ -144,7 +142,7 @@
         return False
 
     def arrive(self, attempt: Attempt) -> None:
-        """Hand an attempt to its server, unless it was abandoned on the way."""
+        """Deliver an attempt to its server, unless it was abandoned in transit."""
         server = attempt.server
         if attempt.abandoned_unsent or (attempt.ended and server.day.fleet.drops_abandoned):
             return
@@ -186,7 +184,7 @@
         )
 
     def cancel(self, request_id: int, number: int) -> None:
-        """Cancel an attempt; its server is told if it has the job already."""
+        """Cancel an attempt, and mark its job as abandoned if it has reached the server."""
         if (attempt := self.in_flight.get((request_id, number))) is not None:
             if attempt.job is not None:
                 attempt.job.abandoned = True
