--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -39,7 +39,7 @@
     compute_plan,
 )
 from lab.model import play
-from lab.settings import Cell, Day, load
+from lab.settings import Cell, Day, load_day
 from lab.stats import paired, verdict
 
 SIZES = ((3, 2, 2), (6, 3, 4), (12, 4, 8), (20, 5, 8))  # zones, regions, classes
@@ -225,7 +225,7 @@
 
 def world_day(scenario: Scenario, zones: str) -> Day:
     """Return the day of a scenario; `zones` is the planning mode, or `off`."""
-    tables = load(WORLD).model_dump(by_alias=True)
+    tables = load_day(WORLD).model_dump(by_alias=True)
     tables["experiment"]["seconds"] = 24 if scenario.fault == "cut" else 30
     tables["arrivals"]["load"], tables["fleet"]["nodes"] = scenario.load, scenario.nodes
     tables["trouble"] = FAULTS[scenario.fault]
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -15,8 +15,7 @@
 from badgercart.app.exits import CommandError, ExitStatus
 from badgercart.app.faults import SettingsFileError
 from lab.peers import BADGERCART, NAMES
-from lab.settings import Cell, Day, cells
-from lab.settings import load as load_day
+from lab.settings import Cell, Day, grid_cells, load_day
 
 FILE = click.argument("file", metavar="FILE.toml")
 RESULTS = click.option("--results", type=click.Path(file_okay=False), help="Where finished days are kept "
@@ -128,7 +127,7 @@
     from lab.sweep import SweepError, sweep
 
     day = loaded(file)
-    wanted = list(cells(day))
+    wanted = list(grid_cells(day))
     with bar() as shown:
         task = shown.add_task(day.experiment.name, total=len(wanted))
         try:
--- a/lab/arrivals.py
+++ b/lab/arrivals.py
@@ -56,15 +56,15 @@
 def times(day: Day, rng: np.random.Generator) -> Floats:
     """Arrivals by thinning (Lewis and Shedler 1979): a Poisson process at the highest rate, parts
     of it kept."""
-    grid = np.linspace(0.0, day.ms, 4096)
+    grid = np.linspace(0.0, day.duration_ms, 4096)
     peak = float((rate_at(day, grid) * surge_at(day, grid)).max())
-    mean_gap = 1000.0 / (day.rate * peak)
+    mean_gap = 1000.0 / (day.rate_per_s * peak)
     if day.arrivals.pattern == "even":
-        at = np.arange(mean_gap, day.ms, mean_gap)
+        at = np.arange(mean_gap, day.duration_ms, mean_gap)
     else:
-        count = int(day.ms / mean_gap)
+        count = int(day.duration_ms / mean_gap)
         at = np.cumsum(rng.exponential(mean_gap, int(count + 6 * np.sqrt(count) + 16)))
-        at = at[at < day.ms]
+        at = at[at < day.duration_ms]
     kept = rng.random(len(at)) * peak < rate_at(day, at) * surge_at(day, at)
     return at[kept]
 
--- a/lab/chance.py
+++ b/lab/chance.py
@@ -14,7 +14,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from lab.settings import Dist
+from lab.settings import Distribution
 
 BLOCK = 4096  # draws at once
 Floats = NDArray[np.float64]
@@ -26,7 +26,9 @@
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence(seed, spawn_key=key)))
 
 
-def draw(rng: np.random.Generator, dist: Dist, mean: float, cv: float, count: int) -> Floats:
+def draw(
+    rng: np.random.Generator, dist: Distribution, mean: float, cv: float, count: int
+) -> Floats:
     """`count` draws of a law by its mean and its standard deviation over the mean (`cv`).
 
     Constant has none, uniform at most 1/sqrt(3) (its range ends at 0), exponential 1; pareto is the
--- a/lab/measure.py
+++ b/lab/measure.py
@@ -58,7 +58,7 @@
         self.times = [histogram() for _ in day.class_]
         self.fresh: list[list[int]] = [[] for _ in day.class_]  # µs that are not in them yet
         self.attempts = self.tries = 0
-        steps = int(day.ms / STEP) + 1
+        steps = int(day.duration_ms / STEP) + 1
         self.course: dict[str, list[float]] = {name: [0.0] * steps for name in SERIES}
 
     def step(self, at: float) -> int:
--- a/lab/model.py
+++ b/lab/model.py
@@ -24,7 +24,7 @@
 from lab.measure import STEP, Measure
 from lab.peers import BADGERCART, make
 from lab.servers import Server, fleet
-from lab.settings import Cell, Class, Day
+from lab.settings import Cell, ClassSettings, Day
 from lab.troubles import Troubles
 from lab.watch import Watch
 from lab.wire import Net, Wire
@@ -263,7 +263,7 @@
         for number, (at, cls, tenant, key, work, node) in enumerate(
             zip(*(column.tolist() for column in columns), strict=True)
         ):
-            wanted: Class = classes[cls]
+            wanted: ClassSettings = classes[cls]
             keyed = wanted.effect == "keyed"
             window = wanted.window_ms if keyed else 0.0
             yield Ask(number, cls, tenant, key, work, keyed, window, at), node
@@ -349,7 +349,7 @@
             s.down or s.leaving or s.slowness > 1 or bool(s.silent) or bool(s.failing)
             for s in self.servers
         )
-        if self.clock.now + STEP <= self.day.ms:
+        if self.clock.now + STEP <= self.day.duration_ms:
             self.clock.after(STEP, self.look)
 
     def play(self, progress: Callable[[float], None] | None = None) -> dict[str, Any]:
@@ -368,10 +368,10 @@
             longest = max(cls.deadline_ms for cls in self.day.class_)
             steps = 50
             for step in range(1, steps + 1):
-                self.clock.run(self.day.ms * step / steps)
+                self.clock.run(self.day.duration_ms * step / steps)
                 if progress is not None:
                     progress(step / steps)
-            self.clock.run(self.day.ms + longest + 1000.0)
+            self.clock.run(self.day.duration_ms + longest + 1000.0)
         finally:
             if collecting:
                 gc.enable()
@@ -379,12 +379,12 @@
         return self.result() | {"spent_s": spent}
 
     def result(self) -> dict[str, Any]:
-        busy = [s.busy_ms / (s.kind.cores * self.day.ms) for s in self.servers]
+        busy = [s.busy_ms / (s.kind.cores * self.day.duration_ms) for s in self.servers]
         mean = statistics.fmean(busy)
         return self.measure.plain() | {
             "policy": self.cell.policy,
             "seed": self.cell.seed,
-            "values": dict(self.cell.values),
+            "values": dict(self.cell.grid_values),
             "requests": len(self.plan),
             "events": self.clock.done,
             "breaches": {str(rule): count for rule, count in self.watch.counts.items()},
--- a/lab/report.py
+++ b/lab/report.py
@@ -66,7 +66,9 @@
     """In the order in which they were played."""
     found: dict[Group, Summary] = {}
     for cell, result in days:
-        told = found.setdefault((cell.values, cell.policy), Summary(cell.values, cell.policy))
+        told = found.setdefault(
+            (cell.grid_values, cell.policy), Summary(cell.grid_values, cell.policy)
+        )
         told.shares.append(result["share"])
         told.seeds.append(cell.seed)
         told.days.append(result)
@@ -214,7 +216,9 @@
         made["heat"] = map_
     for number, told in enumerate(found[:12]):
         day = next(
-            cell.day for cell, _ in days if (cell.values, cell.policy) == (told.values, told.policy)
+            cell.day
+            for cell, _ in days
+            if (cell.grid_values, cell.policy) == (told.values, told.policy)
         )
         made[f"course-{number + 1}"] = course(told, day)
     return made
--- a/lab/servers.py
+++ b/lab/servers.py
@@ -15,7 +15,7 @@
 from badgercart.policy.events import AttemptResult
 from lab.chance import Stream
 from lab.clock import Clock
-from lab.settings import Day, Kind
+from lab.settings import Day, ServerKind
 
 ERROR_MS = 1.0  # an error by fault is answered at once: that is what draws traffic
 MAX_KEYS = 4096  # keys that a server knows at once
@@ -45,7 +45,7 @@
 
     def __init__(self, clock: Clock, day: Day, number: int, kind: int, chance: Stream) -> None:
         self.clock, self.day, self.number = clock, day, number
-        self.kind: Kind = day.kind[kind]
+        self.kind: ServerKind = day.kind[kind]
         self.kind_number = kind
         self.zone, self.cell = number % day.net.zones, number % day.fleet.cells
         self.chance = chance
--- a/lab/trial/inmodel.py
+++ b/lab/trial/inmodel.py
@@ -68,7 +68,7 @@
         "trouble": tuple(model_fault(fault, trial.zones) for fault in file.trouble),
     }  # fmt: skip
     day = Day.model_validate(settings)
-    quota = trial.quota / day.capacity
+    quota = trial.quota / day.capacity_per_s
     settings["tenant"] = tuple(
         {"name": name, "share": share, "quota": quota} for name, share in TENANTS.items()
     )
--- a/lab/trial/script.py
+++ b/lab/trial/script.py
@@ -17,7 +17,7 @@
 from badgercart.app.faults import SettingsFileError, of_model, problem
 from badgercart.app.locate import lines_of
 from badgercart.app.model import Listed, Name, Names, Table
-from lab.settings import BEFALLS_NODES, ZONED, Share
+from lab.settings import NODE_FAULT_KINDS, ZONE_FAULT_KINDS, Share
 from lab.trial.world import LIST, Shape, World
 
 MAX_OVERRUN_S = 5  # by which a fault may last beyond the end of the traffic
@@ -122,7 +122,9 @@
     for index, fault in enumerate(file.trouble):
         if fault.at_s + fault.for_s > file.trial.seconds + MAX_OVERRUN_S:
             problems.append((("trouble", index, "for_s"), "lasts beyond the trial's end"))
-        required_zones = [("zone", fault.zone)] if fault.kind in ("partition", *ZONED[:-1]) else []
+        required_zones = (
+            [("zone", fault.zone)] if fault.kind in ("partition", *ZONE_FAULT_KINDS[:-1]) else []
+        )
         required_zones += [("to", fault.to)] if fault.kind == "zone_way" else []
         for key, zone in (*required_zones, *(("zones", zone) for zone in fault.zones)):
             if zone not in file.trial.zones:
@@ -135,7 +137,7 @@
                         f"{name!r} is none of n0 to n{len(node_names) - 1}",
                     )
                 )
-        if fault.kind in (*BEFALLS_NODES, "node_restart") and not fault.nodes:
+        if fault.kind in (*NODE_FAULT_KINDS, "node_restart") and not fault.nodes:
             problems.append(
                 (("trouble", index, "nodes"), f"is missing: {fault.kind} befalls nodes")
             )
--- a/lab/watch.py
+++ b/lab/watch.py
@@ -49,7 +49,7 @@
         self.fleet_sent: deque[tuple[float, float]] = deque()
         self.fleet_work = 0.0
         self.power = (
-            day.capacity * day.mean_work / 1000
+            day.capacity_per_s * day.mean_work_ms / 1000
         )  # ms of work that the warm fleet does in a ms
 
     def breach(self, rule: int, words: str) -> None:
--- a/tests/lab/killing.py
+++ b/tests/lab/killing.py
@@ -18,7 +18,7 @@
     if cell.seed == 2 and not mark.exists():
         mark.write_text("")
         os.kill(os.getpid(), signal.SIGKILL)
-    if cell.policy == "p2c" and cell.values[0][1] == 0.6:
+    if cell.policy == "p2c" and cell.grid_values[0][1] == 0.6:
         raise RuntimeError("as the test wants")
     return _one(cell, folder)
 
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -18,7 +18,7 @@
 from lab.peers import NAMES, make
 from lab.peers.limits import Aimd, Gradient, RetryBudget
 from lab.peers.pickers import WeightedLeastRequest
-from lab.settings import Cell, cells, load
+from lab.settings import Cell, grid_cells, load_day
 from lab.stats import Interval, interval, paired, verdict
 from lab.sweep import Sweep, SweepError, name_of, read, sweep
 from tests.lab.killing import kill_always, kill_first, kill_once
@@ -71,13 +71,13 @@
 ) -> None:
     path = written(tmp_path, GOOD.replace(*change))
     with pytest.raises(SettingsFileError) as caught:
-        load(path, NAMES)
+        load_day(path, NAMES)
     assert words in str(caught.value) and f"line {line}" in str(caught.value), str(caught.value)
     assert main(["sweep", path]) == 2 and words in capsys.readouterr().err
 
 
 def test_a_grid_gives_every_day_once_in_a_stated_order(tmp_path: Path) -> None:
-    found = list(cells(load(written(tmp_path), NAMES)))
+    found = list(grid_cells(load_day(written(tmp_path), NAMES)))
     assert [cell.name for cell in found] == [
         f"{policy} arrivals.load={value} seed={seed}"
         for value in (0.3, 0.6) for policy in ("badgercart", "p2c") for seed in (1, 2)
@@ -86,7 +86,7 @@
 
 
 def test_a_sweep_goes_on_when_a_worker_is_killed_and_names_what_failed(tmp_path: Path) -> None:
-    wanted = list(cells(load(written(tmp_path), NAMES)))
+    wanted = list(grid_cells(load_day(written(tmp_path), NAMES)))
     folder = tmp_path / "results"
     with pytest.raises(SweepError) as caught:
         list(sweep(wanted, folder, 2, task=kill_once))
@@ -104,7 +104,7 @@
 
 
 def test_a_day_that_always_kills_its_worker_fails_alone(tmp_path: Path) -> None:
-    wanted = list(cells(load(written(tmp_path), NAMES)))
+    wanted = list(grid_cells(load_day(written(tmp_path), NAMES)))
     with pytest.raises(SweepError) as caught:
         list(sweep(wanted, tmp_path / "r", 2, task=kill_always))
     assert [line.split(": ")[1] for line in str(caught.value).splitlines()] == [
@@ -114,7 +114,7 @@
 
 
 def test_a_file_that_is_no_day_is_played_anew(tmp_path: Path) -> None:
-    cell = next(cells(load(written(tmp_path), NAMES)))
+    cell = next(grid_cells(load_day(written(tmp_path), NAMES)))
     for text in ("", "{", "[1]", "{}"):
         (tmp_path / name_of(cell)).write_text(text)
         assert read(tmp_path / name_of(cell)) is None
@@ -246,7 +246,11 @@
     text = GOOD.replace("seeds = [1, 2]", f"seeds = {list(range(1, 13))}").replace(
         "[0.3, 0.6]", "[0.3]"
     )
-    wanted = [cell for cell in cells(load(written(tmp_path, text), NAMES)) if cell.policy == "p2c"]
+    wanted = [
+        cell
+        for cell in grid_cells(load_day(written(tmp_path, text), NAMES))
+        if cell.policy == "p2c"
+    ]
     rounds: list[int] = []
     play = Sweep.play
 
