--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -151,14 +151,14 @@
     file: str, results: str | None, workers: int | None, base: str, as_markdown: bool
 ) -> None:
     """Play every day of an experiment on all cores; what is done already is kept."""
-    from lab.report import COLUMNS, markdown, rows, summaries
+    from lab.report import COLUMNS, markdown_table, summarize, table_rows
 
-    found = summaries(swept(file, results, workers))
+    summaries = summarize(swept(file, results, workers))
     if as_markdown:
-        click.echo(markdown(found, base))
+        click.echo(markdown_table(summaries, base))
     else:
-        show_table(COLUMNS, rows(found, base))
-    if any(told.breaches for told in found):
+        show_table(COLUMNS, table_rows(summaries, base))
+    if any(summary.breaches for summary in summaries):
         raise click.exceptions.Exit(ExitStatus.FAILED)
 
 
@@ -175,9 +175,10 @@
 @BASE
 def table(files: tuple[str, ...], results: str, workers: int | None, base: str) -> None:
     """Many experiments in one Markdown table: a line each, a column a policy."""
-    from lab.report import table as made
+    from lab.report import comparison_table
 
-    click.echo(made({Path(file).stem: swept(file, results, workers) for file in files}, base))
+    experiments = {Path(file).stem: swept(file, results, workers) for file in files}
+    click.echo(comparison_table(experiments, base))
 
 
 @cli.command()
@@ -187,18 +188,21 @@
 @click.argument("other")
 def compare(file: str, results: str | None, one: str, other: str) -> None:
     """Whether policy ONE is better than OTHER, by days of the same seeds."""
-    from lab.report import against, summaries
+    from lab.report import difference_from_base, summarize
     from lab.stats import verdict
 
-    found = summaries(swept(file, results, None))
-    table = []
-    for told in found:
-        if told.policy == one and (difference := against(told, found, other)) is not None:
-            values = " ".join(f"{key}={value}" for key, value in told.values)
-            table.append((values or "-", str(told.share), str(difference), verdict(difference)))
-    if not table:
+    summaries = summarize(swept(file, results, None))
+    rows = []
+    for summary in summaries:
+        if (
+            summary.policy == one
+            and (difference := difference_from_base(summary, summaries, other)) is not None
+        ):
+            values = " ".join(f"{key}={value}" for key, value in summary.grid_values)
+            rows.append((values or "-", str(summary.share), str(difference), verdict(difference)))
+    if not rows:
         raise CommandError(f"{file} does not have both {one!r} and {other!r}", ExitStatus.USAGE)
-    show_table(("setting", one, f"less {other}", "verdict"), table)
+    show_table(("setting", one, f"less {other}", "verdict"), rows)
 
 
 @cli.command()
@@ -213,9 +217,9 @@
 )
 def report(file: str, results: str | None, base: str, output: str, png: bool) -> None:
     """One HTML page, and PNG, of an experiment."""
-    from lab.report import write
+    from lab.report import write_page
 
-    for path in write(swept(file, results, None), Path(output), base, png):
+    for path in write_page(swept(file, results, None), Path(output), base, png):
         click.echo(str(path))
 
 
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -294,7 +294,10 @@
         0.25, description="the share of the servers that it affects; hot_key: of the requests"
     )
     size: float = Field(
-        4.0, ge=0, le=1000, description="the factor by which servers are slower, or requests more"
+        4.0,
+        ge=0,
+        le=1000,
+        description="the factor by which servers are slower, or requests more; zone_flap: each phase (s)",
     )
     chance: Share = Field(
         1.0, description="silent, errors, loss: the share of requests that it affects"
