--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from lab.ramp import Ramp, closest
+from lab.ramp import SlowStartScenario, max_bound_ratio
 from standins.catalog import Catalog
 from standins.fleet import QUOTA, WORK
 from standins.server import DispatchServer
@@ -33,7 +33,7 @@
     1.0,
 )  # s of traffic before the start, and that a server is away before it comes back
 MEAN = sum(kind.share * sum(WORK[kind.name]) / 2 for kind in KINDS)  # ms
-RAMP = Ramp(cores=CORES, work_ms=MEAN, ramp_ms=6000.0)
+RAMP = SlowStartScenario(cores=CORES, mean_work_ms=MEAN, ramp_ms=6000.0)
 
 
 def config(number: int, nodes: int, discovery: str) -> dict[str, Any]:
@@ -63,7 +63,7 @@
             "Domain": {"WarmKeys": True}, "GroupSize": nodes, "Kinds": ["k2-fast", "k3-slow"], "Me": number,
             "Obligations": {
                 "AskWithin": 10000.0, "DrainGrace": 500.0, "ColdFrom": RAMP.cold_from,
-                "RampTime": RAMP.ramp_ms, "OverloadFor": RAMP.window_ms, "TipMultiple": RAMP.multiple,
+                "RampTime": RAMP.ramp_ms, "OverloadFor": RAMP.collapse_window_ms, "TipMultiple": RAMP.collapse_load_factor,
             },
             "OverShareWorth": 0.05, "Tick": 5.0,
         },
@@ -114,13 +114,13 @@
     def age(self) -> None:
         """Its work takes as long as its age has it."""
         past = (time.monotonic() - self.began) * 1000
-        self.server.slowness = 1.0 if not self.began else 1.0 / RAMP.share(past)
+        self.server.slowness = 1.0 if not self.began else 1.0 / RAMP.speed_share(past)
 
     def count(self) -> tuple[int, float]:
         """What it was sent amid its ramp, and the most over its bound."""
         end = self.began + RAMP.ramp_ms / 1000
         times = [1000 * seen.at for seen in self.server.seen if self.began <= seen.at < end]
-        return len(times), closest(times, [True] * len(times), 1000 * self.began, RAMP)
+        return len(times), max_bound_ratio(times, [True] * len(times), 1000 * self.began, RAMP)
 
 
 async def trial(way: str, nodes: int, seed: int, folder: Path) -> str:
@@ -173,7 +173,14 @@
             results = [result for part in await asyncio.gather(*playing) for result in part]
             told += f"  served {served_share(results):.2f}"
         counts = [one.count() for one in later]
-        allowed = RAMP.multiple * RAMP.warm * RAMP.ramp_ms * (1 + RAMP.cold_from) / 2 * len(later)
+        allowed = (
+            RAMP.collapse_load_factor
+            * RAMP.server_rate_per_ms
+            * RAMP.ramp_ms
+            * (1 + RAMP.cold_from)
+            / 2
+            * len(later)
+        )
         fallen = sum(most > 1 for _, most in counts)
         sent = sum(count for count, _ in counts) / allowed
         closest_one = max(most for _, most in counts)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -10,30 +10,32 @@
 from badgercart.policy.overload import OverloadController
 from badgercart.policy.policy import Policy
 from badgercart.policy.settings import Settings
-from lab.ramp import Ramp, closest, play
+from lab.ramp import SlowStartScenario, max_bound_ratio, simulate
 from tests.policy.support import SAFE, PolicyDriver, endpoint, make_settings
 
-SMALL_RAMP = Ramp(servers=16, cold=6, before_ms=3000.0, ramp_ms=5000.0)
+SMALL_SCENARIO = SlowStartScenario(servers=16, cold_servers=6, warm_up_ms=3000.0, ramp_ms=5000.0)
 
 
-def ramp_of(nodes: int, how: str, **changes: float) -> Ramp:
-    return Ramp(**{**SMALL_RAMP.__dict__, "nodes": nodes, "how": how, **changes})  # type: ignore[arg-type]
+def scenario_of(nodes: int, start_mode: str, **changes: float) -> SlowStartScenario:
+    return SlowStartScenario(
+        **{**SMALL_SCENARIO.__dict__, "nodes": nodes, "start_mode": start_mode, **changes}  # type: ignore[arg-type]
+    )
 
 
-@pytest.mark.parametrize("how", ["join", "back", "all"])
+@pytest.mark.parametrize("start_mode", ["join", "back", "all"])
 @pytest.mark.parametrize("nodes", [2, 24, 200])
-def test_no_starting_endpoint_collapses_and_its_budget_is_used(nodes: int, how: str) -> None:
-    result = play(ramp_of(nodes, how, load=0.8))
-    assert result.fallen == 0 and result.closest < 0.9
+def test_no_starting_endpoint_collapses_and_its_budget_is_used(nodes: int, start_mode: str) -> None:
+    result = simulate(scenario_of(nodes, start_mode, load=0.8))
+    assert result.collapsed == 0 and result.max_bound_ratio < 0.9
     # By its age an endpoint can do a third of its capacity for certain. An earlier budget sent 0.16
     # to 0.21 to endpoints that joined or returned.
-    assert result.sent > 0.23
+    assert result.budget_used > 0.23
 
 
 def test_no_starting_endpoint_collapses_in_a_burst_during_slow_start() -> None:
     """The unused tokens of 100 nodes are used within a second."""
-    result = play(ramp_of(100, "back", load=0.4, burst=4.0, burst_ms=2500.0))
-    assert result.fallen == 0
+    result = simulate(scenario_of(100, "back", load=0.4, burst_factor=4.0, burst_delay_ms=2500.0))
+    assert result.collapsed == 0
 
 
 class NoOverload(OverloadController):
@@ -57,27 +59,37 @@
 
 @pytest.mark.parametrize("nodes", [2, 24, 60, 200])
 def test_no_starting_endpoint_collapses_at_twice_the_capacity_of_the_fleet(nodes: int) -> None:
-    result = play(ramp_of(nodes, "all", load=2.0), NoSheddingPolicy)
-    assert result.fallen == 0 and result.sent > 0.5
+    result = simulate(scenario_of(nodes, "all", load=2.0), NoSheddingPolicy)
+    assert result.collapsed == 0 and result.budget_used > 0.5
 
 
 def test_the_simulation_shows_that_twice_the_budget_makes_endpoints_collapse(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(slow_start, "BUDGET_SHARE", 2 * slow_start.BUDGET_SHARE)
-    assert play(ramp_of(24, "all", load=2.0), NoSheddingPolicy).fallen > 0
+    assert simulate(scenario_of(24, "all", load=2.0), NoSheddingPolicy).collapsed > 0
 
 
 def test_arrivals_are_compared_with_the_bound_of_their_time_window() -> None:
-    ramp = ramp_of(2, "back", multiple=3.0, cores=1, work_ms=100.0, cold_from=0.5, ramp_ms=1e9)
+    scenario = scenario_of(
+        2,
+        "back",
+        collapse_load_factor=3.0,
+        cores=1,
+        mean_work_ms=100.0,
+        cold_from=0.5,
+        ramp_ms=1e9,
+    )
     bound = 15 + 2 * 15**0.5 + 2  # half of three times ten per second
     known, now = [True] * 24, 1000.0
-    assert closest([now + n for n in range(24)], known, now, ramp) == pytest.approx(24 / bound)
-    assert closest([now + 100 * n for n in range(24)], known, now, ramp) == pytest.approx(
-        10 / bound
+    assert max_bound_ratio([now + n for n in range(24)], known, now, scenario) == pytest.approx(
+        24 / bound
     )
+    assert max_bound_ratio(
+        [now + 100 * n for n in range(24)], known, now, scenario
+    ) == pytest.approx(10 / bound)
     known = [False] * 8 + [True] * 16  # two thirds, and not more
-    assert closest([now] * 24, known, now, ramp) < 1.0
+    assert max_bound_ratio([now] * 24, known, now, scenario) < 1.0
 
 
 def test_a_node_sends_nothing_to_starting_endpoints_outside_its_subset() -> None:
