--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -40,7 +40,7 @@
 )
 from lab.model import play
 from lab.settings import Cell, Day, load_day
-from lab.stats import paired, verdict
+from lab.stats import paired_difference, verdict
 
 SIZES = ((3, 2, 2), (6, 3, 4), (12, 4, 8), (20, 5, 8))  # zones, regions, classes
 WORLD = "lab/days/worlds/zone-cut.toml"
@@ -270,7 +270,9 @@
     words = f"{statistics.fmean(values):.4f}" + (f" !{breaches}" if breaches else "")
     if mode == "majority":
         return words
-    compared = verdict(paired(values, [outcome.value for outcome in by_mode["majority"]]))
+    compared = verdict(
+        paired_difference(values, [outcome.value for outcome in by_mode["majority"]])
+    )
     if compared == "better":
         return f"**{words}**"
     return words if compared == "worse" else f"{words} ="
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lab`: play days of the model, sweep grids, load sockets, compare, and report."""
+"""The command line `python -m lab`: simulation, sweeps, load on sockets, reports and trials."""
 
 from __future__ import annotations
 
@@ -17,16 +17,22 @@
 from lab.peers import BADGERCART, NAMES
 from lab.settings import Cell, Day, grid_cells, load_day
 
-FILE = click.argument("file", metavar="FILE.toml")
-RESULTS = click.option("--results", type=click.Path(file_okay=False), help="Where finished days are kept "
-                       "[FILE.results].")  # fmt: skip
-WORKERS = click.option("--workers", type=click.IntRange(1, 1024), help="Processes [all cores].")
-BASE = click.option(
+FILE_ARGUMENT = click.argument("file", metavar="FILE.toml")
+RESULTS_OPTION = click.option(
+    "--results",
+    type=click.Path(file_okay=False),
+    help="Where finished days are kept [FILE.results].",
+)
+WORKERS_OPTION = click.option(
+    "--workers", type=click.IntRange(1, 1024), help="Processes [all cores]."
+)
+BASE_OPTION = click.option(
     "--base", default=BADGERCART, show_default=True, help="The policy to compare with."
 )
 
 
-def loaded(path: str) -> Day:
+def load_file(path: str) -> Day:
+    """Return the day of an experiment file; an invalid file ends the command."""
     try:
         return load_day(path, NAMES)
     except SettingsFileError as error:
@@ -34,7 +40,8 @@
         raise click.exceptions.Exit(ExitStatus.USAGE) from None
 
 
-def bar() -> Progress:
+def progress_bar() -> Progress:
+    """Return a progress bar on stderr, which is hidden if that is no terminal."""
     console = Console(stderr=True)
     columns = (
         TextColumn("{task.description}"),
@@ -47,7 +54,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """The lab: questions about routing and limits, asked of a model of the fleet.
+    """The lab: experiments on routing and limits with a simulated fleet.
 
     Exit status: 0 done, 1 a rule was broken or a day failed, 2 a wrong command line or file.
     """
@@ -55,50 +62,50 @@
 
 @cli.command()
 def peers() -> None:
-    """The policies that an experiment may name."""
+    """List the policies that an experiment may name."""
     click.echo("\n".join(NAMES))
 
 
 @cli.command()
-@FILE
+@FILE_ARGUMENT
 @click.option("--policy", default=BADGERCART, show_default=True, help="The policy that nodes run.")
 @click.option("--seed", default=1, show_default=True, help="The day's seed.")
 @click.option("--json", "as_json", is_flag=True, help="All figures as one JSON object.")
 def run(file: str, policy: str, seed: int, as_json: bool) -> None:
-    """Play one day, and say what came of it."""
+    """Play one day and print its result."""
     from lab.model import play
 
-    day = loaded(file)
+    day = load_file(file)
     if policy not in NAMES:
         raise CommandError(f"{policy!r} is none of {', '.join(NAMES)}", ExitStatus.USAGE)
-    with bar() as shown:
-        task = shown.add_task(day.experiment.name, total=100)
+    with progress_bar() as progress:
+        task = progress.add_task(day.experiment.name, total=100)
         result = play(
-            Cell(day, policy, seed), lambda done: shown.update(task, completed=int(100 * done))
+            Cell(day, policy, seed), lambda done: progress.update(task, completed=int(100 * done))
         )
     if as_json:
         click.echo(json.dumps(result))
     else:
-        tell(day, result)
+        print_result(day, result)
     if sum(result["breaches"].values()):
         raise click.exceptions.Exit(ExitStatus.FAILED)
 
 
-def tell(day: Day, result: dict[str, Any]) -> None:
-    """One day in words."""
+def print_result(day: Day, result: dict[str, Any]) -> None:
+    """Print the result of one day as text."""
     speed = result["requests"] / max(result["spent_s"], 1e-9)
     click.echo(
         f"{day.experiment.name}: {result['requests']} requests, worth in time {result['share']:.3f}; "
         f"{result['spent_s']:.1f} s of a core, {speed:.0f} requests a second"
     )
-    table = []
+    rows = []
     for name, cls in result["classes"].items():
         ends = cls["ends"]
         share = cls["got"] / cls["worth"] if cls["worth"] else 1.0
-        parts = (
+        counts = (
             f"{ends.get(end, 0)}" for end in ("served", "late", "refused", "failed", "left", "lost")
         )
-        table.append((name, str(cls["offered"]), f"{share:.3f}", *parts))
+        rows.append((name, str(cls["offered"]), f"{share:.3f}", *counts))
     show_table(
         (
             "class",
@@ -111,30 +118,33 @@
             "left",
             "lost",
         ),
-        table,
+        rows,
     )
     click.echo(", ".join(f"{name} {ms:.0f} ms" for name, ms in result["quantiles"].items()))
-    for rule, at, words in result["shown"]:
-        click.echo(f"rule {rule} at {at:.0f} ms: {words}")
+    for rule, at, message in result["shown"]:
+        click.echo(f"rule {rule} at {at:.0f} ms: {message}")
 
 
-def results_of(file: str, results: str | None) -> Path:
+def results_folder(file: str, results: str | None) -> Path:
+    """Return the folder of the results of a file."""
     return Path(results or f"{file}.results")
 
 
-def swept(file: str, results: str | None, workers: int | None) -> list[tuple[Cell, dict[str, Any]]]:
-    """All days of an experiment, those that are missing played first."""
+def sweep_file(
+    file: str, results: str | None, workers: int | None
+) -> list[tuple[Cell, dict[str, Any]]]:
+    """Return all days of an experiment; those without a result are played first."""
     from lab.sweep import SweepError, sweep
 
-    day = loaded(file)
-    wanted = list(grid_cells(day))
-    with bar() as shown:
-        task = shown.add_task(day.experiment.name, total=len(wanted))
+    day = load_file(file)
+    cells = list(grid_cells(day))
+    with progress_bar() as progress:
+        task = progress.add_task(day.experiment.name, total=len(cells))
         try:
             return list(
                 sweep(
-                    wanted, results_of(file, results), workers or 0,
-                    lambda told: shown.update(task, completed=told.done, description=told.name),
+                    cells, results_folder(file, results), workers or 0,
+                    lambda state: progress.update(task, completed=state.done, description=state.name),
                 )
             )  # fmt: skip
         except SweepError as error:
@@ -142,18 +152,18 @@
 
 
 @cli.command()
-@FILE
-@RESULTS
-@WORKERS
-@BASE
+@FILE_ARGUMENT
+@RESULTS_OPTION
+@WORKERS_OPTION
+@BASE_OPTION
 @click.option("--markdown", "as_markdown", is_flag=True, help="A table for a page.")
 def sweep(
     file: str, results: str | None, workers: int | None, base: str, as_markdown: bool
 ) -> None:
-    """Play every day of an experiment on all cores; what is done already is kept."""
+    """Play every day of an experiment on all cores; finished days are not played again."""
     from lab.report import COLUMNS, markdown_table, summarize, table_rows
 
-    summaries = summarize(swept(file, results, workers))
+    summaries = summarize(sweep_file(file, results, workers))
     if as_markdown:
         click.echo(markdown_table(summaries, base))
     else:
@@ -171,27 +181,27 @@
     show_default=True,
     help="Where finished days are kept.",
 )
-@WORKERS
-@BASE
+@WORKERS_OPTION
+@BASE_OPTION
 def table(files: tuple[str, ...], results: str, workers: int | None, base: str) -> None:
-    """Many experiments in one Markdown table: a line each, a column a policy."""
+    """Print a Markdown table of several experiments: a line for each, a column for each policy."""
     from lab.report import comparison_table
 
-    experiments = {Path(file).stem: swept(file, results, workers) for file in files}
+    experiments = {Path(file).stem: sweep_file(file, results, workers) for file in files}
     click.echo(comparison_table(experiments, base))
 
 
 @cli.command()
-@FILE
-@RESULTS
+@FILE_ARGUMENT
+@RESULTS_OPTION
 @click.argument("one")
 @click.argument("other")
 def compare(file: str, results: str | None, one: str, other: str) -> None:
-    """Whether policy ONE is better than OTHER, by days of the same seeds."""
+    """Compare policy ONE with OTHER, by days of the same seeds."""
     from lab.report import difference_from_base, summarize
     from lab.stats import verdict
 
-    summaries = summarize(swept(file, results, None))
+    summaries = summarize(sweep_file(file, results, None))
     rows = []
     for summary in summaries:
         if (
@@ -201,14 +211,16 @@
             values = " ".join(f"{key}={value}" for key, value in summary.grid_values)
             rows.append((values or "-", str(summary.share), str(difference), verdict(difference)))
     if not rows:
-        raise CommandError(f"{file} does not have both {one!r} and {other!r}", ExitStatus.USAGE)
+        raise CommandError(
+            f"{file} does not have days of both {one!r} and {other!r}", ExitStatus.USAGE
+        )
     show_table(("setting", one, f"less {other}", "verdict"), rows)
 
 
 @cli.command()
-@FILE
-@RESULTS
-@BASE
+@FILE_ARGUMENT
+@RESULTS_OPTION
+@BASE_OPTION
 @click.option(
     "-o", "--output", required=True, type=click.Path(dir_okay=False), help="The page to write."
 )
@@ -216,22 +228,22 @@
     "--png/--no-png", default=True, show_default=True, help="The figures as files beside it."
 )
 def report(file: str, results: str | None, base: str, output: str, png: bool) -> None:
-    """One HTML page, and PNG, of an experiment."""
+    """Write an HTML page and PNG files about an experiment."""
     from lab.report import write_page
 
-    for path in write_page(swept(file, results, None), Path(output), base, png):
+    for path in write_page(sweep_file(file, results, None), Path(output), base, png):
         click.echo(str(path))
 
 
 @cli.command()
-@FILE
+@FILE_ARGUMENT
 @click.argument("addresses", nargs=-1, metavar="[HOST:PORT]...")
 @click.option(
     "--way",
     type=click.Choice(("http", "graphql", "processor")),
     default="http",
     show_default=True,
-    help="What listens there; `processor`: through a proxy that asks it.",
+    help="What listens there; `processor`: a proxy that asks the node.",
 )
 @click.option("--seed", default=1, show_default=True, help="The day's seed.")
 @click.option(
@@ -245,7 +257,9 @@
     help="Connections of all senders.",
 )
 @click.option(
-    "--record", is_flag=True, help="Play it on stand-ins and nodes of our own, and in the model."
+    "--record",
+    is_flag=True,
+    help="Play the day on stand-in servers and own node processes, and in the model.",
 )
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def load(
@@ -258,14 +272,13 @@
     record: bool,
     as_json: bool,
 ) -> None:
-    """Send a day's requests at their times, whatever comes of them; times count from the
-    schedule."""
-    day = loaded(file)
+    """Send the requests of a day to sockets, open loop: response times count from the schedule."""
+    day = load_file(file)
     if record:
-        recorded(day, seed, processes, as_json)
+        compare_with_sockets(day, seed, processes, as_json)
         return
     if not addresses:
-        raise CommandError("an address to send to, or --record", ExitStatus.USAGE)
+        raise CommandError("requires an address to send requests to, or --record", ExitStatus.USAGE)
     from badgercart.config import parse_address
     from lab.load.driver import MAX_LAG_MS, drive, measured
 
@@ -274,55 +287,59 @@
             parse_address(address)
         except ValueError as error:
             raise CommandError(str(error), ExitStatus.USAGE) from None
-    told = drive(addresses, day, seed, way, processes, connections)
-    result = measured(day, seed, told).plain()
-    result |= {"requests": len(told.sent), "behind": told.behind, "worst_lag_ms": told.worst_lag}
+    load_results = drive(addresses, day, seed, way, processes, connections)
+    result = measured(day, seed, load_results).plain()
+    result |= {
+        "requests": len(load_results.sent),
+        "behind": load_results.behind,
+        "worst_lag_ms": load_results.worst_lag,
+    }
     if as_json:
         click.echo(json.dumps(result))
     else:
-        tell(day, result | {"spent_s": day.experiment.seconds, "shown": []})
-    if told.behind:
-        words = f"{told.behind} of {len(told.sent)} requests set out over {MAX_LAG_MS:.0f} ms late"
+        print_result(day, result | {"spent_s": day.experiment.seconds, "shown": []})
+    if load_results.behind:
+        late = f"{load_results.behind} of {len(load_results.sent)} requests were sent over {MAX_LAG_MS:.0f} ms late"
         click.echo(
-            f"the schedule was not kept: {words}, the worst by {told.worst_lag:.0f} ms", err=True
+            f"the schedule was not kept: {late}, the worst by {load_results.worst_lag:.0f} ms",
+            err=True,
         )
         raise click.exceptions.Exit(ExitStatus.FAILED)
 
 
-def recorded(day: Day, seed: int, processes: int, as_json: bool) -> None:
-    """Both sides of one day."""
+def compare_with_sockets(day: Day, seed: int, processes: int, as_json: bool) -> None:
+    """Play a day on sockets and in the model, and print how far the results differ."""
     from lab.load.calibrate import CalibrationError, calibrate
 
     try:
-        told = calibrate(day, seed, processes)
+        result = calibrate(day, seed, processes)
     except (CalibrationError, RuntimeError, OSError) as error:
         raise CommandError(str(error)) from None
     if as_json:
-        click.echo(json.dumps({name: getattr(told, name) for name in told.__slots__}))
+        click.echo(json.dumps({name: getattr(result, name) for name in result.__slots__}))
     else:
         show_table(
             ("day", "requests", "worth, sockets", "model", "apart", "p99, sockets", "model", "apart", "late"),
-            [(told.name, str(told.requests), f"{told.sockets:.3f}", f"{told.model:.3f}", f"{told.worth:.3f}",
-              f"{told.sockets_p99:.0f}", f"{told.model_p99:.0f}", f"{told.tail:.2f}", str(told.behind))],
+            [(result.name, str(result.requests), f"{result.sockets:.3f}", f"{result.model:.3f}", f"{result.worth:.3f}",
+              f"{result.sockets_p99:.0f}", f"{result.model_p99:.0f}", f"{result.tail:.2f}", str(result.behind))],
         )  # fmt: skip
 
 
 @cli.command("trial")
-@FILE
+@FILE_ARGUMENT
 @click.option(
     "--results", type=click.Path(file_okay=False), help="Where records are kept [FILE.results]."
 )
 @click.option("--model", "in_model", is_flag=True, help="In the model, in place of real processes.")
-def trial_(file: str, results: str | None, in_model: bool) -> None:
-    """Play a trial: real nodes, servers and clients, a switch between them; exit 1 if a rule
-    broke."""
+def trial_command(file: str, results: str | None, in_model: bool) -> None:
+    """Play a trial with real nodes, servers and clients; exit 1 if a rule was broken."""
     import asyncio
 
     from lab.trial.run import run_trial
     from lab.trial.script import load
 
     try:
-        wanted = load(file)
+        trial = load(file)
     except SettingsFileError as error:
         click.echo(str(error), err=True)
         raise click.exceptions.Exit(ExitStatus.USAGE) from None
@@ -330,35 +347,35 @@
         from lab.model import play
         from lab.trial.inmodel import day_of
 
-        day = day_of(wanted)
-        result = play(Cell(day, BADGERCART, wanted.trial.seed))
-        tell(day, result)
+        day = day_of(trial)
+        result = play(Cell(day, BADGERCART, trial.trial.seed))
+        print_result(day, result)
         if sum(result["breaches"].values()):
             raise click.exceptions.Exit(ExitStatus.FAILED)
         return
-    told = asyncio.run(run_trial(wanted, results_of(file, results)))
+    summary = asyncio.run(run_trial(trial, results_folder(file, results)))
     click.echo(
-        f"{told['name']}: {told['requests']} requests, worth in time {told['worth']:.3f}, "
-        f"p50 {told['p50_ms']:.0f} ms, p99 {told['p99_ms']:.0f} ms"
+        f"{summary['name']}: {summary['requests']} requests, worth in time {summary['worth']:.3f}, "
+        f"p50 {summary['p50_ms']:.0f} ms, p99 {summary['p99_ms']:.0f} ms"
     )
-    rows = [(node, f"{worth:.3f}", str(told["exits"].get(node, "killed")))
-            for node, worth in told["worth_by_node"].items()]  # fmt: skip
+    rows = [(node, f"{worth:.3f}", str(summary["exits"].get(node, "killed")))
+            for node, worth in summary["worth_by_node"].items()]  # fmt: skip
     show_table(("node", "worth in time", "exit"), rows)
     click.echo(
-        ", ".join(f"{count} {outcome}" for outcome, count in sorted(told["outcomes"].items()))
+        ", ".join(f"{count} {outcome}" for outcome, count in sorted(summary["outcomes"].items()))
     )
-    for words in told["broken"]:
-        click.echo(words)
-    if told["broken"]:
+    for message in summary["broken"]:
+        click.echo(message)
+    if summary["broken"]:
         raise click.exceptions.Exit(ExitStatus.FAILED)
 
 
 @cli.command()
 @click.argument("results", type=click.Path(exists=True, file_okay=False), metavar="RESULTS")
-@click.option("--node", default="", help="Only what this node said.")
-@click.option("--about", default="", help="Only what is about this node or server.")
+@click.option("--node", default="", help="Only events that this node logged.")
+@click.option("--about", default="", help="Only events about this node or server.")
 def timeline(results: str, node: str, about: str) -> None:
-    """All nodes' events of a trial in one order that respects cause."""
+    """Print the events of all nodes of a trial in one causal order."""
     from lab.trial.records import EVENTS, RecordsError, read
     from lab.trial.timeline import lines
 
@@ -371,15 +388,15 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one command and give its exit status."""
+    """Run one command and return its exit status."""
     try:
-        done = cli.main(arguments, prog_name="python -m lab", standalone_mode=False)
+        status = cli.main(arguments, prog_name="python -m lab", standalone_mode=False)
     except click.ClickException as error:
         error.show()
         return error.exit_code
     except click.exceptions.Abort:
         return ExitStatus.FAILED
-    return done if isinstance(done, int) else ExitStatus.DONE
+    return status if isinstance(status, int) else ExitStatus.DONE
 
 
 if __name__ == "__main__":
--- a/lab/ramp.py
+++ b/lab/ramp.py
@@ -49,7 +49,7 @@
     # "join": servers that were not listed before; "back": listed ones that restart under their own
     # ids; "all": the whole fleet at once.
     start_mode: str = "back"
-    # The request rate before the start, relative to the capacity of the warm fleet.
+    # The request rate, relative to the capacity of the whole fleet once it is warm.
     load: float = 0.7
     # The factor by which the request rate grows `burst_delay_ms` after the start.
     burst_factor: float = 1.5
--- a/lab/report.py
+++ b/lab/report.py
@@ -14,7 +14,7 @@
 from lab.measure import ENDS, US, histogram
 from lab.peers import BADGERCART
 from lab.settings import Cell, Day, GridValues
-from lab.stats import Interval, interval, paired, verdict
+from lab.stats import Interval, mean_interval, paired_difference, verdict
 
 # Played days, each with its result.
 Results = list[tuple[Cell, dict[str, Any]]]
@@ -45,7 +45,7 @@
     @property
     def share(self) -> Interval:
         """The mean share of the worth that was served in time."""
-        return interval(self.shares)
+        return mean_interval(self.shares)
 
     @property
     def breaches(self) -> int:
@@ -102,7 +102,7 @@
             and other.grid_values == summary.grid_values
             and other.seeds == summary.seeds
         ):
-            return paired(summary.shares, other.shares)
+            return paired_difference(summary.shares, other.shares)
     return None
 
 
--- a/lab/stats.py
+++ b/lab/stats.py
@@ -1,7 +1,7 @@
-"""What several seeds say: means and paired differences with intervals. No I/O.
+"""Means and paired differences over seeds, with confidence intervals. No I/O.
 
-Why scipy: its bootstrap is BCa (Efron 1987), which keeps its level for skewed samples of ten seeds;
-ours would be the plain percentile one.
+The bootstrap of scipy was chosen since it is BCa (Efron 1987), which keeps its confidence level for
+skewed samples of ten seeds; a plain percentile bootstrap does not.
 """
 
 from __future__ import annotations
@@ -14,46 +14,56 @@
 import numpy as np
 from scipy.stats import bootstrap
 
-LEVEL = 0.95
-RESAMPLES = 2000
+CONFIDENCE_LEVEL = 0.95
+RESAMPLE_COUNT = 2000
+# Samples with a smaller difference count as equal.
+EQUALITY_TOLERANCE = 1e-12
 
 
 @dataclass(slots=True, frozen=True)
 class Interval:
-    """A mean, and where the true one lies with a confidence of `LEVEL`."""
+    """A mean and its confidence interval."""
 
     mean: float
     low: float
     high: float
 
     def __str__(self) -> str:
+        """Return the mean and the bounds, as tables show them."""
         return f"{self.mean:.3f} [{self.low:.3f}, {self.high:.3f}]"
 
 
-def interval(values: Sequence[float]) -> Interval:
-    """Of the mean of some seeds' figures. One seed, or all alike: no wider than its mean."""
+def mean_interval(values: Sequence[float]) -> Interval:
+    """Return the mean of samples with its confidence interval.
+
+    Fewer than three samples, or equal ones, give their range.
+    """
     mean = statistics.fmean(values)
-    if len(values) < 3 or max(values) - min(values) < 1e-12:
+    if len(values) < 3 or max(values) - min(values) < EQUALITY_TOLERANCE:
         return Interval(mean, min(values), max(values))
     with warnings.catch_warnings():
-        warnings.simplefilter("ignore")  # it warns where resamples are alike, and then gives NaN
-        found = bootstrap(
-            (np.array(values),), np.mean, confidence_level=LEVEL, n_resamples=RESAMPLES,
+        # The bootstrap warns if the resamples are equal, and returns NaN.
+        warnings.simplefilter("ignore")
+        bounds = bootstrap(
+            (np.array(values),), np.mean, confidence_level=CONFIDENCE_LEVEL, n_resamples=RESAMPLE_COUNT,
             rng=np.random.default_rng(1), method="BCa",
         ).confidence_interval  # fmt: skip
-    low, high = float(found.low), float(found.high)
+    low, high = float(bounds.low), float(bounds.high)
     if np.isnan(low) or np.isnan(high):
         return Interval(mean, min(values), max(values))
     return Interval(mean, low, high)
 
 
-def paired(one: Sequence[float], other: Sequence[float]) -> Interval:
-    """Of the mean of `one - other`, seed by seed: what both share by their seed falls out."""
+def paired_difference(one: Sequence[float], other: Sequence[float]) -> Interval:
+    """Return the mean of `one - other`, by seed, with its confidence interval.
+
+    Pairing removes the variance that both have in common by their seed.
+    """
     if len(one) != len(other):
-        raise ValueError("a paired difference takes the same seeds on both sides")
-    return interval([a - b for a, b in zip(one, other, strict=True)])
+        raise ValueError("a paired difference requires the same seeds on both sides")
+    return mean_interval([a - b for a, b in zip(one, other, strict=True)])
 
 
 def verdict(difference: Interval) -> str:
-    """In a word: better, worse, or that the seeds do not tell."""
+    """Return whether a difference is positive or negative, or its interval includes 0."""
     return "better" if difference.low > 0 else "worse" if difference.high < 0 else "not told apart"
--- a/lab/trial/run.py
+++ b/lab/trial/run.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from lab.stats import interval
+from lab.stats import mean_interval
 from lab.trial import records
 from lab.trial.checkers import find_violations
 from lab.trial.script import TrialFile, play
@@ -31,7 +31,7 @@
         for node in world.nodes
     }
     node_shares = [statistics.fmean(worths) for worths in by_node.values() if worths]
-    worth_interval = interval(node_shares) if len(node_shares) > 1 else None
+    worth_interval = mean_interval(node_shares) if len(node_shares) > 1 else None
     return {
         "name": name,
         "requests": len(world.sent_requests),
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -19,7 +19,7 @@
 from lab.peers.limits import Aimd, Gradient, RetryBudget
 from lab.peers.pickers import WeightedLeastRequest
 from lab.settings import Cell, grid_cells, load_day
-from lab.stats import Interval, interval, paired, verdict
+from lab.stats import Interval, mean_interval, paired_difference, verdict
 from lab.sweep import Sweep, SweepError, name_of, read, sweep
 from tests.lab.killing import kill_always, kill_first, kill_once
 from tests.lab.support import day
@@ -149,10 +149,10 @@
 def test_paired_differences_see_what_is_the_same_on_all_seeds(
     values: list[float], more: float
 ) -> None:
-    difference = paired([v + more for v in values], values)
+    difference = paired_difference([v + more for v in values], values)
     assert difference.mean == pytest.approx(more) and verdict(difference) == "better"
-    assert verdict(paired(values, [v + more for v in values])) == "worse"
-    told = interval(values)
+    assert verdict(paired_difference(values, [v + more for v in values])) == "worse"
+    told = mean_interval(values)
     assert min(values) - 1e-9 <= told.low <= told.mean + 1e-9 and told.mean - 1e-9 <= told.high
     assert verdict(Interval(0.0, -0.1, 0.1)) == "not told apart"
 
