--- a/lab/sweep.py
+++ b/lab/sweep.py
@@ -1,5 +1,7 @@
-"""Many days on all cores: each finished one is a file, whole or not there, so that a sweep goes on
-after a kill."""
+"""Sweeps: many days, played on all cores.
+
+Each finished day is a file that is written atomically, so that a sweep that was killed continues.
+"""
 
 from __future__ import annotations
 
@@ -25,62 +27,65 @@
 
 
 class SweepError(Exception):
-    """A sweep that could not be finished: which days failed, with their seeds."""
+    """Days of a sweep that failed, one a line, with their seeds."""
 
 
 @cache
-def policy_text() -> str:
-    """What tells our policy from itself before a change."""
+def policy_digest() -> str:
+    """Return a digest of the source of badgercart's own policy, which changes with any edit."""
     files = sorted(Path(str(badgercart.policy.__file__)).parent.glob("*.py"))
     return hashlib.sha256(b"".join(path.read_bytes() for path in files)).hexdigest()
 
 
-def name_of(cell: Cell) -> str:
-    """A file name that changes with anything that the day depends on."""
+def result_file_name(cell: Cell) -> str:
+    """Return a file name that changes with anything that the result of a day depends on."""
     day = cell.day.model_dump(mode="json", by_alias=True)
     day["experiment"] |= {"seeds": [], "policies": [], "name": ""}
     day["grid"] = {}
-    told = [__version__, cell.policy, cell.seed, day]
+    parts = [__version__, cell.policy, cell.seed, day]
     if cell.policy == BADGERCART:
-        told.append(policy_text())
-    return hashlib.sha256(json.dumps(told, sort_keys=True).encode()).hexdigest()[:24] + SUFFIX
+        parts.append(policy_digest())
+    return hashlib.sha256(json.dumps(parts, sort_keys=True).encode()).hexdigest()[:24] + SUFFIX
 
 
-def write_whole(path: Path, text: str) -> None:
-    """A file that is there whole or not at all, also if we are killed."""
-    fresh = path.with_name(f".{path.name}.{os.getpid()}")
-    with fresh.open("w") as file:
+def write_atomically(path: Path, text: str) -> None:
+    """Write a file that exists either whole or not at all, even if the process is killed."""
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
+    with temporary.open("w") as file:
         file.write(text)
         file.flush()
         os.fsync(file.fileno())
-    fresh.replace(path)
+    temporary.replace(path)
 
 
-def read(path: Path) -> dict[str, Any] | None:
-    """A finished day; None where it is not there, or is not ours."""
+def read_result(path: Path) -> dict[str, Any] | None:
+    """Return the result of a finished day, or None if there is no file or it holds no result."""
     try:
-        told = json.loads(path.read_text())
+        result = json.loads(path.read_text())
     except (OSError, ValueError):
         return None
-    return told if isinstance(told, dict) and "share" in told else None
+    return result if isinstance(result, dict) and "share" in result else None
 
 
-def _one(cell: Cell, folder: str) -> str:
-    """In a worker: play a day and put it down."""
+def play_cell(cell: Cell, folder: str) -> str:
+    """Play a day and write its result; this runs in a worker."""
     result = play(cell)
-    write_whole(Path(folder) / name_of(cell), json.dumps(result))
+    write_atomically(Path(folder) / result_file_name(cell), json.dumps(result))
     return cell.name
 
 
 @dataclass(slots=True)
 class Progress:
+    """The progress of a sweep, in days."""
+
     done: int
     total: int
-    name: str  # of the day that was finished last
+    # The day that was finished last.
+    name: str
 
 
 class Sweep:
-    """Plays days into a folder, and keeps count."""
+    """Plays days in worker processes, and keeps their results in a folder."""
 
     def __init__(
         self,
@@ -89,32 +94,38 @@
         progress: Callable[[Progress], None],
         task: Callable[[Cell, str], str],
     ) -> None:
+        """Prepare a sweep of `total` days; `task` plays one of them in a worker."""
         self.folder, self.total, self.progress, self.task = folder, total, progress, task
         self.done = 0
-        self.failed: dict[str, str] = {}  # by the day's name: what is wrong
+        # Error messages by the names of days.
+        self.failed: dict[str, str] = {}
         # Workers are forked from one process that has the model loaded: importing it takes 1.5 s.
         self.context = multiprocessing.get_context("forkserver")
         self.context.set_forkserver_preload([__name__])
 
     def missing(self, cells: Iterable[Cell]) -> list[Cell]:
-        """Those that are neither there nor have failed."""
+        """Return the cells that have neither a result nor failed."""
         left = [cell for cell in cells if cell.name not in self.failed]
-        return [cell for cell in left if read(self.folder / name_of(cell)) is None]
+        return [cell for cell in left if read_result(self.folder / result_file_name(cell)) is None]
 
     def submit(
         self, pool: concurrent.futures.ProcessPoolExecutor, cells: list[Cell]
     ) -> dict[concurrent.futures.Future[str], Cell]:
-        """Submit the cells, as many as the pool takes: it takes no more once a worker has died."""
+        """Submit the cells; a pool accepts no more of them once a worker has died."""
         submitted: dict[concurrent.futures.Future[str], Cell] = {}
         try:
             for cell in cells:
                 submitted[pool.submit(self.task, cell, str(self.folder))] = cell
         except BrokenProcessPool:
-            pass  # its futures tell of it, and the rest goes into the next pool
+            # The futures report the failure, and the other cells go to the next pool.
+            pass
         return submitted
 
     def play(self, cells: list[Cell], workers: int) -> bool:
-        """Return whether all workers lived; one that dies takes with it what was not done yet."""
+        """Play the cells in one pool of workers, and return whether all workers survived.
+
+        A worker that dies breaks its pool: cells that were not finished have no result then.
+        """
         with concurrent.futures.ProcessPoolExecutor(min(workers, len(cells)), self.context) as pool:
             running = self.submit(pool, cells)
             lived = len(running) == len(cells)
@@ -132,14 +143,16 @@
         return lived
 
     def play_all(self, cells: list[Cell], workers: int) -> None:
-        """On all workers for as long as that gets on, then each day that is left by itself."""
-        left, idle = cells, 0  # rounds in which nothing was done
+        """Play on all workers while that makes progress, then each remaining day in its own pool."""
+        # `idle` counts consecutive rounds that finished no day.
+        left, idle = cells, 0
         while left and not self.play(left, workers):
             before, left = len(left), self.missing(left)
             idle = idle + 1 if len(left) == before else 0
             if idle > 1 or len(left) <= workers:
                 break
-            # what kills stands at the head now, and would again before the others are done
+            # The day that killed its worker is near the head of the list now. In the same order it
+            # would kill the next pool too, before the others are finished.
             left.reverse()
         for cell in self.missing(left):
             if not self.play([cell], 1):
@@ -150,25 +163,34 @@
     cells: Iterable[Cell],
     folder: Path,
     workers: int = 0,
-    progress: Callable[[Progress], None] = lambda told: None,
-    task: Callable[[Cell, str], str] = _one,
+    progress: Callable[[Progress], None] = lambda state: None,
+    task: Callable[[Cell, str], str] = play_cell,
 ) -> Iterator[tuple[Cell, dict[str, Any]]]:
-    """Play what is not there yet, then give every day with what came of it, in the order of the
-    cells.
+    """Play all days that have no result yet, then yield every day with its result, in order.
+
+    A day counts as failed if its worker dies although it runs alone.
+
+    Args:
+        cells: the days.
+        folder: where results are kept.
+        workers: number of worker processes; 0: one for each core.
+        progress: called after each finished day.
+        task: plays a day in a worker, and writes its result to the folder.
 
-    A day counts as failed where its worker dies though it is alone. Raises SweepError at the end,
-    once all others are done. `workers`: 0 for all cores."""
+    Raises:
+        SweepError: days failed; it is raised once all others are finished.
+    """
     folder.mkdir(parents=True, exist_ok=True)
-    wanted = list(cells)
-    playing = Sweep(folder, len(wanted), progress, task)
-    missing = playing.missing(wanted)
-    playing.done = len(wanted) - len(missing)
+    all_cells = list(cells)
+    playing = Sweep(folder, len(all_cells), progress, task)
+    missing = playing.missing(all_cells)
+    playing.done = len(all_cells) - len(missing)
     playing.play_all(missing, workers or os.cpu_count() or 1)
     if playing.failed:
         raise SweepError(
-            "\n".join(f"{name}: {words}" for name, words in sorted(playing.failed.items()))
+            "\n".join(f"{name}: {message}" for name, message in sorted(playing.failed.items()))
         )
-    for cell in wanted:
-        result = read(folder / name_of(cell))
+    for cell in all_cells:
+        result = read_result(folder / result_file_name(cell))
         assert result is not None
         yield cell, result
--- a/tests/lab/killing.py
+++ b/tests/lab/killing.py
@@ -1,5 +1,7 @@
-"""Tasks of a sweep that kill their workers. Apart from the tests, as each worker loads its task's
-module."""
+"""Tasks of a sweep that kill their workers.
+
+They are in a module of their own, since each worker imports the module of its task.
+"""
 
 from __future__ import annotations
 
@@ -8,29 +10,29 @@
 from pathlib import Path
 
 from lab.settings import Cell
-from lab.sweep import _one
+from lab.sweep import play_cell
 
 
 def kill_once(cell: Cell, folder: str) -> str:
-    """A worker that dies at its first day of seed 2, and fails for good with policy p2c at load
-    0.6."""
+    """Kill the worker at the first day of seed 2; fail always with policy p2c at load 0.6."""
     mark = Path(folder) / "killed"
     if cell.seed == 2 and not mark.exists():
         mark.write_text("")
         os.kill(os.getpid(), signal.SIGKILL)
     if cell.policy == "p2c" and cell.grid_values[0][1] == 0.6:
         raise RuntimeError("as the test wants")
-    return _one(cell, folder)
+    return play_cell(cell, folder)
 
 
 def kill_always(cell: Cell, folder: str) -> str:
+    """Kill the worker at each day of seed 2 with policy p2c."""
     if cell.seed == 2 and cell.policy == "p2c":
         os.kill(os.getpid(), signal.SIGKILL)
-    return _one(cell, folder)
+    return play_cell(cell, folder)
 
 
 def kill_first(cell: Cell, folder: str) -> str:
-    """A worker that dies at the first day of the sweep, whenever that is."""
+    """Kill the worker at each day of seed 1, the first of the sweep."""
     if cell.seed == 1:
         os.kill(os.getpid(), signal.SIGKILL)
-    return _one(cell, folder)
+    return play_cell(cell, folder)
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -1,5 +1,4 @@
-"""Experiment files are checked by line; a sweep survives what kills its workers; figures say what
-they should."""
+"""Tests of experiment files, sweeps, commands, statistics and the policies to compare with."""
 
 from __future__ import annotations
 
@@ -20,11 +19,11 @@
 from lab.peers.pickers import WeightedLeastRequest
 from lab.settings import Cell, grid_cells, load_day
 from lab.stats import Interval, mean_interval, paired_difference, verdict
-from lab.sweep import Sweep, SweepError, name_of, read, sweep
+from lab.sweep import Sweep, SweepError, read_result, result_file_name, sweep
 from tests.lab.killing import kill_always, kill_first, kill_once
 from tests.lab.support import day
 
-GOOD = """[experiment]
+VALID_FILE = """[experiment]
 name = "small"
 seconds = 2
 seeds = [1, 2]
@@ -36,14 +35,14 @@
 """
 
 
-def written(folder: Path, text: str = GOOD) -> str:
+def write_file(folder: Path, text: str = VALID_FILE) -> str:
     path = folder / "day.toml"
     path.write_text(text)
     return str(path)
 
 
 @pytest.mark.parametrize(
-    ("change", "line", "words"),
+    ("change", "line", "message"),
     [
         (("seconds = 2", "secconds = 2"), 3, "secconds: is not known here; known are"),
         (("seconds = 2", "seconds = 0.5"), 3, "is not within 1 to 86400"),
@@ -62,68 +61,69 @@
         (('name = "find"', 'dist = "pareto"'), 6, "name is missing"),
     ],
 )
-def test_a_wrong_file_is_told_by_line(
+def test_faults_of_a_file_are_reported_by_line(
     tmp_path: Path,
     change: tuple[str, str],
     line: int,
-    words: str,
+    message: str,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    path = written(tmp_path, GOOD.replace(*change))
+    path = write_file(tmp_path, VALID_FILE.replace(*change))
     with pytest.raises(SettingsFileError) as caught:
         load_day(path, NAMES)
-    assert words in str(caught.value) and f"line {line}" in str(caught.value), str(caught.value)
-    assert main(["sweep", path]) == 2 and words in capsys.readouterr().err
+    assert message in str(caught.value) and f"line {line}" in str(caught.value), str(caught.value)
+    assert main(["sweep", path]) == 2 and message in capsys.readouterr().err
 
 
-def test_a_grid_gives_every_day_once_in_a_stated_order(tmp_path: Path) -> None:
-    found = list(grid_cells(load_day(written(tmp_path), NAMES)))
-    assert [cell.name for cell in found] == [
+def test_a_grid_expands_to_every_day_once_by_values_policies_and_seeds(tmp_path: Path) -> None:
+    expanded = list(grid_cells(load_day(write_file(tmp_path), NAMES)))
+    assert [cell.name for cell in expanded] == [
         f"{policy} arrivals.load={value} seed={seed}"
         for value in (0.3, 0.6) for policy in ("badgercart", "p2c") for seed in (1, 2)
     ]  # fmt: skip
-    assert len({name_of(cell) for cell in found}) == 8
+    assert len({result_file_name(cell) for cell in expanded}) == 8
 
 
-def test_a_sweep_goes_on_when_a_worker_is_killed_and_names_what_failed(tmp_path: Path) -> None:
-    wanted = list(grid_cells(load_day(written(tmp_path), NAMES)))
+def test_a_sweep_continues_after_a_killed_worker_and_names_failed_days(tmp_path: Path) -> None:
+    all_cells = list(grid_cells(load_day(write_file(tmp_path), NAMES)))
     folder = tmp_path / "results"
     with pytest.raises(SweepError) as caught:
-        list(sweep(wanted, folder, 2, task=kill_once))
+        list(sweep(all_cells, folder, 2, task=kill_once))
     lines = str(caught.value).splitlines()
     assert len(lines) == 2 and all("p2c arrivals.load=0.6 seed=" in line and "as the test wants" in line
                                    for line in lines)  # fmt: skip
-    there = [path for path in folder.glob("*.json") if read(path) is not None]
-    assert len(there) == 6 and not list(folder.glob(".*"))
-    times = {path: path.stat().st_mtime_ns for path in there}
-    days = list(sweep(wanted, folder, 2))
-    assert [cell.name for cell, _ in days] == [cell.name for cell in wanted]
-    assert all(
-        path.stat().st_mtime_ns == before for path, before in times.items()
-    )  # not played again
+    finished = [path for path in folder.glob("*.json") if read_result(path) is not None]
+    assert len(finished) == 6 and not list(folder.glob(".*"))
+    times = {path: path.stat().st_mtime_ns for path in finished}
+    days = list(sweep(all_cells, folder, 2))
+    assert [cell.name for cell, _ in days] == [cell.name for cell in all_cells]
+    # Finished days are not played again.
+    assert all(path.stat().st_mtime_ns == before for path, before in times.items())
 
 
 def test_a_day_that_always_kills_its_worker_fails_alone(tmp_path: Path) -> None:
-    wanted = list(grid_cells(load_day(written(tmp_path), NAMES)))
+    all_cells = list(grid_cells(load_day(write_file(tmp_path), NAMES)))
     with pytest.raises(SweepError) as caught:
-        list(sweep(wanted, tmp_path / "r", 2, task=kill_always))
+        list(sweep(all_cells, tmp_path / "r", 2, task=kill_always))
     assert [line.split(": ")[1] for line in str(caught.value).splitlines()] == [
         "its process was killed"
     ] * 2
     assert len(list((tmp_path / "r").glob("*.json"))) == 6
 
 
-def test_a_file_that_is_no_day_is_played_anew(tmp_path: Path) -> None:
-    cell = next(grid_cells(load_day(written(tmp_path), NAMES)))
+def test_a_day_with_an_invalid_result_file_is_played_again(tmp_path: Path) -> None:
+    cell = next(grid_cells(load_day(write_file(tmp_path), NAMES)))
     for text in ("", "{", "[1]", "{}"):
-        (tmp_path / name_of(cell)).write_text(text)
-        assert read(tmp_path / name_of(cell)) is None
+        (tmp_path / result_file_name(cell)).write_text(text)
+        assert read_result(tmp_path / result_file_name(cell)) is None
     ((_, result),) = sweep([cell], tmp_path, 1)
     assert result["requests"] > 50
 
 
-def test_commands_end_to_end(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    path = written(tmp_path)
+def test_commands_print_and_write_their_results(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    path = write_file(tmp_path)
     assert main(["run", path, "--json"]) == 0
     assert json.loads(capsys.readouterr().out)["policy"] == "badgercart"
     assert main(["sweep", path, "--markdown"]) == 0
@@ -141,41 +141,41 @@
     assert main(["load", path, "--record"]) == 1 and "uniform law" in capsys.readouterr().err
 
 
-# Figures.
+# Statistics and measures.
 
 
 @settings(max_examples=30, deadline=None)
 @given(st.lists(st.floats(0, 1), min_size=3, max_size=12), st.floats(0.01, 0.5))
-def test_paired_differences_see_what_is_the_same_on_all_seeds(
+def test_paired_differences_detect_a_change_that_is_equal_for_all_seeds(
     values: list[float], more: float
 ) -> None:
     difference = paired_difference([v + more for v in values], values)
     assert difference.mean == pytest.approx(more) and verdict(difference) == "better"
     assert verdict(paired_difference(values, [v + more for v in values])) == "worse"
-    told = mean_interval(values)
-    assert min(values) - 1e-9 <= told.low <= told.mean + 1e-9 and told.mean - 1e-9 <= told.high
+    mean = mean_interval(values)
+    assert min(values) - 1e-9 <= mean.low <= mean.mean + 1e-9 and mean.mean - 1e-9 <= mean.high
     assert verdict(Interval(0.0, -0.1, 0.1)) == "not told apart"
 
 
-def test_worth_ends_jams_and_recovery_are_summed_by_when_requests_were_born() -> None:
+def test_worth_outcomes_jams_and_recovery_count_by_the_arrival_of_requests() -> None:
     measure = Measure(day(10.0, [{"kind": "slow", "at_s": 2.0, "for_s": 2.0}],
                           experiment={"measured_from_s": 1.0}))  # fmt: skip
     for second in range(10):
         for cls, took in ((0, 100.0), (1, 900.0 if 2 <= second < 6 else 100.0)):
             measure.offered(second * 1000.0)
             measure.over(second * 1000.0, cls, 0, "served", took)
-    told = measure.plain()
-    assert told["classes"]["lookup"]["ends"] == {"served": 9}
-    assert told["classes"]["assign"]["ends"] == {"served": 5, "late": 4}
-    assert told["share"] == pytest.approx((9 * 2 + 5 * 8) / (9 * 10))
-    assert told["recovery_s"] == 2.0 and told["jam_s"] == 0
-    assert told["quantiles"]["p50"] == pytest.approx(100.0, rel=0.01)
+    result = measure.plain()
+    assert result["classes"]["lookup"]["ends"] == {"served": 9}
+    assert result["classes"]["assign"]["ends"] == {"served": 5, "late": 4}
+    assert result["share"] == pytest.approx((9 * 2 + 5 * 8) / (9 * 10))
+    assert result["recovery_s"] == 2.0 and result["jam_s"] == 0
+    assert result["quantiles"]["p50"] == pytest.approx(100.0, rel=0.01)
 
 
-# Peers.
+# Policies to compare with.
 
 
-def test_a_name_that_is_no_peer_is_told() -> None:
+def test_an_unknown_policy_is_rejected() -> None:
     from badgercart.core.request_pipeline import RequestPipeline
     from lab.clock import Clock
 
@@ -185,14 +185,15 @@
             make(name, day(), RequestPipeline(day().policy_settings(0), 1, clock, clock.time), 1)
 
 
-def test_limits_and_the_budget_move_as_their_sources_say() -> None:
+def test_limits_and_the_retry_budget_follow_their_specifications() -> None:
     aimd = Aimd()
     for _ in range(30):
         aimd.ended(0.0, 10.0, False, 1000)
     assert aimd.limit == 50.0 and aimd.allows(49) and not aimd.allows(50)
     aimd.ended(0.0, 10.0, True, 50)
     assert aimd.limit == 45.0
-    aimd.ended(0.0, 10.0, False, 3)  # not in use: no reason to grow
+    # The limit grows only while it is in use.
+    aimd.ended(0.0, 10.0, False, 3)
     assert aimd.limit == 45.0
     gradient = Gradient()
     for _ in range(200):
@@ -202,14 +203,15 @@
         gradient.ended(0.0, 200.0, False, 1000)
     assert grown > 100 and gradient.limit < grown / 2
     budget = RetryBudget(0.2)
-    assert sum(budget.take(0.0) for _ in range(1000)) == 100  # 10 a second, over 10 s
+    # Ten retries per second, over 10 s.
+    assert sum(budget.take(0.0) for _ in range(1000)) == 100
     for _ in range(50):
         budget.request(1000.0)
     assert sum(budget.take(1000.0) for _ in range(1000)) == 10
     assert sum(budget.take(30_000.0) for _ in range(1000)) == 100
 
 
-def test_least_request_keeps_to_weights() -> None:
+def test_weighted_least_request_picks_in_proportion_to_weights() -> None:
     import random
 
     from badgercart.policy.endpoint import Endpoint, EndpointState
@@ -239,28 +241,29 @@
 
 
 @pytest.mark.parametrize("pool", [ProcessPoolExecutor, BreaksWhileSubmitting])
-def test_one_day_that_kills_does_not_keep_the_others_from_all_workers(
+def test_a_day_that_kills_its_worker_leaves_the_other_days_all_workers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, pool: type[ProcessPoolExecutor]
 ) -> None:
     monkeypatch.setattr("concurrent.futures.ProcessPoolExecutor", pool)
-    text = GOOD.replace("seeds = [1, 2]", f"seeds = {list(range(1, 13))}").replace(
+    text = VALID_FILE.replace("seeds = [1, 2]", f"seeds = {list(range(1, 13))}").replace(
         "[0.3, 0.6]", "[0.3]"
     )
-    wanted = [
+    all_cells = [
         cell
-        for cell in grid_cells(load_day(written(tmp_path, text), NAMES))
+        for cell in grid_cells(load_day(write_file(tmp_path, text), NAMES))
         if cell.policy == "p2c"
     ]
     rounds: list[int] = []
     play = Sweep.play
 
-    def counted(self: Sweep, left: list[Cell], workers: int) -> bool:
+    def counting_play(self: Sweep, left: list[Cell], workers: int) -> bool:
         rounds.append(workers)
         return play(self, left, workers)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Sweep, "play", counted)
+        patch.setattr(Sweep, "play", counting_play)
         with pytest.raises(SweepError, match="seed=1: its process was killed"):
-            list(sweep(wanted, tmp_path / "r", 2, task=kill_first))
+            list(sweep(all_cells, tmp_path / "r", 2, task=kill_first))
     assert len(list((tmp_path / "r").glob("*.json"))) == 11
-    assert rounds.count(1) <= 3  # only the last few were played alone
+    # Only the last few days were played alone.
+    assert rounds.count(1) <= 3
