--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -54,7 +54,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """The lab: experiments on routing and limits with a simulated fleet.
+    """Run experiments on routing and limits with a simulated fleet.
 
     Exit status: 0 done, 1 a rule was broken or a day failed, 2 a wrong command line or file.
     """
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -212,7 +212,8 @@
     peers: bool = Field(False, description="whether the nodes are members of one cluster")
     zones: Literal["off", "shared", "majority"] = Field(
         "off",
-        description="peers: zone failover: none, by each node's own plan from shared evidence, or by one plan that a majority agrees on",
+        description="peers: zone failover: none, by each node's own plan from shared evidence, "
+        "or by one plan that a majority agrees on",
     )
     expect_s: float = Field(
         60.0,
@@ -269,14 +270,14 @@
         -1.0,
         ge=-1,
         le=1e9,
-        description="the age of the statistics with which a node restarts (s); below 0: it starts without",
+        description="the age of the statistics with which a node restarts (s); below 0: none",
     )
     limit: Literal["none", "aimd", "gradient"] = Field(
         "none", description="other policies: their concurrency limit"
     )
     retry_budget: Share = Field(
         0.2,
-        description="other policies: their retry budget, relative to requests, beside 10 per second",
+        description="other policies: retries over requests, beside 10 retries per second",
     )
 
 
@@ -297,7 +298,8 @@
         4.0,
         ge=0,
         le=1000,
-        description="the factor by which servers are slower, or requests more; zone_flap: each phase (s)",
+        description="the factor by which servers are slower, or requests more; "
+        "zone_flap: the length of each phase (s)",
     )
     chance: Share = Field(
         1.0, description="silent, errors, loss: the share of requests that it affects"
