--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -339,7 +339,7 @@
     from lab.trial.script import load
 
     try:
-        trial = load(file)
+        trial_file = load(file)
     except SettingsFileError as error:
         click.echo(str(error), err=True)
         raise click.exceptions.Exit(ExitStatus.USAGE) from None
@@ -347,13 +347,13 @@
         from lab.model import play
         from lab.trial.inmodel import day_of
 
-        day = day_of(trial)
-        result = play(Cell(day, BADGERCART, trial.trial.seed))
+        day = day_of(trial_file)
+        result = play(Cell(day, BADGERCART, trial_file.trial.seed))
         print_result(day, result)
         if sum(result["breaches"].values()):
             raise click.exceptions.Exit(ExitStatus.FAILED)
         return
-    summary = asyncio.run(run_trial(trial, results_folder(file, results)))
+    summary = asyncio.run(run_trial(trial_file, results_folder(file, results)))
     click.echo(
         f"{summary['name']}: {summary['requests']} requests, worth in time {summary['worth']:.3f}, "
         f"p50 {summary['p50_ms']:.0f} ms, p99 {summary['p99_ms']:.0f} ms"
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -152,8 +152,9 @@
     difference = paired_difference([v + more for v in values], values)
     assert difference.mean == pytest.approx(more) and verdict(difference) == "better"
     assert verdict(paired_difference(values, [v + more for v in values])) == "worse"
-    mean = mean_interval(values)
-    assert min(values) - 1e-9 <= mean.low <= mean.mean + 1e-9 and mean.mean - 1e-9 <= mean.high
+    interval = mean_interval(values)
+    assert min(values) - 1e-9 <= interval.low <= interval.mean + 1e-9
+    assert interval.mean - 1e-9 <= interval.high
     assert verdict(Interval(0.0, -0.1, 0.1)) == "not told apart"
 
 
