--- a/lab/arrivals.py
+++ b/lab/arrivals.py
@@ -67,16 +67,16 @@
 
     A Poisson process of the highest rate is drawn, of which a share is kept that follows the rate.
     """
-    grid = np.linspace(0.0, day.ms, PEAK_SEARCH_POINTS)
+    grid = np.linspace(0.0, day.duration_ms, PEAK_SEARCH_POINTS)
     peak = float((relative_rate(day, grid) * surge_factor(day, grid)).max())
-    mean_gap_ms = 1000.0 / (day.rate * peak)
+    mean_gap_ms = 1000.0 / (day.rate_per_s * peak)
     if day.arrivals.pattern == "even":
-        at_ms = np.arange(mean_gap_ms, day.ms, mean_gap_ms)
+        at_ms = np.arange(mean_gap_ms, day.duration_ms, mean_gap_ms)
     else:
-        expected = int(day.ms / mean_gap_ms)
+        expected = int(day.duration_ms / mean_gap_ms)
         drawn = int(expected + SPARE_GAPS_DEVIATIONS * np.sqrt(expected) + SPARE_GAPS)
         at_ms = np.cumsum(rng.exponential(mean_gap_ms, drawn))
-        at_ms = at_ms[at_ms < day.ms]
+        at_ms = at_ms[at_ms < day.duration_ms]
     kept = rng.random(len(at_ms)) * peak < relative_rate(day, at_ms) * surge_factor(day, at_ms)
     return at_ms[kept]
 
--- a/lab/metrics.py
+++ b/lab/metrics.py
@@ -66,7 +66,7 @@
         # By class, latencies (µs) that are not in the histograms yet.
         self.pending_latencies_us: list[list[int]] = [[] for _ in day.class_]
         self.attempts = self.tries = 0
-        samples = int(day.ms / SAMPLE_INTERVAL_MS) + 1
+        samples = int(day.duration_ms / SAMPLE_INTERVAL_MS) + 1
         self.series: dict[str, list[float]] = {name: [0.0] * samples for name in SERIES}
 
     def sample_index(self, time_ms: float) -> int:
--- a/lab/model.py
+++ b/lab/model.py
@@ -29,7 +29,7 @@
 from lab.random_streams import generator, jitter_stream, uniform_stream
 from lab.rule_checker import RuleChecker
 from lab.servers import Server, build_fleet
-from lab.settings import Cell, Class, Day
+from lab.settings import Cell, ClassSettings, Day
 
 # Nodes must respond this long before the deadline of the client.
 RESPONSE_MARGIN_MS = 2.0
@@ -318,7 +318,7 @@
         for number, (at_ms, class_index, tenant_index, key, work_ms, node) in enumerate(
             zip(*(column.tolist() for column in columns), strict=True)
         ):
-            request_class: Class = classes[class_index]
+            request_class: ClassSettings = classes[class_index]
             keyed = request_class.effect == "keyed"
             window_ms = request_class.window_ms if keyed else 0.0
             yield (
@@ -433,7 +433,7 @@
             or bool(server.error_share)
             for server in self.servers
         )
-        if self.clock.now_ms + SAMPLE_INTERVAL_MS <= self.day.ms:
+        if self.clock.now_ms + SAMPLE_INTERVAL_MS <= self.day.duration_ms:
             self.clock.call_after(SAMPLE_INTERVAL_MS, self.record_sample)
 
     def run(self, progress: Callable[[float], None] | None = None) -> dict[str, Any]:
@@ -451,10 +451,10 @@
             self.clock.call_after(0.0, self.record_sample)
             longest_deadline_ms = max(cls.deadline_ms for cls in self.day.class_)
             for step in range(1, PROGRESS_STEPS + 1):
-                self.clock.run(self.day.ms * step / PROGRESS_STEPS)
+                self.clock.run(self.day.duration_ms * step / PROGRESS_STEPS)
                 if progress is not None:
                     progress(step / PROGRESS_STEPS)
-            self.clock.run(self.day.ms + longest_deadline_ms + FINAL_MARGIN_MS)
+            self.clock.run(self.day.duration_ms + longest_deadline_ms + FINAL_MARGIN_MS)
         finally:
             if gc_was_enabled:
                 gc.enable()
@@ -464,13 +464,13 @@
     def result(self) -> dict[str, Any]:
         """Return the result of the day as plain data."""
         utilizations = [
-            server.busy_ms / (server.kind.cores * self.day.ms) for server in self.servers
+            server.busy_ms / (server.kind.cores * self.day.duration_ms) for server in self.servers
         ]
         mean = statistics.fmean(utilizations)
         return self.metrics.to_dict() | {
             "policy": self.cell.policy,
             "seed": self.cell.seed,
-            "values": dict(self.cell.values),
+            "values": dict(self.cell.grid_values),
             "requests": len(self.plan),
             "events": self.clock.executed_events,
             "breaches": {str(rule): count for rule, count in self.rule_checker.counts.items()},
--- a/lab/random_streams.py
+++ b/lab/random_streams.py
@@ -15,7 +15,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from lab.settings import Dist
+from lab.settings import Distribution
 
 BLOCK_DRAWS = 4096  # drawn from a generator at once
 MIN_JITTER_FACTOR = 0.5
@@ -30,7 +30,7 @@
 
 
 def draw_samples(
-    rng: np.random.Generator, dist: Dist, mean: float, cv: float, count: int
+    rng: np.random.Generator, dist: Distribution, mean: float, cv: float, count: int
 ) -> FloatArray:
     """Draw samples of a distribution with a mean and a coefficient of variation (`cv`).
 
--- a/lab/rule_checker.py
+++ b/lab/rule_checker.py
@@ -57,7 +57,7 @@
         self.sent_to_fleet: deque[tuple[float, float]] = deque()
         self.fleet_work_ms = 0.0
         # Work (ms) that the warm fleet does in a ms.
-        self.fleet_speed = day.capacity * day.mean_work / 1000
+        self.fleet_speed = day.capacity_per_s * day.mean_work_ms / 1000
 
     def report(self, rule: int, description: str) -> None:
         """Record a breach of a rule."""
--- a/lab/servers.py
+++ b/lab/servers.py
@@ -14,7 +14,7 @@
 from badgercart.policy.events import AttemptResult
 from lab.clock import VirtualClock
 from lab.random_streams import RandomStream
-from lab.settings import Day, Kind
+from lab.settings import Day, ServerKind
 
 # A server with the fault "errors" responds this fast, which is what makes it attract traffic.
 FAULTY_ERROR_DELAY_MS = 1.0
@@ -55,7 +55,7 @@
         random_stream: RandomStream,
     ) -> None:
         self.clock, self.day, self.number = clock, day, number
-        self.kind: Kind = day.kind[kind_index]
+        self.kind: ServerKind = day.kind[kind_index]
         self.kind_index = kind_index
         self.zone, self.cell = number % day.net.zones, number % day.fleet.cells
         self.random_stream = random_stream
