--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,7 +1,7 @@
-"""docs/CAPACITY.md, worked out from measured slopes and the target: `python -m
-benchmarks.capacity`.
+"""The tables of docs/CAPACITY.md, calculated from measured costs and the target.
 
-`target.py` is what is wanted and assumed, `laws.py` reads the runs of `benchmarks/scale/` and finds
-where a budget breaks, `rows.py` has the roles and the ranking, `storms.py` the bad seconds,
-`page.py` the tables.
+Run with `python -m benchmarks.capacity`. `target` has the target, the budgets and the assumptions;
+`laws` reads the runs of `benchmarks/scale/` and finds where a budget breaks; `roles` has the model of
+roles and requirements and the ranking; `requirements` and `system_roles` apply it to this system;
+`scenarios` has the load peaks, and `page` the tables.
 """
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Print the tables of docs/CAPACITY.md, renew it, or hold it against the runs.
+"""Print the tables of docs/CAPACITY.md, update the page, or compare it with the runs.
 
 `python -m benchmarks.capacity [--write | --check]`.
 """
@@ -15,30 +15,34 @@
 
 
 def main(arguments: list[str]) -> int:
+    """Run the command and return its exit status."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.capacity", description=__doc__)
-    does = parser.add_mutually_exclusive_group()
-    does.add_argument("--write", action="store_true", help="renew the marked parts of the page")
-    does.add_argument("--check", action="store_true", help="fail where page and runs differ")
+    mode = parser.add_mutually_exclusive_group()
+    mode.add_argument("--write", action="store_true", help="update the marked parts of the page")
+    mode.add_argument("--check", action="store_true", help="fail if the page and the runs differ")
     parser.add_argument("--page", type=Path, default=PAGE, help="the page (docs/CAPACITY.md)")
     parser.add_argument(
-        "--runs", type=Path, default=laws.RUNS, help="folder of the runs (benchmarks/scale/runs)"
+        "--runs",
+        type=Path,
+        default=laws.RUNS_FOLDER,
+        help="folder of the runs (benchmarks/scale/runs)",
     )
-    chosen = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     try:
-        worked_out = page.tables(laws.Runs.kept(chosen.runs))
-        if chosen.write:
-            text = chosen.page.read_text()
-            chosen.page.write_text(page.renewed(text, worked_out))
-        elif chosen.check:
-            if differing := page.differing(chosen.page.read_text(), worked_out):
+        tables = page.build_tables(laws.Runs.load(options.runs))
+        if options.write:
+            text = options.page.read_text()
+            options.page.write_text(page.update_page(text, tables))
+        elif options.check:
+            if differing := page.differing_parts(options.page.read_text(), tables):
                 print(
-                    f"{chosen.page.name} differs from the runs in: {', '.join(differing)}",
+                    f"{options.page.name} differs from the runs in: {', '.join(differing)}",
                     file=sys.stderr,
                 )
-                print("python -m benchmarks.capacity --write renews it", file=sys.stderr)
+                print("python -m benchmarks.capacity --write updates it", file=sys.stderr)
                 return 1
         else:
-            print("\n\n".join(f"## {name}\n\n{text}" for name, text in worked_out.items()))
+            print("\n\n".join(f"## {name}\n\n{text}" for name, text in tables.items()))
     except (LookupError, ValueError, OSError) as error:
         print(f"capacity: {error}", file=sys.stderr)
         return 2
--- a/benchmarks/capacity/laws.py
+++ b/benchmarks/capacity/laws.py
@@ -1,5 +1,7 @@
-"""Measured slopes, and at which share of the target a budget breaks. No I/O but for reading the
-runs."""
+"""Scaling laws from measured series, and the share of the target at which a budget breaks.
+
+The only I/O of this module is reading the result files in `RUNS_FOLDER`.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +15,15 @@
 from benchmarks.scale.fit import Slope, fit
 from benchmarks.scale.report import LAST, Run, Series, read
 
-RUNS = Path(__file__).parent.parent / "scale" / "runs"
-LEAST, MOST, STEP = 1e-6, 100.0, 1.05  # shares that are looked at, and how densely
+RUNS_FOLDER = Path(__file__).parent.parent / "scale" / "runs"
+
+# The shares of the target that `break_share` searches, and the factor between two of them.
+MIN_SHARE = 1e-6
+MAX_SHARE = 100.0
+SHARE_STEP_FACTOR = 1.05
 
-# What grows along a series' sizes, and how large it is at the target.
-SIZES: dict[str, float] = {
+# How large each variable of a series (`Series.over`) is at the target.
+TARGET_SIZES: dict[str, float] = {
     "servers": TARGET.servers,
     "tenants": TARGET.tenants,
     "nodes": TARGET.nodes,
@@ -29,52 +35,61 @@
 }
 
 
-class MissingSeries(LookupError):
-    """A figure is wanted that no run has: which, and what there is."""
+class MissingSeriesError(LookupError):
+    """No single series matches what was asked for; the message lists those that exist."""
 
 
 @dataclass(slots=True, frozen=True)
-class Law:
-    """How one cost grows, by one series of a run.
+class ScalingLaw:
+    """How one cost grows with size, by one series of a run.
 
-    Within the sizes that were run it goes by the points (straight lines between logarithms), beyond
-    them by the exponent fitted to the last points, below them by that of the first, or flat where
-    that falls."""
+    Within the measured sizes a value is interpolated between the points on logarithmic scales.
+    Beyond them it is extrapolated with the exponent fitted to the last points. Below them the
+    exponent of the first points is used, or a constant where that exponent is negative.
+
+    `subject` is the name of the run's file. `points` are sorted by size, without those of size 0.
+    `slope` is fitted to the last points and `first_slope` to the first ones.
+    """
 
     run: Run
     series: Series
-    subject: str  # the name of the run's file
-    points: list[tuple[float, float]] = field(init=False)  # by size, those of size 0 left out
+    subject: str
+    points: list[tuple[float, float]] = field(init=False)
     slope: Slope = field(init=False)
-    first: Slope = field(init=False)  # of the first points
+    first_slope: Slope = field(init=False)
 
     def __post_init__(self) -> None:
         points = sorted((x, y) for x, y in self.series.points if x > 0)
         try:
             slope = fit(points, last=LAST)
-            first = fit(points[:LAST])
+            first_slope = fit(points[:LAST])
         except ValueError as error:
             raise ValueError(f"{self.name}: {error}") from None
         object.__setattr__(self, "points", points)
         object.__setattr__(self, "slope", slope)
-        object.__setattr__(self, "first", first)
+        object.__setattr__(self, "first_slope", first_slope)
 
     @property
     def name(self) -> str:
-        beside = "".join(
+        """The law's name on the capacity page."""
+        fixed_values = "".join(
             f", {value:.4g} {key.replace('_', ' ')}" for key, value in self.series.fixed.items()
         )
         series = self.series
-        return f"{self.subject}: {series.name}, {series.statistic}, over {series.over}{beside}"
+        return (
+            f"{self.subject}: {series.name}, {series.statistic}, over {series.over}{fixed_values}"
+        )
 
     @property
-    def most(self) -> float:
+    def max_measured_size(self) -> float:
+        """The largest size that was measured."""
         return self.points[-1][0]
 
     def __call__(self, size: float) -> float:
+        """Return the cost at a size."""
         points = self.points
         if size <= points[0][0]:
-            return points[0][1] * math.pow(size / points[0][0], max(0.0, self.first.exponent))
+            return points[0][1] * math.pow(size / points[0][0], max(0.0, self.first_slope.exponent))
         if size >= points[-1][0]:
             return points[-1][1] * math.pow(size / points[-1][0], self.slope.exponent)
         at = bisect_left(points, (size, -math.inf))
@@ -83,85 +98,104 @@
         return math.exp(math.log(y0) * (1 - part) + math.log(y1) * part)
 
     @property
-    def left(self) -> float:
-        """By which factor the target lies beyond what was run; 1 where it was reached."""
-        size = SIZES.get(self.series.over)
+    def target_extrapolation(self) -> float:
+        """The factor by which the target exceeds the measured sizes; 1 where it was measured."""
+        size = TARGET_SIZES.get(self.series.over)
         if size is None:
             raise ValueError(
-                f"{self.name}: the target has no {self.series.over!r}; add it to `SIZES`"
+                f"{self.name}: the target has no {self.series.over!r}; add it to `TARGET_SIZES`"
             )
-        return self.beyond(size)
+        return self.extrapolation_factor(size)
 
-    def beyond(self, size: float) -> float:
-        """By which factor a size lies beyond the largest that was run; 1 where it does not."""
-        return max(1.0, size / self.most)
+    def extrapolation_factor(self, size: float) -> float:
+        """Return the factor by which a size exceeds the measured ones, at least 1."""
+        return max(1.0, size / self.max_measured_size)
 
 
 class Runs:
-    """All runs that are kept, by subject."""
+    """The stored runs by subject, with the laws that were read from them.
+
+    `used_laws` keeps the order in which the laws were first asked for.
+    """
 
     def __init__(self, runs: Mapping[str, Run]) -> None:
         self.runs = dict(runs)
-        self.used: dict[str, Law] = {}  # laws that were asked for, in that order
+        self.used_laws: dict[str, ScalingLaw] = {}
 
     @classmethod
-    def kept(cls, folder: Path = RUNS) -> Runs:
-        """ValueError where a file is no run."""
+    def load(cls, folder: Path = RUNS_FOLDER) -> Runs:
+        """Read all runs of a folder.
+
+        Raises:
+            ValueError: A file is not a valid run.
+        """
         return cls({path.stem: read(path) for path in sorted(folder.glob("*.json"))})
 
-    def first(self, names: Sequence[str]) -> str:
-        """The first of these that is kept; the first of all where none is."""
+    def first_available(self, names: Sequence[str]) -> str:
+        """Return the first of these names that has a run, or the first name where none has."""
         return next((name for name in names if name in self.runs), names[0])
 
     def law(
         self, subject: str, name: str, over: str, statistic: str | None = None, **fixed: float
-    ) -> Law:
-        """The one series that fits; MissingSeries where none does, or several."""
+    ) -> ScalingLaw:
+        """Return the law of the one series that matches.
+
+        Raises:
+            MissingSeriesError: No series matches, or several do.
+        """
         wanted = f"{name!r} over {over!r}" + (f", {statistic}" if statistic else "")
         wanted += "".join(f", {key} {value:g}" for key, value in fixed.items())
         run = self.runs.get(subject)
         if run is None:
-            have = ", ".join(self.runs) or "none"
-            raise MissingSeries(f"no run {subject!r} for {wanted}; there are: {have}")
-        found = [
-            series for series in run.series
-            if series.name == name and series.over == over and statistic in (None, series.statistic)
+            available = ", ".join(self.runs) or "none"
+            raise MissingSeriesError(f"no run {subject!r} for {wanted}; the runs are: {available}")
+        matching = [
+            series
+            for series in run.series
+            if series.name == name
+            and series.over == over
+            and statistic in (None, series.statistic)
             and all(series.fixed.get(key) == value for key, value in fixed.items())
-        ]  # fmt: skip
-        if len(found) != 1:
-            have = "; ".join(
+        ]
+        if len(matching) != 1:
+            available = "; ".join(
                 sorted({f"{s.name!r} over {s.over!r}, {s.statistic}" for s in run.series})
             )
-            raise MissingSeries(
-                f"{len(found)} series in {subject!r} are {wanted}, one is wanted; it has {have}"
+            raise MissingSeriesError(
+                f"{len(matching)} series in {subject!r} match {wanted}, expected one; "
+                f"it has {available}"
             )
-        law = Law(run, found[0], subject)
-        return self.used.setdefault(law.name, law)
+        law = ScalingLaw(run, matching[0], subject)
+        return self.used_laws.setdefault(law.name, law)
 
 
 def break_share(cost: Callable[[float], float], budget: float) -> float:
-    """The smallest share of the target at which a cost is over its budget.
+    """Return the smallest share of the target at which a cost exceeds its budget.
+
+    The result is 0 where the cost is infinite at `MIN_SHARE`, as for a mechanism that does not
+    exist; `MIN_SHARE` where the cost exceeds the budget there; and infinity where it exceeds the
+    budget at no share up to `MAX_SHARE`.
 
-    0 where it is infinite at every share (nothing exists that could carry any), `LEAST` where it is
-    over at that, infinite where it is at none to `MOST`. ValueError where the budget is not over 0
-    or a cost is no number."""
+    Raises:
+        ValueError: The budget is not positive, or a cost is not a number.
+    """
     if not budget > 0:
-        raise ValueError(f"a budget of {budget} can't be kept")
+        raise ValueError(f"a budget must be positive, not {budget}")
 
-    def over(share: float) -> bool:
+    def exceeds(share: float) -> bool:
         value = cost(share)
         if math.isnan(value):
-            raise ValueError(f"the cost at {share:g} of the target is no number")
+            raise ValueError(f"the cost at {share:g} of the target is not a number")
         return value > budget
 
-    low = LEAST
-    if over(low):
+    low = MIN_SHARE
+    if exceeds(low):
         return 0.0 if math.isinf(cost(low)) else low
-    while not over(high := min(low * STEP, MOST)):
-        if high >= MOST:
+    while not exceeds(high := min(low * SHARE_STEP_FACTOR, MAX_SHARE)):
+        if high >= MAX_SHARE:
             return math.inf
         low = high
     while high / low > 1 + 1e-9:
         middle = math.sqrt(low * high)
-        low, high = (low, middle) if over(middle) else (middle, high)
+        low, high = (low, middle) if exceeds(middle) else (middle, high)
     return high
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, and the page with them put in. No I/O."""
+"""The tables of docs/CAPACITY.md, and the page with the tables inserted. No I/O."""
 
 from __future__ import annotations
 
@@ -7,35 +7,30 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import fields
 
-from benchmarks.capacity.laws import LEAST, Law, Runs, break_share
-from benchmarks.capacity.rows import (
-    A_SERVER,
-    POLICY,
-    Need,
-    Ranked,
-    Role,
-    line_bytes,
-    ranking,
-    roles,
-    told,
-)
-from benchmarks.capacity.storms import Storm, served_servers, storms
-from benchmarks.capacity.target import ASSUMED, BUDGETS, TARGET, Budget
+from benchmarks.capacity.laws import MIN_SHARE, Runs, ScalingLaw, break_share
+from benchmarks.capacity.requirements import NODES_PER_SERVER, POLICY_RUNS, list_bytes_law
+from benchmarks.capacity.roles import RankedMechanism, Requirement, Role, rank_mechanisms
+from benchmarks.capacity.scenarios import Scenario, all_scenarios, served_servers
+from benchmarks.capacity.system_roles import distribution_roles, system_roles
+from benchmarks.capacity.target import ASSUMPTIONS, BUDGETS, TARGET, Budget
 from benchmarks.scale import SUBJECTS
 
 Tables = dict[str, str]
+
 NOT_BUILT = "Not run yet: `python -m benchmarks.scale --only distribution`."
-LIMIT = "limit in the code: "  # as `rows.limit` words it
+
+# The start of a budget's reason where it is a limit in the code, as `code_limit` words it.
+CODE_LIMIT_PREFIX = "limit in the code: "
 
 
 class PageError(ValueError):
-    """The page and what is worked out don't go together: where."""
+    """The markers of the page and the calculated tables do not match."""
 
 
-def number(value: float, unit: str = "") -> str:
-    """Three digits, as people read them; parts of something as percents."""
+def format_number(value: float, unit: str = "") -> str:
+    """Return a value with three significant digits, and as a percentage if it is a share."""
     if unit.startswith("of ") and math.isfinite(value):
-        return f"{percent(value)} {unit}"
+        return f"{format_percent(value)} {unit}"
     if math.isinf(value):
         return "nothing exists"
     if value == 0:
@@ -50,189 +45,288 @@
     return f"{text} {unit}".strip()
 
 
-def percent(value: float) -> str:
-    return f"{number(100 * value)}%"
+def format_percent(value: float) -> str:
+    """Return a share as a percentage."""
+    return f"{format_number(100 * value)}%"
 
 
-def share(value: float) -> str:
+def format_share(value: float) -> str:
+    """Return the share of the target at which a budget breaks, as the page words it."""
     if value == 0:
         return "**0**"
     if math.isinf(value):
         return "not up to 100 times the target"
-    if value <= LEAST:
+    if value <= MIN_SHARE:
         return "**at any size**"
-    return f"**{percent(value)}**" if value < 1 else f"{number(value)} times the target"
+    return (
+        f"**{format_percent(value)}**" if value < 1 else f"{format_number(value)} times the target"
+    )
+
 
+def format_budget(budget: Budget) -> str:
+    """Return a budget, with an asterisk if the operators did not set it."""
+    return format_number(budget.value, budget.unit) + ("" if budget.set_by_operators else "*")
 
-def marks(laws: Sequence[Law], ids: Mapping[str, str]) -> str:
+
+def format_optional(value: float | None, unit: str) -> str:
+    """Return a value, or a dash where there is none."""
+    return "-" if value is None else format_number(value, unit)
+
+
+def law_references(laws: Sequence[ScalingLaw], ids: Mapping[str, str]) -> str:
+    """Return the ids of laws in parentheses, or "" without laws."""
     return f" ({', '.join(ids[law.name] for law in laws)})" if laws else ""
 
 
-def source(need: Need, ids: Mapping[str, str]) -> str:
-    told = str(need.tag) + marks(need.laws, ids)
-    if need.assumed:
-        told += ": " + ", ".join(need.assumed)
-    if need.budget.why.startswith(LIMIT):
-        told += f"; bound {need.budget.why.removeprefix(LIMIT)}"
-    return told + (f"; {need.note}" if need.note else "")
+def describe_source(requirement: Requirement, ids: Mapping[str, str]) -> str:
+    """Return where a requirement's cost comes from, with its laws, assumptions, limit and note."""
+    text = str(requirement.provenance) + law_references(requirement.laws, ids)
+    if requirement.assumptions:
+        text += ": " + ", ".join(requirement.assumptions)
+    if requirement.budget.reason.startswith(CODE_LIMIT_PREFIX):
+        text += f"; bound {requirement.budget.reason.removeprefix(CODE_LIMIT_PREFIX)}"
+    return text + (f"; {requirement.note}" if requirement.note else "")
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    lines = ["| " + " | ".join(head) + " |", "| " + " | ".join("---" for _ in head) + " |"]
+def markdown_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+    """Return a Markdown table."""
+    lines = ["| " + " | ".join(header) + " |", "| " + " | ".join("---" for _ in header) + " |"]
     lines += ["| " + " | ".join(row) + " |" for row in rows]
     return "\n".join(lines)
 
 
 def target_table() -> str:
-    words = {"requests": "requests a second, at the peak", "changes": "changes of configuration a day",
-             "failures": "machines that fail on an ordinary day",
-             "restarts": "machines restarted or replaced a day",
-             "machines": "machines set aside for control"}  # fmt: skip
-    return table(
+    """Return the table of the target; a field without a label appears under its own name."""
+    labels = {
+        "requests_per_s": "requests a second, at the peak",
+        "config_changes_per_day": "changes of configuration a day",
+        "machine_failures_per_day": "machines that fail on an ordinary day",
+        "machine_restarts_per_day": "machines restarted or replaced a day",
+        "control_machines": "machines set aside for control",
+    }
+    return markdown_table(
         ("what", "target"),
         [
-            (words.get(one.name, one.name), f"{getattr(TARGET, one.name):,}")
+            (labels.get(one.name, one.name), f"{getattr(TARGET, one.name):,}")
             for one in fields(TARGET)
         ],
     )
 
 
-def first_table(found: Sequence[Role]) -> str:
+def first_to_break_table(roles: Sequence[Role]) -> str:
+    """Return the table of the first requirement of each role that breaks."""
     rows = []
-    for role in found:
-        need = role.first
-        rows.append((
-            role.name, role.today, f"{need.what}: {number(need.at_target, need.unit)}",
-            number_of(need.budget), share(need.share), f"{need.mechanism}: **missing**",
-        ))  # fmt: skip
-    return table(
+    for role in roles:
+        requirement = role.first_to_break
+        rows.append(
+            (
+                role.name,
+                role.implementation,
+                f"{requirement.name}: "
+                f"{format_number(requirement.cost_at_target, requirement.unit)}",
+                format_budget(requirement.budget),
+                format_share(requirement.break_share),
+                f"{requirement.mechanism}: **missing**",
+            )
+        )
+    return markdown_table(
         ("role", "today", "breaks first, at the target", "budget", "at this share", "carried by"),
         rows,
     )
 
 
-def number_of(budget: Budget) -> str:
-    return number(budget.value, budget.unit) + ("" if budget.letter else "*")
-
-
-def needs_table(found: Sequence[Role], ids: Mapping[str, str]) -> str:
+def requirements_table(roles: Sequence[Role], ids: Mapping[str, str]) -> str:
+    """Return a table of requirements for each role."""
     parts = []
-    for role in found:
+    for role in roles:
         rows = [
-            (need.kind, need.what, number(need.at_target, need.unit), number_of(need.budget),
-             share(need.share), source(need, ids), str(need.mechanism))
-            for need in role.needs
-        ]  # fmt: skip
-        head = ("what", "of which", "at the target", "budget", "breaks at", "from", "carried by")
+            (
+                requirement.kind,
+                requirement.name,
+                format_number(requirement.cost_at_target, requirement.unit),
+                format_budget(requirement.budget),
+                format_share(requirement.break_share),
+                describe_source(requirement, ids),
+                str(requirement.mechanism),
+            )
+            for requirement in role.requirements
+        ]
+        header = ("what", "of which", "at the target", "budget", "breaks at", "from", "carried by")
         parts.append(
-            f"**{role.name.capitalize()}.** Today: {role.today}. State: {role.state}.\n\n{table(head, rows)}"
+            f"**{role.name.capitalize()}.** Today: {role.implementation}. State: {role.state}.\n\n"
+            f"{markdown_table(header, rows)}"
         )
     return "\n\n".join(parts)
 
 
-def slopes_table(laws: Sequence[Law], ids: Mapping[str, str]) -> str:
+def slopes_table(laws: Sequence[ScalingLaw], ids: Mapping[str, str]) -> str:
+    """Return the table of the laws with their runs, ranges and exponents."""
     rows = []
     for law in laws:
-        least, most, beyond = law.points[0], law.points[-1], law.left
-        rows.append((
-            ids[law.name], law.name, f"`{law.run.command}` at {law.run.revision[:7]}",
-            f"{number(least[0])} to {number(most[0])}",
-            f"{number(least[1])} to {number(most[1])} {law.series.unit}", str(law.slope),
-            "within" if beyond == 1 else f"{number(beyond)} times beyond",
-        ))  # fmt: skip
-    return table(
+        first, last, extrapolation = law.points[0], law.points[-1], law.target_extrapolation
+        rows.append(
+            (
+                ids[law.name],
+                law.name,
+                f"`{law.run.command}` at {law.run.revision[:7]}",
+                f"{format_number(first[0])} to {format_number(last[0])}",
+                f"{format_number(first[1])} to {format_number(last[1])} {law.series.unit}",
+                str(law.slope),
+                "within" if extrapolation == 1 else f"{format_number(extrapolation)} times beyond",
+            )
+        )
+    return markdown_table(
         ("", "slope", "run", "range", "cost", "exponent at the far end [95%]", "the target lies"),
         rows,
     )
 
 
-def ranking_table(ranked: Sequence[Ranked]) -> str:
+def ranking_table(ranked: Sequence[RankedMechanism]) -> str:
+    """Return the table of the missing mechanisms in their order."""
     rows = [
-        (str(place), str(one.mechanism), share(one.share),
-         f"{one.need.what} ({one.role.name}): {number(one.need.at_target, one.need.unit)} for "
-         f"{number_of(one.need.budget)}", f"{len(one.rows)}: {', '.join(one.rows)}")
+        (
+            str(place),
+            str(one.mechanism),
+            format_share(one.break_share),
+            f"{one.requirement.name} ({one.role.name}): "
+            f"{format_number(one.requirement.cost_at_target, one.requirement.unit)} for "
+            f"{format_budget(one.requirement.budget)}",
+            f"{len(one.dependent_roles)}: {', '.join(one.dependent_roles)}",
+        )
         for place, one in enumerate(ranked, 1)
-    ]  # fmt: skip
-    return table(
+    ]
+    return markdown_table(
         ("", "missing", "smallest share", "what breaks there", "rows that rest on it"), rows
     )
 
 
-def cell(value: float | None, unit: str) -> str:
-    return "-" if value is None else number(value, unit)
-
-
-def storms_table(found: Sequence[Storm], ids: Mapping[str, str]) -> str:
+def scenarios_table(scenarios: Sequence[Scenario], ids: Mapping[str, str]) -> str:
+    """Return a table of figures for each load scenario."""
     parts = []
-    for storm in found:
+    for scenario in scenarios:
         rows = []
-        for figure in storm.figures:
+        for figure in scenario.figures:
             budget = (
-                "" if figure.budget is None else number(figure.budget.value, figure.budget.unit)
+                ""
+                if figure.budget is None
+                else format_number(figure.budget.value, figure.budget.unit)
             )
-            assumed = ": " + ", ".join(figure.assumed) if figure.assumed else ""
-            rows.append((
-                figure.what, cell(figure.today, figure.unit), cell(figure.told, figure.unit), budget,
-                figure.over,
-                f"{figure.tag}{marks(figure.laws, ids)}{assumed}",
-            ))  # fmt: skip
-        head = ("what", "today", "told what it serves", "budget", "over it", "from")
-        parts.append(f"**{storm.name.capitalize()}**\n\n{table(head, rows)}")
+            assumptions = ": " + ", ".join(figure.assumptions) if figure.assumptions else ""
+            rows.append(
+                (
+                    figure.name,
+                    format_optional(figure.today, figure.unit),
+                    format_optional(figure.scoped, figure.unit),
+                    budget,
+                    figure.over_budget,
+                    f"{figure.provenance}{law_references(figure.laws, ids)}{assumptions}",
+                )
+            )
+        header = ("what", "today", "told what it serves", "budget", "over it", "from")
+        parts.append(f"**{scenario.name.capitalize()}**\n\n{markdown_table(header, rows)}")
     return "\n\n".join(parts)
 
 
-def three(runs: Runs, found: Sequence[Role], ranked: Sequence[Ranked]) -> str:
-    """The figures for whoever reads no further."""
-    none = [role.name for role in found if role.first.share == 0]
-    first = min((role for role in found if role.first.share > 0), key=lambda role: role.first.share)
-    at, few = first.first.share, sum(0 < role.first.share < 0.01 for role in found)
-    nodes = number(math.ceil(TARGET.at(at).nodes))
-    size, served = line_bytes(runs), served_servers()
-    whole, part = (size(lines) / BUDGETS["bytes"].value for lines in (TARGET.servers, served))
-    servers = next(
-        n for role in found for n in role.needs if n.kind == "memory" and n.what == "servers"
+def summary(runs: Runs, roles: Sequence[Role], ranked: Sequence[RankedMechanism]) -> str:
+    """Return the three most important results as a list."""
+    unfilled = [role.name for role in roles if role.first_to_break.break_share == 0]
+    first_role = min(
+        (role for role in roles if role.first_to_break.break_share > 0),
+        key=lambda role: role.first_to_break.break_share,
+    )
+    share, below_one_percent = (
+        first_role.first_to_break.break_share,
+        sum(0 < role.first_to_break.break_share < 0.01 for role in roles),
+    )
+    nodes = format_number(math.ceil(TARGET.scaled(share).nodes))
+    list_bytes, served = list_bytes_law(runs), served_servers()
+    whole_list_s, served_list_s = (
+        list_bytes(lines) / BUDGETS["bytes"].value for lines in (TARGET.servers, served)
+    )
+    memory = next(
+        requirement
+        for role in roles
+        for requirement in role.requirements
+        if requirement.kind == "memory" and requirement.name == "servers"
+    )
+    return "\n".join(
+        (
+            f"1. **{len(unfilled)} of {len(roles)} roles have nothing that does them**: "
+            f"{' and '.join(unfilled)}. "
+            f"So *{ranked[0].mechanism}* comes first: "
+            f"{len(ranked[0].dependent_roles)} roles rest on it.",
+            f"2. **{format_percent(share)} of the target**, {nodes} nodes, is where the first of "
+            f"the others breaks "
+            f"({first_role.name}: {first_role.first_to_break.name}); with it {below_one_percent} "
+            f"of {len(roles)} roles break below 1%.",
+            f"3. **{format_number(memory.cost_at_target, memory.unit)}** is what all servers take "
+            f"in the memory of a node, "
+            f"where {format_number(memory.budget.value, memory.budget.unit)} is allowed for all of "
+            f"control. To be "
+            f"told of them at a start takes {format_number(whole_list_s, 's')} at 17 KB a second; "
+            f"of the services that a node "
+            f"serves, if these are {format_number(ASSUMPTIONS['served'].value)}, "
+            f"{format_number(served_list_s, 's')}.",
+        )
     )
-    return "\n".join((
-        f"1. **{len(none)} of {len(found)} roles have nothing that does them**: {' and '.join(none)}. "
-        f"So *{ranked[0].mechanism}* comes first: {len(ranked[0].rows)} roles rest on it.",
-        f"2. **{percent(at)} of the target**, {nodes} nodes, is where the first of the others breaks "
-        f"({first.name}: {first.first.what}); with it {few} of {len(found)} roles break below 1%.",
-        f"3. **{number(servers.at_target, servers.unit)}** is what all servers take in the memory of a node, "
-        f"where {number(servers.budget.value, servers.budget.unit)} is allowed for all of control. To be "
-        f"told of them at a start takes {number(whole, 's')} at 17 KB a second; of the services that a node "
-        f"serves, if these are {number(ASSUMED['served'].value)}, {number(part, 's')}.",
-    ))  # fmt: skip
-
-
-def breaks(law: Law, size: float, budget: float) -> float:
-    """The share at which one law by itself breaks a budget."""
-    return break_share(lambda part: law(part * size), budget)
-
-
-def mended_table(runs: Runs) -> str:
-    """The policy before and after its loops over all tenants and servers were mended."""
-    if not all(name in runs.runs for name in POLICY):
+
+
+def law_break_share(law: ScalingLaw, size: float, budget: float) -> float:
+    """Return the share of a size at which one law by itself breaks a budget."""
+    return break_share(lambda share: law(share * size), budget)
+
+
+def policy_comparison_table(runs: Runs) -> str:
+    """Return the table of the policy's costs before and after its loops over the fleet were removed.
+
+    These were loops over all tenants and servers.
+    """
+    if not all(name in runs.runs for name in POLICY_RUNS):
         return "Not run anew yet: `python -m benchmarks.scale --only policy`."
-    wanted: tuple[tuple[str, str, str, dict[str, float], float, float], ...] = (
-        ("decision", "servers", "99th", {"nodes_a_server": A_SERVER}, TARGET.servers,
-         BUDGETS["decision"].value),
+    costs: tuple[tuple[str, str, str, dict[str, float], float, float], ...] = (
+        (
+            "decision",
+            "servers",
+            "99th",
+            {"nodes_a_server": NODES_PER_SERVER},
+            TARGET.servers,
+            BUDGETS["decision"].value,
+        ),
         ("decision", "tenants", "99th", {}, TARGET.tenants, BUDGETS["decision"].value),
-        ("changed line", "servers", "mean", {"nodes_a_server": A_SERVER}, TARGET.servers,
-         1000 * BUDGETS["standstill"].value),
-        ("changed line", "servers", "mean", {"nodes": 1}, TARGET.servers, 1000 * BUDGETS["standstill"].value),
-    )  # fmt: skip
+        (
+            "changed line",
+            "servers",
+            "mean",
+            {"nodes_a_server": NODES_PER_SERVER},
+            TARGET.servers,
+            1000 * BUDGETS["standstill"].value,
+        ),
+        (
+            "changed line",
+            "servers",
+            "mean",
+            {"nodes": 1},
+            TARGET.servers,
+            1000 * BUDGETS["standstill"].value,
+        ),
+    )
     rows = []
-    for name, over, statistic, fixed, size, budget in wanted:
-        after, before = (runs.law(run, name, over, statistic, **fixed) for run in POLICY)
-        shares = [breaks(law, size, budget) for law in (before, after)]
-        rows.append((
-            after.name.partition(": ")[2], *(number(law(size), "µs") for law in (before, after)),
-            number(budget, "µs"), *(share(one) for one in shares),
-        ))  # fmt: skip
-    return table(("cost", "before", "after", "budget", "broke at", "breaks at"), rows)
+    for name, over, statistic, fixed, size, budget in costs:
+        after, before = (runs.law(run, name, over, statistic, **fixed) for run in POLICY_RUNS)
+        shares = [law_break_share(law, size, budget) for law in (before, after)]
+        rows.append(
+            (
+                after.name.partition(": ")[2],
+                *(format_number(law(size), "µs") for law in (before, after)),
+                format_number(budget, "µs"),
+                *(format_share(one) for one in shares),
+            )
+        )
+    return markdown_table(("cost", "before", "after", "budget", "broke at", "breaks at"), rows)
 
 
-def not_run(runs: Runs) -> str:
+def missing_subjects(runs: Runs) -> str:
+    """Return a sentence that lists the subjects without a run."""
     subjects = {run.subject for run in runs.runs.values()}
     missing = [name for name in SUBJECTS if name not in subjects]
     return (
@@ -243,77 +337,96 @@
 
 
 def budgets_table() -> str:
-    return table(
+    """Return the table of the budgets, with who set them and why."""
+    return markdown_table(
         ("budget", "by", "why"),
         [
-            (number(b.value, b.unit), "the operators" if b.letter else "given here*", b.why)
-            for b in BUDGETS.values()
+            (
+                format_number(budget.value, budget.unit),
+                "the operators" if budget.set_by_operators else "given here*",
+                budget.reason,
+            )
+            for budget in BUDGETS.values()
         ],
     )
 
 
-def assumed_table() -> str:
-    return table(
+def assumptions_table() -> str:
+    """Return the table of the assumptions and their reasons."""
+    return markdown_table(
         ("assumed", "value", "why"),
-        [(name, number(a.value, a.unit), a.why) for name, a in ASSUMED.items()],
+        [
+            (name, format_number(assumption.value, assumption.unit), assumption.reason)
+            for name, assumption in ASSUMPTIONS.items()
+        ],
     )
 
 
-def tables(runs: Runs) -> Tables:
-    """All parts of the page, by name."""
-    found, bad, anew, mended = roles(runs), storms(runs), told(runs), mended_table(runs)
-    ids = {name: f"S{number}" for number, name in enumerate(runs.used, 1)}
+def build_tables(runs: Runs) -> Tables:
+    """Return all calculated parts of the page by name."""
+    roles, scenarios, built_roles, policy_comparison = (
+        system_roles(runs),
+        all_scenarios(runs),
+        distribution_roles(runs),
+        policy_comparison_table(runs),
+    )
+    ids = {name: f"S{number}" for number, name in enumerate(runs.used_laws, 1)}
     return {
-        "three": three(runs, found, ranking(found)),
+        "three": summary(runs, roles, rank_mechanisms(roles)),
         "target": target_table(),
-        "first to break": first_table(found),
-        "ranking": ranking_table(ranking(found)),
-        "needs": needs_table(found, ids),
-        "told": needs_table(anew, ids) if anew else NOT_BUILT,
-        "mended": mended,
-        "storms": storms_table(bad, ids),
-        "not run": not_run(runs),
-        "slopes": slopes_table(list(runs.used.values()), ids),
+        "first to break": first_to_break_table(roles),
+        "ranking": ranking_table(rank_mechanisms(roles)),
+        "needs": requirements_table(roles, ids),
+        "told": requirements_table(built_roles, ids) if built_roles else NOT_BUILT,
+        "mended": policy_comparison,
+        "storms": scenarios_table(scenarios, ids),
+        "not run": missing_subjects(runs),
+        "slopes": slopes_table(list(runs.used_laws.values()), ids),
         "budgets": budgets_table(),
-        "assumed": assumed_table(),
+        "assumed": assumptions_table(),
     }
 
 
-PART = re.compile(
+PART_PATTERN = re.compile(
     r"<!-- worked out: (?P<name>[^>]+?) -->\n(?P<text>.*?)<!-- end of (?P=name) -->", re.DOTALL
 )
 
 
-def renewed(page: str, worked_out: Mapping[str, str]) -> str:
-    """The page with its marked parts as they are worked out now. PageError where parts and marks
-    differ."""
-    marks = [match["name"] for match in PART.finditer(page)]
+def update_page(page: str, tables: Mapping[str, str]) -> str:
+    """Return the page with its marked parts replaced by the calculated tables.
+
+    Raises:
+        PageError: The markers of the page and the tables do not match.
+    """
+    complete = [match["name"] for match in PART_PATTERN.finditer(page)]
     opened = re.findall(r"<!-- worked out: ([^>]+?) -->", page)
     for name in opened:
-        if name not in marks:
-            raise PageError(f"the part {name!r} has no end")
+        if name not in complete:
+            raise PageError(f"the part {name!r} has no end marker")
         if opened.count(name) > 1:
-            raise PageError(f"the part {name!r} stands there twice")
-        if name not in worked_out:
-            raise PageError(
-                f"nothing works out a part {name!r}; there are: {', '.join(worked_out)}"
-            )
-    for name in worked_out:
+            raise PageError(f"the part {name!r} occurs twice on the page")
+        if name not in tables:
+            raise PageError(f"there is no table for the part {name!r}, only: {', '.join(tables)}")
+    for name in tables:
         if name not in opened:
             raise PageError(f"the page has no part {name!r}")
 
-    def part(match: re.Match[str]) -> str:
+    def replacement(match: re.Match[str]) -> str:
         name = match["name"]
-        return f"<!-- worked out: {name} -->\n{worked_out[name]}\n<!-- end of {name} -->"
+        return f"<!-- worked out: {name} -->\n{tables[name]}\n<!-- end of {name} -->"
+
+    return PART_PATTERN.sub(replacement, page)
 
-    return PART.sub(part, page)
 
+def differing_parts(page: str, tables: Mapping[str, str]) -> list[str]:
+    """Return the names of the parts of the page that differ from the calculated tables.
 
-def differing(page: str, worked_out: Mapping[str, str]) -> list[str]:
-    """Names of the parts that the page has otherwise."""
-    renewed(page, worked_out)  # which says what is wrong with the marks
+    Raises:
+        PageError: The markers of the page and the tables do not match.
+    """
+    update_page(page, tables)  # raises PageError
     return [
         match["name"]
-        for match in PART.finditer(page)
-        if match["text"] != worked_out[match["name"]] + "\n"
+        for match in PART_PATTERN.finditer(page)
+        if match["text"] != tables[match["name"]] + "\n"
     ]
