--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -47,7 +47,7 @@
 
 SIZES = (125, 250, 500, 1000, 2000, 4000, 8600)
 MAX_NODES_ALL_TOPICS = 500  # nodes, where each follows everything
-REPLICAS = TARGET.machines
+REPLICAS = TARGET.control_machines
 VOTERS = 5
 TOPICS_PER_NODE = 40  # services that a node serves; assumed, as in docs/CAPACITY.md
 HOP_MS = 1.0
@@ -271,7 +271,9 @@
         self.services = max(TOPICS_PER_NODE, round(TARGET.services * share))
         self.servers = max(self.services, round(TARGET.servers * share))
         self.rate = (
-            (TARGET.restarts * CHANGES_PER_RESTART + TARGET.changes) * share / DAY_S
+            (TARGET.machine_restarts_per_day * CHANGES_PER_RESTART + TARGET.config_changes_per_day)
+            * share
+            / DAY_S
         )  # changes a second
         rng = random.Random(seed)
         names = [f"servers/service-{n}" for n in range(self.services)]
