--- a/benchmarks/capacity/laws.py
+++ b/benchmarks/capacity/laws.py
@@ -13,7 +13,7 @@
 
 from benchmarks.capacity.target import BUDGETS, TARGET
 from benchmarks.scale.fit import Slope, fit
-from benchmarks.scale.report import LAST, Run, Series, read
+from benchmarks.scale.report import LAST_POINTS, Run, Series, read
 
 RUNS_FOLDER = Path(__file__).parent.parent / "scale" / "runs"
 
@@ -61,8 +61,8 @@
     def __post_init__(self) -> None:
         points = sorted((x, y) for x, y in self.series.points if x > 0)
         try:
-            slope = fit(points, last=LAST)
-            first_slope = fit(points[:LAST])
+            slope = fit(points, last=LAST_POINTS)
+            first_slope = fit(points[:LAST_POINTS])
         except ValueError as error:
             raise ValueError(f"{self.name}: {error}") from None
         object.__setattr__(self, "points", points)
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -1,5 +1,7 @@
-"""What a scale run found: kept as JSON, printed as a table, drawn as a chart where matplotlib is
-there."""
+"""The results of a scale run: stored as JSON, printed as a table, drawn as a chart.
+
+The chart needs matplotlib.
+"""
 
 from __future__ import annotations
 
@@ -15,24 +17,35 @@
 from benchmarks.scale.fit import Point, fit
 
 ROOT = Path(__file__).parent.parent.parent
-LAST = 5  # points of the slope at the far end
+
+# The number of the largest points from which the slope at the far end is fitted.
+LAST_POINTS = 5
 
 
 @dataclass(slots=True, frozen=True)
 class Series:
-    """One cost as one thing grows and all else stands still."""
-
-    name: str  # what costs
+    """One cost as one variable grows and all others are fixed.
+
+    Attributes:
+        name: the cost.
+        unit: its unit.
+        over: the variable that grows.
+        statistic: how several measurements at a size were combined.
+        points: sizes and costs.
+        fixed: the other variables and their values.
+    """
+
+    name: str
     unit: str
-    over: str  # what grows
-    statistic: str  # of several measurements at a size
+    over: str
+    statistic: str
     points: list[Point]
-    fixed: dict[str, float] = field(default_factory=dict)  # what stands still, and where
+    fixed: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """All series of a subject, and where they come from."""
+    """All series of a subject, with the command, commit and machine that produced them."""
 
     subject: str
     command: str
@@ -42,28 +55,34 @@
 
 
 def revision() -> str:
-    """The commit that is measured, with `-dirty` where files of the program differ from it."""
-    told = subprocess.run(["git", "describe", "--always", "--abbrev=40", "--dirty", "--exclude=*"],
-                          cwd=ROOT, capture_output=True, text=True, check=False)  # fmt: skip
-    return told.stdout.strip() or "unknown"
+    """Return the measured commit, with `-dirty` if tracked files differ from it."""
+    completed = subprocess.run(
+        ["git", "describe", "--always", "--abbrev=40", "--dirty", "--exclude=*"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    return completed.stdout.strip() or "unknown"
 
 
-def run_of(subject: str, command: str, series: list[Series]) -> Run:
+def new_run(subject: str, command: str, series: list[Series]) -> Run:
+    """Return a run of these series on this machine at the current commit."""
     machine = {"cores": os.cpu_count(), "python": ".".join(platform.python_version_tuple()[:2])}
     return Run(subject, command, revision(), machine, series)
 
 
 def write(run: Run, folder: Path, name: str | None = None) -> Path:
-    """Keep a run as `<subject>.json`, or under another name."""
+    """Store a run as `<subject>.json`, or under another name, and return the path."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{name or run.subject}.json"
-    path.write_text(text(run))
+    path.write_text(to_json(run))
     return path
 
 
-def text(run: Run) -> str:
-    """As JSON with a series a line, so that runs can be held against each other."""
-    lines = ",\n".join("  " + json.dumps(kept(series)) for series in run.series)
+def to_json(run: Run) -> str:
+    """Return a run as JSON with one series on a line, so that runs can be compared by line."""
+    lines = ",\n".join("  " + json.dumps(series_to_dict(series)) for series in run.series)
     head = json.dumps(
         {
             "subject": run.subject,
@@ -76,8 +95,8 @@
     return f'{head},\n "series": [\n{lines}\n ]\n}}\n'
 
 
-def kept(series: Series) -> dict[str, Any]:
-    """A series as it is kept, with four digits: more would be noise."""
+def series_to_dict(series: Series) -> dict[str, Any]:
+    """Return a series in its stored form, with four significant digits: more would be noise."""
     return {
         "name": series.name,
         "unit": series.unit,
@@ -88,33 +107,42 @@
     }
 
 
-def series_of(raw: dict[str, Any]) -> Series:
-    """A series as it was kept. KeyError, TypeError, IndexError or ValueError where it is none."""
-    only(raw, "name", "unit", "over", "statistic", "points", "fixed")
+def series_from_dict(raw: dict[str, Any]) -> Series:
+    """Return a series from its stored form.
+
+    Raises:
+        KeyError, TypeError, IndexError, ValueError: The form is invalid.
+    """
+    check_keys(raw, "name", "unit", "over", "statistic", "points", "fixed")
     points = [(point[0], point[1]) for point in raw["points"]]
     return Series(
         raw["name"], raw["unit"], raw["over"], raw["statistic"], points, raw.get("fixed", {})
     )
 
 
-def only(raw: dict[str, Any], *known: str) -> None:
-    """ValueError where something else stands there, too."""
+def check_keys(raw: dict[str, Any], *known: str) -> None:
+    """Raise ValueError if there are other keys than the known ones."""
     if unknown := raw.keys() - set(known):
-        raise ValueError(f"unknown: {', '.join(sorted(unknown))}")
+        raise ValueError(f"unknown keys: {', '.join(sorted(unknown))}")
 
 
 def read(path: Path) -> Run:
-    """ValueError where a file is no run."""
+    """Read a stored run.
+
+    Raises:
+        ValueError: The file is not a valid run.
+    """
     try:
         raw = json.loads(path.read_text())
-        only(raw, "subject", "command", "revision", "machine", "series")
-        series = [series_of(one) for one in raw["series"]]
+        check_keys(raw, "subject", "command", "revision", "machine", "series")
+        series = [series_from_dict(one) for one in raw["series"]]
         return Run(raw["subject"], raw["command"], raw["revision"], raw["machine"], series)
     except (AttributeError, TypeError, KeyError, IndexError, ValueError) as error:
-        raise ValueError(f"{path.name} is no run: {error}") from None
+        raise ValueError(f"{path.name} is not a valid run: {error}") from None
 
 
-def slope_of(points: Sequence[Point], last: int | None = None) -> str:
+def slope_text(points: Sequence[Point], last: int | None = None) -> str:
+    """Return the slope of points as text, or a dash where they have none."""
     try:
         return str(fit(points, last=last))
     except ValueError:
@@ -122,21 +150,35 @@
 
 
 def table(run: Run) -> str:
-    """Each series at its least and most, with the exponent over all of it and at its far end."""
-    names = ("cost", "over", "statistic", "least", "most", "exponent", f"of the last {LAST}")
-    lines = ["| " + " | ".join(names) + " |", "| --- " * len(names) + "|"]
+    """Return a Markdown table of the series of a run.
+
+    Each has its smallest and largest point, and the exponent over all points and over the last ones.
+    """
+    header = (
+        "cost",
+        "over",
+        "statistic",
+        "least",
+        "most",
+        "exponent",
+        f"of the last {LAST_POINTS}",
+    )
+    lines = ["| " + " | ".join(header) + " |", "| --- " * len(header) + "|"]
     for series in run.series:
-        beside = "".join(f", {value:g} {key}" for key, value in series.fixed.items())
+        fixed_values = "".join(f", {value:g} {key}" for key, value in series.fixed.items())
         ends = [f"{y:.4g} {series.unit} at {x:g}" for x, y in (series.points[0], series.points[-1])]
-        slopes = slope_of(series.points), slope_of(series.points, LAST)
-        row = (series.name, series.over + beside, series.statistic, *ends, *slopes)
+        slopes = slope_text(series.points), slope_text(series.points, LAST_POINTS)
+        row = (series.name, series.over + fixed_values, series.statistic, *ends, *slopes)
         lines.append("| " + " | ".join(row) + " |")
     return "\n".join(lines)
 
 
-def chart(run: Run, path: Path) -> bool:
-    """Draw a run on logarithmic scales, a panel for each unit and what grows; False without
-    matplotlib."""
+def draw_chart(run: Run, path: Path) -> bool:
+    """Draw a run on logarithmic scales, with a panel for each unit and variable.
+
+    Returns:
+        False if matplotlib is not installed.
+    """
     try:
         from matplotlib.figure import Figure
     except ImportError:
@@ -147,9 +189,9 @@
     columns = min(3, len(panels))
     rows = -(-len(panels) // columns)
     figure = Figure(figsize=(5 * columns, 4 * rows), dpi=50, layout="constrained")
-    for place, ((unit, over), found) in enumerate(panels.items(), 1):
-        axes = figure.add_subplot(rows, columns, place)
-        for series in found:
+    for position, ((unit, over), panel) in enumerate(panels.items(), 1):
+        axes = figure.add_subplot(rows, columns, position)
+        for series in panel:
             points = [(x, y) for x, y in series.points if x > 0 and y > 0]
             label = " ".join(
                 (series.name, series.statistic, *(f"{k}={v:g}" for k, v in series.fixed.items()))
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -170,7 +170,7 @@
 
 def test_a_series_too_short_for_a_slope_is_reported() -> None:
     short = Series("cost", "us", "servers", "median", [(10.0, 1.0), (20.0, 2.0)])
-    with pytest.raises(ValueError, match="made: cost, median, over servers: a slope takes 3 sizes"):
+    with pytest.raises(ValueError, match="made: cost, median, over servers: a slope needs 3 sizes"):
         Runs({"made": synthetic_run(short)}).law("made", "cost", "servers")
 
 
@@ -179,7 +179,7 @@
 ) -> None:
     (tmp_path / "broken.json").write_text("{")
     assert main(["--check", "--runs", str(tmp_path)]) == 2
-    assert capsys.readouterr().err.startswith("capacity: broken.json is no run")
+    assert capsys.readouterr().err.startswith("capacity: broken.json is not a valid run")
 
 
 # Scaling laws.
--- a/tests/benchmarks/test_golden.py
+++ b/tests/benchmarks/test_golden.py
@@ -1,4 +1,4 @@
-"""The form of `benchmarks/scale/runs/*.json`: each kept run is read, and written as it stands."""
+"""The format of `benchmarks/scale/runs/*.json`: each stored run is read and written unchanged."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 @pytest.mark.parametrize(
     "path", sorted((report.ROOT / "benchmarks/scale/runs").glob("*.json")), ids=str
 )
-def test_a_kept_run_is_read_and_written_as_it_stands(path: Path) -> None:
-    assert report.text(report.read(path)) == path.read_text()
+def test_a_stored_run_is_read_and_written_unchanged(path: Path) -> None:
+    assert report.to_json(report.read(path)) == path.read_text()
 
 
-def test_a_run_is_written_and_read_as_before(tmp_path: Path) -> None:
+def test_a_run_is_written_and_read_as_the_golden_file(tmp_path: Path) -> None:
     series = [
         report.Series(
             "decision",
@@ -33,9 +33,9 @@
         report.Series("line", "us", "servers", "worst", [(10, 1.0)]),
     ]
     run = report.Run("policy", "python -m x", "02a955d", {"cores": 8, "python": "3.11"}, series)
-    kept = GOLDEN / "run.json"
-    assert report.write(run, tmp_path, "policy-x").read_text() == kept.read_text()
-    read = report.read(kept)
+    stored = GOLDEN / "run.json"
+    assert report.write(run, tmp_path, "policy-x").read_text() == stored.read_text()
+    read = report.read(stored)
     rounded = report.Series("decision", "us", "servers", "median", POINTS, {"a": 1})
     assert read == report.Run(
         "policy", "python -m x", "02a955d", {"cores": 8, "python": "3.11"}, [rounded, series[1]]
@@ -43,8 +43,8 @@
 
 
 @pytest.mark.parametrize("old", ['"subject"', '"name"', '"fixed"'])
-def test_a_run_with_a_name_that_is_not_known_is_refused(tmp_path: Path, old: str) -> None:
+def test_a_run_with_an_unknown_key_is_rejected(tmp_path: Path, old: str) -> None:
     path = tmp_path / "x.json"
     path.write_text((GOLDEN / "run.json").read_text().replace(old, '"other"', 1))
-    with pytest.raises(ValueError, match=r"x\.json is no run"):
+    with pytest.raises(ValueError, match=r"x\.json is not a valid run"):
         report.read(path)
