--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -1,11 +1,10 @@
-"""What a configuration costs a node: reading it, holding it against the one in force, and taking it
-over.
-
-Two forms: the platform's file (JSON, by SIGHUP) and an operator's (TOML). A route is a class today,
-so classes grow to the target's routes. The program refuses over `MAX_TENANTS` and `MAX_CLASSES`;
-the bounds are lifted here, so that the slopes show what they stand for. Where the next measurement
-may take over `PATIENCE`, larger sizes are left out and the slope has to do. Times are of the
-thread's processor.
+"""Costs of a configuration: reading it, comparing it with the one in force, and applying it.
+
+There are two formats: the platform's file (JSON, reloaded by SIGHUP) and an operator's file (TOML). A
+route is a request class today, so classes grow to the target's routes. The program rejects more than
+`MAX_TENANTS` and `MAX_CLASSES`; these limits are lifted here, so that the slopes show what they
+prevent. Where the next measurement might take longer than `MAX_MEASUREMENT_S`, larger sizes are left
+out and the slope is extrapolated. Times are processor times of the thread.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from badgercart.app import file as operators
+from badgercart.app import file as operator_file
 from badgercart.config import Config, read_config, reload_config
 from badgercart.policy import Policy
 from badgercart.policy.events import EndpointUpdate, UpdateKind
@@ -27,41 +26,73 @@
 from badgercart.reload.reconfiguration import IndexesInUse, reconfigure
 from badgercart.simulator.settings_reader import read_settings
 from benchmarks.scale.fit import Point, doublings
-from benchmarks.scale.policy import TENANTS, Found, entry, in_a_child, resident
+from benchmarks.scale.policy import (
+    TARGET_TENANTS,
+    SeriesBuilder,
+    make_endpoint,
+    resident_bytes,
+    run_in_child,
+)
 from benchmarks.scale.report import Series
 
-ROUTES = 43_000  # the target
-PATIENCE = 10.0  # s
-FLEET = 10  # servers that the policy has as it takes new settings
-
-
-def raw(classes: int, tenants: int) -> dict[str, Any]:
-    """The platform's file."""
-    terms = [
-        {"Name": f"route-{number:05d}", "Aim": 400.0, "Deadline": 1000.0, "Idempotency": "free",
-         "Worth": 1.0 + number % 7, "Group": "all", "SerialByKey": False}
+TARGET_ROUTES = 43_000
+MAX_MEASUREMENT_S = 10.0
+
+# Servers of the policy that receives new settings.
+FLEET_SERVERS = 10
+
+
+def platform_document(classes: int, tenants: int) -> dict[str, Any]:
+    """Return the content of the platform's file."""
+    class_settings = [
+        {
+            "Name": f"route-{number:05d}",
+            "Aim": 400.0,
+            "Deadline": 1000.0,
+            "Idempotency": "free",
+            "Worth": 1.0 + number % 7,
+            "Group": "all",
+            "SerialByKey": False,
+        }
         for number in range(classes)
-    ]  # fmt: skip
-    customers = [
+    ]
+    tenant_settings = [
         {"Name": f"tenant-{number:06d}", "QuotaPerS": 5.0, "Portion": 0.1}
         for number in range(tenants)
     ]
     settings = {
-        "Allowed": {"MaxAttempts": 3, "MaxRetryAfter": 2000.0, "RetryAfter": True, "DialTimeout": 200.0,
-                    "ConnIdle": 15000.0, "MayCancel": True},
-        "Classes": terms, "Customers": customers, "Discovery": "ask", "Tick": 1.0,
+        "Allowed": {
+            "MaxAttempts": 3,
+            "MaxRetryAfter": 2000.0,
+            "RetryAfter": True,
+            "DialTimeout": 200.0,
+            "ConnIdle": 15000.0,
+            "MayCancel": True,
+        },
+        "Classes": class_settings,
+        "Customers": tenant_settings,
+        "Discovery": "ask",
+        "Tick": 1.0,
         "Obligations": {"DrainGrace": 500.0, "ColdFrom": 0.3, "RampTime": 8000.0},
-        "Azs": [f"zone-{number}" for number in range(11)], "Kinds": [f"kind-{number}" for number in range(3)],
-        "OverShareWorth": 0.05, "GroupSize": 10, "Me": 3, "MyZone": 1,
-    }  # fmt: skip
+        "Azs": [f"zone-{number}" for number in range(11)],
+        "Kinds": [f"kind-{number}" for number in range(3)],
+        "OverShareWorth": 0.05,
+        "GroupSize": 10,
+        "Me": 3,
+        "MyZone": 1,
+    }
     return {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings,
-    }  # fmt: skip
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "settings": settings,
+    }
 
 
-def toml(classes: int, tenants: int) -> str:
-    """An operator's file."""
+def operator_toml(classes: int, tenants: int) -> str:
+    """Return the text of an operator's file."""
     lines = [
         '[node]\nname = "n0"\n[members]\ncatalog = "127.0.0.1:1"\n[fronts.http]\nlisten = "127.0.0.1:0"'
     ]
@@ -76,16 +107,17 @@
     return "\n".join(lines) + "\n"
 
 
-def config(classes: int, tenants: int) -> Config:
-    with tempfile.TemporaryDirectory() as folder, unbounded():
+def make_config(classes: int, tenants: int) -> Config:
+    """Return the configuration of a platform file, read without the limits."""
+    with tempfile.TemporaryDirectory() as folder, limits_lifted():
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(raw(classes, tenants)))
+        path.write_text(json.dumps(platform_document(classes, tenants)))
         return read_config({"ROUTER_CONFIG": str(path)})
 
 
 @contextmanager
-def unbounded() -> Iterator[None]:
-    """The program's bounds lifted."""
+def limits_lifted() -> Iterator[None]:
+    """Lift the program's limits on classes and tenants."""
     before = checks.MAX_CLASSES, checks.MAX_TENANTS
     checks.MAX_CLASSES = checks.MAX_TENANTS = 1 << 30
     try:
@@ -94,98 +126,127 @@
         checks.MAX_CLASSES, checks.MAX_TENANTS = before
 
 
-class Sizes:
-    """Series over one size, each of which ends where it takes too long."""
+class BoundedSeries:
+    """Series over one variable, each of which ends where measurements take too long.
+
+    Attributes:
+        builder: the series.
+        stopped: the names of the series that have ended.
+    """
 
     def __init__(self, over: str, **fixed: float) -> None:
-        self.found = Found(over, **fixed)
-        self.given_up: set[str] = set()
+        self.builder = SeriesBuilder(over, **fixed)
+        self.stopped: set[str] = set()
 
-    def spend(self, name: str, size: int, call: Callable[[], Any], times: int = 3) -> Any:
-        """The least of some runs, in us; None where it was given up."""
-        if name in self.given_up:
+    def measure(self, name: str, size: int, call: Callable[[], Any], repetitions: int = 3) -> Any:
+        """Add the shortest processor time of some calls to a series.
+
+        Returns:
+            The result of the last call; None if the series has ended.
+        """
+        if name in self.stopped:
             return None
-        costs: list[float] = []
+        costs_us: list[float] = []
         result = None
-        while not costs or (len(costs) < times and sum(costs) < PATIENCE / 4 * 1e6):
+        while not costs_us or (
+            len(costs_us) < repetitions and sum(costs_us) < MAX_MEASUREMENT_S / 4 * 1e6
+        ):
             begun = time.thread_time_ns()
             result = call()
-            costs.append((time.thread_time_ns() - begun) / 1000)
-        self.found.note(name, "us", "least", size, min(costs))
-        if min(costs) > PATIENCE / 4 * 1e6:  # twice the size may take four times as long
-            self.given_up.add(name)
-            print(f"configuration: {name} is given up beyond {size}", file=sys.stderr)
+            costs_us.append((time.thread_time_ns() - begun) / 1000)
+        self.builder.add(name, "us", "least", size, min(costs_us))
+        # A doubled size may take four times as long.
+        if min(costs_us) > MAX_MEASUREMENT_S / 4 * 1e6:
+            self.stopped.add(name)
+            print(f"configuration: {name} is not measured beyond {size}", file=sys.stderr)
         return result
 
 
-def at(sizes: Sizes, size: int, classes: int, tenants: int, folder: Path) -> None:
+def measure_size(sizes: BoundedSeries, size: int, classes: int, tenants: int, folder: Path) -> None:
+    """Measure both files with so many classes and tenants."""
     path = folder / "config.json"
-    whole = raw(classes, tenants)
-    path.write_text(json.dumps(whole))
+    document = platform_document(classes, tenants)
+    path.write_text(json.dumps(document))
     environ = {"ROUTER_CONFIG": str(path)}
-    data, settings = path.read_bytes(), json.dumps(whole["settings"]).encode()
-    sizes.found.note("platform's file", "bytes", "one", size, len(data))
-    sizes.spend("JSON", size, lambda: checks.load(data))
-    sizes.spend("check", size, lambda: list(checks.faults(whole, whole)))
-    sizes.spend("settings", size, lambda: read_settings(settings))
-    old = sizes.spend("start: read whole", size, lambda: read_config(environ))
+    data, settings = path.read_bytes(), json.dumps(document["settings"]).encode()
+    sizes.builder.add("platform's file", "bytes", "one", size, len(data))
+    sizes.measure("JSON", size, lambda: checks.load(data))
+    sizes.measure("check", size, lambda: list(checks.faults(document, document)))
+    sizes.measure("settings", size, lambda: read_settings(settings))
+    old = sizes.measure("start: read whole", size, lambda: read_config(environ))
     if old is not None:
-        new = sizes.spend("reload: read and check", size, lambda: reload_config(environ, old))
+        new = sizes.measure("reload: read and check", size, lambda: reload_config(environ, old))
         if new is not None and (
-            told := sizes.spend(
+            changes := sizes.measure(
                 "reload: renumber", size, lambda: reconfigure(old, new, IndexesInUse())
             )
         ):
-            give_policy(sizes, size, old, told[1])
+            measure_policy(sizes, size, old, changes[1])
     file = folder / "file.toml"
-    file.write_text(toml(classes, tenants))
-    sizes.found.note("operator's file", "bytes", "one", size, file.stat().st_size)
-    sizes.spend(
+    file.write_text(operator_toml(classes, tenants))
+    sizes.builder.add("operator's file", "bytes", "one", size, file.stat().st_size)
+    sizes.measure(
         "operator's file: read and check",
         size,
-        lambda: operators.load_installation(str(file), {}),
+        lambda: operator_file.load_installation(str(file), {}),
         1,
     )
 
 
-def give_policy(sizes: Sizes, size: int, old: Config, event: Any) -> None:
-    """The policy takes the new settings; it may cost the square of the classes."""
-    if "reload: policy" in sizes.given_up:
+def measure_policy(sizes: BoundedSeries, size: int, old: Config, event: Any) -> None:
+    """Measure how the policy applies the new settings.
+
+    This may cost the square of the number of classes, so the policy is not even built once the series
+    has ended.
+    """
+    if "reload: policy" in sizes.stopped:
         return
     policy = Policy(old.settings, 1)
     policy.handle(
-        1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, [entry(number) for number in range(FLEET)])
+        1.0,
+        EndpointUpdate(
+            UpdateKind.SNAPSHOT, 1, [make_endpoint(number) for number in range(FLEET_SERVERS)]
+        ),
     )
-    sizes.spend("reload: policy", size, lambda: policy.handle(2.0, event))
+    sizes.measure("reload: policy", size, lambda: policy.handle(2.0, event))
+
 
+def memory_growth(classes: int, tenants: int) -> int:
+    """Return the bytes by which a configuration grows this process.
 
-def grown(classes: int, tenants: int) -> int:
-    """Bytes that a configuration takes in this process, the file's tables included: a node keeps
-    them."""
-    before = resident()
-    kept = config(classes, tenants)
-    assert len(kept.tenants) == tenants
-    return resident() - before
+    They include the tables of the file, which a node keeps.
+    """
+    before = resident_bytes()
+    config = make_config(classes, tenants)
+    assert len(config.tenants) == tenants
+    return resident_bytes() - before
 
 
-def measure(most: int | None) -> list[Series]:
+def measure(max_size: int | None) -> list[Series]:
+    """Return all series; `max_size` caps tenants and classes."""
     series: list[Series] = []
-    for over, target, least in (("tenants", TENANTS, 1000), ("classes", ROUTES, 10)):
-        largest = target if most is None else min(target, most)
+    for over, target, smallest in (
+        ("tenants", TARGET_TENANTS, 1000),
+        ("classes", TARGET_ROUTES, 10),
+    ):
+        largest = target if max_size is None else min(target, max_size)
         fixed = {"classes": 3.0} if over == "tenants" else {"tenants": 0.0}
-        bound = checks.MAX_TENANTS if over == "tenants" else checks.MAX_CLASSES
-        sizes = Sizes(over, bound=bound, **fixed)
+        limit = checks.MAX_TENANTS if over == "tenants" else checks.MAX_CLASSES
+        sizes = BoundedSeries(over, bound=limit, **fixed)
         points: list[Point] = []
-        for size in doublings(min(least, largest), largest):
+        for size in doublings(min(smallest, largest), largest):
             counts = (3, size) if over == "tenants" else (size, 0)
-            with tempfile.TemporaryDirectory() as folder, unbounded():
-                at(sizes, size, *counts, Path(folder))
+            with tempfile.TemporaryDirectory() as folder, limits_lifted():
+                measure_size(sizes, size, *counts, Path(folder))
             if size >= 5000 or size == largest:
-                call = f"from benchmarks.scale.configuration import grown; print(grown{counts})"
-                points.append((size, in_a_child(call)))
+                code = (
+                    "from benchmarks.scale.configuration import memory_growth; "
+                    f"print(memory_growth{counts})"
+                )
+                points.append((size, run_in_child(code)))
             print(f"configuration: {size} {over}", file=sys.stderr, flush=True)
         series += [
-            *sizes.found.series(),
+            *sizes.builder.build(),
             Series("memory, peak of reading", "bytes", over, "one", points, fixed),
         ]
     return series
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -1,10 +1,9 @@
-"""What the server list costs a node beside its policy: its bytes, its text, the reader and the
-roster.
+"""Costs of the server list outside the policy: its bytes, parsing, reading and the endpoint table.
 
-The list is worded as the platform's discovery words it. A whole list is read as `Discovery.fetch`
-does, a changed line as its watch does. The node refuses a text over `MAX_LIST_BYTES` bytes; it is measured
-beyond that as well, so that the slope shows where the bound lies. Times are of the thread's
-processor; memory is the resident size of a process of its own.
+The list has the format of the platform's discovery. A whole list is read as the catalog client reads
+a snapshot, a changed entry as its watch does. A node rejects a text of more than `MAX_LIST_BYTES`;
+larger ones are measured as well, so that the slope shows where the limit lies. Times are processor
+times of the thread, and memory is the resident size of a separate process.
 """
 
 from __future__ import annotations
@@ -22,17 +21,19 @@
 from badgercart.discovery.entries import ListReader
 from badgercart.discovery.list_framing import MAX_LIST_BYTES, ListParser, parse_list
 from badgercart.policy.events import EndpointUpdate, Event
-from benchmarks.scale.configuration import config
+from benchmarks.scale.configuration import make_config
 from benchmarks.scale.fit import Point, doublings
-from benchmarks.scale.policy import SERVERS, Found, in_a_child, resident
+from benchmarks.scale.policy import TARGET_SERVERS, SeriesBuilder, resident_bytes, run_in_child
 from benchmarks.scale.report import Series
 
-LINES = 200
-WHOLE_LISTS = 3  # whole lists at a size; the median counts
+LIST_CHANGE_COUNT = 200
 
+# Whole lists that are read at each size, of which the median counts.
+WHOLE_LIST_COUNT = 3
 
-def line(number: int, lifecycle: str = "active") -> dict[str, Any]:
-    """A server's line, with names as long as those of the operators' cities."""
+
+def make_entry(number: int, lifecycle: str = "active") -> dict[str, Any]:
+    """Return the list entry of a server, with names as long as those of the operators' cities."""
     return {
         "instanceId": f"dispatch-{number % 5400:04d}-{number:06d}",
         "hostPort": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8080",
@@ -45,93 +46,109 @@
     }
 
 
-def text(generation: int, lines: list[dict[str, Any]], reset: bool) -> bytes:
-    return json.dumps({"generation": generation, "reset": reset, "instances": lines}).encode()
+def encode_list(generation: int, entries: list[dict[str, Any]], reset: bool) -> bytes:
+    """Return a list in the format of the catalog."""
+    return json.dumps({"generation": generation, "reset": reset, "instances": entries}).encode()
 
 
-class Ear:
-    """Stands in for the join: it hears of a list and has no policy."""
+class RecordingPipeline:
+    """A stand-in for the request pipeline that counts list updates and has no policy."""
 
     failed_event: Event | None = None
 
     def __init__(self) -> None:
-        self.heard = 0
+        self.update_count = 0
 
     def clock(self) -> float:
+        """Return a constant time (ms)."""
         return 1000.0
 
     def dispatch(self, event: Event) -> None:
+        """Count an update of the endpoints."""
         assert isinstance(event, EndpointUpdate)
-        self.heard += 1
+        self.update_count += 1
 
 
-def named() -> Config:
-    return config(classes=1, tenants=0)
+def small_config() -> Config:
+    """Return a configuration with one class and no tenants."""
+    return make_config(classes=1, tenants=0)
 
 
-def spent(call: Callable[[], Any]) -> tuple[float, Any]:
-    """us of the thread's processor, and what came of it."""
+def timed_us(call: Callable[[], Any]) -> tuple[float, Any]:
+    """Return the processor time of a call in µs, and its result."""
     begun = time.thread_time_ns()
-    found = call()
-    return (time.thread_time_ns() - begun) / 1000, found
-
-
-def at(size: int, found: Found) -> None:
-    whole = text(1, [line(number) for number in range(size)], True)
-    found.note("whole list", "bytes", "one", size, len(whole))
-    reader, costs = ListReader(named()), dict[str, list[float]]()
-    for _ in range(WHOLE_LISTS):
-        ear = Ear()
-        roster = EndpointTable(reader, cast(RequestPipeline, ear))
-        parsed, raw = spent(lambda: parse_list(whole))
-        checked, told = spent(lambda raw=raw: reader.read(raw))  # type: ignore[misc]
-        taken, _ = spent(lambda roster=roster, told=told: roster.apply(told))  # type: ignore[misc]
-        again, _ = spent(lambda roster=roster, told=told: roster.apply(told))  # type: ignore[misc]
-        assert ear.heard == 2 and len(roster.listed) == size
-        for name, cost in (
-            ("JSON", parsed),
-            ("reader", checked),
-            ("roster", taken),
-            ("roster again", again),
+    result = call()
+    return (time.thread_time_ns() - begun) / 1000, result
+
+
+def measure_size(size: int, builder: SeriesBuilder) -> None:
+    """Measure whole lists and changed entries at one number of servers."""
+    whole_list = encode_list(1, [make_entry(number) for number in range(size)], True)
+    builder.add("whole list", "bytes", "one", size, len(whole_list))
+    reader, costs_us = ListReader(small_config()), dict[str, list[float]]()
+    for _ in range(WHOLE_LIST_COUNT):
+        pipeline = RecordingPipeline()
+        table = EndpointTable(reader, cast(RequestPipeline, pipeline))
+        parse_us, raw = timed_us(lambda: parse_list(whole_list))
+        read_us, updates = timed_us(lambda raw=raw: reader.read(raw))  # type: ignore[misc]
+        apply_us, _ = timed_us(lambda table=table, updates=updates: table.apply(updates))  # type: ignore[misc]
+        reapply_us, _ = timed_us(lambda table=table, updates=updates: table.apply(updates))  # type: ignore[misc]
+        assert pipeline.update_count == 2 and len(table.listed) == size
+        for name, cost_us in (
+            ("JSON", parse_us),
+            ("reader", read_us),
+            ("roster", apply_us),
+            ("roster again", reapply_us),
         ):
-            costs.setdefault(f"whole list, {name}", []).append(cost)
-        costs.setdefault("whole list", []).append(parsed + checked + taken)
-    for name, several in costs.items():
-        found.note(name, "us", "median", size, statistics.median(several))
-    texts, lines = ListParser(), []
-    for turn in range(LINES):
+            costs_us.setdefault(f"whole list, {name}", []).append(cost_us)
+        costs_us.setdefault("whole list", []).append(parse_us + read_us + apply_us)
+    for name, samples in costs_us.items():
+        builder.add(name, "us", "median", size, statistics.median(samples))
+    parser, changes_us = ListParser(), []
+    for turn in range(LIST_CHANGE_COUNT):
         number = (turn // 2 * 7919) % size
-        change = text(2 + turn, [line(number, "active" if turn % 2 else "leaving")], False) + b"\n"
+        change = (
+            encode_list(2 + turn, [make_entry(number, "active" if turn % 2 else "leaving")], False)
+            + b"\n"
+        )
 
-        def follow(change: bytes = change) -> None:
-            for raw in texts.feed(change):
+        def read_change(change: bytes = change) -> None:
+            for raw in parser.feed(change):
                 assert raw is not None
-                roster.accept(raw)
+                table.accept(raw)
 
-        lines.append(spent(follow)[0])
-    found.spread("changed line", size, lines)
-    found.note("changed line", "bytes", "one", size, len(change))
+        changes_us.append(timed_us(read_change)[0])
+    builder.add_distribution("changed line", size, changes_us)
+    builder.add("changed line", "bytes", "one", size, len(change))
 
 
-def grown(servers: int) -> int:
-    """Bytes that a roster of this size takes in this process."""
-    before = resident()
-    roster = EndpointTable(ListReader(named()), cast(RequestPipeline, Ear()))
-    roster.accept(json.loads(text(1, [line(number) for number in range(servers)], True)))
-    return resident() - before
+def memory_growth(servers: int) -> int:
+    """Return the bytes by which an endpoint table of this size grows this process."""
+    before = resident_bytes()
+    table = EndpointTable(ListReader(small_config()), cast(RequestPipeline, RecordingPipeline()))
+    table.accept(
+        json.loads(encode_list(1, [make_entry(number) for number in range(servers)], True))
+    )
+    return resident_bytes() - before
 
 
-def measure(most: int | None) -> list[Series]:
-    largest = SERVERS if most is None else min(SERVERS, most)
-    found = Found("servers", bound_bytes=MAX_LIST_BYTES)
+def measure(max_size: int | None) -> list[Series]:
+    """Return all series; `max_size` caps the servers."""
+    largest = TARGET_SERVERS if max_size is None else min(TARGET_SERVERS, max_size)
+    builder = SeriesBuilder("servers", bound_bytes=MAX_LIST_BYTES)
     for size in doublings(10, largest):
-        at(size, found)
+        measure_size(size, builder)
         print(f"lists: {size} servers", file=sys.stderr, flush=True)
     points: list[Point] = [
-        (size, in_a_child(f"from benchmarks.scale.lists import grown; print(grown({size}))"))
+        (
+            size,
+            run_in_child(
+                f"from benchmarks.scale.lists import memory_growth; print(memory_growth({size}))"
+            ),
+        )
         for size in doublings(min(10_000, largest), largest)
     ]
     return [
-        *found.series(),
+        *builder.build(),
         Series("memory, peak of taking a list", "bytes", "servers", "one", points),
     ]
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -1,4 +1,4 @@
-"""The subjects run in small and keep to the form that the capacity page reads."""
+"""Small runs of the subjects have the format that the capacity page reads."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @pytest.fixture(autouse=True)
 def no_children(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Memory takes a process for each size: one stands for all."""
+    """Replace the process that measures memory at each size by a constant."""
     for module in (policy, lists, configuration):
-        monkeypatch.setattr(module, "in_a_child", lambda call: 4096)
-    monkeypatch.setattr(policy.Stage.decisions, "__defaults__", (60,))
+        monkeypatch.setattr(module, "run_in_child", lambda code: 4096)
+    monkeypatch.setattr(policy.PolicyHarness.decide, "__defaults__", (60,))
 
 
 @pytest.mark.parametrize("subject", ["policy", "lists", "configuration"])
-def test_a_small_run_is_kept_with_all_its_series(subject: str, tmp_path: Path) -> None:
+def test_a_small_run_is_stored_with_all_its_series(subject: str, tmp_path: Path) -> None:
     arguments = ["--only", subject, "--most", "20", "--out", str(tmp_path)]
     assert main(arguments) == 0
     raw = json.loads((tmp_path / f"{subject}.json").read_text())
@@ -46,23 +46,23 @@
     assert len(names) == len(raw["series"])
 
 
-def test_the_bounds_are_lifted_only_while_it_measures() -> None:
+def test_the_limits_are_lifted_only_while_measuring() -> None:
     before = checks.MAX_CLASSES, checks.MAX_TENANTS
-    assert len(configuration.config(classes=before[0] + 1, tenants=5).classes) == before[0] + 1
+    assert len(configuration.make_config(classes=before[0] + 1, tenants=5).classes) == before[0] + 1
     assert before == (checks.MAX_CLASSES, checks.MAX_TENANTS)
 
 
 def test_a_series_ends_where_it_takes_too_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(configuration, "PATIENCE", 0.0)
-    sizes, calls = configuration.Sizes("classes"), []
+    monkeypatch.setattr(configuration, "MAX_MEASUREMENT_S", 0.0)
+    sizes, calls = configuration.BoundedSeries("classes"), []
     for size in (1, 2):
-        sizes.spend("slow", size, lambda size=size: calls.append(size), 1)  # type: ignore[misc]
-    monkeypatch.setattr(configuration, "PATIENCE", 10.0)
-    sizes.spend("quick", 1, lambda: calls.append(10), 2)
-    assert calls == [1, 10, 10] and sizes.given_up == {"slow"}
+        sizes.measure("slow", size, lambda size=size: calls.append(size), 1)  # type: ignore[misc]
+    monkeypatch.setattr(configuration, "MAX_MEASUREMENT_S", 10.0)
+    sizes.measure("quick", 1, lambda: calls.append(10), 2)
+    assert calls == [1, 10, 10] and sizes.stopped == {"slow"}
 
 
-def test_ids_and_lines_are_of_as_many_servers() -> None:
-    entries: list[Endpoint] = [policy.entry(number) for number in range(20_000)]
-    assert len({entry.id for entry in entries}) == 20_000
-    assert len({lists.line(number)["hostPort"] for number in range(20_000)}) == 20_000
+def test_ids_and_entries_of_servers_are_distinct() -> None:
+    endpoints: list[Endpoint] = [policy.make_endpoint(number) for number in range(20_000)]
+    assert len({endpoint.id for endpoint in endpoints}) == 20_000
+    assert len({lists.make_entry(number)["hostPort"] for number in range(20_000)}) == 20_000
