--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -1,9 +1,8 @@
-"""What control sends and keeps beside policy and peers: the zones' council, what was learned,
-connections.
+"""Costs of control outside the policy and the members: zones, saved statistics, connections.
 
-Bytes are those of the real codecs. The council's and the evidence's times are of their machines
-alone; a connection's memory is that of a `serve` process with so many idle clients, less that with
-none.
+Bytes are those of the real codecs. The times of the zones' consensus and of the zone reports are
+those of their state machines alone. The memory of a connection is that of a `serve` process with
+idle clients, minus that of the process with `WARM_UP_CLIENTS` of them.
 """
 
 from __future__ import annotations
@@ -51,202 +50,232 @@
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
 
-SERVERS = 170_000
-NODES = 8_600
-ZONES = 11
-ZONES_MOST = 44
+# The target.
+TARGET_SERVERS = 170_000
+TARGET_NODES = 8_600
+TARGET_ZONES = 11
+
+MAX_ZONES = 44
 CLASSES = 8
-SOCKETS = 8192  # that the node may hold
-CONNECTIONS = 1200  # idle clients: under a third of their part, else none is kept
-WARM = 400  # clients that are there before: what was free in the process is used up
-ROUNDS = 5
 
+# Sockets that the node may open.
+MAX_SOCKETS = 8192
+
+# Idle clients. They are less than a third of the clients' part of the sockets: of more, the node
+# keeps no idle connection.
+MAX_IDLE_CLIENTS = 1200
+
+# Clients that connect before the measurement starts and use up the memory that is already free in the
+# process.
+WARM_UP_CLIENTS = 400
+
+REPETITIONS = 5
 
-def sizes(least: int, most: int, cap: int | None) -> list[int]:
-    return [size for size in doublings(least, most) if cap is None or size <= cap]
 
+def sizes(smallest: int, largest: int, cap: int | None) -> list[int]:
+    """Return doublings that do not exceed the cap."""
+    return [size for size in doublings(smallest, largest) if cap is None or size <= cap]
 
-def timed(call: Callable[[], object]) -> float:
-    """Median ms of the processor."""
-    took = []
-    for _ in range(ROUNDS):
-        began = time.thread_time()
+
+def timed_ms(call: Callable[[], object]) -> float:
+    """Return the median processor time of some calls in ms."""
+    times_ms = []
+    for _ in range(REPETITIONS):
+        begun = time.thread_time()
         call()
-        took.append(1000 * (time.thread_time() - began))
-    return statistics.median(took)
+        times_ms.append(1000 * (time.thread_time() - begun))
+    return statistics.median(times_ms)
 
 
-# The zones' council and evidence.
+# The zones' consensus and reports.
 
 
-def world(zones: int) -> Topology:
+def make_topology(zones: int) -> Topology:
+    """Return a topology of so many zones in three regions."""
     names = [f"z{number}" for number in range(zones)]
     return build_topology(names, {name: f"r{i % 3}" for i, name in enumerate(names)}, {}, CLASSES)
 
 
-def claim(map_: Topology, rng: random.Random) -> bytes:
-    zones = len(map_.zones)
+def random_report(topology: Topology, rng: random.Random) -> bytes:
+    """Return the encoded report of one node about its zones."""
+    zones = len(topology.zones)
     return encode_report(
         ZoneReport(
-            map_.digest,
+            topology.digest,
             [int(Reachability.REACHABLE)] * zones,
             [rng.randrange(80, 130) for _ in range(zones)],
             [rng.randrange(95, 101) for _ in range(zones)],
-            [rng.randrange(5000) for _ in range(map_.row_count)],
+            [rng.randrange(5000) for _ in range(topology.row_count)],
         )
     )
 
 
-def datagram(topic: str, said: bytes) -> float:
-    """Bytes of one that carries nothing but a post."""
+def datagram_bytes(topic: str, payload: bytes) -> float:
+    """Return the size of a datagram that carries a single register update."""
     codec = PacketCodec("lab", b"a secret of the lab alone")
-    post = gossip_registers.RegisterUpdate(topic, "node-4711", 1_700_000_000_000, said)
-    stamp = HybridTimestamp(1_700_000_000_000, 0)
-    packet = Packet("node-4711", 1 << 60, 3, 123_456, stamp, Gossip(), (), (post,))
+    update = gossip_registers.RegisterUpdate(topic, "node-4711", 1_700_000_000_000, payload)
+    timestamp = HybridTimestamp(1_700_000_000_000, 0)
+    packet = Packet("node-4711", 1 << 60, 3, 123_456, timestamp, Gossip(), (), (update,))
     return float(len(codec.encode(packet)))
 
 
-def evidence(nodes: int, map_: Topology) -> tuple[float, float]:
-    """ms of one look at the claims of so many nodes, and bytes that they are kept in."""
+def measure_reports(nodes: int, topology: Topology) -> tuple[float, float]:
+    """Return the ms to summarize the reports of so many nodes, and the bytes that they occupy."""
     rng = random.Random(nodes)
-    claims = [claim(map_, rng) for _ in range(nodes)]
+    reports = [random_report(topology, rng) for _ in range(nodes)]
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = ZoneReportTable(map_)
-    for number, said in enumerate(claims):
-        kept.record(f"node-{number}", number % len(map_.zones), said, 0.0)
-    grown = tracemalloc.get_traced_memory()[0] - before
+    table = ZoneReportTable(topology)
+    for number, report in enumerate(reports):
+        table.record(f"node-{number}", number % len(topology.zones), report, 0.0)
+    growth = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    assert len(kept.reports) == nodes
-    capacity = [100.0] * len(map_.zones)
-    return timed(lambda: kept.summarize(1.0, 2500.0, capacity)), float(grown)
-
-
-def round_of(nodes: int, map_: Topology) -> tuple[float, float, float]:
-    """One round of a proposer of so many nodes: ms for all votes, bytes of these, and of the
-    commit."""
-    _, situation = random_situation(len(map_.zones), 3, CLASSES, 1)
-    plan = compute_plan(map_, situation, [1.0] * CLASSES, UtilizationLimits())
-    council = PlanConsensus(
-        "node-0", 1, LeaseSettings(), lambda data: decode_plan(data, map_), lambda: 1.7e12
+    assert len(table.reports) == nodes
+    capacity = [100.0] * len(topology.zones)
+    return timed_ms(lambda: table.summarize(1.0, 2500.0, capacity)), float(growth)
+
+
+def measure_round(nodes: int, topology: Topology) -> tuple[float, float, float]:
+    """Run one round of the consensus of so many nodes at its proposer.
+
+    Returns:
+        The ms to count all votes, the bytes of the votes, and the bytes of the commit.
+    """
+    _, situation = random_situation(len(topology.zones), 3, CLASSES, 1)
+    plan = compute_plan(topology, situation, [1.0] * CLASSES, UtilizationLimits())
+    consensus = PlanConsensus(
+        "node-0", 1, LeaseSettings(), lambda data: decode_plan(data, topology), lambda: 1.7e12
     )
-    council.tick(0.0)
-    council.propose(5000.0, plan, nodes)
-    assert council.proposal is not None
-    ballot = council.proposal.ballot
+    consensus.tick(0.0)
+    consensus.propose(5000.0, plan, nodes)
+    assert consensus.proposal is not None
+    ballot = consensus.proposal.ballot
     votes = [encode_message(Vote(ballot, 1 << 60 | number)) for number in range(1, nodes)]
     effects: list[object] = []
-    began = time.thread_time()
+    begun = time.thread_time()
     for number, vote in enumerate(votes, 1):
-        effects += council.receive(5001.0, f"node-{number}", VOTE_TOPIC, vote)
-    spent = 1000 * (time.thread_time() - began)
-    posts = [
+        effects += consensus.receive(5001.0, f"node-{number}", VOTE_TOPIC, vote)
+    counting_ms = 1000 * (time.thread_time() - begun)
+    commit_messages = [
         effect
         for effect in effects
         if isinstance(effect, SendMessage) and effect.topic in COMMIT_TOPICS
     ]
-    commit = sum(datagram(post.topic, post.payload) for post in posts)
-    return spent, sum(datagram(VOTE_TOPIC, vote) for vote in votes), commit
+    commit_bytes = sum(
+        datagram_bytes(message.topic, message.payload) for message in commit_messages
+    )
+    return counting_ms, sum(datagram_bytes(VOTE_TOPIC, vote) for vote in votes), commit_bytes
 
 
-def plan_of(zones: int) -> tuple[float, float, float]:
-    """ms to work out a plan for so many zones, its bytes, and those of one claim."""
-    map_ = world(zones)
+def measure_plan(zones: int) -> tuple[float, float, float]:
+    """Return the ms to compute a plan for so many zones, its bytes, and those of one report."""
+    topology = make_topology(zones)
     _, situation = random_situation(zones, 3, CLASSES, 1)
-    worths = [1.0 + number for number in range(CLASSES)]
+    class_weights = [1.0 + number for number in range(CLASSES)]
 
     def plan() -> Plan:
-        return compute_plan(map_, situation, worths, UtilizationLimits())
+        return compute_plan(topology, situation, class_weights, UtilizationLimits())
 
     return (
-        timed(plan),
+        timed_ms(plan),
         float(len(encode_plan(plan()))),
-        datagram("zones.eyes", claim(map_, random.Random(1))),
+        datagram_bytes("zones.eyes", random_report(topology, random.Random(1))),
     )
 
 
-def zones_series(cap: int | None) -> list[Series]:
-    map_ = world(ZONES)
-    found: dict[tuple[str, str, str], list[tuple[float, float]]] = {}
-
-    def note(name: str, unit: str, over: str, size: float, value: float) -> None:
-        found.setdefault((name, unit, over), []).append((size, value))
-
-    for nodes in sizes(16, NODES, cap):
-        look, kept = evidence(nodes, map_)
-        note("look at the evidence", "ms", "nodes", nodes, look)
-        note("claims kept", "bytes", "nodes", nodes, kept)
-        spent, votes, commit = round_of(nodes, map_)
-        note("votes counted", "ms", "nodes", nodes, spent)
-        note("votes of a round", "bytes", "nodes", nodes, votes)
-        if nodes <= 2 * VOTERS_PER_COMMIT * len(
-            COMMIT_TOPICS
-        ):  # more than half are not named beyond that
-            note("commit of a round", "bytes", "nodes", nodes, commit)
+def zone_series(cap: int | None) -> list[Series]:
+    """Return the series of the zones; `cap` caps the nodes."""
+    topology = make_topology(TARGET_ZONES)
+    points_by_series: dict[tuple[str, str, str], list[tuple[float, float]]] = {}
+
+    def add(name: str, unit: str, over: str, size: float, value: float) -> None:
+        points_by_series.setdefault((name, unit, over), []).append((size, value))
+
+    for nodes in sizes(16, TARGET_NODES, cap):
+        summary_ms, reports_bytes = measure_reports(nodes, topology)
+        add("look at the evidence", "ms", "nodes", nodes, summary_ms)
+        add("claims kept", "bytes", "nodes", nodes, reports_bytes)
+        counting_ms, votes_bytes, commit_bytes = measure_round(nodes, topology)
+        add("votes counted", "ms", "nodes", nodes, counting_ms)
+        add("votes of a round", "bytes", "nodes", nodes, votes_bytes)
+        # Of more nodes, a commit cannot name the majority.
+        if nodes <= 2 * VOTERS_PER_COMMIT * len(COMMIT_TOPICS):
+            add("commit of a round", "bytes", "nodes", nodes, commit_bytes)
         print(f"control: {nodes} nodes", file=sys.stderr, flush=True)
-    for zones in doublings(3, ZONES_MOST):
-        spent, size, said = plan_of(zones)
-        note("plan", "ms", "zones", zones, spent)
-        note("plan", "bytes", "zones", zones, size)
-        note("claim", "bytes", "zones", zones, said)
+    for zones in doublings(3, MAX_ZONES):
+        plan_ms, plan_bytes, report_bytes = measure_plan(zones)
+        add("plan", "ms", "zones", zones, plan_ms)
+        add("plan", "bytes", "zones", zones, plan_bytes)
+        add("claim", "bytes", "zones", zones, report_bytes)
     return [
-        Series(name, unit, over, "median" if unit == "ms" and name != "votes counted" else "one", points,
-               {"zones": ZONES, "classes": CLASSES} if over == "nodes" else {"classes": CLASSES})
-        for (name, unit, over), points in found.items()
-    ]  # fmt: skip
+        Series(
+            name,
+            unit,
+            over,
+            "median" if unit == "ms" and name != "votes counted" else "one",
+            points,
+            {"zones": TARGET_ZONES, "classes": CLASSES}
+            if over == "nodes"
+            else {"classes": CLASSES},
+        )
+        for (name, unit, over), points in points_by_series.items()
+    ]
 
 
-# What was learned.
+# Saved statistics.
 
 
-def learned(servers: int) -> tuple[float, float]:
-    """ms for which a save of what was learned holds the loop, and bytes of the file."""
+def measure_save(servers: int) -> tuple[float, float]:
+    """Return the ms for which saving the statistics blocks the event loop, and the file's bytes."""
     classes = tuple(
         RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT) for _ in range(CLASSES)
     )
     policy = Policy(Settings(classes=classes), 1)
-    entries = [
-        Endpoint(n + 1, n % ZONES, 0, 0, EndpointState.READY, 1.0, 0.0) for n in range(servers)
+    endpoints = [
+        Endpoint(n + 1, n % TARGET_ZONES, 0, 0, EndpointState.READY, 1.0, 0.0)
+        for n in range(servers)
     ]
-    policy.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
-    held = timed(lambda: export_statistics(policy))
-    quiet = [0.01] * CLASSES, [0.0] * CLASSES
-    servers_of = [StoredEndpoint(n, 0.0, k.relative_latency, k.recent_attempts, *quiet)
-                  for n, k in export_statistics(policy).endpoints.items()]  # fmt: skip
-    return held, float(len(msgspec.msgpack.encode(servers_of)))
-
-
-def learned_series(cap: int | None) -> list[Series]:
-    found = [(float(size), learned(size)) for size in sizes(1000, SERVERS, cap)]
-    held = [(size, ms) for size, (ms, _) in found]
-    saved = [(size, count) for size, (_, count) in found]
+    policy.handle(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, endpoints))
+    blocked_ms = timed_ms(lambda: export_statistics(policy))
+    idle_classes = [0.01] * CLASSES, [0.0] * CLASSES
+    stored_endpoints = [
+        StoredEndpoint(n, 0.0, endpoint.relative_latency, endpoint.recent_attempts, *idle_classes)
+        for n, endpoint in export_statistics(policy).endpoints.items()
+    ]
+    return blocked_ms, float(len(msgspec.msgpack.encode(stored_endpoints)))
+
+
+def save_series(cap: int | None) -> list[Series]:
+    """Return the series of saving the statistics; `cap` caps the servers."""
+    results = [(float(size), measure_save(size)) for size in sizes(1000, TARGET_SERVERS, cap)]
+    blocked = [(size, ms) for size, (ms, _) in results]
+    saved = [(size, count) for size, (_, count) in results]
     fixed = {"classes": float(CLASSES)}
     return [
-        Series("save holds the loop", "ms", "servers", "median", held, fixed),
+        Series("save holds the loop", "ms", "servers", "median", blocked, fixed),
         Series("saved", "bytes", "servers", "one", saved, fixed),
     ]
 
 
-# A connection.
+# Connections.
 
 
-def resident(process: int) -> float:
-    """Bytes that a process has in memory."""
-    pages = int(Path(f"/proc/{process}/statm").read_text().split()[1])
+def resident_bytes(pid: int) -> float:
+    """Return the resident memory of a process."""
+    pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return 4096.0 * pages
 
 
-async def connections(most: int) -> list[tuple[float, float]]:
-    """Bytes that a node takes more with so many more idle clients, each of which has had one
-    answer."""
+async def measure_connections(max_clients: int) -> list[tuple[float, float]]:
+    """Return the bytes by which idle clients grow a node, each after one response."""
     points = []
     fleet = await Fleet(4, 1).start()
     try:
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / "node.toml"
             text = operators_file(fleet.catalog.address).replace(
-                "[node]", f"[node]\nsockets = {SOCKETS}"
+                "[node]", f"[node]\nsockets = {MAX_SOCKETS}"
             )
             file.write_text(text)
             node = NodeProcess()
@@ -255,17 +284,20 @@
             try:
                 host, port = node.fronts["http"].rsplit(":", 1)
                 await asyncio.sleep(1)
-                for size in [WARM, *(WARM + more for more in doublings(100, most))]:
+                for size in [
+                    WARM_UP_CLIENTS,
+                    *(WARM_UP_CLIENTS + clients for clients in doublings(100, max_clients)),
+                ]:
                     while len(writers) < size:
                         reader, writer = await asyncio.open_connection(host, int(port))
                         writer.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
                         await reader.readuntil(b"\r\n\r\n")
                         writers.append(writer)
-                    taken = resident(node.process.pid)
-                    if size == WARM:
-                        empty = taken
+                    memory = resident_bytes(node.process.pid)
+                    if size == WARM_UP_CLIENTS:
+                        baseline = memory
                     else:
-                        points.append((float(size - WARM), max(taken - empty, 1.0)))
+                        points.append((float(size - WARM_UP_CLIENTS), max(memory - baseline, 1.0)))
             finally:
                 for writer in writers:
                     writer.close()
@@ -275,9 +307,9 @@
     return points
 
 
-def measure(most: int | None) -> list[Series]:
-    """All series; `most` caps their sizes."""
-    series = zones_series(most) + learned_series(most)
-    idle = asyncio.run(connections(min(CONNECTIONS, most or CONNECTIONS)))
+def measure(max_size: int | None) -> list[Series]:
+    """Return all series; `max_size` caps their sizes."""
+    series = zone_series(max_size) + save_series(max_size)
+    idle = asyncio.run(measure_connections(min(MAX_IDLE_CLIENTS, max_size or MAX_IDLE_CLIENTS)))
     series.append(Series("idle clients", "bytes", "connections", "one", idle))
     return series
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -1,11 +1,11 @@
-"""Real processes of `serve` and one list service: a change told to all, at rest and while a tenth
-is killed.
-
-The service is a stand-in in a process of its own. When a node has a change is read from its log, by
-its own clock; the service's clock is the same machine's. Bytes are those that the service writes,
-heads and framing too; processor times come from /proc, of processes that were started here. Nodes
-and service share the cores that this command may use, which is said with the figures: with fewer
-cores than nodes, times are the cores'.
+"""Costs of real `serve` processes with one list service: at rest, and with list changes.
+
+The changes are measured twice, the second time while a tenth of the nodes is killed and restarted.
+The service is a stand-in in a separate process. The time at which a node has a change is read from its
+log; node and service use the clock of the same machine. Bytes are those that the service writes,
+with headers and framing. Processor times are read from /proc for the processes that were started
+here. Nodes and service share the cores that this command may use, and the number of cores is stored
+with the figures: with fewer cores than nodes, the times include waiting for a core.
 """
 
 from __future__ import annotations
@@ -33,262 +33,310 @@
 from standins.fleet import operators_file
 from standins.server import DispatchServer
 
-SIZES = (25, 50, 100)
+PROCESS_COUNTS = (25, 50, 100)
 SERVERS = 1000
-STARTING = 4  # processes that start at a time
-CHANGES = 20  # told one after the other
-APART = 0.5  # s between two of them
-REST = 10.0  # s
-TENTH = 10  # one in so many is killed and started again, one after the other
-TOLD_WITHIN = 30.0  # s in which a change must be in force in all that run
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+MAX_CONCURRENT_STARTS = 4
 
+# List changes, one after another.
+CHANGE_COUNT = 20
+CHANGE_INTERVAL_S = 0.5
 
-# The service, in its own process.
+IDLE_DURATION_S = 10.0
 
+# One in this many nodes is killed and restarted, one after another.
+NODES_PER_RESTARTED_NODE = 10
 
-class Writer:
-    """A stream writer whose bytes are counted."""
+# A change must be in force in all running nodes within this time.
+CHANGE_TIMEOUT_S = 30.0
 
-    def __init__(self, writer: asyncio.StreamWriter, service: Service) -> None:
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+
+
+# The list service, in a separate process.
+
+
+class CountingWriter:
+    """A stream writer that adds its bytes to the count of the service."""
+
+    def __init__(self, writer: asyncio.StreamWriter, service: CountingCatalog) -> None:
         self.writer, self.service = writer, service
 
     def write(self, data: bytes) -> None:
-        self.service.bytes += len(data)
+        """Write and count some bytes."""
+        self.service.written_bytes += len(data)
         self.writer.write(data)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.writer, name)
 
 
-class Service(Catalog):
-    """The list service, with what it writes counted."""
+class CountingCatalog(Catalog):
+    """The list service, which counts the bytes that it writes."""
 
-    bytes = 0
+    written_bytes = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await super().serve(reader, Writer(writer, self))  # type: ignore[arg-type]
+        """Serve a connection and count what is written to it."""
+        await super().serve(reader, CountingWriter(writer, self))  # type: ignore[arg-type]
 
 
-def entries(count: int) -> list[dict[str, Any]]:
-    """Lines of servers that nobody calls."""
-    lines = []
+def make_entries(count: int) -> list[dict[str, Any]]:
+    """Return the list entries of servers that receive no requests."""
+    entries = []
     for number in range(count):
         server = DispatchServer(f"s-{number + 1}", {})
         server.host, server.port = "127.0.0.1", 1024 + number
-        lines.append(server.entry())
-    return lines
+        entries.append(server.entry())
+    return entries
 
 
-def serve(pipe: Connection, count: int) -> None:
-    """Until the pipe ends: `change` tells a line to all, anything else asks for what was written so
-    far."""
+def run_service(pipe: Connection, count: int) -> None:
+    """Run the list service until the pipe is closed.
+
+    The message `change` changes one entry of the list and returns the version and the time of the
+    change. Any other message returns the number of bytes written so far.
+    """
 
     async def run() -> None:
-        service = await Service(entries(count)).start()
-        assert isinstance(service, Service)
+        service = await CountingCatalog(make_entries(count)).start()
+        assert isinstance(service, CountingCatalog)
         pipe.send(service.address)
-        over, ways = asyncio.Event(), random.Random(1)
+        closed, rng = asyncio.Event(), random.Random(1)
 
-        def asked() -> None:
+        def handle_message() -> None:
             try:
-                what = pipe.recv()
+                message = pipe.recv()
             except EOFError:
-                over.set()
+                closed.set()
                 return
-            if what == "change":
-                line = ways.choice(list(service.entries.values()))
-                state = "leaving" if line["lifecycle"] == "active" else "active"
-                at = time.time()
-                service.change(line | {"lifecycle": state})
-                pipe.send((service.generation, at))
+            if message == "change":
+                entry = rng.choice(list(service.entries.values()))
+                state = "leaving" if entry["lifecycle"] == "active" else "active"
+                changed_at = time.time()
+                service.change(entry | {"lifecycle": state})
+                pipe.send((service.generation, changed_at))
             else:
-                pipe.send(service.bytes)
+                pipe.send(service.written_bytes)
 
-        asyncio.get_running_loop().add_reader(pipe.fileno(), asked)
-        await over.wait()
+        asyncio.get_running_loop().add_reader(pipe.fileno(), handle_message)
+        await closed.wait()
         asyncio.get_running_loop().remove_reader(pipe.fileno())
         service.stop()
 
     asyncio.run(run())
 
 
-# What processes have taken.
+# Costs of processes.
+
 
+def processor_s(pid: int) -> float:
+    """Return the processor time of a process in seconds.
 
-def processor(pid: int) -> float:
-    """Processor seconds of a process; OSError where it is gone."""
+    Raises:
+        OSError: The process does not exist.
+    """
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def memory(pid: int) -> float:
-    """Resident bytes of a process, pages that it shares with others among them."""
-    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
+def resident_bytes(pid: int) -> float:
+    """Return the resident memory of a process, including pages that it shares with others."""
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 @dataclass(slots=True, frozen=True)
-class Mark:
-    """What was taken until a moment."""
+class Usage:
+    """The costs up to a time.
+
+    Attributes:
+        time_s: the time on the monotonic clock.
+        written_bytes: the bytes that the service has written.
+        service_s: the processor time of the service.
+        nodes_s: the processor times of the nodes, by name and `NodeProcess.lives`.
+    """
 
-    at: float
-    bytes: int
-    service: float  # s of its processor
-    nodes: dict[tuple[str, int], float]  # by name and life
+    time_s: float
+    written_bytes: int
+    service_s: float
+    nodes_s: dict[tuple[str, int], float]
 
 
 @dataclass(slots=True)
-class Fleet:
-    """Node processes and their list service."""
+class ProcessFleet:
+    """Node processes and their list service, to which `pipe` leads."""
 
     count: int
     folder: Path
     nodes: list[NodeProcess] = field(default_factory=list)
-    pipe: Connection = field(init=False)  # to the service
+    pipe: Connection = field(init=False)
     service: BaseProcess = field(init=False)
 
     async def start(self) -> None:
+        """Start the service and all nodes, and wait until each node has the list."""
         context = multiprocessing.get_context("spawn")
-        self.pipe, other = context.Pipe()
-        self.service = context.Process(target=serve, args=(other, SERVERS), daemon=True)
+        self.pipe, service_pipe = context.Pipe()
+        self.service = context.Process(
+            target=run_service, args=(service_pipe, SERVERS), daemon=True
+        )
         self.service.start()
-        other.close()
+        service_pipe.close()
         address = await asyncio.to_thread(self.pipe.recv)
         file = self.folder / "node.toml"
         file.write_text(operators_file(address))
         self.nodes = [NodeProcess(f"n{number}", file) for number in range(self.count)]
-        gate = asyncio.Semaphore(STARTING)
-        await asyncio.gather(*(self.begin(node, gate) for node in self.nodes))
+        limit = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
+        await asyncio.gather(*(self.start_node(node, limit) for node in self.nodes))
 
-    async def begin(self, node: NodeProcess, gate: asyncio.Semaphore) -> None:
-        async with gate:
+    async def start_node(self, node: NodeProcess, limit: asyncio.Semaphore) -> None:
+        """Start a node, within the limit of concurrent starts."""
+        async with limit:
             await node.start()
             await node.wait_for_event("list.taken")
 
     async def stop(self) -> None:
+        """Kill all nodes and end the service."""
         for node in self.nodes:
             if node.process is not None and node.process.returncode is None:
                 await node.kill()
         self.pipe.close()
         await asyncio.to_thread(self.service.join)
 
-    def ask(self, what: str) -> Any:
-        self.pipe.send(what)
+    def ask(self, message: str) -> Any:
+        """Send a message to the service and return its answer."""
+        self.pipe.send(message)
         return self.pipe.recv()
 
-    def mark(self) -> Mark:
-        nodes = {}
+    def usage(self) -> Usage:
+        """Return the costs up to now."""
+        nodes_s = {}
         for node in self.nodes:
             if node.process is not None and node.process.returncode is None:
-                nodes[node.name, node.lives] = processor(node.process.pid)
+                nodes_s[node.name, node.lives] = processor_s(node.process.pid)
         assert self.service.pid is not None
-        return Mark(time.monotonic(), self.ask("bytes"), processor(self.service.pid), nodes)
+        return Usage(time.monotonic(), self.ask("bytes"), processor_s(self.service.pid), nodes_s)
 
     async def change(self, nodes: Sequence[NodeProcess]) -> list[float]:
-        """ms from the telling of one change until each of these nodes has it in force."""
-        version, at = self.ask("change")
+        """Change the list once and return the ms until each of these nodes has applied it."""
+        version, changed_at = self.ask("change")
 
-        def fits(told: LogRecord) -> bool:
-            return bool(told["version"] >= version)
+        def is_applied(record: LogRecord) -> bool:
+            return bool(record["version"] >= version)
 
-        async def taken(node: NodeProcess) -> float:
-            async with asyncio.timeout(TOLD_WITHIN):
-                told = await node.wait_for_event("list.taken", fits)
-            return (datetime.fromisoformat(str(told["timestamp"])).timestamp() - float(at)) * 1000
+        async def delay_ms(node: NodeProcess) -> float:
+            async with asyncio.timeout(CHANGE_TIMEOUT_S):
+                record = await node.wait_for_event("list.taken", is_applied)
+            applied_at = datetime.fromisoformat(str(record["timestamp"])).timestamp()
+            return (applied_at - float(changed_at)) * 1000
 
-        return list(await asyncio.gather(*(taken(node) for node in nodes)))
+        return list(await asyncio.gather(*(delay_ms(node) for node in nodes)))
 
     async def changes(self, nodes: Sequence[NodeProcess]) -> list[list[float]]:
-        found = []
-        for _ in range(CHANGES):
-            found.append(await self.change(nodes))
+        """Change the list several times and return the delays of the nodes for each change."""
+        delays_ms = []
+        for _ in range(CHANGE_COUNT):
+            delays_ms.append(await self.change(nodes))
             for node in nodes:
-                node.events = node.events[-2:]  # what was looked at is not looked at again
-            await asyncio.sleep(APART)
-        return found
-
-    async def churn(self, nodes: Sequence[NodeProcess], over: asyncio.Event) -> int:
-        """Kill these and start them again, one after the other, until told that it is over; how
-        often."""
-        times = 0
-        while not over.is_set():
-            node = nodes[times % len(nodes)]
+                # Records that were already searched are not searched again.
+                node.events = node.events[-2:]
+            await asyncio.sleep(CHANGE_INTERVAL_S)
+        return delays_ms
+
+    async def restart_nodes(self, nodes: Sequence[NodeProcess], stop: asyncio.Event) -> int:
+        """Kill and restart these nodes one after another until `stop` is set.
+
+        Returns:
+            The number of restarts.
+        """
+        restarts = 0
+        while not stop.is_set():
+            node = nodes[restarts % len(nodes)]
             await node.kill()
             await node.start()
             await node.wait_for_event("list.taken")
-            times += 1
-        return times
+            restarts += 1
+        return restarts
 
 
-def between(before: Mark, after: Mark, lasting: Sequence[NodeProcess]) -> dict[str, float]:
-    """A second: what the service wrote, its processor's time, and that of a node that ran all
-    along."""
-    seconds = after.at - before.at
-    spent = [after.nodes[n.name, n.lives] - before.nodes[n.name, n.lives] for n in lasting]
+def rates(before: Usage, after: Usage, nodes: Sequence[NodeProcess]) -> dict[str, float]:
+    """Return the costs per second between two times.
+
+    These are the bytes and the processor time (ms) of the service, and the mean processor time (ms)
+    of `nodes`, which must have run all the time.
+    """
+    seconds = after.time_s - before.time_s
+    nodes_s = [
+        after.nodes_s[node.name, node.lives] - before.nodes_s[node.name, node.lives]
+        for node in nodes
+    ]
     return {
-        "bytes": (after.bytes - before.bytes) / seconds,
-        "service": (after.service - before.service) / seconds * 1000,
-        "node": statistics.fmean(spent) / seconds * 1000,
+        "bytes": (after.written_bytes - before.written_bytes) / seconds,
+        "service": (after.service_s - before.service_s) / seconds * 1000,
+        "node": statistics.fmean(nodes_s) / seconds * 1000,
     }
 
 
-async def play(count: int) -> dict[str, float]:
-    """One fleet: its start, at rest, changes, and changes while a tenth is killed and started
-    again."""
+async def measure_fleet(count: int) -> dict[str, float]:
+    """Measure a fleet as it starts, at rest, with changes, and with changes during restarts."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet, begun = Fleet(count, Path(folder)), time.monotonic()
+        fleet, begun = ProcessFleet(count, Path(folder)), time.monotonic()
         try:
             await fleet.start()
-            found = {"start": time.monotonic() - begun}
-            found["bytes of the start"] = fleet.ask("bytes") / count
+            results = {"start": time.monotonic() - begun}
+            results["bytes of the start"] = fleet.ask("bytes") / count
             pids = [node.process.pid for node in fleet.nodes if node.process is not None]
-            found["memory"] = statistics.fmean(map(memory, pids))
+            results["memory"] = statistics.fmean(map(resident_bytes, pids))
 
-            before = fleet.mark()
-            await asyncio.sleep(REST)
-            after = fleet.mark()
-            found |= {
+            before = fleet.usage()
+            await asyncio.sleep(IDLE_DURATION_S)
+            after = fleet.usage()
+            results |= {
                 f"{name} at rest": value
-                for name, value in between(before, after, fleet.nodes).items()
+                for name, value in rates(before, after, fleet.nodes).items()
             }
 
-            before = fleet.mark()
-            told = await fleet.changes(fleet.nodes)
-            after = fleet.mark()
-            found |= {
-                f"{name}, changes": v for name, v in between(before, after, fleet.nodes).items()
+            before = fleet.usage()
+            delays_ms = await fleet.changes(fleet.nodes)
+            after = fleet.usage()
+            results |= {
+                f"{name}, changes": v for name, v in rates(before, after, fleet.nodes).items()
             }
-            found |= times(told, "")
+            results |= delay_statistics(delays_ms, "")
 
-            some, rest = (
-                fleet.nodes[: max(1, count // TENTH)],
-                fleet.nodes[max(1, count // TENTH) :],
+            restarted, others = (
+                fleet.nodes[: max(1, count // NODES_PER_RESTARTED_NODE)],
+                fleet.nodes[max(1, count // NODES_PER_RESTARTED_NODE) :],
             )
-            over = asyncio.Event()
-            churning = asyncio.ensure_future(fleet.churn(some, over))
-            before = fleet.mark()
-            told = await fleet.changes(rest)
-            after = fleet.mark()
-            over.set()
-            found["killed"] = await churning
-            found |= {
-                f"{name}, killed": value for name, value in between(before, after, rest).items()
+            stop = asyncio.Event()
+            restarts = asyncio.ensure_future(fleet.restart_nodes(restarted, stop))
+            before = fleet.usage()
+            delays_ms = await fleet.changes(others)
+            after = fleet.usage()
+            stop.set()
+            results["killed"] = await restarts
+            results |= {
+                f"{name}, killed": value for name, value in rates(before, after, others).items()
             }
-            found |= times(told, ", killed")
-            found["all have the last change"] = max(await fleet.change(fleet.nodes))
-            return found
+            results |= delay_statistics(delays_ms, ", killed")
+            results["all have the last change"] = max(await fleet.change(fleet.nodes))
+            return results
         finally:
             await fleet.stop()
 
 
-def times(told: list[list[float]], word: str) -> dict[str, float]:
-    """ms: the median node, the last one of a median change, the last one of the worst."""
-    last = [max(nodes) for nodes in told]
+def delay_statistics(delays_ms: list[list[float]], suffix: str) -> dict[str, float]:
+    """Return statistics of the delays of nodes (inner lists) for each change.
+
+    These are the median over all nodes and changes, and the median and the maximum over the changes of
+    the last node's delay.
+    """
+    last_node_ms = [max(nodes_ms) for nodes_ms in delays_ms]
     return {
-        f"told to half{word}": statistics.median([took for nodes in told for took in nodes]),
-        f"told to the last{word}": statistics.median(last),
-        f"told to the last, worst{word}": max(last),
+        f"told to half{suffix}": statistics.median(
+            [delay_ms for nodes_ms in delays_ms for delay_ms in nodes_ms]
+        ),
+        f"told to the last{suffix}": statistics.median(last_node_ms),
+        f"told to the last, worst{suffix}": max(last_node_ms),
     }
 
 
@@ -315,20 +363,20 @@
 }
 
 
-def measure(most: int | None) -> list[Series]:
-    """All series; `most` caps processes."""
-    found: dict[int, dict[str, float]] = {}
-    for count in SIZES:
-        if most is None or count <= most:
+def measure(max_size: int | None) -> list[Series]:
+    """Return all series; `max_size` caps the processes."""
+    results: dict[int, dict[str, float]] = {}
+    for count in PROCESS_COUNTS:
+        if max_size is None or count <= max_size:
             try:
-                found[count] = asyncio.run(play(count))
+                results[count] = asyncio.run(measure_fleet(count))
             except (NodeError, TimeoutError) as error:
-                print(f"{count} processes: not ended, {error!r:.300}", file=sys.stderr)
+                print(f"{count} processes: not finished, {error!r:.300}", file=sys.stderr)
                 continue
-            print(f"{count} processes: {json.dumps(found[count])}", file=sys.stderr, flush=True)
+            print(f"{count} processes: {json.dumps(results[count])}", file=sys.stderr, flush=True)
     fixed = {"servers": float(SERVERS), "cores": float(len(os.sched_getaffinity(0)))}
     series = []
     for name, unit in UNITS.items():
-        points = [(float(count), float(told[name])) for count, told in found.items()]
+        points = [(float(count), float(result[name])) for count, result in results.items()]
         series.append(Series(name, unit, "processes", "one", points, fixed))
     return series
