--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -1,9 +1,9 @@
-"""HollowCluster nodes that know each other, many to a process: what one of them bears as the group grows.
+"""Costs of a cluster member as the cluster grows, in simulated clusters of many nodes per process.
 
-The protocol, its uses and the codec are those of a node; only sockets and clocks are not. Each
-datagram is encoded by who sends it and decoded by who gets it; the processor's time is that of
-protocol, uses and codec alone, without the network that is played between them. Times in a group are
-virtual, the processor's real.
+The protocol, its features and the codec are those of a real node; only sockets and clocks are
+simulated. Each datagram is encoded by its sender and decoded by its receiver. Processor times are real
+and cover protocol, features and codec, without the simulated network. Times within a cluster are
+virtual.
 """
 
 from __future__ import annotations
@@ -38,45 +38,84 @@
 from benchmarks.scale.report import Series
 from lab.simulated_cluster import START_UNIX_MS, SimulatedCluster
 
-SHARE_MS = 500.0  # between two reports of use in a small group, as the settings have it
-BUSY = 10  # tenants that a node has requests of between two reports
-LONG = 600_000.0  # ms of a group in which it must agree
-STEP = 1000.0  # ms between looks at whether news is still on its way
-LEAST_REST = 60_000.0  # ms of a group at rest over which it is measured
-SIZES = (40, 1024)  # nodes, without reports of use
-WITH_USE = (40, 320)  # nodes, each with reports of use of `TENANTS`
+# Time between two usage reports in a small cluster, as in the default settings.
+REPORT_INTERVAL_MS = 500.0
+
+# Tenants from which a node receives requests between two reports.
+ACTIVE_TENANTS = 10
+
+# A cluster must agree within this virtual time.
+AGREEMENT_TIMEOUT_MS = 600_000.0
+
+# Virtual time between two checks whether updates are still being passed on.
+QUIET_CHECK_INTERVAL_MS = 1000.0
+
+# The shortest virtual time over which a cluster at rest is measured.
+MIN_REST_MS = 60_000.0
+
+# Nodes of the clusters without usage reports.
+MIN_NODES = 40
+MAX_NODES = 1024
+
+# Nodes of the clusters with usage reports of `TENANTS` tenants each.
+MIN_REPORTING_NODES = 40
+MAX_REPORTING_NODES = 320
 TENANTS = 10
-OVER_TENANTS = (8, 64)  # of `NODES` nodes; a node reports of 64 at most
-NODES = 80
-MEMBERS = (64, 4096)  # that one node knows by itself; it takes no more
-AGAIN = 5  # times that a step of one node is taken
-SEEDS = (
-    3  # of groups under `MANY` nodes; larger ones, and those with reports of use, are played once
-)
-MANY = 200
+
+# Tenants of a cluster of `TENANT_SERIES_NODES` nodes. A node reports at most 64.
+MIN_TENANTS = 8
+MAX_TENANTS = 64
+TENANT_SERIES_NODES = 80
+
+# Members that a single node knows. It accepts no more than 4,096.
+MIN_MEMBERS = 64
+MAX_MEMBERS = 4096
+
+# How often a step of a single node is repeated.
+REPETITIONS = 5
+
+# Small clusters without usage reports are simulated with several seeds, others with one.
+SMALL_CLUSTER_SEEDS = 3
+MAX_SMALL_CLUSTER_NODES = 200
+
 NO_TIME = HybridTimestamp(0, 0)
-MOST_AT_ONCE = 4  # groups, each in a process of its own: one of 1,024 takes a GB
+
+# Clusters that are simulated at a time, each in its own process: one of 1,024 nodes takes 1 GB.
+MAX_CONCURRENT_CLUSTERS = 4
 
 
 @dataclass(slots=True, frozen=True)
-class Mark:
-    """What all nodes have borne until a moment."""
+class Usage:
+    """The costs of all nodes up to a time.
+
+    Attributes:
+        time_ms: the virtual time.
+        processor_ns: the processor time.
+        examined: the number of member states and queued items that were examined.
+        bytes_out: the sent bytes by node.
+        bytes_in: the received bytes by node.
+        messages: the sent messages by node.
+    """
 
-    at: float  # ms of the group's time
-    spent: int  # ns of the processor
-    looked: int
+    time_ms: float
+    processor_ns: int
+    examined: int
     bytes_out: Counter[str]
     bytes_in: Counter[str]
     messages: Counter[str]
 
 
 class HollowCluster(SimulatedCluster):
-    """A cluster whose packets go as bytes, with what each node bears counted."""
+    """A cluster of hollow nodes, which exchange encoded packets, with the costs of each node.
+
+    Hollow nodes run the real protocol without the rest of a node.
+    """
 
     def __init__(
         self, count: int, tenants: int = 0, seed: int = 1, timing: SwimTiming | None = None
     ) -> None:
-        self.spent = 0  # ns of protocol, uses and codec
+        # Processor time of protocol, features and codec.
+        self.processor_ns = 0
         self.messages: Counter[str] = Counter()
         self.bytes_in: Counter[str] = Counter()
         self.members: dict[str, ClusterMember] = {}
@@ -85,28 +124,29 @@
         self.topics = (USAGE_TOPIC,) if tenants else ()
         for name, protocol in self.protocols.items():
             if tenants:
-                member = ClusterMember(protocol, [100.0] * tenants, SHARE_MS, ("shares",))
+                member = ClusterMember(protocol, [100.0] * tenants, REPORT_INTERVAL_MS, ("shares",))
                 self.members[name] = member
-                self.schedule(self.random.random() * SHARE_MS, self.report, name, member)
+                self.schedule(self.random.random() * REPORT_INTERVAL_MS, self.report, name, member)
 
     @contextmanager
-    def metered(self) -> Iterator[None]:
-        """Count the processor's time of what is done within."""
-        since = time.thread_time_ns()
+    def count_processor_time(self) -> Iterator[None]:
+        """Count the processor time of the block."""
+        begun_ns = time.thread_time_ns()
         try:
             yield
         finally:
-            self.spent += time.thread_time_ns() - since
+            self.processor_ns += time.thread_time_ns() - begun_ns
 
     def acquaint(self) -> None:
-        """Have all know all, as after a push-pull with one who knew them."""
+        """Introduce all nodes to each other, as after a push-pull with a node that knew all."""
         records = tuple(protocol.local_record for protocol in self.protocols.values())
         me = records[0]
         for protocol in list(self.protocols.values())[1:]:
             serial = self.protocols[me.name].sender.next_sequence()
             packet = Packet(me.name, me.generation, 0, serial, NO_TIME, Sync(), records)
             protocol.receive(self.now, packet, me.address)
-            protocol.sender.queue.clear()  # it is no news to anybody
+            # All nodes have these updates, so none is passed on.
+            protocol.sender.queue.clear()
         first = self.protocols[me.name]
         for record in records:
             first.membership.merge(record, me.name)
@@ -115,41 +155,41 @@
     # A node's steps, each as bytes in and bytes out.
 
     def tick(self, name: str, protocol: SwimProtocol) -> None:
-        """Ring a node's timer."""
+        """Run a node's timer if it is due."""
         if self.protocols[name] is not protocol or not self.up[name] or protocol.due_ms > self.now:
             return
-        with self.metered():
+        with self.count_processor_time():
             effects = protocol.tick(self.now)
         self.run_effects(name, effects)
         self.arm(name)
 
     def report(self, name: str, member: ClusterMember) -> None:
-        """Do one round of reports as `ClusterComponent` does, and set the next."""
+        """Publish a round of reports as `ClusterComponent` does, and schedule the next one."""
         if self.protocols[name] is not member.protocol or not self.up[name]:
             return
-        for tenant in self.random.sample(range(self.tenants), min(BUSY, self.tenants)):
+        for tenant in self.random.sample(range(self.tenants), min(ACTIVE_TENANTS, self.tenants)):
             member.quota_sharing.count_request(tenant)
-        with self.metered():
+        with self.count_processor_time():
             effects = member.publish(self.now, USAGE_TOPIC, member.quota_sharing.report(self.now))
             member.view_change(self.now)
-            every = member.report_interval_ms
+            interval_ms = member.report_interval_ms
         self.run_effects(name, effects)
-        self.schedule(self.now + every, self.report, name, member)
+        self.schedule(self.now + interval_ms, self.report, name, member)
 
     def run_effects(self, name: str, effects: list[Effect]) -> None:
-        """Carry out effects, with registers' changes given to the member."""
+        """Carry out effects; changes of registers go to the member."""
         member = self.members.get(name)
         for effect in effects:
             if isinstance(effect, RegisterChanged) and member is not None:
-                with self.metered():
+                with self.count_processor_time():
                     member.receive(self.now, effect)
         super().run_effects(
             name, [effect for effect in effects if not isinstance(effect, RegisterChanged)]
         )
 
-    def encoded(self, name: str, packet: Packet) -> bytes:
-        """Return the bytes of a packet, counted for who sends it."""
-        with self.metered():
+    def encode(self, name: str, packet: Packet) -> bytes:
+        """Encode a packet and count it for its sender."""
+        with self.count_processor_time():
             data = self.codec.encode(packet)
         self.bytes_sent[name] += len(data)
         self.messages[name] += 1
@@ -157,159 +197,171 @@
 
     def send_datagram(self, name: str, address: Address, packet: Packet) -> None:
         """Send a datagram, which always arrives."""
-        data = self.encoded(name, packet)
+        data = self.encode(name, packet)
         to = self.addresses.get(address)
         if to is not None:
             source = self.protocols[name].local_record.address
             self.schedule(
-                self.now + self.one_way_delay_ms(), self.received, to, data, source, MTU_BYTES
+                self.now + self.one_way_delay_ms(), self.receive, to, data, source, MTU_BYTES
             )
 
-    def received(self, to: str, data: bytes, source: Address, most: int) -> None:
-        """Have a node receive some bytes."""
+    def receive(self, to: str, data: bytes, source: Address, max_bytes: int) -> None:
+        """Have a node receive a datagram or one side of a push-pull."""
         if not self.up[to]:
             return
         self.bytes_in[to] += len(data)
-        with self.metered():
-            effects = self.protocols[to].receive(self.now, self.codec.decode(data, most), source)
+        with self.count_processor_time():
+            effects = self.protocols[to].receive(
+                self.now, self.codec.decode(data, max_bytes), source
+            )
         self.run_effects(to, effects)
         self.rearm(to)
 
     def start_sync(self, name: str, address: Address, packet: Packet) -> None:
-        """Send one side of a push-pull."""
+        """Send the first side of a push-pull."""
         to = self.addresses.get(address)
         if to is not None:
             self.schedule(
                 self.now + self.one_way_delay_ms(),
-                self.answered,
+                self.answer_encoded_sync,
                 name,
                 to,
-                self.encoded(name, packet),
+                self.encode(name, packet),
             )
 
-    def answered(self, name: str, to: str, data: bytes) -> None:
-        """Have a node answer a push-pull."""
+    def answer_encoded_sync(self, name: str, to: str, data: bytes) -> None:
+        """Have a node receive the first side of a push-pull and send the second one."""
         if not self.up[to]:
             return
         self.bytes_in[to] += len(data)
-        with self.metered():
-            asked = self.codec.decode(data, MAX_SYNC_BYTES)
+        with self.count_processor_time():
+            request = self.codec.decode(data, MAX_SYNC_BYTES)
             answer, effects = self.protocols[to].answer_sync(
-                self.now, asked, self.protocols[name].local_record.address
+                self.now, request, self.protocols[name].local_record.address
             )
-        back = self.encoded(to, answer)
+        response = self.encode(to, answer)
         self.run_effects(to, effects)
         self.rearm(to)
         self.schedule(
             self.now + self.one_way_delay_ms(),
-            self.received,
+            self.receive,
             name,
-            back,
+            response,
             self.protocols[to].local_record.address,
             MAX_SYNC_BYTES,
         )
 
-    # What is looked at.
+    # Measurements.
 
     def quiet(self) -> bool:
-        """Return whether nothing waits to be passed on; with usage reports something does."""
+        """Return whether no update waits to be passed on; with usage reports some always do."""
         return not any(
             len(protocol.sender.queue) for name, protocol in self.protocols.items() if self.up[name]
         )
 
-    def looked(self) -> int:
+    def examined(self) -> int:
         """Return how many member states and queued items were examined."""
         return sum(
             protocol.table.examined_count + protocol.sender.queue.examined_count
             for protocol in self.protocols.values()
         )
 
-    def mark(self) -> Mark:
-        """Return the counters as they are now."""
-        return Mark(
+    def usage(self) -> Usage:
+        """Return the costs up to now."""
+        return Usage(
             self.now,
-            self.spent,
-            self.looked(),
+            self.processor_ns,
+            self.examined(),
             self.bytes_sent.copy(),
             self.bytes_in.copy(),
             self.messages.copy(),
         )
 
 
-def rates(cluster: HollowCluster, since: Mark) -> dict[str, float]:
-    """Return what a node bore a second since a mark.
+def rates(cluster: HollowCluster, since: Usage) -> dict[str, float]:
+    """Return the costs per second of a node since then.
 
-    That is the mean, and of bytes also the most that one node bore.
+    These are the means over all nodes, and for bytes also the maximum of a node.
     """
-    seconds, count = (cluster.now - since.at) / 1000, len(cluster.protocols)
-    out = [cluster.bytes_sent[name] - since.bytes_out[name] for name in cluster.protocols]
-    came = [cluster.bytes_in[name] - since.bytes_in[name] for name in cluster.protocols]
-    both = [a + b for a, b in zip(out, came, strict=True)]
+    seconds, count = (cluster.now - since.time_ms) / 1000, len(cluster.protocols)
+    bytes_out = [cluster.bytes_sent[name] - since.bytes_out[name] for name in cluster.protocols]
+    bytes_in = [cluster.bytes_in[name] - since.bytes_in[name] for name in cluster.protocols]
+    total_bytes = [a + b for a, b in zip(bytes_out, bytes_in, strict=True)]
     return {
-        "bytes out": sum(out) / count / seconds,
-        "bytes in": sum(came) / count / seconds,
-        "bytes worst": max(both) / seconds,
+        "bytes out": sum(bytes_out) / count / seconds,
+        "bytes in": sum(bytes_in) / count / seconds,
+        "bytes worst": max(total_bytes) / seconds,
         "messages": (cluster.messages.total() - since.messages.total()) / count / seconds,
-        "processor": (cluster.spent - since.spent) / 1e6 / count / seconds,
-        "looked": (cluster.looked() - since.looked) / count / seconds,
+        "processor": (cluster.processor_ns - since.processor_ns) / 1e6 / count / seconds,
+        "looked": (cluster.examined() - since.examined) / count / seconds,
     }
 
 
-def play(count: int, tenants: int = 0, seed: int = 1) -> dict[str, float]:
-    """Play a cluster from a cold start to agreement, at rest, and to agreement after a death."""
+def simulate(count: int, tenants: int = 0, seed: int = 1) -> dict[str, float]:
+    """Simulate a cluster from a cold start to agreement, at rest, and after the death of a node."""
     begun = time.process_time()
     cluster = HollowCluster(count, tenants, seed)
     gc.collect()
-    gc.freeze()  # what stands is not looked at again and again
-    start = cluster.mark()
-    found = {"one view": cluster.run(LONG, cluster.agreed) / 1000}
-    found |= {f"{name} at start": value for name, value in rates(cluster, start).items()}
+    # The garbage collector does not examine the nodes again and again.
+    gc.freeze()
+    start = cluster.usage()
+    results = {"one view": cluster.run(AGREEMENT_TIMEOUT_MS, cluster.agreed) / 1000}
+    results |= {f"{name} at start": value for name, value in rates(cluster, start).items()}
     if not cluster.agreed():
-        return found
+        return results
     while not tenants and not cluster.quiet():
-        cluster.run(cluster.now + STEP)
-    found["settled"] = cluster.now / 1000
-    rest = cluster.mark()
-    every = max((member.report_interval_ms for member in cluster.members.values()), default=0.0)
-    cluster.run(cluster.now + max(LEAST_REST, 2 * every))
-    found |= rates(cluster, rest)
+        cluster.run(cluster.now + QUIET_CHECK_INTERVAL_MS)
+    results["settled"] = cluster.now / 1000
+    rest = cluster.usage()
+    interval_ms = max(
+        (member.report_interval_ms for member in cluster.members.values()), default=0.0
+    )
+    cluster.run(cluster.now + max(MIN_REST_MS, 2 * interval_ms))
+    results |= rates(cluster, rest)
     if tenants:
-        found |= entries(cluster)
+        results |= usage_counters(cluster)
     cluster.kill("n1")
-    died = cluster.now
-    found["one view after a death"] = (
-        cluster.run(died + LONG, lambda: cluster.all_declared_dead("n1") and cluster.agreed())
-        - died
+    died_ms = cluster.now
+    results["one view after a death"] = (
+        cluster.run(
+            died_ms + AGREEMENT_TIMEOUT_MS,
+            lambda: cluster.all_declared_dead("n1") and cluster.agreed(),
+        )
+        - died_ms
     ) / 1000
-    took = time.process_time() - begun
-    figures = json.dumps({name: float(f"{value:.4g}") for name, value in found.items()})
+    took_s = time.process_time() - begun
+    figures = json.dumps({name: float(f"{value:.4g}") for name, value in results.items()})
     print(
-        f"{count} nodes, {tenants} tenants, seed {seed}: {took:.0f} s of a core, {figures}",
+        f"{count} nodes, {tenants} tenants, seed {seed}: {took_s:.0f} s of a core, {figures}",
         file=sys.stderr,
     )
-    return found
+    return results
 
 
-def entries(cluster: HollowCluster) -> dict[str, float]:
-    """Return how many counts of use a node keeps, and their median age (s)."""
-    kept, ages = [], []
+def usage_counters(cluster: HollowCluster) -> dict[str, float]:
+    """Return how many usage counters a node stores, their median age and the report interval (s)."""
+    counter_counts, ages_ms = [], []
     for name, member in cluster.members.items():
-        heard = member.quota_sharing.peer_usage
-        kept.append(sum(len(s.counts) for told in heard.values() for s in told.samples))
-        ages += [cluster.now - told.received_ms for other, told in heard.items() if other != name]
-    every = statistics.fmean(member.report_interval_ms for member in cluster.members.values())
+        peer_usage = member.quota_sharing.peer_usage
+        counter_counts.append(
+            sum(len(sample.counts) for usage in peer_usage.values() for sample in usage.samples)
+        )
+        ages_ms += [
+            cluster.now - usage.received_ms for other, usage in peer_usage.items() if other != name
+        ]
+    interval_ms = statistics.fmean(member.report_interval_ms for member in cluster.members.values())
     return {
-        "entries of use": statistics.fmean(kept),
-        "age of use": statistics.median(ages) / 1000 if ages else float("nan"),
-        "between reports": every / 1000,
+        "entries of use": statistics.fmean(counter_counts),
+        "age of use": statistics.median(ages_ms) / 1000 if ages_ms else float("nan"),
+        "between reports": interval_ms / 1000,
     }
 
 
-# One node by itself, which has heard of all others.
+# A single node that knows all other members.
 
 
-def informed(members: int, tenants: int) -> ClusterMember:
-    """Return a node that knows so many others, and two usage reports from each."""
+def informed_member(members: int, tenants: int) -> ClusterMember:
+    """Return a node that knows so many other members and two usage reports of each."""
     codec = PacketCodec("lab", b"a secret of the lab alone")
     records = [
         MembershipRecord(
@@ -323,69 +375,71 @@
         )
         for n in range(members)
     ]
-    me = MembershipRecord("me", 0, MemberStatus.ALIVE, ("10.9.9.9", 7946), 1)
+    local_record = MembershipRecord("me", 0, MemberStatus.ALIVE, ("10.9.9.9", 7946), 1)
     protocol = SwimProtocol(
-        me, SwimTiming(), Bootstrap((), members), random.Random(1), START_UNIX_MS
+        local_record, SwimTiming(), Bootstrap((), members), random.Random(1), START_UNIX_MS
     )
-    member = ClusterMember(protocol, [100.0] * tenants, SHARE_MS, ("shares",))
+    member = ClusterMember(protocol, [100.0] * tenants, REPORT_INTERVAL_MS, ("shares",))
     data = codec.encode(
         Packet(records[0].name, records[0].generation, 0, 1, NO_TIME, Sync(), tuple(records))
     )
     protocol.receive(1.0, codec.decode(data, MAX_SYNC_BYTES), records[0].address)
     for serial in (2, 3):
         for record in records if tenants else ():
-            packet = codec.decode(codec.encode(_use(record, serial, tenants)))
+            packet = codec.decode(codec.encode(usage_packet(record, serial, tenants)))
             for effect in protocol.receive(float(serial), packet, record.address):
                 if isinstance(effect, RegisterChanged):
                     member.receive(float(serial), effect)
-    protocol.sender.queue.clear()  # what waits to be passed on is gone after a while
+    # After a while all updates have been passed on.
+    protocol.sender.queue.clear()
     return member
 
 
 def by_itself(members: int, tenants: int) -> dict[str, float]:
-    """Return what that node keeps of each other member, and how long its long steps take."""
+    """Return the memory of a single node for each member, and the costs of its longest steps."""
     gc.collect()
     tracemalloc.start()
-    member = informed(members, tenants)
+    member = informed_member(members, tenants)
     gc.collect()
-    kept = tracemalloc.get_traced_memory()[0]
+    memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     codec, protocol = PacketCodec("lab", b"a secret of the lab alone"), member.protocol
 
-    def round_of_use() -> None:
+    def usage_round() -> None:
         member.last_view = None
         member.view_change(4.0)
 
     def push_pull() -> None:
-        """Encode one side and receive the other, in which nothing is news."""
+        """Encode one side and receive the other, which contains nothing new."""
         codec.encode(protocol.anti_entropy.full_state())
-        heard = codec.decode(data, len(data))
+        response = codec.decode(data, len(data))
         protocol.receive(
             5.0,
-            replace(heard, serial=protocol.sender.next_sequence()),
+            replace(response, serial=protocol.sender.next_sequence()),
             protocol.local_record.address,
         )
 
     data = codec.encode(replace(protocol.anti_entropy.full_state(), sender="another", generation=0))
     return {
-        "memory": kept / members,
-        "a round of use": took_ms(round_of_use),
-        "a push-pull": took_ms(push_pull),
+        "memory": memory / members,
+        "a round of use": timed_ms(usage_round),
+        "a push-pull": timed_ms(push_pull),
         "bytes of a push-pull": float(len(data)),
     }
 
 
-def took_ms(what: Callable[[], None]) -> float:
-    """Return the processor's time in ms, the median of some calls."""
-    found = []
-    for _ in range(AGAIN):
-        since = time.thread_time_ns()
-        what()
-        found.append((time.thread_time_ns() - since) / 1e6)
-    return statistics.median(found)
+def timed_ms(call: Callable[[], None]) -> float:
+    """Return the median processor time of some calls in ms."""
+    times_ms = []
+    for _ in range(REPETITIONS):
+        begun_ns = time.thread_time_ns()
+        call()
+        times_ms.append((time.thread_time_ns() - begun_ns) / 1e6)
+    return statistics.median(times_ms)
 
 
-def _use(record: MembershipRecord, serial: int, tenants: int) -> Packet:
+def usage_packet(record: MembershipRecord, serial: int, tenants: int) -> Packet:
+    """Return a packet with a usage report of a member."""
     sharing = QuotaSharing([100.0] * tenants, record.generation)
     sharing.counts = [serial * 1000 + tenant for tenant in range(tenants)]
     update = RegisterUpdate(USAGE_TOPIC, record.name, serial, sharing.report(1000.0 * serial))
@@ -395,31 +449,40 @@
 # The runs.
 
 
-Plays = list[tuple[int, int, list[dict[str, float]]]]  # nodes, tenants, what each seed gave
+# Nodes, tenants, and the results by seed.
+ClusterResults = list[tuple[int, int, list[dict[str, float]]]]
 
 
-def plays(pool: Executor, sizes: Sequence[int], tenants: Sequence[int]) -> Callable[[], Plays]:
-    """Begin clusters of these sizes with so many tenants; return what waits for them."""
-    begun = [
+def start_simulations(
+    pool: Executor, node_counts: Sequence[int], tenant_counts: Sequence[int]
+) -> Callable[[], ClusterResults]:
+    """Start simulations of clusters and return a function that waits for their results."""
+    # The largest clusters take longest, so they start first.
+    started = [
         (
             nodes,
-            of,
-            [pool.submit(play, nodes, of, seed) for seed in range(1, 1 + seeds_of(nodes, of))],
+            tenants,
+            [
+                pool.submit(simulate, nodes, tenants, seed)
+                for seed in range(1, 1 + seed_count(nodes, tenants))
+            ],
         )
-        for nodes in reversed(sizes)  # the longest first
-        for of in tenants
+        for nodes in reversed(node_counts)
+        for tenants in tenant_counts
     ]
     return lambda: [
-        (nodes, of, [one.result() for one in told]) for nodes, of, told in reversed(begun)
+        (nodes, tenants, [future.result() for future in futures])
+        for nodes, tenants, futures in reversed(started)
     ]
 
 
-def seeds_of(nodes: int, tenants: int) -> int:
-    """Return how many seeds a cluster is played with."""
-    return SEEDS if nodes < MANY and not tenants else 1
+def seed_count(nodes: int, tenants: int) -> int:
+    """Return with how many seeds a cluster is simulated."""
+    return SMALL_CLUSTER_SEEDS if nodes < MAX_SMALL_CLUSTER_NODES and not tenants else 1
 
 
-UNITS = {  # of what a group is measured by
+# Units of the results of a cluster.
+CLUSTER_UNITS = {
     "one view": "s",
     "one view after a death": "s",
     "bytes out at start": "B/s a node",
@@ -432,55 +495,69 @@
     "processor": "ms/s a node",
     "looked": "beliefs and items/s a node",
 }
-BY_ITSELF = {
+
+# Units of the results of a single node.
+SINGLE_MEMBER_UNITS = {
     "memory": "B a member",
     "a round of use": "ms",
     "a push-pull": "ms",
     "bytes of a push-pull": "B",
 }
-OF_USE = {"entries of use": "counts a node", "age of use": "s", "between reports": "s"}
+
+# Units of the results that clusters with usage reports have in addition.
+USAGE_UNITS = {"entries of use": "counts a node", "age of use": "s", "between reports": "s"}
 
 
-def as_series(
-    found: Plays, over: str, fixed: dict[str, float],
-    units: dict[str, str],
-) -> list[Series]:  # fmt: skip
-    """Return series of the median of the seeds, and of the time to agreement also the worst."""
+def to_series(
+    results: ClusterResults, over: str, fixed: dict[str, float], units: dict[str, str]
+) -> list[Series]:
+    """Return series of the median over the seeds, and also of the maximum of agreement times."""
     series = []
     for name, unit in units.items():
-        for statistic, of in (("median", statistics.median), ("worst", max)):
+        for statistic, combine in (("median", statistics.median), ("worst", max)):
             if statistic == "worst" and not name.startswith("one view"):
                 continue
             points = sorted(
                 (
                     float(tenants if over == "tenants" else nodes),
-                    float(of([one[name] for one in told])),
+                    float(combine([result[name] for result in by_seed])),
                 )
-                for nodes, tenants, told in found
-                if all(name in one for one in told)
+                for nodes, tenants, by_seed in results
+                if all(name in result for result in by_seed)
             )
             series.append(Series(name, unit, over, statistic, points, fixed))
     return series
 
 
-def measure(most: int | None) -> list[Series]:
-    """Return all series; `most` caps nodes, and tenants too."""
-    cap = most if most is not None else sys.maxsize
+def measure(max_size: int | None) -> list[Series]:
+    """Return all series; `max_size` caps nodes, members and tenants."""
+    cap = max_size if max_size is not None else sys.maxsize
 
-    def sizes(least: int, last: int) -> list[int]:
-        return [size for size in doublings(least, last) if size <= cap]
+    def sizes(smallest: int, largest: int) -> list[int]:
+        return [size for size in doublings(smallest, largest) if size <= cap]
 
     cores = len(os.sched_getaffinity(0))
     with ProcessPoolExecutor(
-        min(cores, MOST_AT_ONCE), get_context("spawn"), max_tasks_per_child=1
+        min(cores, MAX_CONCURRENT_CLUSTERS), get_context("spawn"), max_tasks_per_child=1
     ) as pool:
-        without = plays(pool, sizes(*SIZES), [0])
-        with_use = plays(pool, sizes(*WITH_USE), [TENANTS])
-        over_tenants = plays(pool, [NODES], sizes(*OVER_TENANTS))
-        series = as_series(without(), "nodes", {"tenants": 0}, UNITS)
-        series += as_series(with_use(), "nodes", {"tenants": TENANTS}, UNITS | OF_USE)
-        series += as_series(over_tenants(), "tenants", {"nodes": NODES}, UNITS | OF_USE)
-    for tenants in (0, TENANTS, OVER_TENANTS[1]):
-        found = [(members, tenants, [by_itself(members, tenants)]) for members in sizes(*MEMBERS)]
-        series += as_series(found, "members", {"tenants": tenants}, BY_ITSELF)
+        without_reports = start_simulations(pool, sizes(MIN_NODES, MAX_NODES), [0])
+        with_reports = start_simulations(
+            pool, sizes(MIN_REPORTING_NODES, MAX_REPORTING_NODES), [TENANTS]
+        )
+        over_tenants = start_simulations(
+            pool, [TENANT_SERIES_NODES], sizes(MIN_TENANTS, MAX_TENANTS)
+        )
+        series = to_series(without_reports(), "nodes", {"tenants": 0}, CLUSTER_UNITS)
+        series += to_series(
+            with_reports(), "nodes", {"tenants": TENANTS}, CLUSTER_UNITS | USAGE_UNITS
+        )
+        series += to_series(
+            over_tenants(), "tenants", {"nodes": TENANT_SERIES_NODES}, CLUSTER_UNITS | USAGE_UNITS
+        )
+    for tenants in (0, TENANTS, MAX_TENANTS):
+        results = [
+            (members, tenants, [by_itself(members, tenants)])
+            for members in sizes(MIN_MEMBERS, MAX_MEMBERS)
+        ]
+        series += to_series(results, "members", {"tenants": tenants}, SINGLE_MEMBER_UNITS)
     return series
--- a/tests/cluster/test_scaling.py
+++ b/tests/cluster/test_scaling.py
@@ -40,10 +40,10 @@
     cluster = HollowCluster(nodes, tenants)
     cluster.acquaint()
     cluster.run(settle_s * 1000)
-    mark = cluster.mark()
+    before = cluster.usage()
     cluster.run(cluster.now + duration_s * 1000)
     assert cluster.agreed()
-    return rates(cluster, mark)
+    return rates(cluster, before)
 
 
 def growth(
