--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -252,21 +252,17 @@
     return "\n".join(
         (
             f"1. **{len(unfilled)} of {len(roles)} roles have nothing that does them**: "
-            f"{' and '.join(unfilled)}. "
-            f"So *{ranked[0].mechanism}* comes first: "
+            f"{' and '.join(unfilled)}. So *{ranked[0].mechanism}* comes first: "
             f"{len(ranked[0].dependent_roles)} roles rest on it.",
             f"2. **{format_percent(share)} of the target**, {nodes} nodes, is where the first of "
-            f"the others breaks "
-            f"({first_role.name}: {first_role.first_to_break.name}); with it {below_one_percent} "
-            f"of {len(roles)} roles break below 1%.",
+            f"the others breaks ({first_role.name}: {first_role.first_to_break.name}); with it "
+            f"{below_one_percent} of {len(roles)} roles break below 1%.",
             f"3. **{format_number(memory.cost_at_target, memory.unit)}** is what all servers take "
-            f"in the memory of a node, "
-            f"where {format_number(memory.budget.value, memory.budget.unit)} is allowed for all of "
-            f"control. To be "
-            f"told of them at a start takes {format_number(whole_list_s, 's')} at 17 KB a second; "
-            f"of the services that a node "
-            f"serves, if these are {format_number(ASSUMPTIONS['served'].value)}, "
-            f"{format_number(served_list_s, 's')}.",
+            f"in the memory of a node, where "
+            f"{format_number(memory.budget.value, memory.budget.unit)} is allowed for all of "
+            f"control. To be told of them at a start takes {format_number(whole_list_s, 's')} at "
+            f"17 KB a second; of the services that a node serves, if these are "
+            f"{format_number(ASSUMPTIONS['served'].value)}, {format_number(served_list_s, 's')}.",
         )
     )
 
@@ -277,9 +273,9 @@
 
 
 def policy_comparison_table(runs: Runs) -> str:
-    """Return the table of the policy's costs before and after its loops over the fleet were removed.
+    """Return the table of the policy's costs before and after it was optimized.
 
-    These were loops over all tenants and servers.
+    The optimization removed its loops over all tenants and servers.
     """
     if not all(name in runs.runs for name in POLICY_RUNS):
         return "Not run anew yet: `python -m benchmarks.scale --only policy`."
--- a/benchmarks/capacity/scenarios.py
+++ b/benchmarks/capacity/scenarios.py
@@ -1,4 +1,4 @@
-"""Load scenarios: the peaks that a mean does not show, such as a lost zone, a release or a reconnect.
+"""Load scenarios: peaks that a mean does not show, such as a lost zone or a release.
 
 Each figure is given twice: for the system as it is, in which every node receives every change, and
 for a system in which a node receives only the changes of the services that it serves. The sizes of
--- a/benchmarks/capacity/system_roles.py
+++ b/benchmarks/capacity/system_roles.py
@@ -316,7 +316,8 @@
         ),
         Role(
             "tenants' shares",
-            "each node's use of each tenant in gossip, to all; what is not heard of gets an even part",
+            "each node's use of each tenant in gossip, to all; "
+            "what is not heard of gets an even part",
             "nodes x tenants counters at each node",
             (
                 Requirement(
@@ -457,7 +458,8 @@
         ),
         Role(
             "health and what is learned",
-            "each node learns alone; reports of failing servers in gossip; a snapshot of all servers",
+            "each node learns alone; reports of failing servers in gossip; "
+            "a snapshot of all servers",
             "what was learned of each server that the node sends to",
             (
                 Requirement(
--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -104,7 +104,8 @@
     "decision": Budget(
         550.0,
         "µs",
-        "a quarter of the 2.2 ms: what is left is for reading, connections and the wait for the loop",
+        "a quarter of the 2.2 ms: what is left is for reading, connections and the wait for the "
+        "loop",
     ),
     "decisions": Budget(
         0.1, "of a core", "a node's requests take no more than a tenth of a core to decide"
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,7 +1,8 @@
 """Measure how costs grow, in doublings up to the target, and store JSON, a table and a chart.
 
-`python -m benchmarks.scale [--only policy,lists] [--most N] [--out benchmarks/scale/runs]`. A subject
-takes some minutes up to the target; `--most` caps the sizes. A subject without a module is reported.
+`python -m benchmarks.scale [--only policy,lists] [--most N] [--out benchmarks/scale/runs]`. A
+subject takes some minutes up to the target; `--most` caps the sizes. A subject without a module is
+reported.
 """
 
 from __future__ import annotations
--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -1,10 +1,10 @@
 """Costs of a configuration: reading it, comparing it with the one in force, and applying it.
 
-There are two formats: the platform's file (JSON, reloaded by SIGHUP) and an operator's file (TOML). A
-route is a request class today, so classes grow to the target's routes. The program rejects more than
-`MAX_TENANTS` and `MAX_CLASSES`; these limits are lifted here, so that the slopes show what they
-prevent. Where the next measurement might take longer than `MAX_MEASUREMENT_S`, larger sizes are left
-out and the slope is extrapolated. Times are processor times of the thread.
+There are two formats: the platform's file (JSON, reloaded by SIGHUP) and an operator's file (TOML).
+A route is a request class today, so classes grow to the target's routes. The program rejects more
+than `MAX_TENANTS` and `MAX_CLASSES`; these limits are lifted here, so that the slopes show what
+they prevent. Where the next measurement might take longer than `MAX_MEASUREMENT_S`, larger sizes
+are left out and the slope is extrapolated. Times are processor times of the thread.
 """
 
 from __future__ import annotations
@@ -94,7 +94,8 @@
 def operator_toml(classes: int, tenants: int) -> str:
     """Return the text of an operator's file."""
     lines = [
-        '[node]\nname = "n0"\n[members]\ncatalog = "127.0.0.1:1"\n[fronts.http]\nlisten = "127.0.0.1:0"'
+        '[node]\nname = "n0"\n[members]\ncatalog = "127.0.0.1:1"\n'
+        '[fronts.http]\nlisten = "127.0.0.1:0"'
     ]
     lines += [
         f'[[class]]\nname = "route-{number:05d}"\naim_ms = 400\ndeadline_ms = 1000\n'
@@ -196,8 +197,8 @@
 def measure_policy(sizes: BoundedSeries, size: int, old: Config, event: Any) -> None:
     """Measure how the policy applies the new settings.
 
-    This may cost the square of the number of classes, so the policy is not even built once the series
-    has ended.
+    This may cost the square of the number of classes, so the policy is not even built once the
+    series has ended.
     """
     if "reload: policy" in sizes.stopped:
         return
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -65,8 +65,8 @@
 # keeps no idle connection.
 MAX_IDLE_CLIENTS = 1200
 
-# Clients that connect before the measurement starts and use up the memory that is already free in the
-# process.
+# Clients that connect before the measurement starts and use up the memory that is already free in
+# the process.
 WARM_UP_CLIENTS = 400
 
 REPETITIONS = 5
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -2,9 +2,9 @@
 
 The state machines and the codec are the real ones. A fleet has its share of the target's servers,
 services and changes, and all the replicas of the target. Each node follows the services that it
-serves. For comparison, the same fleet is measured with nodes that follow everything, which is the cost
-of watching the whole list. Bytes are those of the frames, without those of TCP. Processor times are
-those of the state machines and the codec, in one process. The network delay is 1 ms.
+serves. For comparison, the same fleet is measured with nodes that follow everything, which is the
+cost of watching the whole list. Bytes are those of the frames, without those of TCP. Processor
+times are those of the state machines and the codec, in one process. The network delay is 1 ms.
 """
 
 from __future__ import annotations
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -1,7 +1,7 @@
 """How a cost grows: a power law fitted to measured points, with confidence intervals. No I/O.
 
-The fit is a straight line through the logarithms of sizes and costs. Its intervals are Student's t at
-`CONFIDENCE_LEVEL`, with two degrees of freedom spent on the line (Draper and Smith, Applied
+The fit is a straight line through the logarithms of sizes and costs. Its intervals are Student's t
+at `CONFIDENCE_LEVEL`, with two degrees of freedom spent on the line (Draper and Smith, Applied
 Regression Analysis, sections 1.4 and 3.1). They hold for random scatter about the line; where the
 points follow a curve, a range without the flat part says more than all points.
 """
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -1,9 +1,9 @@
 """Costs of the server list outside the policy: its bytes, parsing, reading and the endpoint table.
 
-The list has the format of the platform's discovery. A whole list is read as the catalog client reads
-a snapshot, a changed entry as its watch does. A node rejects a text of more than `MAX_LIST_BYTES`;
-larger ones are measured as well, so that the slope shows where the limit lies. Times are processor
-times of the thread, and memory is the resident size of a separate process.
+The list has the format of the platform's discovery. A whole list is read as the catalog client
+reads a snapshot, a changed entry as its watch does. A node rejects a text of more than
+`MAX_LIST_BYTES`; larger ones are measured as well, so that the slope shows where the limit lies.
+Times are processor times of the thread, and memory is the resident size of a separate process.
 """
 
 from __future__ import annotations
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -1,9 +1,9 @@
 """Costs of a cluster member as the cluster grows, in simulated clusters of many nodes per process.
 
 The protocol, its features and the codec are those of a real node; only sockets and clocks are
-simulated. Each datagram is encoded by its sender and decoded by its receiver. Processor times are real
-and cover protocol, features and codec, without the simulated network. Times within a cluster are
-virtual.
+simulated. Each datagram is encoded by its sender and decoded by its receiver. Processor times are
+real and cover protocol, features and codec, without the simulated network. Times within a cluster
+are virtual.
 """
 
 from __future__ import annotations
@@ -339,7 +339,7 @@
 
 
 def usage_counters(cluster: HollowCluster) -> dict[str, float]:
-    """Return how many usage counters a node stores, their median age and the report interval (s)."""
+    """Return the usage counters per node, their median age and the report interval (s)."""
     counter_counts, ages_ms = [], []
     for name, member in cluster.members.items():
         peer_usage = member.quota_sharing.peer_usage
--- a/benchmarks/scale/policy.py
+++ b/benchmarks/scale/policy.py
@@ -4,8 +4,8 @@
 that other work on the core does not count. There are two kinds of fleets: a single node, whose hash
 ring and random choices span all servers; and as many nodes per server as at the target (8,600 for
 170,000), where each node uses a subset. Costs named `placing` are measured while virtual nodes are
-still being placed after a whole list; for the others all are placed. Memory is the resident size of a
-separate process.
+still being placed after a whole list; for the others all are placed. Memory is the resident size of
+a separate process.
 """
 
 from __future__ import annotations
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -1,11 +1,11 @@
 """Costs of real `serve` processes with one list service: at rest, and with list changes.
 
 The changes are measured twice, the second time while a tenth of the nodes is killed and restarted.
-The service is a stand-in in a separate process. The time at which a node has a change is read from its
-log; node and service use the clock of the same machine. Bytes are those that the service writes,
-with headers and framing. Processor times are read from /proc for the processes that were started
-here. Nodes and service share the cores that this command may use, and the number of cores is stored
-with the figures: with fewer cores than nodes, the times include waiting for a core.
+The service is a stand-in in a separate process. The time at which a node has a change is read from
+its log; node and service use the clock of the same machine. Bytes are those that the service
+writes, with headers and framing. Processor times are read from /proc for the processes that were
+started here. Nodes and service share the cores that this command may use, and the number of cores
+is stored with the figures: with fewer cores than nodes, the times include waiting for a core.
 """
 
 from __future__ import annotations
@@ -327,8 +327,8 @@
 def delay_statistics(delays_ms: list[list[float]], suffix: str) -> dict[str, float]:
     """Return statistics of the delays of nodes (inner lists) for each change.
 
-    These are the median over all nodes and changes, and the median and the maximum over the changes of
-    the last node's delay.
+    These are the median over all nodes and changes, and the median and the maximum over the changes
+    of the last node's delay.
     """
     last_node_ms = [max(nodes_ms) for nodes_ms in delays_ms]
     return {
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -152,7 +152,8 @@
 def table(run: Run) -> str:
     """Return a Markdown table of the series of a run.
 
-    Each has its smallest and largest point, and the exponent over all points and over the last ones.
+    Each has its smallest and largest point, and the exponent over all points and over the last
+    ones.
     """
     header = (
         "cost",
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -349,10 +349,17 @@
 def test_all_roles_are_listed_and_use_known_assumptions() -> None:
     roles = system_roles(Runs.load())
     assert [one.name for one in roles] == [
-        "what decides a request", "what follows the list", "what follows the configuration",
-        "a member among peers", "tenants' shares", "a cold server's budget", "the zones' plan and council",
-        "health and what is learned", "the service that tells lists", "the 40 machines",
-    ]  # fmt: skip
+        "what decides a request",
+        "what follows the list",
+        "what follows the configuration",
+        "a member among peers",
+        "tenants' shares",
+        "a cold server's budget",
+        "the zones' plan and council",
+        "health and what is learned",
+        "the service that tells lists",
+        "the 40 machines",
+    ]
     for one in roles:
         for requirement in one.requirements:
             assert set(requirement.assumptions) <= set(ASSUMPTIONS)
--- a/tests/benchmarks/test_scenarios.py
+++ b/tests/benchmarks/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The load scenarios of the capacity page: their formulas, and their values where these are simple."""
+"""The load scenarios of the capacity page: their formulas, and values in simple cases."""
 
 from __future__ import annotations
 
@@ -30,10 +30,14 @@
     sizes = [(float(x), 100.0 * x) for x in (10, 1000, 170_000)]
     line = [(float(x), float(x)) for x in (10, 1000, 170_000)]
     fixed = {"nodes_a_server": TARGET.nodes / TARGET.servers}
-    return Runs({
-        "lists": Run("lists", "", "", {}, [Series("whole list", "bytes", "servers", "one", sizes)]),
-        POLICY_RUNS[0]: Run("policy", "", "", {}, [Series("changed line", "us", "servers", "mean", line, fixed)]),
-    })  # fmt: skip
+    list_bytes = Series("whole list", "bytes", "servers", "one", sizes)
+    changed_line = Series("changed line", "us", "servers", "mean", line, fixed)
+    return Runs(
+        {
+            "lists": Run("lists", "", "", {}, [list_bytes]),
+            POLICY_RUNS[0]: Run("policy", "", "", {}, [changed_line]),
+        }
+    )
 
 
 def by_name(scenario: Scenario) -> dict[str, ScenarioFigure]:
