--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,9 +1,9 @@
-"""How quickly the lab plays days: `python -m benchmarks.lab`.
+"""Measure the simulation speed of the lab: `python -m benchmarks.lab`.
 
-One run plays a day of 100 servers under the real policy and under a peer that decides nearly
-nothing, and prints simulated requests a second of one core for both, and the share of the time that
-join and policy take (the difference). `--large` also plays 10,000 servers and 10 nodes for 60 s,
-and prints time and memory.
+Simulates a day with 100 servers under the real policy and under random selection, which decides
+almost nothing. Prints the simulated requests per second of one core for both, and the share of the
+time that the request pipeline and the policy take, which is the difference. `--large` also simulates
+10,000 servers and 10 nodes for 60 s, and prints time and memory.
 """
 
 from __future__ import annotations
@@ -23,19 +23,21 @@
 ]  # fmt: skip
 
 
-def day(servers: int, nodes: int, seconds: float, per_s: float) -> Day:
+def make_day(servers: int, nodes: int, duration_s: float, rate_per_s: float) -> Day:
+    """Return a day of the lab with servers that start cold and two request classes."""
     return Day.model_validate(
         {
-            "experiment": {"name": "speed", "seconds": seconds},
+            "experiment": {"name": "speed", "seconds": duration_s},
             "fleet": {"servers": servers, "nodes": nodes, "warm_gain": 0.3},
             "kind": [{"name": "k", "cores": 2, "cold_from": 0.4, "ramp_ms": 5000.0}],
             "class": CLASSES,
-            "arrivals": {"per_s": per_s},
+            "arrivals": {"per_s": rate_per_s},
         }
     )
 
 
 def main() -> int:
+    """Run the benchmark that the command line asks for."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.lab", description=__doc__)
     parser.add_argument("--seconds", type=float, default=12.0, help="of the small day (12)")
     parser.add_argument(
@@ -44,24 +46,26 @@
     parser.add_argument(
         "--large-rate", type=float, default=10_000.0, help="its requests a second (10,000)"
     )
-    chosen = parser.parse_args()
-    small = day(100, 4, chosen.seconds, 1800.0)
-    speeds = {}
+    arguments = parser.parse_args()
+    small_day = make_day(100, 4, arguments.seconds, 1800.0)
+    requests_per_s = {}
     for policy in ("badgercart", "random"):
-        told = play_day(small, policy, 1)
-        speeds[policy] = told["requests"] / told["spent_s"]
+        result = play_day(small_day, policy, 1)
+        requests_per_s[policy] = result["requests"] / result["spent_s"]
         print(
-            f"{policy}: {speeds[policy]:.0f} requests a second of a core, worth in time {told['share']:.3f}"
+            f"{policy}: {requests_per_s[policy]:.0f} requests a second of a core, worth in time {result['share']:.3f}"
         )
-    print(f"the policy takes {1 - speeds['badgercart'] / speeds['random']:.2f} of a day's time")
-    if chosen.large:
-        begun = time.perf_counter()
-        told = play_day(day(10_000, 10, 60.0, chosen.large_rate), "badgercart", 1)
-        spent = time.perf_counter() - begun
-        peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10
+    print(
+        f"the policy takes {1 - requests_per_s['badgercart'] / requests_per_s['random']:.2f} of a day's time"
+    )
+    if arguments.large:
+        started_at = time.perf_counter()
+        result = play_day(make_day(10_000, 10, 60.0, arguments.large_rate), "badgercart", 1)
+        elapsed_s = time.perf_counter() - started_at
+        peak_mib = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10
         print(
-            f"10,000 servers, 10 nodes, 60 s, {told['requests']} requests: {spent:.0f} s, {peak} MiB, "
-            f"worth in time {told['share']:.3f}, breaches {sum(told['breaches'].values())}"
+            f"10,000 servers, 10 nodes, 60 s, {result['requests']} requests: {elapsed_s:.0f} s, {peak_mib} MiB, "
+            f"worth in time {result['share']:.3f}, breaches {sum(result['breaches'].values())}"
         )
     return 0
 
--- a/benchmarks/shape.py
+++ b/benchmarks/shape.py
@@ -1,8 +1,8 @@
-"""Measure the shape of the code: sizes, complexity, doc comments, and words that were withdrawn.
+"""Measure the code: sizes, complexity, missing doc comments, and deprecated words.
 
-`python -m benchmarks.shape [FOLDER]` prints one table for a checkout. Complexity is one more than a
-function's branches, about what ruff's C901 counts; a public item is a module, class, function or method
-whose name begins with no underscore and that stands in no function.
+`python -m benchmarks.shape [FOLDER]` prints one table for a checkout. Complexity is one more than the
+number of branches of a function, which is close to ruff's C901. A public item is a module, class,
+function or method whose name has no leading underscore and that is not nested in a function.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 
 PACKAGES = ("badgercart", "cottonhall", "lab", "standins", "benchmarks")
 MAX_COMPLEXITY = 10
-WITHDRAWN = re.compile(
+DEPRECATED_WORDS = re.compile(
     r"\b(cottonhall|forgo|hearsay|rumours?|vouching|roster|unwell|bury|buried|council|keeper|eyes|"
     r"carriers?|fronts|upkeep|retuned?|withdrawn|overdue|diverted|company|spilt|strikes|maybe_ran)\b",
     re.IGNORECASE,
 )
-BRANCHES = (ast.If, ast.For, ast.AsyncFor, ast.While, ast.ExceptHandler, ast.match_case)
+BRANCH_NODES = (ast.If, ast.For, ast.AsyncFor, ast.While, ast.ExceptHandler, ast.match_case)
 
 Function = ast.FunctionDef | ast.AsyncFunctionDef
 
 
 @dataclass(slots=True)
 class Largest:
-    """The largest of a kind, and its name."""
+    """The largest item of a kind, and its name."""
 
     size: int = 0
     name: str = ""
 
     def offer(self, size: int, name: str) -> None:
-        """Keep the larger one."""
+        """Keep the item if it is larger than the one held."""
         if size > self.size:
             self.size, self.name = size, name
 
 
 @dataclass(slots=True)
-class Shape:
-    """The figures of one checkout."""
+class CodeMetrics:
+    """The measured values of one checkout."""
 
     files: int = 0
     lines: int = 0
@@ -54,16 +54,16 @@
     complex_functions: int = 0
     undocumented: int = 0
     public: int = 0
-    files_with_withdrawn_words: int = 0
+    files_with_deprecated_words: int = 0
 
 
 def complexity(function: Function) -> int:
-    """Return one more than the function's branches, those of nested functions included."""
-    return 1 + sum(isinstance(node, BRANCHES) for node in ast.walk(function))
+    """Return one more than the number of branches of a function, including nested functions."""
+    return 1 + sum(isinstance(node, BRANCH_NODES) for node in ast.walk(function))
 
 
-def attributes(owner: ast.ClassDef) -> int:
-    """Return how many names its methods set on `self`, and its body declares."""
+def attribute_count(owner: ast.ClassDef) -> int:
+    """Return the number of attributes that a class sets on `self` or declares in its body."""
     names = {
         node.attr
         for node in ast.walk(owner)
@@ -86,7 +86,7 @@
 
 
 def public_items(tree: ast.Module) -> Iterator[ast.Module | ast.ClassDef | Function]:
-    """Give the module, its public classes and functions, and their public methods."""
+    """Yield the module, its public classes and functions, and their public methods."""
     yield tree
     for node in tree.body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
@@ -102,57 +102,57 @@
                 )
 
 
-def add(shape: Shape, path: str, text: str) -> None:
-    """Add one file's figures."""
+def add_file(metrics: CodeMetrics, path: str, text: str) -> None:
+    """Add the values of one file."""
     tree, lines = ast.parse(text), text.count("\n")
-    shape.files += 1
-    shape.lines += lines
-    shape.module.offer(lines, path)
-    shape.files_with_withdrawn_words += bool(WITHDRAWN.search(text))
+    metrics.files += 1
+    metrics.lines += lines
+    metrics.module.offer(lines, path)
+    metrics.files_with_deprecated_words += bool(DEPRECATED_WORDS.search(text))
     for item in public_items(tree):
-        shape.public += 1
-        shape.undocumented += ast.get_docstring(item) is None
+        metrics.public += 1
+        metrics.undocumented += ast.get_docstring(item) is None
     for node in ast.walk(tree):
         if isinstance(node, ast.ClassDef):
             name = f"{path}:{node.name}"
             methods = sum(
                 isinstance(item, ast.FunctionDef | ast.AsyncFunctionDef) for item in node.body
             )
-            shape.class_lines.offer((node.end_lineno or 0) - node.lineno + 1, name)
-            shape.class_methods.offer(methods, name)
-            shape.class_attributes.offer(attributes(node), name)
+            metrics.class_lines.offer((node.end_lineno or 0) - node.lineno + 1, name)
+            metrics.class_methods.offer(methods, name)
+            metrics.class_attributes.offer(attribute_count(node), name)
         elif isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
-            shape.function.offer((node.end_lineno or 0) - node.lineno + 1, f"{path}:{node.name}")
-            shape.complex_functions += complexity(node) > MAX_COMPLEXITY
+            metrics.function.offer((node.end_lineno or 0) - node.lineno + 1, f"{path}:{node.name}")
+            metrics.complex_functions += complexity(node) > MAX_COMPLEXITY
 
 
-def measure(root: Path) -> Shape:
-    """Measure the files that git has of the program's packages."""
+def measure(root: Path) -> CodeMetrics:
+    """Measure the files of the packages that git tracks."""
     listed = subprocess.run(
         ["git", "ls-files", *PACKAGES], cwd=root, capture_output=True, text=True, check=True
     )
-    shape = Shape()
+    metrics = CodeMetrics()
     for name in listed.stdout.split():
         if name.endswith(".py"):
-            add(shape, name, (root / name).read_text())
-    return shape
+            add_file(metrics, name, (root / name).read_text())
+    return metrics
 
 
-def rows(shape: Shape) -> Iterator[tuple[str, str]]:
-    """Give the table's rows."""
-    yield "files, lines", f"{shape.files}, {shape.lines}"
-    yield "largest module, lines", f"{shape.module.size} ({shape.module.name})"
-    yield "largest class, lines", f"{shape.class_lines.size} ({shape.class_lines.name})"
-    yield "most methods", f"{shape.class_methods.size} ({shape.class_methods.name})"
-    yield "most attributes", f"{shape.class_attributes.size} ({shape.class_attributes.name})"
-    yield "longest function, lines", f"{shape.function.size} ({shape.function.name})"
-    yield f"functions over complexity {MAX_COMPLEXITY}", str(shape.complex_functions)
-    yield "public items without doc comment", f"{shape.undocumented} of {shape.public}"
-    yield "files with a withdrawn word", str(shape.files_with_withdrawn_words)
+def rows(metrics: CodeMetrics) -> Iterator[tuple[str, str]]:
+    """Yield the rows of the table."""
+    yield "files, lines", f"{metrics.files}, {metrics.lines}"
+    yield "largest module, lines", f"{metrics.module.size} ({metrics.module.name})"
+    yield "largest class, lines", f"{metrics.class_lines.size} ({metrics.class_lines.name})"
+    yield "most methods", f"{metrics.class_methods.size} ({metrics.class_methods.name})"
+    yield "most attributes", f"{metrics.class_attributes.size} ({metrics.class_attributes.name})"
+    yield "longest function, lines", f"{metrics.function.size} ({metrics.function.name})"
+    yield f"functions over complexity {MAX_COMPLEXITY}", str(metrics.complex_functions)
+    yield "public items without doc comment", f"{metrics.undocumented} of {metrics.public}"
+    yield "files with a withdrawn word", str(metrics.files_with_deprecated_words)
 
 
 def main() -> int:
-    """Print the table of the checkout that is named, or of this one."""
+    """Print the table of the given checkout, or of the working directory."""
     root = Path(sys.argv[1] if len(sys.argv) > 1 else ".")
     for name, value in rows(measure(root)):
         print(f"| {name} | {value} |")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -33,13 +33,13 @@
     Attributes:
         node_id: The test, as pytest prints it.
         command: The command that reproduces the failure, with its seed.
-        failure: The failure that was seen.
+        description: The failure that was seen.
         issue: The issue that tracks it.
     """
 
     node_id: str
     command: str
-    failure: str
+    description: str
     issue: str
 
 
@@ -96,7 +96,9 @@
         for item in items:
             if (failure := self.failures.get(item.nodeid)) is not None:
                 item.add_marker(
-                    pytest.mark.xfail(reason=f"{failure.failure} ({failure.issue})", strict=False)
+                    pytest.mark.xfail(
+                        reason=f"{failure.description} ({failure.issue})", strict=False
+                    )
                 )
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
@@ -114,7 +116,7 @@
         """Yield the lines of the summary."""
         for failure in self.failures.values():
             outcome = self.outcomes.get(failure.node_id, "not run")
-            yield f"{failure.node_id}: {outcome}: {failure.failure} ({failure.issue})"
+            yield f"{failure.node_id}: {outcome}: {failure.description} ({failure.issue})"
             if outcome == "passes again":
                 yield f"  take it out of {FILE_NAME}"
 
