--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,8 +1,9 @@
-"""Cluster membership: detection, false alarms, bytes and healing in virtual time, and its cost.
+"""Measure cluster membership in virtual time: detection, false alarms, traffic, healing, and cost.
 
-`python -m benchmarks.peers [--most N]`: groups of 3, 10, 40, 100, … to N, five seeds each of the
-small ones; then the processor time of one node's protocol and codec at 100 peers as a share of a
-core, and the time of a decision with a cluster's view over that without, in one run.
+`python -m benchmarks.peers [--most N]` simulates clusters of 3, 10, 40, 100, … up to N nodes, the
+small ones with five seeds each. It then measures the processor time of the protocol and codec of one
+node with 100 peers, as a share of a core, and the time of a policy decision with the state of a
+cluster relative to that without, in one run.
 """
 
 from __future__ import annotations
@@ -28,72 +29,88 @@
 from lab.simulated_cluster import SimulatedCluster
 
 SIZES = (3, 10, 40, 100, 300, 1000)
-SETTLED = 10_000.0  # ms
-LONG = 60_000.0
-
-
-def joined(count: int, seed: int) -> SimulatedCluster:
-    """Return a cluster whose nodes know each other and have settled."""
+# Clusters of up to this size run with all seeds, larger ones with one.
+MAX_SIZE_FOR_ALL_SEEDS = 40
+SETTLING_TIME_MS = 10_000.0
+OBSERVATION_TIME_MS = 60_000.0
+SLOW_NODE_DELAY_MS = 1500.0
+SPLIT_DURATION_MS = 30_000
+COST_PERIOD_MS = 20_000
+DECISIONS = 20_000
+CLUSTER_UPDATE_INTERVAL_MS = 100.0
+
+
+def settled_cluster(count: int, seed: int) -> SimulatedCluster:
+    """Return a cluster whose nodes have the same members and have settled."""
     cluster = SimulatedCluster(count, seed, expected=count)
-    cluster.run(LONG, cluster.agreed)
-    cluster.run(cluster.now + SETTLED)
+    cluster.run(OBSERVATION_TIME_MS, cluster.agreed)
+    cluster.run(cluster.now + SETTLING_TIME_MS)
     return cluster
 
 
-def detection(count: int, seed: int) -> list[float]:
-    """Return the times (ms) from a death until each other node declares it."""
-    cluster = joined(count, seed)
+def detection_times(count: int, seed: int) -> list[float]:
+    """Return the time in ms from the end of a node until each other node declares it dead."""
+    cluster = settled_cluster(count, seed)
     cluster.kill("n1")
-    died = cluster.now
-    cluster.run(died + LONG, lambda: cluster.all_declared_dead("n1"))
-    first: dict[str, float] = {}
-    for seen in cluster.changes:
-        if seen.name == "n1" and seen.status is MemberStatus.DEAD and seen.at_ms >= died:
-            first.setdefault(seen.observer, seen.at_ms - died)
-    return list(first.values())
+    killed_at = cluster.now
+    cluster.run(killed_at + OBSERVATION_TIME_MS, lambda: cluster.all_declared_dead("n1"))
+    delay_by_observer: dict[str, float] = {}
+    for change in cluster.changes:
+        if change.name == "n1" and change.status is MemberStatus.DEAD and change.at_ms >= killed_at:
+            delay_by_observer.setdefault(change.observer, change.at_ms - killed_at)
+    return list(delay_by_observer.values())
 
 
 def false_alarms(count: int, seed: int) -> tuple[int, int]:
-    """Return how many healthy members, and how many in all, were declared dead.
+    """Return how many healthy members, and how many members in all, were declared dead.
 
-    That is in a minute in which one in ten nodes is slow.
+    This counts one minute in which one in ten nodes is slow.
     """
-    cluster = joined(count, seed)
+    cluster = settled_cluster(count, seed)
     slow = random.Random(seed).sample(list(cluster.protocols), max(1, count // 10))
     for name in slow:
-        cluster.delays_ms[name] = 1500.0
-    since = cluster.now
-    cluster.run(since + LONG)
-    dead = {s.name for s in cluster.changes if s.status is MemberStatus.DEAD and s.at_ms >= since}
+        cluster.delays_ms[name] = SLOW_NODE_DELAY_MS
+    started_at = cluster.now
+    cluster.run(started_at + OBSERVATION_TIME_MS)
+    dead = {
+        change.name
+        for change in cluster.changes
+        if change.status is MemberStatus.DEAD and change.at_ms >= started_at
+    }
     return len(dead - set(slow)), len(dead)
 
 
-def rates(count: int, seed: int) -> tuple[float, float]:
-    """Return bytes a node a second at rest, and ms to agreement after a split of 30 s."""
-    cluster = joined(count, seed)
-    before = sum(cluster.bytes_sent.values())
-    cluster.run(cluster.now + LONG)
-    rest = (sum(cluster.bytes_sent.values()) - before) / count / (LONG / 1000)
+def traffic_and_healing(count: int, seed: int) -> tuple[float, float]:
+    """Return the bytes per node and second while idle, and the ms to agreement after a 30 s split."""
+    cluster = settled_cluster(count, seed)
+    bytes_before = sum(cluster.bytes_sent.values())
+    cluster.run(cluster.now + OBSERVATION_TIME_MS)
+    idle_bytes = (
+        (sum(cluster.bytes_sent.values()) - bytes_before) / count / (OBSERVATION_TIME_MS / 1000)
+    )
     names = list(cluster.protocols)
     cluster.split(names[: count // 2], names[count // 2 :])
-    cluster.run(cluster.now + 30_000)
+    cluster.run(cluster.now + SPLIT_DURATION_MS)
     cluster.heal()
-    healed = cluster.now
-    return rest, cluster.run(healed + 4 * LONG, cluster.agreed) - healed
+    healed_at = cluster.now
+    return idle_bytes, cluster.run(healed_at + 4 * OBSERVATION_TIME_MS, cluster.agreed) - healed_at
 
 
-def cost(count: int = 100) -> float:
+def protocol_cost(count: int = 100) -> float:
     """Return the processor time of one node's protocol and codec, as a share of a core."""
-    cluster = joined(count, 1)
-    begun, since = time.process_time(), cluster.now
-    cluster.run(since + 20_000)
-    # The simulation's own share is small beside: each packet is encoded once here; a node decodes
-    # it too.
-    return (time.process_time() - begun) / count / 20.0
+    cluster = settled_cluster(count, 1)
+    processor_time_before, started_at = time.process_time(), cluster.now
+    cluster.run(started_at + COST_PERIOD_MS)
+    # This includes the small cost of the simulation. A packet is encoded once here, while a real
+    # node decodes it as well.
+    return (time.process_time() - processor_time_before) / count / (COST_PERIOD_MS / 1000)
 
 
-def decisions(clustered: bool) -> float:
-    """Return us a decision of a policy that is told of its cluster ten times a second, or never."""
+def decision_time(clustered: bool) -> float:
+    """Return the time in µs that a policy takes per request.
+
+    If `clustered`, the policy gets the state of its cluster ten times a second, otherwise never.
+    """
     classes = (
         RequestClass(
             latency_objective_ms=400.0,
@@ -105,11 +122,11 @@
     policy = Policy(Settings(classes=classes, cluster_size=10, quotas_per_s=(1e6,)), 1)
     entries = [Endpoint(i + 1, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for i in range(20)]
     policy.handle(1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
-    now, told, begun = 1.0, 0.0, time.perf_counter()
-    for number in range(1, 20_001):
+    now, updated_at, started_at = 1.0, 0.0, time.perf_counter()
+    for number in range(1, DECISIONS + 1):
         now += 1.0
-        if clustered and now - told >= 100.0:
-            told = now
+        if clustered and now - updated_at >= CLUSTER_UPDATE_INTERVAL_MS:
+            updated_at = now
             policy.handle(now, ClusterView(10, 3, 10, (0.1 + (number % 7) / 100,), ((1, 0.2),)))
         for action in policy.handle(now, Request(number, 0, now + 1000)):
             if isinstance(action, Send):
@@ -117,11 +134,11 @@
                     now + 0.5,
                     AttemptEnded(number, action.endpoint_id, True, AttemptResult.OK, 0, 20.0),
                 )
-    return (time.perf_counter() - begun) / 20_000 * 1e6
+    return (time.perf_counter() - started_at) / DECISIONS * 1e6
 
 
 def main() -> None:
-    """Print all figures."""
+    """Run all measurements and print them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--most", type=int, default=100, help="the largest group (100)")
     most = parser.parse_args().most
@@ -137,14 +154,15 @@
     print("|", " | ".join(names), "|")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for count in (size for size in SIZES if size <= most):
-        seeds = range(1, 6) if count <= 40 else (1,)
-        times = [t for seed in seeds for t in detection(count, seed)]
+        seeds = range(1, 6) if count <= MAX_SIZE_FOR_ALL_SEEDS else (1,)
+        times = [time_ms for seed in seeds for time_ms in detection_times(count, seed)]
         times.sort()
-        healthy, any_ = (
-            sum(part) for part in zip(*(false_alarms(count, s) for s in seeds), strict=True)
+        healthy, any_member = (
+            sum(part) for part in zip(*(false_alarms(count, seed) for seed in seeds), strict=True)
         )
-        rest, heal = (
-            statistics.fmean(p) for p in zip(*(rates(count, s) for s in seeds), strict=True)
+        idle_bytes, healing_time = (
+            statistics.fmean(values)
+            for values in zip(*(traffic_and_healing(count, seed) for seed in seeds), strict=True)
         )
         median, p99 = statistics.median(times) / 1000, times[int(0.99 * (len(times) - 1))] / 1000
         row = (
@@ -152,16 +170,16 @@
             f"{median:.2f}",
             f"{p99:.2f}",
             healthy,
-            any_,
-            f"{rest:.0f}",
-            f"{heal / 1000:.1f}",
+            any_member,
+            f"{idle_bytes:.0f}",
+            f"{healing_time / 1000:.1f}",
         )
         print("|", " | ".join(map(str, row)), "|", flush=True)
-    print(f"machine and codec at 100 peers: {cost():.4f} of a core")
-    pairs = [(decisions(False), decisions(True)) for _ in range(5)]
-    without, with_ = (min(values) for values in zip(*pairs, strict=True))
+    print(f"machine and codec at 100 peers: {protocol_cost():.4f} of a core")
+    pairs = [(decision_time(False), decision_time(True)) for _ in range(5)]
+    without_cluster, with_cluster = (min(values) for values in zip(*pairs, strict=True))
     print(
-        f"a decision: {without:.1f} us without a company, {with_:.1f} us with one, {with_ / without:.3f}"
+        f"a decision: {without_cluster:.1f} us without a company, {with_cluster:.1f} us with one, {with_cluster / without_cluster:.3f}"
     )
 
 
--- a/benchmarks/zone_trials.py
+++ b/benchmarks/zone_trials.py
@@ -1,9 +1,10 @@
-"""A zone's servers die under real nodes: how long until others serve, and at what cost.
+"""Measure how fast real nodes fail over when all servers of a zone crash, and at what cost.
 
 `python -m benchmarks.zone_trials [--nodes 12] [--seeds 3]` runs processes in three zones and two
-regions, in each planning mode, with the same requests in turn. Figures are from clients' and
-servers' records alone: the time from the loss until a node serves 0.95 of its requests again for
-good, the value served in the 5 s after it, and the fullest second of a zone that lives.
+regions, with the same requests in each planning mode in turn. All results come from the records of
+clients and servers: the time from the loss until a node permanently serves 0.95 of its requests
+again, the value served in the 5 s after the loss, and the highest load of a surviving zone in one
+second.
 """
 
 from __future__ import annotations
@@ -21,64 +22,77 @@
 from lab.trial.checkers import find_violations
 from lab.trial.world import WORK_MS, SentRequest, Shape, World
 
-MODES = ("majority", "shared", "")  # the last: each node alone
-SERVERS, CORES = 9, 2
-BEFORE_S, AFTER_S = 3.0, 6.0  # of traffic, before and after the loss
-VALUE_S = 5.0  # after the loss, in which the value served counts
+# The empty mode has no plan: each node decides alone.
+MODES = ("majority", "shared", "")
+SERVERS = 9
+CORES_PER_SERVER = 2
+TRAFFIC_BEFORE_LOSS_S = 3.0
+TRAFFIC_AFTER_LOSS_S = 6.0
+# The value is that of the requests sent in this period after the loss.
+VALUE_PERIOD_S = 5.0
 BIN_S = 0.5
-SERVED_SHARE = 0.95  # from which a bin counts as served
+# A bin counts as served from this share of its requests.
+MIN_SERVED_SHARE = 0.95
 REGIONS = (("a", "b"), ("c",))
-LOST_ZONE, LIVING_ZONES = "b", ("a", "c")
-MEAN_WORK_S = sum(sum(ends) for ends in WORK_MS.values()) / (2 * len(WORK_MS)) / 1000
+LOST_ZONE = "b"
+SURVIVING_ZONES = ("a", "c")
+MEAN_WORK_S = sum(sum(bounds) for bounds in WORK_MS.values()) / (2 * len(WORK_MS)) / 1000
 
 
 @dataclass(slots=True)
 class TrialResult:
-    """What came of one trial."""
+    """Result of one trial.
 
-    moved_s: list[float]  # by node: from the loss until it serves
-    value: float  # served, as a share
-    fullest: float  # share of a living zone's capacity, in its fullest second
-    broken: int  # promises broken
+    Attributes:
+        failover_s: By node, the time from the loss until it serves again.
+        value: Served share of the value of all requests.
+        peak_utilization: Highest load of a surviving zone in one second, as a share of its capacity.
+        violations: Number of guarantees broken.
+    """
 
+    failover_s: list[float]
+    value: float
+    peak_utilization: float
+    violations: int
 
-def fullest_second(world: World, since: float) -> float:
-    """Return what came to a living zone in its fullest second, as a share of its capacity."""
-    worst = 0.0
-    for zone in LIVING_ZONES:
+
+def peak_utilization(world: World, lost_at: float) -> float:
+    """Return the highest load of a surviving zone in one second, as a share of its capacity."""
+    peak = 0.0
+    for zone in SURVIVING_ZONES:
         servers = [world.servers[name] for name in world.servers_in_zone(zone)]
         times = sorted(
-            seen.at for server in servers for seen in server.seen if seen.id and seen.at > since
+            seen.at for server in servers for seen in server.seen if seen.id and seen.at > lost_at
         )
         first = 0
         for last, at in enumerate(times):
             while times[first] <= at - 1.0:
                 first += 1
             arrived = last - first + 1
-            worst = max(worst, arrived * MEAN_WORK_S / (len(servers) * CORES))
-    return worst
+            peak = max(peak, arrived * MEAN_WORK_S / (len(servers) * CORES_PER_SERVER))
+    return peak
 
 
-def settling_time(asked: Sequence[SentRequest], since: float) -> float:
-    """Return the seconds until the end of the last bin in which too few requests were served."""
-    bins: dict[int, list[bool]] = {}
-    for request in asked:
+def failover_time(requests: Sequence[SentRequest], lost_at: float) -> float:
+    """Return the time in s until the end of the last bin with too few served requests."""
+    served_by_bin: dict[int, list[bool]] = {}
+    for request in requests:
         served = request.result.outcome == "served"
-        bins.setdefault(int((request.sent_at_s - since) / BIN_S), []).append(served)
-    failed = [
+        served_by_bin.setdefault(int((request.sent_at_s - lost_at) / BIN_S), []).append(served)
+    failed_bin_ends_s = [
         (number + 1) * BIN_S
-        for number, ends in bins.items()
-        if sum(ends) < SERVED_SHARE * len(ends)
+        for number, outcomes in served_by_bin.items()
+        if sum(outcomes) < MIN_SERVED_SHARE * len(outcomes)
     ]
-    return max(failed, default=0.0)
+    return max(failed_bin_ends_s, default=0.0)
 
 
-def shape_of(mode: str, nodes: int, seed: int) -> Shape:
-    """Return the shape of a trial's world."""
+def make_shape(mode: str, nodes: int, seed: int) -> Shape:
+    """Return the settings of the environment of a trial."""
     return Shape(
         nodes=nodes,
         servers=SERVERS,
-        cores=CORES,
+        cores=CORES_PER_SERVER,
         queue=4,
         quota=1e6,
         plan=mode,
@@ -91,69 +105,77 @@
 
 
 async def run_trial(mode: str, nodes: int, load: float, seed: int) -> TrialResult:
-    """Play a trial: traffic, and the loss of a zone in its midst."""
-    rate = load * SERVERS * CORES / MEAN_WORK_S
+    """Run a trial: send traffic and crash all servers of a zone during it."""
+    rate = load * SERVERS * CORES_PER_SERVER / MEAN_WORK_S
     with tempfile.TemporaryDirectory() as folder:
-        world = await World(shape_of(mode, nodes, seed), Path(folder)).start()
+        world = await World(make_shape(mode, nodes, seed), Path(folder)).start()
         try:
             await world.wait_for_members(nodes)
             if mode == "majority":
                 await world.wait_for_plan(list(world.nodes), dict.fromkeys(world.nodes, 0))
-            traffic = asyncio.ensure_future(world.send_traffic(rate, BEFORE_S + AFTER_S, seed))
-            await asyncio.sleep(BEFORE_S)
-            died = time.monotonic()
+            traffic = asyncio.ensure_future(
+                world.send_traffic(rate, TRAFFIC_BEFORE_LOSS_S + TRAFFIC_AFTER_LOSS_S, seed)
+            )
+            await asyncio.sleep(TRAFFIC_BEFORE_LOSS_S)
+            lost_at = time.monotonic()
             for name in world.servers_in_zone(LOST_ZONE):
                 world.crash_server(name)
             await traffic
         finally:
             await world.stop()
-        return result_of(world, died)
+        return result_of(world, lost_at)
 
 
-def result_of(world: World, died: float) -> TrialResult:
-    """Return what came of a trial in which a zone was lost at this time."""
-    late = [request for request in world.sent_requests if request.sent_at_s >= died]
-    by_node = [[request for request in late if request.node == name] for name in world.nodes]
-    soon = [request.result for request in late if request.sent_at_s < died + VALUE_S]
-    value = sum(result.worth for result in soon) / sum(result.arrival.kind.worth for result in soon)
-    moved_s = [settling_time(asked, died) for asked in by_node]
-    return TrialResult(moved_s, value, fullest_second(world, died), len(find_violations(world)))
+def result_of(world: World, lost_at: float) -> TrialResult:
+    """Return the result of a trial in which a zone was lost at `lost_at`."""
+    after_loss = [request for request in world.sent_requests if request.sent_at_s >= lost_at]
+    by_node = [[request for request in after_loss if request.node == name] for name in world.nodes]
+    counted = [
+        request.result for request in after_loss if request.sent_at_s < lost_at + VALUE_PERIOD_S
+    ]
+    value = sum(result.worth for result in counted) / sum(
+        result.arrival.kind.worth for result in counted
+    )
+    failover_s = [failover_time(requests, lost_at) for requests in by_node]
+    return TrialResult(
+        failover_s, value, peak_utilization(world, lost_at), len(find_violations(world))
+    )
 
 
 def print_row(nodes: int, load: float, mode: str, results: Sequence[TrialResult]) -> None:
-    """Print the table's row for one mode at one load."""
-    moved_s = sorted(seconds for result in results for seconds in result.moved_s)
+    """Print the table row of one mode at one load."""
+    failover_s = sorted(seconds for result in results for seconds in result.failover_s)
     cells = (
         str(nodes),
         str(load),
         mode or "alone",
-        f"{statistics.median(moved_s):.2f}",
-        f"{moved_s[len(moved_s) * 99 // 100]:.2f}",
+        f"{statistics.median(failover_s):.2f}",
+        f"{failover_s[len(failover_s) * 99 // 100]:.2f}",
         f"{statistics.fmean(result.value for result in results):.4f}",
-        f"{max(result.fullest for result in results):.2f}",
-        str(sum(result.broken for result in results)),
+        f"{max(result.peak_utilization for result in results):.2f}",
+        str(sum(result.violations for result in results)),
     )
     print(f"| {' | '.join(cells)} |", flush=True)
 
 
 def main() -> int:
-    """Run the trials that the command line asks for, and print their table."""
+    """Run the trials that the command line asks for and print their table."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.zone_trials", description=__doc__)
     parser.add_argument("--nodes", type=int, default=12, help="processes (12)")
     parser.add_argument("--seeds", type=int, default=3, help="of each way (3)")
     parser.add_argument("--loads", type=float, nargs="+", default=[0.5], help="of capacity (0.5)")
-    chosen = parser.parse_args()
+    arguments = parser.parse_args()
     print(
         "| nodes | load | way | moved median s | p99 s | worth in 5 s | fullest second | broken |"
     )
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
-    for load in chosen.loads:
+    for load in arguments.loads:
         for mode in MODES:
             results = [
-                asyncio.run(run_trial(mode, chosen.nodes, load, seed))
-                for seed in range(1, chosen.seeds + 1)
+                asyncio.run(run_trial(mode, arguments.nodes, load, seed))
+                for seed in range(1, arguments.seeds + 1)
             ]
-            print_row(chosen.nodes, load, mode, results)
+            print_row(arguments.nodes, load, mode, results)
     return 0
 
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,9 +1,10 @@
-"""Zone failover: what it gains in worlds of the lab, and what it costs. All figures are of one run.
+"""Measure the benefit of zone failover in simulated days of the lab, and its cost.
 
-`python -m benchmarks.zones` measures the time of a plan by its size, compares it with a linear
-programme (highspy), and a policy's decisions with a plan with those without. `--worlds [--seeds N]`
-plays zones that are cut off, lost, slow or flapping, and two that are lost, with each planning mode
-and other policies, and compares the value served in pairs.
+`python -m benchmarks.zones` measures the time to compute a plan by its size, compares the plan with
+the optimum of a linear program (highspy), and compares the time of policy decisions with and without
+a plan. All results come from one run. `--worlds [--seeds N]` simulates zones that are partitioned,
+lost, slow or flapping, and the loss of two zones, with each planning mode and with other policies,
+and compares the value served in pairs.
 """
 
 from __future__ import annotations
@@ -42,8 +43,13 @@
 from lab.settings import Cell, Day, load
 from lab.stats import paired, verdict
 
-SIZES = ((3, 2, 2), (6, 3, 4), (12, 4, 8), (20, 5, 8))  # zones, regions, classes
-WORLD = "lab/days/worlds/zone-cut.toml"
+# Numbers of zones, regions and request classes.
+SIZES = ((3, 2, 2), (6, 3, 4), (12, 4, 8), (20, 5, 8))
+PLANS_PER_SIZE = 5
+# Weight of the cost of moving traffic between zones in the objective of the linear program.
+TRANSFER_COST_WEIGHT = 1e-4
+DECISIONS = 30_000
+EXPERIMENT_PATH = "lab/days/worlds/zone-cut.toml"
 FAULTS: dict[str, list[dict[str, Any]]] = {
     "cut": [{"kind": "partition", "at_s": 6, "for_s": 8, "zone": 1}],
     "lost": [{"kind": "zone_loss", "at_s": 8, "for_s": 8, "zone": 1}],
@@ -55,20 +61,21 @@
         {"kind": "zone_loss", "at_s": 12, "for_s": 8, "zone": 2},
     ],
 }
-MODES = ("majority", "shared", "alone", "prequal", "priority")  # the first is compared with
-
-
-# Plans.
+# The other modes are compared with the first.
+MODES = ("majority", "shared", "alone", "prequal", "priority")
 
 
 def random_situation(
     zones: int, regions: int, classes: int, seed: int
 ) -> tuple[Topology, PlanInput]:
-    """Return a random situation: one zone is lost, about nine tenths of the rest is wanted."""
+    """Return a random topology and input with one lost zone.
+
+    The demand is about nine tenths of the remaining capacity.
+    """
     rng = random.Random(seed)
     names = [f"z{number}" for number in range(zones)]
     topology = build_topology(
-        names, {n: f"r{i % regions}" for i, n in enumerate(names)}, {}, classes
+        names, {name: f"r{i % regions}" for i, name in enumerate(names)}, {}, classes
     )
     capacity = tuple(0.0 if i == 1 else rng.uniform(300, 700) for i in range(zones))
     scale = 0.9 * sum(capacity) / (zones * classes)
@@ -80,7 +87,7 @@
 
 
 def carried_value(topology: Topology, now: PlanInput, weights: list[float]) -> float:
-    """Return the value that a plan carries within the capacity of each zone."""
+    """Return the value that the computed plan serves within the capacity of each zone."""
     plan = compute_plan(topology, now, weights, UtilizationLimits())
     loads = plan.load(now.demand).slots
     over = {
@@ -98,66 +105,70 @@
 
 
 def best_value(topology: Topology, now: PlanInput, weights: list[float]) -> tuple[float, float]:
-    """Return the most value that any plan carries, and the time (ms) that it takes to find it."""
+    """Return the highest value that any plan serves, and the time in ms to find it."""
     import highspy
 
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     model: Any = highspy.Highs()  # type: ignore[no-untyped-call]
     model.setOptionValue("output_flag", False)
     zones = range(len(topology.zones))
-    cells = [
+    routes = [
         (i, r, j)
         for i in zones
         for r in range(topology.class_count)
         for j in zones
         if now.capacity[j] > 0
     ]
-    moved = {cell: model.addVariable(lb=0.0) for cell in cells}
+    moved = {route: model.addVariable(lb=0.0) for route in routes}
     for i in zones:
         for r in range(topology.class_count):
-            model.addConstr(sum(moved[c] for c in cells if c[:2] == (i, r)) <= now.demand[i][r])
+            model.addConstr(
+                sum(moved[route] for route in routes if route[:2] == (i, r)) <= now.demand[i][r]
+            )
     for j in zones:
         if now.capacity[j] > 0:
-            model.addConstr(sum(moved[c] for c in cells if c[2] == j) <= now.capacity[j])
+            model.addConstr(
+                sum(moved[route] for route in routes if route[2] == j) <= now.capacity[j]
+            )
     model.maximize(
-        sum((weights[r] - 1e-4 * topology.costs[i][j]) * moved[i, r, j] for i, r, j in cells)
+        sum(
+            (weights[r] - TRANSFER_COST_WEIGHT * topology.costs[i][j]) * moved[i, r, j]
+            for i, r, j in routes
+        )
     )
-    took = (time.perf_counter() - begun) * 1000
+    took = (time.perf_counter() - started_at) * 1000
     solution = model.getSolution().col_value
-    found = sum(weights[r] * solution[moved[i, r, j].index] for i, r, j in cells)
+    found = sum(weights[r] * solution[moved[i, r, j].index] for i, r, j in routes)
     return found, took
 
 
-def print_plans(with_programme: bool) -> None:
-    """Print times of plans by their size, and their value beside the best one."""
+def print_plans(with_optimum: bool) -> None:
+    """Print the time to compute plans by their size, and their value relative to the optimum."""
     print(
         "| zones | regions | classes | plan ms | linear programme ms | worth carried over the best |"
     )
     print("| --- | --- | --- | --- | --- | --- |")
     for zones, regions, classes in SIZES:
         weights = [float(1 + number) for number in range(classes)]
-        times, shares, others = [], [], []
-        for seed in range(5):
+        plan_times, value_shares, program_times = [], [], []
+        for seed in range(PLANS_PER_SIZE):
             topology, now = random_situation(zones, regions, classes, seed)
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             compute_plan(topology, now, weights, UtilizationLimits())
-            times.append((time.perf_counter() - begun) * 1000)
-            if with_programme:
+            plan_times.append((time.perf_counter() - started_at) * 1000)
+            if with_optimum:
                 best, took = best_value(topology, now, weights)
-                others.append(took)
-                shares.append(carried_value(topology, now, weights) / best)
-        lp = f"{statistics.median(others):.1f}" if others else "-"
-        share = f"{min(shares):.3f} to {max(shares):.3f}" if shares else "-"
+                program_times.append(took)
+                value_shares.append(carried_value(topology, now, weights) / best)
+        program_time = f"{statistics.median(program_times):.1f}" if program_times else "-"
+        share = f"{min(value_shares):.3f} to {max(value_shares):.3f}" if value_shares else "-"
         print(
-            f"| {zones} | {regions} | {classes} | {statistics.median(times):.1f} | {lp} | {share} |"
+            f"| {zones} | {regions} | {classes} | {statistics.median(plan_times):.1f} | {program_time} | {share} |"
         )
 
 
-# Decisions.
-
-
-def decisions(plan: TrafficPlan | None, servers: int = 60) -> float:
-    """Return the microseconds a request of a policy with a plan, or without."""
+def decision_time(plan: TrafficPlan | None, servers: int = 60) -> float:
+    """Return the time in µs that a policy takes per request, with or without a plan."""
     classes = (
         RequestClass(
             latency_objective_ms=400.0,
@@ -171,8 +182,8 @@
     policy.handle(1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     if plan is not None:
         policy.handle(1.0, plan)
-    now, begun = 1.0, time.perf_counter()
-    for number in range(1, 30_001):
+    now, started_at = 1.0, time.perf_counter()
+    for number in range(1, DECISIONS + 1):
         now += 1.0
         for action in policy.handle(now, Request(number, 0, now + 1000, key=number % 500 + 1)):
             if isinstance(action, Send):
@@ -180,25 +191,22 @@
                     now + 0.5,
                     AttemptEnded(number, action.endpoint_id, True, AttemptResult.OK, 0, 20.0),
                 )
-    return (time.perf_counter() - begun) / 30_000 * 1e6
+    return (time.perf_counter() - started_at) / DECISIONS * 1e6
 
 
-def print_cost() -> None:
-    """Print what a plan adds to a policy's decisions."""
+def print_decision_cost() -> None:
+    """Print how much a plan slows down the decisions of a policy."""
     plan = TrafficPlan(((0.8, 0.2, 0.0),) * 2, (0.1, 0.1, 0.1))
-    pairs = [(decisions(None), decisions(plan)) for _ in range(5)]
-    ratio = statistics.median(with_ / without for without, with_ in pairs)
+    pairs = [(decision_time(None), decision_time(plan)) for _ in range(5)]
+    ratio = statistics.median(with_plan / without_plan for without_plan, with_plan in pairs)
     print(
         f"a request's decisions with a plan over without: {ratio:.3f} ({pairs[0][0]:.1f} us without)"
     )
 
 
-# Worlds.
-
-
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """A fault of a zone, at so many nodes and so much load."""
+    """A zone fault with a number of nodes and a load."""
 
     fault: str
     nodes: int
@@ -207,7 +215,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Job:
-    """One run of a scenario: the planning mode or the other policy, and the seed."""
+    """One run of a scenario with a planning mode or another policy, and a seed."""
 
     mode: str
     scenario: Scenario
@@ -216,16 +224,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """What came of a run."""
+    """Result of a run.
+
+    Attributes:
+        value: Served share of the value of all requests.
+        violations: Number of guarantees broken.
+        lost_after: Share of requests not served in time in the 5 s after the end of the fault.
+    """
 
-    value: float  # served, as a share
-    breaches: int  # rules broken
-    lost_after: float  # share of requests not served in time in the 5 s after the fault's end
+    value: float
+    violations: int
+    lost_after: float
 
 
-def world_day(scenario: Scenario, zones: str) -> Day:
-    """Return the day of a scenario; `zones` is the planning mode, or `off`."""
-    tables = load(WORLD).model_dump(by_alias=True)
+def make_day(scenario: Scenario, zones: str) -> Day:
+    """Return the simulated day of a scenario; `zones` is the planning mode or `off`."""
+    tables = load(EXPERIMENT_PATH).model_dump(by_alias=True)
     tables["experiment"]["seconds"] = 24 if scenario.fault == "cut" else 30
     tables["arrivals"]["load"], tables["fleet"]["nodes"] = scenario.load, scenario.nodes
     tables["trouble"] = FAULTS[scenario.fault]
@@ -235,10 +249,10 @@
 
 
 def run_job(job: Job) -> Outcome:
-    """Play one run."""
+    """Simulate one run."""
     zones = job.mode if job.mode in ("majority", "shared") else "off"
     policy = job.mode if job.mode in ("prequal", "priority") else "badgercart"
-    result = play(Cell(world_day(job.scenario, zones), policy, job.seed))
+    result = play(Cell(make_day(job.scenario, zones), policy, job.seed))
     faults = FAULTS[job.scenario.fault]
     end_s = int(max(fault["at_s"] + fault["for_s"] for fault in faults))
     course = result["course"]
@@ -247,8 +261,8 @@
     return Outcome(result["share"], sum(result["breaches"].values()), lost)
 
 
-def print_worlds(seeds: int, scenarios: list[Scenario], workers: int) -> None:
-    """Print a table of all scenarios by each mode, beside the first one."""
+def print_scenarios(seeds: int, scenarios: list[Scenario], workers: int) -> None:
+    """Print a table of all scenarios that compares each mode with the first."""
     numbers = range(1, seeds + 1)
     jobs = [Job(mode, each, seed) for each in scenarios for mode in MODES for seed in numbers]
     with ProcessPoolExecutor(workers) as pool:
@@ -257,28 +271,28 @@
     print("| --- " * (len(MODES) + 4) + "|")
     for each in scenarios:
         by_mode = {mode: [outcomes[Job(mode, each, seed)] for seed in numbers] for mode in MODES}
-        cells = [mode_cell(mode, by_mode) for mode in MODES]
+        table_cells = [mode_cell(mode, by_mode) for mode in MODES]
         lost = statistics.fmean(outcome.lost_after for outcome in by_mode["majority"])
         head = f"| {each.fault} | {each.nodes} | {each.load} |"
-        print(f"{head} {' | '.join(cells)} | {lost:.3f} |", flush=True)
+        print(f"{head} {' | '.join(table_cells)} | {lost:.3f} |", flush=True)
 
 
 def mode_cell(mode: str, by_mode: Mapping[str, Sequence[Outcome]]) -> str:
-    """Return a mode's cell: its mean value, rules broken, and how it compares with one plan."""
+    """Return the table cell of a mode: mean value, violations, comparison with the first mode."""
     values = [outcome.value for outcome in by_mode[mode]]
-    breaches = sum(outcome.breaches for outcome in by_mode[mode])
-    words = f"{statistics.fmean(values):.4f}" + (f" !{breaches}" if breaches else "")
+    violations = sum(outcome.violations for outcome in by_mode[mode])
+    text = f"{statistics.fmean(values):.4f}" + (f" !{violations}" if violations else "")
     if mode == "majority":
-        return words
+        return text
     compared = verdict(paired(values, [outcome.value for outcome in by_mode["majority"]]))
     if compared == "better":
-        return f"**{words}**"
-    return words if compared == "worse" else f"{words} ="
+        return f"**{text}**"
+    return text if compared == "worse" else f"{text} ="
 
 
-def scenarios_of(only_cut: bool) -> list[Scenario]:
-    """Return zones cut off by loads and nodes, or all faults at nine nodes."""
-    if only_cut:
+def scenarios_of(only_partitions: bool) -> list[Scenario]:
+    """Return a partitioned zone by load and number of nodes, or all faults with nine nodes."""
+    if only_partitions:
         return [Scenario("cut", nodes, load) for load in (0.55, 0.7, 0.8) for nodes in (3, 9, 18)]
     return [Scenario(fault, 9, load) for fault in FAULTS for load in (0.55, 0.7)]
 
@@ -292,18 +306,18 @@
     parser.add_argument(
         "--workers", type=int, default=os.cpu_count() or 1, help="processes (all cores)"
     )
-    chosen = parser.parse_args()
-    if chosen.worlds:
-        print_worlds(chosen.seeds, scenarios_of(chosen.cut), chosen.workers)
+    arguments = parser.parse_args()
+    if arguments.worlds:
+        print_scenarios(arguments.seeds, scenarios_of(arguments.cut), arguments.workers)
         return 0
     try:
         import highspy  # noqa: F401
     except ModuleNotFoundError:
         print("without highspy there is no linear programme to compare with")
-        print_plans(with_programme=False)
+        print_plans(with_optimum=False)
     else:
-        print_plans(with_programme=True)
-    print_cost()
+        print_plans(with_optimum=True)
+    print_decision_cost()
     return 0
 
 
