--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -1,11 +1,11 @@
-"""What a capture costs, and how quickly it is replayed: `python -m benchmarks.capture`.
-
-One run plays the same requests through a join and its policy with the capture on and off, in turn,
-and prints the processor time of both, the writer's thread included; bytes an event and a request;
-the replay's speed beside the time that was captured; and how long `capture explain` takes, as a
-whole process, for a request in the middle of `--records` events. The share of a whole request is
-against the processor time that the HTTP front takes for one (`--front`, in µs, as
-`benchmarks.operator` gives it).
+"""Measure the cost of a capture and the speed of its replay: `python -m benchmarks.capture`.
+
+Sends the same requests through a request pipeline and its policy, alternating between capture on and
+off. Prints the processor time of both, including the thread of the writer; the bytes per event and
+per request; the speed of the replay relative to the captured time; and how long the process of
+`capture explain` takes for a request in the middle of `--records` events. The throughput for a whole
+request assumes the processor time that the HTTP frontend takes for one (`--front`, in µs, as measured
+by `benchmarks.operator`).
 """
 
 from __future__ import annotations
@@ -28,114 +28,140 @@
 from badgercart.policy.events import AttemptResult, EndpointUpdate, UpdateKind
 from badgercart.policy.settings import Idempotency, RequestClass, Settings
 
-CLASS = RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT)
-GAP = 3.0  # ms between requests
-TOOK = 40.0  # ms of an answer
+REQUEST_CLASS = RequestClass(580.0, 1400.0, 2.0, Idempotency.IDEMPOTENT)
+REQUEST_INTERVAL_MS = 3.0
+RESPONSE_TIME_MS = 40.0
+REQUEST_TIMEOUT_MS = 1300.0
+# The load generator waits for the writer while more bytes than this are queued.
+MAX_QUEUED_BYTES = 1 << 20
 
 
 class NoTimers:
+    """Timers of a pipeline that must not need any."""
+
     def call_later(self, delay: float, callback: object, *args: object) -> asyncio.Handle:
-        raise AssertionError("nothing waits here")
+        """Fail, because every request is sent at once."""
+        raise AssertionError("no timer is expected")
+
 
+class LoadGenerator:
+    """An idle node whose first chosen server answers every request.
 
-class Load:
-    """A calm node: every request is served at once by the first server that is chosen."""
+    It is also the client, the upstream and the receiver of errors of the capture writer.
+    """
 
     def __init__(self, folder: Path | None) -> None:
         self.now = 0.0
-        self.order: AttemptRequest | None = None
-        self.join = RequestPipeline(
-            Settings(classes=(CLASS,), max_attempts=2), 1, NoTimers(), lambda: self.now
+        self.attempt: AttemptRequest | None = None
+        self.pipeline = RequestPipeline(
+            Settings(classes=(REQUEST_CLASS,), max_attempts=2), 1, NoTimers(), lambda: self.now
         )
         self.capture: CaptureWriter | None = None
         if folder is not None:
             settings = CaptureSettings(folder=str(folder))
             self.capture = CaptureWriter(
-                settings, folder, "n", self.join.policy, 1, self.lost, self.broken
+                settings,
+                folder,
+                "n",
+                self.pipeline.policy,
+                1,
+                self.on_lost_events,
+                self.on_write_error,
             )
-            self.join.decision_log = self.capture.record_event
+            self.pipeline.decision_log = self.capture.record_event
         entries = [Endpoint(n, 0, 0, 0, EndpointState.READY, 2.0, 0.0) for n in range(1, 11)]
-        self.join.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
+        self.pipeline.dispatch(EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
 
-    def lost(self, count: int) -> None:
+    def on_lost_events(self, count: int) -> None:
+        """Report events that the writer dropped."""
         print(f"{count} events were lost: the disk is too slow for this benchmark")
 
-    def broken(self, error: OSError) -> None:
+    def on_write_error(self, error: OSError) -> None:
+        """Fail on an error of the writer."""
         raise RuntimeError(str(error))
 
-    def send(self, order: AttemptRequest) -> None:
-        self.order = order
+    def send(self, attempt: AttemptRequest) -> None:
+        """Hold the attempt until `run` answers it."""
+        self.attempt = attempt
 
-    def cancel(self, request_id: int, number: int) -> None: ...
+    def cancel(self, request_id: int, number: int) -> None:
+        """Do nothing: no attempt is cancelled."""
 
     def client_is_gone(self) -> bool:
+        """Return that the client is still connected."""
         return False
 
-    def on_response(self, answer: UpstreamResponse) -> None: ...
+    def on_response(self, response: UpstreamResponse) -> None:
+        """Discard the response."""
 
-    def abandon_attempt(self, request_id: int, number: int) -> None: ...
+    def abandon_attempt(self, request_id: int, number: int) -> None:
+        """Do nothing: attempts end at once."""
 
-    def on_shed(self, wait: float) -> None: ...
+    def on_shed(self, wait: float) -> None:
+        """Ignore that a request was shed."""
 
-    def on_failure(self, broken: bool) -> None: ...
+    def on_failure(self, broken: bool) -> None:
+        """Ignore that a request failed."""
 
-    def play(self, requests: int) -> float:
-        """Processor time of all threads (s)."""
-        begun = time.process_time()
+    def run(self, requests: int) -> float:
+        """Run so many requests and return the processor time of all threads in s."""
+        started_at = time.process_time()
         for number in range(requests):
-            self.now += GAP
-            self.order = None
-            intake = IncomingRequest(0, 0, number % 500 + 1, self.now + 1300.0, None)
-            self.join.accept(self.join.next_request_id(), intake, self, self)
-            if (order := self.order) is not None:
-                answer = UpstreamResponse(200)
-                self.join.attempt_ended(
-                    order.request_id,
-                    order.attempt,
-                    order.endpoint_id,
+            self.now += REQUEST_INTERVAL_MS
+            self.attempt = None
+            request = IncomingRequest(0, 0, number % 500 + 1, self.now + REQUEST_TIMEOUT_MS, None)
+            self.pipeline.accept(self.pipeline.next_request_id(), request, self, self)
+            if (attempt := self.attempt) is not None:
+                response = UpstreamResponse(200)
+                self.pipeline.attempt_ended(
+                    attempt.request_id,
+                    attempt.attempt,
+                    attempt.endpoint_id,
                     AttemptResult.OK,
-                    TOOK,
-                    answer,
+                    RESPONSE_TIME_MS,
+                    response,
                 )
-            while self.capture is not None and self.capture.disk.queued_bytes > 1 << 20:
-                time.sleep(0.01)  # no node sends so many requests: the writer keeps up
+            while self.capture is not None and self.capture.disk.queued_bytes > MAX_QUEUED_BYTES:
+                # A real node sends fewer requests, so that its writer keeps up.
+                time.sleep(0.01)
         if self.capture is not None:
             self.capture.close()
-        return time.process_time() - begun
+        return time.process_time() - started_at
 
 
-def explain(records: int) -> None:
-    """A request in the middle of a long capture."""
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        load = Load(folder)
-        load.play(records // 2)
-        size = sum(path.stat().st_size for path in find_segments([name]))
+def measure_explain(records: int) -> None:
+    """Measure `capture explain` for a request in the middle of a long capture."""
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder = Path(folder_name)
+        generator = LoadGenerator(folder)
+        generator.run(records // 2)
+        size_bytes = sum(path.stat().st_size for path in find_segments([folder_name]))
         command = [
             sys.executable,
             "-m",
             "badgercart",
             "capture",
             "explain",
-            name,
+            folder_name,
             str(records // 4),
         ]
-        begun = time.perf_counter()
-        done = subprocess.run(command, capture_output=True, text=True)
-        spent = time.perf_counter() - begun
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
+        completed = subprocess.run(command, capture_output=True, text=True)
+        elapsed_s = time.perf_counter() - started_at
+        started_at = time.perf_counter()
         subprocess.run(
             [sys.executable, "-m", "badgercart", "capture", "--help"], capture_output=True
         )
-        bare = time.perf_counter() - begun
-    if done.returncode or "send to" not in done.stdout:
-        raise RuntimeError(f"explain failed: {done.stdout}{done.stderr}")
+        startup_s = time.perf_counter() - started_at
+    if completed.returncode or "send to" not in completed.stdout:
+        raise RuntimeError(f"explain failed: {completed.stdout}{completed.stderr}")
     print(
-        f"explain in {records} events ({size >> 20} MiB): {spent:.2f} s, of which {bare:.2f} s is the start"
+        f"explain in {records} events ({size_bytes >> 20} MiB): {elapsed_s:.2f} s, of which {startup_s:.2f} s is the start"
     )
 
 
 def main() -> int:
+    """Run the benchmark that the command line asks for."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.capture", description=__doc__)
     parser.add_argument("--requests", type=int, default=10_000, help="of each play (10,000)")
     parser.add_argument("--rounds", type=int, default=5, help="plays of each way, in turn (5)")
@@ -145,34 +171,42 @@
     parser.add_argument(
         "--front", type=float, default=200.0, help="µs of a core for a whole request (200)"
     )
-    chosen = parser.parse_args()
-    off, on = [], []
-    with tempfile.TemporaryDirectory() as name:
-        for turn in range(chosen.rounds):
-            off.append(Load(None).play(chosen.requests) / chosen.requests * 1e6)
-            folder = Path(name) / str(turn)
+    arguments = parser.parse_args()
+    without_capture_us, with_capture_us = [], []
+    with tempfile.TemporaryDirectory() as folder_name:
+        for round_number in range(arguments.rounds):
+            without_capture_us.append(
+                LoadGenerator(None).run(arguments.requests) / arguments.requests * 1e6
+            )
+            folder = Path(folder_name) / str(round_number)
             folder.mkdir()
-            on.append(Load(folder).play(chosen.requests) / chosen.requests * 1e6)
+            with_capture_us.append(
+                LoadGenerator(folder).run(arguments.requests) / arguments.requests * 1e6
+            )
         paths = find_segments([str(folder)])
-        size = sum(path.stat().st_size for path in paths)
-        begun = time.process_time()
-        told = [replay(path) for path in paths]
-        spent = time.process_time() - begun
-    events = sum(part.events for part in told)
-    if not all(part.identical for part in told):
+        size_bytes = sum(path.stat().st_size for path in paths)
+        started_at = time.process_time()
+        replays = [replay(path) for path in paths]
+        elapsed_s = time.process_time() - started_at
+    events = sum(result.events for result in replays)
+    if not all(result.identical for result in replays):
         print("the replay differs")
         return 1
-    cost = statistics.median(on) - statistics.median(off)
-    share = chosen.front / (chosen.front + cost)
+    capture_cost_us = statistics.median(with_capture_us) - statistics.median(without_capture_us)
+    throughput_share = arguments.front / (arguments.front + capture_cost_us)
+    print(
+        f"join and policy: {statistics.median(without_capture_us):.1f} µs a request, {capture_cost_us:.1f} more with the capture on"
+    )
+    print(
+        f"of a whole request at {arguments.front:.0f} µs: throughput {throughput_share:.3f} of off"
+    )
     print(
-        f"join and policy: {statistics.median(off):.1f} µs a request, {cost:.1f} more with the capture on"
+        f"{size_bytes / events:.1f} bytes an event, {size_bytes / arguments.requests:.1f} a request"
     )
-    print(f"of a whole request at {chosen.front:.0f} µs: throughput {share:.3f} of off")
-    print(f"{size / events:.1f} bytes an event, {size / chosen.requests:.1f} a request")
-    times = chosen.requests * GAP / 1000 / spent
-    print(f"replay: {events / spent:.0f} events a second, {times:.0f} times real time")
-    if chosen.records:
-        explain(chosen.records)
+    speedup = arguments.requests * REQUEST_INTERVAL_MS / 1000 / elapsed_s
+    print(f"replay: {events / elapsed_s:.0f} events a second, {speedup:.0f} times real time")
+    if arguments.records:
+        measure_explain(arguments.records)
     return 0
 
 
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -1,10 +1,11 @@
-"""Cold servers under the sum of all processes: `python -m benchmarks.cold [--nodes 24] [--seed 1]`.
-
-So many real `run` processes before servers that start cold while the traffic grows by half: some
-join, some come back under their own ids, all start at once. One node of eight gets four times an
-even part. The servers' own records decide: the most that one was sent within the window that the
-settings name, over N + 2 * sqrt(N) + 2, and how much of N all were sent (a third of it is what
-their age surely lets them do).
+"""Measure the load of many nodes on cold servers: `python -m benchmarks.cold [--nodes 24] [--seed 1]`.
+
+Starts many real `run` processes in front of servers that start cold while the traffic grows by half:
+some servers join, some return under their own ids, or all start at once. One in eight nodes gets four
+times an even part of the traffic. The results come from the records of the servers. With N as the
+number of requests that the settings allow, they are the highest number of requests that one server
+got within the collapse window, relative to N + 2 * sqrt(N) + 2, and the share of N that all servers
+got. A third of N is certainly within the capacity of a server of that age.
 """
 
 from __future__ import annotations
@@ -26,17 +27,21 @@
 from standins.server import DispatchServer
 from standins.traffic import KINDS, TENANTS, Result, arrivals, play, served_share
 
-SERVERS, COLD, CORES = 10, 4, 2
-LOAD, BURST = 0.7, 1.5
-BEFORE, AWAY = (
-    8.0,
-    1.0,
-)  # s of traffic before the start, and that a server is away before it comes back
-MEAN = sum(kind.share * sum(WORK[kind.name]) / 2 for kind in KINDS)  # ms
-RAMP = Ramp(cores=CORES, work_ms=MEAN, ramp_ms=6000.0)
-
-
-def config(number: int, nodes: int, discovery: str) -> dict[str, Any]:
+SERVERS = 10
+COLD_SERVERS = 4
+CORES_PER_SERVER = 2
+# Load as a share of the warm capacity of all servers, and its growth while servers are cold.
+LOAD = 0.7
+LOAD_GROWTH = 1.5
+TRAFFIC_BEFORE_START_S = 8.0
+# How long a server is away before it returns.
+ABSENCE_S = 1.0
+MEAN_WORK_MS = sum(kind.share * sum(WORK[kind.name]) / 2 for kind in KINDS)
+RAMP = Ramp(cores=CORES_PER_SERVER, work_ms=MEAN_WORK_MS, ramp_ms=6000.0)
+
+
+def node_config(number: int, nodes: int, discovery: str) -> dict[str, Any]:
+    """Return the configuration of a node process."""
     classes = [
         {
             "Name": kind.name, "Aim": kind.aim, "Deadline": kind.deadline, "Worth": kind.worth,
@@ -45,7 +50,7 @@
         }
         for kind in KINDS
     ]  # fmt: skip
-    customers = [
+    tenants = [
         {"Name": n, "QuotaPerS": QUOTA * share, "Portion": share} for n, share in TENANTS.items()
     ]
     return {
@@ -59,7 +64,7 @@
                 "ConnIdle": 15000.0, "DialTimeout": 1000.0, "MaxAttempts": 4, "MaxRetryAfter": 600.0,
                 "RetryAfter": True,
             },
-            "Azs": ["angyalfold"], "Classes": classes, "Customers": customers, "Discovery": "push",
+            "Azs": ["angyalfold"], "Classes": classes, "Customers": tenants, "Discovery": "push",
             "Domain": {"WarmKeys": True}, "GroupSize": nodes, "Kinds": ["k2-fast", "k3-slow"], "Me": number,
             "Obligations": {
                 "AskWithin": 10000.0, "DrainGrace": 500.0, "ColdFrom": RAMP.cold_from,
@@ -71,11 +76,12 @@
 
 
 class NodeProcess:
-    """One `run` process."""
+    """Process of one node, started by its configuration."""
 
     async def start(self, folder: Path, number: int, nodes: int, discovery: str) -> NodeProcess:
+        """Start the node and wait until it has read its first endpoint list."""
         path = folder / f"n{number}.json"
-        path.write_text(json.dumps(config(number, nodes, discovery)))
+        path.write_text(json.dumps(node_config(number, nodes, discovery)))
         environ = {
             name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")
         }
@@ -86,117 +92,145 @@
         assert self.process.stderr is not None
         self.address = ""
         async for line in self.process.stderr:
-            if found := re.search(r"listens on (127\.0\.0\.1:\d+)", line.decode()):
-                self.address = found[1]
+            if match := re.search(r"listens on (127\.0\.0\.1:\d+)", line.decode()):
+                self.address = match[1]
             if "list 1" in line.decode():
                 break
-        self.drained = asyncio.create_task(self.process.stderr.read())
+        self.draining = asyncio.create_task(self.process.stderr.read())
         return self
 
     async def stop(self) -> None:
+        """Kill the process and wait for its end."""
         self.process.kill()
         await self.process.wait()
-        await self.drained
+        await self.draining
 
 
-class Cold:
-    """A server, and when its process began (monotonic clock; 0: long ago)."""
+class RampingServer:
+    """A server that speeds up after its start.
+
+    `started_at_s` is the start in monotonic time; 0 stands for a server that is warm.
+    """
 
     def __init__(self, number: int, seed: int) -> None:
-        self.server = DispatchServer(f"s-{number}", WORK, cores=CORES, queue=CORES, seed=seed)
-        self.began = 0.0
+        self.dispatch_server = DispatchServer(
+            f"s-{number}", WORK, cores=CORES_PER_SERVER, queue=CORES_PER_SERVER, seed=seed
+        )
+        self.started_at_s = 0.0
 
     async def start(self) -> None:
-        await self.server.start(self.server.port)
-        self.began = time.monotonic()
-        self.server.started_at, self.server.state = int(time.time() * 1000), "active"
-
-    def age(self) -> None:
-        """Its work takes as long as its age has it."""
-        past = (time.monotonic() - self.began) * 1000
-        self.server.slowness = 1.0 if not self.began else 1.0 / RAMP.share(past)
-
-    def count(self) -> tuple[int, float]:
-        """What it was sent amid its ramp, and the most over its bound."""
-        end = self.began + RAMP.ramp_ms / 1000
-        times = [1000 * seen.at for seen in self.server.seen if self.began <= seen.at < end]
-        return len(times), closest(times, [True] * len(times), 1000 * self.began, RAMP)
-
-
-async def trial(way: str, nodes: int, seed: int, folder: Path) -> str:
-    servers = [Cold(number + 1, seed) for number in range(SERVERS)]
-    later = servers[-COLD:] if way != "all" else servers
-    listed = servers[:-COLD] if way == "join" else servers
-    for one in listed:
-        await one.server.start()
-    catalog = await Catalog([one.server.entry() for one in listed]).start()
-    running = list(
+        """Start the server cold."""
+        await self.dispatch_server.start(self.dispatch_server.port)
+        self.started_at_s = time.monotonic()
+        self.dispatch_server.started_at, self.dispatch_server.state = (
+            int(time.time() * 1000),
+            "active",
+        )
+
+    def update_speed(self) -> None:
+        """Set the speed of the server by its age."""
+        age_ms = (time.monotonic() - self.started_at_s) * 1000
+        self.dispatch_server.slowness = 1.0 if not self.started_at_s else 1.0 / RAMP.share(age_ms)
+
+    def ramp_load(self) -> tuple[int, float]:
+        """Return the number of requests during the ramp, and the highest load over its bound."""
+        end = self.started_at_s + RAMP.ramp_ms / 1000
+        times = [
+            1000 * seen.at
+            for seen in self.dispatch_server.seen
+            if self.started_at_s <= seen.at < end
+        ]
+        return len(times), closest(times, [True] * len(times), 1000 * self.started_at_s, RAMP)
+
+
+async def run_trial(way: str, nodes: int, seed: int, folder: Path) -> str:
+    """Run one trial and return its line of output."""
+    servers = [RampingServer(number + 1, seed) for number in range(SERVERS)]
+    cold_servers = servers[-COLD_SERVERS:] if way != "all" else servers
+    listed_servers = servers[:-COLD_SERVERS] if way == "join" else servers
+    for server in listed_servers:
+        await server.dispatch_server.start()
+    catalog = await Catalog([server.dispatch_server.entry() for server in listed_servers]).start()
+    node_processes = list(
         await asyncio.gather(
             *(NodeProcess().start(folder, n, nodes, catalog.address) for n in range(nodes))
         )
     )
-    warm = 1000 * CORES / MEAN * SERVERS
-    parts = [4.0 if n % 8 == 3 else 1.0 for n in range(nodes)]
-    spans = {0.0: LOAD * len(listed) / SERVERS, BEFORE + AWAY: LOAD * BURST}
-    ends = [BEFORE + AWAY, BEFORE + AWAY + RAMP.ramp_ms / 1000]
-    playing: list[asyncio.Task[list[Result]]] = []
+    warm_rate_per_s = 1000 * CORES_PER_SERVER / MEAN_WORK_MS * SERVERS
+    weights = [4.0 if n % 8 == 3 else 1.0 for n in range(nodes)]
+    load_by_begin_s = {
+        0.0: LOAD * len(listed_servers) / SERVERS,
+        TRAFFIC_BEFORE_START_S + ABSENCE_S: LOAD * LOAD_GROWTH,
+    }
+    ends = [
+        TRAFFIC_BEFORE_START_S + ABSENCE_S,
+        TRAFFIC_BEFORE_START_S + ABSENCE_S + RAMP.ramp_ms / 1000,
+    ]
+    sending: list[asyncio.Task[list[Result]]] = []
 
-    async def ask(number: int, begin: float, end: float, rate: float) -> list[Result]:
-        coming = list(arrivals(seed * 1000 + 10 * number + int(begin), rate, end - begin))
-        return await play(running[number].address, coming)
+    async def send_traffic(number: int, begin: float, end: float, rate: float) -> list[Result]:
+        traffic = list(arrivals(seed * 1000 + 10 * number + int(begin), rate, end - begin))
+        return await play(node_processes[number].address, traffic)
 
-    async def aging() -> None:
+    async def update_speeds() -> None:
         while True:
-            for one in later:
-                one.age()
+            for server in cold_servers:
+                server.update_speed()
             await asyncio.sleep(0.05)
 
-    clock = asyncio.create_task(aging())
-    told = ""
+    aging_task = asyncio.create_task(update_speeds())
+    text = ""
     try:
-        for (begin, load), end in zip(spans.items(), ends, strict=True):
+        for (begin, load), end in zip(load_by_begin_s.items(), ends, strict=True):
             if begin:
-                for one in later:
-                    await one.start()
-                catalog.change(*(one.server.entry() for one in later))
-            rates = [load * warm * part / sum(parts) for part in parts]
-            playing = [
-                asyncio.create_task(ask(n, begin, end, rate)) for n, rate in enumerate(rates)
+                for server in cold_servers:
+                    await server.start()
+                catalog.change(*(server.dispatch_server.entry() for server in cold_servers))
+            rates = [load * warm_rate_per_s * weight / sum(weights) for weight in weights]
+            sending = [
+                asyncio.create_task(send_traffic(n, begin, end, rate))
+                for n, rate in enumerate(rates)
             ]
             if not begin:
-                await asyncio.sleep(BEFORE)
-                for one in later if way != "join" else []:
-                    one.server.stop()
-                    one.server.state = "left"
+                await asyncio.sleep(TRAFFIC_BEFORE_START_S)
+                for server in cold_servers if way != "join" else []:
+                    server.dispatch_server.stop()
+                    server.dispatch_server.state = "left"
                 if way != "join":
-                    catalog.change(*(one.server.entry() for one in later))
-            results = [result for part in await asyncio.gather(*playing) for result in part]
-            told += f"  served {served_share(results):.2f}"
-        counts = [one.count() for one in later]
-        allowed = RAMP.multiple * RAMP.warm * RAMP.ramp_ms * (1 + RAMP.cold_from) / 2 * len(later)
-        fallen = sum(most > 1 for _, most in counts)
-        sent = sum(count for count, _ in counts) / allowed
-        closest_one = max(most for _, most in counts)
-        return f"{way:5}{told}  of N sent {sent:.2f}  closest {closest_one:.2f} of its bound  fallen {fallen}"
+                    catalog.change(*(server.dispatch_server.entry() for server in cold_servers))
+            results = [result for part in await asyncio.gather(*sending) for result in part]
+            text += f"  served {served_share(results):.2f}"
+        loads = [server.ramp_load() for server in cold_servers]
+        allowed = (
+            RAMP.multiple * RAMP.warm * RAMP.ramp_ms * (1 + RAMP.cold_from) / 2 * len(cold_servers)
+        )
+        overloaded = sum(peak > 1 for _, peak in loads)
+        sent = sum(count for count, _ in loads) / allowed
+        peak_load = max(peak for _, peak in loads)
+        return f"{way:5}{text}  of N sent {sent:.2f}  closest {peak_load:.2f} of its bound  fallen {overloaded}"
     finally:
-        clock.cancel()
-        for node in running:
+        aging_task.cancel()
+        for node in node_processes:
             await node.stop()
         catalog.stop()
-        for one in servers:
-            if one in listed or one.began:
-                one.server.stop()
+        for server in servers:
+            if server in listed_servers or server.started_at_s:
+                server.dispatch_server.stop()
 
 
 def main() -> None:
+    """Run the trials that the command line asks for."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--nodes", type=int, default=24)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--way", choices=("join", "back", "all"))
-    asked = parser.parse_args()
-    for way in [asked.way] if asked.way else ["join", "back", "all"]:
+    arguments = parser.parse_args()
+    for way in [arguments.way] if arguments.way else ["join", "back", "all"]:
         with tempfile.TemporaryDirectory() as folder:
-            print(asyncio.run(trial(way, asked.nodes, asked.seed, Path(folder))), flush=True)
+            print(
+                asyncio.run(run_trial(way, arguments.nodes, arguments.seed, Path(folder))),
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -1,10 +1,10 @@
-"""What a restart costs, with and without what was learned: `python -m benchmarks.restart`.
+"""Measure the cost of a restart with and without a statistics file: `python -m benchmarks.restart`.
 
-One day near capacity with a quarter of the servers slow, on sockets, five ways at once for each
-seed: a node that is never restarted; one that is restarted in the middle, without a file; with its
-file; and, where other servers are slow after the restart, without a file and with one that says it
-is an hour old. Prints the worth served in the seconds after the restart, and how much of the loss
-the file wins back.
+Runs a day near capacity on sockets, with a quarter of the servers slow, in five variants at once for
+each seed: a node that never restarts; a node that restarts in the middle, without a file; the same
+with its file; and, with other servers slow after the restart, without a file and with one that claims
+to be an hour old. Prints the value served in the seconds after the restart, and how much of the loss
+the file recovers.
 """
 
 from __future__ import annotations
@@ -24,8 +24,11 @@
 from standins.traffic import Arrival, arrivals, play, served_share
 
 SERVERS = 8
-BEFORE, AFTER = 8.0, 20.0  # s
-WAYS = (
+BEFORE_RESTART_S = 8.0
+AFTER_RESTART_S = 20.0
+SLOW_FACTOR = 5.0
+FILE_AGE_S = 3600.0
+VARIANTS = (
     "never restarted",
     "without",
     "with its file",
@@ -34,79 +37,97 @@
 )
 
 
-async def day(way: str, seed: int, rate: float) -> float:
-    """The share of worth served after the restart."""
+async def run_day(variant: str, seed: int, rate: float) -> float:
+    """Return the share of the value that is served after the restart."""
     fleet = await Fleet(SERVERS, seed).start()
     slow, others = fleet.servers[:2], fleet.servers[4:6]
     for server in slow:
-        server.slowness = 5.0
+        server.slowness = SLOW_FACTOR
     with tempfile.TemporaryDirectory() as folder:
-        file, kept = Path(folder) / "node.toml", Path(folder) / "kept"
-        kept.mkdir()
+        config_path, statistics_folder = (
+            Path(folder) / "node.toml",
+            Path(folder) / "kept",
+        )
+        statistics_folder.mkdir()
         text = operators_file(fleet.catalog.address)
-        if way in (WAYS[2], WAYS[4]):
-            text += f'[learning]\nfolder = "{kept}"\nevery_s = 2\n'
-        file.write_text(text)
+        if variant in (VARIANTS[2], VARIANTS[4]):
+            text += f'[learning]\nfolder = "{statistics_folder}"\nevery_s = 2\n'
+        config_path.write_text(text)
         node = NodeProcess(("http",))
-        await node.start(file)
-        coming = list(arrivals(seed, rate, BEFORE + AFTER))
-        first = [one for one in coming if one.at < BEFORE]
-        rest = [
-            Arrival(o.at - BEFORE, o.kind, o.tenant, o.name, o.ride)
-            for o in coming
-            if o.at >= BEFORE
+        await node.start(config_path)
+        traffic = list(arrivals(seed, rate, BEFORE_RESTART_S + AFTER_RESTART_S))
+        traffic_before = [arrival for arrival in traffic if arrival.at < BEFORE_RESTART_S]
+        traffic_after = [
+            Arrival(
+                arrival.at - BEFORE_RESTART_S,
+                arrival.kind,
+                arrival.tenant,
+                arrival.name,
+                arrival.ride,
+            )
+            for arrival in traffic
+            if arrival.at >= BEFORE_RESTART_S
         ]
-        await play(node.fronts["http"], first)
-        if way != WAYS[0]:
+        await play(node.fronts["http"], traffic_before)
+        if variant != VARIANTS[0]:
             await node.stop()
-            if way == WAYS[4]:
-                age(kept, 3600.0)
-            if way in WAYS[3:]:
+            if variant == VARIANTS[4]:
+                backdate(statistics_folder, FILE_AGE_S)
+            if variant in VARIANTS[3:]:
                 for server in slow:
                     server.slowness = 1.0
                 for server in others:
-                    server.slowness = 5.0
+                    server.slowness = SLOW_FACTOR
             node = NodeProcess(("http",))
-            await node.start(file)
-        results = await play(node.fronts["http"], rest)
+            await node.start(config_path)
+        results = await play(node.fronts["http"], traffic_after)
         await node.stop()
     await fleet.stop()
     return served_share(results)
 
 
-def age(folder: Path, seconds: float) -> None:
-    """Have a kept file say that it is older."""
+def backdate(folder: Path, seconds: float) -> None:
+    """Make the stored statistics claim to be older."""
     files = store.Folder(folder)
-    kept = store.load(files).snapshot
-    if kept is None:
-        raise RuntimeError("the node kept nothing")
-    older = msgspec.structs.replace(kept, saved_ms=kept.saved_ms - seconds * 1000)
+    stored = store.load(files).snapshot
+    if stored is None:
+        raise RuntimeError("the node stored no statistics")
+    older = msgspec.structs.replace(stored, saved_ms=stored.saved_ms - seconds * 1000)
     store.save(files, snapshot.encode(older))
 
 
-async def run(seeds: int, rate: float) -> dict[str, list[float]]:
-    found: dict[str, list[float]] = {way: [] for way in WAYS}
+async def run_days(seeds: int, rate: float) -> dict[str, list[float]]:
+    """Run all variants for each seed and return their shares of the value."""
+    shares_by_variant: dict[str, list[float]] = {variant: [] for variant in VARIANTS}
     for seed in range(1, seeds + 1):
-        shares = await asyncio.gather(*(day(way, seed, rate) for way in WAYS))
-        for way, share in zip(WAYS, shares, strict=True):
-            found[way].append(share)
+        shares = await asyncio.gather(*(run_day(variant, seed, rate) for variant in VARIANTS))
+        for variant, share in zip(VARIANTS, shares, strict=True):
+            shares_by_variant[variant].append(share)
         print(
-            f"seed {seed}: " + ", ".join(f"{w} {s:.3f}" for w, s in zip(WAYS, shares, strict=True))
+            f"seed {seed}: "
+            + ", ".join(
+                f"{variant} {share:.3f}" for variant, share in zip(VARIANTS, shares, strict=True)
+            )
         )
-    return found
+    return shares_by_variant
 
 
 def main() -> int:
+    """Run the benchmark that the command line asks for."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.restart", description=__doc__)
     parser.add_argument("--seeds", type=int, default=3, help="days (3)")
     parser.add_argument("--rate", type=float, default=130.0, help="requests a second (130)")
-    chosen = parser.parse_args()
-    found = asyncio.run(run(chosen.seeds, chosen.rate))
-    never, without, kept, plain, old = (statistics.fmean(found[way]) for way in WAYS)
-    loss = never - without
-    print(f"a restart costs {loss:.4f} of worth; the file wins back {kept - without:.4f}"
-          + (f", {(kept - without) / loss:.2f} of it" if loss > 0.002 else ""))  # fmt: skip
-    print(f"other servers slow: without a file {plain:.4f}, with one an hour old {old:.4f}")
+    arguments = parser.parse_args()
+    shares_by_variant = asyncio.run(run_days(arguments.seeds, arguments.rate))
+    never_restarted, without_file, with_file, others_without_file, others_with_old_file = (
+        statistics.fmean(shares_by_variant[variant]) for variant in VARIANTS
+    )
+    loss = never_restarted - without_file
+    print(f"a restart costs {loss:.4f} of worth; the file wins back {with_file - without_file:.4f}"
+          + (f", {(with_file - without_file) / loss:.2f} of it" if loss > 0.002 else ""))  # fmt: skip
+    print(
+        f"other servers slow: without a file {others_without_file:.4f}, with one an hour old {others_with_old_file:.4f}"
+    )
     return 0
 
 
