--- a/benchmarks/graphql.py
+++ b/benchmarks/graphql.py
@@ -1,6 +1,7 @@
-"""GraphQL beside plain HTTP: the rate of one core, hostile documents, and the same day both ways.
+"""Compare GraphQL with plain HTTP: throughput of one core, hostile documents, and the same day.
 
-`python -m benchmarks.graphql` prints the figures of one run; `--service` plays the day too.
+`python -m benchmarks.graphql` prints the results of one run; `--service` also runs a day through both
+frontends.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
     read_document,
 )
 from badgercart.frontends.graphql.settings import DocumentLimits
-from benchmarks.same_service import Day
+from benchmarks.same_service import DayRun
 from standins import http1
 from standins.demo import FRONTS, NodeProcess
 from standins.fleet import Fleet, operators_file
@@ -38,9 +39,12 @@
     served_share,
 )
 
-LOOKUP = "query L($p: String!) { cabLookup(pickup: $p) { pickup cabs { id minutes } } }"
-BOOK = "mutation A($r: ID!, $k: String) { rideAssign(ride: $r, key: $k) { id server } }"
-HOSTILE = {
+# A document limit that accepts all hostile documents by their size.
+LARGE_DOCUMENT_BYTES = 1 << 17
+CLIENTS = 8
+LOOKUP_DOCUMENT = "query L($p: String!) { cabLookup(pickup: $p) { pickup cabs { id minutes } } }"
+ASSIGN_DOCUMENT = "mutation A($r: ID!, $k: String) { rideAssign(ride: $r, key: $k) { id server } }"
+HOSTILE_DOCUMENTS = {
     "aliases": "{ " + " ".join(f"a{i}: cabLookup(pickup: \"x\") {{ pickup }}" for i in range(1500)) + " }",
     "nesting": "{ a " * 2000 + "}" * 2000,
     "parentheses": "{ a(x: " + "[" * 30000,
@@ -55,142 +59,174 @@
 }  # fmt: skip
 
 
-def body(arrival: Arrival) -> bytes:
+def request_body(arrival: Arrival) -> bytes:
+    """Return the JSON body of the GraphQL request for an arrival."""
     if arrival.kind is ASSIGN:
         variables = {"r": arrival.ride, "k": f"key-{arrival.name}"}
-        return json.dumps({"query": BOOK, "variables": variables}).encode()
-    return json.dumps({"query": LOOKUP, "variables": {"p": arrival.ride}}).encode()
+        return json.dumps({"query": ASSIGN_DOCUMENT, "variables": variables}).encode()
+    return json.dumps({"query": LOOKUP_DOCUMENT, "variables": {"p": arrival.ride}}).encode()
 
 
 async def ask(address: str, arrival: Arrival, connections: http1.Connections) -> Result:
-    """The same arrival as a GraphQL operation of one part."""
-    kind, began = arrival.kind, time.monotonic()
+    """Send an arrival as a GraphQL operation with one root field."""
+    kind, started_at = arrival.kind, time.monotonic()
     headers = {
         "host": "x", "request-id": arrival.name, "tenant": arrival.tenant, "content-type": "application/json",
         "accept": "application/graphql-response+json", "request-timeout": f"{kind.deadline:.0f}m",
     }  # fmt: skip
-    data = http1.request("POST", "/graphql", headers, body(arrival))
-    answer = await exchange(address, data, kind.deadline, connections)
-    if answer is not None and answer.status == 200 and json.loads(answer.body).get("errors"):
-        answer.start[1] = "502"  # an error in place of the one part
-    return result_of(arrival, began, answer)
+    data = http1.request("POST", "/graphql", headers, request_body(arrival))
+    response = await exchange(address, data, kind.deadline, connections)
+    if response is not None and response.status == 200 and json.loads(response.body).get("errors"):
+        # The only root field failed.
+        response.start[1] = "502"
+    return result_of(arrival, started_at, response)
 
 
-def cpu(pid: int) -> float:
+def processor_seconds(pid: int) -> float:
+    """Return the processor time in seconds that a process has used."""
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def rates(requests: int, rounds: int) -> None:
-    """Requests a second of the node's core, by turns: plain, cached documents, new documents."""
+async def measure_rates(requests: int, rounds: int) -> None:
+    """Measure requests per second of one core: plain HTTP, cached documents, new documents."""
     fleet = await Fleet(6, work={"cab-lookup": (0.0, 0.0), "ride-assign": (0.0, 0.0)}).start()
     node = NodeProcess(tuple(FRONTS))
-    found: dict[str, list[float]] = {"plain HTTP": [], "cached": [], "uncached": []}
+    rates_by_variant: dict[str, list[float]] = {"plain HTTP": [], "cached": [], "uncached": []}
     with tempfile.TemporaryDirectory() as folder:
-        path = Path(folder) / "site.toml"
+        config_path = Path(folder) / "site.toml"
         text = operators_file(fleet.catalog.address, graphql=str(SCHEMA_FILE))
-        path.write_text(text.replace("quota_per_s = ", "quota_per_s = 9999"))
-        await node.start(path)
+        config_path.write_text(text.replace("quota_per_s = ", "quota_per_s = 9999"))
+        await node.start(config_path)
         from standins import traffic
 
-        for turn in range(rounds):
-            for way in found:
-                generator = arrivals(turn * 100 + len(way), 1000.0, 1e9)
-                coming = [next(generator) for _ in range(requests)]
-                connections, before = http1.Connections(), cpu(node.process.pid)
-
-                async def worker(
-                    mine: list[Arrival], way: str = way, c: http1.Connections = connections
+        for round_number in range(rounds):
+            for variant in rates_by_variant:
+                generator = arrivals(round_number * 100 + len(variant), 1000.0, 1e9)
+                requests_of_round = [next(generator) for _ in range(requests)]
+                connections, processor_s_before = (
+                    http1.Connections(),
+                    processor_seconds(node.process.pid),
+                )
+
+                async def send_requests(
+                    own_requests: list[Arrival],
+                    variant: str = variant,
+                    client_connections: http1.Connections = connections,
                 ) -> int:
                     served = 0
-                    for arrival in mine:
-                        if way == "plain HTTP":
-                            result = await traffic.ask(node.fronts["http"], arrival, c)
+                    for arrival in own_requests:
+                        if variant == "plain HTTP":
+                            result = await traffic.ask(
+                                node.fronts["http"], arrival, client_connections
+                            )
                         else:
-                            result = await asked(
-                                node.fronts["graphql"], arrival, c, way == "uncached"
+                            result = await ask_document(
+                                node.fronts["graphql"],
+                                arrival,
+                                client_connections,
+                                variant == "uncached",
                             )
                         served += result.status == 200
                     return served
 
-                served = sum(await asyncio.gather(*(worker(coming[i::8]) for i in range(8))))
-                found[way].append(served / (cpu(node.process.pid) - before))
+                served = sum(
+                    await asyncio.gather(
+                        *(send_requests(requests_of_round[i::CLIENTS]) for i in range(CLIENTS))
+                    )
+                )
+                rates_by_variant[variant].append(
+                    served / (processor_seconds(node.process.pid) - processor_s_before)
+                )
                 connections.close()
         await node.stop()
     await fleet.stop()
-    base = statistics.median(found["plain HTTP"])
-    for way, values in found.items():
+    http_rate = statistics.median(rates_by_variant["plain HTTP"])
+    for variant, values in rates_by_variant.items():
         rate = statistics.median(values)
-        print(f"{way}: {rate:.0f} served a second of one core, {rate / base:.2f} of plain HTTP's")
+        print(
+            f"{variant}: {rate:.0f} served a second of one core, {rate / http_rate:.2f} of plain HTTP's"
+        )
 
 
-async def asked(
-    address: str, arrival: Arrival, connections: http1.Connections, fresh: bool
+async def ask_document(
+    address: str, arrival: Arrival, connections: http1.Connections, new_document: bool
 ) -> Result:
-    global LOOKUP, BOOK
-    if fresh:  # another document each time: a comment is enough
-        kept = LOOKUP, BOOK
-        LOOKUP, BOOK = (f"{text} # {arrival.name}" for text in kept)
+    """Send an arrival, with a document that no cache has yet if `new_document`."""
+    global LOOKUP_DOCUMENT, ASSIGN_DOCUMENT
+    if new_document:
+        # A comment is enough to make the document new to the cache.
+        documents = LOOKUP_DOCUMENT, ASSIGN_DOCUMENT
+        LOOKUP_DOCUMENT, ASSIGN_DOCUMENT = (f"{text} # {arrival.name}" for text in documents)
         try:
             return await ask(address, arrival, connections)
         finally:
-            LOOKUP, BOOK = kept
+            LOOKUP_DOCUMENT, ASSIGN_DOCUMENT = documents
     return await ask(address, arrival, connections)
 
 
-def hostile() -> None:
-    """Worst time and memory of each, under the limits."""
-    for name, text in HOSTILE.items():
+def measure_hostile_documents() -> None:
+    """Print the time and peak memory to read each hostile document under the limits."""
+    for name, text in HOSTILE_DOCUMENTS.items():
         tracemalloc.start()
-        start = time.perf_counter()
-        for limits in (DocumentLimits(), DocumentLimits(document=1 << 17)):
+        started_at = time.perf_counter()
+        for limits in (DocumentLimits(), DocumentLimits(document=LARGE_DOCUMENT_BYTES)):
             try:
                 read_document(text, limits)
-                said = "taken"
+                outcome = "taken"
             except (DocumentLimitError, DocumentSyntaxError) as error:
-                said = str(error)[:60]
-        took = time.perf_counter() - start
-        peak = tracemalloc.get_traced_memory()[1]
+                outcome = str(error)[:60]
+        elapsed_s = time.perf_counter() - started_at
+        peak_bytes = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
-        print(f"{name} ({len(text)} bytes): {took * 1000:.1f} ms, {peak / 1024:.0f} KiB: {said}")
+        print(
+            f"{name} ({len(text)} bytes): {elapsed_s * 1000:.1f} ms, {peak_bytes / 1024:.0f} KiB: {outcome}"
+        )
 
 
-class GraphqlDay(Day):
-    """A day over the GraphQL front."""
+class GraphqlDayRun(DayRun):
+    """One run of a day through the HTTP or the GraphQL frontend."""
 
-    async def play(self) -> list[Result]:
+    async def run(self) -> list[Result]:
+        """Run the day and return the results of all requests."""
         self.fleet = await Fleet(8, self.seed).start()
         node = NodeProcess(tuple(FRONTS))
         with tempfile.TemporaryDirectory() as folder:
-            path = Path(folder) / "site.toml"
-            path.write_text(operators_file(self.fleet.catalog.address, graphql=str(SCHEMA_FILE)))
-            await node.start(path)
-            troubles = asyncio.ensure_future(self.troubles())
-            if self.way == "http":
-                results = await play(node.fronts["http"], self.coming)
+            config_path = Path(folder) / "site.toml"
+            config_path.write_text(
+                operators_file(self.fleet.catalog.address, graphql=str(SCHEMA_FILE))
+            )
+            await node.start(config_path)
+            faults = asyncio.ensure_future(self.inject_faults())
+            if self.frontend == "http":
+                results = await play(node.fronts["http"], self.traffic)
             else:
-                results = await play(node.fronts["graphql"], self.coming, ask)
-            await troubles
+                results = await play(node.fronts["graphql"], self.traffic, ask)
+            await faults
             if await node.stop():
-                raise RuntimeError("the node ended badly:\n" + "\n".join(node.lines))
+                raise RuntimeError("the node exited with an error:\n" + "\n".join(node.lines))
         await self.fleet.stop()
         return results
 
 
-async def service(seed: int, rate: float, seconds: float) -> int:
-    shares, broken = [], []
-    for way in ("http", "graphql"):
-        day = GraphqlDay(way, seed, rate, seconds)
-        results = await day.play()
+async def compare_days(seed: int, rate: float, seconds: float) -> int:
+    """Run a day through both frontends, print the shares of the value, and return the exit status."""
+    shares, violations = [], []
+    for frontend in ("http", "graphql"):
+        day = GraphqlDayRun(frontend, seed, rate, seconds)
+        results = await day.run()
         shares.append(served_share(results))
-        broken += day.broken(results)
-        print(f"{way}: worth served in time {shares[-1]:.3f}", flush=True)
-    print("\n".join(broken) or "all four rules held", f"; difference {shares[1] - shares[0]:+.3f}")
-    return 1 if broken else 0
+        violations += day.violations(results)
+        print(f"{frontend}: worth served in time {shares[-1]:.3f}", flush=True)
+    print(
+        "\n".join(violations) or "all four rules held", f"; difference {shares[1] - shares[0]:+.3f}"
+    )
+    return 1 if violations else 0
 
 
 def main() -> int:
+    """Run the benchmark that the command line asks for."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.graphql", description=__doc__)
     parser.add_argument("--requests", type=int, default=2000, help="of each round (2000)")
     parser.add_argument("--rounds", type=int, default=3)
@@ -198,10 +234,14 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--rate", type=float, default=150.0, help="of the day (150)")
     parser.add_argument("--seconds", type=float, default=18.0, help="of the day (18)")
-    chosen = parser.parse_args()
-    hostile()
-    asyncio.run(rates(chosen.requests, chosen.rounds))
-    return asyncio.run(service(chosen.seed, chosen.rate, chosen.seconds)) if chosen.service else 0
+    arguments = parser.parse_args()
+    measure_hostile_documents()
+    asyncio.run(measure_rates(arguments.requests, arguments.rounds))
+    return (
+        asyncio.run(compare_days(arguments.seed, arguments.rate, arguments.seconds))
+        if arguments.service
+        else 0
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/same_service.py
+++ b/benchmarks/same_service.py
@@ -1,9 +1,9 @@
-"""The same day twice: through the HTTP node, and through a proxy that asks the external processor.
+"""Compare the HTTP frontend with a proxy that uses the external processor on the same day.
 
-`python -m benchmarks.same_service` plays one seed's arrivals and troubles both ways against fleets
-of the same draw, and prints the share of worth that was served in time, and whether the four rules
-held, from what the stand-in servers saw. Exit status 1 where a rule broke, or the shares differ by
-more than --most.
+`python -m benchmarks.same_service` sends the same traffic, with the same server faults, through both
+frontends to fleets with the same seed. It prints the share of the value that was served in time, and
+whether the four rules held according to the records of the stand-in servers. The exit status is 1 if
+a rule was broken or the shares differ by more than `--most`.
 """
 
 from __future__ import annotations
@@ -24,26 +24,34 @@
 from standins.traffic import ASSIGN, Result, arrivals, play, served_share
 
 SERVERS = 8
-GRACE, WINDOW = 0.5, 6.0  # s
-SLACK = 0.05  # s, on each time limit, as between real sockets
-TIP, COLD_FROM, RAMP = (
-    3.0,
-    0.32,
-    8.8,
-)  # of a cold server's present capacity; its first share; s until warm
-TIP_SLACK = 6  # requests
-
-
-class Day:
-    """One way through one day."""
-
-    def __init__(self, way: str, seed: int, rate: float, seconds: float) -> None:
-        self.way, self.seed, self.seconds = way, seed, seconds
-        self.coming = list(arrivals(seed, rate, seconds))
-        self.told: dict[str, float] = {}  # server: when its drain was told
-        self.back: dict[str, float] = {}  # server: when it came back
-
-    async def play(self) -> list[Result]:
+DRAIN_GRACE_S = 0.5
+DEDUPLICATION_WINDOW_S = 6.0
+# Tolerance of time limits, for the delays of real sockets.
+TIME_TOLERANCE_S = 0.05
+# A cold server may get this multiple of its present capacity within a second, and so many requests
+# more.
+MAX_LOAD_FACTOR = 3.0
+MAX_LOAD_TOLERANCE_REQUESTS = 6
+# Capacity of a cold server at its start, as a share of the warm capacity, and the time until warm.
+INITIAL_CAPACITY = 0.32
+RAMP_DURATION_S = 8.8
+SLOW_FACTOR = 5.0
+
+
+class DayRun:
+    """One run of a day through one frontend.
+
+    `drained_at` and `returned_at` hold, by server, when it was told to drain and when it came back.
+    """
+
+    def __init__(self, frontend: str, seed: int, rate: float, seconds: float) -> None:
+        self.frontend, self.seed, self.seconds = frontend, seed, seconds
+        self.traffic = list(arrivals(seed, rate, seconds))
+        self.drained_at: dict[str, float] = {}
+        self.returned_at: dict[str, float] = {}
+
+    async def run(self) -> list[Result]:
+        """Run the day and return the results of all requests."""
         self.fleet = await Fleet(SERVERS, self.seed).start()
         node = NodeProcess()
         with tempfile.TemporaryDirectory() as folder:
@@ -51,118 +59,149 @@
             path.write_text(operators_file(self.fleet.catalog.address))
             await node.start(path)
             proxy = await Proxy(node.fronts["processor"]).start()
-            address = node.fronts["http"] if self.way == "http" else proxy.address
-            troubles = asyncio.ensure_future(self.troubles())
-            results = await play(address, self.coming)
-            await troubles
+            address = node.fronts["http"] if self.frontend == "http" else proxy.address
+            faults = asyncio.ensure_future(self.inject_faults())
+            results = await play(address, self.traffic)
+            await faults
             await proxy.stop()
             if await node.stop():
-                raise RuntimeError("the node ended badly:\n" + "\n".join(node.lines))
+                raise RuntimeError("the node exited with an error:\n" + "\n".join(node.lines))
         await self.fleet.stop()
         return results
 
-    async def troubles(self) -> None:
-        """At fixed times, to fixed servers: slow, silent, failing at once, a drain, a cold
-        start."""
-        part, servers = self.seconds / 12, self.fleet.servers
-        await asyncio.sleep(2 * part)
-        servers[0].slowness = servers[1].slowness = 5.0
-        await asyncio.sleep(2 * part)
+    async def inject_faults(self) -> None:
+        """Make servers slow, silent and failing at fixed times, then drain and restart one cold."""
+        step_s, servers = self.seconds / 12, self.fleet.servers
+        await asyncio.sleep(2 * step_s)
+        servers[0].slowness = servers[1].slowness = SLOW_FACTOR
+        await asyncio.sleep(2 * step_s)
         servers[0].slowness = servers[1].slowness = 1.0
         servers[2].silent = 0.5
-        await asyncio.sleep(1 * part)
+        await asyncio.sleep(1 * step_s)
         servers[2].silent, servers[3].failing = 0.0, 0.7
-        await asyncio.sleep(1 * part)
+        await asyncio.sleep(1 * step_s)
         servers[3].failing = 0.0
         leaving: DispatchServer = servers[4]
         await self.fleet.drain(leaving)
-        self.told[leaving.name] = time.monotonic()
-        await asyncio.sleep(max(1.5, 1.5 * part))
+        self.drained_at[leaving.name] = time.monotonic()
+        await asyncio.sleep(max(1.5, 1.5 * step_s))
         await self.fleet.leave(leaving)
-        await asyncio.sleep(1 * part)
+        await asyncio.sleep(1 * step_s)
         await self.fleet.come_back(leaving)
-        self.back[leaving.name] = time.monotonic()
-
-    # The rules, from outside.
-
-    def broken(self, results: list[Result]) -> list[str]:
-        return [*self.lost(results), *self.twice(), *self.drained(), *self.pushed_over()]
-
-    def lost(self, results: list[Result]) -> list[str]:
-        lost = [r.arrival.name for r in results if r.outcome == "lost"]
-        return [f"rule 1: {len(lost)} requests with no answer in time, {lost[:3]}"] if lost else []
-
-    def twice(self) -> list[str]:
-        sent: dict[str, list[float]] = defaultdict(list)
+        self.returned_at[leaving.name] = time.monotonic()
+
+    def violations(self, results: list[Result]) -> list[str]:
+        """Return a line for each broken rule, judged by the records of clients and servers."""
+        return [
+            *self.unanswered(results),
+            *self.duplicates(),
+            *self.sent_after_drain(),
+            *self.cold_overloads(),
+        ]
+
+    def unanswered(self, results: list[Result]) -> list[str]:
+        """Check rule 1: each request gets an answer in time."""
+        unanswered = [result.arrival.name for result in results if result.outcome == "lost"]
+        return (
+            [f"rule 1: {len(unanswered)} requests with no answer in time, {unanswered[:3]}"]
+            if unanswered
+            else []
+        )
+
+    def duplicates(self) -> list[str]:
+        """Check rule 2: no key is sent again after its deduplication window."""
+        times_by_key: dict[str, list[float]] = defaultdict(list)
         for server in self.fleet.servers:
             for seen in server.seen:
                 if seen.key:
-                    sent[seen.key].append(seen.at)
-        late = [key for key, times in sent.items() if max(times) - min(times) >= WINDOW]
+                    times_by_key[seen.key].append(seen.at)
+        late = [
+            key
+            for key, times in times_by_key.items()
+            if max(times) - min(times) >= DEDUPLICATION_WINDOW_S
+        ]
         return [f"rule 2: {len(late)} keys sent again after their window"] if late else []
 
-    def drained(self) -> list[str]:
-        found = []
+    def sent_after_drain(self) -> list[str]:
+        """Check rule 3: a drained server gets no request after the grace period."""
+        violations = []
         for server in self.fleet.servers:
-            told, back = self.told.get(server.name), self.back.get(server.name, float("inf"))
-            if told is None:
+            drained_at, returned_at = (
+                self.drained_at.get(server.name),
+                self.returned_at.get(server.name, float("inf")),
+            )
+            if drained_at is None:
                 continue
-            late = [s for s in server.seen if told + GRACE + SLACK < s.at < back]
+            late = [
+                seen
+                for seen in server.seen
+                if drained_at + DRAIN_GRACE_S + TIME_TOLERANCE_S < seen.at < returned_at
+            ]
             if late:
-                found.append(f"rule 3: {len(late)} requests at {server.name} after its drain")
-        return found
-
-    def pushed_over(self) -> list[str]:
-        found = []
-        mean = sum(low + high for low, high in self.fleet.servers[0].work.values()) / 4000  # s
+                violations.append(f"rule 3: {len(late)} requests at {server.name} after its drain")
+        return violations
+
+    def cold_overloads(self) -> list[str]:
+        """Check rule 4: a cold server gets at most a multiple of its present capacity."""
+        violations = []
+        # The mean of the two bounds of both request classes, converted from ms.
+        mean_work_s = sum(low + high for low, high in self.fleet.servers[0].work.values()) / 4000
         for server in self.fleet.servers:
-            back = self.back.get(server.name)
-            if back is None:
+            returned_at = self.returned_at.get(server.name)
+            if returned_at is None:
                 continue
-            times = [s.at for s in server.seen if s.at >= back]
+            times = [seen.at for seen in server.seen if seen.at >= returned_at]
             for at in times:
-                age = min(1.0, (at - back) / RAMP)
-                capacity = server.cores / mean * (COLD_FROM + (1 - COLD_FROM) * age)
+                age = min(1.0, (at - returned_at) / RAMP_DURATION_S)
+                capacity = (
+                    server.cores / mean_work_s * (INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * age)
+                )
                 count = bisect.bisect(times, at + 1.0) - bisect.bisect_left(times, at)
-                if age < 1.0 and count > TIP * capacity + TIP_SLACK:
-                    found.append(f"rule 4: {count} requests in 1 s at {server.name}, cold")
+                if age < 1.0 and count > MAX_LOAD_FACTOR * capacity + MAX_LOAD_TOLERANCE_REQUESTS:
+                    violations.append(f"rule 4: {count} requests in 1 s at {server.name}, cold")
                     break
-        return found
+        return violations
 
 
-def line(way: str, results: list[Result]) -> str:
-    outcomes = Counter(r.outcome for r in results)
-    assigned = [r for r in results if r.arrival.kind is ASSIGN]
-    took = sorted(r.took for r in results if r.outcome == "served")
-    share, of_assigned = served_share(results), served_share(assigned)
+def summary_line(frontend: str, results: list[Result]) -> str:
+    """Return the line that summarizes the results of one run."""
+    outcomes = Counter(result.outcome for result in results)
+    assigned = [result for result in results if result.arrival.kind is ASSIGN]
+    durations = sorted(result.took for result in results if result.outcome == "served")
+    share, assigned_share = served_share(results), served_share(assigned)
     return (
-        f"{way:10} worth served in time {share:.3f}, ride-assign {of_assigned:.3f}; "
-        f"{dict(outcomes)}; p50 {took[len(took) // 2]:.0f} ms, p99 {took[len(took) * 99 // 100]:.0f} ms"
+        f"{frontend:10} worth served in time {share:.3f}, ride-assign {assigned_share:.3f}; "
+        f"{dict(outcomes)}; p50 {durations[len(durations) // 2]:.0f} ms, p99 {durations[len(durations) * 99 // 100]:.0f} ms"
     )
 
 
-async def both(chosen: argparse.Namespace) -> int:
-    differences, broken = [], []
-    for seed in range(chosen.seed, chosen.seed + chosen.days):
+async def compare(arguments: argparse.Namespace) -> int:
+    """Run all days through both frontends and return the exit status."""
+    differences, violations = [], []
+    for seed in range(arguments.seed, arguments.seed + arguments.days):
         shares = {}
-        for way in ("http", "processor"):
-            day = Day(way, seed, chosen.rate, chosen.seconds)
-            results = await day.play()
-            shares[way] = served_share(results)
-            print(f"seed {seed} {line(way, results)}", flush=True)
-            faults = day.broken(results)
-            broken += faults
+        for frontend in ("http", "processor"):
+            day = DayRun(frontend, seed, arguments.rate, arguments.seconds)
+            results = await day.run()
+            shares[frontend] = served_share(results)
+            print(f"seed {seed} {summary_line(frontend, results)}", flush=True)
+            day_violations = day.violations(results)
+            violations += day_violations
             print(
-                "\n".join(f"    {fault}" for fault in faults) or "    all four rules held",
+                "\n".join(f"    {violation}" for violation in day_violations)
+                or "    all four rules held",
                 flush=True,
             )
         differences.append(shares["processor"] - shares["http"])
-    mean = sum(differences) / len(differences)
-    print(f"difference of the shares: {mean:+.3f} on average, {[f'{d:+.3f}' for d in differences]}")
-    return 1 if broken or abs(mean) > chosen.most else 0
+    mean_difference = sum(differences) / len(differences)
+    print(
+        f"difference of the shares: {mean_difference:+.3f} on average, {[f'{difference:+.3f}' for difference in differences]}"
+    )
+    return 1 if violations or abs(mean_difference) > arguments.most else 0
 
 
 def main() -> int:
+    """Run the benchmark that the command line asks for."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.same_service", description=__doc__)
     parser.add_argument("--seed", type=int, default=1, help="of the first day (1)")
     parser.add_argument(
@@ -173,7 +212,7 @@
     parser.add_argument(
         "--most", type=float, default=0.02, help="how far the shares may differ (0.02)"
     )
-    return asyncio.run(both(parser.parse_args()))
+    return asyncio.run(compare(parser.parse_args()))
 
 
 if __name__ == "__main__":
