--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -1,7 +1,8 @@
-"""The external processor's speed, beside a bare echo of the same protocol on the same library.
+"""Compare the external processor with a server that only echoes the same protocol.
 
-`python -m benchmarks.processor` prints one line a figure; all are ratios or costs within this one
-run, the two servers in processes of their own, pinned to one core where the system allows it.
+`python -m benchmarks.processor` prints one line for each result. All results are ratios or costs
+within one run. Both servers use the same gRPC library and run in processes of their own, pinned to
+one core where the system allows it.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 from badgercart.app.site import Application
 from badgercart.core.clock import now_ms
 from badgercart.core.request_pipeline import RequestPipeline
-from badgercart.discovery.component import Server as Listed
+from badgercart.discovery.component import Server as ListedServer
 from badgercart.discovery.entries import ListReader
 from badgercart.frontends.processor.component import ProcessorComponent
 from standins.fleet import operators_file
@@ -42,42 +43,49 @@
 )
 from standins.traffic import ASSIGN, LOOKUP
 
-FLEETS = (10, 30, 100, 300, 1000)
+# Numbers of servers.
+FLEET_SIZES = (10, 30, 100, 300, 1000)
+CONCURRENT_STREAMS = 8
+WARM_UP_S = 0.5
+# Streams that are answered before the memory of the process is first measured.
+WARM_UP_STREAMS = 50
+# The time of a decision is the lowest mean of so many repetitions.
+REPETITIONS = 5
+DECISIONS_PER_REPETITION = 2000
 
 
-def listed(count: int) -> tuple[Listed, ...]:
+def listed_servers(count: int) -> tuple[ListedServer, ...]:
+    """Return the entries of so many servers."""
     return tuple(
-        Listed(
-            name=f"s-{number}",
-            address=(f"127.0.{number // 250}.{number % 250 + 1}", 7000),
+        ListedServer(
+            name=f"s-{index}",
+            address=(f"127.0.{index // 250}.{index % 250 + 1}", 7000),
             zone="angyalfold",
             kind="k2-fast",
             weight=2.0,
         )
-        for number in range(count)
+        for index in range(count)
     )
 
 
-def installation(servers: int) -> Installation:
+def make_installation(servers: int) -> Installation:
+    """Return an installation of the external processor with so many servers."""
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(operators_file("127.0.0.1:1", max_streams=20000, max_connection_streams=20000))
         file.flush()
-        what = load_installation(file.name)
+        installation = load_installation(file.name)
     return Installation(
-        what.config,
-        what.component_settings | {"server": listed(servers)},
-        known_components=what.known_components,
+        installation.config,
+        installation.component_settings | {"server": listed_servers(servers)},
+        known_components=installation.known_components,
     )
 
 
-# The servers, each in a process of its own.
+async def serve_echo() -> None:
+    """Serve the protocol with a servicer that answers each phase without a change."""
 
-
-async def echo() -> None:
-    """The least that such a server can do: a servicer that answers each phase and changes
-    nothing."""
-
-    class Echo(ext_proc_grpc.ExternalProcessorServicer):  # type: ignore[misc]  # it comes without types
+    # The base class has no type hints.
+    class Echo(ext_proc_grpc.ExternalProcessorServicer):  # type: ignore[misc]
         async def Process(self, request_iterator: Any, context: Any) -> Any:
             async for message in request_iterator:
                 answer = ext_proc.ProcessingResponse()
@@ -94,24 +102,24 @@
     await server.wait_for_termination()
 
 
-async def processor(servers: int) -> None:
-    """What `serve` starts."""
+async def serve_processor(servers: int) -> None:
+    """Serve the external processor in the same way as `serve`."""
 
-    def started(site: Application) -> None:
-        part = site.components["processor"]
-        assert isinstance(part, ProcessorComponent)
-        print(part.frontend.address[1], flush=True)
+    def on_started(application: Application) -> None:
+        processor = application.components["processor"]
+        assert isinstance(processor, ProcessorComponent)
+        print(processor.frontend.address[1], flush=True)
 
-    await run("", installation(servers), started)
+    await run("", make_installation(servers), on_started)
 
 
-class Server:
-    """One of the above, as a process on one core."""
+class ServerProcess:
+    """Process of one of the servers, pinned to one core."""
 
     def __init__(self, *arguments: str) -> None:
         self.arguments = arguments
 
-    async def __aenter__(self) -> Server:
+    async def __aenter__(self) -> ServerProcess:
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "benchmarks.processor", *self.arguments,
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL,
@@ -126,48 +134,51 @@
         self.process.kill()
         await self.process.wait()
 
-    def memory(self) -> int:
-        """Resident bytes."""
+    def resident_bytes(self) -> int:
+        """Return the resident memory of the process in bytes."""
         with open(f"/proc/{self.process.pid}/statm") as file:
             return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
-    def cpu(self) -> float:
-        """Seconds of its core that it has used."""
+    def processor_seconds(self) -> float:
+        """Return the processor time in seconds that the process has used."""
         with open(f"/proc/{self.process.pid}/stat") as file:
             fields = file.read().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def headers(number: int, seed: int = 0) -> dict[str, str]:
-    kind = ASSIGN if number % 9 < 4 else LOOKUP
-    described = {
+def request_headers(index: int, seed: int = 0) -> dict[str, str]:
+    """Return the headers of a request."""
+    kind = ASSIGN if index % 9 < 4 else LOOKUP
+    headers = {
         ":method": "POST" if kind.keyed else "GET",
-        ":path": f"/{kind.name}/ride{number * 7919 % 500}",
+        ":path": f"/{kind.name}/ride{index * 7919 % 500}",
         ":authority": "backend.local",
         ":scheme": "http",
-        "request-id": f"{seed:x}-{number:x}",
+        "request-id": f"{seed:x}-{index:x}",
         "tenant": "fovarosi",
         "request-timeout": f"{kind.deadline:.0f}m",
         "user-agent": "cab/4.1",
         "accept": "*/*",
     }
-    return described | ({"idempotency-key": f"k{number}"} if kind.keyed else {})
+    return headers | ({"idempotency-key": f"k{index}"} if kind.keyed else {})
 
 
-class Load:
-    """Streams that ask, hear, tell of a good end, and close; so many at a time."""
+class LoadGenerator:
+    """Runs many streams at a time, each with one request and a successful response."""
 
     def __init__(self, address: str, seed: int) -> None:
         self.proxy = ScriptedProxy(address, "bench")
         self.seed = seed
-        self.times: list[float] = []  # ms of an answer to request headers
+        # Times in ms of the answers to request headers.
+        self.times_ms: list[float] = []
         self.done = self.refused = 0
 
-    async def one(self, number: int) -> None:
+    async def run_stream(self, index: int) -> None:
+        """Run one stream from its request to its status."""
         stream = self.proxy.stream()
-        began = time.perf_counter()
-        answer = await stream.ask(headers(number, self.seed))
-        self.times.append((time.perf_counter() - began) * 1000)
+        started_at = time.perf_counter()
+        answer = await stream.ask(request_headers(index, self.seed))
+        self.times_ms.append((time.perf_counter() - started_at) * 1000)
         if answer.HasField("immediate_response"):
             self.refused += 1
         else:
@@ -178,55 +189,61 @@
         await stream.status()
         self.done += 1
 
-    async def run(self, at_once: int, seconds: float) -> float:
-        """Requests a second."""
-        number, end = 0, time.perf_counter() + seconds
-        start = time.perf_counter()
+    async def run(self, concurrency: int, seconds: float) -> float:
+        """Run so many streams at once and return the requests per second."""
+        index, end = 0, time.perf_counter() + seconds
+        started_at = time.perf_counter()
 
         async def worker() -> None:
-            nonlocal number
+            nonlocal index
             while time.perf_counter() < end:
-                number += 1
-                await self.one(number)
+                index += 1
+                await self.run_stream(index)
 
-        await asyncio.gather(*(worker() for _ in range(at_once)))
-        return self.done / (time.perf_counter() - start)
+        await asyncio.gather(*(worker() for _ in range(concurrency)))
+        return self.done / (time.perf_counter() - started_at)
 
 
-async def rate(
-    server: Server, seconds: float, at_once: int, seed: int
+async def measure_rate(
+    server: ServerProcess, seconds: float, concurrency: int, seed: int
 ) -> tuple[float, list[float], float]:
-    """Requests a second of the server's own core, times of answers, and the share refused."""
-    load = Load(server.address, seed)
-    await load.run(at_once, 0.5)  # warm
-    load.times.clear()
+    """Return requests per second of the core of the server, response times, and the share rejected."""
+    load = LoadGenerator(server.address, seed)
+    await load.run(concurrency, WARM_UP_S)
+    load.times_ms.clear()
     load.done = load.refused = 0
-    before = server.cpu()
-    await load.run(at_once, seconds)
-    used = server.cpu() - before
+    before = server.processor_seconds()
+    await load.run(concurrency, seconds)
+    processor_s = server.processor_seconds() - before
     await load.proxy.close()
-    return load.done / used, load.times, load.refused / max(1, load.done)
+    return load.done / processor_s, load.times_ms, load.refused / max(1, load.done)
 
 
-def percentiles(times: list[float]) -> str:
-    cuts = statistics.quantiles(times, n=100)
-    return f"p50 {cuts[49]:.2f} ms, p99 {cuts[98]:.2f} ms"
+def format_percentiles(times_ms: list[float]) -> str:
+    """Return the median and the 99th percentile as text."""
+    percentiles = statistics.quantiles(times_ms, n=100)
+    return f"p50 {percentiles[49]:.2f} ms, p99 {percentiles[98]:.2f} ms"
 
 
 async def compare(seconds: float, rounds: int) -> dict[str, Any]:
-    """Both servers in turn, so that what else the machine does meets both."""
+    """Measure both servers in turn, so that other load on the machine affects both."""
     ratios: list[float] = []
     times: dict[str, list[float]] = {"echo": [], "processor": []}
     rates: dict[str, list[float]] = {"echo": [], "processor": []}
-    async with Server("echo") as bare, Server("processor", "12") as real:
-        for turn in range(rounds):
-            for name, server in (("echo", bare), ("processor", real)):
-                per_core, took, refused = await rate(server, seconds, 8, turn)
-                rates[name].append(per_core)
-                times[name] += took
+    async with (
+        ServerProcess("echo") as echo_server,
+        ServerProcess("processor", "12") as processor_server,
+    ):
+        for round_number in range(rounds):
+            for name, server in (("echo", echo_server), ("processor", processor_server)):
+                rate_per_core, response_times_ms, refused_share = await measure_rate(
+                    server, seconds, CONCURRENT_STREAMS, round_number
+                )
+                rates[name].append(rate_per_core)
+                times[name] += response_times_ms
                 print(
-                    f"  round {turn + 1}, {name}: {per_core:.0f} requests a second of one core, "
-                    f"{refused:.1%} refused",
+                    f"  round {round_number + 1}, {name}: {rate_per_core:.0f} requests a second of one core, "
+                    f"{refused_share:.1%} refused",
                     file=sys.stderr,
                 )
             ratios.append(rates["processor"][-1] / rates["echo"][-1])
@@ -236,41 +253,43 @@
     for name in times:
         print(
             f"{name}: {statistics.median(rates[name]):.0f} requests a second of one core; "
-            f"an answer {percentiles(times[name])}"
+            f"an answer {format_percentiles(times[name])}"
         )
     return {"ratio": statistics.median(ratios), "rates": rates}
 
 
-async def memory(streams: int) -> float:
-    """Bytes for each stream that is open and has its answer."""
-    async with Server("processor", "12") as real:
-        proxy = ScriptedProxy(real.address, "bench")
-        for number in range(50):
-            await proxy.stream().ask(headers(number, 99))
-        before, held = real.memory(), []
-        for number in range(streams):
+async def measure_memory(streams: int) -> float:
+    """Return the bytes for each stream that is open and has its answer."""
+    async with ServerProcess("processor", "12") as processor_server:
+        proxy = ScriptedProxy(processor_server.address, "bench")
+        for index in range(WARM_UP_STREAMS):
+            await proxy.stream().ask(request_headers(index, 99))
+        before, streams_held = processor_server.resident_bytes(), []
+        for index in range(streams):
             stream = proxy.stream()
-            await stream.call.write(request_message(headers(number, 100)))
+            await stream.call.write(request_message(request_headers(index, 100)))
             await stream.call.read()
-            held.append(stream)
-        each = (real.memory() - before) / streams
+            streams_held.append(stream)
+        bytes_per_stream = (processor_server.resident_bytes() - before) / streams
         await proxy.close()
-    print(f"memory: {each / 1024:.1f} KiB for an open stream ({streams} open)")
-    return each
+    print(f"memory: {bytes_per_stream / 1024:.1f} KiB for an open stream ({streams} open)")
+    return bytes_per_stream
+
 
+def measure_decisions() -> dict[int, float]:
+    """Return the µs of a decision in the request pipeline and the policy, by the size of the fleet."""
 
-def fleets() -> dict[int, float]:
-    """The cost of a decision alone, in the join and the policy, as the fleet grows."""
+    class Client:
+        """A client and upstream that hold only the last attempt."""
 
-    class Nobody:
         def client_is_gone(self) -> bool:
             return False
 
         def on_response(self, answer: Any) -> None: ...
         def on_shed(self, wait: float) -> None: ...
         def on_failure(self, broken: bool) -> None: ...
-        def send(self, order: Any) -> None:
-            self.order = order
+        def send(self, attempt: Any) -> None:
+            self.attempt = attempt
 
         def cancel(self, request_id: int, number: int) -> None: ...
 
@@ -283,44 +302,50 @@
     class NoTimers:
         def call_later(self, delay: float, callback: Any, *args: Any) -> Any: ...
 
-    found: dict[int, float] = {}
-    for count in FLEETS:
-        what = installation(count)
-        join = RequestPipeline(what.config.settings, 1, NoTimers())
-        roster = EndpointTable(ListReader(what.config), join)
-        roster.accept(
+    cost_by_size: dict[int, float] = {}
+    for count in FLEET_SIZES:
+        installation = make_installation(count)
+        pipeline = RequestPipeline(installation.config.settings, 1, NoTimers())
+        endpoint_table = EndpointTable(ListReader(installation.config), pipeline)
+        endpoint_table.accept(
             {
                 "generation": 1,
                 "reset": True,
-                "instances": [server.list_entry() for server in listed(count)],
+                "instances": [server.list_entry() for server in listed_servers(count)],
             }
         )
-        nobody = Nobody()
-        best = float("inf")
-        for _ in range(5):
-            start = time.perf_counter()
-            for number in range(2000):
-                now, request_id = now_ms(), join.next_request_id()
-                intake = IncomingRequest(
-                    number % 2, 0, number * 7919 % 500 + 1, now + 1000.0, None, max_fallbacks=1
+        client = Client()
+        best_s = float("inf")
+        for _ in range(REPETITIONS):
+            started_at = time.perf_counter()
+            for index in range(DECISIONS_PER_REPETITION):
+                now, request_id = now_ms(), pipeline.next_request_id()
+                request = IncomingRequest(
+                    index % 2, 0, index * 7919 % 500 + 1, now + 1000.0, None, max_fallbacks=1
                 )
-                join.accept(request_id, intake, nobody, nobody)
-                order = nobody.order
-                join.attempt_ended(
-                    request_id, 0, order.endpoint_id, AttemptResult.OK, 50.0, UpstreamResponse(200)
+                pipeline.accept(request_id, request, client, client)
+                attempt = client.attempt
+                pipeline.attempt_ended(
+                    request_id,
+                    0,
+                    attempt.endpoint_id,
+                    AttemptResult.OK,
+                    50.0,
+                    UpstreamResponse(200),
                 )
-            best = min(best, (time.perf_counter() - start) / 2000)
-        found[count] = best * 1e6
-    base = found[FLEETS[0]]
+            best_s = min(best_s, (time.perf_counter() - started_at) / DECISIONS_PER_REPETITION)
+        cost_by_size[count] = best_s * 1e6
+    base_us = cost_by_size[FLEET_SIZES[0]]
     print(
         "a decision and its end, of that for 10 servers: "
-        + ", ".join(f"{n}: {us / base:.2f}" for n, us in found.items())
+        + ", ".join(f"{size}: {cost_us / base_us:.2f}" for size, cost_us in cost_by_size.items())
     )
-    print(f"  (10 servers: {base:.0f} microseconds)")
-    return found
+    print(f"  (10 servers: {base_us:.0f} microseconds)")
+    return cost_by_size
 
 
 def main() -> int:
+    """Run the benchmark, or one of its servers, as the command line asks for."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.processor", description=__doc__)
     parser.add_argument("what", nargs="*", default=["all"], help=argparse.SUPPRESS)
     parser.add_argument("--seconds", type=float, default=3.0, help="of each round (3)")
@@ -329,17 +354,17 @@
         "--streams", type=int, default=4000, help="open for the figure of memory (4000)"
     )
     parser.add_argument("--json", metavar="FILE", help="write the figures there too")
-    chosen = parser.parse_args()
-    if chosen.what[0] == "echo":
-        uvloop.run(echo())
-    elif chosen.what[0] == "processor":
-        uvloop.run(processor(int(chosen.what[1])))
+    arguments = parser.parse_args()
+    if arguments.what[0] == "echo":
+        uvloop.run(serve_echo())
+    elif arguments.what[0] == "processor":
+        uvloop.run(serve_processor(int(arguments.what[1])))
     else:
-        figures = uvloop.run(compare(chosen.seconds, chosen.rounds))
-        figures["bytes a stream"] = uvloop.run(memory(chosen.streams))
-        figures["fleet"] = fleets()
-        if chosen.json:
-            with open(chosen.json, "w") as file:
+        figures = uvloop.run(compare(arguments.seconds, arguments.rounds))
+        figures["bytes a stream"] = uvloop.run(measure_memory(arguments.streams))
+        figures["fleet"] = measure_decisions()
+        if arguments.json:
+            with open(arguments.json, "w") as file:
                 json.dump(figures, file, indent=1)
     return 0
 
