--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -143,11 +143,11 @@
         return len(times), closest(times, [True] * len(times), 1000 * self.started_at_s, RAMP)
 
 
-async def run_trial(way: str, nodes: int, seed: int, folder: Path) -> str:
+async def run_trial(start_mode: str, nodes: int, seed: int, folder: Path) -> str:
     """Run one trial and return its line of output."""
     servers = [RampingServer(number + 1, seed) for number in range(SERVERS)]
-    cold_servers = servers[-COLD_SERVERS:] if way != "all" else servers
-    listed_servers = servers[:-COLD_SERVERS] if way == "join" else servers
+    cold_servers = servers[-COLD_SERVERS:] if start_mode != "all" else servers
+    listed_servers = servers[:-COLD_SERVERS] if start_mode == "join" else servers
     for server in listed_servers:
         await server.dispatch_server.start()
     catalog = await Catalog([server.dispatch_server.entry() for server in listed_servers]).start()
@@ -193,10 +193,10 @@
             ]
             if not begin:
                 await asyncio.sleep(TRAFFIC_BEFORE_START_S)
-                for server in cold_servers if way != "join" else []:
+                for server in cold_servers if start_mode != "join" else []:
                     server.dispatch_server.stop()
                     server.dispatch_server.state = "left"
-                if way != "join":
+                if start_mode != "join":
                     catalog.change(*(server.dispatch_server.entry() for server in cold_servers))
             results = [result for part in await asyncio.gather(*sending) for result in part]
             text += f"  served {served_share(results):.2f}"
@@ -207,7 +207,7 @@
         overloaded = sum(peak > 1 for _, peak in loads)
         sent = sum(count for count, _ in loads) / allowed
         peak_load = max(peak for _, peak in loads)
-        return f"{way:5}{text}  of N sent {sent:.2f}  closest {peak_load:.2f} of its bound  fallen {overloaded}"
+        return f"{start_mode:5}{text}  of N sent {sent:.2f}  closest {peak_load:.2f} of its bound  fallen {overloaded}"
     finally:
         aging_task.cancel()
         for node in node_processes:
@@ -225,10 +225,10 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--way", choices=("join", "back", "all"))
     arguments = parser.parse_args()
-    for way in [arguments.way] if arguments.way else ["join", "back", "all"]:
+    for start_mode in [arguments.way] if arguments.way else ["join", "back", "all"]:
         with tempfile.TemporaryDirectory() as folder:
             print(
-                asyncio.run(run_trial(way, arguments.nodes, arguments.seed, Path(folder))),
+                asyncio.run(run_trial(start_mode, arguments.nodes, arguments.seed, Path(folder))),
                 flush=True,
             )
 
--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -558,10 +558,11 @@
                 try:
                     result = await scenario(cluster, count)
                     cluster.check()
-                    shown = {
-                        key: round(v, 2) if isinstance(v, float) else v for key, v in result.items()
+                    rounded = {
+                        key: round(value, 2) if isinstance(value, float) else value
+                        for key, value in result.items()
                     }
-                    print(f"{scenario.__name__}: {json.dumps(shown)}", flush=True)
+                    print(f"{scenario.__name__}: {json.dumps(rounded)}", flush=True)
                 except (BrokenPromiseError, NodeError, TimeoutError) as error:
                     broken += 1
                     print(f"{scenario.__name__}: BROKEN: {error!r:.600}", flush=True)
@@ -583,8 +584,8 @@
     parser.add_argument("--nodes", type=int, default=6)
     parser.add_argument("--changes", type=int, default=20)
     parser.add_argument("--only", choices=[scenario.__name__ for scenario in SCENARIOS])
-    chosen = parser.parse_args(arguments)
-    return 1 if asyncio.run(run_scenarios(chosen.nodes, chosen.changes, chosen.only)) else 0
+    options = parser.parse_args(arguments)
+    return 1 if asyncio.run(run_scenarios(options.nodes, options.changes, options.only)) else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -141,7 +141,7 @@
     """Run all measurements and print them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--most", type=int, default=100, help="the largest group (100)")
-    most = parser.parse_args().most
+    max_size = parser.parse_args().most
     names = (
         "nodes",
         "detect median s",
@@ -153,7 +153,7 @@
     )
     print("|", " | ".join(names), "|")
     print("| --- | --- | --- | --- | --- | --- | --- |")
-    for count in (size for size in SIZES if size <= most):
+    for count in (size for size in SIZES if size <= max_size):
         seeds = range(1, 6) if count <= MAX_SIZE_FOR_ALL_SEEDS else (1,)
         times = [time_ms for seed in seeds for time_ms in detection_times(count, seed)]
         times.sort()
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -97,7 +97,7 @@
     """A fault of discovery at the restart.
 
     Attributes:
-        delays: Values of attributes of the catalog.
+        delays: Delays to set on the catalog, by attribute name.
         outage: `refuse`, `silent`, or empty for none.
         duration_s: Duration of the outage.
         known_list: Whether processes know their last list.
@@ -182,8 +182,8 @@
         """Read the log and record when the process listens."""
         assert self.process.stderr is not None
         while line := (await self.process.stderr.readline()).decode():
-            if found := re.search(r"listens on (\S+)", line):
-                self.address, self.listening_at = found[1], time.monotonic()
+            if match := re.search(r"listens on (\S+)", line):
+                self.address, self.listening_at = match[1], time.monotonic()
 
     async def wait_until_ready(self) -> None:
         """Wait until the process is ready or the timeout is over."""
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -178,7 +178,7 @@
     """Run all measurements and print them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--most", type=int, default=10, help="the largest group (10)")
-    most = parser.parse_args().most
+    max_size = parser.parse_args().most
     names = (
         "processes",
         "joined s",
@@ -189,7 +189,7 @@
     )
     print("|", " | ".join(names), "|")
     print("| --- | --- | --- | --- | --- | --- |")
-    for count in (size for size in SIZES if size <= most):
+    for count in (size for size in SIZES if size <= max_size):
         result = asyncio.run(measure_cluster(count))
         print(
             f"| {count} | {result.join_s:.2f} | {result.detection_s:.2f} | {result.agreement_s:.2f} | {result.bytes_per_node_s:.0f} | {result.core_share:.4f} |",
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -86,25 +86,29 @@
     return topology, PlanInput(capacity, capacity, demand)
 
 
-def carried_value(topology: Topology, now: PlanInput, weights: list[float]) -> float:
+def carried_value(topology: Topology, situation: PlanInput, weights: list[float]) -> float:
     """Return the value that the computed plan serves within the capacity of each zone."""
-    plan = compute_plan(topology, now, weights, UtilizationLimits())
-    loads = plan.load(now.demand).slots
-    over = {
-        z: load / c
-        for z, (load, c) in enumerate(zip(loads, now.capacity, strict=True))
-        if c and load > c
+    plan = compute_plan(topology, situation, weights, UtilizationLimits())
+    load_by_zone = plan.load(situation.demand).slots
+    overload = {
+        zone: load / capacity
+        for zone, (load, capacity) in enumerate(zip(load_by_zone, situation.capacity, strict=True))
+        if capacity and load > capacity
     }
     total = 0.0
     for source, rows in enumerate(plan.shares):
-        for row, parts in enumerate(rows):
-            for zone, part in enumerate(parts):
-                carried = now.demand[source][row] * part / SHARES_PER_ROW / over.get(zone, 1.0)
+        for row, shares in enumerate(rows):
+            for zone, share in enumerate(shares):
+                carried = (
+                    situation.demand[source][row] * share / SHARES_PER_ROW / overload.get(zone, 1.0)
+                )
                 total += weights[row % topology.class_count] * carried
     return total
 
 
-def best_value(topology: Topology, now: PlanInput, weights: list[float]) -> tuple[float, float]:
+def best_value(
+    topology: Topology, situation: PlanInput, weights: list[float]
+) -> tuple[float, float]:
     """Return the highest value that any plan serves, and the time in ms to find it."""
     import highspy
 
@@ -113,33 +117,39 @@
     model.setOptionValue("output_flag", False)
     zones = range(len(topology.zones))
     routes = [
-        (i, r, j)
-        for i in zones
-        for r in range(topology.class_count)
-        for j in zones
-        if now.capacity[j] > 0
+        (source, class_index, target)
+        for source in zones
+        for class_index in range(topology.class_count)
+        for target in zones
+        if situation.capacity[target] > 0
     ]
-    moved = {route: model.addVariable(lb=0.0) for route in routes}
-    for i in zones:
-        for r in range(topology.class_count):
+    flows = {route: model.addVariable(lb=0.0) for route in routes}
+    for source in zones:
+        for class_index in range(topology.class_count):
             model.addConstr(
-                sum(moved[route] for route in routes if route[:2] == (i, r)) <= now.demand[i][r]
+                sum(flows[route] for route in routes if route[:2] == (source, class_index))
+                <= situation.demand[source][class_index]
             )
-    for j in zones:
-        if now.capacity[j] > 0:
+    for target in zones:
+        if situation.capacity[target] > 0:
             model.addConstr(
-                sum(moved[route] for route in routes if route[2] == j) <= now.capacity[j]
+                sum(flows[route] for route in routes if route[2] == target)
+                <= situation.capacity[target]
             )
     model.maximize(
         sum(
-            (weights[r] - TRANSFER_COST_WEIGHT * topology.costs[i][j]) * moved[i, r, j]
-            for i, r, j in routes
+            (weights[class_index] - TRANSFER_COST_WEIGHT * topology.costs[source][target])
+            * flows[source, class_index, target]
+            for source, class_index, target in routes
         )
     )
-    took = (time.perf_counter() - started_at) * 1000
+    elapsed_ms = (time.perf_counter() - started_at) * 1000
     solution = model.getSolution().col_value
-    found = sum(weights[r] * solution[moved[i, r, j].index] for i, r, j in routes)
-    return found, took
+    value = sum(
+        weights[class_index] * solution[flows[source, class_index, target].index]
+        for source, class_index, target in routes
+    )
+    return value, elapsed_ms
 
 
 def print_plans(with_optimum: bool) -> None:
@@ -149,21 +159,21 @@
     )
     print("| --- | --- | --- | --- | --- | --- |")
     for zones, regions, classes in SIZES:
-        weights = [float(1 + number) for number in range(classes)]
-        plan_times, value_shares, program_times = [], [], []
+        weights = [float(1 + class_index) for class_index in range(classes)]
+        plan_times_ms, value_shares, program_times_ms = [], [], []
         for seed in range(PLANS_PER_SIZE):
-            topology, now = random_situation(zones, regions, classes, seed)
+            topology, situation = random_situation(zones, regions, classes, seed)
             started_at = time.perf_counter()
-            compute_plan(topology, now, weights, UtilizationLimits())
-            plan_times.append((time.perf_counter() - started_at) * 1000)
+            compute_plan(topology, situation, weights, UtilizationLimits())
+            plan_times_ms.append((time.perf_counter() - started_at) * 1000)
             if with_optimum:
-                best, took = best_value(topology, now, weights)
-                program_times.append(took)
-                value_shares.append(carried_value(topology, now, weights) / best)
-        program_time = f"{statistics.median(program_times):.1f}" if program_times else "-"
-        share = f"{min(value_shares):.3f} to {max(value_shares):.3f}" if value_shares else "-"
+                optimum, program_time_ms = best_value(topology, situation, weights)
+                program_times_ms.append(program_time_ms)
+                value_shares.append(carried_value(topology, situation, weights) / optimum)
+        program_text = f"{statistics.median(program_times_ms):.1f}" if program_times_ms else "-"
+        share_text = f"{min(value_shares):.3f} to {max(value_shares):.3f}" if value_shares else "-"
         print(
-            f"| {zones} | {regions} | {classes} | {statistics.median(plan_times):.1f} | {program_time} | {share} |"
+            f"| {zones} | {regions} | {classes} | {statistics.median(plan_times_ms):.1f} | {program_text} | {share_text} |"
         )
 
 
@@ -178,8 +188,11 @@
         ),
     )
     policy = Policy(Settings(classes=classes, cluster_size=10, key_affinity=True), 1)
-    entries = [Endpoint(i + 1, i % 3, 0, 0, EndpointState.READY, 2.0, 0.0) for i in range(servers)]
-    policy.handle(1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
+    endpoints = [
+        Endpoint(index + 1, index % 3, 0, 0, EndpointState.READY, 2.0, 0.0)
+        for index in range(servers)
+    ]
+    policy.handle(1.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, endpoints))
     if plan is not None:
         policy.handle(1.0, plan)
     now, started_at = 1.0, time.perf_counter()
@@ -264,17 +277,21 @@
 def print_scenarios(seeds: int, scenarios: list[Scenario], workers: int) -> None:
     """Print a table of all scenarios that compares each mode with the first."""
     numbers = range(1, seeds + 1)
-    jobs = [Job(mode, each, seed) for each in scenarios for mode in MODES for seed in numbers]
+    jobs = [
+        Job(mode, scenario, seed) for scenario in scenarios for mode in MODES for seed in numbers
+    ]
     with ProcessPoolExecutor(workers) as pool:
         outcomes = dict(zip(jobs, pool.map(run_job, jobs), strict=True))
     print("| zone | nodes | load | " + " | ".join(MODES) + " | lost after its end, majority |")
     print("| --- " * (len(MODES) + 4) + "|")
-    for each in scenarios:
-        by_mode = {mode: [outcomes[Job(mode, each, seed)] for seed in numbers] for mode in MODES}
+    for scenario in scenarios:
+        by_mode = {
+            mode: [outcomes[Job(mode, scenario, seed)] for seed in numbers] for mode in MODES
+        }
         table_cells = [mode_cell(mode, by_mode) for mode in MODES]
         lost = statistics.fmean(outcome.lost_after for outcome in by_mode["majority"])
-        head = f"| {each.fault} | {each.nodes} | {each.load} |"
-        print(f"{head} {' | '.join(table_cells)} | {lost:.3f} |", flush=True)
+        row_start = f"| {scenario.fault} | {scenario.nodes} | {scenario.load} |"
+        print(f"{row_start} {' | '.join(table_cells)} | {lost:.3f} |", flush=True)
 
 
 def mode_cell(mode: str, by_mode: Mapping[str, Sequence[Outcome]]) -> str:
