--- a/lab/trial/demo.py
+++ b/lab/trial/demo.py
@@ -69,31 +69,19 @@
             printer = None if as_json else asyncio.ensure_future(print_states(world, state))
             traffic = asyncio.ensure_future(world.send_traffic(REQUESTS_PER_S, TRAFFIC_S))
             await asyncio.sleep(CUT_AT_S)
-            state[0], counts = (
-                f"{MINORITY[0]} is cut off from {' and '.join(MAJORITY)}; servers and clients reach all",
-                world.event_counts(),
+            state[0] = (
+                f"{MINORITY[0]} is cut off from {' and '.join(MAJORITY)}; servers and clients reach all"
             )
             world.split_groups(MINORITY, MAJORITY)
-            await asyncio.gather(
-                world.wait_for_level("alone", MINORITY, counts),
-                world.wait_for_level("most", MAJORITY, counts),
-            )
-            levels.append(
-                {
-                    name: node.last_event("peers.level")["standing"]
-                    for name, node in world.nodes.items()
-                }
+            await world.wait_for_common_levels(
+                dict.fromkeys(MINORITY, "alone") | dict.fromkeys(MAJORITY, "most")
             )
+            levels.append({name: world.last_level(name) for name in world.nodes})
             await asyncio.sleep(HEAL_AT_S - CUT_AT_S)
-            state[0], counts = "the cut is healed", world.event_counts()
+            state[0] = "the cut is healed"
             world.switch.heal()
-            await world.wait_for_level("whole", MINORITY + MAJORITY, counts)
-            levels.append(
-                {
-                    name: node.last_event("peers.level")["standing"]
-                    for name, node in world.nodes.items()
-                }
-            )
+            await world.wait_for_common_levels(dict.fromkeys(world.nodes, "whole"))
+            levels.append({name: world.last_level(name) for name in world.nodes})
             await traffic
             await asyncio.sleep(REFRESH_INTERVAL_S)
             if printer is not None:
--- a/lab/trial/world.py
+++ b/lab/trial/world.py
@@ -328,6 +328,19 @@
         )
         await asyncio.gather(*waits)
 
+    async def wait_for_common_levels(self, levels: dict[str, str]) -> None:
+        """Wait until each of these nodes has, at one time, its level as the last one it logged.
+
+        A node may lose a level while others have yet to reach theirs: after a partition, each side
+        still spreads that the other one is dead, until that is refuted.
+        """
+        while behind := [name for name in levels if self.last_level(name) != levels[name]]:
+            await self.wait_for_level(levels[behind[0]], behind[:1], self.event_counts())
+
+    def last_level(self, name: str) -> str:
+        """Return the level that a node has logged last. Raises NodeError if there is none."""
+        return str(self.nodes[name].last_event("peers.level")["standing"])
+
     async def wait_for_plan(
         self,
         names: list[str],
