--- a/standins/etcd.py
+++ b/standins/etcd.py
@@ -531,7 +531,12 @@
             del self.watchers[watcher.number]
             self.cancelled(watcher.number, compacted().args[0], store.compacted)
             return
-        while watcher.next <= store.revision and watcher.number in self.watchers:
+        while (
+            watcher.next <= store.revision
+            and watcher.number in self.watchers
+            # A client may have received a response before the call that sent it returns here.
+            and not self.etcd.frozen
+        ):
             revision, events = watcher.next, []
             for event in store.history.get(revision, ()):
                 if watcher.wants(event):
@@ -580,8 +585,9 @@
         response.header.CopyFrom(self.etcd.header(revision))
         if self.etcd.delay:
             await asyncio.sleep(self.etcd.delay)
-        await self.context.write(response)
-        if self.etcd.twice and response.events:
+        # Decided before the first one, which the client may have received before `write` returns.
+        copies = 2 if self.etcd.twice and response.events else 1
+        for _ in range(copies):
             await self.context.write(response)
 
 
--- a/tests/etcd/test_standin.py
+++ b/tests/etcd/test_standin.py
@@ -14,7 +14,7 @@
 import pytest
 from aetcd.rpc import rpc_pb2, rpc_pb2_grpc
 
-from standins.etcd import Etcd
+from standins.etcd import Etcd, WatchStream
 from tests.net import WAIT_S, run
 
 
@@ -223,6 +223,31 @@
     run(test())
 
 
+def test_a_fault_set_while_a_response_is_sent_applies_to_the_next_one(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    original_send = WatchStream.send
+
+    async def send(self: WatchStream, response: Any, revision: int = 0) -> None:
+        await original_send(self, response, revision)
+        if response.created:
+            self.etcd.frozen = True
+            await self.etcd.put("k", "1")
+
+    async def test() -> None:
+        async with running_member() as etcd, open_watch(etcd) as call:
+            assert (await read_response(call)).created
+            waiting = asyncio.ensure_future(call.read())
+            done, _ = await asyncio.wait((waiting,), timeout=0.05)
+            assert not done
+            etcd.frozen = False
+            await etcd.wake()
+            assert (await asyncio.wait_for(waiting, WAIT_S)).events[0].kv.value == b"1"
+
+    monkeypatch.setattr(WatchStream, "send", send)
+    run(test())
+
+
 def test_faults_do_what_they_say() -> None:
     async def test() -> None:
         async with running_member() as etcd:
