--- a/tests/checks/test_known_red.py
+++ b/tests/checks/test_known_red.py
@@ -41,6 +41,7 @@
 
 @pytest.mark.parametrize("n", [0, 2])
 def test_a_listed_failure_is_expected_and_printed(pytester: pytest.Pytester, n: int) -> None:
+    """Check that a listed failure passes the run and is printed with its reason and issue."""
     listed = (
         "test_it.py::test_bad; pytest -k bad; the queue, which is long, is read twice; issue 7\n"
     )
@@ -52,6 +53,7 @@
 
 
 def test_an_unlisted_failure_fails_the_run(pytester: pytest.Pytester) -> None:
+    """Check that an unlisted failure fails the run, and that a listed test not run is printed."""
     result = run_pytest(
         pytester,
         "test_it.py::test_bad; pytest, seed 1; a fault; issue 7\n",
@@ -62,6 +64,7 @@
 
 
 def test_only_the_listed_parameter_case_is_expected_to_fail(pytester: pytest.Pytester) -> None:
+    """Check that listing one parameter case leaves the other cases subject to failure."""
     result = run_pytest(
         pytester, "test_it.py::test_some[1]; pytest, seed 1; a fault; issue 7\n", "-k", "test_some"
     )
@@ -71,6 +74,7 @@
 
 @pytest.mark.parametrize("n", [0, 2])
 def test_a_listed_test_that_passes_is_reported(pytester: pytest.Pytester, n: int) -> None:
+    """Check that a listed test that passes is printed with the advice to take it out."""
     result = run_pytest(
         pytester,
         "test_it.py::test_good; pytest, seed 1; a fault; issue 7\n",
@@ -84,6 +88,7 @@
 
 
 def test_a_broken_fixture_of_a_listed_test_is_expected(pytester: pytest.Pytester) -> None:
+    """Check that an error in the setup of a listed test counts as its expected failure."""
     result = run_pytest(
         pytester, "test_it.py::test_setup; pytest, seed 1; a fault; issue 7\n", "-k", "test_setup"
     )
@@ -103,6 +108,7 @@
 def test_a_name_of_no_test_or_several_tests_ends_the_run(
     pytester: pytest.Pytester, name: str
 ) -> None:
+    """Check that a name that is not that of exactly one test is a usage error."""
     pytester.makepyfile(test_one="def test_alone(): pass")
     result = run_pytest(pytester, f"{name}; pytest, seed 1; a fault; issue 7\n", "-k", "test_good")
     assert result.ret == pytest.ExitCode.USAGE_ERROR
@@ -110,6 +116,7 @@
 
 
 def test_too_many_lines_end_the_run(pytester: pytest.Pytester) -> None:
+    """Check that a list of more than `MAX_TESTS` tests is a usage error."""
     listed = "".join(
         f"test_it.py::test_{i}; pytest, seed 1; a fault; issue 7\n" for i in range(MAX_TESTS + 1)
     )
@@ -122,6 +129,7 @@
 def test_a_missing_or_empty_file_changes_nothing(
     pytester: pytest.Pytester, listed: str | None
 ) -> None:
+    """Check that without listed tests a run fails as usual and prints nothing of the list."""
     result = run_pytest(pytester, listed, "-k", "test_good or test_bad")
     result.assert_outcomes(passed=1, failed=1)
     assert result.ret == 1
@@ -141,14 +149,17 @@
     ],
 )
 def test_a_line_without_all_four_fields_is_rejected(line: str) -> None:
+    """Check that a line with a missing or empty field is rejected with its line number."""
     with pytest.raises(ValueError, match=r"KNOWN-RED.txt, line 2: not of the form"):
         parse(f"\n{line}\n")
 
 
 def test_a_duplicate_test_is_rejected_by_name() -> None:
+    """Check that a test that is listed twice is rejected with its name and line number."""
     with pytest.raises(ValueError, match=r"line 2: a::b is listed twice"):
         parse("a::b; c; d; e\na::b; f; g; h\n")
 
 
 def test_commas_do_not_separate_fields() -> None:
+    """Check that a field may contain commas, since only semicolons separate fields."""
     assert parse("a::b; c, 7; d, e; f\n") == {"a::b": KnownFailure("a::b", "c, 7", "d, e", "f")}
--- a/tests/checks/test_layers.py
+++ b/tests/checks/test_layers.py
@@ -62,6 +62,7 @@
 
 
 def test_each_package_imports_only_allowed_packages() -> None:
+    """Check the imports of each module of the program against `ALLOWED_IMPORTS`."""
     found: dict[str, set[str]] = {}
     for path in (ROOT / "badgercart").rglob("*.py"):
         module = ".".join(path.relative_to(ROOT).with_suffix("").parts)
@@ -74,4 +75,5 @@
 
 @pytest.mark.parametrize("package", ["policy", "simulator", "core", "upstream"])
 def test_lower_packages_may_import_no_component(package: str) -> None:
+    """Check that no lower package may import the HTTP frontend, discovery, `app` or `node`."""
     assert not ALLOWED_IMPORTS[package] & {"app", "node", "frontends.http", "discovery"}
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,7 @@
-"""Hypothesis draws the same examples each time; `BADGERCART_RUNS=10000` draws so many of each,
-anew."""
+"""Make Hypothesis draw the same examples each time.
+
+`BADGERCART_RUNS=10000` makes it draw 10000 new examples for each test instead.
+"""
 
 from __future__ import annotations
 
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -235,6 +235,7 @@
     """A pool whose first worker has died before the third cell is submitted."""
 
     def submit(self, *arguments: Any, **named: Any) -> Future[Any]:  # type: ignore[override]
+        """Submit a cell, the third one only once the first one has ended."""
         submitted: list[Future[Any]] = self.__dict__.setdefault("submitted", [])
         if len(submitted) == 2:
             wait(submitted[:1])
@@ -246,6 +247,7 @@
     """A pool that loses the third cell if its first worker has died, as Python 3.11 may."""
 
     def submit(self, *arguments: Any, **named: Any) -> Future[Any]:  # type: ignore[override]
+        """Submit a cell; leave the third one pending forever if the first one broke the pool."""
         submitted: list[Future[Any]] = self.__dict__.setdefault("submitted", [])
         if len(submitted) == 2 and isinstance(submitted[0].exception(), BrokenProcessPool):
             submitted.append(Future())
