--- a/tests/admin/test_golden.py
+++ b/tests/admin/test_golden.py
@@ -48,16 +48,19 @@
     """A list reader that must not be used."""
 
     def read(self, raw: Any, kind: Any = None) -> DiscoveryUpdate:
+        """Fail, since these tests read no list."""
         raise ValueError
 
 
 def response_to(call: bytes, node_ejections: AdministrativeEjections, reason: str = "") -> bytes:
+    """Return the response to one admin request; `reason` says why the node is not ready."""
     response = AdminExchange(NodeHandlers(lambda: reason, node_ejections)).receive(call)
     assert response is not None
     return response
 
 
 def admin_responses() -> dict[str, bytes]:
+    """Return the responses to all requests of `CASES` and to those that fail, by their names."""
     responses = {
         f"{call[:60].decode('latin-1')!r}": response_to(call, ejections(known=True, listed=True))
         for call, _, _ in CASES
@@ -86,4 +89,5 @@
 
 @pytest.mark.parametrize("group", GROUPS)
 def test_operators_get_the_same_bytes(group: str) -> None:
+    """Compare the responses of a group with its golden file."""
     assert not differences(GOLDEN / f"{group}.txt", GROUPS[group]())
--- a/tests/admin/test_listener.py
+++ b/tests/admin/test_listener.py
@@ -11,6 +11,7 @@
 
 
 async def request_status(stand: NodeHarness, target: str, method: str = "POST") -> int:
+    """Send one admin request on a new connection and return the status of its response."""
     assert stand.node.admin_listener is not None
     client = Client(*await asyncio.open_connection(*stand.node.admin_listener.address))
     status, _, _ = await client.ask(f"{method} {target} HTTP/1.1\r\nHost: n\r\n\r\n".encode())
@@ -20,12 +21,15 @@
 
 
 def admin_settings(tmp_path: Path) -> dict[str, object]:
+    """Return the settings of a node that has an admin listener."""
     return {"console": ("127.0.0.1", 0), "folder": tmp_path}
 
 
 def test_an_ejected_server_gets_no_requests_until_it_is_reinstated(
     tmp_path: Path,
 ) -> None:
+    """Check that an ejection outlives list updates and ends when the server is reinstated."""
+
     async def test() -> None:
         first, second = await ScriptedServer().start(), await ScriptedServer().start()
         async with running(first, second, **admin_settings(tmp_path)) as stand:
@@ -69,6 +73,8 @@
 def test_idle_connections_and_many_clients_do_not_block_operators(
     tmp_path: Path,
 ) -> None:
+    """Check that admin requests are answered beside half-sent requests on idle connections."""
+
     async def test() -> None:
         peer = await ScriptedServer().start()
         async with running(peer, sockets=64, **admin_settings(tmp_path)) as stand:
--- a/tests/admin/test_requests.py
+++ b/tests/admin/test_requests.py
@@ -18,18 +18,22 @@
         self.calls: list[tuple[str, str]] = []
 
     def ready(self) -> AdminResponse:
+        """Report that the node is ready."""
         return AdminResponse(HTTPStatus.OK, "ready")
 
     def disable(self, name: str) -> AdminResponse:
+        """Record the call and report success."""
         self.calls.append(("disable", name))
         return AdminResponse(HTTPStatus.OK, "out")
 
     def enable(self, name: str) -> AdminResponse:
+        """Record the call and report success."""
         self.calls.append(("enable", name))
         return AdminResponse(HTTPStatus.OK, "in use")
 
 
 def status(response: bytes | None) -> int:
+    """Return the status of a response after checking its headers and its one-line body."""
     assert response is not None
     head, _, body = response.partition(b"\r\n\r\n")
     assert b"Content-Length: %d\r\n" % len(body) in head + b"\r\n" and b"Connection: close" in head
@@ -63,6 +67,8 @@
 def test_each_request_has_its_response_however_it_is_split(
     call: bytes, expected_status: int, expected_call: tuple[str, str] | None
 ) -> None:
+    """Check the response and the handler call of each request, split at any positions."""
+
     @given(st.lists(st.integers(0, len(call)), max_size=6))
     def split(split_positions: list[int]) -> None:
         handlers, positions = RecordingHandlers(), [0, *sorted(split_positions), len(call)]
@@ -81,6 +87,7 @@
 
 
 def test_half_a_request_gets_no_response() -> None:
+    """Check that an exchange that is closed halfway through a request never responds."""
     exchange = AdminExchange(RecordingHandlers())
     assert exchange.receive(b"GET /-/ready HTTP/1.1\r\nHost") is None
     exchange.close()
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -33,6 +33,8 @@
     ids=range(7),
 )
 def test_a_malformed_line_leaves_the_list_in_force_and_causes_a_snapshot(line: bytes) -> None:
+    """Check that after a malformed line requests still succeed and a full list is fetched."""
+
     async def test() -> None:
         peer = await ScriptedServer().start()
         async with running(peer) as stand:
@@ -47,6 +49,8 @@
 
 
 def test_a_watch_that_ends_is_resumed_from_its_last_version() -> None:
+    """Check that an ended watch is reopened from the last version that it delivered."""
+
     async def test() -> None:
         peer = await ScriptedServer().start()
         async with running(peer) as stand:
@@ -61,6 +65,7 @@
 
 
 def test_a_watch_that_falls_silent_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Check that a watch without data for `WATCH_SILENCE_TIMEOUT_S` is reopened."""
     monkeypatch.setattr(catalog, "WATCH_SILENCE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
--- a/tests/discovery/test_list_framing.py
+++ b/tests/discovery/test_list_framing.py
@@ -52,6 +52,7 @@
 def test_lists_and_heartbeats_are_parsed_in_order_however_they_are_split(
     items: list[tuple[Any, Any, str]], positions: list[int]
 ) -> None:
+    """Check that a stream split at any positions yields its lists and heartbeats in order."""
     parser = ListParser()
     parsed = [item for chunk in split(encode(items), positions) for item in parser.feed(chunk)]
     assert parsed == [item for item, _, _ in items]
@@ -62,6 +63,7 @@
 def test_a_truncated_list_is_discarded_and_detected_by_what_follows(
     truncated: Any, indent: Any, position: int, following: Any
 ) -> None:
+    """Check that a truncated list yields nothing and raises with what follows or at the end."""
     data = json.dumps(truncated, indent=indent).encode()
     parser = ListParser()
     start = data[: 1 + position % (len(data) - 1)].rstrip()
@@ -72,6 +74,7 @@
 
 
 def test_the_last_line_needs_no_line_break_and_limits_hold(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Check the end of a stream, the size limit of a list, and the rejection of invalid text."""
     parser = ListParser()
     assert parser.feed(b'{"generation": 1}') == [] and parser.end() == [{"generation": 1}]
     monkeypatch.setattr(list_framing, "MAX_LIST_BYTES", 1000)
--- a/tests/reload/test_checks.py
+++ b/tests/reload/test_checks.py
@@ -16,6 +16,7 @@
 
 
 def complete_configuration() -> dict[str, Any]:
+    """Return a raw configuration with optional keys, a tenant and a second class."""
     raw = copy.deepcopy(raw_config()) | {"known": {"generation": 1}, "console": "127.0.0.1:1"}
     raw["settings"]["Customers"] = [{"Name": "acme", "QuotaPerS": 5.0}]
     raw["settings"]["Classes"].append({**raw["settings"]["Classes"][0], "Name": "book"})
@@ -43,11 +44,13 @@
 
 
 def path_text(path: tuple[Any, ...]) -> str:
+    """Return a path as fault messages write it, such as `settings.Classes[0].Name`."""
     return "".join(f"[{key}]" if isinstance(key, int) else f".{key}" for key in path)[1:]
 
 
 @pytest.mark.parametrize("path", KEY_PATHS, ids=map(path_text, KEY_PATHS))
 def test_a_missing_key_or_one_of_another_type_is_reported(path: tuple[Any, ...]) -> None:
+    """Check that dropping or nulling any key is reported, unless the key is optional."""
     for change in ("drop", [None]):
         new = complete_configuration()
         table = new
@@ -77,12 +80,14 @@
     ],
 )  # fmt: skip
 def test_an_invalid_value_is_reported_with_its_path(change: Any, fault: str) -> None:
+    """Check that an invalid value is reported with the path of its key."""
     new = complete_configuration()
     change(new["settings"])
     assert any(found.startswith(fault) for found in faults(new, complete_configuration()))
 
 
 def test_classes_and_tenants_may_be_added_and_removed() -> None:
+    """Check that replaced classes, removed tenants and unknown keys are no faults."""
     new = copy.deepcopy(complete_configuration())
     new["settings"]["Classes"] = [{**new["settings"]["Classes"][0], "Name": "x", "More": 1}]
     new["settings"]["Customers"] = []
@@ -93,6 +98,7 @@
     "text", ['{"a":NaN}', '{"a":1e999}', '{"a":-Infinity}', "[]", "", "{", "3"]
 )
 def test_text_that_is_no_table_of_finite_numbers_is_rejected(text: str) -> None:
+    """Check that only a JSON object whose numbers are all finite is loaded."""
     with pytest.raises(ValueError, match="."):
         load(text.encode())
     assert load(json.dumps({"a": 1.5}).encode()) == {"a": 1.5}
@@ -106,6 +112,7 @@
 def test_names_keep_their_indexes_and_indexes_stay_few(
     steps: list[tuple[set[str], set[int]]],
 ) -> None:
+    """Check that names keep their indexes, and that new names get low indexes that are free."""
     indexes: dict[str, int] = {}
     for names, busy in steps:
         assigned, new_indexes = assign_indexes(sorted(names), indexes, busy)
--- a/tests/reload/test_reload.py
+++ b/tests/reload/test_reload.py
@@ -30,6 +30,7 @@
 
 
 def classes(*names_and_effects: tuple[str, str]) -> list[dict[str, Any]]:
+    """Return raw settings of classes with these names and idempotencies."""
     first = raw_config()["settings"]["Classes"][0]
     return [
         {**first, "Name": name, "Idempotency": effect, "Window": 9000.0}
@@ -38,6 +39,7 @@
 
 
 async def reload_settings(node: NodeProcess, path: Path, discovery: int, **changes: Any) -> str:
+    """Write changed settings, send SIGHUP, and return the outcome from the log."""
     raw = raw_config() | {"discovery": f"127.0.0.1:{discovery}"}
     raw["settings"] |= changes
     path.write_text(json.dumps(raw))
@@ -48,6 +50,7 @@
 def test_classes_are_added_and_removed_and_requests_in_flight_keep_their_settings(
     tmp_path: Path,
 ) -> None:
+    """Check that a valid reload affects only later requests, and an invalid one does nothing."""
     release = asyncio.Event()
 
     async def test() -> None:
@@ -86,6 +89,8 @@
 
 
 def test_a_stricter_idempotency_and_fewer_attempts_apply_to_later_requests(tmp_path: Path) -> None:
+    """Check that a request of a class that a reload made non-retryable is attempted only once."""
+
     async def test() -> None:
         peer = await ScriptedServer(hang_up).start()
         agent = await DiscoveryAgent([peer.entry()]).start()
@@ -164,6 +169,8 @@
 
 
 def test_no_tenant_gets_the_index_of_another_with_requests_in_flight() -> None:
+    """Check that a new tenant gets no index of a removed one with requests in flight."""
+
     def config_with_tenants(*names: bytes) -> Config:
         tenants = {name: number for number, name in enumerate(names)}
         base = config(1)
