--- a/tests/app/test_application.py
+++ b/tests/app/test_application.py
@@ -42,6 +42,7 @@
         self.name, self.log, self.faults, self.number = name, log, faults, 0
 
     async def run_call(self, call: str) -> None:
+        """Record a call, then hang or raise if a fault is set for it."""
         self.log.append(f"{call} {self.name}")
         fault = self.faults.get(f"{call} {self.name}")
         if fault == "hang":
@@ -50,17 +51,21 @@
             raise fault
 
     async def start(self) -> None:
+        """Record the start."""
         await self.run_call("start")
 
     def prepare(self, settings: NumberedSettings) -> Callable[[], None]:
+        """Return a function that applies the new number; reject a number below 0."""
         if settings.number < 0:
             raise ReloadError(f"{settings.number} is below 0")
         return lambda: setattr(self, "number", settings.number)
 
     async def drain(self, deadline_ms: float) -> None:
+        """Record the drain."""
         await self.run_call("drain")
 
     def close(self) -> None:
+        """Record the close, and raise if a fault is set for it."""
         self.log.append(f"close {self.name}")
         if (fault := self.faults.get(f"close {self.name}")) is not None:
             raise fault
--- a/tests/bulk/test_memory_budget.py
+++ b/tests/bulk/test_memory_budget.py
@@ -20,6 +20,7 @@
 def test_buffered_messages_and_streams_stay_within_the_budget(
     memory_mb: float, messages: int, streams: int
 ) -> None:
+    """Check that messages get up to half of the budget and streams a quarter, plus minimums."""
     budget = MemoryBudget(budget_bytes(memory_mb))
     for _ in range(messages):
         budget.buffered_bytes += budget.message_limit_bytes
@@ -40,6 +41,7 @@
 def test_an_upload_returns_what_it_was_fed_and_notifies_of_capacity(
     steps: list[bytes | None],
 ) -> None:
+    """Check that an upload returns its bytes unchanged and calls `on_space` when it is emptied."""
     upload, fed, received, notifications = Upload(None, lambda: 64), bytearray(), bytearray(), 0
 
     def on_space() -> None:
--- a/tests/bulk/test_streams.py
+++ b/tests/bulk/test_streams.py
@@ -97,6 +97,8 @@
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
 @pytest.mark.parametrize("form", RESPONSES)
 def test_a_streamed_response_arrives_completely_in_each_framing(form: str, version: bytes) -> None:
+    """Check that a long response arrives whole in each framing and releases its memory budget."""
+
     async def test() -> None:
         server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
@@ -127,6 +129,8 @@
 
 
 def test_the_first_bytes_of_a_streamed_response_are_forwarded_before_the_last() -> None:
+    """Check that the first byte is forwarded at once, and that a disconnect cancels the attempt."""
+
     async def test() -> None:
         server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
@@ -151,6 +155,8 @@
 def test_a_streamed_response_that_breaks_off_is_noticed_and_counts_against_its_server(
     form: str,
 ) -> None:
+    """Check that a broken streamed response counts as a reset, reaches the client, and is final."""
+
     async def test() -> None:
         server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
@@ -170,6 +176,8 @@
 
 
 def test_a_request_is_retried_if_its_buffered_response_breaks_off() -> None:
+    """Check that a response that breaks off while it is buffered causes a retry."""
+
     async def test() -> None:
         server = await ManualServer().start()
         async with running(server, server, attempts=2) as stand:  # type: ignore[arg-type]
@@ -189,6 +197,8 @@
 
 
 def test_an_attempt_that_times_out_forwards_nothing_of_the_previous_response() -> None:
+    """Check that a timeout on a reused connection responds without bytes of the last response."""
+
     # A fault once sent the previous response of a server's connection as the begin of the next one.
     # It was found by the benchmark day bulk+slow+pieces, in its count 'lost'.
     async def test() -> None:
@@ -224,6 +234,8 @@
 
 @pytest.mark.parametrize("form", UPLOADS)
 def test_a_long_request_is_streamed_and_its_timeout_starts_at_its_end(form: str) -> None:
+    """Check that a long request is forwarded early, and counts and times out from its end on."""
+
     async def test() -> None:
         server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
@@ -263,6 +275,8 @@
 
 
 def test_a_long_chunked_request_arrives_unchanged() -> None:
+    """Check that the server receives the body of a long chunked request unchanged."""
+
     async def test() -> None:
         server = await ManualServer().start()
         async with running(server) as stand:  # type: ignore[arg-type]
@@ -279,6 +293,8 @@
 
 
 def test_a_streamed_request_is_retried_only_if_none_of_it_was_forwarded() -> None:
+    """Check that a server that resets within a streamed request causes a 503 and no retry."""
+
     async def test() -> None:
         unreachable, server = await ManualServer().start(), await ManualServer().start()
         unreachable.server.close()
@@ -307,6 +323,7 @@
 def test_a_client_that_stops_within_a_streamed_request_times_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Check that a client that stops sending is disconnected and its attempt cancelled."""
     monkeypatch.setattr(clients, "REQUEST_TIMEOUT_S", 0.2)
     monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
@@ -330,6 +347,8 @@
 def test_a_streamed_request_that_cannot_become_complete_is_released(
     end: str, may_cancel: bool
 ) -> None:
+    """Check that a malformed or aborted upload cancels its attempt and leaves nothing behind."""
+
     async def test() -> None:
         server, classes = await ManualServer().start(), config(1).settings.classes
         changed = Settings(classes=classes, may_cancel=may_cancel)
@@ -355,6 +374,7 @@
 def test_a_server_that_stops_within_a_streamed_response_times_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Check that a server that stops within its response times out and the client is told."""
     monkeypatch.setattr(connection_pool, "SERVER_STALL_TIMEOUT_MS", 50.0)
     monkeypatch.setattr(connection_pool, "SCAN_INTERVAL_S", 0.01)
 
@@ -374,6 +394,7 @@
 
 
 def test_many_streamed_responses_to_slow_readers_use_bounded_memory() -> None:
+    """Check that slow clients pause reading from their servers before buffers grow."""
     count, size = 50, 32 << 20
 
     async def test() -> None:
@@ -421,6 +442,8 @@
 
 
 def test_rare_but_valid_forms_of_a_request_are_accepted() -> None:
+    """Check that an absolute target and white space after a header value are normalized."""
+
     async def test() -> None:
         peer = await ScriptedServer().start()
         async with running(peer) as stand:
--- a/tests/graphql/test_frontend.py
+++ b/tests/graphql/test_frontend.py
@@ -72,6 +72,7 @@
         self.idempotency_keys: list[str] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Record each request on a connection and respond by the script or as dispatch does."""
         try:
             while True:
                 message = await http1.read_message(reader)
@@ -103,6 +104,7 @@
         self.application, self.frontend = application, application.components["graphql"].frontend
 
     async def client(self) -> Client:
+        """Connect to the GraphQL listener."""
         return Client(*await asyncio.open_connection(*self.frontend.listener.address))
 
     async def send(
@@ -112,6 +114,7 @@
         content_type: str = "application/json",
         **headers: str,
     ) -> tuple[int, bytes, Any]:
+        """Send a POST request and return status, header section and parsed body."""
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         lines = {"host": "x", "content-type": content_type, "request-timeout": "8000m"}
         lines |= {"accept": accept} if accept is not None else {}
@@ -121,10 +124,12 @@
     async def get(
         self, accept: str | None = RESPONSE_JSON, **parameters: str
     ) -> tuple[int, bytes, Any]:
+        """Send a GET request and return status, header section and parsed body."""
         lines = {"host": "x"} | ({"accept": accept} if accept is not None else {})
         return await self.raw(http1.request("GET", f"/graphql?{urlencode(parameters)}", lines))
 
     async def raw(self, data: bytes) -> tuple[int, bytes, Any]:
+        """Send these bytes on a new connection and return the parsed response."""
         client = await self.client()
         status, head, body = await client.ask(data)
         client.writer.close()
--- a/tests/graphql/test_golden.py
+++ b/tests/graphql/test_golden.py
@@ -45,6 +45,7 @@
         self.received: list[bytes] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Record each request on a connection, its timeout masked, and respond by the script."""
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
--- a/tests/graphql/test_planner.py
+++ b/tests/graphql/test_planner.py
@@ -99,12 +99,14 @@
         self.aliases = 0
 
     def condition(self) -> str:
+        """Return a random `@skip` or `@include` directive, or in most cases an empty text."""
         if self.random.random() < 0.75:
             return ""
         directive = self.random.choice(("skip", "include"))
         return f" @{directive}(if: {self.random.choice(('true', 'false', '$yes', '$no'))})"
 
     def selections(self, type_name: str, depth: int) -> str:
+        """Return random selections on a type at this depth of the document."""
         rng, selections = self.random, []
         if type_name == "Thing":
             selections = [
@@ -130,6 +132,7 @@
         return " ".join(selections)
 
     def field(self, type_name: str, depth: int) -> str:
+        """Return a random field of a type with its alias, arguments and selections."""
         name = self.random.choice(list(FIELD_CHOICES[type_name]))
         arguments, child_type = FIELD_CHOICES[type_name][name]
         if child_type and depth > 3:
@@ -141,6 +144,7 @@
         return f"{text} {{ {self.selections(child_type, depth + 1)} }}" if child_type else text
 
     def document(self) -> str:
+        """Return a random query or mutation with the fragments that it uses."""
         kind = self.random.choice(("query", "query", "mutation"))
         body = self.selections("Query" if kind == "query" else "Mutation", 0)
         # Uses every variable, so that the document is valid whatever the selections are.
@@ -159,6 +163,7 @@
         self.seed = seed
 
     def resolve(self, source: Any, info: Any, **arguments: Any) -> Any:
+        """Return the value of a field, or null, or raise an error."""
         # The field name and the arguments seed the values too: a part must resolve to the same
         # values as the complete operation.
         path_text = ".".join(str(step) for step in info.path.as_list())
--- a/tests/hot_restart/test_replacing.py
+++ b/tests/hot_restart/test_replacing.py
@@ -33,6 +33,7 @@
         self.processes: list[NodeProcess] = []
 
     async def start(self) -> NodeProcess:
+        """Start a node on the inherited socket and wait until it is ready."""
         environ = {
             "ROUTER_CONFIG": str(self.path),
             "ROUTER_INHERITED_FD": str(self.sock.fileno()),
@@ -53,15 +54,18 @@
         return node
 
     async def call(self, node: NodeProcess, target: str, method: str = "POST") -> int:
+        """Send a request to a node and return the status of the response."""
         client = await node.client()
         status, _, _ = await client.ask(f"{method} {target} HTTP/1.1\r\n\r\n".encode())
         client.writer.close()
         return status
 
     async def client(self) -> Client:
+        """Connect to the inherited socket."""
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def end(self, node: NodeProcess) -> int:
+        """Send SIGTERM to a node and return its exit code."""
         node.process.send_signal(signal.SIGTERM)
         return await asyncio.wait_for(node.process.wait(), WAIT_S)
 
