--- a/tests/ejection/test_ejection_file.py
+++ b/tests/ejection/test_ejection_file.py
@@ -23,6 +23,7 @@
 
 
 def test_a_written_state_is_read_back(tmp_path: Path) -> None:
+    """Check that a written state is read back, and that other readers notice the change."""
     ejection_file, other = EjectionFile(tmp_path), EjectionFile(tmp_path)
     assert ejection_file.read() is None and not ejection_file.has_changed()
     ejection_file.write(STATE)
@@ -33,6 +34,7 @@
 
 @given(st.integers(0, len(encode(STATE)) - 1), st.integers(0, 255))
 def test_a_truncated_or_altered_file_is_unusable(position: int, byte: int) -> None:
+    """Check that a file cut off anywhere or with any byte changed is rejected."""
     content = encode(STATE)
     with pytest.raises(CorruptFileError):
         decode(content[:position])
@@ -55,11 +57,13 @@
     ],
 )
 def test_a_file_with_other_content_is_unusable(body: bytes) -> None:
+    """Check that content of another form is rejected in spite of a right checksum."""
     with pytest.raises(CorruptFileError):
         decode(b"%b\n%b\n" % (checksum(body), body))
 
 
 def test_a_lock_that_is_never_released_is_an_error(tmp_path: Path) -> None:
+    """Check that waiting for a held lock pauses, then fails, and that a released lock is free."""
     ejection_file, pauses = EjectionFile(tmp_path), list[float]()
     with (
         ejection_file.lock(),
@@ -95,11 +99,13 @@
 
 
 def start_writer(tmp_path: Path, name: str, count: int) -> subprocess.Popen[str]:
+    """Start a process that ejects `count` servers, one after another."""
     command = [sys.executable, "-B", "-c", WRITER, str(tmp_path), name, str(count)]
     return subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
 
 def test_concurrent_processes_do_not_lose_changes(tmp_path: Path) -> None:
+    """Check that two processes that write at once keep the ejections of both."""
     writers = [start_writer(tmp_path, name, 50) for name in "ab"]
     for process in writers:
         process.communicate()
@@ -109,6 +115,7 @@
 
 
 def test_a_process_killed_while_writing_leaves_a_complete_file(tmp_path: Path) -> None:
+    """Check that a killed writer leaves its reported ejections in the file and a free lock."""
     for attempt in range(8):
         process = start_writer(tmp_path, f"r{attempt}", 10_000)
         assert process.stdout is not None
--- a/tests/ejection/test_golden.py
+++ b/tests/ejection/test_golden.py
@@ -27,20 +27,24 @@
 
 
 def field_items(state: EjectionState) -> tuple[object, object, object]:
+    """Return the items of each field in order, since comparing dicts ignores the order."""
     return list(state.ejected.items()), list(state.reinstated.items()), list(state.known_names)
 
 
 def test_the_file_is_encoded_unchanged() -> None:
+    """Compare the encoded states with their golden files."""
     for name, (state, _) in STATES.items():
         assert encode(state) == (GOLDEN / f"{name}.txt").read_bytes(), name
 
 
 def test_the_file_is_decoded_unchanged() -> None:
+    """Decode each golden file and compare the fields and the order of their items."""
     for name, (_, expected) in STATES.items():
         assert field_items(decode((GOLDEN / f"{name}.txt").read_bytes())) == expected, name
 
 
 def test_both_times_of_a_reinstatement_are_decoded_in_order() -> None:
+    """Check that the two times of a reinstatement are not exchanged."""
     reinstatement = decode((GOLDEN / "bans.txt").read_bytes()).reinstated["s-2"]
     assert (
         reinstatement
@@ -50,6 +54,7 @@
 
 
 def test_the_file_names_are_unchanged(tmp_path: Path) -> None:
+    """Check the names of the ejection file and its lock file, and the written bytes."""
     ejection_file = EjectionFile(tmp_path)
     with ejection_file.lock():
         ejection_file.write(STATES["bans"][0])
--- a/tests/ejection/test_ledger.py
+++ b/tests/ejection/test_ledger.py
@@ -20,6 +20,7 @@
 def discovered_endpoint(
     name: str, state: EndpointState = EndpointState.READY, started: float = 0.0
 ) -> DiscoveredEndpoint:
+    """Return an endpoint with this name, whose number derives from the name."""
     return DiscoveredEndpoint(
         Endpoint(hash(name) & 0xFFFF, 0, 0, 0, state, 1.0, started), ("127.0.0.1", 1), name
     )
@@ -37,6 +38,7 @@
 def test_an_ejected_server_is_never_ready_and_a_reinstated_one_starts_slowly(
     steps: list[tuple[str, str, EndpointState, float]],
 ) -> None:
+    """Check the state and start of listed endpoints after any changes, also by a successor."""
     ledger, other, now_ms, ejected_at_ms = (
         EjectionLedger(UNIX_OFFSET_MS),
         EjectionLedger(UNIX_OFFSET_MS),
@@ -76,6 +78,7 @@
 
 
 def test_a_start_during_the_ejection_takes_precedence_over_the_reinstatement() -> None:
+    """Check that an endpoint that started while it was ejected keeps its own start."""
     ledger = EjectionLedger(UNIX_OFFSET_MS)
     ledger.adopt(ledger.with_ejected("a", UNIX_OFFSET_MS + 1000))
     assert [
@@ -92,6 +95,7 @@
 def test_known_names_are_bounded_except_ejected_or_listed_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Check that names beyond `MAX_NAMES` are forgotten unless ejected or listed."""
     monkeypatch.setattr(ledger_module, "MAX_NAMES", 3)
     ledger = EjectionLedger(UNIX_OFFSET_MS)
     for name in "abcde":
