--- a/lab/trial/checkers.py
+++ b/lab/trial/checkers.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable, Iterator
 
 from lab.trial.world import LIST, WORK_MS, World
+from standins.server import Seen
 
 # Added to the drain grace that nodes are given, as on the platform; the largest timer delay of this
 # machine comes on top.
@@ -64,6 +65,20 @@
     return published_at_s + MAX_NOTICE_S if cut else min(until_s, published_at_s + MAX_NOTICE_S)
 
 
+def left_node_at_s(world: World, node: str, server: str, seen: Seen) -> float:
+    """Return when the node sent a request: before the server received it if a cut link held it."""
+    name = f": {seen.id}\r\n".encode()
+    slack_s = TIMING_SLACK_S + world.max_timer_delay_s
+    for held in world.switch.held_data:
+        if (
+            held.link == (node, server)
+            and name in held.data
+            and held.forwarded_at_s <= seen.at <= held.forwarded_at_s + slack_s
+        ):
+            return held.received_at_s
+    return seen.at
+
+
 def check_drained_servers(world: World) -> Iterator[str]:
     """Rule 3: a draining server gets no new requests after the grace time."""
     nodes = {world.switch.endpoints[name].switch_address[0]: name for name in world.nodes}
@@ -84,7 +99,7 @@
                 + DRAIN_GRACE_S
                 + TIMING_SLACK_S
                 + world.max_timer_delay_s
-                < seen.at
+                < left_node_at_s(world, node, change.server, seen)
                 < restarted_at_s
             ):
                 late_s = seen.at - change.published_at_s
--- a/tests/trial/test_switch.py
+++ b/tests/trial/test_switch.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 import socket
+import time
 from typing import Any
 
 from lab.trial.switch import Switch
@@ -132,6 +133,33 @@
     asyncio.run(asyncio.wait_for(run(), 3 * TIMEOUT_S))
 
 
+def test_data_that_a_cut_held_is_recorded_with_the_time_of_its_arrival() -> None:
+    async def run() -> None:
+        block, switch, a, b = await start_two_peers()
+        switch.set_fault("a", "b", cut=True)
+        reader, writer = await asyncio.open_connection(
+            *switch.endpoints["b"].switch_address, local_addr=(a.address[0], 0)
+        )
+        started_at_s = time.monotonic()
+        writer.write(b"held")
+        while not switch.open_writers.get(("a", "b")):
+            await asyncio.sleep(0.001)
+        for _ in range(10):  # the data is in the socket's buffer; let the event loop read it
+            await asyncio.sleep(0)
+        healed_at_s = time.monotonic()
+        switch.heal()
+        assert await asyncio.wait_for(reader.read(10), TIMEOUT_S) == b"held"
+        writer.write(b"direct")
+        assert await asyncio.wait_for(reader.read(10), TIMEOUT_S) == b"direct"
+        (held,) = switch.held_data
+        assert (held.link, held.data) == (("a", "b"), b"held")
+        assert started_at_s <= held.received_at_s <= healed_at_s <= held.forwarded_at_s
+        for peer in (writer, a, b, switch, block):
+            peer.close()
+
+    asyncio.run(asyncio.wait_for(run(), 3 * TIMEOUT_S))
+
+
 def test_concurrent_trials_use_different_address_blocks() -> None:
     one, other = AddressBlock(), AddressBlock()
     assert one.number != other.number
