--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -138,9 +138,9 @@
         """Return the number of requests during the ramp, and the highest load over its bound."""
         end = self.started_at_s + RAMP.ramp_ms / 1000
         times = [
-            1000 * seen.at
-            for seen in self.dispatch_server.seen
-            if self.started_at_s <= seen.at < end
+            1000 * request.received_at_s
+            for request in self.dispatch_server.received_requests
+            if self.started_at_s <= request.received_at_s < end
         ]
         return len(times), max_bound_ratio(
             times, [True] * len(times), 1000 * self.started_at_s, RAMP
--- a/benchmarks/same_service.py
+++ b/benchmarks/same_service.py
@@ -112,9 +112,9 @@
         """Check rule 2: no key is sent again after its deduplication window."""
         times_by_key: dict[str, list[float]] = defaultdict(list)
         for server in self.fleet.servers:
-            for seen in server.seen:
-                if seen.key:
-                    times_by_key[seen.key].append(seen.at)
+            for request in server.received_requests:
+                if request.idempotency_key:
+                    times_by_key[request.idempotency_key].append(request.received_at_s)
         late = [
             key
             for key, times in times_by_key.items()
@@ -133,9 +133,11 @@
             if drained_at is None:
                 continue
             late = [
-                seen
-                for seen in server.seen
-                if drained_at + DRAIN_GRACE_S + TIME_TOLERANCE_S < seen.at < returned_at
+                request
+                for request in server.received_requests
+                if drained_at + DRAIN_GRACE_S + TIME_TOLERANCE_S
+                < request.received_at_s
+                < returned_at
             ]
             if late:
                 violations.append(f"rule 3: {len(late)} requests at {server.name} after its drain")
@@ -150,7 +152,11 @@
             returned_at = self.returned_at.get(server.name)
             if returned_at is None:
                 continue
-            times = [seen.at for seen in server.seen if seen.at >= returned_at]
+            times = [
+                request.received_at_s
+                for request in server.received_requests
+                if request.received_at_s >= returned_at
+            ]
             for at in times:
                 age = min(1.0, (at - returned_at) / RAMP_DURATION_S)
                 capacity = (
--- a/benchmarks/zone_trials.py
+++ b/benchmarks/zone_trials.py
@@ -62,7 +62,10 @@
     for zone in SURVIVING_ZONES:
         servers = [world.servers[name] for name in world.servers_in_zone(zone)]
         times = sorted(
-            seen.at for server in servers for seen in server.seen if seen.id and seen.at > lost_at
+            request.received_at_s
+            for server in servers
+            for request in server.received_requests
+            if request.request_id and request.received_at_s > lost_at
         )
         first = 0
         for last, at in enumerate(times):
--- a/lab/trial/checkers.py
+++ b/lab/trial/checkers.py
@@ -76,19 +76,19 @@
             if later.server == change.server and later.state == "active"
         )
         restarted_at_s = next(restarts, float("inf"))
-        for seen in world.servers[change.server].seen:
-            node = nodes.get(seen.source, "")
+        for request in world.servers[change.server].received_requests:
+            node = nodes.get(request.peer_ip, "")
             if (
                 node
                 and notified_at_s(world, node, change.published_at_s)
                 + DRAIN_GRACE_S
                 + TIMING_SLACK_S
                 + world.max_timer_delay_s
-                < seen.at
+                < request.received_at_s
                 < restarted_at_s
             ):
-                late_s = seen.at - change.published_at_s
-                yield f"rule 3: {seen.id} by {node} reached {change.server} {late_s:.2f} s after its drain"
+                late_s = request.received_at_s - change.published_at_s
+                yield f"rule 3: {request.request_id} by {node} reached {change.server} {late_s:.2f} s after its drain"
 
 
 def check_cold_servers(world: World) -> Iterator[str]:
@@ -101,9 +101,9 @@
         if change.state != "active":
             continue
         request_times = [
-            seen.at
-            for seen in world.servers[change.server].seen
-            if seen.at >= change.published_at_s
+            request.received_at_s
+            for request in world.servers[change.server].received_requests
+            if request.received_at_s >= change.published_at_s
         ]
         first = 0
         for last, at in enumerate(request_times):
--- a/lab/trial/records.py
+++ b/lab/trial/records.py
@@ -63,13 +63,13 @@
     names = {world.switch.endpoints[name].switch_address[0]: name for name in world.nodes}
     return [
         {
-            "id": seen.id,
-            "node": names.get(seen.source, seen.source),
+            "id": request.request_id,
+            "node": names.get(request.peer_ip, request.peer_ip),
             "server": name,
-            "at_s": seen.at - world.started_at_s,
+            "at_s": request.received_at_s - world.started_at_s,
         }
         for name, server in world.servers.items()
-        for seen in server.seen
+        for request in server.received_requests
     ]
 
 
--- a/standins/server.py
+++ b/standins/server.py
@@ -26,17 +26,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class ReceivedRequest:
     """Record of a request that reached the server."""
 
-    id: str
-    # The idempotency key, or empty.
-    key: str
+    request_id: str
+    # Empty where the request has none.
+    idempotency_key: str
     target: str
-    # Arrival in s on the monotonic clock.
-    at: float
-    # The IP address of the peer.
-    source: str = ""
+    # The time on the monotonic clock.
+    received_at_s: float
+    peer_ip: str = ""
 
 
 class DispatchServer:
@@ -75,7 +74,7 @@
         self.started_at = 0
         self.slots = asyncio.Semaphore(cores)
         self.in_flight = 0
-        self.seen: deque[Seen] = deque(maxlen=MAX_RECORDED_REQUESTS)
+        self.received_requests: deque[ReceivedRequest] = deque(maxlen=MAX_RECORDED_REQUESTS)
         # Count of effects by idempotency key.
         self.effects: Counter[str] = Counter()
         # When each idempotency key had its effect, in s on the monotonic clock. The servers of a
@@ -141,7 +140,9 @@
             request.headers.get("request-id", ""),
             request.headers.get("idempotency-key", ""),
         )
-        self.seen.append(Seen(request_id, key, request.start[1], time.monotonic(), source))
+        self.received_requests.append(
+            ReceivedRequest(request_id, key, request.start[1], time.monotonic(), source)
+        )
         if not request_id:
             return http1.answer(404)
         if self.draining or self.in_flight >= self.cores + self.queue:
--- a/tests/processor/test_drains.py
+++ b/tests/processor/test_drains.py
@@ -70,8 +70,12 @@
             await asyncio.sleep(DRAIN_GRACE_S + 0.05)  # in real time, by which the grace is defined
             release.set()
             assert await asyncio.gather(*asking) == [200] * 40
-            assert [seen for seen in first.seen if seen.at > informed_at + DRAIN_GRACE_S] == []
-            assert proxy.asked_again == 40 and len(second.seen) == 40
+            assert [
+                request
+                for request in first.received_requests
+                if request.received_at_s > informed_at + DRAIN_GRACE_S
+            ] == []
+            assert proxy.asked_again == 40 and len(second.received_requests) == 40
             await proxy.stop()
             await harness.settled()
             assert harness.calls.old_answers.proxies["proxy-1"].old == 0
@@ -96,7 +100,7 @@
             rows = harness.calls.proxy_rows()
             assert (rows["proxy-1"]["old"], rows["proxy-1"]["drained"]) == (4, 4)
             assert rows["proxy-1"]["standing"] == "refused"
-            assert len(first.seen) == 4  # as many as the settings allow
+            assert len(first.received_requests) == 4  # as many as the settings allow
             assert await get_through(good, "r-9") == 200  # other proxies are not affected
             assert harness.calls.proxy_rows()["proxy-2"]["standing"] == "good"
             # The load was counted for the server that was used.
@@ -118,7 +122,7 @@
             assert await get_through(proxy, "r-1") == 200
             await proxy.stop()
             await harness.settled()
-            assert not first.seen and not second.seen
+            assert not first.received_requests and not second.received_requests
             assert harness.calls.proxy_rows()["proxy-1"]["old"] == 1
 
     run(test())
@@ -131,7 +135,7 @@
             first.stop()
             proxy = await Proxy(harness.address).start()
             assert [await get_through(proxy, f"r-{i}") for i in range(6)] == [200] * 6
-            assert len(second.seen) == 6
+            assert len(second.received_requests) == 6
             await proxy.stop()
             await harness.settled()
 
--- a/tests/trial/test_golden.py
+++ b/tests/trial/test_golden.py
@@ -10,7 +10,7 @@
 from lab.trial.processes import NodeProcess
 from lab.trial.switch import Endpoint
 from lab.trial.world import SentRequest, Shape, World
-from standins.server import DispatchServer, Seen
+from standins.server import DispatchServer, ReceivedRequest
 from standins.traffic import ASSIGN, LOOKUP, Arrival, Result
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -37,8 +37,8 @@
             SentRequest(f"n{at % 2}", 100.25 + at, Result(arrival, status, took_ms, ""))
         )
     server = DispatchServer("s-1", {})
-    server.seen.append(Seen("r0", "k0", "/", 100.5, "127.2.128.0"))
-    server.seen.append(Seen("r1", "", "/", 101.5, "127.9.9.9"))
+    server.received_requests.append(ReceivedRequest("r0", "k0", "/", 100.5, "127.2.128.0"))
+    server.received_requests.append(ReceivedRequest("r1", "", "/", 101.5, "127.9.9.9"))
     world.servers["s-1"] = server
     events: list[dict[str, Any]] = [
         {"event": "http.listening", "message": "up", "host": "127.0.0.1", "port": 1},
--- a/tests/trial/test_peers.py
+++ b/tests/trial/test_peers.py
@@ -42,12 +42,12 @@
         await traffic
         sources = {world.switch.endpoints[name].switch_address[0] for name in minority}
         late = [
-            s
-            for s in world.servers["s-1"].seen
-            if s.source in sources and s.at > informed_at_s + DRAIN_GRACE_S
+            request
+            for request in world.servers["s-1"].received_requests
+            if request.peer_ip in sources and request.received_at_s > informed_at_s + DRAIN_GRACE_S
         ]
         assert late == []
-        assert any(s.source in sources for s in world.servers["s-1"].seen)
+        assert any(request.peer_ip in sources for request in world.servers["s-1"].received_requests)
 
     run_trial(tmp_path, Shape(nodes=5), script)
 
--- a/tests/trial/test_zones.py
+++ b/tests/trial/test_zones.py
@@ -42,7 +42,9 @@
     """Return how many requests reached the servers of a zone in an interval, probes excluded."""
     there = [world.servers[name] for name in world.servers_in_zone(zone)]
     return sum(
-        bool(seen.id) and since < seen.at < until for server in there for seen in server.seen
+        bool(request.request_id) and since < request.received_at_s < until
+        for server in there
+        for request in server.received_requests
     )
 
 
