--- a/lab/trial/world.py
+++ b/lab/trial/world.py
@@ -153,11 +153,13 @@
             server = DispatchServer(
                 f"s-{number}", WORK_MS, shape.cores, shape.queue, "k", zone, shape.seed
             )
-            server.done = self.effect_times
+            server.effect_times = self.effect_times
             server.host, shown = self.addresses(SERVER_RANGE, number)
             await server.start()
             await self.switch.add(server.name, (server.host, server.port), (shown, 0))
-            server.shown = "{}:{}".format(*self.switch.endpoints[server.name].switch_address)
+            server.advertised_address = "{}:{}".format(
+                *self.switch.endpoints[server.name].switch_address
+            )
             self.servers[server.name] = server
         self.catalog = Catalog([server.entry() for server in self.servers.values()])
         self.catalog.host, shown = self.addresses(LIST_RANGE, 1)
--- a/standins/server.py
+++ b/standins/server.py
@@ -79,18 +79,18 @@
         self.effects: Counter[str] = Counter()
         # When each idempotency key had its effect, in s on the monotonic clock. The servers of a
         # group share this dict.
-        self.done: dict[str, float] = {}
+        self.effect_times: dict[str, float] = {}
         # Counts the stops of the process: work in flight does not survive one.
         self.generation = 0
         self.writers: set[asyncio.StreamWriter] = set()
         self.host, self.port = "127.0.0.1", 0
         # The address in the endpoint list, where it differs from the address of the socket.
-        self.shown = ""
+        self.advertised_address = ""
 
     @property
     def address(self) -> str:
         """The address as the endpoint list has it."""
-        return self.shown or f"{self.host}:{self.port}"
+        return self.advertised_address or f"{self.host}:{self.port}"
 
     def entry(self, state: str | None = None) -> dict[str, Any]:
         """Return the server's entry of the endpoint list."""
@@ -177,8 +177,8 @@
         if generation != self.generation:
             # The server stopped meanwhile: the connection is gone, and nobody reads this.
             return http1.answer(500)
-        if key and now - self.done.get(key, -self.window) >= self.window:
-            self.done[key] = now
+        if key and now - self.effect_times.get(key, -self.window) >= self.window:
+            self.effect_times[key] = now
             self.effects[key] += 1
         if by_graphql:
             status, body = graphql.answer(self.name, request.body)
