--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -130,7 +130,7 @@
     def update_speed(self) -> None:
         """Set the speed of the server by its age."""
         age_ms = (time.monotonic() - self.started_at_s) * 1000
-        self.dispatch_server.slowness = (
+        self.dispatch_server.service_time_factor = (
             1.0 if not self.started_at_s else 1.0 / RAMP.speed_share(age_ms)
         )
 
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -42,7 +42,7 @@
     fleet = await Fleet(SERVERS, seed).start()
     slow, others = fleet.servers[:2], fleet.servers[4:6]
     for server in slow:
-        server.slowness = SLOW_FACTOR
+        server.service_time_factor = SLOW_FACTOR
     with tempfile.TemporaryDirectory() as folder:
         config_path, statistics_folder = (
             Path(folder) / "node.toml",
@@ -75,9 +75,9 @@
                 backdate(statistics_folder, FILE_AGE_S)
             if variant in VARIANTS[3:]:
                 for server in slow:
-                    server.slowness = 1.0
+                    server.service_time_factor = 1.0
                 for server in others:
-                    server.slowness = SLOW_FACTOR
+                    server.service_time_factor = SLOW_FACTOR
             node = NodeProcess(("http",))
             await node.start(config_path)
         results = await play(node.fronts["http"], traffic_after)
--- a/benchmarks/same_service.py
+++ b/benchmarks/same_service.py
@@ -73,14 +73,14 @@
         """Make servers slow, silent and failing at fixed times, then drain and restart one cold."""
         step_s, servers = self.seconds / 12, self.fleet.servers
         await asyncio.sleep(2 * step_s)
-        servers[0].slowness = servers[1].slowness = SLOW_FACTOR
+        servers[0].service_time_factor = servers[1].service_time_factor = SLOW_FACTOR
         await asyncio.sleep(2 * step_s)
-        servers[0].slowness = servers[1].slowness = 1.0
-        servers[2].silent = 0.5
+        servers[0].service_time_factor = servers[1].service_time_factor = 1.0
+        servers[2].silent_share = 0.5
         await asyncio.sleep(1 * step_s)
-        servers[2].silent, servers[3].failing = 0.0, 0.7
+        servers[2].silent_share, servers[3].error_share = 0.0, 0.7
         await asyncio.sleep(1 * step_s)
-        servers[3].failing = 0.0
+        servers[3].error_share = 0.0
         leaving: DispatchServer = servers[4]
         await self.fleet.drain(leaving)
         self.drained_at[leaving.name] = time.monotonic()
--- a/lab/load/calibrate.py
+++ b/lab/load/calibrate.py
@@ -146,11 +146,11 @@
 ) -> None:
     """Begin or end one fault at one server."""
     if fault.kind == "slow":
-        server.slowness = fault.size if begins else 1.0
+        server.service_time_factor = fault.size if begins else 1.0
     elif fault.kind == "silent":
-        server.silent = fault.chance if begins else 0.0
+        server.silent_share = fault.chance if begins else 0.0
     elif fault.kind == "errors":
-        server.failing = fault.chance if begins else 0.0
+        server.error_share = fault.chance if begins else 0.0
     elif fault.kind == "crash" and begins:
         server.stop()
         server.state = "left"
--- a/lab/trial/script.py
+++ b/lab/trial/script.py
@@ -159,31 +159,31 @@
 async def slow(world: World, fault: InjectedFault, servers: list[str]) -> None:
     """Multiply the service times of the chosen servers."""
     for name in servers:
-        world.servers[name].slowness *= fault.size
+        world.servers[name].service_time_factor *= fault.size
 
 
 async def slow_end(world: World, fault: InjectedFault, servers: list[str]) -> None:
     """Restore the service times of the chosen servers."""
     for name in servers:
-        world.servers[name].slowness /= fault.size
+        world.servers[name].service_time_factor /= fault.size
 
 
 async def silent(world: World, fault: InjectedFault, servers: list[str]) -> None:
     """Have the chosen servers leave a share of their requests unanswered."""
     for name in servers:
-        world.servers[name].silent = fault.chance
+        world.servers[name].silent_share = fault.chance
 
 
 async def errors(world: World, fault: InjectedFault, servers: list[str]) -> None:
     """Have the chosen servers answer a share of their requests with errors."""
     for name in servers:
-        world.servers[name].failing = fault.chance
+        world.servers[name].error_share = fault.chance
 
 
 async def clear_errors(world: World, fault: InjectedFault, servers: list[str]) -> None:
     """Have the chosen servers answer every request again."""
     for name in servers:
-        world.servers[name].silent = world.servers[name].failing = 0.0
+        world.servers[name].silent_share = world.servers[name].error_share = 0.0
 
 
 async def drain(world: World, fault: InjectedFault, servers: list[str]) -> None:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -154,7 +154,7 @@
                 server.state
                 if server.state != "active"
                 else "slow"
-                if server.slowness > 1
+                if server.service_time_factor > 1
                 else "ready"
             )
             bar = "#" * server.in_flight
@@ -180,9 +180,9 @@
     while True:
         await asyncio.sleep(6)
         slow: DispatchServer = rng.choice([s for s in fleet.servers if s.state == "active"])
-        slow.slowness, table.note = 6.0, f"{slow.name} is six times slower"
+        slow.service_time_factor, table.note = 6.0, f"{slow.name} is six times slower"
         await asyncio.sleep(8)
-        slow.slowness = 1.0
+        slow.service_time_factor = 1.0
         leaving = rng.choice([s for s in fleet.servers if s.state == "active"])
         table.note = f"{leaving.name} drains: nothing new goes there from 0.5 s on"
         await fleet.drain(leaving)
--- a/standins/saturday.py
+++ b/standins/saturday.py
@@ -36,13 +36,13 @@
     step = seconds / 6
     await asyncio.sleep(step)
     for server in slow:
-        server.slowness = 4.0
-    silent.silent, failing.failing = 0.3, 0.6
+        server.service_time_factor = 4.0
+    silent.silent_share, failing.error_share = 0.3, 0.6
     await asyncio.sleep(2 * step)
     await fleet.drain(leaving)
     await asyncio.sleep(step)
     await fleet.leave(leaving)
-    silent.silent = failing.failing = 0.0
+    silent.silent_share = failing.error_share = 0.0
     await asyncio.sleep(step / 2)
     await fleet.come_back(leaving)
 
--- a/standins/server.py
+++ b/standins/server.py
@@ -41,9 +41,9 @@
 class DispatchServer:
     """One dispatch server.
 
-    Its faults are attributes: `slowness` multiplies the service time, `silent` is the share of
-    requests that get no response, `failing` the share that get status 500. While it is `draining`
-    it rejects every request as not started.
+    Its faults are attributes: `service_time_factor` multiplies the service time, `silent_share` is
+    the share of requests that get no response, `error_share` the share that get status 500. While
+    it is `draining` it rejects every request as not started.
 
     Args:
         work: By request class, the minimum and maximum service time in ms.
@@ -67,7 +67,7 @@
         self.name, self.work, self.kind, self.zone = name, work, kind, zone
         self.cores, self.queue, self.window = cores, queue, window
         self.random = random.Random(f"{seed} {name}")
-        self.slowness, self.silent, self.failing = 1.0, 0.0, 0.0
+        self.service_time_factor, self.silent_share, self.error_share = 1.0, 0.0, 0.0
         self.draining = False
         self.state = "active"
         # Unix time in ms, as the endpoint list has it.
@@ -148,9 +148,9 @@
         if self.draining or self.in_flight >= self.cores + self.queue:
             return http1.answer(503, {"not-started": "1"})
         draw = self.random.random()
-        if draw < self.silent:
+        if draw < self.silent_share:
             await asyncio.sleep(SILENCE_S)
-        if draw < self.silent + self.failing:
+        if draw < self.silent_share + self.error_share:
             return http1.answer(500)
         by_graphql = request.start[1] == "/graphql"
         if by_graphql:
@@ -170,7 +170,9 @@
         generation = self.generation
         try:
             async with self.slots:
-                await asyncio.sleep(self.random.uniform(min_ms, max_ms) * self.slowness / 1000)
+                await asyncio.sleep(
+                    self.random.uniform(min_ms, max_ms) * self.service_time_factor / 1000
+                )
         finally:
             self.in_flight -= 1
         now = time.monotonic()
--- a/tests/statistics/test_component.py
+++ b/tests/statistics/test_component.py
@@ -23,7 +23,7 @@
 ) -> list[list[str]]:
     """Start a node repeatedly, send requests to it, and return its `learning` events by start."""
     fleet = await Fleet(3, 1).start()
-    fleet.servers[0].slowness = 5.0
+    fleet.servers[0].service_time_factor = 5.0
     file, kept, events = folder / "node.toml", folder / "kept", []
     prepare(kept)
     text = operators_file(fleet.catalog.address) + f'[learning]\nfolder = "{kept}"\nevery_s = 0.5\n'
