--- a/benchmarks/graphql.py
+++ b/benchmarks/graphql.py
@@ -62,7 +62,7 @@
 def request_body(arrival: Arrival) -> bytes:
     """Return the JSON body of the GraphQL request for an arrival."""
     if arrival.kind is ASSIGN:
-        variables = {"r": arrival.ride, "k": f"key-{arrival.name}"}
+        variables = {"r": arrival.ride, "k": f"key-{arrival.request_id}"}
         return json.dumps({"query": ASSIGN_DOCUMENT, "variables": variables}).encode()
     return json.dumps({"query": LOOKUP_DOCUMENT, "variables": {"p": arrival.ride}}).encode()
 
@@ -71,7 +71,7 @@
     """Send an arrival as a GraphQL operation with one root field."""
     kind, started_at = arrival.kind, time.monotonic()
     headers = {
-        "host": "x", "request-id": arrival.name, "tenant": arrival.tenant, "content-type": "application/json",
+        "host": "x", "request-id": arrival.request_id, "tenant": arrival.tenant, "content-type": "application/json",
         "accept": "application/graphql-response+json", "request-timeout": f"{kind.deadline:.0f}m",
     }  # fmt: skip
     data = http1.request("POST", "/graphql", headers, request_body(arrival))
@@ -158,7 +158,7 @@
     if new_document:
         # A comment is enough to make the document new to the cache.
         documents = LOOKUP_DOCUMENT, ASSIGN_DOCUMENT
-        LOOKUP_DOCUMENT, ASSIGN_DOCUMENT = (f"{text} # {arrival.name}" for text in documents)
+        LOOKUP_DOCUMENT, ASSIGN_DOCUMENT = (f"{text} # {arrival.request_id}" for text in documents)
         try:
             return await ask(address, arrival, connections)
         finally:
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -228,7 +228,7 @@
 
     try:
         for arrival in arrivals(seed, RATE_PER_NODE_PER_S, 600.0):
-            await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
+            await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
             task = asyncio.ensure_future(send_request(arrival))
             pending.add(task)
             task.add_done_callback(pending.discard)
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -56,17 +56,17 @@
         node = NodeProcess(("http",))
         await node.start(config_path)
         traffic = list(arrivals(seed, rate, BEFORE_RESTART_S + AFTER_RESTART_S))
-        traffic_before = [arrival for arrival in traffic if arrival.at < BEFORE_RESTART_S]
+        traffic_before = [arrival for arrival in traffic if arrival.send_at_s < BEFORE_RESTART_S]
         traffic_after = [
             Arrival(
-                arrival.at - BEFORE_RESTART_S,
+                arrival.send_at_s - BEFORE_RESTART_S,
                 arrival.kind,
                 arrival.tenant,
-                arrival.name,
+                arrival.request_id,
                 arrival.ride,
             )
             for arrival in traffic
-            if arrival.at >= BEFORE_RESTART_S
+            if arrival.send_at_s >= BEFORE_RESTART_S
         ]
         await play(node.fronts["http"], traffic_before)
         if variant != VARIANTS[0]:
--- a/benchmarks/same_service.py
+++ b/benchmarks/same_service.py
@@ -101,7 +101,7 @@
 
     def unanswered(self, results: list[Result]) -> list[str]:
         """Check rule 1: each request gets an answer in time."""
-        unanswered = [result.arrival.name for result in results if result.outcome == "lost"]
+        unanswered = [result.arrival.request_id for result in results if result.outcome == "lost"]
         return (
             [f"rule 1: {len(unanswered)} requests with no answer in time, {unanswered[:3]}"]
             if unanswered
@@ -173,7 +173,7 @@
     """Return the line that summarizes the results of one run."""
     outcomes = Counter(result.outcome for result in results)
     assigned = [result for result in results if result.arrival.kind is ASSIGN]
-    durations = sorted(result.took for result in results if result.outcome == "served")
+    durations = sorted(result.response_time_ms for result in results if result.outcome == "served")
     share, assigned_share = served_share(results), served_share(assigned)
     return (
         f"{frontend:10} worth served in time {share:.3f}, ride-assign {assigned_share:.3f}; "
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -120,7 +120,9 @@
             await world.stop()
         assert not find_violations(world)
         durations = sorted(
-            sent.result.took for sent in world.sent_requests if sent.result.outcome == "served"
+            sent.result.response_time_ms
+            for sent in world.sent_requests
+            if sent.result.outcome == "served"
         )
         return durations[len(durations) // 2], durations[len(durations) * 99 // 100]
 
--- a/lab/trial/checkers.py
+++ b/lab/trial/checkers.py
@@ -32,11 +32,11 @@
 def check_final_answers(world: World) -> Iterator[str]:
     """Rule 1: a request to a running node gets a final response before the client's deadline."""
     for request in world.sent_requests:
-        arrival, took_s = request.result.arrival, request.result.took / 1000
+        arrival, took_s = request.result.arrival, request.result.response_time_ms / 1000
         if request.result.outcome == "lost" and was_running(
             world, request.node, request.sent_at_s, request.sent_at_s + took_s
         ):
-            yield f"rule 1: {arrival.name} to {request.node} got no answer in {took_s:.2f} s"
+            yield f"rule 1: {arrival.request_id} to {request.node} got no answer in {took_s:.2f} s"
 
 
 def check_effects_once(world: World) -> Iterator[str]:
--- a/lab/trial/records.py
+++ b/lab/trial/records.py
@@ -43,15 +43,15 @@
     """Return a row for each request that a client sent."""
     return [
         {
-            "id": request.result.arrival.name,
+            "id": request.result.arrival.request_id,
             "node": request.node,
             "class": request.result.arrival.kind.name,
             "tenant": request.result.arrival.tenant,
             "sent_s": request.sent_at_s - world.started_at_s,
-            "took_ms": request.result.took,
+            "took_ms": request.result.response_time_ms,
             "status": request.result.status,
             "outcome": request.result.outcome,
-            "worth": request.result.worth,
+            "worth": request.result.earned_worth,
             "asked": request.result.arrival.kind.worth,
         }
         for request in world.sent_requests
--- a/lab/trial/run.py
+++ b/lab/trial/run.py
@@ -20,11 +20,13 @@
     outcomes = Counter(request.result.outcome for request in world.sent_requests)
     offered_worth = sum(request.result.arrival.kind.worth for request in world.sent_requests)
     times_ms = sorted(
-        request.result.took for request in world.sent_requests if request.result.outcome == "served"
+        request.result.response_time_ms
+        for request in world.sent_requests
+        if request.result.outcome == "served"
     )
     by_node = {
         node: [
-            request.result.worth / request.result.arrival.kind.worth
+            request.result.earned_worth / request.result.arrival.kind.worth
             for request in world.sent_requests
             if request.node == node
         ]
@@ -35,7 +37,7 @@
     return {
         "name": name,
         "requests": len(world.sent_requests),
-        "worth": sum(request.result.worth for request in world.sent_requests) / offered_worth
+        "worth": sum(request.result.earned_worth for request in world.sent_requests) / offered_worth
         if offered_worth
         else 0.0,
         "worth_by_node": {
--- a/lab/trial/world.py
+++ b/lab/trial/world.py
@@ -368,7 +368,7 @@
         connections, start = http1.Connections(), time.monotonic()
         request_tasks: list[asyncio.Task[None]] = []
         for number, arrival in enumerate(arrivals(seed, rate, seconds)):
-            await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
+            await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
             running = [
                 n for n in names if all(until < math.inf for _, until in self.downtimes.get(n, ()))
             ]
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -138,9 +138,9 @@
                     if result_frontend == frontend and result.arrival.kind is kind
                 ]
                 outcomes = Counter(result.outcome for result in found)
-                took_ms = sorted(result.took for result in found if result.outcome == "served") or [
-                    0.0
-                ]
+                took_ms = sorted(
+                    result.response_time_ms for result in found if result.outcome == "served"
+                ) or [0.0]
                 served, refused = outcomes["served"], outcomes["refused"]
                 failed = outcomes["failed"] + outcomes["lost"]
                 rows.append(
@@ -205,7 +205,7 @@
         table.add(frontend, await ask(addresses[frontend], arrival, connections))
 
     for arrival in arrivals(1, RATE_PER_S, seconds):
-        await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
+        await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
         frontend = "processor" if rng.random() < PROXY_SHARE else "http"
         task = asyncio.ensure_future(send(frontend, arrival))
         in_flight.add(task)
--- a/standins/traffic.py
+++ b/standins/traffic.py
@@ -61,12 +61,11 @@
 class Arrival:
     """A request that will be sent; all of it is drawn ahead."""
 
-    # When it is sent, in s from the start.
-    at: float
+    # From the start of the traffic.
+    send_at_s: float
     kind: Kind
     tenant: str
-    # The request id.
-    name: str
+    request_id: str
     # The ride that it asks about.
     ride: str
 
@@ -78,8 +77,7 @@
     arrival: Arrival
     # The HTTP status, 0 where no response came in time.
     status: int
-    # The response time in ms.
-    took: float
+    response_time_ms: float
     retry_after: str
 
     @property
@@ -90,11 +88,11 @@
         return "refused" if self.status in (429, 503) else "failed" if self.status else "lost"
 
     @property
-    def worth(self) -> float:
+    def earned_worth(self) -> float:
         """What the response is worth: all of it within the aim, nothing after it."""
         return (
             self.arrival.kind.worth
-            if self.status == 200 and self.took <= self.arrival.kind.aim
+            if self.status == 200 and self.response_time_ms <= self.arrival.kind.aim
             else 0.0
         )
 
@@ -104,13 +102,13 @@
 
     A few of the rides are far more popular than the rest.
     """
-    rng, at, number = random.Random(seed), 0.0, 0
-    while (at := at + rng.expovariate(rate)) < seconds:
+    rng, send_at_s, number = random.Random(seed), 0.0, 0
+    while (send_at_s := send_at_s + rng.expovariate(rate)) < seconds:
         number += 1
         kind = LOOKUP if rng.random() < LOOKUP.share else ASSIGN
         tenant = rng.choices(list(TENANTS), list(TENANTS.values()))[0]
         ride = int(rides * rng.random() ** 3)
-        yield Arrival(at, kind, tenant, f"{seed:x}-{number:x}", f"ride{ride}")
+        yield Arrival(send_at_s, kind, tenant, f"{seed:x}-{number:x}", f"ride{ride}")
 
 
 async def exchange(
@@ -140,10 +138,12 @@
 
 def result_of(arrival: Arrival, sent_at: float, response: http1.Message | None) -> Result:
     """Return the result of an arrival that was sent at `sent_at`, in s on the monotonic clock."""
-    took_ms = (time.monotonic() - sent_at) * 1000
+    response_time_ms = (time.monotonic() - sent_at) * 1000
     if response is None:
-        return Result(arrival, 0, took_ms, "")
-    return Result(arrival, response.status, took_ms, response.headers.get("retry-after", ""))
+        return Result(arrival, 0, response_time_ms, "")
+    return Result(
+        arrival, response.status, response_time_ms, response.headers.get("retry-after", "")
+    )
 
 
 async def ask(
@@ -156,12 +156,12 @@
     kind, sent_at = arrival.kind, time.monotonic()
     headers = {
         "host": "backend.local",
-        "request-id": arrival.name,
+        "request-id": arrival.request_id,
         "tenant": arrival.tenant,
         "request-timeout": f"{kind.deadline:.0f}m",
     }
     if kind.keyed:
-        headers["idempotency-key"] = f"key-{arrival.name}"
+        headers["idempotency-key"] = f"key-{arrival.request_id}"
     target = f"/{kind.name}/{arrival.ride}"
     data = http1.request("POST" if kind.keyed else "GET", target, headers)
     return result_of(
@@ -177,7 +177,7 @@
     connections, start = http1.Connections(), time.monotonic()
     in_flight: list[asyncio.Task[Result]] = []
     for arrival in coming:
-        await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
+        await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
         in_flight.append(asyncio.ensure_future(ask(address, arrival, connections)))
     results = list(await asyncio.gather(*in_flight))
     connections.close()
@@ -186,6 +186,6 @@
 
 def served_share(results: list[Result]) -> float:
     """Return the worth of the responses within the aim over the worth of all requests."""
-    return sum(result.worth for result in results) / sum(
+    return sum(result.earned_worth for result in results) / sum(
         result.arrival.kind.worth for result in results
     )
--- a/tests/trial/test_zones.py
+++ b/tests/trial/test_zones.py
@@ -56,7 +56,7 @@
         if request.sent_at_s > since and (nodes is None or request.node in nodes)
     ]
     assert requests
-    return sum(request.result.worth for request in requests) / sum(
+    return sum(request.result.earned_worth for request in requests) / sum(
         request.result.arrival.kind.worth for request in requests
     )
 
