--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -25,7 +25,7 @@
 from standins.catalog import Catalog
 from standins.fleet import QUOTA, WORK
 from standins.server import DispatchServer
-from standins.traffic import KINDS, TENANTS, Result, arrivals, play, served_share
+from standins.traffic import REQUEST_CLASSES, TENANTS, Result, arrivals, play, served_share
 
 SERVERS = 10
 COLD_SERVERS = 4
@@ -36,7 +36,9 @@
 TRAFFIC_BEFORE_START_S = 8.0
 # How long a server is away before it returns.
 ABSENCE_S = 1.0
-MEAN_WORK_MS = sum(kind.share * sum(WORK[kind.name]) / 2 for kind in KINDS)
+MEAN_WORK_MS = sum(
+    request_class.share * sum(WORK[request_class.name]) / 2 for request_class in REQUEST_CLASSES
+)
 RAMP = SlowStartScenario(cores=CORES_PER_SERVER, mean_work_ms=MEAN_WORK_MS, ramp_ms=6000.0)
 
 
@@ -44,11 +46,12 @@
     """Return the configuration of a node process."""
     classes = [
         {
-            "Name": kind.name, "Aim": kind.aim, "Deadline": kind.deadline, "Worth": kind.worth,
+            "Name": request_class.name, "Aim": request_class.aim_ms,
+            "Deadline": request_class.deadline_ms, "Worth": request_class.worth,
             "Window": 6000.0, "LateValue": 0.0, "Group": "all",
-            "Idempotency": "guarded" if kind.keyed else "free",
+            "Idempotency": "guarded" if request_class.keyed else "free",
         }
-        for kind in KINDS
+        for request_class in REQUEST_CLASSES
     ]  # fmt: skip
     tenants = [
         {"Name": n, "QuotaPerS": QUOTA * share, "Portion": share} for n, share in TENANTS.items()
--- a/benchmarks/graphql.py
+++ b/benchmarks/graphql.py
@@ -61,7 +61,7 @@
 
 def request_body(arrival: Arrival) -> bytes:
     """Return the JSON body of the GraphQL request for an arrival."""
-    if arrival.kind is ASSIGN:
+    if arrival.request_class is ASSIGN:
         variables = {"r": arrival.ride, "k": f"key-{arrival.request_id}"}
         return json.dumps({"query": ASSIGN_DOCUMENT, "variables": variables}).encode()
     return json.dumps({"query": LOOKUP_DOCUMENT, "variables": {"p": arrival.ride}}).encode()
@@ -69,13 +69,13 @@
 
 async def ask(address: str, arrival: Arrival, connections: http1.Connections) -> Result:
     """Send an arrival as a GraphQL operation with one root field."""
-    kind, started_at = arrival.kind, time.monotonic()
+    request_class, started_at = arrival.request_class, time.monotonic()
     headers = {
         "host": "x", "request-id": arrival.request_id, "tenant": arrival.tenant, "content-type": "application/json",
-        "accept": "application/graphql-response+json", "request-timeout": f"{kind.deadline:.0f}m",
+        "accept": "application/graphql-response+json", "request-timeout": f"{request_class.deadline_ms:.0f}m",
     }  # fmt: skip
     data = http1.request("POST", "/graphql", headers, request_body(arrival))
-    response = await exchange(address, data, kind.deadline, connections)
+    response = await exchange(address, data, request_class.deadline_ms, connections)
     if response is not None and response.status == 200 and json.loads(response.body).get("errors"):
         # The only root field failed.
         response.start[1] = "502"
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -148,19 +148,19 @@
 
 def request_headers(index: int, seed: int = 0) -> dict[str, str]:
     """Return the headers of a request."""
-    kind = ASSIGN if index % 9 < 4 else LOOKUP
+    request_class = ASSIGN if index % 9 < 4 else LOOKUP
     headers = {
-        ":method": "POST" if kind.keyed else "GET",
-        ":path": f"/{kind.name}/ride{index * 7919 % 500}",
+        ":method": "POST" if request_class.keyed else "GET",
+        ":path": f"/{request_class.name}/ride{index * 7919 % 500}",
         ":authority": "backend.local",
         ":scheme": "http",
         "request-id": f"{seed:x}-{index:x}",
         "tenant": "fovarosi",
-        "request-timeout": f"{kind.deadline:.0f}m",
+        "request-timeout": f"{request_class.deadline_ms:.0f}m",
         "user-agent": "cab/4.1",
         "accept": "*/*",
     }
-    return headers | ({"idempotency-key": f"k{index}"} if kind.keyed else {})
+    return headers | ({"idempotency-key": f"k{index}"} if request_class.keyed else {})
 
 
 class LoadGenerator:
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -29,7 +29,7 @@
 from standins import http1
 from standins.catalog import Catalog
 from standins.fleet import Fleet
-from standins.traffic import KINDS, Result, arrivals, ask
+from standins.traffic import REQUEST_CLASSES, Result, arrivals, ask
 
 SERVERS = 12
 RATE_PER_NODE_PER_S = 4.0
@@ -124,10 +124,11 @@
     """Return the settings of a node."""
     classes = [
         {
-            "Name": kind.name, "Aim": kind.aim, "Deadline": kind.deadline, "Worth": kind.worth,
-            "Idempotency": "guarded" if kind.keyed else "free", "Window": 6000.0,
+            "Name": request_class.name, "Aim": request_class.aim_ms,
+            "Deadline": request_class.deadline_ms, "Worth": request_class.worth,
+            "Idempotency": "guarded" if request_class.keyed else "free", "Window": 6000.0,
         }
-        for kind in KINDS
+        for request_class in REQUEST_CLASSES
     ]  # fmt: skip
     return {
         "Allowed": {
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -60,7 +60,7 @@
         traffic_after = [
             Arrival(
                 arrival.send_at_s - BEFORE_RESTART_S,
-                arrival.kind,
+                arrival.request_class,
                 arrival.tenant,
                 arrival.request_id,
                 arrival.ride,
--- a/benchmarks/same_service.py
+++ b/benchmarks/same_service.py
@@ -172,7 +172,7 @@
 def summary_line(frontend: str, results: list[Result]) -> str:
     """Return the line that summarizes the results of one run."""
     outcomes = Counter(result.outcome for result in results)
-    assigned = [result for result in results if result.arrival.kind is ASSIGN]
+    assigned = [result for result in results if result.arrival.request_class is ASSIGN]
     durations = sorted(result.response_time_ms for result in results if result.outcome == "served")
     share, assigned_share = served_share(results), served_share(assigned)
     return (
--- a/benchmarks/zone_trials.py
+++ b/benchmarks/zone_trials.py
@@ -137,7 +137,7 @@
         request.result for request in after_loss if request.sent_at_s < lost_at + VALUE_PERIOD_S
     ]
     value = sum(result.earned_worth for result in counted) / sum(
-        result.arrival.kind.worth for result in counted
+        result.arrival.request_class.worth for result in counted
     )
     failover_s = [failover_time(requests, lost_at) for requests in by_node]
     return TrialResult(
--- a/lab/trial/inmodel.py
+++ b/lab/trial/inmodel.py
@@ -12,7 +12,7 @@
 from lab.settings import Day
 from lab.trial.script import InjectedFault, TrialFile
 from lab.trial.world import WORK_MS
-from standins.traffic import KINDS, TENANTS
+from standins.traffic import REQUEST_CLASSES, TENANTS
 
 LIST_NOTICE_MS = 20.0  # from the endpoint list to nodes on the same machine
 LOOPBACK_DELAY_MS = 0.1  # one way
@@ -21,15 +21,16 @@
 def request_classes() -> list[dict[str, Any]]:
     """Return the request classes of the trials' traffic as tables of the model."""
     tables = []
-    for kind in KINDS:
-        low, high = WORK_MS[kind.name]
+    for request_class in REQUEST_CLASSES:
+        low, high = WORK_MS[request_class.name]
         mean = (low + high) / 2
         spread = (high - low) / 12**0.5  # standard deviation of a uniform distribution
         tables.append(
             {
-                "name": kind.name, "share": kind.share, "work_ms": mean, "cv": spread / mean,
-                "dist": "uniform", "aim_ms": kind.aim, "deadline_ms": kind.deadline, "worth": kind.worth,
-                "effect": "keyed" if kind.keyed else "safe", "window_ms": 6000.0,
+                "name": request_class.name, "share": request_class.share, "work_ms": mean,
+                "cv": spread / mean, "dist": "uniform", "aim_ms": request_class.aim_ms,
+                "deadline_ms": request_class.deadline_ms, "worth": request_class.worth,
+                "effect": "keyed" if request_class.keyed else "safe", "window_ms": 6000.0,
             }
         )  # fmt: skip
     return tables
--- a/lab/trial/records.py
+++ b/lab/trial/records.py
@@ -45,14 +45,14 @@
         {
             "id": request.result.arrival.request_id,
             "node": request.node,
-            "class": request.result.arrival.kind.name,
+            "class": request.result.arrival.request_class.name,
             "tenant": request.result.arrival.tenant,
             "sent_s": request.sent_at_s - world.started_at_s,
             "took_ms": request.result.response_time_ms,
             "status": request.result.status,
             "outcome": request.result.outcome,
             "worth": request.result.earned_worth,
-            "asked": request.result.arrival.kind.worth,
+            "asked": request.result.arrival.request_class.worth,
         }
         for request in world.sent_requests
     ]
--- a/lab/trial/run.py
+++ b/lab/trial/run.py
@@ -18,7 +18,9 @@
 def summary(name: str, world: World, exit_codes: dict[str, int]) -> dict[str, Any]:
     """Return the results of a trial as plain data."""
     outcomes = Counter(request.result.outcome for request in world.sent_requests)
-    offered_worth = sum(request.result.arrival.kind.worth for request in world.sent_requests)
+    offered_worth = sum(
+        request.result.arrival.request_class.worth for request in world.sent_requests
+    )
     times_ms = sorted(
         request.result.response_time_ms
         for request in world.sent_requests
@@ -26,7 +28,7 @@
     )
     by_node = {
         node: [
-            request.result.earned_worth / request.result.arrival.kind.worth
+            request.result.earned_worth / request.result.arrival.request_class.worth
             for request in world.sent_requests
             if request.node == node
         ]
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -23,7 +23,7 @@
 from standins.graphql import SCHEMA_FILE
 from standins.proxy import Proxy
 from standins.server import DispatchServer
-from standins.traffic import KINDS, Arrival, Result, arrivals, ask
+from standins.traffic import REQUEST_CLASSES, Arrival, Result, arrivals, ask
 
 SERVER_COUNT = 8
 # About two thirds of the capacity of the fleet.
@@ -131,11 +131,11 @@
             f"{'last 10 s':22}{'asked':>7}{'served':>8}{'refused':>9}{'failed':>8}{'p50 ms':>8}{'p99 ms':>8}"
         ]
         for frontend in ("http", "processor"):
-            for kind in KINDS:
+            for request_class in REQUEST_CLASSES:
                 found = [
                     result
                     for _, result_frontend, result in self.results
-                    if result_frontend == frontend and result.arrival.kind is kind
+                    if result_frontend == frontend and result.arrival.request_class is request_class
                 ]
                 outcomes = Counter(result.outcome for result in found)
                 took_ms = sorted(
@@ -144,7 +144,7 @@
                 served, refused = outcomes["served"], outcomes["refused"]
                 failed = outcomes["failed"] + outcomes["lost"]
                 rows.append(
-                    f"{kind.name + ' / ' + frontend:22}{len(found):>7}{served:>8}{refused:>9}"
+                    f"{request_class.name + ' / ' + frontend:22}{len(found):>7}{served:>8}{refused:>9}"
                     f"{failed:>8}{took_ms[len(took_ms) // 2]:>8.0f}"
                     f"{took_ms[len(took_ms) * 99 // 100]:>8.0f}"
                 )
--- a/standins/traffic.py
+++ b/standins/traffic.py
@@ -26,33 +26,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """A request class; its times are in ms.
+class RequestClass:
+    """A request class.
 
-    A response within `aim` earns `worth`; after `deadline` the client no longer waits.
+    A response within `aim_ms` earns `worth`; after `deadline_ms` the client no longer waits.
     """
 
     name: str
     share: float
-    aim: float
-    deadline: float
+    aim_ms: float
+    deadline_ms: float
     worth: float
     keyed: bool
 
 
-LOOKUP = Kind("cab-lookup", 0.56, 580.0, 1400.0, 2.0, False)
-ASSIGN = Kind("ride-assign", 0.44, 750.0, 1900.0, 8.0, True)
-KINDS = (LOOKUP, ASSIGN)
+LOOKUP = RequestClass("cab-lookup", 0.56, 580.0, 1400.0, 2.0, False)
+ASSIGN = RequestClass("ride-assign", 0.44, 750.0, 1900.0, 8.0, True)
+REQUEST_CLASSES = (LOOKUP, ASSIGN)
 
 
 def class_tables() -> list[str]:
     """Return the settings of these classes for an operator's file."""
     lines: list[str] = []
-    for kind in KINDS:
+    for request_class in REQUEST_CLASSES:
         lines += [
-            f'[[class]]\nname = "{kind.name}"\naim_ms = {kind.aim}\ndeadline_ms = {kind.deadline}',
-            f'worth = {kind.worth}\neffect = "{"keyed" if kind.keyed else "safe"}"',
-            "window_ms = 6000" if kind.keyed else "",
+            f'[[class]]\nname = "{request_class.name}"\naim_ms = {request_class.aim_ms}\ndeadline_ms = {request_class.deadline_ms}',
+            f'worth = {request_class.worth}\neffect = "{"keyed" if request_class.keyed else "safe"}"',
+            "window_ms = 6000" if request_class.keyed else "",
         ]
     return lines
 
@@ -63,7 +63,7 @@
 
     # From the start of the traffic.
     send_at_s: float
-    kind: Kind
+    request_class: RequestClass
     tenant: str
     request_id: str
     # The ride that it asks about.
@@ -91,8 +91,8 @@
     def earned_worth(self) -> float:
         """What the response is worth: all of it within the aim, nothing after it."""
         return (
-            self.arrival.kind.worth
-            if self.status == 200 and self.response_time_ms <= self.arrival.kind.aim
+            self.arrival.request_class.worth
+            if self.status == 200 and self.response_time_ms <= self.arrival.request_class.aim_ms
             else 0.0
         )
 
@@ -105,10 +105,10 @@
     rng, send_at_s, number = random.Random(seed), 0.0, 0
     while (send_at_s := send_at_s + rng.expovariate(rate)) < seconds:
         number += 1
-        kind = LOOKUP if rng.random() < LOOKUP.share else ASSIGN
+        request_class = LOOKUP if rng.random() < LOOKUP.share else ASSIGN
         tenant = rng.choices(list(TENANTS), list(TENANTS.values()))[0]
         ride = int(rides * rng.random() ** 3)
-        yield Arrival(send_at_s, kind, tenant, f"{seed:x}-{number:x}", f"ride{ride}")
+        yield Arrival(send_at_s, request_class, tenant, f"{seed:x}-{number:x}", f"ride{ride}")
 
 
 async def exchange(
@@ -153,19 +153,21 @@
 
     The client waits for the response until `patience` ms after the request's deadline.
     """
-    kind, sent_at = arrival.kind, time.monotonic()
+    request_class, sent_at = arrival.request_class, time.monotonic()
     headers = {
         "host": "backend.local",
         "request-id": arrival.request_id,
         "tenant": arrival.tenant,
-        "request-timeout": f"{kind.deadline:.0f}m",
+        "request-timeout": f"{request_class.deadline_ms:.0f}m",
     }
-    if kind.keyed:
+    if request_class.keyed:
         headers["idempotency-key"] = f"key-{arrival.request_id}"
-    target = f"/{kind.name}/{arrival.ride}"
-    data = http1.request("POST" if kind.keyed else "GET", target, headers)
+    target = f"/{request_class.name}/{arrival.ride}"
+    data = http1.request("POST" if request_class.keyed else "GET", target, headers)
     return result_of(
-        arrival, sent_at, await exchange(address, data, kind.deadline + patience, connections)
+        arrival,
+        sent_at,
+        await exchange(address, data, request_class.deadline_ms + patience, connections),
     )
 
 
@@ -187,5 +189,5 @@
 def served_share(results: list[Result]) -> float:
     """Return the worth of the responses within the aim over the worth of all requests."""
     return sum(result.earned_worth for result in results) / sum(
-        result.arrival.kind.worth for result in results
+        result.arrival.request_class.worth for result in results
     )
--- a/tests/trial/test_golden.py
+++ b/tests/trial/test_golden.py
@@ -31,8 +31,8 @@
     for at, (status, took_ms) in enumerate(
         ((200, 12.5), (429, 1.0), (503, 1.25), (500, 9.0), (0, 2400.0))
     ):
-        kind = (LOOKUP, ASSIGN)[at % 2]
-        arrival = Arrival(0.5 * at, kind, "fovarosi", f"r{at}", "ride-1")
+        request_class = (LOOKUP, ASSIGN)[at % 2]
+        arrival = Arrival(0.5 * at, request_class, "fovarosi", f"r{at}", "ride-1")
         world.sent_requests.append(
             SentRequest(f"n{at % 2}", 100.25 + at, Result(arrival, status, took_ms, ""))
         )
--- a/tests/trial/test_zones.py
+++ b/tests/trial/test_zones.py
@@ -57,7 +57,7 @@
     ]
     assert requests
     return sum(request.result.earned_worth for request in requests) / sum(
-        request.result.arrival.kind.worth for request in requests
+        request.result.arrival.request_class.worth for request in requests
     )
 
 
