--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -25,7 +25,14 @@
 from standins.catalog import Catalog
 from standins.fleet import QUOTA, WORK
 from standins.server import DispatchServer
-from standins.traffic import REQUEST_CLASSES, TENANTS, Result, arrivals, play, served_share
+from standins.traffic import (
+    REQUEST_CLASSES,
+    TENANTS,
+    Result,
+    draw_arrivals,
+    send_arrivals,
+    served_share,
+)
 
 SERVERS = 10
 COLD_SERVERS = 4
@@ -176,8 +183,8 @@
     sending: list[asyncio.Task[list[Result]]] = []
 
     async def send_traffic(number: int, begin: float, end: float, rate: float) -> list[Result]:
-        traffic = list(arrivals(seed * 1000 + 10 * number + int(begin), rate, end - begin))
-        return await play(node_processes[number].address, traffic)
+        traffic = list(draw_arrivals(seed * 1000 + 10 * number + int(begin), rate, end - begin))
+        return await send_arrivals(node_processes[number].address, traffic)
 
     async def update_speeds() -> None:
         while True:
--- a/benchmarks/graphql.py
+++ b/benchmarks/graphql.py
@@ -32,10 +32,10 @@
     ASSIGN,
     Arrival,
     Result,
-    arrivals,
+    draw_arrivals,
     exchange,
-    play,
     result_of,
+    send_arrivals,
     served_share,
 )
 
@@ -67,7 +67,9 @@
     return json.dumps({"query": LOOKUP_DOCUMENT, "variables": {"p": arrival.ride}}).encode()
 
 
-async def ask(address: str, arrival: Arrival, connections: http1.Connections) -> Result:
+async def send_graphql_request(
+    address: str, arrival: Arrival, connections: http1.Connections
+) -> Result:
     """Send an arrival as a GraphQL operation with one root field."""
     request_class, started_at = arrival.request_class, time.monotonic()
     headers = {
@@ -103,7 +105,7 @@
 
         for round_number in range(rounds):
             for variant in rates_by_variant:
-                generator = arrivals(round_number * 100 + len(variant), 1000.0, 1e9)
+                generator = draw_arrivals(round_number * 100 + len(variant), 1000.0, 1e9)
                 requests_of_round = [next(generator) for _ in range(requests)]
                 connections, processor_s_before = (
                     http1.Connections(),
@@ -118,11 +120,11 @@
                     served = 0
                     for arrival in own_requests:
                         if variant == "plain HTTP":
-                            result = await traffic.ask(
+                            result = await traffic.send_request(
                                 node.fronts["http"], arrival, client_connections
                             )
                         else:
-                            result = await ask_document(
+                            result = await send_document(
                                 node.fronts["graphql"],
                                 arrival,
                                 client_connections,
@@ -150,7 +152,7 @@
         )
 
 
-async def ask_document(
+async def send_document(
     address: str, arrival: Arrival, connections: http1.Connections, new_document: bool
 ) -> Result:
     """Send an arrival, with a document that no cache has yet if `new_document`."""
@@ -160,10 +162,10 @@
         documents = LOOKUP_DOCUMENT, ASSIGN_DOCUMENT
         LOOKUP_DOCUMENT, ASSIGN_DOCUMENT = (f"{text} # {arrival.request_id}" for text in documents)
         try:
-            return await ask(address, arrival, connections)
+            return await send_graphql_request(address, arrival, connections)
         finally:
             LOOKUP_DOCUMENT, ASSIGN_DOCUMENT = documents
-    return await ask(address, arrival, connections)
+    return await send_graphql_request(address, arrival, connections)
 
 
 def measure_hostile_documents() -> None:
@@ -200,9 +202,11 @@
             await node.start(config_path)
             faults = asyncio.ensure_future(self.inject_faults())
             if self.frontend == "http":
-                results = await play(node.fronts["http"], self.traffic)
+                results = await send_arrivals(node.fronts["http"], self.traffic)
             else:
-                results = await play(node.fronts["graphql"], self.traffic, ask)
+                results = await send_arrivals(
+                    node.fronts["graphql"], self.traffic, send_graphql_request
+                )
             await faults
             if await node.stop():
                 raise RuntimeError("the node exited with an error:\n" + "\n".join(node.lines))
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -29,7 +29,7 @@
 from standins import http1
 from standins.catalog import Catalog
 from standins.fleet import Fleet
-from standins.traffic import REQUEST_CLASSES, Result, arrivals, ask
+from standins.traffic import REQUEST_CLASSES, Result, draw_arrivals, send_request
 
 SERVERS = 12
 RATE_PER_NODE_PER_S = 4.0
@@ -224,13 +224,13 @@
     connections, start = http1.Connections(), time.monotonic()
     pending = set()
 
-    async def send_request(arrival: Any) -> None:
-        results.append((time.monotonic(), await ask(node.address, arrival, connections)))
+    async def send_and_record(arrival: Any) -> None:
+        results.append((time.monotonic(), await send_request(node.address, arrival, connections)))
 
     try:
-        for arrival in arrivals(seed, RATE_PER_NODE_PER_S, 600.0):
+        for arrival in draw_arrivals(seed, RATE_PER_NODE_PER_S, 600.0):
             await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
-            task = asyncio.ensure_future(send_request(arrival))
+            task = asyncio.ensure_future(send_and_record(arrival))
             pending.add(task)
             task.add_done_callback(pending.discard)
     finally:
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -21,7 +21,7 @@
 from badgercart.statistics import snapshot, store
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
-from standins.traffic import Arrival, arrivals, play, served_share
+from standins.traffic import Arrival, draw_arrivals, send_arrivals, served_share
 
 SERVERS = 8
 BEFORE_RESTART_S = 8.0
@@ -55,7 +55,7 @@
         config_path.write_text(text)
         node = NodeProcess(("http",))
         await node.start(config_path)
-        traffic = list(arrivals(seed, rate, BEFORE_RESTART_S + AFTER_RESTART_S))
+        traffic = list(draw_arrivals(seed, rate, BEFORE_RESTART_S + AFTER_RESTART_S))
         traffic_before = [arrival for arrival in traffic if arrival.send_at_s < BEFORE_RESTART_S]
         traffic_after = [
             Arrival(
@@ -68,7 +68,7 @@
             for arrival in traffic
             if arrival.send_at_s >= BEFORE_RESTART_S
         ]
-        await play(node.fronts["http"], traffic_before)
+        await send_arrivals(node.fronts["http"], traffic_before)
         if variant != VARIANTS[0]:
             await node.stop()
             if variant == VARIANTS[4]:
@@ -80,7 +80,7 @@
                     server.service_time_factor = SLOW_FACTOR
             node = NodeProcess(("http",))
             await node.start(config_path)
-        results = await play(node.fronts["http"], traffic_after)
+        results = await send_arrivals(node.fronts["http"], traffic_after)
         await node.stop()
     await fleet.stop()
     return served_share(results)
--- a/benchmarks/same_service.py
+++ b/benchmarks/same_service.py
@@ -21,7 +21,7 @@
 from standins.fleet import Fleet, operators_file
 from standins.proxy import Proxy
 from standins.server import DispatchServer
-from standins.traffic import ASSIGN, Result, arrivals, play, served_share
+from standins.traffic import ASSIGN, Result, draw_arrivals, send_arrivals, served_share
 
 SERVERS = 8
 DRAIN_GRACE_S = 0.5
@@ -46,7 +46,7 @@
 
     def __init__(self, frontend: str, seed: int, rate: float, seconds: float) -> None:
         self.frontend, self.seed, self.seconds = frontend, seed, seconds
-        self.traffic = list(arrivals(seed, rate, seconds))
+        self.traffic = list(draw_arrivals(seed, rate, seconds))
         self.drained_at: dict[str, float] = {}
         self.returned_at: dict[str, float] = {}
 
@@ -61,7 +61,7 @@
             proxy = await Proxy(node.fronts["processor"]).start()
             address = node.fronts["http"] if self.frontend == "http" else proxy.address
             faults = asyncio.ensure_future(self.inject_faults())
-            results = await play(address, self.traffic)
+            results = await send_arrivals(address, self.traffic)
             await faults
             await proxy.stop()
             if await node.stop():
--- a/lab/trial/world.py
+++ b/lab/trial/world.py
@@ -19,7 +19,7 @@
 from standins import http1
 from standins.catalog import Catalog
 from standins.server import DispatchServer
-from standins.traffic import TENANTS, Arrival, Result, arrivals, ask, class_tables
+from standins.traffic import TENANTS, Arrival, Result, class_tables, draw_arrivals, send_request
 
 # Bounds of the service time of each request class.
 WORK_MS = {"cab-lookup": (5.0, 15.0), "ride-assign": (8.0, 20.0)}
@@ -367,7 +367,7 @@
         names = nodes or list(self.nodes)
         connections, start = http1.Connections(), time.monotonic()
         request_tasks: list[asyncio.Task[None]] = []
-        for number, arrival in enumerate(arrivals(seed, rate, seconds)):
+        for number, arrival in enumerate(draw_arrivals(seed, rate, seconds)):
             await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
             running = [
                 n for n in names if all(until < math.inf for _, until in self.downtimes.get(n, ()))
@@ -386,7 +386,7 @@
     ) -> None:
         """Send one request to a node and record its result."""
         sent_at_s = time.monotonic()
-        result = await ask(
+        result = await send_request(
             self.nodes[name].frontend_address, arrival, connections, LATE_RESPONSE_GRACE_MS
         )
         self.sent_requests.append(SentRequest(name, sent_at_s, result))
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -23,7 +23,7 @@
 from standins.graphql import SCHEMA_FILE
 from standins.proxy import Proxy
 from standins.server import DispatchServer
-from standins.traffic import REQUEST_CLASSES, Arrival, Result, arrivals, ask
+from standins.traffic import REQUEST_CLASSES, Arrival, Result, draw_arrivals, send_request
 
 SERVER_COUNT = 8
 # About two thirds of the capacity of the fleet.
@@ -202,9 +202,9 @@
     in_flight: set[asyncio.Task[None]] = set()
 
     async def send(frontend: str, arrival: Arrival) -> None:
-        table.add(frontend, await ask(addresses[frontend], arrival, connections))
+        table.add(frontend, await send_request(addresses[frontend], arrival, connections))
 
-    for arrival in arrivals(1, RATE_PER_S, seconds):
+    for arrival in draw_arrivals(1, RATE_PER_S, seconds):
         await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
         frontend = "processor" if rng.random() < PROXY_SHARE else "http"
         task = asyncio.ensure_future(send(frontend, arrival))
--- a/standins/saturday.py
+++ b/standins/saturday.py
@@ -17,7 +17,7 @@
 
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
-from standins.traffic import arrivals, play, served_share
+from standins.traffic import draw_arrivals, send_arrivals, served_share
 
 SERVER_COUNT = 8
 # Near the capacity of the fleet while a quarter of it is slow.
@@ -65,8 +65,8 @@
         await node.start(file)
         faults = asyncio.ensure_future(inject_faults(fleet, seconds))
         try:
-            results = await play(
-                node.fronts["http"], list(arrivals(seed, RATE_PER_S, seconds, RIDE_COUNT))
+            results = await send_arrivals(
+                node.fronts["http"], list(draw_arrivals(seed, RATE_PER_S, seconds, RIDE_COUNT))
             )
             await faults
         finally:
--- a/standins/traffic.py
+++ b/standins/traffic.py
@@ -97,7 +97,7 @@
         )
 
 
-def arrivals(seed: int, rate: float, seconds: float, rides: int = 500) -> Iterator[Arrival]:
+def draw_arrivals(seed: int, rate: float, seconds: float, rides: int = 500) -> Iterator[Arrival]:
     """Draw Poisson arrivals at `rate` per second.
 
     A few of the rides are far more popular than the rest.
@@ -146,12 +146,12 @@
     )
 
 
-async def ask(
-    address: str, arrival: Arrival, connections: http1.Connections, patience: float = 0.0
+async def send_request(
+    address: str, arrival: Arrival, connections: http1.Connections, grace_ms: float = 0.0
 ) -> Result:
     """Send one request; its response time counts from here.
 
-    The client waits for the response until `patience` ms after the request's deadline.
+    The client waits for the response until `grace_ms` after the request's deadline.
     """
     request_class, sent_at = arrival.request_class, time.monotonic()
     headers = {
@@ -167,20 +167,22 @@
     return result_of(
         arrival,
         sent_at,
-        await exchange(address, data, request_class.deadline_ms + patience, connections),
+        await exchange(address, data, request_class.deadline_ms + grace_ms, connections),
     )
 
 
-Ask = Callable[[str, Arrival, http1.Connections], Coroutine[Any, Any, Result]]
+RequestSender = Callable[[str, Arrival, http1.Connections], Coroutine[Any, Any, Result]]
 
 
-async def play(address: str, coming: list[Arrival], ask: Ask = ask) -> list[Result]:
+async def send_arrivals(
+    address: str, arrivals: list[Arrival], send: RequestSender = send_request
+) -> list[Result]:
     """Send each arrival at its time, independent of the results of earlier ones."""
     connections, start = http1.Connections(), time.monotonic()
     in_flight: list[asyncio.Task[Result]] = []
-    for arrival in coming:
+    for arrival in arrivals:
         await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
-        in_flight.append(asyncio.ensure_future(ask(address, arrival, connections)))
+        in_flight.append(asyncio.ensure_future(send(address, arrival, connections)))
     results = list(await asyncio.gather(*in_flight))
     connections.close()
     return results
--- a/tests/capture/test_streams.py
+++ b/tests/capture/test_streams.py
@@ -25,7 +25,7 @@
 from badgercart.frontends.processor.settings import OldAnswers
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
-from standins.traffic import arrivals, play
+from standins.traffic import draw_arrivals, send_arrivals
 from tests.capture.support import SimulatedTraffic, captured
 
 HERE = Path(__file__).parent
@@ -176,14 +176,14 @@
     captures.mkdir()
     text = operators_file(fleet.catalog.address)
     file.write_text(text + f'[capture]\nfolder = "{captures}"\n')
-    requests = list(arrivals(1, 120.0, 0.5))
+    requests = list(draw_arrivals(1, 120.0, 0.5))
     try:
         for _ in range(2):
             node = NodeProcess(("http",))
             await node.start(file)
-            await play(node.fronts["http"], requests)
+            await send_arrivals(node.fronts["http"], requests)
             node.process.send_signal(signal.SIGHUP)
-            await play(node.fronts["http"], requests)
+            await send_arrivals(node.fronts["http"], requests)
             assert await node.stop() == 0
     finally:
         await fleet.stop()
--- a/tests/statistics/test_component.py
+++ b/tests/statistics/test_component.py
@@ -15,7 +15,7 @@
 from badgercart.statistics import snapshot, store
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
-from standins.traffic import arrivals, play
+from standins.traffic import draw_arrivals, send_arrivals
 
 
 async def run(
@@ -34,7 +34,9 @@
             for node in nodes:
                 await node.start(file)
             for node in nodes:
-                results = await play(node.fronts["http"], list(arrivals(1, 60.0, 1.0)))
+                results = await send_arrivals(
+                    node.fronts["http"], list(draw_arrivals(1, 60.0, 1.0))
+                )
                 assert sum(result.outcome == "served" for result in results) > len(results) / 2
             for node in nodes:
                 assert await node.stop() == 0
