--- a/standins/catalog.py
+++ b/standins/catalog.py
@@ -87,7 +87,9 @@
                 target = (await http1.read_message(reader)).start[1]
                 snapshot = self.line(list(self.entries.values()), reset=True)
                 if "watch=1" not in target:
-                    writer.write(http1.answer(200, {"content-type": "application/json"}, snapshot))
+                    writer.write(
+                        http1.response(200, {"content-type": "application/json"}, snapshot)
+                    )
                     continue
                 writer.write(b"HTTP/1.1 200 -\r\ntransfer-encoding: chunked\r\n\r\n")
                 known_generation = target.partition("from=")[2]
--- a/standins/graphql.py
+++ b/standins/graphql.py
@@ -39,7 +39,7 @@
     return [node.name.value for node in selections.selections] if selections else []
 
 
-def answer(server: str, body: bytes) -> tuple[int, bytes]:
+def execute_request(server: str, body: bytes) -> tuple[int, bytes]:
     """Execute the query of a request body and return the response's status and body."""
     request = json.loads(body)
     document, status, error_body = _parse(request["query"])
--- a/standins/http1.py
+++ b/standins/http1.py
@@ -60,7 +60,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body
 
 
-def answer(status: int, headers: Mapping[str, str] | None = None, body: bytes = b"") -> bytes:
+def response(status: int, headers: Mapping[str, str] | None = None, body: bytes = b"") -> bytes:
     """Return a response in wire format, with `content-length` added."""
     lines = [
         f"HTTP/1.1 {status} -",
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -101,7 +101,7 @@
             return await self.route(request, described)
         # gRPC raises InvalidStateError where the stream to the processor has ended meanwhile.
         except (grpc.RpcError, TimeoutError, asyncio.InvalidStateError):
-            return http1.answer(500)
+            return http1.response(500)
 
     async def route(self, request: http1.Message, described: dict[str, str]) -> bytes:
         """Ask the processor, send the request as it says, and return the response."""
@@ -113,7 +113,7 @@
             if response.HasField("immediate_response"):
                 await stream.half_close()
                 immediate = response.immediate_response
-                return http1.answer(immediate.status.code, told_headers(response), immediate.body)
+                return http1.response(immediate.status.code, told_headers(response), immediate.body)
             route_headers = told_headers(response)
             if self.before_send is not None:
                 await self.before_send(route_headers[DESTINATION])
@@ -210,6 +210,6 @@
         await stream.half_close()
         if verdict.HasField("immediate_response"):
             immediate = verdict.immediate_response
-            return http1.answer(immediate.status.code, told_headers(verdict), immediate.body)
+            return http1.response(immediate.status.code, told_headers(verdict), immediate.body)
         status = int(told_headers(verdict).get(":status", status))
-        return http1.answer(status, forwarded, body)
+        return http1.response(status, forwarded, body)
--- a/standins/server.py
+++ b/standins/server.py
@@ -124,34 +124,34 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Respond to the requests of one connection until it ends."""
         self.writers.add(writer)
-        source = str(writer.get_extra_info("peername")[0])
+        peer_ip = str(writer.get_extra_info("peername")[0])
         try:
             while True:
-                writer.write(await self.answer(await http1.read_message(reader), source))
+                writer.write(await self.process_request(await http1.read_message(reader), peer_ip))
         except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError, ValueError):
             pass
         finally:
             self.writers.discard(writer)
             writer.close()
 
-    async def answer(self, request: http1.Message, source: str = "") -> bytes:
+    async def process_request(self, request: http1.Message, peer_ip: str = "") -> bytes:
         """Process one request and return the response in wire format."""
         request_id, key = (
             request.headers.get("request-id", ""),
             request.headers.get("idempotency-key", ""),
         )
         self.received_requests.append(
-            ReceivedRequest(request_id, key, request.start[1], time.monotonic(), source)
+            ReceivedRequest(request_id, key, request.start[1], time.monotonic(), peer_ip)
         )
         if not request_id:
-            return http1.answer(404)
+            return http1.response(404)
         if self.draining or self.in_flight >= self.cores + self.queue:
-            return http1.answer(503, {"not-started": "1"})
+            return http1.response(503, {"not-started": "1"})
         draw = self.random.random()
         if draw < self.silent_share:
             await asyncio.sleep(SILENCE_S)
         if draw < self.silent_share + self.error_share:
-            return http1.answer(500)
+            return http1.response(500)
         by_graphql = request.start[1] == "/graphql"
         if by_graphql:
             # Imported here: the GraphQL library loads slowly, and most servers do without it.
@@ -178,13 +178,15 @@
         now = time.monotonic()
         if generation != self.generation:
             # The server stopped meanwhile: the connection is gone, and nobody reads this.
-            return http1.answer(500)
+            return http1.response(500)
         if key and now - self.effect_times.get(key, -self.window) >= self.window:
             self.effect_times[key] = now
             self.effects[key] += 1
         if by_graphql:
-            status, body = graphql.answer(self.name, request.body)
-            return http1.answer(status, {"content-type": "application/graphql-response+json"}, body)
-        return http1.answer(
+            status, body = graphql.execute_request(self.name, request.body)
+            return http1.response(
+                status, {"content-type": "application/graphql-response+json"}, body
+            )
+        return http1.response(
             200, {"content-type": "text/plain"}, f"{self.name} {request_id}\n".encode()
         )
--- a/tests/graphql/test_frontend.py
+++ b/tests/graphql/test_frontend.py
@@ -81,13 +81,13 @@
                 self.requests.put_nowait(message.body)
                 replacement = self.script_response(request_body) if self.script_response else None
                 if replacement is None:
-                    status, body = dispatch.answer(self.name, message.body)
-                    writer.write(http1.answer(status, {}, body))
+                    status, body = dispatch.execute_request(self.name, message.body)
+                    writer.write(http1.response(status, {}, body))
                 elif replacement[0] == -1:
                     await hang_up(self, b"", writer)
                 elif replacement[0]:
                     writer.write(
-                        http1.answer(replacement[0], {}, json.dumps(replacement[1]).encode())
+                        http1.response(replacement[0], {}, json.dumps(replacement[1]).encode())
                     )
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             pass
--- a/tests/graphql/test_golden.py
+++ b/tests/graphql/test_golden.py
@@ -31,9 +31,11 @@
     body = peer.bodies.pop()  # type: ignore[attr-defined]
     queue_full = b"nowhere" in body
     status, answer = (
-        (200, json.dumps(NOT_STARTED).encode()) if queue_full else dispatch.answer("s-1", body)
+        (200, json.dumps(NOT_STARTED).encode())
+        if queue_full
+        else dispatch.execute_request("s-1", body)
     )
-    writer.write(http1.answer(status, {}, answer))
+    writer.write(http1.response(status, {}, answer))
 
 
 class RecordingServer(ScriptedServer):
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -61,7 +61,7 @@
         if number == 30:
             stalled_until_s = time.monotonic() + 0.4
         await asyncio.sleep(max(0.0, stalled_until_s - time.monotonic()))
-        return http1.answer(200)
+        return http1.response(200)
 
     results = asyncio.run(send_plan(answer))
     requests = plan_requests(SMALL_DAY, 1)
@@ -76,8 +76,8 @@
 
 def test_shed_failed_and_lost_requests_are_distinguished() -> None:
     async def answer(number: int) -> bytes | None:
-        return {0: http1.answer(503), 1: http1.answer(500), 2: None}.get(
-            number % 4, http1.answer(200)
+        return {0: http1.response(503), 1: http1.response(500), 2: None}.get(
+            number % 4, http1.response(200)
         )
 
     results = asyncio.run(send_plan(answer))
@@ -91,7 +91,7 @@
 def test_too_few_connections_are_reported_as_lag() -> None:
     async def answer(number: int) -> bytes:
         await asyncio.sleep(0.05)
-        return http1.answer(200)
+        return http1.response(200)
 
     results = asyncio.run(send_plan(answer, connections=1))
     assert results.behind > 20 and results.worst_lag > 100.0
