--- a/benchmarks/graphql.py
+++ b/benchmarks/graphql.py
@@ -68,7 +68,7 @@
 
 
 async def send_graphql_request(
-    address: str, arrival: Arrival, connections: http1.Connections
+    address: str, arrival: Arrival, connections: http1.ConnectionPool
 ) -> Result:
     """Send an arrival as a GraphQL operation with one root field."""
     request_class, started_at = arrival.request_class, time.monotonic()
@@ -108,14 +108,14 @@
                 generator = draw_arrivals(round_number * 100 + len(variant), 1000.0, 1e9)
                 requests_of_round = [next(generator) for _ in range(requests)]
                 connections, processor_s_before = (
-                    http1.Connections(),
+                    http1.ConnectionPool(),
                     processor_seconds(node.process.pid),
                 )
 
                 async def send_requests(
                     own_requests: list[Arrival],
                     variant: str = variant,
-                    client_connections: http1.Connections = connections,
+                    client_connections: http1.ConnectionPool = connections,
                 ) -> int:
                     served = 0
                     for arrival in own_requests:
@@ -153,7 +153,7 @@
 
 
 async def send_document(
-    address: str, arrival: Arrival, connections: http1.Connections, new_document: bool
+    address: str, arrival: Arrival, connections: http1.ConnectionPool, new_document: bool
 ) -> Result:
     """Send an arrival, with a document that no cache has yet if `new_document`."""
     global LOOKUP_DOCUMENT, ASSIGN_DOCUMENT
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -221,7 +221,7 @@
 
 async def send_traffic(node: NodeProcess, seed: int, results: list[tuple[float, Result]]) -> None:
     """Send traffic to one node until cancelled."""
-    connections, start = http1.Connections(), time.monotonic()
+    connections, start = http1.ConnectionPool(), time.monotonic()
     pending = set()
 
     async def send_and_record(arrival: Any) -> None:
--- a/lab/load/driver.py
+++ b/lab/load/driver.py
@@ -59,7 +59,7 @@
     def __init__(self, address: str, day: Day, seed: int, way: str, connections: int) -> None:
         self.address, self.day, self.seed = address, day, seed
         self.write_request = REQUEST_WRITERS[way]
-        self.connections = http1.Connections()
+        self.connections = http1.ConnectionPool()
         self.max_connections, self.open_requests = connections, 0
         self.waiting: deque[asyncio.Future[None]] = deque()
         self.results = LoadResults()
@@ -115,7 +115,7 @@
 
     async def exchange(self, row: Planned) -> int:
         """Send one request and return the status of its response."""
-        reader, writer = await self.connections.open(self.address)
+        reader, writer = await self.connections.acquire(self.address)
         reusable = False
         try:
             writer.write(self.write_request(self.day, self.seed, row))
@@ -123,7 +123,7 @@
             reusable = response.headers.get("connection") != "close"
         finally:
             if reusable:
-                self.connections.keep(self.address, reader, writer)
+                self.connections.release(self.address, reader, writer)
             else:
                 writer.close()
         return response.status
--- a/lab/trial/world.py
+++ b/lab/trial/world.py
@@ -365,7 +365,7 @@
         The load is open-loop: requests don't wait for the results of earlier ones.
         """
         names = nodes or list(self.nodes)
-        connections, start = http1.Connections(), time.monotonic()
+        connections, start = http1.ConnectionPool(), time.monotonic()
         request_tasks: list[asyncio.Task[None]] = []
         for number, arrival in enumerate(draw_arrivals(seed, rate, seconds)):
             await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
@@ -382,7 +382,7 @@
         connections.close()
 
     async def send_request(
-        self, name: str, arrival: Arrival, connections: http1.Connections
+        self, name: str, arrival: Arrival, connections: http1.ConnectionPool
     ) -> None:
         """Send one request to a node and record its result."""
         sent_at_s = time.monotonic()
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -198,7 +198,7 @@
 
 async def traffic(addresses: dict[str, str], table: Table, seconds: float) -> None:
     """Send requests for a time; the table gets the result of each as it ends."""
-    connections, start, rng = http1.Connections(), time.monotonic(), random.Random(2)
+    connections, start, rng = http1.ConnectionPool(), time.monotonic(), random.Random(2)
     in_flight: set[asyncio.Task[None]] = set()
 
     async def send(frontend: str, arrival: Arrival) -> None:
--- a/standins/http1.py
+++ b/standins/http1.py
@@ -71,13 +71,13 @@
     ) + body
 
 
-class Connections:
+class ConnectionPool:
     """Pool of a client's idle connections, by address."""
 
     def __init__(self) -> None:
         self.idle: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
 
-    async def open(self, address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def acquire(self, address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Return an idle connection that is still open, or a new one.
 
         Raises OSError where no connection can be opened.
@@ -91,7 +91,7 @@
         host, _, port = address.rpartition(":")
         return await asyncio.open_connection(host, int(port))
 
-    def keep(
+    def release(
         self, address: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Put a connection back into the pool."""
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -57,7 +57,7 @@
         self.before_send = before_send
         # The endpoint of an old response that is used for every request.
         self.stuck: str | None = None
-        self.connections = http1.Connections()
+        self.connections = http1.ConnectionPool()
         # Per attempt: request id, endpoint, when its first byte was written (s, monotonic clock).
         self.sent: list[tuple[str, str, float]] = []
         self.asked_again = 0
@@ -167,7 +167,7 @@
             async with asyncio.timeout(
                 min(CONNECT_TIMEOUT_S, max(0.0, deadline - time.monotonic()))
             ):
-                reader, writer = await self.connections.open(endpoint)
+                reader, writer = await self.connections.acquire(endpoint)
         except (OSError, TimeoutError):
             sent.flags, sent.details = (
                 UF,
@@ -187,7 +187,7 @@
             writer.close()
             raise
         else:
-            self.connections.keep(endpoint, reader, writer)
+            self.connections.release(endpoint, reader, writer)
 
     async def finish(self, stream: Any, sent: Sent) -> bytes:
         """Report the outcome in the response phase and return the client's response."""
--- a/standins/traffic.py
+++ b/standins/traffic.py
@@ -112,7 +112,7 @@
 
 
 async def exchange(
-    address: str, data: bytes, deadline: float, connections: http1.Connections
+    address: str, data: bytes, deadline: float, connections: http1.ConnectionPool
 ) -> http1.Message | None:
     """Send one request on a pooled connection and return the response.
 
@@ -120,7 +120,7 @@
     """
     try:
         async with asyncio.timeout(deadline / 1000):
-            reader, writer = await connections.open(address)
+            reader, writer = await connections.acquire(address)
             try:
                 writer.write(data)
                 response = await http1.read_message(reader)
@@ -132,7 +132,7 @@
     if response.headers.get("connection") == "close":
         writer.close()
     else:
-        connections.keep(address, reader, writer)
+        connections.release(address, reader, writer)
     return response
 
 
@@ -147,7 +147,7 @@
 
 
 async def send_request(
-    address: str, arrival: Arrival, connections: http1.Connections, grace_ms: float = 0.0
+    address: str, arrival: Arrival, connections: http1.ConnectionPool, grace_ms: float = 0.0
 ) -> Result:
     """Send one request; its response time counts from here.
 
@@ -171,14 +171,14 @@
     )
 
 
-RequestSender = Callable[[str, Arrival, http1.Connections], Coroutine[Any, Any, Result]]
+RequestSender = Callable[[str, Arrival, http1.ConnectionPool], Coroutine[Any, Any, Result]]
 
 
 async def send_arrivals(
     address: str, arrivals: list[Arrival], send: RequestSender = send_request
 ) -> list[Result]:
     """Send each arrival at its time, independent of the results of earlier ones."""
-    connections, start = http1.Connections(), time.monotonic()
+    connections, start = http1.ConnectionPool(), time.monotonic()
     in_flight: list[asyncio.Task[Result]] = []
     for arrival in arrivals:
         await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
