--- a/benchmarks/graphql.py
+++ b/benchmarks/graphql.py
@@ -80,7 +80,7 @@
     response = await exchange(address, data, request_class.deadline_ms, connections)
     if response is not None and response.status == 200 and json.loads(response.body).get("errors"):
         # The only root field failed.
-        response.start[1] = "502"
+        response.start_line[1] = "502"
     return result_of(arrival, started_at, response)
 
 
--- a/standins/catalog.py
+++ b/standins/catalog.py
@@ -84,7 +84,7 @@
         """Respond to the polls of one connection, or serve its watch until the node closes it."""
         try:
             while True:
-                target = (await http1.read_message(reader)).start[1]
+                target = (await http1.read_message(reader)).start_line[1]
                 snapshot = self.line(list(self.entries.values()), reset=True)
                 if "watch=1" not in target:
                     writer.write(
--- a/standins/http1.py
+++ b/standins/http1.py
@@ -18,14 +18,14 @@
     """A request or a response. Header names are in lower case."""
 
     # The three words of the request line or status line.
-    start: list[str]
+    start_line: list[str]
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
 
     @property
     def status(self) -> int:
         """The status code of a response."""
-        return int(self.start[1])
+        return int(self.start_line[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
@@ -37,7 +37,7 @@
     header_section = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = header_section[:-4].split("\r\n")
     message = Message(first.split(" ", 2))
-    if len(message.start) < 2:
+    if len(message.start_line) < 2:
         raise ValueError(f"{first!r} is not a request line or status line")
     for line in lines:
         name, _, value = line.partition(":")
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -95,7 +95,11 @@
 
         It fails closed: the response has status 500 where the processor can't be asked.
         """
-        described = {":method": request.start[0], ":path": request.start[1], ":scheme": "http"}
+        described = {
+            ":method": request.start_line[0],
+            ":path": request.start_line[1],
+            ":scheme": "http",
+        }
         described |= {":authority": request.headers.get("host", "")} | request.headers
         try:
             return await self.route(request, described)
@@ -139,7 +143,7 @@
             if name not in UNFORWARDED_HEADERS
         }
         headers = forwarded | {"request-timeout": route_headers["request-timeout"]}
-        data = http1.request(request.start[0], request.start[1], headers, request.body)
+        data = http1.request(request.start_line[0], request.start_line[1], headers, request.body)
         for endpoint in endpoints[:max_attempts]:
             sent.attempts += 1
             sent.served, sent.answer = endpoint, None
--- a/standins/server.py
+++ b/standins/server.py
@@ -141,7 +141,7 @@
             request.headers.get("idempotency-key", ""),
         )
         self.received_requests.append(
-            ReceivedRequest(request_id, key, request.start[1], time.monotonic(), peer_ip)
+            ReceivedRequest(request_id, key, request.start_line[1], time.monotonic(), peer_ip)
         )
         if not request_id:
             return http1.response(404)
@@ -152,7 +152,7 @@
             await asyncio.sleep(SILENCE_S)
         if draw < self.silent_share + self.error_share:
             return http1.response(500)
-        by_graphql = request.start[1] == "/graphql"
+        by_graphql = request.start_line[1] == "/graphql"
         if by_graphql:
             # Imported here: the GraphQL library loads slowly, and most servers do without it.
             from standins import graphql
@@ -165,7 +165,7 @@
                 (sum(ends) for ends in zip(*ranges, strict=True)) if ranges else DEFAULT_WORK_MS
             )
         else:
-            min_ms, max_ms = self.work.get(request.start[1].split("/")[1], DEFAULT_WORK_MS)
+            min_ms, max_ms = self.work.get(request.start_line[1].split("/")[1], DEFAULT_WORK_MS)
         self.in_flight += 1
         generation = self.generation
         try:
--- a/standins/traffic.py
+++ b/standins/traffic.py
@@ -112,14 +112,14 @@
 
 
 async def exchange(
-    address: str, data: bytes, deadline: float, connections: http1.ConnectionPool
+    address: str, data: bytes, timeout_ms: float, connections: http1.ConnectionPool
 ) -> http1.Message | None:
     """Send one request on a pooled connection and return the response.
 
-    Returns None where no response came within `deadline` ms.
+    Returns None where no response came within `timeout_ms`.
     """
     try:
-        async with asyncio.timeout(deadline / 1000):
+        async with asyncio.timeout(timeout_ms / 1000):
             reader, writer = await connections.acquire(address)
             try:
                 writer.write(data)
@@ -136,9 +136,9 @@
     return response
 
 
-def result_of(arrival: Arrival, sent_at: float, response: http1.Message | None) -> Result:
-    """Return the result of an arrival that was sent at `sent_at`, in s on the monotonic clock."""
-    response_time_ms = (time.monotonic() - sent_at) * 1000
+def result_of(arrival: Arrival, sent_at_s: float, response: http1.Message | None) -> Result:
+    """Return the result of an arrival that was sent at `sent_at_s` on the monotonic clock."""
+    response_time_ms = (time.monotonic() - sent_at_s) * 1000
     if response is None:
         return Result(arrival, 0, response_time_ms, "")
     return Result(
@@ -153,7 +153,7 @@
 
     The client waits for the response until `grace_ms` after the request's deadline.
     """
-    request_class, sent_at = arrival.request_class, time.monotonic()
+    request_class, sent_at_s = arrival.request_class, time.monotonic()
     headers = {
         "host": "backend.local",
         "request-id": arrival.request_id,
@@ -166,7 +166,7 @@
     data = http1.request("POST" if request_class.keyed else "GET", target, headers)
     return result_of(
         arrival,
-        sent_at,
+        sent_at_s,
         await exchange(address, data, request_class.deadline_ms + grace_ms, connections),
     )
 
