--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -124,7 +124,7 @@
 
     def __init__(self, number: int, seed: int) -> None:
         self.dispatch_server = DispatchServer(
-            f"s-{number}", WORK, cores=CORES_PER_SERVER, queue=CORES_PER_SERVER, seed=seed
+            f"s-{number}", WORK, cores=CORES_PER_SERVER, queue_limit=CORES_PER_SERVER, seed=seed
         )
         self.started_at_s = 0.0
 
@@ -132,7 +132,7 @@
         """Start the server cold."""
         await self.dispatch_server.start(self.dispatch_server.port)
         self.started_at_s = time.monotonic()
-        self.dispatch_server.started_at, self.dispatch_server.state = (
+        self.dispatch_server.started_at_ms, self.dispatch_server.state = (
             int(time.time() * 1000),
             "active",
         )
--- a/benchmarks/same_service.py
+++ b/benchmarks/same_service.py
@@ -147,7 +147,7 @@
         """Check rule 4: a cold server gets at most a multiple of its present capacity."""
         violations = []
         # The mean of the two bounds of both request classes, converted from ms.
-        mean_work_s = sum(low + high for low, high in self.fleet.servers[0].work.values()) / 4000
+        mean_work_s = sum(low + high for low, high in self.fleet.servers[0].work_ms.values()) / 4000
         for server in self.fleet.servers:
             returned_at = self.returned_at.get(server.name)
             if returned_at is None:
--- a/lab/trial/world.py
+++ b/lab/trial/world.py
@@ -261,7 +261,7 @@
     def restart_server(self, name: str) -> None:
         """Publish the server as freshly started, hence cold."""
         server = self.servers[name]
-        server.state, server.started_at = "active", int(time.time() * 1000)
+        server.state, server.started_at_ms = "active", int(time.time() * 1000)
         self.publish_state(server)
 
     def crash_server(self, name: str) -> None:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -159,7 +159,7 @@
             )
             bar = "#" * server.in_flight
             rows.append(
-                f"{server.name:6}{server.kind:9}{state:9}{len(server.received_requests):>7} requests  {bar}"
+                f"{server.name:6}{server.machine_type:9}{state:9}{len(server.received_requests):>7} requests  {bar}"
             )
         return rows
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -39,7 +39,7 @@
                 f"s-{number + 1}",
                 work,
                 cores=2 if fast else 3,
-                kind=MACHINE_TYPES[0 if fast else 1],
+                machine_type=MACHINE_TYPES[0 if fast else 1],
                 seed=seed,
             )
             self.servers.append(server)
@@ -92,7 +92,7 @@
     async def come_back(self, server: DispatchServer) -> None:
         """Start the same server again at the same address; a node treats it as cold."""
         await server.start(server.port)
-        server.state, server.started_at = "active", int(time.time() * 1000)
+        server.state, server.started_at_ms = "active", int(time.time() * 1000)
         await self.tell(server)
 
 
--- a/standins/server.py
+++ b/standins/server.py
@@ -46,32 +46,32 @@
     it is `draining` it rejects every request as not started.
 
     Args:
-        work: By request class, the minimum and maximum service time in ms.
+        work_ms: By request class, the minimum and maximum service time in ms.
         cores: Requests that are processed at once.
-        queue: Requests that may wait for a core; those beyond are rejected as not started.
-        kind: The machine type in the endpoint list.
-        window: How long repeats of an idempotency key are dropped, in s.
+        queue_limit: Requests that may wait for a core; those beyond are rejected as not started.
+        machine_type: The machine type in the endpoint list.
+        window_s: How long repeats of an idempotency key are dropped, in s.
     """
 
     def __init__(
         self,
         name: str,
-        work: dict[str, tuple[float, float]],
+        work_ms: dict[str, tuple[float, float]],
         cores: int = 2,
-        queue: int = 4,
-        kind: str = "k2-fast",
+        queue_limit: int = 4,
+        machine_type: str = "k2-fast",
         zone: str = "angyalfold",
         seed: int = 1,
-        window: float = 6.0,
+        window_s: float = 6.0,
     ) -> None:
-        self.name, self.work, self.kind, self.zone = name, work, kind, zone
-        self.cores, self.queue, self.window = cores, queue, window
+        self.name, self.work_ms, self.machine_type, self.zone = name, work_ms, machine_type, zone
+        self.cores, self.queue_limit, self.window_s = cores, queue_limit, window_s
         self.random = random.Random(f"{seed} {name}")
         self.service_time_factor, self.silent_share, self.error_share = 1.0, 0.0, 0.0
         self.draining = False
         self.state = "active"
         # Unix time in ms, as the endpoint list has it.
-        self.started_at = 0
+        self.started_at_ms = 0
         self.slots = asyncio.Semaphore(cores)
         self.in_flight = 0
         self.received_requests: deque[ReceivedRequest] = deque(maxlen=MAX_RECORDED_REQUESTS)
@@ -98,11 +98,11 @@
             "instanceId": self.name,
             "hostPort": self.address,
             "zone": self.zone,
-            "machineType": self.kind,
+            "machineType": self.machine_type,
             "cell": 0,
             "lifecycle": state or self.state,
             "weight": float(self.cores),
-            "startedAtMs": self.started_at,
+            "startedAtMs": self.started_at_ms,
         }
 
     async def start(self, port: int = 0) -> DispatchServer:
@@ -145,7 +145,7 @@
         )
         if not request_id:
             return http1.response(404)
-        if self.draining or self.in_flight >= self.cores + self.queue:
+        if self.draining or self.in_flight >= self.cores + self.queue_limit:
             return http1.response(503, {"not-started": "1"})
         draw = self.random.random()
         if draw < self.silent_share:
@@ -159,13 +159,13 @@
 
             fields = graphql.root_fields(json.loads(request.body).get("query", ""))
             ranges = [
-                self.work.get(graphql.WORK_OF.get(name, ""), DEFAULT_WORK_MS) for name in fields
+                self.work_ms.get(graphql.WORK_OF.get(name, ""), DEFAULT_WORK_MS) for name in fields
             ]
             min_ms, max_ms = (
                 (sum(ends) for ends in zip(*ranges, strict=True)) if ranges else DEFAULT_WORK_MS
             )
         else:
-            min_ms, max_ms = self.work.get(request.start_line[1].split("/")[1], DEFAULT_WORK_MS)
+            min_ms, max_ms = self.work_ms.get(request.start_line[1].split("/")[1], DEFAULT_WORK_MS)
         self.in_flight += 1
         generation = self.generation
         try:
@@ -179,7 +179,7 @@
         if generation != self.generation:
             # The server stopped meanwhile: the connection is gone, and nobody reads this.
             return http1.response(500)
-        if key and now - self.effect_times.get(key, -self.window) >= self.window:
+        if key and now - self.effect_times.get(key, -self.window_s) >= self.window_s:
             self.effect_times[key] = now
             self.effects[key] += 1
         if by_graphql:
--- a/tests/processor/test_drains.py
+++ b/tests/processor/test_drains.py
@@ -27,7 +27,7 @@
     # They have capacity for all requests of a test: how often a full server rejects would depend on
     # the speed of the machine.
     servers = [
-        await DispatchServer(f"s-{number}", WORK_MS, cores=64, zone="a", kind="m").start()
+        await DispatchServer(f"s-{number}", WORK_MS, cores=64, zone="a", machine_type="m").start()
         for number in (1, 2)
     ]
     harness.apply_entries(*(server.entry() for server in servers), reset=True)
