--- a/standins/catalog.py
+++ b/standins/catalog.py
@@ -24,8 +24,8 @@
         self.entries = {entry["instanceId"]: entry for entry in entries}
         self.generation = 1
         self.watches: set[asyncio.StreamWriter] = set()
-        # When each (instance id, lifecycle) was last written to the watches: s, monotonic clock.
-        self.told: dict[tuple[str, str], float] = {}
+        # When each (instance id, lifecycle) was last written to the watches, on the monotonic clock.
+        self.last_sent_at_s: dict[tuple[str, str], float] = {}
         self.silent = False
         self.host, self.port = "127.0.0.1", 0
 
@@ -60,7 +60,7 @@
         for writer in self.watches:
             self.write(writer, line)
         for entry in entries:
-            self.told[entry["instanceId"], entry["lifecycle"]] = time.monotonic()
+            self.last_sent_at_s[entry["instanceId"], entry["lifecycle"]] = time.monotonic()
 
     def line(self, entries: list[dict[str, Any]], reset: bool) -> bytes:
         """Return one message of the protocol: a snapshot where `reset` is set, else a delta."""
