--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -25,7 +25,14 @@
 from standins.catalog import Catalog
 from standins.fleet import QUOTA, WORK
 from standins.server import DispatchServer
-from standins.traffic import KINDS, TENANTS, Result, arrivals, play, served_share
+from standins.traffic import (
+    REQUEST_CLASSES,
+    TENANTS,
+    Result,
+    draw_arrivals,
+    send_arrivals,
+    served_share,
+)
 
 SERVERS = 10
 COLD_SERVERS = 4
@@ -36,7 +43,9 @@
 TRAFFIC_BEFORE_START_S = 8.0
 # How long a server is away before it returns.
 ABSENCE_S = 1.0
-MEAN_WORK_MS = sum(kind.share * sum(WORK[kind.name]) / 2 for kind in KINDS)
+MEAN_WORK_MS = sum(
+    request_class.share * sum(WORK[request_class.name]) / 2 for request_class in REQUEST_CLASSES
+)
 RAMP = SlowStartScenario(cores=CORES_PER_SERVER, mean_work_ms=MEAN_WORK_MS, ramp_ms=6000.0)
 
 
@@ -44,11 +53,12 @@
     """Return the configuration of a node process."""
     classes = [
         {
-            "Name": kind.name, "Aim": kind.aim, "Deadline": kind.deadline, "Worth": kind.worth,
+            "Name": request_class.name, "Aim": request_class.aim_ms,
+            "Deadline": request_class.deadline_ms, "Worth": request_class.worth,
             "Window": 6000.0, "LateValue": 0.0, "Group": "all",
-            "Idempotency": "guarded" if kind.keyed else "free",
+            "Idempotency": "guarded" if request_class.keyed else "free",
         }
-        for kind in KINDS
+        for request_class in REQUEST_CLASSES
     ]  # fmt: skip
     tenants = [
         {"Name": n, "QuotaPerS": QUOTA * share, "Portion": share} for n, share in TENANTS.items()
@@ -114,7 +124,7 @@
 
     def __init__(self, number: int, seed: int) -> None:
         self.dispatch_server = DispatchServer(
-            f"s-{number}", WORK, cores=CORES_PER_SERVER, queue=CORES_PER_SERVER, seed=seed
+            f"s-{number}", WORK, cores=CORES_PER_SERVER, queue_limit=CORES_PER_SERVER, seed=seed
         )
         self.started_at_s = 0.0
 
@@ -122,7 +132,7 @@
         """Start the server cold."""
         await self.dispatch_server.start(self.dispatch_server.port)
         self.started_at_s = time.monotonic()
-        self.dispatch_server.started_at, self.dispatch_server.state = (
+        self.dispatch_server.started_at_ms, self.dispatch_server.state = (
             int(time.time() * 1000),
             "active",
         )
@@ -130,7 +140,7 @@
     def update_speed(self) -> None:
         """Set the speed of the server by its age."""
         age_ms = (time.monotonic() - self.started_at_s) * 1000
-        self.dispatch_server.slowness = (
+        self.dispatch_server.service_time_factor = (
             1.0 if not self.started_at_s else 1.0 / RAMP.speed_share(age_ms)
         )
 
@@ -138,9 +148,9 @@
         """Return the number of requests during the ramp, and the highest load over its bound."""
         end = self.started_at_s + RAMP.ramp_ms / 1000
         times = [
-            1000 * seen.at
-            for seen in self.dispatch_server.seen
-            if self.started_at_s <= seen.at < end
+            1000 * request.received_at_s
+            for request in self.dispatch_server.received_requests
+            if self.started_at_s <= request.received_at_s < end
         ]
         return len(times), max_bound_ratio(
             times, [True] * len(times), 1000 * self.started_at_s, RAMP
@@ -173,8 +183,8 @@
     sending: list[asyncio.Task[list[Result]]] = []
 
     async def send_traffic(number: int, begin: float, end: float, rate: float) -> list[Result]:
-        traffic = list(arrivals(seed * 1000 + 10 * number + int(begin), rate, end - begin))
-        return await play(node_processes[number].address, traffic)
+        traffic = list(draw_arrivals(seed * 1000 + 10 * number + int(begin), rate, end - begin))
+        return await send_arrivals(node_processes[number].address, traffic)
 
     async def update_speeds() -> None:
         while True:
--- a/benchmarks/graphql.py
+++ b/benchmarks/graphql.py
@@ -32,10 +32,10 @@
     ASSIGN,
     Arrival,
     Result,
-    arrivals,
+    draw_arrivals,
     exchange,
-    play,
     result_of,
+    send_arrivals,
     served_share,
 )
 
@@ -61,24 +61,26 @@
 
 def request_body(arrival: Arrival) -> bytes:
     """Return the JSON body of the GraphQL request for an arrival."""
-    if arrival.kind is ASSIGN:
-        variables = {"r": arrival.ride, "k": f"key-{arrival.name}"}
+    if arrival.request_class is ASSIGN:
+        variables = {"r": arrival.ride, "k": f"key-{arrival.request_id}"}
         return json.dumps({"query": ASSIGN_DOCUMENT, "variables": variables}).encode()
     return json.dumps({"query": LOOKUP_DOCUMENT, "variables": {"p": arrival.ride}}).encode()
 
 
-async def ask(address: str, arrival: Arrival, connections: http1.Connections) -> Result:
+async def send_graphql_request(
+    address: str, arrival: Arrival, connections: http1.ConnectionPool
+) -> Result:
     """Send an arrival as a GraphQL operation with one root field."""
-    kind, started_at = arrival.kind, time.monotonic()
+    request_class, started_at = arrival.request_class, time.monotonic()
     headers = {
-        "host": "x", "request-id": arrival.name, "tenant": arrival.tenant, "content-type": "application/json",
-        "accept": "application/graphql-response+json", "request-timeout": f"{kind.deadline:.0f}m",
+        "host": "x", "request-id": arrival.request_id, "tenant": arrival.tenant, "content-type": "application/json",
+        "accept": "application/graphql-response+json", "request-timeout": f"{request_class.deadline_ms:.0f}m",
     }  # fmt: skip
     data = http1.request("POST", "/graphql", headers, request_body(arrival))
-    response = await exchange(address, data, kind.deadline, connections)
+    response = await exchange(address, data, request_class.deadline_ms, connections)
     if response is not None and response.status == 200 and json.loads(response.body).get("errors"):
         # The only root field failed.
-        response.start[1] = "502"
+        response.start_line[1] = "502"
     return result_of(arrival, started_at, response)
 
 
@@ -103,26 +105,26 @@
 
         for round_number in range(rounds):
             for variant in rates_by_variant:
-                generator = arrivals(round_number * 100 + len(variant), 1000.0, 1e9)
+                generator = draw_arrivals(round_number * 100 + len(variant), 1000.0, 1e9)
                 requests_of_round = [next(generator) for _ in range(requests)]
                 connections, processor_s_before = (
-                    http1.Connections(),
+                    http1.ConnectionPool(),
                     processor_seconds(node.process.pid),
                 )
 
                 async def send_requests(
                     own_requests: list[Arrival],
                     variant: str = variant,
-                    client_connections: http1.Connections = connections,
+                    client_connections: http1.ConnectionPool = connections,
                 ) -> int:
                     served = 0
                     for arrival in own_requests:
                         if variant == "plain HTTP":
-                            result = await traffic.ask(
+                            result = await traffic.send_request(
                                 node.fronts["http"], arrival, client_connections
                             )
                         else:
-                            result = await ask_document(
+                            result = await send_document(
                                 node.fronts["graphql"],
                                 arrival,
                                 client_connections,
@@ -150,20 +152,20 @@
         )
 
 
-async def ask_document(
-    address: str, arrival: Arrival, connections: http1.Connections, new_document: bool
+async def send_document(
+    address: str, arrival: Arrival, connections: http1.ConnectionPool, new_document: bool
 ) -> Result:
     """Send an arrival, with a document that no cache has yet if `new_document`."""
     global LOOKUP_DOCUMENT, ASSIGN_DOCUMENT
     if new_document:
         # A comment is enough to make the document new to the cache.
         documents = LOOKUP_DOCUMENT, ASSIGN_DOCUMENT
-        LOOKUP_DOCUMENT, ASSIGN_DOCUMENT = (f"{text} # {arrival.name}" for text in documents)
+        LOOKUP_DOCUMENT, ASSIGN_DOCUMENT = (f"{text} # {arrival.request_id}" for text in documents)
         try:
-            return await ask(address, arrival, connections)
+            return await send_graphql_request(address, arrival, connections)
         finally:
             LOOKUP_DOCUMENT, ASSIGN_DOCUMENT = documents
-    return await ask(address, arrival, connections)
+    return await send_graphql_request(address, arrival, connections)
 
 
 def measure_hostile_documents() -> None:
@@ -200,9 +202,11 @@
             await node.start(config_path)
             faults = asyncio.ensure_future(self.inject_faults())
             if self.frontend == "http":
-                results = await play(node.fronts["http"], self.traffic)
+                results = await send_arrivals(node.fronts["http"], self.traffic)
             else:
-                results = await play(node.fronts["graphql"], self.traffic, ask)
+                results = await send_arrivals(
+                    node.fronts["graphql"], self.traffic, send_graphql_request
+                )
             await faults
             if await node.stop():
                 raise RuntimeError("the node exited with an error:\n" + "\n".join(node.lines))
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -29,7 +29,7 @@
 from standins import http1
 from standins.catalog import Catalog
 from standins.fleet import Fleet
-from standins.traffic import KINDS, Result, arrivals, ask
+from standins.traffic import REQUEST_CLASSES, Result, draw_arrivals, send_request
 
 SERVERS = 12
 RATE_PER_NODE_PER_S = 4.0
@@ -124,10 +124,11 @@
     """Return the settings of a node."""
     classes = [
         {
-            "Name": kind.name, "Aim": kind.aim, "Deadline": kind.deadline, "Worth": kind.worth,
-            "Idempotency": "guarded" if kind.keyed else "free", "Window": 6000.0,
+            "Name": request_class.name, "Aim": request_class.aim_ms,
+            "Deadline": request_class.deadline_ms, "Worth": request_class.worth,
+            "Idempotency": "guarded" if request_class.keyed else "free", "Window": 6000.0,
         }
-        for kind in KINDS
+        for request_class in REQUEST_CLASSES
     ]  # fmt: skip
     return {
         "Allowed": {
@@ -220,16 +221,16 @@
 
 async def send_traffic(node: NodeProcess, seed: int, results: list[tuple[float, Result]]) -> None:
     """Send traffic to one node until cancelled."""
-    connections, start = http1.Connections(), time.monotonic()
+    connections, start = http1.ConnectionPool(), time.monotonic()
     pending = set()
 
-    async def send_request(arrival: Any) -> None:
-        results.append((time.monotonic(), await ask(node.address, arrival, connections)))
+    async def send_and_record(arrival: Any) -> None:
+        results.append((time.monotonic(), await send_request(node.address, arrival, connections)))
 
     try:
-        for arrival in arrivals(seed, RATE_PER_NODE_PER_S, 600.0):
-            await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
-            task = asyncio.ensure_future(send_request(arrival))
+        for arrival in draw_arrivals(seed, RATE_PER_NODE_PER_S, 600.0):
+            await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
+            task = asyncio.ensure_future(send_and_record(arrival))
             pending.add(task)
             task.add_done_callback(pending.discard)
     finally:
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -21,7 +21,7 @@
 from badgercart.statistics import snapshot, store
 from standins.demo import NodeProcess
 from standins.fleet import Fleet, operators_file
-from standins.traffic import Arrival, arrivals, play, served_share
+from standins.traffic import Arrival, draw_arrivals, send_arrivals, served_share
 
 SERVERS = 8
 BEFORE_RESTART_S = 8.0
@@ -42,7 +42,7 @@
     fleet = await Fleet(SERVERS, seed).start()
     slow, others = fleet.servers[:2], fleet.servers[4:6]
     for server in slow:
-        server.slowness = SLOW_FACTOR
+        server.service_time_factor = SLOW_FACTOR
     with tempfile.TemporaryDirectory() as folder:
         config_path, statistics_folder = (
             Path(folder) / "node.toml",
@@ -55,32 +55,32 @@
         config_path.write_text(text)
         node = NodeProcess(("http",))
         await node.start(config_path)
-        traffic = list(arrivals(seed, rate, BEFORE_RESTART_S + AFTER_RESTART_S))
-        traffic_before = [arrival for arrival in traffic if arrival.at < BEFORE_RESTART_S]
+        traffic = list(draw_arrivals(seed, rate, BEFORE_RESTART_S + AFTER_RESTART_S))
+        traffic_before = [arrival for arrival in traffic if arrival.send_at_s < BEFORE_RESTART_S]
         traffic_after = [
             Arrival(
-                arrival.at - BEFORE_RESTART_S,
-                arrival.kind,
+                arrival.send_at_s - BEFORE_RESTART_S,
+                arrival.request_class,
                 arrival.tenant,
-                arrival.name,
+                arrival.request_id,
                 arrival.ride,
             )
             for arrival in traffic
-            if arrival.at >= BEFORE_RESTART_S
+            if arrival.send_at_s >= BEFORE_RESTART_S
         ]
-        await play(node.fronts["http"], traffic_before)
+        await send_arrivals(node.fronts["http"], traffic_before)
         if variant != VARIANTS[0]:
             await node.stop()
             if variant == VARIANTS[4]:
                 backdate(statistics_folder, FILE_AGE_S)
             if variant in VARIANTS[3:]:
                 for server in slow:
-                    server.slowness = 1.0
+                    server.service_time_factor = 1.0
                 for server in others:
-                    server.slowness = SLOW_FACTOR
+                    server.service_time_factor = SLOW_FACTOR
             node = NodeProcess(("http",))
             await node.start(config_path)
-        results = await play(node.fronts["http"], traffic_after)
+        results = await send_arrivals(node.fronts["http"], traffic_after)
         await node.stop()
     await fleet.stop()
     return served_share(results)
--- a/benchmarks/same_service.py
+++ b/benchmarks/same_service.py
@@ -21,7 +21,7 @@
 from standins.fleet import Fleet, operators_file
 from standins.proxy import Proxy
 from standins.server import DispatchServer
-from standins.traffic import ASSIGN, Result, arrivals, play, served_share
+from standins.traffic import ASSIGN, Result, draw_arrivals, send_arrivals, served_share
 
 SERVERS = 8
 DRAIN_GRACE_S = 0.5
@@ -46,7 +46,7 @@
 
     def __init__(self, frontend: str, seed: int, rate: float, seconds: float) -> None:
         self.frontend, self.seed, self.seconds = frontend, seed, seconds
-        self.traffic = list(arrivals(seed, rate, seconds))
+        self.traffic = list(draw_arrivals(seed, rate, seconds))
         self.drained_at: dict[str, float] = {}
         self.returned_at: dict[str, float] = {}
 
@@ -61,7 +61,7 @@
             proxy = await Proxy(node.fronts["processor"]).start()
             address = node.fronts["http"] if self.frontend == "http" else proxy.address
             faults = asyncio.ensure_future(self.inject_faults())
-            results = await play(address, self.traffic)
+            results = await send_arrivals(address, self.traffic)
             await faults
             await proxy.stop()
             if await node.stop():
@@ -73,14 +73,14 @@
         """Make servers slow, silent and failing at fixed times, then drain and restart one cold."""
         step_s, servers = self.seconds / 12, self.fleet.servers
         await asyncio.sleep(2 * step_s)
-        servers[0].slowness = servers[1].slowness = SLOW_FACTOR
+        servers[0].service_time_factor = servers[1].service_time_factor = SLOW_FACTOR
         await asyncio.sleep(2 * step_s)
-        servers[0].slowness = servers[1].slowness = 1.0
-        servers[2].silent = 0.5
+        servers[0].service_time_factor = servers[1].service_time_factor = 1.0
+        servers[2].silent_share = 0.5
         await asyncio.sleep(1 * step_s)
-        servers[2].silent, servers[3].failing = 0.0, 0.7
+        servers[2].silent_share, servers[3].error_share = 0.0, 0.7
         await asyncio.sleep(1 * step_s)
-        servers[3].failing = 0.0
+        servers[3].error_share = 0.0
         leaving: DispatchServer = servers[4]
         await self.fleet.drain(leaving)
         self.drained_at[leaving.name] = time.monotonic()
@@ -101,7 +101,7 @@
 
     def unanswered(self, results: list[Result]) -> list[str]:
         """Check rule 1: each request gets an answer in time."""
-        unanswered = [result.arrival.name for result in results if result.outcome == "lost"]
+        unanswered = [result.arrival.request_id for result in results if result.outcome == "lost"]
         return (
             [f"rule 1: {len(unanswered)} requests with no answer in time, {unanswered[:3]}"]
             if unanswered
@@ -112,9 +112,9 @@
         """Check rule 2: no key is sent again after its deduplication window."""
         times_by_key: dict[str, list[float]] = defaultdict(list)
         for server in self.fleet.servers:
-            for seen in server.seen:
-                if seen.key:
-                    times_by_key[seen.key].append(seen.at)
+            for request in server.received_requests:
+                if request.idempotency_key:
+                    times_by_key[request.idempotency_key].append(request.received_at_s)
         late = [
             key
             for key, times in times_by_key.items()
@@ -133,9 +133,11 @@
             if drained_at is None:
                 continue
             late = [
-                seen
-                for seen in server.seen
-                if drained_at + DRAIN_GRACE_S + TIME_TOLERANCE_S < seen.at < returned_at
+                request
+                for request in server.received_requests
+                if drained_at + DRAIN_GRACE_S + TIME_TOLERANCE_S
+                < request.received_at_s
+                < returned_at
             ]
             if late:
                 violations.append(f"rule 3: {len(late)} requests at {server.name} after its drain")
@@ -145,12 +147,16 @@
         """Check rule 4: a cold server gets at most a multiple of its present capacity."""
         violations = []
         # The mean of the two bounds of both request classes, converted from ms.
-        mean_work_s = sum(low + high for low, high in self.fleet.servers[0].work.values()) / 4000
+        mean_work_s = sum(low + high for low, high in self.fleet.servers[0].work_ms.values()) / 4000
         for server in self.fleet.servers:
             returned_at = self.returned_at.get(server.name)
             if returned_at is None:
                 continue
-            times = [seen.at for seen in server.seen if seen.at >= returned_at]
+            times = [
+                request.received_at_s
+                for request in server.received_requests
+                if request.received_at_s >= returned_at
+            ]
             for at in times:
                 age = min(1.0, (at - returned_at) / RAMP_DURATION_S)
                 capacity = (
@@ -166,8 +172,8 @@
 def summary_line(frontend: str, results: list[Result]) -> str:
     """Return the line that summarizes the results of one run."""
     outcomes = Counter(result.outcome for result in results)
-    assigned = [result for result in results if result.arrival.kind is ASSIGN]
-    durations = sorted(result.took for result in results if result.outcome == "served")
+    assigned = [result for result in results if result.arrival.request_class is ASSIGN]
+    durations = sorted(result.response_time_ms for result in results if result.outcome == "served")
     share, assigned_share = served_share(results), served_share(assigned)
     return (
         f"{frontend:10} worth served in time {share:.3f}, ride-assign {assigned_share:.3f}; "
--- a/benchmarks/zone_trials.py
+++ b/benchmarks/zone_trials.py
@@ -62,7 +62,10 @@
     for zone in SURVIVING_ZONES:
         servers = [world.servers[name] for name in world.servers_in_zone(zone)]
         times = sorted(
-            seen.at for server in servers for seen in server.seen if seen.id and seen.at > lost_at
+            request.received_at_s
+            for server in servers
+            for request in server.received_requests
+            if request.request_id and request.received_at_s > lost_at
         )
         first = 0
         for last, at in enumerate(times):
@@ -133,8 +136,8 @@
     counted = [
         request.result for request in after_loss if request.sent_at_s < lost_at + VALUE_PERIOD_S
     ]
-    value = sum(result.worth for result in counted) / sum(
-        result.arrival.kind.worth for result in counted
+    value = sum(result.earned_worth for result in counted) / sum(
+        result.arrival.request_class.worth for result in counted
     )
     failover_s = [failover_time(requests, lost_at) for requests in by_node]
     return TrialResult(
--- a/lab/trial/checkers.py
+++ b/lab/trial/checkers.py
@@ -33,11 +33,11 @@
 def check_final_answers(world: World) -> Iterator[str]:
     """Rule 1: a request to a running node gets a final response before the client's deadline."""
     for request in world.sent_requests:
-        arrival, took_s = request.result.arrival, request.result.took / 1000
+        arrival, took_s = request.result.arrival, request.result.response_time_ms / 1000
         if request.result.outcome == "lost" and was_running(
             world, request.node, request.sent_at_s, request.sent_at_s + took_s
         ):
-            yield f"rule 1: {arrival.name} to {request.node} got no answer in {took_s:.2f} s"
+            yield f"rule 1: {arrival.request_id} to {request.node} got no answer in {took_s:.2f} s"
 
 
 def check_effects_once(world: World) -> Iterator[str]:
@@ -91,19 +91,19 @@
             if later.server == change.server and later.state == "active"
         )
         restarted_at_s = next(restarts, float("inf"))
-        for seen in world.servers[change.server].seen:
-            node = nodes.get(seen.source, "")
+        for request in world.servers[change.server].received_requests:
+            node = nodes.get(request.peer_ip, "")
             if (
                 node
                 and notified_at_s(world, node, change.published_at_s)
                 + DRAIN_GRACE_S
                 + TIMING_SLACK_S
                 + world.max_timer_delay_s
-                < left_node_at_s(world, node, change.server, seen)
+                < left_node_at_s(world, node, change.server, request)
                 < restarted_at_s
             ):
-                late_s = seen.at - change.published_at_s
-                yield f"rule 3: {seen.id} by {node} reached {change.server} {late_s:.2f} s after its drain"
+                late_s = request.received_at_s - change.published_at_s
+                yield f"rule 3: {request.request_id} by {node} reached {change.server} {late_s:.2f} s after its drain"
 
 
 def check_cold_servers(world: World) -> Iterator[str]:
@@ -116,9 +116,9 @@
         if change.state != "active":
             continue
         request_times = [
-            seen.at
-            for seen in world.servers[change.server].seen
-            if seen.at >= change.published_at_s
+            request.received_at_s
+            for request in world.servers[change.server].received_requests
+            if request.received_at_s >= change.published_at_s
         ]
         first = 0
         for last, at in enumerate(request_times):
--- a/lab/trial/records.py
+++ b/lab/trial/records.py
@@ -43,16 +43,16 @@
     """Return a row for each request that a client sent."""
     return [
         {
-            "id": request.result.arrival.name,
+            "id": request.result.arrival.request_id,
             "node": request.node,
-            "class": request.result.arrival.kind.name,
+            "class": request.result.arrival.request_class.name,
             "tenant": request.result.arrival.tenant,
             "sent_s": request.sent_at_s - world.started_at_s,
-            "took_ms": request.result.took,
+            "took_ms": request.result.response_time_ms,
             "status": request.result.status,
             "outcome": request.result.outcome,
-            "worth": request.result.worth,
-            "asked": request.result.arrival.kind.worth,
+            "worth": request.result.earned_worth,
+            "asked": request.result.arrival.request_class.worth,
         }
         for request in world.sent_requests
     ]
@@ -63,13 +63,13 @@
     names = {world.switch.endpoints[name].switch_address[0]: name for name in world.nodes}
     return [
         {
-            "id": seen.id,
-            "node": names.get(seen.source, seen.source),
+            "id": request.request_id,
+            "node": names.get(request.peer_ip, request.peer_ip),
             "server": name,
-            "at_s": seen.at - world.started_at_s,
+            "at_s": request.received_at_s - world.started_at_s,
         }
         for name, server in world.servers.items()
-        for seen in server.seen
+        for request in server.received_requests
     ]
 
 
--- a/lab/trial/world.py
+++ b/lab/trial/world.py
@@ -19,7 +19,7 @@
 from standins import http1
 from standins.catalog import Catalog
 from standins.server import DispatchServer
-from standins.traffic import TENANTS, Arrival, Result, arrivals, ask, class_tables
+from standins.traffic import TENANTS, Arrival, Result, class_tables, draw_arrivals, send_request
 
 # Bounds of the service time of each request class.
 WORK_MS = {"cab-lookup": (5.0, 15.0), "ride-assign": (8.0, 20.0)}
@@ -153,11 +153,13 @@
             server = DispatchServer(
                 f"s-{number}", WORK_MS, shape.cores, shape.queue, "k", zone, shape.seed
             )
-            server.done = self.effect_times
+            server.effect_times = self.effect_times
             server.host, shown = self.addresses(SERVER_RANGE, number)
             await server.start()
             await self.switch.add(server.name, (server.host, server.port), (shown, 0))
-            server.shown = "{}:{}".format(*self.switch.endpoints[server.name].switch_address)
+            server.advertised_address = "{}:{}".format(
+                *self.switch.endpoints[server.name].switch_address
+            )
             self.servers[server.name] = server
         self.catalog = Catalog([server.entry() for server in self.servers.values()])
         self.catalog.host, shown = self.addresses(LIST_RANGE, 1)
@@ -259,7 +261,7 @@
     def restart_server(self, name: str) -> None:
         """Publish the server as freshly started, hence cold."""
         server = self.servers[name]
-        server.state, server.started_at = "active", int(time.time() * 1000)
+        server.state, server.started_at_ms = "active", int(time.time() * 1000)
         self.publish_state(server)
 
     def crash_server(self, name: str) -> None:
@@ -376,10 +378,10 @@
         The load is open-loop: requests don't wait for the results of earlier ones.
         """
         names = nodes or list(self.nodes)
-        connections, start = http1.Connections(), time.monotonic()
+        connections, start = http1.ConnectionPool(), time.monotonic()
         request_tasks: list[asyncio.Task[None]] = []
-        for number, arrival in enumerate(arrivals(seed, rate, seconds)):
-            await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
+        for number, arrival in enumerate(draw_arrivals(seed, rate, seconds)):
+            await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
             running = [
                 n for n in names if all(until < math.inf for _, until in self.downtimes.get(n, ()))
             ]
@@ -393,11 +395,11 @@
         connections.close()
 
     async def send_request(
-        self, name: str, arrival: Arrival, connections: http1.Connections
+        self, name: str, arrival: Arrival, connections: http1.ConnectionPool
     ) -> None:
         """Send one request to a node and record its result."""
         sent_at_s = time.monotonic()
-        result = await ask(
+        result = await send_request(
             self.nodes[name].frontend_address, arrival, connections, LATE_RESPONSE_GRACE_MS
         )
         self.sent_requests.append(SentRequest(name, sent_at_s, result))
--- a/standins/catalog.py
+++ b/standins/catalog.py
@@ -24,8 +24,8 @@
         self.entries = {entry["instanceId"]: entry for entry in entries}
         self.generation = 1
         self.watches: set[asyncio.StreamWriter] = set()
-        # When each (instance id, lifecycle) was last written to the watches: s, monotonic clock.
-        self.told: dict[tuple[str, str], float] = {}
+        # When each (instance id, lifecycle) was last written to the watches, on the monotonic clock.
+        self.last_sent_at_s: dict[tuple[str, str], float] = {}
         self.silent = False
         self.host, self.port = "127.0.0.1", 0
 
@@ -60,7 +60,7 @@
         for writer in self.watches:
             self.write(writer, line)
         for entry in entries:
-            self.told[entry["instanceId"], entry["lifecycle"]] = time.monotonic()
+            self.last_sent_at_s[entry["instanceId"], entry["lifecycle"]] = time.monotonic()
 
     def line(self, entries: list[dict[str, Any]], reset: bool) -> bytes:
         """Return one message of the protocol: a snapshot where `reset` is set, else a delta."""
@@ -84,10 +84,12 @@
         """Respond to the polls of one connection, or serve its watch until the node closes it."""
         try:
             while True:
-                target = (await http1.read_message(reader)).start[1]
+                target = (await http1.read_message(reader)).start_line[1]
                 snapshot = self.line(list(self.entries.values()), reset=True)
                 if "watch=1" not in target:
-                    writer.write(http1.answer(200, {"content-type": "application/json"}, snapshot))
+                    writer.write(
+                        http1.response(200, {"content-type": "application/json"}, snapshot)
+                    )
                     continue
                 writer.write(b"HTTP/1.1 200 -\r\ntransfer-encoding: chunked\r\n\r\n")
                 known_generation = target.partition("from=")[2]
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -23,7 +23,7 @@
 from standins.graphql import SCHEMA_FILE
 from standins.proxy import Proxy
 from standins.server import DispatchServer
-from standins.traffic import KINDS, Arrival, Result, arrivals, ask
+from standins.traffic import REQUEST_CLASSES, Arrival, Result, draw_arrivals, send_request
 
 SERVER_COUNT = 8
 # About two thirds of the capacity of the fleet.
@@ -131,20 +131,20 @@
             f"{'last 10 s':22}{'asked':>7}{'served':>8}{'refused':>9}{'failed':>8}{'p50 ms':>8}{'p99 ms':>8}"
         ]
         for frontend in ("http", "processor"):
-            for kind in KINDS:
+            for request_class in REQUEST_CLASSES:
                 found = [
                     result
                     for _, result_frontend, result in self.results
-                    if result_frontend == frontend and result.arrival.kind is kind
+                    if result_frontend == frontend and result.arrival.request_class is request_class
                 ]
                 outcomes = Counter(result.outcome for result in found)
-                took_ms = sorted(result.took for result in found if result.outcome == "served") or [
-                    0.0
-                ]
+                took_ms = sorted(
+                    result.response_time_ms for result in found if result.outcome == "served"
+                ) or [0.0]
                 served, refused = outcomes["served"], outcomes["refused"]
                 failed = outcomes["failed"] + outcomes["lost"]
                 rows.append(
-                    f"{kind.name + ' / ' + frontend:22}{len(found):>7}{served:>8}{refused:>9}"
+                    f"{request_class.name + ' / ' + frontend:22}{len(found):>7}{served:>8}{refused:>9}"
                     f"{failed:>8}{took_ms[len(took_ms) // 2]:>8.0f}"
                     f"{took_ms[len(took_ms) * 99 // 100]:>8.0f}"
                 )
@@ -154,12 +154,12 @@
                 server.state
                 if server.state != "active"
                 else "slow"
-                if server.slowness > 1
+                if server.service_time_factor > 1
                 else "ready"
             )
             bar = "#" * server.in_flight
             rows.append(
-                f"{server.name:6}{server.kind:9}{state:9}{len(server.seen):>7} requests  {bar}"
+                f"{server.name:6}{server.machine_type:9}{state:9}{len(server.received_requests):>7} requests  {bar}"
             )
         return rows
 
@@ -180,9 +180,9 @@
     while True:
         await asyncio.sleep(6)
         slow: DispatchServer = rng.choice([s for s in fleet.servers if s.state == "active"])
-        slow.slowness, table.note = 6.0, f"{slow.name} is six times slower"
+        slow.service_time_factor, table.note = 6.0, f"{slow.name} is six times slower"
         await asyncio.sleep(8)
-        slow.slowness = 1.0
+        slow.service_time_factor = 1.0
         leaving = rng.choice([s for s in fleet.servers if s.state == "active"])
         table.note = f"{leaving.name} drains: nothing new goes there from 0.5 s on"
         await fleet.drain(leaving)
@@ -198,14 +198,14 @@
 
 async def traffic(addresses: dict[str, str], table: Table, seconds: float) -> None:
     """Send requests for a time; the table gets the result of each as it ends."""
-    connections, start, rng = http1.Connections(), time.monotonic(), random.Random(2)
+    connections, start, rng = http1.ConnectionPool(), time.monotonic(), random.Random(2)
     in_flight: set[asyncio.Task[None]] = set()
 
     async def send(frontend: str, arrival: Arrival) -> None:
-        table.add(frontend, await ask(addresses[frontend], arrival, connections))
+        table.add(frontend, await send_request(addresses[frontend], arrival, connections))
 
-    for arrival in arrivals(1, RATE_PER_S, seconds):
-        await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
+    for arrival in draw_arrivals(1, RATE_PER_S, seconds):
+        await asyncio.sleep(max(0.0, start + arrival.send_at_s - time.monotonic()))
         frontend = "processor" if rng.random() < PROXY_SHARE else "http"
         task = asyncio.ensure_future(send(frontend, arrival))
         in_flight.add(task)
--- a/standins/http1.py
+++ b/standins/http1.py
@@ -18,14 +18,14 @@
     """A request or a response. Header names are in lower case."""
 
     # The three words of the request line or status line.
-    start: list[str]
+    start_line: list[str]
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
 
     @property
     def status(self) -> int:
         """The status code of a response."""
-        return int(self.start[1])
+        return int(self.start_line[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
@@ -37,7 +37,7 @@
     header_section = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = header_section[:-4].split("\r\n")
     message = Message(first.split(" ", 2))
-    if len(message.start) < 2:
+    if len(message.start_line) < 2:
         raise ValueError(f"{first!r} is not a request line or status line")
     for line in lines:
         name, _, value = line.partition(":")
@@ -60,7 +60,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body
 
 
-def answer(status: int, headers: Mapping[str, str] | None = None, body: bytes = b"") -> bytes:
+def response(status: int, headers: Mapping[str, str] | None = None, body: bytes = b"") -> bytes:
     """Return a response in wire format, with `content-length` added."""
     lines = [
         f"HTTP/1.1 {status} -",
@@ -71,13 +71,13 @@
     ) + body
 
 
-class Connections:
+class ConnectionPool:
     """Pool of a client's idle connections, by address."""
 
     def __init__(self) -> None:
         self.idle: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
 
-    async def open(self, address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def acquire(self, address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Return an idle connection that is still open, or a new one.
 
         Raises OSError where no connection can be opened.
@@ -91,7 +91,7 @@
         host, _, port = address.rpartition(":")
         return await asyncio.open_connection(host, int(port))
 
-    def keep(
+    def release(
         self, address: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Put a connection back into the pool."""
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -57,7 +57,7 @@
         self.before_send = before_send
         # The endpoint of an old response that is used for every request.
         self.stuck: str | None = None
-        self.connections = http1.Connections()
+        self.connections = http1.ConnectionPool()
         # Per attempt: request id, endpoint, when its first byte was written (s, monotonic clock).
         self.sent: list[tuple[str, str, float]] = []
         self.asked_again = 0
@@ -95,13 +95,17 @@
 
         It fails closed: the response has status 500 where the processor can't be asked.
         """
-        described = {":method": request.start[0], ":path": request.start[1], ":scheme": "http"}
+        described = {
+            ":method": request.start_line[0],
+            ":path": request.start_line[1],
+            ":scheme": "http",
+        }
         described |= {":authority": request.headers.get("host", "")} | request.headers
         try:
             return await self.route(request, described)
         # gRPC raises InvalidStateError where the stream to the processor has ended meanwhile.
         except (grpc.RpcError, TimeoutError, asyncio.InvalidStateError):
-            return http1.answer(500)
+            return http1.response(500)
 
     async def route(self, request: http1.Message, described: dict[str, str]) -> bytes:
         """Ask the processor, send the request as it says, and return the response."""
@@ -113,7 +117,7 @@
             if response.HasField("immediate_response"):
                 await stream.half_close()
                 immediate = response.immediate_response
-                return http1.answer(immediate.status.code, told_headers(response), immediate.body)
+                return http1.response(immediate.status.code, told_headers(response), immediate.body)
             route_headers = told_headers(response)
             if self.before_send is not None:
                 await self.before_send(route_headers[DESTINATION])
@@ -139,7 +143,7 @@
             if name not in UNFORWARDED_HEADERS
         }
         headers = forwarded | {"request-timeout": route_headers["request-timeout"]}
-        data = http1.request(request.start[0], request.start[1], headers, request.body)
+        data = http1.request(request.start_line[0], request.start_line[1], headers, request.body)
         for endpoint in endpoints[:max_attempts]:
             sent.attempts += 1
             sent.served, sent.answer = endpoint, None
@@ -167,7 +171,7 @@
             async with asyncio.timeout(
                 min(CONNECT_TIMEOUT_S, max(0.0, deadline - time.monotonic()))
             ):
-                reader, writer = await self.connections.open(endpoint)
+                reader, writer = await self.connections.acquire(endpoint)
         except (OSError, TimeoutError):
             sent.flags, sent.details = (
                 UF,
@@ -187,7 +191,7 @@
             writer.close()
             raise
         else:
-            self.connections.keep(endpoint, reader, writer)
+            self.connections.release(endpoint, reader, writer)
 
     async def finish(self, stream: Any, sent: Sent) -> bytes:
         """Report the outcome in the response phase and return the client's response."""
@@ -210,6 +214,6 @@
         await stream.half_close()
         if verdict.HasField("immediate_response"):
             immediate = verdict.immediate_response
-            return http1.answer(immediate.status.code, told_headers(verdict), immediate.body)
+            return http1.response(immediate.status.code, told_headers(verdict), immediate.body)
         status = int(told_headers(verdict).get(":status", status))
-        return http1.answer(status, forwarded, body)
+        return http1.response(status, forwarded, body)
--- a/standins/server.py
+++ b/standins/server.py
@@ -26,72 +26,71 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class ReceivedRequest:
     """Record of a request that reached the server."""
 
-    id: str
-    # The idempotency key, or empty.
-    key: str
+    request_id: str
+    # Empty where the request has none.
+    idempotency_key: str
     target: str
-    # Arrival in s on the monotonic clock.
-    at: float
-    # The IP address of the peer.
-    source: str = ""
+    # The time on the monotonic clock.
+    received_at_s: float
+    peer_ip: str = ""
 
 
 class DispatchServer:
     """One dispatch server.
 
-    Its faults are attributes: `slowness` multiplies the service time, `silent` is the share of
-    requests that get no response, `failing` the share that get status 500. While it is `draining`
-    it rejects every request as not started.
+    Its faults are attributes: `service_time_factor` multiplies the service time, `silent_share` is
+    the share of requests that get no response, `error_share` the share that get status 500. While
+    it is `draining` it rejects every request as not started.
 
     Args:
-        work: By request class, the minimum and maximum service time in ms.
+        work_ms: By request class, the minimum and maximum service time in ms.
         cores: Requests that are processed at once.
-        queue: Requests that may wait for a core; those beyond are rejected as not started.
-        kind: The machine type in the endpoint list.
-        window: How long repeats of an idempotency key are dropped, in s.
+        queue_limit: Requests that may wait for a core; those beyond are rejected as not started.
+        machine_type: The machine type in the endpoint list.
+        window_s: How long repeats of an idempotency key are dropped, in s.
     """
 
     def __init__(
         self,
         name: str,
-        work: dict[str, tuple[float, float]],
+        work_ms: dict[str, tuple[float, float]],
         cores: int = 2,
-        queue: int = 4,
-        kind: str = "k2-fast",
+        queue_limit: int = 4,
+        machine_type: str = "k2-fast",
         zone: str = "angyalfold",
         seed: int = 1,
-        window: float = 6.0,
+        window_s: float = 6.0,
     ) -> None:
-        self.name, self.work, self.kind, self.zone = name, work, kind, zone
-        self.cores, self.queue, self.window = cores, queue, window
+        self.name, self.work_ms, self.machine_type, self.zone = name, work_ms, machine_type, zone
+        self.cores, self.queue_limit, self.window_s = cores, queue_limit, window_s
         self.random = random.Random(f"{seed} {name}")
-        self.slowness, self.silent, self.failing = 1.0, 0.0, 0.0
+        self.service_time_factor, self.silent_share, self.error_share = 1.0, 0.0, 0.0
         self.draining = False
         self.state = "active"
         # Unix time in ms, as the endpoint list has it.
-        self.started_at = 0
+        self.started_at_ms = 0
         self.slots = asyncio.Semaphore(cores)
         self.in_flight = 0
-        self.seen: deque[Seen] = deque(maxlen=MAX_RECORDED_REQUESTS)
+        self.received_requests: deque[ReceivedRequest] = deque(maxlen=MAX_RECORDED_REQUESTS)
         # Count of effects by idempotency key.
         self.effects: Counter[str] = Counter()
         # When each idempotency key had its effect, in s on the monotonic clock. The servers of a
         # group share this dict.
-        self.done: dict[str, float] = {}
+        self.effect_times: dict[str, float] = {}
         # Counts the stops of the process: work in flight does not survive one.
         self.generation = 0
         self.writers: set[asyncio.StreamWriter] = set()
         self.host, self.port = "127.0.0.1", 0
         # The address in the endpoint list, where it differs from the address of the socket.
-        self.shown = ""
+        self.advertised_address = ""
 
     @property
     def address(self) -> str:
         """The address as the endpoint list has it."""
-        return self.shown or f"{self.host}:{self.port}"
+        return self.advertised_address or f"{self.host}:{self.port}"
 
     def entry(self, state: str | None = None) -> dict[str, Any]:
         """Return the server's entry of the endpoint list."""
@@ -99,11 +98,11 @@
             "instanceId": self.name,
             "hostPort": self.address,
             "zone": self.zone,
-            "machineType": self.kind,
+            "machineType": self.machine_type,
             "cell": 0,
             "lifecycle": state or self.state,
             "weight": float(self.cores),
-            "startedAtMs": self.started_at,
+            "startedAtMs": self.started_at_ms,
         }
 
     async def start(self, port: int = 0) -> DispatchServer:
@@ -125,63 +124,69 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Respond to the requests of one connection until it ends."""
         self.writers.add(writer)
-        source = str(writer.get_extra_info("peername")[0])
+        peer_ip = str(writer.get_extra_info("peername")[0])
         try:
             while True:
-                writer.write(await self.answer(await http1.read_message(reader), source))
+                writer.write(await self.process_request(await http1.read_message(reader), peer_ip))
         except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError, ValueError):
             pass
         finally:
             self.writers.discard(writer)
             writer.close()
 
-    async def answer(self, request: http1.Message, source: str = "") -> bytes:
+    async def process_request(self, request: http1.Message, peer_ip: str = "") -> bytes:
         """Process one request and return the response in wire format."""
         request_id, key = (
             request.headers.get("request-id", ""),
             request.headers.get("idempotency-key", ""),
         )
-        self.seen.append(Seen(request_id, key, request.start[1], time.monotonic(), source))
+        self.received_requests.append(
+            ReceivedRequest(request_id, key, request.start_line[1], time.monotonic(), peer_ip)
+        )
         if not request_id:
-            return http1.answer(404)
-        if self.draining or self.in_flight >= self.cores + self.queue:
-            return http1.answer(503, {"not-started": "1"})
+            return http1.response(404)
+        if self.draining or self.in_flight >= self.cores + self.queue_limit:
+            return http1.response(503, {"not-started": "1"})
         draw = self.random.random()
-        if draw < self.silent:
+        if draw < self.silent_share:
             await asyncio.sleep(SILENCE_S)
-        if draw < self.silent + self.failing:
-            return http1.answer(500)
-        by_graphql = request.start[1] == "/graphql"
+        if draw < self.silent_share + self.error_share:
+            return http1.response(500)
+        by_graphql = request.start_line[1] == "/graphql"
         if by_graphql:
             # Imported here: the GraphQL library loads slowly, and most servers do without it.
             from standins import graphql
 
             fields = graphql.root_fields(json.loads(request.body).get("query", ""))
             ranges = [
-                self.work.get(graphql.WORK_OF.get(name, ""), DEFAULT_WORK_MS) for name in fields
+                self.work_ms.get(graphql.WORK_OF.get(name, ""), DEFAULT_WORK_MS) for name in fields
             ]
             min_ms, max_ms = (
                 (sum(ends) for ends in zip(*ranges, strict=True)) if ranges else DEFAULT_WORK_MS
             )
         else:
-            min_ms, max_ms = self.work.get(request.start[1].split("/")[1], DEFAULT_WORK_MS)
+            min_ms, max_ms = self.work_ms.get(request.start_line[1].split("/")[1], DEFAULT_WORK_MS)
         self.in_flight += 1
         generation = self.generation
         try:
             async with self.slots:
-                await asyncio.sleep(self.random.uniform(min_ms, max_ms) * self.slowness / 1000)
+                await asyncio.sleep(
+                    self.random.uniform(min_ms, max_ms) * self.service_time_factor / 1000
+                )
         finally:
             self.in_flight -= 1
         now = time.monotonic()
         if generation != self.generation:
             # The server stopped meanwhile: the connection is gone, and nobody reads this.
-            return http1.answer(500)
-        if key and now - self.done.get(key, -self.window) >= self.window:
-            self.done[key] = now
+            return http1.response(500)
+        if key and now - self.effect_times.get(key, -self.window_s) >= self.window_s:
+            self.effect_times[key] = now
             self.effects[key] += 1
         if by_graphql:
-            status, body = graphql.answer(self.name, request.body)
-            return http1.answer(status, {"content-type": "application/graphql-response+json"}, body)
-        return http1.answer(
+            status, body = graphql.execute_request(self.name, request.body)
+            return http1.response(
+                status, {"content-type": "application/graphql-response+json"}, body
+            )
+        return http1.response(
             200, {"content-type": "text/plain"}, f"{self.name} {request_id}\n".encode()
         )
