--- a/lab/trial/checkers.py
+++ b/lab/trial/checkers.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterator
 
 from lab.trial.world import LIST, WORK_MS, World
-from standins.server import Seen
+from standins.server import ReceivedRequest
 
 # Added to the drain grace that nodes are given, as on the platform; the largest timer delay of this
 # machine comes on top.
@@ -65,18 +65,18 @@
     return published_at_s + MAX_NOTICE_S if cut else min(until_s, published_at_s + MAX_NOTICE_S)
 
 
-def left_node_at_s(world: World, node: str, server: str, seen: Seen) -> float:
+def left_node_at_s(world: World, node: str, server: str, request: ReceivedRequest) -> float:
     """Return when the node sent a request: before the server received it if a cut link held it."""
-    name = f": {seen.id}\r\n".encode()
+    name = f": {request.request_id}\r\n".encode()
     slack_s = TIMING_SLACK_S + world.max_timer_delay_s
     for held in world.switch.held_data:
         if (
             held.link == (node, server)
             and name in held.data
-            and held.forwarded_at_s <= seen.at <= held.forwarded_at_s + slack_s
+            and held.forwarded_at_s <= request.received_at_s <= held.forwarded_at_s + slack_s
         ):
             return held.received_at_s
-    return seen.at
+    return request.received_at_s
 
 
 def check_drained_servers(world: World) -> Iterator[str]:
--- a/tests/trial/test_checkers.py
+++ b/tests/trial/test_checkers.py
@@ -11,7 +11,7 @@
 from lab.trial.checkers import check_drained_servers
 from lab.trial.switch import HeldData
 from lab.trial.world import ServerStateChange
-from standins.server import Seen
+from standins.server import ReceivedRequest
 
 DRAINED_AT_S = 10.0
 SEEN_AT_S = 11.0
@@ -20,10 +20,10 @@
 
 def observed_world(*held_data: HeldData) -> Any:
     """Return a world in which a drained server has received the request r-1 from n0 too late."""
-    seen = Seen("r-1", "", "/", SEEN_AT_S, "127.2.128.1")
+    request = ReceivedRequest("r-1", "", "/", SEEN_AT_S, "127.2.128.1")
     return SimpleNamespace(
         nodes={"n0": None},
-        servers={"s-1": SimpleNamespace(seen=deque([seen]))},
+        servers={"s-1": SimpleNamespace(received_requests=deque([request]))},
         state_changes=[ServerStateChange("s-1", "leaving", DRAINED_AT_S)],
         switch=SimpleNamespace(
             endpoints={"n0": SimpleNamespace(switch_address=("127.2.128.1", 7946))},
