--- a/tests/trial/test_checkers.py
+++ b/tests/trial/test_checkers.py
@@ -36,7 +36,11 @@
 
 def held(received_at_s: float, **changes: Any) -> HeldData:
     """Return the request's data as the switch forwarded it 10 ms before the server received it."""
-    values = {"link": ("n0", "s-1"), "data": REQUEST, "forwarded_at_s": SEEN_AT_S - 0.01}
+    values: dict[str, Any] = {
+        "link": ("n0", "s-1"),
+        "data": REQUEST,
+        "forwarded_at_s": SEEN_AT_S - 0.01,
+    }
     return HeldData(**(values | {"received_at_s": received_at_s} | changes))
 
 
