--- a/tests/trial/test_random.py
+++ b/tests/trial/test_random.py
@@ -75,10 +75,8 @@
     async def script(world: World) -> None:
         await play(file, world)
         world.switch.heal()
-        last = {name: node.last_event("peers.level") for name, node in world.nodes.items()}
-        not_whole = [name for name, level in last.items() if level["standing"] != "whole"]
         counts = world.event_counts()
-        await world.wait_for_level("whole", not_whole, counts)
+        await world.wait_for_common_levels(dict.fromkeys(world.nodes, "whole"))
         if file.trial.plan:  # nodes without a plan must get one again
             without_plan = [n for n, node in world.nodes.items() if not has_plan(node)]
             await world.wait_for_plan(without_plan, counts)
